--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -130,6 +130,18 @@
         with self.lock:
             self._ended(leg, outcome, note, waited, load, answer)
 
+    def may_begin(self, leg: Leg) -> bool:
+        """Whether a leg that was decided may still go out: asked when its first byte is to be written, which
+        may be long after. What came between (a drain, another machine at the address, a purge, the client's
+        leaving, another answer) holds; a leg that may not is reported as moot, and what is to be done instead
+        is decided anew."""
+        with self.lock:
+            life = self.lives.get(leg.lookup)
+            if life is None or life.verdict is not None or leg.outcome is not None:
+                return False
+            here = all(self.places.get(node) is place and not place.gone for node, place in leg.ways)
+            return here and self.director.may_begin(self.clock(), leg)
+
     def forget(self, lookup: Lookup) -> None:
         """The client has left."""
         with self.lock:
@@ -328,6 +340,7 @@
         life = self.lives.get(leg.lookup)
         if life is None:
             return
+        leg.ways = tuple((node, self.places[node]) for node in (leg.node, source) if node is not None)
         life.steps.append(Order(leg, self.places[leg.node], self.places[source].name if source else "",
                                 max_age, rank, join, held_only, parent_keeps, renew))
         self._set_timer(leg.timeout, "timeout", leg)
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -128,6 +128,8 @@
     timeout: float
     outcome: Outcome | None = None
     bag: Any = None  # the module's own notes on it
+    purged: float = 0.0  # the purge that bounds the age of its copy; 0: none does
+    ways: tuple[tuple[Node, "Place"], ...] = ()  # the caller's: where node and source were when decided
 
 
 @dataclass(slots=True, eq=False)
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -42,7 +42,7 @@
         self.place, self.used, self.heard = place, now, now
         self.outlet = Outlet(lock)
         self.open: dict[str, Leg | Probe] = {}
-        self.over: dict[str, float] = {}  # given up here; a late answer may still come
+        self.over: dict[str, float] = {}  # ended here alone; a late or second answer may still come
         self.asked = 0.0  # when it was asked whether it still brings answers
         self.patience, self.held_for = Patience(), 0.0
         self.given_up = 0.0  # when a leg was given up with nothing heard since it was sent
@@ -101,7 +101,15 @@
                 link.given_up = link.given_up or now
             if not link.outlet.withdraw(about):
                 link.over[about] = now
-                link.outlet.put(None, [resp.kill(about)])
+                if self.facade.terms.may_cancel:
+                    self._kill(link, about)
+
+    def _kill(self, link: Link, about: str) -> None:
+        """Under the lock. Where a lookup may have one leg out at a time, the next one must not overtake a
+        word that waits behind others to be written: the end of the connection says it at once."""
+        link.outlet.put(None, [resp.kill(about)])
+        if link.outlet.waiting and not self.facade.terms.two_legs:
+            link.outlet.end()
 
     def probe(self, node: Node, place: Place, with_report: bool = True) -> None:
         tag = f"probe-{next(self.tags)}"
@@ -173,15 +181,16 @@
     # Inside
 
     def _put(self, place: Place, about: str, held: Leg | Probe, pieces: list[memoryview | bytes]) -> None:
-        now = self.clock()
+        now, link = self.clock(), None
         with self.lock:
             links = self.links.setdefault(place, [])
-            link = min((link for link in links if link.takes(about, self.legs_a_connection)),
-                       key=lambda link: len(link.open), default=None)
-            if link is None and not self.stopped:
-                self._make_room()
-                if self.count < self.links_most:
-                    link = self._connect(place, links, now)
+            if not self._is_stale(held):
+                link = min((link for link in links if link.takes(about, self.legs_a_connection)),
+                           key=lambda link: len(link.open), default=None)
+                if link is None and not self.stopped:
+                    self._make_room()
+                    if self.count < self.links_most:
+                        link = self._connect(place, links, now)
             if link is not None:
                 link.open[about], link.used = held, now
                 link.held_for = self.held_for[held.node.kind in self.far]
@@ -189,7 +198,20 @@
                     self.of_leg[held] = (link, about)
                 link.outlet.put(about, pieces)
         if link is None and isinstance(held, Leg):
-            self._report(held, Outcome.MOOT)  # no connection to be had here: no word about the node
+            self._report(held, Outcome.MOOT)  # not to be sent, or no connection here: no word about the node
+
+    def _is_stale(self, held: Leg | Probe | None) -> bool:
+        """Under the lock, which is held until the first byte is written: what comes later comes after it."""
+        return isinstance(held, Leg) and bool(held.ways) and not self.facade.may_begin(held)
+
+    def _withdrawn(self, link: Link, about: str) -> None:
+        """A leg that waited for its link was not sent, as it must not be any more."""
+        with self.lock:
+            held = link.open.pop(about, None)
+            if isinstance(held, Leg):
+                self.of_leg.pop(held, None)
+        if isinstance(held, Leg):
+            self._report(held, Outcome.MOOT)
 
     def _report(self, leg: Leg, *how: Any) -> None:
         """Tells how a leg went, and does what follows from it."""
@@ -199,6 +221,8 @@
     def _connect(self, place: Place, links: list[Link], now: float) -> Link | None:
         """Under the lock. A new link, or None where no thread is to be had for it."""
         link = Link(place, now, self.lock)
+        link.outlet.stale = lambda about: self._is_stale(link.open.get(about))
+        link.outlet.withdrawn = lambda about: self._withdrawn(link, about)
         try:
             threading.Thread(target=self._run, args=(link,), name="link", daemon=True).start()
         except RuntimeError as broken:
@@ -243,6 +267,8 @@
                     link.used = link.heard = self.clock()
                     if isinstance(held, Leg):
                         link.patience.answered()
+                        if told.outcome != Outcome.SATISFIED:  # a second answer must not meet the next leg
+                            link.over[told.about] = link.used
                     elif held is None and link.asked:
                         link.patience.echoed()
                     link.given_up = link.asked = 0.0
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -44,6 +44,7 @@
 CALM = 1.2  # slowed by less than this, within the noise of coarse bins, a cache or link takes all that fits
 CHECK_LEAST = 150.0  # a leg is not looked at again sooner: less than the delays of a far source
 GUARD = 6.0  # the final answer goes out so long before the client stops waiting
+WINDOW_MARGIN = 50.0  # a repeat goes out so long before its receipt may be forgotten: it has a way to go
 PURGE_MARGIN, PURGE_KEPT = 3.0, 20.0  # a copy is younger than the purge by so much; purge spans it binds
 MIDDLES = [6.0 * 2.0 ** place for place in range(11)]  # of a histogram's bins
 
@@ -259,7 +260,7 @@
 
     def send(self, lookup: Lookup, node: Member, source: Member | None, held_only: bool) -> None:
         leg = Leg(lookup, len(lookup.legs), node, source, self.now, lookup.until - self.now)
-        leg.bag = self.holds(node, lookup)
+        leg.bag, leg.purged = self.holds(node, lookup), self.purge_moment(lookup)
         lookup.legs.append(leg)
         node.out[leg] = None
         work = self.work(lookup)
@@ -318,12 +319,23 @@
             if leg.outcome is None and self.terms.may_cancel:
                 self.out.abandon(leg)
 
-    def may_send(self, lookup: Lookup) -> bool:
-        case, doubtful = lookup.use_case, may_have_run(lookup)
+    def may_begin(self, now: float, leg: Leg) -> bool:
+        """Whether a leg that waited to be written may still go. Guards drains, purges and repeats against
+        what was told since it was decided; then it never ran, and the lookup is routed again."""
+        self.now, lookup = max(self.now, now), leg.lookup
+        ready = all(m is None or m.state == State.READY for m in (leg.node, leg.source))
+        others = [other for other in lookup.legs if other is not leg]
+        alone = self.terms.two_legs or not any(other.outcome is None for other in others)
+        fresh = self.purge_moment(lookup) <= leg.purged
+        return ready and alone and fresh and not lookup.ended and self.may_send(lookup, leg)
+
+    def may_send(self, lookup: Lookup, leg: Leg | None = None) -> bool:
+        """`leg`: which is about to begin; not counted among those that may have run."""
+        case, doubtful = lookup.use_case, [held for held in may_have_run(lookup) if held is not leg]
         if self.now >= lookup.until - GUARD or not doubtful or case.repeat == PURE:
             return self.now < lookup.until - GUARD
         known = case.repeat == RECEIPTED and case.group == "all"
-        return known and self.now < doubtful[0].sent + case.memory_span - GUARD
+        return known and self.now < doubtful[0].sent + case.memory_span - WINDOW_MARGIN
 
     # Which cache
 
--- /dev/null
+++ b/tests/test_crossings.py
@@ -0,0 +1,207 @@
+"""Two events that cross, on real sockets; each crossing is forced by a gate that the test holds."""
+
+import socket
+import threading
+import time
+from dataclasses import replace
+
+import pytest
+from helpers import SPOTS, Running, StandNode, call_frame, wait_for
+
+from mulleinrelay.interface import Leg, Node, State
+from mulleinrelay.net import outlet as outlet_module
+from mulleinrelay.net import resp, service
+from mulleinrelay.net.caches import Caches, Link
+from mulleinrelay.net.outlet import Outlet
+
+HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
+
+
+@pytest.fixture(autouse=True)
+def short_drains(monkeypatch):
+    monkeypatch.setattr(service, "COMING", 0.0)
+
+
+@pytest.fixture
+def gate(monkeypatch):
+    """Links come up only once it is set."""
+    up, run = threading.Event(), Caches._run
+
+    def late(caches, link):
+        up.wait(10.0)
+        run(caches, link)
+
+    monkeypatch.setattr(Caches, "_run", late)
+    yield up
+    up.set()
+
+
+def told(director, name, **changes):
+    """The list says so of a node."""
+    facade = director.service.facade
+    facade.listed([replace(facade.entries[name], **changes)], False)
+
+
+def waiting(director):
+    """The one leg that waits for its link."""
+    caches = director.service.caches
+    assert wait_for(lambda: len(caches.of_leg) == 1)
+    return next(iter(caches.of_leg))
+
+
+def forget(number):
+    return call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
+
+
+BETWEEN = {
+    "its cache drains": lambda d, leg: told(d, leg.ways[0][1].name, state=State.DRAINING),
+    "its cache is gone": lambda d, leg: told(d, leg.ways[0][1].name, state=State.GONE),
+    "another machine is there": lambda d, leg: told(d, leg.ways[0][1].name, started=5.0),
+    "its source drains": lambda d, leg: told(d, leg.ways[1][1].name, state=State.DRAINING),
+    "its source is gone": lambda d, leg: told(d, leg.ways[1][1].name, state=State.GONE),
+    "its object is purged": lambda d, leg: d.service.facade.purged(0xAB, 0, d.service.clock()),
+    "its group is purged": lambda d, leg: d.service.facade.purged(0, 17, d.service.clock()),
+}
+
+
+CASES = [("pages", between) for between in BETWEEN] + [
+    (use_case, between) for use_case in ("order", "pay") for between in BETWEEN if "source" not in between]
+
+
+@pytest.mark.parametrize("use_case, between", CASES)  # writes go straight to the only origin
+def test_what_waited_for_its_link_goes_as_the_list_and_purges_are_by_then(use_case, between, gate):
+    # Guards against requests to nodes that were announced as leaving, and copies from before a purge.
+    with Running() as director:
+        caller = director.caller()
+        caller.send(use_case)
+        leg = waiting(director)
+        BETWEEN[between](director, leg)
+        gate.set()
+        what = caller.answer()[1]
+        heard = director.heard()
+        if use_case != "pages" and ("drains" in between or "is gone" in between):
+            assert what == 1 and not heard  # it never ran, so a retry does no harm
+            return
+        assert what == 0 and len(heard) == 1
+        assert ("within" in heard[0][2]) == ("purged" in between)
+        if use_case == "pages" and "purged" not in between:
+            named = [name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard]
+            assert leg.ways["source" in between][1].name not in [*named, heard[0][2].get("miss")]
+
+
+@pytest.mark.parametrize("how", ["forget", "close"])
+@pytest.mark.parametrize("may_cancel", [True, False])
+def test_nothing_is_sent_for_a_client_that_left_while_its_request_waited(how, may_cancel, gate):
+    with Running(allowed={"cancel": may_cancel}) as director:
+        caller, other = director.caller(), director.caller()
+        number = caller.send()
+        leg = waiting(director)
+        if how == "forget":
+            caller.socket.sendall(forget(number))
+        else:
+            caller.close()
+        assert wait_for(lambda: leg.lookup.ended)
+        gate.set()
+        other.send(entity="00000000000000cd")
+        assert other.answer()[:2] == (1, 0)
+        assert wait_for(lambda: not director.service.caches.of_leg)
+        assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
+
+
+def test_a_message_behind_a_peer_that_does_not_read_is_asked_about_at_its_first_byte():
+    # Guards against a leg that leaves minutes late, when its node reads on, and one cut in the middle.
+    ours, theirs = socket.socketpair()
+    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    outlet, stale, dropped = Outlet(threading.Lock()), set(), []
+    outlet.stale, outlet.withdrawn = stale.__contains__, dropped.append
+    assert outlet.open(ours)
+    with outlet.lock:
+        outlet.put("a", [b"a" * 500_000])
+        outlet.put("b", [b"b" * 10, b"b" * 10])
+        outlet.put("c", [b"c" * 10, b"c" * 10])
+        stale.update("ab")  # the first has begun, so it goes on
+    got = b""
+    while len(got) < 500_020:
+        got += theirs.recv(65_536)
+    assert got == b"a" * 500_000 + b"c" * 20 and dropped == ["b"]
+    assert wait_for(lambda: not outlet.busy) and outlet.queued == 0 and not outlet.waiting
+    ours.close()
+    theirs.close()
+
+
+@pytest.mark.parametrize("takes", [True, False])
+def test_a_peer_that_takes_nothing_is_ended_and_one_that_takes_little_is_not(takes, monkeypatch):
+    monkeypatch.setattr(outlet_module, "LOOK_AGAIN", 20)
+    ours, theirs = socket.socketpair()
+    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    outlet = Outlet(threading.Lock(), write_wait=0.3)
+    assert outlet.open(ours)
+    with outlet.lock:
+        outlet.put(1, [bytes(2_000_000)])
+    ends = time.monotonic() + 0.9
+    while time.monotonic() < ends:
+        if takes:
+            theirs.recv(4096)
+        time.sleep(0.02)
+    assert outlet.ended != takes
+    theirs.close()
+    ours.close()
+
+
+def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_leg():
+    # Guards against a leg that is thought to have missed while it runs, so that it is repeated.
+    second = threading.Event()
+
+    class Twice(StandNode):
+        def answer(self, connection, about, fields):
+            if len(director.heard()) == 1:
+                connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
+                return threading.Thread(target=self.later, args=(connection, about), daemon=True).start()
+            second.set()
+            time.sleep(0.1)
+            connection.sendall(resp.command(about, b"DONE", b"why=MISS", b"bytes"))
+
+        def later(self, connection, about):
+            second.wait(5.0)
+            connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
+
+    with Running() as director:
+        for node in director.nodes:
+            node.__class__ = Twice
+        caller = director.caller()
+        caller.send()
+        assert caller.answer() == (1, 0, {}, b"bytes")
+        assert len(director.heard()) == 2
+
+
+@pytest.mark.parametrize("cancel, told", [(True, 1), (False, 0)])
+def test_a_node_is_told_of_what_is_given_up_only_where_the_settings_allow_it(cancel, told):
+    with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
+        caller = director.caller()
+        number = caller.send("pay")
+        assert wait_for(director.heard)
+        caller.socket.sendall(forget(number))
+        assert wait_for(lambda: director.service.facade.open_lookups() == 0)
+        caller.send("pay", patience="300")
+        assert caller.answer()[:2] == (2, 2)
+        caller.send("pay", patience="300")
+        assert caller.answer()[:2] == (3, 2) and len(director.heard()) == 3
+        assert wait_for(lambda: len(director.heard("KILL")) == 3 * told)
+
+
+@pytest.mark.parametrize("two_legs", [True, False])
+def test_where_one_leg_may_be_out_a_kill_that_cannot_be_written_ends_the_connection(two_legs):
+    # Guards against the next leg that overtakes the word that the first one is given up.
+    with Running(None, allowed={"mayDuplicate": two_legs}) as director:
+        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        leg = Leg(None, 0, Node(1), None, director.service.clock(), 6000.0)
+        ours, theirs = socket.socketpair()
+        link = Link(place, director.service.clock(), caches.lock)
+        link.outlet.connection = ours
+        caches.links[place] = [link]
+        caches._put(place, "9b", leg, [bytes(4_000_000)])  # begun, and the node reads no more
+        assert caches.of_leg[leg][0] is link
+        caches.give_up(leg)
+        assert link.outlet.ended != two_legs
+        theirs.close()
+        ours.close()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -479,3 +479,30 @@
     room.append(fleet.director.has_room(cold, 100.0))
     assert room == [True, False] and share.refused > 0.0
     assert all(fleet.director.has_room(cache, 100.0) for cache in fleet.caches[1:])  # warm ones
+
+
+@pytest.mark.parametrize("repeat, first, after, may", [
+    (PURE, None, 0.0, True), (PURE, Outcome.ERROR, 5900.0, True), (PURE, Outcome.ERROR, 5995.0, False),
+    (RECEIPTED, Outcome.ERROR, 4900.0, True), (RECEIPTED, Outcome.ERROR, 4960.0, False),
+    (RECEIPTED, Outcome.TURNED_AWAY, 4960.0, True), (RECEIPTED, None, 4960.0, True),
+    (EFFECTFUL, None, 4960.0, True), (EFFECTFUL, Outcome.TURNED_AWAY, 4960.0, True)])
+def test_a_leg_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
+    """A repeat that waited for its connection reached a node that no longer knew its receipt."""
+    fleet = Fleet(repeat)
+    lookup = fleet.look_up()
+    if first is not None:
+        fleet.answer(lookup.legs[0], first)
+    leg = lookup.legs[-1]
+    assert len(lookup.legs) == 1 + (first is not None) and fleet.director.may_begin(fleet.now, leg)
+    assert fleet.director.may_begin(fleet.now + after, leg) == may
+
+
+@pytest.mark.parametrize("two_legs", [True, False])
+def test_a_leg_begins_beside_another_only_where_two_may_be_out(two_legs):
+    fleet = Fleet(two_legs=two_legs)
+    lookup = fleet.look_up()
+    first = lookup.legs[0]
+    fleet.director.send(lookup, fleet.caches[1], None, False)
+    assert fleet.director.may_begin(fleet.now, lookup.legs[1]) == two_legs
+    first.outcome = Outcome.CANCELLED
+    assert fleet.director.may_begin(fleet.now, lookup.legs[1])
