--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -111,13 +111,14 @@
         with self.lock:
             self.outlet.end()
 
-    def end_idle(self) -> None:
+    def end_idle(self, lingers: bool = True) -> bool:
         """Unless something is owed, or has come and is not read yet: that may be a call. One that has never
         called has no answer to lose and is shut at once."""
         with self.lock:
-            if not self.owed() and not self.outlet.ended and not self._unread():
-                self.outlet.end(socket.SHUT_WR if self.called else socket.SHUT_RDWR)
+            if idle := not self.owed() and not self.outlet.ended and not self._unread():
+                self.outlet.end(socket.SHUT_WR if self.called and lingers else socket.SHUT_RDWR)
                 self.half_closed = time.monotonic()
+        return idle
 
     def _unread(self) -> bool:
         try:
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -152,18 +152,18 @@
         with self.lock:
             most, spare = self.clients_most, max(1, self.clients_most // SPARE_SHARE)
             while (here := len(self.clients)) > most - spare:
-                ending = sum(other.outlet.ended for other in self.clients)
-                idle = self._idlest() if here - ending > most - spare else None  # not more than make room
-                if idle is not None:
-                    idle.end_idle()
-                elif here >= most and not ending:
+                ending = [other for other in self.clients if other.outlet.ended]
+                idle = self._idle() if here - len(ending) > most - spare else ()  # no more than make room
+                if any(other.end_idle(lingers=here < most) for other in idle):
+                    pass  # the first that owes nothing; none lingers at the cost of who waits to be let in
+                elif here >= most and ending:
+                    min(ending, key=lambda other: other.half_closed).end()
+                elif here >= most:
                     connection.close()
                     self.log.event("client turned away", clients=here)
                     return False
                 if here < most:
                     break
-                for other in self.clients:
-                    other.end_lingering(time.monotonic())
                 self.gone.wait(0.02)  # one that is ended holds its descriptor until its thread has seen it
             self.clients[client] = None
         try:
@@ -174,12 +174,12 @@
             raise
         return True
 
-    def _idlest(self) -> Client | None:
-        """The connection that makes room: one with nothing open that has never called, else the one with the
-        oldest call, and only then one that has called before and is in the middle of a call. Guards usual
-        clients against floods of connections that say nothing or are only held."""
+    def _idle(self) -> list[Client]:
+        """The connections that may make room: first those with nothing open that have never called, then
+        those with the oldest call, and only then those that have called before and are in the middle of a
+        call. Guards usual clients against floods of connections that say nothing or are only held."""
         idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
-        return min(idle, default=None, key=lambda client: (
+        return sorted(idle, key=lambda client: (
             client.called, client.called and client.halfway > 0.0, client.used))
 
     def _read(self, client: Client) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -371,7 +371,7 @@
             held = Client(None)
             held.called, held.halfway, held.used = called, halfway, used
             table.clients[held] = None
-        assert table._idlest() is list(table.clients)[first]
+        assert table._idle()[0] is list(table.clients)[first]
         table.clients.clear()
 
 
