--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -11,7 +11,7 @@
 import threading
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
 from .interface import Leg, Listing, Lookup, Note, Order, Outcome, Place, Pool, State, Terms, UseCase
@@ -183,6 +183,9 @@
 
     def listed(self, entries: list[Listing], whole: bool) -> None:
         with self.lock:
+            entries = [replace(self.entries[entry.name], state=State.GONE)  # what was left out is as it was
+                       if entry.state == State.GONE and entry.name in self.entries else entry
+                       for entry in entries]
             self.entries = {} if whole else self.entries
             for entry in entries:
                 if entry.state == State.GONE:
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -16,6 +16,8 @@
 from . import sse
 
 SILENCE = 2.5  # s: a comment comes each second
+FIRST_WORD = 1.5  # s from connecting to the whole head of the answer: three that say nothing fit into 7 s
+WHOLE_LINE = 5.0  # s from one whole line to the next, however many bytes trickle in between
 PIECE = 65_536
 
 
@@ -96,7 +98,7 @@
                 refused = isinstance(broken, ConnectionRefusedError)
             now = time.monotonic()
             wait = self.pace.ended(now, self.last > before, refused)
-            if self.pace.astray(now) and (found := self.look_again()) not in (None, self.address):
+            if self.pace.astray(now) and (found := self._looked_up()) not in (None, self.address):
                 self.address, wait, why = found, 0.0, "moved, by the configuration"
                 self.pace.moved()
             elif self.moved.wait(wait):
@@ -105,16 +107,33 @@
             if not self.stopped.is_set():
                 self.log.event("bus reconnects", last=self.last, why=why)
 
+    def _looked_up(self) -> tuple[str, int] | None:
+        """Guards against a file in any state, which must not end the only thread that hears of drains."""
+        try:
+            return self.look_again()
+        except Exception as broken:
+            self.log.fault("bus", broken)
+            return None
+
     def _follow(self, host: str, port: int) -> None:
-        connection = socket.create_connection((host, port), timeout=SILENCE)
+        connection = socket.create_connection((host, port), timeout=FIRST_WORD)
         self.connection = connection
         try:
             if self.moved.is_set():  # while it was opened, so that nobody has ended it
                 return
             connection.sendall(sse.call(f"{host}:{port}", self.last))
-            stream = sse.Stream()
-            while piece := connection.recv(PIECE):
-                for event in stream.feed(piece):
+            stream, lines, due = sse.Stream(), 0, time.monotonic() + FIRST_WORD
+            while True:
+                left = due - time.monotonic()
+                if left <= 0.0:
+                    raise TimeoutError("no whole line")
+                connection.settimeout(min(left, SILENCE))
+                if not (piece := connection.recv(PIECE)):
+                    return
+                events = stream.feed(piece)
+                if stream.lines > lines:
+                    lines, due = stream.lines, time.monotonic() + WHOLE_LINE
+                for event in events:
                     try:
                         held = orjson.loads(event.data)
                     except ValueError as wrong:
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -9,6 +9,7 @@
 
 LINE_MOST = 4_194_304  # the first event holds the whole list
 HEAD_MOST = 16_384
+DATA_LINES_MOST = 1024  # of one event; each may be long
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
 
@@ -34,6 +35,7 @@
     def __init__(self) -> None:
         self.head, self.chunked, self.left = b"", None, 0  # chunked: None until the head is read
         self.held, self.raw = b"", b""
+        self.lines = 0  # whole ones so far; the head counts as one
         self.number: int | None = None
         self.data: list[str] = []
 
@@ -57,6 +59,7 @@
         named = {name.strip().lower(): value.strip().lower() for name, _, value in
                  (line.partition(":") for line in lines)}
         self.chunked = named.get("transfer-encoding", "").endswith("chunked")
+        self.lines = 1
 
     def _unchunk(self, piece: bytes) -> bytes:
         """`left` counts the bytes of a chunk still to come, its line end included."""
@@ -87,6 +90,7 @@
     def _lines(self, piece: bytes) -> list[Event]:
         self.held += piece
         *lines, self.held = self.held.replace(b"\r\n", b"\n").split(b"\n")
+        self.lines += len(lines)
         if len(self.held) > LINE_MOST:
             raise SseError("a line without its end")
         return [event for line in lines if (event := self._line(line.decode("utf-8", "replace")))]
@@ -100,6 +104,8 @@
         value = value.removeprefix(" ")
         if name == "data":
             self.data.append(value)
+            if len(self.data) > DATA_LINES_MOST:
+                raise SseError("an event without its end")
         elif name == "id" and value.isdecimal():
             self.number = int(value)
         return None
@@ -124,6 +130,13 @@
     return Section(held, "event").whole("offset", number)
 
 
+def _gone(row: Section) -> Listing | None:
+    """Of one that is deleted the name is enough: what else is told of it may be left out or out of date."""
+    if row.held.get("state") != "DELETED" or not isinstance(name := row.held.get("id"), str):
+        return None
+    return Listing(name, ("", 0), State.GONE, 1.0, -1, -1, 0, 0.0)
+
+
 def read_event(held: Any, zones: dict[str, int], kinds: dict[str, int]) -> Listed | Purged:
     """What an event says. Raises ConfigurationError or ValueError, with the key, where it can't be read."""
     event = Section(held, "event")
@@ -141,5 +154,8 @@
                 row.choice("kind", kinds), row.choice("zone", zones), row.whole("cell", 0),
                 float(row.number("started_ms", 0))))
         except ConfigurationError as wrong:  # the others count
-            listed.wrong.append(str(wrong))
+            if (gone := _gone(row)) is None:
+                listed.wrong.append(str(wrong))
+            else:
+                listed.entries.append(gone)
     return listed
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,11 +13,11 @@
 from pathlib import Path
 
 import pytest
-from helpers import SPOTS, Running, StandNode, call_frame, configuration, wait_for
+from helpers import SPOTS, Running, StandBus, StandNode, call_frame, configuration, wait_for
 
 from mulleinrelay.interface import Leg, Node, State
+from mulleinrelay.net import bus, resp, service
 from mulleinrelay.net import outlet as outlet_module
-from mulleinrelay.net import resp, service
 from mulleinrelay.net.caches import Caches, Link
 from mulleinrelay.net.client import Client
 from mulleinrelay.net.front import Front
@@ -411,3 +411,105 @@
         program.kill()
         program.wait(5.0)
         program.stderr.close()
+
+
+# The event stream
+
+
+def event(number, held):
+    return f"id: {number}\ndata: {json.dumps({'offset': number} | held)}\n\n".encode()
+
+
+def rows(director, state, *names, full=False):
+    """An event on these nodes, as the list told them last."""
+    (first,) = configuration([node.address for node in director.nodes])["known"]["batch"]
+    told = [row | {"state": state} for row in first["topology"]["servers"] if row["id"] in names]
+    return {"topology": {"version": 2, "full": full, "servers": told}}
+
+
+OK = b"HTTP/1.1 200 OK\r\n\r\n"
+BAN = {"ban": {"url": "00000000000000ab", "ts": 1}}
+
+
+class Trickles(StandBus):
+    """Its first connection says `said`, then one byte after the other; the others are well."""
+
+    said = b""
+
+    def talk(self, connection):
+        if len(self.connections) > 1:
+            return super().talk(connection)
+        connection.sendall(self.said)
+        while True:
+            connection.sendall(b"x")
+            time.sleep(0.02)
+
+
+@pytest.mark.parametrize("said", [b"", b"HTTP/1.1 200 OK\r\nx: ", OK, OK + b": well\n\ndata: "])
+def test_a_stream_that_brings_bytes_and_no_line_is_left(said, monkeypatch):
+    # Guards against drains that are never heard of while a head or a line trickles in.
+    for name, seconds in (("SILENCE", 0.2), ("FIRST_WORD", 0.3), ("WHOLE_LINE", 0.4)):
+        monkeypatch.setattr(bus, name, seconds)
+    stand = Trickles([OK, event(2, BAN), None])
+    stand.said = said
+    with Running(bus=stand) as director:
+        assert wait_for(lambda: director.service.bus.last == 2)
+        assert director.service.facade.purges_binding() == 1
+
+
+def test_a_drain_is_heard_though_three_connections_in_a_row_say_nothing(monkeypatch):
+    # What is told counts after 7 s: the waits are those of the program, a tenth as long.
+    for name in ("SILENCE", "FIRST_WORD", "WHOLE_LINE"):
+        monkeypatch.setattr(bus, name, getattr(bus, name) / 10.0)
+    with Running(bus=StandBus([OK, None], [None], [None])) as director:
+        director.service.bus.pace.ended = lambda *_: 0.01
+        director.bus.scripts.append([OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None])
+        begun = time.monotonic()
+        assert wait_for(lambda: director.service.bus.last == 2)
+        assert time.monotonic() - begun < 0.7
+        for number in range(12):
+            director.caller().send(entity=f"{number:016x}")
+        assert wait_for(lambda: len(director.heard()) == 12)
+        assert not director.nodes[0].heard and not director.nodes[1].heard
+
+
+@pytest.mark.parametrize("number, applied", [(1, False), (2, True), (9, True)])
+def test_a_whole_list_counts_only_where_it_is_newer(number, applied):
+    # Guards against a list from before what is known, and loses no purge that a gap may hide.
+    with Running(bus=StandBus()) as director:
+        whole = event(number, rows(director, "SERVING", "s-03", "s-11", "s-21", full=True))
+        director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
+        director.service.bus.move(director.service.bus.address)
+        assert wait_for(lambda: director.service.bus.last == number + 1)
+        caches = {name for name, _, _ in director.service.facade.ready_caches()}
+        assert caches == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
+
+
+def test_a_move_while_the_old_address_is_being_connected_to_is_followed(monkeypatch):
+    up, connect = threading.Event(), socket.create_connection
+    new = StandBus([OK, event(2, BAN), None])
+
+    def late(address, timeout):
+        connection = connect(address, timeout)
+        if address != moved:
+            up.wait(5.0)
+        return connection
+
+    host, port = new.address.split(":")
+    moved = (host, int(port))
+    monkeypatch.setattr(socket, "create_connection", late)
+    with Running() as director:
+        director.service.bus.move(moved)
+        up.set()
+        assert wait_for(lambda: director.service.bus.last == 2)
+    new.close()
+
+
+def test_a_file_that_cannot_be_looked_at_ends_no_stream():
+    with Running(bus=StandBus()) as director:
+        stream = director.service.bus
+        stream.look_again = lambda: 1 / 0
+        stream.pace.astray = lambda now: True
+        director.bus.scripts += [[OK, event(2, BAN), None]] * 9  # a connection that the move ends takes one
+        stream.move(stream.address)
+        assert wait_for(lambda: stream.last == 2 and "fault" in director.sink.events)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -521,6 +521,8 @@
 BAN = {"ban": {"url": "00000000000000ab", "ts": 1}}
 GONE = {"topology": {"version": 2, "full": False, "servers": [
     {"id": "s-01", "addr": "127.0.0.1:1", "zone": "edge", "kind": "box", "cell": 0, "state": "DELETED"}]}}
+NAMED = {"topology": {"version": 2, "servers": [
+    {"id": "s-01", "state": "DELETED"}, {"id": "s-99", "state": "DELETED", "zone": "nowhere"}]}}
 
 
 @pytest.mark.parametrize(
@@ -534,6 +536,7 @@
         ([[OK, b"id: 2\ndata: {\n\n", event(3, {"ban": 7}), event(4, {}), event(5, BAN), None]], [1], 1, 4),
         ([[OK, event(2, {"topology": {"servers": [{"id": "x"}]}}), event(3, BAN), None]], [1], 2, 1),
         ([[OK, event(1, GONE), event(2, BAN)[:9], event(2, BAN)[9:], None]], [1], 1, 0),
+        ([[OK, event(2, NAMED), None]], [1], 1, 0),  # of who is deleted the name is enough
     ],
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
