--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -19,6 +19,7 @@
 FIRST_CALL = 2.0  # s from connecting to the first whole call: who says nothing is owed an end within 3 s
 REST_OF_CALL = 3.0  # s from the last bytes of a call that is not whole
 IDLE = 6.0  # s without a call: clients who mean to come back close their connections themselves after 4 s
+HALF_CALL = 1.0  # s that the end of a drain waits for the rest of a call: some write slowly
 LINGER = 0.15  # s from a half-close to the end: what crosses it comes within 50 ms and a way there and back
 CALLS_MOST = 64  # that are read ahead
 UNREAD_MOST = 256  # answers that wait to be read: none who reads leaves so many, and small ones cost most
@@ -48,6 +49,10 @@
             late = now > self.halfway + REST_OF_CALL if self.halfway else now > self.used + IDLE
         return late and not self.owed()
 
+    def is_calling(self, now: float) -> bool:
+        """Whether it is in the middle of a call of which the rest may come yet."""
+        return self.halfway > 0.0 and now < self.halfway + HALF_CALL
+
     # Reading; in the connection's own thread
 
     def hear(self) -> bool:
@@ -69,12 +74,13 @@
             elif frames:
                 self.called, self.used, self.halfway = True, now, 0.0
                 for frame in frames:
-                    self._queue(thrift.read_call(frame))
+                    self._queue(thrift.read_call(frame), now)
             self.halfway = (self.halfway or now) if len(self.frames.intake) else 0.0
         return True
 
-    def _queue(self, call: thrift.Call) -> None:
+    def _queue(self, call: thrift.Call, now: float) -> None:
         """A cancellation goes before calls that wait, and takes the one that it is for along."""
+        call.read_at = now
         if call.method != "forget" or (number := thrift.forgotten(call)) is None:
             return self.calls.append(call)
         if not any(held.method == "serve" and held.number == number for held in self.calls):
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -93,7 +93,7 @@
             listener.close()
         now = time.monotonic()
         for client in list(self.clients):
-            if not client.end_lingering(now):
+            if not client.end_lingering(now) and not client.is_calling(now):
                 client.end_idle()
         return not self.clients and not self.acceptor.is_alive()
 
@@ -265,9 +265,10 @@
         fullness = max(self.facade.open_lookups() / self.lookups_most, self.facade.short_of_time(),
                        self.caches.fullness())
         room = self.places.has_room(use_case, asked.repeated, fullness)
+        waited = 1000.0 * (time.monotonic() - call.read_at)  # behind others that came at once
         lookup = self.facade.take(
             use_case, int(asked.object, 16), int(asked.part), asked.group, asked.size,
-            min(asked.left, use_case.client_timeout), asked.repeated,
+            min(asked.left, use_case.client_timeout) - waited, asked.repeated,
             Ticket(client, call.number, asked, grant),
             room=room, pool=pool)
         with client.lock:
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -129,6 +129,7 @@
     kind: int
     number: int
     rest: Reader
+    read_at: float = 0.0  # monotonic seconds
 
 
 def read_call(frame: memoryview) -> Call:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import SPOTS, Running, StandBus, StandNode, call_frame, configuration, wait_for
+from helpers import SPOTS, Running, StandBus, StandNode, call_frame, configuration, serve_frame, wait_for
 
 from mulleinrelay.interface import Leg, Node, State
 from mulleinrelay.net import bus, resp, service
@@ -357,6 +357,40 @@
         assert wait_for(lambda: not director.service.front.clients)
 
 
+def test_a_call_of_which_a_part_has_come_is_waited_for_at_the_end_of_a_drain():
+    with Running() as director:
+        caller, bad = director.caller(), director.caller()
+        whole = serve_frame(7, {"route": "pages", "trace": "f" * 16, "patience": "3000", "entity": "ab" * 8})
+        for half in (caller, bad):
+            half.socket.sendall(whole[:20])
+        clients = director.service.front.clients
+        assert wait_for(lambda: [client.halfway > 0.0 for client in clients] == [True] * 2)
+        director.service.stop()
+        assert wait_for(lambda: director.service.front.listener is None)
+        caller.socket.sendall(whole[20:])
+        assert caller.answer()[:2] == (7, 0)
+        caller.close()
+        assert director.service.ended.wait(4.0)  # the other one is not waited for for ever
+
+
+def test_the_time_that_a_call_waits_behind_others_is_the_clients(monkeypatch):
+    go, call = threading.Event(), Front._call
+
+    def late(front, client, held):
+        go.wait(10.0)
+        call(front, client, held)
+
+    monkeypatch.setattr(Front, "_call", late)
+    with Running(None) as director:
+        caller = director.caller()
+        caller.send(patience="2000")
+        assert wait_for(lambda: director.service.front.clients)
+        time.sleep(0.3)
+        go.set()
+        leg = waiting(director)
+        assert leg.lookup.until - leg.lookup.arrived < 1750.0
+
+
 @pytest.mark.parametrize("clients, first", [
     ([(True, 0.0, 5.0), (True, 0.0, 3.0), (False, 0.0, 9.0)], 2),
     ([(True, 0.0, 5.0), (True, 0.0, 3.0)], 1),
--- /dev/null
+++ b/tests/test_orders.py
@@ -0,0 +1,196 @@
+"""One lookup through all orders of what may come to it, three events long, each kept to the rules by a second
+account of what was begun; and one connection of a client likewise. Planted faults must be found."""
+
+import itertools
+import socket
+from dataclasses import replace
+
+import pytest
+from helpers import Stage
+
+from mulleinrelay import policy
+from mulleinrelay.facade import Facade, GiveUp, PushedBack, Satisfied
+from mulleinrelay.interface import Order, Outcome, State
+from mulleinrelay.net.client import Client
+
+NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
+ANSWERS = {"served": Outcome.SATISFIED, "miss": Outcome.MISS, "full": Outcome.TURNED_AWAY,
+           "reset": Outcome.RESET, "error": Outcome.ERROR}
+EVENTS = [*ANSWERS, "second answer", "drains", "purged", "leaves", "overdue", "winds up", "waits",
+          "is written"]
+
+
+class Play:
+    """Whoever sees a lookup through, and the account: what was begun and how it ended."""
+
+    def __init__(self, use_case, waits):
+        """`waits`: what is picked is not written at once, as its link is not up."""
+        self.stage, self.use_case, self.waits = Stage(), use_case, waits
+        self.facade = self.stage.facade
+        self.begun, self.ended, self.verdicts, self.draining, self.left = [], {}, [], set(), False
+        self.held = []  # orders that were picked and are not yet written
+        self.lookup = self.stage.take(use_case, left=2000.0)
+        self.see_through()
+
+    def see_through(self):
+        while (step := self.facade.pick(self.lookup)) is not None:
+            if isinstance(step, Order):
+                assert not self.verdicts
+                self.held.append(step)
+                self.write_on()
+            elif isinstance(step, GiveUp):
+                self.ended.setdefault(step.leg, Outcome.CANCELLED)
+            else:
+                self.verdicts.append(step)
+
+    def write_on(self):
+        while self.held and not self.waits:
+            self.write(self.held.pop(0))
+
+    def write(self, order):
+        leg = order.leg
+        if not self.facade.may_begin(leg):
+            self.ended[leg] = Outcome.MOOT
+            return self.facade.report(leg, Outcome.MOOT)
+        assert not self.verdicts and not self.left, "begun for a lookup that is over"
+        assert not {order.place.name, order.source} & self.draining, "sent to one that drains"
+        doubtful = [held for held in self.begun if self.ended.get(held) not in NEVER_RAN]
+        assert self.use_case != "pay" or not doubtful, "an effect may happen twice"
+        self.begun.append(leg)
+
+    def out(self):
+        return [leg for leg in self.begun if leg not in self.ended]
+
+    def happen(self, event):
+        if event in ANSWERS and self.out():
+            leg = self.out()[0]
+            self.ended[leg] = ANSWERS[event]
+            self.facade.report(leg, ANSWERS[event], answer=leg)
+        elif event == "second answer" and self.ended:
+            leg = next(iter(self.ended))
+            self.facade.report(leg, Outcome.SATISFIED, answer=leg)
+        elif event == "drains" and self.lookup.legs:
+            name = self.facade.places[self.lookup.legs[-1].node].name
+            self.draining.add(name)
+            self.facade.listed([replace(self.facade.entries[name], state=State.DRAINING)], False)
+        elif event == "purged":
+            self.facade.purged(0xABC, 0, self.stage.now)
+        elif event == "leaves":
+            self.left = True
+            self.facade.forget(self.lookup)
+        elif event == "overdue":
+            self.stage.pass_time(700.0)
+        elif event == "winds up":
+            self.facade.wind_up()
+        elif event in ("waits", "is written"):
+            self.waits = event == "waits"
+            self.write_on()
+        self.see_through()
+
+    def end(self):
+        self.happen("is written")
+        self.stage.pass_time(2500.0)
+        self.see_through()
+        assert len(self.verdicts) == 1 and self.facade.pick(self.lookup) is None
+        assert not self.facade.lives and not [leg for leg in self.out() if leg.outcome is None]
+        if isinstance(self.verdicts[0], PushedBack) and self.use_case == "pay":
+            assert all(self.ended.get(leg) in NEVER_RAN for leg in self.begun), "a retry might do it twice"
+        if isinstance(self.verdicts[0], Satisfied):
+            assert self.ended[self.verdicts[0].answer] == Outcome.SATISFIED
+
+
+def search(use_case, length):
+    for waits, *events in itertools.product([True, False], *[EVENTS] * length):
+        play = Play(use_case, waits)
+        try:
+            for event in events:
+                play.happen(event)
+            play.end()
+        except AssertionError as wrong:
+            raise AssertionError(f"{use_case}, waits {waits}, {', '.join(events)}: {wrong}") from wrong
+
+
+@pytest.mark.parametrize("use_case", ["pages", "order", "pay"])
+def test_a_lookup_keeps_to_the_rules_in_every_order_of_its_events(use_case):
+    search(use_case, 3)
+
+
+@pytest.mark.parametrize("where, name, planted, told", [
+    (Facade, "may_begin", lambda facade, leg: True, "drains"),
+    (policy, "may_have_run", lambda lookup: [], "twice"),
+    (policy, "may_have_run", lambda lookup: [leg for leg in lookup.legs if leg.outcome is None], "twice")])
+def test_a_planted_fault_is_found(where, name, planted, told, monkeypatch):
+    monkeypatch.setattr(where, name, planted)
+    with pytest.raises(AssertionError, match=told):
+        for use_case in ("pages", "pay"):
+            search(use_case, 3)
+
+
+# A connection
+
+
+MOVES = ["calls", "answered", "cancels", "is idle", "is shut", "leaves", "is read"]
+
+
+def peek(connection):
+    try:
+        return connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+    except OSError:
+        return b""
+
+
+def play_connection(called, moves):
+    """Holds one connection to an account of its own. `called`: it has brought a call before."""
+    ours, theirs = socket.socketpair()
+    theirs.setblocking(False)
+    client, number, left, shut, owed = Client(ours), 0, False, False, []
+    client.called = called
+    for move in [*moves, "is read"]:
+        if move == "calls" and not left:
+            number += 1
+            try:
+                theirs.send(bytes([number]))
+            except OSError:  # it was ended both ways: the client sends it again elsewhere
+                assert shut
+        elif move == "answered" and owed:
+            client.answer(owed.pop(0), [b"A"])
+        elif move == "cancels" and owed:
+            client.open.pop(owed.pop(0))
+        elif move == "is idle":
+            unread = not left and not shut and peek(ours)
+            if client.end_idle():
+                assert not owed and not unread, "a call is lost with its connection"
+                shut = shut or not client.called
+        elif move == "is shut":
+            client.end()
+            shut, owed = True, []
+        elif move == "leaves" and not left:
+            left = bool(theirs.close() or True)
+        elif move == "is read":
+            try:
+                calls = ours.recv(64, socket.MSG_DONTWAIT)
+            except OSError:
+                calls = b""
+            for call in calls:  # as Front takes one
+                with client.lock:
+                    if not client.outlet.ended:
+                        assert not client.half_closed, "begun after its connection was half-closed"
+                        client.open[call] = call
+                        owed.append(call)
+    assert list(client.open) == owed or shut
+    if not left:
+        theirs.close()
+    ours.close()
+
+
+def test_a_connection_that_ends_loses_no_call_in_any_order():
+    for called, *moves in itertools.product([True, False], *[MOVES] * 4):
+        play_connection(called, moves)
+
+
+@pytest.mark.parametrize("name", ["_unread", "owed"])
+def test_a_planted_loss_is_found(name, monkeypatch):
+    monkeypatch.setattr(Client, name, lambda client: False)
+    with pytest.raises(AssertionError, match="lost"):
+        for moves in itertools.product(MOVES, repeat=3):
+            play_connection(True, moves)
