--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -204,14 +204,15 @@
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
         return isinstance(held, Leg) and bool(held.ways) and not self.facade.may_begin(held)
 
-    def _withdrawn(self, link: Link, about: str) -> None:
-        """A leg that waited for its link was not sent, as it must not be any more."""
-        with self.lock:
-            held = link.open.pop(about, None)
-            if isinstance(held, Leg):
-                self.of_leg.pop(held, None)
-        if isinstance(held, Leg):
-            self._report(held, Outcome.MOOT)
+    def _stale_on(self, link: Link, about: str) -> Leg | None:
+        """Under the lock. The leg that waited for its link and must not be sent any more; off the link with
+        it, so that nobody gives up there what never was."""
+        held = link.open.get(about)
+        if not self._is_stale(held):
+            return None
+        del link.open[about]
+        self.of_leg.pop(held, None)
+        return held
 
     def _report(self, leg: Leg, *how: Any) -> None:
         """Tells how a leg went, and does what follows from it."""
@@ -221,8 +222,8 @@
     def _connect(self, place: Place, links: list[Link], now: float) -> Link | None:
         """Under the lock. A new link, or None where no thread is to be had for it."""
         link = Link(place, now, self.lock)
-        link.outlet.stale = lambda about: self._is_stale(link.open.get(about))
-        link.outlet.withdrawn = lambda about: self._withdrawn(link, about)
+        link.outlet.stale = lambda about: self._stale_on(link, about)
+        link.outlet.withdrawn = lambda leg: self._report(leg, Outcome.MOOT)
         try:
             threading.Thread(target=self._run, args=(link,), name="link", daemon=True).start()
         except RuntimeError as broken:
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -34,7 +34,7 @@
         self.outlet.connection = connection
         self.open: dict[int, Lookup | None] = {}  # None: not yet the module's
         self.frames = thrift.Frames()
-        self.calls: deque[thrift.Call] = deque()  # read and not yet begun
+        self.calls: deque[thrift.Call] = deque()  # read; the first may be in the making, the others wait
         self.called = False  # a whole call has come
         self.bad = 0  # calls that can't be used since the last that can
         self.used = time.monotonic()  # when it connected, or the last whole call or answer
@@ -108,7 +108,7 @@
             self.outlet.end()
 
     def owed(self) -> bool:
-        return bool(self.open or self.outlet.queued) and not self.outlet.ended
+        return bool(self.open or self.calls or self.outlet.queued) and not self.outlet.ended
 
     # Ending
 
@@ -126,6 +126,12 @@
                 self.half_closed = time.monotonic()
         return idle
 
+    def end_bad(self) -> None:
+        """Whatever else it has sent; what it was answered may still reach it."""
+        with self.lock:
+            self.outlet.end(socket.SHUT_WR)
+            self.half_closed = time.monotonic()
+
     def _unread(self) -> bool:
         try:
             return bool(self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -185,10 +185,11 @@
     def _read(self, client: Client) -> None:
         try:
             while client.hear():
-                self._call(client, client.calls.popleft())
+                self._call(client, client.calls[0])
+                client.calls.popleft()
                 if client.bad > BAD_MOST and not client.open and not client.outlet.ended:
                     self.log.event("bad frame", why=f"{client.bad} bad calls in a row")
-                    client.end_idle()
+                    client.end_bad()
         except thrift.ThriftError as wrong:
             self.log.event("bad frame", why=str(wrong))
         except OSError:
--- a/mulleinrelay/net/outlet.py
+++ b/mulleinrelay/net/outlet.py
@@ -11,6 +11,7 @@
 from collections import deque
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
+from typing import Any
 
 Piece = memoryview | bytes
 LOOK_AGAIN = 250  # ms between two looks at a connection that takes no bytes
@@ -33,8 +34,9 @@
         self.waiting: deque[Waiting] = deque()
         self.queued = 0  # bytes that wait
         self.busy = self.ended = False
-        self.stale: Callable[[Hashable], bool] = lambda owner: False  # under the lock, at a first byte
-        self.withdrawn: Callable[[Hashable], None] = lambda owner: None  # without the lock, after that
+        # Under the lock, at a first byte: what to tell of a message that must not go any more, else None.
+        self.stale: Callable[[Hashable], Any] = lambda owner: None
+        self.withdrawn: Callable[[Any], None] = lambda what: None  # without the lock: it has been withdrawn
 
     def put(self, owner: Hashable, pieces: list[Piece]) -> None:
         """Under the lock. Writes a message, or as much of it as goes at once."""
@@ -97,12 +99,12 @@
     def _catch_up(self) -> None:
         went = time.monotonic()
         while True:
-            dropped: list[Hashable] = []
+            dropped: list[Any] = []
             with self.lock:
-                while self.waiting and not self.ended and self.waiting[0].first and self.stale(
-                        owner := self.waiting[0].owner):
-                    self.withdraw(owner)
-                    dropped.append(owner)
+                while (self.waiting and not self.ended and self.waiting[0].first
+                       and (what := self.stale(self.waiting[0].owner)) is not None):
+                    self.withdraw(self.waiting[0].owner)
+                    dropped.append(what)
                 if more := bool(self.waiting) and not self.ended:
                     stuck = not self._write_some()
                     went = went if stuck else time.monotonic()
@@ -110,8 +112,8 @@
                         self.end()
                 else:
                     self.busy = False
-            for owner in dropped:
-                self.withdrawn(owner)
+            for what in dropped:
+                self.withdrawn(what)
             if not more:
                 return
             if stuck:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -123,7 +123,7 @@
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     outlet, stale, dropped = Outlet(threading.Lock()), set(), []
-    outlet.stale, outlet.withdrawn = stale.__contains__, dropped.append
+    outlet.stale, outlet.withdrawn = lambda owner: owner if owner in stale else None, dropped.append
     assert outlet.open(ours)
     with outlet.lock:
         outlet.put("a", [b"a" * 500_000])
@@ -347,6 +347,29 @@
         assert caller.answer()[:2] == (1, 0)
 
 
+def test_a_call_that_has_been_read_and_is_not_yet_begun_counts_as_open(monkeypatch):
+    # Guards against the end of a connection, or of the drain, between a call's reading and its begin.
+    go, call = threading.Event(), Front._call
+
+    def late(front, client, held):
+        go.wait(10.0)
+        call(front, client, held)
+
+    monkeypatch.setattr(Front, "_call", late)
+    with Running() as director:
+        caller, table = director.caller(), director.service.front
+        caller.send()
+        caller.send(entity="00000000000000cd")
+        assert wait_for(lambda: any(client.calls for client in table.clients))
+        (client,) = table.clients
+        assert table.owes() and not client.end_idle()
+        director.service.stop()
+        go.set()
+        assert {caller.answer()[:2] for _ in range(2)} == {(1, 0), (2, 0)}
+        caller.close()
+        assert director.service.ended.wait(5.0)
+
+
 def test_one_that_does_not_close_is_ended_after_a_while():
     with Running() as director:
         caller = director.caller()
@@ -409,6 +432,21 @@
         table.clients.clear()
 
 
+def test_who_floods_with_bad_calls_is_ended_and_told_why(reading):
+    # Guards against one who is never idle, as there is always more of it to be read.
+    with Running() as director:
+        bad, good = director.caller(), director.caller()
+        for _ in range(200):
+            bad.send("nope")
+        good.send()
+        reading.set()
+        assert [bad.answer()[1] for _ in range(9)] == ["an unknown use case"] * 9
+        with pytest.raises(EOFError):
+            bad.answer()
+        assert good.answer()[:2] == (1, 0) and director.sink.events.count("bad frame") == 1
+        assert wait_for(lambda: len(director.service.front.clients) == 1)
+
+
 def test_who_asks_and_does_not_read_is_ended():
     # Guards against a memory full of small answers, which no bound on their bytes would notice.
     with Running() as director:
