--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -25,6 +25,7 @@
 from .outlet import Outlet
 
 OVER_FOR = 10_000.0  # ms for which an answer to a leg that was given up may still come
+AT_ONCE = 20.0  # ms within which a first leg goes out for a client that was there when it was decided
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
 PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
 
@@ -72,7 +73,8 @@
         """`links_priced`: a new connection costs more than an open one."""
         self.may_probe = may_probe
         self.facade, self.clock, self.log = facade, clock, log
-        self.see_through: Callable[[Lookup], None] = lambda lookup: None  # set by the front
+        self.see_through: Callable[[Lookup], None] = lambda lookup: None  # set by the front, as the next is
+        self.has_left: Callable[[Any], bool] = lambda ticket: False  # whether the client of a ticket has gone
         self.connect_timeout, terms = connect_timeout, facade.terms
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {far: hold_for(idle_for, sharers, far, links_priced)
@@ -202,7 +204,12 @@
 
     def _is_stale(self, held: Leg | Probe | None) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
-        return isinstance(held, Leg) and bool(held.ways) and not self.facade.may_begin(held)
+        if not isinstance(held, Leg) or not held.ways:
+            return False
+        lookup, waited = held.lookup, self.clock() > held.sent + AT_ONCE
+        if (held.number or waited) and lookup.ticket is not None and self.has_left(lookup.ticket):
+            self.facade.forget(lookup)  # told by the connection's own thread as well, but that may be late
+        return not self.facade.may_begin(held)
 
     def _stale_on(self, link: Link, about: str) -> Leg | None:
         """Under the lock. The leg that waited for its link and must not be sent any more; off the link with
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -132,11 +132,18 @@
             self.outlet.end(socket.SHUT_WR)
             self.half_closed = time.monotonic()
 
+    def has_left(self) -> bool:
+        """Whether its connection has ended on its side, though its thread may not have read so far."""
+        return self._next() == b""
+
     def _unread(self) -> bool:
+        return bool(self._next())
+
+    def _next(self) -> bytes | None:
         try:
-            return bool(self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+            return self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except OSError:  # nothing, or no connection any more
-            return False
+            return None
 
     def end_lingering(self, now: float) -> bool:
         """Ends one that was half-closed long ago; whether it has been ended by us at all."""
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -64,7 +64,7 @@
         self.clients: dict[Client, None] = {}
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
-        caches.see_through = self.see_through
+        caches.see_through, caches.has_left = self.see_through, lambda ticket: ticket.client.has_left()
 
     def begin(self) -> None:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,6 +15,7 @@
 import pytest
 from helpers import SPOTS, Running, StandBus, StandNode, call_frame, configuration, serve_frame, wait_for
 
+from mulleinrelay.facade import Facade
 from mulleinrelay.interface import Leg, Node, State
 from mulleinrelay.net import bus, resp, service
 from mulleinrelay.net import outlet as outlet_module
@@ -246,6 +247,48 @@
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
+def test_no_further_leg_begins_for_a_client_whose_close_is_not_read_yet(monkeypatch):
+    # Guards against a director that is late itself: its links' threads run before that of the client.
+    hear, closed, read = Client.hear, threading.Event(), threading.Event()
+
+    def late(client):
+        return hear(client) if not client.called else read.wait(10.0) and hear(client)
+
+    monkeypatch.setattr(Client, "hear", late)
+    with Running(lambda fields: closed.wait(5.0) and (b"WAIT", b"-", b"")) as director:
+        caller = director.caller()
+        caller.send()
+        assert wait_for(director.heard)
+        caller.close()
+        assert wait_for(lambda: next(iter(director.service.front.clients)).has_left())
+        closed.set()
+        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert len(director.heard()) == 1
+        read.set()
+
+
+def test_a_verdict_between_a_calls_taking_and_its_table_is_told_once(monkeypatch):
+    # Guards against an answer that finds no number to go to, and a number that is owed for ever.
+    take = Facade.take
+
+    def taken(facade, *arguments, **named):
+        lookup = take(facade, *arguments, **named)
+        other = threading.Thread(target=lambda: [director.service.front.see_through(still)
+                                                 for still in facade.wind_up()])
+        other.start()
+        other.join()
+        return lookup
+
+    monkeypatch.setattr(Facade, "take", taken)
+    with Running() as director:
+        caller = director.caller()
+        caller.send()
+        assert caller.answer()[:2] == (1, 1)
+        caller.socket.sendall(WELL)
+        assert caller.answer()[:2] == (1, 0)  # and nothing between
+        assert not director.service.front.owes() and not director.service.facade.open_lookups()
+
+
 def test_a_call_is_not_begun_where_its_cancellation_has_come_behind_it(reading):
     with Running() as director:
         caller = director.caller()
