--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -51,8 +51,8 @@
         False,
         ["crowding"],
         False,
-        ColdRule(1.0, 1.0, 1_500.0),
-        ColdRule(0.06, 20_000.0, 1_500.0),
+        ColdRule(1.0, 1.0, 1_500.0, 2.5),
+        ColdRule(0.06, 20_000.0, 1_500.0, 2.0),
         1_000.0,
     )
 
--- a/mulleinrelay/configuration.py
+++ b/mulleinrelay/configuration.py
@@ -15,6 +15,7 @@
 REPORT_WORDS = {"busy_reqs": "held", "inflight": "held", "cpu_share": "busy", "util": "busy",
                 "x1": "crowding"}
 DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, SOCKETS_LEAST = 192, 1024, 64
+FALL_MULTIPLE = 2.0  # of what a cold node can do, where the settings don't tell how much more fells it
 MISSING = object()
 
 
@@ -114,8 +115,10 @@
         siblings=domain.text("peersFill") != "none", must_subscribe=boot.text("registryMode") == "subscribe",
         reports=[REPORT_WORDS.get(word, word) for word in report.items("columns")],
         asks_reports=report.text("how") == "probe",
-        cold_cache=ColdRule(rules.number("coldFrom"), rules.number("cold"), overload_for),
-        cold_parent=ColdRule(domain.number("parentStartsAt"), domain.number("parentWarmsIn"), overload_for),
+        cold_cache=ColdRule(rules.number("coldFrom"), rules.number("cold"), overload_for,
+                            rules.number("fallMultiple", FALL_MULTIPLE)),
+        cold_parent=ColdRule(domain.number("parentStartsAt"), domain.number("parentWarmsIn"), overload_for,
+                             domain.number("parentLimitFactor", FALL_MULTIPLE)),
         purge_span=domain.number("purgeTakes"), probe_price=costs_of(boot).number("probe", 0.0))
 
 
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -73,6 +73,7 @@
     starts_at: float  # share of its capacity at the start
     warm_in: float
     span: float
+    multiple: float  # of what it can do then; sent more for the span, by all together, it falls
 
 
 @dataclass(slots=True, eq=False)
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -31,6 +31,8 @@
 USUAL_PUT_IN = 0.4  # weight of one usual reading beside the few recent ones of a parent
 SPREAD = 1.2  # a fill is begun while this multiple of the middle delay leaves it time: half come later
 BELIEF_AGE = 8000.0  # how long an answer makes us believe that a cache holds the object
+COLD_PART, COLD_MOST = 0.75, 1.9  # of what fells a cold member that all share, of its capacity at the most
+KNOWN = 20.0  # lookups of a use case whose mean size is taken for the use case's
 OVERSIZED = 4.0  # objects this many times their use case's mean, first seen, are not kept
 QUIET_MOST = 2.0  # overdue legs, with nothing heard meanwhile, that make a member silent
 OVERDUE = 0.5  # sign of silence (0.5: twice the time it was due to take) at which a leg goes elsewhere
@@ -263,10 +265,9 @@
         leg.bag, leg.purged = self.holds(node, lookup), self.purge_moment(lookup)
         lookup.legs.append(leg)
         node.out[leg] = None
-        work = self.work(lookup)
         for member in {node: None, source: None}:
             if member is not None and self.warmth(member) < 1.0:
-                member.cold.spend(self.now, work)
+                member.cold.spend(self.now, self.counted(lookup))
         keep, renew = self.rank(lookup) if node in self.caches else 0, lookup.use_case.fresh_for > 0
         join = self.terms.joins and not any(other.outcome == Outcome.TIMEOUT for other in lookup.legs)
         self.out.send(leg, self.max_age(lookup), keep, join, held_only, keep > 0, renew)
@@ -350,7 +351,7 @@
         most = self.bearable(lookup) if self.terms.sized else math.inf
         tried = {leg.node for leg in lookup.legs if leg.outcome != Outcome.MISS}
         ranked = self.by_hash([cache for cache in caches if cache not in tried], lookup.key, lookup.part)
-        fit = self.fit(ranked, self.work(lookup))
+        fit = self.fit(ranked, self.counted(lookup))
         first = list(islice(fit, self.popular.caches((lookup.key, lookup.part))))
         if len(first) > 1:  # among equals each director takes its own, or all would take the first
             self.random.shuffle(first)
@@ -387,7 +388,7 @@
 
     def choose_source(self, lookup: Lookup, cache: Member | None) -> tuple[Member | None, bool]:
         """Where a miss is filled from, and whether that is asked only for what it holds."""
-        work = self.work(lookup)
+        work = self.counted(lookup)
         tried = {leg.source for leg in lookup.legs if self.doubts_source(leg)}
         if cache is not None:
             limit, asks = self.delay(cache) + NEAR, self.terms.siblings and not self.holds(cache, lookup)
@@ -489,12 +490,12 @@
         return min(1.0, rule.starts_at + (1.0 - rule.starts_at) * (self.now - member.started) / rule.warm_in)
 
     def has_room(self, member: Member, work: float) -> bool:
-        """A cold member gets this director's part of what it can do now, over any span of the rule."""
+        """A cold member gets this director's part of what it may be sent now, over any span of the rule."""
         warmth, rule = self.warmth(member), self.cold_rule(member)
         if warmth >= 1.0:
             return True
         share = self.cold_parents if member in self.parents else self.cold_here
-        whole = member.share * warmth
+        whole = member.share * warmth * min(COLD_MOST, COLD_PART * rule.multiple)
         fits = member.cold.fits(self.now, work, whole * share.held(self.now), rule.span, self.random)
         if share.watched:
             member.cold.note(share, work, fits, whole * rule.span)
@@ -529,6 +530,12 @@
         total, number = self.sending[lookup.use_case]
         return total / number if number else lookup.use_case.latency_goal / 4
 
+    def counted(self, lookup: Lookup) -> float:
+        """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
+        ones that went by their own added up to several times the limit."""
+        (total, number), work = self.sending[lookup.use_case], self.work(lookup)
+        return total / number if number >= KNOWN else max(work, total / number if number else work)
+
     def goal_left(self, lookup: Lookup) -> float:
         case = lookup.use_case
         goal = min(case.client_timeout, case.latency_goal + case.goal_stretch * self.work(lookup))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -71,8 +71,8 @@
             must_subscribe=False,
             reports=["crowding"],
             asks_reports=False,
-            cold_cache=ColdRule(0.2, 17000.0, 1500.0),
-            cold_parent=ColdRule(0.063, 20000.0, 1500.0),
+            cold_cache=ColdRule(0.2, 17000.0, 1500.0, 2.5),
+            cold_parent=ColdRule(0.063, 20000.0, 1500.0, 2.0),
             purge_span=6000.0,
         )
         self.terms = Terms(**(terms | changes))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -82,6 +82,29 @@
     assert sent[member] <= multiple * 6.0 * rule.starts_at * 1500.0 / sharers * 1.2
 
 
+@pytest.mark.parametrize("caches_cold", [True, False])
+def test_small_lookups_count_as_the_mean_of_their_use_case_at_a_cold_member(caches_cold):
+    """Nine of ten took a tenth of the mean and went by that: together several times what fells the member."""
+    fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
+    cold = [fleet.caches[0]] if caches_cold else fleet.parents
+    rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
+    for number in range(40):  # before it starts: the mean is known
+        fleet.look_up(size=9100.0 if number % 10 == 0 else 100.0, after=2.0)
+    sent = {member: [] for member in cold}
+    for number in range(600):
+        leg = fleet.look_up(size=9100.0 if number % 10 == 0 else 100.0, after=5.0).legs
+        for member in {held for each in leg for held in (each.node, each.source)} & set(sent):
+            sent[member].append(fleet.now)
+        for each in leg:
+            fleet.answer(each, note=Note.FILLED, first_byte=30.0)
+    mean = 100.0
+    for times in sent.values():
+        for now in times:
+            warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_100.0) / rule.warm_in
+            number = rule.multiple * 6.0 * warmth * rule.span / mean / sharers
+            assert sum(now - rule.span <= at <= now for at in times) <= number + 2.0 * number ** 0.5 + 2.0
+
+
 @pytest.mark.parametrize("key, group", [(77, 1), (0, 1)])
 def test_a_purge_bounds_the_copy_and_zero_is_never_sent_for_it(key, group):
     fleet = Fleet()
