--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -58,6 +58,13 @@
         fcntl.ioctl(self.outlet.connection, termios.FIONREAD, here)
         return any(here)
 
+    def closed_there(self) -> bool:
+        """Whether the node has closed it, though its thread may not have read so far."""
+        try:
+            return self.outlet.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+        except (OSError, AttributeError):  # nothing, or not up yet
+            return False
+
     def quiet_since(self) -> float:
         """Since when legs have been out with nothing heard."""
         first = next((leg.sent for leg in self.open.values() if isinstance(leg, Leg)), None)
@@ -187,8 +194,7 @@
         with self.lock:
             links = self.links.setdefault(place, [])
             if not self._is_stale(held):
-                link = min((link for link in links if link.takes(about, self.legs_a_connection)),
-                           key=lambda link: len(link.open), default=None)
+                link = self._choose(links, about)
                 if link is None and not self.stopped:
                     self._make_room()
                     if self.count < self.links_most:
@@ -202,6 +208,16 @@
         if link is None and isinstance(held, Leg):
             self._report(held, Outcome.MOOT)  # not to be sent, or no connection here: no word about the node
 
+    def _choose(self, links: list[Link], about: str) -> Link | None:
+        """Under the lock. One that nothing is out on may have been closed by the node in this very moment:
+        what is written there is lost, and nobody could say whether it ran."""
+        for link in sorted((link for link in links if link.takes(about, self.legs_a_connection)),
+                           key=lambda link: len(link.open)):
+            if link.open or not link.closed_there():
+                return link
+            link.outlet.end()
+        return None
+
     def _is_stale(self, held: Leg | Probe | None) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
         if not isinstance(held, Leg) or not held.ways:
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -29,7 +29,7 @@
     def __init__(self, connection: socket.socket | None, address: str = "", entry: str = "") -> None:
         """`entry`: what the gate gave for it and gets back."""
         self.connection, self.address, self.entry = connection, address, entry
-        self.lock = threading.Lock()  # guards `open` and the outlet
+        self.lock = threading.Lock()  # guards `open`, the outlet, and the reading of calls
         self.outlet = Outlet(self.lock, WRITE_WAIT)
         self.outlet.connection = connection
         self.open: dict[int, Lookup | None] = {}  # None: not yet the module's
@@ -60,24 +60,32 @@
         gone, or its connection has been half-closed and read out: what is not begun then never is. So none is
         begun for a client who left behind it, however many it had sent at once."""
         while len(self.calls) < CALLS_MOST:
-            flags = socket.MSG_DONTWAIT if self.calls else 0
-            try:
-                length = self.connection.recv_into(self.frames.room(), 0, flags)
-            except BlockingIOError:
-                return True
-            if not length:
+            if not self.calls and not self.connection.recv(1, socket.MSG_PEEK):  # waits, and takes nothing
                 return False
-            now = time.monotonic()
-            frames = self.frames.filled(length)
-            if self.outlet.ended:
-                self.calls.clear()
-            elif frames:
-                self.called, self.used, self.halfway = True, now, 0.0
-                for frame in frames:
-                    self._queue(thrift.read_call(frame), now)
-            self.halfway = (self.halfway or now) if len(self.frames.intake) else 0.0
+            with self.lock:
+                try:
+                    length = self.connection.recv_into(self.frames.room(), 0, socket.MSG_DONTWAIT)
+                except BlockingIOError:
+                    if self.calls:
+                        return True
+                    continue
+                if not length:
+                    return False
+                self._take(self.frames.filled(length))
         return True
 
+    def _take(self, frames: list[memoryview]) -> None:
+        """Under the lock under which they were read: whoever would end an idle connection finds a call with
+        the system or here, at every moment."""
+        now = time.monotonic()
+        if self.outlet.ended:
+            self.calls.clear()
+        elif frames:
+            self.called, self.used, self.halfway = True, now, 0.0
+            for frame in frames:
+                self._queue(thrift.read_call(frame), now)
+        self.halfway = (self.halfway or now) if len(self.frames.intake) else 0.0
+
     def _queue(self, call: thrift.Call, now: float) -> None:
         """A cancellation goes before calls that wait, and takes the one that it is for along."""
         call.read_at = now
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,6 +23,7 @@
 from mulleinrelay.net.client import Client
 from mulleinrelay.net.front import Front
 from mulleinrelay.net.outlet import Outlet
+from mulleinrelay.net.thrift import Frames
 
 HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
 WELL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
@@ -216,6 +217,31 @@
         ours.close()
 
 
+def test_a_connection_that_its_node_has_closed_is_not_written_to(monkeypatch):
+    # Guards against an effect of which nobody can say whether it happened, for a close that had come before.
+    rooms, reads, room = [], threading.Event(), resp.Arrays.room
+
+    def late(arrays):  # the first connection is read once, and its close is not
+        if threading.current_thread().name == "link":
+            rooms.append(arrays)
+            if arrays is rooms[0] and len(rooms) > 1:
+                reads.wait(10.0)
+        return room(arrays)
+
+    monkeypatch.setattr(resp.Arrays, "room", late)
+    with Running() as director:
+        caller, origin = director.caller(), director.nodes[-1]
+        caller.send("pay")
+        assert caller.answer()[:2] == (1, 0)
+        (links,) = director.service.caches.links.values()
+        link = links[0]
+        origin.connections[0].shutdown(socket.SHUT_RDWR)
+        assert wait_for(link.closed_there)
+        caller.send("pay")
+        assert caller.answer()[:2] == (2, 0) and len(origin.connections) == 2
+        reads.set()
+
+
 # Clients
 
 
@@ -378,6 +404,31 @@
         assert wait_for(lambda: not director.service.front.clients)
 
 
+def test_a_call_is_with_the_system_or_read_at_every_moment(monkeypatch):
+    # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in the list.
+    filled, half, go = Frames.filled, threading.Event(), threading.Event()
+
+    def late(frames, length):
+        if threading.current_thread().name == "client":
+            half.set()
+            go.wait(10.0)
+        return filled(frames, length)
+
+    monkeypatch.setattr(Frames, "filled", late)
+    with Running() as director:
+        caller = director.caller()
+        caller.send()
+        assert half.wait(5.0)
+        (client,) = director.service.front.clients
+        ended = []
+        ender = threading.Thread(target=lambda: ended.append(client.end_idle()))
+        ender.start()
+        time.sleep(0.05)  # an end that does not wait for the reader has happened by now
+        go.set()
+        ender.join()
+        assert ended == [False] and caller.answer()[:2] == (1, 0)
+
+
 def test_an_idle_connection_on_which_a_call_has_come_is_not_ended(reading):
     with Running() as director:
         caller = director.caller()
@@ -593,6 +644,7 @@
     # Guards against a list from before what is known, and loses no purge that a gap may hide.
     with Running(bus=StandBus()) as director:
         whole = event(number, rows(director, "SERVING", "s-03", "s-11", "s-21", full=True))
+        assert wait_for(lambda: director.bus.asked)  # a connection that is opened now would take a script
         director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
         director.service.bus.move(director.service.bus.address)
         assert wait_for(lambda: director.service.bus.last == number + 1)
