--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -97,7 +97,7 @@
     def __init__(self, hosts: "Hosts", node: Node, place: str) -> None:
         self.hosts, self.node, self.place = hosts, node, place
         self.port, self.listener = 0, None
-        self.wires: dict[Wire, int] = {}
+        self.wires: dict[Wire, int | None] = {}  # all accepted; None: its director is not told yet
         self.errs: frozenset[int] = frozenset()  # directors that get errors
         self.lags: tuple[frozenset[int], float] = (frozenset(), 1.0)  # directors for which it is slower
         self.listen()
@@ -121,6 +121,7 @@
     def _welcome(self, connection: socket.socket) -> None:
         wire, arrays = Wire(self.hosts.loop, connection), resp.Arrays(4096)
         over: set[bytes] = set()
+        self.wires[wire] = None  # else it would outlive the node, and a command on it count as its fall
 
         def known(director: int) -> None:
             self.wires[wire] = director
@@ -148,7 +149,7 @@
 
     def _told(self, wire: Wire, over: set[bytes], items: list[bytes]) -> None:
         word, about = items[0], items[1]
-        director, node, now = self.wires.get(wire, -1), self.node, now_ms()
+        director, node, now = self.wires[wire], self.node, now_ms()
         if word == b"KILL":
             over.add(about)
             if len(over) > 10_000:
