--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -6,10 +6,12 @@
 gone, does not read or breaks the protocol is shut both ways. After either, nothing that is read is taken.
 """
 
+import select
 import socket
 import threading
 import time
 from collections import deque
+from collections.abc import Iterable
 
 from ..interface import Lookup
 from . import thrift
@@ -17,11 +19,13 @@
 
 WRITE_WAIT = 6.0  # s that a client may take to read on before its connection is ended
 FIRST_CALL = 2.0  # s from connecting to the first whole call: who says nothing is owed an end within 3 s
-REST_OF_CALL = 3.0  # s from the last bytes of a call that is not whole
+REST_OF_CALL = 3.0  # s from the first bytes of a call to its last
 IDLE = 6.0  # s without a call: clients who mean to come back close their connections themselves after 4 s
 HALF_CALL = 1.0  # s that the end of a drain waits for the rest of a call: some write slowly
 LINGER = 0.15  # s from a half-close to the end: what crosses it comes within 50 ms and a way there and back
 CALLS_MOST = 64  # that are read ahead
+LOOK_AGAIN = 0.02  # s between two looks at what is still owed to one that is ended for what it sent
+PEEK_MOST = 65_536  # bytes in which a cancellation is looked for that is not read yet
 UNREAD_MOST = 256  # answers that wait to be read: none who reads leaves so many, and small ones cost most
 
 
@@ -37,6 +41,7 @@
         self.calls: deque[thrift.Call] = deque()  # read; the first may be in the making, the others wait
         self.called = False  # a whole call has come
         self.bad = 0  # calls that can't be used since the last that can
+        self.wrong = ""  # why what has come can't be read any further
         self.used = time.monotonic()  # when it connected, or the last whole call or answer
         self.halfway = 0.0  # when a call began of which the rest is to come
         self.half_closed = 0.0  # when
@@ -60,7 +65,7 @@
         gone, or its connection has been half-closed and read out: what is not begun then never is. So none is
         begun for a client who left behind it, however many it had sent at once."""
         while len(self.calls) < CALLS_MOST:
-            if not self.calls and not self.connection.recv(1, socket.MSG_PEEK):  # waits, and takes nothing
+            if not self.calls and (self.wrong or not self.connection.recv(1, socket.MSG_PEEK)):  # waits
                 return False
             with self.lock:
                 try:
@@ -71,21 +76,44 @@
                     continue
                 if not length:
                     return False
-                self._take(self.frames.filled(length))
+                if not self.wrong:
+                    self._take(self.frames.filled(length))
+                elif self.calls:  # one look for its end; whoever floods is not read on
+                    return True
         return True
 
-    def _take(self, frames: list[memoryview]) -> None:
+    def _take(self, frames: Iterable[memoryview]) -> None:
         """Under the lock under which they were read: whoever would end an idle connection finds a call with
         the system or here, at every moment."""
         now = time.monotonic()
         if self.outlet.ended:
             self.calls.clear()
-        elif frames:
-            self.called, self.used, self.halfway = True, now, 0.0
+            return
+        try:
             for frame in frames:
+                self.called, self.used, self.halfway = True, now, 0.0
                 self._queue(thrift.read_call(frame), now)
+        except thrift.ThriftError as wrong:  # what came whole before it has been taken
+            self.wrong, self.halfway = str(wrong), 0.0
+            return
         self.halfway = (self.halfway or now) if len(self.frames.intake) else 0.0
 
+    def read_out(self) -> None:
+        """After bytes that can't be read: what was taken before them is answered, and then the connection is
+        ended. What comes meanwhile is left unused."""
+        while self.owed():
+            with self.lock:
+                try:
+                    if not self.connection.recv_into(self.frames.room(), 0, socket.MSG_DONTWAIT):
+                        return
+                except BlockingIOError:
+                    pass
+            time.sleep(LOOK_AGAIN)
+        if self.called:
+            self.end_bad()
+            while self.connection.recv_into(self.frames.room()):  # until it closes, or lingers too long
+                pass
+
     def _queue(self, call: thrift.Call, now: float) -> None:
         """A cancellation goes before calls that wait, and takes the one that it is for along."""
         call.read_at = now
@@ -140,18 +168,38 @@
             self.outlet.end(socket.SHUT_WR)
             self.half_closed = time.monotonic()
 
-    def has_left(self) -> bool:
-        """Whether its connection has ended on its side, though its thread may not have read so far."""
-        return self._next() == b""
+    def has_left(self, number: int) -> bool:
+        """Whether it has closed, or called this one off, though its thread may not have read so far."""
+        with self.lock:
+            if any(call.method == "forget" and thrift.forgotten(call) == number for call in self.calls):
+                return True
+            if not (come := self._next()):
+                return come is not None
+            if self._closed_behind():
+                return True
+            held = bytes(self.frames.intake.unread()) + (self._next(PEEK_MOST) or b"")
+            return not self.wrong and number in thrift.called_off(held)
 
     def _unread(self) -> bool:
         return bool(self._next())
 
-    def _next(self) -> bytes | None:
+    def _next(self, most: int = 1) -> bytes | None:
+        """What has come and is not read; nothing where that is its end, None where nothing has come."""
         try:
-            return self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except OSError:  # nothing, or no connection any more
+            return self.connection.recv(most, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        except BlockingIOError:
             return None
+        except OSError:  # reset, or closed here
+            return b""
+
+    def _closed_behind(self) -> bool:
+        """Whether its end waits behind bytes that are not read."""
+        try:
+            look = select.poll()
+            look.register(self.connection, select.POLLRDHUP)
+            return bool(look.poll(0))
+        except (OSError, ValueError):  # closed here
+            return True
 
     def end_lingering(self, now: float) -> bool:
         """Ends one that was half-closed long ago; whether it has been ended by us at all."""
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -64,7 +64,8 @@
         self.clients: dict[Client, None] = {}
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
-        caches.see_through, caches.has_left = self.see_through, lambda ticket: ticket.client.has_left()
+        caches.see_through = self.see_through
+        caches.has_left = lambda ticket: ticket.client.has_left(ticket.number)
 
     def begin(self) -> None:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -190,8 +191,9 @@
                 if client.bad > BAD_MOST and not client.open and not client.outlet.ended:
                     self.log.event("bad frame", why=f"{client.bad} bad calls in a row")
                     client.end_bad()
-        except thrift.ThriftError as wrong:
-            self.log.event("bad frame", why=str(wrong))
+            if client.wrong:
+                self.log.event("bad frame", why=client.wrong)
+                client.read_out()
         except OSError:
             pass
         except Exception as broken:
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -1,5 +1,7 @@
 """RESP arrays of bulk strings, and what caches, parents and the origin say with them; pure, no sockets."""
 
+import math
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from ..interface import Asked, Note, Order, Outcome
@@ -36,14 +38,13 @@
     def room(self) -> memoryview:
         return self.intake.room(self.whole)
 
-    def filled(self, length: int) -> list[list[memoryview]]:
-        """Call with the number of bytes written to the room; gives the arrays that are whole now."""
+    def filled(self, length: int) -> Iterator[list[memoryview]]:
+        """Call with the number of bytes written to the room; gives the arrays that are whole now, and those
+        before bytes that can't be read, before it raises."""
         self.intake.end += length
         self.whole = 0
-        found = []
         while (array := self._array()) is not None:
-            found.append(array)
-        return found
+            yield array
 
     def _array(self) -> list[memoryview] | None:
         if self.left < 0:
@@ -126,7 +127,7 @@
             if name == "why":
                 told.note = NOTES.get(value, Note.NONE)
             elif name == "delay":
-                told.waited = float(value)
+                told.waited = _number(value)
             elif name == "rep":
                 told.load = _load(value, report_words)
     except ValueError as wrong:
@@ -136,7 +137,14 @@
 
 def _load(text: str, report_words: dict[str, str]) -> dict[str, float]:
     pairs = (entry.partition(":") for entry in text.split(";") if entry)
-    return {report_words.get(name, name): float(value) for name, _, value in pairs}
+    return {report_words.get(name, name): _number(value) for name, _, value in pairs}
+
+
+def _number(text: str) -> float:
+    """One that can be reckoned with: what is smoothed over time would be spoilt for good by another."""
+    if not math.isfinite(value := float(text)) or value < 0.0:
+        raise ValueError(f"a figure of {text[:16]}")
+    return value
 
 
 def command(*items: bytes) -> bytes:
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -2,6 +2,7 @@
 
 import re
 import struct
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from ..interface import Asked
@@ -37,9 +38,10 @@
     def room(self) -> memoryview:
         return self.intake.room(self.whole)
 
-    def filled(self, length: int) -> list[memoryview]:
-        """Call with the number of bytes written to the room; gives the frames that are whole now."""
-        intake, found = self.intake, []
+    def filled(self, length: int) -> Iterator[memoryview]:
+        """Call with the number of bytes written to the room; gives the frames that are whole now, and those
+        before bytes that can't be read, before it raises."""
+        intake = self.intake
         intake.end += length
         self.whole = 0
         while len(intake) >= 4:
@@ -49,8 +51,7 @@
             if len(intake) < 4 + size:
                 self.whole = 4 + size
                 break
-            found.append(intake.take(4 + size)[4:])
-        return found
+            yield intake.take(4 + size)[4:]
 
 
 class Reader:
@@ -205,6 +206,19 @@
         return None
 
 
+def called_off(received: bytes) -> set[int]:
+    """The numbers that whole calls among what was received, and is not taken yet, call off."""
+    frames, found = Frames(len(received)), set()
+    frames.room()[:] = received
+    try:
+        for frame in frames.filled(len(received)):
+            if (call := read_call(frame)).method == "forget":
+                found.add(forgotten(call))
+    except ThriftError:  # what comes behind it is never taken
+        pass
+    return found - {None}
+
+
 def _text(held: str | bytes) -> bytes:
     data = held.encode() if isinstance(held, str) else held
     return INT.pack(len(data)) + data
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -9,6 +9,7 @@
 from mulleinrelay.wirehost import NOTES, OUTCOMES
 
 FIELDS = {"route": "pages", "trace": "9b1f03aa5c7e2d41", "patience": "1500", "entity": "7f3a9c21e0b4d655"}
+FORGET = call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x03\0", 4)
 STEPS = [1, 2, 3, 5, 7, 64, 10**6]
 
 
@@ -149,6 +150,29 @@
         ("a3", Outcome.SATISFIED, 0, True), ("a4", Outcome.MOOT, 0, False)]
 
 
+@pytest.mark.parametrize("parser, whole, wrong", [
+    (resp.Arrays, [resp.command(b"9b", b"DONE", b"-", b"x"), resp.command(b"9c", b"LACK", b"-")], b"+OK\r\n"),
+    (thrift.Frames, [serve_frame(1, FIELDS), serve_frame(2, FIELDS)], b"\xff\xff\xff\xff"),
+])
+def test_what_is_whole_before_bytes_that_cannot_be_read_is_given(parser, whole, wrong):
+    held, found, data = parser(), [], b"".join(whole) + wrong
+    held.room()[:len(data)] = data
+    with pytest.raises((resp.RespError, thrift.ThriftError)):
+        for one in held.filled(len(data)):
+            found.append(one)
+    assert len(found) == len(whole)
+
+
+@pytest.mark.parametrize("received, numbers", [
+    (b"", set()), (FORGET, {3}), (FORGET[:-1], set()), (serve_frame(1, FIELDS, FORGET) + FORGET, {3}),
+    (serve_frame(1, FIELDS, FORGET), set()),  # within a body
+    (call_frame("forget", 0, b"\x0b", 4) + FORGET, {3}), (b"\xff" * 8 + FORGET, set()),
+    (FORGET + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
+])
+def test_calls_that_are_called_off_by_what_is_not_taken_yet(received, numbers):
+    assert thrift.called_off(received) == numbers
+
+
 def test_a_body_is_a_view_of_what_was_received():
     # Guards against copies of bodies: they pass through in the buffer that they came in.
     arrays = resp.Arrays(4096)
@@ -169,7 +193,9 @@
 @pytest.mark.parametrize(
     "items",
     [(b"a1", b"DONE"), (b"a1", b"NOPE", b"-", b""), (b"\xff", b"DONE", b"-", b""),
-     (b"a1", b"DONE", b"delay=x", b""), (b"a1", b"FIT", b"rep=x1:", b""), (b"a1",) * 5],
+     (b"a1", b"DONE", b"delay=x", b""), (b"a1", b"DONE", b"delay=nan", b""),
+     (b"a1", b"DONE", b"delay=-1", b""), (b"a1", b"FIT", b"rep=util:inf", b""),
+     (b"a1", b"FIT", b"rep=util:1e999", b""), (b"a1", b"FIT", b"rep=x1:", b""), (b"a1",) * 5],
 )
 def test_answers_that_cannot_be_read(items):
     with pytest.raises(resp.RespError):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -4,6 +4,7 @@
 import os
 import signal
 import socket
+import struct
 import subprocess
 import sys
 import threading
@@ -242,6 +243,21 @@
         reads.set()
 
 
+def test_answers_before_bytes_that_cannot_be_read_count():
+    # Guards against an effect that is called broken off though its answer has come: the bytes behind it, of
+    # another answer that was spoilt, end the connection.
+    class Spoilt(StandNode):
+        def answer(self, connection, about, fields):
+            connection.sendall(resp.command(about, *HIT) + b"+what\r\n")
+
+    with Running() as director:
+        for node in director.nodes:
+            node.__class__ = Spoilt
+        caller = director.caller()
+        caller.send("pay")
+        assert caller.answer() == (1, 0, {}, b"bytes")
+
+
 # Clients
 
 
@@ -273,26 +289,104 @@
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
-def test_no_further_leg_begins_for_a_client_whose_close_is_not_read_yet(monkeypatch):
+LEAVES = {
+    "closes": lambda caller: caller.close(),
+    "cancels": lambda caller: caller.socket.sendall(forget(1)),
+    "cancels behind a call": lambda caller: caller.socket.sendall(WELL + forget(1)),
+    "closes behind a call": lambda caller: (caller.socket.sendall(WELL), caller.close()),
+    "resets": lambda caller: (caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
+                                                       struct.pack("ii", 1, 0)), caller.close()),
+}
+
+
+@pytest.mark.parametrize("how", [*LEAVES, "calls", "cancels another"])
+def test_no_further_leg_begins_for_a_client_whose_leaving_is_not_read_yet(how, monkeypatch):
     # Guards against a director that is late itself: its links' threads run before that of the client.
-    hear, closed, read = Client.hear, threading.Event(), threading.Event()
+    hear, left, read = Client.hear, threading.Event(), threading.Event()
+    stays = {"calls": lambda caller: caller.socket.sendall(WELL),
+             "cancels another": lambda caller: caller.socket.sendall(forget(2))}
 
     def late(client):
         return hear(client) if not client.called else read.wait(10.0) and hear(client)
 
+    def plan(fields):
+        left.wait(5.0)
+        return b"WAIT", b"-", b""
+
     monkeypatch.setattr(Client, "hear", late)
-    with Running(lambda fields: closed.wait(5.0) and (b"WAIT", b"-", b"")) as director:
+    with Running(plan) as director:
         caller = director.caller()
         caller.send()
         assert wait_for(director.heard)
-        caller.close()
-        assert wait_for(lambda: next(iter(director.service.front.clients)).has_left())
-        closed.set()
+        (LEAVES | stays)[how](caller)
+        (client,) = director.service.front.clients
+        assert wait_for(lambda: client._next() is not None)
+        left.set()
         assert wait_for(lambda: not director.service.facade.open_lookups())
-        assert len(director.heard()) == 1
+        assert (len(director.heard()) == 1) is (how in LEAVES)
         read.set()
 
 
+def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_leg(monkeypatch):
+    call, left, go = Front._call, threading.Event(), threading.Event()
+
+    def late(front, client, held):
+        if held.method == "forget":
+            go.wait(10.0)
+        call(front, client, held)
+
+    def plan(fields):
+        left.wait(5.0)
+        return b"WAIT", b"-", b""
+
+    monkeypatch.setattr(Front, "_call", late)
+    with Running(plan) as director:
+        caller = director.caller()
+        caller.send()
+        assert wait_for(director.heard)
+        caller.socket.sendall(forget(1))
+        (client,) = director.service.front.clients
+        assert wait_for(lambda: client.calls)
+        left.set()
+        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert len(director.heard()) == 1
+        go.set()
+
+
+@pytest.mark.parametrize("together", [True, False])
+@pytest.mark.parametrize("wrong", [b"\xff\xff\xff\xff" * 20, b"\0\0\0\x05hello", b"\x7f\xff\xff\xff"])
+def test_what_was_taken_before_bytes_that_cannot_be_read_is_answered(wrong, together):
+    # Guards against a request that is lost with the rest of its connection, and an answer that a reset over
+    # unread bytes takes along.
+    answer = threading.Event()
+    with Running(lambda fields: answer.wait(5.0) and HIT) as director:
+        caller = director.caller()
+        whole = serve_frame(7, {"route": "pages", "trace": "e" * 16, "patience": "3000", "entity": "ab" * 8})
+        caller.socket.sendall(whole + wrong if together else whole)
+        assert wait_for(director.heard)
+        if not together:
+            caller.socket.sendall(wrong)
+        (client,) = director.service.front.clients
+        assert wait_for(lambda: client.wrong)
+        caller.socket.sendall(wrong)
+        answer.set()
+        assert caller.answer() == (7, 0, {}, b"bytes")
+        with pytest.raises(EOFError):
+            caller.answer()
+        assert wait_for(lambda: not director.service.front.clients)  # though it does not close
+
+
+def test_who_sends_what_cannot_be_read_and_goes_is_not_waited_for():
+    with Running(None) as director:
+        caller = director.caller()
+        caller.send()
+        assert wait_for(director.heard)
+        caller.socket.sendall(b"\xff" * 100)
+        caller.close()
+        assert wait_for(lambda: not director.service.front.clients, 1.0)
+        assert not director.service.facade.open_lookups()
+
+
 def test_a_verdict_between_a_calls_taking_and_its_table_is_told_once(monkeypatch):
     # Guards against an answer that finds no number to go to, and a number that is owed for ever.
     take = Facade.take
@@ -312,7 +406,8 @@
         assert caller.answer()[:2] == (1, 1)
         caller.socket.sendall(WELL)
         assert caller.answer()[:2] == (1, 0)  # and nothing between
-        assert not director.service.front.owes() and not director.service.facade.open_lookups()
+        assert wait_for(lambda: not director.service.front.owes())  # the call ends after its answer
+        assert not director.service.facade.open_lookups()
 
 
 def test_a_call_is_not_begun_where_its_cancellation_has_come_behind_it(reading):
