--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -28,6 +28,7 @@
 AT_ONCE = 20.0  # ms within which a first leg goes out for a client that was there when it was decided
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
 PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
+SHORT_HERE = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}  # by no node
 
 
 @dataclass(slots=True, eq=False)
@@ -274,6 +275,8 @@
                 self._read(link, connection)
         except OSError as broken:
             why = errno.errorcode.get(broken.errno or 0, type(broken).__name__)
+            if outcome == Outcome.UNCONNECTED and broken.errno in SHORT_HERE:
+                outcome = Outcome.MOOT
         except resp.RespError as broken:
             why, outcome = str(broken), Outcome.RESET
         except Exception as broken:
@@ -317,7 +320,7 @@
                 self.count -= 1
             if not links:
                 self.links.pop(link.place, None)
-            lost = [(held, link.outlet.unbegun(about)) for about, held in link.open.items()
+            lost = [(held, link.outlet.unfinished(about)) for about, held in link.open.items()
                     if isinstance(held, Leg)]
             for held, _ in lost:
                 self.of_leg.pop(held, None)
@@ -329,5 +332,5 @@
                 self.down[link.place] = self.down.get(link.place, 0) + len(lost)
         if first:  # one line until it is up again, not one a leg
             self.log.event("link down", node=link.place.name, lost=len(lost), why=why or "closed")
-        for held, unbegun in lost:
-            self._report(held, Outcome.UNCONNECTED if unbegun else outcome)
+        for held, never_came in lost:
+            self._report(held, Outcome.UNCONNECTED if never_came and outcome == Outcome.RESET else outcome)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
 """Two events that cross, on real sockets; each crossing is forced by a gate that the test holds."""
 
+import errno
 import json
 import os
 import signal
@@ -17,8 +18,9 @@
 from helpers import SPOTS, Running, StandBus, StandNode, call_frame, configuration, serve_frame, wait_for
 
 from mulleinrelay.facade import Facade
-from mulleinrelay.interface import Leg, Node, State
+from mulleinrelay.interface import Leg, Node, Outcome, State
 from mulleinrelay.net import bus, resp, service
+from mulleinrelay.net import caches as caches_module
 from mulleinrelay.net import outlet as outlet_module
 from mulleinrelay.net.caches import Caches, Link
 from mulleinrelay.net.client import Client
@@ -218,6 +220,44 @@
         ours.close()
 
 
+@pytest.mark.parametrize("size, outcome", [(100, Outcome.RESET), (4_000_000, Outcome.UNCONNECTED)])
+def test_what_a_node_cannot_have_read_whole_never_ran(size, outcome):
+    # Guards against an effect that is called broken off though no node can have run it.
+    with Running(None) as director:
+        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        leg, reported = Leg(None, 0, Node(1), None, director.service.clock(), 6000.0), []
+        caches._report = lambda leg, *how: reported.append(how[0])
+        ours, theirs = socket.socketpair()
+        link = Link(place, director.service.clock(), caches.lock)
+        link.outlet.connection = ours
+        caches.links[place] = [link]
+        caches._put(place, "9b", leg, [bytes(size)])
+        caches._end(link, ours, Outcome.RESET, "")
+        assert reported == [outcome]
+        theirs.close()
+
+
+def test_a_director_short_of_descriptors_does_not_blame_nodes(monkeypatch):
+    # Guards against all nodes being shunned while idle clients hold what there is.
+    class Short:
+        def __getattr__(self, name):
+            return getattr(socket, name)
+
+        def socket(self, *_):
+            raise OSError(errno.EMFILE, "too many open files")
+
+    with Running() as director:
+        with monkeypatch.context() as short:
+            short.setattr(caches_module, "socket", Short())
+            caller = director.caller()
+            caller.send()
+            assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
+        members = director.service.facade.director.members
+        assert members and not any(member.shunned or member.health.bad for member in members)
+        caller.send()
+        assert caller.answer()[:2] == (2, 0)
+
+
 def test_a_connection_that_its_node_has_closed_is_not_written_to(monkeypatch):
     # Guards against an effect of which nobody can say whether it happened, for a close that had come before.
     rooms, reads, room = [], threading.Event(), resp.Arrays.room
