--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from .interface import Leg, Listing, Lookup, Note, Order, Outcome, Place, Pool, State, Terms, UseCase
+from .interface import NOWHERE, Leg, Listing, Lookup, Note, Order, Outcome, Place, Pool, State, Terms, UseCase
 from .log import Log
 from .policy import Director, Member
 from .spread.admission import Lateness
@@ -183,9 +183,7 @@
 
     def listed(self, entries: list[Listing], whole: bool) -> None:
         with self.lock:
-            entries = [replace(self.entries[entry.name], state=State.GONE)  # what was left out is as it was
-                       if entry.state == State.GONE and entry.name in self.entries else entry
-                       for entry in entries]
+            entries = [held for entry in entries if (held := self._as_known(entry)) is not None]
             self.entries = {} if whole else self.entries
             for entry in entries:
                 if entry.state == State.GONE:
@@ -196,6 +194,14 @@
                 self.intent.told(self.clock(), entries, whole)
             self._list(entries, whole)
 
+    def _as_known(self, entry: Listing) -> Listing | None:
+        """What was left out of a row is as it was; None where that is not known."""
+        known = self.entries.get(entry.name)
+        if known is None:
+            return entry if entry.address != NOWHERE or entry.state == State.GONE else None
+        partial = entry.address == NOWHERE or entry.state == State.GONE
+        return replace(known, state=entry.state) if partial else entry
+
     def wanted(self, make: Callable[["Intent"], list[str]]) -> None:
         """What staff want has changed: `make` changes the intent and gives the nodes that it touches."""
         with self.lock:
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -11,6 +11,7 @@
 from typing import Any, Protocol
 
 PURE, RECEIPTED, EFFECTFUL = "pure", "receipted", "effectful"
+NOWHERE = ("", 0)  # the address of a node of which only the name and the state are told
 
 
 class State(IntEnum):
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -3,14 +3,15 @@
 import socket
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from random import Random
 from typing import Any
 
 import orjson
 
-from ..configuration import Start
+from ..configuration import ConfigurationError, Start
 from ..facade import Facade
+from ..interface import State
 from ..log import Log
 from ..spread.pacing import Reconnects
 from . import sse
@@ -30,6 +31,7 @@
         self.start, self.facade, self.log = start, facade, log
         self.address = start.bus
         self.last, self.gap_at = 0, 0
+        self.told: Sequence[Any] = ()  # events that came with a new address; applied by the stream's thread
         self.connection: socket.socket | None = None
         self.pace = Reconnects(Random(start.seed))
         self.look_again: Callable[[], tuple[str, int] | None] = lambda: None  # where the stream is by now
@@ -43,9 +45,10 @@
         self.last = max(self.last, self.start.known)
         self.thread.start()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """The stream is read on elsewhere, from the last event applied."""
-        self.address = address
+    def move(self, address: tuple[str, int], told: Sequence[Any] = ()) -> None:
+        """The stream is read on elsewhere, from the last event applied, or the last of those `told` with the
+        address: the stream may have been silent for a while."""
+        self.address, self.told = address, told
         self._wake()
 
     def stop(self) -> None:
@@ -85,11 +88,35 @@
         except Exception as wrong:
             self.log.event("bad event", number=number, why=f"{type(wrong).__name__}: {wrong}")
 
+    def _heed(self, held: Any) -> None:
+        """Of an event behind a gap what forbids something: it has been told, and a grace may run from now on.
+        All of it is applied in its turn."""
+        try:
+            event = sse.read_event(held, self.start.zones, self.start.kinds)
+        except Exception:  # told of in its turn
+            return
+        if isinstance(event, sse.Purged):
+            self.facade.purged(event.key, event.group, event.at)
+        else:
+            self.facade.listed([entry for entry in event.entries if entry.state != State.READY], False)
+
+    def _catch_up(self) -> None:
+        """Events that came with a new address, as far as they follow on what is known; the stream tells the
+        rest."""
+        told, self.told = self.told, ()
+        try:
+            self._in_order([(None, held) for held in told if sse.number_of(held, None) is not None])
+        except GapError:
+            self.gap_at = -1  # the stream has not been asked for what is missing
+        except ConfigurationError as wrong:
+            self.log.event("bad event", why=str(wrong))
+
     def _run(self) -> None:
         while True:
             self.moved.clear()
             if self.stopped.is_set():
                 return
+            self._catch_up()
             address, before, why, refused = self.address, self.last, "closed", False
             try:
                 self._follow(*address)
@@ -133,12 +160,25 @@
                 events = stream.feed(piece)
                 if stream.lines > lines:
                     lines, due = stream.lines, time.monotonic() + WHOLE_LINE
-                for event in events:
-                    try:
-                        held = orjson.loads(event.data)
-                    except ValueError as wrong:
-                        held = None
-                        self.log.event("bad event", number=event.number, why=str(wrong))
-                    self.apply(event.number, held if held is not None else {})
+                self._in_order([(event.number, self._read(event)) for event in events])
+                if stream.over:
+                    return
         finally:
             connection.close()
+
+    def _read(self, event: sse.Event) -> Any:
+        try:
+            return orjson.loads(event.data)
+        except ValueError as wrong:
+            self.log.event("bad event", number=event.number, why=str(wrong))
+            return {}
+
+    def _in_order(self, events: list[tuple[int | None, Any]]) -> None:
+        """Events that came together, by number (None: as the event says)."""
+        for place, (number, held) in enumerate(events):
+            try:
+                self.apply(number, held)
+            except GapError:
+                for _, behind in events[place:]:
+                    self._heed(behind)
+                raise
--- a/mulleinrelay/net/service.py
+++ b/mulleinrelay/net/service.py
@@ -80,9 +80,10 @@
         self._enter(Phase.READY)
 
     def renew(self, start: Start) -> None:
-        """Takes over what may change while it runs, the address of the event stream; the rest stays."""
+        """Takes over what may change while it runs, the address of the event stream and the events known by
+        now; the rest stays."""
         self.log.event("configuration read", bus=f"{start.bus[0]}:{start.bus[1]}")
-        self.bus.move(start.bus)
+        self.bus.move(start.bus, start.events)
 
     def stop(self) -> None:
         """Starts the drain; `wait` returns when it is over."""
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ..configuration import ConfigurationError, Section
-from ..interface import Listing, State
+from ..interface import NOWHERE, Listing, State
 
 LINE_MOST = 4_194_304  # the first event holds the whole list
 HEAD_MOST = 16_384
@@ -35,6 +35,8 @@
     def __init__(self) -> None:
         self.head, self.chunked, self.left = b"", None, 0  # chunked: None until the head is read
         self.held, self.raw = b"", b""
+        self.returned = False  # the last byte was a CR, which ends a line whether or not a LF follows
+        self.over = False  # the last chunk has come
         self.lines = 0  # whole ones so far; the head counts as one
         self.number: int | None = None
         self.data: list[str] = []
@@ -81,15 +83,23 @@
                         raise SseError("a chunk without its length")
                     break
                 try:
-                    self.left = int(line.partition(b";")[0], 16) + 2
+                    length = int(line.partition(b";")[0], 16)
                 except ValueError:
                     raise SseError(f"a chunk of length {line[:16]!r}") from None
-                self.raw = rest
+                if length <= 0:
+                    self.over = True
+                    break
+                self.left, self.raw = length + 2, rest
         return b"".join(out)
 
     def _lines(self, piece: bytes) -> list[Event]:
-        self.held += piece
-        *lines, self.held = self.held.replace(b"\r\n", b"\n").split(b"\n")
+        if piece and self.returned:
+            piece = piece.removeprefix(b"\n")
+            self.returned = False
+        if piece:
+            self.returned = piece.endswith(b"\r")
+        self.held += piece.replace(b"\r\n", b"\n").replace(b"\r", b"\n")
+        *lines, self.held = self.held.split(b"\n")
         self.lines += len(lines)
         if len(self.held) > LINE_MOST:
             raise SseError("a line without its end")
@@ -130,11 +140,12 @@
     return Section(held, "event").whole("offset", number)
 
 
-def _gone(row: Section) -> Listing | None:
-    """Of one that is deleted the name is enough: what else is told of it may be left out or out of date."""
-    if row.held.get("state") != "DELETED" or not isinstance(name := row.held.get("id"), str):
+def _leaving(row: Section) -> Listing | None:
+    """Of one that leaves the name is enough: what else is told of it may be left out or out of date."""
+    name, state = row.held.get("id"), row.held.get("state")
+    if not isinstance(name, str) or state not in ("DELETED", "DRAINING"):
         return None
-    return Listing(name, ("", 0), State.GONE, 1.0, -1, -1, 0, 0.0)
+    return Listing(name, NOWHERE, STATES[state], 1.0, -1, -1, 0, 0.0)
 
 
 def read_event(held: Any, zones: dict[str, int], kinds: dict[str, int]) -> Listed | Purged:
@@ -154,8 +165,8 @@
                 row.choice("kind", kinds), row.choice("zone", zones), row.whole("cell", 0),
                 float(row.number("started_ms", 0))))
         except ConfigurationError as wrong:  # the others count
-            if (gone := _gone(row)) is None:
+            if (leaving := _leaving(row)) is None:
                 listed.wrong.append(str(wrong))
             else:
-                listed.entries.append(gone)
+                listed.entries.append(leaving)
     return listed
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -253,6 +253,24 @@
     assert [(event.number, event.data) for event in found] == [(41, '{"a":\n1}'), (42, "x")]
 
 
+@pytest.mark.parametrize("last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)])
+def test_the_last_chunk_ends_the_stream(last, over):
+    stream = sse.Stream()
+    assert stream.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last) == []
+    assert stream.over == over
+
+
+@pytest.mark.parametrize("step", [1, 2, 3, 1000])
+@pytest.mark.parametrize("end", [b"\n", b"\r\n", b"\r"])
+def test_lines_of_events_end_in_each_way_that_there_is(end, step):
+    # Guards against drains that are read as half a line, and one that waits for the byte behind it.
+    stream, found = sse.Stream(), []
+    data = HEAD + b"\r\n" + end.join([b"id:1", b"data: a", b"", b"data: b", b"id: 2", b"data: c", b"", b""])
+    for place in range(0, len(data), step):
+        found += stream.feed(data[place:place + step])
+    assert [(event.number, event.data) for event in found] == [(1, "a"), (2, "b\nc")]
+
+
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 404 Not Found\r\n\r\n", b"hello\r\n\r\n", b"x" * 20000,
                                     HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"])
 def test_an_answer_that_is_not_the_stream(answer):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -787,6 +787,62 @@
         assert caches == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
 
 
+@pytest.mark.parametrize("behind", ["drain", "whole list", "purge"])
+def test_what_is_told_behind_a_gap_is_heeded_before_the_gap_is_closed(behind):
+    # Guards against a grace that runs out while the events before it are asked for again.
+    asked, go = threading.Event(), threading.Event()
+
+    class Gap(StandBus):
+        def talk(self, connection):
+            if len(self.asked) == 2:
+                asked.set()
+                go.wait(10.0)
+            super().talk(connection)
+
+    with Running(bus=Gap()) as director:
+        facade = director.service.facade
+        assert wait_for(lambda: director.bus.asked)
+        full = behind == "whole list"
+        leaving = rows(director, "DRAINING", "s-01", full=full)
+        leaving["topology"]["servers"] += rows(director, "SERVING", "s-03")["topology"]["servers"]
+        held = [event(3, BAN if behind == "purge" else leaving), event(4, BAN)]
+        director.bus.scripts += [[OK, b"".join(held)], [OK, event(2, BAN), *held, None]]
+        director.service.bus.move(director.service.bus.address)
+        assert asked.wait(5.0)
+        assert director.service.bus.last == 1 and facade.purges_binding() == 1
+        if behind != "purge":
+            assert "s-01" not in {name for name, _, _ in facade.ready_caches()}
+        go.set()
+        assert wait_for(lambda: director.service.bus.last == 4)
+
+
+@pytest.mark.parametrize("numbers, last, drained", [
+    ([1, 2], 2, True), ([2], 2, True), ([3], 1, True), ([1], 1, False), ([None], 1, False)])
+def test_events_in_a_new_configuration_count_though_the_stream_is_silent(numbers, last, drained):
+    # Guards against drains that a director was told of by its file; an old or unnumbered list is not new, and
+    # one behind a gap is heeded, while the stream is asked for what is missing.
+    with Running(bus=StandBus([OK, None], [OK, None])) as director:
+        stream, facade = director.service.bus, director.service.facade
+        told = [rows(director, "DRAINING", "s-01") | ({} if number is None else {"offset": number})
+                for number in numbers]
+        director.service.renew(replace(director.service.start_settings, events=told))
+        assert wait_for(lambda: len(director.bus.asked) == 2)
+        assert director.bus.asked[1] == stream.last == last
+        assert ("s-01" not in {name for name, _, _ in facade.ready_caches()}) is drained
+
+
+def test_a_drain_of_which_only_the_name_is_told_is_kept():
+    with Running(bus=StandBus()) as director:
+        facade = director.service.facade
+        assert wait_for(lambda: director.bus.asked)
+        named = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
+        director.bus.scripts.append([OK, event(2, named), None])
+        director.service.bus.move(director.service.bus.address)
+        assert wait_for(lambda: director.service.bus.last == 2)
+        assert {name for name, _, _ in facade.ready_caches()} == {"s-02", "s-03"}
+        assert facade.entries["s-01"].state == State.DRAINING and facade.entries["s-01"].address[1]
+
+
 def test_a_move_while_the_old_address_is_being_connected_to_is_followed(monkeypatch):
     up, connect = threading.Event(), socket.create_connection
     new = StandBus([OK, event(2, BAN), None])
