--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -17,7 +17,7 @@
 
 from ..configuration import REPORT_WORDS
 from ..facade import Facade
-from ..interface import Asked, Leg, Lookup, Node, Order, Outcome, Place
+from ..interface import Asked, Leg, Lookup, Node, Order, Outcome, Place, State
 from ..log import Log
 from ..spread import links as held_links
 from ..spread.links import Patience, hold_for
@@ -53,6 +53,10 @@
         return (not self.outlet.ended and len(self.open) < most and about not in self.open
                 and about not in self.over and not self.given_up and not self.asked)
 
+    def leaves(self) -> bool:
+        """Whether its node was announced as leaving: what is out there ends, and nothing new goes there."""
+        return self.place.gone or any(held.node.state != State.READY for held in self.open.values())
+
     def unread(self) -> bool:
         """Whether bytes have come that are not read yet: this director may be the one that is late."""
         here = bytearray(4)
@@ -136,7 +140,8 @@
                 if link.asked and now > link.asked + ECHO_WAIT * (2.0 if link.unread() else 1.0):
                     link.outlet.end()
                     continue
-                if not link.asked and now > link.quiet_since() + link.patience.wait(len(link.open)):
+                if not link.asked and now > link.quiet_since() + link.patience.wait(len(link.open)) \
+                        and not link.leaves():
                     link.asked = now
                     link.outlet.put(None, [resp.probe(f"probe-{next(self.tags)}", with_report=False)])
 
@@ -221,16 +226,18 @@
 
     def _is_stale(self, held: Leg | Probe | None) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
-        if not isinstance(held, Leg) or not held.ways:
+        if isinstance(held, Probe):
+            return held.node.state != State.READY  # who leaves is sent nothing new, an echo neither
+        if held is None or not held.ways:
             return False
         lookup, waited = held.lookup, self.clock() > held.sent + AT_ONCE
         if (held.number or waited) and lookup.ticket is not None and self.has_left(lookup.ticket):
             self.facade.forget(lookup)  # told by the connection's own thread as well, but that may be late
         return not self.facade.may_begin(held)
 
-    def _stale_on(self, link: Link, about: str) -> Leg | None:
-        """Under the lock. The leg that waited for its link and must not be sent any more; off the link with
-        it, so that nobody gives up there what never was."""
+    def _stale_on(self, link: Link, about: str) -> Leg | Probe | None:
+        """Under the lock. What waited for its link and must not be sent any more; off the link with it, so
+        that nobody gives up there what never was."""
         held = link.open.get(about)
         if not self._is_stale(held):
             return None
@@ -238,6 +245,10 @@
         self.of_leg.pop(held, None)
         return held
 
+    def _withdrawn(self, held: Leg | Probe) -> None:
+        if isinstance(held, Leg):
+            self._report(held, Outcome.MOOT)
+
     def _report(self, leg: Leg, *how: Any) -> None:
         """Tells how a leg went, and does what follows from it."""
         self.facade.report(leg, *how)
@@ -247,7 +258,7 @@
         """Under the lock. A new link, or None where no thread is to be had for it."""
         link = Link(place, now, self.lock)
         link.outlet.stale = lambda about: self._stale_on(link, about)
-        link.outlet.withdrawn = lambda leg: self._report(leg, Outcome.MOOT)
+        link.outlet.withdrawn = self._withdrawn
         try:
             threading.Thread(target=self._run, args=(link,), name="link", daemon=True).start()
         except RuntimeError as broken:
@@ -320,7 +331,7 @@
                 self.count -= 1
             if not links:
                 self.links.pop(link.place, None)
-            lost = [(held, link.outlet.unfinished(about)) for about, held in link.open.items()
+            lost = [(held, link.outlet.unbegun(about)) for about, held in link.open.items()
                     if isinstance(held, Leg)]
             for held, _ in lost:
                 self.of_leg.pop(held, None)
@@ -332,5 +343,5 @@
                 self.down[link.place] = self.down.get(link.place, 0) + len(lost)
         if first:  # one line until it is up again, not one a leg
             self.log.event("link down", node=link.place.name, lost=len(lost), why=why or "closed")
-        for held, never_came in lost:
-            self._report(held, Outcome.UNCONNECTED if never_came and outcome == Outcome.RESET else outcome)
+        for held, unbegun in lost:
+            self._report(held, Outcome.UNCONNECTED if unbegun and outcome == Outcome.RESET else outcome)
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -38,7 +38,7 @@
         self.outlet.connection = connection
         self.open: dict[int, Lookup | None] = {}  # None: not yet the module's
         self.frames = thrift.Frames()
-        self.calls: deque[thrift.Call] = deque()  # read; the first may be in the making, the others wait
+        self.calls: deque[thrift.Call] = deque()  # read and not begun; the first may be in the making
         self.called = False  # a whole call has come
         self.bad = 0  # calls that can't be used since the last that can
         self.wrong = ""  # why what has come can't be read any further
@@ -125,11 +125,22 @@
 
     # Answering; by any thread
 
-    def write(self, pieces: list[Piece]) -> None:
+    def write(self, call: thrift.Call, pieces: list[Piece]) -> None:
+        """The answer to a call other than a lookup; with it, nothing is owed for that call any more."""
         with self.lock:
+            self.drop(call)
             self.outlet.put(None, pieces)
             self._bound()
 
+    def begun(self, call: thrift.Call) -> None:
+        with self.lock:
+            self.drop(call)
+
+    def drop(self, call: thrift.Call) -> None:
+        """Under the lock. The call does not wait any more: it has its place in the table, or its answer."""
+        if self.calls and self.calls[0] is call:
+            self.calls.popleft()
+
     def answer(self, number: int, pieces: list[Piece]) -> None:
         """The one answer of a lookup; nothing where none is owed any more."""
         with self.lock:
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -186,8 +186,9 @@
     def _read(self, client: Client) -> None:
         try:
             while client.hear():
-                self._call(client, client.calls[0])
-                client.calls.popleft()
+                call = client.calls[0]
+                self._call(client, call)
+                client.begun(call)
                 if client.bad > BAD_MOST and not client.open and not client.outlet.ended:
                     self.log.event("bad frame", why=f"{client.bad} bad calls in a row")
                     client.end_bad()
@@ -223,16 +224,16 @@
                 if lookup is not None:
                     self._forget(lookup)
             elif call.method == "isWell":
-                client.write(thrift.answer("isWell", call.number, b"", {}, self.well))
+                client.write(call, thrift.answer("isWell", call.number, b"", {}, self.well))
             else:
-                client.write(thrift.application_exception(call.method, call.number, thrift.UNKNOWN_METHOD,
-                                                          "unknown method"))
+                client.write(call, thrift.application_exception(call.method, call.number,
+                                                                thrift.UNKNOWN_METHOD, "unknown method"))
         except thrift.ThriftError as wrong:
             client.bad += 1
             self.log.event("bad call", method=call.method, why=str(wrong))
             if call.kind == thrift.CALL:
-                client.write(thrift.application_exception(call.method, call.number, thrift.PROTOCOL_ERROR,
-                                                          str(wrong)))
+                client.write(call, thrift.application_exception(call.method, call.number,
+                                                                thrift.PROTOCOL_ERROR, str(wrong)))
 
     # Lookups
 
@@ -255,6 +256,7 @@
             if client.outlet.ended:  # not taken: the client sends it again on a new connection
                 return
             client.open[call.number] = None
+            client.drop(call)
         if not self._mark(asked.mark):
             with client.lock:
                 del client.open[call.number]
--- a/mulleinrelay/net/outlet.py
+++ b/mulleinrelay/net/outlet.py
@@ -86,10 +86,6 @@
         """Under the lock. Whether a message waits of which nothing is written."""
         return any(entry.first and entry.owner == owner for entry in self.waiting)
 
-    def unfinished(self, owner: Hashable) -> bool:
-        """Under the lock. Whether some of a message is not written: nobody can have read it whole."""
-        return any(entry.owner == owner for entry in self.waiting)
-
     def end(self, how: int = socket.SHUT_RDWR) -> None:
         """Under the lock. Nothing more is written; whoever writes to the connection is woken and, unless only
         writing is shut, who reads it."""
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -125,6 +125,7 @@
         self.beliefs: dict[tuple[int, int], dict[Member, float]] = {}
         self.purges: dict[tuple[str, int], float] = {}  # moment of the last purge of an object or a group
         self.sending = {case: [0.0, 0.0] for case in terms.use_cases}  # sum of sending times and their number
+        self.took = {case: [0.0, 0.0] for case in terms.use_cases}  # and of answers but known fills
         self.subscribed = not terms.must_subscribe
         self.cold_here, self.cold_parents = Share(1.0 / terms.directors_here), Share(1.0 / terms.directors)
         self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
@@ -532,8 +533,11 @@
 
     def counted(self, lookup: Lookup) -> float:
         """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
-        ones that went by their own added up to several times the limit."""
+        ones that went by their own added up to several times the limit. Where no size is told, what answers
+        took stands in, and before that the goal: both are more than the sending time."""
         (total, number), work = self.sending[lookup.use_case], self.work(lookup)
+        if not number:
+            (total, number), work = self.took[lookup.use_case], lookup.use_case.latency_goal
         return total / number if number >= KNOWN else max(work, total / number if number else work)
 
     def goal_left(self, lookup: Lookup) -> float:
@@ -557,6 +561,9 @@
             for other in [other for other in leg.lookup.legs if other.outcome == Outcome.ERROR]:
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
             work = self.work(leg.lookup)
+            if note in (Note.HIT, Note.NONE):
+                took = self.took[leg.lookup.use_case]
+                took[0], took[1] = took[0] + wait, took[1] + 1
             if note == Note.HIT and not unreached:  # what a cut held up tells nothing of crowding
                 late = 100.0 * (wait - work) / max(work, LEAST_WORK)
                 node.late.add(self.now, min(late, LATE_MOST))
@@ -636,7 +643,7 @@
         if sick != member.shunned:
             member.shunned, member.trial_due = sick, self.now + TRIAL_EVERY
             member.unreached, member.shunned_at = sick and why in UNREACHED, self.now
-            if member.unreached:
+            if member.unreached and member.state == State.READY:  # who has gone is asked for no echo
                 self.not_reached(member)
                 sharers = self.terms.directors if member in self.parents else self.terms.directors_here
                 self.watch.doubts(member, self.now, sharers)
