--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -80,7 +80,7 @@
                     self._take(self.frames.filled(length))
                 elif self.calls:  # one look for its end; whoever floods is not read on
                     return True
-        return True
+        return not self._closed_behind()
 
     def _take(self, frames: Iterable[memoryview]) -> None:
         """Under the lock under which they were read: whoever would end an idle connection finds a call with
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -125,7 +125,7 @@
         self.beliefs: dict[tuple[int, int], dict[Member, float]] = {}
         self.purges: dict[tuple[str, int], float] = {}  # moment of the last purge of an object or a group
         self.sending = {case: [0.0, 0.0] for case in terms.use_cases}  # sum of sending times and their number
-        self.took = {case: [0.0, 0.0] for case in terms.use_cases}  # and of answers but known fills
+        self.took = {case: Histogram(HALF_USUAL) for case in terms.use_cases}  # answers, but for known fills
         self.subscribed = not terms.must_subscribe
         self.cold_here, self.cold_parents = Share(1.0 / terms.directors_here), Share(1.0 / terms.directors)
         self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
@@ -529,7 +529,9 @@
         if lookup.size and self.terms.flow:
             return lookup.size / self.terms.flow
         total, number = self.sending[lookup.use_case]
-        return total / number if number else lookup.use_case.latency_goal / 4
+        if not number:  # no size is ever told, or none yet: what answers took, which is no less
+            return self.took[lookup.use_case].mean(self.now) or lookup.use_case.latency_goal / 4
+        return total / number
 
     def counted(self, lookup: Lookup) -> float:
         """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
@@ -537,8 +539,8 @@
         took stands in, and before that the goal: both are more than the sending time."""
         (total, number), work = self.sending[lookup.use_case], self.work(lookup)
         if not number:
-            (total, number), work = self.took[lookup.use_case], lookup.use_case.latency_goal
-        return total / number if number >= KNOWN else max(work, total / number if number else work)
+            return self.took[lookup.use_case].mean(self.now) or lookup.use_case.latency_goal
+        return total / number if number >= KNOWN else max(work, total / number)
 
     def goal_left(self, lookup: Lookup) -> float:
         case = lookup.use_case
@@ -562,8 +564,7 @@
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
             work = self.work(leg.lookup)
             if note in (Note.HIT, Note.NONE):
-                took = self.took[leg.lookup.use_case]
-                took[0], took[1] = took[0] + wait, took[1] + 1
+                self.took[leg.lookup.use_case].add(self.now, wait)
             if note == Note.HIT and not unreached:  # what a cut held up tells nothing of crowding
                 late = 100.0 * (wait - work) / max(work, LEAST_WORK)
                 node.late.add(self.now, min(late, LATE_MOST))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -331,11 +331,12 @@
     begin.set()
 
 
-def test_none_is_begun_for_a_client_that_sent_many_and_left(reading):
+@pytest.mark.parametrize("calls", [20, 300])  # all that came can be read ahead, or not
+def test_none_is_begun_for_a_client_that_sent_many_and_left(calls, reading):
     # Guards against attempts that begin long after the client that they are for has closed its connection.
     with Running() as director:
         leaver, stayer = director.caller(), director.caller()
-        for number in range(20):
+        for number in range(calls):
             leaver.send("order", entity=f"{number:016x}")
         leaver.close()
         stayer.send(entity="00000000000000cd")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -397,6 +397,18 @@
     assert fleet.out.take("probe") == []
 
 
+@pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
+def test_where_no_size_is_told_a_leg_is_overdue_by_what_answers_took(took, none_overdue):
+    """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent shunned."""
+    fleet = Fleet(flow=0.0)
+    for _ in range(8):
+        leg = fleet.look_up(size=0.0).legs[0]
+        fleet.call("answered", leg, Outcome.SATISFIED, took, True, Note.NONE, 0.0, None)
+    lookup = fleet.look_up(size=0.0)
+    fleet.call("woken", lookup.legs[0], after=450.0)
+    assert (len(lookup.legs) == 1) is none_overdue
+
+
 @pytest.mark.parametrize("caches_cold", [True, False])
 def test_where_no_size_is_told_a_cold_member_is_sent_no_more_than_where_sizes_are(caches_cold):
     """A quarter of the goal stood in for the sending time, which was three times as long."""
