--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -132,6 +132,7 @@
     bag: Any = None  # the module's own notes on it
     purged: float = 0.0  # the purge that bounds the age of its copy; 0: none does
     ways: tuple[tuple[Node, "Place"], ...] = ()  # the caller's: where node and source were when decided
+    tag: str = ""  # the caller's: of the client's copy, as the node was told
 
 
 @dataclass(slots=True, eq=False)
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -102,7 +102,7 @@
     # For those who see a lookup through
 
     def send(self, order: Order, asked: Asked) -> None:
-        leg = order.leg
+        leg, order.leg.tag = order.leg, asked.tag
         self._put(order.place, asked.mark, leg, resp.pull(asked, order, leg.lookup.until - self.clock()))
 
     def give_up(self, leg: Leg) -> None:
@@ -317,6 +317,8 @@
                     self.facade.told(held.node, told.load, told.well)
                 elif held is not None:  # a probe's word on a leg is an error of the node
                     outcome = Outcome.ERROR if told.outcome is None else told.outcome
+                    if told.kept and (not held.tag or told.tag != held.tag):
+                        outcome = Outcome.ERROR  # a copy that the client does not hold
                     self._report(held, outcome, told.note, told.waited, told.load, told)
                 elif not known:
                     self.log.event("unknown id", node=link.place.name, about=told.about[:32])
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -105,6 +105,7 @@
     outcome: Outcome | None
     body: memoryview
     kept: bool = False  # the client's own copy is the one
+    tag: str = ""  # of the copy that the answer is about
     note: Note = Note.NONE
     waited: float = 0.0
     load: dict[str, float] | None = None
@@ -118,6 +119,8 @@
     outcome = ENDS.get(word)
     if outcome is None and word not in WELL:
         raise RespError(f"an unknown word {word[:16]!r}")
+    if word == b"DONE" and len(items) < 4:  # it would pass for an object without bytes
+        raise RespError("an object without its bytes")
     try:
         told = Told(str(items[0], "ascii"), outcome, items[3] if len(items) > 3 else items[2][:0],
                     word == b"KEEP", well=WELL.get(word, True))
@@ -126,6 +129,8 @@
             name, _, value = pair.partition("=")
             if name == "why":
                 told.note = NOTES.get(value, Note.NONE)
+            elif name == "entity":
+                told.tag = value
             elif name == "delay":
                 told.waited = _number(value)
             elif name == "rep":
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -529,17 +529,17 @@
         if lookup.size and self.terms.flow:
             return lookup.size / self.terms.flow
         total, number = self.sending[lookup.use_case]
-        if not number:  # no size is ever told, or none yet: what answers took, which is no less
-            return self.took[lookup.use_case].mean(self.now) or lookup.use_case.latency_goal / 4
+        if not number:  # no size is ever told, or none yet: what the middle answer took, fills and all
+            return self.took[lookup.use_case].middle(self.now) or lookup.use_case.latency_goal / 4
         return total / number
 
     def counted(self, lookup: Lookup) -> float:
         """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
         ones that went by their own added up to several times the limit. Where no size is told, what answers
-        took stands in, and before that the goal: both are more than the sending time."""
+        took stands in, and before that the goal."""
         (total, number), work = self.sending[lookup.use_case], self.work(lookup)
         if not number:
-            return self.took[lookup.use_case].mean(self.now) or lookup.use_case.latency_goal
+            return self.took[lookup.use_case].middle(self.now) or lookup.use_case.latency_goal
         return total / number if number >= KNOWN else max(work, total / number)
 
     def goal_left(self, lookup: Lookup) -> float:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -314,6 +314,15 @@
         assert caller.answer() == (1, 0, {}, b"bytes")
 
 
+@pytest.mark.parametrize("got, entity, current", [
+    ("aa", "aa", True), ("aa", "ab", False), (None, "aa", False), (None, "", False)])
+def test_a_clients_copy_is_called_current_only_where_a_node_has_named_it(got, entity, current):
+    with Running((b"KEEP", b"why=HIT,entity=%s,issued=1" % entity.encode(), b"")) as director:
+        caller = director.caller()
+        caller.send(got=got)
+        assert (caller.answer()[2].get("ok304") == "1") is current
+
+
 # Clients
 
 
