--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -112,7 +112,7 @@
         if self.called:
             self.end_bad()
             while self.connection.recv_into(self.frames.room()):  # until it closes, or lingers too long
-                pass
+                time.sleep(LOOK_AGAIN)  # a flood takes no more of the core than that
 
     def _queue(self, call: thrift.Call, now: float) -> None:
         """A cancellation goes before calls that wait, and takes the one that it is for along."""
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -254,6 +254,11 @@
                 return self.stuck(lookup)
         return self.send(lookup, cache, source, held_only)
 
+    def may_go_on(self, lookup: Lookup) -> bool:
+        """Whether a further leg may follow one that is called off."""
+        purse = lookup.pool.purse if lookup.pool else self.purse
+        return len(lookup.legs) < self.terms.legs_most and purse.again >= 1.0 and self.may_send(lookup)
+
     def stuck(self, lookup: Lookup) -> None:
         """No further leg may go: waits for what is out at a node that is reached, else gives up. Guards
         against a storm in which nodes work for lookups that were given up; harms by late answers."""
@@ -295,7 +300,7 @@
         if sign >= OVERDUE and leg is lookup.legs[-1] and lookup.use_case.repeat != EFFECTFUL:
             if self.terms.two_legs:
                 self.route(lookup)
-            elif self.terms.may_cancel:
+            elif self.terms.may_cancel and self.may_go_on(lookup):  # else its answer is all that may come
                 self.out.abandon(leg)
 
     def give_up(self, lookup: Lookup) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -569,3 +569,16 @@
     assert fleet.director.may_begin(fleet.now, lookup.legs[1]) == two_legs
     first.outcome = Outcome.CANCELLED
     assert fleet.director.may_begin(fleet.now, lookup.legs[1])
+
+
+@pytest.mark.parametrize("repeat, group, again, most, called_off", [
+    (PURE, "all", 8.0, 6, True), (PURE, "all", 0.5, 6, False), (PURE, "all", 8.0, 1, False),
+    (RECEIPTED, "all", 8.0, 6, True), (RECEIPTED, "zone", 8.0, 6, False)])
+def test_an_overdue_leg_is_called_off_only_where_another_may_follow(repeat, group, again, most, called_off):
+    """A write whose repeats only its own zone knows was called off, and then broken off for having begun."""
+    fleet = Fleet(repeat, group, two_legs=False, legs_most=most)
+    lookup = fleet.look_up()
+    fleet.director.purse.again = again
+    fleet.out.take("abandon")
+    fleet.call("woken", lookup.legs[0], after=900.0)
+    assert bool(fleet.out.take("abandon")) is called_off and not lookup.ended
