--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -40,6 +40,7 @@
         self.frames = thrift.Frames()
         self.calls: deque[thrift.Call] = deque()  # read and not begun; the first may be in the making
         self.called = False  # a whole call has come
+        self.asked = False  # and one of them was a lookup
         self.bad = 0  # calls that can't be used since the last that can
         self.wrong = ""  # why what has come can't be read any further
         self.used = time.monotonic()  # when it connected, or the last whole call or answer
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -177,11 +177,12 @@
 
     def _idle(self) -> list[Client]:
         """The connections that may make room: first those with nothing open that have never called, then
-        those with the oldest call, and only then those that have called before and are in the middle of a
-        call. Guards usual clients against floods of connections that say nothing or are only held."""
+        those that never brought a lookup, then those with the oldest call, and only then those that have
+        called before and are in the middle of a call. Guards usual clients against floods of connections that
+        say nothing, ask whether we are well or are only held, also where these are let in late."""
         idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
         return sorted(idle, key=lambda client: (
-            client.called, client.called and client.halfway > 0.0, client.used))
+            client.called, client.called and client.halfway > 0.0, client.asked, client.used))
 
     def _read(self, client: Client) -> None:
         try:
@@ -256,6 +257,7 @@
             if client.outlet.ended:  # not taken: the client sends it again on a new connection
                 return
             client.open[call.number] = None
+            client.asked = True
             client.drop(call)
         if not self._mark(asked.mark):
             with client.lock:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -669,6 +669,9 @@
 
 
 @pytest.mark.parametrize("clients, first", [
+    ([(True, 0.0, 5.0, True), (True, 0.0, 9.0, False)], 1),  # let in late, it only asked whether we are well
+    ([(True, 4.0, 5.0, False), (True, 0.0, 9.0, True)], 1),
+    ([(True, 0.0, 5.0, False), (False, 0.0, 9.0, False)], 1),
     ([(True, 0.0, 5.0), (True, 0.0, 3.0), (False, 0.0, 9.0)], 2),
     ([(True, 0.0, 5.0), (True, 0.0, 3.0)], 1),
     ([(True, 4.0, 3.0), (True, 0.0, 5.0)], 1),  # in the middle of a call
@@ -678,9 +681,9 @@
 def test_who_makes_room_first(clients, first):
     with Running() as director:
         table = director.service.front
-        for called, halfway, used in clients:
+        for called, halfway, used, *asked in clients:
             held = Client(None)
-            held.called, held.halfway, held.used = called, halfway, used
+            held.called, held.halfway, held.used, held.asked = called, halfway, used, all(asked)
             table.clients[held] = None
         assert table._idle()[0] is list(table.clients)[first]
         table.clients.clear()
