--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,9 @@
 """The same verdict every time: hypothesis draws the same cases at each run. Plays of whole fleets take most
-of a minute and little of a machine: those that the collected tests want are played side by side."""
+of a minute and little of a machine, studies of the model a core each: those that the collected tests want are
+begun with the first test, and run beside the others."""
 
-from concurrent.futures import ThreadPoolExecutor
+import multiprocessing
+from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
 
 import pytest
 from hypothesis import settings
@@ -10,15 +12,31 @@
 settings.load_profile("same")
 
 AT_A_TIME = 3  # fleets: more would be late
+STUDIED_AT_A_TIME = 2  # processes
 
 
-@pytest.fixture(scope="session")
-def plays(request, tmp_path_factory):
-    """What the play of that name came to. A module names its plays in PLAYS: functions of a folder."""
-    modules = {item.module for item in request.session.items}
+def wanted_by(session, name):
+    modules = {item.module for item in session.items}
     wanted = {}
     for module in sorted(modules, key=lambda module: module.__name__):
-        wanted |= getattr(module, "PLAYS", {})
+        wanted |= getattr(module, name, {})
+    return wanted
+
+
+@pytest.fixture(scope="session", autouse=True)
+def studies(request):
+    """What the study of that name came to. A module names its studies in STUDIES: a function with its
+    arguments, which is called in another process."""
+    wanted = wanted_by(request.session, "STUDIES")
+    with ProcessPoolExecutor(STUDIED_AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
+        begun = {name: pool.submit(*study) for name, study in wanted.items()}
+        yield lambda name: begun[name].result()
+
+
+@pytest.fixture(scope="session", autouse=True)
+def plays(request, tmp_path_factory):
+    """What the play of that name came to. A module names its plays in PLAYS: functions of a folder."""
+    wanted = wanted_by(request.session, "PLAYS")
     with ThreadPoolExecutor(AT_A_TIME) as pool:
         played = {name: pool.submit(play, str(tmp_path_factory.mktemp(name)))
                   for name, play in wanted.items()}
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -7,23 +7,28 @@
 from mulleinrelay.spread import storm
 
 
-@pytest.mark.parametrize("trouble, length", [("slow", 8), ("burst", 3), ("cut", 4)])
-def test_the_fleet_is_back_within_ten_seconds(trouble, length):
-    found = recovery.play(trouble, length, 20, 220.0, 1)
+FEW, MANY = [("slow", 8), ("burst", 3), ("cut", 4)], [("slow", 0.0), ("burst", 0.0), ("unreached", 0.8)]
+STUDIES = {f"{trouble}, {span} s": (recovery.play, trouble, span, 20, 220.0, 1) for trouble, span in FEW}
+STUDIES |= {f"{trouble}, many": (recovery.play, trouble, 5, 200, 230.0, 1) for trouble, _ in MANY}
+
+
+@pytest.mark.parametrize("trouble, length", FEW)
+def test_the_fleet_is_back_within_ten_seconds(trouble, length, studies):
+    found = studies(f"{trouble}, {length} s")
     assert found["calm"] > 0.95 and found["during"] < 0.7
     assert found["back_s"] is not None and found["back_s"] <= 10
 
 
-@pytest.mark.parametrize("trouble, during", [("slow", 0.0), ("burst", 0.0), ("unreached", 0.8)])
-def test_a_fleet_of_directors_that_see_one_lookup_a_second_is_back_too(trouble, during):
+@pytest.mark.parametrize("trouble, during", MANY)
+def test_a_fleet_of_directors_that_see_one_lookup_a_second_is_back_too(trouble, during, studies):
     """Guards against overdue lookups that are pushed back while their answers are on the way: the fleet never
     came back. And against a location that is not reached being found out cache by cache."""
-    found = recovery.play(trouble, 5, 200, 230.0, 1)
+    found = studies(f"{trouble}, many")
     assert found["calm"] > 0.95 and found["during"] > during
     assert found["back_s"] is not None and found["back_s"] <= 10
 
 
-def test_a_planted_storm_is_found(monkeypatch):
+def test_a_planted_storm_is_found(monkeypatch, studies):
     """Directors that send on whatever was turned away, at no cost: the overload outlives its cause."""
     monkeypatch.setattr(storm, "EARNED", 6.0)
     monkeypatch.setattr(storm, "NONE_AT", 1e9)
@@ -31,6 +36,6 @@
     monkeypatch.setattr(policy, "FULL", 0.0)
     wild = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
-    tame = recovery.play("slow", 8, 20, 220.0, 1)
+    tame = studies("slow, 8 s")
     assert wild["legs_by_lookup"] > 1.5 * tame["legs_by_lookup"]
     assert wild["back_s"] is None or wild["back_s"] >= tame["back_s"] + 2
