--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -582,3 +582,14 @@
     fleet.out.take("abandon")
     fleet.call("woken", lookup.legs[0], after=900.0)
     assert bool(fleet.out.take("abandon")) is called_off and not lookup.ended
+
+
+@pytest.mark.parametrize("directors_here", [1, 4, 200])
+@pytest.mark.parametrize("times", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
+def test_on_a_quiet_day_no_size_is_turned_down_for_what_is_noise(times, directors_here):
+    """The largest tenth of a use case is answered as the rest is while caches are as slow as noise has it."""
+    fleet = Fleet(directors_here=directors_here)
+    for _ in range(30):
+        fleet.answer(fleet.look_up(size=1000.0).legs[0], after=20.0)
+    lookup = fleet.look_up(size=1000.0 * times)
+    assert lookup.legs and fleet.director.bearable(lookup) >= 1.2
