--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -12,6 +12,7 @@
 HOT_SHARE, HOT_SPAN, HOT_OF = 0.02, 10.0, 200  # of a location's lookups, over so many s; of so many
 LEAST_FAIR = 4.0  # lookups a second a cache must be due, or its share says nothing
 TWICE, HALF, FIFTH = 2.0, 0.5, 0.2
+PHASES = 4  # at which slots of questions may begin
 
 
 @dataclass(slots=True)
@@ -213,9 +214,16 @@
     asked: list[tuple[float, str]], boxes: dict[str, Box], width: float = 0.5, least: int = 6
 ) -> float:
     """Of questions (s, cache) in one slot of time and location, the share that meets one cache: the mean over
-    slots with `least` or more. One over the location's caches is even; 1 is a herd."""
+    slots with `least` or more. One over the location's caches is even; 1 is a herd. Those who go in step turn
+    at moments of their own, so slots begin at several: cut by the middle, a whole herd would show as half."""
+    return max(_together(asked, boxes, width, least, width * begin / PHASES) for begin in range(PHASES))
+
+
+def _together(
+    asked: list[tuple[float, str]], boxes: dict[str, Box], width: float, least: int, begin: float
+) -> float:
     slots: dict[tuple[int, str], Counter] = defaultdict(Counter)
     for at, name in asked:
-        slots[int(at / width), boxes[name].location][name] += 1
+        slots[int((at + begin) / width), boxes[name].location][name] += 1
     shares = [max(held.values()) / held.total() for held in slots.values() if held.total() >= least]
     return sum(shares) / len(shares) if shares else 0.0
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -1,4 +1,5 @@
 from collections import Counter
+from random import Random
 
 import pytest
 
@@ -96,3 +97,13 @@
 def test_questions_that_meet_one_cache_at_one_time(names, share):
     asked = [(0.1, name) for name in names.split()]
     assert evenness.together(asked, boxes(1.0, 1.0, 1.0)) == pytest.approx(share)
+
+
+@pytest.mark.parametrize("turns", [0.0, 0.1, 0.2, 0.25, 0.3, 0.45])
+def test_a_herd_is_found_whenever_it_turns(turns):
+    """In one CI run it turned in the middle of slots: 0.553 of it was seen where 0.6 is wanted."""
+    draw = Random(1)
+    asked = [(at, f"c{int((at - turns) / 0.5) % 6}") for at in (draw.uniform(1.0, 9.0) for _ in range(400))]
+    assert evenness.together(asked, boxes(*[1.0] * 6)) > 0.85
+    apart = [(at, f"c{draw.randrange(6)}") for at, _ in asked]
+    assert evenness.together(apart, boxes(*[1.0] * 6)) < 0.45
