--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -566,7 +566,7 @@
 
 def test_a_call_is_with_the_system_or_read_at_every_moment(monkeypatch):
     # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in the list.
-    filled, half, go = Frames.filled, threading.Event(), threading.Event()
+    filled, half, go, answer = Frames.filled, threading.Event(), threading.Event(), threading.Event()
 
     def late(frames, length):
         if threading.current_thread().name == "client":
@@ -575,7 +575,7 @@
         return filled(frames, length)
 
     monkeypatch.setattr(Frames, "filled", late)
-    with Running() as director:
+    with Running(lambda fields: answer.wait(10.0) and HIT) as director:
         caller = director.caller()
         caller.send()
         assert half.wait(5.0)
@@ -586,6 +586,7 @@
         time.sleep(0.05)  # an end that does not wait for the reader has happened by now
         go.set()
         ender.join()
+        answer.set()  # not before: once it is answered, it may be ended
         assert ended == [False] and caller.answer()[:2] == (1, 0)
 
 
