--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -142,6 +142,11 @@
             here = all(self.places.get(node) is place and not place.gone for node, place in leg.ways)
             return here and self.director.may_begin(self.clock(), leg)
 
+    def may_ask(self, node: Member, place: Place) -> bool:
+        """Whether a node may be asked for an echo or a report there, when the first byte is to be written."""
+        with self.lock:
+            return self.places.get(node) is place and not place.gone and self.director.may_ask(node)
+
     def forget(self, lookup: Lookup) -> None:
         """The client has left."""
         with self.lock:
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -11,7 +11,6 @@
 
 from ..configuration import ConfigurationError, Start
 from ..facade import Facade
-from ..interface import State
 from ..log import Log
 from ..spread.pacing import Reconnects
 from . import sse
@@ -77,11 +76,8 @@
                     raise GapError(f"event {number} after {self.last}")
                 self.last = number
             event = sse.read_event(held, self.start.zones, self.start.kinds)
-            if isinstance(event, sse.Purged):
-                self.facade.purged(event.key, event.group, event.at)
-                return
-            self.facade.listed(event.entries, event.whole)
-            for wrong in event.wrong:
+            self._tell(event)
+            for wrong in event.wrong if isinstance(event, sse.Listed) else ():
                 self.log.event("bad event", number=number, why=wrong)
         except GapError:  # read again from the last, once
             raise
@@ -92,13 +88,15 @@
         """Of an event behind a gap what forbids something: it has been told, and a grace may run from now on.
         All of it is applied in its turn."""
         try:
-            event = sse.read_event(held, self.start.zones, self.start.kinds)
-        except Exception:  # told of in its turn
-            return
+            self._tell(sse.forbidding(sse.read_event(held, self.start.zones, self.start.kinds)))
+        except Exception:  # logged in its turn
+            pass
+
+    def _tell(self, event: sse.Listed | sse.Purged) -> None:
         if isinstance(event, sse.Purged):
             self.facade.purged(event.key, event.group, event.at)
         else:
-            self.facade.listed([entry for entry in event.entries if entry.state != State.READY], False)
+            self.facade.listed(event.entries, event.whole)
 
     def _catch_up(self) -> None:
         """Events that came with a new address, as far as they follow on what is known; the stream tells the
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -17,7 +17,7 @@
 
 from ..configuration import REPORT_WORDS
 from ..facade import Facade
-from ..interface import Asked, Leg, Lookup, Node, Order, Outcome, Place, State
+from ..interface import Asked, Leg, Lookup, Node, Order, Outcome, Place
 from ..log import Log
 from ..spread import links as held_links
 from ..spread.links import Patience, hold_for
@@ -28,7 +28,6 @@
 AT_ONCE = 20.0  # ms within which a first leg goes out for a client that was there when it was decided
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
 PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
-SHORT_HERE = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}  # by no node
 
 
 @dataclass(slots=True, eq=False)
@@ -53,10 +52,6 @@
         return (not self.outlet.ended and len(self.open) < most and about not in self.open
                 and about not in self.over and not self.given_up and not self.asked)
 
-    def leaves(self) -> bool:
-        """Whether its node was announced as leaving: what is out there ends, and nothing new goes there."""
-        return self.place.gone or any(held.node.state != State.READY for held in self.open.values())
-
     def unread(self) -> bool:
         """Whether bytes have come that are not read yet: this director may be the one that is late."""
         here = bytearray(4)
@@ -140,8 +135,8 @@
                 if link.asked and now > link.asked + ECHO_WAIT * (2.0 if link.unread() else 1.0):
                     link.outlet.end()
                     continue
-                if not link.asked and now > link.quiet_since() + link.patience.wait(len(link.open)) \
-                        and not link.leaves():
+                quiet = now > link.quiet_since() + link.patience.wait(len(link.open))
+                if quiet and not link.asked and self._may_ask(link):
                     link.asked = now
                     link.outlet.put(None, [resp.probe(f"probe-{next(self.tags)}", with_report=False)])
 
@@ -199,7 +194,7 @@
         now, link = self.clock(), None
         with self.lock:
             links = self.links.setdefault(place, [])
-            if not self._is_stale(held):
+            if not self._is_stale(held, place):
                 link = self._choose(links, about)
                 if link is None and not self.stopped:
                     self._make_room()
@@ -224,10 +219,14 @@
             link.outlet.end()
         return None
 
-    def _is_stale(self, held: Leg | Probe | None) -> bool:
+    def _may_ask(self, link: Link) -> bool:
+        """Under the lock. Whether those that something is out at there may be asked for an echo."""
+        return all(self.facade.may_ask(held.node, link.place) for held in link.open.values())
+
+    def _is_stale(self, held: Leg | Probe | None, place: Place) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
         if isinstance(held, Probe):
-            return held.node.state != State.READY  # who leaves is sent nothing new, an echo neither
+            return not self.facade.may_ask(held.node, place)
         if held is None or not held.ways:
             return False
         lookup, waited = held.lookup, self.clock() > held.sent + AT_ONCE
@@ -239,7 +238,7 @@
         """Under the lock. What waited for its link and must not be sent any more; off the link with it, so
         that nobody gives up there what never was."""
         held = link.open.get(about)
-        if not self._is_stale(held):
+        if not self._is_stale(held, link.place):
             return None
         del link.open[about]
         self.of_leg.pop(held, None)
@@ -286,7 +285,7 @@
                 self._read(link, connection)
         except OSError as broken:
             why = errno.errorcode.get(broken.errno or 0, type(broken).__name__)
-            if outcome == Outcome.UNCONNECTED and broken.errno in SHORT_HERE:
+            if outcome == Outcome.UNCONNECTED and held_links.is_own_want(broken.errno):
                 outcome = Outcome.MOOT
         except resp.RespError as broken:
             why, outcome = str(broken), Outcome.RESET
@@ -315,11 +314,8 @@
                         self.of_leg.pop(held, None)
                 if isinstance(held, Probe):
                     self.facade.told(held.node, told.load, told.well)
-                elif held is not None:  # a probe's word on a leg is an error of the node
-                    outcome = Outcome.ERROR if told.outcome is None else told.outcome
-                    if told.kept and (not held.tag or told.tag != held.tag):
-                        outcome = Outcome.ERROR  # a copy that the client does not hold
-                    self._report(held, outcome, told.note, told.waited, told.load, told)
+                elif held is not None:
+                    self._report(held, told.outcome_for(held.tag), told.note, told.waited, told.load, told)
                 elif not known:
                     self.log.event("unknown id", node=link.place.name, about=told.about[:32])
 
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -11,7 +11,7 @@
 from ..facade import BrokenOff, Facade, GiveUp, Left, PushedBack, Satisfied, Verdict
 from ..interface import RECEIPTED, Asked, Lookup, Order, UseCase
 from ..log import Log
-from ..spread.admission import Places
+from ..spread.admission import Places, to_end_first
 from . import thrift
 from .caches import Caches
 from .client import Client
@@ -176,13 +176,10 @@
         return True
 
     def _idle(self) -> list[Client]:
-        """The connections that may make room: first those with nothing open that have never called, then
-        those that never brought a lookup, then those with the oldest call, and only then those that have
-        called before and are in the middle of a call. Guards usual clients against floods of connections that
-        say nothing, ask whether we are well or are only held, also where these are let in late."""
+        """The connections that may make room, in their order."""
         idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
-        return sorted(idle, key=lambda client: (
-            client.called, client.called and client.halfway > 0.0, client.asked, client.used))
+        return sorted(idle, key=lambda client: to_end_first(client.called, client.asked, client.halfway > 0.0,
+                                                            client.used))
 
     def _read(self, client: Client) -> None:
         try:
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -111,6 +111,12 @@
     load: dict[str, float] | None = None
     well: bool = True  # of a probe: whether the node calls itself fit
 
+    def outcome_for(self, tag: str) -> Outcome:
+        """Of the leg whose node was told that copy of the client's. A probe's word on it, or a copy that the
+        client does not hold, is an error of the node."""
+        strange = self.outcome is None or (self.kept and not (tag and tag == self.tag))
+        return Outcome.ERROR if strange else self.outcome
+
 
 def read_told(items: list[memoryview], report_words: dict[str, str]) -> Told:
     if not 3 <= len(items) <= 4:
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -135,6 +135,13 @@
     at: float
 
 
+def forbidding(event: Listed | Purged) -> Listed | Purged:
+    """What of an event holds at once, though others before it are yet to come: all but who is ready."""
+    if isinstance(event, Purged):
+        return event
+    return Listed([entry for entry in event.entries if entry.state != State.READY], False, [])
+
+
 def number_of(held: Any, number: int | None) -> int | None:
     """The number that an event gives itself, else that of its line."""
     return Section(held, "event").whole("offset", number)
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -174,7 +174,7 @@
         if self.popular.seen(self.now, (lookup.key, lookup.part)):
             self.forget_old()
         self.watch.looked_up()
-        purse = lookup.pool.purse if lookup.pool else self.purse
+        purse = self.purse_of(lookup)
         turned = self.storm.looked_up(self.now)
         purse.again = min(AGAIN_MOST, purse.again + self.storm.earned())
         self.trials = min(TRIALS_MOST, self.trials + TRIAL_EARNED)
@@ -228,13 +228,12 @@
 
     def route(self, lookup: Lookup) -> None:
         """Sends the next leg, or ends the lookup where none is left that may go."""
-        failed = sum(leg.outcome == Outcome.ERROR for leg in lookup.legs)
-        if len(lookup.legs) >= self.terms.legs_most or failed >= ERRORS_MOST or not self.may_send(lookup):
+        if not self.may_go_on(lookup):
             return self.stuck(lookup)
         if lookup.legs and lookup.legs[-1].outcome != Outcome.MISS:
             last, work = lookup.legs[-1], self.work(lookup)
             cost = storm.cost(last.outcome == Outcome.TURNED_AWAY, self.now - last.sent, work)
-            purse = lookup.pool.purse if lookup.pool else self.purse
+            purse = self.purse_of(lookup)
             if purse.again < cost:
                 return self.stuck(lookup)
             purse.again -= cost
@@ -255,9 +254,12 @@
         return self.send(lookup, cache, source, held_only)
 
     def may_go_on(self, lookup: Lookup) -> bool:
-        """Whether a further leg may follow one that is called off."""
-        purse = lookup.pool.purse if lookup.pool else self.purse
-        return len(lookup.legs) < self.terms.legs_most and purse.again >= 1.0 and self.may_send(lookup)
+        """Whether a leg may follow those that there were."""
+        failed = sum(leg.outcome == Outcome.ERROR for leg in lookup.legs)
+        return len(lookup.legs) < self.terms.legs_most and failed < ERRORS_MOST and self.may_send(lookup)
+
+    def purse_of(self, lookup: Lookup) -> Purse:
+        return lookup.pool.purse if lookup.pool else self.purse
 
     def stuck(self, lookup: Lookup) -> None:
         """No further leg may go: waits for what is out at a node that is reached, else gives up. Guards
@@ -300,8 +302,8 @@
         if sign >= OVERDUE and leg is lookup.legs[-1] and lookup.use_case.repeat != EFFECTFUL:
             if self.terms.two_legs:
                 self.route(lookup)
-            elif self.terms.may_cancel and self.may_go_on(lookup):  # else its answer is all that may come
-                self.out.abandon(leg)
+            elif self.terms.may_cancel and self.purse_of(lookup).again >= 1.0 and self.may_go_on(lookup):
+                self.out.abandon(leg)  # else its answer is all that may come
 
     def give_up(self, lookup: Lookup) -> None:
         """The final answer, at once; a pushback tells the client when to come back."""
@@ -330,12 +332,16 @@
         """Whether a leg that waited to be written may still go. Guards drains, purges and repeats against
         what was told since it was decided; then it never ran, and the lookup is routed again."""
         self.now, lookup = max(self.now, now), leg.lookup
-        ready = all(m is None or m.state == State.READY for m in (leg.node, leg.source))
+        ready = all(member is None or self.may_ask(member) for member in (leg.node, leg.source))
         others = [other for other in lookup.legs if other is not leg]
         alone = self.terms.two_legs or not any(other.outcome is None for other in others)
         fresh = self.purge_moment(lookup) <= leg.purged
         return ready and alone and fresh and not lookup.ended and self.may_send(lookup, leg)
 
+    def may_ask(self, member: Member) -> bool:
+        """Whether it may be asked for an echo or a report: who leaves is sent nothing new, those neither."""
+        return member.state == State.READY
+
     def may_send(self, lookup: Lookup, leg: Leg | None = None) -> bool:
         """`leg`: which is about to begin; not counted among those that may have run."""
         case, doubtful = lookup.use_case, [held for held in may_have_run(lookup) if held is not leg]
@@ -649,7 +655,7 @@
         if sick != member.shunned:
             member.shunned, member.trial_due = sick, self.now + TRIAL_EVERY
             member.unreached, member.shunned_at = sick and why in UNREACHED, self.now
-            if member.unreached and member.state == State.READY:  # who has gone is asked for no echo
+            if member.unreached and self.may_ask(member):
                 self.not_reached(member)
                 sharers = self.terms.directors if member in self.parents else self.terms.directors_here
                 self.watch.doubts(member, self.now, sharers)
--- a/mulleinrelay/spread/admission.py
+++ b/mulleinrelay/spread/admission.py
@@ -34,6 +34,14 @@
         return min(LATE_MOST, self.left(now) / LATE_FULL)
 
 
+def to_end_first(called: bool, asked: bool, calling: bool, used: float) -> tuple[bool, bool, bool, float]:
+    """Sorts connections that owe nothing: first to make room are those that have never called, then those
+    that never brought a lookup, then those with the oldest call (`used`), and only then those that have
+    called before and are in the middle of a call. Guards usual clients against floods of connections that
+    say nothing, ask whether we are well or are only held, also where these are let in late."""
+    return called, called and calling, asked, used
+
+
 class Places:
     """How full a director may be for lookups of each use case."""
 
--- a/mulleinrelay/spread/links.py
+++ b/mulleinrelay/spread/links.py
@@ -6,6 +6,7 @@
 share the node.
 """
 
+import errno
 from typing import TypeVar
 
 Link = TypeVar("Link")
@@ -59,3 +60,9 @@
     bound = (HELD_FAR if far else HELD_MOST) * (PRICED if priced else 1)
     longest = IDLE_SHARE * idle_for
     return longest if sharers <= bound else min(longest, HELD_SHORT)
+
+
+def is_own_want(number: int | None) -> bool:
+    """Whether a connection that did not come up, by the system's number for why, tells of what this director
+    lacks, and nothing of the node: descriptors, memory, ports."""
+    return number in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -229,11 +229,11 @@
         nodes = list(facade.director.caches)
         for node in nodes:
             caches.probe(node, facade.places[node])
-        told(director, facade.places[nodes[0]].name, state=state)
-        leaves = facade.places.get(nodes[0])
+        leaves = facade.places[nodes[0]]
+        told(director, leaves.name, state=state)
         gate.set()
         assert wait_for(lambda: len(director.heard("METER")) == 2)
-        assert wait_for(lambda: leaves is None or not any(link.open for link in caches.links.get(leaves, ())))
+        assert wait_for(lambda: not any(link.open for link in caches.links.get(leaves, ())))
         caches.probe(nodes[0], leaves)
         time.sleep(0.05)
         assert len(director.heard("METER")) == 2
