--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -2,7 +2,7 @@
 
 import json
 
-from helpers import SPOTS, Caller, Sink, StandBus, StandNode, configuration
+from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
 from mulleinrelay.cells.charter import Cell, Charter, Limits, Move, Tenant
 from mulleinrelay.cells.governor import Asking, Board, Governor
@@ -19,14 +19,8 @@
 
 
 def charter(
-    cells=("north", "south"),
-    tenants=("acme", "beta", "shared"),
-    moves=(),
-    version=1,
-    releases=(),
-    tenant_limits=None,
-    **changes,
-):
+    cells=("north", "south"), tenants=("acme", "beta", "shared"), moves=(), version=1, releases=(),
+    tenant_limits=None, **changes):
     """A charter of two cells whose tenants stand in the first, save `beta` in the second."""
     held = {
         one if isinstance(one, str) else one.name: Cell(one) if isinstance(one, str) else one for one in cells
@@ -41,29 +35,16 @@
         )
         people[tenant.name] = tenant
     return Charter(
-        version,
-        1000.0,
-        held,
-        people,
-        {move.name: move for move in moves},
-        {release.name: release for release in releases},
-        **({"default_tenant": "shared"} | changes),
-    )
+        version, 1000.0, held, people, {move.name: move for move in moves},
+        {release.name: release for release in releases}, **({"default_tenant": "shared"} | changes))
 
 
 def move(starts=10_000.0, **changes):
     return Move(
         **(
             {
-                "name": "m1",
-                "tenants": ("acme",),
-                "source": "north",
-                "target": "south",
-                "starts": starts,
-                "warm_for": 1_000.0,
-                "shift_for": 4_000.0,
-                "drain_for": 2_000.0,
-            }
+                "name": "m1", "tenants": ("acme",), "source": "north", "target": "south", "starts": starts,
+                "warm_for": 1_000.0, "shift_for": 4_000.0, "drain_for": 2_000.0}
             | changes
         )
     )
@@ -96,15 +77,8 @@
     """Whole directors with one assignment file, before the same stand-ins, ended with the block."""
 
     def __init__(
-        self,
-        folder,
-        held,
-        plan=(b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes"),
-        directors=1,
-        open_most=0,
-        rate=0.0,
-        **changes,
-    ):
+        self, folder, held, plan=HIT, directors=1, open_most=0,
+        rate=0.0, **changes):
         self.path = folder / "assignment.ini"
         self.path.write_text(write(held))
         plans = plan if isinstance(plan, list) else [plan] * len(SPOTS)
@@ -129,10 +103,7 @@
         return self.callers[-1]
 
     def heard(self, word="PULL"):
-        return {
-            SPOTS[place][0]: [entry for entry in node.heard if entry[0] == word]
-            for place, node in enumerate(self.nodes)
-        }
+        return heard(self.nodes, word)
 
     def __exit__(self, *_):
         for service in self.services:
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -76,22 +76,19 @@
     assert shuffled("acme", caches, 0) == caches == shuffled("acme", caches, 9)
 
 
-@pytest.mark.parametrize(
-    "told, address, group, tenant",
-    [
-        ("acme", "10.0.0.1", 3, "acme"),
-        ("nobody", "10.0.0.1", 3, "shared"),
-        ("", "10.1.2.3", 3, "beta"),
-        ("", "10.1.9.9", 3, "acme"),
-        ("", "10.2.0.0", 3, "gamma"),
-        ("", "fd00::1", 99, "gamma"),
-        ("", "", 99, "shared"),
-        ("", "no address", 99, "shared"),
-        ("", "9.255.255.255", 99, "shared"),
-        ("", "11.0.0.0", 40, "beta"),
-        ("", "11.0.0.0", 41, "shared"),
-    ],
-)
+@pytest.mark.parametrize("told, address, group, tenant", [
+    ("acme", "10.0.0.1", 3, "acme"),
+    ("nobody", "10.0.0.1", 3, "shared"),
+    ("", "10.1.2.3", 3, "beta"),
+    ("", "10.1.9.9", 3, "acme"),
+    ("", "10.2.0.0", 3, "gamma"),
+    ("", "fd00::1", 99, "gamma"),
+    ("", "", 99, "shared"),
+    ("", "no address", 99, "shared"),
+    ("", "9.255.255.255", 99, "shared"),
+    ("", "11.0.0.0", 40, "beta"),
+    ("", "11.0.0.0", 41, "shared"),
+])
 def test_whose_lookup_it_is(told, address, group, tenant):
     people = (
         Tenant("acme", "north", addresses=("10.1.0.0/16",)),
@@ -105,14 +102,11 @@
         assert Naming(charter(tenants=people, unknown="push_back")).tenant(told, address, group) is None
 
 
-@pytest.mark.parametrize(
-    "one, other",
-    [
-        ({"groups": ((0, 9),)}, {"groups": ((5, 12),)}),
-        ({"groups": ((0, 9),)}, {"groups": ((0, 9),)}),
-        ({"addresses": ("10.0.0.0/8",)}, {"addresses": ("10.0.0.0/8",)}),
-    ],
-)
+@pytest.mark.parametrize("one, other", [
+    ({"groups": ((0, 9),)}, {"groups": ((5, 12),)}),
+    ({"groups": ((0, 9),)}, {"groups": ((0, 9),)}),
+    ({"addresses": ("10.0.0.0/8",)}, {"addresses": ("10.0.0.0/8",)}),
+])
 def test_ranges_that_cross_are_refused(one, other):
     with pytest.raises(CharterError, match="crosses"):
         Naming(charter(tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other))))
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -61,18 +61,15 @@
     assert isinstance(ruled.ask(), Grant) and isinstance(ruled.ask(), Denied)
 
 
-@pytest.mark.parametrize(
-    "use_case, repeated, harmless",
-    [
-        (PAGES, True, True),
-        (PAGES, False, True),
-        (ORDER, False, True),
-        (ORDER, True, False),
-        (ORDER_ALL, True, True),
-        (PAY, False, True),
-        (PAY, True, False),
-    ],
-)
+@pytest.mark.parametrize("use_case, repeated, harmless", [
+    (PAGES, True, True),
+    (PAGES, False, True),
+    (ORDER, False, True),
+    (ORDER, True, False),
+    (ORDER_ALL, True, True),
+    (PAY, False, True),
+    (PAY, True, False),
+])
 def test_what_may_have_run_is_never_called_harmless(use_case, repeated, harmless):
     ruled = Ruled(charter(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
     ruled.ask()
@@ -112,13 +109,10 @@
     assert asked(ruled, 100) == let
 
 
-@pytest.mark.parametrize(
-    "cells, why",
-    [
-        ((TWO[0], replace(TWO[1], neighbours=("north",))), "lost"),
-        ((replace(TWO[0], neighbours=()), TWO[1]), "lost"),
-    ],
-)
+@pytest.mark.parametrize("cells, why", [
+    ((TWO[0], replace(TWO[1], neighbours=("north",))), "lost"),
+    ((replace(TWO[0], neighbours=()), TWO[1]), "lost"),
+])
 def test_where_nobody_takes_them_in_they_are_pushed_back(cells, why):
     ruled = Ruled(charter(cells))
     ruled.listed(() if cells[0].neighbours else ("s-03",))
@@ -165,10 +159,8 @@
 def test_a_faulty_file_changes_nothing():
     ruled = Ruled(charter(TWO))
     crossing = charter(
-        TWO,
-        (Tenant("acme", "north", groups=((0, 5),)), Tenant("beta", "south", groups=((3, 9),)), "shared"),
-        version=2,
-    )
+        TWO, (Tenant("acme", "north", groups=((0, 5),)), Tenant("beta", "south", groups=((3, 9),)), "shared"),
+        version=2)
     with pytest.raises(Exception, match="crosses"):
         ruled.governor.renew(ruled.now, crossing)
     assert ruled.governor.charter.version == 1 and ruled.ask("", group=3).tenant == "shared"
@@ -205,30 +197,27 @@
 WELL = lambda now: (1.0, 20.0)  # noqa: E731
 
 
-@pytest.mark.parametrize(
-    "north, others, ends",
-    [
-        (WELL, WELL, "everywhere"),
-        (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
-        (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), WELL, "taken back"),
-        (
-            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
-            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
-            "halted",
-        ),
-        (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),  # it was no better before
-        (
-            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
-            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
-            "halted",
-        ),
-        (
-            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
-            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
-            "everywhere",
-        ),
-    ],
-)
+@pytest.mark.parametrize("north, others, ends", [
+    (WELL, WELL, "everywhere"),
+    (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
+    (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), WELL, "taken back"),
+    (
+        lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
+        lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
+        "halted",
+    ),
+    (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),  # it was no better before
+    (
+        lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
+        lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
+        "halted",
+    ),
+    (
+        lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
+        lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
+        "everywhere",
+    ),
+])
 def test_a_release_goes_on_halts_or_is_taken_back(north, others, ends):
     course = releases.Course(RELEASE)
     words = play(course, 90_000.0, north, others)
@@ -239,8 +228,7 @@
 def test_a_release_is_in_force_where_it_has_arrived():
     ruled = Ruled(
         charter(THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)),
-        board=Board(1000.0),
-    )
+        board=Board(1000.0))
     ruled.now = 20_000.0
     assert asked(ruled, 90) == 90
     assert ruled.governor.step(ruled.now) == ["release r1 canary, wave 0 of 2"]
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from helpers import HIT, wait_for
+from helpers import HIT, rows, wait_for
 from stage import Cell, Housed, charter, move
 
 from mulleinrelay.cells.reading import write
@@ -28,14 +28,8 @@
 def halfway(share=0.5, **changes):
     """A move that has long begun and is held when that share has gone over."""
     return move(
-        starts=1_000.0,
-        warm_for=0.0,
-        shift_for=1_000.0,
-        drain_for=EVER,
-        warm_share=0.0,
-        held_at=1_000.0 + 1_000.0 * share,
-        **changes,
-    )
+        starts=1_000.0, warm_for=0.0, shift_for=1_000.0, drain_for=EVER, warm_share=0.0,
+        held_at=1_000.0 + 1_000.0 * share, **changes)
 
 
 def test_a_flood_is_kept_to_its_cell_and_turned_away_at_once(tmp_path):
@@ -129,28 +123,7 @@
 def test_a_drain_told_in_the_middle_of_a_move_holds_for_both_cells(tmp_path):
     with Housed(tmp_path, charter(TWO, moves=(halfway(),))) as housed:
         director = housed.services[0]
-        director.bus.apply(
-            2,
-            {
-                "topology": {
-                    "version": 2,
-                    "full": False,
-                    "servers": [
-                        {
-                            "id": name,
-                            "addr": housed.nodes[place].address,
-                            "zone": "edge",
-                            "kind": "box",
-                            "cell": 0,
-                            "state": "DRAINING",
-                            "weight": 4,
-                            "started_ms": 0,
-                        }
-                        for place, name in ((0, "s-01"), (1, "s-02"))
-                    ],
-                }
-            },
-        )
+        director.bus.apply(2, rows(housed, "DRAINING", "s-01", "s-02"))
         assert wait_for(lambda: len(director.facade.ready_caches()) == 1)
         caller = housed.caller()
         for number in range(40):
@@ -219,17 +192,14 @@
     assert found["nodes"]["s-4"]["asked"] > 0
 
 
-@pytest.mark.parametrize(
-    "change, told",
-    [
-        (("caches = s-1 s-2 s-3 s-4", ""), "[fleet] caches"),
-        (("what = kill", "what = melt"), "[deed d1] what"),
-        (("node = s-3", "node = s-9"), "[deed d1] node"),
-        (("rate = 40", "rate = x"), "[load acme] rate"),
-        (("directors = 2", "directors = 99"), "[lab] directors"),
-        (("[fleet]", "[fleet]\nspeed = 1"), "[fleet] speed"),
-    ],
-)
+@pytest.mark.parametrize("change, told", [
+    (("caches = s-1 s-2 s-3 s-4", ""), "[fleet] caches"),
+    (("what = kill", "what = melt"), "[deed d1] what"),
+    (("node = s-3", "node = s-9"), "[deed d1] node"),
+    (("rate = 40", "rate = x"), "[load acme] rate"),
+    (("directors = 2", "directors = 99"), "[lab] directors"),
+    (("[fleet]", "[fleet]\nspeed = 1"), "[fleet] speed"),
+])
 def test_a_faulty_scenario_names_its_key(change, told):
     with pytest.raises(CharterError) as fault:
         read_scenario(LAB.replace(*change, 1))
--- a/tests/cells/test_limits.py
+++ b/tests/cells/test_limits.py
@@ -72,15 +72,12 @@
     return held
 
 
-@pytest.mark.parametrize(
-    "asks, least, most",
-    [
-        ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),  # alone it may have all
-        ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
-        ({"acme": (1.0, 20), "beta": (3.0, 20)}, {"beta": 70.0}, {"acme": 45.0}),
-        ({"acme": (1.0, 20), "beta": (1.0, 0)}, {"acme": 80.0}, {"beta": 0.0}),
-    ],
-)
+@pytest.mark.parametrize("asks, least, most", [
+    ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),  # alone it may have all
+    ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
+    ({"acme": (1.0, 20), "beta": (3.0, 20)}, {"beta": 70.0}, {"acme": 45.0}),
+    ({"acme": (1.0, 20), "beta": (1.0, 0)}, {"acme": 80.0}, {"beta": 0.0}),
+])
 def test_shares_are_fair_and_what_is_not_used_is_lent(asks, least, most):
     held = flood(Shares(100.0), asks)
     assert all(held[name] >= bound for name, bound in least.items())
@@ -145,15 +142,12 @@
 TestSharesMachine.settings = settings(max_examples=40, stateful_step_count=40, deadline=None)
 
 
-@pytest.mark.parametrize(
-    "asks, least",
-    [
-        ({"acme": (1.0, 4)}, {"acme": 950}),
-        ({"acme": (1.0, 4), "beta": (1.0, 4)}, {"acme": 450, "beta": 450}),
-        ({"acme": (1.0, 40), "beta": (1.0, 0.2)}, {"acme": 700, "beta": 190}),
-        ({"acme": (3.0, 4), "beta": (1.0, 4)}, {"acme": 680, "beta": 220}),
-    ],
-)
+@pytest.mark.parametrize("asks, least", [
+    ({"acme": (1.0, 4)}, {"acme": 950}),
+    ({"acme": (1.0, 4), "beta": (1.0, 4)}, {"acme": 450, "beta": 450}),
+    ({"acme": (1.0, 40), "beta": (1.0, 0.2)}, {"acme": 700, "beta": 190}),
+    ({"acme": (3.0, 4), "beta": (1.0, 4)}, {"acme": 680, "beta": 220}),
+])
 def test_a_rate_is_shared_by_weight_and_lent(asks, least):
     pace, got = FairPace(1000.0), dict.fromkeys(asks, 0)
     due = dict.fromkeys(asks, 0.0)
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -28,20 +28,17 @@
     assert moves.stage(move(), now) == stage and moves.shifted(move(), now) == pytest.approx(share)
 
 
-@pytest.mark.parametrize(
-    "turn, now, stage, share",
-    [
-        ({"aborted_at": 13_000.0}, 13_000.0, Stage.BACK, 0.525),
-        ({"aborted_at": 13_000.0}, 14_000.0, Stage.BACK, 0.275),
-        ({"aborted_at": 13_000.0}, 16_000.0, Stage.ABORTED, 0.0),
-        ({"aborted_at": 10_500.0}, 11_000.0, Stage.ABORTED, 0.0),
-        ({"aborted_at": 18_000.0}, 19_000.0, Stage.DONE, 0.75),
-        ({"held_at": 13_000.0}, 99_000.0, Stage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, Stage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, Stage.DRAIN, 1.0),
-        ({"held_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, Stage.BACK, 0.275),
-    ],
-)
+@pytest.mark.parametrize("turn, now, stage, share", [
+    ({"aborted_at": 13_000.0}, 13_000.0, Stage.BACK, 0.525),
+    ({"aborted_at": 13_000.0}, 14_000.0, Stage.BACK, 0.275),
+    ({"aborted_at": 13_000.0}, 16_000.0, Stage.ABORTED, 0.0),
+    ({"aborted_at": 10_500.0}, 11_000.0, Stage.ABORTED, 0.0),
+    ({"aborted_at": 18_000.0}, 19_000.0, Stage.DONE, 0.75),
+    ({"held_at": 13_000.0}, 99_000.0, Stage.SHIFT, 0.525),
+    ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, Stage.SHIFT, 0.525),
+    ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, Stage.DRAIN, 1.0),
+    ({"held_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, Stage.BACK, 0.275),
+])
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
     assert moves.stage(move(**turn), now) == stage
     if stage != Stage.DONE:
@@ -170,14 +167,11 @@
     assert search(ORDER_ALL)[2] == 0
 
 
-@pytest.mark.parametrize(
-    "fault",
-    [
-        lambda held, key, repeated, *rest: (
-            receipts.Way.NEW if moves.over(held, key, moves.shifted(held, rest[2])) else receipts.Way.OLD
-        ),  # a retry goes by the share of the moment, as a first try does
-    ],
-)
+@pytest.mark.parametrize("fault", [
+    lambda held, key, repeated, *rest: (
+        receipts.Way.NEW if moves.over(held, key, moves.shifted(held, rest[2])) else receipts.Way.OLD
+    ),  # a retry goes by the share of the moment, as a first try does
+])
 def test_the_search_finds_a_fault(fault, monkeypatch):
     monkeypatch.setattr("mulleinrelay.cells.placement.way", fault)
     assert search(ORDER, lambda: itertools.islice(histories(), 2))[0]
@@ -198,15 +192,12 @@
     assert not strange.harmless  # broken off: another director may have run it
 
 
-@pytest.mark.parametrize(
-    "now, cell, spare, helpers",
-    [
-        (9_000.0, "north", False, False),
-        (14_999.0, "south", True, True),
-        (16_000.0, "south", True, True),
-        (17_500.0, "south", False, False),
-    ],
-)
+@pytest.mark.parametrize("now, cell, spare, helpers", [
+    (9_000.0, "north", False, False),
+    (14_999.0, "south", True, True),
+    (16_000.0, "south", True, True),
+    (17_500.0, "south", False, False),
+])
 def test_the_old_caches_fill_and_stand_in_until_it_is_done(now, cell, spare, helpers):
     ruled = Ruled(charter(moves=(move(),)))
     ruled.now = now
@@ -261,22 +252,19 @@
 SPANS = changes.Spans(1_000.0, 2_000.0, 1_000.0)
 
 
-@pytest.mark.parametrize(
-    "deed, why",
-    [
-        (lambda held: changes.start_move(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
-        (lambda held: changes.start_move(held, "m2", ("acme",), "south", 0.0, SPANS), "moved by m1"),
-        (lambda held: changes.start_move(held, "m2", ("shared", "beta"), "south", 0.0, SPANS), "one cell"),
-        (lambda held: changes.start_move(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
-        (lambda held: changes.start_move(held, "m2", ("nobody",), "south", 0.0, SPANS), "no tenant"),
-        (lambda held: changes.hold(held, "m9", 0.0), "no move"),
-        (lambda held: changes.resume(held, "m1", 0.0), "not held"),
-        (lambda held: changes.hold(held, "m1", 99_000.0), "done"),
-        (lambda held: changes.abort(held, "m1", 99_000.0), "done"),
-        (lambda held: changes.hold(changes.hold(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
-        (lambda held: changes.abort(changes.abort(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
-    ],
-)
+@pytest.mark.parametrize("deed, why", [
+    (lambda held: changes.start_move(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
+    (lambda held: changes.start_move(held, "m2", ("acme",), "south", 0.0, SPANS), "moved by m1"),
+    (lambda held: changes.start_move(held, "m2", ("shared", "beta"), "south", 0.0, SPANS), "one cell"),
+    (lambda held: changes.start_move(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
+    (lambda held: changes.start_move(held, "m2", ("nobody",), "south", 0.0, SPANS), "no tenant"),
+    (lambda held: changes.hold(held, "m9", 0.0), "no move"),
+    (lambda held: changes.resume(held, "m1", 0.0), "not held"),
+    (lambda held: changes.hold(held, "m1", 99_000.0), "done"),
+    (lambda held: changes.abort(held, "m1", 99_000.0), "done"),
+    (lambda held: changes.hold(changes.hold(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
+    (lambda held: changes.abort(changes.abort(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
+])
 def test_what_would_break_a_move_is_refused_in_words(deed, why):
     with pytest.raises(changes.RefusalError, match=why):
         deed(replace(charter(moves=(move(drain_for=9_000.0),)), spread=100.0, skew=10.0))
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 import pytest
-from helpers import wait_for
+from helpers import rows, wait_for
 from stage import Cell, Housed, Limits, Tenant, charter
 
 from mulleinrelay.cells.reading import write
@@ -78,27 +78,7 @@
         caller.send(tenant="acme")
         assert caller.answer()[1] == 0
         director = housed.services[0]
-        director.bus.apply(
-            2,
-            {
-                "topology": {
-                    "version": 2,
-                    "full": False,
-                    "servers": [
-                        {
-                            "id": "s-01",
-                            "addr": housed.nodes[0].address,
-                            "zone": "edge",
-                            "kind": "box",
-                            "cell": 0,
-                            "state": "DRAINING",
-                            "weight": 4,
-                            "started_ms": 0,
-                        }
-                    ],
-                }
-            },
-        )
+        director.bus.apply(2, rows(housed, "DRAINING", "s-01"))
         assert wait_for(lambda: any("north lost" in str(figures) for figures in housed.sinks[0].figures))
         before = len(housed.heard()["s-01"])
         for number in range(10):
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -109,25 +109,22 @@
     assert played == 270 and not found
 
 
-@pytest.mark.parametrize(
-    "rule, fault, troubles",
-    [
+@pytest.mark.parametrize("rule, fault, troubles", [
+    (
+        3,
         (
-            3,
-            (
-                "listed",
-                lambda whole: (
-                    lambda self, rows, *rest: whole(
-                        self, [(row[0], State.READY, *row[2:]) for row in rows], *rest
-                    )
-                ),
+            "listed",
+            lambda whole: (
+                lambda self, rows, *rest: whole(
+                    self, [(row[0], State.READY, *row[2:]) for row in rows], *rest
+                )
             ),
-            [("drain", "s-01")],
         ),
-        (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
-        (5, ("max_age", lambda whole: lambda self, lookup: 0.0), [("purge", "")]),
-    ],
-)
+        [("drain", "s-01")],
+    ),
+    (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
+    (5, ("max_age", lambda whole: lambda self, lookup: 0.0), [("purge", "")]),
+])
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
     name, make = fault
     monkeypatch.setattr(Director, name, make(getattr(Director, name)))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -196,6 +196,19 @@
     return f"id: {number}\ndata: {json.dumps({'offset': number} | held)}\n\n".encode()
 
 
+def rows(stage, state, *names, full=False):
+    """An event on these of its `nodes`, as the list told them first."""
+    (first,) = configuration([node.address for node in stage.nodes])["known"]["batch"]
+    told = [row | {"state": state} for row in first["topology"]["servers"] if row["id"] in names]
+    return {"topology": {"version": 2, "full": full, "servers": told}}
+
+
+def heard(nodes, word="PULL"):
+    """What each was told, by its name."""
+    return {name: [entry for entry in node.heard if entry[0] == word]
+            for (name, _, _), node in zip(SPOTS, nodes, strict=True)}
+
+
 def free_port():
     with socket.create_server(("127.0.0.1", 0)) as held:
         return held.getsockname()[1]
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -22,19 +22,7 @@
 
 def leg(second, director=1, node=BOX, source="", old=0, mark="m1", why="HIT"):
     return [
-        "leg",
-        at(second),
-        director,
-        node,
-        "pages",
-        "00000000000000ab",
-        source,
-        "",
-        "DONE",
-        why,
-        old,
-        mark,
-    ]
+        "leg", at(second), director, node, "pages", "00000000000000ab", source, "", "DONE", why, old, mark]
 
 
 def fault(second, what, begins, directors=(), nodes=()):
@@ -50,61 +38,55 @@
 DRAIN = ["told", at(5), 1, BOX, "DRAINING", 0]
 
 
-@pytest.mark.parametrize(
-    "lines, rule, count",
-    [
-        ([leg(6.9)], "drains_broken", 0),
-        ([leg(6.9), DRAIN], "drains_broken", 0),
-        ([leg(7.2), DRAIN], "drains_broken", 1),
-        ([leg(7.2, director=2), DRAIN], "drains_broken", 0),
-        ([leg(7.2, node=PARENT, source=BOX), DRAIN], "drains_broken", 1),
-        ([leg(9.0), DRAIN, ["told", at(8), 1, BOX, "SERVING", 0]], "drains_broken", 0),
-        ([leg(9.0, old=1)], "purges_broken", 1),
-        ([["twice", at(3), 1]], "answers_twice", 1),
-        ([["late", at(3), 1]], "answers_late", 1),
-        ([["none", at(3), 1, at(2)]], "lookups_lost", 1),
-        ([["cut", at(3), 1, 4]], "lookups_lost", 4),
-        ([["cut", at(3), 1, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 0),
-        ([["cut", at(3), 2, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 4),
-        ([["cut", at(2), 1, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 4),
-        (
-            [["none", at(9), 1, at(8)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
-            "lookups_lost",
-            1,
-        ),
-        (
-            [["none", at(5), 1, at(4)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
-            "lookups_lost",
-            0,
-        ),
-        ([["cut", at(3.2), 1, 1], ["term", at(3), 1]], "lookups_lost", 1),
-        ([["cut", at(4), 1, 1], ["term", at(3), 1]], "lookups_lost", 0),
-        ([["fell", at(3), BOX]], "fell", 1),
-        ([["crash", at(3), 1, 1, "why"]], "crashes", 1),
-    ],
-)
+@pytest.mark.parametrize("lines, rule, count", [
+    ([leg(6.9)], "drains_broken", 0),
+    ([leg(6.9), DRAIN], "drains_broken", 0),
+    ([leg(7.2), DRAIN], "drains_broken", 1),
+    ([leg(7.2, director=2), DRAIN], "drains_broken", 0),
+    ([leg(7.2, node=PARENT, source=BOX), DRAIN], "drains_broken", 1),
+    ([leg(9.0), DRAIN, ["told", at(8), 1, BOX, "SERVING", 0]], "drains_broken", 0),
+    ([leg(9.0, old=1)], "purges_broken", 1),
+    ([["twice", at(3), 1]], "answers_twice", 1),
+    ([["late", at(3), 1]], "answers_late", 1),
+    ([["none", at(3), 1, at(2)]], "lookups_lost", 1),
+    ([["cut", at(3), 1, 4]], "lookups_lost", 4),
+    ([["cut", at(3), 1, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 0),
+    ([["cut", at(3), 2, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 4),
+    ([["cut", at(2), 1, 4], fault(2.9, "kill", True, [1])], "lookups_lost", 4),
+    (
+        [["none", at(9), 1, at(8)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
+        "lookups_lost",
+        1,
+    ),
+    (
+        [["none", at(5), 1, at(4)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
+        "lookups_lost",
+        0,
+    ),
+    ([["cut", at(3.2), 1, 1], ["term", at(3), 1]], "lookups_lost", 1),
+    ([["cut", at(4), 1, 1], ["term", at(3), 1]], "lookups_lost", 0),
+    ([["fell", at(3), BOX]], "fell", 1),
+    ([["crash", at(3), 1, 1, "why"]], "crashes", 1),
+])
 def test_what_breaks_a_rule_is_counted_and_what_the_lab_did_is_excused(lines, rule, count, tmp_path):
     found = audited(tmp_path, *lines).rules()
     assert found[rule] == count and sum(found.values()) == count
 
 
-@pytest.mark.parametrize(
-    "lines, well",
-    [
-        ([], [(0.0, 1e9)]),
-        (
-            [fault(4, "node_slow", True, nodes=[BOX]), fault(8, "node_slow", False, nodes=[BOX])],
-            [(0.0, 4.0), (13.0, 1e9)],
-        ),
-        (
-            [fault(4, "node_cold", True, nodes=[BOX]), fault(6, "node_cold", False, nodes=[BOX])],
-            [(0.0, 4.0), (18.0, 1e9)],
-        ),
-        ([fault(4, "node_kill", True, nodes=[BOX])], [(0.0, 4.0)]),
-        ([["fell", at(5), BOX]], [(0.0, 5.0)]),
-        ([fault(4, "node_slow", True, nodes=[PARENT])], [(0.0, 1e9)]),
-    ],
-)
+@pytest.mark.parametrize("lines, well", [
+    ([], [(0.0, 1e9)]),
+    (
+        [fault(4, "node_slow", True, nodes=[BOX]), fault(8, "node_slow", False, nodes=[BOX])],
+        [(0.0, 4.0), (13.0, 1e9)],
+    ),
+    (
+        [fault(4, "node_cold", True, nodes=[BOX]), fault(6, "node_cold", False, nodes=[BOX])],
+        [(0.0, 4.0), (18.0, 1e9)],
+    ),
+    ([fault(4, "node_kill", True, nodes=[BOX])], [(0.0, 4.0)]),
+    ([["fell", at(5), BOX]], [(0.0, 5.0)]),
+    ([fault(4, "node_slow", True, nodes=[PARENT])], [(0.0, 1e9)]),
+])
 def test_when_a_cache_counts_as_well(lines, well, tmp_path):
     assert audited(tmp_path, *lines).boxes[BOX].well == [pytest.approx(span) for span in well]
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -23,16 +23,13 @@
     }
 
 
-@pytest.mark.parametrize(
-    "counts, herd",
-    [
-        ((30, 10, 20), []),  # nobody is over twice its share
-        ((41, 9, 10), [0]),
-        ((41, 15, 4), [0]),
-        ((41, 10, 9), [0]),
-        ((9, 1, 1), []),  # too few lookups to tell
-    ],
-)
+@pytest.mark.parametrize("counts, herd", [
+    ((30, 10, 20), []),  # nobody is over twice its share
+    ((41, 9, 10), [0]),
+    ((41, 15, 4), [0]),
+    ((41, 10, 9), [0]),
+    ((9, 1, 1), []),  # too few lookups to tell
+])
 def test_a_herd_is_found(counts, herd):
     assert evenness.herd_seconds(loads(counts), boxes(1.0, 1.0, 1.0), [0]) == herd
 
@@ -64,14 +61,11 @@
     )
 
 
-@pytest.mark.parametrize(
-    "shares, most",
-    [
-        ({0: {"p": 0.5, "q": 0.5}, 1: {"p": 0.1, "q": 0.9}}, 0.4),
-        ({0: {"p": 0.5}, 2: {"p": 0.1}}, 0.0),
-        ({0: {"p": 1.0}, 1: {"q": 1.0}}, 1.0),
-    ],
-)
+@pytest.mark.parametrize("shares, most", [
+    ({0: {"p": 0.5, "q": 0.5}, 1: {"p": 0.1, "q": 0.9}}, 0.4),
+    ({0: {"p": 0.5}, 2: {"p": 0.1}}, 0.0),
+    ({0: {"p": 1.0}, 1: {"q": 1.0}}, 1.0),
+])
 def test_a_swing_between_neighbouring_seconds(shares, most):
     assert evenness.swings(shares, range(4)) == pytest.approx(most)
 
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -30,30 +30,24 @@
 )
 
 
-@pytest.mark.parametrize(
-    "fault, outcomes",
-    [
-        ("", {"satisfied"}),
-        ("what = cut\nlocation = north\nfor = 4\n", {"satisfied", "pushed back"}),
-        ("what = reset\nshare = 0.5\nfor = 4\n", {"satisfied", "pushed back"}),
-        ("what = node_cold\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
-        ("what = node_silent\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
-        ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
-        ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
-        ("what = drain\nshare = 0.25\n", {"satisfied", "pushed back"}),
-        ("what = purge\n", {"satisfied", "pushed back"}),
-        ("what = late_list\nshare = 0.5\nfor = 3\n", {"satisfied"}),
-        (
-            "what = kill\nshare = 0.7\nfor = 3\n",
-            {"satisfied", "pushed back", "cut off", "nobody", "no answer"},
-        ),
-        ("what = restart\nover = 3\n", {"satisfied", "pushed back", "broken off", "cut off"}),
-        (
-            "what = stop\nshare = 0.2\nfor = 3\n",
-            {"satisfied", "pushed back", "broken off", "no answer", "nobody"},
-        ),
-    ],
-)
+@pytest.mark.parametrize("fault, outcomes", [
+    ("", {"satisfied"}),
+    ("what = cut\nlocation = north\nfor = 4\n", {"satisfied", "pushed back"}),
+    ("what = reset\nshare = 0.5\nfor = 4\n", {"satisfied", "pushed back"}),
+    ("what = node_cold\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
+    ("what = node_silent\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
+    ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
+    ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
+    ("what = drain\nshare = 0.25\n", {"satisfied", "pushed back"}),
+    ("what = purge\n", {"satisfied", "pushed back"}),
+    ("what = late_list\nshare = 0.5\nfor = 3\n", {"satisfied"}),
+    ("what = kill\nshare = 0.7\nfor = 3\n", {"satisfied", "pushed back", "cut off", "nobody", "no answer"}),
+    ("what = restart\nover = 3\n", {"satisfied", "pushed back", "broken off", "cut off"}),
+    (
+        "what = stop\nshare = 0.2\nfor = 3\n",
+        {"satisfied", "pushed back", "broken off", "no answer", "nobody"},
+    ),
+])
 def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
     figures = play(read_fleet(text))
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -9,29 +9,26 @@
 KILL = HEAD + "[fault k]\nwhat = kill\nat = 5\nfor = 8\nshare = 0.7\n"
 
 
-@pytest.mark.parametrize(
-    "text, told",
-    [
-        (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
-        (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
-        (HEAD + "warm_s = 40\n", r"\[fleet lab\] warm_s"),
-        (HEAD + "[directors]\ncount = 5001\n", r"\[directors\] count"),
-        (HEAD + "[nodes]\nlocations = a a\n", r"\[nodes\] locations"),
-        (HEAD + "[nodes]\nlocations = a b c\ncaches = 900\n", r"\[nodes\] caches"),
-        (HEAD + "[nodes]\nnotice_from_ms = 900\nnotice_to_ms = 100\n", r"\[nodes\] notice_to_ms"),
-        (HEAD + "[load]\nrate = much\n", r"\[load\] rate"),
-        (HEAD + "[fault]\nwhat = kill\n", r"\[fault\]: an unknown section"),
-        (HEAD + "[fault a]\nat = 3\n", r"\[fault a\] what"),
-        (HEAD + "[fault a]\nwhat = cut\nother = south\nat = 3\n", r"\[fault a\] other"),
-        (HEAD + "[fault a]\nwhat = cut\n", r"\[fault a\] at: the key is missing"),
-        (HEAD + "[fault a]\nwhat = cut\nat = 3\npaths = moon\n", r"\[fault a\] paths"),
-        (HEAD + "[fault a]\nwhat = cut\nat = 3\nlocation = west\n", r"\[fault a\] location"),
-        (HEAD + "[fault a]\nwhat = cut\nat = 3\nway = left\n", r"\[fault a\] way"),
-        (HEAD + "[fault a]\nwhat = cut\nat = 28\nfor = 3\n", r"\[fault a\] for"),
-        (HEAD + "[fault a]\nwhat = node_slow\nat = 3\nnodes = c-0\n", r"\[fault a\] nodes"),
-        (HEAD + "[fault a]\nwhat = shift\nat = 3\nlocation = north\n", r"\[fault a\] other"),
-    ],
-)
+@pytest.mark.parametrize("text, told", [
+    (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
+    (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
+    (HEAD + "warm_s = 40\n", r"\[fleet lab\] warm_s"),
+    (HEAD + "[directors]\ncount = 5001\n", r"\[directors\] count"),
+    (HEAD + "[nodes]\nlocations = a a\n", r"\[nodes\] locations"),
+    (HEAD + "[nodes]\nlocations = a b c\ncaches = 900\n", r"\[nodes\] caches"),
+    (HEAD + "[nodes]\nnotice_from_ms = 900\nnotice_to_ms = 100\n", r"\[nodes\] notice_to_ms"),
+    (HEAD + "[load]\nrate = much\n", r"\[load\] rate"),
+    (HEAD + "[fault]\nwhat = kill\n", r"\[fault\]: an unknown section"),
+    (HEAD + "[fault a]\nat = 3\n", r"\[fault a\] what"),
+    (HEAD + "[fault a]\nwhat = cut\nother = south\nat = 3\n", r"\[fault a\] other"),
+    (HEAD + "[fault a]\nwhat = cut\n", r"\[fault a\] at: the key is missing"),
+    (HEAD + "[fault a]\nwhat = cut\nat = 3\npaths = moon\n", r"\[fault a\] paths"),
+    (HEAD + "[fault a]\nwhat = cut\nat = 3\nlocation = west\n", r"\[fault a\] location"),
+    (HEAD + "[fault a]\nwhat = cut\nat = 3\nway = left\n", r"\[fault a\] way"),
+    (HEAD + "[fault a]\nwhat = cut\nat = 28\nfor = 3\n", r"\[fault a\] for"),
+    (HEAD + "[fault a]\nwhat = node_slow\nat = 3\nnodes = c-0\n", r"\[fault a\] nodes"),
+    (HEAD + "[fault a]\nwhat = shift\nat = 3\nlocation = north\n", r"\[fault a\] other"),
+])
 def test_a_fault_names_its_key(text, told):
     with pytest.raises(CharterError, match=told):
         read_fleet(text)
@@ -45,15 +42,12 @@
     assert [len(directors) for _, directors in drawn(KILL)] == [28] + 28 * [1]
 
 
-@pytest.mark.parametrize(
-    "more, whom, begin, end",
-    [
-        ("what = stop\nshare = 0.5\nfor = 5\n", 20, 1, 1),
-        ("what = restart\nover = 10\n", 1, 40, 0),
-        ("what = cut\nlocation = north\nfor = 6\n", 20, 1, 1),
-        ("what = node_errors\nseen_by = 0.5\nshare = 0.25\nfor = 6\n", 20, 1, 1),
-    ],
-)
+@pytest.mark.parametrize("more, whom, begin, end", [
+    ("what = stop\nshare = 0.5\nfor = 5\n", 20, 1, 1),
+    ("what = restart\nover = 10\n", 1, 40, 0),
+    ("what = cut\nlocation = north\nfor = 6\n", 20, 1, 1),
+    ("what = node_errors\nseen_by = 0.5\nshare = 0.25\nfor = 6\n", 20, 1, 1),
+])
 def test_whom_a_fault_meets(more, whom, begin, end):
     strikes = read_fleet(HEAD + "[fault a]\nat = 4\n" + more).strikes()
     assert {len(strike.directors) for strike in strikes} == {whom}
@@ -117,15 +111,12 @@
         scenario.sized(directors).on_sockets()
 
 
-@pytest.mark.parametrize(
-    "use_case, tries, left, again",
-    [
-        ("pages", 1, 500.0, True),
-        ("order", 2, 500.0, True),
-        ("order", 3, 500.0, False),
-        ("pages", 1, 90.0, False),
-        ("pay", 1, 500.0, False),  # its first try may have had its effect
-    ],
-)
+@pytest.mark.parametrize("use_case, tries, left, again", [
+    ("pages", 1, 500.0, True),
+    ("order", 2, 500.0, True),
+    ("order", 3, 500.0, False),
+    ("pages", 1, 90.0, False),
+    ("pay", 1, 500.0, False),  # its first try may have had its effect
+])
 def test_which_clients_ask_again_after_their_connection_ended(use_case, tries, left, again):
     assert may_try_again(read_fleet(HEAD), Wanted(use_case, 1, 4.0, ""), tries, left) is again
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -51,10 +51,8 @@
 
 
 PLAYS = {
-    "none-planted": played,
-    "planted-probes": lambda folder: played(folder, IN_STEP),
-    "planted-herd": lambda folder: played(folder, ONE_CLOCK),
-}
+    "none-planted": played, "planted-probes": lambda folder: played(folder, IN_STEP),
+    "planted-herd": lambda folder: played(folder, ONE_CLOCK)}
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -51,9 +51,7 @@
             {
                 "seed": "1",
                 "targets": [{"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}],
-                "datagrams": [1, 2],
-                "datagram_port": DATAGRAMS,
-            },
+                "datagrams": [1, 2], "datagram_port": DATAGRAMS},
         )
         self.port = self.helper.hear()["ports"]["c-1"]
 
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -2,7 +2,7 @@
 
 import json
 
-from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration
+from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
 from mulleinrelay.cells.charter import Cell, Charter, Tenant
 from mulleinrelay.cells.own import OwnFile as CellsFile
@@ -21,8 +21,7 @@
         1000.0,
         {
             "north": Cell("north", caches=("s-01",), neighbours=("south",)),
-            "south": Cell("south", caches=("s-02", "s-03")),
-        },
+            "south": Cell("south", caches=("s-02", "s-03"))},
         {"acme": Tenant("acme", "north"), "beta": Tenant("beta", "south")},
         default_tenant="beta",
     )
@@ -63,23 +62,14 @@
         return [name for name, _, _ in self.service.facade.ready_caches()]
 
     def heard(self):
-        return {
-            SPOTS[place][0]: [entry for entry in node.heard if entry[0] == "PULL"]
-            for place, node in enumerate(self.nodes)
-        }
+        return heard(self.nodes)
 
     def tell(self, number, name, state="SERVING", started=0, port=None, full=False):
         place = next(place for place, spot in enumerate(SPOTS) if spot[0] == name)
         row = {
-            "id": name,
-            "addr": f"127.0.0.1:{port}" if port else self.nodes[place].address,
-            "zone": SPOTS[place][1],
-            "kind": SPOTS[place][2],
-            "cell": 0,
-            "state": state,
-            "weight": 4,
-            "started_ms": started,
-        }
+            "id": name, "addr": f"127.0.0.1:{port}" if port else self.nodes[place].address,
+            "zone": SPOTS[place][1], "kind": SPOTS[place][2], "cell": 0, "state": state, "weight": 4,
+            "started_ms": started}
         self.service.bus.apply(number, {"topology": {"version": number, "full": full, "servers": [row]}})
 
     def __exit__(self, *_):
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -48,13 +48,8 @@
     """What a refused change must leave alone."""
     whole = director.manager.store
     return (
-        whole.running,
-        whole.held,
-        director.path.read_bytes(),
-        director.ready(),
-        director.service.warden.governor.charter,
-        (director.folder / "state" / "datastore").read_bytes(),
-    )
+        whole.running, whole.held, director.path.read_bytes(), director.ready(),
+        director.service.warden.governor.charter, (director.folder / "state" / "datastore").read_bytes())
 
 
 def test_a_drained_box_gets_nothing_new_and_its_legs_end(tmp_path):
@@ -188,9 +183,7 @@
         st.lists(inner, max_size=3)
         | st.dictionaries(
             st.sampled_from(["box", "drain", "drains", "cell", "name", "limits", "rate", "tenant", "é"]),
-            inner,
-            max_size=3,
-        )
+            inner, max_size=3)
     ),
 )
 
@@ -234,18 +227,8 @@
         done = CliRunner().invoke(
             main,
             [
-                "cells",
-                "move",
-                "acme",
-                "--to",
-                "south",
-                "--name",
-                "m1",
-                "--shift-ms",
-                "900",
-                "--file",
-                str(director.path),
-            ],
+                "cells", "move", "acme", "--to", "south", "--name", "m1", "--shift-ms", "900", "--file",
+                str(director.path)],
         )
         assert done.exit_code == 0
         assert wait_for(lambda: "m1" in director.service.warden.governor.charter.moves)
@@ -271,8 +254,7 @@
         target.set(
             updates=[
                 (parse("/fleet/assignment/tenant[name=acme]/weight"), "7.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {}),
-            ]
+                (parse(f"{DRAIN}[box=s-9]"), {})]
         )
     monkeypatch.undo()
     assert why.value.code == "INTERNAL"
@@ -290,8 +272,7 @@
         target.set(
             updates=[
                 (parse("/fleet/assignment/tenant[name=acme]/weight"), "3.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {}),
-            ]
+                (parse(f"{DRAIN}[box=s-9]"), {})]
         )
     director.path.write_bytes(taken)  # as if killed between the datastore and the assignment file
     with Managed(tmp_path, cells=True) as again:
@@ -323,10 +304,8 @@
 def test_a_stream_tells_of_changes_once_they_are(running):
     target = running.target()
     found, done = gathered(
-        target,
-        ["/fleet/drains", "/fleet/boxes/box[name=s-02]/state"],
-        lambda held: any(one[0] == "delete" for one in held),
-    )
+        target, ["/fleet/drains", "/fleet/boxes/box[name=s-02]/state"],
+        lambda held: any(one[0] == "delete" for one in held))
     assert wait_for(lambda: ("sync", None, None) in found)
     drain(running.target(), "s-02", reason="r")
     assert wait_for(
@@ -369,22 +348,16 @@
     elems = [gnmi.PathElem(name=name) for name in path.strip("/").split("/")]
     return gnmi.SubscribeRequest(
         subscribe=gnmi.SubscriptionList(
-            mode=mode,
-            encoding=gnmi.JSON_IETF,
-            subscription=[gnmi.Subscription(path=gnmi.PathMessage(elem=elems))],
-            **how,
-        )
+            mode=mode, encoding=gnmi.JSON_IETF,
+            subscription=[gnmi.Subscription(path=gnmi.PathMessage(elem=elems))], **how)
     )
 
 
-@pytest.mark.parametrize(
-    "messages, updates, syncs",
-    [
-        ([subscribe(gnmi.ONCE, "/fleet/use-cases")], True, 1),
-        ([subscribe(gnmi.ONCE, "/fleet/use-cases", updates_only=True)], False, 1),
-        ([subscribe(gnmi.POLL, "/fleet/use-cases"), *[gnmi.SubscribeRequest(poll={})] * 2], True, 2),
-    ],
-)
+@pytest.mark.parametrize("messages, updates, syncs", [
+    ([subscribe(gnmi.ONCE, "/fleet/use-cases")], True, 1),
+    ([subscribe(gnmi.ONCE, "/fleet/use-cases", updates_only=True)], False, 1),
+    ([subscribe(gnmi.POLL, "/fleet/use-cases"), *[gnmi.SubscribeRequest(poll={})] * 2], True, 2),
+])
 def test_once_and_poll(running, messages, updates, syncs):
     told = call(running, "Subscribe", messages)
     assert (
@@ -393,29 +366,26 @@
     )
 
 
-@pytest.mark.parametrize(
-    "name, message, code",
-    [
-        ("Get", gnmi.GetRequest(encoding=gnmi.ASCII), "UNIMPLEMENTED"),
-        ("Get", gnmi.GetRequest(path=[{"origin": "cli"}]), "INVALID_ARGUMENT"),
-        ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "none"}]}]), "NOT_FOUND"),
-        ("Get", gnmi.GetRequest(path=[{"element": ["fleet"]}]), "INVALID_ARGUMENT"),
-        ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "a"}] * 40}]), "INVALID_ARGUMENT"),
-        (
-            "Set",
-            gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"json_val": b"{"}}]),
-            "INVALID_ARGUMENT",
-        ),
-        (
-            "Set",
-            gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"proto_bytes": b"x"}}]),
-            "INVALID_ARGUMENT",
-        ),
-        ("Set", gnmi.SetRequest(union_replace=[{"path": {}}]), "UNIMPLEMENTED"),
-        ("Subscribe", [gnmi.SubscribeRequest(poll={})], "INVALID_ARGUMENT"),
-        ("Subscribe", [subscribe(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
-    ],
-)
+@pytest.mark.parametrize("name, message, code", [
+    ("Get", gnmi.GetRequest(encoding=gnmi.ASCII), "UNIMPLEMENTED"),
+    ("Get", gnmi.GetRequest(path=[{"origin": "cli"}]), "INVALID_ARGUMENT"),
+    ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "none"}]}]), "NOT_FOUND"),
+    ("Get", gnmi.GetRequest(path=[{"element": ["fleet"]}]), "INVALID_ARGUMENT"),
+    ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "a"}] * 40}]), "INVALID_ARGUMENT"),
+    (
+        "Set",
+        gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"json_val": b"{"}}]),
+        "INVALID_ARGUMENT",
+    ),
+    (
+        "Set",
+        gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"proto_bytes": b"x"}}]),
+        "INVALID_ARGUMENT",
+    ),
+    ("Set", gnmi.SetRequest(union_replace=[{"path": {}}]), "UNIMPLEMENTED"),
+    ("Subscribe", [gnmi.SubscribeRequest(poll={})], "INVALID_ARGUMENT"),
+    ("Subscribe", [subscribe(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
+])
 def test_wrong_calls_end_with_their_status(running, name, message, code):
     with pytest.raises(grpc.RpcError) as why:
         call(running, name, message)
@@ -462,10 +432,8 @@
         assert value["mulleinrelay-fleet:reason"] == "by pygnmi"
         stream = client.subscribe_stream(
             subscribe={
-                "subscription": [{"path": "/fleet/drains", "mode": "on_change"}],
-                "mode": "stream",
-                "encoding": "json_ietf",
-            }
+                "subscription": [{"path": "/fleet/drains", "mode": "on_change"}], "mode": "stream",
+                "encoding": "json_ietf"}
         )
         assert "update" in next(iter(stream))
         stream.close()
@@ -485,19 +453,11 @@
     assert ctl(running, "undrain", "s-02")[0] == 0
     code, told = ctl(running, "--json", "get", "/fleet/boxes/box/state")
     assert code == 0 and json.loads(told)[running.address]["result"][0] == [
-        "/fleet/boxes/box[name=s-01]/state",
-        "ready",
-    ]
+        "/fleet/boxes/box[name=s-01]/state", "ready"]
     assert "s-03" in ctl(running, "get", "/fleet/boxes/box")[1]
     code, told = ctl(
-        running,
-        "set",
-        "--within",
-        "30",
-        "--id",
-        "k1",
-        "/fleet/assignment/tenant[name=acme]/limits/retries=0.5",
-    )
+        running, "set", "--within", "30", "--id", "k1",
+        "/fleet/assignment/tenant[name=acme]/limits/retries=0.5")
     assert code == 0 and ctl(running, "confirm", "k1")[0] == 0 and ctl(running, "confirm", "k1")[0] == 3
     file = tmp_path / "wanted.json"
     file.write_text(json.dumps(running.manager.store.running.tree))
--- a/tests/spread/test_links.py
+++ b/tests/spread/test_links.py
@@ -3,16 +3,7 @@
 import pytest
 
 from mulleinrelay.spread.links import (
-    HELD_FAR,
-    HELD_MOST,
-    HELD_SHORT,
-    PRICED,
-    QUIET,
-    Patience,
-    fullness,
-    hold_for,
-    to_end,
-)
+    HELD_FAR, HELD_MOST, HELD_SHORT, PRICED, QUIET, Patience, fullness, hold_for, to_end)
 
 
 @pytest.mark.parametrize("legs, wait", [(1, 750.0), (2, 500.0), (4, 300.0), (14, 100.0), (60, 100.0)])
--- a/tests/spread/test_pacing.py
+++ b/tests/spread/test_pacing.py
@@ -5,15 +5,12 @@
 from mulleinrelay.spread import pacing
 
 
-@pytest.mark.parametrize(
-    "refusals, looks",
-    [
-        ([], []),
-        ([0.0, 1.0, 1.4], []),
-        ([0.0, 1.0, 1.6, 1.9, 3.0, 3.7], [1.6, 3.7]),
-        ([10.0, 11.6, 12.0], [11.6]),
-    ],
-)
+@pytest.mark.parametrize("refusals, looks", [
+    ([], []),
+    ([0.0, 1.0, 1.4], []),
+    ([0.0, 1.0, 1.6, 1.9, 3.0, 3.7], [1.6, 3.7]),
+    ([10.0, 11.6, 12.0], [11.6]),
+])
 def test_an_address_that_refuses_is_doubted(refusals, looks):
     pace, found = pacing.Reconnects(Random(1)), []
     for now in refusals:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 
 import pytest
 from helpers import (BAN, HIT, OK, ROOT, SPOTS, WELL, Running, StandBus, StandNode, call_frame, configuration,
-                     event, held_back, serve_frame, wait_for)
+                     event, held_back, rows, serve_frame, wait_for)
 
 from mulleinrelay.facade import Facade
 from mulleinrelay.interface import Leg, Node, State
@@ -691,13 +691,6 @@
 # The event stream
 
 
-def rows(director, state, *names, full=False):
-    """An event on these nodes, as the list told them last."""
-    (first,) = configuration([node.address for node in director.nodes])["known"]["batch"]
-    told = [row | {"state": state} for row in first["topology"]["servers"] if row["id"] in names]
-    return {"topology": {"version": 2, "full": full, "servers": told}}
-
-
 
 class Trickles(StandBus):
     """Its first connection says `said`, then one byte after the other; the others are well."""
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -24,19 +24,16 @@
     assert order.leg.outcome == Outcome.SATISFIED and not stage.facade.open_lookups()
 
 
-@pytest.mark.parametrize(
-    "first, second, verdict",
-    [
-        ("forget", "report", Left),
-        ("report", "forget", Satisfied),
-        ("forget", "wind_up", Left),
-        ("wind_up", "forget", PushedBack),
-        ("wind_up", "report", PushedBack),
-        ("report", "wind_up", Satisfied),
-        ("time", "report", PushedBack),
-        ("report", "time", Satisfied),
-    ],
-)
+@pytest.mark.parametrize("first, second, verdict", [
+    ("forget", "report", Left),
+    ("report", "forget", Satisfied),
+    ("forget", "wind_up", Left),
+    ("wind_up", "forget", PushedBack),
+    ("wind_up", "report", PushedBack),
+    ("report", "wind_up", Satisfied),
+    ("time", "report", PushedBack),
+    ("report", "time", Satisfied),
+])
 def test_whoever_comes_second_finds_the_lookup_ended(first, second, verdict):
     stage = Stage()
     lookup = stage.take()
@@ -53,16 +50,13 @@
     assert [step.leg for step in steps[:-1]] == ([] if first == "report" else lookup.legs)
 
 
-@pytest.mark.parametrize(
-    "use_case, sent, outcome, verdict",
-    [
-        ("pages", True, None, PushedBack),
-        ("order", True, None, PushedBack),
-        ("pay", True, None, BrokenOff),
-        ("pay", False, None, PushedBack),
-        ("pay", True, Outcome.RESET, BrokenOff),
-    ],
-)
+@pytest.mark.parametrize("use_case, sent, outcome, verdict", [
+    ("pages", True, None, PushedBack),
+    ("order", True, None, PushedBack),
+    ("pay", True, None, BrokenOff),
+    ("pay", False, None, PushedBack),
+    ("pay", True, Outcome.RESET, BrokenOff),
+])
 def test_the_last_answers_of_a_drain_are_true(use_case, sent, outcome, verdict):
     # Guards against a drain that calls harmless what may have run.
     stage = Stage()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,17 +4,14 @@
 from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, Leg, Note, Outcome, State
 
 
-@pytest.mark.parametrize(
-    "repeat, group, outcome, legs, final",
-    [
-        (PURE, "all", Outcome.ERROR, 2, None),
-        (RECEIPTED, "all", Outcome.ERROR, 2, None),
-        (RECEIPTED, "zone", Outcome.ERROR, 1, "break_off"),
-        (RECEIPTED, "zone", Outcome.TURNED_AWAY, 2, None),
-        (EFFECTFUL, "all", Outcome.RESET, 1, "break_off"),
-        (EFFECTFUL, "all", Outcome.UNCONNECTED, 2, None),
-    ],
-)
+@pytest.mark.parametrize("repeat, group, outcome, legs, final", [
+    (PURE, "all", Outcome.ERROR, 2, None),
+    (RECEIPTED, "all", Outcome.ERROR, 2, None),
+    (RECEIPTED, "zone", Outcome.ERROR, 1, "break_off"),
+    (RECEIPTED, "zone", Outcome.TURNED_AWAY, 2, None),
+    (EFFECTFUL, "all", Outcome.RESET, 1, "break_off"),
+    (EFFECTFUL, "all", Outcome.UNCONNECTED, 2, None),
+])
 def test_further_legs_go_only_as_far_as_the_use_case_permits(repeat, group, outcome, legs, final):
     fleet = Fleet(repeat, group)
     lookup = fleet.look_up()
@@ -155,16 +152,13 @@
     assert silent.shunned
 
 
-@pytest.mark.parametrize(
-    "outcome, another, weight",
-    [
-        (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
-        (Outcome.UNCONNECTED, None, 6.0),
-        (Outcome.ERROR, None, 0.0),
-        (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the lookup's own fault
-        (Outcome.ERROR, Outcome.SATISFIED, 3.0),
-    ],
-)
+@pytest.mark.parametrize("outcome, another, weight", [
+    (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
+    (Outcome.UNCONNECTED, None, 6.0),
+    (Outcome.ERROR, None, 0.0),
+    (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the lookup's own fault
+    (Outcome.ERROR, Outcome.SATISFIED, 3.0),
+])
 def test_bad_outcomes_weigh_by_what_they_tell_of_the_node(outcome, another, weight):
     """Clients that ask for what no node knows, and spoilt answers, had healthy caches shunned."""
     fleet = Fleet()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -55,19 +55,16 @@
             "lane": "order", "name": "00000000000000ab", "piece": "3", "dedupe": "5c0f6e1a"}
 
 
-@pytest.mark.parametrize(
-    "use_case, plan, what",
-    [
-        ("pages", (b"WAIT", b"-", b""), 1),
-        ("pages", "reset", 1),
-        ("pages", "nonsense", 1),
-        ("pay", (b"WAIT", b"-", b""), 1),
-        ("pay", (b"BROKE", b"-", b""), 2),
-        ("pay", "reset", 2),
-        ("pay", "nonsense", 2),
-        ("order", "reset", 1),
-    ],
-)
+@pytest.mark.parametrize("use_case, plan, what", [
+    ("pages", (b"WAIT", b"-", b""), 1),
+    ("pages", "reset", 1),
+    ("pages", "nonsense", 1),
+    ("pay", (b"WAIT", b"-", b""), 1),
+    ("pay", (b"BROKE", b"-", b""), 2),
+    ("pay", "reset", 2),
+    ("pay", "nonsense", 2),
+    ("order", "reset", 1),
+])
 def test_what_went_wrong_ends_as_the_use_case_permits(use_case, plan, what):
     with Running(plan) as director:
         caller = director.caller()
@@ -270,26 +267,23 @@
         assert caller.answer()[:2] == (2, 0)
 
 
-@pytest.mark.parametrize(
-    "changes, told",
-    [
-        ({"use_case": "nope"}, "an unknown use case"),
-        ({"patience": None}, "the field patience is missing"),
-        ({"patience": "nan"}, "the field patience cannot be read"),
-        ({"patience": "1e300"}, "the field patience cannot be read"),
-        ({"entity": "xyz"}, "the field entity cannot be read"),
-        ({"entity": "0_1"}, "the field entity cannot be read"),
-        ({"trace": "a,miss=s-01"}, "the field trace cannot be read"),
-        ({"got": "a\r\nb"}, "the field got cannot be read"),
-        ({"nth": "-1"}, "the field nth cannot be read"),
-        ({"batch": "x"}, "the field batch cannot be read"),
-        ({"batch": "256"}, "the field batch is out of range"),
-        ({"size": "inf"}, "the field size cannot be read"),
-        ({"use_case": "order", "nonce": None}, "no receipt"),
-        ({"use_case": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
-        ({"use_case": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
-    ],
-)
+@pytest.mark.parametrize("changes, told", [
+    ({"use_case": "nope"}, "an unknown use case"),
+    ({"patience": None}, "the field patience is missing"),
+    ({"patience": "nan"}, "the field patience cannot be read"),
+    ({"patience": "1e300"}, "the field patience cannot be read"),
+    ({"entity": "xyz"}, "the field entity cannot be read"),
+    ({"entity": "0_1"}, "the field entity cannot be read"),
+    ({"trace": "a,miss=s-01"}, "the field trace cannot be read"),
+    ({"got": "a\r\nb"}, "the field got cannot be read"),
+    ({"nth": "-1"}, "the field nth cannot be read"),
+    ({"batch": "x"}, "the field batch cannot be read"),
+    ({"batch": "256"}, "the field batch is out of range"),
+    ({"size": "inf"}, "the field size cannot be read"),
+    ({"use_case": "order", "nonce": None}, "no receipt"),
+    ({"use_case": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
+    ({"use_case": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
+])
 def test_a_call_that_cannot_be_used_makes_no_leg(changes, told):
     with Running() as director:
         caller = director.caller()
@@ -381,19 +375,16 @@
         assert good.answer()[:2] == (61, 0)
 
 
-@pytest.mark.parametrize(
-    "called, halfway, owes, after, late",
-    [
-        (False, 0.0, False, 1.5, False),
-        (False, 0.0, False, 2.5, True),
-        (False, 900.0, False, 2.5, True),  # a call that comes byte by byte
-        (True, 0.0, False, 4.5, False),
-        (True, 0.0, False, 6.5, True),
-        (True, 0.0, True, 6.5, False),
-        (True, 1003.0, False, 5.0, False),
-        (True, 1003.0, False, 6.5, True),
-    ],
-)
+@pytest.mark.parametrize("called, halfway, owes, after, late", [
+    (False, 0.0, False, 1.5, False),
+    (False, 0.0, False, 2.5, True),
+    (False, 900.0, False, 2.5, True),  # a call that comes byte by byte
+    (True, 0.0, False, 4.5, False),
+    (True, 0.0, False, 6.5, True),
+    (True, 0.0, True, 6.5, False),
+    (True, 1003.0, False, 5.0, False),
+    (True, 1003.0, False, 6.5, True),
+])
 def test_who_overstays(called, halfway, owes, after, late):
     held = client.Client(None)
     held.called, held.halfway, held.used = called, halfway, 1000.0
@@ -519,26 +510,23 @@
     {"id": "s-02", "state": "DRAINING"}, {"id": "s-98", "state": "DRAINING", "zone": "nowhere"}]}}
 
 
-@pytest.mark.parametrize(
-    "scripts, asked, applied, logged",
-    [
-        ([[OK, event(2, BAN), event(3, BAN)], [OK, event(3, BAN), event(4, GONE), None]], [1, 3], 3, 0),
-        ([[OK, event(2, BAN), None]], [1], 1, 0),  # silent: read again, from the last
-        ([[OK, event(2, BAN), event(4, BAN)], [OK, event(3, BAN), event(4, BAN), None]],
-         [1, 2], 3 + 1, 0),  # one behind a gap is heeded at once, and once more in its turn
-        ([[OK, event(4, BAN)], [OK, event(4, BAN), event(5, BAN), None]], [1, 1], 2 + 1, 0),  # never there
-        ([[b"HTTP/1.1 500 No\r\n\r\n"], [OK, event(2, BAN), None]], [1, 1], 1, 0),
-        ([[OK, b"id: 2\ndata: {\n\n", event(3, {"ban": 7}), event(4, {}), event(5, BAN), None]], [1], 1, 4),
-        ([[OK, event(2, {"topology": {"servers": [{"id": "x"}]}}), event(3, BAN), None]], [1], 2, 1),
-        ([[OK, event(1, GONE), event(2, BAN)[:9], event(2, BAN)[9:], None]], [1], 1, 0),
-        ([[OK, event(2, BAN)[:-1]], [OK, event(2, BAN), None]], [1, 1], 1, 0),  # half of it, then whole
-        ([[OK, event(4, ALL)], [OK, event(2, BAN), event(3, BAN), event(4, ALL), None]],
-         [1, 1], 3 + 1, 0),  # purges within a gap that a whole list would fill
-        ([[OK, event(2, NAMED), None]], [1], 1, 0),  # of who leaves the name is enough
-        ([[CHUNKED, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event(2, BAN)), event(2, BAN)), None],
-          [OK, event(3, BAN), None]], [1, 2], 2, 0),  # the last chunk ends it, though nobody closes
-    ],
-)
+@pytest.mark.parametrize("scripts, asked, applied, logged", [
+    ([[OK, event(2, BAN), event(3, BAN)], [OK, event(3, BAN), event(4, GONE), None]], [1, 3], 3, 0),
+    ([[OK, event(2, BAN), None]], [1], 1, 0),  # silent: read again, from the last
+    ([[OK, event(2, BAN), event(4, BAN)], [OK, event(3, BAN), event(4, BAN), None]],
+     [1, 2], 3 + 1, 0),  # one behind a gap is heeded at once, and once more in its turn
+    ([[OK, event(4, BAN)], [OK, event(4, BAN), event(5, BAN), None]], [1, 1], 2 + 1, 0),  # never there
+    ([[b"HTTP/1.1 500 No\r\n\r\n"], [OK, event(2, BAN), None]], [1, 1], 1, 0),
+    ([[OK, b"id: 2\ndata: {\n\n", event(3, {"ban": 7}), event(4, {}), event(5, BAN), None]], [1], 1, 4),
+    ([[OK, event(2, {"topology": {"servers": [{"id": "x"}]}}), event(3, BAN), None]], [1], 2, 1),
+    ([[OK, event(1, GONE), event(2, BAN)[:9], event(2, BAN)[9:], None]], [1], 1, 0),
+    ([[OK, event(2, BAN)[:-1]], [OK, event(2, BAN), None]], [1, 1], 1, 0),  # half of it, then whole
+    ([[OK, event(4, ALL)], [OK, event(2, BAN), event(3, BAN), event(4, ALL), None]],
+     [1, 1], 3 + 1, 0),  # purges within a gap that a whole list would fill
+    ([[OK, event(2, NAMED), None]], [1], 1, 0),  # of who leaves the name is enough
+    ([[CHUNKED, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event(2, BAN)), event(2, BAN)), None],
+      [OK, event(3, BAN), None]], [1, 2], 2, 0),  # the last chunk ends it, though nobody closes
+])
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
     monkeypatch.setattr(bus, "SILENCE", 0.3)
     stand, seen, play = StandBus(*scripts), [], Facade._play
