--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -8,6 +8,7 @@
 from stage import Cell, Housed, charter, move
 
 from mulleinrelay.cells.reading import write
+from mulleinrelay.cells.warden import Warden
 from mulleinrelay.configuration import ConfigurationError
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import CharterError, read_scenario
@@ -32,11 +33,20 @@
         held_at=1_000.0 + 1_000.0 * share, **changes)
 
 
-def test_a_flood_is_kept_to_its_cell_and_turned_away_at_once(tmp_path):
-    # The flooder's lookups are never answered by its cache, so all that it may have open stays open.
+def test_a_flood_is_kept_to_its_cell_and_turned_away_at_once(tmp_path, monkeypatch):
+    # The flooder's lookups are never answered by its cache, so all that it may have open stays open; where
+    # the machine is so slow that some of them are given up meanwhile, as many may follow, and no more.
     def silent(fields):
         return None if fields["name"].startswith("f") else HIT
 
+    ended, settle = [], Warden.settle
+
+    def noted(warden, grant, lookup, *how):
+        if lookup.key >> 60 == 0xF:
+            ended.append(lookup)
+        settle(warden, grant, lookup, *how)
+
+    monkeypatch.setattr(Warden, "settle", noted)
     with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
         others = housed.caller()
         others.send(tenant="beta")
@@ -49,7 +59,7 @@
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.answer()[1] == SATISFIED
         held = [entry for entry in housed.heard()["s-01"] if entry[2]["name"].startswith("f")]
-        assert 0 < len(held) <= 64
+        assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
         assert sum(len(legs) for name, legs in housed.heard().items() if name in ("s-02", "s-03")) == 41
         for caller in callers:  # one answer each, those that were held at the end of their client's time
             assert [caller.answer()[1] for _ in range(30)] == [PUSHED] * 30
