--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -18,6 +18,7 @@
 SILENCE = 2.5  # s: a comment comes each second
 FIRST_WORD = 1.5  # s from connecting to the whole head of the answer: three that say nothing fit into 7 s
 WHOLE_LINE = 5.0  # s from one whole line to the next, however many bytes trickle in between
+MISSED = 0.25  # s from the head in which what was missed comes: it is sent at once
 PIECE = 65_536
 
 
@@ -35,6 +36,7 @@
         self.pace = Reconnects(Random(start.seed))
         self.look_again: Callable[[], tuple[str, int] | None] = lambda: None  # where the stream is by now
         self.stopped, self.moved = threading.Event(), threading.Event()
+        self.reached, self.left = threading.Event(), threading.Event()  # a head, or none will come; an end
         self.thread = threading.Thread(target=self._run, name="bus", daemon=True)
 
     def begin(self) -> None:
@@ -50,6 +52,13 @@
         self.address, self.told = address, told
         self._wake()
 
+    def await_word(self) -> None:
+        """Until the stream has told what the configuration did not know yet, or that it can't be had, or has
+        said nothing for as long as a stream may. Guards against a start with a list that is out of date: what
+        was told while the program started has used up its grace, and the first lookups would go by it."""
+        if self.reached.wait(FIRST_WORD):
+            self.left.wait(MISSED)
+
     def stop(self) -> None:
         self.stopped.set()
         self._wake()
@@ -121,6 +130,8 @@
             except Exception as broken:  # whatever it was, the stream is read on
                 why = f"{type(broken).__name__}: {broken}"
                 refused = isinstance(broken, ConnectionRefusedError)
+            self.reached.set()
+            self.left.set()
             now = time.monotonic()
             wait = self.pace.ended(now, self.last > before, refused)
             if self.pace.astray(now) and (found := self._looked_up()) not in (None, self.address):
@@ -159,6 +170,8 @@
                 if stream.lines > lines:
                     lines, due = stream.lines, time.monotonic() + WHOLE_LINE
                 self._in_order([(event.number, self._read(event)) for event in events])
+                if lines:
+                    self.reached.set()
                 if stream.over:
                     return
         finally:
--- a/mulleinrelay/net/service.py
+++ b/mulleinrelay/net/service.py
@@ -76,6 +76,7 @@
         if self.talk is not None:
             self.talk.begin()
         self.front.begin()
+        self.bus.await_word()
         self.front.well = True
         self._enter(Phase.READY)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,8 @@
 import pytest
 from hypothesis import settings
 
+from mulleinrelay.net import bus
+
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
@@ -15,6 +17,12 @@
 STUDIED_AT_A_TIME = 2  # processes
 
 
+@pytest.fixture(autouse=True)
+def told_with_the_head(monkeypatch):
+    """Stand-ins of the event stream tell all with its head: their directors needn't wait for what follows."""
+    monkeypatch.setattr(bus, "MISSED", 0.0)
+
+
 def wanted_by(session, name):
     modules = {item.module for item in session.items}
     wanted = {}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -823,3 +823,44 @@
         director.bus.scripts += [[OK, event(2, BAN), None]] * 9  # a connection that the move ends takes one
         stream.move(stream.address)
         assert wait_for(lambda: stream.last == 2 and "fault" in director.sink.events)
+
+
+def test_a_program_that_starts_hears_what_it_missed_before_it_is_well(monkeypatch):
+    # Guards against first lookups by a list that is out of date: a drain that was told while the program
+    # started has used up its grace. The stream's word is held back until the front listens and is asked.
+    monkeypatch.setattr(bus, "MISSED", 0.5)
+    drain = event(2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}})
+    stand, late = StandBus([OK, drain, None]), threading.Event()
+    talk = stand.talk
+
+    def held(connection):
+        late.wait(10.0)
+        talk(connection)
+
+    stand.talk = held
+    director = Running(bus=stand)
+    begun, asked = Front.begin, []
+
+    def begin(front):
+        begun(front)
+        with socket.create_connection(front.listener.getsockname(), timeout=10.0) as client:
+            client.sendall(WELL)
+            asked.append(b"\x02\x00\x00\x01" in client.recv(4096))  # `good`
+        late.set()
+
+    monkeypatch.setattr(Front, "begin", begin)
+    with director:
+        assert asked == [False]
+        assert director.service.front.well
+        assert director.service.facade.entries["s-01"].state == State.DRAINING
+
+
+@pytest.mark.parametrize("script", ["refused", "closed", "silent"])
+def test_a_program_that_starts_is_well_though_the_stream_says_nothing(script, monkeypatch):
+    monkeypatch.setattr(bus, "FIRST_WORD", 0.2)
+    monkeypatch.setattr(bus, "MISSED", 60.0)
+    stand = StandBus(*{"silent": [[None]] * 9, "closed": [[]] * 9}.get(script, []))
+    if script == "refused":
+        stand.close()
+    with Running(bus=stand) as director:
+        assert director.service.front.well
