--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -25,7 +25,6 @@
 from .outlet import Outlet
 
 OVER_FOR = 10_000.0  # ms for which an answer to a leg that was given up may still come
-AT_ONCE = 20.0  # ms within which a first leg goes out for a client that was there when it was decided
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
 PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
 
@@ -81,7 +80,8 @@
         self.may_probe = may_probe
         self.facade, self.clock, self.log = facade, clock, log
         self.see_through: Callable[[Lookup], None] = lambda lookup: None  # set by the front, as the next is
-        self.has_left: Callable[[Any], bool] = lambda ticket: False  # whether the client of a ticket has gone
+        # Whether the client of a ticket has gone; for its first leg, or a further one.
+        self.has_left: Callable[[Any, bool], bool] = lambda ticket, first: False
         self.connect_timeout, terms = connect_timeout, facade.terms
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {far: hold_for(idle_for, sharers, far, links_priced)
@@ -229,8 +229,8 @@
             return not self.facade.may_ask(held.node, place)
         if held is None or not held.ways:
             return False
-        lookup, waited = held.lookup, self.clock() > held.sent + AT_ONCE
-        if (held.number or waited) and lookup.ticket is not None and self.has_left(lookup.ticket):
+        lookup = held.lookup
+        if lookup.ticket is not None and self.has_left(lookup.ticket, not held.number):
             self.facade.forget(lookup)  # told by the connection's own thread as well, but that may be late
         return not self.facade.may_begin(held)
 
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -24,6 +24,7 @@
 HALF_CALL = 1.0  # s that the end of a drain waits for the rest of a call: some write slowly
 LINGER = 0.15  # s from a half-close to the end: what crosses it comes within 50 ms and a way there and back
 CALLS_MOST = 64  # that are read ahead
+AT_ONCE = 0.02  # s from a look at all that has come in which a first leg goes out without another look
 LOOK_AGAIN = 0.02  # s between two looks at what is still owed to one that is ended for what it sent
 PEEK_MOST = 65_536  # bytes in which a cancellation is looked for that is not read yet
 UNREAD_MOST = 256  # answers that wait to be read: none who reads leaves so many, and small ones cost most
@@ -44,6 +45,7 @@
         self.bad = 0  # calls that can't be used since the last that can
         self.wrong = ""  # why what has come can't be read any further
         self.used = time.monotonic()  # when it connected, or the last whole call or answer
+        self.looked = 0.0  # when all that had come was read last
         self.halfway = 0.0  # when a call began of which the rest is to come
         self.half_closed = 0.0  # when
 
@@ -72,6 +74,7 @@
                 try:
                     length = self.connection.recv_into(self.frames.room(), 0, socket.MSG_DONTWAIT)
                 except BlockingIOError:
+                    self.looked = time.monotonic()
                     if self.calls:
                         return True
                     continue
@@ -180,11 +183,14 @@
             self.outlet.end(socket.SHUT_WR)
             self.half_closed = time.monotonic()
 
-    def has_left(self, number: int) -> bool:
-        """Whether it has closed, or called this one off, though its thread may not have read so far."""
+    def has_left(self, number: int, first: bool = False) -> bool:
+        """Whether it has closed, or called this one off, though its thread may not have read so far. `first`:
+        a call that is begun just now, behind a look at all that had come, unless something held it up."""
         with self.lock:
             if any(call.method == "forget" and thrift.forgotten(call) == number for call in self.calls):
                 return True
+            if first and time.monotonic() < self.looked + AT_ONCE:
+                return False
             if not (come := self._next()):
                 return come is not None
             if self._closed_behind():
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -65,7 +65,7 @@
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
         caches.see_through = self.see_through
-        caches.has_left = lambda ticket: ticket.client.has_left(ticket.number)
+        caches.has_left = lambda ticket, first: ticket.client.has_left(ticket.number, first)
 
     def begin(self) -> None:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,6 +23,7 @@
 from mulleinrelay.interface import Leg, Node, State
 from mulleinrelay.net import bus, resp, service
 from mulleinrelay.net import caches as caches_module
+from mulleinrelay.net import client as client_module
 from mulleinrelay.net import outlet as outlet_module
 from mulleinrelay.net.caches import Caches, Link
 from mulleinrelay.net.client import Client
@@ -395,6 +396,27 @@
         read.set()
 
 
+@pytest.mark.parametrize("how", ["forget", "close"])
+def test_nothing_is_sent_for_a_client_that_left_while_its_request_waited_for_its_turn(how):
+    # Its request has been read; then its thread waits, for the module here, or for the core.
+    with Running() as director:
+        caller, other = director.caller(), director.caller()
+        other.send()
+        assert other.answer()[:2] == (1, 0)  # the link is up
+        with director.service.facade.lock:
+            caller.send()
+            assert wait_for(lambda: any(client.open for client in director.service.front.clients))
+            if how == "forget":
+                caller.socket.sendall(forget(1))
+            else:
+                caller.close()
+            time.sleep(2.0 * client_module.AT_ONCE)
+        assert wait_for(lambda: not director.service.facade.open_lookups())
+        other.send(entity="00000000000000cd")
+        assert other.answer()[:2] == (2, 0)
+        assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["ab", "cd"]
+
+
 def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_leg(monkeypatch):
     left = threading.Event()
     go = held_back(monkeypatch, Front, "_call", lambda front, client, call: call.method == "forget")
