--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -31,7 +31,7 @@
         self.start, self.facade, self.log = start, facade, log
         self.address = start.bus
         self.last, self.gap_at = 0, 0
-        self.told: Sequence[Any] = ()  # events that came with a new address; applied by the stream's thread
+        self.lock = threading.Lock()  # guards the number of the last event, over its being applied
         self.connection: socket.socket | None = None
         self.pace = Reconnects(Random(start.seed))
         self.look_again: Callable[[], tuple[str, int] | None] = lambda: None  # where the stream is by now
@@ -48,8 +48,10 @@
 
     def move(self, address: tuple[str, int], told: Sequence[Any] = ()) -> None:
         """The stream is read on elsewhere, from the last event applied, or the last of those `told` with the
-        address: the stream may have been silent for a while."""
-        self.address, self.told = address, told
+        address. They are applied here and now: the stream may have been silent for a while, and its thread be
+        held up by an address that doesn't answer."""
+        self.address = address
+        self._catch_up(told)
         self._wake()
 
     def await_word(self) -> None:
@@ -107,10 +109,9 @@
         else:
             self.facade.listed(event.entries, event.whole)
 
-    def _catch_up(self) -> None:
+    def _catch_up(self, told: Sequence[Any]) -> None:
         """Events that came with a new address, as far as they follow on what is known; the stream tells the
         rest."""
-        told, self.told = self.told, ()
         try:
             self._in_order([(None, held) for held in told if sse.number_of(held, None) is not None])
         except GapError:
@@ -123,7 +124,6 @@
             self.moved.clear()
             if self.stopped.is_set():
                 return
-            self._catch_up()
             address, before, why, refused = self.address, self.last, "closed", False
             try:
                 self._follow(*address)
@@ -186,10 +186,11 @@
 
     def _in_order(self, events: list[tuple[int | None, Any]]) -> None:
         """Events that came together, by number (None: as the event says)."""
-        for place, (number, held) in enumerate(events):
-            try:
-                self.apply(number, held)
-            except GapError:
-                for _, behind in events[place:]:
-                    self._heed(behind)
-                raise
+        with self.lock:
+            for place, (number, held) in enumerate(events):
+                try:
+                    self.apply(number, held)
+                except GapError:
+                    for _, behind in events[place:]:
+                        self._heed(behind)
+                    raise
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -307,12 +307,11 @@
 
     def give_up(self, lookup: Lookup) -> None:
         """The final answer, at once; a pushback tells the client when to come back."""
-        case, terms = lookup.use_case, self.terms
-        known = case.repeat == RECEIPTED and case.group == "all"
-        if case.repeat == PURE or known or not may_have_run(lookup):
+        doubtful, terms = may_have_run(lookup), self.terms
+        advice = storm.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
+        if not doubtful or lookup.use_case.repeat == PURE or self.known(lookup, doubtful, self.now + advice):
             self.storm.pushed_back()
-            advice = storm.come_back(self.random.random(), terms.advice_most)
-            self.out.push_back(lookup, advice if terms.may_advise else 0.0)
+            self.out.push_back(lookup, advice)
         else:
             self.out.break_off(lookup)
         self.end(lookup)
@@ -347,8 +346,13 @@
         case, doubtful = lookup.use_case, [held for held in may_have_run(lookup) if held is not leg]
         if self.now >= lookup.until - GUARD or not doubtful or case.repeat == PURE:
             return self.now < lookup.until - GUARD
-        known = case.repeat == RECEIPTED and case.group == "all"
-        return known and self.now < doubtful[0].sent + case.memory_span - WINDOW_MARGIN
+        return self.known(lookup, doubtful, self.now)
+
+    def known(self, lookup: Lookup, doubtful: list[Leg], at: float) -> bool:
+        """Whether a repeat at that moment, ours or the client's, finds its receipt remembered everywhere."""
+        case = lookup.use_case
+        forgotten = doubtful[0].sent + case.memory_span - WINDOW_MARGIN
+        return case.repeat == RECEIPTED and case.group == "all" and at < forgotten
 
     # Which cache
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -826,14 +826,18 @@
 
 
 def test_a_move_while_the_old_address_is_being_connected_to_is_followed(monkeypatch):
-    new = StandBus([OK, event(2, BAN), None])
+    new = StandBus([OK, event(3, BAN), None])
     host, port = new.address.split(":")
     moved = (host, int(port))
     up = held_back(monkeypatch, socket, "create_connection", lambda address, **_: address != moved)
     with Running() as director:
-        director.service.bus.move(moved)
+        drain = rows(director, "DRAINING", "s-01") | {"offset": 2}
+        director.service.renew(replace(director.service.start_settings, bus=moved, events=[drain]))
+        # Though the stream's thread waits: a grace may run from now on.
+        assert director.service.facade.entries["s-01"].state == State.DRAINING
         up.set()
-        assert wait_for(lambda: director.service.bus.last == 2)
+        assert wait_for(lambda: director.service.bus.last == 3)
+    assert new.asked == [2]
     new.close()
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -29,6 +29,18 @@
     assert len(lookup.legs) == 1 and lookup.ended
 
 
+@pytest.mark.parametrize("outcome, after, final", [
+    (Outcome.ERROR, 4000, "push_back"),  # the client comes again while the receipt is remembered
+    (Outcome.ERROR, 4900, "break_off"),  # told to come back behind its end
+    (Outcome.ERROR, 5500, "break_off"),
+    (Outcome.MISS, 5500, "push_back"),  # never ran
+])
+def test_a_receipted_lookup_is_called_harmless_to_repeat_while_its_receipt_lasts(outcome, after, final):
+    fleet = Fleet(RECEIPTED, legs_most=1, advice_most=200.0)
+    fleet.answer(fleet.look_up().legs[0], outcome, Note.NONE, after=after)
+    assert [name for name, _ in fleet.out.actions if name in ("push_back", "break_off")] == [final]
+
+
 def test_one_final_answer_before_the_client_stops_waiting():
     fleet = Fleet()
     lookup = fleet.look_up(left=900.0)
