--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -69,21 +69,21 @@
 at = 30
 for = 5
 """
-RULES = ("rules_broken", "lookups_lost", "answers_twice", "orders_run_twice", "fell")
+RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
 SPAN = 1.5  # s: the window of the limit on cold caches
 TOLD = 1.6  # s after its return by which all directors have been told of a cache
 
 
 def cold_use(scenario: Scenario, audit: Audit) -> dict[str, float]:
     """Of what all may send cold caches, the part that they did; and the most in any window over what those
-    can do then. A cache's limit is its capacity as far as it is warm; lookups count, as with directors."""
+    can do then. A cache's limit is its capacity as far as it is warm; requests count, as with directors."""
     back = next(held[0] for held in audit.faults if held[1] == "cold" and not held[3])
     names = next(held[5] for held in audit.faults if held[1] == "cold")
     begins, ends = back + TOLD + 4.0, back + scenario.cold_ms / 1000.0 - 1.0
     sent: dict[str, list[float]] = defaultdict(list)
-    for leg in audit.heard.legs:
-        if leg[2] in names and back + TOLD < leg[0] < back + scenario.cold_ms / 1000.0:
-            sent[leg[2]].append(leg[0])
+    for attempt in audit.heard.attempts:
+        if attempt[2] in names and back + TOLD < attempt[0] < back + scenario.cold_ms / 1000.0:
+            sent[attempt[2]].append(attempt[0])
 
     def able(name: str, at: float) -> float:
         warmth = scenario.cold_from + (1.0 - scenario.cold_from) * 1000.0 * (at - back) / scenario.cold_ms
@@ -144,7 +144,7 @@
         looks = [look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "satisfied"]
         cpu, rss = zip(*[(held[1], held[2]) for held in audit.heard.others["use"]], strict=True)
         found |= {"credit": figures["credit"], "pushed_back": figures["outcomes"].get("pushed back", 0),
-                  "lookup_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
+                  "request_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
                   "cpu_s": round(sum(cpu), 2), "rss_mb": round(max(rss), 1)}
         if talk:
             found |= found_dead(audit, folder)
@@ -202,7 +202,7 @@
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--directors", type=click.IntRange(10, 400), default=60, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=500.0, help="Lookups a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=500.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--fuzzed", type=click.IntRange(0, 10**7), default=10**6, show_default=True, help="Datagrams.")
 @click.option("--sizes/--no-sizes", default=True, help="Fleets of 500 and 2,000 in simulated time.")
@@ -212,10 +212,10 @@
     shared, static = (play(directors, rate, seed, talk) for talk in (True, False))
     told: dict[str, Any] = {"directors": directors} | shared
     told |= {f"{key}_static": static[key] for key in ("use_ratio", "overshoot_max", "credit", "pushed_back",
-                                                      "lookup_p99_ms", "cpu_s", "rss_mb", *RULES)}
+                                                      "request_p99_ms", "cpu_s", "rss_mb", *RULES)}
     told |= {"use_ratio_vs_static": round(shared["use_ratio"] / static["use_ratio"], 3),
              "credit_ratio_vs_static": round(shared["credit"] / static["credit"], 4),
-             "lookup_p99_ratio": round(shared["lookup_p99_ms"] / static["lookup_p99_ms"], 3),
+             "request_p99_ratio": round(shared["request_p99_ms"] / static["request_p99_ms"], 3),
              "cpu_ratio": round(shared["cpu_s"] / static["cpu_s"], 3),
              "false_dead_per_hour": round(shared["false_dead"] * 3600.0 / 44.0, 1)}
     told["bad_datagrams_accepted"], told["datagrams_fuzzed"] = fuzz(fuzzed, seed), fuzzed
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -25,7 +25,7 @@
 from .versions import ROOT, unpack
 
 BEFORE = "b88d23d"  # the version without cells
-TURNS, LOOKUPS = 60, 100
+TURNS, REQUESTS = 60, 100
 
 FLOOD = """
 [lab]
@@ -142,7 +142,7 @@
 
 
 class Driven:
-    """One version, or one way, of a director as a process that plays lookups when it is told to."""
+    """One version, or one way, of a director as a process that plays requests when it is told to."""
 
     def __init__(self, folder: str, cells: str = "") -> None:
         script = os.path.join(ROOT, "benchmarks", "drive.py")
@@ -150,8 +150,8 @@
             [sys.executable, script, folder, cells], text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
 
-    def play(self, lookups: int) -> float:
-        self.process.stdin.write(f"{lookups}\n")
+    def play(self, requests: int) -> float:
+        self.process.stdin.write(f"{requests}\n")
         self.process.stdin.flush()
         return float(self.process.stdout.readline())
 
@@ -162,15 +162,15 @@
 
 
 def paired(one: tuple[str, str], other: tuple[str, str]) -> tuple[float, float]:
-    """CPU a lookup of the first over the second, and the first's in microseconds: two processes that play in
-    turn, a few lookups at a time, so that what slows this machine slows both. The median over the turns."""
+    """CPU a request of the first over the second, and the first's in microseconds: two processes that play in
+    turn, a few requests at a time, so that what slows this machine slows both. The median over the turns."""
     both = [Driven(*one), Driven(*other)]
     for driven in both:
         driven.play(500)
-    found = [[driven.play(LOOKUPS) for driven in both] for _ in range(TURNS)]
+    found = [[driven.play(REQUESTS) for driven in both] for _ in range(TURNS)]
     for driven in both:
         driven.end()
-    return statistics.median(a / b for a, b in found), statistics.median(1e6 * a / LOOKUPS for a, _ in found)
+    return statistics.median(a / b for a, b in found), statistics.median(1e6 * a / REQUESTS for a, _ in found)
 
 
 def before(folder: str) -> str | None:
@@ -209,7 +209,7 @@
         "off_cpu_ratio": round(off[0], 4) if off else None,
         "on_cpu_ratio": round(on[0], 4),
         "pushback_cost_ratio": round(closed[0], 4),
-        "on_us_a_lookup": round(on[1], 1),
+        "on_us_a_request": round(on[1], 1),
         "pushback_us": round(closed[1], 1),
     }
 
@@ -243,7 +243,7 @@
         say("100,000 tenants over 100 cells")
         found |= assignment()
     if only in (None, "costs"):
-        say("CPU a lookup, in pairs")
+        say("CPU a request, in pairs")
         with tempfile.TemporaryDirectory() as folder:
             found |= costs(folder)
     if only in (None, "flood"):
@@ -279,7 +279,7 @@
         found |= {
             "orders_run_twice": sum(run["orders_run_twice"] for run in runs),
             "orders_run": sum(run["orders_run"] for run in runs),
-            "lookups_lost": sum(run["total"]["no_answer"] + run["total"]["cut_off"] for run in runs),
+            "requests_lost": sum(run["total"]["no_answer"] + run["total"]["cut_off"] for run in runs),
             "answers_twice": sum(run["total"]["answers_twice"] for run in runs),
             "no_answer_and_cut_off_by_run": [
                 [run["total"]["no_answer"], run["total"]["cut_off"]] for run in runs
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,6 +1,6 @@
-"""Drives the front and the module of one director in this process, without nodes: CPU of a lookup. Run as a
+"""Drives the front and the module of one director in this process, without nodes: CPU of a request. Run as a
 script with a folder that holds some version of the package, so that versions can be set side by side: it
-plays as many lookups as each line of its input says, and answers with the CPU they took."""
+plays as many requests as each line of its input says, and answers with the CPU they took."""
 
 import itertools
 import json
@@ -105,7 +105,7 @@
 
 
 def drive(cells: str) -> Callable[[int], float]:
-    """Gives what plays so many lookups and tells the CPU they took."""
+    """Gives what plays so many requests and tells the CPU they took."""
     from mulleinrelay.configuration import decode
     from mulleinrelay.interface import Note, Outcome
     from mulleinrelay.net import front, resp, service
@@ -129,13 +129,13 @@
         made.warden._step()
 
     class Nodes:
-        """Answers each leg at once, as a cache that holds the object."""
+        """Answers each attempt at once, as a cache that holds the object."""
 
         def send(self, order, asked):
             resp.pull(asked, order, 1000.0)
-            made.facade.report(order.leg, Outcome.SATISFIED, Note.HIT, answer=held)
+            made.facade.report(order.attempt, Outcome.SATISFIED, Note.HIT, answer=held)
 
-        def give_up(self, leg):
+        def give_up(self, attempt):
             """Never called off here."""
 
     held = type("Told", (), {"kept": False, "body": bytes(400)})()
@@ -146,9 +146,9 @@
     theirs.setblocking(False)
     numbers = itertools.count(1)
 
-    def chunk(lookups: int) -> float:
+    def chunk(requests: int) -> float:
         """Seconds of this thread's CPU; the other end is read between chunks, which fit into its buffer."""
-        frames = [frame(next(numbers)) for _ in range(lookups)]
+        frames = [frame(next(numbers)) for _ in range(requests)]
         begun = time.thread_time()
         for each in frames:
             made.front._call(client, each)
@@ -167,5 +167,5 @@
 if __name__ == "__main__":
     sys.path.insert(0, sys.argv[1])
     run = drive(sys.argv[2] if len(sys.argv) > 2 else "")
-    for line in sys.stdin:  # a number of lookups a line
+    for line in sys.stdin:  # a number of requests a line
         print(run(int(line)), flush=True)
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -4,7 +4,7 @@
 in the model, and the judgement of good caches drawn from its pure rule. A figure tells of directors before
 our stand-ins alone.
 
-The bound on what could be won during a kill is what the same clients would get if each lookup that reaches a
+The bound on what could be won during a kill is what the same clients would get if each request that reaches a
 living director within its goal were satisfied: the directors that they try, the pause after a refused try and
 the front's notice are theirs and not a director's to change.
 """
@@ -82,8 +82,8 @@
 """),
 }
 KILL_FROM, KILL_TO = 10.0, 24.5  # s: from the first kill to 5 s after the last return
-RULES = ("rules_broken", "lookups_lost", "answers_twice", "orders_run_twice", "fell")
-MEETINGS, ASKED = 6, 3  # first legs at the bad cache, lookups in the cut, for a director to be able to tell
+RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
+MEETINGS, ASKED = 6, 3  # first attempts at the bad cache, requests in the cut, until a director can tell
 TAKES_MS = 150.0  # a hit and its ways: a try that begins later misses the goal
 GOOD_ERRS, GOOD_HOURS = 0.001, 2.0  # errors of a good cache; hours that are drawn
 
@@ -93,7 +93,7 @@
 
 
 def bound(scenario: Scenario, heard: Heard) -> float:
-    """Of the credit of lookups asked during the kill, what one could win who satisfies all that reach a
+    """Of the credit of requests asked during the kill, what one could win who satisfies all that reach a
     living director in time."""
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, what, begins, directors, *_ in heard.others["fault"]:
@@ -158,8 +158,8 @@
 
 
 def unreached(scenario: Scenario, audit: Audit) -> dict[str, Any]:
-    """Which directors of the location judged the cut as a cut, by what they did: they sent first legs of
-    lookups straight to a parent while it lasted; and which of them came back at which second."""
+    """Which directors of the location judged the cut as a cut, by what they did: they sent first attempts of
+    requests straight to a parent while it lasted; and which of them came back at which second."""
     first, last = (held[0] for held in audit.faults if held[1] == "unreached")
     cut = set(next(held[4] for held in audit.faults if held[1] == "unreached"))
     asked: dict[int, int] = defaultdict(int)
@@ -167,12 +167,12 @@
         if first < look[0] < last - 2.0 and look[5] == "pages":
             asked[look[4]] += 1
     passed, back = set(), {}
-    for leg in audit.heard.legs:
-        if leg[1] in cut and leg[3] == "pages":
-            if first < leg[0] < last and audit.sites[leg[2]].kind == PARENT:
-                passed.add(leg[1])
-            elif leg[0] > last and leg[2] in audit.boxes:
-                back.setdefault(leg[1], leg[0] - last)
+    for attempt in audit.heard.attempts:
+        if attempt[1] in cut and attempt[3] == "pages":
+            if first < attempt[0] < last and audit.sites[attempt[2]].kind == PARENT:
+                passed.add(attempt[1])
+            elif attempt[0] > last and attempt[2] in audit.boxes:
+                back.setdefault(attempt[1], attempt[0] - last)
     able = [one for one in cut if asked[one] >= ASKED]
     goal = scenario.goal_ms
     return {"zone_cut_judged_as_cut": round(sum(one in passed for one in able) / max(1, len(able)), 4),
@@ -189,9 +189,9 @@
     last = next(held[0] for held in audit.faults if held[1] == "bad" and not held[3])
     names = {name.rpartition("-")[2].lstrip("0"): name for name in fault[5]}
     met: dict[tuple[int, str], int] = defaultdict(int)
-    for leg in audit.heard.legs:
-        if first <= leg[0] < last and leg[2] in fault[5]:
-            met[leg[1], leg[2]] += 1
+    for attempt in audit.heard.attempts:
+        if first <= attempt[0] < last and attempt[2] in fault[5]:
+            met[attempt[1], attempt[2]] += 1
     found, returned = {}, {}
     for at, director, text in told:
         key, _, word = text.partition(" ")
@@ -259,7 +259,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--version", help="An earlier version of our own, played in turn.")
 @click.option("--directors", type=click.IntRange(10, 400), default=200, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=600.0, help="Lookups a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=600.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--scenario", "names", multiple=True, type=click.Choice(list(LOST)), help="These alone.")
 @click.option("--sweep/--no-sweep", "with_sweep", default=True, help="Storms in the model.")
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -75,7 +75,7 @@
 
 
 def drains(count: int = 50, directors: int = 3) -> dict:
-    """From a Set's arrival at a director to the last leg or fill source that this director named the box
+    """From a Set's arrival at a director to the last attempt or fill source that this director named the box
     for."""
     lab, took, lost = (
         Lab(read_scenario(SCENARIO.format(seconds=max(8, count // 2 + 3), directors=directors))),
@@ -109,7 +109,7 @@
         "drain_ms_max": round(max(took), 1),
         "drain_ms_median": round(statistics.median(took), 1),
         "drains": len(took),
-        "drain_lookups_lost": lost[0],
+        "drain_requests_lost": lost[0],
     }
 
 
@@ -248,7 +248,7 @@
 
 
 def flood(streams: int) -> tuple[float, int]:
-    """p99 of lookups, with so many streams and a flood of Gets."""
+    """p99 of requests, with so many streams and a flood of Gets."""
     lab, ended = Lab(read_scenario(SCENARIO.format(seconds=8, directors=1))), threading.Event()
 
     def work(held: Lab) -> None:
@@ -307,8 +307,8 @@
     found |= size()
     calm, flooded = flood(0)[0], flood(20)[0]
     found |= {
-        "lookup_p99_ratio": round(flooded / calm, 3),
-        "lookup_p99_ms": [round(calm, 1), round(flooded, 1)],
+        "request_p99_ratio": round(flooded / calm, 3),
+        "request_p99_ms": [round(calm, 1), round(flooded, 1)],
     }
     found |= {"rss_mb": {"off": rss(False), "on": rss(True)}}
     if as_json:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -88,14 +88,14 @@
         "calm": round(credit(heard, scenario.goal_ms, CALM_FROM, BEGINS), 3),
         "during": round(credit(heard, scenario.goal_ms, BEGINS, end), 3),
         "back_s": back_after(heard, scenario.goal_ms, end),
-        "legs_by_lookup": round(len(heard.legs) / max(1, len(heard.looks)), 2),
+        "attempts_by_request": round(len(heard.attempts) / max(1, len(heard.looks)), 2),
     }
 
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--directors", type=click.IntRange(2, 2000), default=40, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=230.0, help="Lookups a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=230.0, help="Requests a second.")
 @click.option("--length", "lengths", multiple=True, type=click.IntRange(1, 60), default=(2, 8, 20),
               show_default=True, help="s of trouble; may be given again.")
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2), show_default=True)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -22,9 +22,9 @@
 
 from .versions import ROOT, unpack
 
-RULES = ("rules_broken", "lookups_lost", "answers_twice", "orders_run_twice", "answers_late")
+RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "answers_late")
 FEW, MANY = 30, 300  # directors, for what grows with their number
-COMPARED = ("credit", "imbalance_p99", "legs_by_lookup", "hit_share")
+COMPARED = ("credit", "imbalance_p99", "attempts_by_request", "hit_share")
 
 HEAD = """
 [fleet lab]
@@ -184,7 +184,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--version", help="An earlier version of our own, played in turn.")
 @click.option("--directors", type=click.IntRange(2, 400), default=200, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=800.0, help="Lookups a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=800.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--scenario", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone.")
 @click.option("--growth/--no-growth", "with_growth", default=True, help="30 directors against 300.")
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -1,5 +1,5 @@
-"""Two ways to confine lookups, set side by side in the module alone: one director instance a cell, or one
-with a pool for each lookup. `python -m benchmarks.ways`; no sockets, simulated fills, under a minute."""
+"""Two ways to confine requests, set side by side in the module alone: one director instance a cell, or one
+with a pool for each request. `python -m benchmarks.ways`; no sockets, simulated fills, under a minute."""
 
 import json
 import random
@@ -7,22 +7,22 @@
 import tracemalloc
 from collections import deque
 
-from mulleinrelay.interface import PURE, ColdRule, Lookup, Note, Outcome, Pool, Purse, State, Terms, UseCase
+from mulleinrelay.interface import PURE, ColdRule, Request, Note, Outcome, Pool, Purse, State, Terms, UseCase
 from mulleinrelay.policy import Director, Member
 
-CELLS, CACHES, PARENTS, LOOKUPS, OBJECTS = 10, 40, 4, 4_000, 3_000
-SPAN = 10_000.0  # ms that the lookups take
+CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
+SPAN = 10_000.0  # ms that the requests take
 CACHE, PARENT, ORIGIN = 0, 1, 2
 
 
 class Out:
-    """Answers each leg in the next round: a hit where the cache has the object, else a fill."""
+    """Answers each attempt in the next round: a hit where the cache has the object, else a fill."""
 
     def __init__(self) -> None:
-        self.legs = []
+        self.attempts = []
 
-    def send(self, leg, *_):
-        self.legs.append(leg)
+    def send(self, attempt, *_):
+        self.attempts.append(attempt)
 
     def __getattr__(self, name):
         return lambda *_: None
@@ -87,10 +87,10 @@
     confined = [Pool(dict.fromkeys(own), {}, {}, Purse(8.0)) for own in pools]
     cold = {id(one): next(member for member in one.members if member.key == 10) for one in directors}
     readings, to_cold, peak, begun = 0, deque(), 0.0, time.process_time()
-    for number in range(LOOKUPS):
-        now, cell = SPAN * number / LOOKUPS, number % CELLS
+    for number in range(REQUESTS):
+        now, cell = SPAN * number / REQUESTS, number % CELLS
         one = directors[cell]
-        lookup = Lookup(
+        request = Request(
             number,
             one.terms.use_cases[0],
             chance.randrange(OBJECTS),
@@ -101,12 +101,12 @@
             now + 3_000.0,
             pool=None if split else confined[cell],
         )
-        one.round(now, [("looked_up", (lookup,))], out)
-        for leg in out.legs:
-            hit = (leg.node.key, lookup.key) in held
-            held.add((leg.node.key, lookup.key))
-            readings += not hit and leg.source is not None and leg.source.kind == PARENT
-            if not hit and leg.source is cold[id(one)]:
+        one.round(now, [("requested", (request,))], out)
+        for attempt in out.attempts:
+            hit = (attempt.node.key, request.key) in held
+            held.add((attempt.node.key, request.key))
+            readings += not hit and attempt.source is not None and attempt.source.kind == PARENT
+            if not hit and attempt.source is cold[id(one)]:
                 to_cold.append(now)
                 while to_cold[0] < now - 1_500.0:
                     to_cold.popleft()
@@ -115,17 +115,17 @@
             note = Note.HIT if hit else Note.FILLED
             one.round(
                 now + 5.0,
-                [("answered", (leg, Outcome.SATISFIED, 5.0 if hit else 40.0, True, note, 30.0, None))],
+                [("answered", (attempt, Outcome.SATISFIED, 5.0 if hit else 40.0, True, note, 30.0, None))],
                 out,
             )
-        out.legs.clear()
+        out.attempts.clear()
     if traced:
         memory = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         return {"memory_kb": round(memory / 1024)}
     used = time.process_time() - begun
     return {
-        "cpu_us_a_lookup": round(1e6 * used / LOOKUPS),
+        "cpu_us_a_request": round(1e6 * used / REQUESTS),
         "readings_of_a_parent_a_second_and_instance": round(
             1000.0 * readings / SPAN / PARENTS / (CELLS if split else 1), 2
         ),
--- a/mulleinrelay/budgets/exchange.py
+++ b/mulleinrelay/budgets/exchange.py
@@ -16,10 +16,10 @@
 STEP = 100.0  # between two looks at what is wanted
 ASKS = 3  # others that are asked in one step, for one limit
 LEASES_MOST = 64  # borrowed at one time, for one limit
-AHEAD = 1.25  # times what was wanted that is held, so that nothing has to be fetched on a lookup's path
-REFUSED = 2.0  # and where lookups found no room
+AHEAD = 1.25  # times what was wanted that is held, so that nothing has to be fetched on a request's path
+REFUSED = 2.0  # and where requests found no room
 RENEW_AT = 0.5  # of a lease
-FORGETS = 400.0  # halving of what was wanted: rights don't swing with each lookup
+FORGETS = 400.0  # halving of what was wanted: rights don't swing with each request
 QUARTERS = 4  # of a span, in which its use is remembered
 LEAST = 0.05  # of an owner's grains: less is not worth a datagram
 BY_ONE_MOST = 3  # leases of one lender at a time: what it could spare first may have been little
@@ -57,7 +57,7 @@
     def __init__(self, now: float, random: Random, life: int, offset: float = 0.0,
                  guard: AbstractContextManager | None = None) -> None:
         """`offset`: of the decision module's time over this one. `guard`: held while rights change, so that
-        none are lent that a lookup is just being decided by."""
+        none are lent that a request is just being decided by."""
         self.random, self.life, self.due = random, life, now
         self.offset, self.guard = offset, guard or nullcontext()
         self.limits: dict[str, Limit] = {}
--- a/mulleinrelay/cells/changes.py
+++ b/mulleinrelay/cells/changes.py
@@ -187,7 +187,7 @@
     """Why a tenant stands where it does."""
     if tenant not in charter.tenants:
         raise RefusalError(
-            f"there is no tenant {tenant}; its lookups are "
+            f"there is no tenant {tenant}; its requests are "
             + (f"{charter.default_tenant}'s" if charter.unknown != "push_back" else "pushed back")
         )
     held, home, move = charter.tenants[tenant], homes(charter).get(tenant, ""), moving(charter, tenant)
--- a/mulleinrelay/cells/charter.py
+++ b/mulleinrelay/cells/charter.py
@@ -1,6 +1,6 @@
 """What an assignment file says, as plain data. No decision stands here.
 
-Times are Unix milliseconds, spans milliseconds, rates lookups a second. Names are compared as written.
+Times are Unix milliseconds, spans milliseconds, rates requests a second. Names are compared as written.
 """
 
 from dataclasses import dataclass, field
@@ -14,10 +14,10 @@
 class Limits:
     """Bounds at each director; 0 stands for no bound of its own."""
 
-    rate: float = 0.0  # lookups a second
-    burst: float = 0.0  # lookups that may come at once beyond the rate; 0: what the rate brings in 100 ms
-    open_most: float = 0.0  # lookups open at one time
-    body_kb: float = 0.0  # KB of bodies that open lookups brought
+    rate: float = 0.0  # requests a second
+    burst: float = 0.0  # requests that may come at once beyond the rate; 0: what the rate brings in 100 ms
+    open_most: float = 0.0  # requests open at one time
+    body_kb: float = 0.0  # KB of bodies that open requests brought
     retries: float = 0.2  # clients' retries for each first try
     connections: int = 0  # of the tenant's address ranges
 
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -187,7 +187,7 @@
                                help=text)(command)
     for name, default, text in reversed(
         (
-            ("--rate", None, "Lookups a second of the tenants, at the peak."),
+            ("--rate", None, "Requests a second of the tenants, at the peak."),
             ("--capacity", None, "What the receiving caches can do, in hits a second."),
             ("--load", 0.0, "What they do already."),
             ("--fill-cost", 4.0, "What a fill costs beside a hit."),
--- a/mulleinrelay/cells/governor.py
+++ b/mulleinrelay/cells/governor.py
@@ -1,4 +1,4 @@
-"""All that cells decide at one director: whose lookup, which cell and pool, and whether there is room for it.
+"""All that cells decide at one director: whose request, which cell and pool, and whether there is room.
 
 Pure: time is passed in, nodes are opaque. The decision module still picks the node, of the pool given here.
 What is turned away here has cost no round of the module.
@@ -17,7 +17,7 @@
 from .reserve import Guests
 
 ACCOUNTS_MOST = 20_000
-BODY_SLOT = 16.0  # KB of a body that count as one more open lookup
+BODY_SLOT = 16.0  # KB of a body that count as one more open request
 WIDTH_LEAST = 4.0
 SEAT_KEPT = 30_000.0  # ms, less than shares remember a party
 LOST_WAIT = 1_000.0
@@ -28,14 +28,14 @@
 class Board:
     """What the director itself has."""
 
-    open_most: float  # lookups open
-    rate: float = 0.0  # lookups a second that it can bear; 0: not bounded here
+    open_most: float  # requests open
+    rate: float = 0.0  # requests a second that it can bear; 0: not bounded here
     come_back_most: float = 5_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Asking:
-    """What tells whose lookup it is and how it may be repeated."""
+    """What tells whose request it is and how it may be repeated."""
 
     told: str
     address: str
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, eq=False)
 class Grant:
-    """Room for one lookup, to be settled once."""
+    """Room for one request, to be settled once."""
 
     tenant: str
     cell: str
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, eq=False)
 class Prepared:
-    """A charter with what is reckoned from it alone, so that taking it over holds no lookup up."""
+    """A charter with what is reckoned from it alone, so that taking it over holds no request up."""
 
     charter: Charter
     naming: Naming
@@ -137,7 +137,7 @@
         self.courses: dict[str, releases.Course] = {}
         ready = prepare(charter)
         self.placement = Placement(charter, may_pass_by, ready.homes)
-        self.unknown = Account(charter.limits)  # whose lookups name no tenant of ours
+        self.unknown = Account(charter.limits)  # whose requests name no tenant of ours
         self.stages: dict[str, moves.Stage] = {}
         self.step_due = 0.0
         self._take_over(now, ready)
@@ -211,7 +211,7 @@
                 self.placement.reshuffle(releases.shuffles(self.courses))
         return words
 
-    # One lookup
+    # One request
 
     def welcome(self, address: str, held: int) -> bool:
         """Whether one more connection from an address may come, where its tenant holds so many."""
@@ -289,7 +289,7 @@
         return Grant(tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests)
 
     def settle(self, now: float, grant: Grant, good: bool, owed: bool, delay: float) -> str:
-        """The lookup is over; `good`: satisfied, `owed`: its client still waited, `delay`: ms, its sending
+        """The request is over; `good`: satisfied, `owed`: its client still waited, `delay`: ms, its sending
         time aside. Gives a word where the cell's width has shrunk."""
         if grant.settled:
             return ""
@@ -308,7 +308,7 @@
                 for course in self.courses.values():
                     course.saw(now, grant.cell, good, delay)
         if good and room.width.saw(now, delay):
-            return f"cell {grant.cell} narrowed to {room.width.now_most:.0f} lookups open"
+            return f"cell {grant.cell} narrowed to {room.width.now_most:.0f} requests open"
         return ""
 
     def _lane(self, now: float, room: Room, lane: Lane, tenant: str, weight: float) -> Lane:
@@ -345,8 +345,8 @@
         return Denied(why, advice(wait, self.board.come_back_most), self._harmless(asking))
 
     def _harmless(self, asking: Asking) -> bool:
-        """Whether a client that is pushed back may come again: no leg of this lookup has gone out, but what
-        it repeats may have run."""
+        """Whether a client that is pushed back may come again: no attempt of this request has gone out, but
+        what it repeats may have run."""
         case = asking.use_case
         everywhere = case.repeat == RECEIPTED and case.group == "all"
         return not asking.repeated or case.repeat == PURE or everywhere
--- a/mulleinrelay/cells/limits.py
+++ b/mulleinrelay/cells/limits.py
@@ -1,4 +1,4 @@
-"""What a tenant or a cell may take of one director: rates, lookups open, retries, bodies, and fair shares.
+"""What a tenant or a cell may take of one director: rates, requests open, retries, bodies, and fair shares.
 
 Pure; time (ms) is passed in. Each part says yes or no at once and, where no, in how many milliseconds it may
 say yes. Nothing here queues: what is over is turned away.
@@ -17,7 +17,7 @@
     __slots__ = ("apart", "ahead", "whole_at")
 
     def __init__(self, rate: float, burst: float) -> None:
-        """`rate` a second; `burst` lookups beyond it at once, one at the least. Rate 0: no bound."""
+        """`rate` a second; `burst` requests beyond it at once, one at the least. Rate 0: no bound."""
         self.apart = 1000.0 / rate if rate > 0.0 else 0.0
         self.ahead = self.apart * (max(1.0, burst or rate / 10.0) - 1.0)
         self.whole_at = 0.0
@@ -51,7 +51,7 @@
 
 
 class Width:
-    """How many lookups a cell may have open: grows while it is used and delays stay near their usual, shrinks
+    """How many requests a cell may have open: grows while it is used and delays stay near their usual, falls
     by a tenth once a window while they don't. What is usual is the low end of recent windows, which forgets
     slowly, so that a cell that got slower for good is let up again."""
 
@@ -69,7 +69,7 @@
         self.peak = max(self.peak, open_now)
 
     def saw(self, now: float, delay: float) -> bool:
-        """A lookup was satisfied after `delay` (ms over its own sending time, 1 at the least). Gives whether
+        """A request was satisfied after `delay` (ms over its own sending time, 1 at the least). Gives whether
         the width has shrunk."""
         if now >= self.ends + self.WINDOW:  # a first word, or after a pause: what was before tells nothing
             self._open(now)
@@ -116,11 +116,11 @@
 
 
 class Shares:
-    """Weighted fair shares of a number of open lookups, for all that ask for some.
+    """Weighted fair shares of a number of open requests, for all that ask for some.
 
     Each party is sure of its part by weight among those that are active. What they don't use is lent; a
     lender that comes back gets in at once, up to its part, over the bound by HEAD_ROOM at most, and until the
-    borrowers have gone down nothing more is lent. Lookups are short, so what is lent is back within their
+    borrowers have gone down nothing more is lent. Requests are short, so what is lent is back within their
     time.
     """
 
@@ -143,7 +143,7 @@
         return share
 
     def part(self, share: Share) -> float:
-        """What the party is sure of; one lookup at the least."""
+        """What the party is sure of; one request at the least."""
         return max(1.0, self.width * share.weight / max(self.weights, share.weight))
 
     def may(self, share: Share, now: float, amount: float = 1.0) -> bool:
@@ -229,7 +229,7 @@
         return self.rate * lane.weight / max(self.weights, lane.weight)
 
     def wait(self, lane: Lane, now: float) -> float:
-        """0: a lookup may come; else ms until then."""
+        """0: a request may come; else ms until then."""
         if not self.rate:
             return 0.0
         if now >= lane.asked + self.ACTIVE or now >= self.reckoned_at + self.RECKONED_FOR:
--- a/mulleinrelay/cells/moves.py
+++ b/mulleinrelay/cells/moves.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """What the receiving caches see of a move: lookups a second, their present load and capacity together in
+    """What the receiving caches see of a move: requests a second, their present load and capacity together in
     the same unit, what a fill costs beside a hit (1), the share of hits once warm, and the objects asked
     for."""
 
@@ -131,7 +131,7 @@
 def loads(move: Move, demand: Demand) -> list[tuple[float, float, float]]:
     """(ms from the start, share over, load on the receiving caches over their capacity) along the course. An
     object is filled when it is first looked up in its new place, so those that came at once are filled as
-    fast as lookups find them; of what is there, the usual share is."""
+    fast as requests find them; of what is there, the usual share is."""
     span = move.warm_for + move.shift_for + 1_000.0
     step = max(1.0, span / 2_000.0)
     found, lacking, before, at = [], 0.0, 0.0, 0.0
@@ -150,7 +150,7 @@
 
 def shift_time(demand: Demand) -> float | None:
     """The shortest shift (ms) that keeps the receiving caches under HEAD_ROOM; None: they can't bear the
-    tenants even when warm. At the end all lookups come and the last objects are new."""
+    tenants even when warm. At the end all requests come and the last objects are new."""
     room = HEAD_ROOM * demand.capacity - demand.load - demand.rate
     fills = room / max(demand.fill_cost - 1.0, 1e-9) - demand.rate * (1.0 - demand.hit_share)
     if fills <= 0.0:
--- a/mulleinrelay/cells/naming.py
+++ b/mulleinrelay/cells/naming.py
@@ -1,6 +1,6 @@
-"""Whose lookup it is: by the client's own word, else its address, else the object's group, else the default.
+"""Whose request it is: by the client's own word, else its address, else the object's group, else the default.
 
-Addresses and groups are looked up by bisection, so that a table of many thousand tenants costs a lookup
+Addresses and groups are looked up by bisection, so that a table of many thousand tenants costs a request
 little.
 """
 
@@ -77,7 +77,7 @@
         return known
 
     def tenant(self, told: str, address: str, group: int) -> str | None:
-        """The tenant of a lookup; None: it is to be pushed back. A told name that is in no table is unknown
+        """The tenant of a request; None: it is to be pushed back. A told name that is in no table is unknown
         whatever else would fit: a typing fault must not land on another's account."""
         tenants = self.charter.tenants
         if told:
--- a/mulleinrelay/cells/own.py
+++ b/mulleinrelay/cells/own.py
@@ -18,7 +18,7 @@
     read_every: float  # ms
     records: str  # folder; empty: none are kept
     open_most: int  # 0: by the memory
-    rate: float  # lookups a second that this director can bear; 0: not bounded
+    rate: float  # requests a second that this director can bear; 0: not bounded
     come_back_most: float  # ms
 
 
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,4 +1,4 @@
-"""Which cell a tenant's lookup is confined to now, and with which pool: homes, moves, lost cells and receipts
+"""Which cell a tenant's request is confined to now, with which pool: homes, moves, lost cells and receipts
 taken together. Pure; a director's caches are opaque nodes with a name and a warmth."""
 
 from collections.abc import Iterable
@@ -13,13 +13,13 @@
 from .receipts import Ledger, Way, way
 from .reserve import Standing
 
-PURSE_AT_FIRST = 2.0  # further legs of a tenant that has just come; its lookups earn more
+PURSE_AT_FIRST = 2.0  # further attempts of a tenant that has just come; its requests earn more
 POOLS_MOST = 20_000  # kept; beyond, all are made anew as they are wanted
 RECEIPTS_MOST = 20_000
 
 
 class Nowhere(Enum):
-    """Why a lookup goes to no cell."""
+    """Why a request goes to no cell."""
 
     LOST = "its cell is lost and no neighbour takes it in"
     UNPROVEN = "its first try may have run in another cell"
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Spot:
-    """Where a lookup goes: the cell that bears it, the pool, and whose guest it is there (empty: at home)."""
+    """Where a request goes: the cell that bears it, the pool, and whose guest it is (empty: at home)."""
 
     cell: str
     pool: Pool
@@ -120,7 +120,7 @@
         for name, standing in self.standings.items():
             standing.cell = charter.cells[name]
         self.pools: dict[tuple[str, str, str], Spot] = {}
-        # tenants at home in cells that stand: all their pure lookups go alike
+        # tenants at home in cells that stand: all their pure requests go alike
         self.steady: dict[str, Spot] = {}
 
     def _stand(self, now: float) -> list[str]:
@@ -165,7 +165,7 @@
         return found
 
     def note(self, now: float, tenant: str, receipt: str, use_case: UseCase, spot: Spot) -> None:
-        """The lookup is taken: its repeats go the same way."""
+        """The request is taken: its repeats go the same way."""
         if receipt and use_case.repeat == RECEIPTED:
             kept = use_case.memory_span + use_case.client_timeout + self.charter.horizon
             self.ledger.note(tenant, receipt, spot.cell, now, kept)
--- a/mulleinrelay/cells/receipts.py
+++ b/mulleinrelay/cells/receipts.py
@@ -1,8 +1,8 @@
-"""Where a receipted or effectful lookup goes while its tenant moves: with the group that drops its repeats as
+"""Where a receipted or effectful request goes while its tenant moves: to the group that drops its repeats as
 long as that remembers it, else nowhere.
 
 The ledger knows what this director has taken. Of a client's retry whose first try went to another director
-only the clock tells: where it may have gone to the other cell, the lookup is broken off rather than run
+only the clock tells: where it may have gone to the other cell, the request is broken off rather than run
 twice.
 """
 
--- a/mulleinrelay/cells/releases.py
+++ b/mulleinrelay/cells/releases.py
@@ -1,7 +1,7 @@
 """New limits by waves: one canary cell, then the others, halted and taken back where the cell suffers by
 them.
 
-Each director judges from its own lookups. A cell with the release is set against its own past, and that
+Each director judges from its own requests. A cell with the release is set against its own past, and that
 difference against the same difference of the cells without it: what strikes both is no fault of the release,
 and halts it without taking it back. So does a fall in the last wave, with no cell left to compare with: staff
 decide. """
@@ -11,7 +11,7 @@
 
 from .charter import Limits, Release
 
-SEEN_LEAST = 30.0  # lookups of a side before it tells anything
+SEEN_LEAST = 30.0  # requests of a side before it tells anything
 HALVING = 10_000.0
 SETTLES = 1_000.0  # ms after a wave's start that count for nothing
 GRACE = 2.0  # z of the difference of shares, so that chance takes nothing back
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """Lookups of one cell in one time: satisfied, all, and the delays of the satisfied (sum of ms)."""
+    """Requests of one cell in one time: satisfied, all, and the delays of the satisfied (sum of ms)."""
 
     good: float = 0.0
     total: float = 0.0
--- a/mulleinrelay/cells/warden.py
+++ b/mulleinrelay/cells/warden.py
@@ -8,7 +8,7 @@
 
 from ..configuration import Start
 from ..facade import Facade
-from ..interface import Asked, Lookup, UseCase
+from ..interface import Asked, Request, UseCase
 from ..log import Log
 from . import store
 from .changes import refusal
@@ -22,17 +22,17 @@
 
 
 class Warden:
-    """For the front: `enter` and `leave` for connections, `admit` and `settle` for lookups."""
+    """For the front: `enter` and `leave` for connections, `admit` and `settle` for requests."""
 
     def __init__(self, own: OwnFile, start: Start, facade: Facade, clock: Callable[[], float], log: Log,
-                 lookups_most: int) -> None:
+                 requests_most: int) -> None:
         """Raises CharterError where the assignment file can't be used: there is no older version yet."""
         self.own, self.facade, self.clock, self.log = own, facade, clock, log
         self.tenant_field, self.flow = own.tenant_field, start.terms.flow
         self.lock = threading.Lock()
         self.stamp = store.stamp(own.assignment)
         charter = store.load(own.assignment)
-        board = Board(min(own.open_most or lookups_most, lookups_most), own.rate, own.come_back_most)
+        board = Board(min(own.open_most or requests_most, requests_most), own.rate, own.come_back_most)
         self.governor = Governor(clock(), charter, board, start.terms.may_pass_by)
         self.connections: Counter[str] = Counter()
         self.caches: list[tuple[str, Any, float]] = []
@@ -73,11 +73,11 @@
         with self.lock:
             return self.governor.admit(self.clock(), asking)
 
-    def settle(self, grant: Grant, lookup: Lookup, good: bool, owed: bool) -> None:
+    def settle(self, grant: Grant, request: Request, good: bool, owed: bool) -> None:
         now = self.clock()
-        sending = lookup.size / self.flow if self.flow else 0.0
+        sending = request.size / self.flow if self.flow else 0.0
         with self.lock:
-            word = self.governor.settle(now, grant, good, owed, max(0.0, now - lookup.arrived - sending))
+            word = self.governor.settle(now, grant, good, owed, max(0.0, now - request.arrived - sending))
         if word:
             self._say([word])
 
--- a/mulleinrelay/configuration.py
+++ b/mulleinrelay/configuration.py
@@ -108,7 +108,7 @@
         directors_here=max(1, domain.each("countByZone", zone, *number)),
         parent_kind=domain.whole("midKind"), origin_kind=domain.whole("storeKind"),
         sized=boot.text("weights") != "none", flow=domain.number("oneFlowKbPerS") / 1000.0,
-        legs_most=allowed.whole("maxAttempts"), two_legs=allowed.flag("mayDuplicate"),
+        attempts_most=allowed.whole("maxAttempts"), two_attempts=allowed.flag("mayDuplicate"),
         may_cancel=allowed.flag("cancel"), may_probe=allowed.flag("mayProbe"),
         may_advise=allowed.flag("retryAfter"), advice_most=allowed.number("maxRetryAfter"),
         may_pass_by=domain.flag("mayPassBy"), joins=domain.flag("collapses"),
@@ -147,7 +147,7 @@
     kinds: dict[str, int]
     connect_timeout: float
     idle_for: float  # nodes close a connection that was idle so long
-    legs_a_connection: int
+    attempts_a_connection: int
     links_priced: bool = False  # a new connection to a node costs more than an open one
 
 
@@ -177,7 +177,7 @@
         zones={name: place for place, name in enumerate(settings.items("azs"))},
         kinds={name: place for place, name in enumerate(settings.items("shapes"))},
         connect_timeout=allowed.number("connectTimeout"), idle_for=allowed.number("connIdle"),
-        legs_a_connection=allowed.whole("maxStreams"),
+        attempts_a_connection=allowed.whole("maxStreams"),
         links_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0))
 
 
--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -1,10 +1,10 @@
 """The decision module for the network code: pick, report, tick.
 
 The only code that knows the module's calls and its Writer. One lock guards the module and the state of every
-lookup; nothing here touches a socket. A lookup has one life: it is taken, picked for until its verdict, and
+request; nothing here touches a socket. A request has one life: it is taken, picked for until its verdict, and
 whoever comes second (a late answer, the client's leaving, a timer) finds it ended. The thread whose call
-moved a lookup picks for it until there is nothing to do; only one thread does at a time, so that all that is
-done for a lookup is done in order and its verdict comes last.
+moved a request picks for it until there is nothing to do; only one thread does at a time, so that all that is
+done for a request is done in order and its verdict comes last.
 """
 
 import heapq
@@ -14,12 +14,13 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from .interface import NOWHERE, Leg, Listing, Lookup, Note, Order, Outcome, Place, Pool, State, Terms, UseCase
+from .interface import (NOWHERE, Attempt, Listing, Note, Order, Outcome, Place, Pool, Request, State, Terms,
+                        UseCase)
 from .log import Log
 from .policy import Director, Member
 from .spread.admission import Lateness
 
-ANSWER_SLACK = 8.0  # a lookup without a verdict so long after its client's time is broken off by the caller
+ANSWER_SLACK = 8.0  # a request without a verdict so long after its client's time is broken off by the caller
 
 
 class Intent(Protocol):
@@ -31,14 +32,14 @@
 
 @dataclass(slots=True, eq=False)
 class GiveUp:
-    """Call this leg off."""
+    """Call this attempt off."""
 
-    leg: Leg
+    attempt: Attempt
 
 
 @dataclass(slots=True, eq=False)
 class Satisfied:
-    answer: Any  # what the caller reported with the leg
+    answer: Any  # what the caller reported with the attempt
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +61,7 @@
 
 
 class Life:
-    """A lookup that is not over: what is to be done for it, and its verdict."""
+    """A request that is not over: what is to be done for it, and its verdict."""
 
     __slots__ = ("steps", "verdict", "holder")
 
@@ -79,97 +80,97 @@
         self.clock, self.terms, self.log_to = clock, terms, log
         self.lock = threading.Lock()
         self.early = threading.Condition(self.lock)  # rung when the next timer has moved forward
-        self.lives: dict[Lookup, Life] = {}
+        self.lives: dict[Request, Life] = {}
         self.nodes: dict[str, Member] = {}
         self.places: dict[Member, Place] = {}
         self.entries: dict[str, Listing] = {}  # as the list told them last, those that have gone left out
         self.intent: Intent | None = None  # what staff want over the list
-        self.timers: list[tuple[float, int, str, Lookup | Leg]] = []
+        self.timers: list[tuple[float, int, str, Request | Attempt]] = []
         self.timer_count, self.resting_until = 0, 0.0
         self.lateness = Lateness()
         self.probes: list[tuple[Member, Place]] = []
-        self.called_off: list[Leg] = []
+        self.called_off: list[Attempt] = []
         self.calls: list[tuple[str, tuple[Any, ...]]] = []
         self.director = Director(clock(), seed, terms)
 
-    # For the network code: lookups
+    # For the network code: requests
 
     def take(self, use_case: UseCase, key: int, part: int, group: int, size: float, left: float,
-             repeated: bool, ticket: Any = None, room: bool = True, pool: Pool | None = None) -> Lookup:
-        """A lookup has come; the caller now picks for it, and until then nobody else does. Where there is no
+             repeated: bool, ticket: Any = None, room: bool = True, pool: Pool | None = None) -> Request:
+        """A request has come; the caller now picks for it, and until then nobody else does. Where there is no
         room to see it through, the module ends it at once. With a pool it is confined to that."""
         now = self.clock()
         with self.lock:
-            lookup = Lookup(ticket, use_case, key, part, group, size, now, now + left, repeated,
+            request = Request(ticket, use_case, key, part, group, size, now, now + left, repeated,
                             pool=pool)
-            self.lives[lookup] = Life(threading.get_ident())
-            self._set_timer(left + ANSWER_SLACK, "overdue", lookup)
-            self._play("looked_up" if room else "woken", lookup)
-        return lookup
-
-    def pick(self, lookup: Lookup) -> Order | GiveUp | Verdict | None:
-        """What is to be done next for the lookup; a verdict comes last, and once. None where nothing is to be
-        done, or where another thread is at it, which picks what has come meanwhile."""
+            self.lives[request] = Life(threading.get_ident())
+            self._set_timer(left + ANSWER_SLACK, "overdue", request)
+            self._play("requested" if room else "woken", request)
+        return request
+
+    def pick(self, request: Request) -> Order | GiveUp | Verdict | None:
+        """What is to be done next for the request; a verdict comes last, and once. None where nothing is to
+        be done, or where another thread is at it, which picks what has come meanwhile."""
         with self.lock:
-            life, here = self.lives.get(lookup), threading.get_ident()
+            life, here = self.lives.get(request), threading.get_ident()
             if life is None or life.holder not in (0, here):
                 return None
             life.holder = here
             while life.steps:
                 step = life.steps.popleft()
-                if isinstance(step, GiveUp) or (life.verdict is None and step.leg.outcome is None):
+                if isinstance(step, GiveUp) or (life.verdict is None and step.attempt.outcome is None):
                     return step
             life.holder = 0
             if life.verdict is not None:
-                del self.lives[lookup]
+                del self.lives[request]
             return life.verdict
 
-    def report(self, leg: Leg, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0,
+    def report(self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0,
                load: dict[str, float] | None = None, answer: Any = None) -> None:
-        """How a leg went. What comes for a leg that is over is dropped."""
+        """How an attempt went. What comes for an attempt that is over is dropped."""
         with self.lock:
-            self._ended(leg, outcome, note, waited, load, answer)
+            self._ended(attempt, outcome, note, waited, load, answer)
 
-    def may_begin(self, leg: Leg) -> bool:
-        """Whether a leg that was decided may still go out: asked when its first byte is to be written, which
-        may be long after. What came between (a drain, another machine at the address, a purge, the client's
-        leaving, another answer) holds; a leg that may not is reported as moot, and what is to be done instead
-        is decided anew."""
+    def may_begin(self, attempt: Attempt) -> bool:
+        """Whether an attempt that was decided may still go out: asked when its first byte is to be written,
+        which may be long after. What came between (a drain, another machine at the address, a purge, the
+        client's leaving, another answer) holds; an attempt that may not is reported as moot, and what is to
+        be done instead is decided anew."""
         with self.lock:
-            life = self.lives.get(leg.lookup)
-            if life is None or life.verdict is not None or leg.outcome is not None:
+            life = self.lives.get(attempt.request)
+            if life is None or life.verdict is not None or attempt.outcome is not None:
                 return False
-            here = all(self.places.get(node) is place and not place.gone for node, place in leg.ways)
-            return here and self.director.may_begin(self.clock(), leg)
+            here = all(self.places.get(node) is place and not place.gone for node, place in attempt.ways)
+            return here and self.director.may_begin(self.clock(), attempt)
 
     def may_ask(self, node: Member, place: Place) -> bool:
         """Whether a node may be asked for an echo or a report there, when the first byte is to be written."""
         with self.lock:
             return self.places.get(node) is place and not place.gone and self.director.may_ask(node)
 
-    def forget(self, lookup: Lookup) -> None:
+    def forget(self, request: Request) -> None:
         """The client has left."""
         with self.lock:
-            life = self.lives.get(lookup)
+            life = self.lives.get(request)
             if life is not None and life.verdict is None:
                 life.settle(Left())
-                self._play("end", lookup)
+                self._play("end", request)
 
-    def drop(self, lookup: Lookup) -> None:
-        """Nobody will pick for this lookup any more; its legs are given up by whoever holds their links."""
-        self.forget(lookup)
+    def drop(self, request: Request) -> None:
+        """Nobody will pick for this request any more; who holds the links of its attempts gives them up."""
+        self.forget(request)
         with self.lock:
-            self.lives.pop(lookup, None)
+            self.lives.pop(request, None)
 
-    def wind_up(self) -> list[Lookup]:
+    def wind_up(self) -> list[Request]:
         """The final answer at once for all that is open; to be picked for."""
         with self.lock:
-            still = [lookup for lookup, life in self.lives.items() if life.verdict is None]
-            for lookup in still:
-                self._play("woken", lookup)
+            still = [request for request, life in self.lives.items() if life.verdict is None]
+            for request in still:
+                self._play("woken", request)
         return still
 
-    def open_lookups(self) -> int:
+    def open_requests(self) -> int:
         return len(self.lives)
 
     def short_of_time(self) -> float:
@@ -262,8 +263,8 @@
         with self.lock:
             self._play("told", node, load, well)
 
-    def tick(self) -> tuple[float, list[tuple[Member, Place]], list[Lookup]]:
-        """Runs the timers that are due; gives when to call again, the nodes to be probed, and the lookups to
+    def tick(self) -> tuple[float, list[tuple[Member, Place]], list[Request]]:
+        """Runs the timers that are due; gives when to call again, the nodes to be probed, and the requests to
         be picked for."""
         with self.lock:
             now, moved = self.clock(), {}
@@ -271,8 +272,8 @@
                 self.lateness.note(now, now - self.timers[0][0])
             while self.timers and self.timers[0][0] <= now:
                 _, _, what, about = heapq.heappop(self.timers)
-                lookup = about if isinstance(about, Lookup) else about.lookup
-                if (life := self.lives.get(lookup)) is None:
+                request = about if isinstance(about, Request) else about.request
+                if (life := self.lives.get(request)) is None:
                     continue
                 if what == "timeout":
                     if about.outcome is None:
@@ -280,13 +281,13 @@
                         self._ended(about, Outcome.TIMEOUT, Note.NONE, 0.0, None, None)
                 elif what == "overdue":
                     if life.verdict is None:  # the module gave none; its client must not wait in vain
-                        self.log_to.event("overdue", legs=len(lookup.legs))
+                        self.log_to.event("overdue", attempts=len(request.attempts))
                         life.settle(BrokenOff())
-                        self._play("end", lookup)
-                elif not (about.ended if lookup is about else about.outcome is not None):
+                        self._play("end", request)
+                elif not (about.ended if request is about else about.outcome is not None):
                     self._play("woken", about)
                 if life.steps or life.verdict is not None:
-                    moved[lookup] = None
+                    moved[request] = None
             probes, self.probes = self.probes, []
             return self.timers[0][0] if self.timers else now + 1000.0, probes, list(moved)
 
@@ -302,44 +303,46 @@
     # Inside, under the lock
 
     def _play(self, method: str, *arguments: Any) -> None:
-        """One round of the module, and further ones for the legs that it called off."""
+        """One round of the module, and further ones for the attempts that it called off."""
         calls = [(method, arguments)]
         while calls:
             try:
                 self.director.round(self.clock(), calls, self)
             except Exception as broken:
                 self.log_to.fault(f"module, {method}", broken)
-                if arguments and isinstance(arguments[0], Lookup | Leg):
-                    about = arguments[0] if isinstance(arguments[0], Lookup) else arguments[0].lookup
+                if arguments and isinstance(arguments[0], Request | Attempt):
+                    about = arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
                     about.ended = True
                     if (life := self.lives.get(about)) is not None:
                         life.settle(BrokenOff())
             called_off, self.called_off = self.called_off, []
             now = self.clock()
-            calls = [("answered", (leg, Outcome.CANCELLED, now - leg.sent, leg.lookup.ended, Note.NONE, 0.0,
-                                   None)) for leg in called_off if leg.outcome is None]
+            calls = [("answered", (attempt, Outcome.CANCELLED, now - attempt.sent, attempt.request.ended,
+                                   Note.NONE, 0.0, None))
+                     for attempt in called_off if attempt.outcome is None]
 
-    def _ended(self, leg: Leg, outcome: Outcome, note: Note, waited: float, load: dict[str, float] | None,
-               answer: Any) -> None:
-        if leg.outcome is not None:
+    def _ended(self, attempt: Attempt, outcome: Outcome, note: Note, waited: float,
+               load: dict[str, float] | None, answer: Any) -> None:
+        if attempt.outcome is not None:
             return
-        lookup = leg.lookup
-        life = self.lives.get(lookup)
-        if outcome == Outcome.SATISFIED and not lookup.ended and life is not None:
+        request = attempt.request
+        life = self.lives.get(request)
+        if outcome == Outcome.SATISFIED and not request.ended and life is not None:
             life.settle(Satisfied(answer))
-        closed = lookup.ended or outcome == Outcome.SATISFIED
-        self._play("answered", leg, outcome, self.clock() - leg.sent, closed, note, waited, load)
+        closed = request.ended or outcome == Outcome.SATISFIED
+        self._play("answered", attempt, outcome, self.clock() - attempt.sent, closed, note, waited, load)
 
-    def _call_off(self, leg: Leg) -> None:
-        life = self.lives.get(leg.lookup)
+    def _call_off(self, attempt: Attempt) -> None:
+        life = self.lives.get(attempt.request)
         if life is not None:
-            waiting = next((step for step in life.steps if isinstance(step, Order) and step.leg is leg), None)
+            waiting = next((step for step in life.steps
+                            if isinstance(step, Order) and step.attempt is attempt), None)
             if waiting is not None:  # never sent
                 life.steps.remove(waiting)
             else:
-                life.steps.append(GiveUp(leg))
+                life.steps.append(GiveUp(attempt))
 
-    def _set_timer(self, delay: float, what: str, about: Lookup | Leg) -> None:
+    def _set_timer(self, delay: float, what: str, about: Request | Attempt) -> None:
         due = self.clock() + delay
         self.timer_count += 1
         heapq.heappush(self.timers, (due, self.timer_count, what, about))
@@ -348,31 +351,32 @@
 
     # The module's Writer
 
-    def send(self, leg: Leg, max_age: float, rank: int, join: bool, held_only: bool, parent_keeps: bool,
-             renew: bool) -> None:
-        source = leg.source if leg.source is not None and leg.source is not leg.node else None
-        life = self.lives.get(leg.lookup)
+    def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
+             parent_keeps: bool, renew: bool) -> None:
+        source = attempt.source if attempt.source is not None and attempt.source is not attempt.node else None
+        life = self.lives.get(attempt.request)
         if life is None:
             return
-        leg.ways = tuple((node, self.places[node]) for node in (leg.node, source) if node is not None)
-        life.steps.append(Order(leg, self.places[leg.node], self.places[source].name if source else "",
-                                max_age, rank, join, held_only, parent_keeps, renew))
-        self._set_timer(leg.timeout, "timeout", leg)
-
-    def abandon(self, leg: Leg) -> None:
-        if leg.outcome is None:
-            self._call_off(leg)
-            self.called_off.append(leg)
-
-    def push_back(self, lookup: Lookup, come_back: float) -> None:
-        if (life := self.lives.get(lookup)) is not None:
+        attempt.ways = tuple((node, self.places[node]) for node in (attempt.node, source) if node is not None)
+        named = self.places[source].name if source else ""
+        life.steps.append(Order(attempt, self.places[attempt.node], named, max_age, rank, join, held_only,
+                                parent_keeps, renew))
+        self._set_timer(attempt.timeout, "timeout", attempt)
+
+    def abandon(self, attempt: Attempt) -> None:
+        if attempt.outcome is None:
+            self._call_off(attempt)
+            self.called_off.append(attempt)
+
+    def push_back(self, request: Request, come_back: float) -> None:
+        if (life := self.lives.get(request)) is not None:
             life.settle(PushedBack(come_back))
 
-    def break_off(self, lookup: Lookup) -> None:
-        if (life := self.lives.get(lookup)) is not None:
+    def break_off(self, request: Request) -> None:
+        if (life := self.lives.get(request)) is not None:
             life.settle(BrokenOff())
 
-    def wake(self, delay: float, about: Lookup | Leg) -> None:
+    def wake(self, delay: float, about: Request | Attempt) -> None:
         self._set_timer(delay, "wake", about)
 
     def probe(self, node: Member) -> None:
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -21,7 +21,7 @@
 
 
 class Outcome(IntEnum):
-    """How a leg ended; the last four prove that it never ran."""
+    """How an attempt ended; the last four prove that it never ran."""
 
     SATISFIED = 0
     ERROR = 1
@@ -64,7 +64,7 @@
     group: str  # which nodes know it: "all", "zone" or "cell"
     fresh_for: float
     never_kept: bool  # runs at the origin
-    credit: float = 1.0  # of a lookup satisfied in time
+    credit: float = 1.0  # of a request satisfied in time
 
 
 @dataclass(slots=True)
@@ -89,8 +89,8 @@
     origin_kind: int
     sized: bool  # the list tells sizes of nodes
     flow: float  # KB a millisecond of one transfer; 0 where not told
-    legs_most: int
-    two_legs: bool  # a pure lookup may have two legs out at once
+    attempts_most: int
+    two_attempts: bool  # a pure request may have two attempts out at once
     may_cancel: bool
     may_probe: bool
     may_advise: bool  # clients are told when to come back
@@ -104,7 +104,7 @@
     cold_cache: ColdRule
     cold_parent: ColdRule
     purge_span: float
-    probe_price: float = 0.0  # of one probe a lookup, in credit; 0 where not told
+    probe_price: float = 0.0  # of one probe a request, in credit; 0 where not told
 
 
 @dataclass(slots=True, eq=False)
@@ -121,8 +121,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
-    lookup: "Lookup"
+class Attempt:
+    request: "Request"
     number: int
     node: Node
     source: Node | None
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True, eq=False)
 class Purse:
-    """Further legs that may go now, for all lookups that share it."""
+    """Further attempts that may go now, for all requests that share it."""
 
     again: float
 
@@ -161,8 +161,8 @@
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """What a lookup is confined to: the caches it may go to, those that are taken where none of these may be
-    sent to, those that may fill it as siblings besides, and the further legs it has in common with others."""
+    """What a request is confined to: the caches it may go to, those that are taken where none of these may be
+    sent to, those that may fill it as siblings besides, and further attempts that it shares with others."""
 
     caches: dict[Node, None]
     spare: dict[Node, None]
@@ -171,7 +171,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lookup:
+class Request:
     ticket: Any  # the caller's own, for the way back
     use_case: UseCase
     key: int
@@ -182,13 +182,13 @@
     until: float  # when the client stops waiting
     repeated: bool = False
     ended: bool = False
-    legs: list[Leg] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     pool: Pool | None = None  # None: all caches of the location
 
 
 @dataclass(slots=True, eq=False)
 class Asked:
-    """A lookup as its client worded it; the texts and the body go on with each leg, unchanged."""
+    """A request as its client worded it; the texts and the body go on with each attempt, unchanged."""
 
     use_case: str
     mark: str
@@ -229,9 +229,9 @@
 
 @dataclass(slots=True, eq=False)
 class Order:
-    """Send this leg."""
+    """Send this attempt."""
 
-    leg: Leg
+    attempt: Attempt
     place: Place
     source: str  # the name of the node that a miss is filled from; empty: no fill
     max_age: float
@@ -245,11 +245,11 @@
 class Writer(Protocol):
     """Where decisions go, one method an action."""
 
-    def send(self, leg: Leg, max_age: float, rank: int, join: bool, held_only: bool,
+    def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
              parent_keeps: bool, renew: bool) -> None: ...
-    def abandon(self, leg: Leg) -> None: ...
-    def push_back(self, lookup: Lookup, come_back: float) -> None: ...
-    def break_off(self, lookup: Lookup) -> None: ...
+    def abandon(self, attempt: Attempt) -> None: ...
+    def push_back(self, request: Request, come_back: float) -> None: ...
+    def break_off(self, request: Request) -> None: ...
     def wake(self, delay: float, about: Any) -> None: ...
     def probe(self, node: Node) -> None: ...
     def subscribe(self) -> None: ...
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -82,8 +82,8 @@
     click.echo(
         f"origin fetches {found['origin_fetches']}, orders run {found['orders_run']}, run twice "
         f"{found['orders_run_twice']}, no answer {found['total']['no_answer']}, answered twice "
-        f"{found['total']['answers_twice']}, stale {found['stale']}, CPU a lookup "
-        f"{found['cpu_ms_a_lookup']} ms"
+        f"{found['total']['answers_twice']}, stale {found['stale']}, CPU a request "
+        f"{found['cpu_ms_a_request']} ms"
     )
     for deed in found["deeds"]:
         click.echo(f"{deed['at']:8.2f} s {deed['name']}: {deed['what']} {deed['wrong']}")
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -25,7 +25,7 @@
     began: float = 0.0
     seconds: float = 0.0
     ready_after: float = 0.0
-    legs: list[tuple] = field(default_factory=list)
+    attempts: list[tuple] = field(default_factory=list)
     looks: list[tuple] = field(default_factory=list)
     others: dict[str, list[tuple]] = field(default_factory=lambda: defaultdict(list))
 
@@ -40,15 +40,15 @@
     began = next(line for line in lines if line[0] == "began")
     heard.began, heard.seconds, heard.ready_after = began[1:4]
     for what, *held in lines:
-        if what == "leg":
-            heard.legs.append(((held[0] - heard.began) / 1000.0, *held[1:]))
+        if what == "attempt":
+            heard.attempts.append(((held[0] - heard.began) / 1000.0, *held[1:]))
         elif what == "look":
             heard.looks.append(((held[0] - heard.began) / 1000.0, *held[1:]))
         elif what not in ("began", "use", "node", "effects"):
             heard.others[what].append(((held[0] - heard.began) / 1000.0, *held[1:]))
         else:
             heard.others[what].append(tuple(held))
-    heard.legs.sort(key=lambda leg: leg[0])
+    heard.attempts.sort(key=lambda attempt: attempt[0])
     return heard
 
 
@@ -93,13 +93,13 @@
             found |= set(range(int(at) - 1, int(at + AFTER_FAULT) + 1))
         return found
 
-    def first_legs(self) -> list[Sent]:
-        """The first leg of each lookup at a cache."""
+    def first_attempts(self) -> list[Sent]:
+        """The first attempt of each request at a cache."""
         known, found = set(), []
-        for leg in self.heard.legs:
-            if leg[2] in self.boxes and leg[3] == "pages" and leg[10] not in known:
-                known.add(leg[10])
-                found.append(Sent(leg[0], leg[2], int(leg[4], 16)))
+        for attempt in self.heard.attempts:
+            if attempt[2] in self.boxes and attempt[3] == "pages" and attempt[10] not in known:
+                known.add(attempt[10])
+                found.append(Sent(attempt[0], attempt[2], int(attempt[4], 16)))
         return found
 
     # The rules
@@ -114,13 +114,13 @@
         )
         effects = heard.others["effects"][0] if heard.others["effects"] else (0, 0, 0)
         return {
-            "lookups_lost": none + cut,
+            "requests_lost": none + cut,
             "answers_late": late,
             "answers_twice": len(heard.others["twice"]),
             "orders_run_twice": effects[0],
             "drains_broken": self.drains(),
             "fell": len(heard.others["fell"]),
-            "purges_broken": sum(leg[9] for leg in heard.legs),
+            "purges_broken": sum(attempt[9] for attempt in heard.attempts),
             "crashes": len(heard.others["crash"]),
         }
 
@@ -143,18 +143,18 @@
         return any(first <= at <= last for first, last in excused.get(director, ()))
 
     def drains(self) -> int:
-        """Legs to a node, or with it as their source, later than 2 s after their director was told that it
-        drains or is gone."""
+        """Attempts to a node, or with it as their source, later than 2 s after their director was told that
+        it drains or is gone."""
         told: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
         for at, director, name, state, _ in self.heard.others["told"]:
             told[director, name].append((at, state != "SERVING"))
         broken = 0
-        for leg in self.heard.legs:
-            for name in {leg[2], leg[5]}:
-                words = told.get((leg[1], name))
+        for attempt in self.heard.attempts:
+            for name in {attempt[2], attempt[5]}:
+                words = told.get((attempt[1], name))
                 if words:
-                    before = [held for held in words if held[0] <= leg[0]]
-                    if before and before[-1][1] and leg[0] > before[-1][0] + DRAIN_AFTER / 1000.0:
+                    before = [held for held in words if held[0] <= attempt[0]]
+                    if before and before[-1][1] and attempt[0] > before[-1][0] + DRAIN_AFTER / 1000.0:
                         broken += 1
         return broken
 
@@ -163,9 +163,10 @@
     def parents(self) -> dict[int, dict[str, float]]:
         """By second the share of each parent among fills from parents."""
         counts: dict[int, Counter] = defaultdict(Counter)
-        for leg in self.heard.legs:
-            if leg[2] in self.boxes and leg[5] in self.sites and self.sites[leg[5]].kind == PARENT:
-                counts[int(leg[0])][leg[5]] += 1
+        for attempt in self.heard.attempts:
+            at, node, source = attempt[0], attempt[2], attempt[5]
+            if node in self.boxes and source in self.sites and self.sites[source].kind == PARENT:
+                counts[int(at)][source] += 1
         return {
             second: {name: count / held.total() for name, count in held.items()}
             for second, held in counts.items()
@@ -199,7 +200,7 @@
         return evenness.together(asked, self.boxes)
 
     def credit(self) -> float:
-        """Credit of lookups satisfied within their goal over all that was asked for, after the warm-up."""
+        """Credit of requests satisfied within their goal over all that was asked for, after the warm-up."""
         asked = earned = 0.0
         for look in self.heard.looks:
             if look[0] >= self.scenario.warm:
@@ -210,7 +211,7 @@
         return earned / asked if asked else 0.0
 
     def figures(self) -> dict[str, Any]:
-        sent = self.first_legs()
+        sent = self.first_attempts()
         loads, seen = evenness.by_second(sent), evenness.by_second(evenness.all_seeing(sent, self.boxes))
         troubled = self.fault_seconds()
         calm = [second for second in self.seconds if second not in troubled]
@@ -219,7 +220,7 @@
         found = {
             "directors": self.scenario.directors,
             "ready_s": self.heard.ready_after,
-            "lookups": len(self.heard.looks),
+            "requests": len(self.heard.looks),
             "outcomes": dict(Counter(look[7] for look in self.heard.looks)),
             "credit": round(self.credit(), 4),
             **self.rules(),
@@ -236,10 +237,10 @@
             "probes_a_cache": self.growth("probes"),
             "probes_together": round(self.probes_together(), 3),
             "connections_a_cache": self.growth("connections"),
-            "first_legs": len(sent),
-            "legs": len(self.heard.legs),
-            "legs_by_lookup": round(len(self.heard.legs) / max(1, len(self.heard.looks)), 3),
-            "hit_share": round(sum(leg[8] == "HIT" for leg in self.heard.legs) / max(1, len(sent)), 3),
+            "first_attempts": len(sent),
+            "attempts": len(self.heard.attempts),
+            "attempts_by_request": round(len(self.heard.attempts) / max(1, len(self.heard.looks)), 3),
+            "hit_share": round(sum(held[8] == "HIT" for held in self.heard.attempts) / max(1, len(sent)), 3),
             "fills": self.fills(),
             "origin_fetches": self.heard.others["effects"][0][2] if self.heard.others["effects"] else None,
             "probes": len(self.heard.others["probe"]),
@@ -266,7 +267,7 @@
         found["rules_broken"] = sum(
             found[rule]
             for rule in (
-                "lookups_lost",
+                "requests_lost",
                 "answers_twice",
                 "orders_run_twice",
                 "drains_broken",
@@ -287,9 +288,9 @@
     def fills(self) -> dict[str, int]:
         """By source: sibling, parent, origin, none."""
         found: Counter = Counter()
-        for leg in self.heard.legs:
-            if leg[2] in self.boxes and leg[8] != "HIT":
-                site = self.sites.get(leg[5])
+        for attempt in self.heard.attempts:
+            if attempt[2] in self.boxes and attempt[8] != "HIT":
+                site = self.sites.get(attempt[5])
                 found["none" if site is None else "sibling" if site.kind == BOX else site.kind] += 1
         return dict(found)
 
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -9,8 +9,8 @@
 
 from ...policy import mix
 
-HOT_SHARE, HOT_SPAN, HOT_OF = 0.02, 10.0, 200  # of a location's lookups, over so many s; of so many
-LEAST_FAIR = 4.0  # lookups a second a cache must be due, or its share says nothing
+HOT_SHARE, HOT_SPAN, HOT_OF = 0.02, 10.0, 200  # of a location's requests, over so many s; of so many
+LEAST_FAIR = 4.0  # requests a second a cache must be due, or its share says nothing
 TWICE, HALF, FIFTH = 2.0, 0.5, 0.2
 PHASES = 4  # at which slots of questions may begin
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """One lookup's first leg."""
+    """One request's first attempt."""
 
     at: float  # s
     box: str
@@ -66,7 +66,7 @@
 def parts(
     loads: dict[int, Counter], boxes: dict[str, Box], second: int
 ) -> dict[str, dict[str, float | None]]:
-    """By location and well cache its load over its fair share; None where too few lookups came to tell. A
+    """By location and well cache its load over its fair share; None where too few requests came to tell. A
     location's load is shared out among its well caches."""
     found = {}
     for place, held in well_by_location(boxes, second).items():
@@ -88,8 +88,8 @@
 
 
 def all_seeing(sent: list[Sent], boxes: dict[str, Box]) -> list[Sent]:
-    """The same lookups as one who sees all of them would spread them under the design: by the directors'
-    hash; an object above the hot share of its location's lookups to one more cache for each such share, of
+    """The same requests as one who sees all of them would spread them under the design: by the directors'
+    hash; an object above the hot share of its location's requests to one more cache for each such share, of
     which the one with the least load by capacity in this second is taken."""
     orders: dict[tuple[int, str], list[Box]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -195,14 +195,14 @@
 
 
 def slot_loads(
-    legs: list[tuple[float, str]], width: float, until: float
+    attempts: list[tuple[float, str]], width: float, until: float
 ) -> tuple[list[str], list[list[int]]]:
     """Counts by name and slot of `width` s."""
-    names = sorted({name for _, name in legs})
+    names = sorted({name for _, name in attempts})
     place = {name: at for at, name in enumerate(names)}
     edges = [width * slot for slot in range(1, int(until / width) + 1)]
     found = [[0] * len(edges) for _ in names]
-    for at, name in legs:
+    for at, name in attempts:
         if 0.0 <= at < until:
             slot = bisect(edges, at)
             if slot < len(edges):
--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -170,7 +170,7 @@
         fields.setdefault("dedupe", "mark-" + about.decode())
         if director in self.errs:
             self.hosts.records.add(
-                "leg", now, director, node.spec.name, *self._about(fields), "BROKE", "", 0, about.decode()
+                "attempt", now, director, node.spec.name, *self._about(fields), "BROKE", "", 0, about.decode()
             )
             return self._answer(wire, over, about, (b"BROKE", b"-", b""), now + 1.0)
         fleet = self.hosts.fleet
@@ -180,7 +180,7 @@
         old = self.hosts.too_old(director, fields, reply.words[1], now)
         fleet.stale = stale  # reckoned by director, from when each was told
         self.hosts.records.add(
-            "leg",
+            "attempt",
             now,
             director,
             node.spec.name,
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Wanted:
-    """One lookup to be asked."""
+    """One request to be asked."""
 
     use_case: str
     key: int
@@ -50,7 +50,7 @@
 
 
 class Demand:
-    """Lookups of one location's clients."""
+    """Requests of one location's clients."""
 
     def __init__(self, scenario: Scenario, location: str) -> None:
         self.scenario, self.location = scenario, location
@@ -73,7 +73,7 @@
         ]
 
     def rate(self, since: float) -> float:
-        """Lookups a second, `since` s after the start."""
+        """Requests a second, `since` s after the start."""
         rate = self.bounds[-1] if self.bounds else 0.0
         for fault in self.on(since, "burst"):
             if fault.location in ("", self.location):
@@ -87,7 +87,7 @@
         return rate
 
     def next_in(self, since: float) -> float:
-        """s until the next lookup."""
+        """s until the next request."""
         rate = self.rate(since)
         return self.random.expovariate(rate) if rate > 0.0 else 0.05
 
--- a/mulleinrelay/lab/fleet/picture.py
+++ b/mulleinrelay/lab/fleet/picture.py
@@ -15,13 +15,13 @@
     import numpy
 
     until = audit.heard.seconds
-    legs = [(leg[0], leg[2]) for leg in audit.heard.legs if leg[2] in audit.boxes]
-    names, counts = slot_loads(legs, SLOT, until)
+    attempts = [(attempt[0], attempt[2]) for attempt in audit.heard.attempts if attempt[2] in audit.boxes]
+    names, counts = slot_loads(attempts, SLOT, until)
     order = sorted(range(len(names)), key=lambda at: (audit.boxes[names[at]].location, names[at]))
     load = numpy.array([counts[at] for at in order], dtype=float).reshape(len(order), -1)
     capacity = numpy.array([audit.boxes[names[at]].capacity for at in order])
     places = [audit.boxes[names[at]].location for at in order]
-    kernel = numpy.ones(5) / 5.0  # half a second, as 100 ms of one cache hold few legs
+    kernel = numpy.ones(5) / 5.0  # half a second, as 100 ms of one cache hold few attempts
     smooth = numpy.array([numpy.convolve(row, kernel, mode="same") for row in load])
     ratio = numpy.ones_like(smooth)
     for place in sorted(set(places)):
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -38,7 +38,7 @@
     location: str = ""  # strikes there alone
     paths: tuple[str, ...] = ("cache", "parent")
     way: str = "both"
-    # ms of delay or of a clock's step, times slower, KB/s of a trickle, share of lookups, chance of loss
+    # ms of delay or of a clock's step, times slower, KB/s of a trickle, share of requests, chance of loss
     by: float = 0.0
     jitter: float = 0.0  # ms
     over: float = 0.0  # s over which a restart or a return is spread
@@ -79,7 +79,7 @@
     directors: int = 40
     one_seed: bool = False  # all directors with one seed: a planted herd
     uneven: float = 1.0  # spread of the directors' load, as of a log-normal law
-    least: float = 0.1  # lookups a second that the least asked director gets at the least
+    least: float = 0.1  # requests a second that the least asked director gets at the least
     talk: bool = False  # directors talk to each other, by way of the relay
     share: bool = False  # and lend each other parts of what cold nodes may be sent
     memory_mb: float = 96.0
@@ -102,12 +102,12 @@
     cold_ms: float = 12_000.0
     parent_cold_ms: float = 12_000.0
     falls: bool = True
-    rate: float = 400.0  # lookups a second over the fleet
+    rate: float = 400.0  # requests a second over the fleet
     objects: int = 1500  # a location
     skew: float = 0.8
-    shared: float = 0.5  # share of lookups for objects that all locations want
+    shared: float = 0.5  # share of requests for objects that all locations want
     orders: float = 0.05
-    effects: float = 0.0  # share of effectful lookups
+    effects: float = 0.0  # share of effectful requests
     patience_ms: float = 2500.0
     goal_ms: float = 500.0
     tries: int = 3
@@ -160,7 +160,7 @@
         return [*found, Site("o-0000f1", ORIGIN, "hub0", 4.0)]
 
     def rates(self) -> list[float]:
-        """Lookups a second of each director: unevenly, the sum is `rate`."""
+        """Requests a second of each director: unevenly, the sum is `rate`."""
         draw = random.Random(f"{self.seed}-rates")
         weights = [math.exp(draw.gauss(0.0, self.uneven)) for _ in range(self.directors)]
         scale = self.rate / sum(weights)
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -24,7 +24,7 @@
 
 READY_WITHIN = 60.0  # s
 AT_ONCE = 24  # processes that start at the same time
-LEAD = 1.0  # s from all being ready to the first lookup
+LEAD = 1.0  # s from all being ready to the first request
 
 
 def free_port(kind: int) -> int:
@@ -111,7 +111,7 @@
 
 class FleetLab:
     """One play. `run` gives where its records are; `live` is called now and then with the seconds since the
-    start and the lookups asked and satisfied."""
+    start and the requests asked and satisfied."""
 
     def __init__(self, scenario: Scenario, text: str, folder: str | None = None, program: str = ROOT) -> None:
         """`text`: the scenario's file, which the lab's processes read again. `program`: the folder that holds
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -1,5 +1,5 @@
 """Clients of some locations, in one process: an open loop, framed Thrift, retries of their own. What they see
-is written down, a line a lookup."""
+is written down, a line a request."""
 
 import random
 import sys
@@ -15,7 +15,7 @@
 from .load import PAUSE, Demand, Wanted, may_try_again
 from .plan import Scenario, read_fleet
 
-OPEN_MOST = 32  # lookups on one connection
+OPEN_MOST = 32  # requests on one connection
 IDLE = 4000.0  # ms after which clients close a connection
 RETURN_EVERY = 1000.0  # ms between looks at a director that was given up
 WELL = "isWell"
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class Pending:
-    """One lookup over its tries."""
+    """One request over its tries."""
 
     asked: float
     until: float
@@ -190,7 +190,7 @@
         self.records.add("late" if late else "twice", now_ms(), line.director)
 
     def cut_off(self, line: Line) -> None:
-        """The connection has ended: where lookups were out their clients try again as their use case
+        """The connection has ended: where requests were out their clients try again as their use case
         permits, and the director is looked at."""
         now = now_ms()
         if line in self.lines.get(line.director, ()):
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -288,7 +288,7 @@
             "tenants": tenants,
             "total": total,
             "cpu_s": round(cpu, 3),
-            "cpu_ms_a_lookup": round(1000.0 * cpu / answered, 4) if answered else None,
+            "cpu_ms_a_request": round(1000.0 * cpu / answered, 4) if answered else None,
             "origin_fetches": fleet.origin_fetches,
             "orders_run": len(fleet.effects),
             "orders_run_twice": sum(times > 1 for times in fleet.effects.values()),
--- a/mulleinrelay/management/server.py
+++ b/mulleinrelay/management/server.py
@@ -20,7 +20,7 @@
 from .paths import Path, PathError
 from .rights import Role, wanted
 
-STACK = 1_048_576  # bytes: the model's checks nest deeper than what serves lookups
+STACK = 1_048_576  # bytes: the model's checks nest deeper than what serves requests
 SAMPLE_LEAST = 1.0  # s
 STOP_WITHIN = 1.0
 CODES = {
--- a/mulleinrelay/membership/talk.py
+++ b/mulleinrelay/membership/talk.py
@@ -1,5 +1,5 @@
 """The thread that talks to other directors: a datagram socket, the pure core, log lines and records. No
-lookup ever waits for it."""
+request ever waits for it."""
 
 import math
 import socket
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Any
 
-from ..interface import Leg, Lookup, Note, Outcome, State, Terms
+from ..interface import Attempt, Request, Note, Outcome, State, Terms
 from ..net.resp import ENDS, NOTES
 from ..policy import Director, Member
 
@@ -11,7 +11,7 @@
 
 
 class Modelled:
-    """The module's Writer. `world` brings legs to nodes and verdicts to clients."""
+    """The module's Writer. `world` brings attempts to nodes and verdicts to clients."""
 
     def __init__(
         self, world: Any, number: int, terms: Terms, zone_of: dict[str, int], kinds: dict[str, int], seed: int
@@ -21,23 +21,24 @@
         self.director = Director(world.clock(), seed, terms)
         self.members: dict[str, Member] = {}
         self.names: dict[Member, str] = {}
-        self.open: dict[Lookup, Any] = {}
-        self.called_off: deque[Leg] = deque()
+        self.open: dict[Request, Any] = {}
+        self.called_off: deque[Attempt] = deque()
         self.gone = False  # killed; a new one stands in its place
 
     def play(self, method: str, *arguments: Any) -> None:
-        """One round, and further ones for the legs that it called off."""
+        """One round, and further ones for the attempts that it called off."""
         calls = deque([(method, arguments)])
         while calls:
             now = self.world.clock()
             self.director.round(now, [calls.popleft()], self)
             while self.called_off:
-                leg = self.called_off.popleft()
-                if leg.outcome is None:
+                attempt = self.called_off.popleft()
+                if attempt.outcome is None:
                     calls.append(
                         (
                             "answered",
-                            (leg, Outcome.CANCELLED, now - leg.sent, leg.lookup.ended, Note.NONE, 0.0, None),
+                            (attempt, Outcome.CANCELLED, now - attempt.sent, attempt.request.ended, Note.NONE,
+                             0.0, None),
                         )
                     )
 
@@ -61,40 +62,40 @@
             )
         self.play("listed", told, whole, False)
 
-    def look_up(self, pending: Any, left: float) -> None:
+    def ask(self, pending: Any, left: float) -> None:
         now, wanted = self.world.clock(), pending.wanted
         case = self.terms.use_cases[self.world.case_places[wanted.use_case]]
-        lookup = Lookup(
+        request = Request(
             pending, case, wanted.key, 0, wanted.key & 0xFF, wanted.size, now, now + left, pending.tries > 1
         )
-        self.open[lookup] = pending
-        self.play("looked_up", lookup)
+        self.open[request] = pending
+        self.play("requested", request)
 
-    def answered(self, leg: Leg, word: str, why: str, waited: float) -> None:
+    def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
         """What a node said."""
-        if not self.gone and leg.outcome is None:
-            self.ended(leg, ENDS[word.encode()], NOTES.get(why, Note.NONE), waited)
+        if not self.gone and attempt.outcome is None:
+            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, Note.NONE), waited)
 
-    def ended(self, leg: Leg, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0) -> None:
-        if self.gone or leg.outcome is not None:
+    def ended(self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0) -> None:
+        if self.gone or attempt.outcome is not None:
             return
-        lookup, now = leg.lookup, self.world.clock()
+        request, now = attempt.request, self.world.clock()
         good = outcome == Outcome.SATISFIED
-        if good and not lookup.ended:
-            self._settle(lookup, "satisfied", 0.0)
-        self.play("answered", leg, outcome, now - leg.sent, lookup.ended or good, note, waited, None)
+        if good and not request.ended:
+            self._settle(request, "satisfied", 0.0)
+        self.play("answered", attempt, outcome, now - attempt.sent, request.ended or good, note, waited, None)
 
-    def timed_out(self, leg: Leg) -> None:
-        if leg.outcome is None:
-            self.ended(leg, Outcome.TIMEOUT)
+    def timed_out(self, attempt: Attempt) -> None:
+        if attempt.outcome is None:
+            self.ended(attempt, Outcome.TIMEOUT)
 
-    def woken(self, about: Lookup | Leg) -> None:
-        over = about.ended if isinstance(about, Lookup) else about.outcome is not None
+    def woken(self, about: Request | Attempt) -> None:
+        over = about.ended if isinstance(about, Request) else about.outcome is not None
         if not self.gone and not over:
             self.play("woken", about)
 
-    def _settle(self, lookup: Lookup, what: str, pause: float) -> None:
-        pending = self.open.pop(lookup, None)
+    def _settle(self, request: Request, what: str, pause: float) -> None:
+        pending = self.open.pop(request, None)
         if pending is not None:
             self.world.answered(self, pending, what, pause)
 
@@ -102,7 +103,7 @@
 
     def send(
         self,
-        leg: Leg,
+        attempt: Attempt,
         max_age: float,
         rank: int,
         join: bool,
@@ -110,7 +111,8 @@
         parent_keeps: bool,
         renew: bool,
     ) -> None:
-        source = self.names[leg.source] if leg.source is not None and leg.source is not leg.node else ""
+        filled = attempt.source is not None and attempt.source is not attempt.node
+        source = self.names[attempt.source] if filled else ""
         hows = [
             word
             for word, on in (
@@ -121,29 +123,29 @@
             if on
         ]
         fields = {
-            "lane": leg.lookup.ticket.wanted.use_case,
-            "name": f"{leg.lookup.key:016x}",
+            "lane": attempt.request.ticket.wanted.use_case,
+            "name": f"{attempt.request.key:016x}",
             "piece": "0",
             "miss": source,
             "prio": str(rank),
             "f": "+".join(hows),
-            "dedupe": leg.lookup.ticket.wanted.receipt
-            or f"mark-{leg.lookup.ticket.number}-{leg.lookup.ticket.tries}",
+            "dedupe": attempt.request.ticket.wanted.receipt
+            or f"mark-{attempt.request.ticket.number}-{attempt.request.ticket.tries}",
         }
         if max_age > 0.0:
             fields["within"] = f"{max(1.0, max_age):.0f}"
-        self.world.send(self, leg, self.names[leg.node], fields)
-        self.world.clock.at(self.world.clock() + leg.timeout, lambda: self.timed_out(leg))
+        self.world.send(self, attempt, self.names[attempt.node], fields)
+        self.world.clock.at(self.world.clock() + attempt.timeout, lambda: self.timed_out(attempt))
 
-    def abandon(self, leg: Leg) -> None:
-        if leg.outcome is None:
-            self.called_off.append(leg)
+    def abandon(self, attempt: Attempt) -> None:
+        if attempt.outcome is None:
+            self.called_off.append(attempt)
 
-    def push_back(self, lookup: Lookup, come_back: float) -> None:
-        self._settle(lookup, "pushed back", come_back)
+    def push_back(self, request: Request, come_back: float) -> None:
+        self._settle(request, "pushed back", come_back)
 
-    def break_off(self, lookup: Lookup) -> None:
-        self._settle(lookup, "broken off", 0.0)
+    def break_off(self, request: Request) -> None:
+        self._settle(request, "broken off", 0.0)
 
     def wake(self, delay: float, about: Any) -> None:
         self.world.clock.at(self.world.clock() + delay, lambda: self.woken(about))
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -1,8 +1,8 @@
 """The world of the model: clients, nodes, list and faults in simulated time.
 
-What it leaves out: CPU and queues of directors, links and their connections (a leg that is cut off is held
-and comes once the cut is over), trickling streams. A director is told of the caches of its own location, of
-all parents and of the origin; in the lab it is told of all.
+What it leaves out: CPU and queues of directors, links and their connections (an attempt that is cut off is
+held and comes once the cut is over), trickling streams. A director is told of the caches of its own location,
+of all parents and of the origin; in the lab it is told of all.
 """
 
 import random
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ..configuration import Section, read_terms
-from ..interface import Leg, Outcome
+from ..interface import Attempt, Outcome
 from ..lab.fleet.audit import Audit, Heard
 from ..lab.fleet.hosts import fields_of, fleet_of
 from ..lab.fleet.load import PAUSE, Demand, Wanted, may_try_again
@@ -56,7 +56,7 @@
         self.stopped: dict[int, list[Callable[[], None]]] = {}
         self.away: set[int] = set()
         self.late: dict[int, float] = {}
-        self.out: dict[str, dict[Leg, Modelled]] = defaultdict(dict)  # by node, for when it dies
+        self.out: dict[str, dict[Attempt, Modelled]] = defaultdict(dict)  # by node, for when it dies
         self.errs: dict[str, frozenset[int]] = {}
         self.lags: dict[str, tuple[frozenset[int], float]] = {}
         self.told: dict[tuple[int, str], float] = {}
@@ -125,7 +125,7 @@
         director = self.directors[number]
         if director.gone:
             return self.cut_off(pending, number)
-        director.look_up(pending, max(1.0, pending.until - self.clock()))
+        director.ask(pending, max(1.0, pending.until - self.clock()))
 
     def cut_off(self, pending: Pending, number: int) -> None:
         """Its director is dead: its client tries again, and the front passes it by after its notice."""
@@ -171,7 +171,7 @@
                 )
             )
 
-    # Legs
+    # Attempts
 
     def carry(self, director: int, name: str, way: str, do: Callable[[], None]) -> None:
         """Over the path between a director and a node, as the rules have it."""
@@ -189,39 +189,40 @@
         self.clock.at(due, do)
 
     def quiet(self, number: int, name: str, way: str) -> None:
-        """A link that is still cut is ended, as a director does with one that brings no echo: its legs are
-        lost, and what was held never comes."""
+        """A link that is still cut is ended, as a director does with one that brings no echo: its attempts
+        are lost, and what was held never comes."""
         if self.book.held("cache" if self.sites[name].kind == BOX else "parent", number, name, way):
-            for leg, director in list(self.out[name].items()):
+            for attempt, director in list(self.out[name].items()):
                 if director.number == number:
-                    self.lost(director, leg, name, Outcome.RESET)
+                    self.lost(director, attempt, name, Outcome.RESET)
 
-    def send(self, director: Modelled, leg: Leg, name: str, fields: dict[str, str]) -> None:
-        self.out[name][leg] = director
+    def send(self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]) -> None:
+        self.out[name][attempt] = director
         kind = "cache" if self.sites[name].kind == BOX else "parent"
         if self.book.rules and self.book.broken(kind, director.number, name):
             return self.clock.at(
-                self.clock() + NODE_MS, lambda: self.lost(director, leg, name, Outcome.RESET)
+                self.clock() + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.RESET)
             )
-        self.carry(director.number, name, UP, lambda: self.reached(director, leg, name, fields))
+        self.carry(director.number, name, UP, lambda: self.reached(director, attempt, name, fields))
 
-    def lost(self, director: Modelled, leg: Leg, name: str, outcome: Outcome) -> None:
-        self.out[name].pop(leg, None)
-        director.ended(leg, outcome)
+    def lost(self, director: Modelled, attempt: Attempt, name: str, outcome: Outcome) -> None:
+        self.out[name].pop(attempt, None)
+        director.ended(attempt, outcome)
 
-    def reached(self, director: Modelled, leg: Leg, name: str, fields: dict[str, str]) -> None:
+    def reached(self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]) -> None:
         node, number, now = self.fleet.nodes[name], director.number, self.clock()
         if not node.alive:
-            return self.clock.at(now + NODE_MS, lambda: self.lost(director, leg, name, Outcome.UNCONNECTED))
-        if leg.outcome is not None or director.gone:
-            return self.out[name].pop(leg, None)
+            return self.clock.at(now + NODE_MS,
+                                 lambda: self.lost(director, attempt, name, Outcome.UNCONNECTED))
+        if attempt.outcome is not None or director.gone:
+            return self.out[name].pop(attempt, None)
         words, due, old = (b"BROKE", b"-", b""), now + 1.0, False
         if number not in self.errs.get(name, ()):
             reply = self.fleet.pull(name, fields)
             words, due = reply.words, reply.due
             old = self.too_old(number, fields, words[1], now)
         held = fields_of(words[1])
-        self.heard.legs.append(
+        self.heard.attempts.append(
             (
                 self.since(),
                 number,
@@ -233,7 +234,7 @@
                 words[0].decode(),
                 held.get("why", ""),
                 int(old),
-                f"{leg.lookup.ticket.number}-{leg.lookup.ticket.tries}",
+                f"{attempt.request.ticket.number}-{attempt.request.ticket.tries}",
             )
         )
         for fallen in {name, fields["miss"]} - {""}:
@@ -244,17 +245,17 @@
             return
         some, times = self.lags.get(name, ((), 1.0))
         due = now + (due - now) * (times if number in some else 1.0)
-        self.clock.at(due, lambda: self.back(director, leg, name, words[0].decode(), held))
+        self.clock.at(due, lambda: self.back(director, attempt, name, words[0].decode(), held))
 
-    def back(self, director: Modelled, leg: Leg, name: str, word: str, held: dict[str, str]) -> None:
-        if self.out[name].pop(leg, None) is None or self.fleet.nodes[name].silent:
+    def back(self, director: Modelled, attempt: Attempt, name: str, word: str, held: dict[str, str]) -> None:
+        if self.out[name].pop(attempt, None) is None or self.fleet.nodes[name].silent:
             return
         number = director.number
 
         def told() -> None:
             if number in self.stopped:
                 return self.stopped[number].append(told)
-            director.answered(leg, word, held.get("why", ""), float(held.get("delay", 0.0)))
+            director.answered(attempt, word, held.get("why", ""), float(held.get("delay", 0.0)))
 
         self.carry(number, name, DOWN, told)
 
@@ -301,9 +302,10 @@
         node = self.fleet.nodes[name]
         node.alive, node.state = False, "DELETED"
         out, self.out[name] = self.out[name], {}
-        for leg, director in out.items():
+        for attempt, director in out.items():
             self.clock.at(
-                self.clock() + NODE_MS, lambda leg=leg, director=director: director.ended(leg, Outcome.RESET)
+                self.clock() + NODE_MS,
+                lambda attempt=attempt, director=director: director.ended(attempt, Outcome.RESET),
             )
         self.announce(name)
 
@@ -406,10 +408,10 @@
         elif what == "kill":
             self.directors[number] = self.make(number)
             self.away.discard(number)
-        elif begins and what == "restart":  # its open lookups end, then it stands there anew
+        elif begins and what == "restart":  # its open requests end, then it stands there anew
             self.heard.others["term"].append((self.since(), number))
-            for lookup in list(director.open):
-                director.play("woken", lookup)
+            for request in list(director.open):
+                director.play("woken", request)
             director.gone = True
             self.directors[number] = self.make(number)
 
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -57,7 +57,7 @@
     def await_word(self) -> None:
         """Until the stream has told what the configuration did not know yet, or that it can't be had, or has
         said nothing for as long as a stream may. Guards against a start with a list that is out of date: what
-        was told while the program started has used up its grace, and the first lookups would go by it."""
+        was told while the program started has used up its grace, and the first requests would go by it."""
         if self.reached.wait(FIRST_WORD):
             self.left.wait(MISSED)
 
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -1,7 +1,7 @@
 """Links to caches, parents and the origin: each a connection with a thread that reads it.
 
 Nothing here blocks a thread that others wait on: a sender's bytes go out at once or are left to the link,
-which connects and catches up by itself. Every leg is reported once: answered, or lost with its link.
+which connects and catches up by itself. Every attempt is reported once: answered, or lost with its link.
 """
 
 import errno
@@ -17,14 +17,14 @@
 
 from ..configuration import REPORT_WORDS
 from ..facade import Facade
-from ..interface import Asked, Leg, Lookup, Node, Order, Outcome, Place
+from ..interface import Asked, Attempt, Request, Node, Order, Outcome, Place
 from ..log import Log
 from ..spread import links as held_links
 from ..spread.links import Patience, hold_for
 from . import resp
 from .outlet import Outlet
 
-OVER_FOR = 10_000.0  # ms for which an answer to a leg that was given up may still come
+OVER_FOR = 10_000.0  # ms for which an answer to an attempt that was given up may still come
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
 PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
 
@@ -41,11 +41,11 @@
     def __init__(self, place: Place, now: float, lock: threading.Lock) -> None:
         self.place, self.used, self.heard = place, now, now
         self.outlet = Outlet(lock)
-        self.open: dict[str, Leg | Probe] = {}
+        self.open: dict[str, Attempt | Probe] = {}
         self.over: dict[str, float] = {}  # ended here alone; a late or second answer may still come
         self.asked = 0.0  # when it was asked whether it still brings answers
         self.patience, self.held_for = Patience(), 0.0
-        self.given_up = 0.0  # when a leg was given up with nothing heard since it was sent
+        self.given_up = 0.0  # when an attempt was given up with nothing heard since it was sent
 
     def takes(self, about: str, most: int) -> bool:
         return (not self.outlet.ended and len(self.open) < most and about not in self.open
@@ -65,8 +65,8 @@
             return False
 
     def quiet_since(self) -> float:
-        """Since when legs have been out with nothing heard."""
-        first = next((leg.sent for leg in self.open.values() if isinstance(leg, Leg)), None)
+        """Since when attempts have been out with nothing heard."""
+        first = next((attempt.sent for attempt in self.open.values() if isinstance(attempt, Attempt)), None)
         return math.inf if first is None or self.outlet.connection is None else max(first, self.heard)
 
 
@@ -74,39 +74,40 @@
     """All links of one director."""
 
     def __init__(self, facade: Facade, clock: Callable[[], float], log: Log, connect_timeout: float,
-                 idle_for: float, legs_a_connection: int, links_most: int, may_probe: bool,
+                 idle_for: float, attempts_a_connection: int, links_most: int, may_probe: bool,
                  links_priced: bool) -> None:
         """`links_priced`: a new connection costs more than an open one."""
         self.may_probe = may_probe
         self.facade, self.clock, self.log = facade, clock, log
-        self.see_through: Callable[[Lookup], None] = lambda lookup: None  # set by the front, as the next is
-        # Whether the client of a ticket has gone; for its first leg, or a further one.
+        self.see_through: Callable[[Request], None] = lambda request: None  # set by the front, as the next is
+        # Whether the client of a ticket has gone; for its first attempt, or a further one.
         self.has_left: Callable[[Any, bool], bool] = lambda ticket, first: False
         self.connect_timeout, terms = connect_timeout, facade.terms
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {far: hold_for(idle_for, sharers, far, links_priced)
                          for far, sharers in ((False, terms.directors_here), (True, terms.directors))}
-        self.legs_a_connection, self.links_most = legs_a_connection, links_most
+        self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
         self.lock = threading.Lock()
         self.links: dict[Place, list[Link]] = {}
-        self.down: dict[Place, int] = {}  # places whose last link failed, with the legs lost since the first
-        self.of_leg: dict[Leg, tuple[Link, str]] = {}
+        self.down: dict[Place, int] = {}  # places whose last link failed, with attempts lost since the first
+        self.of_attempt: dict[Attempt, tuple[Link, str]] = {}
         self.count, self.stopped = 0, False
         self.tags = itertools.count(1)
 
-    # For those who see a lookup through
+    # For those who see a request through
 
     def send(self, order: Order, asked: Asked) -> None:
-        leg, order.leg.tag = order.leg, asked.tag
-        self._put(order.place, asked.mark, leg, resp.pull(asked, order, leg.lookup.until - self.clock()))
+        attempt, order.attempt.tag = order.attempt, asked.tag
+        left = attempt.request.until - self.clock()
+        self._put(order.place, asked.mark, attempt, resp.pull(asked, order, left))
 
-    def give_up(self, leg: Leg) -> None:
+    def give_up(self, attempt: Attempt) -> None:
         with self.lock:
-            link, about = self.of_leg.pop(leg, (None, ""))
+            link, about = self.of_attempt.pop(attempt, (None, ""))
             if link is None or link.open.pop(about, None) is None:
                 return
             now = self.clock()
-            if link.heard < leg.sent and now > leg.sent + self.connect_timeout:  # sooner, it tells nothing
+            if link.heard < attempt.sent and now > attempt.sent + self.connect_timeout:  # sooner: no word
                 link.given_up = link.given_up or now
             if not link.outlet.withdraw(about):
                 link.over[about] = now
@@ -114,10 +115,10 @@
                     self._kill(link, about)
 
     def _kill(self, link: Link, about: str) -> None:
-        """Under the lock. Where a lookup may have one leg out at a time, the next one must not overtake a
-        word that waits behind others to be written: the end of the connection says it at once."""
+        """Under the lock. Where a request may have one attempt out at a time, the next one must not overtake
+        a word that waits behind others to be written: the end of the connection says it at once."""
         link.outlet.put(None, [resp.kill(about)])
-        if link.outlet.waiting and not self.facade.terms.two_legs:
+        if link.outlet.waiting and not self.facade.terms.two_attempts:
             link.outlet.end()
 
     def probe(self, node: Node, place: Place, with_report: bool = True) -> None:
@@ -125,9 +126,10 @@
         self._put(place, tag, Probe(node, self.clock()), [resp.probe(tag, with_report)])
 
     def ask(self) -> None:
-        """Asks links that have been quiet with legs out for an echo, and ends those that bring none: all that
-        is open there is told at once. Guards against connections that stay open and are of no more use, after
-        an answer that was spoilt, cut, endless or never came; harms where an echo takes over ECHO_WAIT."""
+        """Asks links that have been quiet with attempts out for an echo, and ends those that bring none: all
+        that is open there is told at once. Guards against connections that stay open and are of no more use,
+        after an answer that was spoilt, cut, endless or never came; harms where an echo takes over ECHO_WAIT.
+        """
         now = self.clock()
         with self.lock:
             living = [link for links in self.links.values() for link in links if not link.outlet.ended]
@@ -142,8 +144,8 @@
 
     def sweep(self) -> None:
         """Closes what has long been idle, is gone or silent, forgets probes that nobody answered, and takes
-        back legs of which nothing could be written for as long as connecting may take: they never ran, and
-        sent later they might come after a drain or a purge."""
+        back attempts of which nothing could be written for as long as connecting may take: they never ran,
+        and sent later they might come after a drain or a purge."""
         now, stuck = self.clock(), []
         with self.lock:
             self.down = {place: lost for place, lost in self.down.items() if not place.gone}
@@ -154,20 +156,20 @@
                         if isinstance(held, Probe) and now > held.sent + PROBE_WAIT:
                             del link.open[tag]
                             link.given_up = link.given_up or (now if link.heard < held.sent else 0.0)
-                        elif (isinstance(held, Leg) and now > held.sent + self.connect_timeout
+                        elif (isinstance(held, Attempt) and now > held.sent + self.connect_timeout
                               and link.outlet.withdraw(tag)):
                             del link.open[tag]
-                            self.of_leg.pop(held, None)
+                            self.of_attempt.pop(held, None)
                             link.given_up = link.given_up or now
                             stuck.append(held)
                     if not link.open and (place.gone or link.given_up
                                           or now > link.used + link.held_for):
                         link.outlet.end()
-        for leg in stuck:
-            self._report(leg, Outcome.UNCONNECTED)
+        for attempt in stuck:
+            self._report(attempt, Outcome.UNCONNECTED)
 
     def fullness(self) -> float:
-        """Of the links that there may be, the part that legs are out on."""
+        """Of the links that there may be, the part that attempts are out on."""
         with self.lock:
             if self.count < held_links.IDLE_MOST * self.links_most:  # spares the count
                 return 0.0
@@ -190,7 +192,7 @@
 
     # Inside
 
-    def _put(self, place: Place, about: str, held: Leg | Probe, pieces: list[memoryview | bytes]) -> None:
+    def _put(self, place: Place, about: str, held: Attempt | Probe, pieces: list[memoryview | bytes]) -> None:
         now, link = self.clock(), None
         with self.lock:
             links = self.links.setdefault(place, [])
@@ -203,16 +205,16 @@
             if link is not None:
                 link.open[about], link.used = held, now
                 link.held_for = self.held_for[held.node.kind in self.far]
-                if isinstance(held, Leg):
-                    self.of_leg[held] = (link, about)
+                if isinstance(held, Attempt):
+                    self.of_attempt[held] = (link, about)
                 link.outlet.put(about, pieces)
-        if link is None and isinstance(held, Leg):
+        if link is None and isinstance(held, Attempt):
             self._report(held, Outcome.MOOT)  # not to be sent, or no connection here: no word about the node
 
     def _choose(self, links: list[Link], about: str) -> Link | None:
         """Under the lock. One that nothing is out on may have been closed by the node in this very moment:
         what is written there is lost, and nobody could say whether it ran."""
-        for link in sorted((link for link in links if link.takes(about, self.legs_a_connection)),
+        for link in sorted((link for link in links if link.takes(about, self.attempts_a_connection)),
                            key=lambda link: len(link.open)):
             if link.open or not link.closed_there():
                 return link
@@ -223,35 +225,35 @@
         """Under the lock. Whether those that something is out at there may be asked for an echo."""
         return all(self.facade.may_ask(held.node, link.place) for held in link.open.values())
 
-    def _is_stale(self, held: Leg | Probe | None, place: Place) -> bool:
+    def _is_stale(self, held: Attempt | Probe | None, place: Place) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes after it."""
         if isinstance(held, Probe):
             return not self.facade.may_ask(held.node, place)
         if held is None or not held.ways:
             return False
-        lookup = held.lookup
-        if lookup.ticket is not None and self.has_left(lookup.ticket, not held.number):
-            self.facade.forget(lookup)  # told by the connection's own thread as well, but that may be late
+        request = held.request
+        if request.ticket is not None and self.has_left(request.ticket, not held.number):
+            self.facade.forget(request)  # told by the connection's own thread as well, but that may be late
         return not self.facade.may_begin(held)
 
-    def _stale_on(self, link: Link, about: str) -> Leg | Probe | None:
+    def _stale_on(self, link: Link, about: str) -> Attempt | Probe | None:
         """Under the lock. What waited for its link and must not be sent any more; off the link with it, so
         that nobody gives up there what never was."""
         held = link.open.get(about)
         if not self._is_stale(held, link.place):
             return None
         del link.open[about]
-        self.of_leg.pop(held, None)
+        self.of_attempt.pop(held, None)
         return held
 
-    def _withdrawn(self, held: Leg | Probe) -> None:
-        if isinstance(held, Leg):
+    def _withdrawn(self, held: Attempt | Probe) -> None:
+        if isinstance(held, Attempt):
             self._report(held, Outcome.MOOT)
 
-    def _report(self, leg: Leg, *how: Any) -> None:
-        """Tells how a leg went, and does what follows from it."""
-        self.facade.report(leg, *how)
-        self.see_through(leg.lookup)
+    def _report(self, attempt: Attempt, *how: Any) -> None:
+        """Tells how an attempt went, and does what follows from it."""
+        self.facade.report(attempt, *how)
+        self.see_through(attempt.request)
 
     def _connect(self, place: Place, links: list[Link], now: float) -> Link | None:
         """Under the lock. A new link, or None where no thread is to be had for it."""
@@ -302,16 +304,16 @@
                 with self.lock:
                     held = link.open.pop(told.about, None)
                     link.used = link.heard = self.clock()
-                    if isinstance(held, Leg):
+                    if isinstance(held, Attempt):
                         link.patience.answered()
-                        if told.outcome != Outcome.SATISFIED:  # a second answer must not meet the next leg
+                        if told.outcome != Outcome.SATISFIED:  # a second answer must not meet the next one
                             link.over[told.about] = link.used
                     elif held is None and link.asked:
                         link.patience.echoed()
                     link.given_up = link.asked = 0.0
                     known = held is not None or told.about in link.over or told.about.startswith("probe-")
-                    if isinstance(held, Leg):
-                        self.of_leg.pop(held, None)
+                    if isinstance(held, Attempt):
+                        self.of_attempt.pop(held, None)
                 if isinstance(held, Probe):
                     self.facade.told(held.node, told.load, told.well)
                 elif held is not None:
@@ -330,16 +332,16 @@
             if not links:
                 self.links.pop(link.place, None)
             lost = [(held, link.outlet.unbegun(about)) for about, held in link.open.items()
-                    if isinstance(held, Leg)]
+                    if isinstance(held, Attempt)]
             for held, _ in lost:
-                self.of_leg.pop(held, None)
+                self.of_attempt.pop(held, None)
             link.open = {}
             if connection is not None:
                 connection.close()
             first = (lost or not ours) and link.place not in self.down
             if lost or not ours:
                 self.down[link.place] = self.down.get(link.place, 0) + len(lost)
-        if first:  # one line until it is up again, not one a leg
+        if first:  # one line until it is up again, not one an attempt
             self.log.event("link down", node=link.place.name, lost=len(lost), why=why or "closed")
         for held, unbegun in lost:
             self._report(held, Outcome.UNCONNECTED if unbegun and outcome == Outcome.RESET else outcome)
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from ..interface import Lookup
+from ..interface import Request
 from . import thrift
 from .outlet import Outlet, Piece
 
@@ -24,7 +24,7 @@
 HALF_CALL = 1.0  # s that the end of a drain waits for the rest of a call: some write slowly
 LINGER = 0.15  # s from a half-close to the end: what crosses it comes within 50 ms and a way there and back
 CALLS_MOST = 64  # that are read ahead
-AT_ONCE = 0.02  # s from a look at all that has come in which a first leg goes out without another look
+AT_ONCE = 0.02  # s from a look at all that has come in which a first attempt goes out without another look
 LOOK_AGAIN = 0.02  # s between two looks at what is still owed to one that is ended for what it sent
 PEEK_MOST = 65_536  # bytes in which a cancellation is looked for that is not read yet
 UNREAD_MOST = 256  # answers that wait to be read: none who reads leaves so many, and small ones cost most
@@ -37,11 +37,11 @@
         self.lock = threading.Lock()  # guards `open`, the outlet, and the reading of calls
         self.outlet = Outlet(self.lock, WRITE_WAIT)
         self.outlet.connection = connection
-        self.open: dict[int, Lookup | None] = {}  # None: not yet the module's
+        self.open: dict[int, Request | None] = {}  # None: not yet the module's
         self.frames = thrift.Frames()
         self.calls: deque[thrift.Call] = deque()  # read and not begun; the first may be in the making
         self.called = False  # a whole call has come
-        self.asked = False  # and one of them was a lookup
+        self.asked = False  # and one of them was a request
         self.bad = 0  # calls that can't be used since the last that can
         self.wrong = ""  # why what has come can't be read any further
         self.used = time.monotonic()  # when it connected, or the last whole call or answer
@@ -130,7 +130,7 @@
     # Answering; by any thread
 
     def write(self, call: thrift.Call, pieces: list[Piece]) -> None:
-        """The answer to a call other than a lookup; with it, nothing is owed for that call any more."""
+        """The answer to a call other than a request; with it, nothing is owed for that call any more."""
         with self.lock:
             self.drop(call)
             self.outlet.put(None, pieces)
@@ -146,7 +146,7 @@
             self.calls.popleft()
 
     def answer(self, number: int, pieces: list[Piece]) -> None:
-        """The one answer of a lookup; nothing where none is owed any more."""
+        """The one answer of a request; nothing where none is owed any more."""
         with self.lock:
             if self.open.pop(number, None) is not None:
                 self.outlet.put(number, pieces)
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -1,4 +1,4 @@
-"""Clients: connections that bring lookups, each of which is seen through to its one answer."""
+"""Clients: connections that bring requests, each of which is seen through to its one answer."""
 
 import errno
 import socket
@@ -9,7 +9,7 @@
 
 from ..configuration import Start
 from ..facade import BrokenOff, Facade, GiveUp, Left, PushedBack, Satisfied, Verdict
-from ..interface import RECEIPTED, Asked, Lookup, Order, UseCase
+from ..interface import RECEIPTED, Asked, Request, Order, UseCase
 from ..log import Log
 from ..spread.admission import Places, to_end_first
 from . import thrift
@@ -17,7 +17,7 @@
 from .client import Client
 
 BACKLOG = 1024
-OPEN_MOST = 32  # lookups open on one connection
+OPEN_MOST = 32  # requests open on one connection
 MARKS_PER_MB, MARKS_FOR = 100, 5.0  # ids that are kept, for so many seconds at the least
 BAD_MOST = 8  # calls in a row that can't be used, after which the connection is ended
 LOOKUPS_PER_MB = 8  # open at one time: each takes some KB, and a body that it brings 48 at most
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """Whose lookup it is, by which number, and as worded."""
+    """Whose request it is, by which number, and as worded."""
 
     client: Client
     number: int
@@ -36,7 +36,7 @@
 
 
 class Gate(Protocol):
-    """Who turns lookups and connections away before the module hears of them, and says what the others are
+    """Who turns requests and connections away before the module hears of them, and says what the others are
     confined to."""
 
     tenant_field: str
@@ -46,17 +46,17 @@
     def leave(self, entry: str) -> None: ...
     def admit(self, asked: Asked, use_case: UseCase, address: str) -> Any:
         """Something with a `pool`, or with `come_back` (ms) and `harmless`, and then no `pool`."""
-    def settle(self, grant: Any, lookup: Lookup, good: bool, owed: bool) -> None: ...
+    def settle(self, grant: Any, request: Request, good: bool, owed: bool) -> None: ...
 
 
 class Front:
     def __init__(self, start: Start, facade: Facade, caches: Caches, log: Log, clients_most: int) -> None:
         self.gate: Gate | None = None
-        self.marks: set[str] = set()  # ids of lookups, which are new with each, also with a client's retry
+        self.marks: set[str] = set()  # ids of requests, which are new with each, also with a client's retry
         self.older: set[str] = set()
         self.marks_most, self.marks_since = int(MARKS_PER_MB * start.memory_mb), time.monotonic()
         self.start, self.facade, self.caches, self.log = start, facade, caches, log
-        self.clients_most, self.lookups_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
+        self.clients_most, self.requests_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
         self.places = Places(start.use_cases.values())
         self.well = False
         self.listener: socket.socket | None = None
@@ -76,7 +76,7 @@
         self.acceptor.start()
 
     def wind_down(self) -> bool:
-        """Ends what is idle; whether nobody is left. To be called again until then: a lookup that was taken
+        """Ends what is idle; whether nobody is left. To be called again until then: a request that was taken
         meanwhile is seen through first, and none is taken on a connection that has been ended. Those whom the
         system has accepted are let in before the listener closes, as they may have called."""
         if self.listener is not None:
@@ -200,9 +200,9 @@
         finally:
             client.end()
             with client.lock:
-                left, client.open = [lookup for lookup in client.open.values() if lookup is not None], {}
-            for lookup in left:
-                self._forget(lookup)
+                left, client.open = [request for request in client.open.values() if request is not None], {}
+            for request in left:
+                self._forget(request)
             with client.lock:
                 client.connection.close()
             with self.lock:
@@ -218,9 +218,9 @@
             elif call.method == "forget":
                 number = thrift.read_forget(call.rest)
                 with client.lock:
-                    lookup = client.open.pop(number, None)
-                if lookup is not None:
-                    self._forget(lookup)
+                    request = client.open.pop(number, None)
+                if request is not None:
+                    self._forget(request)
             elif call.method == "isWell":
                 client.write(call, thrift.answer("isWell", call.number, b"", {}, self.well))
             else:
@@ -233,7 +233,7 @@
                 client.write(call, thrift.application_exception(call.method, call.number,
                                                                 thrift.PROTOCOL_ERROR, str(wrong)))
 
-    # Lookups
+    # Requests
 
     def _serve(self, client: Client, call: thrift.Call) -> None:
         asked = thrift.read_serve(call.rest, self.gate.tenant_field if self.gate is not None else "")
@@ -249,7 +249,7 @@
                 self._forget(first)
             raise thrift.ThriftError(f"the number {call.number} is open already")
         if len(client.open) >= OPEN_MOST:
-            raise thrift.ThriftError(f"more than {OPEN_MOST} lookups are open")
+            raise thrift.ThriftError(f"more than {OPEN_MOST} requests are open")
         with client.lock:
             if client.outlet.ended:  # not taken: the client sends it again on a new connection
                 return
@@ -266,21 +266,21 @@
             pool = getattr(grant, "pool", None)
             if pool is None:
                 return self._turn_away(client, call.number, grant.come_back, grant.harmless)
-        fullness = max(self.facade.open_lookups() / self.lookups_most, self.facade.short_of_time(),
+        fullness = max(self.facade.open_requests() / self.requests_most, self.facade.short_of_time(),
                        self.caches.fullness())
         room = self.places.has_room(use_case, asked.repeated, fullness)
         waited = 1000.0 * (time.monotonic() - call.read_at)  # behind others that came at once
-        lookup = self.facade.take(
+        request = self.facade.take(
             use_case, int(asked.object, 16), int(asked.part), asked.group, asked.size,
             min(asked.left, use_case.client_timeout) - waited, asked.repeated,
             Ticket(client, call.number, asked, grant),
             room=room, pool=pool)
         with client.lock:
-            client.open[call.number] = lookup
-        self.see_through(lookup)
+            client.open[call.number] = request
+        self.see_through(request)
 
     def _turn_away(self, client: Client, number: int, come_back: float, harmless: bool) -> None:
-        """The one answer of a lookup that the module has not heard of."""
+        """The one answer of a request that the module has not heard of."""
         pieces = thrift.pushed_back(number, come_back) if harmless else thrift.broken_off(number)
         with client.lock:
             if client.open.pop(number, self) is None:
@@ -288,7 +288,7 @@
 
     def _mark(self, mark: str) -> bool:
         """Whether an id is new. Guards against what comes again at full speed, and against nodes that take
-        one lookup for another; harms only a client that breaks the protocol."""
+        one request for another; harms only a client that breaks the protocol."""
         with self.lock:
             if mark in self.marks or mark in self.older:
                 return False
@@ -298,26 +298,26 @@
             self.marks.add(mark)
             return True
 
-    def _forget(self, lookup: Lookup) -> None:
-        self.facade.forget(lookup)
-        self.see_through(lookup)
+    def _forget(self, request: Request) -> None:
+        self.facade.forget(request)
+        self.see_through(request)
 
-    def see_through(self, lookup: Lookup) -> None:
-        """Does what is to be done for a lookup, in the thread whose call moved it."""
-        ticket: Ticket | None = lookup.ticket
+    def see_through(self, request: Request) -> None:
+        """Does what is to be done for a request, in the thread whose call moved it."""
+        ticket: Ticket | None = request.ticket
         try:
-            while ticket is not None and (step := self.facade.pick(lookup)) is not None:
+            while ticket is not None and (step := self.facade.pick(request)) is not None:
                 self._do(step, ticket)
                 if isinstance(step, Verdict):
-                    lookup.ticket = None  # timers may hold the lookup for a while, but not what it brought
+                    request.ticket = None  # timers may hold the request for a while, but not what it brought
                     if ticket.grant is not None:
-                        self.gate.settle(ticket.grant, lookup, isinstance(step, Satisfied),
+                        self.gate.settle(ticket.grant, request, isinstance(step, Satisfied),
                                          not isinstance(step, Left))
         except Exception as broken:
             self.log.fault("see through", broken)
-            self.facade.drop(lookup)
+            self.facade.drop(request)
             if ticket.grant is not None:
-                self.gate.settle(ticket.grant, lookup, False, True)
+                self.gate.settle(ticket.grant, request, False, True)
             ticket.client.answer(ticket.number, thrift.broken_off(ticket.number))
 
     def _do(self, step: Order | GiveUp | Verdict, ticket: Ticket) -> None:
@@ -325,7 +325,7 @@
         if isinstance(step, Order):
             self.caches.send(step, ticket.asked)
         elif isinstance(step, GiveUp):
-            self.caches.give_up(step.leg)
+            self.caches.give_up(step.attempt)
         elif isinstance(step, Satisfied):
             told = step.answer
             fields = {"ok304": "1"} if told.kept else {}
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -112,8 +112,8 @@
     well: bool = True  # of a probe: whether the node calls itself fit
 
     def outcome_for(self, tag: str) -> Outcome:
-        """Of the leg whose node was told that copy of the client's. A probe's word on it, or a copy that the
-        client does not hold, is an error of the node."""
+        """Of the attempt whose node was told that copy of the client's. A probe's word on it, or a copy that
+        the client does not hold, is an error of the node."""
         strange = self.outcome is None or (self.kept and not (tag and tag == self.tag))
         return Outcome.ERROR if strange else self.outcome
 
@@ -163,7 +163,7 @@
 
 
 def pull(asked: Asked, order: Order, left: float) -> list[memoryview | bytes]:
-    """A leg, as pieces to be written one after the other."""
+    """An attempt, as pieces to be written one after the other."""
     fields = {"lane": asked.use_case, "name": asked.object, "piece": asked.part, "ttl": max(1, int(left))}
     if asked.receipt:
         fields["dedupe"] = asked.receipt
--- a/mulleinrelay/net/service.py
+++ b/mulleinrelay/net/service.py
@@ -42,14 +42,14 @@
         self.stopping, self.ended = threading.Event(), threading.Event()
         self.facade = Facade(self.clock, start.seed, start.terms, log)
         self.caches = Caches(self.facade, self.clock, log, start.connect_timeout, start.idle_for,
-                             start.legs_a_connection, int(LINKS_SHARE * start.sockets), start.terms.may_probe,
-                             start.links_priced)
+                             start.attempts_a_connection, int(LINKS_SHARE * start.sockets),
+                             start.terms.may_probe, start.links_priced)
         self.front = Front(start, self.facade, self.caches, log, int(CLIENTS_SHARE * start.sockets))
         self.bus = Bus(start, self.facade, log)
         self.warden = None
         if cells is not None and cells.enabled:
             from ..cells.warden import Warden  # its libraries are there only where it is on
-            self.warden = Warden(cells, start, self.facade, self.clock, log, self.front.lookups_most)
+            self.warden = Warden(cells, start, self.facade, self.clock, log, self.front.requests_most)
             self.front.gate = self.warden
         self.managed = management if management is not None and management.enabled else None
         self.server = None
@@ -99,12 +99,12 @@
         self.front.well = False
         self._enter(Phase.DRAINING)
         while (since := time.monotonic() - begun) < end - WRITTEN:
-            if since >= COMING and not self.facade.open_lookups() and not self.front.owes():
+            if since >= COMING and not self.facade.open_requests() and not self.front.owes():
                 if self.front.wind_down():  # else a call has crossed it, or an end has yet to arrive
                     break
             if since >= end - LAST_ANSWERS:
-                for lookup in self.facade.wind_up():
-                    self.front.see_through(lookup)
+                for request in self.facade.wind_up():
+                    self.front.see_through(request)
             time.sleep(0.02)
         self.front.stop()
         self.bus.stop()
@@ -120,15 +120,15 @@
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        self.log.event("phase", phase=phase.value, open=self.facade.open_lookups())
+        self.log.event("phase", phase=phase.value, open=self.facade.open_requests())
 
     def _keep_time(self) -> None:
         sweep = ask = self.clock()
         while not self.ended.is_set():
             try:
                 due, probes, moved = self.facade.tick()
-                for lookup in moved:
-                    self.front.see_through(lookup)
+                for request in moved:
+                    self.front.see_through(request)
                 for node, place in probes:
                     self.caches.probe(node, place)
                 if (now := self.clock()) >= ask:
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from .interface import (EFFECTFUL, PURE, RECEIPTED, Leg, Lookup, Node, Note, Outcome, Purse, Share, State,
-                        Terms, Writer)
+from .interface import (EFFECTFUL, PURE, RECEIPTED, Attempt, Node, Note, Outcome, Purse, Request, Share,
+                        State, Terms, Writer)
 from .spread import storm
 from .spread.cold import Allowance
 from .spread.popularity import Popularity
@@ -23,8 +23,8 @@
 
 NEAR = 80.0  # d: a member this much slower than its yardstick is passed over; above the noise of coarse bins
 TRIAL_EVERY = 500.0  # a passed-over member gets one trial so often at most: back within seconds
-TRIAL_EARNED, TRIALS_MOST = 0.05, 2.0  # trials each lookup earns, so that hundreds of directors swamp nothing
-ORIGIN_TRIAL = 0.0125  # share of lookups: the origin is passed over by rule and its bytes are priced
+TRIAL_EARNED, TRIALS_MOST = 0.05, 2.0  # trials that a request earns: hundreds of directors must swamp nothing
+ORIGIN_TRIAL = 0.0125  # share of requests: the origin is passed over by rule and its bytes are priced
 LATE_MOST = 1000.0  # percent: one answer that a pause held up keeps a cache from its share for less long
 LEAST_WORK = 50.0  # how late a hit is, is counted in its sending time, or in this where that is shorter
 HALF_RECENT, HALF_USUAL, HALF_BEHIND = 2000.0, 16000.0, 4000.0  # halving times: delay, usual, origin's delay
@@ -32,19 +32,19 @@
 SPREAD = 1.2  # a fill is begun while this multiple of the middle delay leaves it time: half come later
 BELIEF_AGE = 8000.0  # how long an answer makes us believe that a cache holds the object
 COLD_PART, COLD_MOST = 0.75, 1.25  # of what fells a cold member that all share, of its capacity at the most
-KNOWN = 20.0  # lookups of a use case whose mean size is taken for the use case's
+KNOWN = 20.0  # requests of a use case whose mean size is taken for the use case's
 OVERSIZED = 4.0  # objects this many times their use case's mean, first seen, are not kept
-QUIET_MOST = 2.0  # overdue legs, with nothing heard meanwhile, that make a member silent
-OVERDUE = 0.5  # sign of silence (0.5: twice the time it was due to take) at which a leg goes elsewhere
-AGAIN_MOST, ERRORS_MOST = 8.0, 2  # further legs saved up at most; errors a lookup may have
+QUIET_MOST = 2.0  # overdue attempts, with nothing heard meanwhile, that make a member silent
+OVERDUE = 0.5  # sign of silence (0.5: twice the time it was due to take) at which an attempt goes elsewhere
+AGAIN_MOST, ERRORS_MOST = 8.0, 2  # further attempts saved up at most; errors a request may have
 FILL_PACE = 2.0  # a fill may run this much faster than an answer, so a link slows answers only above it
 REPORT_AGE = 1500.0  # an older word of the link's crowding is not used
 UNREACHED = ("silent", "unconnected", "reset")  # what an echo disproves
-ADMIT_MANY, ADMIT_ALONE = 0.4, 0.3  # part of its goal that a lookup may take; the 2nd if alone
+ADMIT_MANY, ADMIT_ALONE = 0.4, 0.3  # part of its goal that a request may take; the 2nd if alone
 SOON = 250.0  # the first echo of a location that counts as cut off comes so soon: it may be reached after all
-FULL = 200.0  # percent that a hit would be late where a leg was turned away
+FULL = 200.0  # percent that a hit would be late where an attempt was turned away
 CALM = 1.2  # slowed by less than this, within the noise of coarse bins, a cache or link takes all that fits
-CHECK_LEAST = 150.0  # a leg is not looked at again sooner: less than the delays of a far source
+CHECK_LEAST = 150.0  # an attempt is not looked at again sooner: less than the delays of a far source
 GUARD = 6.0  # the final answer goes out so long before the client stops waiting
 WINDOW_MARGIN = 50.0  # a repeat goes out so long before its receipt may be forgotten: it has a way to go
 PURGE_MARGIN, PURGE_KEPT = 3.0, 20.0  # a copy is younger than the purge by so much; purge spans it binds
@@ -96,7 +96,7 @@
         self.heard, self.quiet, self.lost = 0.0, 0.0, 0.0  # last word, signs of silence since, last break
         self.shunned, self.unreached, self.trial_due = False, False, 0.0  # unreached: shunned for silence
         self.shunned_at = 0.0
-        self.out: dict[Leg, None] = {}
+        self.out: dict[Attempt, None] = {}
         self.cold = Allowance()  # what this director may send it while cold
 
 
@@ -110,8 +110,8 @@
     return state
 
 
-def may_have_run(lookup: Lookup) -> list[Leg]:
-    return [leg for leg in lookup.legs if leg.outcome is None or not leg.outcome.never_ran]
+def may_have_run(request: Request) -> list[Attempt]:
+    return [held for held in request.attempts if held.outcome is None or not held.outcome.never_ran]
 
 
 class Director:
@@ -129,7 +129,7 @@
         self.subscribed = not terms.must_subscribe
         self.cold_here, self.cold_parents = Share(1.0 / terms.directors_here), Share(1.0 / terms.directors)
         self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
-        self.purse = Purse(AGAIN_MOST)  # further legs that may go now, where no pool brings its own
+        self.purse = Purse(AGAIN_MOST)  # further attempts that may go now, where no pool brings its own
         self.trials = self.random.random()  # trials that may go now; directors start apart
         self.link, self.link_told = 0.0, 0.0  # crowding of the location's link, and when it was told
         self.behind = Histogram(HALF_BEHIND)  # delay of what came by way of the origin
@@ -170,39 +170,39 @@
         self.reach.listed(self.caches, anew)  # echoes: not of what has gone or starts anew
         self.watch.only([m for m in ready if m.shunned or (self.reach.cut and m in self.reach.nodes)])
 
-    def looked_up(self, lookup: Lookup) -> None:
-        if self.popular.seen(self.now, (lookup.key, lookup.part)):
+    def requested(self, request: Request) -> None:
+        if self.popular.seen(self.now, (request.key, request.part)):
             self.forget_old()
-        self.watch.looked_up()
-        purse = self.purse_of(lookup)
-        turned = self.storm.looked_up(self.now)
+        self.watch.requested()
+        purse = self.purse_of(request)
+        turned = self.storm.requested(self.now)
         purse.again = min(AGAIN_MOST, purse.again + self.storm.earned())
         self.trials = min(TRIALS_MOST, self.trials + TRIAL_EARNED)
         if turned:
             self.log_pushbacks()
-        if lookup.size and self.terms.flow:
-            known = self.sending[lookup.use_case]
-            known[0] += lookup.size / self.terms.flow
+        if request.size and self.terms.flow:
+            known = self.sending[request.use_case]
+            known[0] += request.size / self.terms.flow
             known[1] += 1
-        self.out.wake(max(0.0, lookup.until - self.now - GUARD), lookup)
-        self.route(lookup)
-
-    def answered(self, leg: Leg, outcome: Outcome, wait: float, closed: bool, note: Note, first_byte: float,
-                 load: dict[str, float] | None) -> None:
-        lookup, leg.outcome = leg.lookup, outcome
-        leg.node.out.pop(leg, None)
-        self.note_load(leg.node, load)
-        self.learn(leg, wait, note, first_byte)
+        self.out.wake(max(0.0, request.until - self.now - GUARD), request)
+        self.route(request)
+
+    def answered(self, attempt: Attempt, outcome: Outcome, wait: float, closed: bool, note: Note,
+                 first_byte: float, load: dict[str, float] | None) -> None:
+        request, attempt.outcome = attempt.request, outcome
+        attempt.node.out.pop(attempt, None)
+        self.note_load(attempt.node, load)
+        self.learn(attempt, wait, note, first_byte)
         if closed:
-            self.end(lookup)
-        elif not lookup.ended and not any(other.outcome is None for other in lookup.legs):
-            self.route(lookup)
+            self.end(request)
+        elif not request.ended and not any(other.outcome is None for other in request.attempts):
+            self.route(request)
 
-    def woken(self, about: Lookup | Leg) -> None:
-        if isinstance(about, Lookup):
+    def woken(self, about: Request | Attempt) -> None:
+        if isinstance(about, Request):
             if not about.ended:
                 self.give_up(about)
-        elif about.outcome is None and not about.lookup.ended:
+        elif about.outcome is None and not about.request.ended:
             self.check(about)
 
     def told(self, member: Member, load: dict[str, float] | None, well: bool = True) -> None:
@@ -224,151 +224,152 @@
         what = ("object", key) if key else ("group", group)
         self.purges[what] = max(self.purges.get(what, 0.0), self.now - age)
 
-    # The way of a lookup
+    # The way of a request
 
-    def route(self, lookup: Lookup) -> None:
-        """Sends the next leg, or ends the lookup where none is left that may go."""
-        if not self.may_go_on(lookup):
-            return self.stuck(lookup)
-        if lookup.legs and lookup.legs[-1].outcome != Outcome.MISS:
-            last, work = lookup.legs[-1], self.work(lookup)
+    def route(self, request: Request) -> None:
+        """Sends the next attempt, or ends the request where none is left that may go."""
+        if not self.may_go_on(request):
+            return self.stuck(request)
+        if request.attempts and request.attempts[-1].outcome != Outcome.MISS:
+            last, work = request.attempts[-1], self.work(request)
             cost = storm.cost(last.outcome == Outcome.TURNED_AWAY, self.now - last.sent, work)
-            purse = self.purse_of(lookup)
+            purse = self.purse_of(request)
             if purse.again < cost:
-                return self.stuck(lookup)
+                return self.stuck(request)
             purse.again -= cost
-        write, pass_by = lookup.use_case.never_kept, self.terms.may_pass_by
+        write, pass_by = request.use_case.never_kept, self.terms.may_pass_by
         # Seen before the list tells, if it ever does; echoes bring the caches back.
         lost = self.terms.may_probe and (self.reach.cut or all(cache.unreached for cache in self.caches))
-        cache = None if (write or lost) and pass_by else self.choose_cache(lookup)
+        cache = None if (write or lost) and pass_by else self.choose_cache(request)
         if cache is None:
-            source = self.origin if write else self.choose_source(lookup, None)[0]
+            source = self.origin if write else self.choose_source(request, None)[0]
             if source is None or not pass_by or (self.caches and not write and not lost):
-                return self.stuck(lookup)
-            return self.send(lookup, source, source, False)
-        source, held_only = (self.origin, False) if write else self.choose_source(lookup, cache)
+                return self.stuck(request)
+            return self.send(request, source, source, False)
+        source, held_only = (self.origin, False) if write else self.choose_source(request, cache)
         if source is cache or (held_only and source not in self.caches):  # that fell short before?
-            if any(leg.outcome == Outcome.MISS and (leg.source is leg.node or leg.source not in self.caches)
-                   for leg in lookup.legs):
-                return self.stuck(lookup)
-        return self.send(lookup, cache, source, held_only)
-
-    def may_go_on(self, lookup: Lookup) -> bool:
-        """Whether a leg may follow those that there were."""
-        failed = sum(leg.outcome == Outcome.ERROR for leg in lookup.legs)
-        return len(lookup.legs) < self.terms.legs_most and failed < ERRORS_MOST and self.may_send(lookup)
-
-    def purse_of(self, lookup: Lookup) -> Purse:
-        return lookup.pool.purse if lookup.pool else self.purse
-
-    def stuck(self, lookup: Lookup) -> None:
-        """No further leg may go: waits for what is out at a node that is reached, else gives up. Guards
-        against a storm in which nodes work for lookups that were given up; harms by late answers."""
-        out = lookup.legs and lookup.legs[-1].outcome is None and not lookup.legs[-1].node.unreached
-        if not out or self.now >= lookup.until - GUARD:
-            self.give_up(lookup)
-
-    def send(self, lookup: Lookup, node: Member, source: Member | None, held_only: bool) -> None:
-        leg = Leg(lookup, len(lookup.legs), node, source, self.now, lookup.until - self.now)
-        leg.bag, leg.purged = self.holds(node, lookup), self.purge_moment(lookup)
-        lookup.legs.append(leg)
-        node.out[leg] = None
+            if any(one.outcome == Outcome.MISS and (one.source is one.node or one.source not in self.caches)
+                   for one in request.attempts):
+                return self.stuck(request)
+        return self.send(request, cache, source, held_only)
+
+    def may_go_on(self, request: Request) -> bool:
+        """Whether an attempt may follow those that there were."""
+        few = len(request.attempts) < self.terms.attempts_most
+        failed = sum(attempt.outcome == Outcome.ERROR for attempt in request.attempts)
+        return few and failed < ERRORS_MOST and self.may_send(request)
+
+    def purse_of(self, request: Request) -> Purse:
+        return request.pool.purse if request.pool else self.purse
+
+    def stuck(self, request: Request) -> None:
+        """No further attempt may go: waits for what is out at a node that is reached, else gives up. Guards
+        against a storm in which nodes work for requests that were given up; harms by late answers."""
+        last, late = request.attempts[-1] if request.attempts else None, self.now >= request.until - GUARD
+        if late or last is None or last.outcome is not None or last.node.unreached:
+            self.give_up(request)
+
+    def send(self, request: Request, node: Member, source: Member | None, held_only: bool) -> None:
+        attempt = Attempt(request, len(request.attempts), node, source, self.now, request.until - self.now)
+        attempt.bag, attempt.purged = self.holds(node, request), self.purge_moment(request)
+        request.attempts.append(attempt)
+        node.out[attempt] = None
         for member in {node: None, source: None}:
             if member is not None and self.warmth(member) < 1.0:
-                member.cold.spend(self.now, self.counted(lookup))
-        keep, renew = self.rank(lookup) if node in self.caches else 0, lookup.use_case.fresh_for > 0
-        join = self.terms.joins and not any(other.outcome == Outcome.TIMEOUT for other in lookup.legs)
-        self.out.send(leg, self.max_age(lookup), keep, join, held_only, keep > 0, renew)
-        self.out.wake(max(self.goal_left(lookup) - 1.2 * self.work(lookup) - 50.0, CHECK_LEAST), leg)
-
-    def check(self, leg: Leg) -> None:
-        """A leg is overdue: where nothing was heard of its node or source since, it goes elsewhere."""
-        lookup, source = leg.lookup, leg.source
-        due = self.work(lookup) * self.crowd(leg.node)
-        doubtful = [] if leg.node.heard >= leg.sent else [leg.node]
-        if not leg.bag and source is not None and source is not leg.node:
-            due += self.delay(source) + self.work(lookup) * (self.link_slows() - 1.0)
-            doubtful += [] if source.heard >= leg.sent else [source]
-        late = self.now - leg.sent
-        self.out.wake(0.5 * late, leg)
+                member.cold.spend(self.now, self.counted(request))
+        keep, renew = self.rank(request) if node in self.caches else 0, request.use_case.fresh_for > 0
+        join = self.terms.joins and not any(other.outcome == Outcome.TIMEOUT for other in request.attempts)
+        self.out.send(attempt, self.max_age(request), keep, join, held_only, keep > 0, renew)
+        self.out.wake(max(self.goal_left(request) - 1.2 * self.work(request) - 50.0, CHECK_LEAST), attempt)
+
+    def check(self, attempt: Attempt) -> None:
+        """An attempt is overdue: where nothing was heard of its node or source since, it goes elsewhere."""
+        request, source = attempt.request, attempt.source
+        due = self.work(request) * self.crowd(attempt.node)
+        doubtful = [] if attempt.node.heard >= attempt.sent else [attempt.node]
+        if not attempt.bag and source is not None and source is not attempt.node:
+            due += self.delay(source) + self.work(request) * (self.link_slows() - 1.0)
+            doubtful += [] if source.heard >= attempt.sent else [source]
+        late = self.now - attempt.sent
+        self.out.wake(0.5 * late, attempt)
         sign = min(1.0, 0.5 * (late / due - 1.0))
         if sign <= 0.0 or not doubtful:
             return
         for member in doubtful:
             member.quiet += sign / len(doubtful)
             self.judge(member, "silent")
-        if sign >= OVERDUE and doubtful == [leg.node]:
-            self.not_reached(leg.node)
-        if sign >= OVERDUE and leg is lookup.legs[-1] and lookup.use_case.repeat != EFFECTFUL:
-            if self.terms.two_legs:
-                self.route(lookup)
-            elif self.terms.may_cancel and self.purse_of(lookup).again >= 1.0 and self.may_go_on(lookup):
-                self.out.abandon(leg)  # else its answer is all that may come
-
-    def give_up(self, lookup: Lookup) -> None:
+        if sign >= OVERDUE and doubtful == [attempt.node]:
+            self.not_reached(attempt.node)
+        if sign >= OVERDUE and attempt is request.attempts[-1] and request.use_case.repeat != EFFECTFUL:
+            if self.terms.two_attempts:
+                self.route(request)
+            elif self.terms.may_cancel and self.purse_of(request).again >= 1.0 and self.may_go_on(request):
+                self.out.abandon(attempt)  # else its answer is all that may come
+
+    def give_up(self, request: Request) -> None:
         """The final answer, at once; a pushback tells the client when to come back."""
-        doubtful, terms = may_have_run(lookup), self.terms
+        doubtful, terms, pure = may_have_run(request), self.terms, request.use_case.repeat == PURE
         advice = storm.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
-        if not doubtful or lookup.use_case.repeat == PURE or self.known(lookup, doubtful, self.now + advice):
+        if pure or not doubtful or self.known(request, doubtful, self.now + advice):
             self.storm.pushed_back()
-            self.out.push_back(lookup, advice)
+            self.out.push_back(request, advice)
         else:
-            self.out.break_off(lookup)
-        self.end(lookup)
+            self.out.break_off(request)
+        self.end(request)
 
     def log_pushbacks(self) -> None:
         word, seen = ("taking all again", "pushing back")[self.storm.on], self.storm
-        self.out.log(f"{word}: {seen.pushed:.0f} of {seen.lookups:.0f} lookups, link {self.link:.1f}, "
+        self.out.log(f"{word}: {seen.pushed:.0f} of {seen.requests:.0f} requests, link {self.link:.1f}, "
                      f"origin {self.behind.middle(self.now):.0f} ms")
 
-    def end(self, lookup: Lookup) -> None:
-        lookup.ended = True
-        for leg in lookup.legs:
-            if leg.outcome is None and self.terms.may_cancel:
-                self.out.abandon(leg)
-
-    def may_begin(self, now: float, leg: Leg) -> bool:
-        """Whether a leg that waited to be written may still go. Guards drains, purges and repeats against
-        what was told since it was decided; then it never ran, and the lookup is routed again."""
-        self.now, lookup = max(self.now, now), leg.lookup
-        ready = all(member is None or self.may_ask(member) for member in (leg.node, leg.source))
-        others = [other for other in lookup.legs if other is not leg]
-        alone = self.terms.two_legs or not any(other.outcome is None for other in others)
-        fresh = self.purge_moment(lookup) <= leg.purged
-        return ready and alone and fresh and not lookup.ended and self.may_send(lookup, leg)
+    def end(self, request: Request) -> None:
+        request.ended = True
+        for attempt in request.attempts:
+            if attempt.outcome is None and self.terms.may_cancel:
+                self.out.abandon(attempt)
+
+    def may_begin(self, now: float, attempt: Attempt) -> bool:
+        """Whether an attempt that waited to be written may still go. Guards drains, purges and repeats
+        against what was told since it was decided; then it never ran, and the request is routed again."""
+        self.now, request = max(self.now, now), attempt.request
+        ready = all(member is None or self.may_ask(member) for member in (attempt.node, attempt.source))
+        others = [other for other in request.attempts if other is not attempt]
+        alone = self.terms.two_attempts or not any(other.outcome is None for other in others)
+        fresh = self.purge_moment(request) <= attempt.purged
+        return ready and alone and fresh and not request.ended and self.may_send(request, attempt)
 
     def may_ask(self, member: Member) -> bool:
         """Whether it may be asked for an echo or a report: who leaves is sent nothing new, those neither."""
         return member.state == State.READY
 
-    def may_send(self, lookup: Lookup, leg: Leg | None = None) -> bool:
-        """`leg`: which is about to begin; not counted among those that may have run."""
-        case, doubtful = lookup.use_case, [held for held in may_have_run(lookup) if held is not leg]
-        if self.now >= lookup.until - GUARD or not doubtful or case.repeat == PURE:
-            return self.now < lookup.until - GUARD
-        return self.known(lookup, doubtful, self.now)
+    def may_send(self, request: Request, attempt: Attempt | None = None) -> bool:
+        """`attempt`: which is about to begin; not counted among those that may have run."""
+        case, doubtful = request.use_case, [held for held in may_have_run(request) if held is not attempt]
+        if self.now >= request.until - GUARD or not doubtful or case.repeat == PURE:
+            return self.now < request.until - GUARD
+        return self.known(request, doubtful, self.now)
 
-    def known(self, lookup: Lookup, doubtful: list[Leg], at: float) -> bool:
+    def known(self, request: Request, doubtful: list[Attempt], at: float) -> bool:
         """Whether a repeat at that moment, ours or the client's, finds its receipt remembered everywhere."""
-        case = lookup.use_case
+        case = request.use_case
         forgotten = doubtful[0].sent + case.memory_span - WINDOW_MARGIN
         return case.repeat == RECEIPTED and case.group == "all" and at < forgotten
 
     # Which cache
 
-    def choose_cache(self, lookup: Lookup) -> Member | None:
-        """Of all caches, or of the lookup's pool; where none there may be sent to, of those it spares."""
-        if (pool := lookup.pool) is None:
-            return self.best(lookup, self.caches)
-        found = self.best(lookup, [cache for cache in self.caches if cache in pool.caches])
-        return found or self.best(lookup, [cache for cache in self.caches if cache in pool.spare])
-
-    def best(self, lookup: Lookup, caches: list[Member]) -> Member | None:
-        most = self.bearable(lookup) if self.terms.sized else math.inf
-        tried = {leg.node for leg in lookup.legs if leg.outcome != Outcome.MISS}
-        ranked = self.by_hash([cache for cache in caches if cache not in tried], lookup.key, lookup.part)
-        fit = self.fit(ranked, self.counted(lookup))
-        first = list(islice(fit, self.popular.caches((lookup.key, lookup.part))))
+    def choose_cache(self, request: Request) -> Member | None:
+        """Of all caches, or of the request's pool; where none there may be sent to, of those it spares."""
+        if (pool := request.pool) is None:
+            return self.best(request, self.caches)
+        found = self.best(request, [cache for cache in self.caches if cache in pool.caches])
+        return found or self.best(request, [cache for cache in self.caches if cache in pool.spare])
+
+    def best(self, request: Request, caches: list[Member]) -> Member | None:
+        most = self.bearable(request) if self.terms.sized else math.inf
+        tried = {attempt.node for attempt in request.attempts if attempt.outcome != Outcome.MISS}
+        ranked = self.by_hash([cache for cache in caches if cache not in tried], request.key, request.part)
+        fit = self.fit(ranked, self.counted(request))
+        first = list(islice(fit, self.popular.caches((request.key, request.part))))
         if len(first) > 1:  # among equals each director takes its own, or all would take the first
             self.random.shuffle(first)
             first.sort(key=self.crowd)
@@ -376,7 +377,7 @@
 
     def crowd(self, member: Member) -> float:
         """By how much a transfer is slowed there: recent hits show it (one on time put in, as few are known),
-        and this director's own legs that are out, by as much as it stands for the location's directors."""
+        and this director's own attempts that are out, as many times as it stands for directors here."""
         total, weight = member.late.sums(self.now)
         fits, sharers = max(member.share * self.warmth(member), 0.1), self.terms.directors_here
         shown = 1.0 + 0.01 * total / (weight + 1.0)
@@ -393,52 +394,52 @@
         self.purges = {what: at for what, at in self.purges.items()
                        if self.now - at < PURGE_KEPT * self.terms.purge_span}
 
-    def rank(self, lookup: Lookup) -> int:
+    def rank(self, request: Request) -> int:
         """Kept by evidence that it is wanted again, so that what is asked for once wipes nothing."""
-        known = self.sending[lookup.use_case]
-        if self.popular.count((lookup.key, lookup.part)) >= 2:
+        known = self.sending[request.use_case]
+        if self.popular.count((request.key, request.part)) >= 2:
             return 2
-        return 0 if known[1] and self.work(lookup) > OVERSIZED * known[0] / known[1] else 1
+        return 0 if known[1] and self.work(request) > OVERSIZED * known[0] / known[1] else 1
 
     # Which source
 
-    def choose_source(self, lookup: Lookup, cache: Member | None) -> tuple[Member | None, bool]:
+    def choose_source(self, request: Request, cache: Member | None) -> tuple[Member | None, bool]:
         """Where a miss is filled from, and whether that is asked only for what it holds."""
-        work = self.counted(lookup)
-        tried = {leg.source for leg in lookup.legs if self.doubts_source(leg)}
+        work = self.counted(request)
+        tried = {attempt.source for attempt in request.attempts if self.doubts_source(attempt)}
         if cache is not None:
-            limit, asks = self.delay(cache) + NEAR, self.terms.siblings and not self.holds(cache, lookup)
-            for sibling in self.siblings(lookup) if asks else ():
-                if (self.holds(sibling, lookup) and sibling not in tried and self.delay(sibling) <= limit
+            limit, asks = self.delay(cache) + NEAR, self.terms.siblings and not self.holds(cache, request)
+            for sibling in self.siblings(request) if asks else ():
+                if (self.holds(sibling, request) and sibling not in tried and self.delay(sibling) <= limit
                         and any(self.fit([sibling], work))):
                     return sibling, True
-            pool = lookup.pool
-            if asks and pool and pool.helpers and (helper := self.old_home(lookup, tried, work)):
+            pool = request.pool
+            if asks and pool and pool.helpers and (helper := self.old_home(request, tried, work)):
                 return helper, True
-            if self.link_slows() > self.bearable(lookup):
+            if self.link_slows() > self.bearable(request):
                 return cache, False
         if self.origin is not None and self.random.random() < ORIGIN_TRIAL:
             return self.origin, False
-        ranked = self.by_hash([m for m in self.parents if m not in tried], lookup.key, lookup.part)
-        if not lookup.repeated and lookup.until - self.now < self.goal_left(lookup) - GUARD:
+        ranked = self.by_hash([m for m in self.parents if m not in tried], request.key, request.part)
+        if not request.repeated and request.until - self.now < self.goal_left(request) - GUARD:
             ranked.sort(key=self.delay)  # waits less than its goal: a near parent may do; harms by copies
         source = self.choose_outside(self.fit(ranked, work))
         if cache is None or source is None:
             return source or cache, False
-        held_only = self.too_late(self.behind, lookup)
-        late = self.too_late(source.recent, lookup) and not self.trial(source)
+        held_only = self.too_late(self.behind, request)
+        late = self.too_late(source.recent, request) and not self.trial(source)
         return (cache, False) if late or (held_only and source is self.origin) else (source, held_only)
 
-    def siblings(self, lookup: Lookup) -> list[Member]:
-        if (pool := lookup.pool) is None:
+    def siblings(self, request: Request) -> list[Member]:
+        if (pool := request.pool) is None:
             return self.caches
         return [cache for cache in self.caches if cache in pool.caches or cache in pool.helpers]
 
-    def old_home(self, lookup: Lookup, tried: set[Member | None], work: float) -> Member | None:
+    def old_home(self, request: Request, tried: set[Member | None], work: float) -> Member | None:
         """The cache that an object on the move stood at, which is believed to hold it though no recent answer
-        told so. Spares the origin; could harm by a leg for what nobody has asked for lately."""
-        helpers = [cache for cache in self.caches if cache in lookup.pool.helpers]
-        first = next(self.fit(self.by_hash(helpers, lookup.key, lookup.part), work), None)
+        told so. Spares the origin; could harm by an attempt for what nobody has asked for lately."""
+        helpers = [cache for cache in self.caches if cache in request.pool.helpers]
+        first = next(self.fit(self.by_hash(helpers, request.key, request.part), work), None)
         return first if first not in tried else None
 
     def choose_outside(self, fit: Iterator[Member]) -> Member | None:
@@ -460,15 +461,15 @@
         (total, number), usual = parent.recent.sums(self.now), parent.usual.mean(self.now)
         return 0.0 if usual is None else (total - number * usual) / (number + USUAL_PUT_IN)
 
-    def doubts_source(self, leg: Leg) -> bool:
-        """Whether a leg that went wrong may have done so by its source, which is then not named again."""
-        if leg.outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT):
-            return leg.source is not None and leg.source.heard < leg.sent
-        return leg.outcome in (Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.MISS)
+    def doubts_source(self, attempt: Attempt) -> bool:
+        """Whether an attempt that went wrong may have done so by its source, then not named again."""
+        if attempt.outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT):
+            return attempt.source is not None and attempt.source.heard < attempt.sent
+        return attempt.outcome in (Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.MISS)
 
-    def holds(self, cache: Member, lookup: Lookup) -> bool:
-        at = self.beliefs.get((lookup.key, lookup.part), {}).get(cache, 0.0)
-        return at > max(self.now - BELIEF_AGE, self.purge_moment(lookup))
+    def holds(self, cache: Member, request: Request) -> bool:
+        at = self.beliefs.get((request.key, request.part), {}).get(cache, 0.0)
+        return at > max(self.now - BELIEF_AGE, self.purge_moment(request))
 
     def trial(self, member: Member) -> bool:
         if due := self.now >= member.trial_due and self.trials >= 1.0:
@@ -517,73 +518,73 @@
             member.cold.note(share, work, fits, whole * rule.span)
         return fits
 
-    def too_late(self, delays: Histogram, lookup: Lookup) -> bool:
+    def too_late(self, delays: Histogram, request: Request) -> bool:
         """Whether a fill would miss the goal by its source's delay or the origin's; what is held must do.
         Guards against a source that more fills hold crowded, from any cause; could harm short goals afar."""
-        return SPREAD * delays.middle(self.now) + self.work(lookup) > self.goal_left(lookup)
+        return SPREAD * delays.middle(self.now) + self.work(request) > self.goal_left(request)
 
     def link_slows(self) -> float:
         """By how much a fill from outside is slowed, as last told; one that would be late is not begun.
         Guards against a link jammed for good by fills, from any cause; could harm if reports are wrong."""
         return max(1.0, self.link / FILL_PACE) if self.now - self.link_told < REPORT_AGE else 1.0
 
-    def purge_moment(self, lookup: Lookup) -> float:
-        return max(self.purges.get(what, 0.0) for what in (("object", lookup.key), ("group", lookup.group)))
+    def purge_moment(self, request: Request) -> float:
+        return max(self.purges.get(what, 0.0) for what in (("object", request.key), ("group", request.group)))
 
-    def max_age(self, lookup: Lookup) -> float:
+    def max_age(self, request: Request) -> float:
         """Bounds the copy by the last purge; 0 would mean any age, so the bound stays above it."""
-        moment = self.purge_moment(lookup)
+        moment = self.purge_moment(request)
         if not moment or self.now - moment > PURGE_KEPT * self.terms.purge_span:
             return 0.0
         bound = max(0.01, self.now - moment - PURGE_MARGIN)
-        return min(bound, lookup.use_case.fresh_for or bound)
+        return min(bound, request.use_case.fresh_for or bound)
 
     # What is learnt
 
-    def work(self, lookup: Lookup) -> float:
-        if lookup.size and self.terms.flow:
-            return lookup.size / self.terms.flow
-        total, number = self.sending[lookup.use_case]
+    def work(self, request: Request) -> float:
+        if request.size and self.terms.flow:
+            return request.size / self.terms.flow
+        total, number = self.sending[request.use_case]
         if not number:  # no size is ever told, or none yet: what the middle answer took, fills and all
-            return self.took[lookup.use_case].middle(self.now) or lookup.use_case.latency_goal / 4
+            return self.took[request.use_case].middle(self.now) or request.use_case.latency_goal / 4
         return total / number
 
-    def counted(self, lookup: Lookup) -> float:
+    def counted(self, request: Request) -> float:
         """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
         ones that went by their own added up to several times the limit. Where no size is told, what answers
         took stands in, and before that the goal."""
-        (total, number), work = self.sending[lookup.use_case], self.work(lookup)
+        (total, number), work = self.sending[request.use_case], self.work(request)
         if not number:
-            return self.took[lookup.use_case].middle(self.now) or lookup.use_case.latency_goal
+            return self.took[request.use_case].middle(self.now) or request.use_case.latency_goal
         return total / number if number >= KNOWN else max(work, total / number)
 
-    def goal_left(self, lookup: Lookup) -> float:
-        case = lookup.use_case
-        goal = min(case.client_timeout, case.latency_goal + case.goal_stretch * self.work(lookup))
-        return lookup.arrived + goal - self.now
+    def goal_left(self, request: Request) -> float:
+        case = request.use_case
+        goal = min(case.client_timeout, case.latency_goal + case.goal_stretch * self.work(request))
+        return request.arrived + goal - self.now
 
-    def bearable(self, lookup: Lookup) -> float:
+    def bearable(self, request: Request) -> float:
         """By how much an answer may be slowed: others come meanwhile, and large ones are the first to go."""
-        ratio = self.goal_left(lookup) / self.work(lookup)
+        ratio = self.goal_left(request) / self.work(request)
         return max(self.admit * ratio, min(CALM, ratio))
 
-    def learn(self, leg: Leg, wait: float, note: Note, first_byte: float) -> None:
-        outcome, node, source = leg.outcome, leg.node, leg.source
-        spot = (leg.lookup.key, leg.lookup.part)
+    def learn(self, attempt: Attempt, wait: float, note: Note, first_byte: float) -> None:
+        outcome, node, source = attempt.outcome, attempt.node, attempt.source
+        spot = (attempt.request.key, attempt.request.part)
         held, unreached = self.beliefs.get(spot, {}), node.unreached
         if outcome in (Outcome.SATISFIED, Outcome.MISS, Outcome.TURNED_AWAY, Outcome.ERROR):
             self.sign_of_life(node)
         if outcome == Outcome.SATISFIED:
             self.mark(node, 0.0, "")
-            for other in [other for other in leg.lookup.legs if other.outcome == Outcome.ERROR]:
+            for other in [other for other in attempt.request.attempts if other.outcome == Outcome.ERROR]:
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
-            work = self.work(leg.lookup)
+            work = self.work(attempt.request)
             if note in (Note.HIT, Note.NONE):
-                self.took[leg.lookup.use_case].add(self.now, wait)
+                self.took[attempt.request.use_case].add(self.now, wait)
             if note == Note.HIT and not unreached:  # what a cut held up tells nothing of crowding
                 late = 100.0 * (wait - work) / max(work, LEAST_WORK)
                 node.late.add(self.now, min(late, LATE_MOST))
-            if node in self.caches and (self.rank(leg.lookup) or note == Note.HIT):
+            if node in self.caches and (self.rank(attempt.request) or note == Note.HIT):
                 self.beliefs.setdefault(spot, {})[node] = self.now
             if source not in (None, node) and note in (Note.FILLED, Note.FILLED_BY_ORIGIN):
                 delay = max(first_byte, wait - work * max(self.crowd(node), self.link_slows()))
@@ -602,8 +603,8 @@
             self.not_reached(node)
         if outcome == Outcome.UNCONNECTED:
             self.mark(node, 2.0, "unconnected")
-        elif outcome == Outcome.RESET and leg.sent > node.lost:  # once a break: a spoilt answer takes along
-            node.lost = self.now  # all that is out on its link, and a node that died is unconnected next
+        elif outcome == Outcome.RESET and attempt.sent > node.lost:  # once a break: a spoilt answer takes
+            node.lost = self.now  # along all that is out on its link; a node that died is unconnected next
             self.mark(node, 1.0, "reset")
         if source in (None, node) or outcome in (Outcome.CANCELLED, Outcome.MOOT):
             return
@@ -611,19 +612,19 @@
             held.pop(source, None)
         elif note in (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.ORIGIN_BROKE):
             if note == Note.ORIGIN_BROKE or source is self.origin:
-                self.behind.add(self.now, leg.timeout)
+                self.behind.add(self.now, attempt.timeout)
             if note != Note.ORIGIN_BROKE:  # that is no fault of the parent's
-                source.recent.add(self.now, leg.timeout)
+                source.recent.add(self.now, attempt.timeout)
             if note == Note.SOURCE_REFUSED:  # it lives and is crowded: its delay tells, it is not sick
                 self.sign_of_life(source)
             elif note == Note.SOURCE_LOST:
                 self.mark(source, 1.0, note.name.lower())
 
-    def blame(self, leg: Leg, why: str) -> None:
-        """A leg went wrong: its cache alone is to blame where a hit was due, else both by their records."""
-        if leg.bag or leg.source is None or leg.source is leg.node:
-            return self.mark(leg.node, 1.0, why)
-        both = (leg.node, leg.source)
+    def blame(self, attempt: Attempt, why: str) -> None:
+        """One went wrong: its cache alone is to blame where a hit was due, else both by their records."""
+        if attempt.bag or attempt.source is None or attempt.source is attempt.node:
+            return self.mark(attempt.node, 1.0, why)
+        both = (attempt.node, attempt.source)
         shares = [member.health.share() for member in both]
         for member, share in zip(both, shares, strict=True):
             self.mark(member, share / sum(shares), why)
--- a/mulleinrelay/spread/admission.py
+++ b/mulleinrelay/spread/admission.py
@@ -1,8 +1,8 @@
-"""Which lookups a director lets in when it is itself the bound, after most others have died; pure, in ms.
+"""Which requests a director lets in when it is itself the bound, after most others have died; pure, in ms.
 
-Its bounds are the lookups that its memory can hold at one time, its links, and its share of a core, whose
+Its bounds are the requests that its memory can hold at one time, its links, and its share of a core, whose
 lack shows as timers that come late. All use cases share what there is until it runs short; the last is kept
-for those whose lookups have an effect, and then by credit, so that what is worth little or has been asked
+for those whose requests have an effect, and then by credit, so that what is worth little or has been asked
 before does not starve the rest. What finds no place is pushed back at once.
 """
 
@@ -36,14 +36,14 @@
 
 def to_end_first(called: bool, asked: bool, calling: bool, used: float) -> tuple[bool, bool, bool, float]:
     """Sorts connections that owe nothing: first to make room are those that have never called, then those
-    that never brought a lookup, then those with the oldest call (`used`), and only then those that have
+    that never brought a request, then those with the oldest call (`used`), and only then those that have
     called before and are in the middle of a call. Guards usual clients against floods of connections that
     say nothing, ask whether we are well or are only held, also where these are let in late."""
     return called, called and calling, asked, used
 
 
 class Places:
-    """How full a director may be for lookups of each use case."""
+    """How full a director may be for requests of each use case."""
 
     def __init__(self, use_cases: Iterable[UseCase]) -> None:
         cases = list(use_cases)
@@ -53,8 +53,8 @@
                       for case in cases}
 
     def has_room(self, use_case: UseCase, repeated: bool, fullness: float) -> bool:
-        """Whether a lookup may come in. `fullness`: of what the director is shortest of, 1 and above: none is
-        left. `repeated`: its client has asked before, so that its goal has passed
+        """Whether a request may come in. `fullness`: of what the director is shortest of, 1 and above: none
+        is left. `repeated`: its client has asked before, so that its goal has passed
         or is near; that counts as a step less where nothing depends on its running once."""
         step = self.steps[use_case]
         if repeated and use_case.repeat == PURE:
--- a/mulleinrelay/spread/cold.py
+++ b/mulleinrelay/spread/cold.py
@@ -2,13 +2,13 @@
 
 All directors together keep a cold node within what it can do, and none knows what the others send. So each
 has an equal part of it, counted over the span in which the node would fall. With hundreds of directors that
-part is less than one lookup, and a rule that lets nothing through beyond the part leaves the node idle for as
-long as it is cold. Beyond the part a director draws tickets at random: each lets one lookup through, comes as
-often as the part pays for it, and lapses soon, so that a moment at which all want the same node finds few
-tickets in hand.
+part is less than one request, and a rule that lets nothing through beyond the part leaves the node idle for
+as long as it is cold. Beyond the part a director draws tickets at random: each lets one request through,
+comes as often as the part pays for it, and lapses soon, so that a moment at which all want the same node
+finds few tickets in hand.
 
 With directors that draw independently, what all send in a span has a mean of at most FILL, or TICKET_FILL *
-(1 + LAPSE), of what the node can do, and spreads as a sum of independent lookups does.
+(1 + LAPSE), of what the node can do, and spreads as a sum of independent requests does.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 from ..interface import Share
 
-FILL = 0.8  # of the node's present capacity that all directors together go to where each has room for lookups
+FILL = 0.8  # of the node's present capacity that all directors together go to where each has room
 TICKET_FILL = 0.4  # and where they draw: what comes by chance comes in clusters
 LAPSE = 1.0  # of the span, after which a ticket is of no more use: who asks rarely must find it in hand
 
@@ -41,7 +41,7 @@
             share.refused = max(share.refused, part)
 
     def fits(self, now: float, work: float, part: float, span: float, random: Random) -> bool:
-        """Whether a lookup of `work` may go. `part`: of the node's present capacity, work a ms; the same for
+        """Whether a request of `work` may go. `part`: of the node's present capacity, work a ms; the same for
         the same moment however often it is asked."""
         self.spent = [(at, spent) for at, spent in self.spent if at >= now - span]
         spent = sum(held for _, held in self.spent)
--- a/mulleinrelay/spread/reach.py
+++ b/mulleinrelay/spread/reach.py
@@ -1,7 +1,7 @@
 """Whether a location's caches are reached at all: tells a cut, or the loss of the whole location, from caches
 that fail one by one; pure, times in ms.
 
-A director that meets each of its caches every few seconds would find them dead one after the other, a lookup
+A director that meets each of its caches every few seconds would find them dead one after the other, a request
 or two lost for each, for as long as the cut lasts. But what it sends next to whichever cache fails alike, and
 no cache says a word: a few in a row that fail so, with nothing heard of any in between, tell that the whole
 location is not reached. No cache is judged for it. A few are asked for echoes, soon for the first time, since
@@ -42,7 +42,7 @@
         self.failed = {node: at for node, at in self.failed.items() if node in self.nodes}
 
     def fails(self, now: float, node: Hashable) -> bool:
-        """It is not reached, or a leg there is overdue: whether the location counts as cut off from now."""
+        """It is not reached, or an attempt there is overdue: whether the location counts as cut off now."""
         if self.cut or node not in self.nodes:
             return False
         if self.false and now > self.forgives:
--- a/mulleinrelay/spread/storm.py
+++ b/mulleinrelay/spread/storm.py
@@ -1,44 +1,44 @@
-"""What keeps further legs and retries from feeding the overload that made them; pure, times in ms.
+"""What keeps further attempts and retries from feeding the overload that made them; pure, times in ms.
 
-A lookup that is pushed back comes again, and one that a full cache turned away goes to the next: together
+A request that is pushed back comes again, and one that a full cache turned away goes to the next: together
 they can hold a fleet down after the cause has gone. No director sees the fleet, but each sees the share of
-its own lookups that it pushes back. The more that are, the less each lookup earns for further legs, and none
-while half are. A leg that was turned away costs as much as any: that it ended at once says that the node is
-full, and its peers are about to be.
+its own requests that it pushes back. The more that are, the less each request earns for further attempts, and
+none while half are. An attempt that was turned away costs as much as any: that it ended at once says that the
+node is full, and its peers are about to be.
 """
 
 HALVING = 2000.0  # of what was counted
-SHARE = 0.1  # of pushbacks among lookups that is logged as a mode; half of it ends the mode
-EARNED = 0.15  # further legs that a lookup earns where none is pushed back
+SHARE = 0.1  # of pushbacks among requests that is logged as a mode; half of it ends the mode
+EARNED = 0.15  # further attempts that a request earns where none is pushed back
 NONE_AT = 0.5  # share of pushbacks at which it earns none
 COME_BACK = 100.0  # mean advice to what is pushed back: the goal runs on, a jam is seen again at once
-QUICK, QUICK_COST = 0.25, 0.3  # a further leg after one that ended within that part of its work costs so much
+QUICK, QUICK_COST = 0.25, 0.3  # a further attempt after one that ended in that part of its work
 
 
 class Storm:
-    """One director's lookups and pushbacks of the last seconds."""
+    """One director's requests and pushbacks of the last seconds."""
 
     def __init__(self) -> None:
-        self.lookups = self.pushed = self.due = 0.0
+        self.requests = self.pushed = self.due = 0.0
         self.on = False
 
-    def looked_up(self, now: float) -> bool:
-        """A lookup has come; whether the mode changed with it."""
+    def requested(self, now: float) -> bool:
+        """A request has come; whether the mode changed with it."""
         if now >= self.due:
             kept = 0.5 ** min(30, 1 + int((now - self.due) / HALVING))
-            self.lookups, self.pushed, self.due = self.lookups * kept, self.pushed * kept, now + HALVING
-        self.lookups += 1.0
-        before, self.on = self.on, self.pushed > (SHARE / 2 if self.on else SHARE) * self.lookups
+            self.requests, self.pushed, self.due = self.requests * kept, self.pushed * kept, now + HALVING
+        self.requests += 1.0
+        before, self.on = self.on, self.pushed > (SHARE / 2 if self.on else SHARE) * self.requests
         return before != self.on
 
     def pushed_back(self) -> None:
         self.pushed += 1.0
 
     def share(self) -> float:
-        return min(1.0, self.pushed / max(1.0, self.lookups))
+        return min(1.0, self.pushed / max(1.0, self.requests))
 
     def earned(self) -> float:
-        """Further legs that a lookup earns now."""
+        """Further attempts that a request earns now."""
         return EARNED * max(0.0, 1.0 - self.share() / NONE_AT)
 
 
@@ -48,5 +48,5 @@
 
 
 def cost(turned_away: bool, took: float, work: float) -> float:
-    """Of a further leg after one that took so long, `work` being what it was to take."""
+    """Of a further attempt after one that took so long, `work` being what it was to take."""
     return QUICK_COST if not turned_away and took < QUICK * work else 1.0
--- a/mulleinrelay/spread/watching.py
+++ b/mulleinrelay/spread/watching.py
@@ -2,7 +2,7 @@
 
 What one director asks adds up over hundreds: a node that is doubted by all is asked by all, and reports are
 asked for by those who hardly need them. So a doubted node is asked more rarely the more directors share it,
-each at a moment of its own, and reports are earned by lookups.
+each at a moment of its own, and reports are earned by requests.
 """
 
 import math
@@ -11,9 +11,9 @@
 
 ECHO_LEAST, ECHO_EACH = 500.0, 50.0  # a doubted node is asked so often, or once in so much for each sharer
 REPORT_EVERY = 500.0  # between two reports of one director at the least
-REPORT_EARNED, REPORTS_MOST = 0.2, 4.0  # reports that a lookup earns; that may be saved up
-USUAL_PRICE = 0.014  # of one probe a lookup, in credit, up to which it earns so many
-UNWATCHED = 30_000.0  # a director with hardly a lookup still asks once in so long
+REPORT_EARNED, REPORTS_MOST = 0.2, 4.0  # reports that a request earns; that may be saved up
+USUAL_PRICE = 0.014  # of one probe a request, in credit, up to which it earns so many
+UNWATCHED = 30_000.0  # a director with hardly a request still asks once in so long
 
 
 def pace(sharers: int) -> float:
@@ -25,7 +25,7 @@
     """One director's questions."""
 
     def __init__(self, now: float, random: Random, reports: bool, price: float = 0.0) -> None:
-        """`price`: of one probe a lookup. What reports are worth falls as one over their rate, so that the
+        """`price`: of one probe a request. What reports are worth falls as one over their rate, so that the
         best rate falls with the root of the price."""
         self.earns = REPORT_EARNED * math.sqrt(USUAL_PRICE / max(price, USUAL_PRICE))
         self.random, self.reports = random, reports
@@ -34,7 +34,7 @@
         self.report_due = now + REPORT_EVERY * random.random()  # directors start together; they ask apart
         self.watch_due = now + UNWATCHED * random.random()
 
-    def looked_up(self) -> None:
+    def requested(self) -> None:
         self.earned = min(REPORTS_MOST, self.earned + self.earns)
 
     def doubts(self, node: Hashable, now: float, sharers: int, within: float = math.inf) -> None:
--- a/mulleinrelay/standins/clients.py
+++ b/mulleinrelay/standins/clients.py
@@ -1,7 +1,7 @@
 """Clients that speak framed Thrift to directors: open-loop terminals of one tenant, which try again on their
 own.
 
-What is counted is the client's view: a lookup is satisfied if any of its tries is, within the patience that
+What is counted is the client's view: a request is satisfied if any of its tries is, within the patience that
 runs on from its first try."""
 
 import heapq
@@ -63,9 +63,9 @@
     """What one tenant's terminals ask for."""
 
     tenant: str
-    rate: float  # lookups a second
+    rate: float  # requests a second
     objects: int = 200
-    orders: float = 0.0  # share of receipted lookups
+    orders: float = 0.0  # share of receipted requests
     skew: float = 0.8  # of the Zipf popularity
     patience: float = 1_500.0
     tries: int = TRIES
@@ -80,12 +80,12 @@
     counts: Counter = field(default_factory=Counter)
     delays: list[tuple[float, float]] = field(default_factory=list)  # (s from the start, ms)
     asked_at: list[float] = field(default_factory=list)
-    satisfied_at: list[float] = field(default_factory=list)  # by when the lookup was asked
+    satisfied_at: list[float] = field(default_factory=list)  # by when the request was asked
 
 
 @dataclass(slots=True, eq=False)
 class Pending:
-    """One lookup of a client, over its tries."""
+    """One request of a client, over its tries."""
 
     first: float
     fields: dict[str, str]
@@ -308,13 +308,13 @@
                 line.close()
 
     def share(self, first: float, last: float) -> float:
-        """Satisfied lookups over those asked for from `first` to `last`, s."""
+        """Satisfied requests over those asked for from `first` to `last`, s."""
         with self.lock:
             asked = sum(first <= at < last for at in self.tally.asked_at)
             return sum(first <= at < last for at in self.tally.satisfied_at) / asked if asked else 1.0
 
     def percentile(self, part: float, first: float, last: float) -> float:
-        """Delay in ms of lookups asked for from `first` to `last`; 0 where there are none."""
+        """Delay in ms of requests asked for from `first` to `last`; 0 where there are none."""
         with self.lock:
             held = sorted(delay for at, delay in self.tally.delays if first <= at < last)
         return held[min(len(held) - 1, int(part * len(held)))] if held else 0.0
