--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -6,7 +6,7 @@
 
 from . import wire
 from .configuration import ConfigurationError, terms_from_text
-from .interface import Leg, Lookup, Node, Note, Outcome, State
+from .interface import Attempt, Request, Node, Note, Outcome, State
 from .policy import Director, Member
 
 OUTCOMES = {0: Outcome.SATISFIED, 5: Outcome.ERROR, 11: Outcome.TURNED_AWAY, 110: Outcome.TIMEOUT,
@@ -18,17 +18,17 @@
 
 
 class Instance:
-    """One director with the ids of its lookups, nodes and timers; the Writer of its module."""
+    """One director with the ids of its requests, nodes and timers; the Writer of its module."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.reply = wire.Reply()
-        self.lookups: dict[int, Lookup] = {}
+        self.requests: dict[int, Request] = {}
         self.nodes: dict[bytes, Member] = {}
         self.timers: dict[int, Any] = {}
         self.timer_count = 0
         self.inbox: list[tuple[str, tuple[Any, ...]]] = []
-        self.touched: list[Lookup] = []
+        self.touched: list[Request] = []
         self.director: Director | None = None
 
     def node(self, address: bytes) -> Member:
@@ -53,25 +53,25 @@
         elif code == wire.NEW_REQUEST:
             ticket, case, _, key, left, size, group, part, bits = fields
             use_case = self.director.terms.use_cases[case]
-            lookup = Lookup(ticket, use_case, key, int(part), int(group), size, now, now + left,
+            request = Request(ticket, use_case, key, int(part), int(group), size, now, now + left,
                             bool(bits & 2))
-            self.lookups[ticket] = lookup
-            call(("looked_up", (lookup,)))
+            self.requests[ticket] = request
+            call(("requested", (request,)))
         elif code == wire.ANSWER:
             ticket, number, _, status, wait, closed, note, first_byte, count, *values = fields
-            lookup = self.lookups[ticket]
-            leg = lookup.legs[number]
-            self.touched.append(lookup)
+            request = self.requests[ticket]
+            attempt = request.attempts[number]
+            self.touched.append(request)
             outcome = OUTCOMES.get(status, Outcome.ERROR)
-            call(("answered", (leg, outcome, wait, bool(closed), NOTES.get(note, Note.NONE), first_byte,
+            call(("answered", (attempt, outcome, wait, bool(closed), NOTES.get(note, Note.NONE), first_byte,
                                self.load(count, tuple(values)))))
         elif code == wire.FIRED:
             call(("woken", (self.timers.pop(fields[0]),)))
         elif code == wire.VANISHED:
-            lookup = self.lookups.get(fields[0])
-            if lookup is not None:
-                self.touched.append(lookup)
-                call(("end", (lookup,)))
+            request = self.requests.get(fields[0])
+            if request is not None:
+                self.touched.append(request)
+                call(("end", (request,)))
         elif code == wire.MEMBERSHIP:
             bank, how, _ = fields
             rows = [] if how == FAILED_LIST else [
@@ -84,7 +84,7 @@
         elif code == wire.STRUCK_OUT:
             call(("purged", (fields[0], fields[1], fields[2])))
         elif code == wire.OPENED:
-            call(("sign_of_life", (self.lookups[fields[0]].legs[fields[2]].node,)))
+            call(("sign_of_life", (self.requests[fields[0]].attempts[fields[2]].node,)))
 
     def play(self, now: float) -> None:
         if self.director is not None:
@@ -93,29 +93,30 @@
         self.forget()
 
     def forget(self) -> None:
-        """Drops the tickets whose lookups are over and have no leg out."""
-        for lookup in self.touched:
-            if lookup.ended and all(leg.outcome is not None for leg in lookup.legs):
-                self.lookups.pop(lookup.ticket, None)
+        """Drops the tickets whose requests are over and have no attempt out."""
+        for request in self.touched:
+            if request.ended and all(attempt.outcome is not None for attempt in request.attempts):
+                self.requests.pop(request.ticket, None)
         self.touched = []
 
-    def send(self, leg: Leg, max_age: float, rank: int, join: bool, held_only: bool,
+    def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
              parent_keeps: bool, renew: bool) -> None:
         opts = JOIN * join + HELD_ONLY * held_only + PARENT_DROPS * (not parent_keeps) + RENEW * renew
-        source = leg.source or leg.node
-        self.reply.add(wire.DELIVER_VIA, leg.lookup.ticket, max_age, leg.node.key.to_bytes(6, "big"), opts,
-                       source.key.to_bytes(6, "big"), leg.timeout, rank)
+        source = attempt.source or attempt.node
+        node = attempt.node.key.to_bytes(6, "big")
+        self.reply.add(wire.DELIVER_VIA, attempt.request.ticket, max_age, node, opts,
+                       source.key.to_bytes(6, "big"), attempt.timeout, rank)
 
-    def abandon(self, leg: Leg) -> None:
-        self.reply.add(wire.ABANDON, leg.lookup.ticket, leg.number)
+    def abandon(self, attempt: Attempt) -> None:
+        self.reply.add(wire.ABANDON, attempt.request.ticket, attempt.number)
 
-    def push_back(self, lookup: Lookup, come_back: float) -> None:
-        self.touched.append(lookup)
-        self.reply.add(wire.REFUSE, lookup.ticket, come_back)
+    def push_back(self, request: Request, come_back: float) -> None:
+        self.touched.append(request)
+        self.reply.add(wire.REFUSE, request.ticket, come_back)
 
-    def break_off(self, lookup: Lookup) -> None:
-        self.touched.append(lookup)
-        self.reply.add(wire.SURRENDER, lookup.ticket)
+    def break_off(self, request: Request) -> None:
+        self.touched.append(request)
+        self.reply.add(wire.SURRENDER, request.ticket)
 
     def wake(self, delay: float, about: Any) -> None:
         self.timer_count += 1
--- a/tests/budgets/test_exchange.py
+++ b/tests/budgets/test_exchange.py
@@ -1,5 +1,5 @@
 """Fleets of exchanges in simulated time, over the membership's own network: what the fleet uses stays within
-the limit in every window, and rights go to where the lookups are."""
+the limit in every window, and rights go to where the requests are."""
 
 import itertools
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class Busy(Net):
-    """Each director also wants so many lookups a second of one limit of `rate` a second over the fleet, and
+    """Each director also wants so many requests a second of one limit of `rate` a second over the fleet, and
     takes those that its part allows over any span, as the decision module does."""
 
     def __init__(self, count, demand, rate, **means):
@@ -90,7 +90,7 @@
 STUDIES = {"rights that are lent": (lent,), "and that are not": (not_lent,)}
 
 
-def test_rights_go_to_where_the_lookups_are(studies):
+def test_rights_go_to_where_the_requests_are(studies):
     used, most = studies("rights that are lent")
     assert used > 0.88 and most <= 1.0
     assert studies("and that are not") < 0.35
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -1,4 +1,4 @@
-"""Who stands in which cell, and whose a lookup is."""
+"""Who stands in which cell, and whose a request is."""
 
 import itertools
 
@@ -89,7 +89,7 @@
     ("", "11.0.0.0", 40, "beta"),
     ("", "11.0.0.0", 41, "shared"),
 ])
-def test_whose_lookup_it_is(told, address, group, tenant):
+def test_whose_request_it_is(told, address, group, tenant):
     people = (
         Tenant("acme", "north", addresses=("10.1.0.0/16",)),
         Tenant("shared", "north"),
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("arguments, code, told", [
     (("show",), 0, "version 1, 3 tenants in 2 cells"),
     (("explain", "acme"), 0, "cell: north"),
-    (("explain", "nobody"), 3, "there is no tenant nobody; its lookups are shared's"),
+    (("explain", "nobody"), 3, "there is no tenant nobody; its requests are shared's"),
     (("explain", "xyz", "--tenant", "acme"), 2, "16 hex digits"),
     (("move", "acme", "--to", "east", "--shift-ms", "1"), 3, "there is no cell east"),
     (("move", "acme", "--to", "south"), 2, "either --shift-ms, or"),
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -46,7 +46,7 @@
         (Limits(retries=0.0), {"repeated": True}, 10),
         (Limits(), {"body": 48_000}, 20),
     ],
-)  # a body counts as further lookups: 80 / (1 + 46.9 / 16)
+)  # a body counts as further requests: 80 / (1 + 46.9 / 16)
 def test_a_tenant_s_own_bounds(limits, how, let):
     ruled = Ruled(charter(TWO, tenant_limits=limits))
     assert asked(ruled, 50, **how) == let
@@ -150,7 +150,7 @@
     assert max(after - before for before, after in zip(shares, shares[1:], strict=False)) < 0.3
 
 
-def test_a_purse_of_further_legs_is_the_tenant_s_own():
+def test_a_purse_of_further_attempts_is_the_tenant_s_own():
     ruled = Ruled(charter(TWO))
     purses = [ruled.ask(told, key=key).pool.purse for told in ("acme", "shared") for key in (1, 2)]
     assert purses[0] is purses[1] and purses[2] is purses[3] and purses[0] is not purses[2]
@@ -180,7 +180,7 @@
 
 
 def play(course, until, north, others, now=0.0):
-    """So many lookups a cell each 100 ms, with the share and delay that `north` and `others` give at that
+    """So many requests a cell each 100 ms, with the share and delay that `north` and `others` give at that
     time."""
     words = []
     while now < until:
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -34,17 +34,17 @@
 
 
 def test_a_flood_is_kept_to_its_cell_and_turned_away_at_once(tmp_path, monkeypatch):
-    # The flooder's lookups are never answered by its cache, so all that it may have open stays open; where
+    # The flooder's requests are never answered by its cache, so all that it may have open stays open; where
     # the machine is so slow that some of them are given up meanwhile, as many may follow, and no more.
     def silent(fields):
         return None if fields["name"].startswith("f") else HIT
 
     ended, settle = [], Warden.settle
 
-    def noted(warden, grant, lookup, *how):
-        if lookup.key >> 60 == 0xF:
-            ended.append(lookup)
-        settle(warden, grant, lookup, *how)
+    def noted(warden, grant, request, *how):
+        if request.key >> 60 == 0xF:
+            ended.append(request)
+        settle(warden, grant, request, *how)
 
     monkeypatch.setattr(Warden, "settle", noted)
     with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
@@ -60,7 +60,7 @@
             assert others.answer()[1] == SATISFIED
         held = [entry for entry in housed.heard()["s-01"] if entry[2]["name"].startswith("f")]
         assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
-        assert sum(len(legs) for name, legs in housed.heard().items() if name in ("s-02", "s-03")) == 41
+        assert sum(len(sent) for name, sent in housed.heard().items() if name in ("s-02", "s-03")) == 41
         for caller in callers:  # one answer each, those that were held at the end of their client's time
             assert [caller.answer()[1] for _ in range(30)] == [PUSHED] * 30
 
@@ -82,12 +82,12 @@
         assert wait_for(lambda: all(one.warden.governor.charter.version == 2 for one in housed.services))
         went = []
         for number in (0, 1):
-            before = {name: len(legs) for name, legs in housed.heard().items()}
+            before = {name: len(attempts) for name, attempts in housed.heard().items()}
             caller = housed.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
                 assert caller.answer()[1] == SATISFIED
-            new = {name: legs[before[name] :] for name, legs in housed.heard().items()}
+            new = {name: attempts[before[name] :] for name, attempts in housed.heard().items()}
             went.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
             sources = {entry[2]["miss"] for name in ("s-02", "s-03") for entry in new[name]}
             assert sources == {"s-01"}
@@ -124,7 +124,7 @@
         fresh.send("order", tenant="acme", nonce="n2")
         assert fresh.answer()[1] == SATISFIED
         ran = {
-            name for name, legs in housed.heard().items() for entry in legs if entry[2].get("dedupe") == "n1"
+            name for name, sent in housed.heard().items() for entry in sent if entry[2].get("dedupe") == "n1"
         }
         assert ran == {"s-01"}
         assert [entry[2]["dedupe"] for name in ("s-02", "s-03") for entry in housed.heard()[name]] == ["n2"]
@@ -153,7 +153,7 @@
         director.bus.apply(2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}})
         caller.send(tenant="acme", entity="00000000000000ab")
         assert caller.answer()[1] == SATISFIED
-        last = [legs[-1] for name, legs in housed.heard().items() if name in ("s-02", "s-03") and legs][-1]
+        last = [sent[-1] for name, sent in housed.heard().items() if name in ("s-02", "s-03") and sent][-1]
         assert 0.0 < float(last[2]["within"]) < 5_000.0 and last[2].get("miss") != "s-01"
 
 
--- a/tests/cells/test_limits.py
+++ b/tests/cells/test_limits.py
@@ -131,10 +131,10 @@
     @invariant()
     def sums_are_true(self):
         assert self.shares.open == pytest.approx(sum(amount for _, amount in self.held))
-        assert self.shares.open <= 10.0 * 1.25 + 4 * 3.0  # one lookup of each party besides, at the most
+        assert self.shares.open <= 10.0 * 1.25 + 4 * 3.0  # one request of each party besides, at the most
 
     @invariant()
-    def nobody_is_forgotten_with_lookups_open(self):
+    def nobody_is_forgotten_with_requests_open(self):
         assert all(share in self.shares.parties.values() for share, _ in self.held)
 
 
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -22,7 +22,7 @@
 
 
 def edge_caches(housed):
-    return {name for name, legs in housed.heard().items() if legs and name in ("s-01", "s-02", "s-03")}
+    return {name for name, sent in housed.heard().items() if sent and name in ("s-01", "s-02", "s-03")}
 
 
 @pytest.mark.parametrize("tenant, caches", [("acme", {"s-01"}), ("beta", {"s-02", "s-03"})])
@@ -44,7 +44,7 @@
         answers = [caller.answer()[:3] for _ in range(10)]
         assert sorted(what for _, what, _ in answers) == [0] * 3 + [PUSHED] * 7
         assert {fields.get("pause") for _, what, fields in answers if what == PUSHED} == {"5000"}
-        assert sum(len(legs) for legs in housed.heard().values()) == 3
+        assert sum(len(attempts) for attempts in housed.heard().values()) == 3
         caller.send(tenant="beta")
         assert caller.answer()[1] == 0
 
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -21,12 +21,12 @@
 BOXES = [(what, box) for what in ("drain", "cold", "gone") for box in CACHES]
 TROUBLES = [*BOXES, ("purge", "")]
 WHEN = (101_200.0, 102_000.0, 103_200.0)
-END, STEP, WORK = 106_000.0, 200.0, 50.0  # ms; a lookup of 400 KB at 8 KB/ms
+END, STEP, WORK = 106_000.0, 200.0, 50.0  # ms; a request of 400 KB at 8 KB/ms
 COLD_FROM, COLD_FOR, SPAN = 0.2, 17_000.0, 1_500.0  # as the stage's settings tell
 
 
 class Side:
-    """One director with its governor, on a clock that stands until moved; each leg is answered at once."""
+    """One director with its governor, on a clock that stands until moved; attempts are answered at once."""
 
     def __init__(self, version):
         self.stage = Stage()
@@ -47,8 +47,8 @@
         changed = replace(row, state=state, started=now if what == "cold" else row.started)
         self.stage.facade.listed([changed], False)
 
-    def lookups(self, now):
-        """One lookup of each of some objects; gives the orders that went out."""
+    def requests(self, now):
+        """One request of each of some objects; gives the orders that went out."""
         self.stage.now = self.ruled.now = now
         facade, governor = self.stage.facade, self.ruled.governor
         caches = facade.ready_caches()
@@ -58,11 +58,11 @@
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.use_cases[0]
-            lookup = facade.take(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
-            while (step := facade.pick(lookup)) is not None:
+            request = facade.take(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
+            while (step := facade.pick(request)) is not None:
                 if isinstance(step, Order):
                     yield step
-                    facade.report(step.leg, Outcome.SATISFIED, Note.FILLED if step.source else Note.HIT)
+                    facade.report(step.attempt, Outcome.SATISFIED, Note.FILLED if step.source else Note.HIT)
                 elif not isinstance(step, GiveUp):
                     break
             self.ruled.done(grant)
@@ -77,13 +77,13 @@
             for side in sides:
                 side.strike(now, what, box)
         for side in sides:
-            for order in side.lookups(now):
+            for order in side.requests(now):
                 named = {order.place.name, order.source}
                 if what in ("drain", "gone") and when <= now and box in named:
                     broken.add(3)
                 if what == "cold" and when <= now and box in named:
                     spent.append((now, WORK))
-                if what == "purge" and when <= now and order.leg.lookup.key == 0xABC:
+                if what == "purge" and when <= now and order.attempt.request.key == 0xABC:
                     if not 0.0 < order.max_age <= now - when + 1.0:
                         broken.add(5)
         now += STEP
@@ -126,7 +126,7 @@
         [("drain", "s-01")],
     ),
     (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
-    (5, ("max_age", lambda whole: lambda self, lookup: 0.0), [("purge", "")]),
+    (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
 ])
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
     name, make = fault
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,8 @@
 
 from mulleinrelay.configuration import Section, decode, read_terms
 from mulleinrelay.facade import Facade, GiveUp
-from mulleinrelay.interface import (PURE, ColdRule, Leg, Listing, Lookup, Note, Order, Outcome, State, Terms,
-                                    UseCase)
+from mulleinrelay.interface import (PURE, Attempt, ColdRule, Listing, Note, Order, Outcome, Request, State,
+                                    Terms, UseCase)
 from mulleinrelay.net import resp, thrift
 from mulleinrelay.net.service import Service
 from mulleinrelay.policy import Director, Member
@@ -48,7 +48,7 @@
         case = UseCase(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
         terms = dict(
             use_cases=[case], zone=1, directors=3, directors_here=1, parent_kind=PARENT, origin_kind=ORIGIN,
-            sized=True, flow=10.0, legs_most=6, two_legs=True, may_cancel=True, may_probe=False,
+            sized=True, flow=10.0, attempts_most=6, two_attempts=True, may_cancel=True, may_probe=False,
             may_advise=True, advice_most=1000.0, may_pass_by=True, joins=True, siblings=True,
             must_subscribe=False, reports=["crowding"], asks_reports=False,
             cold_cache=ColdRule(0.2, 17000.0, 1500.0, 2.5),
@@ -72,17 +72,17 @@
         self.now += after
         self.director.round(self.now, [(method, arguments)], self.out)
 
-    def look_up(self, key=None, size=1000.0, left=6000.0, after=1.0):
+    def ask(self, key=None, size=1000.0, left=6000.0, after=1.0):
         self.now += after
         self.count += 1
         key = key or 1000 + self.count
-        lookup = Lookup(self.count, self.case, key, 0, 1, size, self.now, self.now + left)
-        self.call("looked_up", lookup)
-        return lookup
+        request = Request(self.count, self.case, key, 0, 1, size, self.now, self.now + left)
+        self.call("requested", request)
+        return request
 
-    def answer(self, leg, outcome=Outcome.SATISFIED, note=Note.HIT, first_byte=0.0, after=0.0, load=None):
+    def answer(self, attempt, outcome=Outcome.SATISFIED, note=Note.HIT, first_byte=0.0, after=0.0, load=None):
         closed = outcome == Outcome.SATISFIED
-        self.call("answered", leg, outcome, 100.0, closed, note, first_byte, load, after=after)
+        self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
 
 
 def settings(**changes):
@@ -157,15 +157,15 @@
         case = self.terms.use_cases[["pages", "order", "pay"].index(use_case)]
         return self.facade.take(case, 0xABC, 0, 1, 100.0, left, False, room=room)
 
-    def again(self, lookup):
-        """The same lookup with its first leg out, for another host of the module."""
-        first = lookup.legs[0]
-        twin = Lookup(1, lookup.use_case, lookup.key, 0, 1, 100.0, 0.0, 6000.0)
-        twin.legs.append(Leg(twin, 0, first.node, first.source, 0.0, 6000.0))
+    def again(self, request):
+        """The same request with its first attempt out, for another host of the module."""
+        first = request.attempts[0]
+        twin = Request(1, request.use_case, request.key, 0, 1, 100.0, 0.0, 6000.0)
+        twin.attempts.append(Attempt(twin, 0, first.node, first.source, 0.0, 6000.0))
         return twin
 
-    def until_verdict(self, lookup):
-        while isinstance(step := self.facade.pick(lookup), Order | GiveUp):
+    def until_verdict(self, request):
+        while isinstance(step := self.facade.pick(request), Order | GiveUp):
             pass
         return step
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -28,7 +28,7 @@
     ((41, 9, 10), [0]),
     ((41, 15, 4), [0]),
     ((41, 10, 9), [0]),
-    ((9, 1, 1), []),  # too few lookups to tell
+    ((9, 1, 1), []),  # too few requests to tell
 ])
 def test_a_herd_is_found(counts, herd):
     assert evenness.herd_seconds(loads(counts), boxes(1.0, 1.0, 1.0), [0]) == herd
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -141,26 +141,28 @@
     assert len(alive) >= 34 and len(alive) + 5 >= 39  # with hosts, relays, clients and keeper
     assert {rule: figures[rule] for rule in audit.rules()} == dict.fromkeys(audit.rules(), 0)
     assert [fault["wrong"] for fault in figures["faults"]] == [""] * len(figures["faults"])
-    assert figures["lookups"] > 1200 and figures["outcomes"]["satisfied"] > 0.6 * figures["lookups"]
+    assert figures["requests"] > 1200 and figures["outcomes"]["satisfied"] > 0.6 * figures["requests"]
 
 
 def test_each_fault_shows_at_the_other_side(troubled):
     _, audit, _ = troubled
-    legs, faults = audit.heard.legs, {fault[1]: fault for fault in audit.faults if fault[3]}
+    attempts, faults = audit.heard.attempts, {fault[1]: fault for fault in audit.faults if fault[3]}
     cut, killed = (
         set(faults["cutoff"][4]),
         [fault for fault in audit.faults if fault[1] == "many" and fault[3]],
     )
-    during = [leg for leg in legs if faults["cutoff"][0] + 0.5 < leg[0] < faults["cutoff"][0] + 1.8]
+    during = [attempt for attempt in attempts
+              if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8]
     north = {name for name, box in audit.boxes.items() if box.location == "north"}
-    assert during and not [leg for leg in during if leg[1] in cut and leg[2] in north]
+    assert during and not [attempt for attempt in during if attempt[1] in cut and attempt[2] in north]
     errs = set(faults["half"][4])
-    assert {leg[1] for leg in legs if leg[7] == "BROKE" and leg[8] == ""} <= errs
+    assert {attempt[1] for attempt in attempts if attempt[7] == "BROKE" and attempt[8] == ""} <= errs
     dead = set(killed[0][4])
     assert len(dead) == 24
-    gone = [leg for leg in legs if killed[0][0] + 0.5 < leg[0] < killed[0][0] + 3.5]
-    assert gone and not [leg for leg in gone if leg[1] in dead]
-    assert [leg for leg in legs if leg[1] in dead and leg[0] > killed[0][0] + 5.0]  # they came back
+    gone = [attempt for attempt in attempts if killed[0][0] + 0.5 < attempt[0] < killed[0][0] + 3.5]
+    assert gone and not [attempt for attempt in gone if attempt[1] in dead]
+    back = [attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0]
+    assert back
     assert audit.heard.others["term"] and audit.heard.others["again"]
     late = set(faults["late"][4])
     told = {
@@ -180,7 +182,8 @@
     asked = [look[2] for look in audit.heard.looks if first + 0.2 < look[0] < last - 0.2]
     assert asked.count("south") > 3 * asked.count("north") > 0
     (mute,) = faults["mute", True][5]
-    assert any(leg[2] == mute and leg[0] > faults["mute", False][0] for leg in audit.heard.legs)  # it is back
+    since = faults["mute", False][0]
+    assert any(attempt[2] == mute and attempt[0] > since for attempt in audit.heard.attempts)  # it is back
 
 
 def test_nothing_of_it_is_left(troubled):
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -114,19 +114,19 @@
 
 
 def test_a_location_whose_caches_are_not_reached_is_served_past_them(audit):
-    """Guards against each cache being found out for itself, with a lookup or two lost for each."""
+    """Guards against each cache being found out for itself, with a request or two lost for each."""
     first, last, there = when(audit, "unreached"), when(audit, "unreached", False), met(audit, "unreached")
     looks = outcomes(audit, first + 2.0, last - 0.5, there)
     assert looks.count("satisfied") > 0.7 * len(looks) > 30
-    passing = {leg[1] for leg in audit.heard.legs if first < leg[0] < last and leg[1] in there
-               and audit.sites[leg[2]].kind == PARENT}
+    passing = {attempt[1] for attempt in audit.heard.attempts if first < attempt[0] < last
+               and attempt[1] in there and audit.sites[attempt[2]].kind == PARENT}
     assert len(passing) > 0.7 * len(there)
 
 
 def test_it_is_back_at_its_caches_afterwards(audit):
     last, there = when(audit, "unreached", False), met(audit, "unreached")
-    back = {leg[1] for leg in audit.heard.legs if last < leg[0] < when(audit, "killed") + 6.0
-            and leg[1] in there and leg[2] in audit.boxes}
+    back = {attempt[1] for attempt in audit.heard.attempts if last < attempt[0] < when(audit, "killed") + 6.0
+            and attempt[1] in there and attempt[2] in audit.boxes}
     assert len(back) > 0.5 * len(there)
 
 
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -70,12 +70,12 @@
     assert {rule: found for rule, found in audit.rules().items() if found} == {}
 
 
-def test_caches_that_are_all_slow_get_no_storm_of_legs(audit):
-    """Guards against lookups that go from full cache to full cache: then there are over two legs a lookup."""
+def test_caches_that_are_all_slow_get_no_storm_of_attempts(audit):
+    """Guards against requests that go from full cache to full cache: over two attempts a request then."""
     first, last = fault(audit, "slow")[0], fault(audit, "slow", False)[0] + 2.0
-    legs = [leg for leg in audit.heard.legs if leg[2] in audit.boxes and first < leg[0] < last]
+    attempts = [held for held in audit.heard.attempts if held[2] in audit.boxes and first < held[0] < last]
     asked = sum(look[8] for look in audit.heard.looks if first < look[0] < last)  # with the clients' retries
-    assert 0 < len(legs) < 1.5 * asked
+    assert 0 < len(attempts) < 1.5 * asked
 
 
 def test_what_is_satisfied_is_back_once_the_slowness_is_over(audit):
@@ -85,11 +85,12 @@
 
 
 def test_caches_that_return_cold_are_used_and_do_not_fall(audit):
-    """Guards against parts of a cold cache that are less than one lookup: 17 directors share each, so that
+    """Guards against parts of a cold cache that are less than one request: 17 directors share each, so that
     none would be asked anything for all its cold time."""
     back, cold = fault(audit, "cold", False)[0], set(fault(audit, "cold")[5])
-    legs = [leg for leg in audit.heard.legs if leg[2] in cold and 2.0 < leg[0] - back < 6.0]  # told to all
-    assert len(cold) == 4 and len(legs) >= 4 and not audit.heard.others["fell"]
+    attempts = [held for held in audit.heard.attempts
+                if held[2] in cold and 2.0 < held[0] - back < 6.0]  # told to all
+    assert len(cold) == 4 and len(attempts) >= 4 and not audit.heard.others["fell"]
 
 
 def test_survivors_answer_all_they_take_while_most_are_gone(audit):
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -21,7 +21,7 @@
 """
 RULES = (
     "rules_broken",
-    "lookups_lost",
+    "requests_lost",
     "answers_twice",
     "orders_run_twice",
     "drains_broken",
@@ -52,8 +52,8 @@
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
     figures = play(read_fleet(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
-    assert figures["lookups"] > 1500 and set(figures["outcomes"]) <= outcomes
-    assert figures["outcomes"]["satisfied"] > 0.6 * figures["lookups"]
+    assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
+    assert figures["outcomes"]["satisfied"] > 0.6 * figures["requests"]
 
 
 def test_the_same_seed_plays_the_same():
@@ -63,4 +63,4 @@
 
 def test_a_fleet_larger_than_the_lab_is_played():
     figures = play(read_fleet(SMALL.replace("seconds = 16", "seconds = 5")).sized(1000))
-    assert figures["directors"] == 1000 and figures["outcomes"]["satisfied"] > 0.95 * figures["lookups"]
+    assert figures["directors"] == 1000 and figures["outcomes"]["satisfied"] > 0.95 * figures["requests"]
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize("trouble, during", MANY)
-def test_a_fleet_of_directors_that_see_one_lookup_a_second_is_back_too(trouble, during, studies):
-    """Guards against overdue lookups that are pushed back while their answers are on the way: the fleet never
+def test_a_fleet_of_directors_that_see_one_request_a_second_is_back_too(trouble, during, studies):
+    """Guards against overdue requests that are pushed back with their answers on the way: the fleet never
     came back. And against a location that is not reached being found out cache by cache."""
     found = studies(f"{trouble}, many")
     assert found["calm"] > 0.95 and found["during"] > during
@@ -37,5 +37,5 @@
     wild = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
     tame = studies("slow, 8 s")
-    assert wild["legs_by_lookup"] > 1.5 * tame["legs_by_lookup"]
+    assert wild["attempts_by_request"] > 1.5 * tame["attempts_by_request"]
     assert wild["back_s"] is None or wild["back_s"] >= tame["back_s"] + 2
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -52,7 +52,7 @@
         director.service.warden.governor.charter, (director.folder / "state" / "datastore").read_bytes())
 
 
-def test_a_drained_box_gets_nothing_new_and_its_legs_end(tmp_path):
+def test_a_drained_box_gets_nothing_new_and_its_attempts_end(tmp_path):
     gate = threading.Event()
 
     def held(fields):
@@ -68,12 +68,12 @@
         first = director.caller()
         first.send(entity="00000000000000ff")
         assert wait_for(
-            lambda: any(leg[2]["name"].endswith("ff") for legs in director.heard().values() for leg in legs)
+            lambda: any(sent[2]["name"].endswith("ff") for held in director.heard().values() for sent in held)
         )
         box = next(
             name
-            for name, legs in director.heard().items()
-            if any(leg[2]["name"].endswith("ff") for leg in legs)
+            for name, attempts in director.heard().items()
+            if any(attempt[2]["name"].endswith("ff") for attempt in attempts)
         )
         drain(target, box, reason="smoke")
         before = len(director.heard()[box])
@@ -86,7 +86,7 @@
         gate.set()
         assert first.answer()[1] == 0
         assert len(director.heard()[box]) == before
-        named = {leg[2].get("miss") for legs in director.heard().values() for leg in legs[-5:]}
+        named = {sent[2].get("miss") for held in director.heard().values() for sent in held[-5:]}
         assert box not in named
         target.set(deletes=[parse(f"{DRAIN}[box={box}]")])
         ((_, after),) = target.get(parse(f"/fleet/boxes/box[name={box}]/state"))
@@ -447,7 +447,7 @@
 
 
 def test_the_command_line(running, tmp_path):
-    assert ctl(running, "drain", "s-02", "--reason", "smoke")[1].endswith("s-02 binding, 0 legs out\n")
+    assert ctl(running, "drain", "s-02", "--reason", "smoke")[1].endswith("s-02 binding, 0 attempts out\n")
     code, told = ctl(running, "drain", "s-03")
     assert code == 3 and "cell south would be left without caches" in told
     assert ctl(running, "undrain", "s-02")[0] == 0
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -143,7 +143,7 @@
             if first <= line["at"] - began < last]
 
 
-def test_no_rule_is_broken_and_no_lookup_waits_for_talk(played):
+def test_no_rule_is_broken_and_no_request_waits_for_talk(played):
     assert {rule: found for rule, found in played[0].rules().items() if found} == {}
     assert all(not held[7] for held in played[0].faults)
 
@@ -201,7 +201,8 @@
     that held parts were stopped and killed."""
     audit, _, middle = played
     first, cold = at(audit, "cold", False), set(next(held[5] for held in audit.faults if held[1] == "cold"))
-    sent = [leg for leg in audit.heard.legs if leg[2] in cold and first + 1.5 < leg[0] < first + 14.0]
+    sent = [attempt for attempt in audit.heard.attempts
+            if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0]
     assert not audit.heard.others["fell"] and len(sent) > 40
     while_cold = [(name, usable / own) for since, name, limit, usable, own in middle["parts"]
                   if "caches" in limit and first < since < first + 14.0]
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -11,7 +11,7 @@
 
 def fleet(directors, capacity, wants, seed, seconds=60.0, work=lambda draw: 100.0, first=0.0, uneven=0.0,
           restarts=0.0):
-    """What a cold node is sent, as (ms, work): `capacity` is work a ms, `wants` lookups a second of each
+    """What a cold node is sent, as (ms, work): `capacity` is work a ms, `wants` requests a second of each
     director, `uneven` how far apart these are; from `first` s on. `restarts`: a second, of all together; who
     starts again has forgotten what it sent."""
     draw, sent = Random(seed), []
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("directors, wants", FLEETS)
 @pytest.mark.parametrize("capacity", CAPACITIES)
 def test_all_together_stay_below_what_fells_a_cold_node(directors, wants, capacity, studies):
-    """It falls at N + 3 root N + 3 lookups of mean work, N being what it can do in the span."""
+    """It falls at N + 3 root N + 3 requests of mean work, N being what it can do in the span."""
     number = capacity * SPAN / 100.0
     found = studies(f"cold, {directors} x {wants}, {capacity}")
     assert len(found) == 5 and max(found) / 100.0 < number + 3.0 * math.sqrt(number) + 3.0
@@ -75,13 +75,13 @@
 
 @pytest.mark.parametrize("directors, least", [(5, 0.5), (60, 0.25), (200, 0.25), (600, 0.15)])
 def test_a_cold_node_is_used_however_many_share_it(directors, least):
-    """Guards against parts so small that no lookup ever fits: the node would be idle while it is cold."""
+    """Guards against parts so small that no request ever fits: the node would be idle while it is cold."""
     capacity = 4.0
     sent = fleet(directors, capacity, 300.0 / directors, 1)
     assert sum(work for _, work in sent) >= least * capacity * 60_000.0
 
 
-def test_large_lookups_pay_for_what_they_take():
+def test_large_requests_pay_for_what_they_take():
     def work(draw):
         return 400.0 if draw.random() < 0.2 else 50.0
 
--- a/tests/spread/test_links.py
+++ b/tests/spread/test_links.py
@@ -6,9 +6,9 @@
     HELD_FAR, HELD_MOST, HELD_SHORT, PRICED, QUIET, Patience, fullness, hold_for, to_end)
 
 
-@pytest.mark.parametrize("legs, wait", [(1, 750.0), (2, 500.0), (4, 300.0), (14, 100.0), (60, 100.0)])
-def test_of_many_legs_one_should_come_sooner(legs, wait):
-    assert Patience().wait(legs) == wait
+@pytest.mark.parametrize("attempts, wait", [(1, 750.0), (2, 500.0), (4, 300.0), (14, 100.0), (60, 100.0)])
+def test_of_many_attempts_one_should_come_sooner(attempts, wait):
+    assert Patience().wait(attempts) == wait
 
 
 @pytest.mark.parametrize("echoes, answers, times", [(1, 0, 2), (3, 0, 8), (9, 0, 16), (2, 5, 2), (1, 9, 1)])
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("takes, most", [(200.0, 0), (1200.0, 44), (4000.0, 44)])
 def test_echoes_over_slow_answers_stay_few(takes, most):
-    """200 lookups in turn on one link of a well node whose answers take long: asked in vain 200 times by one
+    """200 requests in turn on one link of a well node whose answers take long: asked in vain 200 times by one
     wait alone."""
     patience, draw, echoes = Patience(), Random(1), 0
     for _ in range(200):
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("directors", [5, 12, 60, 600])
 def test_idle_links_to_one_node_stay_bounded_whatever_the_number_of_directors(directors):
-    """20 lookups a second at one cache, unevenly spread, 60 ms each; counted each 50 ms over 30 s."""
+    """20 requests a second at one cache, unevenly spread, 60 ms each; counted each 50 ms over 30 s."""
     draw, span = Random(directors), hold_for(30_000.0, directors, False, False)
     weights, until, most = [draw.lognormvariate(0.0, 1.0) for _ in range(directors)], [0.0] * directors, 0
     for slot in range(600):
--- a/tests/spread/test_popularity.py
+++ b/tests/spread/test_popularity.py
@@ -6,7 +6,7 @@
 
 
 def seen(rate, share, seconds, seed):
-    """A director with `rate` lookups a second, `share` of them for one object, the others for one in 1000."""
+    """A director with `rate` requests a second, `share` of them for one object, others for one in 1000."""
     popular, draw, now = Popularity(0.0), Random(seed), 0.0
     while now < 1000.0 * seconds:
         now += 1000.0 * draw.expovariate(rate)
@@ -26,13 +26,13 @@
     assert sum(one in caches for one in found) >= of_a_hundred
 
 
-@pytest.mark.parametrize("lookups, turns_after", [(1, SPANS_MOST * SPAN), (300, SPAN)])
-def test_a_span_goes_on_until_its_lookups_tell_a_share(lookups, turns_after):
+@pytest.mark.parametrize("requests, turns_after", [(1, SPANS_MOST * SPAN), (300, SPAN)])
+def test_a_span_goes_on_until_its_requests_tell_a_share(requests, turns_after):
     popular = Popularity(0.0)
-    for _ in range(lookups):
+    for _ in range(requests):
         popular.seen(1.0, 1)
     assert not popular.seen(turns_after - 1.0, 2) and popular.seen(turns_after, 2)
-    assert popular.count(1) == 0.5 * lookups and popular.count(2) == 1.5
+    assert popular.count(1) == 0.5 * requests and popular.count(2) == 1.5
 
 
 def test_what_nobody_asks_for_any_more_is_forgotten():
--- a/tests/spread/test_storm.py
+++ b/tests/spread/test_storm.py
@@ -5,11 +5,11 @@
 from mulleinrelay.spread.storm import COME_BACK, EARNED, HALVING, SHARE, Storm, come_back, cost
 
 
-def played(pushed, lookups=400, every=10.0, seed=1):
+def played(pushed, requests=400, every=10.0, seed=1):
     storm, draw, now = Storm(), Random(seed), 0.0
-    for _ in range(lookups):
+    for _ in range(requests):
         now += every
-        storm.looked_up(now)
+        storm.requested(now)
         if draw.random() < pushed:
             storm.pushed_back()
     return storm, now
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("pushed, least, most", [
     (0.0, 1.0, 1.0), (0.1, 0.6, 0.95), (0.25, 0.3, 0.7), (0.6, 0.0, 0.0), (1.0, 0.0, 0.0)])
-def test_a_lookup_earns_the_less_the_more_are_pushed_back(pushed, least, most):
+def test_a_request_earns_the_less_the_more_are_pushed_back(pushed, least, most):
     assert least * EARNED <= played(pushed)[0].earned() <= most * EARNED
 
 
@@ -26,27 +26,27 @@
     storm, now = played(pushed)
     for _ in range(600):
         now += 10.0
-        storm.looked_up(now)
+        storm.requested(now)
     assert storm.earned() > 0.75 * EARNED
     storm, now = played(pushed)
-    storm.looked_up(now + 20.0 * HALVING)
+    storm.requested(now + 20.0 * HALVING)
     assert storm.share() < 0.01
 
 
 @pytest.mark.parametrize("fail", [0.3, 0.9, 1.0])
 @pytest.mark.parametrize("retries", [0, 3])
-def test_legs_stay_bounded_whatever_clients_and_nodes_do(fail, retries):
-    """The fleet-wide bound: clients that ask again at once, nodes that turn away each leg at once, a purse
-    that is full at the start. Legs a lookup that came stay under what is earned, and near one in a storm."""
+def test_attempts_stay_bounded_whatever_clients_and_nodes_do(fail, retries):
+    """The fleet-wide bound: clients that ask again at once, nodes that turn away each attempt at once, a
+    purse that is full at the start. Attempts a request stay under what is earned, near one in a storm."""
     storm, draw, now, purse = Storm(), Random(2), 0.0, 8.0
-    waiting, lookups, legs = [], 0, 0
+    waiting, requests, attempts = [], 0, 0
     for _ in range(2000):
         waiting.append(0)
         while waiting:
             tries = waiting.pop()
-            now, lookups = now + 2.0, lookups + 1
-            storm.looked_up(now)
-            purse, legs = min(8.0, purse + storm.earned()), legs + 1
+            now, requests = now + 2.0, requests + 1
+            storm.requested(now)
+            purse, attempts = min(8.0, purse + storm.earned()), attempts + 1
             while draw.random() < fail:
                 price = cost(True, 1.0, 100.0)
                 if purse < price:
@@ -54,10 +54,10 @@
                     if tries < retries:
                         waiting.append(tries + 1)
                     break
-                purse, legs = purse - price, legs + 1
-    assert legs <= lookups * (1.0 + EARNED) + 8.0
+                purse, attempts = purse - price, attempts + 1
+    assert attempts <= requests * (1.0 + EARNED) + 8.0
     if fail >= 0.9:
-        assert legs <= 1.03 * lookups
+        assert attempts <= 1.03 * requests
 
 
 def test_the_mode_turns_once_a_storm_and_once_after():
@@ -65,7 +65,7 @@
     for share in (0.0, 4 * SHARE, 0.0):
         for place in range(1500):
             now += 10.0
-            turns += storm.looked_up(now)
+            turns += storm.requested(now)
             if share and place % int(1 / share) == 0:
                 storm.pushed_back()
     assert turns == 2 and not storm.on
--- a/tests/spread/test_watching.py
+++ b/tests/spread/test_watching.py
@@ -23,7 +23,7 @@
         for place, watch in enumerate(watches):
             owed[place] += rate * step / 1000.0
             while owed[place] >= 1.0:
-                watch.looked_up()
+                watch.requested()
                 owed[place] -= 1.0
             found += [(now, node) for node in watch.due(float(now), NODES)]
     return found
@@ -51,12 +51,12 @@
 
 
 @pytest.mark.parametrize("few, many, rate", [(30, 300, 400.0), (30, 300, 60.0)])
-def test_reports_grow_with_lookups_and_not_with_directors(few, many, rate):
+def test_reports_grow_with_requests_and_not_with_directors(few, many, rate):
     counts = [len(asked(watches(count, True), 20_000.0, rate / count)) for count in (few, many)]
     assert counts[1] <= 2.0 * counts[0]
 
 
-def test_a_director_with_hardly_a_lookup_still_watches():
+def test_a_director_with_hardly_a_request_still_watches():
     assert 9 <= len(asked(watches(1, True), 300_000.0)) <= 12
 
 
@@ -80,5 +80,5 @@
 def test_dear_reports_are_asked_for_more_rarely(price, rate):
     watch = Watch(0.0, Random(1), True, price)
     watch.earned = 0.0
-    watch.looked_up()
+    watch.requested()
     assert watch.earned == pytest.approx(rate)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
                      event, held_back, rows, serve_frame, wait_for)
 
 from mulleinrelay.facade import Facade
-from mulleinrelay.interface import Leg, Node, State
+from mulleinrelay.interface import Attempt, Node, State
 from mulleinrelay.net import bus, resp, service
 from mulleinrelay.net import caches as caches_module
 from mulleinrelay.net import client as client_module
@@ -53,10 +53,10 @@
 
 
 def waiting(director):
-    """The one leg that waits for its link."""
+    """The one attempt that waits for its link."""
     caches = director.service.caches
-    assert wait_for(lambda: len(caches.of_leg) == 1)
-    return next(iter(caches.of_leg))
+    assert wait_for(lambda: len(caches.of_attempt) == 1)
+    return next(iter(caches.of_attempt))
 
 
 def forget(number):
@@ -64,13 +64,13 @@
 
 
 BETWEEN = {
-    "its cache drains": lambda d, leg: told(d, leg.ways[0][1].name, state=State.DRAINING),
-    "its cache is gone": lambda d, leg: told(d, leg.ways[0][1].name, state=State.GONE),
-    "another machine is there": lambda d, leg: told(d, leg.ways[0][1].name, started=5.0),
-    "its source drains": lambda d, leg: told(d, leg.ways[1][1].name, state=State.DRAINING),
-    "its source is gone": lambda d, leg: told(d, leg.ways[1][1].name, state=State.GONE),
-    "its object is purged": lambda d, leg: d.service.facade.purged(0xAB, 0, d.service.clock()),
-    "its group is purged": lambda d, leg: d.service.facade.purged(0, 17, d.service.clock()),
+    "its cache drains": lambda d, attempt: told(d, attempt.ways[0][1].name, state=State.DRAINING),
+    "its cache is gone": lambda d, attempt: told(d, attempt.ways[0][1].name, state=State.GONE),
+    "another machine is there": lambda d, attempt: told(d, attempt.ways[0][1].name, started=5.0),
+    "its source drains": lambda d, attempt: told(d, attempt.ways[1][1].name, state=State.DRAINING),
+    "its source is gone": lambda d, attempt: told(d, attempt.ways[1][1].name, state=State.GONE),
+    "its object is purged": lambda d, attempt: d.service.facade.purged(0xAB, 0, d.service.clock()),
+    "its group is purged": lambda d, attempt: d.service.facade.purged(0, 17, d.service.clock()),
 }
 
 
@@ -84,8 +84,8 @@
     with Running() as director:
         caller = director.caller()
         caller.send(use_case)
-        leg = waiting(director)
-        BETWEEN[between](director, leg)
+        attempt = waiting(director)
+        BETWEEN[between](director, attempt)
         gate.set()
         what = caller.answer()[1]
         heard = director.heard()
@@ -96,7 +96,7 @@
         assert ("within" in heard[0][2]) == ("purged" in between)
         if use_case == "pages" and "purged" not in between:
             named = [name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard]
-            assert leg.ways["source" in between][1].name not in [*named, heard[0][2].get("miss")]
+            assert attempt.ways["source" in between][1].name not in [*named, heard[0][2].get("miss")]
 
 
 @pytest.mark.parametrize("how", ["forget", "close"])
@@ -105,21 +105,21 @@
     with Running(allowed={"cancel": may_cancel}) as director:
         caller, other = director.caller(), director.caller()
         number = caller.send()
-        leg = waiting(director)
+        attempt = waiting(director)
         if how == "forget":
             caller.socket.sendall(forget(number))
         else:
             caller.close()
-        assert wait_for(lambda: leg.lookup.ended)
+        assert wait_for(lambda: attempt.request.ended)
         gate.set()
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (1, 0)
-        assert wait_for(lambda: not director.service.caches.of_leg)
+        assert wait_for(lambda: not director.service.caches.of_attempt)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
 def test_a_message_behind_a_peer_that_does_not_read_is_asked_about_at_its_first_byte():
-    # Guards against a leg that leaves minutes late, when its node reads on, and one cut in the middle.
+    # Guards against an attempt that leaves minutes late, when its node reads on, and one cut in the middle.
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     outlet, stale, dropped = Outlet(threading.Lock()), set(), []
@@ -158,8 +158,8 @@
     ours.close()
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_leg():
-    # Guards against a leg that is thought to have missed while it runs, so that it is repeated.
+def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_attempt():
+    # Guards against an attempt that is thought to have missed while it runs, so that it is repeated.
     second = threading.Event()
 
     class Twice(StandNode):
@@ -190,27 +190,27 @@
         caller, caches = director.caller(), director.service.caches
         caller.send("pay", patience="300")
         assert wait_for(director.heard)
-        (leg,) = caches.of_leg
-        caches.give_up(leg)
-        caches.probe(leg.node, leg.ways[0][1])  # behind it on the same connection
+        (attempt,) = caches.of_attempt
+        caches.give_up(attempt)
+        caches.probe(attempt.node, attempt.ways[0][1])  # behind it on the same connection
         assert wait_for(lambda: director.heard("METER")) and len(director.heard("KILL")) == told
         assert caller.answer()[:2] == (1, 2)
 
 
-@pytest.mark.parametrize("two_legs", [True, False])
-def test_where_one_leg_may_be_out_a_kill_that_cannot_be_written_ends_the_connection(two_legs):
-    # Guards against the next leg that overtakes the word that the first one is given up.
-    with Running(None, allowed={"mayDuplicate": two_legs}) as director:
+@pytest.mark.parametrize("two_attempts", [True, False])
+def test_where_one_attempt_may_be_out_a_kill_that_cannot_be_written_ends_the_connection(two_attempts):
+    # Guards against the next attempt that overtakes the word that the first one is given up.
+    with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        leg = Leg(None, 0, Node(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Node(1), None, director.service.clock(), 6000.0)
         ours, theirs = socket.socketpair()
         link = Link(place, director.service.clock(), caches.lock)
         link.outlet.connection = ours
         caches.links[place] = [link]
-        caches._put(place, "9b", leg, [bytes(4_000_000)])  # begun, and the node reads no more
-        assert caches.of_leg[leg][0] is link
-        caches.give_up(leg)
-        assert link.outlet.ended != two_legs
+        caches._put(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
+        assert caches.of_attempt[attempt][0] is link
+        caches.give_up(attempt)
+        assert link.outlet.ended != two_attempts
         theirs.close()
         ours.close()
 
@@ -240,10 +240,10 @@
         caller, caches = director.caller(), director.service.caches
         caller.send(patience="6000")
         assert wait_for(director.heard)
-        leg = waiting(director)
-        told(director, leg.ways[0][1].name, state=state)
-        link = caches.of_leg[leg][0]
-        link.heard, leg.sent = 0.0, 1.0
+        attempt = waiting(director)
+        told(director, attempt.ways[0][1].name, state=state)
+        link = caches.of_attempt[attempt][0]
+        link.heard, attempt.sent = 0.0, 1.0
         caches.ask()
         assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == State.READY)
 
@@ -376,7 +376,7 @@
 
 
 @pytest.mark.parametrize("how", [*LEAVES, "calls", "cancels another"])
-def test_no_further_leg_begins_for_a_client_whose_leaving_is_not_read_yet(how, monkeypatch):
+def test_no_further_attempt_begins_for_a_client_whose_leaving_is_not_read_yet(how, monkeypatch):
     # Guards against a director that is late itself: its links' threads run before that of the client.
     left = threading.Event()
     read = held_back(monkeypatch, Client, "hear", lambda client: client.called)
@@ -391,7 +391,7 @@
         (client,) = director.service.front.clients
         assert wait_for(lambda: client._next() is not None)
         left.set()
-        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert wait_for(lambda: not director.service.facade.open_requests())
         assert (len(director.heard()) == 1) is (how in LEAVES)
         read.set()
 
@@ -411,13 +411,13 @@
             else:
                 caller.close()
             time.sleep(2.0 * client_module.AT_ONCE)
-        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert wait_for(lambda: not director.service.facade.open_requests())
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (2, 0)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["ab", "cd"]
 
 
-def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_leg(monkeypatch):
+def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_attempt(monkeypatch):
     left = threading.Event()
     go = held_back(monkeypatch, Front, "_call", lambda front, client, call: call.method == "forget")
     with Running(lambda fields: left.wait(5.0) and FULL) as director:
@@ -428,7 +428,7 @@
         (client,) = director.service.front.clients
         assert wait_for(lambda: client.calls)
         left.set()
-        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert wait_for(lambda: not director.service.facade.open_requests())
         assert len(director.heard()) == 1
         go.set()
 
@@ -464,7 +464,7 @@
         caller.socket.sendall(b"\xff" * 100)
         caller.close()
         assert wait_for(lambda: not director.service.front.clients, 1.0)
-        assert not director.service.facade.open_lookups()
+        assert not director.service.facade.open_requests()
 
 
 def test_a_verdict_between_a_calls_taking_and_its_table_is_told_once(monkeypatch):
@@ -472,12 +472,12 @@
     take = Facade.take
 
     def taken(facade, *arguments, **named):
-        lookup = take(facade, *arguments, **named)
+        request = take(facade, *arguments, **named)
         other = threading.Thread(target=lambda: [director.service.front.see_through(still)
                                                  for still in facade.wind_up()])
         other.start()
         other.join()
-        return lookup
+        return request
 
     monkeypatch.setattr(Facade, "take", taken)
     with Running() as director:
@@ -486,7 +486,7 @@
         assert caller.answer()[:2] == (1, 1)
         caller.socket.sendall(WELL)
         assert caller.answer()[:2] == (1, 0)  # and nothing between
-        assert not director.service.front.owes() and not director.service.facade.open_lookups()
+        assert not director.service.front.owes() and not director.service.facade.open_requests()
 
 
 def test_a_call_is_not_begun_where_its_cancellation_has_come_behind_it(reading):
@@ -512,7 +512,7 @@
         idle = not owes(front)
         if idle and director.service.stopping.is_set() and not crossed:
             crossed.append(caller.send())
-            assert wait_for(director.service.facade.open_lookups)
+            assert wait_for(director.service.facade.open_requests)
             return False
         return not idle
 
@@ -652,8 +652,8 @@
         assert wait_for(lambda: director.service.front.clients)
         time.sleep(0.3)
         go.set()
-        leg = waiting(director)
-        assert leg.lookup.until - leg.lookup.arrived < 1750.0
+        attempt = waiting(director)
+        assert attempt.request.until - attempt.request.arrived < 1750.0
 
 
 def test_who_floods_with_bad_calls_is_ended_and_told_why(reading):
@@ -852,7 +852,7 @@
 
 
 def test_a_program_that_starts_hears_what_it_missed_before_it_is_well(monkeypatch):
-    # Guards against first lookups by a list that is out of date: a drain that was told while the program
+    # Guards against first requests by a list that is out of date: a drain that was told while the program
     # started has used up its grace. The stream's word is held back until the front listens and is asked.
     monkeypatch.setattr(bus, "MISSED", 0.5)
     drain = event(2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}})
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -11,17 +11,17 @@
 from mulleinrelay.wirehost import Instance
 
 
-def test_a_lookup_is_satisfied_once_and_later_word_is_dropped():
+def test_a_request_is_satisfied_once_and_later_word_is_dropped():
     stage = Stage()
-    lookup = stage.take()
-    order = stage.facade.pick(lookup)
-    assert isinstance(order, Order) and order.place.name.startswith("s-") and not order.leg.outcome
-    stage.facade.report(order.leg, Outcome.SATISFIED, Note.HIT, answer="bytes")
-    stage.facade.report(order.leg, Outcome.ERROR)
-    stage.facade.forget(lookup)
-    verdict = stage.facade.pick(lookup)
+    request = stage.take()
+    order = stage.facade.pick(request)
+    assert isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
+    stage.facade.report(order.attempt, Outcome.SATISFIED, Note.HIT, answer="bytes")
+    stage.facade.report(order.attempt, Outcome.ERROR)
+    stage.facade.forget(request)
+    verdict = stage.facade.pick(request)
     assert isinstance(verdict, Satisfied) and verdict.answer == "bytes"
-    assert order.leg.outcome == Outcome.SATISFIED and not stage.facade.open_lookups()
+    assert order.attempt.outcome == Outcome.SATISFIED and not stage.facade.open_requests()
 
 
 @pytest.mark.parametrize("first, second, verdict", [
@@ -34,20 +34,20 @@
     ("time", "report", PushedBack),
     ("report", "time", Satisfied),
 ])
-def test_whoever_comes_second_finds_the_lookup_ended(first, second, verdict):
+def test_whoever_comes_second_finds_the_request_ended(first, second, verdict):
     stage = Stage()
-    lookup = stage.take()
-    leg = stage.facade.pick(lookup).leg
-    deeds = {"forget": lambda: stage.facade.forget(lookup), "wind_up": stage.facade.wind_up,
-             "report": lambda: stage.facade.report(leg, Outcome.SATISFIED, Note.HIT),
+    request = stage.take()
+    attempt = stage.facade.pick(request).attempt
+    deeds = {"forget": lambda: stage.facade.forget(request), "wind_up": stage.facade.wind_up,
+             "report": lambda: stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT),
              "time": lambda: stage.pass_time(7000.0)}
     deeds[first]()
     deeds[second]()
-    steps = [stage.facade.pick(lookup)]
+    steps = [stage.facade.pick(request)]
     while isinstance(steps[-1], GiveUp):
-        steps.append(stage.facade.pick(lookup))
-    assert isinstance(steps[-1], verdict) and not stage.facade.open_lookups()
-    assert [step.leg for step in steps[:-1]] == ([] if first == "report" else lookup.legs)
+        steps.append(stage.facade.pick(request))
+    assert isinstance(steps[-1], verdict) and not stage.facade.open_requests()
+    assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
 @pytest.mark.parametrize("use_case, sent, outcome, verdict", [
@@ -60,75 +60,75 @@
 def test_the_last_answers_of_a_drain_are_true(use_case, sent, outcome, verdict):
     # Guards against a drain that calls harmless what may have run.
     stage = Stage()
-    lookup = stage.take(use_case)
+    request = stage.take(use_case)
     if sent:
-        leg = stage.facade.pick(lookup).leg
+        attempt = stage.facade.pick(request).attempt
         if outcome is not None:
-            stage.facade.report(leg, outcome)
+            stage.facade.report(attempt, outcome)
     else:
-        lookup.legs[0].outcome = Outcome.MOOT
+        request.attempts[0].outcome = Outcome.MOOT
     stage.facade.wind_up()
-    assert isinstance(stage.until_verdict(lookup), verdict)
+    assert isinstance(stage.until_verdict(request), verdict)
 
 
-def test_a_leg_that_was_called_off_before_it_was_picked_is_never_sent():
+def test_a_attempt_that_was_called_off_before_it_was_picked_is_never_sent():
     stage = Stage()
-    lookup = stage.take()
-    stage.facade.forget(lookup)
-    assert isinstance(stage.facade.pick(lookup), Left)
-    assert lookup.legs[0].outcome == Outcome.CANCELLED
+    request = stage.take()
+    stage.facade.forget(request)
+    assert isinstance(stage.facade.pick(request), Left)
+    assert request.attempts[0].outcome == Outcome.CANCELLED
 
 
-def test_a_leg_over_its_time_is_given_up_and_reported():
+def test_a_attempt_over_its_time_is_given_up_and_reported():
     stage = Stage(allowed={"cancel": False})  # the module calls nothing off: the caller keeps the time
-    lookup = stage.take()
-    leg = stage.facade.pick(lookup).leg
+    request = stage.take()
+    attempt = stage.facade.pick(request).attempt
     stage.pass_time(6001.0)
-    assert leg.outcome == Outcome.TIMEOUT
-    assert isinstance(stage.until_verdict(lookup), PushedBack)
+    assert attempt.outcome == Outcome.TIMEOUT
+    assert isinstance(stage.until_verdict(request), PushedBack)
 
 
-def test_one_thread_at_a_time_picks_for_a_lookup():
-    # Guards against a verdict that one thread carries out while another still sends a leg.
+def test_one_thread_at_a_time_picks_for_a_request():
+    # Guards against a verdict that one thread carries out while another still sends an attempt.
     stage, found = Stage(), []
-    lookup = stage.take()
-    leg = stage.facade.pick(lookup).leg
+    request = stage.take()
+    attempt = stage.facade.pick(request).attempt
 
     def pick_elsewhere():
-        other = threading.Thread(target=lambda: found.append(stage.facade.pick(lookup)))
+        other = threading.Thread(target=lambda: found.append(stage.facade.pick(request)))
         other.start()
         other.join()
 
-    stage.facade.report(leg, Outcome.SATISFIED, Note.HIT, answer=1)
+    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, answer=1)
     pick_elsewhere()
     assert found == [None]
-    assert stage.facade.pick(lookup).answer == 1 and stage.facade.pick(lookup) is None
+    assert stage.facade.pick(request).answer == 1 and stage.facade.pick(request) is None
 
-    lookup = stage.take()
-    leg = stage.facade.pick(lookup).leg
-    assert stage.facade.pick(lookup) is None  # nothing left to do: whoever brings more may pick
-    stage.facade.report(leg, Outcome.SATISFIED, Note.HIT, answer=2)
+    request = stage.take()
+    attempt = stage.facade.pick(request).attempt
+    assert stage.facade.pick(request) is None  # nothing left to do: whoever brings more may pick
+    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
 
 
-def test_a_lookup_without_room_is_pushed_back_unsent():
+def test_a_request_without_room_is_pushed_back_unsent():
     stage = Stage()
-    lookup = stage.take(room=False)
-    verdict = stage.facade.pick(lookup)
-    assert isinstance(verdict, PushedBack) and verdict.come_back > 0.0 and not lookup.legs
+    request = stage.take(room=False)
+    verdict = stage.facade.pick(request)
+    assert isinstance(verdict, PushedBack) and verdict.come_back > 0.0 and not request.attempts
 
 
 def test_tick_runs_what_is_due_and_says_when_next():
     stage = Stage()
-    lookup = stage.take(left=300.0)
+    request = stage.take(left=300.0)
     due, *_ = stage.facade.tick()
-    assert stage.now < due <= lookup.until
-    while not lookup.ended:
+    assert stage.now < due <= request.until
+    while not request.ended:
         stage.now = due
         due, _, moved = stage.facade.tick()
-    assert moved == [lookup]
-    assert stage.now < lookup.until
+    assert moved == [request]
+    assert stage.now < request.until
 
 
 def test_rest_ends_early_for_an_earlier_timer():
@@ -142,25 +142,25 @@
     assert done.wait(5.0)
 
 
-@pytest.mark.parametrize("broken", ["looked_up", "answered"])
+@pytest.mark.parametrize("broken", ["requested", "answered"])
 def test_a_module_that_fails_still_owes_one_answer(broken):
-    # Guards against a client that waits in vain for a lookup on which the module broke.
+    # Guards against a client that waits in vain for a request on which the module broke.
     stage, sink = Stage(), Sink()
     stage.facade.log_to = sink
     setattr(stage.facade.director, broken, lambda *_: 1 / 0)
-    lookup = stage.take()
+    request = stage.take()
     if broken == "answered":
-        stage.facade.report(stage.facade.pick(lookup).leg, Outcome.MISS)
-    assert isinstance(stage.facade.pick(lookup), BrokenOff) and sink.events == ["fault"]
+        stage.facade.report(stage.facade.pick(request).attempt, Outcome.MISS)
+    assert isinstance(stage.facade.pick(request), BrokenOff) and sink.events == ["fault"]
 
 
-def test_a_lookup_without_a_verdict_is_broken_off_by_the_clock():
+def test_a_request_without_a_verdict_is_broken_off_by_the_clock():
     stage = Stage()
-    lookup = stage.take(left=200.0)
-    stage.facade.pick(lookup)
+    request = stage.take(left=200.0)
+    stage.facade.pick(request)
     stage.facade.director.woken = stage.facade.director.answered = lambda *_: None
     stage.pass_time(209.0)
-    assert isinstance(stage.until_verdict(lookup), BrokenOff)
+    assert isinstance(stage.until_verdict(request), BrokenOff)
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started": 5.0}, False)],
 )
 def test_a_machine_that_starts_again_gets_a_new_place(change, kept):
-    # Guards against legs on the connections of the machine that had the address before.
+    # Guards against attempts on the connections of the machine that had the address before.
     stage = Stage()
     entry = stage.entries[0]
     member = stage.facade.nodes[entry.name]
@@ -207,7 +207,7 @@
     def round(self, now, inbox, out):
         for method, arguments in inbox:
             if method == "answered":
-                leg, outcome, _, closed, note, waited, load = arguments
+                attempt, outcome, _, closed, note, waited, load = arguments
                 self.seen.append((outcome, closed, note, waited, load))
             elif method == "told":
                 self.seen.append(arguments[1])
@@ -223,17 +223,17 @@
 )
 def test_sockets_and_simulator_call_the_module_alike(word, status, note):
     stage = Stage()
-    lookup = stage.take()
-    leg = stage.facade.pick(lookup).leg
+    request = stage.take()
+    attempt = stage.facade.pick(request).attempt
     ours = stage.facade.director = Calls(stage.facade.terms)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
     told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
-    stage.facade.report(leg, told.outcome, told.note, told.waited, told.load, told)
+    stage.facade.report(attempt, told.outcome, told.note, told.waited, told.load, told)
 
     theirs = Instance(1)
     theirs.take(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
     theirs.director = Calls(theirs.director.terms)
-    theirs.lookups[1] = stage.again(lookup)
+    theirs.requests[1] = stage.again(request)
     closed = int(status == 0)
     theirs.take(5.0, wire.ANSWER, (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0), {})
     theirs.play(5.0)
@@ -243,7 +243,7 @@
 def test_a_probe_is_handed_out_and_its_report_handed_in():
     stage = Stage(report={"how": "probe", "columns": ["x1"]})
     probes = []
-    while not probes:  # reports are earned by lookups
+    while not probes:  # reports are earned by requests
         stage.now += 100.0
         stage.take()
         _, probes, _ = stage.facade.tick()
@@ -255,6 +255,6 @@
 
 def test_a_report_in_an_answer_reaches_the_module():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
-    leg = stage.facade.pick(stage.take()).leg
-    stage.facade.report(leg, Outcome.SATISFIED, Note.HIT, load={"crowding": 3.5})
+    attempt = stage.facade.pick(stage.take()).attempt
+    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, load={"crowding": 3.5})
     assert stage.facade.director.link == 3.5
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""One lookup through all orders of what may come to it, three events long, each kept to the rules by a second
+"""One request through all orders of what may come to it, three events long, each kept to the rules by another
 account of what was begun; and one connection of a client likewise. Planted faults must be found."""
 
 import itertools
@@ -21,7 +21,7 @@
 
 
 class Play:
-    """Whoever sees a lookup through, and the account: what was begun and how it ended."""
+    """Whoever sees a request through, and the account: what was begun and how it ended."""
 
     def __init__(self, use_case, waits):
         """`waits`: what is picked is not written at once, as its link is not up."""
@@ -29,17 +29,17 @@
         self.facade = self.stage.facade
         self.begun, self.ended, self.verdicts, self.draining, self.left = [], {}, [], set(), False
         self.held = []  # orders that were picked and are not yet written
-        self.lookup = self.stage.take(use_case, left=2000.0)
+        self.request = self.stage.take(use_case, left=2000.0)
         self.see_through()
 
     def see_through(self):
-        while (step := self.facade.pick(self.lookup)) is not None:
+        while (step := self.facade.pick(self.request)) is not None:
             if isinstance(step, Order):
                 assert not self.verdicts
                 self.held.append(step)
                 self.write_on()
             elif isinstance(step, GiveUp):
-                self.ended.setdefault(step.leg, Outcome.CANCELLED)
+                self.ended.setdefault(step.attempt, Outcome.CANCELLED)
             else:
                 self.verdicts.append(step)
 
@@ -48,36 +48,36 @@
             self.write(self.held.pop(0))
 
     def write(self, order):
-        leg = order.leg
-        if not self.facade.may_begin(leg):
-            self.ended[leg] = Outcome.MOOT
-            return self.facade.report(leg, Outcome.MOOT)
-        assert not self.verdicts and not self.left, "begun for a lookup that is over"
+        attempt = order.attempt
+        if not self.facade.may_begin(attempt):
+            self.ended[attempt] = Outcome.MOOT
+            return self.facade.report(attempt, Outcome.MOOT)
+        assert not self.verdicts and not self.left, "begun for a request that is over"
         assert not {order.place.name, order.source} & self.draining, "sent to one that drains"
         doubtful = [held for held in self.begun if self.ended.get(held) not in NEVER_RAN]
         assert self.use_case != "pay" or not doubtful, "an effect may happen twice"
-        self.begun.append(leg)
+        self.begun.append(attempt)
 
     def out(self):
-        return [leg for leg in self.begun if leg not in self.ended]
+        return [attempt for attempt in self.begun if attempt not in self.ended]
 
     def happen(self, event):
         if event in ANSWERS and self.out():
-            leg = self.out()[0]
-            self.ended[leg] = ANSWERS[event]
-            self.facade.report(leg, ANSWERS[event], answer=leg)
+            attempt = self.out()[0]
+            self.ended[attempt] = ANSWERS[event]
+            self.facade.report(attempt, ANSWERS[event], answer=attempt)
         elif event == "second answer" and self.ended:
-            leg = next(iter(self.ended))
-            self.facade.report(leg, Outcome.SATISFIED, answer=leg)
-        elif event == "drains" and self.lookup.legs:
-            name = self.facade.places[self.lookup.legs[-1].node].name
+            attempt = next(iter(self.ended))
+            self.facade.report(attempt, Outcome.SATISFIED, answer=attempt)
+        elif event == "drains" and self.request.attempts:
+            name = self.facade.places[self.request.attempts[-1].node].name
             self.draining.add(name)
             self.facade.listed([replace(self.facade.entries[name], state=State.DRAINING)], False)
         elif event == "purged":
             self.facade.purged(0xABC, 0, self.stage.now)
         elif event == "leaves":
             self.left = True
-            self.facade.forget(self.lookup)
+            self.facade.forget(self.request)
         elif event == "overdue":
             self.stage.pass_time(700.0)
         elif event == "winds up":
@@ -91,10 +91,10 @@
         self.happen("is written")
         self.stage.pass_time(2500.0)
         self.see_through()
-        assert len(self.verdicts) == 1 and self.facade.pick(self.lookup) is None
-        assert not self.facade.lives and not [leg for leg in self.out() if leg.outcome is None]
+        assert len(self.verdicts) == 1 and self.facade.pick(self.request) is None
+        assert not self.facade.lives and not [attempt for attempt in self.out() if attempt.outcome is None]
         if isinstance(self.verdicts[0], PushedBack) and self.use_case == "pay":
-            assert all(self.ended.get(leg) in NEVER_RAN for leg in self.begun), "a retry might do it twice"
+            assert all(self.ended.get(held) in NEVER_RAN for held in self.begun), "a retry might do it twice"
         if isinstance(self.verdicts[0], Satisfied):
             assert self.ended[self.verdicts[0].answer] == Outcome.SATISFIED
 
@@ -111,15 +111,15 @@
 
 
 @pytest.mark.parametrize("use_case, length", [("pages", 3), ("order", 2), ("pay", 3)])
-def test_a_lookup_keeps_to_the_rules_in_every_order_of_its_events(use_case, length):
+def test_a_request_keeps_to_the_rules_in_every_order_of_its_events(use_case, length):
     search(use_case, length)
 
 
 @pytest.mark.parametrize("use_case, where, name, planted, told", [
-    ("pages", Facade, "may_begin", lambda facade, leg: True, "drains"),
-    ("pay", policy, "may_have_run", lambda lookup: [], "twice"),
-    ("pay", policy, "may_have_run", lambda lookup: [leg for leg in lookup.legs if leg.outcome is None],
-     "twice")])
+    ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
+    ("pay", policy, "may_have_run", lambda request: [], "twice"),
+    ("pay", policy, "may_have_run",
+     lambda request: [attempt for attempt in request.attempts if attempt.outcome is None], "twice")])
 def test_a_planted_fault_is_found(use_case, where, name, planted, told, monkeypatch):
     monkeypatch.setattr(where, name, planted)
     with pytest.raises(AssertionError, match=told):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,10 +1,10 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
-from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, Leg, Note, Outcome, State
+from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, Attempt, Note, Outcome, State
 
 
-@pytest.mark.parametrize("repeat, group, outcome, legs, final", [
+@pytest.mark.parametrize("repeat, group, outcome, attempts, final", [
     (PURE, "all", Outcome.ERROR, 2, None),
     (RECEIPTED, "all", Outcome.ERROR, 2, None),
     (RECEIPTED, "zone", Outcome.ERROR, 1, "break_off"),
@@ -12,21 +12,21 @@
     (EFFECTFUL, "all", Outcome.RESET, 1, "break_off"),
     (EFFECTFUL, "all", Outcome.UNCONNECTED, 2, None),
 ])
-def test_further_legs_go_only_as_far_as_the_use_case_permits(repeat, group, outcome, legs, final):
+def test_further_attempts_go_only_as_far_as_the_use_case_permits(repeat, group, outcome, attempts, final):
     fleet = Fleet(repeat, group)
-    lookup = fleet.look_up()
-    fleet.answer(lookup.legs[0], outcome, Note.NONE, after=20)
-    assert len(lookup.legs) == legs
+    request = fleet.ask()
+    fleet.answer(request.attempts[0], outcome, Note.NONE, after=20)
+    assert len(request.attempts) == attempts
     assert [name for name, _ in fleet.out.actions if name in ("push_back", "break_off")] == [final] * bool(
         final
     )
 
 
-def test_a_receipted_lookup_is_not_sent_again_past_its_memory_span():
+def test_a_receipted_request_is_not_sent_again_past_its_memory_span():
     fleet = Fleet(RECEIPTED)
-    lookup = fleet.look_up()
-    fleet.answer(lookup.legs[0], Outcome.ERROR, Note.NONE, after=5000)
-    assert len(lookup.legs) == 1 and lookup.ended
+    request = fleet.ask()
+    fleet.answer(request.attempts[0], Outcome.ERROR, Note.NONE, after=5000)
+    assert len(request.attempts) == 1 and request.ended
 
 
 @pytest.mark.parametrize("outcome, after, final", [
@@ -35,22 +35,22 @@
     (Outcome.ERROR, 5500, "break_off"),
     (Outcome.MISS, 5500, "push_back"),  # never ran
 ])
-def test_a_receipted_lookup_is_called_harmless_to_repeat_while_its_receipt_lasts(outcome, after, final):
-    fleet = Fleet(RECEIPTED, legs_most=1, advice_most=200.0)
-    fleet.answer(fleet.look_up().legs[0], outcome, Note.NONE, after=after)
+def test_a_receipted_request_is_called_harmless_to_repeat_while_its_receipt_lasts(outcome, after, final):
+    fleet = Fleet(RECEIPTED, attempts_most=1, advice_most=200.0)
+    fleet.answer(fleet.ask().attempts[0], outcome, Note.NONE, after=after)
     assert [name for name, _ in fleet.out.actions if name in ("push_back", "break_off")] == [final]
 
 
 def test_one_final_answer_before_the_client_stops_waiting():
     fleet = Fleet()
-    lookup = fleet.look_up(left=900.0)
-    delay = max(delay for delay, about in fleet.out.take("wake") if about is lookup)
+    request = fleet.ask(left=900.0)
+    delay = max(delay for delay, about in fleet.out.take("wake") if about is request)
     assert delay < 900.0
-    fleet.call("woken", lookup, after=delay)
-    fleet.answer(lookup.legs[0], Outcome.CANCELLED, Note.NONE, after=1)
-    fleet.call("end", lookup, after=100)
+    fleet.call("woken", request, after=delay)
+    fleet.answer(request.attempts[0], Outcome.CANCELLED, Note.NONE, after=1)
+    fleet.call("end", request, after=100)
     assert len(fleet.out.take("push_back")) == 1 and not fleet.out.take("break_off")
-    assert len(lookup.legs) == 1
+    assert len(request.attempts) == 1
 
 
 @pytest.mark.parametrize("change", [State.DRAINING, State.GONE, None])
@@ -68,9 +68,9 @@
             False,
         )
     for _ in range(60):
-        leg = fleet.look_up().legs[0]
-        assert leg.node is fleet.caches[0] and leg.source is not fleet.parents[1]
-        fleet.answer(leg)
+        attempt = fleet.ask().attempts[0]
+        assert attempt.node is fleet.caches[0] and attempt.source is not fleet.parents[1]
+        fleet.answer(attempt)
 
 
 @pytest.mark.parametrize("caches_cold, hubs_cold", [(True, False), (False, True)])
@@ -78,10 +78,10 @@
     fleet = Fleet(started=100000.0 * caches_cold, hub_started=100000.0 * hubs_cold)
     sent = {member: 0.0 for member in [fleet.caches[0], *fleet.parents]}
     for _ in range(300):
-        leg = fleet.look_up(size=500.0, after=5).legs[0]
-        for member in {leg.node, leg.source} & set(sent):
+        attempt = fleet.ask(size=500.0, after=5).attempts[0]
+        for member in {attempt.node, attempt.source} & set(sent):
             sent[member] += 50.0
-        fleet.answer(leg, note=Note.FILLED, first_byte=30.0)
+        fleet.answer(attempt, note=Note.FILLED, first_byte=30.0)
     member, rule = (
         (fleet.caches[0], fleet.terms.cold_cache)
         if caches_cold
@@ -92,19 +92,19 @@
 
 
 @pytest.mark.parametrize("caches_cold", [True, False])
-def test_small_lookups_count_as_the_mean_of_their_use_case_at_a_cold_member(caches_cold):
+def test_small_requests_count_as_the_mean_of_their_use_case_at_a_cold_member(caches_cold):
     """Nine of ten took a tenth of the mean and went by that: together several times what fells the member."""
     fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
     rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
     for number in range(40):  # before it starts: the mean is known
-        fleet.look_up(size=9100.0 if number % 10 == 0 else 100.0, after=2.0)
+        fleet.ask(size=9100.0 if number % 10 == 0 else 100.0, after=2.0)
     sent = {member: [] for member in cold}
     for number in range(600):
-        leg = fleet.look_up(size=9100.0 if number % 10 == 0 else 100.0, after=5.0).legs
-        for member in {held for each in leg for held in (each.node, each.source)} & set(sent):
+        attempt = fleet.ask(size=9100.0 if number % 10 == 0 else 100.0, after=5.0).attempts
+        for member in {held for each in attempt for held in (each.node, each.source)} & set(sent):
             sent[member].append(fleet.now)
-        for each in leg:
+        for each in attempt:
             fleet.answer(each, note=Note.FILLED, first_byte=30.0)
     mean = 100.0
     for times in sent.values():
@@ -119,7 +119,7 @@
     fleet = Fleet()
     fleet.call("purged", key, group, 40.0)
     for after in (0.0, 0.5, 30.0, 1000.0, 4000.0, 20_000.0):  # a late fill may bring an old copy after all
-        fleet.look_up(key=77, after=after)
+        fleet.ask(key=77, after=after)
         age = fleet.out.take("send")[-1][1]
         assert 0.0 < age <= fleet.now - 100000.0 + 40.0
 
@@ -132,33 +132,33 @@
         for _ in range(5):
             parent.recent.add(fleet.now, delay)
             parent.usual.add(fleet.now, delay)
-    sources = {fleet.look_up(left=left).legs[0].source for _ in range(20)} - {fleet.origin}
+    sources = {fleet.ask(left=left).attempts[0].source for _ in range(20)} - {fleet.origin}
     assert sources == ({fleet.parents[1]} if near else set(fleet.parents))
 
 
 def test_a_believed_sibling_is_the_source_and_asked_only_for_what_it_holds():
     fleet = Fleet()
-    first = fleet.look_up(key=5)
-    owner = first.legs[0].node
-    fleet.answer(first.legs[0], Outcome.TURNED_AWAY, Note.NO_PLACE)
-    fleet.answer(first.legs[1], note=Note.FILLED, first_byte=20.0)
+    first = fleet.ask(key=5)
+    owner = first.attempts[0].node
+    fleet.answer(first.attempts[0], Outcome.TURNED_AWAY, Note.NO_PLACE)
+    fleet.answer(first.attempts[1], note=Note.FILLED, first_byte=20.0)
     fleet.out.take("send")
-    again = fleet.look_up(key=5)
-    assert again.legs[0].node is owner and again.legs[0].source is first.legs[1].node
+    again = fleet.ask(key=5)
+    assert again.attempts[0].node is owner and again.attempts[0].source is first.attempts[1].node
     assert fleet.out.take("send")[0][4] is True
 
 
 def test_a_silent_cache_is_left_at_the_first_sign_and_shunned_when_signs_add_up():
     fleet = Fleet()
-    silent = fleet.look_up(key=5).legs[0].node
+    silent = fleet.ask(key=5).attempts[0].node
     for _ in range(40):
-        leg = fleet.look_up(after=60).legs[0]
-        if leg.node is not silent:
-            fleet.answer(leg)
+        attempt = fleet.ask(after=60).attempts[0]
+        if attempt.node is not silent:
+            fleet.answer(attempt)
         for delay, about in fleet.out.take("wake"):
-            if about is leg and leg.node is silent:
-                fleet.call("woken", leg, after=delay)
-                assert len(leg.lookup.legs) == 2 and leg.lookup.legs[1].node is not silent
+            if about is attempt and attempt.node is silent:
+                fleet.call("woken", attempt, after=delay)
+                assert len(attempt.request.attempts) == 2 and attempt.request.attempts[1].node is not silent
         if silent.shunned:
             break
     assert silent.shunned
@@ -168,74 +168,74 @@
     (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
     (Outcome.UNCONNECTED, None, 6.0),
     (Outcome.ERROR, None, 0.0),
-    (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the lookup's own fault
+    (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
     (Outcome.ERROR, Outcome.SATISFIED, 3.0),
 ])
 def test_bad_outcomes_weigh_by_what_they_tell_of_the_node(outcome, another, weight):
     """Clients that ask for what no node knows, and spoilt answers, had healthy caches shunned."""
     fleet = Fleet()
     cache = fleet.caches[0]
-    lookups = []
-    while len(lookups) < 3:
-        lookup = fleet.look_up()
-        if lookup.legs[0].node is cache:
-            lookups.append(lookup)
+    requests = []
+    while len(requests) < 3:
+        request = fleet.ask()
+        if request.attempts[0].node is cache:
+            requests.append(request)
         else:
-            fleet.answer(lookup.legs[0])
-    for lookup in lookups:
-        lookup.legs[0].bag = True  # a hit was due, so that no source shares the blame
-        fleet.answer(lookup.legs[0], outcome, Note.NONE)
+            fleet.answer(request.attempts[0])
+    for request in requests:
+        request.attempts[0].bag = True  # a hit was due, so that no source shares the blame
+        fleet.answer(request.attempts[0], outcome, Note.NONE)
         if another is not None:
-            fleet.answer(lookup.legs[1], another)
+            fleet.answer(request.attempts[1], another)
     assert cache.health.bad == weight
-    assert all(lookup.ended for lookup in lookups) or another is None
+    assert all(request.ended for request in requests) or another is None
 
 
 @pytest.mark.parametrize("broken, well", [("parents", "caches"), ("caches", "parents")])
-def test_the_member_that_all_bad_legs_share_is_shunned_and_the_others_are_not(broken, well):
+def test_the_member_that_all_bad_attempts_share_is_shunned_and_the_others_are_not(broken, well):
     """A failing parent shows as errors at every cache; without split blame the caches were shunned for it."""
     fleet = Fleet()
     sick = getattr(fleet, broken)[0]
     for _ in range(150):
-        lookup = fleet.look_up(after=20)
-        leg = lookup.legs[0]
-        bad = sick in (leg.node, leg.source)
-        fleet.answer(leg, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SATISFIED, Note.FILLED)))
-        for leg in lookup.legs[1:]:
-            fleet.answer(leg, note=Note.FILLED)
+        request = fleet.ask(after=20)
+        attempt = request.attempts[0]
+        bad = sick in (attempt.node, attempt.source)
+        fleet.answer(attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SATISFIED, Note.FILLED)))
+        for attempt in request.attempts[1:]:
+            fleet.answer(attempt, note=Note.FILLED)
     assert sick.shunned and not any(member.shunned for member in getattr(fleet, well))
 
 
-def test_a_lookup_that_no_cache_can_satisfy_in_time_is_pushed_back_at_once():
+def test_a_request_that_no_cache_can_satisfy_in_time_is_pushed_back_at_once():
     """Without the bound a burst slows every transfer past its latency goal."""
     fleet = Fleet()
-    lookups = [fleet.look_up(size=4000.0, after=0.0) for _ in range(200)]
-    assert 10 < len([lookup for lookup in lookups if not lookup.ended]) < 100
-    assert lookups[-1].ended and not lookups[-1].legs
-    small = fleet.look_up(size=500.0, after=0.0)
-    assert small.legs
+    requests = [fleet.ask(size=4000.0, after=0.0) for _ in range(200)]
+    assert 10 < len([request for request in requests if not request.ended]) < 100
+    assert requests[-1].ended and not requests[-1].attempts
+    small = fleet.ask(size=500.0, after=0.0)
+    assert small.attempts
 
 
 @pytest.mark.parametrize("crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)])
 def test_a_jammed_link_brings_in_no_fills_and_a_miss_is_pushed_back_at_once(crowding, age, filled):
     """Without the bound, fills whose clients left kept a jammed link jammed for the rest of the day."""
     fleet = Fleet()
-    fleet.answer(fleet.look_up().legs[0], load={"crowding": crowding})
-    lookup = fleet.look_up(after=age)
-    assert (lookup.legs[0].source is not lookup.legs[0].node) is filled
+    fleet.answer(fleet.ask().attempts[0], load={"crowding": crowding})
+    request = fleet.ask(after=age)
+    assert (request.attempts[0].source is not request.attempts[0].node) is filled
     if not filled:
-        fleet.answer(lookup.legs[0], Outcome.MISS, Note.NONE)
-        assert lookup.ended and len(lookup.legs) == 1
+        fleet.answer(request.attempts[0], Outcome.MISS, Note.NONE)
+        assert request.ended and len(request.attempts) == 1
 
 
 def test_a_slow_member_that_answers_in_between_is_not_shunned():
     """A fixed cut took crowded members for silent ones, and the count outlived the answer that refuted it."""
     fleet = Fleet()
     for _ in range(30):
-        leg = fleet.look_up(after=400).legs[0]
-        fleet.call("woken", leg, after=900)
-        fleet.answer(leg, after=10)
-        assert not leg.node.shunned or leg.node.quiet >= 2.0
+        attempt = fleet.ask(after=400).attempts[0]
+        fleet.call("woken", attempt, after=900)
+        fleet.answer(attempt, after=10)
+        assert not attempt.node.shunned or attempt.node.quiet >= 2.0
     assert not any(member.shunned for member in fleet.caches)
 
 
@@ -246,13 +246,13 @@
     for place in range(30):
         by_origin = place % 3 == 0
         note, delay = (Note.FILLED_BY_ORIGIN, first_byte) if by_origin else (Note.FILLED, 12.0)
-        fleet.answer(fleet.look_up().legs[0], note=note, first_byte=delay)
+        fleet.answer(fleet.ask().attempts[0], note=note, first_byte=delay)
     fleet.out.take("send")
-    lookup = fleet.look_up()
-    assert fleet.out.take("send")[0][4] is held_only and lookup.legs[0].source in fleet.parents
+    request = fleet.ask()
+    assert fleet.out.take("send")[0][4] is held_only and request.attempts[0].source in fleet.parents
     if held_only:
-        fleet.answer(lookup.legs[0], Outcome.MISS, Note.SOURCE_LACKS)
-        assert lookup.ended and len(lookup.legs) == 1
+        fleet.answer(request.attempts[0], Outcome.MISS, Note.SOURCE_LACKS)
+        assert request.ended and len(request.attempts) == 1
 
 
 def test_a_slow_parent_gets_no_more_fills_but_trials():
@@ -260,64 +260,65 @@
     fleet = Fleet()
     fleet.director.random.random = lambda: 1.0
     for _ in range(20):
-        fleet.answer(fleet.look_up().legs[0], note=Note.FILLED, first_byte=3000.0)
+        fleet.answer(fleet.ask().attempts[0], note=Note.FILLED, first_byte=3000.0)
     filled = 0
     for _ in range(50):
-        leg = fleet.look_up(after=20).legs[0]
-        filled += leg.source in fleet.parents
-        fleet.answer(leg)
+        attempt = fleet.ask(after=20).attempts[0]
+        filled += attempt.source in fleet.parents
+        fleet.answer(attempt)
     assert 0 < filled <= 6
 
 
 @pytest.mark.parametrize("outcome, after, least, most", [
     (Outcome.TURNED_AWAY, 50.0, 5, 13), (Outcome.TURNED_AWAY, 1.0, 5, 13), (Outcome.MOOT, 50.0, 5, 13),
     (Outcome.MOOT, 1.0, 30, 30)])
-def test_further_legs_keep_to_their_budget_and_cost_little_where_little_was_lost(outcome, after, least, most):
-    """Without the budget, legs turned away came back as three or four more; a full node wastes no time, and
-    yet its peers are about to be full."""
+def test_further_attempts_keep_to_their_budget_and_cost_little_where_little_was_lost(
+        outcome, after, least, most):
+    """Without the budget, attempts turned away came back as three or four more; a full node wastes no time,
+    and yet its peers are about to be full."""
     fleet, further = Fleet(), 0
     for _ in range(30):
-        lookup = fleet.look_up()
-        fleet.answer(lookup.legs[0], outcome, Note.NO_PLACE, after=after)
-        further += len(lookup.legs) - 1
-        for leg in lookup.legs[1:]:
-            fleet.answer(leg)
+        request = fleet.ask()
+        fleet.answer(request.attempts[0], outcome, Note.NO_PLACE, after=after)
+        further += len(request.attempts) - 1
+        for attempt in request.attempts[1:]:
+            fleet.answer(attempt)
     assert least <= further <= most
 
 
 def warm_up(fleet, number=40, note=Note.FILLED, first_byte=20.0):
     for _ in range(number):
-        fleet.answer(fleet.look_up().legs[0], note=note, first_byte=first_byte)
+        fleet.answer(fleet.ask().attempts[0], note=note, first_byte=first_byte)
 
 
 @pytest.mark.parametrize("wait, taken", [(100.0, True), (900.0, False)])
-def test_crowding_is_read_from_how_late_hits_come_and_not_from_legs_times_directors(wait, taken):
-    """With twenty directors, two legs out of one's own pushed the third lookup back at idle caches."""
+def test_crowding_is_read_from_how_late_hits_come_and_not_from_attempts_times_directors(wait, taken):
+    """With twenty directors, two attempts out of one's own pushed the third request back at idle caches."""
     fleet = Fleet(directors_here=20)
-    for leg in [fleet.look_up(after=20).legs[0] for _ in range(6)]:
-        fleet.call("answered", leg, Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
+    for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
+        fleet.call("answered", attempt, Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
     for cache in fleet.caches:
         cache.late.add(fleet.now, wait - 100.0)
-    assert any(fleet.look_up(after=0.0).ended for _ in range(4)) is not taken
+    assert any(fleet.ask(after=0.0).ended for _ in range(4)) is not taken
 
 
 @pytest.mark.parametrize("here", [1, 30])
 def test_a_large_object_passes_at_caches_that_are_not_crowded(here):
     """Its own sending time takes more than the part of the goal, so a quiet day pushed it back."""
-    lookup = Fleet(directors_here=here).look_up(size=9000.0)
-    assert lookup.legs and not lookup.ended
+    request = Fleet(directors_here=here).ask(size=9000.0)
+    assert request.attempts and not request.ended
 
 
-@pytest.mark.parametrize("lookups, most", [(40, 3), (400, 22)])
-def test_trials_are_earned_by_own_lookups(lookups, most):
+@pytest.mark.parametrize("requests, most", [(40, 3), (400, 22)])
+def test_trials_are_earned_by_own_requests(requests, most):
     """At one in half a second each, hundreds of directors sent a dead parent nothing but trials."""
     fleet = Fleet()
     fleet.parents[0].shunned = True
     tried = 0
-    for _ in range(lookups):
-        leg = fleet.look_up(after=600).legs[0]
-        tried += leg.source is fleet.parents[0]
-        fleet.answer(leg)
+    for _ in range(requests):
+        attempt = fleet.ask(after=600).attempts[0]
+        tried += attempt.source is fleet.parents[0]
+        fleet.answer(attempt)
     assert 0 < tried <= most
 
 
@@ -325,11 +326,11 @@
     """Outcomes four seconds apart were forgotten before two of them could count."""
     fleet = Fleet()
     for _ in range(12):
-        lookup = fleet.look_up(after=4000)
-        bad = lookup.legs[0].source is fleet.parents[0]
-        fleet.answer(lookup.legs[0], *((Outcome.TURNED_AWAY, Note.SOURCE_LOST) if bad else ()))
-        for leg in lookup.legs[1:]:
-            fleet.answer(leg)
+        request = fleet.ask(after=4000)
+        bad = request.attempts[0].source is fleet.parents[0]
+        fleet.answer(request.attempts[0], *((Outcome.TURNED_AWAY, Note.SOURCE_LOST) if bad else ()))
+        for attempt in request.attempts[1:]:
+            fleet.answer(attempt)
     assert fleet.parents[0].shunned
 
 
@@ -351,9 +352,9 @@
     """The crowded parents that were left were shunned like the dead ones, and the dead ones named again."""
     fleet = Fleet()
     for _ in range(30):
-        lookup = fleet.look_up(after=30)
-        for leg in lookup.legs:
-            fleet.answer(leg, Outcome.TURNED_AWAY, Note.SOURCE_REFUSED)
+        request = fleet.ask(after=30)
+        for attempt in request.attempts:
+            fleet.answer(attempt, Outcome.TURNED_AWAY, Note.SOURCE_REFUSED)
     assert not any(parent.shunned for parent in fleet.parents)
 
 
@@ -372,12 +373,12 @@
 ])
 def test_an_echo_disproves_that_a_cache_is_not_reached_and_nothing_else(outcome, well, taken_back):
     fleet = Fleet(may_probe=True)
-    sick = fleet.look_up(key=77).legs[0].node
+    sick = fleet.ask(key=77).attempts[0].node
     while not sick.shunned:
         fleet.director.mark(sick, 2.0, outcome.name.lower())
     probed = []
     for _ in range(40):  # any round asks whom it is time to ask
-        fleet.look_up()
+        fleet.ask()
         probed += fleet.out.take("probe")
         fleet.now += 50.0
     assert ((sick,) in probed) is (outcome is Outcome.UNCONNECTED)
@@ -389,7 +390,7 @@
 @pytest.mark.parametrize("state", [State.GONE, State.DRAINING])
 @pytest.mark.parametrize("first", ["breaks", "leaves"])
 def test_who_has_gone_or_starts_anew_is_asked_for_no_echo(first, state, whose):
-    """A leg that was out at one that left broke afterwards: nobody knew its place, and the module failed."""
+    """An attempt that was out at one that left broke afterwards: nobody knew its place, the module failed."""
     fleet = Fleet(may_probe=True)
     sick = fleet.caches[0] if whose == CACHE else fleet.parents[0]
     row = fleet.row(sick, whose, 1 if whose == CACHE else 0, state=state)
@@ -399,20 +400,20 @@
     if first == "breaks":
         fleet.call("listed", [row], False, False)
     for _ in range(40):
-        fleet.look_up(after=50.0)
+        fleet.ask(after=50.0)
     assert fleet.out.take("probe") == []
 
 
 @pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
-def test_where_no_size_is_told_a_leg_is_overdue_by_what_answers_took(took, none_overdue):
+def test_where_no_size_is_told_a_attempt_is_overdue_by_what_answers_took(took, none_overdue):
     """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent shunned."""
     fleet = Fleet(flow=0.0)
     for _ in range(8):
-        leg = fleet.look_up(size=0.0).legs[0]
-        fleet.call("answered", leg, Outcome.SATISFIED, took, True, Note.NONE, 0.0, None)
-    lookup = fleet.look_up(size=0.0)
-    fleet.call("woken", lookup.legs[0], after=450.0)
-    assert (len(lookup.legs) == 1) is none_overdue
+        attempt = fleet.ask(size=0.0).attempts[0]
+        fleet.call("answered", attempt, Outcome.SATISFIED, took, True, Note.NONE, 0.0, None)
+    request = fleet.ask(size=0.0)
+    fleet.call("woken", request.attempts[0], after=450.0)
+    assert (len(request.attempts) == 1) is none_overdue
 
 
 @pytest.mark.parametrize("caches_cold", [True, False])
@@ -423,10 +424,10 @@
     rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
     sent, sending = {member: [] for member in cold}, 400.0
     for _ in range(1500):
-        for leg in fleet.look_up(size=0.0, after=2.0).legs:
-            for member in {leg.node, leg.source} & set(sent):
+        for attempt in fleet.ask(size=0.0, after=2.0).attempts:
+            for member in {attempt.node, attempt.source} & set(sent):
                 sent[member].append(fleet.now)
-            fleet.call("answered", leg, Outcome.SATISFIED, sending, True, Note.NONE, 0.0, None)
+            fleet.call("answered", attempt, Outcome.SATISFIED, sending, True, Note.NONE, 0.0, None)
     for times in sent.values():
         for now in times:
             warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_000.0) / rule.warm_in
@@ -441,20 +442,20 @@
         fleet = Fleet()
         fleet.director.random.seed(seed)
         for _ in range(30):
-            lookup = fleet.look_up(key=77)
-            fleet.answer(lookup.legs[0], after=100.0)
-        firsts.add(lookup.legs[0].node.key)
+            request = fleet.ask(key=77)
+            fleet.answer(request.attempts[0], after=100.0)
+        firsts.add(request.attempts[0].node.key)
     assert len(firsts) == 3
 
 
 @pytest.mark.parametrize("wait, seconds", [(60_000.0, 6.0), (100.0, 0.0)])
 def test_one_answer_that_a_pause_held_up_keeps_no_cache_from_its_share_for_long(wait, seconds):
     fleet = Fleet()
-    lookup = fleet.look_up(key=77)
-    node = lookup.legs[0].node
+    request = fleet.ask(key=77)
+    node = request.attempts[0].node
     fleet.now += wait
-    fleet.call("answered", lookup.legs[0], Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
-    back = next(step for step in range(100) if fleet.look_up(key=77, after=250.0).legs[0].node is node)
+    fleet.call("answered", request.attempts[0], Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
+    back = next(step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node)
     assert 0.25 * back <= seconds
 
 
@@ -464,55 +465,55 @@
     fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
     for cache in fleet.caches:
         fleet.director.mark(cache, 4.0, "reset")
-    assert {fleet.look_up().legs[0].node.kind for _ in range(8)} == {whose}
+    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
     fleet.call("told", fleet.caches[1], None, True)
-    assert {fleet.look_up().legs[0].node for _ in range(8)} == {fleet.caches[1]}
+    assert {fleet.ask().attempts[0].node for _ in range(8)} == {fleet.caches[1]}
 
 
 def test_a_hit_that_a_cut_held_up_tells_nothing_of_crowding():
     fleet = Fleet()
-    lookup = fleet.look_up(key=77)
-    node = lookup.legs[0].node
+    request = fleet.ask(key=77)
+    node = request.attempts[0].node
     fleet.director.mark(node, 4.0, "reset")
     fleet.now += 5000.0
-    fleet.call("answered", lookup.legs[0], Outcome.SATISFIED, 5000.0, True, Note.HIT, 0.0, None)
+    fleet.call("answered", request.attempts[0], Outcome.SATISFIED, 5000.0, True, Note.HIT, 0.0, None)
     assert fleet.director.crowd(node) == 1.0
 
 
-def overdue(fleet, lookup):
-    """The last leg is long out; its node has said nothing."""
-    leg = lookup.legs[-1]
-    fleet.call("woken", leg, after=450.0)
-    return leg
+def overdue(fleet, request):
+    """The last attempt is long out; its node has said nothing."""
+    attempt = request.attempts[-1]
+    fleet.call("woken", attempt, after=450.0)
+    return attempt
 
 
-@pytest.mark.parametrize("purse, reached, legs, given_up", [
+@pytest.mark.parametrize("purse, reached, attempts, given_up", [
     (8.0, True, 2, False),
     (0.0, True, 1, False),  # its node lives and is slow: what is out there is about to come
     (0.0, False, 1, True)])
-def test_an_overdue_lookup_whose_further_leg_is_not_earned_waits_for_a_node_that_lives(
-        purse, reached, legs, given_up):
-    """Guards against storms in which nodes work for lookups that were pushed back meanwhile."""
+def test_an_overdue_request_whose_further_attempt_is_not_earned_waits_for_a_node_that_lives(
+        purse, reached, attempts, given_up):
+    """Guards against storms in which nodes work for requests that were pushed back meanwhile."""
     fleet = Fleet()
-    lookup = fleet.look_up()
-    fleet.director.purse.again, lookup.legs[0].node.unreached = purse, not reached
-    overdue(fleet, lookup)
-    assert (len(lookup.legs), lookup.ended) == (legs, given_up)
-    fleet.call("woken", lookup, after=5545.0)  # its time is over
-    assert lookup.ended and len(fleet.out.take("push_back")) == 1
+    request = fleet.ask()
+    fleet.director.purse.again, request.attempts[0].node.unreached = purse, not reached
+    overdue(fleet, request)
+    assert (len(request.attempts), request.ended) == (attempts, given_up)
+    fleet.call("woken", request, after=5545.0)  # its time is over
+    assert request.ended and len(fleet.out.take("push_back")) == 1
 
 
 @pytest.mark.parametrize("may_probe, may_pass_by, whose", [(True, True, PARENT), (False, True, CACHE),
                                                           (True, False, CACHE)])
-def test_two_caches_that_fail_in_a_row_tell_a_cut_and_lookups_pass_by(may_probe, may_pass_by, whose):
+def test_two_caches_that_fail_in_a_row_tell_a_cut_and_requests_pass_by(may_probe, may_pass_by, whose):
     fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
     for cache in fleet.caches[:2]:
-        fleet.director.learn(Leg(fleet.look_up(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET), 1.0,
+        fleet.director.learn(Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET), 1.0,
                              Note.NONE, 0.0)
-    assert {fleet.look_up().legs[0].node.kind for _ in range(8)} == {whose}
+    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
     assert not any(cache.shunned for cache in fleet.caches)  # no judgement of each for itself
     fleet.call("told", fleet.caches[2], None, True, after=300.0)
-    assert {fleet.look_up().legs[0].node.kind for _ in range(8)} == {CACHE}
+    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {CACHE}
 
 
 def test_what_a_cut_had_shunned_comes_back_at_the_first_word_of_any_cache():
@@ -522,7 +523,7 @@
     assert fleet.director.reach.cut and all(cache.unreached for cache in fleet.caches[:2])
     asked = []
     for _ in range(20):
-        fleet.look_up(after=50.0)
+        fleet.ask(after=50.0)
         asked += fleet.out.take("probe")
     assert len(asked) >= 2  # a few are asked soon
     fleet.call("told", fleet.caches[2], None, True, after=300.0)
@@ -555,39 +556,40 @@
     (RECEIPTED, Outcome.ERROR, 4900.0, True), (RECEIPTED, Outcome.ERROR, 4960.0, False),
     (RECEIPTED, Outcome.TURNED_AWAY, 4960.0, True), (RECEIPTED, None, 4960.0, True),
     (EFFECTFUL, None, 4960.0, True), (EFFECTFUL, Outcome.TURNED_AWAY, 4960.0, True)])
-def test_a_leg_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
+def test_a_attempt_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
     """A repeat that waited for its connection reached a node that no longer knew its receipt."""
     fleet = Fleet(repeat)
-    lookup = fleet.look_up()
+    request = fleet.ask()
     if first is not None:
-        fleet.answer(lookup.legs[0], first)
-    leg = lookup.legs[-1]
-    assert len(lookup.legs) == 1 + (first is not None) and fleet.director.may_begin(fleet.now, leg)
-    assert fleet.director.may_begin(fleet.now + after, leg) == may
-
-
-@pytest.mark.parametrize("two_legs", [True, False])
-def test_a_leg_begins_beside_another_only_where_two_may_be_out(two_legs):
-    fleet = Fleet(two_legs=two_legs)
-    lookup = fleet.look_up()
-    first = lookup.legs[0]
-    fleet.director.send(lookup, fleet.caches[1], None, False)
-    assert fleet.director.may_begin(fleet.now, lookup.legs[1]) == two_legs
+        fleet.answer(request.attempts[0], first)
+    attempt = request.attempts[-1]
+    assert len(request.attempts) == 1 + (first is not None) and fleet.director.may_begin(fleet.now, attempt)
+    assert fleet.director.may_begin(fleet.now + after, attempt) == may
+
+
+@pytest.mark.parametrize("two_attempts", [True, False])
+def test_a_attempt_begins_beside_another_only_where_two_may_be_out(two_attempts):
+    fleet = Fleet(two_attempts=two_attempts)
+    request = fleet.ask()
+    first = request.attempts[0]
+    fleet.director.send(request, fleet.caches[1], None, False)
+    assert fleet.director.may_begin(fleet.now, request.attempts[1]) == two_attempts
     first.outcome = Outcome.CANCELLED
-    assert fleet.director.may_begin(fleet.now, lookup.legs[1])
+    assert fleet.director.may_begin(fleet.now, request.attempts[1])
 
 
 @pytest.mark.parametrize("repeat, group, again, most, called_off", [
     (PURE, "all", 8.0, 6, True), (PURE, "all", 0.5, 6, False), (PURE, "all", 8.0, 1, False),
     (RECEIPTED, "all", 8.0, 6, True), (RECEIPTED, "zone", 8.0, 6, False)])
-def test_an_overdue_leg_is_called_off_only_where_another_may_follow(repeat, group, again, most, called_off):
+def test_an_overdue_attempt_is_called_off_only_where_another_may_follow(
+        repeat, group, again, most, called_off):
     """A write whose repeats only its own zone knows was called off, and then broken off for having begun."""
-    fleet = Fleet(repeat, group, two_legs=False, legs_most=most)
-    lookup = fleet.look_up()
+    fleet = Fleet(repeat, group, two_attempts=False, attempts_most=most)
+    request = fleet.ask()
     fleet.director.purse.again = again
     fleet.out.take("abandon")
-    fleet.call("woken", lookup.legs[0], after=900.0)
-    assert bool(fleet.out.take("abandon")) is called_off and not lookup.ended
+    fleet.call("woken", request.attempts[0], after=900.0)
+    assert bool(fleet.out.take("abandon")) is called_off and not request.ended
 
 
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
@@ -596,6 +598,6 @@
     """The largest tenth of a use case is answered as the rest is while caches are as slow as noise has it."""
     fleet = Fleet(directors_here=directors_here)
     for _ in range(30):
-        fleet.answer(fleet.look_up(size=1000.0).legs[0], after=20.0)
-    lookup = fleet.look_up(size=1000.0 * times)
-    assert lookup.legs and fleet.director.bearable(lookup) >= 1.2
+        fleet.answer(fleet.ask(size=1000.0).attempts[0], after=20.0)
+    request = fleet.ask(size=1000.0 * times)
+    assert request.attempts and fleet.director.bearable(request) >= 1.2
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 
 from mulleinrelay import serving
 from mulleinrelay.facade import Facade
-from mulleinrelay.interface import Leg, Node, Outcome
+from mulleinrelay.interface import Attempt, Node, Outcome
 from mulleinrelay.log import Log
 from mulleinrelay.net import bus, client, service
 from mulleinrelay.net.caches import Link
@@ -85,7 +85,7 @@
         assert len(nodes) == len(set(nodes)) > 0  # one line until a link is up again
 
 
-def test_a_silent_node_holds_up_its_own_lookups_alone():
+def test_a_silent_node_holds_up_its_own_requests_alone():
     with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
         caller = director.caller()
         begun = time.monotonic()
@@ -96,7 +96,7 @@
         assert wait_for(lambda: len(director.heard("KILL")) == len(director.heard()) - 1)
 
 
-def test_a_node_that_does_not_read_holds_up_its_own_lookups_alone(monkeypatch):
+def test_a_node_that_does_not_read_holds_up_its_own_requests_alone(monkeypatch):
     # Guards against a blocking write in a thread, or under a lock, that others wait for.
     monkeypatch.setattr(StandNode, "talk", lambda self, connection: time.sleep(3.0) if self.plan else None)
     with Running() as director:
@@ -115,7 +115,7 @@
         front.start.memory_mb = 10
         for _ in range(30):
             stalled.send()
-        assert wait_for(lambda: not director.service.facade.open_lookups())
+        assert wait_for(lambda: not director.service.facade.open_requests())
         other.send()
         assert other.answer()[:2] == (1, 0)
         assert wait_for(lambda: len(front.clients) == 1) and "client does not read" in director.sink.events
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("plan", ["cut", MUTE])
 def test_a_connection_of_no_more_use_is_ended_and_what_is_open_on_it_goes_elsewhere(plan, monkeypatch):
-    # Guards against lookups that wait out their time on a connection that stays open after a bad answer.
+    # Guards against requests that wait out their time on a connection that stays open after a bad answer.
     monkeypatch.setattr(links, "QUIET", 100.0)  # before the module's own timer
     with Running() as director:
         caller, bad = director.caller(), director.nodes[:3]
@@ -141,7 +141,7 @@
         assert "link down" in director.sink.events
 
 
-def test_a_link_that_echoes_keeps_its_slow_legs():
+def test_a_link_that_echoes_keeps_its_slow_attempts():
     with Running(None) as director:
         caller = director.caller()
         caller.send("pay", patience="1500")
@@ -170,11 +170,11 @@
     ours.close()
 
 
-def test_a_leg_that_could_not_be_written_is_taken_back_in_time():
-    # Guards against a stalled link that sends a leg seconds later, after a drain or a purge.
+def test_a_attempt_that_could_not_be_written_is_taken_back_in_time():
+    # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
     with Running() as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        leg = Leg(None, 0, Node(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Node(1), None, director.service.clock(), 6000.0)
         reported = []
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
@@ -183,8 +183,8 @@
             link.outlet.connection = ours
             caches.links[place] = [link]
             link.outlet.put(None, [bytes(4_000_000)])
-        caches._put(place, "9b", leg, [b"never"])
-        assert wait_for(lambda: reported, 2.0) and reported == [(leg, Outcome.UNCONNECTED)]
+        caches._put(place, "9b", attempt, [b"never"])
+        assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.UNCONNECTED)]
         theirs.close()
         ours.close()
 
@@ -192,19 +192,20 @@
 def test_a_reset_proves_that_nothing_ran_only_where_nothing_was_written():
     with Running() as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        legs = [Leg(None, number, Node(1), None, director.service.clock(), 6000.0) for number in range(2)]
+        attempts = [Attempt(None, number, Node(1), None, director.service.clock(), 6000.0)
+                    for number in range(2)]
         reported = []
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
         link = Link(place, 0.0, caches.lock)
         link.outlet.connection = ours
-        link.open = {"9b": legs[0], "9c": legs[1]}
+        link.open = {"9b": attempts[0], "9c": attempts[1]}
         with caches.lock:
             link.outlet.put("9b", [bytes(4_000_000)])
             link.outlet.put("9c", [b"never"])
         theirs.close()
         caches._end(link, ours, Outcome.RESET, "")
-        assert reported == [(legs[0], Outcome.RESET), (legs[1], Outcome.UNCONNECTED)]
+        assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.UNCONNECTED)]
 
 
 def test_threads_that_cannot_be_had_give_a_plain_outcome(monkeypatch):
@@ -253,7 +254,7 @@
     os.close(reads)
 
 
-def test_forget_and_a_closed_connection_end_the_lookup():
+def test_forget_and_a_closed_connection_end_the_request():
     with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
         caller, other = director.caller(), director.caller()
         number = caller.send()
@@ -262,7 +263,7 @@
         caller.socket.sendall(call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4))
         other.close()
         assert wait_for(lambda: len(director.heard("KILL")) == 2)
-        assert director.service.facade.open_lookups() == 0
+        assert director.service.facade.open_requests() == 0
         caller.send(entity="00000000000000cd")
         assert caller.answer()[:2] == (2, 0)
 
@@ -284,7 +285,7 @@
     ({"use_case": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
     ({"use_case": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
 ])
-def test_a_call_that_cannot_be_used_makes_no_leg(changes, told):
+def test_a_call_that_cannot_be_used_makes_no_attempt(changes, told):
     with Running() as director:
         caller = director.caller()
         caller.send(**changes)
@@ -313,18 +314,18 @@
         assert caller.answer()[:2] == (1, 0)
 
 
-def test_a_fault_in_a_thread_is_logged_and_its_lookup_answered(monkeypatch):
+def test_a_fault_in_a_thread_is_logged_and_its_request_answered(monkeypatch):
     with Running() as director:
         monkeypatch.setattr(director.service.caches, "send", lambda *_: 1 / 0)
         caller = director.caller()
         caller.send()
         assert caller.answer()[:2] == (1, 2) and "fault" in director.sink.events
-        assert director.service.facade.open_lookups() == 0  # guards against lives that nobody picks for
+        assert director.service.facade.open_requests() == 0  # guards against lives that nobody picks for
 
 
 def test_bounds_give_a_plain_outcome(monkeypatch):
     with Running(None) as director:
-        director.service.front.lookups_most, director.service.front.clients_most = 2, 2
+        director.service.front.requests_most, director.service.front.clients_most = 2, 2
         caller, idle = director.caller(), director.caller()
         for _ in range(3):
             caller.send(patience="500")
@@ -341,14 +342,14 @@
 
 def test_orders_find_a_place_where_pages_have_taken_all_that_are_theirs():
     with Running(None) as director:
-        director.service.front.lookups_most = 8
+        director.service.front.requests_most = 8
         pages, orders = director.caller(), director.caller()
         for _ in range(20):
             pages.send(patience="3000")
         assert [pages.answer()[1] for _ in range(13)] == [1] * 13  # pushed back at once
-        assert director.service.facade.open_lookups() == 7
+        assert director.service.facade.open_requests() == 7
         orders.send("order", patience="3000")
-        assert wait_for(lambda: director.service.facade.open_lookups() == 8)
+        assert wait_for(lambda: director.service.facade.open_requests() == 8)
         assert wait_for(lambda: any(b"order" in bytes(str(heard), "ascii") for heard in director.heard()))
 
 
@@ -393,9 +394,9 @@
 
 
 @pytest.mark.parametrize("case", ["number", "many", "id", "repeats"])
-def test_what_breaks_the_protocol_is_told_so_and_ends_nobody_elses_lookup(case):
-    # Guards against two answers under one number, nodes that mix up two lookups of one id, hundreds of
-    # lookups at once that take all links, and bad calls that come again at full speed.
+def test_what_breaks_the_protocol_is_told_so_and_ends_nobody_elses_request(case):
+    # Guards against two answers under one number, nodes that mix up two requests of one id, hundreds of
+    # requests at once that take all links, and bad calls that come again at full speed.
     with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
         other, bad = director.caller(), director.caller()
         other.send(patience="900", trace="a" * 16)
@@ -410,7 +411,7 @@
         elif case == "many":
             for _ in range(33):
                 bad.send(patience="900")
-            told = ["more than 32 lookups are open"]
+            told = ["more than 32 requests are open"]
         elif case == "id":
             bad.send(entity="00000000000000cd", trace="a" * 16)
             told = ["the id was used before"]
@@ -425,23 +426,23 @@
         else:
             bad.send(entity="00000000000000ce")
             if case == "many":  # still open: no answer but the exception
-                assert bad.answer()[1] == "more than 32 lookups are open"
+                assert bad.answer()[1] == "more than 32 requests are open"
             else:
                 assert bad.answer()[:2] == (bad.count, 0)
         assert other.answer()[:2] == (1, 1)
 
 
-def test_more_legs_than_a_connection_carries_open_further_ones():
+def test_more_attempts_than_a_connection_carries_open_further_ones():
     with Running(lambda fields: None, allowed={"mayDuplicate": False}) as director:
         caller = director.caller()
         for _ in range(5):
             caller.send("order", patience="900")
         assert wait_for(lambda: len(director.heard()) >= 5)
         origin = director.nodes[-1]
-        assert len(origin.connections) == 3  # two legs each
+        assert len(origin.connections) == 3  # two attempts each
 
 
-def test_idle_links_make_room_for_legs_to_other_nodes():
+def test_idle_links_make_room_for_attempts_to_other_nodes():
     # Guards against a director at its bound of links whose links are all held for what may come, elsewhere.
     with Running(HIT) as director:
         director.service.caches.links_most = 3
@@ -470,22 +471,22 @@
         assert caller.answer()[1] == 0
 
 
-def test_two_legs_of_one_lookup_at_one_node_are_told_apart():
-    # Guards against the late answer to a leg given up being taken for that of the next leg under the same id.
+def test_two_attempts_of_one_request_at_one_node_are_told_apart():
+    # Guards against the late answer to an attempt given up being taken for that of the next one under its id.
     with Running(lambda fields: None) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        legs = [Leg(None, number, Node(1), None, 0.0, 1000.0) for number in range(3)]
+        attempts = [Attempt(None, number, Node(1), None, 0.0, 1000.0) for number in range(3)]
         reported = []
-        caches._report = lambda leg, *rest: reported.append(leg)
-        for leg in legs[:2]:
-            caches._put(place, "9b", leg, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        links = [caches.of_leg[leg][0] for leg in legs[:2]]
+        caches._report = lambda attempt, *rest: reported.append(attempt)
+        for attempt in attempts[:2]:
+            caches._put(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        links = [caches.of_attempt[attempt][0] for attempt in attempts[:2]]
         first = links[0]
         assert len(set(links)) == 2
         assert wait_for(lambda: not any(link.outlet.unbegun("9b") for link in links))
-        caches.give_up(legs[0])
-        caches._put(place, "9b", legs[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        assert caches.of_leg[legs[2]][0] is not first
+        caches.give_up(attempts[0])
+        caches._put(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        assert caches.of_attempt[attempts[2]][0] is not first
 
 
 def test_idle_links_are_closed_from_our_side():
