--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -141,9 +141,9 @@
         audit = Audit(scenario, read(folder))
         figures = audit.figures()
         found = {rule: figures[rule] for rule in RULES} | cold_use(scenario, audit)
-        looks = [look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "satisfied"]
+        looks = [look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "served"]
         cpu, rss = zip(*[(held[1], held[2]) for held in audit.heard.others["use"]], strict=True)
-        found |= {"credit": figures["credit"], "pushed_back": figures["outcomes"].get("pushed back", 0),
+        found |= {"credit": figures["credit"], "rejected": figures["outcomes"].get("rejected", 0),
                   "request_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
                   "cpu_s": round(sum(cpu), 2), "rss_mb": round(max(rss), 1)}
         if talk:
@@ -211,7 +211,7 @@
     began = time.monotonic()
     shared, static = (play(directors, rate, seed, talk) for talk in (True, False))
     told: dict[str, Any] = {"directors": directors} | shared
-    told |= {f"{key}_static": static[key] for key in ("use_ratio", "overshoot_max", "credit", "pushed_back",
+    told |= {f"{key}_static": static[key] for key in ("use_ratio", "overshoot_max", "credit", "rejected",
                                                       "request_p99_ms", "cpu_s", "rss_mb", *RULES)}
     told |= {"use_ratio_vs_static": round(shared["use_ratio"] / static["use_ratio"], 3),
              "credit_ratio_vs_static": round(shared["credit"] / static["credit"], 4),
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -114,14 +114,14 @@
     lab = Lab(read_scenario(FLOOD.format(cells="yes" if cells else "no", burst=burst)))
     found = lab.run()
     others = [one for one in lab.terminals if one.demand.tenant in ("gamma", "delta")]
-    asked = satisfied = 0
+    asked = served = 0
     delays = []
     for one in others:
         asked += sum(3.0 <= at < 8.5 for at in one.tally.asked_at)
-        satisfied += sum(3.0 <= at < 8.5 for at in one.tally.satisfied_at)
+        served += sum(3.0 <= at < 8.5 for at in one.tally.served_at)
         delays += [delay for at, delay in one.tally.delays if 3.0 <= at < 8.5]
     delays.sort()
-    return found | {"others_share": satisfied / asked, "others_p99": delays[int(0.99 * len(delays))]}
+    return found | {"others_share": served / asked, "others_p99": delays[int(0.99 * len(delays))]}
 
 
 def move(what: str, seconds: float, spans: str, begins: float) -> dict:
@@ -208,9 +208,9 @@
     return {
         "off_cpu_ratio": round(off[0], 4) if off else None,
         "on_cpu_ratio": round(on[0], 4),
-        "pushback_cost_ratio": round(closed[0], 4),
+        "rejection_cost_ratio": round(closed[0], 4),
         "on_us_a_request": round(on[1], 1),
-        "pushback_us": round(closed[1], 1),
+        "rejection_us": round(closed[1], 1),
     }
 
 
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -133,7 +133,7 @@
 
         def send(self, order, asked):
             resp.pull(asked, order, 1000.0)
-            made.facade.report(order.attempt, Outcome.SATISFIED, Note.HIT, answer=held)
+            made.facade.report(order.attempt, Outcome.SERVED, Note.HIT, answer=held)
 
         def give_up(self, attempt):
             """Never called off here."""
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -5,7 +5,7 @@
 our stand-ins alone.
 
 The bound on what could be won during a kill is what the same clients would get if each request that reaches a
-living director within its goal were satisfied: the directors that they try, the pause after a refused try and
+living director within its goal were served: the directors that they try, the pause after a refused try and
 the front's notice are theirs and not a director's to change.
 """
 
@@ -93,7 +93,7 @@
 
 
 def bound(scenario: Scenario, heard: Heard) -> float:
-    """Of the credit of requests asked during the kill, what one could win who satisfies all that reach a
+    """Of the credit of requests asked during the kill, what one could win who serves all that reach a
     living director in time."""
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, what, begins, directors, *_ in heard.others["fault"]:
@@ -151,10 +151,10 @@
     end = int(max(held[0] for held in audit.faults if held[2] == "kill" and not held[3])) + 1
     back = next((second for second in range(int(heard.seconds) - 1 - end)
                  if credit(heard, goal, end + second, end + second + 2) >= 0.95 * calm), None)
-    pushed = heard.others["pushed"]
+    rejected = heard.others["rejected"]
     return {"credit_during_kill": round(during, 4), "bound_during_kill": round(most, 4),
             "credit_during_kill_over_bound": round(during / most, 4), "recovered_s": back,
-            "pushed_back_without_pause": sum(held[2] <= 0.0 for held in pushed), "pushed_back": len(pushed)}
+            "rejected_without_pause": sum(held[2] <= 0.0 for held in rejected), "rejected": len(rejected)}
 
 
 def unreached(scenario: Scenario, audit: Audit) -> dict[str, Any]:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -62,7 +62,7 @@
         if first <= look[0] < last:
             worth = CREDIT[look[5]]
             asked += worth
-            if look[7] == "satisfied":
+            if look[7] == "served":
                 earned += worth if look[1] <= goal else 0.1 * worth
     return earned / asked if asked else 0.0
 
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -7,7 +7,8 @@
 import tracemalloc
 from collections import deque
 
-from mulleinrelay.interface import PURE, ColdRule, Request, Note, Outcome, Pool, Purse, State, Terms, UseCase
+from mulleinrelay.interface import (IDEMPOTENT, ColdRule, Note, Outcome, Pool, Purse, Request, RequestClass,
+                                    State, Terms)
 from mulleinrelay.policy import Director, Member
 
 CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
@@ -29,7 +30,7 @@
 
 
 def terms() -> Terms:
-    case = UseCase(PURE, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
+    case = RequestClass(IDEMPOTENT, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
     return Terms(
         [case],
         1,
@@ -92,7 +93,7 @@
         one = directors[cell]
         request = Request(
             number,
-            one.terms.use_cases[0],
+            one.terms.request_classes[0],
             chance.randrange(OBJECTS),
             0,
             0,
@@ -115,7 +116,7 @@
             note = Note.HIT if hit else Note.FILLED
             one.round(
                 now + 5.0,
-                [("answered", (attempt, Outcome.SATISFIED, 5.0 if hit else 40.0, True, note, 30.0, None))],
+                [("answered", (attempt, Outcome.SERVED, 5.0 if hit else 40.0, True, note, 30.0, None))],
                 out,
             )
         out.attempts.clear()
--- a/mulleinrelay/cells/changes.py
+++ b/mulleinrelay/cells/changes.py
@@ -188,7 +188,7 @@
     if tenant not in charter.tenants:
         raise RefusalError(
             f"there is no tenant {tenant}; its requests are "
-            + (f"{charter.default_tenant}'s" if charter.unknown != "push_back" else "pushed back")
+            + (f"{charter.default_tenant}'s" if charter.unknown != "reject" else "rejected")
         )
     held, home, move = charter.tenants[tenant], homes(charter).get(tenant, ""), moving(charter, tenant)
     marks = [(cell.name, digest(cell.name), cell.weight) for cell in charter.cells.values() if cell.weight]
--- a/mulleinrelay/cells/charter.py
+++ b/mulleinrelay/cells/charter.py
@@ -7,7 +7,7 @@
 
 FORM = 1  # of the file; a newer one is not read
 TABLE, RENDEZVOUS = "table", "rendezvous"
-TO_DEFAULT, PUSH_BACK = "default_tenant", "push_back"
+TO_DEFAULT, REJECT = "default_tenant", "reject"
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,7 +72,7 @@
     starts: float
     wave_for: float
     limits: Limits
-    drop_most: float = 0.03  # of the satisfied share, beyond what the other cells lose
+    drop_most: float = 0.03  # of the served share, beyond what the other cells lose
     slower_most: float = 1.5  # times its own past, beyond the same of the other cells
     taken_back: bool = False  # by staff
     shuffle: int = -1  # caches of each tenant; -1: as the cell has it
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -143,7 +143,7 @@
         for name, cell in state.get("cells", {}).items():
             lines.append(
                 f"    {name}: {'LOST' if cell['lost'] else str(len(cell['caches'])) + ' caches'}, open "
-                f"{cell['open']:.0f} of {cell['width']:.0f}, satisfied {cell['satisfied']} of "
+                f"{cell['open']:.0f} of {cell['width']:.0f}, served {cell['served']} of "
                 f"{cell['settled']}, turned away {cell['denied']}"
             )
     tell(as_json, whole, lines)
--- a/mulleinrelay/cells/governor.py
+++ b/mulleinrelay/cells/governor.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..interface import PURE, RECEIPTED, Pool, UseCase
+from ..interface import IDEMPOTENT, KEYED, Pool, RequestClass
 from . import moves, releases
 from .charter import Cell, Charter, Limits
 from .limits import FairPace, Lane, Pace, Retries, Share, Shares, Width, advice
@@ -41,15 +41,15 @@
     address: str
     group: int
     key: int | str  # the object; as hex digits it is read only where it is wanted
-    use_case: UseCase
-    receipt: str = ""
+    request_class: RequestClass
+    idempotency_key: str = ""
     repeated: bool = False
     body: int = 0  # bytes
 
 
 @dataclass(slots=True, eq=False)
 class Denied:
-    """Turned away. `harmless`: nothing of it can have run, so it is pushed back; else it is broken off."""
+    """Turned away. `harmless`: nothing of it can have run, so it is rejected; else it fails."""
 
     why: str
     come_back: float
@@ -146,7 +146,7 @@
 
     def renew(self, now: float, ready: "Charter | Prepared") -> list[str]:
         """A new version of the file is in force; gives words for the log. Raises CharterError, and then the
-        old one stays. Accounts, widths and receipts are kept."""
+        old one stays. Accounts, widths and idempotency keys are kept."""
         ready = ready if isinstance(ready, Prepared) else prepare(ready)
         charter = ready.charter
         words = self.placement.renew(now, charter, ready.homes)
@@ -226,15 +226,16 @@
             return self._denied(asking, "unknown tenant", LOST_WAIT)
         account = self.accounts.get(tenant) or self._open_account(tenant)
         account.used = now
-        retry = asking.repeated and asking.use_case.repeat == PURE
+        retry = asking.repeated and asking.request_class.repeat == IDEMPOTENT
         if wait := account.pace.wait(now):
             return self._deny(account, asking, "rate of the tenant", wait)
         if retry and not account.retries.may():
             return self._deny(account, asking, "retries of the tenant", LOST_WAIT)
-        spot = self.placement.steady.get(tenant) if asking.use_case.repeat == PURE else None
+        spot = self.placement.steady.get(tenant) if asking.request_class.repeat == IDEMPOTENT else None
         if spot is None:
             key = int(asking.key, 16) if isinstance(asking.key, str) else asking.key
-            spot = self.placement.spot(now, tenant, key, asking.use_case, asking.receipt, asking.repeated)
+            spot = self.placement.spot(now, tenant, key, asking.request_class, asking.idempotency_key,
+                                       asking.repeated)
         if isinstance(spot, Nowhere):
             account.denied += 1
             harmless = spot != Nowhere.UNPROVEN and self._harmless(asking)
@@ -284,12 +285,12 @@
         cell_share.open += amount
         self.cells.open += amount
         account.body += body
-        if asking.receipt:
-            self.placement.note(now, tenant, asking.receipt, asking.use_case, spot)
+        if asking.idempotency_key:
+            self.placement.note(now, tenant, asking.idempotency_key, asking.request_class, spot)
         return Grant(tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests)
 
     def settle(self, now: float, grant: Grant, good: bool, owed: bool, delay: float) -> str:
-        """The request is over; `good`: satisfied, `owed`: its client still waited, `delay`: ms, its sending
+        """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its sending
         time aside. Gives a word where the cell's width has shrunk."""
         if grant.settled:
             return ""
@@ -345,11 +346,11 @@
         return Denied(why, advice(wait, self.board.come_back_most), self._harmless(asking))
 
     def _harmless(self, asking: Asking) -> bool:
-        """Whether a client that is pushed back may come again: no attempt of this request has gone out, but
+        """Whether a client that is rejected may come again: no attempt of this request has gone out, but
         what it repeats may have run."""
-        case = asking.use_case
-        everywhere = case.repeat == RECEIPTED and case.group == "all"
-        return not asking.repeated or case.repeat == PURE or everywhere
+        case = asking.request_class
+        everywhere = case.repeat == KEYED and case.group == "all"
+        return not asking.repeated or case.repeat == IDEMPOTENT or everywhere
 
     # For staff
 
@@ -364,7 +365,7 @@
                 "caches": held.by_cell[name], "lost": held.standings[name].lost,
                 "home_share": round(held.standings[name].home_share(now), 3),
                 "warmth": round(held.standings[name].warmth(), 3), "open": room.shares.open,
-                "width": round(room.width.now_most, 1), "satisfied": room.good, "settled": room.total,
+                "width": round(room.width.now_most, 1), "served": room.good, "settled": room.total,
                 "denied": room.denied} for name, room in self.rooms.items()},
             "moves": {name: {"stage": moves.stage(move, now).value, "from": move.source, "to": move.target,
                              "share": round(moves.shifted(move, now), 4)}
--- a/mulleinrelay/cells/receipts.py
+++ b/mulleinrelay/cells/idempotency.py
@@ -1,8 +1,8 @@
-"""Where a receipted or effectful request goes while its tenant moves: to the group that drops its repeats as
+"""Where a keyed or unsafe request goes while its tenant moves: to the group that drops its repeats as
 long as that remembers it, else nowhere.
 
 The ledger knows what this director has taken. Of a client's retry whose first try went to another director
-only the clock tells: where it may have gone to the other cell, the request is broken off rather than run
+only the clock tells: where it may have gone to the other cell, the request fails rather than run
 twice.
 """
 
@@ -16,21 +16,21 @@
 class Way(Enum):
     OLD = "old"
     NEW = "new"
-    NOWHERE = "nowhere"  # to be broken off
+    NOWHERE = "nowhere"  # to be failed
 
 
 class Ledger:
-    """Receipts and the cell each went to; the oldest go first when it is full."""
+    """Idempotency keys and the cell each went to; the oldest go first when it is full."""
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, OrderedDict[tuple[str, str], tuple[str, float]]()
-        self.dropped_until = 0.0  # receipts that would have been kept up to then were dropped for room
+        self.dropped_until = 0.0  # keys that would have been kept up to then were dropped for room
 
-    def where(self, tenant: str, receipt: str, now: float) -> str | None:
-        found = self.held.get((tenant, receipt))
+    def where(self, tenant: str, idempotency_key: str, now: float) -> str | None:
+        found = self.held.get((tenant, idempotency_key))
         return found[0] if found is not None and now < found[1] else None
 
-    def note(self, tenant: str, receipt: str, cell: str, now: float, kept_for: float) -> None:
+    def note(self, tenant: str, idempotency_key: str, cell: str, now: float, kept_for: float) -> None:
         while self.held:
             first, (_, until) = next(iter(self.held.items()))
             if until > now and len(self.held) < self.most:
@@ -38,16 +38,16 @@
             if until > now:
                 self.dropped_until = max(self.dropped_until, until)
             del self.held[first]
-        self.held[tenant, receipt] = cell, now + kept_for
-        self.held.move_to_end((tenant, receipt))
+        self.held[tenant, idempotency_key] = cell, now + kept_for
+        self.held.move_to_end((tenant, idempotency_key))
 
 
 def way(move: Move, key: int, repeated: bool, everywhere: bool, known: str | None, now: float, skew: float
         ) -> Way:
-    """`known`: the cell that the ledger has for this receipt. `everywhere`: it need not stay with the nodes
-    of one cell. Other directors may go by any version of the file, also by one without the move, or from
-    before it was held or aborted: what one of them may have sent to the new cell is unproven until staff have
-    ended the move."""
+    """`known`: the cell that the ledger has for this idempotency key. `everywhere`: it need not stay with the
+    nodes of one cell. Other directors may go by any version of the file, also by one without the move, or
+    from before it was held or aborted: what one of them may have sent to the new cell is unproven until staff
+    have ended the move."""
     if known == move.source:
         return Way.OLD
     if known == move.target:
--- a/mulleinrelay/cells/limits.py
+++ b/mulleinrelay/cells/limits.py
@@ -69,7 +69,7 @@
         self.peak = max(self.peak, open_now)
 
     def saw(self, now: float, delay: float) -> bool:
-        """A request was satisfied after `delay` (ms over its own sending time, 1 at the least). Gives whether
+        """A request was served after `delay` (ms over its own sending time, 1 at the least). Gives whether
         the width has shrunk."""
         if now >= self.ends + self.WINDOW:  # a first word, or after a pause: what was before tells nothing
             self._open(now)
--- a/mulleinrelay/cells/naming.py
+++ b/mulleinrelay/cells/naming.py
@@ -77,7 +77,7 @@
         return known
 
     def tenant(self, told: str, address: str, group: int) -> str | None:
-        """The tenant of a request; None: it is to be pushed back. A told name that is in no table is unknown
+        """The tenant of a request; None: it is to be rejected. A told name that is in no table is unknown
         whatever else would fit: a typing fault must not land on another's account."""
         tenants = self.charter.tenants
         if told:
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,16 +1,16 @@
-"""Which cell a tenant's request is confined to now, with which pool: homes, moves, lost cells and receipts
-taken together. Pure; a director's caches are opaque nodes with a name and a warmth."""
+"""Which cell a tenant's request is confined to now, with which pool: homes, moves, lost cells and keys of
+repeats taken together. Pure; a director's caches are opaque nodes with a name and a warmth."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
 from typing import Any
 
-from ..interface import PURE, RECEIPTED, Pool, Purse, UseCase
+from ..interface import IDEMPOTENT, KEYED, Pool, Purse, RequestClass
 from . import moves, reserve
 from .assignment import caches_of, homes, shuffled
 from .charter import Cell, Charter, CharterError, Move
-from .receipts import Ledger, Way, way
+from .idempotency import Ledger, Way, way
 from .reserve import Standing
 
 PURSE_AT_FIRST = 2.0  # further attempts of a tenant that has just come; its requests earn more
@@ -120,7 +120,7 @@
         for name, standing in self.standings.items():
             standing.cell = charter.cells[name]
         self.pools: dict[tuple[str, str, str], Spot] = {}
-        # tenants at home in cells that stand: all their pure requests go alike
+        # tenants at home in cells that stand: all their idempotent requests go alike
         self.steady: dict[str, Spot] = {}
 
     def _stand(self, now: float) -> list[str]:
@@ -138,15 +138,15 @@
 
     # Where to
 
-    def spot(self, now: float, tenant: str, key: int, use_case: UseCase, receipt: str, repeated: bool
-             ) -> Spot | Nowhere:
+    def spot(self, now: float, tenant: str, key: int, request_class: RequestClass, idempotency_key: str,
+             repeated: bool) -> Spot | Nowhere:
         home = self.homes.get(tenant)
         if home is None:
             return Nowhere.HOMELESS
-        anywhere = use_case.repeat != RECEIPTED or use_case.group != "cell"
+        anywhere = request_class.repeat != KEYED or request_class.group != "cell"
         known = None
-        if receipt and use_case.repeat == RECEIPTED:
-            known = self.ledger.where(tenant, receipt, now)
+        if idempotency_key and request_class.repeat == KEYED:
+            known = self.ledger.where(tenant, idempotency_key, now)
         repeated = repeated or known is not None
         move = self.moving.get(tenant)
         if not anywhere and repeated and known is None and (
@@ -158,17 +158,19 @@
             if to == Way.NOWHERE:
                 return Nowhere.UNPROVEN
             cell, other = self._sides(now, move, key, to, anywhere)
-        found = self._at(now, tenant, key, cell, other, use_case, anywhere, repeated)
+        found = self._at(now, tenant, key, cell, other, request_class, anywhere, repeated)
         standing = self.standings[home]
-        if move is None and use_case.repeat == PURE and not standing.lost and not standing.back_since:
+        idempotent = request_class.repeat == IDEMPOTENT
+        if move is None and idempotent and not standing.lost and not standing.back_since:
             self.steady[tenant] = found
         return found
 
-    def note(self, now: float, tenant: str, receipt: str, use_case: UseCase, spot: Spot) -> None:
+    def note(self, now: float, tenant: str, idempotency_key: str, request_class: RequestClass,
+             spot: Spot) -> None:
         """The request is taken: its repeats go the same way."""
-        if receipt and use_case.repeat == RECEIPTED:
-            kept = use_case.memory_span + use_case.client_timeout + self.charter.horizon
-            self.ledger.note(tenant, receipt, spot.cell, now, kept)
+        if idempotency_key and request_class.repeat == KEYED:
+            kept = request_class.memory_span + request_class.client_timeout + self.charter.horizon
+            self.ledger.note(tenant, idempotency_key, spot.cell, now, kept)
 
     def _sides(self, now: float, move: Move, key: int, to: Way, anywhere: bool) -> tuple[str, str]:
         """The cell that a moving object goes to, and the other one while that has a part in it."""
@@ -179,11 +181,11 @@
         cell, other = (move.target, move.source) if to == Way.NEW else (move.source, move.target)
         return cell, other if under_way and self.by_cell[other] else ""
 
-    def _at(self, now: float, tenant: str, key: int, cell: str, other: str, use_case: UseCase, anywhere: bool,
-            repeated: bool) -> Spot | Nowhere:
+    def _at(self, now: float, tenant: str, key: int, cell: str, other: str, request_class: RequestClass,
+            anywhere: bool, repeated: bool) -> Spot | Nowhere:
         """`other`: the other side of a move. `anywhere`: it need not stay with the nodes of one cell."""
         standing = self.standings[cell]
-        if use_case.never_kept and self.may_pass_by:  # needs no cache
+        if request_class.never_kept and self.may_pass_by:  # needs no cache
             return self._spot(tenant, cell, other)
         if not anywhere:
             if standing.lost:
--- a/mulleinrelay/cells/reading.py
+++ b/mulleinrelay/cells/reading.py
@@ -9,7 +9,7 @@
 
 from .charter import (
     FORM,
-    PUSH_BACK,
+    REJECT,
     RENDEZVOUS,
     TABLE,
     TO_DEFAULT,
@@ -139,7 +139,7 @@
         how=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
         load_bound=head.number("load_bound", 1.25, 100.0, 1.0),
         default_tenant=head.text("default_tenant", ""),
-        unknown=head.choice("unknown", (TO_DEFAULT, PUSH_BACK), TO_DEFAULT),
+        unknown=head.choice("unknown", (TO_DEFAULT, REJECT), TO_DEFAULT),
         spread=head.number("spread_ms", 5_000.0),
         skew=head.number("skew_ms", 500.0),
         horizon=head.number("horizon_ms", 12_000.0),
--- a/mulleinrelay/cells/releases.py
+++ b/mulleinrelay/cells/releases.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """Requests of one cell in one time: satisfied, all, and the delays of the satisfied (sum of ms)."""
+    """Requests of one cell in one time: served, all, and the delays of the served (sum of ms)."""
 
     good: float = 0.0
     total: float = 0.0
@@ -161,7 +161,7 @@
 
 
 def _change(past: Record, now: Record) -> tuple[float, float]:
-    """How far the satisfied share fell, and by how much the delay rose (with 5 ms put in against noise)."""
+    """How far the served share fell, and by how much the delay rose (with 5 ms put in against noise)."""
     slower = (now.mean() + 5.0) / (past.mean() + 5.0) if past.good and now.good else 1.0
     return past.share() - now.share(), slower
 
--- a/mulleinrelay/cells/reserve.py
+++ b/mulleinrelay/cells/reserve.py
@@ -59,7 +59,7 @@
 
 
 def host(standings: dict[str, Standing], cell: Cell) -> Standing | None:
-    """The neighbour that takes in a cell's tenants now; None: nobody, they are pushed back. A neighbour that
+    """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A neighbour that
     is coming back itself takes nobody in: its own tenants are still elsewhere."""
     for name in cell.neighbours:
         found = standings.get(name)
--- a/mulleinrelay/cells/warden.py
+++ b/mulleinrelay/cells/warden.py
@@ -8,7 +8,7 @@
 
 from ..configuration import Start
 from ..facade import Facade
-from ..interface import Asked, Request, UseCase
+from ..interface import Asked, Request, RequestClass
 from ..log import Log
 from . import store
 from .changes import refusal
@@ -67,9 +67,9 @@
             if not self.connections[entry]:
                 del self.connections[entry]
 
-    def admit(self, asked: Asked, use_case: UseCase, address: str) -> Grant | Denied:
-        asking = Asking(asked.tenant, address, asked.group, asked.object, use_case, asked.receipt,
-                        asked.repeated, len(asked.body))
+    def admit(self, asked: Asked, request_class: RequestClass, address: str) -> Grant | Denied:
+        asking = Asking(asked.tenant, address, asked.group, asked.object, request_class,
+                        asked.idempotency_key, asked.repeated, len(asked.body))
         with self.lock:
             return self.governor.admit(self.clock(), asking)
 
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -83,8 +83,9 @@
             start = from_environment(os.environ, config)
         except ConfigurationError as wrong:
             faulty(str(wrong))
-        click.echo(f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, {len(start.use_cases)} "
-                   f"use cases, {len(start.events)} events known, up to number {start.known}")
+        click.echo(f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
+                   f"{len(start.request_classes)} request classes, {len(start.events)} events known, "
+                   f"up to number {start.known}")
     if cells is not None:
         from .cells.own import load_own
         from .cells.store import load
--- a/mulleinrelay/configuration.py
+++ b/mulleinrelay/configuration.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .interface import EFFECTFUL, PURE, RECEIPTED, ColdRule, Terms, UseCase
+from .interface import UNSAFE, IDEMPOTENT, KEYED, ColdRule, Terms, RequestClass
 
-REPEAT = {"safe": PURE, "keyed": RECEIPTED, "unsafe": EFFECTFUL}
+REPEAT = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
 REPORT_WORDS = {"busy_reqs": "held", "inflight": "held", "cpu_share": "busy", "util": "busy",
                 "x1": "crowding"}
 DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, SOCKETS_LEAST = 192, 1024, 64
@@ -96,15 +96,15 @@
     """What the decision module reads of the start settings, in the project's own words."""
     allowed, domain, rules = boot.section("allowed"), boot.section("domain"), boot.section("rules")
     report, number, flag = boot.section("report"), ((int, float), "a number"), ((bool,), "true or false")
-    use_cases = [
-        UseCase(case.choice("idempotency", REPEAT), case.number("slo"), case.number("aimStretch", 0.0),
+    request_classes = [
+        RequestClass(case.choice("idempotency", REPEAT), case.number("slo"), case.number("aimStretch", 0.0),
                 case.number("deadline"), case.number("memorySpan"), case.text("group"),
                 domain.each("freshFor", at, *number), domain.each("neverKept", at, *flag),
                 case.number("credit", 1.0))
         for at, case in enumerate(boot.sections("classes"))]
     zone, overload_for = boot.whole("myZone"), rules.number("overloadFor")
     return Terms(
-        use_cases=use_cases, zone=zone, directors=boot.whole("balancers"),
+        request_classes=request_classes, zone=zone, directors=boot.whole("balancers"),
         directors_here=max(1, domain.each("countByZone", zone, *number)),
         parent_kind=domain.whole("midKind"), origin_kind=domain.whole("storeKind"),
         sized=boot.text("weights") != "none", flow=domain.number("oneFlowKbPerS") / 1000.0,
@@ -142,7 +142,7 @@
     known: int  # number of the last event that `events` holds
     events: list[Any]
     terms: Terms
-    use_cases: dict[str, UseCase]
+    request_classes: dict[str, RequestClass]
     zones: dict[str, int]
     kinds: dict[str, int]
     connect_timeout: float
@@ -173,7 +173,7 @@
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
         sockets=sockets, bus=whole.address("bus"),
         known=known.whole("offset"), events=known.items("batch"), terms=terms,
-        use_cases=dict(zip(names, terms.use_cases, strict=True)),
+        request_classes=dict(zip(names, terms.request_classes, strict=True)),
         zones={name: place for place, name in enumerate(settings.items("azs"))},
         kinds={name: place for place, name in enumerate(settings.items("shapes"))},
         connect_timeout=allowed.number("connectTimeout"), idle_for=allowed.number("connIdle"),
--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -15,12 +15,12 @@
 from typing import Any, Protocol
 
 from .interface import (NOWHERE, Attempt, Listing, Note, Order, Outcome, Place, Pool, Request, State, Terms,
-                        UseCase)
+                        RequestClass)
 from .log import Log
 from .policy import Director, Member
 from .spread.admission import Lateness
 
-ANSWER_SLACK = 8.0  # a request without a verdict so long after its client's time is broken off by the caller
+ANSWER_SLACK = 8.0  # a request without a verdict so long after its client's time is failed by the caller
 
 
 class Intent(Protocol):
@@ -38,17 +38,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Satisfied:
+class Served:
     answer: Any  # what the caller reported with the attempt
 
 
 @dataclass(slots=True, eq=False)
-class PushedBack:
+class Rejected:
     come_back: float
 
 
 @dataclass(slots=True, eq=False)
-class BrokenOff:
+class Failed:
     pass
 
 
@@ -57,7 +57,7 @@
     """The client is gone; no answer is owed."""
 
 
-Verdict = Satisfied | PushedBack | BrokenOff | Left
+Verdict = Served | Rejected | Failed | Left
 
 
 class Life:
@@ -95,13 +95,13 @@
 
     # For the network code: requests
 
-    def take(self, use_case: UseCase, key: int, part: int, group: int, size: float, left: float,
+    def take(self, request_class: RequestClass, key: int, part: int, group: int, size: float, left: float,
              repeated: bool, ticket: Any = None, room: bool = True, pool: Pool | None = None) -> Request:
         """A request has come; the caller now picks for it, and until then nobody else does. Where there is no
         room to see it through, the module ends it at once. With a pool it is confined to that."""
         now = self.clock()
         with self.lock:
-            request = Request(ticket, use_case, key, part, group, size, now, now + left, repeated,
+            request = Request(ticket, request_class, key, part, group, size, now, now + left, repeated,
                             pool=pool)
             self.lives[request] = Life(threading.get_ident())
             self._set_timer(left + ANSWER_SLACK, "overdue", request)
@@ -282,7 +282,7 @@
                 elif what == "overdue":
                     if life.verdict is None:  # the module gave none; its client must not wait in vain
                         self.log_to.event("overdue", attempts=len(request.attempts))
-                        life.settle(BrokenOff())
+                        life.settle(Failed())
                         self._play("end", request)
                 elif not (about.ended if request is about else about.outcome is not None):
                     self._play("woken", about)
@@ -314,7 +314,7 @@
                     about = arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
                     about.ended = True
                     if (life := self.lives.get(about)) is not None:
-                        life.settle(BrokenOff())
+                        life.settle(Failed())
             called_off, self.called_off = self.called_off, []
             now = self.clock()
             calls = [("answered", (attempt, Outcome.CANCELLED, now - attempt.sent, attempt.request.ended,
@@ -327,9 +327,9 @@
             return
         request = attempt.request
         life = self.lives.get(request)
-        if outcome == Outcome.SATISFIED and not request.ended and life is not None:
-            life.settle(Satisfied(answer))
-        closed = request.ended or outcome == Outcome.SATISFIED
+        if outcome == Outcome.SERVED and not request.ended and life is not None:
+            life.settle(Served(answer))
+        closed = request.ended or outcome == Outcome.SERVED
         self._play("answered", attempt, outcome, self.clock() - attempt.sent, closed, note, waited, load)
 
     def _call_off(self, attempt: Attempt) -> None:
@@ -368,13 +368,13 @@
             self._call_off(attempt)
             self.called_off.append(attempt)
 
-    def push_back(self, request: Request, come_back: float) -> None:
+    def reject(self, request: Request, come_back: float) -> None:
         if (life := self.lives.get(request)) is not None:
-            life.settle(PushedBack(come_back))
+            life.settle(Rejected(come_back))
 
-    def break_off(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         if (life := self.lives.get(request)) is not None:
-            life.settle(BrokenOff())
+            life.settle(Failed())
 
     def wake(self, delay: float, about: Request | Attempt) -> None:
         self._set_timer(delay, "wake", about)
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import Any, Protocol
 
-PURE, RECEIPTED, EFFECTFUL = "pure", "receipted", "effectful"
+IDEMPOTENT, KEYED, UNSAFE = "idempotent", "keyed", "unsafe"
 NOWHERE = ("", 0)  # the address of a node of which only the name and the state are told
 
 
@@ -23,7 +23,7 @@
 class Outcome(IntEnum):
     """How an attempt ended; the last four prove that it never ran."""
 
-    SATISFIED = 0
+    SERVED = 0
     ERROR = 1
     TIMEOUT = 2
     RESET = 3
@@ -55,16 +55,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class UseCase:
-    repeat: str  # PURE, RECEIPTED or EFFECTFUL
+class RequestClass:
+    repeat: str  # IDEMPOTENT, KEYED or UNSAFE
     latency_goal: float
     goal_stretch: float  # the goal grows by this multiple of the answer's own sending time
     client_timeout: float
-    memory_span: float  # how long a receipted repeat is known
+    memory_span: float  # how long a keyed repeat is known
     group: str  # which nodes know it: "all", "zone" or "cell"
     fresh_for: float
     never_kept: bool  # runs at the origin
-    credit: float = 1.0  # of a request satisfied in time
+    credit: float = 1.0  # of a request served in time
 
 
 @dataclass(slots=True)
@@ -81,7 +81,7 @@
 class Terms:
     """What a director is told at its start about the service it stands in."""
 
-    use_cases: list[UseCase]
+    request_classes: list[RequestClass]
     zone: int
     directors: int
     directors_here: int  # in this director's own location
@@ -90,7 +90,7 @@
     sized: bool  # the list tells sizes of nodes
     flow: float  # KB a millisecond of one transfer; 0 where not told
     attempts_most: int
-    two_attempts: bool  # a pure request may have two attempts out at once
+    two_attempts: bool  # an idempotent request may have two attempts out at once
     may_cancel: bool
     may_probe: bool
     may_advise: bool  # clients are told when to come back
@@ -173,7 +173,7 @@
 @dataclass(slots=True, eq=False)
 class Request:
     ticket: Any  # the caller's own, for the way back
-    use_case: UseCase
+    request_class: RequestClass
     key: int
     part: int
     group: int
@@ -190,11 +190,11 @@
 class Asked:
     """A request as its client worded it; the texts and the body go on with each attempt, unchanged."""
 
-    use_case: str
+    request_class: str
     mark: str
     object: str
     part: str
-    receipt: str  # by which a repeat is known; empty: none
+    idempotency_key: str  # by which a repeat is known; empty: none
     tag: str  # of the copy that the client holds; empty: none
     body: memoryview
     left: float  # ms that the client waits
@@ -248,8 +248,8 @@
     def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
              parent_keeps: bool, renew: bool) -> None: ...
     def abandon(self, attempt: Attempt) -> None: ...
-    def push_back(self, request: Request, come_back: float) -> None: ...
-    def break_off(self, request: Request) -> None: ...
+    def reject(self, request: Request, come_back: float) -> None: ...
+    def fail(self, request: Request) -> None: ...
     def wake(self, delay: float, about: Any) -> None: ...
     def probe(self, node: Node) -> None: ...
     def subscribe(self) -> None: ...
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -15,12 +15,12 @@
         f"{one.demand.tenant} {one.share(max(0.0, since - 3.0), since - 1.0):.2f}" for one in lab.terminals
     )
     busy = max(lab.fleet.nodes.values(), key=lambda node: node.in_window)
-    sys.stderr.write(f"\r{since:6.1f} s  satisfied: {shares}  busiest {busy.spec.name}   ")
+    sys.stderr.write(f"\r{since:6.1f} s  served: {shares}  busiest {busy.spec.name}   ")
     sys.stderr.flush()
 
 
-def watch(since: float, asked: int, satisfied: int) -> None:
-    sys.stderr.write(f"\r{since:6.1f} s  asked {asked}  satisfied {satisfied}   ")
+def watch(since: float, asked: int, served: int) -> None:
+    sys.stderr.write(f"\r{since:6.1f} s  asked {asked}  served {served}   ")
     sys.stderr.flush()
 
 
@@ -67,12 +67,12 @@
     if not quiet:
         click.echo("", err=True)
     click.echo(
-        f"{'tenant':<12} {'asked':>7} {'share':>6} {'p50 ms':>7} {'p99 ms':>7} {'pushed':>7} {'broken':>7}"
+        f"{'tenant':<12} {'asked':>7} {'share':>6} {'p50 ms':>7} {'p99 ms':>7} {'rejected':>8} {'failed':>7}"
     )
     for name, tenant in found["tenants"].items():
         click.echo(
             f"{name:<12} {tenant.get('asked', 0):>7} {tenant['share']:>6.3f} {tenant['p50_ms']:>7.1f} "
-            f"{tenant['p99_ms']:>7.1f} {tenant.get('pushed_back', 0):>7} {tenant.get('broken_off', 0):>7}"
+            f"{tenant['p99_ms']:>7.1f} {tenant.get('rejected', 0):>8} {tenant.get('failed', 0):>7}"
         )
     for name, node in found["nodes"].items():
         click.echo(
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -200,13 +200,13 @@
         return evenness.together(asked, self.boxes)
 
     def credit(self) -> float:
-        """Credit of requests satisfied within their goal over all that was asked for, after the warm-up."""
+        """Credit of requests served within their goal over all that was asked for, after the warm-up."""
         asked = earned = 0.0
         for look in self.heard.looks:
             if look[0] >= self.scenario.warm:
                 worth = CREDIT[look[5]]
                 asked += worth
-                if look[7] == "satisfied":
+                if look[7] == "served":
                     earned += worth if look[1] <= self.scenario.goal_ms else 0.1 * worth
         return earned / asked if asked else 0.0
 
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -17,16 +17,16 @@
 class Wanted:
     """One request to be asked."""
 
-    use_case: str
+    request_class: str
     key: int
     size: float
-    receipt: str
+    idempotency_key: str
 
 
 def may_try_again(scenario: Scenario, wanted: Wanted, tries: int, left: float) -> bool:
     """Whether a client whose connection ended asks again, `left` ms before it stops waiting: never where the
-    first try may have had an effect that no receipt covers."""
-    return wanted.use_case != PAY and tries < scenario.tries and left > PAUSE
+    first try may have had an effect that no idempotency key covers."""
+    return wanted.request_class != PAY and tries < scenario.tries and left > PAUSE
 
 
 class Catalogue:
@@ -96,12 +96,12 @@
         hot = sum(fault.by or 0.1 for fault in self.on(since, "hot"))
         outsized = sum(fault.by or 0.02 for fault in self.on(since, "outsized"))
         key, size = self.catalogue.key(draw, hot, outsized)
-        chance, receipt = draw.random(), ""
+        chance, idempotency_key = draw.random(), ""
         if chance < scenario.orders:
             return Wanted(ORDER, key, SIZE, f"{draw.getrandbits(128):032x}")
         if chance < scenario.orders + scenario.effects:
-            return Wanted(PAY, key, SIZE, receipt)
-        return Wanted(PAGES, key, size, receipt)
+            return Wanted(PAY, key, SIZE, idempotency_key)
+        return Wanted(PAGES, key, size, idempotency_key)
 
     def director(self, away: set[int]) -> int | None:
         """Who is asked, by their parts of the load; those known to be away are passed by."""
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -107,7 +107,7 @@
     skew: float = 0.8
     shared: float = 0.5  # share of requests for objects that all locations want
     orders: float = 0.05
-    effects: float = 0.0  # share of effectful requests
+    effects: float = 0.0  # share of unsafe requests
     patience_ms: float = 2500.0
     goal_ms: float = 500.0
     tries: int = 3
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -111,7 +111,7 @@
 
 class FleetLab:
     """One play. `run` gives where its records are; `live` is called now and then with the seconds since the
-    start and the requests asked and satisfied."""
+    start and the requests asked and served."""
 
     def __init__(self, scenario: Scenario, text: str, folder: str | None = None, program: str = ROOT) -> None:
         """`text`: the scenario's file, which the lab's processes read again. `program`: the folder that holds
@@ -129,7 +129,7 @@
             for number in strike.directors
         }
         self.directors: list[Director] = []
-        self.told = {"asked": 0, "satisfied": 0}
+        self.told = {"asked": 0, "served": 0}
         self.ended, self.broken = threading.Event(), ""
         self.stopped: set[int] = set()
         self.rules = 0
@@ -312,7 +312,7 @@
                 live(
                     (now_ms() - self.began) / 1000.0,
                     sum(held.get("asked", 0) for held in list(told.values())),
-                    sum(held.get("satisfied", 0) for held in list(told.values())),
+                    sum(held.get("served", 0) for held in list(told.values())),
                 )
             self._watch()
 
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -90,7 +90,7 @@
         self.lines: dict[int, list[Line]] = {}
         self.away: set[int] = set()  # directors that the front passes by
         self.mark, self.mark_base = 0, self.random.getrandbits(31) << 32
-        self.asked = self.satisfied = 0
+        self.asked = self.served = 0
         obey(self.loop, self.obeyed)
 
     def obeyed(self, held: dict) -> None:
@@ -101,7 +101,7 @@
                     self.began + 1000.0 * demand.next_in(0.0), lambda demand=demand: self.ask(demand)
                 )
             self.loop.each(100.0, self.sweep)
-            self.loop.each(1000.0, lambda: say(asked=self.asked, satisfied=self.satisfied))
+            self.loop.each(1000.0, lambda: say(asked=self.asked, served=self.served))
             self.loop.each(1000.0, self.records.file.flush)
 
     def ask(self, demand: Demand) -> None:
@@ -128,7 +128,7 @@
         self.mark += 1
         wanted = pending.wanted
         fields = {
-            "route": wanted.use_case,
+            "route": wanted.request_class,
             "trace": f"{self.mark_base + self.mark:016x}",
             "patience": f"{max(1.0, pending.until - now):.0f}",
             "entity": f"{wanted.key:016x}",
@@ -136,8 +136,8 @@
             "batch": str(wanted.key & 0xFF),
             "size": f"{wanted.size:.1f}",
         }
-        if wanted.receipt:
-            fields["nonce"] = wanted.receipt
+        if wanted.idempotency_key:
+            fields["nonce"] = wanted.idempotency_key
         if pending.tries > 1:
             fields["redo"] = "1"
         self.line(director, now).send(pending, now, fields)
@@ -157,8 +157,8 @@
         if pending.over:
             return
         now = now_ms()
-        if what == "pushed back" and pending.tries < self.scenario.tries:
-            self.records.add("pushed", now, director, pause)
+        if what == "rejected" and pending.tries < self.scenario.tries:
+            self.records.add("rejected", now, director, pause)
             again = now + (pause or PAUSE)
             if again < pending.until:
                 return self.loop.at(again, lambda: self.attempt(pending, self.demand_of(pending)))
@@ -168,7 +168,7 @@
         if pending.over:
             return
         pending.over, now = True, now_ms()
-        self.satisfied += what == "satisfied"
+        self.served += what == "served"
         self.records.add(
             "look",
             pending.asked,
@@ -176,7 +176,7 @@
             pending.location,
             pending.first,
             director,
-            pending.wanted.use_case,
+            pending.wanted.request_class,
             pending.wanted.key,
             what,
             pending.tries,
@@ -190,7 +190,7 @@
         self.records.add("late" if late else "twice", now_ms(), line.director)
 
     def cut_off(self, line: Line) -> None:
-        """The connection has ended: where requests were out their clients try again as their use case
+        """The connection has ended: where requests were out their clients try again as their request class
         permits, and the director is looked at."""
         now = now_ms()
         if line in self.lines.get(line.director, ()):
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -273,9 +273,9 @@
             for what in (
                 "asked",
                 "tries",
-                "satisfied",
-                "pushed_back",
-                "broken_off",
+                "served",
+                "rejected",
+                "failed",
                 "bad",
                 "no_answer",
                 "answers_twice",
@@ -283,7 +283,7 @@
                 "cut_off",
             )
         }
-        answered = total["satisfied"] + total["pushed_back"] + total["broken_off"]
+        answered = total["served"] + total["rejected"] + total["failed"]
         return {
             "tenants": tenants,
             "total": total,
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -112,7 +112,7 @@
     for keys in (lab, fleet, director):
         keys.done()
     for demand in demands:
-        if scenario.cells and demand.tenant not in charter.tenants and charter.unknown == "push_back":
+        if scenario.cells and demand.tenant not in charter.tenants and charter.unknown == "reject":
             raise CharterError(f"[load {demand.tenant}]: no such tenant")
     for deed in deeds:
         if deed.node and deed.what != "purge" and deed.node not in names and deed.node[:1] not in "po":
--- a/mulleinrelay/lab/start.py
+++ b/mulleinrelay/lab/start.py
@@ -19,8 +19,8 @@
     parent_cold_ms: float | None = None,
     flow: float = 8000.0,
 ) -> dict[str, Any]:
-    """`places`: locations and hubs by name; `mine`: this director's. Use cases: pages, order, and pay where
-    `effects` is on. Times in ms; `flow`: KB a second
+    """`places`: locations and hubs by name; `mine`: this director's. Request classes: pages, order, and pay
+    where `effects` is on. Times in ms; `flow`: KB a second
     of one transfer."""
     case = {"idempotency": "safe", "slo": goal, "deadline": patience, "memorySpan": 6000.0, "group": "all"}
     cases = [case | {"name": "pages"}, case | {"name": "order", "idempotency": "keyed"}]
--- a/mulleinrelay/management/ctl.py
+++ b/mulleinrelay/management/ctl.py
@@ -222,7 +222,7 @@
         do,
         lambda address, one: click.echo(
             f"{address}: version {one['version']}: {box} {one['state'].get('phase')}, "
-            f"{one['state'].get('legs-out', 0)} attempts out"
+            f"{one['state'].get('attempts-out', 0)} attempts out"
         ),
     )
 
--- a/mulleinrelay/management/mapping.py
+++ b/mulleinrelay/management/mapping.py
@@ -6,7 +6,7 @@
 import ipaddress
 from typing import Any
 
-from ..cells.charter import PUSH_BACK, TO_DEFAULT, Cell, Charter, CharterError, Limits, Move, Release, Tenant
+from ..cells.charter import REJECT, TO_DEFAULT, Cell, Charter, CharterError, Limits, Move, Release, Tenant
 from ..cells.reading import LIMIT_KEYS, RANGE, agree
 
 ATTRIBUTES = {
@@ -88,7 +88,7 @@
         name: _told(name, getattr(charter, key)) if name != "how" else charter.how
         for name, key in ATTRIBUTES.items()
     }
-    found["unknown"] = "push-back" if charter.unknown == PUSH_BACK else "default-tenant"
+    found["unknown"] = "reject" if charter.unknown == REJECT else "default-tenant"
     if charter.default_tenant:
         found["default-tenant"] = charter.default_tenant
     found["limits"] = _limits_tree(charter.limits)
@@ -196,7 +196,7 @@
         releases,
         limits,
         default_tenant=tree.get("default-tenant", ""),
-        unknown=PUSH_BACK if tree.get("unknown") == "push-back" else TO_DEFAULT,
+        unknown=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
         **{
             key: tree[name] if name == "how" else float(tree[name])
             for name, key in ATTRIBUTES.items()
--- a/mulleinrelay/management/part.py
+++ b/mulleinrelay/management/part.py
@@ -137,7 +137,7 @@
         self.start, self.facade, self.warden, self.drains = start, facade, warden, drains
         self.zones = {place: name for name, place in start.zones.items()}
         self.kinds = {place: name for name, place in start.kinds.items()}
-        self.use_cases = [
+        self.request_classes = [
             {
                 "name": name,
                 "repeat": case.repeat,
@@ -145,7 +145,7 @@
                 "client-timeout": decimal(case.client_timeout),
                 "memory-span": decimal(case.memory_span),
             }
-            for name, case in start.use_cases.items()
+            for name, case in start.request_classes.items()
         ]
 
     def tree(
@@ -164,7 +164,7 @@
         state = {
             "boxes": {"box": boxes},
             "purges": {"binding": self.facade.purges_binding()},
-            "use-cases": {"use-case": self.use_cases},
+            "request-classes": {"request-class": self.request_classes},
             "datastore": datastore,
         }
         return {
@@ -186,7 +186,7 @@
                     "started": str(int(entry.started)),
                     "shunned": member.shunned,
                     "warmth": decimal(warmth),
-                    "legs-out": len(member.out),
+                    "attempts-out": len(member.out),
                 }
                 | ({"delay": decimal(delay)} if delay is not None else {})
             )
@@ -201,7 +201,7 @@
             "phase": drain.phase.value,
             "since": str(int(drain.since)),
             "disagrees-for": differs,
-            "legs-out": out.get(box, 0),
+            "attempts-out": out.get(box, 0),
         }
 
     def _assignment(self, now: float, tree: dict[str, Any]) -> dict[str, Any]:
@@ -239,7 +239,7 @@
         "lost": told["lost"],
         "open": decimal(told["open"]),
         "width": decimal(told["width"]),
-        "satisfied": str(told["satisfied"]),
+        "served": str(told["served"]),
         "settled": str(told["settled"]),
         "turned-away": str(told["denied"]),
     }
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -64,7 +64,7 @@
 
     def ask(self, pending: Any, left: float) -> None:
         now, wanted = self.world.clock(), pending.wanted
-        case = self.terms.use_cases[self.world.case_places[wanted.use_case]]
+        case = self.terms.request_classes[self.world.case_places[wanted.request_class]]
         request = Request(
             pending, case, wanted.key, 0, wanted.key & 0xFF, wanted.size, now, now + left, pending.tries > 1
         )
@@ -80,9 +80,9 @@
         if self.gone or attempt.outcome is not None:
             return
         request, now = attempt.request, self.world.clock()
-        good = outcome == Outcome.SATISFIED
+        good = outcome == Outcome.SERVED
         if good and not request.ended:
-            self._settle(request, "satisfied", 0.0)
+            self._settle(request, "served", 0.0)
         self.play("answered", attempt, outcome, now - attempt.sent, request.ended or good, note, waited, None)
 
     def timed_out(self, attempt: Attempt) -> None:
@@ -123,13 +123,13 @@
             if on
         ]
         fields = {
-            "lane": attempt.request.ticket.wanted.use_case,
+            "lane": attempt.request.ticket.wanted.request_class,
             "name": f"{attempt.request.key:016x}",
             "piece": "0",
             "miss": source,
             "prio": str(rank),
             "f": "+".join(hows),
-            "dedupe": attempt.request.ticket.wanted.receipt
+            "dedupe": attempt.request.ticket.wanted.idempotency_key
             or f"mark-{attempt.request.ticket.number}-{attempt.request.ticket.tries}",
         }
         if max_age > 0.0:
@@ -141,11 +141,11 @@
         if attempt.outcome is None:
             self.called_off.append(attempt)
 
-    def push_back(self, request: Request, come_back: float) -> None:
-        self._settle(request, "pushed back", come_back)
+    def reject(self, request: Request, come_back: float) -> None:
+        self._settle(request, "rejected", come_back)
 
-    def break_off(self, request: Request) -> None:
-        self._settle(request, "broken off", 0.0)
+    def fail(self, request: Request) -> None:
+        self._settle(request, "failed", 0.0)
 
     def wake(self, delay: float, about: Any) -> None:
         self.world.clock.at(self.world.clock() + delay, lambda: self.woken(about))
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -145,7 +145,7 @@
             return
         now = self.clock()
         again = now + (pause or PAUSE)
-        if what == "pushed back" and pending.tries < self.scenario.tries and again < pending.until:
+        if what == "rejected" and pending.tries < self.scenario.tries and again < pending.until:
             return self.clock.at(again, lambda: pending.over or self.attempt(pending))
         self.clock.at(now + CLIENT_MS, lambda: self.ended(pending, what))
 
@@ -164,7 +164,7 @@
                     pending.location,
                     pending.first,
                     pending.director,
-                    wanted.use_case,
+                    wanted.request_class,
                     wanted.key,
                     what,
                     pending.tries,
@@ -425,7 +425,7 @@
             self.clock.run(min(end, self.clock.now + 500.0))
             if live is not None:
                 looks = self.heard.looks
-                live(self.since(), len(looks), sum(look[7] == "satisfied" for look in looks))
+                live(self.since(), len(looks), sum(look[7] == "served" for look in looks))
         effects = self.fleet.effects
         self.heard.others["effects"].append(
             (sum(times > 1 for times in effects.values()), len(effects), self.fleet.origin_fetches)
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -306,7 +306,7 @@
                     link.used = link.heard = self.clock()
                     if isinstance(held, Attempt):
                         link.patience.answered()
-                        if told.outcome != Outcome.SATISFIED:  # a second answer must not meet the next one
+                        if told.outcome != Outcome.SERVED:  # a second answer must not meet the next one
                             link.over[told.about] = link.used
                     elif held is None and link.asked:
                         link.patience.echoed()
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/front.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from ..configuration import Start
-from ..facade import BrokenOff, Facade, GiveUp, Left, PushedBack, Satisfied, Verdict
-from ..interface import RECEIPTED, Asked, Request, Order, UseCase
+from ..facade import Failed, Facade, GiveUp, Left, Rejected, Served, Verdict
+from ..interface import KEYED, Asked, Request, Order, RequestClass
 from ..log import Log
 from ..spread.admission import Places, to_end_first
 from . import thrift
@@ -44,7 +44,7 @@
     def enter(self, address: str) -> str | None:
         """None: no further connection may come from there."""
     def leave(self, entry: str) -> None: ...
-    def admit(self, asked: Asked, use_case: UseCase, address: str) -> Any:
+    def admit(self, asked: Asked, request_class: RequestClass, address: str) -> Any:
         """Something with a `pool`, or with `come_back` (ms) and `harmless`, and then no `pool`."""
     def settle(self, grant: Any, request: Request, good: bool, owed: bool) -> None: ...
 
@@ -57,7 +57,7 @@
         self.marks_most, self.marks_since = int(MARKS_PER_MB * start.memory_mb), time.monotonic()
         self.start, self.facade, self.caches, self.log = start, facade, caches, log
         self.clients_most, self.requests_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
-        self.places = Places(start.use_cases.values())
+        self.places = Places(start.request_classes.values())
         self.well = False
         self.listener: socket.socket | None = None
         self.acceptor = threading.Thread(target=self._accept, name="accept", daemon=True)
@@ -237,11 +237,11 @@
 
     def _serve(self, client: Client, call: thrift.Call) -> None:
         asked = thrift.read_serve(call.rest, self.gate.tenant_field if self.gate is not None else "")
-        use_case = self.start.use_cases.get(asked.use_case)
-        if use_case is None:
-            raise thrift.ThriftError("an unknown use case")
-        if use_case.repeat == RECEIPTED and not asked.receipt:
-            raise thrift.ThriftError("no receipt")
+        request_class = self.start.request_classes.get(asked.request_class)
+        if request_class is None:
+            raise thrift.ThriftError("an unknown request class")
+        if request_class.repeat == KEYED and not asked.idempotency_key:
+            raise thrift.ThriftError("no idempotency key")
         if call.number in client.open:  # only this thread adds to it
             with client.lock:
                 first = client.open.pop(call.number, None)
@@ -262,17 +262,17 @@
             raise thrift.ThriftError("the id was used before")
         client.bad, pool, grant = 0, None, None
         if self.gate is not None:
-            grant = self.gate.admit(asked, use_case, client.address)
+            grant = self.gate.admit(asked, request_class, client.address)
             pool = getattr(grant, "pool", None)
             if pool is None:
                 return self._turn_away(client, call.number, grant.come_back, grant.harmless)
         fullness = max(self.facade.open_requests() / self.requests_most, self.facade.short_of_time(),
                        self.caches.fullness())
-        room = self.places.has_room(use_case, asked.repeated, fullness)
+        room = self.places.has_room(request_class, asked.repeated, fullness)
         waited = 1000.0 * (time.monotonic() - call.read_at)  # behind others that came at once
         request = self.facade.take(
-            use_case, int(asked.object, 16), int(asked.part), asked.group, asked.size,
-            min(asked.left, use_case.client_timeout) - waited, asked.repeated,
+            request_class, int(asked.object, 16), int(asked.part), asked.group, asked.size,
+            min(asked.left, request_class.client_timeout) - waited, asked.repeated,
             Ticket(client, call.number, asked, grant),
             room=room, pool=pool)
         with client.lock:
@@ -281,7 +281,7 @@
 
     def _turn_away(self, client: Client, number: int, come_back: float, harmless: bool) -> None:
         """The one answer of a request that the module has not heard of."""
-        pieces = thrift.pushed_back(number, come_back) if harmless else thrift.broken_off(number)
+        pieces = thrift.rejected(number, come_back) if harmless else thrift.failed(number)
         with client.lock:
             if client.open.pop(number, self) is None:
                 client.outlet.put(number, pieces)
@@ -311,14 +311,14 @@
                 if isinstance(step, Verdict):
                     request.ticket = None  # timers may hold the request for a while, but not what it brought
                     if ticket.grant is not None:
-                        self.gate.settle(ticket.grant, request, isinstance(step, Satisfied),
+                        self.gate.settle(ticket.grant, request, isinstance(step, Served),
                                          not isinstance(step, Left))
         except Exception as broken:
             self.log.fault("see through", broken)
             self.facade.drop(request)
             if ticket.grant is not None:
                 self.gate.settle(ticket.grant, request, False, True)
-            ticket.client.answer(ticket.number, thrift.broken_off(ticket.number))
+            ticket.client.answer(ticket.number, thrift.failed(ticket.number))
 
     def _do(self, step: Order | GiveUp | Verdict, ticket: Ticket) -> None:
         client, number = ticket.client, ticket.number
@@ -326,17 +326,17 @@
             self.caches.send(step, ticket.asked)
         elif isinstance(step, GiveUp):
             self.caches.give_up(step.attempt)
-        elif isinstance(step, Satisfied):
+        elif isinstance(step, Served):
             told = step.answer
             fields = {"ok304": "1"} if told.kept else {}
             body = b"" if told.kept else told.body
             client.answer(number, thrift.answer("serve", number, body, fields, True))
             if client.outlet.queued:
                 self._bound_unread(client)
-        elif isinstance(step, PushedBack):
-            client.answer(number, thrift.pushed_back(number, step.come_back))
-        elif isinstance(step, BrokenOff):
-            client.answer(number, thrift.broken_off(number))
+        elif isinstance(step, Rejected):
+            client.answer(number, thrift.rejected(number, step.come_back))
+        elif isinstance(step, Failed):
+            client.answer(number, thrift.failed(number))
 
     def _bound_unread(self, client: Client) -> None:
         """Ends the connection of one who does not read, where too much of the memory waits for such."""
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -9,7 +9,7 @@
 
 BULK_MOST = 262_144
 ITEMS_MOST, LINE_MOST = 8, 32
-ENDS = {b"DONE": Outcome.SATISFIED, b"KEEP": Outcome.SATISFIED, b"LACK": Outcome.MISS,
+ENDS = {b"DONE": Outcome.SERVED, b"KEEP": Outcome.SERVED, b"LACK": Outcome.MISS,
         b"WAIT": Outcome.TURNED_AWAY, b"BROKE": Outcome.ERROR, b"PAST": Outcome.MOOT}
 HOWS = (("join", "collapse"), ("held_only", "only-if-cached"), ("renew", "refresh"))
 WELL = {b"FIT": True, b"UNFIT": False}
@@ -164,9 +164,10 @@
 
 def pull(asked: Asked, order: Order, left: float) -> list[memoryview | bytes]:
     """An attempt, as pieces to be written one after the other."""
-    fields = {"lane": asked.use_case, "name": asked.object, "piece": asked.part, "ttl": max(1, int(left))}
-    if asked.receipt:
-        fields["dedupe"] = asked.receipt
+    fields = {"lane": asked.request_class, "name": asked.object, "piece": asked.part,
+              "ttl": max(1, int(left))}
+    if asked.idempotency_key:
+        fields["dedupe"] = asked.idempotency_key
     if asked.tag:
         fields["mine"] = asked.tag
     if order.source:
--- a/mulleinrelay/net/service.py
+++ b/mulleinrelay/net/service.py
@@ -93,8 +93,8 @@
     def wait(self) -> None:
         self.stopping.wait()
         begun = time.monotonic()
-        use_cases = self.start_settings.use_cases.values()
-        longest = max((case.client_timeout for case in use_cases), default=0.0) / 1000.0
+        request_classes = self.start_settings.request_classes.values()
+        longest = max((case.client_timeout for case in request_classes), default=0.0) / 1000.0
         end = min(LONGEST_WAIT, longest) + SPARE
         self.front.well = False
         self._enter(Phase.DRAINING)
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -178,8 +178,8 @@
     if group > GROUP_MOST:
         raise ThriftError("the field batch is out of range")
     return Asked(
-        use_case=read("route", TOKEN), mark=read("trace", HEX), object=read("entity", HEX),
-        part=read("nth", NUMBER, "0"), receipt=read("nonce", TOKEN, ""), tag=read("got", TOKEN, ""),
+        request_class=read("route", TOKEN), mark=read("trace", HEX), object=read("entity", HEX),
+        part=read("nth", NUMBER, "0"), idempotency_key=read("nonce", TOKEN, ""), tag=read("got", TOKEN, ""),
         body=body, left=float(read("patience", DECIMAL)), group=group,
         size=float(read("size", DECIMAL, "0")), repeated="redo" in fields,
         tenant=read(tenant_field, TOKEN, "") if tenant_field else "")
@@ -254,11 +254,11 @@
     return _message(REPLY, method, number, _field(STRUCT, place) + held + STOP)
 
 
-def pushed_back(number: int, come_back: float) -> list[memoryview | bytes]:
+def rejected(number: int, come_back: float) -> list[memoryview | bytes]:
     return thrown("serve", number, 1, {"pause": str(round(come_back))} if come_back > 0 else {})
 
 
-def broken_off(number: int) -> list[memoryview | bytes]:
+def failed(number: int) -> list[memoryview | bytes]:
     return thrown("serve", number, 2, {})
 
 
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from .interface import (EFFECTFUL, PURE, RECEIPTED, Attempt, Node, Note, Outcome, Purse, Request, Share,
+from .interface import (UNSAFE, IDEMPOTENT, KEYED, Attempt, Node, Note, Outcome, Purse, Request, Share,
                         State, Terms, Writer)
 from .spread import storm
 from .spread.cold import Allowance
@@ -32,8 +32,8 @@
 SPREAD = 1.2  # a fill is begun while this multiple of the middle delay leaves it time: half come later
 BELIEF_AGE = 8000.0  # how long an answer makes us believe that a cache holds the object
 COLD_PART, COLD_MOST = 0.75, 1.25  # of what fells a cold member that all share, of its capacity at the most
-KNOWN = 20.0  # requests of a use case whose mean size is taken for the use case's
-OVERSIZED = 4.0  # objects this many times their use case's mean, first seen, are not kept
+KNOWN = 20.0  # requests of a request class whose mean size is taken for the request class's
+OVERSIZED = 4.0  # objects this many times their request class's mean, first seen, are not kept
 QUIET_MOST = 2.0  # overdue attempts, with nothing heard meanwhile, that make a member silent
 OVERDUE = 0.5  # sign of silence (0.5: twice the time it was due to take) at which an attempt goes elsewhere
 AGAIN_MOST, ERRORS_MOST = 8.0, 2  # further attempts saved up at most; errors a request may have
@@ -46,7 +46,7 @@
 CALM = 1.2  # slowed by less than this, within the noise of coarse bins, a cache or link takes all that fits
 CHECK_LEAST = 150.0  # an attempt is not looked at again sooner: less than the delays of a far source
 GUARD = 6.0  # the final answer goes out so long before the client stops waiting
-WINDOW_MARGIN = 50.0  # a repeat goes out so long before its receipt may be forgotten: it has a way to go
+WINDOW_MARGIN = 50.0  # a repeat goes out so long before its key may be forgotten: it has a way to go
 PURGE_MARGIN, PURGE_KEPT = 3.0, 20.0  # a copy is younger than the purge by so much; purge spans it binds
 MIDDLES = [6.0 * 2.0 ** place for place in range(11)]  # of a histogram's bins
 
@@ -124,8 +124,9 @@
         self.popular = Popularity(now)
         self.beliefs: dict[tuple[int, int], dict[Member, float]] = {}
         self.purges: dict[tuple[str, int], float] = {}  # moment of the last purge of an object or a group
-        self.sending = {case: [0.0, 0.0] for case in terms.use_cases}  # sum of sending times and their number
-        self.took = {case: Histogram(HALF_USUAL) for case in terms.use_cases}  # answers, but for known fills
+        classes = terms.request_classes
+        self.sending = {case: [0.0, 0.0] for case in classes}  # sum of sending times and their number
+        self.took = {case: Histogram(HALF_USUAL) for case in classes}  # answers, but for known fills
         self.subscribed = not terms.must_subscribe
         self.cold_here, self.cold_parents = Share(1.0 / terms.directors_here), Share(1.0 / terms.directors)
         self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
@@ -179,9 +180,9 @@
         purse.again = min(AGAIN_MOST, purse.again + self.storm.earned())
         self.trials = min(TRIALS_MOST, self.trials + TRIAL_EARNED)
         if turned:
-            self.log_pushbacks()
+            self.log_rejections()
         if request.size and self.terms.flow:
-            known = self.sending[request.use_case]
+            known = self.sending[request.request_class]
             known[0] += request.size / self.terms.flow
             known[1] += 1
         self.out.wake(max(0.0, request.until - self.now - GUARD), request)
@@ -237,7 +238,7 @@
             if purse.again < cost:
                 return self.stuck(request)
             purse.again -= cost
-        write, pass_by = request.use_case.never_kept, self.terms.may_pass_by
+        write, pass_by = request.request_class.never_kept, self.terms.may_pass_by
         # Seen before the list tells, if it ever does; echoes bring the caches back.
         lost = self.terms.may_probe and (self.reach.cut or all(cache.unreached for cache in self.caches))
         cache = None if (write or lost) and pass_by else self.choose_cache(request)
@@ -277,7 +278,7 @@
         for member in {node: None, source: None}:
             if member is not None and self.warmth(member) < 1.0:
                 member.cold.spend(self.now, self.counted(request))
-        keep, renew = self.rank(request) if node in self.caches else 0, request.use_case.fresh_for > 0
+        keep, renew = self.rank(request) if node in self.caches else 0, request.request_class.fresh_for > 0
         join = self.terms.joins and not any(other.outcome == Outcome.TIMEOUT for other in request.attempts)
         self.out.send(attempt, self.max_age(request), keep, join, held_only, keep > 0, renew)
         self.out.wake(max(self.goal_left(request) - 1.2 * self.work(request) - 50.0, CHECK_LEAST), attempt)
@@ -300,26 +301,26 @@
             self.judge(member, "silent")
         if sign >= OVERDUE and doubtful == [attempt.node]:
             self.not_reached(attempt.node)
-        if sign >= OVERDUE and attempt is request.attempts[-1] and request.use_case.repeat != EFFECTFUL:
+        if sign >= OVERDUE and attempt is request.attempts[-1] and request.request_class.repeat != UNSAFE:
             if self.terms.two_attempts:
                 self.route(request)
             elif self.terms.may_cancel and self.purse_of(request).again >= 1.0 and self.may_go_on(request):
                 self.out.abandon(attempt)  # else its answer is all that may come
 
     def give_up(self, request: Request) -> None:
-        """The final answer, at once; a pushback tells the client when to come back."""
-        doubtful, terms, pure = may_have_run(request), self.terms, request.use_case.repeat == PURE
+        """The final answer, at once; a rejection tells the client when to come back."""
+        doubtful, terms, pure = may_have_run(request), self.terms, request.request_class.repeat == IDEMPOTENT
         advice = storm.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
         if pure or not doubtful or self.known(request, doubtful, self.now + advice):
-            self.storm.pushed_back()
-            self.out.push_back(request, advice)
+            self.storm.note_rejected()
+            self.out.reject(request, advice)
         else:
-            self.out.break_off(request)
+            self.out.fail(request)
         self.end(request)
 
-    def log_pushbacks(self) -> None:
-        word, seen = ("taking all again", "pushing back")[self.storm.on], self.storm
-        self.out.log(f"{word}: {seen.pushed:.0f} of {seen.requests:.0f} requests, link {self.link:.1f}, "
+    def log_rejections(self) -> None:
+        word, seen = ("taking all again", "rejecting")[self.storm.on], self.storm
+        self.out.log(f"{word}: {seen.rejected:.0f} of {seen.requests:.0f} requests, link {self.link:.1f}, "
                      f"origin {self.behind.middle(self.now):.0f} ms")
 
     def end(self, request: Request) -> None:
@@ -344,16 +345,16 @@
 
     def may_send(self, request: Request, attempt: Attempt | None = None) -> bool:
         """`attempt`: which is about to begin; not counted among those that may have run."""
-        case, doubtful = request.use_case, [held for held in may_have_run(request) if held is not attempt]
-        if self.now >= request.until - GUARD or not doubtful or case.repeat == PURE:
+        doubtful = [held for held in may_have_run(request) if held is not attempt]
+        if self.now >= request.until - GUARD or not doubtful or request.request_class.repeat == IDEMPOTENT:
             return self.now < request.until - GUARD
         return self.known(request, doubtful, self.now)
 
     def known(self, request: Request, doubtful: list[Attempt], at: float) -> bool:
-        """Whether a repeat at that moment, ours or the client's, finds its receipt remembered everywhere."""
-        case = request.use_case
+        """Whether a repeat at that moment, ours or the client's, finds its key remembered everywhere."""
+        case = request.request_class
         forgotten = doubtful[0].sent + case.memory_span - WINDOW_MARGIN
-        return case.repeat == RECEIPTED and case.group == "all" and at < forgotten
+        return case.repeat == KEYED and case.group == "all" and at < forgotten
 
     # Which cache
 
@@ -396,7 +397,7 @@
 
     def rank(self, request: Request) -> int:
         """Kept by evidence that it is wanted again, so that what is asked for once wipes nothing."""
-        known = self.sending[request.use_case]
+        known = self.sending[request.request_class]
         if self.popular.count((request.key, request.part)) >= 2:
             return 2
         return 0 if known[1] and self.work(request) > OVERSIZED * known[0] / known[1] else 1
@@ -537,29 +538,29 @@
         if not moment or self.now - moment > PURGE_KEPT * self.terms.purge_span:
             return 0.0
         bound = max(0.01, self.now - moment - PURGE_MARGIN)
-        return min(bound, request.use_case.fresh_for or bound)
+        return min(bound, request.request_class.fresh_for or bound)
 
     # What is learnt
 
     def work(self, request: Request) -> float:
         if request.size and self.terms.flow:
             return request.size / self.terms.flow
-        total, number = self.sending[request.use_case]
+        total, number = self.sending[request.request_class]
         if not number:  # no size is ever told, or none yet: what the middle answer took, fills and all
-            return self.took[request.use_case].middle(self.now) or request.use_case.latency_goal / 4
+            return self.took[request.request_class].middle(self.now) or request.request_class.latency_goal / 4
         return total / number
 
     def counted(self, request: Request) -> float:
-        """As what the rule on cold nodes counts it: the mean of its use case, whatever its own size. Small
-        ones that went by their own added up to several times the limit. Where no size is told, what answers
+        """As what the rule on cold nodes counts it: the mean of its class, whatever its own size. Small ones
+        that went by their own added up to several times the limit. Where no size is told, what answers
         took stands in, and before that the goal."""
-        (total, number), work = self.sending[request.use_case], self.work(request)
+        (total, number), work = self.sending[request.request_class], self.work(request)
         if not number:
-            return self.took[request.use_case].middle(self.now) or request.use_case.latency_goal
+            return self.took[request.request_class].middle(self.now) or request.request_class.latency_goal
         return total / number if number >= KNOWN else max(work, total / number)
 
     def goal_left(self, request: Request) -> float:
-        case = request.use_case
+        case = request.request_class
         goal = min(case.client_timeout, case.latency_goal + case.goal_stretch * self.work(request))
         return request.arrived + goal - self.now
 
@@ -572,15 +573,15 @@
         outcome, node, source = attempt.outcome, attempt.node, attempt.source
         spot = (attempt.request.key, attempt.request.part)
         held, unreached = self.beliefs.get(spot, {}), node.unreached
-        if outcome in (Outcome.SATISFIED, Outcome.MISS, Outcome.TURNED_AWAY, Outcome.ERROR):
+        if outcome in (Outcome.SERVED, Outcome.MISS, Outcome.TURNED_AWAY, Outcome.ERROR):
             self.sign_of_life(node)
-        if outcome == Outcome.SATISFIED:
+        if outcome == Outcome.SERVED:
             self.mark(node, 0.0, "")
             for other in [other for other in attempt.request.attempts if other.outcome == Outcome.ERROR]:
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
             work = self.work(attempt.request)
             if note in (Note.HIT, Note.NONE):
-                self.took[attempt.request.use_case].add(self.now, wait)
+                self.took[attempt.request.request_class].add(self.now, wait)
             if note == Note.HIT and not unreached:  # what a cut held up tells nothing of crowding
                 late = 100.0 * (wait - work) / max(work, LEAST_WORK)
                 node.late.add(self.now, min(late, LATE_MOST))
--- a/mulleinrelay/spread/admission.py
+++ b/mulleinrelay/spread/admission.py
@@ -1,14 +1,14 @@
 """Which requests a director lets in when it is itself the bound, after most others have died; pure, in ms.
 
 Its bounds are the requests that its memory can hold at one time, its links, and its share of a core, whose
-lack shows as timers that come late. All use cases share what there is until it runs short; the last is kept
-for those whose requests have an effect, and then by credit, so that what is worth little or has been asked
-before does not starve the rest. What finds no place is pushed back at once.
+lack shows as timers that come late. All request classes share what there is until it runs short; the last is
+kept for those whose requests have an effect, and then by credit, so that what is worth little or has been
+asked before does not starve the rest. What finds no place is rejected at once.
 """
 
 from collections.abc import Iterable
 
-from ..interface import PURE, UseCase
+from ..interface import IDEMPOTENT, RequestClass
 
 LATE_FULL = 400.0  # of a timer, by which a director has no more time to spare than it has places
 LATE_HALVING, LATE_MOST = 100.0, 0.99  # of a reading; what has an effect comes in however late it is
@@ -43,20 +43,20 @@
 
 
 class Places:
-    """How full a director may be for requests of each use case."""
+    """How full a director may be for requests of each request class."""
 
-    def __init__(self, use_cases: Iterable[UseCase]) -> None:
-        cases = list(use_cases)
-        credits = sorted({case.credit for case in cases if case.repeat == PURE}, reverse=True)
-        first = 1 if any(case.repeat != PURE for case in cases) else 0
-        self.steps = {case: first + credits.index(case.credit) if case.repeat == PURE else 0
+    def __init__(self, request_classes: Iterable[RequestClass]) -> None:
+        cases = list(request_classes)
+        credits = sorted({case.credit for case in cases if case.repeat == IDEMPOTENT}, reverse=True)
+        first = 1 if any(case.repeat != IDEMPOTENT for case in cases) else 0
+        self.steps = {case: first + credits.index(case.credit) if case.repeat == IDEMPOTENT else 0
                       for case in cases}
 
-    def has_room(self, use_case: UseCase, repeated: bool, fullness: float) -> bool:
+    def has_room(self, request_class: RequestClass, repeated: bool, fullness: float) -> bool:
         """Whether a request may come in. `fullness`: of what the director is shortest of, 1 and above: none
         is left. `repeated`: its client has asked before, so that its goal has passed
         or is near; that counts as a step less where nothing depends on its running once."""
-        step = self.steps[use_case]
-        if repeated and use_case.repeat == PURE:
+        step = self.steps[request_class]
+        if repeated and request_class.repeat == IDEMPOTENT:
             step += 1
         return fullness < 1.0 - KEPT * min(step, STEPS_MOST)
--- a/mulleinrelay/standins/clients.py
+++ b/mulleinrelay/standins/clients.py
@@ -1,7 +1,7 @@
 """Clients that speak framed Thrift to directors: open-loop terminals of one tenant, which try again on their
 own.
 
-What is counted is the client's view: a request is satisfied if any of its tries is, within the patience that
+What is counted is the client's view: a request is served if any of its tries is, within the patience that
 runs on from its first try."""
 
 import heapq
@@ -19,7 +19,7 @@
 
 TRIES = 3
 LATE = 60.0  # ms beyond its patience after which an answer is missing
-PAUSE = 100.0  # ms before a retry where the pushback names no time
+PAUSE = 100.0  # ms before a retry where the rejection names no time
 
 
 def serve_frame(number: int, fields: dict[str, str], body: bytes = b"") -> bytes:
@@ -40,7 +40,7 @@
 
 
 def read_answer(frame: memoryview) -> tuple[int, str, float]:
-    """(number, satisfied | pushed back | broken off | bad, when to come back in ms)"""
+    """(number, served | rejected | failed | bad, when to come back in ms)"""
     reader = thrift.Reader(frame)
     kind = struct.unpack(">I", reader.bytes(4))[0] & 0xFF
     reader.binary()
@@ -55,7 +55,7 @@
             pause = float(reader.strings().get("pause", "0"))
         else:
             reader.skip(held)
-    return number, {0: "satisfied", 1: "pushed back", 2: "broken off"}.get(what, "bad"), pause
+    return number, {0: "served", 1: "rejected", 2: "failed"}.get(what, "bad"), pause
 
 
 @dataclass(slots=True, eq=False)
@@ -65,7 +65,7 @@
     tenant: str
     rate: float  # requests a second
     objects: int = 200
-    orders: float = 0.0  # share of receipted requests
+    orders: float = 0.0  # share of keyed requests
     skew: float = 0.8  # of the Zipf popularity
     patience: float = 1_500.0
     tries: int = TRIES
@@ -80,7 +80,7 @@
     counts: Counter = field(default_factory=Counter)
     delays: list[tuple[float, float]] = field(default_factory=list)  # (s from the start, ms)
     asked_at: list[float] = field(default_factory=list)
-    satisfied_at: list[float] = field(default_factory=list)  # by when the request was asked
+    served_at: list[float] = field(default_factory=list)  # by when the request was asked
 
 
 @dataclass(slots=True, eq=False)
@@ -184,11 +184,11 @@
         directors: list[tuple[str, int]],
         seed: int,
         began: float,
-        receipted: str = "order",
+        keyed: str = "order",
         pure: str = "pages",
     ) -> None:
         self.demand, self.random, self.began = demand, random.Random(f"{seed}-{demand.tenant}"), began
-        self.receipted, self.pure, self.tally = receipted, pure, Tally()
+        self.keyed, self.pure, self.tally = keyed, pure, Tally()
         self.lock, self.retries = threading.Lock(), list[tuple[float, int, Pending]]()
         self.order = itertools.count()
         self.lines = [[Line(self, address) for _ in range(demand.connections)] for address in directors]
@@ -240,7 +240,7 @@
         place = math.floor(self._place())
         writes = self.random.random() < demand.orders
         fields = {
-            "route": self.receipted if writes else self.pure,
+            "route": self.keyed if writes else self.pure,
             "entity": f"{self.base + place:016x}",
             "nth": "0",
             "batch": "0",
@@ -282,12 +282,12 @@
                 return
             pending, until = found
             tally.counts[what] += 1
-            if what == "satisfied" and not pending.over:
+            if what == "served" and not pending.over:
                 pending.over = True
                 since = (pending.first - self.began) / 1000.0
-                tally.satisfied_at.append(since)
+                tally.served_at.append(since)
                 tally.delays.append((since, now - pending.first))
-            elif what == "pushed back" and pending.tries < self.demand.tries:
+            elif what == "rejected" and pending.tries < self.demand.tries:
                 heapq.heappush(self.retries, (now + (pause or PAUSE), next(self.order), pending))
 
     def sweep(self) -> None:
@@ -308,10 +308,10 @@
                 line.close()
 
     def share(self, first: float, last: float) -> float:
-        """Satisfied requests over those asked for from `first` to `last`, s."""
+        """Served requests over those asked for from `first` to `last`, s."""
         with self.lock:
             asked = sum(first <= at < last for at in self.tally.asked_at)
-            return sum(first <= at < last for at in self.tally.satisfied_at) / asked if asked else 1.0
+            return sum(first <= at < last for at in self.tally.served_at) / asked if asked else 1.0
 
     def percentile(self, part: float, first: float, last: float) -> float:
         """Delay in ms of requests asked for from `first` to `last`; 0 where there are none."""
--- a/mulleinrelay/standins/fleet.py
+++ b/mulleinrelay/standins/fleet.py
@@ -44,7 +44,7 @@
         self.spec = spec
         self.copies: dict[tuple[str, str], float] = {}  # object and part: when the origin gave it out
         self.filling: dict[tuple[str, str], float] = {}  # fills under way and their ends
-        self.receipts: dict[str, float] = {}
+        self.idempotency_keys: dict[str, float] = {}
         self.free_at, self.started, self.slow = 0.0, 0.0, 1.0
         self.alive, self.silent, self.state = True, False, "SERVING"
         self.recent: deque[tuple[float, float]] = deque()
@@ -90,7 +90,7 @@
         """As after a restart."""
         self.copies.clear()
         self.filling.clear()
-        self.receipts.clear()
+        self.idempotency_keys.clear()
         self.recent.clear()
         self.in_window = self.free_at = self.over_since = 0.0
 
@@ -108,10 +108,10 @@
     """All nodes by name, and what ran at any of them."""
 
     nodes: dict[str, Node]
-    writes: set[str]  # use cases that have an effect
+    writes: set[str]  # request classes that have an effect
     memory_span: float = 6_000.0
     body: bytes = bytes(400)
-    effects: Counter = field(default_factory=Counter)  # by receipt
+    effects: Counter = field(default_factory=Counter)  # by idempotency key
     origin_fetches: int = 0
     purged: dict[str, float] = field(default_factory=dict)  # objects: the moment of their last purge
     stale: int = 0  # answers older than a purge that was told over a second before
@@ -131,12 +131,12 @@
             return self._read(now, node, fields)
 
     def _write(self, now: float, node: Node, fields: dict[str, str]) -> Reply:
-        done, receipt = node.bear(now, 1.0), fields.get("dedupe", "")
+        done, idempotency_key = node.bear(now, 1.0), fields.get("dedupe", "")
         if done is None:
             return Reply((b"WAIT", b"-", b""), now + 1.0)
-        if not receipt or now > node.receipts.get(receipt, 0.0):
-            self.effects[receipt] += 1
-            node.receipts[receipt] = now + self.memory_span
+        if not idempotency_key or now > node.idempotency_keys.get(idempotency_key, 0.0):
+            self.effects[idempotency_key] += 1
+            node.idempotency_keys[idempotency_key] = now + self.memory_span
         return self._in(node, done, (b"DONE", b"why=MISS_ORIGIN", b"taken"))
 
     def _read(self, now: float, node: Node, fields: dict[str, str]) -> Reply:
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -9,7 +9,7 @@
 from .interface import Attempt, Request, Node, Note, Outcome, State
 from .policy import Director, Member
 
-OUTCOMES = {0: Outcome.SATISFIED, 5: Outcome.ERROR, 11: Outcome.TURNED_AWAY, 110: Outcome.TIMEOUT,
+OUTCOMES = {0: Outcome.SERVED, 5: Outcome.ERROR, 11: Outcome.TURNED_AWAY, 110: Outcome.TIMEOUT,
             111: Outcome.UNCONNECTED, 104: Outcome.RESET, 125: Outcome.CANCELLED, 114: Outcome.MOOT,
             2: Outcome.MISS}
 NOTES = {int(note): note for note in Note}
@@ -52,8 +52,8 @@
             return
         elif code == wire.NEW_REQUEST:
             ticket, case, _, key, left, size, group, part, bits = fields
-            use_case = self.director.terms.use_cases[case]
-            request = Request(ticket, use_case, key, int(part), int(group), size, now, now + left,
+            request_class = self.director.terms.request_classes[case]
+            request = Request(ticket, request_class, key, int(part), int(group), size, now, now + left,
                             bool(bits & 2))
             self.requests[ticket] = request
             call(("requested", (request,)))
@@ -110,11 +110,11 @@
     def abandon(self, attempt: Attempt) -> None:
         self.reply.add(wire.ABANDON, attempt.request.ticket, attempt.number)
 
-    def push_back(self, request: Request, come_back: float) -> None:
+    def reject(self, request: Request, come_back: float) -> None:
         self.touched.append(request)
         self.reply.add(wire.REFUSE, request.ticket, come_back)
 
-    def break_off(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self.touched.append(request)
         self.reply.add(wire.SURRENDER, request.ticket)
 
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -9,13 +9,13 @@
 from mulleinrelay.cells.own import OwnFile
 from mulleinrelay.cells.reading import write
 from mulleinrelay.configuration import decode
-from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, UseCase
+from mulleinrelay.interface import UNSAFE, IDEMPOTENT, KEYED, RequestClass
 from mulleinrelay.net.service import Service
 
-PAGES = UseCase(PURE, 500.0, 2.0, 6000.0, 5000.0, "all", 0.0, False)
-ORDER = UseCase(RECEIPTED, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
-ORDER_ALL = UseCase(RECEIPTED, 500.0, 2.0, 6000.0, 6000.0, "all", 0.0, True)
-PAY = UseCase(EFFECTFUL, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
+PAGES = RequestClass(IDEMPOTENT, 500.0, 2.0, 6000.0, 5000.0, "all", 0.0, False)
+ORDER = RequestClass(KEYED, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
+ORDER_ALL = RequestClass(KEYED, 500.0, 2.0, 6000.0, 6000.0, "all", 0.0, True)
+PAY = RequestClass(UNSAFE, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
 
 
 def charter(
@@ -63,10 +63,11 @@
         return self.governor.listed(self.now, [(name, name, warmth.get(name, 1.0)) for name in caches])
 
     def ask(
-        self, told="acme", use_case=PAGES, key=7, receipt="", repeated=False, body=0, address="", group=99
+        self, told="acme", request_class=PAGES, key=7, idempotency_key="", repeated=False, body=0, address="",
+        group=99
     ):
         return self.governor.admit(
-            self.now, Asking(told, address, group, key, use_case, receipt, repeated, body)
+            self.now, Asking(told, address, group, key, request_class, idempotency_key, repeated, body)
         )
 
     def done(self, grant, good=True, delay=5.0, owed=True):
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -99,7 +99,7 @@
     naming = Naming(charter(tenants=people))
     assert naming.tenant(told, address, group) == tenant
     if tenant == "shared":
-        assert Naming(charter(tenants=people, unknown="push_back")).tenant(told, address, group) is None
+        assert Naming(charter(tenants=people, unknown="reject")).tenant(told, address, group) is None
 
 
 @pytest.mark.parametrize("one, other", [
@@ -132,5 +132,5 @@
 
 
 def test_a_table_leaves_those_without_an_entry_nowhere():
-    held = charter(tenants=(Tenant("acme", "south"), Tenant("beta")), how="table", unknown="push_back")
+    held = charter(tenants=(Tenant("acme", "south"), Tenant("beta")), how="table", unknown="reject")
     assert homes(held) == {"acme": "south"}
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -61,7 +61,7 @@
     assert isinstance(ruled.ask(), Grant) and isinstance(ruled.ask(), Denied)
 
 
-@pytest.mark.parametrize("use_case, repeated, harmless", [
+@pytest.mark.parametrize("request_class, repeated, harmless", [
     (PAGES, True, True),
     (PAGES, False, True),
     (ORDER, False, True),
@@ -70,10 +70,10 @@
     (PAY, False, True),
     (PAY, True, False),
 ])
-def test_what_may_have_run_is_never_called_harmless(use_case, repeated, harmless):
+def test_what_may_have_run_is_never_called_harmless(request_class, repeated, harmless):
     ruled = Ruled(charter(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
     ruled.ask()
-    denied = ruled.ask(use_case=use_case, repeated=repeated)
+    denied = ruled.ask(request_class=request_class, repeated=repeated)
     assert denied.harmless == harmless and denied.come_back > 0.0
 
 
@@ -113,7 +113,7 @@
     ((TWO[0], replace(TWO[1], neighbours=("north",))), "lost"),
     ((replace(TWO[0], neighbours=()), TWO[1]), "lost"),
 ])
-def test_where_nobody_takes_them_in_they_are_pushed_back(cells, why):
+def test_where_nobody_takes_them_in_they_are_rejected(cells, why):
     ruled = Ruled(charter(cells))
     ruled.listed(() if cells[0].neighbours else ("s-03",))
     denied = ruled.ask()
@@ -121,21 +121,21 @@
 
 
 @pytest.mark.parametrize(
-    "use_case, repeated, kind",
+    "request_class, repeated, kind",
     [(ORDER, False, True), (ORDER, True, False), (PAY, False, None), (ORDER_ALL, False, None)],
 )
-def test_an_order_that_one_cell_s_nodes_must_know_is_nobody_s_guest(use_case, repeated, kind):
+def test_an_order_that_one_cell_s_nodes_must_know_is_nobody_s_guest(request_class, repeated, kind):
     ruled = Ruled(charter(TWO))
     ruled.listed(("s-03", "s-04"))
     ruled.now = 1e6
-    found = ruled.ask(use_case=use_case, receipt="r", repeated=repeated)
+    found = ruled.ask(request_class=request_class, idempotency_key="r", repeated=repeated)
     assert (found.harmless if isinstance(found, Denied) else None) == kind
 
 
 def test_an_order_that_passes_the_caches_by_needs_none():
     ruled = Ruled(charter(TWO))
     ruled.listed(())
-    assert isinstance(ruled.ask(use_case=ORDER_ALL, receipt="r"), Grant)
+    assert isinstance(ruled.ask(request_class=ORDER_ALL, idempotency_key="r"), Grant)
 
 
 def test_its_tenants_return_one_object_after_the_other():
@@ -262,4 +262,4 @@
     before.now = after.now = 103_000.0
     cells = [[one.ask(key=key).cell for key in range(50)] for one in (before, after)]
     assert cells[0] == cells[1] and len(set(cells[0])) == 2
-    assert not after.ask(use_case=ORDER, receipt="r", repeated=True).harmless
+    assert not after.ask(request_class=ORDER, idempotency_key="r", repeated=True).harmless
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -15,7 +15,7 @@
 from mulleinrelay.net import service
 from mulleinrelay.serving import make
 
-SATISFIED, PUSHED, BROKEN = 0, 1, 2
+SERVED, REJECTED, FAILED = 0, 1, 2
 FILLED = (b"DONE", b"why=MISS,entity=aa,issued=1,delay=5", b"bytes")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
 EVER = 10.0**14  # a move that never ends by itself: its clock stands
@@ -50,19 +50,19 @@
     with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
         others = housed.caller()
         others.send(tenant="beta")
-        assert others.answer()[1] == SATISFIED
+        assert others.answer()[1] == SERVED
         callers = [housed.caller() for _ in range(8)]
         for number in range(30):
             for caller in callers:
                 caller.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
-            assert others.answer()[1] == SATISFIED
+            assert others.answer()[1] == SERVED
         held = [entry for entry in housed.heard()["s-01"] if entry[2]["name"].startswith("f")]
         assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
         assert sum(len(sent) for name, sent in housed.heard().items() if name in ("s-02", "s-03")) == 41
         for caller in callers:  # one answer each, those that were held at the end of their client's time
-            assert [caller.answer()[1] for _ in range(30)] == [PUSHED] * 30
+            assert [caller.answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
 def test_two_directors_move_the_same_objects_and_the_old_cache_fills(tmp_path):
@@ -76,7 +76,7 @@
             caller = housed.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
-                assert caller.answer()[1] == SATISFIED
+                assert caller.answer()[1] == SERVED
         assert len(housed.heard()["s-01"]) == 80
         housed.path.write_text(write(dataclasses.replace(charter(TWO, moves=(halfway(),)), version=2)))
         assert wait_for(lambda: all(one.warden.governor.charter.version == 2 for one in housed.services))
@@ -86,7 +86,7 @@
             caller = housed.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
-                assert caller.answer()[1] == SATISFIED
+                assert caller.answer()[1] == SERVED
             new = {name: attempts[before[name] :] for name, attempts in housed.heard().items()}
             went.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
             sources = {entry[2]["miss"] for name in ("s-02", "s-03") for entry in new[name]}
@@ -94,7 +94,7 @@
         assert went[0] == went[1] and 5 < len(went[0]) < 35
 
 
-@pytest.mark.parametrize("where, answer", [(0, SATISFIED), (1, BROKEN)])
+@pytest.mark.parametrize("where, answer", [(0, SERVED), (1, FAILED)])
 def test_an_order_in_flight_at_the_move_runs_in_one_cell_alone(where, answer, tmp_path):
     answered = threading.Event()
 
@@ -104,8 +104,8 @@
 
     with Housed(tmp_path, charter(TWO), plan=[held, HIT, HIT, HIT, HIT, HIT], directors=2) as housed:
         for one in housed.services:
-            one.start_settings.use_cases["order"].group = "cell"
-            one.start_settings.use_cases["order"].never_kept = False
+            one.start_settings.request_classes["order"].group = "cell"
+            one.start_settings.request_classes["order"].never_kept = False
             one.warden.governor.placement.unproven_until = 0.0
         first = housed.caller()
         first.send("order", tenant="acme", nonce="n1", patience="2900")
@@ -117,12 +117,12 @@
         if where == 1:
             assert again.answer()[1] == answer
         answered.set()
-        assert first.answer()[1] == SATISFIED
+        assert first.answer()[1] == SERVED
         if where == 0:
             assert again.answer()[1] == answer
         fresh = housed.caller(where)
         fresh.send("order", tenant="acme", nonce="n2")
-        assert fresh.answer()[1] == SATISFIED
+        assert fresh.answer()[1] == SERVED
         ran = {
             name for name, sent in housed.heard().items() for entry in sent if entry[2].get("dedupe") == "n1"
         }
@@ -148,11 +148,11 @@
     with Housed(tmp_path, charter(TWO, moves=(halfway(1.0),))) as housed:
         caller = housed.caller()
         caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.answer()[1] == SATISFIED
+        assert caller.answer()[1] == SERVED
         director = housed.services[0]
         director.bus.apply(2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}})
         caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.answer()[1] == SATISFIED
+        assert caller.answer()[1] == SERVED
         last = [sent[-1] for name, sent in housed.heard().items() if name in ("s-02", "s-03") and sent][-1]
         assert 0.0 < float(last[2]["within"]) < 5_000.0 and last[2].get("miss") != "s-01"
 
@@ -198,7 +198,7 @@
     found = Lab(read_scenario(LAB)).run()
     assert [deed["wrong"] for deed in found["deeds"]] == ["", ""]
     assert found["orders_run_twice"] == found["total"]["answers_twice"] == found["total"]["bad"] == 0
-    assert found["total"]["satisfied"] > 0 and found["orders_run"] > 0
+    assert found["total"]["served"] > 0 and found["orders_run"] > 0
     assert found["nodes"]["s-4"]["asked"] > 0
 
 
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from stage import Cell, ORDER, ORDER_ALL, PAGES, Ruled, charter, move
 
-from mulleinrelay.cells import changes, moves, receipts
+from mulleinrelay.cells import changes, idempotency, moves
 from mulleinrelay.cells.assignment import SCALE, mixed
 from mulleinrelay.cells.moves import Demand, Stage
 from mulleinrelay.cells.placement import Nowhere, Placement
@@ -117,7 +117,7 @@
         self.base, self.history, self.lag, self.skew, self.most = base, history[:most], lag, skew, most
         self.placements = {}
 
-    def spot(self, now, key, use_case, repeated):
+    def spot(self, now, key, request_class, repeated):
         read = [held for at, held in self.history if at + self.lag <= now]
         version = read[-1] if read else self.base
         placement = self.placements.get(version.version)
@@ -125,13 +125,13 @@
             placement = self.placements[version.version] = Placement(version, True)
             placement.listed(0.0, [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")])
             placement.unproven_until = 0.0  # what a restart leaves unproven is another matter
-        return placement.spot(now + self.skew, "acme", key, use_case, "r", repeated)
+        return placement.spot(now + self.skew, "acme", key, request_class, "r", repeated)
 
 
-def search(use_case, histories_=histories):
+def search(request_class, histories_=histories):
     """Every try and retry. The try may have come to a director that is lost to the world, the retry to one
     that has read what was written SPREAD ago. Gives those that ran in two cells, and how many were tried and
-    broken off."""
+    failed."""
     broken, tried, off = [], 0, 0
     base = replace(charter(), spread=SPREAD, skew=SKEW, horizon=HORIZON, written=-1e6)
     for name, history in histories_():
@@ -144,11 +144,11 @@
         for one, other in itertools.product(readers, [held for held in readers if held.most == len(history)]):
             for first in range(400, 3_000, 200):
                 for key in KEYS:
-                    ran = one.spot(float(first), key, use_case, False)
+                    ran = one.spot(float(first), key, request_class, False)
                     assert not isinstance(ran, Nowhere)  # a first try always has a place
                     for later in (1.0, 300.0, HORIZON):
                         tried += 1
-                        again = other.spot(first + later, key, use_case, True)
+                        again = other.spot(first + later, key, request_class, True)
                         if isinstance(again, Nowhere):
                             held, off = history[0][1].moves["m1"], off + 1
                             assert moves.over(held, key, moves.reach(held, first + later + 2.0 * SKEW))
@@ -160,16 +160,16 @@
 def test_no_order_runs_in_two_cells_whatever_version_directors_go_by():
     broken, tried, off = search(ORDER)
     assert tried > 50_000 and not broken
-    assert 0 < off < tried  # only what may have gone over is broken off
+    assert 0 < off < tried  # only what may have gone over fails
 
 
-def test_orders_that_every_node_knows_are_never_broken_off():
+def test_orders_that_every_node_knows_are_never_failed():
     assert search(ORDER_ALL)[2] == 0
 
 
 @pytest.mark.parametrize("fault", [
     lambda held, key, repeated, *rest: (
-        receipts.Way.NEW if moves.over(held, key, moves.shifted(held, rest[2])) else receipts.Way.OLD
+        idempotency.Way.NEW if moves.over(held, key, moves.shifted(held, rest[2])) else idempotency.Way.OLD
     ),  # a retry goes by the share of the moment, as a first try does
 ])
 def test_the_search_finds_a_fault(fault, monkeypatch):
@@ -181,15 +181,17 @@
     held = replace(charter(moves=(move(),)), written=-1e6)
     ruled = Ruled(held)
     ruled.now = 10_100.0
-    first = {key: ruled.ask(key=key, use_case=ORDER, receipt=f"r{key}").cell for key in KEYS}
+    first = {key: ruled.ask(key=key, request_class=ORDER, idempotency_key=f"r{key}").cell for key in KEYS}
     assert set(first.values()) == {"north"}
     ruled.now = 14_900.0
-    assert {ruled.ask(key=key, use_case=ORDER, receipt=f"r{key}", repeated=True).cell for key in KEYS} == {
+    assert {ruled.ask(key=key, request_class=ORDER, idempotency_key=f"r{key}", repeated=True).cell
+            for key in KEYS} == {
         "north"
     }
-    assert "south" in {ruled.ask(key=key, use_case=ORDER, receipt=f"n{key}").cell for key in KEYS}
-    strange = ruled.ask(key=KEYS[0], use_case=ORDER, receipt="other", repeated=True)
-    assert not strange.harmless  # broken off: another director may have run it
+    assert "south" in {
+        ruled.ask(key=key, request_class=ORDER, idempotency_key=f"n{key}").cell for key in KEYS}
+    strange = ruled.ask(key=KEYS[0], request_class=ORDER, idempotency_key="other", repeated=True)
+    assert not strange.harmless  # failed: another director may have run it
 
 
 @pytest.mark.parametrize("now, cell, spare, helpers", [
@@ -242,9 +244,9 @@
     other = replace(charter(moves=(move(name="m2", starts=12_900.0),)), version=2, written=-1e6)
     words = ruled.governor.renew(ruled.now, other)
     assert any("without a move" in word for word in words)
-    assert not ruled.ask(key=KEYS[4], use_case=ORDER, receipt="x", repeated=True).harmless
+    assert not ruled.ask(key=KEYS[4], request_class=ORDER, idempotency_key="x", repeated=True).harmless
     ruled.now += 1.0
-    assert ruled.ask(key=KEYS[4], use_case=PAGES).cell == "north"
+    assert ruled.ask(key=KEYS[4], request_class=PAGES).cell == "north"
 
 
 # What staff may do
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -9,7 +9,7 @@
 from mulleinrelay.cells.reading import write
 from mulleinrelay.net import service
 
-PUSHED, BROKEN = 1, 2
+REJECTED, FAILED = 1, 2
 TWO = (
     Cell("north", caches=("s-01",), neighbours=("south",), reserve=0.5),
     Cell("south", caches=("s-02", "s-03")),
@@ -35,15 +35,15 @@
         assert edge_caches(housed) == caches
 
 
-def test_what_is_over_its_rate_is_pushed_back_at_once_and_reaches_no_node(tmp_path):
+def test_what_is_over_its_rate_is_rejected_at_once_and_reaches_no_node(tmp_path):
     held = charter(TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=3)), "beta", "shared"))
     with Housed(tmp_path, held) as housed:
         caller = housed.caller()
         for _ in range(10):
             caller.send(tenant="acme")
         answers = [caller.answer()[:3] for _ in range(10)]
-        assert sorted(what for _, what, _ in answers) == [0] * 3 + [PUSHED] * 7
-        assert {fields.get("pause") for _, what, fields in answers if what == PUSHED} == {"5000"}
+        assert sorted(what for _, what, _ in answers) == [0] * 3 + [REJECTED] * 7
+        assert {fields.get("pause") for _, what, fields in answers if what == REJECTED} == {"5000"}
         assert sum(len(attempts) for attempts in housed.heard().values()) == 3
         caller.send(tenant="beta")
         assert caller.answer()[1] == 0
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize(
     "unknown, told, what",
-    [("push_back", "nobody", PUSHED), ("default_tenant", "nobody", 0), ("push_back", "acme", 0)],
+    [("reject", "nobody", REJECTED), ("default_tenant", "nobody", 0), ("reject", "acme", 0)],
 )
 def test_an_unknown_tenant_gets_what_the_file_says(unknown, told, what, tmp_path):
     with Housed(tmp_path, charter(TWO, unknown=unknown)) as housed:
@@ -60,16 +60,16 @@
         assert caller.answer()[1] == what
 
 
-def test_a_repeat_that_is_over_its_bounds_is_broken_off(tmp_path):
+def test_a_repeat_that_is_over_its_bounds_is_failed(tmp_path):
     # Guards against telling a client that trying again is harmless where its first try may have run.
     held = charter(TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=1)), "beta", "shared"))
     with Housed(tmp_path, held) as housed:
-        housed.services[0].start_settings.use_cases["order"].group = "cell"
+        housed.services[0].start_settings.request_classes["order"].group = "cell"
         caller = housed.caller()
         caller.send("order", tenant="acme", redo="1")
         assert caller.answer()[1] == 0
         caller.send("order", tenant="acme", redo="1")
-        assert caller.answer()[1] == BROKEN
+        assert caller.answer()[1] == FAILED
 
 
 def test_a_lost_cell_is_taken_in_by_its_neighbour(tmp_path):
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -57,12 +57,12 @@
             grant = self.ruled.ask(key=key)
             if not hasattr(grant, "pool"):
                 continue
-            case = self.stage.terms.use_cases[0]
+            case = self.stage.terms.request_classes[0]
             request = facade.take(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
             while (step := facade.pick(request)) is not None:
                 if isinstance(step, Order):
                     yield step
-                    facade.report(step.attempt, Outcome.SATISFIED, Note.FILLED if step.source else Note.HIT)
+                    facade.report(step.attempt, Outcome.SERVED, Note.FILLED if step.source else Note.HIT)
                 elif not isinstance(step, GiveUp):
                     break
             self.ruled.done(grant)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,8 @@
 
 from mulleinrelay.configuration import Section, decode, read_terms
 from mulleinrelay.facade import Facade, GiveUp
-from mulleinrelay.interface import (PURE, Attempt, ColdRule, Listing, Note, Order, Outcome, Request, State,
-                                    Terms, UseCase)
+from mulleinrelay.interface import (IDEMPOTENT, Attempt, ColdRule, Listing, Note, Order, Outcome, Request,
+                                    RequestClass, State, Terms)
 from mulleinrelay.net import resp, thrift
 from mulleinrelay.net.service import Service
 from mulleinrelay.policy import Director, Member
@@ -44,12 +44,13 @@
 class Fleet:
     """A director before three caches, two parents and an origin; the clock moves with each call."""
 
-    def __init__(self, repeat=PURE, group="all", never_kept=False, started=None, hub_started=0.0, **changes):
-        case = UseCase(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
+    def __init__(self, repeat=IDEMPOTENT, group="all", never_kept=False, started=None, hub_started=0.0,
+                 **changes):
+        case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
         terms = dict(
-            use_cases=[case], zone=1, directors=3, directors_here=1, parent_kind=PARENT, origin_kind=ORIGIN,
-            sized=True, flow=10.0, attempts_most=6, two_attempts=True, may_cancel=True, may_probe=False,
-            may_advise=True, advice_most=1000.0, may_pass_by=True, joins=True, siblings=True,
+            request_classes=[case], zone=1, directors=3, directors_here=1, parent_kind=PARENT,
+            origin_kind=ORIGIN, sized=True, flow=10.0, attempts_most=6, two_attempts=True, may_cancel=True,
+            may_probe=False, may_advise=True, advice_most=1000.0, may_pass_by=True, joins=True, siblings=True,
             must_subscribe=False, reports=["crowding"], asks_reports=False,
             cold_cache=ColdRule(0.2, 17000.0, 1500.0, 2.5),
             cold_parent=ColdRule(0.063, 20000.0, 1500.0, 2.0), purge_span=6000.0)
@@ -80,8 +81,8 @@
         self.call("requested", request)
         return request
 
-    def answer(self, attempt, outcome=Outcome.SATISFIED, note=Note.HIT, first_byte=0.0, after=0.0, load=None):
-        closed = outcome == Outcome.SATISFIED
+    def answer(self, attempt, outcome=Outcome.SERVED, note=Note.HIT, first_byte=0.0, after=0.0, load=None):
+        closed = outcome == Outcome.SERVED
         self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
 
 
@@ -153,14 +154,14 @@
         self.facade.clock = lambda: time.monotonic() * 1000.0
         self.now = self.facade.clock()
 
-    def take(self, use_case="pages", left=6000.0, room=True):
-        case = self.terms.use_cases[["pages", "order", "pay"].index(use_case)]
+    def take(self, request_class="pages", left=6000.0, room=True):
+        case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
         return self.facade.take(case, 0xABC, 0, 1, 100.0, left, False, room=room)
 
     def again(self, request):
         """The same request with its first attempt out, for another host of the module."""
         first = request.attempts[0]
-        twin = Request(1, request.use_case, request.key, 0, 1, 100.0, 0.0, 6000.0)
+        twin = Request(1, request.request_class, request.key, 0, 1, 100.0, 0.0, 6000.0)
         twin.attempts.append(Attempt(twin, 0, first.node, first.source, 0.0, 6000.0))
         return twin
 
@@ -315,9 +316,9 @@
         self.socket = socket.create_connection(address, timeout=10.0)
         self.frames, self.ready, self.count = thrift.Frames(most=300_000), [], 0
 
-    def send(self, use_case="pages", entity="00000000000000ab", body=b"", **changes):
+    def send(self, request_class="pages", entity="00000000000000ab", body=b"", **changes):
         self.count += 1
-        fields = {"route": use_case, "trace": f"{next(self.marks):016x}", "patience": "3000",
+        fields = {"route": request_class, "trace": f"{next(self.marks):016x}", "patience": "3000",
                   "entity": entity, "nth": "0", "batch": "17", "size": "100.0", "nonce": "5c0f"} | changes
         self.socket.sendall(serve_frame(self.count, {k: v for k, v in fields.items() if v is not None}, body))
         return self.count
@@ -337,7 +338,7 @@
         return self.ready.pop(0)
 
     def answer(self):
-        """(number, what, fields, body); `what` is 0 for satisfied, 1 pushed back, 2 broken off, or the text
+        """(number, what, fields, body); `what` is 0 for served, 1 rejected, 2 failed, or the text
         of an application exception."""
         reader = thrift.Reader(self.frame())
         kind = struct.unpack(">I", reader.bytes(4))[0] & 0xFF
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "what, ms, credit", [("satisfied", 100.0, 1.0), ("satisfied", 900.0, 0.1), ("pushed back", 5.0, 0.0)]
+    "what, ms, credit", [("served", 100.0, 1.0), ("served", 900.0, 0.1), ("rejected", 5.0, 0.0)]
 )
 def test_credit_goes_by_the_goal(what, ms, credit, tmp_path):
     audit = audited(tmp_path, ["look", at(3), ms, "north", 1, 1, "order", 7, what, 1])
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -141,7 +141,7 @@
     assert len(alive) >= 34 and len(alive) + 5 >= 39  # with hosts, relays, clients and keeper
     assert {rule: figures[rule] for rule in audit.rules()} == dict.fromkeys(audit.rules(), 0)
     assert [fault["wrong"] for fault in figures["faults"]] == [""] * len(figures["faults"])
-    assert figures["requests"] > 1200 and figures["outcomes"]["satisfied"] > 0.6 * figures["requests"]
+    assert figures["requests"] > 1200 and figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_each_fault_shows_at_the_other_side(troubled):
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -117,7 +117,7 @@
     """Guards against each cache being found out for itself, with a request or two lost for each."""
     first, last, there = when(audit, "unreached"), when(audit, "unreached", False), met(audit, "unreached")
     looks = outcomes(audit, first + 2.0, last - 0.5, there)
-    assert looks.count("satisfied") > 0.7 * len(looks) > 30
+    assert looks.count("served") > 0.7 * len(looks) > 30
     passing = {attempt[1] for attempt in audit.heard.attempts if first < attempt[0] < last
                and attempt[1] in there and audit.sites[attempt[2]].kind == PARENT}
     assert len(passing) > 0.7 * len(there)
@@ -134,7 +134,7 @@
     first = when(audit, "killed")
     orders = [look for look in audit.heard.looks
               if first - 1.0 < look[0] < first + 4.0 and look[5] == "order"]
-    moved = [look for look in orders if look[8] > 1 and look[3] != look[4] and look[7] == "satisfied"]
+    moved = [look for look in orders if look[8] > 1 and look[3] != look[4] and look[7] == "served"]
     assert len(moved) >= 5 and audit.rules()["orders_run_twice"] == 0
 
 
@@ -142,18 +142,18 @@
     again, back = when(audit, "again"), when(audit, "again", False)
     survivors = set(range(34)) - met(audit, "again") - met(audit, "killed")
     looks = outcomes(audit, again, back, survivors)
-    assert looks.count("satisfied") > 0.8 * len(looks) > 10
+    assert looks.count("served") > 0.8 * len(looks) > 10
     looks = outcomes(audit, back + 1.5, when(audit, "stopped"))
-    assert looks.count("satisfied") > 0.8 * len(looks) > 10
+    assert looks.count("served") > 0.8 * len(looks) > 10
 
 
 def test_directors_whose_clocks_were_stepped_go_on(audit):
     stepped = met(audit, "forward") - met(audit, "killed")
     looks = outcomes(audit, when(audit, "forward"), when(audit, "tenths"), stepped)
-    assert looks.count("satisfied") > 0.6 * len(looks) > 20
+    assert looks.count("served") > 0.6 * len(looks) > 20
 
 
 def test_caches_that_return_cold_while_directors_restart_do_not_fall(audit):
     assert not audit.heard.others["fell"] and len(audit.heard.others["again"]) >= 10
     looks = outcomes(audit, when(audit, "replaced", False) + 2.0, 32.0)
-    assert looks.count("satisfied") > 0.5 * len(looks) > 50
+    assert looks.count("served") > 0.5 * len(looks) > 50
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -78,10 +78,10 @@
     assert 0 < len(attempts) < 1.5 * asked
 
 
-def test_what_is_satisfied_is_back_once_the_slowness_is_over(audit):
+def test_what_is_served_is_back_once_the_slowness_is_over(audit):
     end = fault(audit, "slow", False)[0]
     looks = [look[7] for look in audit.heard.looks if end + 2.5 < look[0] < end + 4.5]
-    assert looks.count("satisfied") > 0.8 * len(looks) > 50
+    assert looks.count("served") > 0.8 * len(looks) > 50
 
 
 def test_caches_that_return_cold_are_used_and_do_not_fall(audit):
@@ -97,5 +97,5 @@
     first, last = fault(audit, "killed")[0], fault(audit, "killed", False)[0]
     dead = set(fault(audit, "killed")[4])
     taken = [look for look in audit.heard.looks if first < look[0] < last and look[4] not in dead]
-    answered = [look for look in taken if look[7] in ("satisfied", "pushed back", "broken off")]
+    answered = [look for look in taken if look[7] in ("served", "rejected", "failed")]
     assert len(dead) == 24 and len(taken) > 30 and len(answered) == len(taken)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -31,21 +31,21 @@
 
 
 @pytest.mark.parametrize("fault, outcomes", [
-    ("", {"satisfied"}),
-    ("what = cut\nlocation = north\nfor = 4\n", {"satisfied", "pushed back"}),
-    ("what = reset\nshare = 0.5\nfor = 4\n", {"satisfied", "pushed back"}),
-    ("what = node_cold\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
-    ("what = node_silent\nshare = 0.25\nfor = 3\n", {"satisfied", "pushed back"}),
-    ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
-    ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"satisfied", "pushed back"}),
-    ("what = drain\nshare = 0.25\n", {"satisfied", "pushed back"}),
-    ("what = purge\n", {"satisfied", "pushed back"}),
-    ("what = late_list\nshare = 0.5\nfor = 3\n", {"satisfied"}),
-    ("what = kill\nshare = 0.7\nfor = 3\n", {"satisfied", "pushed back", "cut off", "nobody", "no answer"}),
-    ("what = restart\nover = 3\n", {"satisfied", "pushed back", "broken off", "cut off"}),
+    ("", {"served"}),
+    ("what = cut\nlocation = north\nfor = 4\n", {"served", "rejected"}),
+    ("what = reset\nshare = 0.5\nfor = 4\n", {"served", "rejected"}),
+    ("what = node_cold\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
+    ("what = node_silent\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
+    ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
+    ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
+    ("what = drain\nshare = 0.25\n", {"served", "rejected"}),
+    ("what = purge\n", {"served", "rejected"}),
+    ("what = late_list\nshare = 0.5\nfor = 3\n", {"served"}),
+    ("what = kill\nshare = 0.7\nfor = 3\n", {"served", "rejected", "cut off", "nobody", "no answer"}),
+    ("what = restart\nover = 3\n", {"served", "rejected", "failed", "cut off"}),
     (
         "what = stop\nshare = 0.2\nfor = 3\n",
-        {"satisfied", "pushed back", "broken off", "no answer", "nobody"},
+        {"served", "rejected", "failed", "no answer", "nobody"},
     ),
 ])
 def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
@@ -53,7 +53,7 @@
     figures = play(read_fleet(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
     assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
-    assert figures["outcomes"]["satisfied"] > 0.6 * figures["requests"]
+    assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_the_same_seed_plays_the_same():
@@ -63,4 +63,4 @@
 
 def test_a_fleet_larger_than_the_lab_is_played():
     figures = play(read_fleet(SMALL.replace("seconds = 16", "seconds = 5")).sized(1000))
-    assert figures["directors"] == 1000 and figures["outcomes"]["satisfied"] > 0.95 * figures["requests"]
+    assert figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -111,12 +111,12 @@
         scenario.sized(directors).on_sockets()
 
 
-@pytest.mark.parametrize("use_case, tries, left, again", [
+@pytest.mark.parametrize("request_class, tries, left, again", [
     ("pages", 1, 500.0, True),
     ("order", 2, 500.0, True),
     ("order", 3, 500.0, False),
     ("pages", 1, 90.0, False),
     ("pay", 1, 500.0, False),  # its first try may have had its effect
 ])
-def test_which_clients_ask_again_after_their_connection_ended(use_case, tries, left, again):
-    assert may_try_again(read_fleet(HEAD), Wanted(use_case, 1, 4.0, ""), tries, left) is again
+def test_which_clients_ask_again_after_their_connection_ended(request_class, tries, left, again):
+    assert may_try_again(read_fleet(HEAD), Wanted(request_class, 1, 4.0, ""), tries, left) is again
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("trouble, during", MANY)
 def test_a_fleet_of_directors_that_see_one_request_a_second_is_back_too(trouble, during, studies):
-    """Guards against overdue requests that are pushed back with their answers on the way: the fleet never
+    """Guards against overdue requests that are rejected with their answers on the way: the fleet never
     came back. And against a location that is not reached being found out cache by cache."""
     found = studies(f"{trouble}, many")
     assert found["calm"] > 0.95 and found["during"] > during
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -78,7 +78,7 @@
         drain(target, box, reason="smoke")
         before = len(director.heard()[box])
         ((_, state),) = target.get(parse(f"{DRAIN}[box={box}]/state"))
-        assert state["phase"] == "binding" and state["legs-out"] == 1
+        assert state["phase"] == "binding" and state["attempts-out"] == 1
         for number in range(30):
             caller.send(entity=f"{number + 100:016x}")
             if box != "s-21":
@@ -354,9 +354,9 @@
 
 
 @pytest.mark.parametrize("messages, updates, syncs", [
-    ([subscribe(gnmi.ONCE, "/fleet/use-cases")], True, 1),
-    ([subscribe(gnmi.ONCE, "/fleet/use-cases", updates_only=True)], False, 1),
-    ([subscribe(gnmi.POLL, "/fleet/use-cases"), *[gnmi.SubscribeRequest(poll={})] * 2], True, 2),
+    ([subscribe(gnmi.ONCE, "/fleet/request-classes")], True, 1),
+    ([subscribe(gnmi.ONCE, "/fleet/request-classes", updates_only=True)], False, 1),
+    ([subscribe(gnmi.POLL, "/fleet/request-classes"), *[gnmi.SubscribeRequest(poll={})] * 2], True, 2),
 ])
 def test_once_and_poll(running, messages, updates, syncs):
     told = call(running, "Subscribe", messages)
--- a/tests/spread/test_admission.py
+++ b/tests/spread/test_admission.py
@@ -1,23 +1,24 @@
 import pytest
 
-from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, UseCase
+from mulleinrelay.interface import UNSAFE, IDEMPOTENT, KEYED, RequestClass
 from mulleinrelay.spread.admission import LATE_FULL, Lateness, Places, to_end_first
 
 
-def case(repeat=PURE, credit=1.0):
-    return UseCase(repeat, 400.0, 0.0, 3000.0, 6000.0, "all", 0.0, repeat != PURE, credit)
+def case(repeat=IDEMPOTENT, credit=1.0):
+    return RequestClass(repeat, 400.0, 0.0, 3000.0, 6000.0, "all", 0.0, repeat != IDEMPOTENT, credit)
 
 
-MEDIA, PAGES, ORDER, PAY = case(credit=2.0), case(), case(RECEIPTED, 3.0), case(EFFECTFUL)
+MEDIA, PAGES, ORDER, PAY = case(credit=2.0), case(), case(KEYED, 3.0), case(UNSAFE)
 ALL = [MEDIA, PAGES, ORDER, PAY]
 
 
-@pytest.mark.parametrize("use_case, repeated, last", [
+@pytest.mark.parametrize("request_class, repeated, last", [
     (ORDER, False, 79), (ORDER, True, 79), (PAY, False, 79), (MEDIA, False, 69), (MEDIA, True, 59),
     (PAGES, False, 59), (PAGES, True, 49)])
-def test_the_last_places_are_kept_for_effects_and_then_by_credit(use_case, repeated, last):
+def test_the_last_places_are_kept_for_effects_and_then_by_credit(request_class, repeated, last):
     places = Places(ALL)
-    assert [places.has_room(use_case, repeated, taken / 80) for taken in (last, last + 1)] == [True, False]
+    room = [places.has_room(request_class, repeated, taken / 80) for taken in (last, last + 1)]
+    assert room == [True, False]
 
 
 @pytest.mark.parametrize("cases", [[PAGES], [case(), case()], [ORDER, PAY]])
@@ -36,10 +37,10 @@
     """Ten times as many pages as places, each held for long: without the reserve orders find none."""
     places, taken, orders = Places(ALL), 0, 0
     for number in range(800):
-        use_case = ORDER if number % 100 == 99 else PAGES
-        if places.has_room(use_case, False, taken / 80):
+        request_class = ORDER if number % 100 == 99 else PAGES
+        if places.has_room(request_class, False, taken / 80):
             taken += 1
-            orders += use_case is ORDER
+            orders += request_class is ORDER
     assert orders == 8
 
 
--- a/tests/spread/test_storm.py
+++ b/tests/spread/test_storm.py
@@ -5,30 +5,30 @@
 from mulleinrelay.spread.storm import COME_BACK, EARNED, HALVING, SHARE, Storm, come_back, cost
 
 
-def played(pushed, requests=400, every=10.0, seed=1):
+def played(rejected, requests=400, every=10.0, seed=1):
     storm, draw, now = Storm(), Random(seed), 0.0
     for _ in range(requests):
         now += every
         storm.requested(now)
-        if draw.random() < pushed:
-            storm.pushed_back()
+        if draw.random() < rejected:
+            storm.note_rejected()
     return storm, now
 
 
-@pytest.mark.parametrize("pushed, least, most", [
+@pytest.mark.parametrize("rejected, least, most", [
     (0.0, 1.0, 1.0), (0.1, 0.6, 0.95), (0.25, 0.3, 0.7), (0.6, 0.0, 0.0), (1.0, 0.0, 0.0)])
-def test_a_request_earns_the_less_the_more_are_pushed_back(pushed, least, most):
-    assert least * EARNED <= played(pushed)[0].earned() <= most * EARNED
+def test_a_request_earns_the_less_the_more_are_rejected(rejected, least, most):
+    assert least * EARNED <= played(rejected)[0].earned() <= most * EARNED
 
 
-@pytest.mark.parametrize("pushed", [0.2, 1.0])
-def test_what_was_counted_is_forgotten_once_the_trouble_is_over(pushed):
-    storm, now = played(pushed)
+@pytest.mark.parametrize("rejected", [0.2, 1.0])
+def test_what_was_counted_is_forgotten_once_the_trouble_is_over(rejected):
+    storm, now = played(rejected)
     for _ in range(600):
         now += 10.0
         storm.requested(now)
     assert storm.earned() > 0.75 * EARNED
-    storm, now = played(pushed)
+    storm, now = played(rejected)
     storm.requested(now + 20.0 * HALVING)
     assert storm.share() < 0.01
 
@@ -50,7 +50,7 @@
             while draw.random() < fail:
                 price = cost(True, 1.0, 100.0)
                 if purse < price:
-                    storm.pushed_back()
+                    storm.note_rejected()
                     if tries < retries:
                         waiting.append(tries + 1)
                     break
@@ -67,7 +67,7 @@
             now += 10.0
             turns += storm.requested(now)
             if share and place % int(1 / share) == 0:
-                storm.pushed_back()
+                storm.note_rejected()
     assert turns == 2 and not storm.on
 
 
@@ -77,7 +77,7 @@
     assert cost(turned_away, took, 100.0) == price
 
 
-def test_those_pushed_back_together_come_back_apart():
+def test_those_rejected_together_come_back_apart():
     draw = Random(3)
     told = [come_back(draw.random(), 1000.0) for _ in range(400)]
     assert max(sum(slot <= advice < slot + 10.0 for advice in told) for slot in range(0, 200, 10)) <= 70
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -80,7 +80,7 @@
     (frame,) = feed(thrift.Frames(), serve_frame(1, FIELDS | {"new": "1"}, b"xy"), 1000)
     known = bytes(thrift.read_call(frame).rest.frame[17:-1])
     asked = thrift.read_serve(thrift.Reader(memoryview(unknown + known + unknown + b"\x00")))
-    assert (asked.use_case, asked.left, bytes(asked.body)) == ("pages", 1500.0, b"xy")
+    assert (asked.request_class, asked.left, bytes(asked.body)) == ("pages", 1500.0, b"xy")
 
 
 @pytest.mark.parametrize(
@@ -122,10 +122,10 @@
     [
         (thrift.answer("isWell", 2, b"", {}, True),
          "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 0d0002 0b0b 00000000 020003 010000"),
-        (thrift.pushed_back(3, 99.6),
+        (thrift.rejected(3, 99.6),
          "80010002 00000005 7365727665 00000003 0c0001 0d0001 0b0b 00000001 00000005 7061757365"
          " 00000003 313030 00 00"),
-        (thrift.broken_off(4),
+        (thrift.failed(4),
          "80010002 00000005 7365727665 00000004 0c0002 0d0001 0b0b 00000000 00 00"),
         (thrift.application_exception("x", 5, 1, "no"),
          "80010003 00000001 78 00000005 0b0001 00000002 6e6f 080002 00000001 00"),
@@ -146,8 +146,8 @@
               + b"*4\r\n$2\r\na4\r\n$4\r\nPAST\r\n$1\r\n-\r\n$-1\r\n")
     found = [resp.read_told(items, {}) for items in feed(resp.Arrays(64), stream, step)]
     assert [(told.about, told.outcome, len(told.body), told.kept) for told in found] == [
-        ("a1", Outcome.SATISFIED, 9006, False), ("a2", Outcome.MISS, 0, False),
-        ("a3", Outcome.SATISFIED, 0, True), ("a4", Outcome.MOOT, 0, False)]
+        ("a1", Outcome.SERVED, 9006, False), ("a2", Outcome.MISS, 0, False),
+        ("a3", Outcome.SERVED, 0, True), ("a4", Outcome.MOOT, 0, False)]
 
 
 @pytest.mark.parametrize("parser, whole, wrong", [
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -67,7 +67,7 @@
 def test_a_configuration_as_a_director_gets_it(tmp_path):
     start = decode(json.dumps(configuration()))
     assert (start.name, start.seed, start.sockets, start.known) == ("n3", 0x8C1F, 1024, 1)
-    assert list(start.use_cases) == ["pages", "order", "pay"] and start.zones == {"hub": 0, "edge": 1}
+    assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {"hub": 0, "edge": 1}
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration()))
     assert from_environment({"LB_CONFIG": str(file)}).name == "n3"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -75,26 +75,26 @@
 
 
 CASES = [("pages", between) for between in BETWEEN] + [
-    (use_case, between) for use_case in ("order", "pay") for between in BETWEEN if "source" not in between]
+    (name, between) for name in ("order", "pay") for between in BETWEEN if "source" not in between]
 
 
-@pytest.mark.parametrize("use_case, between", CASES)  # writes go straight to the only origin
-def test_what_waited_for_its_link_goes_as_the_list_and_purges_are_by_then(use_case, between, gate):
+@pytest.mark.parametrize("request_class, between", CASES)  # writes go straight to the only origin
+def test_what_waited_for_its_link_goes_as_the_list_and_purges_are_by_then(request_class, between, gate):
     # Guards against requests to nodes that were announced as leaving, and copies from before a purge.
     with Running() as director:
         caller = director.caller()
-        caller.send(use_case)
+        caller.send(request_class)
         attempt = waiting(director)
         BETWEEN[between](director, attempt)
         gate.set()
         what = caller.answer()[1]
         heard = director.heard()
-        if use_case != "pages" and ("drains" in between or "is gone" in between):
+        if request_class != "pages" and ("drains" in between or "is gone" in between):
             assert what == 1 and not heard  # it never ran, so a retry does no harm
             return
         assert what == 0 and len(heard) == 1
         assert ("within" in heard[0][2]) == ("purged" in between)
-        if use_case == "pages" and "purged" not in between:
+        if request_class == "pages" and "purged" not in between:
             named = [name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard]
             assert attempt.ways["source" in between][1].name not in [*named, heard[0][2].get("miss")]
 
@@ -317,7 +317,7 @@
 
 
 def test_answers_before_bytes_that_cannot_be_read_count():
-    # Guards against an effect that is called broken off though its answer has come: the bytes behind it, of
+    # Guards against an effect that is called failed though its answer has come: the bytes behind it, of
     # another answer that was spoilt, end the connection.
     class Spoilt(StandNode):
         def answer(self, connection, about, fields):
@@ -664,7 +664,7 @@
             bad.send("nope")
         good.send()
         reading.set()
-        assert [bad.answer()[1] for _ in range(9)] == ["an unknown use case"] * 9
+        assert [bad.answer()[1] for _ in range(9)] == ["an unknown request class"] * 9
         with pytest.raises(EOFError):
             bad.answer()
         assert good.answer()[:2] == (1, 0) and director.sink.events.count("bad frame") == 1
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,41 +5,41 @@
 from helpers import Sink, Stage, settings
 
 from mulleinrelay import wire
-from mulleinrelay.facade import BrokenOff, GiveUp, Left, Order, PushedBack, Satisfied
+from mulleinrelay.facade import Failed, GiveUp, Left, Order, Rejected, Served
 from mulleinrelay.interface import Listing, Note, Outcome, State
 from mulleinrelay.net import resp
 from mulleinrelay.wirehost import Instance
 
 
-def test_a_request_is_satisfied_once_and_later_word_is_dropped():
+def test_a_request_is_served_once_and_later_word_is_dropped():
     stage = Stage()
     request = stage.take()
     order = stage.facade.pick(request)
     assert isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
-    stage.facade.report(order.attempt, Outcome.SATISFIED, Note.HIT, answer="bytes")
+    stage.facade.report(order.attempt, Outcome.SERVED, Note.HIT, answer="bytes")
     stage.facade.report(order.attempt, Outcome.ERROR)
     stage.facade.forget(request)
     verdict = stage.facade.pick(request)
-    assert isinstance(verdict, Satisfied) and verdict.answer == "bytes"
-    assert order.attempt.outcome == Outcome.SATISFIED and not stage.facade.open_requests()
+    assert isinstance(verdict, Served) and verdict.answer == "bytes"
+    assert order.attempt.outcome == Outcome.SERVED and not stage.facade.open_requests()
 
 
 @pytest.mark.parametrize("first, second, verdict", [
     ("forget", "report", Left),
-    ("report", "forget", Satisfied),
+    ("report", "forget", Served),
     ("forget", "wind_up", Left),
-    ("wind_up", "forget", PushedBack),
-    ("wind_up", "report", PushedBack),
-    ("report", "wind_up", Satisfied),
-    ("time", "report", PushedBack),
-    ("report", "time", Satisfied),
+    ("wind_up", "forget", Rejected),
+    ("wind_up", "report", Rejected),
+    ("report", "wind_up", Served),
+    ("time", "report", Rejected),
+    ("report", "time", Served),
 ])
 def test_whoever_comes_second_finds_the_request_ended(first, second, verdict):
     stage = Stage()
     request = stage.take()
     attempt = stage.facade.pick(request).attempt
     deeds = {"forget": lambda: stage.facade.forget(request), "wind_up": stage.facade.wind_up,
-             "report": lambda: stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT),
+             "report": lambda: stage.facade.report(attempt, Outcome.SERVED, Note.HIT),
              "time": lambda: stage.pass_time(7000.0)}
     deeds[first]()
     deeds[second]()
@@ -50,17 +50,17 @@
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
-@pytest.mark.parametrize("use_case, sent, outcome, verdict", [
-    ("pages", True, None, PushedBack),
-    ("order", True, None, PushedBack),
-    ("pay", True, None, BrokenOff),
-    ("pay", False, None, PushedBack),
-    ("pay", True, Outcome.RESET, BrokenOff),
+@pytest.mark.parametrize("request_class, sent, outcome, verdict", [
+    ("pages", True, None, Rejected),
+    ("order", True, None, Rejected),
+    ("pay", True, None, Failed),
+    ("pay", False, None, Rejected),
+    ("pay", True, Outcome.RESET, Failed),
 ])
-def test_the_last_answers_of_a_drain_are_true(use_case, sent, outcome, verdict):
+def test_the_last_answers_of_a_drain_are_true(request_class, sent, outcome, verdict):
     # Guards against a drain that calls harmless what may have run.
     stage = Stage()
-    request = stage.take(use_case)
+    request = stage.take(request_class)
     if sent:
         attempt = stage.facade.pick(request).attempt
         if outcome is not None:
@@ -85,7 +85,7 @@
     attempt = stage.facade.pick(request).attempt
     stage.pass_time(6001.0)
     assert attempt.outcome == Outcome.TIMEOUT
-    assert isinstance(stage.until_verdict(request), PushedBack)
+    assert isinstance(stage.until_verdict(request), Rejected)
 
 
 def test_one_thread_at_a_time_picks_for_a_request():
@@ -99,7 +99,7 @@
         other.start()
         other.join()
 
-    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, answer=1)
+    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, answer=1)
     pick_elsewhere()
     assert found == [None]
     assert stage.facade.pick(request).answer == 1 and stage.facade.pick(request) is None
@@ -107,16 +107,16 @@
     request = stage.take()
     attempt = stage.facade.pick(request).attempt
     assert stage.facade.pick(request) is None  # nothing left to do: whoever brings more may pick
-    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, answer=2)
+    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
 
 
-def test_a_request_without_room_is_pushed_back_unsent():
+def test_a_request_without_room_is_rejected_unsent():
     stage = Stage()
     request = stage.take(room=False)
     verdict = stage.facade.pick(request)
-    assert isinstance(verdict, PushedBack) and verdict.come_back > 0.0 and not request.attempts
+    assert isinstance(verdict, Rejected) and verdict.come_back > 0.0 and not request.attempts
 
 
 def test_tick_runs_what_is_due_and_says_when_next():
@@ -151,16 +151,16 @@
     request = stage.take()
     if broken == "answered":
         stage.facade.report(stage.facade.pick(request).attempt, Outcome.MISS)
-    assert isinstance(stage.facade.pick(request), BrokenOff) and sink.events == ["fault"]
+    assert isinstance(stage.facade.pick(request), Failed) and sink.events == ["fault"]
 
 
-def test_a_request_without_a_verdict_is_broken_off_by_the_clock():
+def test_a_request_without_a_verdict_is_failed_by_the_clock():
     stage = Stage()
     request = stage.take(left=200.0)
     stage.facade.pick(request)
     stage.facade.director.woken = stage.facade.director.answered = lambda *_: None
     stage.pass_time(209.0)
-    assert isinstance(stage.until_verdict(request), BrokenOff)
+    assert isinstance(stage.until_verdict(request), Failed)
 
 
 @pytest.mark.parametrize(
@@ -256,5 +256,5 @@
 def test_a_report_in_an_answer_reaches_the_module():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
     attempt = stage.facade.pick(stage.take()).attempt
-    stage.facade.report(attempt, Outcome.SATISFIED, Note.HIT, load={"crowding": 3.5})
+    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, load={"crowding": 3.5})
     assert stage.facade.director.link == 3.5
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,12 +9,12 @@
 from helpers import Stage
 
 from mulleinrelay import policy
-from mulleinrelay.facade import Facade, GiveUp, PushedBack, Satisfied
+from mulleinrelay.facade import Facade, GiveUp, Rejected, Served
 from mulleinrelay.interface import Order, Outcome, State
 from mulleinrelay.net.client import Client
 
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
-ANSWERS = {"served": Outcome.SATISFIED, "miss": Outcome.MISS, "full": Outcome.TURNED_AWAY,
+ANSWERS = {"served": Outcome.SERVED, "miss": Outcome.MISS, "full": Outcome.TURNED_AWAY,
            "reset": Outcome.RESET, "error": Outcome.ERROR}
 EVENTS = [*ANSWERS, "second answer", "drains", "purged", "leaves", "overdue", "winds up", "waits",
           "is written"]
@@ -23,13 +23,13 @@
 class Play:
     """Whoever sees a request through, and the account: what was begun and how it ended."""
 
-    def __init__(self, use_case, waits):
+    def __init__(self, request_class, waits):
         """`waits`: what is picked is not written at once, as its link is not up."""
-        self.stage, self.use_case, self.waits = Stage(), use_case, waits
+        self.stage, self.request_class, self.waits = Stage(), request_class, waits
         self.facade = self.stage.facade
         self.begun, self.ended, self.verdicts, self.draining, self.left = [], {}, [], set(), False
         self.held = []  # orders that were picked and are not yet written
-        self.request = self.stage.take(use_case, left=2000.0)
+        self.request = self.stage.take(request_class, left=2000.0)
         self.see_through()
 
     def see_through(self):
@@ -55,7 +55,7 @@
         assert not self.verdicts and not self.left, "begun for a request that is over"
         assert not {order.place.name, order.source} & self.draining, "sent to one that drains"
         doubtful = [held for held in self.begun if self.ended.get(held) not in NEVER_RAN]
-        assert self.use_case != "pay" or not doubtful, "an effect may happen twice"
+        assert self.request_class != "pay" or not doubtful, "an effect may happen twice"
         self.begun.append(attempt)
 
     def out(self):
@@ -68,7 +68,7 @@
             self.facade.report(attempt, ANSWERS[event], answer=attempt)
         elif event == "second answer" and self.ended:
             attempt = next(iter(self.ended))
-            self.facade.report(attempt, Outcome.SATISFIED, answer=attempt)
+            self.facade.report(attempt, Outcome.SERVED, answer=attempt)
         elif event == "drains" and self.request.attempts:
             name = self.facade.places[self.request.attempts[-1].node].name
             self.draining.add(name)
@@ -93,37 +93,37 @@
         self.see_through()
         assert len(self.verdicts) == 1 and self.facade.pick(self.request) is None
         assert not self.facade.lives and not [attempt for attempt in self.out() if attempt.outcome is None]
-        if isinstance(self.verdicts[0], PushedBack) and self.use_case == "pay":
+        if isinstance(self.verdicts[0], Rejected) and self.request_class == "pay":
             assert all(self.ended.get(held) in NEVER_RAN for held in self.begun), "a retry might do it twice"
-        if isinstance(self.verdicts[0], Satisfied):
-            assert self.ended[self.verdicts[0].answer] == Outcome.SATISFIED
+        if isinstance(self.verdicts[0], Served):
+            assert self.ended[self.verdicts[0].answer] == Outcome.SERVED
 
 
-def search(use_case, length):
+def search(request_class, length):
     for waits, *events in itertools.product([True, False], *[EVENTS] * length):
-        play = Play(use_case, waits)
+        play = Play(request_class, waits)
         try:
             for event in events:
                 play.happen(event)
             play.end()
         except AssertionError as wrong:
-            raise AssertionError(f"{use_case}, waits {waits}, {', '.join(events)}: {wrong}") from wrong
+            raise AssertionError(f"{request_class}, waits {waits}, {', '.join(events)}: {wrong}") from wrong
 
 
-@pytest.mark.parametrize("use_case, length", [("pages", 3), ("order", 2), ("pay", 3)])
-def test_a_request_keeps_to_the_rules_in_every_order_of_its_events(use_case, length):
-    search(use_case, length)
+@pytest.mark.parametrize("request_class, length", [("pages", 3), ("order", 2), ("pay", 3)])
+def test_a_request_keeps_to_the_rules_in_every_order_of_its_events(request_class, length):
+    search(request_class, length)
 
 
-@pytest.mark.parametrize("use_case, where, name, planted, told", [
+@pytest.mark.parametrize("request_class, where, name, planted, told", [
     ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
     ("pay", policy, "may_have_run", lambda request: [], "twice"),
     ("pay", policy, "may_have_run",
      lambda request: [attempt for attempt in request.attempts if attempt.outcome is None], "twice")])
-def test_a_planted_fault_is_found(use_case, where, name, planted, told, monkeypatch):
+def test_a_planted_fault_is_found(request_class, where, name, planted, told, monkeypatch):
     monkeypatch.setattr(where, name, planted)
     with pytest.raises(AssertionError, match=told):
-        search(use_case, 3)
+        search(request_class, 3)
 
 
 # A connection
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,44 +1,44 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
-from mulleinrelay.interface import EFFECTFUL, PURE, RECEIPTED, Attempt, Note, Outcome, State
+from mulleinrelay.interface import UNSAFE, IDEMPOTENT, KEYED, Attempt, Note, Outcome, State
 
 
 @pytest.mark.parametrize("repeat, group, outcome, attempts, final", [
-    (PURE, "all", Outcome.ERROR, 2, None),
-    (RECEIPTED, "all", Outcome.ERROR, 2, None),
-    (RECEIPTED, "zone", Outcome.ERROR, 1, "break_off"),
-    (RECEIPTED, "zone", Outcome.TURNED_AWAY, 2, None),
-    (EFFECTFUL, "all", Outcome.RESET, 1, "break_off"),
-    (EFFECTFUL, "all", Outcome.UNCONNECTED, 2, None),
+    (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
+    (KEYED, "all", Outcome.ERROR, 2, None),
+    (KEYED, "zone", Outcome.ERROR, 1, "fail"),
+    (KEYED, "zone", Outcome.TURNED_AWAY, 2, None),
+    (UNSAFE, "all", Outcome.RESET, 1, "fail"),
+    (UNSAFE, "all", Outcome.UNCONNECTED, 2, None),
 ])
-def test_further_attempts_go_only_as_far_as_the_use_case_permits(repeat, group, outcome, attempts, final):
+def test_further_attempts_go_only_as_far_as_their_class_permits(repeat, group, outcome, attempts, final):
     fleet = Fleet(repeat, group)
     request = fleet.ask()
     fleet.answer(request.attempts[0], outcome, Note.NONE, after=20)
     assert len(request.attempts) == attempts
-    assert [name for name, _ in fleet.out.actions if name in ("push_back", "break_off")] == [final] * bool(
+    assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final] * bool(
         final
     )
 
 
-def test_a_receipted_request_is_not_sent_again_past_its_memory_span():
-    fleet = Fleet(RECEIPTED)
+def test_a_keyed_request_is_not_sent_again_past_its_memory_span():
+    fleet = Fleet(KEYED)
     request = fleet.ask()
     fleet.answer(request.attempts[0], Outcome.ERROR, Note.NONE, after=5000)
     assert len(request.attempts) == 1 and request.ended
 
 
 @pytest.mark.parametrize("outcome, after, final", [
-    (Outcome.ERROR, 4000, "push_back"),  # the client comes again while the receipt is remembered
-    (Outcome.ERROR, 4900, "break_off"),  # told to come back behind its end
-    (Outcome.ERROR, 5500, "break_off"),
-    (Outcome.MISS, 5500, "push_back"),  # never ran
+    (Outcome.ERROR, 4000, "reject"),  # the client comes again while the idempotency key is remembered
+    (Outcome.ERROR, 4900, "fail"),  # told to come back behind its end
+    (Outcome.ERROR, 5500, "fail"),
+    (Outcome.MISS, 5500, "reject"),  # never ran
 ])
-def test_a_receipted_request_is_called_harmless_to_repeat_while_its_receipt_lasts(outcome, after, final):
-    fleet = Fleet(RECEIPTED, attempts_most=1, advice_most=200.0)
+def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(outcome, after, final):
+    fleet = Fleet(KEYED, attempts_most=1, advice_most=200.0)
     fleet.answer(fleet.ask().attempts[0], outcome, Note.NONE, after=after)
-    assert [name for name, _ in fleet.out.actions if name in ("push_back", "break_off")] == [final]
+    assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final]
 
 
 def test_one_final_answer_before_the_client_stops_waiting():
@@ -49,7 +49,7 @@
     fleet.call("woken", request, after=delay)
     fleet.answer(request.attempts[0], Outcome.CANCELLED, Note.NONE, after=1)
     fleet.call("end", request, after=100)
-    assert len(fleet.out.take("push_back")) == 1 and not fleet.out.take("break_off")
+    assert len(fleet.out.take("reject")) == 1 and not fleet.out.take("fail")
     assert len(request.attempts) == 1
 
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("caches_cold", [True, False])
-def test_small_requests_count_as_the_mean_of_their_use_case_at_a_cold_member(caches_cold):
+def test_small_requests_count_as_the_mean_of_their_request_class_at_a_cold_member(caches_cold):
     """Nine of ten took a tenth of the mean and went by that: together several times what fells the member."""
     fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("left, near", [(6000.0, False), (200.0, True)])
 def test_a_client_that_waits_less_than_its_goal_gets_the_nearest_parent(left, near):
-    """Clients with little time were pushed back at the end of it, their fills on the way from afar."""
+    """Clients with little time were rejected at the end of it, their fills on the way from afar."""
     fleet = Fleet()
     for parent, delay in zip(fleet.parents, (60.0, 30.0), strict=True):
         for _ in range(5):
@@ -169,7 +169,7 @@
     (Outcome.UNCONNECTED, None, 6.0),
     (Outcome.ERROR, None, 0.0),
     (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
-    (Outcome.ERROR, Outcome.SATISFIED, 3.0),
+    (Outcome.ERROR, Outcome.SERVED, 3.0),
 ])
 def test_bad_outcomes_weigh_by_what_they_tell_of_the_node(outcome, another, weight):
     """Clients that ask for what no node knows, and spoilt answers, had healthy caches shunned."""
@@ -200,13 +200,13 @@
         request = fleet.ask(after=20)
         attempt = request.attempts[0]
         bad = sick in (attempt.node, attempt.source)
-        fleet.answer(attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SATISFIED, Note.FILLED)))
+        fleet.answer(attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SERVED, Note.FILLED)))
         for attempt in request.attempts[1:]:
             fleet.answer(attempt, note=Note.FILLED)
     assert sick.shunned and not any(member.shunned for member in getattr(fleet, well))
 
 
-def test_a_request_that_no_cache_can_satisfy_in_time_is_pushed_back_at_once():
+def test_a_request_that_no_cache_can_serve_in_time_is_rejected_at_once():
     """Without the bound a burst slows every transfer past its latency goal."""
     fleet = Fleet()
     requests = [fleet.ask(size=4000.0, after=0.0) for _ in range(200)]
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)])
-def test_a_jammed_link_brings_in_no_fills_and_a_miss_is_pushed_back_at_once(crowding, age, filled):
+def test_a_jammed_link_brings_in_no_fills_and_a_miss_is_rejected_at_once(crowding, age, filled):
     """Without the bound, fills whose clients left kept a jammed link jammed for the rest of the day."""
     fleet = Fleet()
     fleet.answer(fleet.ask().attempts[0], load={"crowding": crowding})
@@ -293,10 +293,10 @@
 
 @pytest.mark.parametrize("wait, taken", [(100.0, True), (900.0, False)])
 def test_crowding_is_read_from_how_late_hits_come_and_not_from_attempts_times_directors(wait, taken):
-    """With twenty directors, two attempts out of one's own pushed the third request back at idle caches."""
+    """With twenty directors, two attempts out of one's own rejected the third request at idle caches."""
     fleet = Fleet(directors_here=20)
     for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
-        fleet.call("answered", attempt, Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
+        fleet.call("answered", attempt, Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
     for cache in fleet.caches:
         cache.late.add(fleet.now, wait - 100.0)
     assert any(fleet.ask(after=0.0).ended for _ in range(4)) is not taken
@@ -304,7 +304,7 @@
 
 @pytest.mark.parametrize("here", [1, 30])
 def test_a_large_object_passes_at_caches_that_are_not_crowded(here):
-    """Its own sending time takes more than the part of the goal, so a quiet day pushed it back."""
+    """Its own sending time takes more than the part of the goal, so a quiet day rejected it."""
     request = Fleet(directors_here=here).ask(size=9000.0)
     assert request.attempts and not request.ended
 
@@ -410,7 +410,7 @@
     fleet = Fleet(flow=0.0)
     for _ in range(8):
         attempt = fleet.ask(size=0.0).attempts[0]
-        fleet.call("answered", attempt, Outcome.SATISFIED, took, True, Note.NONE, 0.0, None)
+        fleet.call("answered", attempt, Outcome.SERVED, took, True, Note.NONE, 0.0, None)
     request = fleet.ask(size=0.0)
     fleet.call("woken", request.attempts[0], after=450.0)
     assert (len(request.attempts) == 1) is none_overdue
@@ -427,7 +427,7 @@
         for attempt in fleet.ask(size=0.0, after=2.0).attempts:
             for member in {attempt.node, attempt.source} & set(sent):
                 sent[member].append(fleet.now)
-            fleet.call("answered", attempt, Outcome.SATISFIED, sending, True, Note.NONE, 0.0, None)
+            fleet.call("answered", attempt, Outcome.SERVED, sending, True, Note.NONE, 0.0, None)
     for times in sent.values():
         for now in times:
             warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_000.0) / rule.warm_in
@@ -454,7 +454,7 @@
     request = fleet.ask(key=77)
     node = request.attempts[0].node
     fleet.now += wait
-    fleet.call("answered", request.attempts[0], Outcome.SATISFIED, wait, True, Note.HIT, 0.0, None)
+    fleet.call("answered", request.attempts[0], Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
     back = next(step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node)
     assert 0.25 * back <= seconds
 
@@ -476,7 +476,7 @@
     node = request.attempts[0].node
     fleet.director.mark(node, 4.0, "reset")
     fleet.now += 5000.0
-    fleet.call("answered", request.attempts[0], Outcome.SATISFIED, 5000.0, True, Note.HIT, 0.0, None)
+    fleet.call("answered", request.attempts[0], Outcome.SERVED, 5000.0, True, Note.HIT, 0.0, None)
     assert fleet.director.crowd(node) == 1.0
 
 
@@ -493,14 +493,14 @@
     (0.0, False, 1, True)])
 def test_an_overdue_request_whose_further_attempt_is_not_earned_waits_for_a_node_that_lives(
         purse, reached, attempts, given_up):
-    """Guards against storms in which nodes work for requests that were pushed back meanwhile."""
+    """Guards against storms in which nodes work for requests that were rejected meanwhile."""
     fleet = Fleet()
     request = fleet.ask()
     fleet.director.purse.again, request.attempts[0].node.unreached = purse, not reached
     overdue(fleet, request)
     assert (len(request.attempts), request.ended) == (attempts, given_up)
     fleet.call("woken", request, after=5545.0)  # its time is over
-    assert request.ended and len(fleet.out.take("push_back")) == 1
+    assert request.ended and len(fleet.out.take("reject")) == 1
 
 
 @pytest.mark.parametrize("may_probe, may_pass_by, whose", [(True, True, PARENT), (False, True, CACHE),
@@ -552,12 +552,13 @@
 
 
 @pytest.mark.parametrize("repeat, first, after, may", [
-    (PURE, None, 0.0, True), (PURE, Outcome.ERROR, 5900.0, True), (PURE, Outcome.ERROR, 5995.0, False),
-    (RECEIPTED, Outcome.ERROR, 4900.0, True), (RECEIPTED, Outcome.ERROR, 4960.0, False),
-    (RECEIPTED, Outcome.TURNED_AWAY, 4960.0, True), (RECEIPTED, None, 4960.0, True),
-    (EFFECTFUL, None, 4960.0, True), (EFFECTFUL, Outcome.TURNED_AWAY, 4960.0, True)])
+    (IDEMPOTENT, None, 0.0, True), (IDEMPOTENT, Outcome.ERROR, 5900.0, True),
+    (IDEMPOTENT, Outcome.ERROR, 5995.0, False),
+    (KEYED, Outcome.ERROR, 4900.0, True), (KEYED, Outcome.ERROR, 4960.0, False),
+    (KEYED, Outcome.TURNED_AWAY, 4960.0, True), (KEYED, None, 4960.0, True),
+    (UNSAFE, None, 4960.0, True), (UNSAFE, Outcome.TURNED_AWAY, 4960.0, True)])
 def test_a_attempt_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
-    """A repeat that waited for its connection reached a node that no longer knew its receipt."""
+    """A repeat that waited for its connection reached a node that no longer knew its idempotency key."""
     fleet = Fleet(repeat)
     request = fleet.ask()
     if first is not None:
@@ -579,11 +580,11 @@
 
 
 @pytest.mark.parametrize("repeat, group, again, most, called_off", [
-    (PURE, "all", 8.0, 6, True), (PURE, "all", 0.5, 6, False), (PURE, "all", 8.0, 1, False),
-    (RECEIPTED, "all", 8.0, 6, True), (RECEIPTED, "zone", 8.0, 6, False)])
+    (IDEMPOTENT, "all", 8.0, 6, True), (IDEMPOTENT, "all", 0.5, 6, False), (IDEMPOTENT, "all", 8.0, 1, False),
+    (KEYED, "all", 8.0, 6, True), (KEYED, "zone", 8.0, 6, False)])
 def test_an_overdue_attempt_is_called_off_only_where_another_may_follow(
         repeat, group, again, most, called_off):
-    """A write whose repeats only its own zone knows was called off, and then broken off for having begun."""
+    """A write whose repeats only its own zone knows was called off, and then failed for having begun."""
     fleet = Fleet(repeat, group, two_attempts=False, attempts_most=most)
     request = fleet.ask()
     fleet.director.purse.again = again
@@ -595,7 +596,7 @@
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
 @pytest.mark.parametrize("times", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
 def test_on_a_quiet_day_no_size_is_turned_down_for_what_is_noise(times, directors_here):
-    """The largest tenth of a use case is answered as the rest is while caches are as slow as noise has it."""
+    """The largest tenth of a class is answered as the rest is while caches are as slow as noise has it."""
     fleet = Fleet(directors_here=directors_here)
     for _ in range(30):
         fleet.answer(fleet.ask(size=1000.0).attempts[0], after=20.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -55,7 +55,7 @@
             "lane": "order", "name": "00000000000000ab", "piece": "3", "dedupe": "5c0f6e1a"}
 
 
-@pytest.mark.parametrize("use_case, plan, what", [
+@pytest.mark.parametrize("request_class, plan, what", [
     ("pages", (b"WAIT", b"-", b""), 1),
     ("pages", "reset", 1),
     ("pages", "nonsense", 1),
@@ -65,12 +65,12 @@
     ("pay", "nonsense", 2),
     ("order", "reset", 1),
 ])
-def test_what_went_wrong_ends_as_the_use_case_permits(use_case, plan, what):
+def test_what_went_wrong_ends_as_the_request_class_permits(request_class, plan, what):
     with Running(plan) as director:
         caller = director.caller()
-        caller.send(use_case)
+        caller.send(request_class)
         assert caller.answer()[:2] == (1, what)
-        assert use_case != "pay" or what == 1 or len(director.heard()) == 1
+        assert request_class != "pay" or what == 1 or len(director.heard()) == 1
 
 
 def test_a_refused_connection_proves_that_nothing_ran():
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("changes, told", [
-    ({"use_case": "nope"}, "an unknown use case"),
+    ({"request_class": "nope"}, "an unknown request class"),
     ({"patience": None}, "the field patience is missing"),
     ({"patience": "nan"}, "the field patience cannot be read"),
     ({"patience": "1e300"}, "the field patience cannot be read"),
@@ -281,9 +281,9 @@
     ({"batch": "x"}, "the field batch cannot be read"),
     ({"batch": "256"}, "the field batch is out of range"),
     ({"size": "inf"}, "the field size cannot be read"),
-    ({"use_case": "order", "nonce": None}, "no receipt"),
-    ({"use_case": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
-    ({"use_case": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
+    ({"request_class": "order", "nonce": None}, "no idempotency key"),
+    ({"request_class": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
+    ({"request_class": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
 ])
 def test_a_call_that_cannot_be_used_makes_no_attempt(changes, told):
     with Running() as director:
@@ -346,7 +346,7 @@
         pages, orders = director.caller(), director.caller()
         for _ in range(20):
             pages.send(patience="3000")
-        assert [pages.answer()[1] for _ in range(13)] == [1] * 13  # pushed back at once
+        assert [pages.answer()[1] for _ in range(13)] == [1] * 13  # rejected at once
         assert director.service.facade.open_requests() == 7
         orders.send("order", patience="3000")
         assert wait_for(lambda: director.service.facade.open_requests() == 8)
@@ -418,7 +418,7 @@
         else:
             for _ in range(9):  # the last one ends the connection: a further write could meet its reset
                 bad.send("nope")
-            told = ["an unknown use case"] * 9
+            told = ["an unknown request class"] * 9
         assert [bad.answer()[1] for _ in told] == told
         if case == "repeats":
             with pytest.raises((EOFError, ConnectionError)):
