--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,8 +1,9 @@
 """What directors win by lending each other parts of cold limits, and what talk costs: `python -m
-benchmarks.budgets --json`, one JSON object as the last line, under 8 minutes. The same scenario is played
-with lending and with static parts, 60 directors as processes before stand-ins: few have most of the demand,
-all caches return cold, the fleet is cut in two for 10 s meanwhile, some are killed later. Fleets of
-500 and 2,000 are played in simulated time, talk alone. Figures tell of our own stand-ins.
+benchmarks.budgets --json`, one JSON object as the last line, under 8 minutes. The same scenario is
+played with lending and with static parts, 60 directors as processes before stand-ins: few have most
+of the demand, all caches return cold, the fleet is cut in two for 10 s meanwhile, some are killed
+later. Fleets of 500 and 2,000 are played in simulated time, talk alone. Figures tell of our own
+stand-ins.
 """
 
 import glob
@@ -75,8 +76,10 @@
 
 
 def cold_use(scenario: Scenario, audit: Audit) -> dict[str, float]:
-    """Of what all may send cold caches, the part that they did; and the most in any window over what those
-    can do then. A cache's limit is its capacity as far as it is warm; requests count, as with directors."""
+    """Of what all may send cold caches, the part that they did; and the most in any window over
+    what those can do then. A cache's limit is its capacity as far as it is warm; requests count, as
+    with directors.
+    """
     back = next(held[0] for held in audit.faults if held[1] == "cold" and not held[3])
     names = next(held[5] for held in audit.faults if held[1] == "cold")
     begins, ends = back + TOLD + 4.0, back + scenario.cold_ms / 1000.0 - 1.0
@@ -86,14 +89,19 @@
             sent[attempt[2]].append(attempt[0])
 
     def able(name: str, at: float) -> float:
-        warmth = scenario.cold_from + (1.0 - scenario.cold_from) * 1000.0 * (at - back) / scenario.cold_ms
+        warmth = (
+            scenario.cold_from
+            + (1.0 - scenario.cold_from) * 1000.0 * (at - back) / scenario.cold_ms
+        )
         return scenario.capacity * audit.sites[name].share * min(1.0, warmth)
 
     used = allowed = most = 0.0
     for name in names:
         held, first = sent[name], 0
         used += sum(begins <= at < ends for at in held)
-        allowed += sum(0.1 * able(name, begins + 0.1 * step) for step in range(int(10 * (ends - begins))))
+        allowed += sum(
+            0.1 * able(name, begins + 0.1 * step) for step in range(int(10 * (ends - begins)))
+        )
         for place, at in enumerate(held):
             while held[first] <= at - SPAN:
                 first += 1
@@ -102,8 +110,9 @@
 
 
 def found_dead(audit: Audit, folder: str) -> dict[str, Any]:
-    """From each director's own log: how long it took to call the killed dead, and whom it called so who lived
-    and was reached."""
+    """From each director's own log: how long it took to call the killed dead, and whom it called so
+    who lived and was reached.
+    """
     began, lines = audit.heard.began / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
         with open(path, "rb") as file:
@@ -122,8 +131,11 @@
             after.setdefault((line["director"], member), at - kill[0])
         elif not cut[0] <= at < cut[1] + 6.0:
             wrong += 1
-    return {"detect_s_p50": round(percentile(after.values(), 0.5), 2),
-            "detect_s_p99": round(percentile(after.values(), 0.99), 2), "false_dead": wrong}
+    return {
+        "detect_s_p50": round(percentile(after.values(), 0.5), 2),
+        "detect_s_p99": round(percentile(after.values(), 0.99), 2),
+        "false_dead": wrong,
+    }
 
 
 def play(directors: int, rate: float, seed: int, talk: bool) -> dict[str, Any]:
@@ -134,21 +146,34 @@
 
         def live(since: float, *_: int) -> None:
             if since > scenario.seconds - 1.5 and not states:
-                states.update({held["name"]: held for held in read_states(os.path.join(folder, "fleet"))}
-                              if os.path.isdir(os.path.join(folder, "fleet")) else {"none": {}})
+                states.update(
+                    {held["name"]: held for held in read_states(os.path.join(folder, "fleet"))}
+                    if os.path.isdir(os.path.join(folder, "fleet"))
+                    else {"none": {}}
+                )
 
         FleetLab(scenario, text, folder, ROOT).run(live)
         audit = Audit(scenario, read(folder))
         figures = audit.figures()
         found = {rule: figures[rule] for rule in RULES} | cold_use(scenario, audit)
-        looks = [look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "served"]
+        looks = [
+            look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "served"
+        ]
         cpu, rss = zip(*[(held[1], held[2]) for held in audit.heard.others["use"]], strict=True)
-        found |= {"credit": figures["credit"], "rejected": figures["outcomes"].get("rejected", 0),
-                  "request_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
-                  "cpu_s": round(sum(cpu), 2), "rss_mb": round(max(rss), 1)}
+        found |= {
+            "credit": figures["credit"],
+            "rejected": figures["outcomes"].get("rejected", 0),
+            "request_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
+            "cpu_s": round(sum(cpu), 2),
+            "rss_mb": round(max(rss), 1),
+        }
         if talk:
             found |= found_dead(audit, folder)
-            sent = [held["bytes_out"] / scenario.seconds for held in states.values() if "bytes_out" in held]
+            sent = [
+                held["bytes_out"] / scenario.seconds
+                for held in states.values()
+                if "bytes_out" in held
+            ]
             found["bytes_per_director_s"] = round(sum(sent) / max(1, len(sent)))
             found["records"] = len(glob.glob(os.path.join(folder, "fleet", "*.json")))
     return found
@@ -168,7 +193,7 @@
             for _ in range(draw.randrange(1, 6)):
                 data[draw.randrange(len(data))] ^= 1 << draw.randrange(8)
         elif how == 1:
-            del data[draw.randrange(len(data)):]
+            del data[draw.randrange(len(data)) :]
         else:
             data = bytearray(draw.randbytes(draw.randrange(1, 200)))
         if bytes(data) in good:
@@ -182,7 +207,9 @@
 
 
 def bytes_at(count: int, seconds: float) -> int:
-    """Bytes a second of one director in a calm fleet of that size that knows itself, in simulated time."""
+    """Bytes a second of one director in a calm fleet of that size that knows itself, in simulated
+    time.
+    """
     sys.path.insert(0, os.path.join(ROOT, "tests", "membership"))
     from net import Net
 
@@ -204,24 +231,41 @@
 @click.option("--directors", type=click.IntRange(10, 400), default=60, show_default=True)
 @click.option("--rate", type=click.FloatRange(1.0), default=500.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--fuzzed", type=click.IntRange(0, 10**7), default=10**6, show_default=True, help="Datagrams.")
+@click.option(
+    "--fuzzed", type=click.IntRange(0, 10**7), default=10**6, show_default=True, help="Datagrams."
+)
 @click.option("--sizes/--no-sizes", default=True, help="Fleets of 500 and 2,000 in simulated time.")
 def main(as_json: bool, directors: int, rate: float, seed: int, fuzzed: int, sizes: bool) -> None:
     """Play lending against static parts, and tell what talk costs."""
     began = time.monotonic()
     shared, static = (play(directors, rate, seed, talk) for talk in (True, False))
     told: dict[str, Any] = {"directors": directors} | shared
-    told |= {f"{key}_static": static[key] for key in ("use_ratio", "overshoot_max", "credit", "rejected",
-                                                      "request_p99_ms", "cpu_s", "rss_mb", *RULES)}
-    told |= {"use_ratio_vs_static": round(shared["use_ratio"] / static["use_ratio"], 3),
-             "credit_ratio_vs_static": round(shared["credit"] / static["credit"], 4),
-             "request_p99_ratio": round(shared["request_p99_ms"] / static["request_p99_ms"], 3),
-             "cpu_ratio": round(shared["cpu_s"] / static["cpu_s"], 3),
-             "false_dead_per_hour": round(shared["false_dead"] * 3600.0 / 44.0, 1)}
+    told |= {
+        f"{key}_static": static[key]
+        for key in (
+            "use_ratio",
+            "overshoot_max",
+            "credit",
+            "rejected",
+            "request_p99_ms",
+            "cpu_s",
+            "rss_mb",
+            *RULES,
+        )
+    }
+    told |= {
+        "use_ratio_vs_static": round(shared["use_ratio"] / static["use_ratio"], 3),
+        "credit_ratio_vs_static": round(shared["credit"] / static["credit"], 4),
+        "request_p99_ratio": round(shared["request_p99_ms"] / static["request_p99_ms"], 3),
+        "cpu_ratio": round(shared["cpu_s"] / static["cpu_s"], 3),
+        "false_dead_per_hour": round(shared["false_dead"] * 3600.0 / 44.0, 1),
+    }
     told["bad_datagrams_accepted"], told["datagrams_fuzzed"] = fuzz(fuzzed, seed), fuzzed
     if sizes:
-        told["bytes_per_director_s_by_size"] = {count: bytes_at(count, seconds) for count, seconds in
-                                                ((60, 20.0), (500, 10.0), (2000, 4.0))}
+        told["bytes_per_director_s_by_size"] = {
+            count: bytes_at(count, seconds)
+            for count, seconds in ((60, 20.0), (500, 10.0), (2000, 4.0))
+        }
         low, high = (told["bytes_per_director_s_by_size"][count] for count in (60, 2000))
         told["bytes_growth_over_log"] = round(high / low / (math.log(2000) / math.log(60)), 3)
     told["seconds"] = round(time.monotonic() - began, 1)
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,7 +1,8 @@
-"""What cells cost and bring: `python -m benchmarks.cells --json`, one JSON object as the last line, under 3
-minutes.
+"""What cells cost and bring: `python -m benchmarks.cells --json`, one JSON object as the last line,
+under 3 minutes.
 
-All nodes and clients are stand-ins of ours on this machine; a figure tells of directors before these alone.
+All nodes and clients are stand-ins of ours on this machine; a figure tells of directors before
+these alone.
 """
 
 import json
@@ -142,12 +143,17 @@
 
 
 class Driven:
-    """One version, or one way, of a director as a process that plays requests when it is told to."""
+    """One version, or one way, of a director as a process that plays requests when it
+    is told to.
+    """
 
     def __init__(self, folder: str, cells: str = "") -> None:
         script = os.path.join(ROOT, "benchmarks", "drive.py")
         self.process = subprocess.Popen(
-            [sys.executable, script, folder, cells], text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+            [sys.executable, script, folder, cells],
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
         )
 
     def play(self, requests: int) -> float:
@@ -162,15 +168,19 @@
 
 
 def paired(one: tuple[str, str], other: tuple[str, str]) -> tuple[float, float]:
-    """CPU a request of the first over the second, and the first's in microseconds: two processes that play in
-    turn, a few requests at a time, so that what slows this machine slows both. The median over the turns."""
+    """CPU a request of the first over the second, and the first's in microseconds: two processes
+    that play in turn, a few requests at a time, so that what slows this machine slows both. The
+    median over the turns.
+    """
     both = [Driven(*one), Driven(*other)]
     for driven in both:
         driven.play(500)
     found = [[driven.play(REQUESTS) for driven in both] for _ in range(TURNS)]
     for driven in both:
         driven.end()
-    return statistics.median(a / b for a, b in found), statistics.median(1e6 * a / REQUESTS for a, _ in found)
+    return statistics.median(a / b for a, b in found), statistics.median(
+        1e6 * a / REQUESTS for a, _ in found
+    )
 
 
 def before(folder: str) -> str | None:
@@ -191,7 +201,9 @@
         cells = {
             key: replace(cell, caches=caches)
             for (key, cell), caches in zip(
-                scenario.charter.cells.items(), (("s-00", "s-01", "s-02", "s-03", "s-04"), ()), strict=True
+                scenario.charter.cells.items(),
+                (("s-00", "s-01", "s-02", "s-03", "s-04"), ()),
+                strict=True,
             )
         }
         with open(os.path.join(folder, f"{name}-assignment.ini"), "w", encoding="utf-8") as file:
@@ -215,7 +227,10 @@
 
 
 def assignment() -> dict:
-    items, bins = {f"tenant-{number}": 1.0 for number in range(100_000)}, {f"c{n}": 1.0 for n in range(100)}
+    items, bins = (
+        {f"tenant-{number}": 1.0 for number in range(100_000)},
+        {f"c{n}": 1.0 for n in range(100)},
+    )
     begun = time.perf_counter()
     first = bounded(items, bins, 1.25)
     took = time.perf_counter() - begun
@@ -231,7 +246,9 @@
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-@click.option("--only", type=click.Choice(["flood", "move", "costs", "assignment"]), help="One part alone.")
+@click.option(
+    "--only", type=click.Choice(["flood", "move", "costs", "assignment"]), help="One part alone."
+)
 def main(as_json: bool, only: str | None) -> None:
     """What cells cost and bring, on this machine."""
     found, runs = {}, []
@@ -253,10 +270,14 @@
         runs += [calm, flooded]
         found |= {
             "flood_others_ratio": round(flooded["others_share"] / calm["others_share"], 4),
-            "flood_others_ratio_off": round(flooded_off["others_share"] / calm_off["others_share"], 4),
+            "flood_others_ratio_off": round(
+                flooded_off["others_share"] / calm_off["others_share"], 4
+            ),
             "flood_others_p99_ratio": round(flooded["others_p99"] / calm["others_p99"], 3),
             "flood_others_p99_ms": [round(calm["others_p99"], 1), round(flooded["others_p99"], 1)],
-            "flood_others_p99_ratio_off": round(flooded_off["others_p99"] / calm_off["others_p99"], 3),
+            "flood_others_p99_ratio_off": round(
+                flooded_off["others_p99"] / calm_off["others_p99"], 3
+            ),
         }
     if only in (None, "move"):
         say("a move, and a cut-over at once")
@@ -279,7 +300,9 @@
         found |= {
             "orders_run_twice": sum(run["orders_run_twice"] for run in runs),
             "orders_run": sum(run["orders_run"] for run in runs),
-            "requests_lost": sum(run["total"]["no_answer"] + run["total"]["cut_off"] for run in runs),
+            "requests_lost": sum(
+                run["total"]["no_answer"] + run["total"]["cut_off"] for run in runs
+            ),
             "answers_twice": sum(run["total"]["answers_twice"] for run in runs),
             "no_answer_and_cut_off_by_run": [
                 [run["total"]["no_answer"], run["total"]["cut_off"]] for run in runs
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,6 +1,8 @@
-"""Drives the front and the module of one director in this process, without nodes: CPU of a request. Run as a
-script with a folder that holds some version of the package, so that versions can be set side by side: it
-plays as many requests as each line of its input says, and answers with the CPU they took."""
+"""Drives the front and the module of one director in this process, without nodes: CPU of a request.
+Run as a script with a folder that holds some version of the package, so that versions can be set
+side by side: it plays as many requests as each line of its input says, and answers with the CPU
+they took.
+"""
 
 import itertools
 import json
@@ -14,7 +16,13 @@
 
 
 def configuration() -> dict:
-    case = {"idempotency": "safe", "slo": 400.0, "deadline": 3000.0, "memorySpan": 6000.0, "group": "all"}
+    case = {
+        "idempotency": "safe",
+        "slo": 400.0,
+        "deadline": 3000.0,
+        "memorySpan": 6000.0,
+        "group": "all",
+    }
     rows = [
         {
             "id": f"s-{place:02}",
@@ -90,7 +98,9 @@
         "size": "4.0",
         "tenant": "acme",
     }
-    pairs = b"".join(struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair)
+    pairs = b"".join(
+        struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
+    )
     return memoryview(
         struct.pack(">Ii", 0x80010001, 5)
         + b"serve"
@@ -147,7 +157,9 @@
     numbers = itertools.count(1)
 
     def chunk(requests: int) -> float:
-        """Seconds of this thread's CPU; the other end is read between chunks, which fit into its buffer."""
+        """Seconds of this thread's CPU; the other end is read between chunks, which fit into its
+        buffer.
+        """
         frames = [frame(next(numbers)) for _ in range(requests)]
         begun = time.thread_time()
         for each in frames:
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -1,12 +1,12 @@
-"""What a fleet bears while most of it, or a location, is lost: `python -m benchmarks.loss --json`, one JSON
-object as the last line, under 8 minutes. `--version REV` plays each scenario by an earlier version of our own
-as well, right after, before the same stand-ins. Directors are real processes; the sweep of storms is played
-in the model, and the judgement of good caches drawn from its pure rule. A figure tells of directors before
-our stand-ins alone.
+"""What a fleet bears while most of it, or a location, is lost: `python -m benchmarks.loss --json`,
+one JSON object as the last line, under 8 minutes. `--version REV` plays each scenario by an earlier
+version of our own as well, right after, before the same stand-ins. Directors are real processes;
+the sweep of storms is played in the model, and the judgement of good caches drawn from its pure
+rule. A figure tells of directors before our stand-ins alone.
 
-The bound on what could be won during a kill is what the same clients would get if each request that reaches a
-living director within its goal were served: the directors that they try, the pause after a refused try and
-the front's notice are theirs and not a director's to change.
+The bound on what could be won during a kill is what the same clients would get if each request that
+reaches a living director within its goal were served: the directors that they try, the pause after
+a refused try and the front's notice are theirs and not a director's to change.
 """
 
 import glob
@@ -36,7 +36,9 @@
 
 CACHES = 8  # a location
 LOST = {
-    "killed": (36, """
+    "killed": (
+        36,
+        """
 [fault seven-in-ten]
 what = kill
 share = 0.7
@@ -58,16 +60,22 @@
 share = 0.2
 at = 11
 for = 5
-"""),
-    "unreached": (28, """
+""",
+    ),
+    "unreached": (
+        28,
+        """
 [fault unreached]
 what = cut
 paths = cache
 location = b
 at = 10
 for = 8
-"""),
-    "bad": (40, """
+""",
+    ),
+    "bad": (
+        40,
+        """
 [fault bad]
 what = node_errors
 share = 0.125
@@ -79,11 +87,15 @@
 by = 10
 at = 28
 for = 8
-"""),
+""",
+    ),
 }
 KILL_FROM, KILL_TO = 10.0, 24.5  # s: from the first kill to 5 s after the last return
 RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-MEETINGS, ASKED = 6, 3  # first attempts at the bad cache, requests in the cut, until a director can tell
+MEETINGS, ASKED = (
+    6,
+    3,
+)  # first attempts at the bad cache, requests in the cut, until a director can tell
 TAKES_MS = 150.0  # a hit and its ways: a try that begins later misses the goal
 GOOD_ERRS, GOOD_HOURS = 0.001, 2.0  # errors of a good cache; hours that are drawn
 
@@ -93,8 +105,9 @@
 
 
 def bound(scenario: Scenario, heard: Heard) -> float:
-    """Of the credit of requests asked during the kill, what one could win who serves all that reach a
-    living director in time."""
+    """Of the credit of requests asked during the kill, what one could win who serves all that reach
+    a living director in time.
+    """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, what, begins, directors, *_ in heard.others["fault"]:
         if what == "kill":
@@ -138,7 +151,9 @@
                 if b'"mode"' in line:
                     try:
                         held = orjson.loads(line)
-                    except orjson.JSONDecodeError:  # of a director that was killed in the middle of it
+                    except (
+                        orjson.JSONDecodeError
+                    ):  # of a director that was killed in the middle of it
                         continue
                     found.append((held["at"] - began / 1000.0, number, held["text"]))
     return sorted(found)
@@ -149,17 +164,30 @@
     calm = credit(heard, goal, scenario.warm, KILL_FROM)
     during, most = credit(heard, goal, KILL_FROM, KILL_TO), bound(scenario, heard)
     end = int(max(held[0] for held in audit.faults if held[2] == "kill" and not held[3])) + 1
-    back = next((second for second in range(int(heard.seconds) - 1 - end)
-                 if credit(heard, goal, end + second, end + second + 2) >= 0.95 * calm), None)
+    back = next(
+        (
+            second
+            for second in range(int(heard.seconds) - 1 - end)
+            if credit(heard, goal, end + second, end + second + 2) >= 0.95 * calm
+        ),
+        None,
+    )
     rejected = heard.others["rejected"]
-    return {"credit_during_kill": round(during, 4), "bound_during_kill": round(most, 4),
-            "credit_during_kill_over_bound": round(during / most, 4), "recovered_s": back,
-            "rejected_without_pause": sum(held[2] <= 0.0 for held in rejected), "rejected": len(rejected)}
+    return {
+        "credit_during_kill": round(during, 4),
+        "bound_during_kill": round(most, 4),
+        "credit_during_kill_over_bound": round(during / most, 4),
+        "recovered_s": back,
+        "rejected_without_pause": sum(held[2] <= 0.0 for held in rejected),
+        "rejected": len(rejected),
+    }
 
 
 def unreached(scenario: Scenario, audit: Audit) -> dict[str, Any]:
-    """Which directors of the location judged the cut as a cut, by what they did: they sent first attempts of
-    requests straight to a parent while it lasted; and which of them came back at which second."""
+    """Which directors of the location judged the cut as a cut, by what they did: they sent first
+    attempts of requests straight to a parent while it lasted; and which of them came back at which
+    second.
+    """
     first, last = (held[0] for held in audit.faults if held[1] == "unreached")
     cut = set(next(held[4] for held in audit.faults if held[1] == "unreached"))
     asked: dict[int, int] = defaultdict(int)
@@ -175,15 +203,19 @@
                 back.setdefault(attempt[1], attempt[0] - last)
     able = [one for one in cut if asked[one] >= ASKED]
     goal = scenario.goal_ms
-    return {"zone_cut_judged_as_cut": round(sum(one in passed for one in able) / max(1, len(able)), 4),
-            "zone_cut_directors": len(able),
-            "zone_back_s_p50": round(percentile(back.values(), 0.5), 2),
-            "zone_back_s_p99": round(percentile(back.values(), 0.99), 2),
-            "credit_during_cut": round(credit(audit.heard, goal, first, last), 4)}
+    return {
+        "zone_cut_judged_as_cut": round(sum(one in passed for one in able) / max(1, len(able)), 4),
+        "zone_cut_directors": len(able),
+        "zone_back_s_p50": round(percentile(back.values(), 0.5), 2),
+        "zone_back_s_p99": round(percentile(back.values(), 0.99), 2),
+        "credit_during_cut": round(credit(audit.heard, goal, first, last), 4),
+    }
 
 
 def bad(scenario: Scenario, audit: Audit, told: list[tuple[float, int, str]]) -> dict[str, Any]:
-    """When each director that met a bad cache often enough shunned it, by its log, and took it back."""
+    """When each director that met a bad cache often enough shunned it, by its log, and took it
+    back.
+    """
     fault = next(held for held in audit.faults if held[1] == "bad" and held[3])
     first = fault[0]
     last = next(held[0] for held in audit.faults if held[1] == "bad" and not held[3])
@@ -202,16 +234,21 @@
         elif at >= last and word.startswith("taken back") and (director, name) in found:
             returned.setdefault((director, name), at - last)
     able = {spot for spot, count in met.items() if count >= MEETINGS} | set(found)
-    wrong = sum(first <= at < last and "shunned (error)" in text and text.split()[0] not in names
-                for at, _, text in told)
+    wrong = sum(
+        first <= at < last and "shunned (error)" in text and text.split()[0] not in names
+        for at, _, text in told
+    )
     goal = scenario.goal_ms
-    return {"bad_cache_found_s_p50": round(percentile(found.values(), 0.5), 2),
-            "bad_cache_found_s_p99": round(percentile(found.values(), 0.99), 2),
-            "bad_cache_missed": len(able - set(found)), "bad_cache_pairs": len(able),
-            "bad_cache_taken_back": len(returned),
-            "good_shunned_for_errors_beside_it": wrong,
-            "credit_during_bad": round(credit(audit.heard, goal, first, last), 4),
-            "credit_during_slow": round(credit(audit.heard, goal, 28.0, 36.0), 4)}
+    return {
+        "bad_cache_found_s_p50": round(percentile(found.values(), 0.5), 2),
+        "bad_cache_found_s_p99": round(percentile(found.values(), 0.99), 2),
+        "bad_cache_missed": len(able - set(found)),
+        "bad_cache_pairs": len(able),
+        "bad_cache_taken_back": len(returned),
+        "good_shunned_for_errors_beside_it": wrong,
+        "credit_during_bad": round(credit(audit.heard, goal, first, last), 4),
+        "credit_during_slow": round(credit(audit.heard, goal, 28.0, 36.0), 4),
+    }
 
 
 def play(name: str, directors: int, rate: float, seed: int, program: str) -> dict[str, Any]:
@@ -226,16 +263,20 @@
     found = {rule: figures[rule] for rule in RULES} | {"credit": figures["credit"]}
     if name == "killed":
         return found | killed(scenario, audit)
-    return found | (unreached(scenario, audit) if name == "unreached" else bad(scenario, audit, told))
+    return found | (
+        unreached(scenario, audit) if name == "unreached" else bad(scenario, audit, told)
+    )
 
 
 def good_shunned(directors: int, caches: int, rate: float, seed: int) -> float:
-    """Times an hour that a good cache, failing once in a thousand, is shunned somewhere in such a fleet where
-    each director meets each cache `rate` times a second."""
+    """Times an hour that a good cache, failing once in a thousand, is shunned somewhere in such a
+    fleet where each director meets each cache `rate` times a second.
+    """
     draw, shunned = random.Random(f"{seed}-good"), 0
     for _ in range(directors * caches):
         health, now, was = Health(), 0.0, False
-        # Only what lies near an error can shun it, so the long spans of good outcomes are passed over
+        # Only what lies near an error can shun it, so the long spans of good outcomes are passed
+        # over
         while now < GOOD_HOURS * 3_600_000.0:
             now += 1000.0 * draw.expovariate(rate * GOOD_ERRS)
             for errs in (*[False] * 15, True, *(draw.random() < GOOD_ERRS for _ in range(60))):
@@ -246,13 +287,21 @@
 
 
 def sweep(directors: int, seed: int, jobs: int) -> dict[str, Any]:
-    cases = [(name, length, directors, 230.0, seed) for name in recovery.TROUBLES for length in (2, 8, 20)]
+    cases = [
+        (name, length, directors, 230.0, seed)
+        for name in recovery.TROUBLES
+        for length in (2, 8, 20)
+    ]
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(recovery.play, *zip(*cases, strict=True)))
     back = [found["back_s"] for found in plays if found["back_s"] is not None]
-    return {"storm_recovered_s_max": max(back, default=None), "storms": len(plays),
-            "storms_never_over": [f"{found['trouble']} {found['length']} s" for found in plays
-                                  if found["back_s"] is None]}
+    return {
+        "storm_recovered_s_max": max(back, default=None),
+        "storms": len(plays),
+        "storms_never_over": [
+            f"{found['trouble']} {found['length']} s" for found in plays if found["back_s"] is None
+        ],
+    }
 
 
 @click.command()
@@ -261,11 +310,23 @@
 @click.option("--directors", type=click.IntRange(10, 400), default=200, show_default=True)
 @click.option("--rate", type=click.FloatRange(1.0), default=600.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--scenario", "names", multiple=True, type=click.Choice(list(LOST)), help="These alone.")
+@click.option(
+    "--scenario", "names", multiple=True, type=click.Choice(list(LOST)), help="These alone."
+)
 @click.option("--sweep/--no-sweep", "with_sweep", default=True, help="Storms in the model.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=6, show_default=True, help="For the sweep.")
-def main(as_json: bool, version: str | None, directors: int, rate: float, seed: int, names: tuple[str, ...],
-         with_sweep: bool, jobs: int) -> None:
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=6, show_default=True, help="For the sweep."
+)
+def main(
+    as_json: bool,
+    version: str | None,
+    directors: int,
+    rate: float,
+    seed: int,
+    names: tuple[str, ...],
+    with_sweep: bool,
+    jobs: int,
+) -> None:
     """Play the loss of most directors, of a location, and a bad cache."""
     began = time.monotonic()
     told: dict[str, Any] = {"directors": directors, "rate": rate}
@@ -279,16 +340,25 @@
                 totals[rule] += found.pop(rule)
             told |= found | {f"credit_{name}": found.pop("credit")}
             if program:
-                before |= {f"{key}_{name}" if key in (*RULES, "credit") else key: value
-                           for key, value in play(name, directors, rate, seed, program).items()}
+                before |= {
+                    f"{key}_{name}" if key in (*RULES, "credit") else key: value
+                    for key, value in play(name, directors, rate, seed, program).items()
+                }
             click.echo(f"{name}: {found}", err=True)
     told.pop("credit", None)
     told |= dict(totals)
     if before:
         told["before"] = before
-        told |= {f"{key}_vs_before": round(told[key] / before[key], 4)
-                 for key in ("credit_during_kill", "credit_during_cut", "credit_during_bad",
-                             "credit_during_slow") if before.get(key)}
+        told |= {
+            f"{key}_vs_before": round(told[key] / before[key], 4)
+            for key in (
+                "credit_during_kill",
+                "credit_during_cut",
+                "credit_during_bad",
+                "credit_during_slow",
+            )
+            if before.get(key)
+        }
     met = rate / directors / CACHES
     told["good_cache_shunned_per_hour"] = good_shunned(directors, CACHES, met, seed)
     if with_sweep:
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,5 +1,5 @@
-"""What management brings and costs: `python -m benchmarks.management --json`, one JSON object as the last
-line.
+"""What management brings and costs: `python -m benchmarks.management --json`, one JSON object as
+the last line.
 
 Directors are real processes on loopback; nodes and clients are stand-ins of ours.
 """
@@ -75,8 +75,9 @@
 
 
 def drains(count: int = 50, directors: int = 3) -> dict:
-    """From a Set's arrival at a director to the last attempt or fill source that this director named the box
-    for."""
+    """From a Set's arrival at a director to the last attempt or fill source that this director
+    named the box for.
+    """
     lab, took, lost = (
         Lab(read_scenario(SCENARIO.format(seconds=max(8, count // 2 + 3), directors=directors))),
         [],
@@ -116,7 +117,9 @@
 def refusals(count: int = 200) -> dict:
     """What 200 refused changes leave behind, in what runs, in state, in files and in the log."""
     lab, told = (
-        Lab(read_scenario(SCENARIO.format(seconds=6, directors=1).replace("rate = 150", "rate = 5"))),
+        Lab(
+            read_scenario(SCENARIO.format(seconds=6, directors=1).replace("rate = 150", "rate = 5"))
+        ),
         {},
     )
 
@@ -141,7 +144,9 @@
                 target.set(updates=[(parse(f"{DRAIN}[box=s-5]"), {}), (parse(path), value)])
             except CallError:
                 refused += 1
-        told.update(refused=refused, refused_traces=sum(a != b for a, b in zip(before, shot(), strict=True)))
+        told.update(
+            refused=refused, refused_traces=sum(a != b for a, b in zip(before, shot(), strict=True))
+        )
         begun = time.perf_counter()
         for number in range(100):
             target.set(updates=[(parse(f"{DRAIN}[box=s-5]/reason"), str(number))])
@@ -193,7 +198,9 @@
             weight = float(
                 next(one for one in held["assignment"]["tenant"] if one["name"] == "acme")["weight"]
             )
-            reason = next((one.get("reason") for one in held.get("drains", {}).get("drain", ())), None)
+            reason = next(
+                (one.get("reason") for one in held.get("drains", {}).get("drain", ())), None
+            )
             file = store.load(lab.assignment).tenants["acme"].weight
             seen += reason is not None
             half += reason is not None and not float(reason) + 1.0 == weight == file
@@ -211,7 +218,8 @@
         .replace("caches = s-1 s-2 s-3 s-4 s-5 s-6", "caches = s-1")
         .replace(
             "[load acme]",
-            "\n".join(f"[tenant t-{number}]\ncell = north" for number in range(10_000)) + "\n[load acme]",
+            "\n".join(f"[tenant t-{number}]\ncell = north" for number in range(10_000))
+            + "\n[load acme]",
         )
     )
     with tempfile.TemporaryDirectory() as folder:
@@ -283,7 +291,9 @@
 def rss(management: bool) -> float:
     text = SCENARIO.format(seconds=1, directors=1)
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(read_scenario(text if management else text.replace("management = yes\n", "")), folder)
+        lab = Lab(
+            read_scenario(text if management else text.replace("management = yes\n", "")), folder
+        )
         from mulleinrelay.standins.servers import World
 
         lab.world = World(lab.fleet)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,11 @@
-"""Whether a fleet comes back by itself once a trouble is over: `python -m benchmarks.recovery --json`, one
-JSON object as the last line. Each trouble is played in the model at several lengths; what is told is how many
-seconds after its end the credit of two seconds is 0.95 of the calm one again, and stays so. A trouble that
-leaves an overload alive behind it (a metastable failure) shows as many seconds, or as none found.
+"""Whether a fleet comes back by itself once a trouble is over: `python -m benchmarks.recovery
+--json`, one JSON object as the last line. Each trouble is played in the model at several lengths;
+what is told is how many seconds after its end the credit of two seconds is 0.95 of the calm one
+again, and stays so. A trouble that leaves an overload alive behind it (a metastable failure) shows
+as many seconds, or as none found.
 
-The model has no sockets, no CPU and no queues in directors: figures are of simulated time and of stand-ins.
+The model has no sockets, no CPU and no queues in directors: figures are of simulated time and of
+stand-ins.
 """
 
 import json
@@ -17,7 +19,11 @@
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.model.world import World
 
-BEGINS, AFTER, SPAN = 20, 16, 2  # s: a trouble's begin, the play after its end, the span of a credit
+BEGINS, AFTER, SPAN = (
+    20,
+    16,
+    2,
+)  # s: a trouble's begin, the play after its end, the span of a credit
 CALM_FROM, ENOUGH = 14, 0.95
 HEAD = """
 [fleet lab]
@@ -68,7 +74,9 @@
 
 
 def back_after(heard: Heard, goal: float, end: int) -> int | None:
-    """Seconds from the trouble's end from which the credit stays enough; None where it never does."""
+    """Seconds from the trouble's end from which the credit stays enough; None where it
+    never does.
+    """
     enough = ENOUGH * credit(heard, goal, CALM_FROM, BEGINS)
     found = None
     for second in range(AFTER - SPAN, -1, -1):
@@ -79,12 +87,23 @@
 
 
 def play(name: str, length: int, directors: int, rate: float, seed: int) -> dict[str, Any]:
-    scenario = read_fleet(HEAD.format(seconds=BEGINS + length + AFTER, warm=CALM_FROM, seed=seed, rate=rate,
-                                      directors=directors, begins=BEGINS, length=length,
-                                      trouble=TROUBLES[name]))
+    scenario = read_fleet(
+        HEAD.format(
+            seconds=BEGINS + length + AFTER,
+            warm=CALM_FROM,
+            seed=seed,
+            rate=rate,
+            directors=directors,
+            begins=BEGINS,
+            length=length,
+            trouble=TROUBLES[name],
+        )
+    )
     heard, end = World(scenario).run(), BEGINS + length
     return {
-        "trouble": name, "length": length, "seed": seed,
+        "trouble": name,
+        "length": length,
+        "seed": seed,
         "calm": round(credit(heard, scenario.goal_ms, CALM_FROM, BEGINS), 3),
         "during": round(credit(heard, scenario.goal_ms, BEGINS, end), 3),
         "back_s": back_after(heard, scenario.goal_ms, end),
@@ -96,16 +115,38 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--directors", type=click.IntRange(2, 2000), default=40, show_default=True)
 @click.option("--rate", type=click.FloatRange(1.0), default=230.0, help="Requests a second.")
-@click.option("--length", "lengths", multiple=True, type=click.IntRange(1, 60), default=(2, 8, 20),
-              show_default=True, help="s of trouble; may be given again.")
+@click.option(
+    "--length",
+    "lengths",
+    multiple=True,
+    type=click.IntRange(1, 60),
+    default=(2, 8, 20),
+    show_default=True,
+    help="s of trouble; may be given again.",
+)
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2), show_default=True)
-@click.option("--trouble", "names", multiple=True, type=click.Choice(list(TROUBLES)), help="These alone.")
+@click.option(
+    "--trouble", "names", multiple=True, type=click.Choice(list(TROUBLES)), help="These alone."
+)
 @click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True, help="Processes.")
-def main(as_json: bool, directors: int, rate: float, lengths: tuple[int, ...], seeds: tuple[int, ...],
-         names: tuple[str, ...], jobs: int) -> None:
-    """Play troubles of several lengths in the model and tell how long the fleet takes to come back."""
-    cases = [(name, length, directors, rate, seed)
-             for name in names or TROUBLES for length in lengths for seed in seeds]
+def main(
+    as_json: bool,
+    directors: int,
+    rate: float,
+    lengths: tuple[int, ...],
+    seeds: tuple[int, ...],
+    names: tuple[str, ...],
+    jobs: int,
+) -> None:
+    """Play troubles of several lengths in the model and tell how long the fleet takes
+    to come back.
+    """
+    cases = [
+        (name, length, directors, rate, seed)
+        for name in names or TROUBLES
+        for length in lengths
+        for seed in seeds
+    ]
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(play, *zip(*cases, strict=True)))
     lost = [found for found in plays if found["back_s"] is None]
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,9 +1,10 @@
-"""How evenly a fleet's load lies and what it bears: `python -m benchmarks.spread --json`, one JSON object as
-the last line, under 8 minutes. `--version REV` plays each scenario by an earlier version of our own as well,
-right after, before the same stand-ins: two fleets at one time would take each other's cores.
+"""How evenly a fleet's load lies and what it bears: `python -m benchmarks.spread --json`, one JSON
+object as the last line, under 8 minutes. `--version REV` plays each scenario by an earlier version
+of our own as well, right after, before the same stand-ins: two fleets at one time would take each
+other's cores.
 
-Directors are real processes; nodes, clients and the network are stand-ins of ours on this machine, and a
-figure tells of directors before these alone.
+Directors are real processes; nodes, clients and the network are stand-ins of ours on this machine,
+and a figure tells of directors before these alone.
 """
 
 import json
@@ -16,8 +17,8 @@
 import click
 
 from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.model.world import play as play_model
 
 from .versions import ROOT, unpack
@@ -49,7 +50,9 @@
 """
 FAULTS = {
     "calm": (24, ""),
-    "cut": (36, """
+    "cut": (
+        36,
+        """
 [fault cutoff]
 what = cut
 location = b
@@ -62,8 +65,11 @@
 by = 6
 at = 22
 for = 8
-"""),
-    "silent": (38, """
+""",
+    ),
+    "silent": (
+        38,
+        """
 [fault mute]
 what = node_silent
 share = 0.2
@@ -75,8 +81,11 @@
 by = 9
 at = 10
 for = 10
-"""),
-    "killed": (40, """
+""",
+    ),
+    "killed": (
+        40,
+        """
 [fault seven-in-ten]
 what = kill
 share = 0.7
@@ -87,8 +96,11 @@
 what = restart
 over = 10
 at = 24
-"""),
-    "shifting": (36, """
+""",
+    ),
+    "shifting": (
+        36,
+        """
 [fault hot]
 what = hot
 by = 0.1
@@ -114,17 +126,34 @@
 by = 0.02
 at = 14
 for = 8
-"""),
+""",
+    ),
 }
 
 
-def head(name: str, directors: int, rate: float, seed: int, seconds: int, caches: int = 6,
-         probes: bool = False) -> str:
-    return HEAD.format(name=name, directors=directors, rate=rate, seed=seed, seconds=seconds, caches=caches,
-                       probes="yes" if probes else "no")
+def head(
+    name: str,
+    directors: int,
+    rate: float,
+    seed: int,
+    seconds: int,
+    caches: int = 6,
+    probes: bool = False,
+) -> str:
+    return HEAD.format(
+        name=name,
+        directors=directors,
+        rate=rate,
+        seed=seed,
+        seconds=seconds,
+        caches=caches,
+        probes="yes" if probes else "no",
+    )
 
 
-def text_of(name: str, directors: int, rate: float, seed: int, seconds: int = 0, probes: bool = False) -> str:
+def text_of(
+    name: str, directors: int, rate: float, seed: int, seconds: int = 0, probes: bool = False
+) -> str:
     span, faults = FAULTS[name]
     return head(name, directors, rate, seed, seconds or span, probes=probes) + faults
 
@@ -150,7 +179,8 @@
         "herd_seconds_calm": sum(found["herd_seconds_calm"] for found in plays.values()),
         "herd_seconds_fault_max": most("herd_seconds_fault", faulty),
         "herd_seconds_all_seeing": most("herd_seconds_all_seeing"),
-        "idle_s_max": most("idle_s_max"), "return_s_p99": most("return_s_p99"),
+        "idle_s_max": most("idle_s_max"),
+        "return_s_p99": most("return_s_p99"),
         "parent_swing": most("parent_swing"),
         **{rule: sum(found[rule] for found in plays.values()) for rule in RULES},
         "credit": {name: found["credit"] for name, found in plays.items()},
@@ -169,14 +199,18 @@
     return told
 
 
-def model_error(plays: dict[str, dict[str, Any]], texts: dict[str, str]) -> dict[str, dict[str, float]]:
+def model_error(
+    plays: dict[str, dict[str, Any]], texts: dict[str, str]
+) -> dict[str, dict[str, float]]:
     """By scenario and figure: the model's less the lab's, over the lab's."""
     found = {}
     for name in plays:
         scenario = read_fleet(texts[name])
         theirs = play_model(replace(scenario, directors=plays[name]["directors"]))
-        found[name] = {key: round((theirs[key] - plays[name][key]) / max(1e-9, plays[name][key]), 3)
-                       for key in COMPARED}
+        found[name] = {
+            key: round((theirs[key] - plays[name][key]) / max(1e-9, plays[name][key]), 3)
+            for key in COMPARED
+        }
     return found
 
 
@@ -186,11 +220,23 @@
 @click.option("--directors", type=click.IntRange(2, 400), default=200, show_default=True)
 @click.option("--rate", type=click.FloatRange(1.0), default=800.0, help="Requests a second.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--scenario", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone.")
+@click.option(
+    "--scenario", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone."
+)
 @click.option("--growth/--no-growth", "with_growth", default=True, help="30 directors against 300.")
-@click.option("--model/--no-model", "with_model", default=True, help="The same scenarios in the model.")
-def main(as_json: bool, version: str | None, directors: int, rate: float, seed: int, names: tuple[str, ...],
-         with_growth: bool, with_model: bool) -> None:
+@click.option(
+    "--model/--no-model", "with_model", default=True, help="The same scenarios in the model."
+)
+def main(
+    as_json: bool,
+    version: str | None,
+    directors: int,
+    rate: float,
+    seed: int,
+    names: tuple[str, ...],
+    with_growth: bool,
+    with_model: bool,
+) -> None:
     """Play the scenarios of the even spread."""
     began = time.monotonic()
     texts = {name: text_of(name, directors, rate, seed) for name in names or FAULTS}
@@ -208,8 +254,11 @@
     told: dict[str, Any] = {"directors": directors} | summary(ours)
     if theirs:
         ratios = {name: round(ours[name]["credit"] / theirs[name]["credit"], 4) for name in ours}
-        told |= {"credit_ratio_vs_before": ratios, "credit_ratio_least": min(ratios.values()),
-                 "before": summary(theirs)}
+        told |= {
+            "credit_ratio_vs_before": ratios,
+            "credit_ratio_least": min(ratios.values()),
+            "before": summary(theirs),
+        }
     if with_growth:
         told |= growth(rate / 2.0, seed)
     if with_model:
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -9,8 +9,9 @@
 
 
 def unpack(version: str, folder: str) -> str:
-    """The package as it was at that version, in this folder. Raises OSError or CalledProcessError where the
-    history is not at hand."""
+    """The package as it was at that version, in this folder. Raises OSError or CalledProcessError
+    where the history is not at hand.
+    """
     command = ["git", "archive", version, "mulleinrelay"]
     held = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
     with tarfile.open(fileobj=io.BytesIO(held.stdout)) as archive:
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -1,5 +1,7 @@
-"""Two ways to confine requests, set side by side in the module alone: one director instance a cell, or one
-with a pool for each request. `python -m benchmarks.ways`; no sockets, simulated fills, under a minute."""
+"""Two ways to confine requests, set side by side in the module alone: one director instance a cell,
+or one with a pool for each request. `python -m benchmarks.ways`; no sockets, simulated fills, under
+a minute.
+"""
 
 import json
 import random
@@ -7,8 +9,18 @@
 import tracemalloc
 from collections import deque
 
-from mulleinrelay.interface import (IDEMPOTENT, ColdRule, Note, Outcome, Pool, Purse, Request, RequestClass,
-                                    State, Terms)
+from mulleinrelay.interface import (
+    IDEMPOTENT,
+    ColdRule,
+    Note,
+    Outcome,
+    Pool,
+    Purse,
+    Request,
+    RequestClass,
+    State,
+    Terms,
+)
 from mulleinrelay.policy import Director, Member
 
 CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
@@ -76,17 +88,25 @@
         own = [Member(100 + cell * CACHES + place) for place in range(CACHES // CELLS)]
         pools.append(own)
         if split:
-            parents = [(Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)]
+            parents = [
+                (Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)
+            ]
             directors.append(director(own, [*parents, (Member(1), ORIGIN, 0.0)]))
     if not split:
-        parents = [(Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)]
+        parents = [
+            (Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)
+        ]
         directors = [
-            director([cache for own in pools for cache in own], [*parents, (Member(1), ORIGIN, 0.0)])
+            director(
+                [cache for own in pools for cache in own], [*parents, (Member(1), ORIGIN, 0.0)]
+            )
         ]
         directors *= CELLS
     held = set()
     confined = [Pool(dict.fromkeys(own), {}, {}, Purse(8.0)) for own in pools]
-    cold = {id(one): next(member for member in one.members if member.key == 10) for one in directors}
+    cold = {
+        id(one): next(member for member in one.members if member.key == 10) for one in directors
+    }
     readings, to_cold, peak, begun = 0, deque(), 0.0, time.process_time()
     for number in range(REQUESTS):
         now, cell = SPAN * number / REQUESTS, number % CELLS
@@ -111,12 +131,19 @@
                 to_cold.append(now)
                 while to_cold[0] < now - 1_500.0:
                     to_cold.popleft()
-                warmth = min(1.0, 0.06 + 0.94 * now / 20_000.0)  # a third of it is this director's part
+                warmth = min(
+                    1.0, 0.06 + 0.94 * now / 20_000.0
+                )  # a third of it is this director's part
                 peak = max(peak, 40.0 * len(to_cold) / (4.0 * warmth * 1_500.0 / 3.0))
             note = Note.HIT if hit else Note.FILLED
             one.round(
                 now + 5.0,
-                [("answered", (attempt, Outcome.SERVED, 5.0 if hit else 40.0, True, note, 30.0, None))],
+                [
+                    (
+                        "answered",
+                        (attempt, Outcome.SERVED, 5.0 if hit else 40.0, True, note, 30.0, None),
+                    )
+                ],
                 out,
             )
         out.attempts.clear()
--- a/mulleinrelay/budgets/__init__.py
+++ b/mulleinrelay/budgets/__init__.py
@@ -1,2 +1,3 @@
-"""Limits over a fleet as rights that are held, lent and given back. `ledger.py` and `exchange.py` decide and
-are pure; what they say travels with the membership's datagrams."""
+"""Limits over a fleet as rights that are held, lent and given back. `ledger.py` and `exchange.py`
+decide and are pure; what they say travels with the membership's datagrams.
+"""
--- a/mulleinrelay/budgets/exchange.py
+++ b/mulleinrelay/budgets/exchange.py
@@ -1,5 +1,6 @@
-"""When a director asks others for rights, whom, and for how much; and when it gives them back. Pure, times
-in ms. One `Share` for each limit is what the decision module reads and writes: its part, and what it wanted.
+"""When a director asks others for rights, whom, and for how much; and when it gives them back.
+Pure, times in ms. One `Share` for each limit is what the decision module reads and writes: its
+part, and what it wanted.
 """
 
 import math
@@ -16,7 +17,8 @@
 STEP = 100.0  # between two looks at what is wanted
 ASKS = 3  # others that are asked in one step, for one limit
 LEASES_MOST = 64  # borrowed at one time, for one limit
-AHEAD = 1.25  # times what was wanted that is held, so that nothing has to be fetched on a request's path
+# times what was wanted that is held, so that nothing has to be fetched on a request's path
+AHEAD = 1.25
 REFUSED = 2.0  # and where requests found no room
 RENEW_AT = 0.5  # of a lease
 FORGETS = 400.0  # halving of what was wanted: rights don't swing with each request
@@ -47,24 +49,35 @@
     share: Share
     location: str
     wanted: float = 0.0  # parts of the whole, fading
-    used: list[float] = field(default_factory=lambda: [0.0])  # the most in each quarter of a span, of late
+    used: list[float] = field(
+        default_factory=lambda: [0.0]
+    )  # the most in each quarter of a span, of late
     turned: float = 0.0
 
 
 class Exchange:
     """All limits that a director shares."""
 
-    def __init__(self, now: float, random: Random, life: int, offset: float = 0.0,
-                 guard: AbstractContextManager | None = None) -> None:
-        """`offset`: of the decision module's time over this one. `guard`: held while rights change, so that
-        none are lent that a request is just being decided by."""
+    def __init__(
+        self,
+        now: float,
+        random: Random,
+        life: int,
+        offset: float = 0.0,
+        guard: AbstractContextManager | None = None,
+    ) -> None:
+        """`offset`: of the decision module's time over this one. `guard`: held while rights change,
+        so that none are lent that a request is just being decided by.
+        """
         self.random, self.life, self.due = random, life, now
         self.offset, self.guard = offset, guard or nullcontext()
         self.limits: dict[str, Limit] = {}
         self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(list[Said])
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
 
-    def add(self, now: float, name: str, owners: int, span: float, share: Share, location: str) -> None:
+    def add(
+        self, now: float, name: str, owners: int, span: float, share: Share, location: str
+    ) -> None:
         """A limit that `owners` directors own in equal parts."""
         ledger = Ledger(GRAINS // max(1, owners), span, now, self.life)
         ledger.number = self.random.randrange(1 << 40)  # an old life's numbers are not met again
@@ -95,7 +108,7 @@
             self.counts["unusable"] += 1
             return []
         back = []
-        for one in said[:2 * LEASES_MOST]:
+        for one in said[: 2 * LEASES_MOST]:
             limit = self.limits.get(one.limit)
             if limit is None or one.number < 0 or one.grains < 0:
                 self.counts["unusable"] += 1
@@ -110,7 +123,9 @@
         """The decision module's part, and when it ends should this not be called again."""
         share, ledger = limit.share, limit.ledger
         share.least = ledger.at_home(now) / GRAINS
-        share.until = self.offset + min((held.until for held in ledger.borrowed.values()), default=math.inf)
+        share.until = self.offset + min(
+            (held.until for held in ledger.borrowed.values()), default=math.inf
+        )
         share.part = ledger.usable(now) / GRAINS
 
     def _heard(self, now: float, who: Who, limit: Limit, one: Said) -> Said | None:
@@ -126,7 +141,9 @@
             self.counts["lent"] += not one.renews
             return Said(limit.name, "l", one.life, lend.number, lend.grains)
         if one.kind == "l":
-            self.counts["borrowed"] += ledger.answered(now, who, one.life, Lend(one.number, one.grains))
+            self.counts["borrowed"] += ledger.answered(
+                now, who, one.life, Lend(one.number, one.grains)
+            )
         elif one.kind == "b":
             ledger.returned(now, who, one.life, Back(one.number))
         return None
@@ -162,35 +179,59 @@
             elif now > held.until - RENEW_AT * LEASE and number not in asking:
                 ask = ledger.ask(now, held.lender, held.grains, number)
                 out.setdefault(held.lender, []).append(
-                    Said(limit.name, "a", ledger.life, ask.number, ask.grains, ask.renews))
+                    Said(limit.name, "a", ledger.life, ask.number, ask.grains, ask.renews)
+                )
 
-    def _fetch(self, now: float, limit: Limit, out: dict[Who, list[Said]],
-               others: list[tuple[Who, str]]) -> None:
+    def _fetch(
+        self, now: float, limit: Limit, out: dict[Who, list[Said]], others: list[tuple[Who, str]]
+    ) -> None:
         """Before it is needed: up to what is wanted, from some others at a time."""
         ledger = limit.ledger
         missing = math.ceil(GRAINS * min(1.0, limit.wanted)) - ledger.usable(now)
         lenders = Counter(held.lender for held in ledger.borrowed.values())
         waiting = {sent.lender for sent in ledger.asks.values() if now < sent.at + 2.0 * STEP}
         room = LEASES_MOST - len(ledger.borrowed)
-        able = [who for who, place in others
-                if limit.location in ("", place) and who not in waiting and lenders[who] < BY_ONE_MOST]
+        able = [
+            who
+            for who, place in others
+            if limit.location in ("", place) and who not in waiting and lenders[who] < BY_ONE_MOST
+        ]
         if missing < LEAST * ledger.own or room <= 0 or not able:
             return
         for who in self.random.sample(able, min(ASKS, room, len(able))):
             ask = ledger.ask(now, who, missing)
             self.counts["asked"] += 1
-            out.setdefault(who, []).append(Said(limit.name, "a", ledger.life, ask.number, ask.grains))
+            out.setdefault(who, []).append(
+                Said(limit.name, "a", ledger.life, ask.number, ask.grains)
+            )
 
     def status(self, now: float) -> dict:
         """For staff: parts in thousandths of the whole."""
+
         def part(grains: float) -> float:
             return round(1000.0 * grains / GRAINS, 2)
 
-        return {"counts": dict(self.counts), "limits": {limit.name: {
-            "own": part(limit.ledger.own), "at_home": part(limit.ledger.at_home(now)),
-            "usable": part(limit.ledger.usable(now)), "wanted": round(1000.0 * limit.wanted, 2),
-            "lent": [{"to": who[0], "part": part(held.grains), "for_ms": round(held.until - now)}
-                     for (who, _, _), held in limit.ledger.lent.items()],
-            "borrowed": [{"from": held.lender[0], "part": part(held.grains),
-                          "for_ms": round(held.until - now)} for held in limit.ledger.borrowed.values()]}
-            for limit in self.limits.values()}}
+        return {
+            "counts": dict(self.counts),
+            "limits": {
+                limit.name: {
+                    "own": part(limit.ledger.own),
+                    "at_home": part(limit.ledger.at_home(now)),
+                    "usable": part(limit.ledger.usable(now)),
+                    "wanted": round(1000.0 * limit.wanted, 2),
+                    "lent": [
+                        {"to": who[0], "part": part(held.grains), "for_ms": round(held.until - now)}
+                        for (who, _, _), held in limit.ledger.lent.items()
+                    ],
+                    "borrowed": [
+                        {
+                            "from": held.lender[0],
+                            "part": part(held.grains),
+                            "for_ms": round(held.until - now),
+                        }
+                        for held in limit.ledger.borrowed.values()
+                    ],
+                }
+                for limit in self.limits.values()
+            },
+        }
--- a/mulleinrelay/budgets/ledger.py
+++ b/mulleinrelay/budgets/ledger.py
@@ -1,22 +1,23 @@
 """One director's rights to one limit; pure, times in ms of its own steady clock.
 
-A limit is cut into GRAINS, and every grain has one owner for ever, by the number of directors that the limit
-is set up for. An owner that has no use for some lends them for a while. At every instant a grain may be used
-by one director at the most:
+A limit is cut into GRAINS, and every grain has one owner for ever, by the number of directors that
+the limit is set up for. An owner that has no use for some lends them for a while. At every instant
+a grain may be used by one director at the most:
 
 - The owner locks what it lends before it says so, until LEASE after that and then for SPAN more.
-- The borrower may use it until LEASE * (1 - 2 * DRIFT) after it *asked*: it asked before the owner locked,
-  and clocks that run apart by DRIFT don't bring it beyond the owner's lock (docs/budgets.md has the sum).
-- An answer counts once, for the ask of this life that it answers, and only while that is remembered; an ask
-  that comes again gets the first answer again and locks nothing more.
-- Who starts anew knows not what it has lent, and uses only what is never lent until all of that has run out;
-  nor what it has used, and uses nothing for SPAN.
-
-So whatever is lost, doubled, late or overtaken, and whoever dies or is stopped, nothing is used twice; what
-is lost costs time. Who hears nothing has its own grains back within LEASE and SPAN.
-
-A limit over a window: what is lent has not been used for SPAN, and is not used by its owner for SPAN after
-its return, so that in no span of that length two directors use the same grain.
+- The borrower may use it until LEASE * (1 - 2 * DRIFT) after it *asked*: it asked before the owner
+locked, and clocks that run apart by DRIFT don't bring it beyond the owner's lock (docs/budgets.md
+has the sum).
+- An answer counts once, for the ask of this life that it answers, and only while that is
+remembered; an ask that comes again gets the first answer again and locks nothing more.
+- Who starts anew knows not what it has lent, and uses only what is never lent until all of that has
+run out; nor what it has used, and uses nothing for SPAN.
+
+So whatever is lost, doubled, late or overtaken, and whoever dies or is stopped, nothing is used
+twice; what is lost costs time. Who hears nothing has its own grains back within LEASE and SPAN.
+
+A limit over a window: what is lent has not been used for SPAN, and is not used by its owner for
+SPAN after its return, so that in no span of that length two directors use the same grain.
 """
 
 import math
@@ -76,8 +77,9 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """`own`: grains that this director owns; `span`: ms over which use is counted; `life`: of this process,
-    greater than that of any before it under the same name."""
+    """`own`: grains that this director owns; `span`: ms over which use is counted; `life`: of this
+    process, greater than that of any before it under the same name.
+    """
 
     own: int
     span: float
@@ -87,7 +89,9 @@
     drift: float = DRIFT
     kept_share: float = KEPT
     number: int = 0
-    lent: dict[tuple[object, int, int], Lent] = field(default_factory=dict)  # by borrower, its life, its ask
+    lent: dict[tuple[object, int, int], Lent] = field(
+        default_factory=dict
+    )  # by borrower, its life, its ask
     borrowed: dict[int, Borrowed] = field(default_factory=dict)  # by own ask
     asks: dict[int, Sent] = field(default_factory=dict)
 
@@ -98,7 +102,9 @@
     # What may be used
 
     def usable(self, now: float) -> int:
-        return self.at_home(now) + sum(held.grains for held in self.borrowed.values() if now < held.until)
+        return self.at_home(now) + sum(
+            held.grains for held in self.borrowed.values() if now < held.until
+        )
 
     def at_home(self, now: float) -> int:
         """Own grains that are not out, nor may be out from an earlier life."""
@@ -107,10 +113,14 @@
             return 0
         if since < self.lease + self.span:
             return self.kept
-        return self.own - sum(held.grains for held in self.lent.values() if now < held.until + self.span)
+        return self.own - sum(
+            held.grains for held in self.lent.values() if now < held.until + self.span
+        )
 
     def spare(self, now: float, used: int) -> int:
-        """Own grains that may be lent: `used` is the most that was used at one time over the last span."""
+        """Own grains that may be lent: `used` is the most that was used at one time over the last
+        span.
+        """
         return max(0, self.at_home(now) - max(used, self.kept))
 
     # Borrowing
@@ -121,7 +131,9 @@
         return Ask(self.number, grains, renews)
 
     def answered(self, now: float, lender: object, life: int, lend: Lend) -> bool:
-        """What came for an ask; `life`: of the borrower, as the lender heard it. Whether it counts."""
+        """What came for an ask; `life`: of the borrower, as the lender heard it.
+        Whether it counts.
+        """
         sent = self.asks.get(lend.number)
         if life != self.life or sent is None or sent.lender != lender or lend.grains <= 0:
             return False
@@ -130,7 +142,8 @@
         if sent.renews:
             held = self.borrowed.get(sent.renews)
             if held is None or held.lender != lender or held.grains != lend.grains:
-                return False  # given back or run out meanwhile: what was locked for it runs out by itself
+                # given back or run out meanwhile: what was locked for it runs out by itself
+                return False
             held.until = max(held.until, until)
             return True
         if now < until:
@@ -146,7 +159,9 @@
     def asked(self, now: float, borrower: object, life: int, ask: Ask, used: int) -> Lend | None:
         """Locks what it gives, before anybody hears of it."""
         held = self.lent.get((borrower, life, ask.number))
-        if held is not None:  # the ask came again: the same answer, as long as it may still be of use
+        if (
+            held is not None
+        ):  # the ask came again: the same answer, as long as it may still be of use
             return Lend(ask.number, held.grains) if now < held.until else None
         if ask.renews:
             held = self.lent.get((borrower, life, ask.renews))
@@ -169,4 +184,6 @@
         """Forgets what has run out."""
         self.lent = {who: held for who, held in self.lent.items() if now < held.until + self.span}
         self.borrowed = {number: held for number, held in self.borrowed.items() if now < held.until}
-        self.asks = {number: sent for number, sent in self.asks.items() if now < sent.at + self.lease}
+        self.asks = {
+            number: sent for number, sent in self.asks.items() if now < sent.at + self.lease
+        }
--- a/mulleinrelay/cells/assignment.py
+++ b/mulleinrelay/cells/assignment.py
@@ -1,7 +1,9 @@
-"""Who stands in which cell: the same at every director, from the charter and the list of caches alone.
+"""Who stands in which cell: the same at every director, from the charter and the list of caches
+alone.
 
-Weighted rendezvous hash with a bound on each cell's load. Where a cell or cache goes, only what stood there
-finds a new place, and what that pushes over a bound; where one comes, only what now prefers it moves.
+Weighted rendezvous hash with a bound on each cell's load. Where a cell or cache goes, only what
+stood there finds a new place, and what that pushes over a bound; where one comes, only what now
+prefers it moves.
 """
 
 import math
@@ -11,8 +13,13 @@
 
 from .charter import TABLE, Charter
 
-SCALE = 2.0 ** 64
-MASK, SALT, FIRST, SECOND = 0xFFFFFFFFFFFFFFFF, 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
+SCALE = 2.0**64
+MASK, SALT, FIRST, SECOND = (
+    0xFFFFFFFFFFFFFFFF,
+    0x9E3779B97F4A7C15,
+    0xBF58476D1CE4E5B9,
+    0x94D049BB133111EB,
+)
 
 
 def digest(text: str) -> int:
@@ -35,12 +42,17 @@
 
 def drawn(name: int, among: Iterable[tuple[str, int, float]]) -> list[str]:
     """The names of `among` (name, digest, weight) in the order in which `name` is drawn to them."""
-    return [other for _, other in sorted((score(name, mark, weight), other) for other, mark, weight in among)]
+    return [
+        other
+        for _, other in sorted((score(name, mark, weight), other) for other, mark, weight in among)
+    ]
 
 
 def bounded(items: Mapping[str, float], bins: Mapping[str, float], bound: float) -> dict[str, str]:
-    """Items (with their load) to bins (with their weight), none of which takes more than `bound` (1 at the
-    least) times its part of the load, save by its last item. The order of the mappings is of no matter."""
+    """Items (with their load) to bins (with their weight), none of which takes more than `bound` (1
+    at the least) times its part of the load, save by its last item. The order of the mappings is of
+    no matter.
+    """
     if not bins:
         return {}
     marks = [(name, digest(name), weight) for name, weight in sorted(bins.items())]
@@ -59,10 +71,14 @@
 
 
 def _nearest(marks: list[tuple[str, int, float]]) -> Callable[[int], str]:
-    """What gives the bin that a mark is drawn to most. Where all weigh the same no logarithm is wanted, and
-    the hash stands here once more without its call: tables of 100,000 tenants are read in service."""
+    """What gives the bin that a mark is drawn to most. Where all weigh the same no logarithm is
+    wanted, and the hash stands here once more without its call: tables of 100,000 tenants are read
+    in service.
+    """
     if len({weight for _, _, weight in marks}) > 1:
-        return lambda mark: min((score(mark, other, weight), name) for name, other, weight in marks)[1]
+        return lambda mark: min(
+            (score(mark, other, weight), name) for name, other, weight in marks
+        )[1]
     salted = [(name, other * SALT & MASK) for name, other, _ in marks]
 
     def most(mark: int) -> str:
@@ -80,8 +96,10 @@
 
 
 def homes(charter: Charter) -> dict[str, str]:
-    """The cell of each tenant of the charter, moves aside. A tenant with a cell of its own in the table
-    stands there and counts against nobody's bound; with `table` as the way every other goes to no cell."""
+    """The cell of each tenant of the charter, moves aside. A tenant with a cell of its own in the
+    table stands there and counts against nobody's bound; with `table` as the way every other goes
+    to no cell.
+    """
     fixed = {name: tenant.cell for name, tenant in charter.tenants.items() if tenant.cell}
     if charter.how == TABLE:
         return fixed
@@ -91,15 +109,19 @@
 
 
 def caches_of(charter: Charter, caches: Iterable[str]) -> dict[str, list[str]]:
-    """The caches (of one location) of each cell, sorted. Those that no cell names go by hash to the cells
-    that name none, one at the least to each where there are as many; the others are nobody's."""
+    """The caches (of one location) of each cell, sorted. Those that no cell names go by hash to the
+    cells that name none, one at the least to each where there are as many; the others are nobody's.
+    """
     here = sorted(set(caches))
     found: dict[str, list[str]] = {name: [] for name in charter.cells}
     named = {cache for cell in charter.cells.values() for cache in cell.caches}
     for name, cell in charter.cells.items():
         found[name] = sorted(cache for cache in cell.caches if cache in here)
-    open_cells = {name: cell.weight for name, cell in charter.cells.items()
-                  if not cell.caches and cell.weight > 0.0}
+    open_cells = {
+        name: cell.weight
+        for name, cell in charter.cells.items()
+        if not cell.caches and cell.weight > 0.0
+    }
     if not open_cells:
         return found
     free = [cache for cache in here if cache not in named]
@@ -117,8 +139,9 @@
 
 
 def shuffled(tenant: str, caches: list[str], count: int) -> list[str]:
-    """Those `count` of the caches that a tenant gets; all where 0. Two tenants share all of theirs with the
-    chance of 1 in (n over count)."""
+    """Those `count` of the caches that a tenant gets; all where 0. Two tenants share all of theirs
+    with the chance of 1 in (n over count).
+    """
     if not 0 < count < len(caches):
         return list(caches)
     return sorted(drawn(digest(tenant), [(cache, digest(cache), 1.0) for cache in caches])[:count])
--- a/mulleinrelay/cells/changes.py
+++ b/mulleinrelay/cells/changes.py
@@ -1,5 +1,5 @@
-"""What staff may change of an assignment, as pure functions from one charter to the next. A change that would
-break a rule is a RefusalError that says why; `saying` what is done is the caller's.
+"""What staff may change of an assignment, as pure functions from one charter to the next. A change
+that would break a rule is a RefusalError that says why; `saying` what is done is the caller's.
 
 What is to happen at all directors alike is set `spread` ahead, when each of them has read the file.
 """
@@ -60,20 +60,25 @@
 
 
 def reckoned(demand: moves.Demand, warm: float, drain: float) -> Spans:
-    """The spans of a move that the receiving caches can bear; raises RefusalError where they can't."""
+    """The spans of a move that the receiving caches can bear; raises RefusalError where
+    they can't.
+    """
     found = moves.shift_time(demand)
     if found is None:
         raise RefusalError(
             f"the receiving caches can't bear these tenants even when warm: {demand.load + demand.rate:.0f} "
-            f"of {moves.HEAD_ROOM * demand.capacity:.0f} hits a second, and the misses beside")
+            f"of {moves.HEAD_ROOM * demand.capacity:.0f} hits a second, and the misses beside"
+        )
     return Spans(warm, float(round(found)), drain)
 
 
 def refusal(old: Charter, new: Charter) -> str:
     """Why a file that can be read is not taken all the same; empty: it is."""
     if new.version < old.version or (new.version == old.version and new != old):
-        return (f"assignment kept at version {old.version}: the file holds version {new.version}, "
-                "which is no later one")
+        return (
+            f"assignment kept at version {old.version}: the file holds version {new.version}, "
+            "which is no later one"
+        )
     return ""
 
 
@@ -83,7 +88,9 @@
 
 def _move(charter: Charter, name: str) -> Move:
     if name not in charter.moves:
-        raise RefusalError(f"there is no move {name}; there are {', '.join(charter.moves) or 'none'}")
+        raise RefusalError(
+            f"there is no move {name}; there are {', '.join(charter.moves) or 'none'}"
+        )
     return charter.moves[name]
 
 
@@ -100,7 +107,9 @@
     if move.held_at and not move.resumed_at:
         raise RefusalError(f"move {name} is held already")
     if move.held_at and now < move.resumed_at:
-        raise RefusalError(f"move {name} is just being resumed; wait {move.resumed_at - now:.0f} ms")
+        raise RefusalError(
+            f"move {name} is just being resumed; wait {move.resumed_at - now:.0f} ms"
+        )
     if move.held_at:  # the pause that is over becomes part of the start
         move = replace(move, starts=move.starts + move.resumed_at - move.held_at, resumed_at=0.0)
     if moves.stage(replace(move, held_at=0.0), at) == moves.Stage.DONE:
@@ -122,7 +131,9 @@
     if move.aborted_at:
         raise RefusalError(f"move {name} is aborted already")
     if now + charter.spread + charter.skew < move.starts:
-        return replace(charter, moves={other: held for other, held in charter.moves.items() if other != name})
+        return replace(
+            charter, moves={other: held for other, held in charter.moves.items() if other != name}
+        )
     at = _soon(charter, move, now)
     if moves.stage(move, at) == moves.Stage.DONE:
         raise RefusalError(f"move {name} is done by then; move the tenants back to {move.source}")
@@ -130,8 +141,9 @@
 
 
 def end_moves(charter: Charter, now: float) -> tuple[Charter, list[str]]:
-    """Leaves out moves that are over, once no client's retry can ask for what was: their tenants then stand
-    in the table where they ended. Gives the names of those."""
+    """Leaves out moves that are over, once no client's retry can ask for what was: their tenants
+    then stand in the table where they ended. Gives the names of those.
+    """
     ended, people, left = [], dict(charter.tenants), {}
     for name, move in charter.moves.items():
         over = moves.ended_at(move)
@@ -147,7 +159,9 @@
 def put_tenant(charter: Charter, tenant: Tenant) -> Charter:
     """Adds a tenant, or changes all of it but its cell, which only a move changes."""
     if (old := charter.tenants.get(tenant.name)) is not None and old.cell != tenant.cell:
-        raise RefusalError(f"tenant {tenant.name} stands in {old.cell or 'a cell by hash'}; move it")
+        raise RefusalError(
+            f"tenant {tenant.name} stands in {old.cell or 'a cell by hash'}; move it"
+        )
     return replace(charter, tenants=charter.tenants | {tenant.name: tenant})
 
 
@@ -159,14 +173,19 @@
 
 def take_back(charter: Charter, name: str) -> Charter:
     if name not in charter.releases:
-        raise RefusalError(f"there is no release {name}; there are {', '.join(charter.releases) or 'none'}")
+        raise RefusalError(
+            f"there is no release {name}; there are {', '.join(charter.releases) or 'none'}"
+        )
     return replace(
-        charter, releases=charter.releases | {name: replace(charter.releases[name], taken_back=True)}
+        charter,
+        releases=charter.releases | {name: replace(charter.releases[name], taken_back=True)},
     )
 
 
 def keep_release(charter: Charter, name: str) -> Charter:
-    """A release that has proven itself becomes the limits of all tenants of its cells, and is left out."""
+    """A release that has proven itself becomes the limits of all tenants of its cells, and is left
+    out.
+    """
     if name not in charter.releases or charter.releases[name].taken_back:
         raise RefusalError(f"there is no release {name} in force")
     release, at = charter.releases[name], homes(charter)
@@ -178,8 +197,10 @@
     left = {other: held for other, held in charter.releases.items() if other != name}
     rooms = charter.cells
     if release.shuffle >= 0:
-        rooms = {key: replace(cell, shuffle=release.shuffle) if key in cells else cell
-                 for key, cell in rooms.items()}
+        rooms = {
+            key: replace(cell, shuffle=release.shuffle) if key in cells else cell
+            for key, cell in rooms.items()
+        }
     return replace(charter, releases=left, tenants=people, cells=rooms)
 
 
@@ -190,8 +211,16 @@
             f"there is no tenant {tenant}; its requests are "
             + (f"{charter.default_tenant}'s" if charter.unknown != "reject" else "rejected")
         )
-    held, home, move = charter.tenants[tenant], homes(charter).get(tenant, ""), moving(charter, tenant)
-    marks = [(cell.name, digest(cell.name), cell.weight) for cell in charter.cells.values() if cell.weight]
+    held, home, move = (
+        charter.tenants[tenant],
+        homes(charter).get(tenant, ""),
+        moving(charter, tenant),
+    )
+    marks = [
+        (cell.name, digest(cell.name), cell.weight)
+        for cell in charter.cells.values()
+        if cell.weight
+    ]
     found: dict[str, object] = {
         "tenant": tenant,
         "cell": home,
--- a/mulleinrelay/cells/charter.py
+++ b/mulleinrelay/cells/charter.py
@@ -1,6 +1,7 @@
 """What an assignment file says, as plain data. No decision stands here.
 
-Times are Unix milliseconds, spans milliseconds, rates requests a second. Names are compared as written.
+Times are Unix milliseconds, spans milliseconds, rates requests a second. Names are compared as
+written.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +16,9 @@
     """Bounds at each director; 0 stands for no bound of its own."""
 
     rate: float = 0.0  # requests a second
-    burst: float = 0.0  # requests that may come at once beyond the rate; 0: what the rate brings in 100 ms
+    burst: float = (
+        0.0  # requests that may come at once beyond the rate; 0: what the rate brings in 100 ms
+    )
     open_most: float = 0.0  # requests open at one time
     body_kb: float = 0.0  # KB of bodies that open requests brought
     retries: float = 0.2  # clients' retries for each first try
@@ -64,7 +67,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Limits, and how tenants lie over a cell's caches, that go to one cell first, then on by waves."""
+    """Limits, and how tenants lie over a cell's caches, that go to one cell first, then on by
+    waves.
+    """
 
     name: str
     canary: str
@@ -95,7 +100,9 @@
     unknown: str = TO_DEFAULT
     spread: float = 5_000.0  # within so long of its writing every director has read a version
     skew: float = 500.0  # by which clocks of directors and of who writes may differ
-    horizon: float = 12_000.0  # a client's last retry comes so long after its first try at the latest
+    horizon: float = (
+        12_000.0  # a client's last retry comes so long after its first try at the latest
+    )
 
 
 class CharterError(Exception):
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -1,4 +1,6 @@
-"""`mulleinrelay cells`: for staff, on the assignment file and on what directors tell of themselves."""
+"""`mulleinrelay cells`: for staff, on the assignment file and on what directors tell of
+themselves.
+"""
 
 import os
 import sys
@@ -34,7 +36,8 @@
 def cells() -> None:
     """Tenants, the cells they are confined to, and their moves.
 
-    Exit codes: 0 done; 2 wrong use or a file that can't be used; 3 refused: nothing was changed, and why.
+    Exit codes: 0 done; 2 wrong use or a file that can't be used; 3 refused: nothing was changed,
+    and why.
     """
 
 
@@ -99,7 +102,10 @@
     with faults():
         charter, now = store.load(path), now_ms()
         at, states = homes(charter), read_states(records) if records else []
-    held = {name: sorted(tenant for tenant, home in at.items() if home == name) for name in charter.cells}
+    held = {
+        name: sorted(tenant for tenant, home in at.items() if home == name)
+        for name in charter.cells
+    }
     going = {
         name: {
             "from": move.source,
@@ -180,11 +186,13 @@
 def move_options(command: Any) -> Any:
     """What the receiving caches are to bear, at each location, and how long the stages are."""
     for name, default, text in (
-            ("--drain-ms", 30_000.0, "The old caches still fill so long."),
-            ("--shift-ms", None, "Reckoned from the demand where left out."),
-            ("--warm-ms", 10_000.0, "The first few objects go over so long.")):
-        command = click.option(name, type=float, default=default, show_default=default is not None,
-                               help=text)(command)
+        ("--drain-ms", 30_000.0, "The old caches still fill so long."),
+        ("--shift-ms", None, "Reckoned from the demand where left out."),
+        ("--warm-ms", 10_000.0, "The first few objects go over so long."),
+    ):
+        command = click.option(
+            name, type=float, default=default, show_default=default is not None, help=text
+        )(command)
     for name, default, text in reversed(
         (
             ("--rate", None, "Requests a second of the tenants, at the peak."),
@@ -217,7 +225,9 @@
     return Demand(rate, load, capacity, fill_cost, hit_share, objects)
 
 
-def spans_for(demand: Demand | None, warm: float, shift: float | None, drain: float) -> changes.Spans:
+def spans_for(
+    demand: Demand | None, warm: float, shift: float | None, drain: float
+) -> changes.Spans:
     if shift is not None:
         return changes.Spans(warm, shift, drain)
     if demand is None:
@@ -251,8 +261,14 @@
         move = changes.start_move(charter, "planned", tenants, target, now, spans).moves["planned"]
     course = moves.loads(move, demand or Demand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
     peak = max(load for _, _, load in course) if demand else None
-    told = [{"after_ms": round(at), "share": round(share, 3), "load": round(load, 3) if demand else None}
-            for at, share, load in course[:: max(1, len(course) // 10)]]
+    told = [
+        {
+            "after_ms": round(at),
+            "share": round(share, 3),
+            "load": round(load, 3) if demand else None,
+        }
+        for at, share, load in course[:: max(1, len(course) // 10)]
+    ]
     whole = {
         "from": move.source,
         "to": target,
@@ -330,13 +346,21 @@
     def run(name: str, path: str, as_json: bool) -> None:
         with faults():
             new = change(path, verb, lambda old: make(old, name, now_ms()), name=name)
-        tell(as_json, {"version": new.version, "name": name}, [f"version {new.version}: {verb} {name}"])
+        tell(
+            as_json,
+            {"version": new.version, "name": name},
+            [f"version {new.version}: {verb} {name}"],
+        )
 
 
 _simple("hold", "Stop a move where it is.", changes.hold)
 _simple("resume", "Let a held move go on.", changes.resume)
 _simple("abort", "Stop a move and let all go back.", changes.abort)
-_simple("take-back", "Take a release back everywhere.", lambda old, name, _: changes.take_back(old, name))
+_simple(
+    "take-back",
+    "Take a release back everywhere.",
+    lambda old, name, _: changes.take_back(old, name),
+)
 _simple(
     "keep",
     "Make a release's limits those of its tenants.",
@@ -353,14 +377,18 @@
         done = changes.end_moves(store.load(path), now_ms())[1]
         version = store.load(path).version
         if done:
-            version = change(path, "end", lambda old: changes.end_moves(old, now_ms())[0], moves=done).version
+            version = change(
+                path, "end", lambda old: changes.end_moves(old, now_ms())[0], moves=done
+            ).version
     tell(as_json, {"version": version, "ended": done}, [f"ended: {' '.join(done) or 'none'}"])
 
 
 @cells.command()
 @click.argument("name")
 @click.option("--canary", required=True, metavar="CELL")
-@click.option("--wave", "waves", multiple=True, metavar="CELL[,CELL]", help="One for each wave, in order.")
+@click.option(
+    "--wave", "waves", multiple=True, metavar="CELL[,CELL]", help="One for each wave, in order."
+)
 @click.option("--wave-ms", type=float, default=60_000.0, show_default=True)
 @click.option("--rate", type=float, default=0.0)
 @click.option("--open-most", type=float, default=0.0)
@@ -380,8 +408,9 @@
     path: str,
     as_json: bool,
 ) -> None:
-    """New limits or layout for tenants, one cell first; each director halts or takes back what harms that
-    cell."""
+    """New limits or layout for tenants, one cell first; each director halts or takes back what
+    harms that cell.
+    """
     with faults():
         new = change(
             path,
@@ -425,7 +454,9 @@
                 except ValueError:
                     continue
                 what = " ".join(
-                    f"{key} {_worded(value)}" for key, value in held.items() if key not in ("at", "by")
+                    f"{key} {_worded(value)}"
+                    for key, value in held.items()
+                    if key not in ("at", "by")
                 )
                 lines.append({"director": "staff", "at": held.get("at", 0.0), "text": what})
     except FileNotFoundError:
--- a/mulleinrelay/cells/governor.py
+++ b/mulleinrelay/cells/governor.py
@@ -1,7 +1,8 @@
-"""All that cells decide at one director: whose request, which cell and pool, and whether there is room.
+"""All that cells decide at one director: whose request, which cell and pool, and whether there is
+room.
 
-Pure: time is passed in, nodes are opaque. The decision module still picks the node, of the pool given here.
-What is turned away here has cost no round of the module.
+Pure: time is passed in, nodes are opaque. The decision module still picks the node, of the pool
+given here. What is turned away here has cost no round of the module.
 """
 
 from collections.abc import Iterable
@@ -145,20 +146,25 @@
     # What changes
 
     def renew(self, now: float, ready: "Charter | Prepared") -> list[str]:
-        """A new version of the file is in force; gives words for the log. Raises CharterError, and then the
-        old one stays. Accounts, widths and idempotency keys are kept."""
+        """A new version of the file is in force; gives words for the log. Raises CharterError, and
+        then the old one stays. Accounts, widths and idempotency keys are kept.
+        """
         ready = ready if isinstance(ready, Prepared) else prepare(ready)
         charter = ready.charter
         words = self.placement.renew(now, charter, ready.homes)
         self._take_over(now, ready)
-        first = f"version {charter.version}: {len(charter.cells)} cells, {len(charter.tenants)} tenants"
+        first = (
+            f"version {charter.version}: {len(charter.cells)} cells, {len(charter.tenants)} tenants"
+        )
         return [first, *words]
 
     def _take_over(self, now: float, ready: "Prepared") -> None:
         charter = ready.charter
         self.charter, self.naming = charter, ready.naming
-        self.courses = {name: self.courses.get(name) or releases.Course(release)
-                        for name, release in charter.releases.items()}
+        self.courses = {
+            name: self.courses.get(name) or releases.Course(release)
+            for name, release in charter.releases.items()
+        }
         for name, course in self.courses.items():
             course.release = charter.releases[name]
         for name, cell in charter.cells.items():
@@ -203,10 +209,14 @@
             if (stage := moves.stage(move, now)) != self.stages[name]:
                 self.stages[name] = stage
                 share = moves.shifted(move, now)
-                words.append(f"move {name} {stage.value}: {share:.2f} of {move.source} in {move.target}")
+                words.append(
+                    f"move {name} {stage.value}: {share:.2f} of {move.source} in {move.target}"
+                )
         for name, course in self.courses.items():
             if word := course.step(now):
-                words.append(f"release {name} {word}, wave {course.wave} of {len(course.release.waves)}")
+                words.append(
+                    f"release {name} {word}, wave {course.wave} of {len(course.release.waves)}"
+                )
                 self._renew_accounts()
                 self.placement.reshuffle(releases.shuffles(self.courses))
         return words
@@ -231,17 +241,24 @@
             return self._deny(account, asking, "rate of the tenant", wait)
         if retry and not account.retries.may():
             return self._deny(account, asking, "retries of the tenant", LOST_WAIT)
-        spot = self.placement.steady.get(tenant) if asking.request_class.repeat == IDEMPOTENT else None
+        spot = (
+            self.placement.steady.get(tenant) if asking.request_class.repeat == IDEMPOTENT else None
+        )
         if spot is None:
             key = int(asking.key, 16) if isinstance(asking.key, str) else asking.key
-            spot = self.placement.spot(now, tenant, key, asking.request_class, asking.idempotency_key,
-                                       asking.repeated)
+            spot = self.placement.spot(
+                now, tenant, key, asking.request_class, asking.idempotency_key, asking.repeated
+            )
         if isinstance(spot, Nowhere):
             account.denied += 1
             harmless = spot != Nowhere.UNPROVEN and self._harmless(asking)
             return Denied(spot.value, advice(LOST_WAIT, self.board.come_back_most), harmless)
         seat = account.seats.get(spot.cell)
-        if seat is None or now > seat.share.asked + SEAT_KEPT or now > seat.cell_share.asked + SEAT_KEPT:
+        if (
+            seat is None
+            or now > seat.share.asked + SEAT_KEPT
+            or now > seat.cell_share.asked + SEAT_KEPT
+        ):
             seat = self._take_seat(account, tenant, spot.cell)
         room, share, cell_share = seat.room, seat.share, seat.cell_share
         body = asking.body / 1024.0
@@ -256,7 +273,8 @@
             return self._deny(account, asking, "bodies of the tenant", LOST_WAIT, room)
         room.width.used(room.shares.open + amount)
         if room.shares.open + amount > 0.5 * room.shares.width:
-            # So much less is lent inside the cell that a lender's return still fits into what it may have
+            # So much less is lent inside the cell that a lender's return still fits into what it
+            # may have
             reach = self.cells.reach(cell_share, now)
             room.shares.width = min(room.width.now_most, reach) / (1.0 + Shares.HEAD_ROOM)
         if not room.shares.may(share, now, amount):
@@ -287,11 +305,14 @@
         account.body += body
         if asking.idempotency_key:
             self.placement.note(now, tenant, asking.idempotency_key, asking.request_class, spot)
-        return Grant(tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests)
+        return Grant(
+            tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests
+        )
 
     def settle(self, now: float, grant: Grant, good: bool, owed: bool, delay: float) -> str:
-        """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its sending
-        time aside. Gives a word where the cell's width has shrunk."""
+        """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its
+        sending time aside. Gives a word where the cell's width has shrunk.
+        """
         if grant.settled:
             return ""
         grant.settled = True
@@ -314,8 +335,14 @@
 
     def _lane(self, now: float, room: Room, lane: Lane, tenant: str, weight: float) -> Lane:
         own = room.rates.lane(tenant, weight)
-        if not room.limits.rate and self.rates.rate and now >= room.rated_at + FairPace.RECKONED_FOR:
-            room.rated_at = now  # what the cell may reach of the director's rate is shared by its tenants
+        if (
+            not room.limits.rate
+            and self.rates.rate
+            and now >= room.rated_at + FairPace.RECKONED_FOR
+        ):
+            room.rated_at = (
+                now  # what the cell may reach of the director's rate is shared by its tenants
+            )
             room.rates.renew(self.rates.free_for(lane))
         return own
 
@@ -323,20 +350,27 @@
         room, weight = self.rooms[cell], self.charter.tenants[tenant].weight
         held = self.charter.cells[cell]
         seat = account.seats[cell] = Seat(
-            held, room, room.shares.party(tenant, weight, account.limits.open_most),
-            self.cells.party(cell, held.weight), weight)
+            held,
+            room,
+            room.shares.party(tenant, weight, account.limits.open_most),
+            self.cells.party(cell, held.weight),
+            weight,
+        )
         return seat
 
     def _open_account(self, tenant: str) -> Account:
         # the least lately used half goes; what is open is in the grants
         if len(self.accounts) >= ACCOUNTS_MOST:
-            kept = sorted(self.accounts.items(), key=lambda held: held[1].used)[ACCOUNTS_MOST // 2:]
+            kept = sorted(self.accounts.items(), key=lambda held: held[1].used)[
+                ACCOUNTS_MOST // 2 :
+            ]
             self.accounts = dict(kept)
         account = self.accounts[tenant] = Account(self._limits(tenant))
         return account
 
-    def _deny(self, account: Account, asking: Asking, why: str, wait: float,
-              room: Room | None = None) -> Denied:
+    def _deny(
+        self, account: Account, asking: Asking, why: str, wait: float, room: Room | None = None
+    ) -> Denied:
         account.denied += 1
         if room is not None:
             room.denied += 1
@@ -346,8 +380,9 @@
         return Denied(why, advice(wait, self.board.come_back_most), self._harmless(asking))
 
     def _harmless(self, asking: Asking) -> bool:
-        """Whether a client that is rejected may come again: no attempt of this request has gone out, but
-        what it repeats may have run."""
+        """Whether a client that is rejected may come again: no attempt of this request has gone
+        out, but what it repeats may have run.
+        """
         case = asking.request_class
         everywhere = case.repeat == KEYED and case.group == "all"
         return not asking.repeated or case.repeat == IDEMPOTENT or everywhere
@@ -359,18 +394,48 @@
         held = self.placement
         most = sorted(self.accounts.items(), key=lambda one: (-one[1].denied, one[0]))
         return {
-            "version": self.charter.version, "at": round(now), "open": self.cells.open,
+            "version": self.charter.version,
+            "at": round(now),
+            "open": self.cells.open,
             "unknown_denied": self.unknown.denied,
-            "cells": {name: {
-                "caches": held.by_cell[name], "lost": held.standings[name].lost,
-                "home_share": round(held.standings[name].home_share(now), 3),
-                "warmth": round(held.standings[name].warmth(), 3), "open": room.shares.open,
-                "width": round(room.width.now_most, 1), "served": room.good, "settled": room.total,
-                "denied": room.denied} for name, room in self.rooms.items()},
-            "moves": {name: {"stage": moves.stage(move, now).value, "from": move.source, "to": move.target,
-                             "share": round(moves.shifted(move, now), 4)}
-                      for name, move in self.charter.moves.items()},
-            "releases": {name: {"phase": course.phase().value, "wave": course.wave, "why": course.taken_back,
-                                "cells": sorted(course.since)} for name, course in self.courses.items()},
-            "tenants": {name: {"home": held.homes.get(name, ""), "granted": account.granted,
-                               "denied": account.denied} for name, account in most[:TENANTS_TOLD]}}
+            "cells": {
+                name: {
+                    "caches": held.by_cell[name],
+                    "lost": held.standings[name].lost,
+                    "home_share": round(held.standings[name].home_share(now), 3),
+                    "warmth": round(held.standings[name].warmth(), 3),
+                    "open": room.shares.open,
+                    "width": round(room.width.now_most, 1),
+                    "served": room.good,
+                    "settled": room.total,
+                    "denied": room.denied,
+                }
+                for name, room in self.rooms.items()
+            },
+            "moves": {
+                name: {
+                    "stage": moves.stage(move, now).value,
+                    "from": move.source,
+                    "to": move.target,
+                    "share": round(moves.shifted(move, now), 4),
+                }
+                for name, move in self.charter.moves.items()
+            },
+            "releases": {
+                name: {
+                    "phase": course.phase().value,
+                    "wave": course.wave,
+                    "why": course.taken_back,
+                    "cells": sorted(course.since),
+                }
+                for name, course in self.courses.items()
+            },
+            "tenants": {
+                name: {
+                    "home": held.homes.get(name, ""),
+                    "granted": account.granted,
+                    "denied": account.denied,
+                }
+                for name, account in most[:TENANTS_TOLD]
+            },
+        }
--- a/mulleinrelay/cells/idempotency.py
+++ b/mulleinrelay/cells/idempotency.py
@@ -1,9 +1,9 @@
-"""Where a keyed or unsafe request goes while its tenant moves: to the group that drops its repeats as
-long as that remembers it, else nowhere.
+"""Where a keyed or unsafe request goes while its tenant moves: to the group that drops its repeats
+as long as that remembers it, else nowhere.
 
-The ledger knows what this director has taken. Of a client's retry whose first try went to another director
-only the clock tells: where it may have gone to the other cell, the request fails rather than run
-twice.
+The ledger knows what this director has taken. Of a client's retry whose first try went to another
+director only the clock tells: where it may have gone to the other cell, the request fails rather
+than run twice.
 """
 
 from collections import OrderedDict
@@ -30,7 +30,9 @@
         found = self.held.get((tenant, idempotency_key))
         return found[0] if found is not None and now < found[1] else None
 
-    def note(self, tenant: str, idempotency_key: str, cell: str, now: float, kept_for: float) -> None:
+    def note(
+        self, tenant: str, idempotency_key: str, cell: str, now: float, kept_for: float
+    ) -> None:
         while self.held:
             first, (_, until) = next(iter(self.held.items()))
             if until > now and len(self.held) < self.most:
@@ -42,12 +44,20 @@
         self.held.move_to_end((tenant, idempotency_key))
 
 
-def way(move: Move, key: int, repeated: bool, everywhere: bool, known: str | None, now: float, skew: float
-        ) -> Way:
-    """`known`: the cell that the ledger has for this idempotency key. `everywhere`: it need not stay with the
-    nodes of one cell. Other directors may go by any version of the file, also by one without the move, or
-    from before it was held or aborted: what one of them may have sent to the new cell is unproven until staff
-    have ended the move."""
+def way(
+    move: Move,
+    key: int,
+    repeated: bool,
+    everywhere: bool,
+    known: str | None,
+    now: float,
+    skew: float,
+) -> Way:
+    """`known`: the cell that the ledger has for this idempotency key. `everywhere`: it need not
+    stay with the nodes of one cell. Other directors may go by any version of the file, also by one
+    without the move, or from before it was held or aborted: what one of them may have sent to the
+    new cell is unproven until staff have ended the move.
+    """
     if known == move.source:
         return Way.OLD
     if known == move.target:
--- a/mulleinrelay/cells/limits.py
+++ b/mulleinrelay/cells/limits.py
@@ -1,7 +1,8 @@
-"""What a tenant or a cell may take of one director: rates, requests open, retries, bodies, and fair shares.
+"""What a tenant or a cell may take of one director: rates, requests open, retries, bodies, and fair
+shares.
 
-Pure; time (ms) is passed in. Each part says yes or no at once and, where no, in how many milliseconds it may
-say yes. Nothing here queues: what is over is turned away.
+Pure; time (ms) is passed in. Each part says yes or no at once and, where no, in how many
+milliseconds it may say yes. Nothing here queues: what is over is turned away.
 """
 
 from dataclasses import dataclass
@@ -17,7 +18,9 @@
     __slots__ = ("apart", "ahead", "whole_at")
 
     def __init__(self, rate: float, burst: float) -> None:
-        """`rate` a second; `burst` requests beyond it at once, one at the least. Rate 0: no bound."""
+        """`rate` a second; `burst` requests beyond it at once, one at the least. Rate
+        0: no bound.
+        """
         self.apart = 1000.0 / rate if rate > 0.0 else 0.0
         self.ahead = self.apart * (max(1.0, burst or rate / 10.0) - 1.0)
         self.whole_at = 0.0
@@ -51,9 +54,10 @@
 
 
 class Width:
-    """How many requests a cell may have open: grows while it is used and delays stay near their usual, falls
-    by a tenth once a window while they don't. What is usual is the low end of recent windows, which forgets
-    slowly, so that a cell that got slower for good is let up again."""
+    """How many requests a cell may have open: grows while it is used and delays stay near their
+    usual, falls by a tenth once a window while they don't. What is usual is the low end of recent
+    windows, which forgets slowly, so that a cell that got slower for good is let up again.
+    """
 
     WINDOW, LEAST_SEEN = 250.0, 8
     SHRINK, TOLERANCE, NEAR_FULL = 0.9, 2.0, 0.7
@@ -69,9 +73,12 @@
         self.peak = max(self.peak, open_now)
 
     def saw(self, now: float, delay: float) -> bool:
-        """A request was served after `delay` (ms over its own sending time, 1 at the least). Gives whether
-        the width has shrunk."""
-        if now >= self.ends + self.WINDOW:  # a first word, or after a pause: what was before tells nothing
+        """A request was served after `delay` (ms over its own sending time, 1 at the least). Gives
+        whether the width has shrunk.
+        """
+        if (
+            now >= self.ends + self.WINDOW
+        ):  # a first word, or after a pause: what was before tells nothing
             self._open(now)
         self.seen += 1
         self.total += max(delay, 1.0)
@@ -118,13 +125,15 @@
 class Shares:
     """Weighted fair shares of a number of open requests, for all that ask for some.
 
-    Each party is sure of its part by weight among those that are active. What they don't use is lent; a
-    lender that comes back gets in at once, up to its part, over the bound by HEAD_ROOM at most, and until the
-    borrowers have gone down nothing more is lent. Requests are short, so what is lent is back within their
-    time.
+    Each party is sure of its part by weight among those that are active. What they don't use is
+    lent; a lender that comes back gets in at once, up to its part, over the bound by HEAD_ROOM at
+    most, and until the borrowers have gone down nothing more is lent. Requests are short, so what
+    is lent is back within their time.
     """
 
-    SPAN = 1_000.0  # ms: who asked for nothing so long has no part; demand is the peak of two of these
+    SPAN = (
+        1_000.0  # ms: who asked for nothing so long has no part; demand is the peak of two of these
+    )
     HEAD_ROOM = 0.25
     RECKONED_FOR = 50.0  # ms: how long sums over all parties hold
 
@@ -159,12 +168,16 @@
             return True
         if share.open + amount <= self.part(share):
             return self.open + amount <= self.width * (1.0 + self.HEAD_ROOM) or share.open == 0.0
-        kept = self.wanted - max(0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open)
+        kept = self.wanted - max(
+            0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open
+        )
         return self.open + amount + max(0.0, kept) <= self.width
 
     def reach(self, share: Share, now: float) -> float:
         """The most that a party may have open now, by itself."""
-        kept = self.wanted - max(0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open)
+        kept = self.wanted - max(
+            0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open
+        )
         return max(self.part(share), self.width - (self.open - share.open) - max(0.0, kept))
 
     def take(self, share: Share, amount: float = 1.0) -> None:
@@ -173,7 +186,9 @@
 
     def give(self, share: Share, amount: float = 1.0) -> None:
         left, whole = share.open - amount, self.open - amount
-        share.open = left if left > 1e-6 else 0.0  # bodies count in fractions, whose sums are not whole
+        share.open = (
+            left if left > 1e-6 else 0.0
+        )  # bodies count in fractions, whose sums are not whole
         self.open = whole if whole > 1e-6 else 0.0
 
     def _reckon(self, now: float) -> None:
@@ -184,9 +199,13 @@
                 self.weights += share.weight
             elif now >= share.asked + 60.0 * self.SPAN:
                 del self.parties[name]
-        for share in self.parties.values():  # what each is sure of, wants, and has not: it is not lent
+        for (
+            share
+        ) in self.parties.values():  # what each is sure of, wants, and has not: it is not lent
             if now < share.asked + 2.0 * self.SPAN:
-                self.wanted += max(0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open)
+                self.wanted += max(
+                    0.0, min(share.demand(now, self.SPAN), self.part(share)) - share.open
+                )
 
 
 @dataclass(slots=True, eq=False)
@@ -201,8 +220,9 @@
 
 
 class FairPace:
-    """Weighted fair shares of a rate. Each active party has its part for sure; what others leave of the whole
-    is lent to whoever comes first."""
+    """Weighted fair shares of a rate. Each active party has its part for sure; what others leave of
+    the whole is lent to whoever comes first.
+    """
 
     ACTIVE, RECKONED_FOR, BURST = 1_000.0, 100.0, 0.1
 
@@ -214,7 +234,11 @@
 
     def renew(self, rate: float) -> None:
         if rate != self.rate:
-            whole_at, self.rate, self.whole = self.whole.whole_at, rate, Pace(rate, self.BURST * rate)
+            whole_at, self.rate, self.whole = (
+                self.whole.whole_at,
+                rate,
+                Pace(rate, self.BURST * rate),
+            )
             self.whole.whole_at, self.reckoned_at = whole_at, -1e12
 
     def lane(self, name: str, weight: float) -> Lane:
@@ -250,8 +274,15 @@
 
     def free_for(self, lane: Lane) -> float:
         """What a party may reach: its part, and what the others leave of theirs."""
-        return max(self.part(lane), self.rate - sum(
-            min(self.part(other), 1.25 * other.used) for other in self.lanes.values() if other is not lane))
+        return max(
+            self.part(lane),
+            self.rate
+            - sum(
+                min(self.part(other), 1.25 * other.used)
+                for other in self.lanes.values()
+                if other is not lane
+            ),
+        )
 
     def _reckon(self, now: float) -> None:
         span = now - self.reckoned_at
@@ -259,7 +290,9 @@
             for lane in self.lanes.values():
                 lane.used, lane.taken = 0.5 * lane.used + 500.0 * lane.taken / span, 0
         self.reckoned_at = now if span >= self.RECKONED_FOR else self.reckoned_at
-        for name in [name for name, lane in self.lanes.items() if now >= lane.asked + 60.0 * self.ACTIVE]:
+        for name in [
+            name for name, lane in self.lanes.items() if now >= lane.asked + 60.0 * self.ACTIVE
+        ]:
             del self.lanes[name]
         active = [lane for lane in self.lanes.values() if now < lane.asked + self.ACTIVE]
         self.weights = sum(lane.weight for lane in active)
--- a/mulleinrelay/cells/moves.py
+++ b/mulleinrelay/cells/moves.py
@@ -1,12 +1,14 @@
-"""The course of a move: what share of its tenants' objects has gone over, from the file and the clock alone.
+"""The course of a move: what share of its tenants' objects has gone over, from the file and the
+clock alone.
 
-    planned -> warm -> shift -> drain -> done          abort from warm, shift or drain: back -> aborted
+    planned -> warm -> shift -> drain -> done          abort from warm, shift or drain: back ->
+    aborted
 
-In `warm` the share rises slowly to `warm_share`, in `shift` to 1. Objects go one by one in the order of their
-hash, so that directors whose clocks differ by a little differ in a few objects only, and what has gone over
-stays over. The old cell's caches fill misses as siblings until `done`, and take what the new ones may not be
-sent. On the way back the share falls as fast as it rose in `shift`, as the old caches may have dropped what
-they held.
+In `warm` the share rises slowly to `warm_share`, in `shift` to 1. Objects go one by one in the
+order of their hash, so that directors whose clocks differ by a little differ in a few objects only,
+and what has gone over stays over. The old cell's caches fill misses as siblings until `done`, and
+take what the new ones may not be sent. On the way back the share falls as fast as it rose in
+`shift`, as the old caches may have dropped what they held.
 """
 
 from dataclasses import dataclass
@@ -16,7 +18,9 @@
 from .charter import Move
 
 SALT = 0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
-HEAD_ROOM = 0.65  # part of the receiving caches' capacity that a move may fill: chance and an uneven hash
+HEAD_ROOM = (
+    0.65  # part of the receiving caches' capacity that a move may fill: chance and an uneven hash
+)
 # bring some of them half as much again for a second
 SHIFT_LEAST = 2_000.0
 
@@ -33,9 +37,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """What the receiving caches see of a move: requests a second, their present load and capacity together in
-    the same unit, what a fill costs beside a hit (1), the share of hits once warm, and the objects asked
-    for."""
+    """What the receiving caches see of a move: requests a second, their present load and capacity
+    together in the same unit, what a fill costs beside a hit (1), the share of hits once warm, and
+    the objects asked for.
+    """
 
     rate: float
     load: float
@@ -95,8 +100,10 @@
 def same_course(one: Move, other: Move, now: float) -> bool:
     """Whether both are the same move, at the same point now; what is still to come may differ."""
     alike = ("tenants", "source", "target", "warm_for", "shift_for", "drain_for", "warm_share")
-    return (all(getattr(one, name) == getattr(other, name) for name in alike)
-            and abs(shifted(one, now) - shifted(other, now)) < 1e-9)
+    return (
+        all(getattr(one, name) == getattr(other, name) for name in alike)
+        and abs(shifted(one, now) - shifted(other, now)) < 1e-9
+    )
 
 
 def stage(move: Move, now: float) -> Stage:
@@ -105,8 +112,12 @@
             return Stage.DONE  # too late to go back by an abort; a new move takes them back
         return Stage.BACK if shifted(move, now) > 0.0 else Stage.ABORTED
     at = _frozen(move, now) - move.starts
-    for name, span in ((Stage.PLANNED, 0.0), (Stage.WARM, move.warm_for), (Stage.SHIFT, move.shift_for),
-                       (Stage.DRAIN, move.drain_for)):
+    for name, span in (
+        (Stage.PLANNED, 0.0),
+        (Stage.WARM, move.warm_for),
+        (Stage.SHIFT, move.shift_for),
+        (Stage.DRAIN, move.drain_for),
+    ):
         at -= span
         if at < 0.0:
             return name
@@ -129,9 +140,10 @@
 
 
 def loads(move: Move, demand: Demand) -> list[tuple[float, float, float]]:
-    """(ms from the start, share over, load on the receiving caches over their capacity) along the course. An
-    object is filled when it is first looked up in its new place, so those that came at once are filled as
-    fast as requests find them; of what is there, the usual share is."""
+    """(ms from the start, share over, load on the receiving caches over their capacity) along the
+    course. An object is filled when it is first looked up in its new place, so those that came at
+    once are filled as fast as requests find them; of what is there, the usual share is.
+    """
     span = move.warm_for + move.shift_for + 1_000.0
     step = max(1.0, span / 2_000.0)
     found, lacking, before, at = [], 0.0, 0.0, 0.0
@@ -149,8 +161,9 @@
 
 
 def shift_time(demand: Demand) -> float | None:
-    """The shortest shift (ms) that keeps the receiving caches under HEAD_ROOM; None: they can't bear the
-    tenants even when warm. At the end all requests come and the last objects are new."""
+    """The shortest shift (ms) that keeps the receiving caches under HEAD_ROOM; None: they can't
+    bear the tenants even when warm. At the end all requests come and the last objects are new.
+    """
     room = HEAD_ROOM * demand.capacity - demand.load - demand.rate
     fills = room / max(demand.fill_cost - 1.0, 1e-9) - demand.rate * (1.0 - demand.hit_share)
     if fills <= 0.0:
--- a/mulleinrelay/cells/naming.py
+++ b/mulleinrelay/cells/naming.py
@@ -1,7 +1,8 @@
-"""Whose request it is: by the client's own word, else its address, else the object's group, else the default.
+"""Whose request it is: by the client's own word, else its address, else the object's group, else
+the default.
 
-Addresses and groups are looked up by bisection, so that a table of many thousand tenants costs a request
-little.
+Addresses and groups are looked up by bisection, so that a table of many thousand tenants costs a
+request little.
 """
 
 import ipaddress
@@ -11,18 +12,23 @@
 
 
 class Ranges:
-    """Numbers to names by ranges that may hold one another, but never cross: the smallest that holds it
-    wins."""
+    """Numbers to names by ranges that may hold one another, but never cross: the smallest that
+    holds it wins.
+    """
 
     def __init__(self, ranges: list[tuple[int, int, str]], what: str) -> None:
         self.starts: list[int] = []
         self.names: list[str] = []
-        stack: list[tuple[int, str]] = []  # ends and names of the ranges that hold the present place
+        stack: list[
+            tuple[int, str]
+        ] = []  # ends and names of the ranges that hold the present place
         for first, last, name in sorted(ranges, key=lambda held: (held[0], -held[1])):
             while stack and stack[-1][0] < first:
                 self._after(stack)
-            if stack and (last > stack[-1][0] or (self.starts[-1:] == [first] and last == stack[-1][0]
-                                                  and name != stack[-1][1])):
+            if stack and (
+                last > stack[-1][0]
+                or (self.starts[-1:] == [first] and last == stack[-1][0] and name != stack[-1][1])
+            ):
                 raise CharterError(f"[tenant {name}] {what}: crosses that of tenant {stack[-1][1]}")
             self._begin(first, name)
             stack.append((last, name))
@@ -54,10 +60,13 @@
         for tenant in charter.tenants.values():
             for text in tenant.addresses:
                 network = ipaddress.ip_network(text)
-                by_version[network.version].append((int(network.network_address),
-                                                    int(network.broadcast_address), tenant.name))
+                by_version[network.version].append(
+                    (int(network.network_address), int(network.broadcast_address), tenant.name)
+                )
             groups += [(first, last, tenant.name) for first, last in tenant.groups]
-        self.by_address = {version: Ranges(held, "addresses") for version, held in by_version.items()}
+        self.by_address = {
+            version: Ranges(held, "addresses") for version, held in by_version.items()
+        }
         self.by_group = Ranges(groups, "groups")
         self.seen: dict[str, str] = {}
 
@@ -77,8 +86,9 @@
         return known
 
     def tenant(self, told: str, address: str, group: int) -> str | None:
-        """The tenant of a request; None: it is to be rejected. A told name that is in no table is unknown
-        whatever else would fit: a typing fault must not land on another's account."""
+        """The tenant of a request; None: it is to be rejected. A told name that is in no table is
+        unknown whatever else would fit: a typing fault must not land on another's account.
+        """
         tenants = self.charter.tenants
         if told:
             if told in tenants:
--- a/mulleinrelay/cells/own.py
+++ b/mulleinrelay/cells/own.py
@@ -1,5 +1,6 @@
-"""Our own file beside the platform's: whether cells are on here, and what this director has. Pure but for
-`load`."""
+"""Our own file beside the platform's: whether cells are on here, and what this director has. Pure
+but for `load`.
+"""
 
 import os
 from collections.abc import Callable
@@ -28,17 +29,24 @@
     for title in found:
         if title not in ("cells", "director"):
             raise CharterError(f"[{title}]: an unknown section; known are cells, director")
-    cells, director = Keys("cells", found.get("cells", {})), Keys("director", found.get("director", {}))
+    cells, director = (
+        Keys("cells", found.get("cells", {})),
+        Keys("director", found.get("director", {})),
+    )
     enabled = cells.flag("enabled", False)
     assignment, records = cells.text("assignment", ""), cells.text("records", "")
     if enabled and not assignment:
         raise cells.fault("assignment", "a path is wanted where enabled = yes")
-    own = OwnFile(enabled, os.path.join(folder, assignment) if assignment else "",
-                  cells.text("tenant_field", "tenant"),
-                  cells.number("read_every_ms", 1_000.0, 60_000.0, 50.0),
-                  os.path.join(folder, records) if records else "",
-                  director.whole("open_most", 0, 1_000_000), director.number("rate", 0.0),
-                  director.number("come_back_most_ms", 5_000.0, 600_000.0))
+    own = OwnFile(
+        enabled,
+        os.path.join(folder, assignment) if assignment else "",
+        cells.text("tenant_field", "tenant"),
+        cells.number("read_every_ms", 1_000.0, 60_000.0, 50.0),
+        os.path.join(folder, records) if records else "",
+        director.whole("open_most", 0, 1_000_000),
+        director.number("rate", 0.0),
+        director.number("come_back_most_ms", 5_000.0, 600_000.0),
+    )
     if own.tenant_field and not NAME.fullmatch(own.tenant_field):
         raise cells.fault("tenant_field", f"{own.tenant_field!r} is no name")
     cells.done()
@@ -47,8 +55,9 @@
 
 
 def loaded(path: str, read: Callable[[str, str], Any]) -> Any:
-    """A file of ours, by what reads its text and takes its folder. Raises CharterError, also where it can't
-    be read."""
+    """A file of ours, by what reads its text and takes its folder. Raises CharterError, also where
+    it can't be read.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             return read(file.read(), os.path.dirname(os.path.abspath(path)))
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,5 +1,6 @@
-"""Which cell a tenant's request is confined to now, with which pool: homes, moves, lost cells and keys of
-repeats taken together. Pure; a director's caches are opaque nodes with a name and a warmth."""
+"""Which cell a tenant's request is confined to now, with which pool: homes, moves, lost cells and
+keys of repeats taken together. Pure; a director's caches are opaque nodes with a name and a warmth.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -28,7 +29,9 @@
 
 @dataclass(slots=True, eq=False)
 class Spot:
-    """Where a request goes: the cell that bears it, the pool, and whose guest it is (empty: at home)."""
+    """Where a request goes: the cell that bears it, the pool, and whose guest it is (empty: at
+    home).
+    """
 
     cell: str
     pool: Pool
@@ -46,53 +49,65 @@
 
 
 def settled_homes(charter: Charter) -> dict[str, str]:
-    """The homes of all tenants; raises CharterError where a move's tenants don't stand where it begins. It
-    takes seconds for a large table."""
+    """The homes of all tenants; raises CharterError where a move's tenants don't stand where it
+    begins. It takes seconds for a large table.
+    """
     found = homes(charter)
     for name, move in charter.moves.items():
         for tenant in move.tenants:
             if found.get(tenant) != move.source:
-                raise CharterError(f"[move {name}] from: tenant {tenant} stands in "
-                                   f"{found.get(tenant) or 'no cell'}, not in {move.source}")
+                raise CharterError(
+                    f"[move {name}] from: tenant {tenant} stands in "
+                    f"{found.get(tenant) or 'no cell'}, not in {move.source}"
+                )
     return found
 
 
 class Placement:
-    def __init__(self, charter: Charter, may_pass_by: bool, found: dict[str, str] | None = None) -> None:
+    def __init__(
+        self, charter: Charter, may_pass_by: bool, found: dict[str, str] | None = None
+    ) -> None:
         """`found`: its homes, where they have been reckoned already."""
         self.may_pass_by = may_pass_by
         self.ledger = Ledger(RECEIPTS_MOST)
         self.caches: list[tuple[str, Any, float]] = []  # the ready ones here: name, node, warmth
         self.standings: dict[str, Standing] = {}
-        self.unsettled: dict[str, float] = {}  # tenants that changed cells without a move, and until when
+        self.unsettled: dict[
+            str, float
+        ] = {}  # tenants that changed cells without a move, and until when
         self.homes: dict[str, str] = {}
         self.purses: dict[str, Purse] = {}
         self.shuffles: dict[str, int] = {}  # cells whose tenants lie otherwise by a release
         self._take_over(charter, found or settled_homes(charter))
         self.by_cell: dict[str, list[str]] = {name: [] for name in charter.cells}
         self.nodes: dict[str, Any] = {}
-        # What another director may still do by the version before, or this one did before it was restarted
+        # What another director may still do by the version before, or this one did before it was
+        # restarted
         self.unproven_until = charter.written + charter.spread + charter.skew + charter.horizon
 
     # What comes in
 
     def renew(self, now: float, charter: Charter, found: dict[str, str]) -> list[str]:
-        """A new version and its homes; gives words on what changed its mode. Tenants whose cell it changes
-        without a move change at once, which is said."""
+        """A new version and its homes; gives words on what changed its mode. Tenants whose cell it
+        changes without a move change at once, which is said.
+        """
         before = {name: (home, self.moving.get(name)) for name, home in self.homes.items()}
         self._take_over(charter, found)
         until = now + charter.horizon + charter.skew + charter.spread
         jumped = [
             name
             for name in self.homes
-            if name in before and self._jumps(now, *before[name], self.homes[name], self.moving.get(name))
+            if name in before
+            and self._jumps(now, *before[name], self.homes[name], self.moving.get(name))
         ]
         self.unsettled = {name: end for name, end in self.unsettled.items() if now < end}
         self.unsettled |= dict.fromkeys(jumped, until)
         words = [f"{len(jumped)} tenants change cells without a move"] if jumped else []
         return words + self._stand(now)
 
-    def _jumps(self, now: float, home: str, old: Move | None, new_home: str, new: Move | None) -> bool:
+    def _jumps(
+        self, now: float, home: str, old: Move | None, new_home: str, new: Move | None
+    ) -> bool:
         """Whether a tenant's objects may change cells other than by the course of a move."""
         if old is not None and new is not None and moves.same_course(old, new, now):
             return False
@@ -100,14 +115,18 @@
         return before is None or before != after
 
     def reshuffle(self, shuffles: dict[str, int]) -> None:
-        """Caches of each tenant by cell, where a release in force says so; -1: as the cell has it."""
+        """Caches of each tenant by cell, where a release in force says so; -1: as the
+        cell has it.
+        """
         shuffles = {cell: count for cell, count in shuffles.items() if count >= 0}
         if shuffles != self.shuffles:
             self.shuffles = shuffles
             self._forget()
 
     def listed(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
-        """The ready caches of this location: name, node, warmth (0 to 1). Gives words on changes of mode."""
+        """The ready caches of this location: name, node, warmth (0 to 1). Gives words on changes of
+        mode.
+        """
         self.caches = sorted(caches, key=lambda entry: entry[0])
         return self._stand(now)
 
@@ -138,8 +157,15 @@
 
     # Where to
 
-    def spot(self, now: float, tenant: str, key: int, request_class: RequestClass, idempotency_key: str,
-             repeated: bool) -> Spot | Nowhere:
+    def spot(
+        self,
+        now: float,
+        tenant: str,
+        key: int,
+        request_class: RequestClass,
+        idempotency_key: str,
+        repeated: bool,
+    ) -> Spot | Nowhere:
         home = self.homes.get(tenant)
         if home is None:
             return Nowhere.HOMELESS
@@ -149,8 +175,12 @@
             known = self.ledger.where(tenant, idempotency_key, now)
         repeated = repeated or known is not None
         move = self.moving.get(tenant)
-        if not anywhere and repeated and known is None and (
-                now < self.unproven_until or now < self.unsettled.get(tenant, 0.0)):
+        if (
+            not anywhere
+            and repeated
+            and known is None
+            and (now < self.unproven_until or now < self.unsettled.get(tenant, 0.0))
+        ):
             return Nowhere.UNPROVEN
         cell, other = known if known in self.standings else home, ""
         if move is not None:
@@ -165,8 +195,9 @@
             self.steady[tenant] = found
         return found
 
-    def note(self, now: float, tenant: str, idempotency_key: str, request_class: RequestClass,
-             spot: Spot) -> None:
+    def note(
+        self, now: float, tenant: str, idempotency_key: str, request_class: RequestClass, spot: Spot
+    ) -> None:
         """The request is taken: its repeats go the same way."""
         if idempotency_key and request_class.repeat == KEYED:
             kept = request_class.memory_span + request_class.client_timeout + self.charter.horizon
@@ -175,15 +206,30 @@
     def _sides(self, now: float, move: Move, key: int, to: Way, anywhere: bool) -> tuple[str, str]:
         """The cell that a moving object goes to, and the other one while that has a part in it."""
         under_way = moves.under_way(move, now)
-        if to == Way.NEW and under_way and anywhere and not reserve.at_home(
-                key, self.standings[move.target].home_share(now)):
+        if (
+            to == Way.NEW
+            and under_way
+            and anywhere
+            and not reserve.at_home(key, self.standings[move.target].home_share(now))
+        ):
             to = Way.OLD  # the receiving cell fell away: the old one takes its tenants as before
         cell, other = (move.target, move.source) if to == Way.NEW else (move.source, move.target)
         return cell, other if under_way and self.by_cell[other] else ""
 
-    def _at(self, now: float, tenant: str, key: int, cell: str, other: str, request_class: RequestClass,
-            anywhere: bool, repeated: bool) -> Spot | Nowhere:
-        """`other`: the other side of a move. `anywhere`: it need not stay with the nodes of one cell."""
+    def _at(
+        self,
+        now: float,
+        tenant: str,
+        key: int,
+        cell: str,
+        other: str,
+        request_class: RequestClass,
+        anywhere: bool,
+        repeated: bool,
+    ) -> Spot | Nowhere:
+        """`other`: the other side of a move. `anywhere`: it need not stay with the nodes of one
+        cell.
+        """
         standing = self.standings[cell]
         if request_class.never_kept and self.may_pass_by:  # needs no cache
             return self._spot(tenant, cell, other)
--- a/mulleinrelay/cells/reading.py
+++ b/mulleinrelay/cells/reading.py
@@ -1,5 +1,6 @@
-"""An assignment file as text, to a charter and back; pure. A fault is a CharterError whose text names the
-key, as in `[tenant acme] rate: a number of 0 or more is wanted`."""
+"""An assignment file as text, to a charter and back; pure. A fault is a CharterError whose text
+names the key, as in `[tenant acme] rate: a number of 0 or more is wanted`.
+"""
 
 import configparser
 import ipaddress
@@ -192,7 +193,9 @@
         form = RANGE.fullmatch(part)
         first, last = (int(form[1]), int(form[2] or form[1])) if form else (1, 0)
         if not first <= last <= GROUP_MOST:
-            raise keys.fault("groups", f"{part!r} is no group or range of groups from 0 to {GROUP_MOST}")
+            raise keys.fault(
+                "groups", f"{part!r} is no group or range of groups from 0 to {GROUP_MOST}"
+            )
         groups.append((first, last))
     return Tenant(
         name,
@@ -223,7 +226,9 @@
 
 def _release(keys: Keys, name: str, limits: Limits) -> Release:
     waves = tuple(
-        tuple(wave.replace(",", " ").split()) for wave in keys.text("waves", "").split(";") if wave.strip()
+        tuple(wave.replace(",", " ").split())
+        for wave in keys.text("waves", "").split(";")
+        if wave.strip()
     )
     return Release(
         name,
@@ -234,7 +239,8 @@
         _limits(keys, limits, False),
         keys.number("drop_most", 0.03, 1.0),
         keys.number("slower_most", 1.5, 100.0, 1.0),
-        keys.flag("taken_back", False), int(keys.number("shuffle", -1.0, 10_000, -1.0)),
+        keys.flag("taken_back", False),
+        int(keys.number("shuffle", -1.0, 10_000, -1.0)),
     )
 
 
@@ -262,7 +268,9 @@
                 raise CharterError(f"[cell {name}] neighbours: a cell is no neighbour of its own")
         for cache in cell.caches:
             if cache in holder:
-                raise CharterError(f"[cell {name}] caches: {cache} stands in cell {holder[cache]} already")
+                raise CharterError(
+                    f"[cell {name}] caches: {cache} stands in cell {holder[cache]} already"
+                )
             holder[cache] = name
     for name, tenant in tenants.items():
         if tenant.cell:
@@ -272,7 +280,10 @@
     _agree_moves(charter, known)
     for name, release in charter.releases.items():
         seen: set[str] = set()
-        for key, names in (("canary", (release.canary,)), *(("waves", wave) for wave in release.waves)):
+        for key, names in (
+            ("canary", (release.canary,)),
+            *(("waves", wave) for wave in release.waves),
+        ):
             for cell in names:
                 known(f"release {name}", key, cell, cells, "cell")
                 if cell in seen:
@@ -293,7 +304,9 @@
         for tenant in move.tenants:
             known(title, "tenants", tenant, charter.tenants, "tenant")
             if tenant in moving:
-                raise CharterError(f"[{title}] tenants: {tenant} is moved by {moving[tenant]} already")
+                raise CharterError(
+                    f"[{title}] tenants: {tenant} is moved by {moving[tenant]} already"
+                )
             moving[tenant] = name
         for key, at, least in (
             ("held_at", move.held_at, move.starts),
@@ -306,7 +319,10 @@
 
 def write(charter: Charter) -> str:
     """The text of a charter; `read` gives an equal one."""
-    out = ["; written by `mulleinrelay cells`; changed by hand only with a higher version", "[assignment]"]
+    out = [
+        "; written by `mulleinrelay cells`; changed by hand only with a higher version",
+        "[assignment]",
+    ]
     out += _lines(
         {
             "form": FORM,
@@ -339,7 +355,9 @@
             ),
         ]
     for name, tenant in charter.tenants.items():
-        groups = tuple(f"{first}-{last}" if first != last else str(first) for first, last in tenant.groups)
+        groups = tuple(
+            f"{first}-{last}" if first != last else str(first) for first, last in tenant.groups
+        )
         out += [
             "",
             f"[tenant {name}]",
@@ -399,7 +417,9 @@
 
 
 def _lines(held: dict[str, object]) -> list[str]:
-    return [f"{key} = {_worded(value)}" for key, value in held.items() if value != "" and value != ()]
+    return [
+        f"{key} = {_worded(value)}" for key, value in held.items() if value != "" and value != ()
+    ]
 
 
 def _worded(value: object) -> str:
--- a/mulleinrelay/cells/records.py
+++ b/mulleinrelay/cells/records.py
@@ -1,5 +1,6 @@
-"""What a director tells of its cells in a folder of its own: its present state, and its last changes of
-mode."""
+"""What a director tells of its cells in a folder of its own: its present state, and its last
+changes of mode.
+"""
 
 import os
 import time
@@ -13,7 +14,10 @@
     """Written by one thread. A folder that can't be written is told of once, and tried again."""
 
     def __init__(self, folder: str, name: str) -> None:
-        self.state, self.log = os.path.join(folder, f"{name}.json"), os.path.join(folder, f"{name}.jsonl")
+        self.state, self.log = (
+            os.path.join(folder, f"{name}.json"),
+            os.path.join(folder, f"{name}.jsonl"),
+        )
         self.folder, self.wrong = folder, ""
 
     def keep(self, status: dict, words: list[str]) -> str:
@@ -31,7 +35,11 @@
             self.wrong = wrong.strerror or "unknown"
         if bool(before) == bool(self.wrong):
             return ""
-        return f"records cannot be written: {self.wrong}" if self.wrong else "records are written again"
+        return (
+            f"records cannot be written: {self.wrong}"
+            if self.wrong
+            else "records are written again"
+        )
 
     def _append(self, words: list[str]) -> None:
         try:
@@ -39,20 +47,28 @@
                 os.replace(self.log, f"{self.log}.1")
         except FileNotFoundError:
             pass
-        lines = b"".join(orjson.dumps({"at": round(time.time(), 3), "text": word},
-                                      option=orjson.OPT_APPEND_NEWLINE) for word in words)
+        lines = b"".join(
+            orjson.dumps(
+                {"at": round(time.time(), 3), "text": word}, option=orjson.OPT_APPEND_NEWLINE
+            )
+            for word in words
+        )
         with open(self.log, "ab") as file:
             file.write(lines)
 
 
 def read_states(folder: str) -> list[dict]:
-    """The states of all directors that keep records there, by name; what can't be read is passed over."""
+    """The states of all directors that keep records there, by name; what can't be read is passed
+    over.
+    """
     found = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".json"):
             try:
                 with open(os.path.join(folder, name), "rb") as file:
-                    found.append({"director": name.removesuffix(".json"), **orjson.loads(file.read())})
+                    found.append(
+                        {"director": name.removesuffix(".json"), **orjson.loads(file.read())}
+                    )
             except (OSError, ValueError):
                 continue
     return found
--- a/mulleinrelay/cells/releases.py
+++ b/mulleinrelay/cells/releases.py
@@ -1,10 +1,11 @@
-"""New limits by waves: one canary cell, then the others, halted and taken back where the cell suffers by
-them.
+"""New limits by waves: one canary cell, then the others, halted and taken back where the cell
+suffers by them.
 
-Each director judges from its own requests. A cell with the release is set against its own past, and that
-difference against the same difference of the cells without it: what strikes both is no fault of the release,
-and halts it without taking it back. So does a fall in the last wave, with no cell left to compare with: staff
-decide. """
+Each director judges from its own requests. A cell with the release is set against its own past, and
+that difference against the same difference of the cells without it: what strikes both is no fault
+of the release, and halts it without taking it back. So does a fall in the last wave, with no cell
+left to compare with: staff decide.
+"""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -39,7 +40,11 @@
         if now >= self.due:
             if self.due:
                 part = 0.5 ** min(30, 1 + int((now - self.due) / HALVING))
-                self.good, self.total, self.delay = self.good * part, self.total * part, self.delay * part
+                self.good, self.total, self.delay = (
+                    self.good * part,
+                    self.total * part,
+                    self.delay * part,
+                )
             self.due = now + HALVING
         self.total += 1.0
         if good:
@@ -62,7 +67,9 @@
 
     release: Release
     now: dict[str, Record] = field(default_factory=dict)  # by cell
-    past: dict[str, Record] = field(default_factory=dict)  # as it was when the release reached the cell
+    past: dict[str, Record] = field(
+        default_factory=dict
+    )  # as it was when the release reached the cell
     since: dict[str, float] = field(default_factory=dict)  # when it did
     start: dict[str, Record] = field(default_factory=dict)  # of all cells, when the release began
     wave: int = -1  # -1: not begun; 0: canary; then the waves
@@ -74,7 +81,7 @@
         return [(self.release.canary,), *self.release.waves]
 
     def reached(self) -> list[str]:
-        return [cell for group in self.groups()[:self.wave + 1] for cell in group]
+        return [cell for group in self.groups()[: self.wave + 1] for cell in group]
 
     def has(self, cell: str) -> bool:
         return not self.taken_back and cell in self.since
@@ -96,7 +103,9 @@
         self.now.setdefault(cell, Record()).add(now, good, delay)
 
     def step(self, now: float) -> str:
-        """Goes on, halts or takes back; gives a word where its phase changed. Call it some times a second."""
+        """Goes on, halts or takes back; gives a word where its phase changed. Call it some times a
+        second.
+        """
         before = self.phase()
         if self.release.taken_back and not self.taken_back:
             self.taken_back = "by staff"
@@ -106,8 +115,11 @@
             else:
                 self._judge(now)
         after = self.phase()
-        return after.value + (f" ({self.taken_back})" if after == Phase.TAKEN_BACK else "") \
-            if after != before else ""
+        return (
+            after.value + (f" ({self.taken_back})" if after == Phase.TAKEN_BACK else "")
+            if after != before
+            else ""
+        )
 
     def _reach(self, now: float, wave: int) -> None:
         """What is set side by side is counted from here on, at all cells alike."""
@@ -144,8 +156,14 @@
             return "unclear"
         fell, slower = _change(its_past, with_it)
         told = without.total >= SEEN_LEAST and their_past.total >= SEEN_LEAST
-        others_fell, others_slower = _change(their_past, without) if told else (1.0, 1e9)  # told from nothing
-        noise = GRACE * _deviation(its_past, with_it) * (1.0 / with_it.total + 1.0 / its_past.total) ** 0.5
+        others_fell, others_slower = (
+            _change(their_past, without) if told else (1.0, 1e9)
+        )  # told from nothing
+        noise = (
+            GRACE
+            * _deviation(its_past, with_it)
+            * (1.0 / with_it.total + 1.0 / its_past.total) ** 0.5
+        )
         bound = self.release.drop_most + noise
         beyond = slower / max(1.0, others_slower)
         if fell - max(0.0, others_fell) > bound or beyond > self.release.slower_most:
@@ -161,7 +179,9 @@
 
 
 def _change(past: Record, now: Record) -> tuple[float, float]:
-    """How far the served share fell, and by how much the delay rose (with 5 ms put in against noise)."""
+    """How far the served share fell, and by how much the delay rose (with 5 ms put in against
+    noise).
+    """
     slower = (now.mean() + 5.0) / (past.mean() + 5.0) if past.good and now.good else 1.0
     return past.share() - now.share(), slower
 
@@ -173,13 +193,21 @@
 
 
 def shuffles(courses: dict[str, Course]) -> dict[str, int]:
-    """How tenants lie over a cell's caches, by cell, where a release that has reached it says so."""
-    return {cell: course.release.shuffle for course in courses.values() for cell in course.since
-            if course.has(cell) and course.release.shuffle >= 0}
+    """How tenants lie over a cell's caches, by cell, where a release that has reached
+    it says so.
+    """
+    return {
+        cell: course.release.shuffle
+        for course in courses.values()
+        for cell in course.since
+        if course.has(cell) and course.release.shuffle >= 0
+    }
 
 
 def in_force(courses: dict[str, Course], cell: str, own: Limits) -> Limits:
-    """The limits of a cell's tenants: those of the newest release that has reached it, else its own."""
+    """The limits of a cell's tenants: those of the newest release that has reached it, else its
+    own.
+    """
     limits = own
     for course in courses.values():
         if course.has(cell):
--- a/mulleinrelay/cells/reserve.py
+++ b/mulleinrelay/cells/reserve.py
@@ -1,9 +1,10 @@
 """A cell that is lost: who takes its tenants in, how much, and how they return.
 
-A cell is lost at this director while none of its caches here is ready. Its tenants go to the first named
-neighbour that stands, within `reserve` of what that neighbour may have open and take a second, scaled by how
-warm its caches are: a neighbour whose own caches are cold takes in so much less. When the cell is back its
-tenants' objects return one by one over `return_for`, so that neither side sees a jump.
+A cell is lost at this director while none of its caches here is ready. Its tenants go to the first
+named neighbour that stands, within `reserve` of what that neighbour may have open and take a
+second, scaled by how warm its caches are: a neighbour whose own caches are cold takes in so much
+less. When the cell is back its tenants' objects return one by one over `return_for`, so that
+neither side sees a jump.
 """
 
 from dataclasses import dataclass
@@ -59,8 +60,9 @@
 
 
 def host(standings: dict[str, Standing], cell: Cell) -> Standing | None:
-    """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A neighbour that
-    is coming back itself takes nobody in: its own tenants are still elsewhere."""
+    """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A
+    neighbour that is coming back itself takes nobody in: its own tenants are still elsewhere.
+    """
     for name in cell.neighbours:
         found = standings.get(name)
         if found is not None and not found.lost and not found.back_since:
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -32,8 +32,9 @@
 
 @contextmanager
 def sole_writer(path: str) -> Iterator[None]:
-    """Holds the file's lock, so that two commands don't overwrite one another; raises CharterError where
-    another holds it."""
+    """Holds the file's lock, so that two commands don't overwrite one another; raises CharterError
+    where another holds it.
+    """
     try:
         lock = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
     except OSError as wrong:
@@ -49,11 +50,15 @@
 
 
 def save(path: str, charter: Charter, now: float, built_on: int) -> Charter:
-    """Writes the next version, if the file still holds version `built_on` (0: there is no file yet); raises
-    CharterError. A power cut leaves the old file or the new one. To be called by the sole writer."""
+    """Writes the next version, if the file still holds version `built_on` (0: there is no file
+    yet); raises CharterError. A power cut leaves the old file or the new one. To be called by the
+    sole writer.
+    """
     held = load(path).version if os.path.exists(path) else 0
     if held != built_on:
-        raise CharterError(f"{path}: holds version {held}, this change was built on {built_on}; do it again")
+        raise CharterError(
+            f"{path}: holds version {held}, this change was built on {built_on}; do it again"
+        )
     new = replace(charter, version=held + 1, written=now)
     text = write(new)
     if read(text) != new:
--- a/mulleinrelay/cells/warden.py
+++ b/mulleinrelay/cells/warden.py
@@ -1,5 +1,6 @@
-"""Cells at a running director: one lock round the governor, the assignment file followed, words to the
-log."""
+"""Cells at a running director: one lock round the governor, the assignment file followed, words to
+the log.
+"""
 
 import threading
 from collections import Counter
@@ -24,15 +25,26 @@
 class Warden:
     """For the front: `enter` and `leave` for connections, `admit` and `settle` for requests."""
 
-    def __init__(self, own: OwnFile, start: Start, facade: Facade, clock: Callable[[], float], log: Log,
-                 requests_most: int) -> None:
-        """Raises CharterError where the assignment file can't be used: there is no older version yet."""
+    def __init__(
+        self,
+        own: OwnFile,
+        start: Start,
+        facade: Facade,
+        clock: Callable[[], float],
+        log: Log,
+        requests_most: int,
+    ) -> None:
+        """Raises CharterError where the assignment file can't be used: there is no older version
+        yet.
+        """
         self.own, self.facade, self.clock, self.log = own, facade, clock, log
         self.tenant_field, self.flow = own.tenant_field, start.terms.flow
         self.lock = threading.Lock()
         self.stamp = store.stamp(own.assignment)
         charter = store.load(own.assignment)
-        board = Board(min(own.open_most or requests_most, requests_most), own.rate, own.come_back_most)
+        board = Board(
+            min(own.open_most or requests_most, requests_most), own.rate, own.come_back_most
+        )
         self.governor = Governor(clock(), charter, board, start.terms.may_pass_by)
         self.connections: Counter[str] = Counter()
         self.caches: list[tuple[str, Any, float]] = []
@@ -52,8 +64,9 @@
     # For the front
 
     def enter(self, address: str) -> str | None:
-        """One more connection from there; gives its tenant, empty where the address tells none, None where
-        that holds as many as it may."""
+        """One more connection from there; gives its tenant, empty where the address tells none,
+        None where that holds as many as it may.
+        """
         with self.lock:
             tenant = self.governor.naming.of_address(address)
             if not self.governor.welcome(address, self.connections[tenant]):
@@ -68,8 +81,16 @@
                 del self.connections[entry]
 
     def admit(self, asked: Asked, request_class: RequestClass, address: str) -> Grant | Denied:
-        asking = Asking(asked.tenant, address, asked.group, asked.object, request_class,
-                        asked.idempotency_key, asked.repeated, len(asked.body))
+        asking = Asking(
+            asked.tenant,
+            address,
+            asked.group,
+            asked.object,
+            request_class,
+            asked.idempotency_key,
+            asked.repeated,
+            len(asked.body),
+        )
         with self.lock:
             return self.governor.admit(self.clock(), asking)
 
@@ -77,7 +98,9 @@
         now = self.clock()
         sending = request.size / self.flow if self.flow else 0.0
         with self.lock:
-            word = self.governor.settle(now, grant, good, owed, max(0.0, now - request.arrived - sending))
+            word = self.governor.settle(
+                now, grant, good, owed, max(0.0, now - request.arrived - sending)
+            )
         if word:
             self._say([word])
 
@@ -114,8 +137,12 @@
         """Whether a cache came or went, or warmed by a twentieth."""
         before = self.caches
         return len(caches) != len(before) or any(
-            one[0] != other[0] or one[1] is not other[1] or abs(one[2] - other[2]) > 0.05
-            or (one[2] == 1.0) != (other[2] == 1.0) for one, other in zip(caches, before, strict=True))
+            one[0] != other[0]
+            or one[1] is not other[1]
+            or abs(one[2] - other[2]) > 0.05
+            or (one[2] == 1.0) != (other[2] == 1.0)
+            for one, other in zip(caches, before, strict=True)
+        )
 
     def _read(self, now: float) -> list[str]:
         stamp = store.stamp(self.own.assignment)
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -1,5 +1,6 @@
-"""The command line. What serves and what only reads files import nothing of one another: each command draws
-in its own part when it is called."""
+"""The command line. What serves and what only reads files import nothing of one another: each
+command draws in its own part when it is called.
+"""
 
 import os
 import sys
@@ -11,8 +12,12 @@
 from . import VERSION
 
 DONE, NOT_STARTED, BAD_CONFIGURATION, MISUSED, REFUSED = 0, 1, 2, 2, 3
-GROUPS = {"cells": "mulleinrelay.cells.commands", "ctl": "mulleinrelay.management.ctl",
-          "lab": "mulleinrelay.lab.commands", "fleet": "mulleinrelay.membership.commands"}
+GROUPS = {
+    "cells": "mulleinrelay.cells.commands",
+    "ctl": "mulleinrelay.management.ctl",
+    "lab": "mulleinrelay.lab.commands",
+    "fleet": "mulleinrelay.membership.commands",
+}
 
 
 EXTRAS = {"ctl": "management"}
@@ -28,6 +33,7 @@
         if name not in GROUPS:
             return super().get_command(context, name)
         from importlib import import_module
+
         try:
             return getattr(import_module(GROUPS[name]), name)
         except ModuleNotFoundError as missing:
@@ -35,28 +41,44 @@
                 raise
             extra = EXTRAS.get(name, name)
             raise click.ClickException(
-                f"{name}: the library {missing.name} is missing; install mulleinrelay[{extra}]") from None
+                f"{name}: the library {missing.name} is missing; install mulleinrelay[{extra}]"
+            ) from None
 
 
 @click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """A router before tiers of caches.
 
-    Exit codes: 0 done; 1 not started, or failed; 2 wrong use or a wrong file; 3 refused: the change would
-    break a rule, and says which. """
+    Exit codes: 0 done; 1 not started, or failed; 2 wrong use or a wrong file; 3 refused: the change
+    would break a rule, and says which.
+    """
 
 
-CONFIG = click.option("--config", metavar="FILE", help="The platform's configuration (default: $LB_CONFIG).")
-CELLS = click.option("--cells", metavar="FILE", envvar="MULLEINRELAY_CELLS",
-                     help="Our own file, as deploy/cells.ini (default: $MULLEINRELAY_CELLS; none: off).")
+CONFIG = click.option(
+    "--config", metavar="FILE", help="The platform's configuration (default: $LB_CONFIG)."
+)
+CELLS = click.option(
+    "--cells",
+    metavar="FILE",
+    envvar="MULLEINRELAY_CELLS",
+    help="Our own file, as deploy/cells.ini (default: $MULLEINRELAY_CELLS; none: off).",
+)
 
 
-MANAGEMENT = click.option("--management", metavar="FILE", envvar="MULLEINRELAY_MANAGEMENT",
-                          help="Our own file, as deploy/management.ini (default: $MULLEINRELAY_MANAGEMENT).")
+MANAGEMENT = click.option(
+    "--management",
+    metavar="FILE",
+    envvar="MULLEINRELAY_MANAGEMENT",
+    help="Our own file, as deploy/management.ini (default: $MULLEINRELAY_MANAGEMENT).",
+)
 
 
-FLEET = click.option("--fleet", metavar="FILE", envvar="MULLEINRELAY_FLEET",
-                     help="Our own file, as deploy/fleet.ini (default: $MULLEINRELAY_FLEET; none: off).")
+FLEET = click.option(
+    "--fleet",
+    metavar="FILE",
+    envvar="MULLEINRELAY_FLEET",
+    help="Our own file, as deploy/fleet.ini (default: $MULLEINRELAY_FLEET; none: off).",
+)
 
 
 @main.command()
@@ -67,6 +89,7 @@
 def serve(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Run one director until SIGTERM; SIGHUP reads the configuration again."""
     from .serving import serve
+
     sys.exit(serve(config, cells, management, fleet))
 
 
@@ -78,37 +101,56 @@
 def check(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Read the configurations and say what is wrong with them."""
     from .configuration import ConfigurationError, from_environment
-    if (cells is None and management is None and fleet is None) or config or os.environ.get("LB_CONFIG"):
+
+    if (
+        (cells is None and management is None and fleet is None)
+        or config
+        or os.environ.get("LB_CONFIG")
+    ):
         try:
             start = from_environment(os.environ, config)
         except ConfigurationError as wrong:
             faulty(str(wrong))
-        click.echo(f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
-                   f"{len(start.request_classes)} request classes, {len(start.events)} events known, "
-                   f"up to number {start.known}")
+        click.echo(
+            f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
+            f"{len(start.request_classes)} request classes, {len(start.events)} events known, "
+            f"up to number {start.known}"
+        )
     if cells is not None:
         from .cells.own import load_own
         from .cells.store import load
+
         own = held_in(load_own, cells)
         charter = held_in(load, own.assignment) if own.assignment else None
-        held = (f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
-                f"{len(charter.moves)} moves" if charter else "no assignment")
+        held = (
+            f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
+            f"{len(charter.moves)} moves"
+            if charter
+            else "no assignment"
+        )
         click.echo(f"cells: {'on' if own.enabled else 'off'}, {held}")
     if management is not None:
         from .management.own import load_own as load_management
+
         managed = held_in(load_management, management)
-        click.echo(f"management: {'on' if managed.enabled else 'off'}, {managed.listen}, "
-                   f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles")
+        click.echo(
+            f"management: {'on' if managed.enabled else 'off'}, {managed.listen}, "
+            f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles"
+        )
     if fleet is not None:
         from .membership.own import load_own as load_fleet
+
         talked = held_in(load_fleet, fleet)
-        click.echo(f"fleet: {'on' if talked.enabled else 'off'}, {talked.fleet}, heard at "
-                   f"{talked.announce[0]}:{talked.announce[1]}, {len(talked.seeds)} seeds")
+        click.echo(
+            f"fleet: {'on' if talked.enabled else 'off'}, {talked.fleet}, heard at "
+            f"{talked.announce[0]}:{talked.announce[1]}, {len(talked.seeds)} seeds"
+        )
 
 
 def held_in(load: Callable[[str], Any], path: str) -> Any:
     """One of our own files; says what is wrong with it and exits."""
     from .cells.charter import CharterError
+
     try:
         return load(path)
     except CharterError as wrong:
--- a/mulleinrelay/configuration.py
+++ b/mulleinrelay/configuration.py
@@ -1,7 +1,7 @@
 """The one place where LB_CONFIG and the start settings are read, checked and given their defaults.
 
-A fault is a ConfigurationError whose text names the key. Both the simulator's host and the director on
-sockets get their Terms here.
+A fault is a ConfigurationError whose text names the key. Both the simulator's host and the director
+on sockets get their Terms here.
 """
 
 import json
@@ -9,13 +9,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .interface import UNSAFE, IDEMPOTENT, KEYED, ColdRule, Terms, RequestClass
+from .interface import IDEMPOTENT, KEYED, UNSAFE, ColdRule, RequestClass, Terms
 
 REPEAT = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
-REPORT_WORDS = {"busy_reqs": "held", "inflight": "held", "cpu_share": "busy", "util": "busy",
-                "x1": "crowding"}
+REPORT_WORDS = {
+    "busy_reqs": "held",
+    "inflight": "held",
+    "cpu_share": "busy",
+    "util": "busy",
+    "x1": "crowding",
+}
 DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, SOCKETS_LEAST = 192, 1024, 64
-FALL_MULTIPLE = 2.0  # of what a cold node can do, where the settings don't tell how much more fells it
+FALL_MULTIPLE = (
+    2.0  # of what a cold node can do, where the settings don't tell how much more fells it
+)
 MISSING = object()
 
 
@@ -70,7 +77,9 @@
         held = self.items(key)
         if place >= len(held):
             raise ConfigurationError(f"{self.at(key)}: an entry {place} is missing")
-        if not isinstance(held[place], forms) or (isinstance(held[place], bool) and bool not in forms):
+        if not isinstance(held[place], forms) or (
+            isinstance(held[place], bool) and bool not in forms
+        ):
             raise ConfigurationError(f"{self.at(key)}[{place}]: {wanted} is wanted")
         return held[place]
 
@@ -78,7 +87,9 @@
         return Section(self.read(key, (dict,), "an object"), self.at(key))
 
     def sections(self, key: str) -> list["Section"]:
-        return [Section(held, f"{self.at(key)}[{place}]") for place, held in enumerate(self.items(key))]
+        return [
+            Section(held, f"{self.at(key)}[{place}]") for place, held in enumerate(self.items(key))
+        ]
 
     def address(self, key: str) -> tuple[str, int]:
         host, _, port = self.text(key).rpartition(":")
@@ -89,37 +100,70 @@
 
 def costs_of(settings: Section) -> Section:
     """Prices by what they are for; none where they are not told."""
-    return settings.section("costs") if "costs" in settings.held else Section({}, settings.at("costs"))
+    return (
+        settings.section("costs") if "costs" in settings.held else Section({}, settings.at("costs"))
+    )
 
 
 def read_terms(boot: Section) -> Terms:
     """What the decision module reads of the start settings, in the project's own words."""
     allowed, domain, rules = boot.section("allowed"), boot.section("domain"), boot.section("rules")
-    report, number, flag = boot.section("report"), ((int, float), "a number"), ((bool,), "true or false")
+    report, number, flag = (
+        boot.section("report"),
+        ((int, float), "a number"),
+        ((bool,), "true or false"),
+    )
     request_classes = [
-        RequestClass(case.choice("idempotency", REPEAT), case.number("slo"), case.number("aimStretch", 0.0),
-                case.number("deadline"), case.number("memorySpan"), case.text("group"),
-                domain.each("freshFor", at, *number), domain.each("neverKept", at, *flag),
-                case.number("credit", 1.0))
-        for at, case in enumerate(boot.sections("classes"))]
+        RequestClass(
+            case.choice("idempotency", REPEAT),
+            case.number("slo"),
+            case.number("aimStretch", 0.0),
+            case.number("deadline"),
+            case.number("memorySpan"),
+            case.text("group"),
+            domain.each("freshFor", at, *number),
+            domain.each("neverKept", at, *flag),
+            case.number("credit", 1.0),
+        )
+        for at, case in enumerate(boot.sections("classes"))
+    ]
     zone, overload_for = boot.whole("myZone"), rules.number("overloadFor")
     return Terms(
-        request_classes=request_classes, zone=zone, directors=boot.whole("balancers"),
+        request_classes=request_classes,
+        zone=zone,
+        directors=boot.whole("balancers"),
         directors_here=max(1, domain.each("countByZone", zone, *number)),
-        parent_kind=domain.whole("midKind"), origin_kind=domain.whole("storeKind"),
-        sized=boot.text("weights") != "none", flow=domain.number("oneFlowKbPerS") / 1000.0,
-        attempts_most=allowed.whole("maxAttempts"), two_attempts=allowed.flag("mayDuplicate"),
-        may_cancel=allowed.flag("cancel"), may_probe=allowed.flag("mayProbe"),
-        may_advise=allowed.flag("retryAfter"), advice_most=allowed.number("maxRetryAfter"),
-        may_pass_by=domain.flag("mayPassBy"), joins=domain.flag("collapses"),
-        siblings=domain.text("peersFill") != "none", must_subscribe=boot.text("registryMode") == "subscribe",
+        parent_kind=domain.whole("midKind"),
+        origin_kind=domain.whole("storeKind"),
+        sized=boot.text("weights") != "none",
+        flow=domain.number("oneFlowKbPerS") / 1000.0,
+        attempts_most=allowed.whole("maxAttempts"),
+        two_attempts=allowed.flag("mayDuplicate"),
+        may_cancel=allowed.flag("cancel"),
+        may_probe=allowed.flag("mayProbe"),
+        may_advise=allowed.flag("retryAfter"),
+        advice_most=allowed.number("maxRetryAfter"),
+        may_pass_by=domain.flag("mayPassBy"),
+        joins=domain.flag("collapses"),
+        siblings=domain.text("peersFill") != "none",
+        must_subscribe=boot.text("registryMode") == "subscribe",
         reports=[REPORT_WORDS.get(word, word) for word in report.items("columns")],
         asks_reports=report.text("how") == "probe",
-        cold_cache=ColdRule(rules.number("coldFrom"), rules.number("cold"), overload_for,
-                            rules.number("fallMultiple", FALL_MULTIPLE)),
-        cold_parent=ColdRule(domain.number("parentStartsAt"), domain.number("parentWarmsIn"), overload_for,
-                             domain.number("parentLimitFactor", FALL_MULTIPLE)),
-        purge_span=domain.number("purgeTakes"), probe_price=costs_of(boot).number("probe", 0.0))
+        cold_cache=ColdRule(
+            rules.number("coldFrom"),
+            rules.number("cold"),
+            overload_for,
+            rules.number("fallMultiple", FALL_MULTIPLE),
+        ),
+        cold_parent=ColdRule(
+            domain.number("parentStartsAt"),
+            domain.number("parentWarmsIn"),
+            overload_for,
+            domain.number("parentLimitFactor", FALL_MULTIPLE),
+        ),
+        purge_span=domain.number("purgeTakes"),
+        probe_price=costs_of(boot).number("probe", 0.0),
+    )
 
 
 def terms_from_text(text: bytes) -> Terms:
@@ -169,19 +213,28 @@
         raise ConfigurationError(f"limits.sockets: {SOCKETS_LEAST} or more is wanted")
     names = [case.text("name") for case in settings.sections("classes")]
     return Start(
-        name=whole.text("name"), listen=whole.address("listen"), seed=number,
+        name=whole.text("name"),
+        listen=whole.address("listen"),
+        seed=number,
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
-        sockets=sockets, bus=whole.address("bus"),
-        known=known.whole("offset"), events=known.items("batch"), terms=terms,
+        sockets=sockets,
+        bus=whole.address("bus"),
+        known=known.whole("offset"),
+        events=known.items("batch"),
+        terms=terms,
         request_classes=dict(zip(names, terms.request_classes, strict=True)),
         zones={name: place for place, name in enumerate(settings.items("azs"))},
         kinds={name: place for place, name in enumerate(settings.items("shapes"))},
-        connect_timeout=allowed.number("connectTimeout"), idle_for=allowed.number("connIdle"),
+        connect_timeout=allowed.number("connectTimeout"),
+        idle_for=allowed.number("connIdle"),
         attempts_a_connection=allowed.whole("maxStreams"),
-        links_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0))
+        links_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
+    )
 
 
-def from_environment(environment: dict[str, str] | os._Environ[str], path: str | None = None) -> Start:
+def from_environment(
+    environment: dict[str, str] | os._Environ[str], path: str | None = None
+) -> Start:
     """The configuration that LB_CONFIG (or `path`) names."""
     path = path or environment.get("LB_CONFIG")
     if not path:
--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/facade.py
@@ -1,10 +1,11 @@
 """The decision module for the network code: pick, report, tick.
 
-The only code that knows the module's calls and its Writer. One lock guards the module and the state of every
-request; nothing here touches a socket. A request has one life: it is taken, picked for until its verdict, and
-whoever comes second (a late answer, the client's leaving, a timer) finds it ended. The thread whose call
-moved a request picks for it until there is nothing to do; only one thread does at a time, so that all that is
-done for a request is done in order and its verdict comes last.
+The only code that knows the module's calls and its Writer. One lock guards the module and the state
+of every request; nothing here touches a socket. A request has one life: it is taken, picked for
+until its verdict, and whoever comes second (a late answer, the client's leaving, a timer) finds it
+ended. The thread whose call moved a request picks for it until there is nothing to do; only one
+thread does at a time, so that all that is done for a request is done in order and its verdict comes
+last.
 """
 
 import heapq
@@ -14,13 +15,27 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from .interface import (NOWHERE, Attempt, Listing, Note, Order, Outcome, Place, Pool, Request, State, Terms,
-                        RequestClass)
+from .interface import (
+    NOWHERE,
+    Attempt,
+    Listing,
+    Note,
+    Order,
+    Outcome,
+    Place,
+    Pool,
+    Request,
+    RequestClass,
+    State,
+    Terms,
+)
 from .log import Log
 from .policy import Director, Member
 from .spread.admission import Lateness
 
-ANSWER_SLACK = 8.0  # a request without a verdict so long after its client's time is failed by the caller
+ANSWER_SLACK = (
+    8.0  # a request without a verdict so long after its client's time is failed by the caller
+)
 
 
 class Intent(Protocol):
@@ -83,7 +98,9 @@
         self.lives: dict[Request, Life] = {}
         self.nodes: dict[str, Member] = {}
         self.places: dict[Member, Place] = {}
-        self.entries: dict[str, Listing] = {}  # as the list told them last, those that have gone left out
+        self.entries: dict[
+            str, Listing
+        ] = {}  # as the list told them last, those that have gone left out
         self.intent: Intent | None = None  # what staff want over the list
         self.timers: list[tuple[float, int, str, Request | Attempt]] = []
         self.timer_count, self.resting_until = 0, 0.0
@@ -95,22 +112,38 @@
 
     # For the network code: requests
 
-    def take(self, request_class: RequestClass, key: int, part: int, group: int, size: float, left: float,
-             repeated: bool, ticket: Any = None, room: bool = True, pool: Pool | None = None) -> Request:
-        """A request has come; the caller now picks for it, and until then nobody else does. Where there is no
-        room to see it through, the module ends it at once. With a pool it is confined to that."""
+    def take(
+        self,
+        request_class: RequestClass,
+        key: int,
+        part: int,
+        group: int,
+        size: float,
+        left: float,
+        repeated: bool,
+        ticket: Any = None,
+        room: bool = True,
+        pool: Pool | None = None,
+    ) -> Request:
+        """A request has come; the caller now picks for it, and until then nobody else does. Where
+        there is no room to see it through, the module ends it at once. With a pool it is confined
+        to that.
+        """
         now = self.clock()
         with self.lock:
-            request = Request(ticket, request_class, key, part, group, size, now, now + left, repeated,
-                            pool=pool)
+            request = Request(
+                ticket, request_class, key, part, group, size, now, now + left, repeated, pool=pool
+            )
             self.lives[request] = Life(threading.get_ident())
             self._set_timer(left + ANSWER_SLACK, "overdue", request)
             self._play("requested" if room else "woken", request)
         return request
 
     def pick(self, request: Request) -> Order | GiveUp | Verdict | None:
-        """What is to be done next for the request; a verdict comes last, and once. None where nothing is to
-        be done, or where another thread is at it, which picks what has come meanwhile."""
+        """What is to be done next for the request; a verdict comes last, and once. None where
+        nothing is to be done, or where another thread is at it, which picks what has come
+        meanwhile.
+        """
         with self.lock:
             life, here = self.lives.get(request), threading.get_ident()
             if life is None or life.holder not in (0, here):
@@ -118,33 +151,47 @@
             life.holder = here
             while life.steps:
                 step = life.steps.popleft()
-                if isinstance(step, GiveUp) or (life.verdict is None and step.attempt.outcome is None):
+                if isinstance(step, GiveUp) or (
+                    life.verdict is None and step.attempt.outcome is None
+                ):
                     return step
             life.holder = 0
             if life.verdict is not None:
                 del self.lives[request]
             return life.verdict
 
-    def report(self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0,
-               load: dict[str, float] | None = None, answer: Any = None) -> None:
+    def report(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        note: Note = Note.NONE,
+        waited: float = 0.0,
+        load: dict[str, float] | None = None,
+        answer: Any = None,
+    ) -> None:
         """How an attempt went. What comes for an attempt that is over is dropped."""
         with self.lock:
             self._ended(attempt, outcome, note, waited, load, answer)
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt that was decided may still go out: asked when its first byte is to be written,
-        which may be long after. What came between (a drain, another machine at the address, a purge, the
-        client's leaving, another answer) holds; an attempt that may not is reported as moot, and what is to
-        be done instead is decided anew."""
+        """Whether an attempt that was decided may still go out: asked when its first byte is to be
+        written, which may be long after. What came between (a drain, another machine at the
+        address, a purge, the client's leaving, another answer) holds; an attempt that may not is
+        reported as moot, and what is to be done instead is decided anew.
+        """
         with self.lock:
             life = self.lives.get(attempt.request)
             if life is None or life.verdict is not None or attempt.outcome is not None:
                 return False
-            here = all(self.places.get(node) is place and not place.gone for node, place in attempt.ways)
+            here = all(
+                self.places.get(node) is place and not place.gone for node, place in attempt.ways
+            )
             return here and self.director.may_begin(self.clock(), attempt)
 
     def may_ask(self, node: Member, place: Place) -> bool:
-        """Whether a node may be asked for an echo or a report there, when the first byte is to be written."""
+        """Whether a node may be asked for an echo or a report there, when the first byte is to be
+        written.
+        """
         with self.lock:
             return self.places.get(node) is place and not place.gone and self.director.may_ask(node)
 
@@ -157,7 +204,9 @@
                 self._play("end", request)
 
     def drop(self, request: Request) -> None:
-        """Nobody will pick for this request any more; who holds the links of its attempts gives them up."""
+        """Nobody will pick for this request any more; who holds the links of its attempts gives
+        them up.
+        """
         self.forget(request)
         with self.lock:
             self.lives.pop(request, None)
@@ -174,16 +223,25 @@
         return len(self.lives)
 
     def short_of_time(self) -> float:
-        """0 where timers come when they are due, near 1 where this director is itself what is late."""
+        """0 where timers come when they are due, near 1 where this director is itself
+        what is late.
+        """
         return self.lateness.fullness(self.clock())
 
     def ready_caches(self) -> list[tuple[str, Member, float]]:
-        """Those of this location by name, each with the share of its capacity that it has at the least."""
+        """Those of this location by name, each with the share of its capacity that it has at the
+        least.
+        """
         with self.lock:
             now, director = self.clock(), self.director
             director.now = max(director.now, now)
-            return sorted(((self.places[member].name, member, director.warmth(member))
-                           for member in director.caches), key=lambda entry: entry[0])
+            return sorted(
+                (
+                    (self.places[member].name, member, director.warmth(member))
+                    for member in director.caches
+                ),
+                key=lambda entry: entry[0],
+            )
 
     # For the network code: nodes, events and time
 
@@ -209,20 +267,32 @@
         return replace(known, state=entry.state) if partial else entry
 
     def wanted(self, make: Callable[["Intent"], list[str]]) -> None:
-        """What staff want has changed: `make` changes the intent and gives the nodes that it touches."""
+        """What staff want has changed: `make` changes the intent and gives the nodes that it
+        touches.
+        """
         with self.lock:
             touched = [self.entries[name] for name in make(self.intent) if name in self.entries]
             if touched:
                 self._list(touched, False)
 
     def boxes(self) -> list[tuple[Listing, State, Member, float | None, float]]:
-        """For staff, by name: as the list tells a node, the state that this director goes by, what it
-        believes, the smoothed delay (ms; None: not measured) and its warmth."""
+        """For staff, by name: as the list tells a node, the state that this director goes by, what
+        it believes, the smoothed delay (ms; None: not measured) and its warmth.
+        """
         with self.lock:
             now, director = self.clock(), self.director
             director.now = max(director.now, now)
-            return [(entry, self._state(entry), member, member.recent.mean(now), director.warmth(member))
-                    for name, entry in sorted(self.entries.items()) if (member := self.nodes.get(name))]
+            return [
+                (
+                    entry,
+                    self._state(entry),
+                    member,
+                    member.recent.mean(now),
+                    director.warmth(member),
+                )
+                for name, entry in sorted(self.entries.items())
+                if (member := self.nodes.get(name))
+            ]
 
     def purges_binding(self) -> int:
         return len(self.director.purges)
@@ -244,8 +314,17 @@
                     place.gone = True
                 place = self.places[member] = Place(entry.name, entry.address)
             place.gone = entry.state == State.GONE
-            rows.append((member, self._state(entry), entry.share, entry.kind, entry.zone, entry.listed_cell,
-                         entry.started))
+            rows.append(
+                (
+                    member,
+                    self._state(entry),
+                    entry.share,
+                    entry.kind,
+                    entry.zone,
+                    entry.listed_cell,
+                    entry.started,
+                )
+            )
         if whole:
             for name, member in self.nodes.items():
                 self.places[member].gone |= name not in named
@@ -264,8 +343,9 @@
             self._play("told", node, load, well)
 
     def tick(self) -> tuple[float, list[tuple[Member, Place]], list[Request]]:
-        """Runs the timers that are due; gives when to call again, the nodes to be probed, and the requests to
-        be picked for."""
+        """Runs the timers that are due; gives when to call again, the nodes to be probed, and the
+        requests to be picked for.
+        """
         with self.lock:
             now, moved = self.clock(), {}
             if self.timers and self.timers[0][0] <= now:
@@ -280,7 +360,9 @@
                         self._call_off(about)
                         self._ended(about, Outcome.TIMEOUT, Note.NONE, 0.0, None, None)
                 elif what == "overdue":
-                    if life.verdict is None:  # the module gave none; its client must not wait in vain
+                    if (
+                        life.verdict is None
+                    ):  # the module gave none; its client must not wait in vain
                         self.log_to.event("overdue", attempts=len(request.attempts))
                         life.settle(Failed())
                         self._play("end", request)
@@ -311,18 +393,40 @@
             except Exception as broken:
                 self.log_to.fault(f"module, {method}", broken)
                 if arguments and isinstance(arguments[0], Request | Attempt):
-                    about = arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
+                    about = (
+                        arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
+                    )
                     about.ended = True
                     if (life := self.lives.get(about)) is not None:
                         life.settle(Failed())
             called_off, self.called_off = self.called_off, []
             now = self.clock()
-            calls = [("answered", (attempt, Outcome.CANCELLED, now - attempt.sent, attempt.request.ended,
-                                   Note.NONE, 0.0, None))
-                     for attempt in called_off if attempt.outcome is None]
-
-    def _ended(self, attempt: Attempt, outcome: Outcome, note: Note, waited: float,
-               load: dict[str, float] | None, answer: Any) -> None:
+            calls = [
+                (
+                    "answered",
+                    (
+                        attempt,
+                        Outcome.CANCELLED,
+                        now - attempt.sent,
+                        attempt.request.ended,
+                        Note.NONE,
+                        0.0,
+                        None,
+                    ),
+                )
+                for attempt in called_off
+                if attempt.outcome is None
+            ]
+
+    def _ended(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        note: Note,
+        waited: float,
+        load: dict[str, float] | None,
+        answer: Any,
+    ) -> None:
         if attempt.outcome is not None:
             return
         request = attempt.request
@@ -330,13 +434,21 @@
         if outcome == Outcome.SERVED and not request.ended and life is not None:
             life.settle(Served(answer))
         closed = request.ended or outcome == Outcome.SERVED
-        self._play("answered", attempt, outcome, self.clock() - attempt.sent, closed, note, waited, load)
+        self._play(
+            "answered", attempt, outcome, self.clock() - attempt.sent, closed, note, waited, load
+        )
 
     def _call_off(self, attempt: Attempt) -> None:
         life = self.lives.get(attempt.request)
         if life is not None:
-            waiting = next((step for step in life.steps
-                            if isinstance(step, Order) and step.attempt is attempt), None)
+            waiting = next(
+                (
+                    step
+                    for step in life.steps
+                    if isinstance(step, Order) and step.attempt is attempt
+                ),
+                None,
+            )
             if waiting is not None:  # never sent
                 life.steps.remove(waiting)
             else:
@@ -351,16 +463,41 @@
 
     # The module's Writer
 
-    def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
-             parent_keeps: bool, renew: bool) -> None:
-        source = attempt.source if attempt.source is not None and attempt.source is not attempt.node else None
+    def send(
+        self,
+        attempt: Attempt,
+        max_age: float,
+        rank: int,
+        join: bool,
+        held_only: bool,
+        parent_keeps: bool,
+        renew: bool,
+    ) -> None:
+        source = (
+            attempt.source
+            if attempt.source is not None and attempt.source is not attempt.node
+            else None
+        )
         life = self.lives.get(attempt.request)
         if life is None:
             return
-        attempt.ways = tuple((node, self.places[node]) for node in (attempt.node, source) if node is not None)
+        attempt.ways = tuple(
+            (node, self.places[node]) for node in (attempt.node, source) if node is not None
+        )
         named = self.places[source].name if source else ""
-        life.steps.append(Order(attempt, self.places[attempt.node], named, max_age, rank, join, held_only,
-                                parent_keeps, renew))
+        life.steps.append(
+            Order(
+                attempt,
+                self.places[attempt.node],
+                named,
+                max_age,
+                rank,
+                join,
+                held_only,
+                parent_keeps,
+                renew,
+            )
+        )
         self._set_timer(attempt.timeout, "timeout", attempt)
 
     def abandon(self, attempt: Attempt) -> None:
--- a/mulleinrelay/interface.py
+++ b/mulleinrelay/interface.py
@@ -1,8 +1,10 @@
-"""The types that the decision module and its callers share. No decision and no tuned value stands here.
+"""The types that the decision module and its callers share. No decision and no tuned value stands
+here.
 
 A caller makes one `policy.Director(now, seed, terms)` for each director and calls
-`director.round(now, inbox, out)` with all that came in since the last call. `inbox` holds plain tuples
-(name of a Director method, arguments) in arrival order; `out` is a Writer. Times are milliseconds.
+`director.round(now, inbox, out)` with all that came in since the last call. `inbox` holds plain
+tuples (name of a Director method, arguments) in arrival order; `out` is a Writer. Times are
+milliseconds.
 """
 
 import math
@@ -131,7 +133,9 @@
     outcome: Outcome | None = None
     bag: Any = None  # the module's own notes on it
     purged: float = 0.0  # the purge that bounds the age of its copy; 0: none does
-    ways: tuple[tuple[Node, "Place"], ...] = ()  # the caller's: where node and source were when decided
+    ways: tuple[
+        tuple[Node, "Place"], ...
+    ] = ()  # the caller's: where node and source were when decided
     tag: str = ""  # the caller's: of the client's copy, as the node was told
 
 
@@ -144,9 +148,10 @@
 
 @dataclass(slots=True, eq=False)
 class Share:
-    """This director's part of a limit that directors have in common: `part` until then, and after that,
-    however long it was stopped meanwhile, only `least`. Where it is `watched`, the largest parts that it used
-    and that it was refused since somebody last looked."""
+    """This director's part of a limit that directors have in common: `part` until then, and after
+    that, however long it was stopped meanwhile, only `least`. Where it is `watched`, the largest
+    parts that it used and that it was refused since somebody last looked.
+    """
 
     part: float
     until: float = math.inf
@@ -161,8 +166,10 @@
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """What a request is confined to: the caches it may go to, those that are taken where none of these may be
-    sent to, those that may fill it as siblings besides, and further attempts that it shares with others."""
+    """What a request is confined to: the caches it may go to, those that are taken where none of
+    these may be sent to, those that may fill it as siblings besides, and further attempts that it
+    shares with others.
+    """
 
     caches: dict[Node, None]
     spare: dict[Node, None]
@@ -188,7 +195,9 @@
 
 @dataclass(slots=True, eq=False)
 class Asked:
-    """A request as its client worded it; the texts and the body go on with each attempt, unchanged."""
+    """A request as its client worded it; the texts and the body go on with each
+    attempt, unchanged.
+    """
 
     request_class: str
     mark: str
@@ -206,7 +215,9 @@
 
 @dataclass(slots=True, eq=False)
 class Place:
-    """Where a node is found: its name and address on the wire. A machine that starts again gets a new one."""
+    """Where a node is found: its name and address on the wire. A machine that starts again gets a
+    new one.
+    """
 
     name: str
     address: tuple[str, int]
@@ -245,8 +256,16 @@
 class Writer(Protocol):
     """Where decisions go, one method an action."""
 
-    def send(self, attempt: Attempt, max_age: float, rank: int, join: bool, held_only: bool,
-             parent_keeps: bool, renew: bool) -> None: ...
+    def send(
+        self,
+        attempt: Attempt,
+        max_age: float,
+        rank: int,
+        join: bool,
+        held_only: bool,
+        parent_keeps: bool,
+        renew: bool,
+    ) -> None: ...
     def abandon(self, attempt: Attempt) -> None: ...
     def reject(self, request: Request, come_back: float) -> None: ...
     def fail(self, request: Request) -> None: ...
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -12,7 +12,8 @@
 
 def live(lab: Lab, since: float) -> None:
     shares = " ".join(
-        f"{one.demand.tenant} {one.share(max(0.0, since - 3.0), since - 1.0):.2f}" for one in lab.terminals
+        f"{one.demand.tenant} {one.share(max(0.0, since - 3.0), since - 1.0):.2f}"
+        for one in lab.terminals
     )
     busy = max(lab.fleet.nodes.values(), key=lambda node: node.in_window)
     sys.stderr.write(f"\r{since:6.1f} s  served: {shares}  busiest {busy.spec.name}   ")
@@ -29,23 +30,37 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
 @click.option("--quiet", is_flag=True, help="No live figures.")
 @click.option("--keep", metavar="FOLDER", help="Where configurations, logs and records are left.")
-@click.option("--directors", type=int, help="So many directors under the same load (fleet scenarios).")
-@click.option("--plot", metavar="FILE.png", help="Load by cache over time as a picture (fleet scenarios).")
+@click.option(
+    "--directors", type=int, help="So many directors under the same load (fleet scenarios)."
+)
+@click.option(
+    "--plot", metavar="FILE.png", help="Load by cache over time as a picture (fleet scenarios)."
+)
 @click.option("--model", is_flag=True, help="Play it in simulated time (fleet scenarios).")
-def lab(path: str, as_json: bool, quiet: bool, keep: str | None, directors: int | None, plot: str | None,
-        model: bool) -> None:
+def lab(
+    path: str,
+    as_json: bool,
+    quiet: bool,
+    keep: str | None,
+    directors: int | None,
+    plot: str | None,
+    model: bool,
+) -> None:
     """Play SCENARIO.ini: stand-ins, directors and load on loopback; ends by itself.
 
-    A file with a section [fleet lab] is a fleet scenario: hundreds of directors, faults between processes.
-    All servers and clients are stand-ins of ours: figures tell of directors before these alone. Exit codes: 0
-    played, 1 it could not be, 2 the scenario is wrong."""
+    A file with a section [fleet lab] is a fleet scenario: hundreds of directors, faults between
+    processes. All servers and clients are stand-ins of ours: figures tell of directors before these
+    alone. Exit codes: 0 played, 1 it could not be, 2 the scenario is wrong.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
         if "[fleet lab]" in text:
             return play_fleet(text, as_json, quiet, keep, directors, plot, model)
         if directors is not None or plot is not None or model:
-            raise click.UsageError("--directors, --plot and --model are for fleet scenarios ([fleet lab])")
+            raise click.UsageError(
+                "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
+            )
         scenario = read_scenario(text)
     except (CharterError, UnicodeDecodeError) as wrong:
         click.echo(f"mulleinrelay: {path}: {wrong}", err=True)
@@ -89,8 +104,15 @@
         click.echo(f"{deed['at']:8.2f} s {deed['name']}: {deed['what']} {deed['wrong']}")
 
 
-def play_fleet(text: str, as_json: bool, quiet: bool, keep: str | None, directors: int | None,
-               plot: str | None, model: bool) -> None:
+def play_fleet(
+    text: str,
+    as_json: bool,
+    quiet: bool,
+    keep: str | None,
+    directors: int | None,
+    plot: str | None,
+    model: bool,
+) -> None:
     """Raises CharterError, and OSError where the file can't be written."""
     from .fleet.plan import read_fleet
 
@@ -132,4 +154,6 @@
     for fault in found.get("faults", ()):
         word = "begins" if fault["begins"] else "ends"
         met = f"{fault['directors']} directors, nodes {', '.join(fault['nodes']) or 'none'}"
-        click.echo(f"{fault['at']:8.2f} s {fault['name']}: {fault['what']} {word}; {met} {fault['wrong']}")
+        click.echo(
+            f"{fault['at']:8.2f} s {fault['name']}: {fault['what']} {word}; {met} {fault['wrong']}"
+        )
--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -1,5 +1,6 @@
-"""Loopback addresses by director; pure. Each director listens at one of its own, and reaches all others at a
-second one, so that a relay knows by the address who has come."""
+"""Loopback addresses by director; pure. Each director listens at one of its own, and reaches all
+others at a second one, so that a relay knows by the address who has come.
+"""
 
 OWN, FAR, PEER = 10, 20, 30  # 127.X.hi.lo
 NUMBERS_MOST = 60_000
