--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -1,5 +1,6 @@
-"""Joins what nodes, stream, clients and the lab wrote down, by time, and says what the play came to: pure but
-for the reading of the files. Directors' own words count for nothing here."""
+"""Joins what nodes, stream, clients and the lab wrote down, by time, and says what the play came
+to: pure but for the reading of the files. Directors' own words count for nothing here.
+"""
 
 import os
 from collections import Counter, defaultdict
@@ -67,11 +68,15 @@
         for site in self.sites.values():
             if site.kind == BOX:
                 digits = int(site.name.rpartition("-")[2], 16)
-                found[site.name] = Box(site.name, digits, site.place, site.share, self._well(site.name))
+                found[site.name] = Box(
+                    site.name, digits, site.place, site.share, self._well(site.name)
+                )
         return found
 
     def _well(self, name: str) -> list[tuple[float, float]]:
-        """From and to, s: reached by all, at its speed, warm; a while after each change is left out."""
+        """From and to, s: reached by all, at its speed, warm; a while after each change is left
+        out.
+        """
         spans, since, warm = [], 0.0, self.scenario.cold_ms / 1000.0
         for at, _, what, begins, _, nodes, _, _ in self.faults:
             if name in nodes and what.startswith(("node_", "drain")):
@@ -80,7 +85,8 @@
                 since = (
                     1e9
                     if begins
-                    else at + (warm if what in ("node_kill", "node_cold", "node_silent") else AFTER_FAULT)
+                    else at
+                    + (warm if what in ("node_kill", "node_cold", "node_silent") else AFTER_FAULT)
                 )
         spans += [(since, 1e9)] if since < 1e9 else []
         fell = min((held[0] for held in self.heard.others["fell"] if held[1] == name), default=1e9)
@@ -107,10 +113,16 @@
     def rules(self) -> dict[str, int]:
         heard = self.heard
         excused = self._excused()
-        none = sum(not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["none"])
-        late = sum(not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["late"])
+        none = sum(
+            not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["none"]
+        )
+        late = sum(
+            not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["late"]
+        )
         cut = sum(
-            held[2] for held in heard.others["cut"] if not self._away(excused, held[1], 1000.0 * held[0])
+            held[2]
+            for held in heard.others["cut"]
+            if not self._away(excused, held[1], 1000.0 * held[0])
         )
         effects = heard.others["effects"][0] if heard.others["effects"] else (0, 0, 0)
         return {
@@ -139,12 +151,15 @@
             found[held[1]].append((1000.0 * held[0] + 700.0, 1000.0 * held[0] + 12_000.0))
         return found
 
-    def _away(self, excused: dict[int, list[tuple[float, float]]], director: int, at: float) -> bool:
+    def _away(
+        self, excused: dict[int, list[tuple[float, float]]], director: int, at: float
+    ) -> bool:
         return any(first <= at <= last for first, last in excused.get(director, ()))
 
     def drains(self) -> int:
-        """Attempts to a node, or with it as their source, later than 2 s after their director was told that
-        it drains or is gone."""
+        """Attempts to a node, or with it as their source, later than 2 s after their director was
+        told that it drains or is gone.
+        """
         told: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
         for at, director, name, state, _ in self.heard.others["told"]:
             told[director, name].append((at, state != "SERVING"))
@@ -154,7 +169,11 @@
                 words = told.get((attempt[1], name))
                 if words:
                     before = [held for held in words if held[0] <= attempt[0]]
-                    if before and before[-1][1] and attempt[0] > before[-1][0] + DRAIN_AFTER / 1000.0:
+                    if (
+                        before
+                        and before[-1][1]
+                        and attempt[0] > before[-1][0] + DRAIN_AFTER / 1000.0
+                    ):
                         broken += 1
         return broken
 
@@ -174,7 +193,9 @@
         }
 
     def growth(self, what: str) -> float:
-        """The most of probes (a second) or connections (at one time) of one cache, after the warm-up."""
+        """The most of probes (a second) or connections (at one time) of one cache, after the
+        warm-up.
+        """
         first = self.scenario.warm
         if what == "probes":
             counts = Counter(
@@ -200,7 +221,9 @@
         return evenness.together(asked, self.boxes)
 
     def credit(self) -> float:
-        """Credit of requests served within their goal over all that was asked for, after the warm-up."""
+        """Credit of requests served within their goal over all that was asked for, after the
+        warm-up.
+        """
         asked = earned = 0.0
         for look in self.heard.looks:
             if look[0] >= self.scenario.warm:
@@ -212,7 +235,10 @@
 
     def figures(self) -> dict[str, Any]:
         sent = self.first_attempts()
-        loads, seen = evenness.by_second(sent), evenness.by_second(evenness.all_seeing(sent, self.boxes))
+        loads, seen = (
+            evenness.by_second(sent),
+            evenness.by_second(evenness.all_seeing(sent, self.boxes)),
+        )
         troubled = self.fault_seconds()
         calm = [second for second in self.seconds if second not in troubled]
         after = [second for second in calm if self.faults and second > self.faults[0][0]]
@@ -226,12 +252,18 @@
             **self.rules(),
             "calm_imbalance": self._imbalance(loads, seen, before),
             "fault_imbalance": self._imbalance(loads, seen, after) if after else None,
-            "imbalance_p99": round(evenness.percentile(evenness.ratios(loads, self.boxes, calm), 0.99), 3),
-            "all_seeing_p99": round(evenness.percentile(evenness.ratios(seen, self.boxes, calm), 0.99), 3),
+            "imbalance_p99": round(
+                evenness.percentile(evenness.ratios(loads, self.boxes, calm), 0.99), 3
+            ),
+            "all_seeing_p99": round(
+                evenness.percentile(evenness.ratios(seen, self.boxes, calm), 0.99), 3
+            ),
             "herd_seconds_calm": len(evenness.herd_seconds(loads, self.boxes, before)),
             "herd_seconds_fault": len(evenness.herd_seconds(loads, self.boxes, after)),
             "herd_seconds_all_seeing": len(evenness.herd_seconds(seen, self.boxes, calm)),
-            "idle_s_max": max(evenness.idle_spans(loads, self.boxes, list(self.seconds)).values(), default=0),
+            "idle_s_max": max(
+                evenness.idle_spans(loads, self.boxes, list(self.seconds)).values(), default=0
+            ),
             "return_s_p99": self.returns(loads),
             "parent_swing": self.parent_swing(),
             "probes_a_cache": self.growth("probes"),
@@ -239,10 +271,16 @@
             "connections_a_cache": self.growth("connections"),
             "first_attempts": len(sent),
             "attempts": len(self.heard.attempts),
-            "attempts_by_request": round(len(self.heard.attempts) / max(1, len(self.heard.looks)), 3),
-            "hit_share": round(sum(held[8] == "HIT" for held in self.heard.attempts) / max(1, len(sent)), 3),
+            "attempts_by_request": round(
+                len(self.heard.attempts) / max(1, len(self.heard.looks)), 3
+            ),
+            "hit_share": round(
+                sum(held[8] == "HIT" for held in self.heard.attempts) / max(1, len(sent)), 3
+            ),
             "fills": self.fills(),
-            "origin_fetches": self.heard.others["effects"][0][2] if self.heard.others["effects"] else None,
+            "origin_fetches": self.heard.others["effects"][0][2]
+            if self.heard.others["effects"]
+            else None,
             "probes": len(self.heard.others["probe"]),
             "connections": sum(held[3] > 0 for held in self.heard.others["conn"]),
             "reads": len(self.heard.others["read"]),
@@ -298,7 +336,10 @@
         """After the first 3 s of each fault."""
         skipped = {second for at, *_ in self.faults for second in range(int(at), int(at) + 4)}
         return round(
-            evenness.swings(self.parents(), [second for second in self.seconds if second not in skipped]), 3
+            evenness.swings(
+                self.parents(), [second for second in self.seconds if second not in skipped]
+            ),
+            3,
         )
 
     def returns(self, loads: dict[int, Counter]) -> float | None:
@@ -308,5 +349,7 @@
             for first, last in box.well:
                 if 0.0 < first < self.heard.seconds - 4.0:
                     until = int(min(last, self.heard.seconds))
-                    found.append(evenness.return_after(loads, self.boxes, name, int(first) + 1, until))
+                    found.append(
+                        evenness.return_after(loads, self.boxes, name, int(first) + 1, until)
+                    )
         return evenness.percentile(found, 0.99) if found else None
--- a/mulleinrelay/lab/fleet/channel.py
+++ b/mulleinrelay/lab/fleet/channel.py
@@ -1,5 +1,6 @@
-"""Lines of JSON between the lab and its processes: commands on standard input, words on standard output. A
-process of the lab ends when its standard input does, so that none outlives it."""
+"""Lines of JSON between the lab and its processes: commands on standard input, words on standard
+output. A process of the lab ends when its standard input does, so that none outlives it.
+"""
 
 import os
 import subprocess
@@ -63,7 +64,12 @@
     """One process of the lab, as the lab sees it."""
 
     def __init__(
-        self, module: str, log_path: str, first: dict | None = None, *arguments: str, session: bool = False
+        self,
+        module: str,
+        log_path: str,
+        first: dict | None = None,
+        *arguments: str,
+        session: bool = False,
     ) -> None:
         self.log = open(log_path, "ab")
         self.process = subprocess.Popen(
@@ -91,7 +97,9 @@
         line = self.process.stdout.readline()
         if not line:
             code = self.process.wait(5.0)
-            raise RuntimeError(f"a process of the lab ended with {code}: {last_line(self.log.name)}")
+            raise RuntimeError(
+                f"a process of the lab ended with {code}: {last_line(self.log.name)}"
+            )
         return orjson.loads(line)
 
     def end(self, seconds: float = 10.0) -> None:
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -1,5 +1,6 @@
-"""How evenly load lies on caches: pure. Loads are counts by cache and slot of time; a fair share goes by
-capacity. The model reckons its figures here too."""
+"""How evenly load lies on caches: pure. Loads are counts by cache and slot of time; a fair share
+goes by capacity. The model reckons its figures here too.
+"""
 
 import math
 from bisect import bisect
@@ -9,7 +10,11 @@
 
 from ...policy import mix
 
-HOT_SHARE, HOT_SPAN, HOT_OF = 0.02, 10.0, 200  # of a location's requests, over so many s; of so many
+HOT_SHARE, HOT_SPAN, HOT_OF = (
+    0.02,
+    10.0,
+    200,
+)  # of a location's requests, over so many s; of so many
 LEAST_FAIR = 4.0  # requests a second a cache must be due, or its share says nothing
 TWICE, HALF, FIFTH = 2.0, 0.5, 0.2
 PHASES = 4  # at which slots of questions may begin
@@ -66,15 +71,17 @@
 def parts(
     loads: dict[int, Counter], boxes: dict[str, Box], second: int
 ) -> dict[str, dict[str, float | None]]:
-    """By location and well cache its load over its fair share; None where too few requests came to tell. A
-    location's load is shared out among its well caches."""
+    """By location and well cache its load over its fair share; None where too few requests came to
+    tell. A location's load is shared out among its well caches.
+    """
     found = {}
     for place, held in well_by_location(boxes, second).items():
         total = sum(loads[second][box.name] for box in held) if second in loads else 0
         capacity = sum(box.capacity for box in held)
         fair = {box.name: total * box.capacity / capacity for box in held}
         found[place] = {
-            name: loads[second][name] / due if due >= LEAST_FAIR else None for name, due in fair.items()
+            name: loads[second][name] / due if due >= LEAST_FAIR else None
+            for name, due in fair.items()
         }
     return found
 
@@ -88,9 +95,10 @@
 
 
 def all_seeing(sent: list[Sent], boxes: dict[str, Box]) -> list[Sent]:
-    """The same requests as one who sees all of them would spread them under the design: by the directors'
-    hash; an object above the hot share of its location's requests to one more cache for each such share, of
-    which the one with the least load by capacity in this second is taken."""
+    """The same requests as one who sees all of them would spread them under the design: by the
+    directors' hash; an object above the hot share of its location's requests to one more cache for
+    each such share, of which the one with the least load by capacity in this second is taken.
+    """
     orders: dict[tuple[int, str], list[Box]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
     counts: dict[tuple[str, int], int] = Counter()
@@ -122,11 +130,17 @@
 
 def rendezvous(boxes: list[Box], key: int) -> list[Box]:
     """As the directors order them."""
-    return sorted(boxes, key=lambda box: -math.log((mix(key, 0, box.key) + 1) / 2.0**64) / box.capacity)
+    return sorted(
+        boxes, key=lambda box: -math.log((mix(key, 0, box.key) + 1) / 2.0**64) / box.capacity
+    )
 
 
-def herd_seconds(loads: dict[int, Counter], boxes: dict[str, Box], seconds: Iterable[int]) -> list[int]:
-    """Seconds in which a cache has over twice its share while a peer of its location is under half."""
+def herd_seconds(
+    loads: dict[int, Counter], boxes: dict[str, Box], seconds: Iterable[int]
+) -> list[int]:
+    """Seconds in which a cache has over twice its share while a peer of its location is
+    under half.
+    """
     found = []
     for second in seconds:
         for held in parts(loads, boxes, second).values():
@@ -137,12 +151,20 @@
     return found
 
 
-def idle_spans(loads: dict[int, Counter], boxes: dict[str, Box], seconds: list[int]) -> dict[str, int]:
-    """By cache the longest run of seconds in which it was well and had under a fifth of its share."""
+def idle_spans(
+    loads: dict[int, Counter], boxes: dict[str, Box], seconds: list[int]
+) -> dict[str, int]:
+    """By cache the longest run of seconds in which it was well and had under a fifth of
+    its share.
+    """
     runs: Counter = Counter()
     longest: dict[str, int] = dict.fromkeys(boxes, 0)
     for second in seconds:
-        well = {name: ratio for held in parts(loads, boxes, second).values() for name, ratio in held.items()}
+        well = {
+            name: ratio
+            for held in parts(loads, boxes, second).values()
+            for name, ratio in held.items()
+        }
         for name in boxes:
             ratio = well.get(name)
             runs[name] = runs[name] + 1 if ratio is not None and ratio < FIFTH else 0
@@ -171,22 +193,29 @@
 def return_after(
     loads: dict[int, Counter], boxes: dict[str, Box], name: str, second: int, last: int
 ) -> float:
-    """Seconds from `second` until the cache has had half of its share over three seconds; the rest of the
-    play where it never has."""
+    """Seconds from `second` until the cache has had half of its share over three seconds; the rest
+    of the play where it never has.
+    """
     box = boxes[name]
     for now in range(second, last - 2):
         ours = fair = 0.0
         for step in range(now, now + 3):
             held = [
-                other for other in boxes.values() if other.location == box.location and other.well_in(step)
+                other
+                for other in boxes.values()
+                if other.location == box.location and other.well_in(step)
             ] or [box]
             total = sum(
-                loads[step][other.name] for other in {id(other): other for other in (*held, box)}.values()
+                loads[step][other.name]
+                for other in {id(other): other for other in (*held, box)}.values()
             )
             fair += (
                 total
                 * box.capacity
-                / sum(other.capacity for other in {id(other): other for other in (*held, box)}.values())
+                / sum(
+                    other.capacity
+                    for other in {id(other): other for other in (*held, box)}.values()
+                )
             )
             ours += loads[step][name]
         if fair and ours >= HALF * fair:
@@ -213,10 +242,14 @@
 def together(
     asked: list[tuple[float, str]], boxes: dict[str, Box], width: float = 0.5, least: int = 6
 ) -> float:
-    """Of questions (s, cache) in one slot of time and location, the share that meets one cache: the mean over
-    slots with `least` or more. One over the location's caches is even; 1 is a herd. Those who go in step turn
-    at moments of their own, so slots begin at several: cut by the middle, a whole herd would show as half."""
-    return max(_together(asked, boxes, width, least, width * begin / PHASES) for begin in range(PHASES))
+    """Of questions (s, cache) in one slot of time and location, the share that meets one cache: the
+    mean over slots with `least` or more. One over the location's caches is even; 1 is a herd. Those
+    who go in step turn at moments of their own, so slots begin at several: cut by the middle, a
+    whole herd would show as half.
+    """
+    return max(
+        _together(asked, boxes, width, least, width * begin / PHASES) for begin in range(PHASES)
+    )
 
 
 def _together(
--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -1,5 +1,6 @@
-"""The nodes and the event stream of a fleet lab, in one process. What a node holds and bears is decided in
-`standins/fleet.py`; each connection begins with a line that names its director."""
+"""The nodes and the event stream of a fleet lab, in one process. What a node holds and bears is
+decided in `standins/fleet.py`; each connection begins with a line that names its director.
+"""
 
 import random
 import socket
@@ -21,7 +22,9 @@
 
 def fleet_of(scenario: Scenario) -> Fleet:
     """All nodes of the scenario, with nothing held."""
-    return Fleet({site.name: Node(_spec(scenario, site)) for site in scenario.sites()}, {"order", "pay"})
+    return Fleet(
+        {site.name: Node(_spec(scenario, site)) for site in scenario.sites()}, {"order", "pay"}
+    )
 
 
 def _spec(scenario: Scenario, site: Site) -> Spec:
@@ -77,7 +80,9 @@
 class Named:
     """A connection whose first line tells its director."""
 
-    def __init__(self, wire: Wire, known: Callable[[int], None], heard: Callable[[bytes], None]) -> None:
+    def __init__(
+        self, wire: Wire, known: Callable[[int], None], heard: Callable[[bytes], None]
+    ) -> None:
         self.wire, self.known, self.then, self.head = wire, known, heard, b""
         wire.heard = self._head
 
@@ -99,7 +104,10 @@
         self.port, self.listener = 0, None
         self.wires: dict[Wire, int | None] = {}  # all accepted; None: its director is not told yet
         self.errs: frozenset[int] = frozenset()  # directors that get errors
-        self.lags: tuple[frozenset[int], float] = (frozenset(), 1.0)  # directors for which it is slower
+        self.lags: tuple[frozenset[int], float] = (
+            frozenset(),
+            1.0,
+        )  # directors for which it is slower
         self.listen()
 
     def listen(self) -> None:
@@ -121,7 +129,9 @@
     def _welcome(self, connection: socket.socket) -> None:
         wire, arrays = Wire(self.hosts.loop, connection), resp.Arrays(4096)
         over: set[bytes] = set()
-        self.wires[wire] = None  # else it would outlive the node, and a command on it count as its fall
+        self.wires[wire] = (
+            None  # else it would outlive the node, and a command on it count as its fall
+        )
 
         def known(director: int) -> None:
             self.wires[wire] = director
@@ -170,7 +180,15 @@
         fields.setdefault("dedupe", "mark-" + about.decode())
         if director in self.errs:
             self.hosts.records.add(
-                "attempt", now, director, node.spec.name, *self._about(fields), "BROKE", "", 0, about.decode()
+                "attempt",
+                now,
+                director,
+                node.spec.name,
+                *self._about(fields),
+                "BROKE",
+                "",
+                0,
+                about.decode(),
             )
             return self._answer(wire, over, about, (b"BROKE", b"-", b""), now + 1.0)
         fleet = self.hosts.fleet
@@ -205,7 +223,12 @@
         self._answer(wire, over, about, reply.words, due)
 
     def _about(self, fields: dict[str, str]) -> tuple[str, str, str, str]:
-        return fields.get("lane", ""), fields.get("name", ""), fields.get("miss", ""), fields.get("f", "")
+        return (
+            fields.get("lane", ""),
+            fields.get("name", ""),
+            fields.get("miss", ""),
+            fields.get("f", ""),
+        )
 
     def _answer(
         self, wire: Wire, over: set[bytes], about: bytes, words: tuple[bytes, ...], due: float
@@ -226,17 +249,22 @@
         self.random = random.Random(f"{scenario.seed}-list")
         self.fleet = fleet_of(scenario)
         self.hosts = {
-            site.name: NodeHost(self, self.fleet.nodes[site.name], site.place) for site in scenario.sites()
+            site.name: NodeHost(self, self.fleet.nodes[site.name], site.place)
+            for site in scenario.sites()
         }
         self.events: list[tuple[float, dict]] = []  # (when it came about, what it says)
         self.due: dict[tuple[int, int], float] = {}  # when a director may hear of an event
         self.late: dict[int, float] = {}  # ms by which lists come later, by director
-        self.told: dict[tuple[int, str], float] = {}  # when a director was told of an object's purge
+        self.told: dict[
+            tuple[int, str], float
+        ] = {}  # when a director was told of an object's purge
         self.readers: dict[Wire, list[int]] = {}  # [director, place]
         self.far_ports: dict[str, int] = {}
         stream = self.loop.listen("127.0.0.1", 0, self._read)
         self.stream_port = stream.getsockname()[1]
-        self.loop.each(COMMENT_EVERY, lambda: [wire.put(b": on\n\n") for wire in list(self.readers)])
+        self.loop.each(
+            COMMENT_EVERY, lambda: [wire.put(b": on\n\n") for wire in list(self.readers)]
+        )
         self.loop.each(20.0, self._tell_all)
         self.loop.each(FLUSH_EVERY, self.records.file.flush)
         obey(self.loop, self.obeyed)
@@ -260,7 +288,13 @@
         self.events.append(
             (
                 now_ms(),
-                {"topology": {"version": len(self.events) + 1, "full": not self.events, "servers": rows}},
+                {
+                    "topology": {
+                        "version": len(self.events) + 1,
+                        "full": not self.events,
+                        "servers": rows,
+                    }
+                },
             )
         )
 
@@ -316,15 +350,23 @@
                 self.told.setdefault((director, held["ban"]["url"]), now)
             else:
                 for row in held["topology"]["servers"] if place else ():
-                    self.records.add("told", now, director, row["id"], row["state"], row["started_ms"])
+                    self.records.add(
+                        "told", now, director, row["id"], row["state"], row["started_ms"]
+                    )
             place += 1
         who[1] = place
 
     def too_old(self, director: int, fields: dict[str, str], said: bytes, now: float) -> bool:
-        """Whether the answer is an older copy than a purge that this director was told over a second ago."""
+        """Whether the answer is an older copy than a purge that this director was told over a
+        second ago.
+        """
         key, issued = fields.get("name", ""), fields_of(said).get("issued")
         told = self.told.get((director, key))
-        return told is not None and issued is not None and self.fleet.too_old(key, float(issued), now, told)
+        return (
+            told is not None
+            and issued is not None
+            and self.fleet.too_old(key, float(issued), now, told)
+        )
 
     # What the lab wants
 
@@ -341,7 +383,9 @@
         elif "purge" in held:
             key, now = held["purge"], now_ms()
             self.fleet.purged[key] = now
-            for host in self.hosts.values():  # nodes drop it within the purge's time, here in half of it
+            for (
+                host
+            ) in self.hosts.values():  # nodes drop it within the purge's time, here in half of it
                 self.loop.at(
                     now + self.random.uniform(200.0, 3000.0),
                     lambda host=host: (
@@ -392,7 +436,9 @@
 
     def close(self) -> None:
         for host in self.hosts.values():
-            self.records.add("node", host.node.spec.name, round(host.node.peak, 3), dict(host.node.counts))
+            self.records.add(
+                "node", host.node.spec.name, round(host.node.peak, 3), dict(host.node.counts)
+            )
         self.records.add(
             "effects",
             sum(times > 1 for times in self.fleet.effects.values()),
@@ -408,7 +454,10 @@
 
     scenario = read_fleet(first["scenario"]).sized(first["directors"])
     hosts = Hosts(first, scenario)
-    say(ports={name: host.port for name, host in hosts.hosts.items()} | {"stream": hosts.stream_port})
+    say(
+        ports={name: host.port for name, host in hosts.hosts.items()}
+        | {"stream": hosts.stream_port}
+    )
     hosts.loop.run()
     hosts.close()
 
--- a/mulleinrelay/lab/fleet/keeper.py
+++ b/mulleinrelay/lab/fleet/keeper.py
@@ -1,5 +1,6 @@
-"""Ends what a lab has left: a process of its own that knows the others by id. It acts when its standard input
-ends before the word `done`, as it does when the lab is killed."""
+"""Ends what a lab has left: a process of its own that knows the others by id. It acts when its
+standard input ends before the word `done`, as it does when the lab is killed.
+"""
 
 import shutil
 import sys
@@ -18,7 +19,9 @@
             held.pop(number, None)
             continue
         try:
-            held[number] = psutil.Process(number)  # with the time it began, so that nobody else is met
+            held[number] = psutil.Process(
+                number
+            )  # with the time it began, so that nobody else is met
         except psutil.NoSuchProcess:
             pass
     for process in held.values():
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -1,5 +1,6 @@
-"""What clients ask for: rates, objects and who is asked, from a scenario and its seed; pure, time is passed
-in. The model plays the same load."""
+"""What clients ask for: rates, objects and who is asked, from a scenario and its seed; pure, time
+is passed in. The model plays the same load.
+"""
 
 import itertools
 import random
@@ -24,8 +25,9 @@
 
 
 def may_try_again(scenario: Scenario, wanted: Wanted, tries: int, left: float) -> bool:
-    """Whether a client whose connection ended asks again, `left` ms before it stops waiting: never where the
-    first try may have had an effect that no idempotency key covers."""
+    """Whether a client whose connection ended asks again, `left` ms before it stops waiting: never
+    where the first try may have had an effect that no idempotency key covers.
+    """
     return wanted.request_class != PAY and tries < scenario.tries and left > PAUSE
 
 
@@ -109,7 +111,10 @@
             return None
         for _ in range(8):
             found = self.directors[
-                min(bisect(self.bounds, self.random.random() * self.bounds[-1]), len(self.directors) - 1)
+                min(
+                    bisect(self.bounds, self.random.random() * self.bounds[-1]),
+                    len(self.directors) - 1,
+                )
             ]
             if found not in away:
                 return found
--- a/mulleinrelay/lab/fleet/paths.py
+++ b/mulleinrelay/lab/fleet/paths.py
@@ -1,8 +1,8 @@
 """What a relay does with what passes between two processes: pure; time and chance are passed in.
 
-A rule names directors, targets and what becomes of bytes and datagrams between them. All rules that meet a
-path act together. TCP gives its bytes in order and whole, so loss shows as the time of a repeat; datagrams
-are lost, doubled and overtaken.
+A rule names directors, targets and what becomes of bytes and datagrams between them. All rules that
+meet a path act together. TCP gives its bytes in order and whole, so loss shows as the time of a
+repeat; datagrams are lost, doubled and overtaken.
 """
 
 import random
@@ -63,7 +63,9 @@
 
     def broken(self, kind: str, director: int, target: str) -> bool:
         """Whether connections there are reset."""
-        return any(rule.reset and rule.meets(kind, director, target) for rule in self.rules.values())
+        return any(
+            rule.reset and rule.meets(kind, director, target) for rule in self.rules.values()
+        )
 
     def held(self, kind: str, director: int, target: str, way: str) -> bool:
         return any(rule.cut for rule in self.on(kind, director, target, way))
--- a/mulleinrelay/lab/fleet/picture.py
+++ b/mulleinrelay/lab/fleet/picture.py
@@ -1,4 +1,6 @@
-"""A picture of a play: load by cache over time, on which a herd or an idle cache is seen at a glance."""
+"""A picture of a play: load by cache over time, on which a herd or an idle cache is seen at a
+glance.
+"""
 
 from .audit import Audit
 from .evenness import slot_loads
@@ -7,15 +9,19 @@
 
 
 def draw(audit: Audit, path: str) -> None:
-    """Writes a PNG: a row a cache, a column 100 ms; white is the fair share, red over it, blue under."""
+    """Writes a PNG: a row a cache, a column 100 ms; white is the fair share, red over it, blue
+    under.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
-    from matplotlib import pyplot
     import numpy
+    from matplotlib import pyplot
 
     until = audit.heard.seconds
-    attempts = [(attempt[0], attempt[2]) for attempt in audit.heard.attempts if attempt[2] in audit.boxes]
+    attempts = [
+        (attempt[0], attempt[2]) for attempt in audit.heard.attempts if attempt[2] in audit.boxes
+    ]
     names, counts = slot_loads(attempts, SLOT, until)
     order = sorted(range(len(names)), key=lambda at: (audit.boxes[names[at]].location, names[at]))
     load = numpy.array([counts[at] for at in order], dtype=float).reshape(len(order), -1)
@@ -54,7 +60,12 @@
         marked.add(spot)
         axes.axvline(at, color="black", linestyle="-" if begins else ":", linewidth=1.0)
         axes.text(
-            at, 0, f" {name}: {what}" if begins else f" {name} over", rotation=90, fontsize=7, va="bottom"
+            at,
+            0,
+            f" {name}: {what}" if begins else f" {name} over",
+            rotation=90,
+            fontsize=7,
+            va="bottom",
         )
     axes.set_xlabel("seconds")
     bar = figure.colorbar(shown, ax=axes, ticks=[-2, -1, 0, 1, 2])
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -1,5 +1,5 @@
-"""What a fleet scenario says, and what follows from its seed: who stands where, who is asked how often, and
-when each fault strikes whom. Pure; the same file and seed give the same plan.
+"""What a fleet scenario says, and what follows from its seed: who stands where, who is asked how
+often, and when each fault strikes whom. Pure; the same file and seed give the same plan.
 
 A fault is a CharterError whose text names the key.
 """
@@ -38,13 +38,16 @@
     location: str = ""  # strikes there alone
     paths: tuple[str, ...] = ("cache", "parent")
     way: str = "both"
-    # ms of delay or of a clock's step, times slower, KB/s of a trickle, share of requests, chance of loss
+    # ms of delay or of a clock's step, times slower, KB/s of a trickle, share of requests, chance
+    # of loss
     by: float = 0.0
     jitter: float = 0.0  # ms
     over: float = 0.0  # s over which a restart or a return is spread
     seen_by: float = 1.0  # share of the directors to whom a node shows it
     nodes: tuple[str, ...] = ()
-    other: str = ""  # the location that load shifts to, or whose directors are at the other end of a path
+    other: str = (
+        ""  # the location that load shifts to, or whose directors are at the other end of a path
+    )
 
 
 @dataclass(slots=True)
@@ -141,7 +144,9 @@
         return f"hub{self.locations.index(location) % self.hubs}"
 
     def here(self, location: str) -> list[int]:
-        return [director for director in range(self.directors) if self.location_of(director) == location]
+        return [
+            director for director in range(self.directors) if self.location_of(director) == location
+        ]
 
     def sites(self) -> list[Site]:
         """All nodes; their names end in digits that every director hashes alike."""
@@ -151,7 +156,9 @@
                 number += 1
                 large = place < round(self.mixed * self.caches)
                 found.append(
-                    Site(f"c-{number * 2654435761 % 2**24:06x}", BOX, location, 2.0 if large else 1.0)
+                    Site(
+                        f"c-{number * 2654435761 % 2**24:06x}", BOX, location, 2.0 if large else 1.0
+                    )
                 )
         for hub in range(self.hubs):
             for _ in range(self.parents):
@@ -183,17 +190,27 @@
         nodes = fault.nodes
         if fault.what in ON_NODES and not nodes:
             boxes = [
-                site.name for site in self.sites() if site.kind == BOX and fault.location in ("", site.place)
+                site.name
+                for site in self.sites()
+                if site.kind == BOX and fault.location in ("", site.place)
             ]
             nodes = tuple(sorted(draw.sample(boxes, max(1, round(fault.share * len(boxes))))))
         if fault.what in ON_PATHS and fault.other:  # between directors of two locations alone
             nodes = tuple(str(director) for director in self.here(fault.other))
         if fault.what in ON_NODES:
-            met = tuple(sorted(draw.sample(range(self.directors), round(fault.seen_by * self.directors))))
+            met = tuple(
+                sorted(draw.sample(range(self.directors), round(fault.seen_by * self.directors)))
+            )
         if fault.what in ("restart", "kill") and fault.over > 0.0:
             order = draw.sample(met, len(met))
             return [
-                Strike(fault.at + fault.over * place / len(order), fault.name, fault.what, fault, (one,))
+                Strike(
+                    fault.at + fault.over * place / len(order),
+                    fault.name,
+                    fault.what,
+                    fault,
+                    (one,),
+                )
                 for place, one in enumerate(order)
             ] + self._returns(fault, order)
         begins = Strike(fault.at, fault.name, fault.what, fault, met, nodes)
@@ -222,7 +239,9 @@
     def sized(self, directors: int) -> "Scenario":
         """The same with so many directors, under the same load."""
         if not 1 <= directors <= DIRECTORS_MOST:
-            raise CharterError(f"[directors] count: 1 to {DIRECTORS_MOST} is wanted, not {directors}")
+            raise CharterError(
+                f"[directors] count: 1 to {DIRECTORS_MOST} is wanted, not {directors}"
+            )
         return replace(self, directors=directors)
 
     def on_sockets(self) -> "Scenario":
@@ -233,7 +252,9 @@
             ("[nodes] caches", caches, NODES_MOST),
         ):
             if count > most:
-                raise CharterError(f"{key}: {count} are more than the {most} that sockets play; see --model")
+                raise CharterError(
+                    f"{key}: {count} are more than the {most} that sockets play; see --model"
+                )
         return self
 
 
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -1,5 +1,6 @@
-"""Plays a fleet scenario: directors as real processes, stand-ins, relays and clients as processes of their
-own. Whatever happens, nothing of it is left."""
+"""Plays a fleet scenario: directors as real processes, stand-ins, relays and clients as processes
+of their own. Whatever happens, nothing of it is left.
+"""
 
 import os
 import shutil
@@ -76,7 +77,9 @@
                 f"{self.log_path}: {last_line(self.log_path)}"
             )
         try:
-            socket.create_connection((addresses.own(self.number), self.lab.port), timeout=0.2).close()
+            socket.create_connection(
+                (addresses.own(self.number), self.lab.port), timeout=0.2
+            ).close()
             return True
         except OSError:
             return False
@@ -110,12 +113,17 @@
 
 
 class FleetLab:
-    """One play. `run` gives where its records are; `live` is called now and then with the seconds since the
-    start and the requests asked and served."""
-
-    def __init__(self, scenario: Scenario, text: str, folder: str | None = None, program: str = ROOT) -> None:
-        """`text`: the scenario's file, which the lab's processes read again. `program`: the folder that holds
-        the package that the directors run, so that earlier versions can be played. Raises CharterError."""
+    """One play. `run` gives where its records are; `live` is called now and then with the seconds
+    since the start and the requests asked and served.
+    """
+
+    def __init__(
+        self, scenario: Scenario, text: str, folder: str | None = None, program: str = ROOT
+    ) -> None:
+        """`text`: the scenario's file, which the lab's processes read again. `program`: the folder
+        that holds the package that the directors run, so that earlier versions can be played.
+        Raises CharterError.
+        """
         self.scenario, self.text, self.program = scenario.on_sockets(), text, program
         self.kept = folder is not None
         self.folder = folder or tempfile.mkdtemp(prefix="mulleinrelay-fleet-")
@@ -180,22 +188,34 @@
         scenario = self.scenario
         common = {"scenario": self.text, "directors": scenario.directors}
         self.records = Records(self.path("lab.records"))
-        self.hosts = self._helper("hosts", "hosts", common | {"records": self.path("hosts.records")})
+        self.hosts = self._helper(
+            "hosts", "hosts", common | {"records": self.path("hosts.records")}
+        )
         ports = self.hosts.hear()["ports"]
         kinds = {site.name: site.kind for site in scenario.sites()} | {"stream": "stream"}
         targets = [
             {
                 "name": name,
-                "kind": "cache" if kinds[name] == "box" else "stream" if name == "stream" else "parent",
+                "kind": "cache"
+                if kinds[name] == "box"
+                else "stream"
+                if name == "stream"
+                else "parent",
                 "to": ["127.0.0.1", port],
             }
             for name, port in ports.items()
         ]
         self.relays = []
         for place in range(scenario.relays):
-            first = {"seed": f"{scenario.seed}-relay-{place}", "targets": targets[place :: scenario.relays]}
+            first = {
+                "seed": f"{scenario.seed}-relay-{place}",
+                "targets": targets[place :: scenario.relays],
+            }
             if place == 0:
-                first |= {"datagrams": list(range(scenario.directors)), "datagram_port": self.datagram_port}
+                first |= {
+                    "datagrams": list(range(scenario.directors)),
+                    "datagram_port": self.datagram_port,
+                }
             self.relays.append(self._helper("relay", f"relay-{place}", first))
         self.relay_of, far = {}, {}
         for relay in self.relays:
@@ -263,11 +283,15 @@
     def _talk_file(self, number: int) -> str:
         """Three directors are asked first; records lie beside the lab's."""
         port, place = self.datagram_port, self.scenario.location_of(number)
-        seeds = " ".join(f"{addresses.peer(seed)}:{port}" for seed in range(min(3, self.scenario.directors)))
-        return (f"[fleet]\nenabled = yes\nname = lab\nkey = lab-{port:08}\nlocation = {place}\n"
-                f"listen = {addresses.own(number)}:{port}\nannounce = {addresses.peer(number)}:{port}\n"
-                f"seeds = {seeds}\nrecords = fleet\n"
-                f"[budgets]\ncold = {'yes' if self.scenario.share else 'no'}\n")
+        seeds = " ".join(
+            f"{addresses.peer(seed)}:{port}" for seed in range(min(3, self.scenario.directors))
+        )
+        return (
+            f"[fleet]\nenabled = yes\nname = lab\nkey = lab-{port:08}\nlocation = {place}\n"
+            f"listen = {addresses.own(number)}:{port}\nannounce = {addresses.peer(number)}:{port}\n"
+            f"seeds = {seeds}\nrecords = fleet\n"
+            f"[budgets]\ncold = {'yes' if self.scenario.share else 'no'}\n"
+        )
 
     def _thread(self, run: Callable[[], None]) -> None:
         thread = threading.Thread(target=run, daemon=True)
@@ -322,12 +346,16 @@
             code = director.process.poll()
             if code is not None and director.number not in self.stopped:
                 self.stopped.add(director.number)
-                self.records.add("crash", now_ms(), director.number, code, last_line(director.log_path))
+                self.records.add(
+                    "crash", now_ms(), director.number, code, last_line(director.log_path)
+                )
 
     def _use(self) -> None:
         for director, before in zip(self.directors, self.cpu_before, strict=True):
             cpu, resident = director.use()
-            self.records.add("use", director.number, round(max(0.0, cpu - before), 3), round(resident, 1))
+            self.records.add(
+                "use", director.number, round(max(0.0, cpu - before), 3), round(resident, 1)
+            )
 
     def _end(self) -> None:
         """Ends every process, by id; then the folder goes, where it was ours."""
--- a/mulleinrelay/lab/fleet/relay.py
+++ b/mulleinrelay/lab/fleet/relay.py
@@ -1,8 +1,8 @@
-"""A relay in user space on the paths between directors and what they talk to: a process of its own. What it
-does with bytes and datagrams is decided in `paths.py`.
+"""A relay in user space on the paths between directors and what they talk to: a process of its own.
+What it does with bytes and datagrams is decided in `paths.py`.
 
-What it can't do as a network does: a connection through a cut comes up at the relay, and only then stays
-silent; lost bytes show as a delay.
+What it can't do as a network does: a connection through a cut comes up at the relay, and only then
+stays silent; lost bytes show as a delay.
 """
 
 import random
@@ -32,7 +32,9 @@
 class Pair:
     """A director's connection and the one that goes on to its target."""
 
-    def __init__(self, relay: "Relay", kind: str, name: str, director: int, near: Wire, beyond: Wire) -> None:
+    def __init__(
+        self, relay: "Relay", kind: str, name: str, director: int, near: Wire, beyond: Wire
+    ) -> None:
         self.relay, self.kind, self.name, self.director = relay, kind, name, director
         self.near, self.beyond = near, beyond
         self.ways = [Way(UP, near, beyond), Way(DOWN, beyond, near)]
@@ -48,7 +50,14 @@
             way.held.append(data)
             return
         due = book.due(
-            self.kind, self.director, self.name, way.name, now, len(data or b""), way.lane, self.relay.random
+            self.kind,
+            self.director,
+            self.name,
+            way.name,
+            now,
+            len(data or b""),
+            way.lane,
+            self.relay.random,
         )
         if due <= now:
             self._put(way, data)
@@ -144,8 +153,12 @@
             now = now_ms()
             first = self.book.datagram("director", sender, str(to), UP, now, self.random)
             for due in first:  # a rule may name the sender, or, the other way, the one it is for
-                for again in self.book.datagram("director", to, str(sender), DOWN, due, self.random):
-                    self.loop.at(again, lambda data=data, sender=sender: self._send(sender, to, data))
+                for again in self.book.datagram(
+                    "director", to, str(sender), DOWN, due, self.random
+                ):
+                    self.loop.at(
+                        again, lambda data=data, sender=sender: self._send(sender, to, data)
+                    )
 
     def _send(self, sender: int, to: int, data: bytes) -> None:
         try:
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -1,6 +1,7 @@
-"""The program with a wall clock that a signal steps: `python -m mulleinrelay.lab.fleet.stepped MS serve ...`
-is `python -m mulleinrelay serve ...` whose `time.time` is MS later from each SIGUSR1 on. Only the lab starts
-it, for the directors that a fault `clock` meets."""
+"""The program with a wall clock that a signal steps: `python -m mulleinrelay.lab.fleet.stepped MS
+serve ...` is `python -m mulleinrelay serve ...` whose `time.time` is MS later from each SIGUSR1 on.
+Only the lab starts it, for the directors that a fault `clock` meets.
+"""
 
 import signal
 import sys
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -1,5 +1,6 @@
-"""Clients of some locations, in one process: an open loop, framed Thrift, retries of their own. What they see
-is written down, a line a request."""
+"""Clients of some locations, in one process: an open loop, framed Thrift, retries of their own.
+What they see is written down, a line a request.
+"""
 
 import random
 import sys
@@ -98,7 +99,8 @@
             self.began, self.ends = held["began"], held["began"] + 1000.0 * self.scenario.seconds
             for demand in self.demands:
                 self.loop.at(
-                    self.began + 1000.0 * demand.next_in(0.0), lambda demand=demand: self.ask(demand)
+                    self.began + 1000.0 * demand.next_in(0.0),
+                    lambda demand=demand: self.ask(demand),
                 )
             self.loop.each(100.0, self.sweep)
             self.loop.each(1000.0, lambda: say(asked=self.asked, served=self.served))
@@ -112,7 +114,9 @@
             if due >= self.ends:
                 return
             self.asked += 1
-            pending = Pending(now, now + self.scenario.patience_ms, demand.location, demand.wanted(since))
+            pending = Pending(
+                now, now + self.scenario.patience_ms, demand.location, demand.wanted(since)
+            )
             self.attempt(pending, demand)
             due += 1000.0 * demand.next_in(since)
             if due < now - 1000.0:
@@ -190,8 +194,9 @@
         self.records.add("late" if late else "twice", now_ms(), line.director)
 
     def cut_off(self, line: Line) -> None:
-        """The connection has ended: where requests were out their clients try again as their request class
-        permits, and the director is looked at."""
+        """The connection has ended: where requests were out their clients try again as their
+        request class permits, and the director is looked at.
+        """
         now = now_ms()
         if line in self.lines.get(line.director, ()):
             self.lines[line.director].remove(line)
@@ -201,7 +206,8 @@
         for pending, _ in out.values():
             if may_try_again(self.scenario, pending.wanted, pending.tries, pending.until - now):
                 self.loop.at(
-                    now + PAUSE, lambda pending=pending: self.attempt(pending, self.demand_of(pending))
+                    now + PAUSE,
+                    lambda pending=pending: self.attempt(pending, self.demand_of(pending)),
                 )
             else:
                 self.ended(pending, line.director, "cut off")
@@ -209,13 +215,17 @@
             self.look(line.director)
 
     def look(self, director: int) -> None:
-        """Asks a director whose connection ended whether it is well; after the front's notice it is passed
-        by until it says so."""
+        """Asks a director whose connection ended whether it is well; after the front's notice it is
+        passed by until it says so.
+        """
         lost = now_ms()
         self.loop.at(lost + self.scenario.front_ms, lambda: self.is_well(director))
 
     def is_well(self, director: int) -> None:
-        wire, frames = self.loop.connect((addresses.own(director), self.port)), thrift.Frames(most=4096)
+        wire, frames = (
+            self.loop.connect((addresses.own(director), self.port)),
+            thrift.Frames(most=4096),
+        )
 
         def heard(data: bytes) -> None:
             room = frames.room()
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -48,8 +48,15 @@
         for name in scenario.caches
     ]
     specs += [
-        Spec(f"p-{place}", PARENT, "hub", 10.0 * scenario.capacity, 1.0, scenario.fill_delay,
-             holds=scenario.parent_holds)
+        Spec(
+            f"p-{place}",
+            PARENT,
+            "hub",
+            10.0 * scenario.capacity,
+            1.0,
+            scenario.fill_delay,
+            holds=scenario.parent_holds,
+        )
         for place in range(1, scenario.parents + 1)
     ]
     specs.append(Spec("o-1", ORIGIN, "hub", scenario.origin_capacity, 1.0, scenario.origin_delay))
@@ -59,7 +66,9 @@
 class Director:
     """One director as a process."""
 
-    def __init__(self, name: str, folder: str, whole: dict[str, Any], own: str | None, managed: bool) -> None:
+    def __init__(
+        self, name: str, folder: str, whole: dict[str, Any], own: str | None, managed: bool
+    ) -> None:
         self.name, self.address, self.managed = name, ("127.0.0.1", free_port()), ""
         path = os.path.join(folder, f"{name}.json")
         with open(path, "w", encoding="utf-8") as file:
@@ -70,8 +79,10 @@
             self.managed = f"127.0.0.1:{free_port()}"
             file_name = os.path.join(folder, f"{name}-management.ini")
             with open(file_name, "w", encoding="utf-8") as file:
-                file.write(f"[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = {self.managed}\n"
-                           f"state_dir = state-{name}\n")
+                file.write(
+                    f"[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = {self.managed}\n"
+                    f"state_dir = state-{name}\n"
+                )
             self.command += ["--management", file_name]
         self.log_path = os.path.join(folder, f"{name}.log")
         self.begin()
@@ -82,7 +93,9 @@
         environment = os.environ | {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": here}
         for name in ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT"):
             environment.pop(name, None)
-        self.process = subprocess.Popen(self.command, stderr=self.log, stdout=self.log, env=environment)
+        self.process = subprocess.Popen(
+            self.command, stderr=self.log, stdout=self.log, env=environment
+        )
 
     def ready(self) -> bool:
         try:
@@ -116,11 +129,15 @@
 
 
 class Lab:
-    """One play of a scenario. `run` gives its figures; `live` is called twice a second meanwhile."""
+    """One play of a scenario. `run` gives its figures; `live` is called twice a second
+    meanwhile.
+    """
 
     def __init__(self, scenario: Scenario, folder: str | None = None) -> None:
         self.scenario = scenario
-        self.kept = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-") if folder is None else None
+        self.kept = (
+            tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-") if folder is None else None
+        )
         self.folder = folder or self.kept.name
         self.assignment = os.path.join(self.folder, "assignment.ini")
         self.fleet = fleet_of(scenario)
@@ -154,7 +171,9 @@
             time.sleep(max(demand.patience for demand in self.scenario.demands) / 1000.0 + 0.1)
             for terminals in self.terminals:
                 terminals.sweep()
-            used = [director.cpu() - first for director, first in zip(self.directors, cpu, strict=True)]
+            used = [
+                director.cpu() - first for director, first in zip(self.directors, cpu, strict=True)
+            ]
             return self.summary(sum(used))
         finally:
             for terminals in self.terminals:
@@ -188,10 +207,17 @@
                     "offset": 1,
                     "batch": [json.loads(self.world.stream.events[0].partition(b"data: ")[2])],
                 },
-                "settings": settings(["hub", "edge"], 1, [0, scenario.directors], scenario.cold_from,
-                                     scenario.cold_for),
+                "settings": settings(
+                    ["hub", "edge"],
+                    1,
+                    [0, scenario.directors],
+                    scenario.cold_from,
+                    scenario.cold_for,
+                ),
             }
-            self.directors.append(Director(f"n{place}", self.folder, whole, own, scenario.management))
+            self.directors.append(
+                Director(f"n{place}", self.folder, whole, own, scenario.management)
+            )
         self._wait_ready()
 
     def again(self, director: Director) -> None:
@@ -211,7 +237,8 @@
         self.began = now_ms() + 200.0
         addresses = [director.address for director in self.directors]
         self.terminals = [
-            Terminals(demand, addresses, self.scenario.seed, self.began) for demand in self.scenario.demands
+            Terminals(demand, addresses, self.scenario.seed, self.began)
+            for demand in self.scenario.demands
         ]
         for terminals in self.terminals:
             terminals.begin()
@@ -241,7 +268,9 @@
         if deed.what == "move":
             spans = changes.Spans(deed.warm, deed.shift, deed.drain)
             self.change(
-                lambda old: changes.start_move(old, deed.name, deed.tenants, deed.target, now_ms(), spans)
+                lambda old: changes.start_move(
+                    old, deed.name, deed.tenants, deed.target, now_ms(), spans
+                )
             )
         elif deed.what == "abort":
             self.change(lambda old: changes.abort(old, deed.target, now_ms()))
@@ -303,5 +332,7 @@
 
 def cut_over(charter: Charter, tenants: tuple[str, ...], target: str) -> Charter:
     """The tenants stand in another cell at once: what a move is measured against."""
-    people: dict[str, Tenant] = {name: replace(charter.tenants[name], cell=target) for name in tenants}
+    people: dict[str, Tenant] = {
+        name: replace(charter.tenants[name], cell=target) for name in tenants
+    }
     return replace(charter, tenants=charter.tenants | people)
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -91,7 +91,8 @@
         seconds=lab.number("seconds", 10.0, 600.0, 1.0),
         directors=lab.whole("directors", 1, 8) or 1,
         seed=lab.whole("seed", 1),
-        cells=lab.flag("cells", True), management=lab.flag("management", False),
+        cells=lab.flag("cells", True),
+        management=lab.flag("management", False),
         caches=names,
         parents=fleet.whole("parents", 2, 16),
         capacity=fleet.number("capacity", 400.0, 1e6, 1.0),
@@ -102,7 +103,8 @@
         origin_capacity=fleet.number("origin_capacity", 2_000.0),
         cold_from=fleet.number("cold_from", 1.0, 1.0),
         cold_for=fleet.number("cold_ms", 0.0),
-        falls=fleet.flag("falls", False), parent_holds=fleet.whole("parent_holds", 0),
+        falls=fleet.flag("falls", False),
+        parent_holds=fleet.whole("parent_holds", 0),
         open_most=director.whole("open_most", 0),
         rate=director.number("rate", 0.0),
         charter=charter,
@@ -115,7 +117,12 @@
         if scenario.cells and demand.tenant not in charter.tenants and charter.unknown == "reject":
             raise CharterError(f"[load {demand.tenant}]: no such tenant")
     for deed in deeds:
-        if deed.node and deed.what != "purge" and deed.node not in names and deed.node[:1] not in "po":
+        if (
+            deed.node
+            and deed.what != "purge"
+            and deed.node not in names
+            and deed.node[:1] not in "po"
+        ):
             raise CharterError(f"[deed {deed.name}] node: no cache {deed.node!r}")
     return scenario
 
@@ -147,6 +154,9 @@
     else:
         deed.tenants, deed.target = keys.names("tenants"), keys.text("to")
         if what == "move":
-            deed.warm, deed.shift = keys.number("warm_ms", 1_000.0), keys.number("shift_ms", 3_000.0)
+            deed.warm, deed.shift = (
+                keys.number("warm_ms", 1_000.0),
+                keys.number("shift_ms", 3_000.0),
+            )
             deed.drain = keys.number("drain_ms", 1_000.0)
     return deed
--- a/mulleinrelay/lab/start.py
+++ b/mulleinrelay/lab/start.py
@@ -19,10 +19,16 @@
     parent_cold_ms: float | None = None,
     flow: float = 8000.0,
 ) -> dict[str, Any]:
-    """`places`: locations and hubs by name; `mine`: this director's. Request classes: pages, order, and pay
-    where `effects` is on. Times in ms; `flow`: KB a second
-    of one transfer."""
-    case = {"idempotency": "safe", "slo": goal, "deadline": patience, "memorySpan": 6000.0, "group": "all"}
+    """`places`: locations and hubs by name; `mine`: this director's. Request classes: pages, order,
+    and pay where `effects` is on. Times in ms; `flow`: KB a second of one transfer.
+    """
+    case = {
+        "idempotency": "safe",
+        "slo": goal,
+        "deadline": patience,
+        "memorySpan": 6000.0,
+        "group": "all",
+    }
     cases = [case | {"name": "pages"}, case | {"name": "order", "idempotency": "keyed"}]
     cases += [case | {"name": "pay", "idempotency": "unsafe"}] if effects else []
     warm_in = cold_ms or 1.0
@@ -59,7 +65,10 @@
             "purgeTakes": 1000.0 if parent_cold_ms is None else 6000.0,
             "storeKind": 2,
         },
-        "report": {"how": "probe" if probes else "none", "columns": ["util", "inflight"] if probes else []},
+        "report": {
+            "how": "probe" if probes else "none",
+            "columns": ["util", "inflight"] if probes else [],
+        },
         "rules": {"coldFrom": cold_from, "cold": warm_in, "overloadFor": 1000.0},
     }
 
--- a/mulleinrelay/log.py
+++ b/mulleinrelay/log.py
@@ -1,5 +1,6 @@
-"""One JSON line an event, on standard error, written by a thread of its own: a log that nobody reads holds up
-nothing, and what does not fit is counted."""
+"""One JSON line an event, on standard error, written by a thread of its own: a log that nobody
+reads holds up nothing, and what does not fit is counted.
+"""
 
 import os
 import queue
@@ -10,7 +11,9 @@
 import orjson
 
 WAITING_MOST = 1000  # lines
-ALIKE_MOST = 20  # lines a second of one event: clients that send what can't be read write the log otherwise
+ALIKE_MOST = (
+    20  # lines a second of one event: clients that send what can't be read write the log otherwise
+)
 
 
 class Log:
@@ -37,8 +40,15 @@
 
     def fault(self, where: str, broken: BaseException) -> None:
         last = traceback.extract_tb(broken.__traceback__)[-3:]
-        self.event("fault", where=where, kind=type(broken).__name__, text=str(broken),
-                   trace=[f"{step.filename.rpartition('/')[2]}:{step.lineno} {step.name}" for step in last])
+        self.event(
+            "fault",
+            where=where,
+            kind=type(broken).__name__,
+            text=str(broken),
+            trace=[
+                f"{step.filename.rpartition('/')[2]}:{step.lineno} {step.name}" for step in last
+            ],
+        )
 
     def close(self, seconds: float = 0.2) -> None:
         """Waits so long at most for the lines that are still to be written."""
@@ -49,6 +59,6 @@
         while (line := self.lines.get()) is not None:
             try:
                 while line:
-                    line = line[os.write(self.descriptor, line):]
+                    line = line[os.write(self.descriptor, line) :]
             except OSError:  # nobody reads the log any more; the director goes on
                 pass
--- a/mulleinrelay/management/client.py
+++ b/mulleinrelay/management/client.py
@@ -43,15 +43,20 @@
                     held.append(file.read())
             if access.name:
                 options.append(("grpc.ssl_target_name_override", access.name))
-            self.channel = grpc.secure_channel(address, grpc.ssl_channel_credentials(*held), options)
+            self.channel = grpc.secure_channel(
+                address, grpc.ssl_channel_credentials(*held), options
+            )
         else:
             self.channel = grpc.insecure_channel(address, options)
 
     def _call(self, name: str) -> Callable[..., Any]:
         asked, told = gnmi.METHODS[name]
         make = self.channel.stream_stream if name == "Subscribe" else self.channel.unary_unary
-        return make(f"/gnmi.gNMI/{name}", request_serializer=asked.SerializeToString,
-                    response_deserializer=told.FromString)
+        return make(
+            f"/gnmi.gNMI/{name}",
+            request_serializer=asked.SerializeToString,
+            response_deserializer=told.FromString,
+        )
 
     def _do(self, name: str, message: Any) -> Any:
         try:
@@ -60,18 +65,32 @@
             raise CallError(wrong.details() or "", wrong.code().name) from None
 
     def get(self, path: Path, kind: int = gnmi.ALL) -> list[tuple[Path, Any]]:
-        told = self._do("Get", gnmi.GetRequest(path=[_message(path)], type=kind, encoding=gnmi.JSON_IETF))
-        return [(_path(update.path), paths.bare(json.loads(update.val.json_ietf_val)))
-                for note in told.notification for update in note.update]
-
-    def set(self, deletes: list[Path] = (), updates: list[tuple[Path, Any]] = (),
-            replaces: list[tuple[Path, Any]] = (), within: float | None = None, name: str = "",
-            extra: dict[str, Any] | None = None) -> int:
+        told = self._do(
+            "Get", gnmi.GetRequest(path=[_message(path)], type=kind, encoding=gnmi.JSON_IETF)
+        )
+        return [
+            (_path(update.path), paths.bare(json.loads(update.val.json_ietf_val)))
+            for note in told.notification
+            for update in note.update
+        ]
+
+    def set(
+        self,
+        deletes: list[Path] = (),
+        updates: list[tuple[Path, Any]] = (),
+        replaces: list[tuple[Path, Any]] = (),
+        within: float | None = None,
+        name: str = "",
+        extra: dict[str, Any] | None = None,
+    ) -> int:
         """Gives the version that runs now."""
         asked = gnmi.SetRequest(
             delete=[_message(path) for path in deletes],
-            replace=[gnmi.Update(path=_message(path), val=_value(value)) for path, value in replaces],
-            update=[gnmi.Update(path=_message(path), val=_value(value)) for path, value in updates])
+            replace=[
+                gnmi.Update(path=_message(path), val=_value(value)) for path, value in replaces
+            ],
+            update=[gnmi.Update(path=_message(path), val=_value(value)) for path, value in updates],
+        )
         if within is not None:
             held = asked.extension.add().commit
             held.id = name
@@ -91,14 +110,31 @@
         return self._version(self._do("Set", asked))
 
     def _version(self, told: Any) -> int:
-        return next((json.loads(one.registered_ext.msg)["version"] for one in told.extension
-                     if one.WhichOneof("ext") == "registered_ext"), 0)
-
-    def watch(self, wanted: list[Path], updates_only: bool = False) -> Iterator[tuple[str, Path | None, Any]]:
-        """(`update`, path, value), (`delete`, path, None) and once (`sync`, None, None); raises CallError."""
-        asked = gnmi.SubscribeRequest(subscribe=gnmi.SubscriptionList(
-            subscription=[gnmi.Subscription(path=_message(path), mode=gnmi.ON_CHANGE) for path in wanted],
-            mode=gnmi.STREAM, encoding=gnmi.JSON_IETF, updates_only=updates_only))
+        return next(
+            (
+                json.loads(one.registered_ext.msg)["version"]
+                for one in told.extension
+                if one.WhichOneof("ext") == "registered_ext"
+            ),
+            0,
+        )
+
+    def watch(
+        self, wanted: list[Path], updates_only: bool = False
+    ) -> Iterator[tuple[str, Path | None, Any]]:
+        """(`update`, path, value), (`delete`, path, None) and once (`sync`, None, None); raises
+        CallError.
+        """
+        asked = gnmi.SubscribeRequest(
+            subscribe=gnmi.SubscriptionList(
+                subscription=[
+                    gnmi.Subscription(path=_message(path), mode=gnmi.ON_CHANGE) for path in wanted
+                ],
+                mode=gnmi.STREAM,
+                encoding=gnmi.JSON_IETF,
+                updates_only=updates_only,
+            )
+        )
         try:
             for told in self._call("Subscribe")(iter([asked])):
                 if told.WhichOneof("response") == "sync_response":
@@ -119,7 +155,9 @@
 
 
 def _path(message: Any) -> Path:
-    return paths.checked(tuple((elem.name, tuple(sorted(elem.key.items()))) for elem in message.elem))
+    return paths.checked(
+        tuple((elem.name, tuple(sorted(elem.key.items()))) for elem in message.elem)
+    )
 
 
 def _value(value: Any) -> Any:
--- a/mulleinrelay/management/ctl.py
+++ b/mulleinrelay/management/ctl.py
@@ -32,9 +32,15 @@
 @click.option("--key", default="", metavar="FILE", help="Its key.")
 @click.option("--name", default="", metavar="NAME", help="Name in the directors' certificates.")
 @click.option(
-    "--timeout", type=click.FloatRange(0.1, 3600.0), default=10.0, show_default=True, help="s a call."
+    "--timeout",
+    type=click.FloatRange(0.1, 3600.0),
+    default=10.0,
+    show_default=True,
+    help="s a call.",
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="One JSON object: a result for each director."
 )
-@click.option("--json", "as_json", is_flag=True, help="One JSON object: a result for each director.")
 @click.pass_context
 def ctl(
     context: click.Context,
@@ -48,17 +54,23 @@
 ) -> None:
     """Directors by gNMI.
 
-    Exit codes: 0 all done; 1 a director could not be reached; 2 wrong use; 3 a director refused. With several
-    directors the highest counts, and each has a line of its own.
+    Exit codes: 0 all done; 1 a director could not be reached; 2 wrong use; 3 a director refused.
+    With several directors the highest counts, and each has a line of its own.
 
     Completion for bash: eval "$(_MULLEINRELAY_COMPLETE=bash_source mulleinrelay)"
     """
     if any((ca, cert, key)) and not all((ca, cert, key)):
         raise click.UsageError("--ca, --cert and --key go together")
-    context.obj = {"targets": targets, "json": as_json, "access": Access(ca, cert, key, name, timeout)}
+    context.obj = {
+        "targets": targets,
+        "json": as_json,
+        "access": Access(ca, cert, key, name, timeout),
+    }
 
 
-def at_each(context: click.Context, do: Callable[[Target], Any], show: Callable[[str, Any], None]) -> None:
+def at_each(
+    context: click.Context, do: Callable[[Target], Any], show: Callable[[str, Any], None]
+) -> None:
     """Does it at each director, tells each result, and exits."""
     code, results = DONE, {}
     for address in context.obj["targets"]:
@@ -111,7 +123,11 @@
 @ctl.command()
 @click.argument("path", default="/")
 @click.option(
-    "--type", "kind", type=click.Choice(["all", "config", "state"]), default="all", show_default=True
+    "--type",
+    "kind",
+    type=click.Choice(["all", "config", "state"]),
+    default="all",
+    show_default=True,
 )
 @click.pass_context
 def get(context: click.Context, path: str, kind: str) -> None:
@@ -153,7 +169,10 @@
 @click.argument("changes", nargs=-1, required=True, metavar="PATH=VALUE | -PATH ...")
 @click.option("--replace", is_flag=True, help="VALUE stands instead of what is there.")
 @click.option(
-    "--within", type=click.FloatRange(0.5, 86_400.0), metavar="S", help="Goes back unless confirmed so soon."
+    "--within",
+    type=click.FloatRange(0.5, 86_400.0),
+    metavar="S",
+    help="Goes back unless confirmed so soon.",
 )
 @click.option("--id", "name", default="", help="Of the confirmation (with --within).")
 @click.option("--built-on", type=int, metavar="VERSION", help="Refused where another version runs.")
@@ -168,7 +187,9 @@
     built_on: int | None,
     why: str,
 ) -> None:
-    """Change what staff want: all of it, or nothing. A path after - is deleted (put -- before the first)."""
+    """Change what staff want: all of it, or nothing. A path after - is deleted (put -- before the
+    first).
+    """
     deletes, updates = [], []
     for text in changes:
         if text.startswith("-"):
@@ -207,7 +228,9 @@
 @click.option("--reason", default="", help="For other staff.")
 @click.pass_context
 def drain(context: click.Context, box: str, every_life: bool, force: bool, reason: str) -> None:
-    """Nothing new goes to BOX, as cache or fill source, within 2 s; what is under way there ends."""
+    """Nothing new goes to BOX, as cache or fill source, within 2 s; what is under way
+    there ends.
+    """
     value = {"box": box, "scope": "every-life" if every_life else "this-life", "forced": force}
     value |= {"reason": reason} if reason else {}
     path = parse(DRAIN)[:-1] + (("drain", (("box", box),)),)
@@ -233,14 +256,20 @@
 def undrain(context: click.Context, box: str) -> None:
     """Take a drain of BOX back."""
     path = parse(DRAIN)[:-1] + (("drain", (("box", box),)),)
-    at_each(context, lambda target: target.set(deletes=[path], extra=extras(None, f"undrain {box}")), said)
+    at_each(
+        context,
+        lambda target: target.set(deletes=[path], extra=extras(None, f"undrain {box}")),
+        said,
+    )
 
 
 @ctl.command()
 @click.argument("file", type=click.File("r"))
 @click.pass_context
 def diff(context: click.Context, file: Any) -> None:
-    """What differs between FILE (JSON, as `get / --type config` gives it with --json) and each director."""
+    """What differs between FILE (JSON, as `get / --type config` gives it with --json) and each
+    director.
+    """
     try:
         wanted = json.load(file)
     except ValueError as wrong:
@@ -273,7 +302,9 @@
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400.0), help="Ends after so long.")
 @click.option("--only-changes", is_flag=True, help="Not what is there already.")
 @click.pass_context
-def watch(context: click.Context, paths_: tuple[str, ...], seconds: float | None, only_changes: bool) -> None:
+def watch(
+    context: click.Context, paths_: tuple[str, ...], seconds: float | None, only_changes: bool
+) -> None:
     """Lines as things change, of the first director given."""
     wanted = [path_from(text) for text in paths_ or ("/fleet/boxes", "/fleet/drains")]
     target = Target(context.obj["targets"][0], context.obj["access"])
@@ -337,7 +368,9 @@
 @click.pass_context
 def rollback(context: click.Context, version: int, built_on: int | None) -> None:
     """Make an older VERSION the running one, as a new version."""
-    at_each(context, lambda target: target.set(extra=extras(built_on, "") | {"rollback": version}), said)
+    at_each(
+        context, lambda target: target.set(extra=extras(built_on, "") | {"rollback": version}), said
+    )
 
 
 @ctl.command()
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -1,7 +1,10 @@
-"""Versions of what staff want: candidate, commit, confirmation, history. Pure; time (Unix ms) is passed in.
+"""Versions of what staff want: candidate, commit, confirmation, history. Pure; time (Unix ms) is
+passed in.
 
-A change goes through all that take part or through none: each part prepares, which may refuse, and only when
-all are ready does each commit; where one fails even then, those that have committed are undone in turn."""
+A change goes through all that take part or through none: each part prepares, which may refuse, and
+only when all are ready does each commit; where one fails even then, those that have committed are
+undone in turn.
+"""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field, replace
@@ -28,7 +31,10 @@
         """Checks, and reckons what the commit needs; changes nothing. Raises RefusedError."""
 
     def mark(self, ready: Any) -> int:
-        """What tells, after a kill, whether this commit had been done; 0 where nothing of it lasts."""
+        """What tells, after a kill, whether this commit had been done; 0 where nothing
+        of it lasts.
+        """
+
     def commit(self, ready: Any) -> Callable[[], None]:
         """Takes the change over; gives what undoes it."""
 
@@ -67,7 +73,9 @@
     # the model's: gives the canonical tree, raises RefusedError
     check: Callable[[dict[str, Any]], dict[str, Any]]
     parts: Sequence[Part]
-    keep: Callable[[Held], None]  # makes it last; raises RefusedError, and then the change is undone
+    keep: Callable[
+        [Held], None
+    ]  # makes it last; raises RefusedError, and then the change is undone
     held: Held = field(default_factory=lambda: Held([Version(0, {}, 0.0, "", "empty")]))
 
     @property
@@ -83,9 +91,10 @@
         built_on: int | None = None,
         confirm: tuple[str, float] | None = None,
     ) -> Version:
-        """Makes a tree the running one. `built_on`: the version that its writer saw. `confirm`: (name, ms):
-        it goes back after that time. A tree that changes nothing makes no version. Raises RefusedError, and
-        then all is as it was."""
+        """Makes a tree the running one. `built_on`: the version that its writer saw. `confirm`:
+        (name, ms): it goes back after that time. A tree that changes nothing makes no version.
+        Raises RefusedError, and then all is as it was.
+        """
         running, open_ = self.running, self.held.unconfirmed
         if built_on is not None and built_on != running.number:
             raise RefusedError(
@@ -101,7 +110,9 @@
         unconfirmed = open_
         if confirm is not None:
             unconfirmed = Unconfirmed(confirm[0], now + confirm[1], running.tree)
-        return self._through(running.tree, Version(running.number + 1, tree, now, by, why), unconfirmed)
+        return self._through(
+            running.tree, Version(running.number + 1, tree, now, by, why), unconfirmed
+        )
 
     def confirm(self, name: str) -> None:
         """Raises RefusedError."""
@@ -127,7 +138,9 @@
         found = next((version for version in self.held.versions if version.number == number), None)
         if found is None:
             first = self.held.versions[0].number
-            raise RefusedError(f"there is no version {number}; kept are {first} to {self.running.number}")
+            raise RefusedError(
+                f"there is no version {number}; kept are {first} to {self.running.number}"
+            )
         return self.commit(now, found.tree, by, f"back to version {number}")
 
     def _waiting_for(self, name: str) -> Unconfirmed:
@@ -141,12 +154,17 @@
 
     def _back(self, now: float, open_: Unconfirmed, by: str, why: str) -> Version:
         running = self.running
-        return self._through(running.tree, Version(running.number + 1, open_.back_to, now, by, why), None)
+        return self._through(
+            running.tree, Version(running.number + 1, open_.back_to, now, by, why), None
+        )
 
-    def _through(self, old: dict[str, Any], new: Version, unconfirmed: Unconfirmed | None) -> Version:
-        """Takes a change through all parts and the store, or through none. It lasts before any part commits,
-        with the mark that each part will bear then: killed in between, the parts are brought up to it at the
-        start."""
+    def _through(
+        self, old: dict[str, Any], new: Version, unconfirmed: Unconfirmed | None
+    ) -> Version:
+        """Takes a change through all parts and the store, or through none. It lasts before any part
+        commits, with the mark that each part will bear then: killed in between, the parts are
+        brought up to it at the start.
+        """
         ready = [(part, part.prepare(old, new.tree)) for part in self.parts]
         new = replace(new, marks={part.name: part.mark(made) for part, made in ready})
         held = Held([*self.held.versions, new][-HISTORY_MOST:], unconfirmed)
--- a/mulleinrelay/management/intent.py
+++ b/mulleinrelay/management/intent.py
@@ -1,9 +1,10 @@
-"""What staff want of boxes, set over the list: which are drained now, and what has become of each drain.
-Pure.
+"""What staff want of boxes, set over the list: which are drained now, and what has become of each
+drain. Pure.
 
-A drain names a box. It binds the life of the box that it first meets (or every life, as asked), and a life is
-the box's address and start together: one that restarted, or that the list tells at another address, has a new
-one. Another box at the same address has another name and is never meant. """
+A drain names a box. It binds the life of the box that it first meets (or every life, as asked), and
+a life is the box's address and start together: one that restarted, or that the list tells at
+another address, has a new one. Another box at the same address has another name and is never meant.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
@@ -51,8 +52,12 @@
 def wants(tree: Mapping[str, Any]) -> dict[str, Want]:
     """Of a datastore's tree."""
     found = tree.get("fleet", {}).get("drains", {}).get("drain", [])
-    return {one["box"]: Want(one["box"], one.get("scope") == "every-life", bool(one.get("forced", False)))
-            for one in found}
+    return {
+        one["box"]: Want(
+            one["box"], one.get("scope") == "every-life", bool(one.get("forced", False))
+        )
+        for one in found
+    }
 
 
 @dataclass(slots=True)
@@ -63,7 +68,9 @@
     listed: dict[str, Listing] = field(default_factory=dict)
 
     def copy(self) -> "Intent":
-        return Intent({name: replace(drain) for name, drain in self.drains.items()}, dict(self.listed))
+        return Intent(
+            {name: replace(drain) for name, drain in self.drains.items()}, dict(self.listed)
+        )
 
     def want(self, now: float, wanted: Mapping[str, Want]) -> list[str]:
         """Staff's drains have changed; gives the boxes whose effective state may have."""
@@ -127,17 +134,27 @@
 
     def disagreeing(self, now: float) -> list[Drain]:
         """Drains that the list has contradicted for long, once each."""
-        found = [drain for drain in self.drains.values()
-                 if drain.ready_since and now > drain.ready_since + DISAGREES and not drain.told]
+        found = [
+            drain
+            for drain in self.drains.values()
+            if drain.ready_since and now > drain.ready_since + DISAGREES and not drain.told
+        ]
         for drain in found:
             drain.told = True
         return found
 
 
-def left_without(listed: Mapping[str, Listing], before: Iterable[str], wanted: Mapping[str, Want],
-                 is_cache: Any, cells: Mapping[str, Iterable[str]]) -> str:
-    """Why new drains may not be: a location or cell that has ready caches now would have none. Empty: they
-    may. `before`: boxes drained already; `cells`: caches by cell; forced drains are let through."""
+def left_without(
+    listed: Mapping[str, Listing],
+    before: Iterable[str],
+    wanted: Mapping[str, Want],
+    is_cache: Any,
+    cells: Mapping[str, Iterable[str]],
+) -> str:
+    """Why new drains may not be: a location or cell that has ready caches now would have none.
+    Empty: they may. `before`: boxes drained already; `cells`: caches by cell; forced drains are let
+    through.
+    """
     new = {name for name, want in wanted.items() if name not in set(before) and not want.forced}
     if not new:
         return ""
--- a/mulleinrelay/management/keep.py
+++ b/mulleinrelay/management/keep.py
@@ -1,5 +1,6 @@
-"""The datastore on disk: one file with a form, a checksum and a length, replaced whole. Killed at any point
-of a write, the old or the new one stands."""
+"""The datastore on disk: one file with a form, a checksum and a length, replaced whole. Killed at
+any point of a write, the old or the new one stands.
+"""
 
 import os
 import zlib
@@ -28,7 +29,9 @@
             trees.append(tree)
         return places[id(tree)]
 
-    versions = [[one.number, place(one.tree), one.at, one.by, one.why, one.marks] for one in held.versions]
+    versions = [
+        [one.number, place(one.tree), one.at, one.by, one.why, one.marks] for one in held.versions
+    ]
     open_ = held.unconfirmed
     unconfirmed = [open_.name, open_.until, place(open_.back_to)] if open_ is not None else None
     body = orjson.dumps({"versions": versions, "unconfirmed": unconfirmed, "trees": trees})
@@ -100,12 +103,16 @@
                 os.fsync(file.fileno())
             os.replace(f"{self.path}.new", self.path)
         except OSError as wrong:
-            raise RefusedError(f"{self.path}: {wrong.strerror}; nothing was changed", "failed") from None
+            raise RefusedError(
+                f"{self.path}: {wrong.strerror}; nothing was changed", "failed"
+            ) from None
         try:
             descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
             try:
                 os.fsync(descriptor)
             finally:
                 os.close(descriptor)
-        except OSError:  # the new file stands; only a power cut in the next moments could still undo that
+        except (
+            OSError
+        ):  # the new file stands; only a power cut in the next moments could still undo that
             pass
--- a/mulleinrelay/management/manager.py
+++ b/mulleinrelay/management/manager.py
@@ -1,5 +1,6 @@
-"""Management at a running director: one lock round the datastore, its parts and its model; changes told to
-watchers."""
+"""Management at a running director: one lock round the datastore, its parts and its model; changes
+told to watchers.
+"""
 
 import threading
 from collections.abc import Callable
@@ -72,7 +73,9 @@
         view: View,
         clock: Callable[[], float],
     ) -> None:
-        """`model`: has a `shape` and `check(tree)`. Raises KeepError where what was kept can't be used."""
+        """`model`: has a `shape` and `check(tree)`. Raises KeepError where what was kept can't be
+        used.
+        """
         self.facade, self.log, self.model, self.view, self.clock = facade, log, model, view, clock
         self.shape: Shape = model.shape
         self.drains, self.cells = drains, cells
@@ -93,9 +96,13 @@
         last = held.versions[-1]
         mark = last.marks.get("assignment", 0)
         behind = self.cells.warden is not None and self.cells.charter().version < mark
-        if behind and "assignment" in last.tree.get("fleet", {}):  # killed before the file was written
+        if behind and "assignment" in last.tree.get(
+            "fleet", {}
+        ):  # killed before the file was written
             self.cells.commit(self.cells.prepare({}, last.tree))
-            self.log.event("management", text=f"version {last.number} brought to its end after a kill")
+            self.log.event(
+                "management", text=f"version {last.number} brought to its end after a kill"
+            )
         tree = self._with_assignment(last.tree)
         self.drains.commit(self.drains.prepare(tree, tree))
         if tree != held.versions[-1].tree:
@@ -123,7 +130,9 @@
             running, open_ = self.store.running, self.store.held.unconfirmed
             versions = list(self.store.held.versions)
         wanted = running.tree.get("fleet", {})
-        wanted = {"fleet": {name: held for name, held in wanted.items() if names is None or name in names}}
+        wanted = {
+            "fleet": {name: held for name, held in wanted.items() if names is None or name in names}
+        }
         if config_only:
             return wanted
         left = max(0, int(open_.until - self.clock())) if open_ is not None else 0
@@ -133,7 +142,12 @@
                 "version": str(running.number),
                 "unconfirmed-for": left,
                 "commit": [
-                    {"version": str(one.number), "at": str(int(one.at)), "by": one.by, "why": one.why}
+                    {
+                        "version": str(one.number),
+                        "at": str(int(one.at)),
+                        "by": one.by,
+                        "why": one.why,
+                    }
                     for one in versions
                 ],
             },
@@ -142,8 +156,9 @@
         return whole
 
     def get(self, wanted: list[Path], kind: str) -> list[tuple[Path, Any]]:
-        """`kind`: all, config, state. Raises PathError; `not found` where a path without wildcards is
-        empty."""
+        """`kind`: all, config, state. Raises PathError; `not found` where a path without wildcards
+        is empty.
+        """
         found: list[tuple[Path, Any]] = []
         with self.lock:
             self._follow()
@@ -156,7 +171,8 @@
                 not here
                 and path
                 and not any(
-                    name in ("*", "...") or any(value == "*" for _, value in keys) for name, keys in path
+                    name in ("*", "...") or any(value == "*" for _, value in keys)
+                    for name, keys in path
                 )
             ):
                 self.shape.at(path)  # says what is wrong with it
@@ -192,9 +208,9 @@
                     paths.replace(self.shape, tree, edit.path, edit.value)
                 else:
                     paths.update(self.shape, tree, edit.path, edit.value)
-            why = why or ", ".join(f"{edit.what} {paths.worded(edit.path)}" for edit in edits[:3]) + (
-                f" and {len(edits) - 3} more" if len(edits) > 3 else ""
-            )
+            why = why or ", ".join(
+                f"{edit.what} {paths.worded(edit.path)}" for edit in edits[:3]
+            ) + (f" and {len(edits) - 3} more" if len(edits) > 3 else "")
             new = self.store.commit(self.clock(), tree, by, why, built_on, confirm)
         self._told(new)
         return new
@@ -215,7 +231,8 @@
             self._follow()
             if built_on is not None and built_on != self.store.running.number:
                 raise RefusedError(
-                    f"built on version {built_on}, but {self.store.running.number} is running", "stale"
+                    f"built on version {built_on}, but {self.store.running.number} is running",
+                    "stale",
                 )
             new = self.store.rollback(self.clock(), number, by)
         self._told(new)
@@ -226,7 +243,9 @@
         self._publish()
 
     def _follow(self) -> None:
-        """The assignment file may have changed by another hand; what that says is running already."""
+        """The assignment file may have changed by another hand; what that says is
+        running already.
+        """
         charter = self.cells.charter() if self.cells.warden is not None else None
         if charter is self.followed:  # a large table is not gone through for nothing
             return
@@ -299,7 +318,9 @@
                 if names is None
                 else {
                     "fleet": {
-                        name: held for name, held in self.last.get("fleet", {}).items() if name in names
+                        name: held
+                        for name, held in self.last.get("fleet", {}).items()
+                        if name in names
                     }
                 }
             )
@@ -337,7 +358,8 @@
             found[name] = held
         elif inner.is_list:
             entries = [
-                {key: one[key] for key in inner.keys} | state_only(Shape(inner.children), one) for one in held
+                {key: one[key] for key in inner.keys} | state_only(Shape(inner.children), one)
+                for one in held
             ]
             if kept := [one for one in entries if len(one) > len(inner.keys)]:
                 found[name] = kept
--- a/mulleinrelay/management/mapping.py
+++ b/mulleinrelay/management/mapping.py
@@ -6,7 +6,17 @@
 import ipaddress
 from typing import Any
 
-from ..cells.charter import REJECT, TO_DEFAULT, Cell, Charter, CharterError, Limits, Move, Release, Tenant
+from ..cells.charter import (
+    REJECT,
+    TO_DEFAULT,
+    Cell,
+    Charter,
+    CharterError,
+    Limits,
+    Move,
+    Release,
+    Tenant,
+)
 from ..cells.reading import LIMIT_KEYS, RANGE, agree
 
 ATTRIBUTES = {
@@ -26,7 +36,12 @@
     "resumed-at": "resumed_at",
     "aborted-at": "aborted_at",
 }
-RELEASE = {"starts": "starts", "wave-for": "wave_for", "drop-most": "drop_most", "slower-most": "slower_most"}
+RELEASE = {
+    "starts": "starts",
+    "wave-for": "wave_for",
+    "drop-most": "drop_most",
+    "slower-most": "slower_most",
+}
 DECIMAL = {
     "weight",
     "reserve",
@@ -67,7 +82,10 @@
 
 
 def _limits_tree(limits: Limits) -> dict[str, Any]:
-    return {key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, key)) for key in LIMIT_KEYS}
+    return {
+        key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, key))
+        for key in LIMIT_KEYS
+    }
 
 
 def _limits(tree: dict[str, Any], default: Limits) -> Limits:
@@ -109,7 +127,10 @@
         {"name": one.name, "weight": decimal(one.weight), "limits": _limits_tree(one.limits)}
         | ({"cell": one.cell} if one.cell else {})
         | _some("address", one.addresses)
-        | _some("group", [f"{first}-{last}" if first != last else str(first) for first, last in one.groups])
+        | _some(
+            "group",
+            [f"{first}-{last}" if first != last else str(first) for first, last in one.groups],
+        )
         for one in charter.tenants.values()
     ]
     found["move"] = [
@@ -125,7 +146,9 @@
             "shuffle": one.shuffle,
             "limits": _limits_tree(one.limits),
         }
-        | _some("wave", [{"number": place, "cell": list(wave)} for place, wave in enumerate(one.waves)])
+        | _some(
+            "wave", [{"number": place, "cell": list(wave)} for place, wave in enumerate(one.waves)]
+        )
         | {name: _told(name, getattr(one, key)) for name, key in RELEASE.items()}
         for one in charter.releases.values()
     ]
@@ -137,7 +160,9 @@
 
 
 def charter_from(tree: dict[str, Any], version: int, written: float) -> Charter:
-    """Of an `assignment` that the model has let pass; raises CharterError for what only the program knows."""
+    """Of an `assignment` that the model has let pass; raises CharterError for what only the program
+    knows.
+    """
     limits = _limits(tree, Limits())
     cells = {
         one["name"]: Cell(
@@ -179,7 +204,8 @@
             canary=one["canary"],
             limits=_limits(one, limits),
             waves=tuple(
-                tuple(wave["cell"]) for wave in sorted(one.get("wave", ()), key=lambda wave: wave["number"])
+                tuple(wave["cell"])
+                for wave in sorted(one.get("wave", ()), key=lambda wave: wave["number"])
             ),
             taken_back=bool(one.get("taken-back", False)),
             shuffle=int(one.get("shuffle", -1)),
@@ -218,7 +244,9 @@
 def _group(tenant: str, text: str) -> tuple[int, int]:
     form = RANGE.fullmatch(text)
     if form is None or not int(form[1]) <= int(form[2] or form[1]) <= 255:
-        raise CharterError(f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to 255")
+        raise CharterError(
+            f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to 255"
+        )
     return int(form[1]), int(form[2] or form[1])
 
 
--- a/mulleinrelay/management/messages.py
+++ b/mulleinrelay/management/messages.py
@@ -1,11 +1,21 @@
-"""The messages of gNMI, made at import from the published field numbers (gnmi.proto 0.10 and gnmi_ext.proto)
-in a descriptor pool of our own, so that no generated code is kept and no other package's classes are in the
-way."""
+"""The messages of gNMI, made at import from the published field numbers (gnmi.proto 0.10 and
+gnmi_ext.proto) in a descriptor pool of our own, so that no generated code is kept and no other
+package's classes are in the way.
+"""
 
 from google.protobuf import any_pb2, descriptor_pb2, descriptor_pool, duration_pb2, message_factory
 
 VERSION = "0.10.0"
-KINDS = {"double": 1, "float": 2, "int64": 3, "uint64": 4, "bool": 8, "string": 9, "bytes": 12, "uint32": 13}
+KINDS = {
+    "double": 1,
+    "float": 2,
+    "int64": 3,
+    "uint64": 4,
+    "bool": 8,
+    "string": 9,
+    "bytes": 12,
+    "uint32": 13,
+}
 MESSAGE, ENUM, REPEATED, OPTIONAL = 11, 14, 3, 1
 
 # A message's fields as `name=number type`, `*` before a repeated type, `name/oneof=...` in a oneof
@@ -128,7 +138,10 @@
     _class("gnmi.TypedValue"),
 )
 PathMessage, PathElem = _class("gnmi.Path"), _class("gnmi.PathElem")
-SubscribeRequest, SubscribeResponse = _class("gnmi.SubscribeRequest"), _class("gnmi.SubscribeResponse")
+SubscribeRequest, SubscribeResponse = (
+    _class("gnmi.SubscribeRequest"),
+    _class("gnmi.SubscribeResponse"),
+)
 SubscriptionList, Subscription = _class("gnmi.SubscriptionList"), _class("gnmi.Subscription")
 SetRequest, SetResponse, UpdateResult = (
     _class("gnmi.SetRequest"),
@@ -136,7 +149,10 @@
     _class("gnmi.UpdateResult"),
 )
 GetRequest, GetResponse = _class("gnmi.GetRequest"), _class("gnmi.GetResponse")
-CapabilityRequest, CapabilityResponse = _class("gnmi.CapabilityRequest"), _class("gnmi.CapabilityResponse")
+CapabilityRequest, CapabilityResponse = (
+    _class("gnmi.CapabilityRequest"),
+    _class("gnmi.CapabilityResponse"),
+)
 ModelData, Extension = _class("gnmi.ModelData"), _class("gnmi_ext.Extension")
 JSON, ASCII, JSON_IETF = 0, 3, 4
 STREAM, ONCE, POLL = 0, 1, 2
--- a/mulleinrelay/management/model.py
+++ b/mulleinrelay/management/model.py
@@ -5,12 +5,11 @@
 from typing import Any
 
 from yangson import DataModel
+from yangson.datatype import Decimal64Type, Int64Type, Uint64Type
 from yangson.enumerations import ContentType, ValidationScope
 from yangson.exceptions import YangsonException
 from yangson.schemanode import DataNode, LeafListNode, LeafNode, ListNode
 
-from yangson.datatype import Decimal64Type, Int64Type, Uint64Type
-
 from .datastore import RefusedError
 from .paths import Shape, bare
 
@@ -20,7 +19,12 @@
     "ietf-yang-library:modules-state": {
         "module-set-id": "1",
         "module": [
-            {"name": NAME, "revision": REVISION, "namespace": NAMESPACE, "conformance-type": "implement"}
+            {
+                "name": NAME,
+                "revision": REVISION,
+                "namespace": NAMESPACE,
+                "conformance-type": "implement",
+            }
         ],
     }
 }
@@ -34,9 +38,10 @@
         self.shape = _shape(self.data.schema, False)
 
     def check(self, tree: dict[str, Any]) -> dict[str, Any]:
-        """The tree in its canonical form, state left out; raises RefusedError whose text says where and why.
-        Children of /fleet don't refer to one another, so one that is as it last was is not gone through
-        again: a drain costs the same beside a table of ten thousand tenants."""
+        """The tree in its canonical form, state left out; raises RefusedError whose text says where
+        and why. Children of /fleet don't refer to one another, so one that is as it last was is not
+        gone through again: a drain costs the same beside a table of ten thousand tenants.
+        """
         if not tree:
             return tree
         fleet = tree.get("fleet") if len(tree) == 1 else None
@@ -55,13 +60,20 @@
     def _whole(self, tree: dict[str, Any]) -> dict[str, Any]:
         try:
             root = self.data.from_raw({f"{NAME}:{name}": held for name, held in tree.items()})
-            # Steps upwards out of a long list cost its length each time; beyond some length what refers to
-            # something else is left to `charter.agree`, which checks the same
+            # Steps upwards out of a long list cost its length each time; beyond some length what
+            # refers to something else is left to `charter.agree`, which checks the same
             large = any(len(held.get("tenant", ())) > LONG for held in _assignments(tree))
-            root.validate(ValidationScope.syntax if large else ValidationScope.all, ContentType.config)
+            root.validate(
+                ValidationScope.syntax if large else ValidationScope.all, ContentType.config
+            )
         except YangsonException as wrong:
             raise RefusedError(_worded(wrong)) from None
-        except (TypeError, ValueError, AttributeError, KeyError) as wrong:  # of values of a strange form
+        except (
+            TypeError,
+            ValueError,
+            AttributeError,
+            KeyError,
+        ) as wrong:  # of values of a strange form
             raise RefusedError(f"a value can't be read: {wrong}") from None
         return bare(root.raw_value())
 
--- a/mulleinrelay/management/own.py
+++ b/mulleinrelay/management/own.py
@@ -1,4 +1,6 @@
-"""Our own file for management: where it listens, who may do what, what it keeps. Pure but for `load_own`."""
+"""Our own file for management: where it listens, who may do what, what it keeps. Pure but for
+`load_own`.
+"""
 
 import os
 from dataclasses import dataclass
@@ -31,8 +33,13 @@
     found = sections(text)
     for title in found:
         if title not in ("management", "roles", "limits"):
-            raise CharterError(f"[{title}]: an unknown section; known are management, roles, limits")
-    keys, limits = Keys("management", found.get("management", {})), Keys("limits", found.get("limits", {}))
+            raise CharterError(
+                f"[{title}]: an unknown section; known are management, roles, limits"
+            )
+    keys, limits = (
+        Keys("management", found.get("management", {})),
+        Keys("limits", found.get("limits", {})),
+    )
     enabled, listen = keys.flag("enabled", False), keys.text("listen", "127.0.0.1:9339")
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
@@ -42,10 +49,19 @@
         value = keys.text(key, "")
         return os.path.join(folder, value) if value else ""
 
-    own = OwnFile(enabled, listen, path("state_dir"), path("certificate"), path("key"), path("clients_ca"),
-                  _rights(found.get("roles", {}), keys.flag("insecure_loopback", False)),
-                  limits.whole("subscribers", 32, 10_000), limits.whole("queue", 1_000, 1_000_000),
-                  limits.whole("message_kb", 4_096, 1_000_000), limits.whole("calls", 16, 1_000))
+    own = OwnFile(
+        enabled,
+        listen,
+        path("state_dir"),
+        path("certificate"),
+        path("key"),
+        path("clients_ca"),
+        _rights(found.get("roles", {}), keys.flag("insecure_loopback", False)),
+        limits.whole("subscribers", 32, 10_000),
+        limits.whole("queue", 1_000, 1_000_000),
+        limits.whole("message_kb", 4_096, 1_000_000),
+        limits.whole("calls", 16, 1_000),
+    )
     given = [bool(own.certificate), bool(own.key), bool(own.clients_ca)]
     if any(given) and not all(given):
         raise keys.fault("certificate", "certificate, key and clients_ca go together")
--- a/mulleinrelay/management/part.py
+++ b/mulleinrelay/management/part.py
@@ -1,5 +1,6 @@
-"""The running director as management reaches it: its state as a tree, and the parts that take a change
-over."""
+"""The running director as management reaches it: its state as a tree, and the parts that take a
+change over.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -33,7 +34,9 @@
         wanted = wants(new)
         with self.facade.lock:
             before = [
-                name for name, drain in self.intent.drains.items() if drain.phase == wanting.Phase.BINDING
+                name
+                for name, drain in self.intent.drains.items()
+                if drain.phase == wanting.Phase.BINDING
             ]
             listed = dict(self.intent.listed)
         if wanted != wants(old) and (
@@ -73,7 +76,9 @@
 
 
 class CellsPart:
-    """The assignment, where cells are on. What is changed here goes into the assignment file, too."""
+    """The assignment, where cells are on. What is changed here goes into the assignment
+    file, too.
+    """
 
     name = "assignment"
 
@@ -124,7 +129,9 @@
     def _take(self, ready: governor.Prepared, built_on: int) -> None:
         try:
             with store.sole_writer(self.warden.own.assignment):
-                store.save(self.warden.own.assignment, ready.charter, ready.charter.written, built_on)
+                store.save(
+                    self.warden.own.assignment, ready.charter, ready.charter.written, built_on
+                )
             self.warden.take(ready)
         except CharterError as wrong:
             raise RefusedError(str(wrong), "failed") from None
@@ -151,7 +158,9 @@
     def tree(
         self, wanted: dict[str, Any], datastore: dict[str, Any], names: set[str] | None
     ) -> dict[str, Any]:
-        """Config and state together, of the named children of /fleet or of all; `wanted` is not changed."""
+        """Config and state together, of the named children of /fleet or of all; `wanted` is not
+        changed.
+        """
         now = self.facade.clock()
         fleet = dict(wanted.get("fleet", {}))
         boxes, out = self._boxes() if names is None or names & {"boxes", "drains"} else ([], {})
@@ -168,7 +177,8 @@
             "datastore": datastore,
         }
         return {
-            "fleet": fleet | {name: held for name, held in state.items() if names is None or name in names}
+            "fleet": fleet
+            | {name: held for name, held in state.items() if names is None or name in names}
         }
 
     def _boxes(self) -> tuple[list[dict[str, Any]], dict[str, int]]:
@@ -210,7 +220,9 @@
             charter = self.warden.governor.charter
         found = dict(tree)
         found["cell"] = [
-            one | {"state": _cell(status["cells"][one["name"]])} if one["name"] in status["cells"] else one
+            one | {"state": _cell(status["cells"][one["name"]])}
+            if one["name"] in status["cells"]
+            else one
             for one in tree.get("cell", ())
         ]
         found["move"] = [
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -1,7 +1,10 @@
-"""Paths into a tree of JSON values as gNMI words them: parse, match, read, replace, update, delete. Pure.
+"""Paths into a tree of JSON values as gNMI words them: parse, match, read, replace, update, delete.
+Pure.
 
-A tree is what RFC 7951 makes of the model: nested dicts, lists of dicts for YANG lists. A path is a tuple of
-steps (name, keys); `*` matches any name or key, `...` any number of steps, both in reads only."""
+A tree is what RFC 7951 makes of the model: nested dicts, lists of dicts for YANG lists. A path is a
+tuple of steps (name, keys); `*` matches any name or key, `...` any number of steps, both in reads
+only.
+"""
 
 from collections.abc import Iterator
 from copy import deepcopy
@@ -21,7 +24,9 @@
 
 
 def parse(text: str) -> Path:
-    """`/fleet/drains/drain[box=s-1]/scope`; `]` and `\\` in a key are written with `\\` before them."""
+    """`/fleet/drains/drain[box=s-1]/scope`; `]` and `\\` in a key are written with `\\` before
+    them.
+    """
     if len(text) > LENGTH_MOST:
         raise PathError(f"a path of {len(text)} characters; {LENGTH_MOST} at most")
     steps, place = [], 0
@@ -82,7 +87,9 @@
 
 
 class Shape:
-    """What a tree may hold, as the model tells: names below a node, keys of lists, what is state."""
+    """What a tree may hold, as the model tells: names below a node, keys of lists, what
+    is state.
+    """
 
     def __init__(
         self,
@@ -98,8 +105,9 @@
         self.text = text  # its numbers are strings in JSON (decimal64, 64-bit integers)
 
     def at(self, path: Path, write: bool = False) -> "Shape":
-        """The shape at the end of a path without wildcards; raises PathError. `write`: no state, keys
-        whole."""
+        """The shape at the end of a path without wildcards; raises PathError. `write`: no state,
+        keys whole.
+        """
         shape = self
         for place, (name, keys) in enumerate(path):
             here = worded(path[: place + 1])
@@ -117,8 +125,9 @@
 
 
 def read(shape: Shape, tree: Any, path: Path) -> Iterator[tuple[Path, Any]]:
-    """All nodes that a path with wildcards matches, each with its own path; nothing where it matches none.
-    A list without keys gives each of its entries."""
+    """All nodes that a path with wildcards matches, each with its own path; nothing where it
+    matches none. A list without keys gives each of its entries.
+    """
     yield from _read(shape, tree, path, ())
 
 
@@ -141,7 +150,9 @@
         if name not in shape.children:
             if loose:
                 return
-            raise PathError(f"{worded((*before, path[0]))}: the model has no such node", "not found")
+            raise PathError(
+                f"{worded((*before, path[0]))}: the model has no such node", "not found"
+            )
         if unknown := {key for key, _ in keys} - set(shape.children[name].keys):
             raise PathError(f"{worded((*before, path[0]))}: no key {sorted(unknown)[0]}")
     for child in tree if name == "*" else (name,) if name in tree else ():
@@ -170,8 +181,12 @@
             yield from _read(inner, entry, rest, (*before, (child, named)), loose)
 
 
-def entry_of(entries: list[dict[str, Any]], keys: tuple[tuple[str, str], ...]) -> dict[str, Any] | None:
-    return next((one for one in entries if all(str(one.get(key)) == value for key, value in keys)), None)
+def entry_of(
+    entries: list[dict[str, Any]], keys: tuple[tuple[str, str], ...]
+) -> dict[str, Any] | None:
+    return next(
+        (one for one in entries if all(str(one.get(key)) == value for key, value in keys)), None
+    )
 
 
 def delete(shape: Shape, tree: dict[str, Any], path: Path) -> None:
@@ -201,7 +216,9 @@
 
 
 def update(shape: Shape, tree: dict[str, Any], path: Path, value: Any) -> None:
-    """Merges a value in: of containers and list entries what it names, leaves and leaf-lists whole."""
+    """Merges a value in: of containers and list entries what it names, leaves and
+    leaf-lists whole.
+    """
     inner = shape.at(path, write=True)
     value = bare(value)
     spot, here = tree, shape
@@ -311,7 +328,12 @@
         entry = Shape(shape.children)
         for keys in {**before, **after}:
             _differ(
-                entry, before.get(keys), after.get(keys), (*here[:-1], (here[-1][0], keys)), changed, gone
+                entry,
+                before.get(keys),
+                after.get(keys),
+                (*here[:-1], (here[-1][0], keys)),
+                changed,
+                gone,
             )
     elif shape.children:
         before, after = old or {}, new or {}
@@ -331,7 +353,9 @@
         changed.append((here, new))
 
 
-def _by_keys(shape: Shape, entries: list[dict[str, Any]] | None) -> dict[tuple[tuple[str, str], ...], Any]:
+def _by_keys(
+    shape: Shape, entries: list[dict[str, Any]] | None
+) -> dict[tuple[tuple[str, str], ...], Any]:
     return {tuple((key, str(one[key])) for key in shape.keys): one for one in entries or ()}
 
 
--- a/mulleinrelay/management/rights.py
+++ b/mulleinrelay/management/rights.py
@@ -33,5 +33,7 @@
 
 def wanted(paths: list[Path]) -> Role:
     """What a change of these paths asks for."""
-    drains = all(len(path) >= 2 and path[0][0] == "fleet" and path[1][0] == DRAINS for path in paths)
+    drains = all(
+        len(path) >= 2 and path[0][0] == "fleet" and path[1][0] == DRAINS for path in paths
+    )
     return Role.DRAIN if drains and paths else Role.CONFIGURE
--- a/mulleinrelay/management/server.py
+++ b/mulleinrelay/management/server.py
@@ -68,10 +68,11 @@
         held = message.decimal_val
         if held.precision > 18:
             raise PathError("a decimal of more than 18 digits after the point")
-        sign, digits = "-" if held.digits < 0 else "", str(abs(held.digits)).rjust(held.precision + 1, "0")
-        return (
-            f"{sign}{digits[: len(digits) - held.precision]}.{digits[len(digits) - held.precision :] or '0'}"
+        sign, digits = (
+            "-" if held.digits < 0 else "",
+            str(abs(held.digits)).rjust(held.precision + 1, "0"),
         )
+        return f"{sign}{digits[: len(digits) - held.precision]}.{digits[len(digits) - held.precision :] or '0'}"
     if kind == "leaflist_val":
         return [value_of(one) for one in message.leaflist_val.element]
     raise PathError(f"a value of the kind {kind or 'none'} can't be taken")
@@ -82,7 +83,9 @@
         value = {f"{NAME}:{name}": held for name, held in value.items()}
     data = json.dumps(value, separators=(",", ":")).encode()
     return (
-        gnmi.TypedValue(json_ietf_val=data) if encoding == gnmi.JSON_IETF else gnmi.TypedValue(json_val=data)
+        gnmi.TypedValue(json_ietf_val=data)
+        if encoding == gnmi.JSON_IETF
+        else gnmi.TypedValue(json_val=data)
     )
 
 
@@ -109,7 +112,9 @@
                 grpc.method_handlers_generic_handler(
                     "gnmi.gNMI",
                     {
-                        name: _handler(getattr(self, name.lower()), *gnmi.METHODS[name], name == "Subscribe")
+                        name: _handler(
+                            getattr(self, name.lower()), *gnmi.METHODS[name], name == "Subscribe"
+                        )
                         for name in gnmi.METHODS
                     },
                 ),
@@ -154,11 +159,14 @@
         for path in (self.own.key, self.own.certificate, self.own.clients_ca):
             with open(path, "rb") as file:
                 found.append(file.read())
-        return grpc.ssl_server_certificate_configuration([(found[0], found[1])], root_certificates=found[2])
+        return grpc.ssl_server_certificate_configuration(
+            [(found[0], found[1])], root_certificates=found[2]
+        )
 
     def _renewed(self) -> Any:
-        """Called at each handshake: the files, read again where they have changed; None: the old ones
-        hold."""
+        """Called at each handshake: the files, read again where they have changed; None: the old
+        ones hold.
+        """
         try:
             if (stamps := self._stamps()) == self.seen:
                 return None
@@ -194,7 +202,9 @@
     def capabilities(self, asked: Any, context: Any) -> Any:
         self._allow(context, Role.READ)
         return gnmi.CapabilityResponse(
-            supported_models=[gnmi.ModelData(name=NAME, organization="mulleinrelay", version=REVISION)],
+            supported_models=[
+                gnmi.ModelData(name=NAME, organization="mulleinrelay", version=REVISION)
+            ],
             supported_encodings=list(ENCODINGS),
             gNMI_version=gnmi.VERSION,
         )
@@ -215,12 +225,21 @@
 
     def set(self, asked: Any, context: Any) -> Any:
         edits, results = [], []
-        for what, held in (("delete", asked.delete), ("replace", asked.replace), ("update", asked.update)):
+        for what, held in (
+            ("delete", asked.delete),
+            ("replace", asked.replace),
+            ("update", asked.update),
+        ):
             for one in held:
                 path = path_of(one if what == "delete" else one.path, asked.prefix)
                 edits.append(Edit(what, path, None if what == "delete" else value_of(one.val)))
                 results.append(
-                    (path, {"delete": gnmi.DELETE, "replace": gnmi.REPLACE, "update": gnmi.UPDATE}[what])
+                    (
+                        path,
+                        {"delete": gnmi.DELETE, "replace": gnmi.REPLACE, "update": gnmi.UPDATE}[
+                            what
+                        ],
+                    )
                 )
         if asked.union_replace:
             raise PathError("union_replace: there is one origin here; use replace", "unimplemented")
@@ -264,7 +283,8 @@
         with self.lock:
             if self.streams >= self.own.subscribers_most:
                 context.abort(
-                    grpc.StatusCode.RESOURCE_EXHAUSTED, f"{self.streams} streams are open; no more are taken"
+                    grpc.StatusCode.RESOURCE_EXHAUSTED,
+                    f"{self.streams} streams are open; no more are taken",
                 )
             self.streams += 1
         try:
@@ -300,14 +320,20 @@
     def _values(self, wanted_paths: list[Path], encoding: int) -> Iterator[Any]:
         for path, value in self.manager.get(wanted_paths, "all"):
             found = (
-                list(paths.leaves(self.manager.shape.at(path) if path else self.manager.shape, value, path))
+                list(
+                    paths.leaves(
+                        self.manager.shape.at(path) if path else self.manager.shape, value, path
+                    )
+                )
                 if isinstance(value, dict | list)
                 else [(path, value)]
             )
             for start in range(0, len(found), 500):
                 yield _note(found[start : start + 500], [], encoding)
 
-    def _stream(self, held: Any, wanted_paths: list[Path], encoding: int, context: Any) -> Iterator[Any]:
+    def _stream(
+        self, held: Any, wanted_paths: list[Path], encoding: int, context: Any
+    ) -> Iterator[Any]:
         for path in wanted_paths:  # a stream on a node that the model hasn't would wait for ever
             if not any(name in ("*", "...") for name, _ in path):
                 self.manager.shape.at(path)
@@ -324,7 +350,9 @@
             if one.mode != gnmi.SAMPLE and one.heartbeat_interval
         ]
         on_change = [
-            path for one, path in zip(held.subscription, wanted_paths, strict=True) if one.mode != gnmi.SAMPLE
+            path
+            for one, path in zip(held.subscription, wanted_paths, strict=True)
+            if one.mode != gnmi.SAMPLE
         ]
         try:
             try:
@@ -337,7 +365,9 @@
             for each in (*samples, *beats):
                 each[1] = began + each[0]
             while context.is_active() and not watcher.ended:
-                soonest = min((each[1] for each in (*samples, *beats)), default=time.monotonic() + 1.0)
+                soonest = min(
+                    (each[1] for each in (*samples, *beats)), default=time.monotonic() + 1.0
+                )
                 for changed, gone in watcher.take(max(0.01, min(1.0, soonest - time.monotonic()))):
                     yield from _matching(changed, gone, on_change, encoding)
                 if watcher.lost:
@@ -373,7 +403,10 @@
                 if action == "commit":
                     span = one.commit.commit.rollback_duration
                     self.within = span.seconds * 1000.0 + span.nanos / 1e6
-            elif one.WhichOneof("ext") == "registered_ext" and one.registered_ext.id == gnmi.EXPERIMENTAL:
+            elif (
+                one.WhichOneof("ext") == "registered_ext"
+                and one.registered_ext.id == gnmi.EXPERIMENTAL
+            ):
                 self._ours(one.registered_ext.msg)
 
     def _ours(self, text: bytes) -> None:
@@ -383,7 +416,9 @@
             self.rollback = int(held["rollback"]) if "rollback" in held else None
             self.why = str(held.get("why", ""))[:256]
         except (ValueError, TypeError, AttributeError, KeyError):
-            raise PathError("the extension wants an object with built_on, rollback or why") from None
+            raise PathError(
+                "the extension wants an object with built_on, rollback or why"
+            ) from None
 
 
 def _note(found: list[tuple[Path, Any]], gone: list[Path], encoding: int) -> Any:
@@ -397,7 +432,9 @@
 def _matching(
     changed: list[tuple[Path, Any]], gone: list[Path], wanted_paths: list[Path], encoding: int
 ) -> Iterator[Any]:
-    found = [(path, value) for path, value in changed if any(covers(one, path) for one in wanted_paths)]
+    found = [
+        (path, value) for path, value in changed if any(covers(one, path) for one in wanted_paths)
+    ]
     left = [path for path in gone if any(covers(one, path) for one in wanted_paths)]
     for start in range(0, max(len(found), 1 if left else 0), 500):
         yield _note(found[start : start + 500], left if start == 0 else [], encoding)
@@ -413,7 +450,9 @@
     if not path or (name not in ("*", path[0][0])):
         return False
     held = dict(path[0][1])
-    return all(value == "*" or held.get(key) == value for key, value in keys) and covers(rest, path[1:])
+    return all(value == "*" or held.get(key) == value for key, value in keys) and covers(
+        rest, path[1:]
+    )
 
 
 def _handler(method: Callable[..., Any], asked: Any, told: Any, streams: bool) -> Any:
@@ -426,7 +465,9 @@
             yield from method(message, context)
 
     if streams:
-        return grpc.stream_stream_rpc_method_handler(stream, asked.FromString, told.SerializeToString)
+        return grpc.stream_stream_rpc_method_handler(
+            stream, asked.FromString, told.SerializeToString
+        )
     return grpc.unary_unary_rpc_method_handler(unary, asked.FromString, told.SerializeToString)
 
 
@@ -441,11 +482,17 @@
 
     def __exit__(self, kind: Any, wrong: Any, trace: Any) -> None:
         if isinstance(wrong, PathError | RefusedError):
-            code = grpc.StatusCode.UNIMPLEMENTED if wrong.code == "unimplemented" else CODES[wrong.code]
+            code = (
+                grpc.StatusCode.UNIMPLEMENTED
+                if wrong.code == "unimplemented"
+                else CODES[wrong.code]
+            )
             self.context.abort(code, str(wrong))
 
 
-def build(own: OwnFile, start: Any, facade: Any, warden: Any, clock: Callable[[], float], log: Log) -> Server:
+def build(
+    own: OwnFile, start: Any, facade: Any, warden: Any, clock: Callable[[], float], log: Log
+) -> Server:
     """All of management for one director; raises KeepError, OSError."""
     from ..cells.assignment import caches_of
     from .keep import Keeper
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -32,7 +32,9 @@
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(WRONG_FILE)
     if not own.records or not os.path.isdir(own.records):
-        click.echo(f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True)
+        click.echo(
+            f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True
+        )
         sys.exit(FAILED)
     return own.records
 
@@ -42,22 +44,39 @@
 @FROM
 @JSON
 def members(path: str, witness: str | None, as_json: bool) -> None:
-    """Each member with how many directors take it for alive, suspected, dead or left; where they disagree,
-    the part of the fleet that hears nothing shows. Exit code 1 where no director keeps fresh records."""
+    """Each member with how many directors take it for alive, suspected, dead or left; where they
+    disagree, the part of the fleet that hears nothing shows. Exit code 1 where no director keeps
+    fresh records.
+    """
     now = time.time()
     states = [held for held in read_states(folder_of(path)) if witness in (None, held["director"])]
-    fresh = [held for held in states if now - held.get("written", 0.0) <= OLD and held.get("state") != "left"]
+    fresh = [
+        held
+        for held in states
+        if now - held.get("written", 0.0) <= OLD and held.get("state") != "left"
+    ]
     found: dict[tuple[str, str], dict] = {}
     for held in fresh:
         for one in (held, *held["members"]):
-            spot = found.setdefault((one["name"], one["address"]), {
-                "name": one["name"], "address": one["address"], "location": one["location"], "life": 0,
-                "seen_by": {}})
+            spot = found.setdefault(
+                (one["name"], one["address"]),
+                {
+                    "name": one["name"],
+                    "address": one["address"],
+                    "location": one["location"],
+                    "life": 0,
+                    "seen_by": {},
+                },
+            )
             spot["life"] = max(spot["life"], one["life"])
             word = "itself" if one is held else one["state"]
             spot["seen_by"][word] = spot["seen_by"].get(word, 0) + 1
     silent = sorted(held["director"] for held in states if held not in fresh)
-    told = {"witnesses": len(fresh), "silent": silent, "members": [found[spot] for spot in sorted(found)]}
+    told = {
+        "witnesses": len(fresh),
+        "silent": silent,
+        "members": [found[spot] for spot in sorted(found)],
+    }
     if as_json:
         click.echo(orjson.dumps(told))
     else:
@@ -74,11 +93,16 @@
 @FILE
 @JSON
 def budgets(path: str, as_json: bool) -> None:
-    """Each limit that directors share: who may use which part of it (thousandths of the whole), and what is
-    lent to whom. Exit code 1 where no director keeps fresh records."""
+    """Each limit that directors share: who may use which part of it (thousandths of the whole), and
+    what is lent to whom. Exit code 1 where no director keeps fresh records.
+    """
     now, told = time.time(), {}
     for held in read_states(folder_of(path)):
-        if now - held.get("written", 0.0) > OLD or held.get("state") == "left" or not held.get("budgets"):
+        if (
+            now - held.get("written", 0.0) > OLD
+            or held.get("state") == "left"
+            or not held.get("budgets")
+        ):
             continue
         for name, limit in held["budgets"]["limits"].items():
             told.setdefault(name, {})[held["director"]] = limit
@@ -89,9 +113,13 @@
             may = sum(limit["usable"] for limit in by.values())
             click.echo(f"{name}: {may:.0f} of 1000 may be used, by {len(by)}")
             for director, limit in sorted(by.items(), key=lambda one: -one[1]["usable"]):
-                lent, held = (sum(one["part"] for one in limit[way]) for way in ("lent", "borrowed"))
-                click.echo(f"  {director:<16} may use {limit['usable']:7.2f}  wants {limit['wanted']:7.2f}  "
-                           f"owns {limit['own']:7.2f}  lent {lent:7.2f}  borrowed {held:7.2f}")
+                lent, held = (
+                    sum(one["part"] for one in limit[way]) for way in ("lent", "borrowed")
+                )
+                click.echo(
+                    f"  {director:<16} may use {limit['usable']:7.2f}  wants {limit['wanted']:7.2f}  "
+                    f"owns {limit['own']:7.2f}  lent {lent:7.2f}  borrowed {held:7.2f}"
+                )
     if not told:
         sys.exit(FAILED)
 
@@ -113,16 +141,25 @@
     if as_json:
         return click.echo(orjson.dumps(found))
     for director, held in sorted(found.items()):
-        click.echo(f"{director}: may use {held['usable']} = {held['at_home']} of its own {held['own']}"
-                   + "".join(f" + {one['part']} from {one['from']} for {one['for_ms']} ms"
-                             for one in held["borrowed"])
-                   + "".join(f"; {one['part']} lent to {one['to']} for {one['for_ms']} ms more"
-                             for one in held["lent"]) + f" (written {held['written_s_ago']} s ago)")
+        click.echo(
+            f"{director}: may use {held['usable']} = {held['at_home']} of its own {held['own']}"
+            + "".join(
+                f" + {one['part']} from {one['from']} for {one['for_ms']} ms"
+                for one in held["borrowed"]
+            )
+            + "".join(
+                f"; {one['part']} lent to {one['to']} for {one['for_ms']} ms more"
+                for one in held["lent"]
+            )
+            + f" (written {held['written_s_ago']} s ago)"
+        )
 
 
 @fleet.command()
 @FILE
-@click.option("--last", type=click.IntRange(1, 100_000), default=100, show_default=True, help="Lines.")
+@click.option(
+    "--last", type=click.IntRange(1, 100_000), default=100, show_default=True, help="Lines."
+)
 @JSON
 def log(path: str, last: int, as_json: bool) -> None:
     """What directors have seen of each other, of all of them by time."""
--- a/mulleinrelay/membership/detector.py
+++ b/mulleinrelay/membership/detector.py
@@ -1,11 +1,11 @@
-"""Who is alive: a core that is given the time and datagrams, and gives datagrams, events and when it wants to
-be called again. Pure: no socket, clock or thread.
-
-After SWIM (Das, Gupta, Motivala 2002) with the suspicion and local health of Lifeguard (Dadgar, Phillips,
-Currey 2017): each director pings one other a period, asks some to ping it for itself where no answer comes,
-and doubts it where they hear nothing either; a doubted one that lives denies it; one that doesn't, within a
-time that shrinks as more say so, counts as dead. A director that is itself slow, or that hears nothing, gives
-the others more time. Words travel on these datagrams.
+"""Who is alive: a core that is given the time and datagrams, and gives datagrams, events and when
+it wants to be called again. Pure: no socket, clock or thread.
+
+After SWIM (Das, Gupta, Motivala 2002) with the suspicion and local health of Lifeguard (Dadgar,
+Phillips, Currey 2017): each director pings one other a period, asks some to ping it for itself
+where no answer comes, and doubts it where they hear nothing either; a doubted one that lives denies
+it; one that doesn't, within a time that shrinks as more say so, counts as dead. A director that is
+itself slow, or that hears nothing, gives the others more time. Words travel on these datagrams.
 """
 
 import math
@@ -24,10 +24,16 @@
 HEALTH_MOST = 8  # times longer that one who is itself unwell waits, less one
 AWAY = 4.0  # periods between two calls, after which this director itself was stopped
 SYNC_EVERY, SYNC_SOON = 10_000.0, 1_000.0  # comparing all that is known; where hardly anybody is
-MORE_AFTER = 250.0  # a comparison that left a difference is followed by another, ever later without news
+MORE_AFTER = (
+    250.0  # a comparison that left a difference is followed by another, ever later without news
+)
 KNOCK_EVERY = 3_000.0  # at one who has died, or at a seed: a cut may be over
 WORDS, PAGES = 14, 6  # words on a datagram; pages that answer a comparison
-CHECKS = (0.3, 0.5, 0.7)  # of the time after which it counts as dead: a doubted one is asked once more
+CHECKS = (
+    0.3,
+    0.5,
+    0.7,
+)  # of the time after which it counts as dead: a doubted one is asked once more
 TELL_DOUBTED = 3  # directors of all that hear of a doubt tell the doubted one at once
 TELL_DENIAL = 4  # others that it tells at once when it denies it
 LEAVES = 6  # are told of this one's leaving at once
@@ -40,7 +46,9 @@
     """What travels along with the membership: pure as it is, called with the same time."""
 
     def wake(self) -> float: ...
-    def step(self, now: float, life: int, others: list[tuple[Who, str]]) -> list[tuple[Who, bytes]]: ...
+    def step(
+        self, now: float, life: int, others: list[tuple[Who, str]]
+    ) -> list[tuple[Who, bytes]]: ...
     def receive(self, now: float, who: Who, part: bytes) -> list[tuple[Who, bytes]]: ...
 
 
@@ -61,8 +69,15 @@
 class Membership:
     """`receive` and `tick` give (address, datagram) pairs; events gather in `view.events`."""
 
-    def __init__(self, now: float, own: Word, codec: Codec, seeds: list[Address], random: Random,
-                 most: int = 4000) -> None:
+    def __init__(
+        self,
+        now: float,
+        own: Word,
+        codec: Codec,
+        seeds: list[Address],
+        random: Random,
+        most: int = 4000,
+    ) -> None:
         self.codec, self.random, self.seeds = codec, random, seeds
         self.view = View(own, most, random)
         self.health = 0  # 0: well
@@ -123,8 +138,8 @@
         current = record is not None and record.word.weight[:2] == message.sender.weight[:2]
         if current:
             record.heard = now
-        # One who counts as dead is told so and may deny it; what it says of others may be long past, or come
-        # of its hearing nothing
+        # One who counts as dead is told so and may deny it; what it says of others may be long
+        # past, or come of its hearing nothing
         trusted = current and record.word.state <= State.SUSPECT
         out: list[tuple[Address, bytes]] = []
         count, news = (view.own.count, view.own.life), 0
@@ -146,7 +161,9 @@
             self.number += 1
             whom = message.about.who
             self.pings[self.number] = Ping(whom, self.number, now, True, 0, message.number, address)
-            out.append((_address(message.about), self._datagram(Kind.PING, self.number, None, whom)))
+            out.append(
+                (_address(message.about), self._datagram(Kind.PING, self.number, None, whom))
+            )
         elif message.kind == Kind.NONE_HEARD:
             if ping := self.pings.get(message.number):
                 ping.none_heard += 1
@@ -159,7 +176,9 @@
         return out
 
     def _warn(self, word: Word) -> list[tuple[Address, bytes]]:
-        """Some of those who hear of a doubt tell the doubted one, which may have little time to deny it."""
+        """Some of those who hear of a doubt tell the doubted one, which may have little time to
+        deny it.
+        """
         if word.who == self.view.own.who or self.random.random() * self.view.size() >= TELL_DOUBTED:
             return []
         self.number += 1
@@ -167,12 +186,16 @@
 
     def _deny(self) -> list[tuple[Address, bytes]]:
         others = self.view.present()
-        return [(_address(word), self._datagram(Kind.ACK, 0, None, word.who))
-                for word in self.random.sample(others, min(TELL_DENIAL, len(others)))]
+        return [
+            (_address(word), self._datagram(Kind.ACK, 0, None, word.who))
+            for word in self.random.sample(others, min(TELL_DENIAL, len(others)))
+        ]
 
     def _along(self, said: list[tuple[Who, bytes]]) -> list[tuple[Address, bytes]]:
-        return [((who[1], who[2]), self.codec.encode(Kind.PART, 0, self.view.own, None, [], part))
-                for who, part in said]
+        return [
+            ((who[1], who[2]), self.codec.encode(Kind.PART, 0, self.view.own, None, [], part))
+            for who, part in said
+        ]
 
     def _answered(self, message: Message) -> list[tuple[Address, bytes]]:
         ping = self.pings.pop(message.number, None)
@@ -186,21 +209,34 @@
     def _datagram(self, kind: Kind, number: int, about: Word | None, to: Who | None) -> bytes:
         """With the words that are to be passed on; whoever is doubted is told so first."""
         first = []
-        if to is not None and (record := self.view.records.get(to)) and record.word.state > State.ALIVE:
+        if (
+            to is not None
+            and (record := self.view.records.get(to))
+            and record.word.state > State.ALIVE
+        ):
             first = [to]
-        return self.codec.encode(kind, number, self.view.own, about, self.view.to_tell(WORDS, first))
+        return self.codec.encode(
+            kind, number, self.view.own, about, self.view.to_tell(WORDS, first)
+        )
 
     def _pages(self, address: Address, to: Who) -> list[tuple[Address, bytes]]:
-        """All that is known, in pages; of a large fleet some, drawn at random: further ones follow. Whoever
-        asks is told first what is believed of it, to deny it."""
+        """All that is known, in pages; of a large fleet some, drawn at random: further ones follow.
+        Whoever asks is told first what is believed of it, to deny it.
+        """
         known = max(1, len(self.view.records))
         count = min(PAGES, math.ceil(known / WORDS))
-        pages = [self.view.page(WORDS) for _ in range(count)] if known > WORDS * PAGES else _split(
-            self.view.page(known), WORDS)
+        pages = (
+            [self.view.page(WORDS) for _ in range(count)]
+            if known > WORDS * PAGES
+            else _split(self.view.page(known), WORDS)
+        )
         if (record := self.view.records.get(to)) is not None and record.word.state > State.ALIVE:
             pages[0] = [record.word, *pages[0]]
         digest = self.view.digest() & 0xFFFFFFFF
-        return [(address, self.codec.encode(Kind.PAGE, digest, self.view.own, None, page)) for page in pages]
+        return [
+            (address, self.codec.encode(Kind.PAGE, digest, self.view.own, None, page))
+            for page in pages
+        ]
 
     # Time
 
@@ -217,7 +253,11 @@
             self.view.age(now)
             out += self._ping(now)
         if self.companion is not None:
-            others = [(word.who, word.location) for word in self.view.present() if word.state == State.ALIVE]
+            others = [
+                (word.who, word.location)
+                for word in self.view.present()
+                if word.state == State.ALIVE
+            ]
             out += self._along(self.companion.step(now, self.view.own.life, others))
         if now >= self.sync_due:
             out += self._sync(now)
@@ -227,7 +267,9 @@
         return out
 
     def _was_away(self, now: float) -> None:
-        """This director was stopped: pings that are out prove nothing, and what it believes is old."""
+        """This director was stopped: pings that are out prove nothing, and what it
+        believes is old.
+        """
         self.pings.clear()
         self.health = min(HEALTH_MOST, self.health + 2)
         self.sync_due = now
@@ -277,15 +319,22 @@
         return out
 
     def _ask(self, ping: Ping, word: Word) -> list[tuple[Address, bytes]]:
-        others = [other for other in self.view.present()
-                  if other.who != ping.who and other.state == State.ALIVE]
+        others = [
+            other
+            for other in self.view.present()
+            if other.who != ping.who and other.state == State.ALIVE
+        ]
         again = [(_address(word), self._datagram(Kind.PING, ping.number, None, ping.who))]
-        return again + [(_address(other), self._datagram(Kind.ASK, ping.number, word, other.who))
-                        for other in self.random.sample(others, min(ASKED, len(others)))]
+        return again + [
+            (_address(other), self._datagram(Kind.ASK, ping.number, word, other.who))
+            for other in self.random.sample(others, min(ASKED, len(others)))
+        ]
 
     def _doubt(self, now: float, ping: Ping, record: Record) -> list[tuple[Address, bytes]]:
         others = self.view.size() - 2
-        if others > 0 and not ping.none_heard:  # those who were asked said no word either: it may be this one
+        if (
+            others > 0 and not ping.none_heard
+        ):  # those who were asked said no word either: it may be this one
             self.health = min(HEALTH_MOST, self.health + 1)
         if record.word.weight == ping.weight and record.word.state == State.ALIVE:
             self.view.judge(now, ping.who, State.SUSPECT)
@@ -308,7 +357,9 @@
             elif record.checks < len(CHECKS) and now > record.since + CHECKS[record.checks] * due:
                 record.checks += 1
                 self.number += 1
-                out.append((_address(record.word), self._datagram(Kind.PING, self.number, None, who)))
+                out.append(
+                    (_address(record.word), self._datagram(Kind.PING, self.number, None, who))
+                )
         return out
 
     def _sync(self, now: float) -> list[tuple[Address, bytes]]:
@@ -319,37 +370,59 @@
         to = [_address(self.random.choice(present))] if present else self._seeds()
         digest = self.view.digest() & 0xFFFFFFFF
         words = self.view.page(WORDS)
-        return [(address, self.codec.encode(Kind.SYNC, digest, self.view.own, None, words)) for address in to]
+        return [
+            (address, self.codec.encode(Kind.SYNC, digest, self.view.own, None, words))
+            for address in to
+        ]
 
     def _seeds(self) -> list[Address]:
         own = _address(self.view.own)
         return [seed for seed in self.seeds if seed != own][:3]
 
     def _knock(self) -> list[tuple[Address, bytes]]:
-        """At one who counts as dead, or at a seed that is not known: after a cut both sides think the other
-        gone, and nobody would ask again."""
-        dead = [record.word for record in self.view.records.values() if record.word.state == State.DEAD]
+        """At one who counts as dead, or at a seed that is not known: after a cut both sides think
+        the other gone, and nobody would ask again.
+        """
+        dead = [
+            record.word for record in self.view.records.values() if record.word.state == State.DEAD
+        ]
         known = {_address(word) for word in self.view.present()}
         strange = [seed for seed in self._seeds() if seed not in known]
         digest = self.view.digest() & 0xFFFFFFFF
         out = []
         if dead:
             word = self.random.choice(dead)
-            out.append((_address(word), self.codec.encode(
-                Kind.SYNC, digest, self.view.own, None, [word, *self.view.page(WORDS - 1)])))
+            out.append(
+                (
+                    _address(word),
+                    self.codec.encode(
+                        Kind.SYNC, digest, self.view.own, None, [word, *self.view.page(WORDS - 1)]
+                    ),
+                )
+            )
         if strange:
-            out.append((self.random.choice(strange), self.codec.encode(
-                Kind.SYNC, digest, self.view.own, None, self.view.page(WORDS))))
+            out.append(
+                (
+                    self.random.choice(strange),
+                    self.codec.encode(
+                        Kind.SYNC, digest, self.view.own, None, self.view.page(WORDS)
+                    ),
+                )
+            )
         return out
 
     def leave(self, now: float) -> list[tuple[Address, bytes]]:
         """This director ends: some are told at once, and pass it on."""
         own = self.view.own
-        self.view.own = Word(own.name, own.host, own.port, own.location, own.life, own.count, State.LEFT)
+        self.view.own = Word(
+            own.name, own.host, own.port, own.location, own.life, own.count, State.LEFT
+        )
         present = self.view.present()
         self.left = True
-        return [(_address(word), self.codec.encode(Kind.ACK, 0, self.view.own, None, [self.view.own]))
-                for word in self.random.sample(present, min(LEAVES, len(present)))]
+        return [
+            (_address(word), self.codec.encode(Kind.ACK, 0, self.view.own, None, [self.view.own]))
+            for word in self.random.sample(present, min(LEAVES, len(present)))
+        ]
 
 
 def _address(word: Word) -> Address:
@@ -357,4 +430,4 @@
 
 
 def _split(words: list[Word], length: int) -> list[list[Word]]:
-    return [words[first:first + length] for first in range(0, len(words), length)] or [[]]
+    return [words[first : first + length] for first in range(0, len(words), length)] or [[]]
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -1,7 +1,8 @@
 """What directors say to each other, and its bytes: MessagePack behind a keyed checksum. Pure.
 
-The checksum keeps strangers and other fleets' strays out and finds broken bytes; it hides nothing and proves
-nobody's identity within a fleet. A datagram that can't be used is named by its reason and dropped.
+The checksum keeps strangers and other fleets' strays out and finds broken bytes; it hides nothing
+and proves nobody's identity within a fleet. A datagram that can't be used is named by its reason
+and dropped.
 """
 
 import hashlib
@@ -35,8 +36,9 @@
 
 
 class Word(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One director's state as somebody tells it. `life`: the number of its start, which only grows; `count`:
-    how often it has denied a suspicion in this life."""
+    """One director's state as somebody tells it. `life`: the number of its start, which only grows;
+    `count`: how often it has denied a suspicion in this life.
+    """
 
     name: str
     host: str
@@ -81,15 +83,23 @@
     def _seal(self, body: bytes) -> bytes:
         return hashlib.blake2b(body, digest_size=SEAL, key=self.key).digest()
 
-    def encode(self, kind: Kind, number: int, sender: Word, about: Word | None, words: list[Word],
-               part: bytes = b"") -> bytes:
+    def encode(
+        self,
+        kind: Kind,
+        number: int,
+        sender: Word,
+        about: Word | None,
+        words: list[Word],
+        part: bytes = b"",
+    ) -> bytes:
         """Of `words` as many as fit, the first ones first."""
         while True:
             body = self.encoder.encode(
-                Message(VERSION, self.fleet, kind, number, sender, about, words, part))
+                Message(VERSION, self.fleet, kind, number, sender, about, words, part)
+            )
             if len(body) + SEAL <= LENGTH_MOST or not words:
                 return self._seal(body) + body
-            words = words[:len(words) * LENGTH_MOST // (len(body) + SEAL + 64)]
+            words = words[: len(words) * LENGTH_MOST // (len(body) + SEAL + 64)]
 
     def decode(self, data: bytes) -> Message:
         """Raises UnusableError."""
@@ -114,5 +124,9 @@
 
 def usable(word: Word) -> bool:
     texts = (word.name, word.host, word.location)
-    return (0 < word.port < 65536 and 0 <= word.life < 2**53 and 0 <= word.count < 2**31
-            and all(0 < len(text) <= ID_MOST for text in texts))
+    return (
+        0 < word.port < 65536
+        and 0 <= word.life < 2**53
+        and 0 <= word.count < 2**31
+        and all(0 < len(text) <= ID_MOST for text in texts)
+    )
--- a/mulleinrelay/membership/own.py
+++ b/mulleinrelay/membership/own.py
@@ -23,7 +23,9 @@
     seeds: list[Address]
     members_most: int
     records: str  # folder; empty: none are kept
-    share_cold: bool = False  # parts of what cold caches and parents may be sent are lent among directors
+    share_cold: bool = (
+        False  # parts of what cold caches and parents may be sent are lent among directors
+    )
 
 
 def address(keys: Keys, key: str, text: str) -> Address:
@@ -52,10 +54,18 @@
     announce = address(keys, "announce", keys.text("announce", f"{listen[0]}:{listen[1]}"))
     if enabled and announce[0] in ("0.0.0.0", "::"):
         raise keys.fault("announce", "an address at which others find this director is wanted")
-    own = OwnFile(enabled, name, secret.encode(), listen, announce, location,
-                  [address(keys, "seeds", seed) for seed in keys.text("seeds", "").split()],
-                  keys.whole("members_most", 4_000, 100_000) or 1,
-                  os.path.join(folder, records) if records else "", budgets.flag("cold", False))
+    own = OwnFile(
+        enabled,
+        name,
+        secret.encode(),
+        listen,
+        announce,
+        location,
+        [address(keys, "seeds", seed) for seed in keys.text("seeds", "").split()],
+        keys.whole("members_most", 4_000, 100_000) or 1,
+        os.path.join(folder, records) if records else "",
+        budgets.flag("cold", False),
+    )
     keys.done()
     budgets.done()
     return own
--- a/mulleinrelay/membership/talk.py
+++ b/mulleinrelay/membership/talk.py
@@ -1,5 +1,6 @@
-"""The thread that talks to other directors: a datagram socket, the pure core, log lines and records. No
-request ever waits for it."""
+"""The thread that talks to other directors: a datagram socket, the pure core, log lines and
+records. No request ever waits for it.
+"""
 
 import math
 import socket
@@ -31,21 +32,46 @@
 
     director, terms, now = facade.director, facade.terms, _now()
     exchange = Exchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
-    exchange.add(now, f"cold caches of {own.location}", terms.directors_here, terms.cold_cache.span,
-                 director.cold_here, own.location)
-    exchange.add(now, "cold parents", terms.directors, terms.cold_parent.span, director.cold_parents, "")
+    exchange.add(
+        now,
+        f"cold caches of {own.location}",
+        terms.directors_here,
+        terms.cold_cache.span,
+        director.cold_here,
+        own.location,
+    )
+    exchange.add(
+        now, "cold parents", terms.directors, terms.cold_parent.span, director.cold_parents, ""
+    )
     return exchange
 
 
 class Talk:
-    def __init__(self, own: OwnFile, name: str, seed: int, clock: Callable[[], float], log: Log,
-                 facade: Facade | None = None) -> None:
-        """`clock`: Unix milliseconds, read once for the number of this life; the rest goes by another."""
+    def __init__(
+        self,
+        own: OwnFile,
+        name: str,
+        seed: int,
+        clock: Callable[[], float],
+        log: Log,
+        facade: Facade | None = None,
+    ) -> None:
+        """`clock`: Unix milliseconds, read once for the number of this life; the rest goes by
+        another.
+        """
         self.own, self.name, self.log = own, name, log
-        word = Word(name, own.announce[0], own.announce[1], own.location, int(clock()), 0, State.ALIVE)
+        word = Word(
+            name, own.announce[0], own.announce[1], own.location, int(clock()), 0, State.ALIVE
+        )
         self.lock = threading.Lock()
-        self.core = Membership(_now(), word, Codec(own.fleet, own.key), own.seeds,
-                               Random(f"{seed}-membership"), own.members_most)
+        self.core = Membership(
+            _now(),
+            word,
+            Codec(own.fleet, own.key),
+            own.seeds,
+            Random(f"{seed}-membership"),
+            own.members_most,
+        )
         if own.share_cold and facade is not None:
             self.core.companion = share_cold(own, facade, seed, word.life, clock() - _now())
         self.records = Records(own.records, name) if own.records else None
@@ -131,8 +157,12 @@
             events = self.core.take_events()
         for event in events:
             text = f"{event.word.name} {event.what}"
-            self.log.event("fleet", text=text, address=f"{event.word.host}:{event.word.port}",
-                           life=event.word.life)
+            self.log.event(
+                "fleet",
+                text=text,
+                address=f"{event.word.host}:{event.word.port}",
+                life=event.word.life,
+            )
             self.told.append(text)
             self.last = [*self.last, {"at": round(time.time(), 3), "text": text}][-EVENTS_KEPT:]
         if self.records is not None and (now >= due or due == math.inf):
@@ -145,20 +175,42 @@
         """What this director believes of the others."""
         with self.lock:
             view = self.core.view
-            members = [{"name": word.name, "address": f"{word.host}:{word.port}", "location": word.location,
-                        "life": word.life, "denials": word.count, "state": word.state.name.lower(),
-                        "for_s": round((now - record.since) / 1000.0, 1),
-                        "heard_s": round((now - record.heard) / 1000.0, 1) if record.heard else None}
-                       for record in view.records.values() for word in [record.word]]
+            members = [
+                {
+                    "name": word.name,
+                    "address": f"{word.host}:{word.port}",
+                    "location": word.location,
+                    "life": word.life,
+                    "denials": word.count,
+                    "state": word.state.name.lower(),
+                    "for_s": round((now - record.since) / 1000.0, 1),
+                    "heard_s": round((now - record.heard) / 1000.0, 1) if record.heard else None,
+                }
+                for record in view.records.values()
+                for word in [record.word]
+            ]
             own = view.own
-            return {"fleet": self.own.fleet, "name": own.name, "address": f"{own.host}:{own.port}",
-                    "location": own.location, "life": own.life, "denials": own.count,
-                    "state": own.state.name.lower(), "unwell": self.core.health, "size": view.size(),
-                    "members": sorted(members, key=lambda held: (held["name"], held["address"])),
-                    "dropped": dict(sorted(self.core.dropped.items())), "refused": view.refused,
-                    "budgets": self.core.companion.status(now) if self.core.companion is not None else None,
-                    "bytes_out": self.bytes_out, "bytes_in": self.bytes_in, "events": self.last,
-                    "written": round(time.time(), 3)}
+            return {
+                "fleet": self.own.fleet,
+                "name": own.name,
+                "address": f"{own.host}:{own.port}",
+                "location": own.location,
+                "life": own.life,
+                "denials": own.count,
+                "state": own.state.name.lower(),
+                "unwell": self.core.health,
+                "size": view.size(),
+                "members": sorted(members, key=lambda held: (held["name"], held["address"])),
+                "dropped": dict(sorted(self.core.dropped.items())),
+                "refused": view.refused,
+                "budgets": self.core.companion.status(now)
+                if self.core.companion is not None
+                else None,
+                "bytes_out": self.bytes_out,
+                "bytes_in": self.bytes_in,
+                "events": self.last,
+                "written": round(time.time(), 3),
+            }
 
 
 def _now() -> float:
--- a/mulleinrelay/membership/view.py
+++ b/mulleinrelay/membership/view.py
@@ -1,7 +1,8 @@
-"""What one director believes of the others, and which words it still has to pass on; pure, times in ms.
+"""What one director believes of the others, and which words it still has to pass on; pure, times in
+ms.
 
-Words merge by weight alone (life, denials, state), so that their order, their number and their way do not
-matter. What has gone is remembered for a while: an old word about it must not bring it back.
+Words merge by weight alone (life, denials, state), so that their order, their number and their way
+do not matter. What has gone is remembered for a while: an old word about it must not bring it back.
 """
 
 import hashlib
@@ -28,8 +29,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A change that staff are told: joined, alive again, suspected, died, left, started again, two of one
-    name, forgotten, denied, late."""
+    """A change that staff are told: joined, alive again, suspected, died, left, started again, two
+    of one name, forgotten, denied, late.
+    """
 
     what: str
     word: Word
@@ -50,7 +52,9 @@
         return 1 + sum(record.word.state <= State.SUSPECT for record in self.records.values())
 
     def present(self) -> list[Word]:
-        return [record.word for record in self.records.values() if record.word.state <= State.SUSPECT]
+        return [
+            record.word for record in self.records.values() if record.word.state <= State.SUSPECT
+        ]
 
     def merge(self, now: float, word: Word, by: Who) -> bool:
         """Whether it is news. `by`: who says so."""
@@ -82,8 +86,11 @@
         if len(self.records) >= self.most and not self._make_room():
             self.refused += 1
             return False
-        same = [other for other in self.records.values()
-                if other.word.name == word.name and other.word.state <= State.SUSPECT]
+        same = [
+            other
+            for other in self.records.values()
+            if other.word.name == word.name and other.word.state <= State.SUSPECT
+        ]
         self.records[word.who] = Record(word, now, {by} if word.state == State.SUSPECT else set())
         self.events.append(Event("joined", word))
         if same or word.name == self.own.name:
@@ -98,14 +105,21 @@
         return bool(gone)
 
     def _of_self(self, word: Word) -> bool:
-        """What others say of this director: a doubt is denied; a greater life is outlived, as it is one of
-        its own from before a restart with a clock that was ahead."""
+        """What others say of this director: a doubt is denied; a greater life is outlived, as it is
+        one of its own from before a restart with a clock that was ahead.
+        """
         own = self.own
         if word.life > own.life:
             self.own = Word(own.name, own.host, own.port, own.location, word.life + 1, 0, own.state)
-        elif word.life == own.life and word.state > State.ALIVE and own.state == State.ALIVE \
-                and word.count >= own.count:
-            self.own = Word(own.name, own.host, own.port, own.location, own.life, word.count + 1, own.state)
+        elif (
+            word.life == own.life
+            and word.state > State.ALIVE
+            and own.state == State.ALIVE
+            and word.count >= own.count
+        ):
+            self.own = Word(
+                own.name, own.host, own.port, own.location, own.life, word.count + 1, own.state
+            )
             self.events.append(Event("denied", self.own))
         else:
             return False
@@ -116,16 +130,23 @@
         if word.life != before.life and word.state <= State.SUSPECT:
             what = "started again"
         else:
-            what = {State.ALIVE: "alive again", State.SUSPECT: "suspected", State.DEAD: "died",
-                    State.LEFT: "left"}[word.state]
+            what = {
+                State.ALIVE: "alive again",
+                State.SUSPECT: "suspected",
+                State.DEAD: "died",
+                State.LEFT: "left",
+            }[word.state]
         if not (what == "alive again" and before.state == State.ALIVE):
             self.events.append(Event(what, word))
 
     def judge(self, now: float, who: Who, state: State) -> None:
         """This director's own word on another of the same life and count."""
         held = self.records[who].word
-        self.merge(now, Word(held.name, held.host, held.port, held.location, held.life, held.count, state),
-                   self.own.who)
+        self.merge(
+            now,
+            Word(held.name, held.host, held.port, held.location, held.life, held.count, state),
+            self.own.who,
+        )
 
     def forget(self, who: Who) -> None:
         self.records.pop(who, None)
@@ -150,8 +171,9 @@
         return record.word if record else None
 
     def to_tell(self, count: int, first: Iterable[Who] = ()) -> list[Word]:
-        """So many words, those of `first` before others, then what was told least. Each is told some log2 of
-        the fleet times."""
+        """So many words, those of `first` before others, then what was told least. Each is told
+        some log2 of the fleet times.
+        """
         often = math.ceil(TOLD * math.log2(self.size() + 1))
         ranked = sorted(self.telling, key=lambda who: self.telling[who][0])
         chosen = list(dict.fromkeys([*first, *ranked]))[:count]
@@ -173,8 +195,14 @@
     def digest(self) -> int:
         """The same for the same knowledge, whatever the order it came in."""
         total = 0
-        for word in [self.own, *(record.word for record in self.records.values()
-                                 if record.word.state <= State.SUSPECT)]:
+        for word in [
+            self.own,
+            *(
+                record.word
+                for record in self.records.values()
+                if record.word.state <= State.SUSPECT
+            ),
+        ]:
             total ^= hash_of(word)
         return total
 
--- a/mulleinrelay/model/__init__.py
+++ b/mulleinrelay/model/__init__.py
@@ -1,2 +1,3 @@
-"""A fleet in simulated time: the very decision module, the stand-ins' physics and the fleet lab's scenarios
-and audit, at sizes that processes don't reach."""
+"""A fleet in simulated time: the very decision module, the stand-ins' physics and the fleet lab's
+scenarios and audit, at sizes that processes don't reach.
+"""
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Any
 
-from ..interface import Attempt, Request, Note, Outcome, State, Terms
+from ..interface import Attempt, Note, Outcome, Request, State, Terms
 from ..net.resp import ENDS, NOTES
 from ..policy import Director, Member
 
@@ -14,7 +14,13 @@
     """The module's Writer. `world` brings attempts to nodes and verdicts to clients."""
 
     def __init__(
-        self, world: Any, number: int, terms: Terms, zone_of: dict[str, int], kinds: dict[str, int], seed: int
+        self,
+        world: Any,
+        number: int,
+        terms: Terms,
+        zone_of: dict[str, int],
+        kinds: dict[str, int],
+        seed: int,
     ) -> None:
         self.world, self.number, self.terms = world, number, terms
         self.zone_of, self.kinds = zone_of, kinds
@@ -37,8 +43,15 @@
                     calls.append(
                         (
                             "answered",
-                            (attempt, Outcome.CANCELLED, now - attempt.sent, attempt.request.ended, Note.NONE,
-                             0.0, None),
+                            (
+                                attempt,
+                                Outcome.CANCELLED,
+                                now - attempt.sent,
+                                attempt.request.ended,
+                                Note.NONE,
+                                0.0,
+                                None,
+                            ),
                         )
                     )
 
@@ -66,7 +79,15 @@
         now, wanted = self.world.clock(), pending.wanted
         case = self.terms.request_classes[self.world.case_places[wanted.request_class]]
         request = Request(
-            pending, case, wanted.key, 0, wanted.key & 0xFF, wanted.size, now, now + left, pending.tries > 1
+            pending,
+            case,
+            wanted.key,
+            0,
+            wanted.key & 0xFF,
+            wanted.size,
+            now,
+            now + left,
+            pending.tries > 1,
         )
         self.open[request] = pending
         self.play("requested", request)
@@ -76,14 +97,25 @@
         if not self.gone and attempt.outcome is None:
             self.ended(attempt, ENDS[word.encode()], NOTES.get(why, Note.NONE), waited)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0) -> None:
+    def ended(
+        self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0
+    ) -> None:
         if self.gone or attempt.outcome is not None:
             return
         request, now = attempt.request, self.world.clock()
         good = outcome == Outcome.SERVED
         if good and not request.ended:
             self._settle(request, "served", 0.0)
-        self.play("answered", attempt, outcome, now - attempt.sent, request.ended or good, note, waited, None)
+        self.play(
+            "answered",
+            attempt,
+            outcome,
+            now - attempt.sent,
+            request.ended or good,
+            note,
+            waited,
+            None,
+        )
 
     def timed_out(self, attempt: Attempt) -> None:
         if attempt.outcome is None:
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -1,8 +1,8 @@
 """The world of the model: clients, nodes, list and faults in simulated time.
 
-What it leaves out: CPU and queues of directors, links and their connections (an attempt that is cut off is
-held and comes once the cut is over), trickling streams. A director is told of the caches of its own location,
-of all parents and of the origin; in the lab it is told of all.
+What it leaves out: CPU and queues of directors, links and their connections (an attempt that is cut
+off is held and comes once the cut is over), trickling streams. A director is told of the caches of
+its own location, of all parents and of the origin; in the lab it is told of all.
 """
 
 import random
@@ -56,7 +56,9 @@
         self.stopped: dict[int, list[Callable[[], None]]] = {}
         self.away: set[int] = set()
         self.late: dict[int, float] = {}
-        self.out: dict[str, dict[Attempt, Modelled]] = defaultdict(dict)  # by node, for when it dies
+        self.out: dict[str, dict[Attempt, Modelled]] = defaultdict(
+            dict
+        )  # by node, for when it dies
         self.errs: dict[str, frozenset[int]] = {}
         self.lags: dict[str, tuple[frozenset[int], float]] = {}
         self.told: dict[tuple[int, str], float] = {}
@@ -65,7 +67,8 @@
         self.zone_of = {place: at for at, place in enumerate(self.places)}
         self.kinds = {BOX: 0, PARENT: 1, ORIGIN: 2}
         self.terms = {
-            place: read_terms(Section(settings_at(scenario, place), "")) for place in scenario.locations
+            place: read_terms(Section(settings_at(scenario, place), ""))
+            for place in scenario.locations
         }
         self.demands = {place: Demand(scenario, place) for place in scenario.locations}
         self.starts = self.count = 0
@@ -77,7 +80,11 @@
         place = self.scenario.location_of(number)
         made = Modelled(self, number, self.terms[place], self.zone_of, self.kinds, seed)
         made.list(
-            [self.row(site.name) for site in self.sites.values() if site.kind != BOX or site.place == place],
+            [
+                self.row(site.name)
+                for site in self.sites.values()
+                if site.kind != BOX or site.place == place
+            ],
             whole=True,
         )
         return made
@@ -104,7 +111,13 @@
             return
         self.count += 1
         self.attempt(
-            Pending(self.count, now, now + self.scenario.patience_ms, demand.location, demand.wanted(since))
+            Pending(
+                self.count,
+                now,
+                now + self.scenario.patience_ms,
+                demand.location,
+                demand.wanted(since),
+            )
         )
         self.clock.at(now + 1000.0 * demand.next_in(since), lambda: self.ask(demand))
 
@@ -116,7 +129,9 @@
         pending.first = director if pending.first < 0 else pending.first
         tries = pending.tries
         missing = pending.until + self.scenario.late_ms
-        self.clock.at(missing, lambda: pending.over or pending.tries != tries or self.unanswered(pending))
+        self.clock.at(
+            missing, lambda: pending.over or pending.tries != tries or self.unanswered(pending)
+        )
         self.clock.at(now + CLIENT_MS, lambda: self.arrived(pending, director))
 
     def arrived(self, pending: Pending, number: int) -> None:
@@ -128,7 +143,9 @@
         director.ask(pending, max(1.0, pending.until - self.clock()))
 
     def cut_off(self, pending: Pending, number: int) -> None:
-        """Its director is dead: its client tries again, and the front passes it by after its notice."""
+        """Its director is dead: its client tries again, and the front passes it by after its
+        notice.
+        """
         self.heard.others["cut"].append((self.since(), number, 1))
         if self.directors[number].gone:
             self.clock.at(
@@ -137,7 +154,9 @@
             )
         left = pending.until - self.clock()
         if may_try_again(self.scenario, pending.wanted, pending.tries, left):
-            return self.clock.at(self.clock() + PAUSE, lambda: pending.over or self.attempt(pending))
+            return self.clock.at(
+                self.clock() + PAUSE, lambda: pending.over or self.attempt(pending)
+            )
         self.ended(pending, "cut off")
 
     def answered(self, director: Modelled, pending: Pending, what: str, pause: float) -> None:
@@ -189,8 +208,9 @@
         self.clock.at(due, do)
 
     def quiet(self, number: int, name: str, way: str) -> None:
-        """A link that is still cut is ended, as a director does with one that brings no echo: its attempts
-        are lost, and what was held never comes."""
+        """A link that is still cut is ended, as a director does with one that brings no echo: its
+        attempts are lost, and what was held never comes.
+        """
         if self.book.held("cache" if self.sites[name].kind == BOX else "parent", number, name, way):
             for attempt, director in list(self.out[name].items()):
                 if director.number == number:
@@ -209,11 +229,14 @@
         self.out[name].pop(attempt, None)
         director.ended(attempt, outcome)
 
-    def reached(self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]) -> None:
+    def reached(
+        self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
+    ) -> None:
         node, number, now = self.fleet.nodes[name], director.number, self.clock()
         if not node.alive:
-            return self.clock.at(now + NODE_MS,
-                                 lambda: self.lost(director, attempt, name, Outcome.UNCONNECTED))
+            return self.clock.at(
+                now + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.UNCONNECTED)
+            )
         if attempt.outcome is not None or director.gone:
             return self.out[name].pop(attempt, None)
         words, due, old = (b"BROKE", b"-", b""), now + 1.0, False
@@ -238,7 +261,10 @@
             )
         )
         for fallen in {name, fields["miss"]} - {""}:
-            if not self.fleet.nodes[fallen].alive and not self.fleet.nodes[fallen].state == "DELETED":
+            if (
+                not self.fleet.nodes[fallen].alive
+                and not self.fleet.nodes[fallen].state == "DELETED"
+            ):
                 self.heard.others["fell"].append((self.since(), fallen))
                 self.die(fallen)
         if due is None or not node.alive:
@@ -247,7 +273,9 @@
         due = now + (due - now) * (times if number in some else 1.0)
         self.clock.at(due, lambda: self.back(director, attempt, name, words[0].decode(), held))
 
-    def back(self, director: Modelled, attempt: Attempt, name: str, word: str, held: dict[str, str]) -> None:
+    def back(
+        self, director: Modelled, attempt: Attempt, name: str, word: str, held: dict[str, str]
+    ) -> None:
         if self.out[name].pop(attempt, None) is None or self.fleet.nodes[name].silent:
             return
         number = director.number
@@ -260,10 +288,16 @@
         self.carry(number, name, DOWN, told)
 
     def too_old(self, director: int, fields: dict[str, str], said: bytes, now: float) -> bool:
-        """Whether the answer is an older copy than a purge that this director was told over a second ago."""
+        """Whether the answer is an older copy than a purge that this director was told over a
+        second ago.
+        """
         key, issued = fields.get("name", ""), fields_of(said).get("issued")
         told = self.told.get((director, key))
-        return told is not None and issued is not None and self.fleet.too_old(key, float(issued), now, told)
+        return (
+            told is not None
+            and issued is not None
+            and self.fleet.too_old(key, float(issued), now, told)
+        )
 
     def probe(self, director: Modelled, name: str) -> None:
         self.heard.others["probe"].append((self.since(), director.number, name, "METER"))
@@ -274,7 +308,9 @@
         if node.alive and not node.silent:
             self.clock.at(
                 self.clock() + 2.0 * NODE_MS,
-                lambda: None if director.gone else director.play("told", director.members[name], {}),
+                lambda: (
+                    None if director.gone else director.play("told", director.members[name], {})
+                ),
             )
 
     # Faults
@@ -285,7 +321,9 @@
         for number in range(self.scenario.directors):
             if box.kind != BOX or self.scenario.location_of(number) == box.place:
                 due = (
-                    self.clock() + self.random.uniform(*self.scenario.notice_ms) + self.late.get(number, 0.0)
+                    self.clock()
+                    + self.random.uniform(*self.scenario.notice_ms)
+                    + self.late.get(number, 0.0)
                 )
                 self.clock.at(due, lambda number=number: self.hear(number, row))
 
@@ -295,7 +333,9 @@
             return
         if number in self.stopped:
             return self.stopped[number].append(lambda: self.hear(number, row))
-        self.heard.others["told"].append((self.since(), number, row["id"], row["state"], row["started_ms"]))
+        self.heard.others["told"].append(
+            (self.since(), number, row["id"], row["state"], row["started_ms"])
+        )
         director.list([row])
 
     def die(self, name: str) -> None:
@@ -360,7 +400,9 @@
             self.clock.at(
                 now + self.random.uniform(200.0, 3000.0),
                 lambda node=node: (
-                    node.copies.pop((key, "0"), None) if node.copies.get((key, "0"), now) < now else None
+                    node.copies.pop((key, "0"), None)
+                    if node.copies.get((key, "0"), now) < now
+                    else None
                 ),
             )
         for number, director in enumerate(self.directors):
@@ -373,7 +415,11 @@
             self.clock.at(now + self.random.uniform(*self.scenario.notice_ms) / 3.0, hear)
 
     def _node(self, strike: Strike, name: str) -> None:
-        node, some, by = self.fleet.nodes[name], frozenset(strike.directors), strike.fault.by or 10.0
+        node, some, by = (
+            self.fleet.nodes[name],
+            frozenset(strike.directors),
+            strike.fault.by or 10.0,
+        )
         if strike.what in ("node_kill", "node_cold"):
             if strike.begins:
                 self.die(name)
@@ -417,9 +463,13 @@
 
     def run(self, live: Callable[[float, int, int], None] | None = None) -> Heard:
         for demand in self.demands.values():
-            self.clock.at(self.began + 1000.0 * demand.next_in(0.0), lambda demand=demand: self.ask(demand))
+            self.clock.at(
+                self.began + 1000.0 * demand.next_in(0.0), lambda demand=demand: self.ask(demand)
+            )
         for strike in self.scenario.strikes():
-            self.clock.at(self.began + 1000.0 * strike.at, lambda strike=strike: self.strike(strike))
+            self.clock.at(
+                self.began + 1000.0 * strike.at, lambda strike=strike: self.strike(strike)
+            )
         end = self.began + 1000.0 * self.scenario.seconds + self.scenario.patience_ms + 300.0
         while self.clock.now < end:
             self.clock.run(min(end, self.clock.now + 500.0))
@@ -433,6 +483,8 @@
         return self.heard
 
 
-def play(scenario: Scenario, live: Callable[[float, int, int], None] | None = None) -> dict[str, Any]:
+def play(
+    scenario: Scenario, live: Callable[[float, int, int], None] | None = None
+) -> dict[str, Any]:
     """The figures of a play, by the lab's own audit."""
     return Audit(scenario, World(scenario).run(live)).figures()
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/bus.py
@@ -1,4 +1,6 @@
-"""The event stream: the list of nodes and purges, from the configuration first, then from the bus."""
+"""The event stream: the list of nodes and purges, from the configuration first, then
+from the bus.
+"""
 
 import socket
 import threading
@@ -16,7 +18,9 @@
 from . import sse
 
 SILENCE = 2.5  # s: a comment comes each second
-FIRST_WORD = 1.5  # s from connecting to the whole head of the answer: three that say nothing fit into 7 s
+FIRST_WORD = (
+    1.5  # s from connecting to the whole head of the answer: three that say nothing fit into 7 s
+)
 WHOLE_LINE = 5.0  # s from one whole line to the next, however many bytes trickle in between
 MISSED = 0.25  # s from the head in which what was missed comes: it is sent at once
 PIECE = 65_536
@@ -34,9 +38,14 @@
         self.lock = threading.Lock()  # guards the number of the last event, over its being applied
         self.connection: socket.socket | None = None
         self.pace = Reconnects(Random(start.seed))
-        self.look_again: Callable[[], tuple[str, int] | None] = lambda: None  # where the stream is by now
+        self.look_again: Callable[[], tuple[str, int] | None] = lambda: (
+            None
+        )  # where the stream is by now
         self.stopped, self.moved = threading.Event(), threading.Event()
-        self.reached, self.left = threading.Event(), threading.Event()  # a head, or none will come; an end
+        self.reached, self.left = (
+            threading.Event(),
+            threading.Event(),
+        )  # a head, or none will come; an end
         self.thread = threading.Thread(target=self._run, name="bus", daemon=True)
 
     def begin(self) -> None:
@@ -47,17 +56,20 @@
         self.thread.start()
 
     def move(self, address: tuple[str, int], told: Sequence[Any] = ()) -> None:
-        """The stream is read on elsewhere, from the last event applied, or the last of those `told` with the
-        address. They are applied here and now: the stream may have been silent for a while, and its thread be
-        held up by an address that doesn't answer."""
+        """The stream is read on elsewhere, from the last event applied, or the last of those `told`
+        with the address. They are applied here and now: the stream may have been silent for a
+        while, and its thread be held up by an address that doesn't answer.
+        """
         self.address = address
         self._catch_up(told)
         self._wake()
 
     def await_word(self) -> None:
-        """Until the stream has told what the configuration did not know yet, or that it can't be had, or has
-        said nothing for as long as a stream may. Guards against a start with a list that is out of date: what
-        was told while the program started has used up its grace, and the first requests would go by it."""
+        """Until the stream has told what the configuration did not know yet, or that it can't be
+        had, or has said nothing for as long as a stream may. Guards against a start with a list
+        that is out of date: what was told while the program started has used up its grace, and the
+        first requests would go by it.
+        """
         if self.reached.wait(FIRST_WORD):
             self.left.wait(MISSED)
 
@@ -96,8 +108,9 @@
             self.log.event("bad event", number=number, why=f"{type(wrong).__name__}: {wrong}")
 
     def _heed(self, held: Any) -> None:
-        """Of an event behind a gap what forbids something: it has been told, and a grace may run from now on.
-        All of it is applied in its turn."""
+        """Of an event behind a gap what forbids something: it has been told, and a grace may run
+        from now on. All of it is applied in its turn.
+        """
         try:
             self._tell(sse.forbidding(sse.read_event(held, self.start.zones, self.start.kinds)))
         except Exception:  # logged in its turn
@@ -110,8 +123,9 @@
             self.facade.listed(event.entries, event.whole)
 
     def _catch_up(self, told: Sequence[Any]) -> None:
-        """Events that came with a new address, as far as they follow on what is known; the stream tells the
-        rest."""
+        """Events that came with a new address, as far as they follow on what is known; the stream
+        tells the rest.
+        """
         try:
             self._in_order([(None, held) for held in told if sse.number_of(held, None) is not None])
         except GapError:
@@ -144,7 +158,9 @@
                 self.log.event("bus reconnects", last=self.last, why=why)
 
     def _looked_up(self) -> tuple[str, int] | None:
-        """Guards against a file in any state, which must not end the only thread that hears of drains."""
+        """Guards against a file in any state, which must not end the only thread that hears of
+        drains.
+        """
         try:
             return self.look_again()
         except Exception as broken:
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/caches.py
@@ -1,7 +1,8 @@
 """Links to caches, parents and the origin: each a connection with a thread that reads it.
 
-Nothing here blocks a thread that others wait on: a sender's bytes go out at once or are left to the link,
-which connects and catches up by itself. Every attempt is reported once: answered, or lost with its link.
+Nothing here blocks a thread that others wait on: a sender's bytes go out at once or are left to the
+link, which connects and catches up by itself. Every attempt is reported once: answered, or lost
+with its link.
 """
 
 import errno
@@ -17,7 +18,7 @@
 
 from ..configuration import REPORT_WORDS
 from ..facade import Facade
-from ..interface import Asked, Attempt, Request, Node, Order, Outcome, Place
+from ..interface import Asked, Attempt, Node, Order, Outcome, Place, Request
 from ..log import Log
 from ..spread import links as held_links
 from ..spread.links import Patience, hold_for
@@ -48,11 +49,19 @@
         self.given_up = 0.0  # when an attempt was given up with nothing heard since it was sent
 
     def takes(self, about: str, most: int) -> bool:
-        return (not self.outlet.ended and len(self.open) < most and about not in self.open
-                and about not in self.over and not self.given_up and not self.asked)
+        return (
+            not self.outlet.ended
+            and len(self.open) < most
+            and about not in self.open
+            and about not in self.over
+            and not self.given_up
+            and not self.asked
+        )
 
     def unread(self) -> bool:
-        """Whether bytes have come that are not read yet: this director may be the one that is late."""
+        """Whether bytes have come that are not read yet: this director may be the one
+        that is late.
+        """
         here = bytearray(4)
         fcntl.ioctl(self.outlet.connection, termios.FIONREAD, here)
         return any(here)
@@ -66,30 +75,49 @@
 
     def quiet_since(self) -> float:
         """Since when attempts have been out with nothing heard."""
-        first = next((attempt.sent for attempt in self.open.values() if isinstance(attempt, Attempt)), None)
-        return math.inf if first is None or self.outlet.connection is None else max(first, self.heard)
+        first = next(
+            (attempt.sent for attempt in self.open.values() if isinstance(attempt, Attempt)), None
+        )
+        return (
+            math.inf if first is None or self.outlet.connection is None else max(first, self.heard)
+        )
 
 
 class Caches:
     """All links of one director."""
 
-    def __init__(self, facade: Facade, clock: Callable[[], float], log: Log, connect_timeout: float,
-                 idle_for: float, attempts_a_connection: int, links_most: int, may_probe: bool,
-                 links_priced: bool) -> None:
+    def __init__(
+        self,
+        facade: Facade,
+        clock: Callable[[], float],
+        log: Log,
+        connect_timeout: float,
+        idle_for: float,
+        attempts_a_connection: int,
+        links_most: int,
+        may_probe: bool,
+        links_priced: bool,
+    ) -> None:
         """`links_priced`: a new connection costs more than an open one."""
         self.may_probe = may_probe
         self.facade, self.clock, self.log = facade, clock, log
-        self.see_through: Callable[[Request], None] = lambda request: None  # set by the front, as the next is
+        self.see_through: Callable[[Request], None] = lambda request: (
+            None
+        )  # set by the front, as the next is
         # Whether the client of a ticket has gone; for its first attempt, or a further one.
         self.has_left: Callable[[Any, bool], bool] = lambda ticket, first: False
         self.connect_timeout, terms = connect_timeout, facade.terms
         self.far = (terms.parent_kind, terms.origin_kind)
-        self.held_for = {far: hold_for(idle_for, sharers, far, links_priced)
-                         for far, sharers in ((False, terms.directors_here), (True, terms.directors))}
+        self.held_for = {
+            far: hold_for(idle_for, sharers, far, links_priced)
+            for far, sharers in ((False, terms.directors_here), (True, terms.directors))
+        }
         self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
         self.lock = threading.Lock()
         self.links: dict[Place, list[Link]] = {}
-        self.down: dict[Place, int] = {}  # places whose last link failed, with attempts lost since the first
+        self.down: dict[
+            Place, int
+        ] = {}  # places whose last link failed, with attempts lost since the first
         self.of_attempt: dict[Attempt, tuple[Link, str]] = {}
         self.count, self.stopped = 0, False
         self.tags = itertools.count(1)
@@ -107,7 +135,9 @@
             if link is None or link.open.pop(about, None) is None:
                 return
             now = self.clock()
-            if link.heard < attempt.sent and now > attempt.sent + self.connect_timeout:  # sooner: no word
+            if (
+                link.heard < attempt.sent and now > attempt.sent + self.connect_timeout
+            ):  # sooner: no word
                 link.given_up = link.given_up or now
             if not link.outlet.withdraw(about):
                 link.over[about] = now
@@ -115,8 +145,10 @@
                     self._kill(link, about)
 
     def _kill(self, link: Link, about: str) -> None:
-        """Under the lock. Where a request may have one attempt out at a time, the next one must not overtake
-        a word that waits behind others to be written: the end of the connection says it at once."""
+        """Under the lock. Where a request may have one attempt out at a time, the next one must not
+        overtake a word that waits behind others to be written: the end of the connection says it at
+        once.
+        """
         link.outlet.put(None, [resp.kill(about)])
         if link.outlet.waiting and not self.facade.terms.two_attempts:
             link.outlet.end()
@@ -126,13 +158,16 @@
         self._put(place, tag, Probe(node, self.clock()), [resp.probe(tag, with_report)])
 
     def ask(self) -> None:
-        """Asks links that have been quiet with attempts out for an echo, and ends those that bring none: all
-        that is open there is told at once. Guards against connections that stay open and are of no more use,
-        after an answer that was spoilt, cut, endless or never came; harms where an echo takes over ECHO_WAIT.
+        """Asks links that have been quiet with attempts out for an echo, and ends those that bring
+        none: all that is open there is told at once. Guards against connections that stay open and
+        are of no more use, after an answer that was spoilt, cut, endless or never came; harms where
+        an echo takes over ECHO_WAIT.
         """
         now = self.clock()
         with self.lock:
-            living = [link for links in self.links.values() for link in links if not link.outlet.ended]
+            living = [
+                link for links in self.links.values() for link in links if not link.outlet.ended
+            ]
             for link in living if self.may_probe else ():
                 if link.asked and now > link.asked + ECHO_WAIT * (2.0 if link.unread() else 1.0):
                     link.outlet.end()
@@ -140,30 +175,41 @@
                 quiet = now > link.quiet_since() + link.patience.wait(len(link.open))
                 if quiet and not link.asked and self._may_ask(link):
                     link.asked = now
-                    link.outlet.put(None, [resp.probe(f"probe-{next(self.tags)}", with_report=False)])
+                    link.outlet.put(
+                        None, [resp.probe(f"probe-{next(self.tags)}", with_report=False)]
+                    )
 
     def sweep(self) -> None:
-        """Closes what has long been idle, is gone or silent, forgets probes that nobody answered, and takes
-        back attempts of which nothing could be written for as long as connecting may take: they never ran,
-        and sent later they might come after a drain or a purge."""
+        """Closes what has long been idle, is gone or silent, forgets probes that nobody answered,
+        and takes back attempts of which nothing could be written for as long as connecting may
+        take: they never ran, and sent later they might come after a drain or a purge.
+        """
         now, stuck = self.clock(), []
         with self.lock:
             self.down = {place: lost for place, lost in self.down.items() if not place.gone}
             for place, links in list(self.links.items()):
                 for link in list(links):
-                    link.over = {about: at for about, at in link.over.items() if now < at + OVER_FOR}
+                    link.over = {
+                        about: at for about, at in link.over.items() if now < at + OVER_FOR
+                    }
                     for tag, held in list(link.open.items()):
                         if isinstance(held, Probe) and now > held.sent + PROBE_WAIT:
                             del link.open[tag]
-                            link.given_up = link.given_up or (now if link.heard < held.sent else 0.0)
-                        elif (isinstance(held, Attempt) and now > held.sent + self.connect_timeout
-                              and link.outlet.withdraw(tag)):
+                            link.given_up = link.given_up or (
+                                now if link.heard < held.sent else 0.0
+                            )
+                        elif (
+                            isinstance(held, Attempt)
+                            and now > held.sent + self.connect_timeout
+                            and link.outlet.withdraw(tag)
+                        ):
                             del link.open[tag]
                             self.of_attempt.pop(held, None)
                             link.given_up = link.given_up or now
                             stuck.append(held)
-                    if not link.open and (place.gone or link.given_up
-                                          or now > link.used + link.held_for):
+                    if not link.open and (
+                        place.gone or link.given_up or now > link.used + link.held_for
+                    ):
                         link.outlet.end()
         for attempt in stuck:
             self._report(attempt, Outcome.UNCONNECTED)
@@ -179,7 +225,12 @@
     def _make_room(self) -> None:
         """Under the lock."""
         if self.count > held_links.IDLE_MOST * self.links_most:
-            idle = [(link.used, link) for links in self.links.values() for link in links if not link.open]
+            idle = [
+                (link.used, link)
+                for links in self.links.values()
+                for link in links
+                if not link.open
+            ]
             for link in held_links.to_end(idle, self.count, self.links_most):
                 link.outlet.end()
 
@@ -192,7 +243,9 @@
 
     # Inside
 
-    def _put(self, place: Place, about: str, held: Attempt | Probe, pieces: list[memoryview | bytes]) -> None:
+    def _put(
+        self, place: Place, about: str, held: Attempt | Probe, pieces: list[memoryview | bytes]
+    ) -> None:
         now, link = self.clock(), None
         with self.lock:
             links = self.links.setdefault(place, [])
@@ -209,13 +262,18 @@
                     self.of_attempt[held] = (link, about)
                 link.outlet.put(about, pieces)
         if link is None and isinstance(held, Attempt):
-            self._report(held, Outcome.MOOT)  # not to be sent, or no connection here: no word about the node
+            self._report(
+                held, Outcome.MOOT
+            )  # not to be sent, or no connection here: no word about the node
 
     def _choose(self, links: list[Link], about: str) -> Link | None:
-        """Under the lock. One that nothing is out on may have been closed by the node in this very moment:
-        what is written there is lost, and nobody could say whether it ran."""
-        for link in sorted((link for link in links if link.takes(about, self.attempts_a_connection)),
-                           key=lambda link: len(link.open)):
+        """Under the lock. One that nothing is out on may have been closed by the node in this very
+        moment: what is written there is lost, and nobody could say whether it ran.
+        """
+        for link in sorted(
+            (link for link in links if link.takes(about, self.attempts_a_connection)),
+            key=lambda link: len(link.open),
+        ):
             if link.open or not link.closed_there():
                 return link
             link.outlet.end()
@@ -226,19 +284,24 @@
         return all(self.facade.may_ask(held.node, link.place) for held in link.open.values())
 
     def _is_stale(self, held: Attempt | Probe | None, place: Place) -> bool:
-        """Under the lock, which is held until the first byte is written: what comes later comes after it."""
+        """Under the lock, which is held until the first byte is written: what comes later comes
+        after it.
+        """
         if isinstance(held, Probe):
             return not self.facade.may_ask(held.node, place)
         if held is None or not held.ways:
             return False
         request = held.request
         if request.ticket is not None and self.has_left(request.ticket, not held.number):
-            self.facade.forget(request)  # told by the connection's own thread as well, but that may be late
+            self.facade.forget(
+                request
+            )  # told by the connection's own thread as well, but that may be late
         return not self.facade.may_begin(held)
 
     def _stale_on(self, link: Link, about: str) -> Attempt | Probe | None:
-        """Under the lock. What waited for its link and must not be sent any more; off the link with it, so
-        that nobody gives up there what never was."""
+        """Under the lock. What waited for its link and must not be sent any more; off the link with
+        it, so that nobody gives up there what never was.
+        """
         held = link.open.get(about)
         if not self._is_stale(held, link.place):
             return None
@@ -306,22 +369,32 @@
                     link.used = link.heard = self.clock()
                     if isinstance(held, Attempt):
                         link.patience.answered()
-                        if told.outcome != Outcome.SERVED:  # a second answer must not meet the next one
+                        if (
+                            told.outcome != Outcome.SERVED
+                        ):  # a second answer must not meet the next one
                             link.over[told.about] = link.used
                     elif held is None and link.asked:
                         link.patience.echoed()
                     link.given_up = link.asked = 0.0
-                    known = held is not None or told.about in link.over or told.about.startswith("probe-")
+                    known = (
+                        held is not None
+                        or told.about in link.over
+                        or told.about.startswith("probe-")
+                    )
                     if isinstance(held, Attempt):
                         self.of_attempt.pop(held, None)
                 if isinstance(held, Probe):
                     self.facade.told(held.node, told.load, told.well)
                 elif held is not None:
-                    self._report(held, told.outcome_for(held.tag), told.note, told.waited, told.load, told)
+                    self._report(
+                        held, told.outcome_for(held.tag), told.note, told.waited, told.load, told
+                    )
                 elif not known:
                     self.log.event("unknown id", node=link.place.name, about=told.about[:32])
 
-    def _end(self, link: Link, connection: socket.socket | None, outcome: Outcome, why: str) -> None:
+    def _end(
+        self, link: Link, connection: socket.socket | None, outcome: Outcome, why: str
+    ) -> None:
         with self.lock:
             ours = link.outlet.ended
             link.outlet.end()
@@ -331,8 +404,11 @@
                 self.count -= 1
             if not links:
                 self.links.pop(link.place, None)
-            lost = [(held, link.outlet.unbegun(about)) for about, held in link.open.items()
-                    if isinstance(held, Attempt)]
+            lost = [
+                (held, link.outlet.unbegun(about))
+                for about, held in link.open.items()
+                if isinstance(held, Attempt)
+            ]
             for held, _ in lost:
                 self.of_attempt.pop(held, None)
             link.open = {}
@@ -344,4 +420,6 @@
         if first:  # one line until it is up again, not one an attempt
             self.log.event("link down", node=link.place.name, lost=len(lost), why=why or "closed")
         for held, unbegun in lost:
-            self._report(held, Outcome.UNCONNECTED if unbegun and outcome == Outcome.RESET else outcome)
+            self._report(
+                held, Outcome.UNCONNECTED if unbegun and outcome == Outcome.RESET else outcome
+            )
