--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -1,6 +1,7 @@
-"""A search over small states: two directors on different versions of a file while boxes drain, die, come back
-cold and objects are purged in the middle of a move. Rules 3 to 5 hold in every one; rule 2 is searched in
-test_moves."""
+"""A search over small states: two directors on different versions of a file while boxes drain, die,
+come back cold and objects are purged in the middle of a move. Rules 3 to 5 hold in every one; rule
+2 is searched in test_moves.
+"""
 
 import itertools
 from dataclasses import replace
@@ -17,7 +18,11 @@
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
 MOVE = move(starts=101_000.0, warm_for=500.0, shift_for=2_000.0, drain_for=1_500.0)
 ABORTED = replace(MOVE, aborted_at=102_500.0)
-VERSIONS = [charter(TWO), charter(TWO, moves=(MOVE,), version=2), charter(TWO, moves=(ABORTED,), version=3)]
+VERSIONS = [
+    charter(TWO),
+    charter(TWO, moves=(MOVE,), version=2),
+    charter(TWO, moves=(ABORTED,), version=3),
+]
 BOXES = [(what, box) for what in ("drain", "cold", "gone") for box in CACHES]
 TROUBLES = [*BOXES, ("purge", "")]
 WHEN = (101_200.0, 102_000.0, 103_200.0)
@@ -26,13 +31,17 @@
 
 
 class Side:
-    """One director with its governor, on a clock that stands until moved; attempts are answered at once."""
+    """One director with its governor, on a clock that stands until moved; attempts are answered at
+    once.
+    """
 
     def __init__(self, version):
         self.stage = Stage()
         self.stage.facade.terms.directors = self.stage.facade.terms.directors_here = 2
         director = self.stage.facade.director
-        director.cold_here.part = director.cold_parents.part = 0.5  # as such terms at its start would have it
+        director.cold_here.part = director.cold_parents.part = (
+            0.5  # as such terms at its start would have it
+        )
         self.ruled = Ruled(version)
         self.told = {}
 
@@ -62,7 +71,9 @@
             while (step := facade.pick(request)) is not None:
                 if isinstance(step, Order):
                     yield step
-                    facade.report(step.attempt, Outcome.SERVED, Note.FILLED if step.source else Note.HIT)
+                    facade.report(
+                        step.attempt, Outcome.SERVED, Note.FILLED if step.source else Note.HIT
+                    )
                 elif not isinstance(step, GiveUp):
                     break
             self.ruled.done(grant)
@@ -112,22 +123,25 @@
     assert played == 270 and not found
 
 
-@pytest.mark.parametrize("rule, fault, troubles", [
-    (
-        3,
+@pytest.mark.parametrize(
+    "rule, fault, troubles",
+    [
         (
-            "listed",
-            lambda whole: (
-                lambda self, rows, *rest: whole(
-                    self, [(row[0], State.READY, *row[2:]) for row in rows], *rest
-                )
+            3,
+            (
+                "listed",
+                lambda whole: (
+                    lambda self, rows, *rest: whole(
+                        self, [(row[0], State.READY, *row[2:]) for row in rows], *rest
+                    )
+                ),
             ),
+            [("drain", "s-01")],
         ),
-        [("drain", "s-01")],
-    ),
-    (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
-    (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
-])
+        (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
+        (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
+    ],
+)
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
     name, make = fault
     monkeypatch.setattr(Director, name, make(getattr(Director, name)))
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -40,7 +40,9 @@
             new = replace(new, version=self.held.version + 1, written=self.now)
             assert read(write(new)) == new
             self.held = new
-            self.placement.renew(self.now, new, {name: one.cell for name, one in new.tenants.items()})
+            self.placement.renew(
+                self.now, new, {name: one.cell for name, one in new.tenants.items()}
+            )
 
     @rule(cell=st.sampled_from(["north", "south"]))
     def start(self, cell):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""The same verdict every time: hypothesis draws the same cases at each run. Plays of whole fleets take most
-of a minute and little of a machine, studies of the model a core each: those that the collected tests want are
-begun with the first test, and run beside the others."""
+"""The same verdict every time: hypothesis draws the same cases at each run. Plays of whole fleets
+take most of a minute and little of a machine, studies of the model a core each: those that the
+collected tests want are begun with the first test, and run beside the others.
+"""
 
 import multiprocessing
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
@@ -20,13 +21,19 @@
 
 @pytest.fixture(autouse=True)
 def told_with_the_head(monkeypatch):
-    """Stand-ins of the event stream tell all with its head: their directors needn't wait for what follows."""
+    """Stand-ins of the event stream tell all with its head: their directors needn't wait for what
+    follows.
+    """
     monkeypatch.setattr(bus, "MISSED", 0.0)
 
 
 def pytest_collection_modifyitems(items):
-    """Those that wait for a study or a play come last, when most have been played beside the others."""
-    items.sort(key=lambda item: not {"studies", "plays"}.isdisjoint(signature(item.function).parameters))
+    """Those that wait for a study or a play come last, when most have been played beside the
+    others.
+    """
+    items.sort(
+        key=lambda item: not {"studies", "plays"}.isdisjoint(signature(item.function).parameters)
+    )
 
 
 def wanted_by(session, name):
@@ -39,8 +46,9 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def studies(request):
-    """What the study of that name came to. A module names its studies in STUDIES: a function with its
-    arguments, which is called in another process."""
+    """What the study of that name came to. A module names its studies in STUDIES: a function with
+    its arguments, which is called in another process.
+    """
     wanted = wanted_by(request.session, "STUDIES")
     with ProcessPoolExecutor(STUDIED_AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
         begun = {name: pool.submit(*study) for name, study in wanted.items()}
@@ -49,9 +57,13 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def plays(request, tmp_path_factory):
-    """What the play of that name came to. A module names its plays in PLAYS: functions of a folder."""
+    """What the play of that name came to. A module names its plays in PLAYS: functions
+    of a folder.
+    """
     wanted = wanted_by(request.session, "PLAYS")
     with ThreadPoolExecutor(AT_A_TIME) as pool:
-        played = {name: pool.submit(play, str(tmp_path_factory.mktemp(name)))
-                  for name, play in wanted.items()}
+        played = {
+            name: pool.submit(play, str(tmp_path_factory.mktemp(name)))
+            for name, play in wanted.items()
+        }
         yield lambda name: played[name].result()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,6 @@
-"""Small stand-ins for the tables of cases: a writer that records, a director with a small fleet, a facade
-with a clock of its own, and on loopback a node, an event bus and a client."""
+"""Small stand-ins for the tables of cases: a writer that records, a director with a small fleet, a
+facade with a clock of its own, and on loopback a node, an event bus and a client.
+"""
 
 import itertools
 import json
@@ -13,8 +14,19 @@
 
 from mulleinrelay.configuration import Section, decode, read_terms
 from mulleinrelay.facade import Facade, GiveUp
-from mulleinrelay.interface import (IDEMPOTENT, Attempt, ColdRule, Listing, Note, Order, Outcome, Request,
-                                    RequestClass, State, Terms)
+from mulleinrelay.interface import (
+    IDEMPOTENT,
+    Attempt,
+    ColdRule,
+    Listing,
+    Note,
+    Order,
+    Outcome,
+    Request,
+    RequestClass,
+    State,
+    Terms,
+)
 from mulleinrelay.net import resp, thrift
 from mulleinrelay.net.service import Service
 from mulleinrelay.policy import Director, Member
@@ -44,16 +56,41 @@
 class Fleet:
     """A director before three caches, two parents and an origin; the clock moves with each call."""
 
-    def __init__(self, repeat=IDEMPOTENT, group="all", never_kept=False, started=None, hub_started=0.0,
-                 **changes):
+    def __init__(
+        self,
+        repeat=IDEMPOTENT,
+        group="all",
+        never_kept=False,
+        started=None,
+        hub_started=0.0,
+        **changes,
+    ):
         case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
         terms = dict(
-            request_classes=[case], zone=1, directors=3, directors_here=1, parent_kind=PARENT,
-            origin_kind=ORIGIN, sized=True, flow=10.0, attempts_most=6, two_attempts=True, may_cancel=True,
-            may_probe=False, may_advise=True, advice_most=1000.0, may_pass_by=True, joins=True, siblings=True,
-            must_subscribe=False, reports=["crowding"], asks_reports=False,
+            request_classes=[case],
+            zone=1,
+            directors=3,
+            directors_here=1,
+            parent_kind=PARENT,
+            origin_kind=ORIGIN,
+            sized=True,
+            flow=10.0,
+            attempts_most=6,
+            two_attempts=True,
+            may_cancel=True,
+            may_probe=False,
+            may_advise=True,
+            advice_most=1000.0,
+            may_pass_by=True,
+            joins=True,
+            siblings=True,
+            must_subscribe=False,
+            reports=["crowding"],
+            asks_reports=False,
             cold_cache=ColdRule(0.2, 17000.0, 1500.0, 2.5),
-            cold_parent=ColdRule(0.063, 20000.0, 1500.0, 2.0), purge_span=6000.0)
+            cold_parent=ColdRule(0.063, 20000.0, 1500.0, 2.0),
+            purge_span=6000.0,
+        )
         self.terms = Terms(**(terms | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
         self.director = Director(self.now, 7, self.terms)
@@ -61,8 +98,10 @@
         self.parents = [Member(key) for key in (21, 22)]
         self.origin = Member(31)
         self.count = 0
-        rows = [self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
-                for cache in self.caches]
+        rows = [
+            self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
+            for cache in self.caches
+        ]
         rows += [self.row(parent, PARENT, 0, hub_started) for parent in self.parents]
         self.call("listed", rows + [self.row(self.origin, ORIGIN, 0, None)], True, False)
 
@@ -81,26 +120,61 @@
         self.call("requested", request)
         return request
 
-    def answer(self, attempt, outcome=Outcome.SERVED, note=Note.HIT, first_byte=0.0, after=0.0, load=None):
+    def answer(
+        self, attempt, outcome=Outcome.SERVED, note=Note.HIT, first_byte=0.0, after=0.0, load=None
+    ):
         closed = outcome == Outcome.SERVED
         self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
 
 
 def settings(**changes):
-    """Start settings as an instance or a director is given them; a change replaces keys of one part."""
-    case = {"idempotency": "safe", "slo": 500.0, "deadline": 6000.0, "memorySpan": 5000.0, "group": "all"}
+    """Start settings as an instance or a director is given them; a change replaces keys of one
+    part.
+    """
+    case = {
+        "idempotency": "safe",
+        "slo": 500.0,
+        "deadline": 6000.0,
+        "memorySpan": 5000.0,
+        "group": "all",
+    }
     whole = {
-        "allowed": {"cancel": True, "connIdle": 30000.0, "connectTimeout": 400.0, "maxAttempts": 6,
-                    "maxRetryAfter": 1000.0, "maxStreams": 2, "mayDuplicate": True, "mayProbe": True,
-                    "retryAfter": True},
-        "azs": ["hub", "edge"], "shapes": ["box", "parent", "origin"], "balancers": 3, "myZone": 1,
-        "registryMode": "automatic", "weights": "nominal",
-        "classes": [case | {"name": "pages"}, case | {"name": "order", "idempotency": "keyed"},
-                    case | {"name": "pay", "idempotency": "unsafe"}],
-        "domain": {"collapses": True, "countByZone": [0, 1], "freshFor": [0.0, 0.0, 0.0], "mayPassBy": True,
-                   "midKind": 1, "neverKept": [False, True, True], "oneFlowKbPerS": 8000.0,
-                   "parentStartsAt": 0.1, "parentWarmsIn": 20000.0, "peersFill": "location",
-                   "purgeTakes": 6000.0, "storeKind": 2},
+        "allowed": {
+            "cancel": True,
+            "connIdle": 30000.0,
+            "connectTimeout": 400.0,
+            "maxAttempts": 6,
+            "maxRetryAfter": 1000.0,
+            "maxStreams": 2,
+            "mayDuplicate": True,
+            "mayProbe": True,
+            "retryAfter": True,
+        },
+        "azs": ["hub", "edge"],
+        "shapes": ["box", "parent", "origin"],
+        "balancers": 3,
+        "myZone": 1,
+        "registryMode": "automatic",
+        "weights": "nominal",
+        "classes": [
+            case | {"name": "pages"},
+            case | {"name": "order", "idempotency": "keyed"},
+            case | {"name": "pay", "idempotency": "unsafe"},
+        ],
+        "domain": {
+            "collapses": True,
+            "countByZone": [0, 1],
+            "freshFor": [0.0, 0.0, 0.0],
+            "mayPassBy": True,
+            "midKind": 1,
+            "neverKept": [False, True, True],
+            "oneFlowKbPerS": 8000.0,
+            "parentStartsAt": 0.1,
+            "parentWarmsIn": 20000.0,
+            "peersFill": "location",
+            "purgeTakes": 6000.0,
+            "storeKind": 2,
+        },
         "report": {"how": "none", "columns": []},
         "rules": {"coldFrom": 0.2, "cold": 17000.0, "overloadFor": 1500.0},
     }
@@ -109,18 +183,40 @@
     return whole
 
 
-SPOTS = [("s-01", "edge", "box"), ("s-02", "edge", "box"), ("s-03", "edge", "box"), ("s-11", "hub", "parent"),
-         ("s-12", "hub", "parent"), ("s-21", "hub", "origin")]
+SPOTS = [
+    ("s-01", "edge", "box"),
+    ("s-02", "edge", "box"),
+    ("s-03", "edge", "box"),
+    ("s-11", "hub", "parent"),
+    ("s-12", "hub", "parent"),
+    ("s-21", "hub", "origin"),
+]
 
 
 def configuration(addresses=(), bus="127.0.0.1:1", listen="127.0.0.1:0", **changes):
-    rows = [{"id": name, "zone": zone, "kind": kind, "cell": 0, "state": "SERVING", "weight": 4,
-             "started_ms": 0, "addr": addresses[place] if addresses else f"127.0.0.1:{place + 1}"}
-            for place, (name, zone, kind) in enumerate(SPOTS)]
+    rows = [
+        {
+            "id": name,
+            "zone": zone,
+            "kind": kind,
+            "cell": 0,
+            "state": "SERVING",
+            "weight": 4,
+            "started_ms": 0,
+            "addr": addresses[place] if addresses else f"127.0.0.1:{place + 1}",
+        }
+        for place, (name, zone, kind) in enumerate(SPOTS)
+    ]
     event = {"offset": 1, "topology": {"version": 1, "full": True, "servers": rows}}
-    return {"name": "n3", "listen": listen, "seed": "8c1f", "bus": bus,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"offset": 1, "batch": [event]}, "settings": settings(**changes)}
+    return {
+        "name": "n3",
+        "listen": listen,
+        "seed": "8c1f",
+        "bus": bus,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"offset": 1, "batch": [event]},
+        "settings": settings(**changes),
+    }
 
 
 class Sink:
@@ -138,7 +234,9 @@
 
 
 class Stage:
-    """A facade before three caches, two parents and an origin, with a clock that stands until moved."""
+    """A facade before three caches, two parents and an origin, with a clock that stands until
+    moved.
+    """
 
     def __init__(self, **changes):
         self.now = 100_000.0
@@ -146,8 +244,18 @@
         self.sink = Sink()
         self.facade = Facade(lambda: self.now, 7, self.terms, self.sink)
         self.entries = [
-            Listing(name, ("127.0.0.1", place + 1), State.READY, 4.0, ["box", "parent", "origin"].index(kind),
-                    ["hub", "edge"].index(zone), 0, 0.0) for place, (name, zone, kind) in enumerate(SPOTS)]
+            Listing(
+                name,
+                ("127.0.0.1", place + 1),
+                State.READY,
+                4.0,
+                ["box", "parent", "origin"].index(kind),
+                ["hub", "edge"].index(zone),
+                0,
+                0.0,
+            )
+            for place, (name, zone, kind) in enumerate(SPOTS)
+        ]
         self.facade.listed(self.entries, True)
 
     def now_is_real(self):
@@ -180,14 +288,30 @@
 
 def call_frame(method, number, arguments, kind=thrift.CALL):
     name = method.encode()
-    held = struct.pack(">Ii", thrift.VERSION | kind, len(name)) + name + struct.pack(">i", number) + arguments
+    held = (
+        struct.pack(">Ii", thrift.VERSION | kind, len(name))
+        + name
+        + struct.pack(">i", number)
+        + arguments
+    )
     return struct.pack(">i", len(held)) + held
 
 
 def serve_frame(number, fields, body=b""):
-    pairs = b"".join(struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair)
-    return call_frame("serve", number, b"\x0d\x00\x01\x0b\x0b" + struct.pack(">i", len(fields)) + pairs
-                      + b"\x0b\x00\x02" + struct.pack(">i", len(body)) + body + b"\x00")
+    pairs = b"".join(
+        struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
+    )
+    return call_frame(
+        "serve",
+        number,
+        b"\x0d\x00\x01\x0b\x0b"
+        + struct.pack(">i", len(fields))
+        + pairs
+        + b"\x0b\x00\x02"
+        + struct.pack(">i", len(body))
+        + body
+        + b"\x00",
+    )
 
 
 WELL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
@@ -206,8 +330,10 @@
 
 def heard(nodes, word="PULL"):
     """What each was told, by its name."""
-    return {name: [entry for entry in node.heard if entry[0] == word]
-            for (name, _, _), node in zip(SPOTS, nodes, strict=True)}
+    return {
+        name: [entry for entry in node.heard if entry[0] == word]
+        for (name, _, _), node in zip(SPOTS, nodes, strict=True)
+    }
 
 
 def free_port():
@@ -253,7 +379,9 @@
 
 
 class StandNode(Listener):
-    """A cache, parent or the origin: answers each PULL as its `plan` says, and keeps what it was told."""
+    """A cache, parent or the origin: answers each PULL as its `plan` says, and keeps what it was
+    told.
+    """
 
     def __init__(self, plan):
         self.plan, self.heard = plan, []
@@ -264,7 +392,9 @@
         while (length := connection.recv_into(arrays.room())) > 0:
             for items in arrays.filled(length):
                 word, about, *rest = [bytes(item) for item in items]
-                fields = dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
+                fields = (
+                    dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
+                )
                 self.heard.append((word.decode(), about.decode(), fields, rest[1] if rest else b""))
                 if word == b"PULL":
                     self.answer(connection, about, fields)
@@ -287,7 +417,9 @@
 
 
 class StandBus(Listener):
-    """An event bus: each connection gets the next of the scripts, pieces of bytes; it notes from where."""
+    """An event bus: each connection gets the next of the scripts, pieces of bytes; it notes from
+    where.
+    """
 
     def __init__(self, *scripts, port=0):
         self.scripts, self.asked = list(scripts), []
@@ -318,9 +450,19 @@
 
     def send(self, request_class="pages", entity="00000000000000ab", body=b"", **changes):
         self.count += 1
-        fields = {"route": request_class, "trace": f"{next(self.marks):016x}", "patience": "3000",
-                  "entity": entity, "nth": "0", "batch": "17", "size": "100.0", "nonce": "5c0f"} | changes
-        self.socket.sendall(serve_frame(self.count, {k: v for k, v in fields.items() if v is not None}, body))
+        fields = {
+            "route": request_class,
+            "trace": f"{next(self.marks):016x}",
+            "patience": "3000",
+            "entity": entity,
+            "nth": "0",
+            "batch": "17",
+            "size": "100.0",
+            "nonce": "5c0f",
+        } | changes
+        self.socket.sendall(
+            serve_frame(self.count, {k: v for k, v in fields.items() if v is not None}, body)
+        )
         return self.count
 
     def frame(self):
@@ -405,7 +547,9 @@
 
 
 def held_back(monkeypatch, owner, name, only=lambda *_, **__: True):
-    """Calls of that method wait until what is returned is set; its `met` is set once one of them waits."""
+    """Calls of that method wait until what is returned is set; its `met` is set once one of them
+    waits.
+    """
     go, method = threading.Event(), getattr(owner, name)
     go.met = threading.Event()
 
@@ -420,10 +564,14 @@
 
 
 class Program:
-    """The program with this configuration and so many descriptors, and the lines that it has logged."""
+    """The program with this configuration and so many descriptors, and the lines that it has
+    logged.
+    """
 
     def __init__(self, file, descriptors=1024):
-        run = f"ulimit -n {descriptors}; exec {sys.executable} -m mulleinrelay serve --config {file}"
+        run = (
+            f"ulimit -n {descriptors}; exec {sys.executable} -m mulleinrelay serve --config {file}"
+        )
         self.process = subprocess.Popen(["/bin/sh", "-c", run], cwd=ROOT, stderr=subprocess.PIPE)
         self.told, self.send_signal = [], self.process.send_signal
         self.reader = threading.Thread(target=self._read, daemon=True)
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -22,8 +22,19 @@
 
 def attempt(second, director=1, node=BOX, source="", old=0, mark="m1", why="HIT"):
     return [
-        "attempt", at(second), director, node, "pages", "00000000000000ab", source, "", "DONE", why, old,
-        mark]
+        "attempt",
+        at(second),
+        director,
+        node,
+        "pages",
+        "00000000000000ab",
+        source,
+        "",
+        "DONE",
+        why,
+        old,
+        mark,
+    ]
 
 
 def fault(second, what, begins, directors=(), nodes=()):
@@ -32,68 +43,88 @@
 
 def audited(tmp_path, *lines):
     held = [["began", BEGAN, 20.0, 1.0], ["effects", 0, 0, 0], *lines]
-    (tmp_path / "a.records").write_text("".join(json.dumps(line) + "\n" for line in held) + '["cut short')
+    (tmp_path / "a.records").write_text(
+        "".join(json.dumps(line) + "\n" for line in held) + '["cut short'
+    )
     return Audit(SCENARIO, read(str(tmp_path)))
 
 
 DRAIN = ["told", at(5), 1, BOX, "DRAINING", 0]
 
 
-@pytest.mark.parametrize("lines, rule, count", [
-    ([attempt(6.9)], "drains_broken", 0),
-    ([attempt(6.9), DRAIN], "drains_broken", 0),
-    ([attempt(7.2), DRAIN], "drains_broken", 1),
-    ([attempt(7.2, director=2), DRAIN], "drains_broken", 0),
-    ([attempt(7.2, node=PARENT, source=BOX), DRAIN], "drains_broken", 1),
-    ([attempt(9.0), DRAIN, ["told", at(8), 1, BOX, "SERVING", 0]], "drains_broken", 0),
-    ([attempt(9.0, old=1)], "purges_broken", 1),
-    ([["twice", at(3), 1]], "answers_twice", 1),
-    ([["late", at(3), 1]], "answers_late", 1),
-    ([["none", at(3), 1, at(2)]], "requests_lost", 1),
-    ([["cut", at(3), 1, 4]], "requests_lost", 4),
-    ([["cut", at(3), 1, 4], fault(2.9, "kill", True, [1])], "requests_lost", 0),
-    ([["cut", at(3), 2, 4], fault(2.9, "kill", True, [1])], "requests_lost", 4),
-    ([["cut", at(2), 1, 4], fault(2.9, "kill", True, [1])], "requests_lost", 4),
-    (
-        [["none", at(9), 1, at(8)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
-        "requests_lost",
-        1,
-    ),
-    (
-        [["none", at(5), 1, at(4)], fault(2.9, "stop", True, [1]), fault(4, "stop", False, [1])],
-        "requests_lost",
-        0,
-    ),
-    ([["cut", at(3.2), 1, 1], ["term", at(3), 1]], "requests_lost", 1),
-    ([["cut", at(4), 1, 1], ["term", at(3), 1]], "requests_lost", 0),
-    ([["fell", at(3), BOX]], "fell", 1),
-    ([["crash", at(3), 1, 1, "why"]], "crashes", 1),
-])
-def test_what_breaks_a_rule_is_counted_and_what_the_lab_did_is_excused(lines, rule, count, tmp_path):
+@pytest.mark.parametrize(
+    "lines, rule, count",
+    [
+        ([attempt(6.9)], "drains_broken", 0),
+        ([attempt(6.9), DRAIN], "drains_broken", 0),
+        ([attempt(7.2), DRAIN], "drains_broken", 1),
+        ([attempt(7.2, director=2), DRAIN], "drains_broken", 0),
+        ([attempt(7.2, node=PARENT, source=BOX), DRAIN], "drains_broken", 1),
+        ([attempt(9.0), DRAIN, ["told", at(8), 1, BOX, "SERVING", 0]], "drains_broken", 0),
+        ([attempt(9.0, old=1)], "purges_broken", 1),
+        ([["twice", at(3), 1]], "answers_twice", 1),
+        ([["late", at(3), 1]], "answers_late", 1),
+        ([["none", at(3), 1, at(2)]], "requests_lost", 1),
+        ([["cut", at(3), 1, 4]], "requests_lost", 4),
+        ([["cut", at(3), 1, 4], fault(2.9, "kill", True, [1])], "requests_lost", 0),
+        ([["cut", at(3), 2, 4], fault(2.9, "kill", True, [1])], "requests_lost", 4),
+        ([["cut", at(2), 1, 4], fault(2.9, "kill", True, [1])], "requests_lost", 4),
+        (
+            [
+                ["none", at(9), 1, at(8)],
+                fault(2.9, "stop", True, [1]),
+                fault(4, "stop", False, [1]),
+            ],
+            "requests_lost",
+            1,
+        ),
+        (
+            [
+                ["none", at(5), 1, at(4)],
+                fault(2.9, "stop", True, [1]),
+                fault(4, "stop", False, [1]),
+            ],
+            "requests_lost",
+            0,
+        ),
+        ([["cut", at(3.2), 1, 1], ["term", at(3), 1]], "requests_lost", 1),
+        ([["cut", at(4), 1, 1], ["term", at(3), 1]], "requests_lost", 0),
+        ([["fell", at(3), BOX]], "fell", 1),
+        ([["crash", at(3), 1, 1, "why"]], "crashes", 1),
+    ],
+)
+def test_what_breaks_a_rule_is_counted_and_what_the_lab_did_is_excused(
+    lines, rule, count, tmp_path
+):
     found = audited(tmp_path, *lines).rules()
     assert found[rule] == count and sum(found.values()) == count
 
 
-@pytest.mark.parametrize("lines, well", [
-    ([], [(0.0, 1e9)]),
-    (
-        [fault(4, "node_slow", True, nodes=[BOX]), fault(8, "node_slow", False, nodes=[BOX])],
-        [(0.0, 4.0), (13.0, 1e9)],
-    ),
-    (
-        [fault(4, "node_cold", True, nodes=[BOX]), fault(6, "node_cold", False, nodes=[BOX])],
-        [(0.0, 4.0), (18.0, 1e9)],
-    ),
-    ([fault(4, "node_kill", True, nodes=[BOX])], [(0.0, 4.0)]),
-    ([["fell", at(5), BOX]], [(0.0, 5.0)]),
-    ([fault(4, "node_slow", True, nodes=[PARENT])], [(0.0, 1e9)]),
-])
+@pytest.mark.parametrize(
+    "lines, well",
+    [
+        ([], [(0.0, 1e9)]),
+        (
+            [fault(4, "node_slow", True, nodes=[BOX]), fault(8, "node_slow", False, nodes=[BOX])],
+            [(0.0, 4.0), (13.0, 1e9)],
+        ),
+        (
+            [fault(4, "node_cold", True, nodes=[BOX]), fault(6, "node_cold", False, nodes=[BOX])],
+            [(0.0, 4.0), (18.0, 1e9)],
+        ),
+        ([fault(4, "node_kill", True, nodes=[BOX])], [(0.0, 4.0)]),
+        ([["fell", at(5), BOX]], [(0.0, 5.0)]),
+        ([fault(4, "node_slow", True, nodes=[PARENT])], [(0.0, 1e9)]),
+    ],
+)
 def test_when_a_cache_counts_as_well(lines, well, tmp_path):
     assert audited(tmp_path, *lines).boxes[BOX].well == [pytest.approx(span) for span in well]
 
 
 def test_a_request_counts_once_at_its_first_cache(tmp_path):
-    audit = audited(tmp_path, attempt(3, mark="m1"), attempt(3.1, mark="m1"), attempt(3.2, mark="m2"))
+    audit = audited(
+        tmp_path, attempt(3, mark="m1"), attempt(3.1, mark="m1"), attempt(3.2, mark="m2")
+    )
     assert [round(one.at, 1) for one in audit.first_attempts()] == [3.0, 3.2]
 
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -23,13 +23,16 @@
     }
 
 
-@pytest.mark.parametrize("counts, herd", [
-    ((30, 10, 20), []),  # nobody is over twice its share
-    ((41, 9, 10), [0]),
-    ((41, 15, 4), [0]),
-    ((41, 10, 9), [0]),
-    ((9, 1, 1), []),  # too few requests to tell
-])
+@pytest.mark.parametrize(
+    "counts, herd",
+    [
+        ((30, 10, 20), []),  # nobody is over twice its share
+        ((41, 9, 10), [0]),
+        ((41, 15, 4), [0]),
+        ((41, 10, 9), [0]),
+        ((9, 1, 1), []),  # too few requests to tell
+    ],
+)
 def test_a_herd_is_found(counts, herd):
     assert evenness.herd_seconds(loads(counts), boxes(1.0, 1.0, 1.0), [0]) == herd
 
@@ -57,21 +60,27 @@
     hot = Counter(one.box for one in seen if one.key == 77)
     assert len(hot) == 4 and max(hot.values()) < 800
     assert all(
-        one.box == evenness.rendezvous(list(held.values()), one.key)[0].name for one in seen if one.key != 77
+        one.box == evenness.rendezvous(list(held.values()), one.key)[0].name
+        for one in seen
+        if one.key != 77
     )
 
 
-@pytest.mark.parametrize("shares, most", [
-    ({0: {"p": 0.5, "q": 0.5}, 1: {"p": 0.1, "q": 0.9}}, 0.4),
-    ({0: {"p": 0.5}, 2: {"p": 0.1}}, 0.0),
-    ({0: {"p": 1.0}, 1: {"q": 1.0}}, 1.0),
-])
+@pytest.mark.parametrize(
+    "shares, most",
+    [
+        ({0: {"p": 0.5, "q": 0.5}, 1: {"p": 0.1, "q": 0.9}}, 0.4),
+        ({0: {"p": 0.5}, 2: {"p": 0.1}}, 0.0),
+        ({0: {"p": 1.0}, 1: {"q": 1.0}}, 1.0),
+    ],
+)
 def test_a_swing_between_neighbouring_seconds(shares, most):
     assert evenness.swings(shares, range(4)) == pytest.approx(most)
 
 
 @pytest.mark.parametrize(
-    "first, after", [((20, 20, 20, 20, 20, 20), 0.0), ((0, 0, 0, 20, 20, 20), 2.0), ((0, 0, 0, 0, 0, 0), 6.0)]
+    "first, after",
+    [((20, 20, 20, 20, 20, 20), 0.0), ((0, 0, 0, 20, 20, 20), 2.0), ((0, 0, 0, 0, 0, 0), 6.0)],
 )
 def test_how_long_a_cache_takes_to_come_back_to_its_share(first, after):
     load = loads(*[(count, 20, 20) for count in first])
@@ -97,7 +106,10 @@
 def test_a_herd_is_found_whenever_it_turns(turns):
     """In one CI run it turned in the middle of slots: 0.553 of it was seen where 0.6 is wanted."""
     draw = Random(1)
-    asked = [(at, f"c{int((at - turns) / 0.5) % 6}") for at in (draw.uniform(1.0, 9.0) for _ in range(400))]
+    asked = [
+        (at, f"c{int((at - turns) / 0.5) % 6}")
+        for at in (draw.uniform(1.0, 9.0) for _ in range(400))
+    ]
     assert evenness.together(asked, boxes(*[1.0] * 6)) > 0.85
     apart = [(at, f"c{draw.randrange(6)}") for at, _ in asked]
     assert evenness.together(apart, boxes(*[1.0] * 6)) < 0.45
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,6 @@
-"""Some forty processes with faults between them, judged by counts; and that nothing of a lab is left."""
+"""Some forty processes with faults between them, judged by counts; and that nothing of a lab is
+left.
+"""
 
 import os
 import signal
@@ -10,11 +12,12 @@
 import pytest
 
 from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.play import FleetLab
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-# What depends on this machine's speed is left wide: answers, stops and drains have seconds to spare.
+# What depends on this machine's speed is left wide: answers, stops and drains have seconds to
+# spare.
 TROUBLED = """
 [fleet lab]
 seconds = 24
@@ -151,17 +154,26 @@
         set(faults["cutoff"][4]),
         [fault for fault in audit.faults if fault[1] == "many" and fault[3]],
     )
-    during = [attempt for attempt in attempts
-              if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8]
+    during = [
+        attempt
+        for attempt in attempts
+        if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8
+    ]
     north = {name for name, box in audit.boxes.items() if box.location == "north"}
-    assert during and not [attempt for attempt in during if attempt[1] in cut and attempt[2] in north]
+    assert during and not [
+        attempt for attempt in during if attempt[1] in cut and attempt[2] in north
+    ]
     errs = set(faults["half"][4])
-    assert {attempt[1] for attempt in attempts if attempt[7] == "BROKE" and attempt[8] == ""} <= errs
+    assert {
+        attempt[1] for attempt in attempts if attempt[7] == "BROKE" and attempt[8] == ""
+    } <= errs
     dead = set(killed[0][4])
     assert len(dead) == 24
     gone = [attempt for attempt in attempts if killed[0][0] + 0.5 < attempt[0] < killed[0][0] + 3.5]
     assert gone and not [attempt for attempt in gone if attempt[1] in dead]
-    back = [attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0]
+    back = [
+        attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0
+    ]
     assert back
     assert audit.heard.others["term"] and audit.heard.others["again"]
     late = set(faults["late"][4])
@@ -172,7 +184,9 @@
     }
     waits = [told[director] - faults["dead"][0] for director in told]
     assert [wait for director, wait in zip(told, waits, strict=True) if director in late] > [2.9]
-    assert min(wait for director, wait in zip(told, waits, strict=True) if director not in late) < 2.5
+    assert (
+        min(wait for director, wait in zip(told, waits, strict=True) if director not in late) < 2.5
+    )
 
 
 def test_load_moves_and_a_silent_cache_answers_nobody(troubled):
@@ -183,7 +197,9 @@
     assert asked.count("south") > 3 * asked.count("north") > 0
     (mute,) = faults["mute", True][5]
     since = faults["mute", False][0]
-    assert any(attempt[2] == mute and attempt[0] > since for attempt in audit.heard.attempts)  # it is back
+    assert any(
+        attempt[2] == mute and attempt[0] > since for attempt in audit.heard.attempts
+    )  # it is back
 
 
 def test_nothing_of_it_is_left(troubled):
--- a/tests/lab/test_hosts.py
+++ b/tests/lab/test_hosts.py
@@ -26,12 +26,17 @@
 
 @pytest.mark.parametrize("named", [True, False])
 def test_a_node_that_dies_takes_all_its_connections_along(named):
-    # Guards against a fall that is counted where a node was killed: a command on a connection that had been
-    # accepted, and whose first line came after the kill.
+    # Guards against a fall that is counted where a node was killed: a command on a connection that
+    # had been accepted, and whose first line came after the kill.
     scenario = read_fleet(SMALL)
     fleet, records = fleet_of(scenario), []
-    hosts = SimpleNamespace(loop=Loop(), fleet=fleet, hosts={}, too_old=lambda *_: False,
-                            records=SimpleNamespace(add=lambda *held: records.append(held)))
+    hosts = SimpleNamespace(
+        loop=Loop(),
+        fleet=fleet,
+        hosts={},
+        too_old=lambda *_: False,
+        records=SimpleNamespace(add=lambda *held: records.append(held)),
+    )
     site = next(iter(scenario.sites()))
     host = NodeHost(hosts, fleet.nodes[site.name], site.place)
 
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -1,12 +1,13 @@
-"""Most of some forty processes are killed, come back together and are killed again; a location's caches are
-not reached; caches return cold while directors restart; clocks are stepped. Judged by counts at caches and
-clients."""
+"""Most of some forty processes are killed, come back together and are killed again; a location's
+caches are not reached; caches return cold while directors restart; clocks are stepped. Judged by
+counts at caches and clients.
+"""
 
 import pytest
 
 from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.lab.fleet.plan import PARENT, read_fleet
+from mulleinrelay.lab.fleet.play import FleetLab
 
 LOSSES = """
 [fleet lab]
@@ -104,8 +105,11 @@
 
 
 def outcomes(audit, first, last, directors=None):
-    return [look[7] for look in audit.heard.looks
-            if first < look[0] < last and (directors is None or look[4] in directors)]
+    return [
+        look[7]
+        for look in audit.heard.looks
+        if first < look[0] < last and (directors is None or look[4] in directors)
+    ]
 
 
 def test_no_rule_is_broken(audit):
@@ -115,25 +119,42 @@
 
 def test_a_location_whose_caches_are_not_reached_is_served_past_them(audit):
     """Guards against each cache being found out for itself, with a request or two lost for each."""
-    first, last, there = when(audit, "unreached"), when(audit, "unreached", False), met(audit, "unreached")
+    first, last, there = (
+        when(audit, "unreached"),
+        when(audit, "unreached", False),
+        met(audit, "unreached"),
+    )
     looks = outcomes(audit, first + 2.0, last - 0.5, there)
     assert looks.count("served") > 0.7 * len(looks) > 30
-    passing = {attempt[1] for attempt in audit.heard.attempts if first < attempt[0] < last
-               and attempt[1] in there and audit.sites[attempt[2]].kind == PARENT}
+    passing = {
+        attempt[1]
+        for attempt in audit.heard.attempts
+        if first < attempt[0] < last
+        and attempt[1] in there
+        and audit.sites[attempt[2]].kind == PARENT
+    }
     assert len(passing) > 0.7 * len(there)
 
 
 def test_it_is_back_at_its_caches_afterwards(audit):
     last, there = when(audit, "unreached", False), met(audit, "unreached")
-    back = {attempt[1] for attempt in audit.heard.attempts if last < attempt[0] < when(audit, "killed") + 6.0
-            and attempt[1] in there and attempt[2] in audit.boxes}
+    back = {
+        attempt[1]
+        for attempt in audit.heard.attempts
+        if last < attempt[0] < when(audit, "killed") + 6.0
+        and attempt[1] in there
+        and attempt[2] in audit.boxes
+    }
     assert len(back) > 0.5 * len(there)
 
 
 def test_orders_that_a_kill_met_run_once_though_their_clients_ask_others(audit):
     first = when(audit, "killed")
-    orders = [look for look in audit.heard.looks
-              if first - 1.0 < look[0] < first + 4.0 and look[5] == "order"]
+    orders = [
+        look
+        for look in audit.heard.looks
+        if first - 1.0 < look[0] < first + 4.0 and look[5] == "order"
+    ]
     moved = [look for look in orders if look[8] > 1 and look[3] != look[4] and look[7] == "served"]
     assert len(moved) >= 5 and audit.rules()["orders_run_twice"] == 0
 
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -1,11 +1,12 @@
-"""Some forty processes of which most are lost, caches that are all slow, and half that return cold; judged by
-counts at caches and clients."""
+"""Some forty processes of which most are lost, caches that are all slow, and half that return cold;
+judged by counts at caches and clients.
+"""
 
 import pytest
 
 from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.play import FleetLab
 
 LOST = """
 [fleet lab]
@@ -71,10 +72,16 @@
 
 
 def test_caches_that_are_all_slow_get_no_storm_of_attempts(audit):
-    """Guards against requests that go from full cache to full cache: over two attempts a request then."""
+    """Guards against requests that go from full cache to full cache: over two attempts a request
+    then.
+    """
     first, last = fault(audit, "slow")[0], fault(audit, "slow", False)[0] + 2.0
-    attempts = [held for held in audit.heard.attempts if held[2] in audit.boxes and first < held[0] < last]
-    asked = sum(look[8] for look in audit.heard.looks if first < look[0] < last)  # with the clients' retries
+    attempts = [
+        held for held in audit.heard.attempts if held[2] in audit.boxes and first < held[0] < last
+    ]
+    asked = sum(
+        look[8] for look in audit.heard.looks if first < look[0] < last
+    )  # with the clients' retries
     assert 0 < len(attempts) < 1.5 * asked
 
 
@@ -85,11 +92,13 @@
 
 
 def test_caches_that_return_cold_are_used_and_do_not_fall(audit):
-    """Guards against parts of a cold cache that are less than one request: 17 directors share each, so that
-    none would be asked anything for all its cold time."""
+    """Guards against parts of a cold cache that are less than one request: 17 directors share each,
+    so that none would be asked anything for all its cold time.
+    """
     back, cold = fault(audit, "cold", False)[0], set(fault(audit, "cold")[5])
-    attempts = [held for held in audit.heard.attempts
-                if held[2] in cold and 2.0 < held[0] - back < 6.0]  # told to all
+    attempts = [
+        held for held in audit.heard.attempts if held[2] in cold and 2.0 < held[0] - back < 6.0
+    ]  # told to all
     assert len(cold) == 4 and len(attempts) >= 4 and not audit.heard.others["fell"]
 
 
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -1,4 +1,6 @@
-"""The model on the scenarios of the lab: same plan, same audit, and what rests on simulated time alone."""
+"""The model on the scenarios of the lab: same plan, same audit, and what rests on simulated time
+alone.
+"""
 
 import pytest
 
@@ -30,24 +32,30 @@
 )
 
 
-@pytest.mark.parametrize("fault, outcomes", [
-    ("", {"served"}),
-    ("what = cut\nlocation = north\nfor = 4\n", {"served", "rejected"}),
-    ("what = reset\nshare = 0.5\nfor = 4\n", {"served", "rejected"}),
-    ("what = node_cold\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
-    ("what = node_silent\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
-    ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
-    ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
-    ("what = drain\nshare = 0.25\n", {"served", "rejected"}),
-    ("what = purge\n", {"served", "rejected"}),
-    ("what = late_list\nshare = 0.5\nfor = 3\n", {"served"}),
-    ("what = kill\nshare = 0.7\nfor = 3\n", {"served", "rejected", "cut off", "nobody", "no answer"}),
-    ("what = restart\nover = 3\n", {"served", "rejected", "failed", "cut off"}),
-    (
-        "what = stop\nshare = 0.2\nfor = 3\n",
-        {"served", "rejected", "failed", "no answer", "nobody"},
-    ),
-])
+@pytest.mark.parametrize(
+    "fault, outcomes",
+    [
+        ("", {"served"}),
+        ("what = cut\nlocation = north\nfor = 4\n", {"served", "rejected"}),
+        ("what = reset\nshare = 0.5\nfor = 4\n", {"served", "rejected"}),
+        ("what = node_cold\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
+        ("what = node_silent\nshare = 0.25\nfor = 3\n", {"served", "rejected"}),
+        ("what = node_errors\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
+        ("what = node_slow\nshare = 0.25\nseen_by = 0.5\nfor = 3\n", {"served", "rejected"}),
+        ("what = drain\nshare = 0.25\n", {"served", "rejected"}),
+        ("what = purge\n", {"served", "rejected"}),
+        ("what = late_list\nshare = 0.5\nfor = 3\n", {"served"}),
+        (
+            "what = kill\nshare = 0.7\nfor = 3\n",
+            {"served", "rejected", "cut off", "nobody", "no answer"},
+        ),
+        ("what = restart\nover = 3\n", {"served", "rejected", "failed", "cut off"}),
+        (
+            "what = stop\nshare = 0.2\nfor = 3\n",
+            {"served", "rejected", "failed", "no answer", "nobody"},
+        ),
+    ],
+)
 def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
     figures = play(read_fleet(text))
@@ -63,4 +71,6 @@
 
 def test_a_fleet_larger_than_the_lab_is_played():
     figures = play(read_fleet(SMALL.replace("seconds = 16", "seconds = 5")).sized(1000))
-    assert figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
+    assert (
+        figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
+    )
--- a/tests/lab/test_path_rules.py
+++ b/tests/lab/test_path_rules.py
@@ -13,18 +13,23 @@
     return Book(dict(enumerate(rules)))
 
 
-@pytest.mark.parametrize("rule, director, target, met", [
-    (Rule(CACHES), 3, "c-1", True),
-    (Rule(("parent",)), 3, "c-1", False),
-    (Rule(CACHES, frozenset({4})), 3, "c-1", False),
-    (Rule(CACHES, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
-    (Rule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
-])
+@pytest.mark.parametrize(
+    "rule, director, target, met",
+    [
+        (Rule(CACHES), 3, "c-1", True),
+        (Rule(("parent",)), 3, "c-1", False),
+        (Rule(CACHES, frozenset({4})), 3, "c-1", False),
+        (Rule(CACHES, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
+        (Rule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
+    ],
+)
 def test_whom_a_rule_meets(rule, director, target, met):
     assert rule.meets("cache", director, target) is met
 
 
-@pytest.mark.parametrize("way, up, down", [("both", True, True), ("up", True, False), ("down", False, True)])
+@pytest.mark.parametrize(
+    "way, up, down", [("both", True, True), ("up", True, False), ("down", False, True)]
+)
 def test_a_cut_one_way_lets_the_other_pass(way, up, down):
     held = book(Rule(CACHES, way=way, cut=True))
     assert held.held("cache", 1, "c-1", UP) is up and held.held("cache", 1, "c-1", DOWN) is down
@@ -59,17 +64,24 @@
     assert dues == [600.0, 1100.0, 1600.0, 2100.0]
 
 
-@pytest.mark.parametrize("rule, low, high", [
-    (Rule(("director",), loss=0.5), 350, 650),
-    (Rule(("director",), doubled=0.5), 1350, 1650),
-    (Rule(("director",), cut=True), 0, 0),
-    (Rule(("director",), reset=True), 0, 0),
-    (Rule(("director",), way="up", loss=1.0), 0, 0),
-    (Rule(("director",), way="down", loss=1.0), 1000, 1000),
-])
+@pytest.mark.parametrize(
+    "rule, low, high",
+    [
+        (Rule(("director",), loss=0.5), 350, 650),
+        (Rule(("director",), doubled=0.5), 1350, 1650),
+        (Rule(("director",), cut=True), 0, 0),
+        (Rule(("director",), reset=True), 0, 0),
+        (Rule(("director",), way="up", loss=1.0), 0, 0),
+        (Rule(("director",), way="down", loss=1.0), 1000, 1000),
+    ],
+)
 def test_datagrams_are_lost_and_doubled(rule, low, high):
     held, draw = book(rule), random.Random(1)
-    assert low <= sum(len(held.datagram("director", 1, "2", UP, 5.0, draw)) for _ in range(1000)) <= high
+    assert (
+        low
+        <= sum(len(held.datagram("director", 1, "2", UP, 5.0, draw)) for _ in range(1000))
+        <= high
+    )
 
 
 def test_datagrams_are_overtaken():
@@ -80,6 +92,17 @@
 
 def test_a_rule_survives_its_line():
     rule = Rule(
-        ("cache", "parent"), frozenset({1, 2}), frozenset({"c-1"}), "up", True, False, 1.0, 2.0, 0.1, 0.2,
-        0.3, 4.0)
+        ("cache", "parent"),
+        frozenset({1, 2}),
+        frozenset({"c-1"}),
+        "up",
+        True,
+        False,
+        1.0,
+        2.0,
+        0.1,
+        0.2,
+        0.3,
+        4.0,
+    )
     assert rule_of(held_of(rule)) == rule
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -9,26 +9,29 @@
 KILL = HEAD + "[fault k]\nwhat = kill\nat = 5\nfor = 8\nshare = 0.7\n"
 
 
-@pytest.mark.parametrize("text, told", [
-    (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
-    (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
-    (HEAD + "warm_s = 40\n", r"\[fleet lab\] warm_s"),
-    (HEAD + "[directors]\ncount = 5001\n", r"\[directors\] count"),
-    (HEAD + "[nodes]\nlocations = a a\n", r"\[nodes\] locations"),
-    (HEAD + "[nodes]\nlocations = a b c\ncaches = 900\n", r"\[nodes\] caches"),
-    (HEAD + "[nodes]\nnotice_from_ms = 900\nnotice_to_ms = 100\n", r"\[nodes\] notice_to_ms"),
-    (HEAD + "[load]\nrate = much\n", r"\[load\] rate"),
-    (HEAD + "[fault]\nwhat = kill\n", r"\[fault\]: an unknown section"),
-    (HEAD + "[fault a]\nat = 3\n", r"\[fault a\] what"),
-    (HEAD + "[fault a]\nwhat = cut\nother = south\nat = 3\n", r"\[fault a\] other"),
-    (HEAD + "[fault a]\nwhat = cut\n", r"\[fault a\] at: the key is missing"),
-    (HEAD + "[fault a]\nwhat = cut\nat = 3\npaths = moon\n", r"\[fault a\] paths"),
-    (HEAD + "[fault a]\nwhat = cut\nat = 3\nlocation = west\n", r"\[fault a\] location"),
-    (HEAD + "[fault a]\nwhat = cut\nat = 3\nway = left\n", r"\[fault a\] way"),
-    (HEAD + "[fault a]\nwhat = cut\nat = 28\nfor = 3\n", r"\[fault a\] for"),
-    (HEAD + "[fault a]\nwhat = node_slow\nat = 3\nnodes = c-0\n", r"\[fault a\] nodes"),
-    (HEAD + "[fault a]\nwhat = shift\nat = 3\nlocation = north\n", r"\[fault a\] other"),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
+        (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
+        (HEAD + "warm_s = 40\n", r"\[fleet lab\] warm_s"),
+        (HEAD + "[directors]\ncount = 5001\n", r"\[directors\] count"),
+        (HEAD + "[nodes]\nlocations = a a\n", r"\[nodes\] locations"),
+        (HEAD + "[nodes]\nlocations = a b c\ncaches = 900\n", r"\[nodes\] caches"),
+        (HEAD + "[nodes]\nnotice_from_ms = 900\nnotice_to_ms = 100\n", r"\[nodes\] notice_to_ms"),
+        (HEAD + "[load]\nrate = much\n", r"\[load\] rate"),
+        (HEAD + "[fault]\nwhat = kill\n", r"\[fault\]: an unknown section"),
+        (HEAD + "[fault a]\nat = 3\n", r"\[fault a\] what"),
+        (HEAD + "[fault a]\nwhat = cut\nother = south\nat = 3\n", r"\[fault a\] other"),
+        (HEAD + "[fault a]\nwhat = cut\n", r"\[fault a\] at: the key is missing"),
+        (HEAD + "[fault a]\nwhat = cut\nat = 3\npaths = moon\n", r"\[fault a\] paths"),
+        (HEAD + "[fault a]\nwhat = cut\nat = 3\nlocation = west\n", r"\[fault a\] location"),
+        (HEAD + "[fault a]\nwhat = cut\nat = 3\nway = left\n", r"\[fault a\] way"),
+        (HEAD + "[fault a]\nwhat = cut\nat = 28\nfor = 3\n", r"\[fault a\] for"),
+        (HEAD + "[fault a]\nwhat = node_slow\nat = 3\nnodes = c-0\n", r"\[fault a\] nodes"),
+        (HEAD + "[fault a]\nwhat = shift\nat = 3\nlocation = north\n", r"\[fault a\] other"),
+    ],
+)
 def test_a_fault_names_its_key(text, told):
     with pytest.raises(CharterError, match=told):
         read_fleet(text)
@@ -42,16 +45,22 @@
     assert [len(directors) for _, directors in drawn(KILL)] == [28] + 28 * [1]
 
 
-@pytest.mark.parametrize("more, whom, begin, end", [
-    ("what = stop\nshare = 0.5\nfor = 5\n", 20, 1, 1),
-    ("what = restart\nover = 10\n", 1, 40, 0),
-    ("what = cut\nlocation = north\nfor = 6\n", 20, 1, 1),
-    ("what = node_errors\nseen_by = 0.5\nshare = 0.25\nfor = 6\n", 20, 1, 1),
-])
+@pytest.mark.parametrize(
+    "more, whom, begin, end",
+    [
+        ("what = stop\nshare = 0.5\nfor = 5\n", 20, 1, 1),
+        ("what = restart\nover = 10\n", 1, 40, 0),
+        ("what = cut\nlocation = north\nfor = 6\n", 20, 1, 1),
+        ("what = node_errors\nseen_by = 0.5\nshare = 0.25\nfor = 6\n", 20, 1, 1),
+    ],
+)
 def test_whom_a_fault_meets(more, whom, begin, end):
     strikes = read_fleet(HEAD + "[fault a]\nat = 4\n" + more).strikes()
     assert {len(strike.directors) for strike in strikes} == {whom}
-    assert [sum(strike.begins is begins for strike in strikes) for begins in (True, False)] == [begin, end]
+    assert [sum(strike.begins is begins for strike in strikes) for begins in (True, False)] == [
+        begin,
+        end,
+    ]
     assert all(4.0 <= strike.at <= 14.0 for strike in strikes)
 
 
@@ -68,7 +77,9 @@
     assert {site.place for site in sites} == set(scenario.places())
 
 
-@pytest.mark.parametrize("since, north, south", [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)])
+@pytest.mark.parametrize(
+    "since, north, south", [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)]
+)
 def test_load_moves_from_one_location_to_another(since, north, south):
     scenario = read_fleet(
         HEAD + "[directors]\nuneven = 0\n[fault s]\nwhat = shift\nat = 10\nfor = 5\nby = 0.5\n"
@@ -80,17 +91,23 @@
 
 
 def test_a_sudden_hot_object_takes_its_share():
-    scenario = read_fleet(HEAD + "[load]\norders = 0\n[fault h]\nwhat = hot\nat = 10\nfor = 5\nby = 0.2\n")
+    scenario = read_fleet(
+        HEAD + "[load]\norders = 0\n[fault h]\nwhat = hot\nat = 10\nfor = 5\nby = 0.2\n"
+    )
     demand = Demand(scenario, "north")
     keys = [demand.wanted(12.0).key for _ in range(2000)]
     hot = max(set(keys), key=keys.count)
-    assert 0.17 < keys.count(hot) / 2000 < 0.24 and hot not in [demand.wanted(8.0).key for _ in range(2000)]
+    assert 0.17 < keys.count(hot) / 2000 < 0.24 and hot not in [
+        demand.wanted(8.0).key for _ in range(2000)
+    ]
 
 
 @pytest.mark.parametrize("director", [0, 1, 254, 255, 256, 399, 4999])
 def test_an_address_tells_its_director(director):
     held = [addresses.own(director), addresses.far(director), addresses.peer(director)]
-    assert [addresses.director_of(address) for address in held] == [director] * 3 and len(set(held)) == 3
+    assert [addresses.director_of(address) for address in held] == [director] * 3 and len(
+        set(held)
+    ) == 3
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1", "10.20.0.1", "127.40.0.1", "x"])
@@ -111,12 +128,15 @@
         scenario.sized(directors).on_sockets()
 
 
-@pytest.mark.parametrize("request_class, tries, left, again", [
-    ("pages", 1, 500.0, True),
-    ("order", 2, 500.0, True),
-    ("order", 3, 500.0, False),
-    ("pages", 1, 90.0, False),
-    ("pay", 1, 500.0, False),  # its first try may have had its effect
-])
+@pytest.mark.parametrize(
+    "request_class, tries, left, again",
+    [
+        ("pages", 1, 500.0, True),
+        ("order", 2, 500.0, True),
+        ("order", 3, 500.0, False),
+        ("pages", 1, 90.0, False),
+        ("pay", 1, 500.0, False),  # its first try may have had its effect
+    ],
+)
 def test_which_clients_ask_again_after_their_connection_ended(request_class, tries, left, again):
     assert may_try_again(read_fleet(HEAD), Wanted(request_class, 1, 4.0, ""), tries, left) is again
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -29,8 +29,16 @@
 objects = 400
 late_ms = 5000
 """
-IN_STEP = ("spread/watching.py", "self.random.choice(listed)", "listed[int(now / 500.0) % len(listed)]")
-ONE_CLOCK = ("policy.py", "(mix(*what, member.key) + 1)", "(mix(int(self.now / 3000.0), member.key) + 1)")
+IN_STEP = (
+    "spread/watching.py",
+    "self.random.choice(listed)",
+    "listed[int(now / 500.0) % len(listed)]",
+)
+ONE_CLOCK = (
+    "policy.py",
+    "(mix(*what, member.key) + 1)",
+    "(mix(int(self.now / 3000.0), member.key) + 1)",
+)
 
 
 def played(folder, plant=None):
@@ -51,14 +59,19 @@
 
 
 PLAYS = {
-    "none-planted": played, "planted-probes": lambda folder: played(folder, IN_STEP),
-    "planted-herd": lambda folder: played(folder, ONE_CLOCK)}
+    "none-planted": played,
+    "planted-probes": lambda folder: played(folder, IN_STEP),
+    "planted-herd": lambda folder: played(folder, ONE_CLOCK),
+}
 
 
 @pytest.mark.parametrize(
     "play, herd, idle, probes",
-    [("none-planted", False, False, False), ("planted-probes", False, False, True),
-     ("planted-herd", True, True, False)],
+    [
+        ("none-planted", False, False, False),
+        ("planted-probes", False, False, True),
+        ("planted-herd", True, True, False),
+    ],
 )
 def test_a_planted_herd_is_found_and_none_where_there_is_none(play, herd, idle, probes, plays):
     figures = plays(play)
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -1,4 +1,6 @@
-"""That no overload lives on after its cause, in the model; and that the measure would see one that does."""
+"""That no overload lives on after its cause, in the model; and that the measure would see one that
+does.
+"""
 
 import pytest
 
@@ -6,9 +8,13 @@
 from mulleinrelay import policy
 from mulleinrelay.spread import storm
 
-
-FEW, MANY = [("slow", 8), ("burst", 3), ("cut", 4)], [("slow", 0.0), ("burst", 0.0), ("unreached", 0.8)]
-STUDIES = {f"{trouble}, {span} s": (recovery.play, trouble, span, 20, 220.0, 1) for trouble, span in FEW}
+FEW, MANY = (
+    [("slow", 8), ("burst", 3), ("cut", 4)],
+    [("slow", 0.0), ("burst", 0.0), ("unreached", 0.8)],
+)
+STUDIES = {
+    f"{trouble}, {span} s": (recovery.play, trouble, span, 20, 220.0, 1) for trouble, span in FEW
+}
 STUDIES |= {f"{trouble}, many": (recovery.play, trouble, 5, 200, 230.0, 1) for trouble, _ in MANY}
 
 
@@ -21,15 +27,18 @@
 
 @pytest.mark.parametrize("trouble, during", MANY)
 def test_a_fleet_of_directors_that_see_one_request_a_second_is_back_too(trouble, during, studies):
-    """Guards against overdue requests that are rejected with their answers on the way: the fleet never
-    came back. And against a location that is not reached being found out cache by cache."""
+    """Guards against overdue requests that are rejected with their answers on the way: the fleet
+    never came back. And against a location that is not reached being found out cache by cache.
+    """
     found = studies(f"{trouble}, many")
     assert found["calm"] > 0.95 and found["during"] > during
     assert found["back_s"] is not None and found["back_s"] <= 10
 
 
 def test_a_planted_storm_is_found(monkeypatch, studies):
-    """Directors that send on whatever was turned away, at no cost: the overload outlives its cause."""
+    """Directors that send on whatever was turned away, at no cost: the overload
+    outlives its cause.
+    """
     monkeypatch.setattr(storm, "EARNED", 6.0)
     monkeypatch.setattr(storm, "NONE_AT", 1e9)
     monkeypatch.setattr(storm, "cost", lambda *_: 0.05)
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -50,8 +50,12 @@
             str(tmp_path / "relay.log"),
             {
                 "seed": "1",
-                "targets": [{"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}],
-                "datagrams": [1, 2], "datagram_port": DATAGRAMS},
+                "targets": [
+                    {"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}
+                ],
+                "datagrams": [1, 2],
+                "datagram_port": DATAGRAMS,
+            },
         )
         self.port = self.helper.hear()["ports"]["c-1"]
 
@@ -89,7 +93,9 @@
 
 
 def test_bytes_pass_and_the_target_learns_who_has_come(relayed):
-    assert said(relayed.connect(1), b"one") == b"one" and said(relayed.connect(300), b"two") == b"two"
+    assert (
+        said(relayed.connect(1), b"one") == b"one" and said(relayed.connect(300), b"two") == b"two"
+    )
     assert sorted(relayed.echo.named) == [b"@1\n", b"@300\n"]
 
 
@@ -109,7 +115,11 @@
     mine, other = relayed.connect(1), relayed.connect(2)
     assert said(mine, b"a") == b"a" and said(other, b"b") == b"b"
     relayed.rule(Rule(("cache",), frozenset({1}), reset=True))
-    assert said(mine, b"x") == b"" and said(relayed.connect(1), b"y") == b"" and said(other, b"z") == b"z"
+    assert (
+        said(mine, b"x") == b""
+        and said(relayed.connect(1), b"y") == b""
+        and said(other, b"z") == b"z"
+    )
     relayed.lift()
     time.sleep(0.1)
     assert said(relayed.connect(1), b"w") == b"w"
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -21,7 +21,8 @@
         1000.0,
         {
             "north": Cell("north", caches=("s-01",), neighbours=("south",)),
-            "south": Cell("south", caches=("s-02", "s-03"))},
+            "south": Cell("south", caches=("s-02", "s-03")),
+        },
         {"acme": Tenant("acme", "north"), "beta": Tenant("beta", "south")},
         default_tenant="beta",
     )
@@ -67,10 +68,18 @@
     def tell(self, number, name, state="SERVING", started=0, port=None, full=False):
         place = next(place for place, spot in enumerate(SPOTS) if spot[0] == name)
         row = {
-            "id": name, "addr": f"127.0.0.1:{port}" if port else self.nodes[place].address,
-            "zone": SPOTS[place][1], "kind": SPOTS[place][2], "cell": 0, "state": state, "weight": 4,
-            "started_ms": started}
-        self.service.bus.apply(number, {"topology": {"version": number, "full": full, "servers": [row]}})
+            "id": name,
+            "addr": f"127.0.0.1:{port}" if port else self.nodes[place].address,
+            "zone": SPOTS[place][1],
+            "kind": SPOTS[place][2],
+            "cell": 0,
+            "state": state,
+            "weight": 4,
+            "started_ms": started,
+        }
+        self.service.bus.apply(
+            number, {"topology": {"version": number, "full": full, "servers": [row]}}
+        )
 
     def __exit__(self, *_):
         for target in self.targets:
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -13,8 +13,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from mulleinrelay.management.datastore import (
-    HISTORY_MOST, Datastore, Held, RefusedError, Unconfirmed, Version)
-from mulleinrelay.management.keep import KeepError, Keeper, decoded, encoded
+    HISTORY_MOST,
+    Datastore,
+    Held,
+    RefusedError,
+    Unconfirmed,
+    Version,
+)
+from mulleinrelay.management.keep import Keeper, KeepError, decoded, encoded
 
 
 class Spy:
@@ -55,12 +61,15 @@
     raise RefusedError("disk full", "failed")
 
 
-@pytest.mark.parametrize("parts, keep, tree, code", [
-    ((Spy("one"), Spy("two", prepare=True)), None, {"a": 1}, "invalid"),
-    ((Spy("one"), Spy("two", commit=True)), None, {"a": 1}, "failed"),
-    ((Spy("one"), Spy("two")), fail, {"a": 1}, "failed"),
-    ((Spy("one"),), None, {"bad": 1}, "invalid"),
-])
+@pytest.mark.parametrize(
+    "parts, keep, tree, code",
+    [
+        ((Spy("one"), Spy("two", prepare=True)), None, {"a": 1}, "invalid"),
+        ((Spy("one"), Spy("two", commit=True)), None, {"a": 1}, "failed"),
+        ((Spy("one"), Spy("two")), fail, {"a": 1}, "failed"),
+        ((Spy("one"),), None, {"bad": 1}, "invalid"),
+    ],
+)
 def test_what_is_refused_anywhere_is_done_nowhere(parts, keep, tree, code):
     held = store(parts, keep)
     before = held.held
@@ -77,12 +86,15 @@
     assert why.value.code == "stale" and held.running.tree == {"a": 1}
 
 
-@pytest.mark.parametrize("deed, tree, number", [
-    (lambda held: held.tick(60_000.0), {"a": 1}, 3),
-    (lambda held: held.tick(50_000.0), {"a": 2}, 2),
-    (lambda held: (held.confirm("c"), held.tick(99_000.0)), {"a": 2}, 2),
-    (lambda held: held.cancel(5.0, "c", "me"), {"a": 1}, 3),
-])
+@pytest.mark.parametrize(
+    "deed, tree, number",
+    [
+        (lambda held: held.tick(60_000.0), {"a": 1}, 3),
+        (lambda held: held.tick(50_000.0), {"a": 2}, 2),
+        (lambda held: (held.confirm("c"), held.tick(99_000.0)), {"a": 2}, 2),
+        (lambda held: held.cancel(5.0, "c", "me"), {"a": 1}, 3),
+    ],
+)
 def test_a_change_that_wants_a_confirmation(deed, tree, number):
     held, part = store([Spy("one")]), None
     part = held.parts[0]
@@ -173,7 +185,8 @@
 
 HELD = Held(
     [Version(1, {"a": 1}, 1.0, "me", "x"), Version(2, {"b": [1, "ü"]}, 2.0, "", "")],
-    Unconfirmed("c", 9.0, {"a": 1}))
+    Unconfirmed("c", 9.0, {"a": 1}),
+)
 
 
 def test_what_is_kept_reads_back(tmp_path):
@@ -188,8 +201,11 @@
     data = encoded(HELD)
     place %= len(data)
     damaged = {
-        0: data[:place], 1: data[:place] + bytes([byte]) + data[place + 1 :], 2: data + bytes([byte]),
-        3: data[place:]}[how]
+        0: data[:place],
+        1: data[:place] + bytes([byte]) + data[place + 1 :],
+        2: data + bytes([byte]),
+        3: data[place:],
+    }[how]
     if damaged == data:
         return
     with pytest.raises(KeepError):
@@ -197,12 +213,15 @@
         raise KeepError("the same after all") if found == HELD else AssertionError("read another")
 
 
-@pytest.mark.parametrize("data, why", [
-    (b"mulleinrelay-datastore 9 0 00000000\n", "use a newer one"),
-    (b"", "no datastore"),
-    (b"x y\n{}", "no datastore"),
-    (b"mulleinrelay-datastore 1 2 %08x\n{}" % zlib.crc32(b"{}"), "something else"),
-])
+@pytest.mark.parametrize(
+    "data, why",
+    [
+        (b"mulleinrelay-datastore 9 0 00000000\n", "use a newer one"),
+        (b"", "no datastore"),
+        (b"x y\n{}", "no datastore"),
+        (b"mulleinrelay-datastore 1 2 %08x\n{}" % zlib.crc32(b"{}"), "something else"),
+    ],
+)
 def test_what_is_no_datastore_is_refused_in_words(data, why, tmp_path):
     (tmp_path / "datastore").write_bytes(data)
     with pytest.raises(KeepError, match=why):
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -1,5 +1,6 @@
-"""gNMI at a whole director: by our own client, by pygnmi, and by bytes made from the published field
-numbers."""
+"""gNMI at a whole director: by our own client, by pygnmi, and by bytes made from the published
+field numbers.
+"""
 
 import json
 import os
@@ -48,8 +49,13 @@
     """What a refused change must leave alone."""
     whole = director.manager.store
     return (
-        whole.running, whole.held, director.path.read_bytes(), director.ready(),
-        director.service.warden.governor.charter, (director.folder / "state" / "datastore").read_bytes())
+        whole.running,
+        whole.held,
+        director.path.read_bytes(),
+        director.ready(),
+        director.service.warden.governor.charter,
+        (director.folder / "state" / "datastore").read_bytes(),
+    )
 
 
 def test_a_drained_box_gets_nothing_new_and_its_attempts_end(tmp_path):
@@ -68,7 +74,11 @@
         first = director.caller()
         first.send(entity="00000000000000ff")
         assert wait_for(
-            lambda: any(sent[2]["name"].endswith("ff") for held in director.heard().values() for sent in held)
+            lambda: any(
+                sent[2]["name"].endswith("ff")
+                for held in director.heard().values()
+                for sent in held
+            )
         )
         box = next(
             name
@@ -98,7 +108,9 @@
         drain(director.target(), "s-02")
         nodes = director.nodes
         with pytest.raises(CallError, match="to be confirmed|still wants|version"):
-            director.target().set(updates=[(parse(f"{DRAIN}[box=s-01]"), {})], extra={"built_on": 0})
+            director.target().set(
+                updates=[(parse(f"{DRAIN}[box=s-01]"), {})], extra={"built_on": 0}
+            )
         ports = [node.address for node in nodes]
     with Managed(tmp_path) as again:
         assert ports and "s-02" in again.manager.drains.intent.drains
@@ -127,7 +139,12 @@
             (parse("/fleet/assignment/tenant[name=acme]/cell"), "west"),
         ]
     },
-    {"updates": [(parse("/fleet/assignment/tenant[name=acme]/limits/rate"), "9"), (parse("/fleet/none"), 1)]},
+    {
+        "updates": [
+            (parse("/fleet/assignment/tenant[name=acme]/limits/rate"), "9"),
+            (parse("/fleet/none"), 1),
+        ]
+    },
     {"updates": [(parse("/fleet/assignment/cell[name=north]/neighbour"), ["north"])]},
     {"updates": [(parse("/fleet/assignment/cell[name=south]/cache"), ["s-01"])]},
     {"updates": [(parse("/fleet/assignment/tenant[name=acme]/address"), ["10.0.0.1/8"])]},
@@ -182,8 +199,12 @@
     lambda inner: (
         st.lists(inner, max_size=3)
         | st.dictionaries(
-            st.sampled_from(["box", "drain", "drains", "cell", "name", "limits", "rate", "tenant", "é"]),
-            inner, max_size=3)
+            st.sampled_from(
+                ["box", "drain", "drains", "cell", "name", "limits", "rate", "tenant", "é"]
+            ),
+            inner,
+            max_size=3,
+        )
     ),
 )
 
@@ -207,7 +228,10 @@
     try:
         target.set(updates=[(parse(path), value)])
     except CallError as wrong:
-        assert wrong.code == "INVALID_ARGUMENT" or wrong.code == "NOT_FOUND", (wrong.code, str(wrong))
+        assert wrong.code == "INVALID_ARGUMENT" or wrong.code == "NOT_FOUND", (
+            wrong.code,
+            str(wrong),
+        )
         assert running.manager.store.running is before
     else:
         running.manager.rollback(before.number, "test")
@@ -217,7 +241,12 @@
     with Managed(tmp_path, cells=True) as director:
         target = director.target()
         target.set(
-            updates=[(parse("/fleet/assignment/tenant[name=acme]/limits"), {"rate": "0.01", "burst": "2"})]
+            updates=[
+                (
+                    parse("/fleet/assignment/tenant[name=acme]/limits"),
+                    {"rate": "0.01", "burst": "2"},
+                )
+            ]
         )
         assert store.load(str(director.path)).tenants["acme"].limits.rate == 0.01
         caller = director.caller()
@@ -227,17 +256,27 @@
         done = CliRunner().invoke(
             main,
             [
-                "cells", "move", "acme", "--to", "south", "--name", "m1", "--shift-ms", "900", "--file",
-                str(director.path)],
+                "cells",
+                "move",
+                "acme",
+                "--to",
+                "south",
+                "--name",
+                "m1",
+                "--shift-ms",
+                "900",
+                "--file",
+                str(director.path),
+            ],
         )
         assert done.exit_code == 0
         assert wait_for(lambda: "m1" in director.service.warden.governor.charter.moves)
         ((_, held),) = target.get(parse("/fleet/assignment/move[name=m1]"))
         assert held["state"]["stage"] == "planned"
         number = target.set(deletes=[parse("/fleet/assignment/move[name=m1]")])
-        assert store.load(str(director.path)).moves == {} and target.get(parse("/fleet/datastore/version"))[
-            0
-        ][1] == str(number)
+        assert store.load(str(director.path)).moves == {} and target.get(
+            parse("/fleet/datastore/version")
+        )[0][1] == str(number)
 
 
 def test_a_part_that_fails_in_the_middle_leaves_all_as_it_was(running, monkeypatch):
@@ -254,14 +293,17 @@
         target.set(
             updates=[
                 (parse("/fleet/assignment/tenant[name=acme]/weight"), "7.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {})]
+                (parse(f"{DRAIN}[box=s-9]"), {}),
+            ]
         )
     monkeypatch.undo()
     assert why.value.code == "INTERNAL"
     after = shot(running)
     assert before[:2] == after[:2] and before[3] == after[3] and before[5] == after[5]
     assert after[4].tenants == before[4].tenants  # under a higher version of the file
-    assert wait_for(lambda: running.service.warden.governor.charter == store.load(str(running.path)))
+    assert wait_for(
+        lambda: running.service.warden.governor.charter == store.load(str(running.path))
+    )
 
 
 def test_a_commit_that_was_killed_halfway_is_brought_to_its_end(tmp_path, monkeypatch):
@@ -272,7 +314,8 @@
         target.set(
             updates=[
                 (parse("/fleet/assignment/tenant[name=acme]/weight"), "3.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {})]
+                (parse(f"{DRAIN}[box=s-9]"), {}),
+            ]
         )
     director.path.write_bytes(taken)  # as if killed between the datastore and the assignment file
     with Managed(tmp_path, cells=True) as again:
@@ -304,8 +347,10 @@
 def test_a_stream_tells_of_changes_once_they_are(running):
     target = running.target()
     found, done = gathered(
-        target, ["/fleet/drains", "/fleet/boxes/box[name=s-02]/state"],
-        lambda held: any(one[0] == "delete" for one in held))
+        target,
+        ["/fleet/drains", "/fleet/boxes/box[name=s-02]/state"],
+        lambda held: any(one[0] == "delete" for one in held),
+    )
     assert wait_for(lambda: ("sync", None, None) in found)
     drain(running.target(), "s-02", reason="r")
     assert wait_for(
@@ -337,27 +382,39 @@
     with grpc.insecure_channel(director.address) as channel:
         if name == "Subscribe":
             return list(
-                channel.stream_stream(f"/gnmi.gNMI/{name}", asked.SerializeToString, told.FromString)(
-                    iter(message)
-                )
+                channel.stream_stream(
+                    f"/gnmi.gNMI/{name}", asked.SerializeToString, told.FromString
+                )(iter(message))
             )
-        return channel.unary_unary(f"/gnmi.gNMI/{name}", asked.SerializeToString, told.FromString)(message)
+        return channel.unary_unary(f"/gnmi.gNMI/{name}", asked.SerializeToString, told.FromString)(
+            message
+        )
 
 
 def subscribe(mode, path, **how):
     elems = [gnmi.PathElem(name=name) for name in path.strip("/").split("/")]
     return gnmi.SubscribeRequest(
         subscribe=gnmi.SubscriptionList(
-            mode=mode, encoding=gnmi.JSON_IETF,
-            subscription=[gnmi.Subscription(path=gnmi.PathMessage(elem=elems))], **how)
+            mode=mode,
+            encoding=gnmi.JSON_IETF,
+            subscription=[gnmi.Subscription(path=gnmi.PathMessage(elem=elems))],
+            **how,
+        )
     )
 
 
-@pytest.mark.parametrize("messages, updates, syncs", [
-    ([subscribe(gnmi.ONCE, "/fleet/request-classes")], True, 1),
-    ([subscribe(gnmi.ONCE, "/fleet/request-classes", updates_only=True)], False, 1),
-    ([subscribe(gnmi.POLL, "/fleet/request-classes"), *[gnmi.SubscribeRequest(poll={})] * 2], True, 2),
-])
+@pytest.mark.parametrize(
+    "messages, updates, syncs",
+    [
+        ([subscribe(gnmi.ONCE, "/fleet/request-classes")], True, 1),
+        ([subscribe(gnmi.ONCE, "/fleet/request-classes", updates_only=True)], False, 1),
+        (
+            [subscribe(gnmi.POLL, "/fleet/request-classes"), *[gnmi.SubscribeRequest(poll={})] * 2],
+            True,
+            2,
+        ),
+    ],
+)
 def test_once_and_poll(running, messages, updates, syncs):
     told = call(running, "Subscribe", messages)
     assert (
@@ -366,26 +423,33 @@
     )
 
 
-@pytest.mark.parametrize("name, message, code", [
-    ("Get", gnmi.GetRequest(encoding=gnmi.ASCII), "UNIMPLEMENTED"),
-    ("Get", gnmi.GetRequest(path=[{"origin": "cli"}]), "INVALID_ARGUMENT"),
-    ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "none"}]}]), "NOT_FOUND"),
-    ("Get", gnmi.GetRequest(path=[{"element": ["fleet"]}]), "INVALID_ARGUMENT"),
-    ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "a"}] * 40}]), "INVALID_ARGUMENT"),
-    (
-        "Set",
-        gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"json_val": b"{"}}]),
-        "INVALID_ARGUMENT",
-    ),
-    (
-        "Set",
-        gnmi.SetRequest(update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"proto_bytes": b"x"}}]),
-        "INVALID_ARGUMENT",
-    ),
-    ("Set", gnmi.SetRequest(union_replace=[{"path": {}}]), "UNIMPLEMENTED"),
-    ("Subscribe", [gnmi.SubscribeRequest(poll={})], "INVALID_ARGUMENT"),
-    ("Subscribe", [subscribe(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
-])
+@pytest.mark.parametrize(
+    "name, message, code",
+    [
+        ("Get", gnmi.GetRequest(encoding=gnmi.ASCII), "UNIMPLEMENTED"),
+        ("Get", gnmi.GetRequest(path=[{"origin": "cli"}]), "INVALID_ARGUMENT"),
+        ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "none"}]}]), "NOT_FOUND"),
+        ("Get", gnmi.GetRequest(path=[{"element": ["fleet"]}]), "INVALID_ARGUMENT"),
+        ("Get", gnmi.GetRequest(path=[{"elem": [{"name": "a"}] * 40}]), "INVALID_ARGUMENT"),
+        (
+            "Set",
+            gnmi.SetRequest(
+                update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"json_val": b"{"}}]
+            ),
+            "INVALID_ARGUMENT",
+        ),
+        (
+            "Set",
+            gnmi.SetRequest(
+                update=[{"path": {"elem": [{"name": "fleet"}]}, "val": {"proto_bytes": b"x"}}]
+            ),
+            "INVALID_ARGUMENT",
+        ),
+        ("Set", gnmi.SetRequest(union_replace=[{"path": {}}]), "UNIMPLEMENTED"),
+        ("Subscribe", [gnmi.SubscribeRequest(poll={})], "INVALID_ARGUMENT"),
+        ("Subscribe", [subscribe(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
+    ],
+)
 def test_wrong_calls_end_with_their_status(running, name, message, code):
     with pytest.raises(grpc.RpcError) as why:
         call(running, name, message)
@@ -404,12 +468,14 @@
 
 
 def test_bytes_made_from_the_published_field_numbers(running):
-    # GetRequest: path = 2, type = 3 (CONFIG 1), encoding = 5 (JSON_IETF 4); Path: elem = 3; PathElem:
-    # name = 1, key = 2
+    # GetRequest: path = 2, type = 3 (CONFIG 1), encoding = 5 (JSON_IETF 4); Path: elem = 3;
+    # PathElem: name = 1, key = 2
 
     key = field(2, 2, field(1, 2, b"name") + field(2, 2, b"acme"))
     elems = [field(1, 2, b"fleet"), field(1, 2, b"assignment"), field(1, 2, b"tenant") + key]
-    request = field(2, 2, b"".join(field(3, 2, elem) for elem in elems)) + field(3, 0, 1) + field(5, 0, 4)
+    request = (
+        field(2, 2, b"".join(field(3, 2, elem) for elem in elems)) + field(3, 0, 1) + field(5, 0, 4)
+    )
     with grpc.insecure_channel(running.address) as channel:
         data = channel.unary_unary("/gnmi.gNMI/Get", lambda held: held, lambda held: held)(request)
     assert (
@@ -425,15 +491,20 @@
             models["supported_models"][0]["name"] == "mulleinrelay-fleet"
             and "json_ietf" in models["supported_encodings"]
         )
-        client.set(update=[("/fleet/drains/drain[box=s-03]", {"reason": "by pygnmi"})], encoding="json_ietf")
+        client.set(
+            update=[("/fleet/drains/drain[box=s-03]", {"reason": "by pygnmi"})],
+            encoding="json_ietf",
+        )
         assert running.ready() == ["s-01", "s-02"]
         held = client.get(path=["/fleet/drains/drain[box=s-03]"], encoding="json_ietf")
         value = held["notification"][0]["update"][0]["val"]
         assert value["mulleinrelay-fleet:reason"] == "by pygnmi"
         stream = client.subscribe_stream(
             subscribe={
-                "subscription": [{"path": "/fleet/drains", "mode": "on_change"}], "mode": "stream",
-                "encoding": "json_ietf"}
+                "subscription": [{"path": "/fleet/drains", "mode": "on_change"}],
+                "mode": "stream",
+                "encoding": "json_ietf",
+            }
         )
         assert "update" in next(iter(stream))
         stream.close()
@@ -447,18 +518,32 @@
 
 
 def test_the_command_line(running, tmp_path):
-    assert ctl(running, "drain", "s-02", "--reason", "smoke")[1].endswith("s-02 binding, 0 attempts out\n")
+    assert ctl(running, "drain", "s-02", "--reason", "smoke")[1].endswith(
+        "s-02 binding, 0 attempts out\n"
+    )
     code, told = ctl(running, "drain", "s-03")
     assert code == 3 and "cell south would be left without caches" in told
     assert ctl(running, "undrain", "s-02")[0] == 0
     code, told = ctl(running, "--json", "get", "/fleet/boxes/box/state")
     assert code == 0 and json.loads(told)[running.address]["result"][0] == [
-        "/fleet/boxes/box[name=s-01]/state", "ready"]
+        "/fleet/boxes/box[name=s-01]/state",
+        "ready",
+    ]
     assert "s-03" in ctl(running, "get", "/fleet/boxes/box")[1]
     code, told = ctl(
-        running, "set", "--within", "30", "--id", "k1",
-        "/fleet/assignment/tenant[name=acme]/limits/retries=0.5")
-    assert code == 0 and ctl(running, "confirm", "k1")[0] == 0 and ctl(running, "confirm", "k1")[0] == 3
+        running,
+        "set",
+        "--within",
+        "30",
+        "--id",
+        "k1",
+        "/fleet/assignment/tenant[name=acme]/limits/retries=0.5",
+    )
+    assert (
+        code == 0
+        and ctl(running, "confirm", "k1")[0] == 0
+        and ctl(running, "confirm", "k1")[0] == 3
+    )
     file = tmp_path / "wanted.json"
     file.write_text(json.dumps(running.manager.store.running.tree))
     assert "0 others, 0 not in the file" in ctl(running, "diff", str(file))[1]
@@ -475,7 +560,11 @@
 
 def test_the_model_is_clean_and_its_lists_have_keys():
     command = [os.path.join(os.path.dirname(sys.executable), "pyang"), "--lint", "-p", FOLDER]
-    done = subprocess.run([*command, f"{FOLDER}/mulleinrelay-fleet.yang"], capture_output=True, text=True)
+    done = subprocess.run(
+        [*command, f"{FOLDER}/mulleinrelay-fleet.yang"], capture_output=True, text=True
+    )
     assert (done.returncode, done.stdout + done.stderr) == (0, "")
     shape = Model().shape.children["fleet"]
-    assert shape.children["boxes"].state and shape.children["drains"].children["drain"].keys == ("box",)
+    assert shape.children["boxes"].state and shape.children["drains"].children["drain"].keys == (
+        "box",
+    )
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -22,14 +22,20 @@
                 "drains": Shape(
                     {
                         "drain": Shape(
-                            {"box": LEAF, "why": LEAF, "state": Shape({"phase": LEAF}, state=True)}, ("box",),
-                            True)
+                            {"box": LEAF, "why": LEAF, "state": Shape({"phase": LEAF}, state=True)},
+                            ("box",),
+                            True,
+                        )
                     }
                 ),
                 "cell": Shape(
-                    {"name": LEAF, "cache": LEAVES, "limits": Shape({"rate": LEAF})}, ("name",), True
+                    {"name": LEAF, "cache": LEAVES, "limits": Shape({"rate": LEAF})},
+                    ("name",),
+                    True,
+                ),
+                "boxes": Shape(
+                    {"box": Shape({"name": LEAF}, ("name",), True, state=True)}, state=True
                 ),
-                "boxes": Shape({"box": Shape({"name": LEAF}, ("name",), True, state=True)}, state=True),
             }
         )
     }
@@ -40,18 +46,22 @@
     return {
         "fleet": {
             "drains": {"drain": [{"box": "s-1", "why": "x"}, {"box": "s-2"}]},
-            "cell": [{"name": "n", "cache": ["a"], "limits": {"rate": "1"}}]}
+            "cell": [{"name": "n", "cache": ["a"], "limits": {"rate": "1"}}],
+        }
     }
 
 
-@pytest.mark.parametrize("text, path", [
-    ("/", ()),
-    ("/fleet/drains", (("fleet", ()), ("drains", ()))),
-    ("fleet/drain[box=s-1]/", (("fleet", ()), ("drain", (("box", "s-1"),)))),
-    ("/mulleinrelay-fleet:fleet", (("fleet", ()),)),
-    (r"/a[k=x\]y\\z]", (("a", (("k", r"x]y\z"),)),)),
-    ("/a[k=b/c]", (("a", (("k", "b/c"),)),)),
-])
+@pytest.mark.parametrize(
+    "text, path",
+    [
+        ("/", ()),
+        ("/fleet/drains", (("fleet", ()), ("drains", ()))),
+        ("fleet/drain[box=s-1]/", (("fleet", ()), ("drain", (("box", "s-1"),)))),
+        ("/mulleinrelay-fleet:fleet", (("fleet", ()),)),
+        (r"/a[k=x\]y\\z]", (("a", (("k", r"x]y\z"),)),)),
+        ("/a[k=b/c]", (("a", (("k", "b/c"),)),)),
+    ],
+)
 def test_a_path_is_read_and_worded(text, path):
     assert parse(text) == path and parse(worded(path)) == path
 
@@ -72,14 +82,17 @@
         assert str(wrong)
 
 
-@pytest.mark.parametrize("text, found", [
-    ("/fleet/drains/drain[box=s-1]/why", ["x"]),
-    ("/fleet/drains/drain/why", ["x"]),
-    ("/fleet/*/drain[box=*]/box", ["s-1", "s-2"]),
-    ("/.../rate", ["1"]),
-    ("/fleet/drains/drain[box=s-9]", []),
-    ("/fleet/cell[name=n]/cache", [["a"]]),
-])
+@pytest.mark.parametrize(
+    "text, found",
+    [
+        ("/fleet/drains/drain[box=s-1]/why", ["x"]),
+        ("/fleet/drains/drain/why", ["x"]),
+        ("/fleet/*/drain[box=*]/box", ["s-1", "s-2"]),
+        ("/.../rate", ["1"]),
+        ("/fleet/drains/drain[box=s-9]", []),
+        ("/fleet/cell[name=n]/cache", [["a"]]),
+    ],
+)
 def test_reading_with_wildcards(text, found):
     assert [value for _, value in paths.read(SHAPE, tree(), parse(text))] == found
 
@@ -90,49 +103,58 @@
         list(paths.read(SHAPE, tree(), parse(text)))
 
 
-@pytest.mark.parametrize("what, text, value, after", [
-    (
-        "update",
-        "/fleet/drains/drain[box=s-3]",
-        {"why": "y"},
-        lambda held: held["drains"]["drain"][2] == {"box": "s-3", "why": "y"},
-    ),
-    (
-        "update",
-        "/fleet/drains/drain[box=s-1]/why",
-        "z",
-        lambda held: held["drains"]["drain"][0]["why"] == "z",
-    ),
-    (
-        "update",
-        "/fleet/cell",
-        [{"name": "n", "limits": {"rate": "9"}}, {"name": "m"}],
-        lambda held: (
-            [one["name"] for one in held["cell"]] == ["n", "m"] and held["cell"][0]["cache"] == ["a"]
+@pytest.mark.parametrize(
+    "what, text, value, after",
+    [
+        (
+            "update",
+            "/fleet/drains/drain[box=s-3]",
+            {"why": "y"},
+            lambda held: held["drains"]["drain"][2] == {"box": "s-3", "why": "y"},
+        ),
+        (
+            "update",
+            "/fleet/drains/drain[box=s-1]/why",
+            "z",
+            lambda held: held["drains"]["drain"][0]["why"] == "z",
         ),
-    ),
-    (
-        "replace",
-        "/fleet/cell[name=n]",
-        {"cache": ["b"]},
-        lambda held: held["cell"] == [{"name": "n", "cache": ["b"]}],
-    ),
-    ("replace", "/fleet", {"cell": []}, lambda held: "drains" not in held),
-    (
-        "delete",
-        "/fleet/drains/drain[box=s-1]",
-        None,
-        lambda held: held["drains"]["drain"] == [{"box": "s-2"}],
-    ),
-    ("delete", "/fleet/drains/drain[box=s-9]", None, lambda held: len(held["drains"]["drain"]) == 2),
-    ("delete", "/fleet/cell", None, lambda held: "cell" not in held),
-    (
-        "update",
-        "/mulleinrelay-fleet:fleet",
-        {"mulleinrelay-fleet:cell": [{"name": "q"}]},
-        lambda held: len(held["cell"]) == 2,
-    ),
-])
+        (
+            "update",
+            "/fleet/cell",
+            [{"name": "n", "limits": {"rate": "9"}}, {"name": "m"}],
+            lambda held: (
+                [one["name"] for one in held["cell"]] == ["n", "m"]
+                and held["cell"][0]["cache"] == ["a"]
+            ),
+        ),
+        (
+            "replace",
+            "/fleet/cell[name=n]",
+            {"cache": ["b"]},
+            lambda held: held["cell"] == [{"name": "n", "cache": ["b"]}],
+        ),
+        ("replace", "/fleet", {"cell": []}, lambda held: "drains" not in held),
+        (
+            "delete",
+            "/fleet/drains/drain[box=s-1]",
+            None,
+            lambda held: held["drains"]["drain"] == [{"box": "s-2"}],
+        ),
+        (
+            "delete",
+            "/fleet/drains/drain[box=s-9]",
+            None,
+            lambda held: len(held["drains"]["drain"]) == 2,
+        ),
+        ("delete", "/fleet/cell", None, lambda held: "cell" not in held),
+        (
+            "update",
+            "/mulleinrelay-fleet:fleet",
+            {"mulleinrelay-fleet:cell": [{"name": "q"}]},
+            lambda held: len(held["cell"]) == 2,
+        ),
+    ],
+)
 def test_writing(what, text, value, after):
     held = tree()
     if what == "delete":
@@ -142,20 +164,23 @@
     assert after(held["fleet"])
 
 
-@pytest.mark.parametrize("text, value", [
-    ("/fleet/boxes/box[name=s-1]", {}),
-    ("/fleet/drains/drain[box=s-1]/state/phase", "x"),
-    ("/fleet/none", 1),
-    ("/fleet/drains/drain/why", "x"),
-    ("/fleet/drains/drain[box=s-1]", {"box": "s-2"}),
-    ("/fleet/cell", [{"cache": []}]),
-    ("/fleet/cell", {"name": "n"}),
-    ("/fleet", 3),
-    ("/fleet/cell[name=n]/limits", [1]),
-    ("/fleet", {"drains": {"x": 1}}),
-    ("/fleet/drains/drain[box=s-1]", {"state": {}}),
-    ("/fleet/drains/drain[box=s-1]/why", {"a": 1}),
-])
+@pytest.mark.parametrize(
+    "text, value",
+    [
+        ("/fleet/boxes/box[name=s-1]", {}),
+        ("/fleet/drains/drain[box=s-1]/state/phase", "x"),
+        ("/fleet/none", 1),
+        ("/fleet/drains/drain/why", "x"),
+        ("/fleet/drains/drain[box=s-1]", {"box": "s-2"}),
+        ("/fleet/cell", [{"cache": []}]),
+        ("/fleet/cell", {"name": "n"}),
+        ("/fleet", 3),
+        ("/fleet/cell[name=n]/limits", [1]),
+        ("/fleet", {"drains": {"x": 1}}),
+        ("/fleet/drains/drain[box=s-1]", {"state": {}}),
+        ("/fleet/drains/drain[box=s-1]/why", {"a": 1}),
+    ],
+)
 def test_writing_what_may_not_be(text, value):
     with pytest.raises(PathError):
         paths.update(SHAPE, tree(), parse(text), value)
@@ -166,19 +191,26 @@
     new["fleet"]["drains"]["drain"][0]["why"] = "y"
     del new["fleet"]["drains"]["drain"][1], new["fleet"]["cell"][0]["limits"]
     changed, gone = paths.differences(SHAPE, tree(), new)
-    assert [(worded(path), value) for path, value in changed] == [("/fleet/drains/drain[box=s-1]/why", "y")]
+    assert [(worded(path), value) for path, value in changed] == [
+        ("/fleet/drains/drain[box=s-1]/why", "y")
+    ]
     assert sorted(map(worded, gone)) == [
-        "/fleet/cell[name=n]/limits/rate", "/fleet/drains/drain[box=s-2]/box"]
+        "/fleet/cell[name=n]/limits/rate",
+        "/fleet/drains/drain[box=s-2]/box",
+    ]
 
 
-@pytest.mark.parametrize("one, other, holds", [
-    ("/", "/fleet/cell[name=n]/name", True),
-    ("/fleet/cell", "/fleet/cell[name=n]/name", True),
-    ("/fleet/cell[name=m]", "/fleet/cell[name=n]/name", False),
-    ("/.../name", "/fleet/cell[name=n]/name", True),
-    ("/fleet/*/name", "/fleet/cell[name=n]/name", True),
-    ("/fleet/cell/cache", "/fleet/cell[name=n]/name", False),
-])
+@pytest.mark.parametrize(
+    "one, other, holds",
+    [
+        ("/", "/fleet/cell[name=n]/name", True),
+        ("/fleet/cell", "/fleet/cell[name=n]/name", True),
+        ("/fleet/cell[name=m]", "/fleet/cell[name=n]/name", False),
+        ("/.../name", "/fleet/cell[name=n]/name", True),
+        ("/fleet/*/name", "/fleet/cell[name=n]/name", True),
+        ("/fleet/cell/cache", "/fleet/cell[name=n]/name", False),
+    ],
+)
 def test_which_paths_cover_which(one, other, holds):
     assert covers(parse(one), parse(other)) == holds
 
@@ -210,17 +242,20 @@
     return intent
 
 
-@pytest.mark.parametrize("every_life, then, phase, state", [
-    (False, [entry()], Phase.BINDING, State.DRAINING),
-    (False, [entry(started=9.0)], Phase.OVER, State.READY),
-    (True, [entry(started=9.0)], Phase.BINDING, State.DRAINING),
-    (False, [entry(port=2)], Phase.OVER, State.READY),
-    (False, [entry(state=State.GONE), entry()], Phase.BINDING, State.DRAINING),
-    (False, [entry(state=State.GONE), entry(started=5.0)], Phase.OVER, State.READY),
-    (True, [entry(state=State.GONE), entry(started=5.0)], Phase.BINDING, State.DRAINING),
-    (False, [entry(state=State.DRAINING), entry()], Phase.BINDING, State.DRAINING),
-    (False, [entry(started=9.0), entry()], Phase.OVER, State.READY),
-])
+@pytest.mark.parametrize(
+    "every_life, then, phase, state",
+    [
+        (False, [entry()], Phase.BINDING, State.DRAINING),
+        (False, [entry(started=9.0)], Phase.OVER, State.READY),
+        (True, [entry(started=9.0)], Phase.BINDING, State.DRAINING),
+        (False, [entry(port=2)], Phase.OVER, State.READY),
+        (False, [entry(state=State.GONE), entry()], Phase.BINDING, State.DRAINING),
+        (False, [entry(state=State.GONE), entry(started=5.0)], Phase.OVER, State.READY),
+        (True, [entry(state=State.GONE), entry(started=5.0)], Phase.BINDING, State.DRAINING),
+        (False, [entry(state=State.DRAINING), entry()], Phase.BINDING, State.DRAINING),
+        (False, [entry(started=9.0), entry()], Phase.OVER, State.READY),
+    ],
+)
 def test_a_drain_binds_the_life_it_met(every_life, then, phase, state):
     intent = drained(every_life)
     for number, one in enumerate(then):
@@ -251,20 +286,27 @@
     assert not agreed.disagreeing(9e9)
 
 
-@pytest.mark.parametrize("wants, before, cells, why", [
-    (["s-1"], [], {}, ""),
-    (["s-1", "s-2"], [], {}, "location 1"),
-    (["s-2"], ["s-1"], {}, "location 1"),
-    (["s-1"], [], {"north": ["s-1"]}, "cell north"),
-    (["s-9"], [], {"north": ["s-9"]}, ""),
-    (["p-1"], [], {}, ""),
-])
+@pytest.mark.parametrize(
+    "wants, before, cells, why",
+    [
+        (["s-1"], [], {}, ""),
+        (["s-1", "s-2"], [], {}, "location 1"),
+        (["s-2"], ["s-1"], {}, "location 1"),
+        (["s-1"], [], {"north": ["s-1"]}, "cell north"),
+        (["s-9"], [], {"north": ["s-9"]}, ""),
+        (["p-1"], [], {}, ""),
+    ],
+)
 def test_a_drain_that_leaves_nothing_is_refused_unless_forced(wants, before, cells, why):
     listed = {one.name: one for one in (entry(), entry("s-2"), entry("p-1", zone=0, kind=1))}
     for forced in (False, True):
         told = left_without(
-            listed, before, {name: Want(name, forced=forced) for name in wants}, lambda one: one.kind == 0,
-            cells)
+            listed,
+            before,
+            {name: Want(name, forced=forced) for name in wants},
+            lambda one: one.kind == 0,
+            cells,
+        )
         assert told.startswith(why) if why and not forced else told == ""
 
 
@@ -276,29 +318,35 @@
     assert Rights({"boss": Role.CONFIGURE, "call": Role.DRAIN}, Role.READ).role(names) == role
 
 
-@pytest.mark.parametrize("texts, role", [
-    (["/fleet/drains/drain[box=a]"], Role.DRAIN),
-    (["/fleet/drains", "/fleet/assignment"], Role.CONFIGURE),
-    (["/fleet"], Role.CONFIGURE),
-    (["/"], Role.CONFIGURE),
-])
+@pytest.mark.parametrize(
+    "texts, role",
+    [
+        (["/fleet/drains/drain[box=a]"], Role.DRAIN),
+        (["/fleet/drains", "/fleet/assignment"], Role.CONFIGURE),
+        (["/fleet"], Role.CONFIGURE),
+        (["/"], Role.CONFIGURE),
+    ],
+)
 def test_what_a_change_asks_for(texts, role):
     assert wanted([parse(text) for text in texts]) == role
 
 
-@pytest.mark.parametrize("text, told", [
-    ("[management]\nenabled = yes", "[management] insecure_loopback"),
-    (
-        "[management]\nenabled = yes\nlisten = 10.0.0.1:1\ninsecure_loopback = yes",
-        "[management] listen: without",
-    ),
-    ("[management]\nlisten = here", "[management] listen: host:port"),
-    ("[management]\nkey = x", "[management] certificate"),
-    ("[roles]\nboss = king", "[roles] boss: one of read, drain, configure"),
-    ("[limits]\nqueue = -1", "[limits] queue"),
-    ("[limits]\nspeed = 1", "[limits] speed"),
-    ("[x]\n", "[x]: an unknown section"),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ("[management]\nenabled = yes", "[management] insecure_loopback"),
+        (
+            "[management]\nenabled = yes\nlisten = 10.0.0.1:1\ninsecure_loopback = yes",
+            "[management] listen: without",
+        ),
+        ("[management]\nlisten = here", "[management] listen: host:port"),
+        ("[management]\nkey = x", "[management] certificate"),
+        ("[roles]\nboss = king", "[roles] boss: one of read, drain, configure"),
+        ("[limits]\nqueue = -1", "[limits] queue"),
+        ("[limits]\nspeed = 1", "[limits] speed"),
+        ("[x]\n", "[x]: an unknown section"),
+    ],
+)
 def test_a_fault_of_our_own_file_names_its_key(text, told):
     with pytest.raises(CharterError) as fault:
         read_own(text, "/somewhere")
--- a/tests/management/test_tls.py
+++ b/tests/management/test_tls.py
@@ -40,18 +40,29 @@
     """(certificate, key), signed by an issuer of that form or by itself."""
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    made = (x509.CertificateBuilder().subject_name(subject).public_key(key.public_key())
-            .issuer_name(issuer[0].subject if issuer else subject).serial_number(x509.random_serial_number())
-            .not_valid_before(now - datetime.timedelta(1)).not_valid_after(now + datetime.timedelta(1))
-            .add_extension(x509.BasicConstraints(issuer is None, None), True)
-            .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), False))
+    made = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .public_key(key.public_key())
+        .issuer_name(issuer[0].subject if issuer else subject)
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now - datetime.timedelta(1))
+        .not_valid_after(now + datetime.timedelta(1))
+        .add_extension(x509.BasicConstraints(issuer is None, None), True)
+        .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), False)
+    )
     return made.sign(issuer[1] if issuer else key, hashes.SHA256()), key
 
 
 def put(folder, name, held):
     (folder / f"{name}.pem").write_bytes(held[0].public_bytes(serialization.Encoding.PEM))
-    (folder / f"{name}.key").write_bytes(held[1].private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()))
+    (folder / f"{name}.key").write_bytes(
+        held[1].private_bytes(
+            serialization.Encoding.PEM,
+            serialization.PrivateFormat.PKCS8,
+            serialization.NoEncryption(),
+        )
+    )
     return held
 
 
@@ -62,21 +73,34 @@
 
 
 def access(folder, name, authority="ca"):
-    return {"ca": str(folder / f"{authority}.pem"), "certificate": str(folder / f"{name}.pem"),
-            "key": str(folder / f"{name}.key"), "name": "server", "seconds": 5.0}
-
-
-@pytest.mark.parametrize("name, reads, drains, configures", [
-    ("boss", True, True, True), ("on-call", True, True, False), ("reader", True, False, False),
-    ("nobody", False, False, False)])
+    return {
+        "ca": str(folder / f"{authority}.pem"),
+        "certificate": str(folder / f"{name}.pem"),
+        "key": str(folder / f"{name}.key"),
+        "name": "server",
+        "seconds": 5.0,
+    }
+
+
+@pytest.mark.parametrize(
+    "name, reads, drains, configures",
+    [
+        ("boss", True, True, True),
+        ("on-call", True, True, False),
+        ("reader", True, False, False),
+        ("nobody", False, False, False),
+    ],
+)
 def test_roles_by_the_names_of_certificates(name, reads, drains, configures, tmp_path):
     prepared(tmp_path)
     with Managed(tmp_path, OWN, cells=True) as director:
         target = director.target(**access(tmp_path, name))
-        for may, deed in ((reads, lambda: target.get(parse("/fleet/boxes"))),
-                          (drains, lambda: target.set(updates=[(DRAIN, {})])),
-                          (configures, lambda: target.set(updates=[(LIMIT, "5")])),
-                          (configures, lambda: target.set(extra={"rollback": 1}))):
+        for may, deed in (
+            (reads, lambda: target.get(parse("/fleet/boxes"))),
+            (drains, lambda: target.set(updates=[(DRAIN, {})])),
+            (configures, lambda: target.set(updates=[(LIMIT, "5")])),
+            (configures, lambda: target.set(extra={"rollback": 1})),
+        ):
             if may:
                 deed()
                 continue
@@ -98,8 +122,12 @@
         (tmp_path / "old.pem").write_bytes((tmp_path / "other.pem").read_bytes())
         put(tmp_path, "server", certificate("server", other))
         (tmp_path / "ca.pem").write_bytes((tmp_path / "other.pem").read_bytes())
-        found = director.target(**access(tmp_path, "new-reader", "other")).get(parse("/fleet/boxes"))
-        assert found and wait_for(lambda: any("read again" in str(one) for one in director.sink.figures))
+        found = director.target(**access(tmp_path, "new-reader", "other")).get(
+            parse("/fleet/boxes")
+        )
+        assert found and wait_for(
+            lambda: any("read again" in str(one) for one in director.sink.figures)
+        )
 
 
 def test_sighup_and_clients_that_leave_in_the_middle_leave_whole_changes(tmp_path):
@@ -115,7 +143,10 @@
         try:
             hasty, target = director.target(seconds=0.004), director.target()
             for number in range(1, 40):
-                both = [(parse("/fleet/drains/drain[box=zz]/reason"), str(number)), (LIMIT, str(number))]
+                both = [
+                    (parse("/fleet/drains/drain[box=zz]/reason"), str(number)),
+                    (LIMIT, str(number)),
+                ]
                 try:
                     (hasty if number % 2 else target).set(updates=both)
                 except CallError as wrong:
@@ -123,7 +154,9 @@
                 with director.manager.lock:
                     fleet = director.manager.store.running.tree["fleet"]
                     drains = fleet.get("drains", {}).get("drain", [{"reason": "0"}])
-                    acme = next(one for one in fleet["assignment"]["tenant"] if one["name"] == "acme")
+                    acme = next(
+                        one for one in fleet["assignment"]["tenant"] if one["name"] == "acme"
+                    )
                     assert float(drains[0]["reason"]) == float(acme["limits"]["rate"])
         finally:
             ended.set()
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -1,4 +1,6 @@
-"""A network of membership cores in simulated time: loss, doubles, late datagrams, cuts, stops, kills."""
+"""A network of membership cores in simulated time: loss, doubles, late datagrams, cuts, stops,
+kills.
+"""
 
 import heapq
 import itertools
@@ -14,7 +16,11 @@
         self.loss, self.doubled, self.jitter, self.drift = loss, doubled, jitter, drift
         self.queue, self.sent_bytes, self.sent = [], 0, 0
         self.cores, self.stopped, self.killed, self.cuts = {}, set(), set(), []
-        self.events, self.starts, self.seeds = [], 0, [("10.0.0.1", 7001 + at) for at in range(seeds)]
+        self.events, self.starts, self.seeds = (
+            [],
+            0,
+            [("10.0.0.1", 7001 + at) for at in range(seeds)],
+        )
         for number in range(count):
             self.start(number)
 
@@ -23,8 +29,13 @@
         life = life or int(1000 + self.now)
         own = Word(f"n{number}", "10.0.0.1", 7001 + number, "north", life, 0, State.ALIVE)
         self.killed.discard(number)
-        self.cores[number] = Membership(self.clock(number), own, Codec("lab", b"key"), self.seeds,
-                                        Random(f"{number}-{self.starts}"))
+        self.cores[number] = Membership(
+            self.clock(number),
+            own,
+            Codec("lab", b"key"),
+            self.seeds,
+            Random(f"{number}-{self.starts}"),
+        )
         self._call(number)
 
     def clock(self, number):
@@ -79,7 +90,10 @@
     def _call(self, number):
         core = self.cores[number]
         self._send(number, core.tick(self.clock(number)))
-        due = max(self.now + 1.0, (core.wake() - 1000.0 * number) / (1.0 + self.drift * ((number % 3) - 1)))
+        due = max(
+            self.now + 1.0,
+            (core.wake() - 1000.0 * number) / (1.0 + self.drift * ((number % 3) - 1)),
+        )
         heapq.heappush(self.queue, (due, next(self.order), "tick", number, (core,)))
 
     def _send(self, number, out):
@@ -88,18 +102,25 @@
             self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
             if any(number in some and to in others for some, others in self.cuts):
                 continue
-            copies = 0 if self.draw.random() < self.loss else 1 + (self.draw.random() < self.doubled)
+            copies = (
+                0 if self.draw.random() < self.loss else 1 + (self.draw.random() < self.doubled)
+            )
             for _ in range(copies):
                 at = self.now + 0.5 + self.draw.random() * self.jitter
-                heapq.heappush(self.queue, (at, next(self.order), "datagram", to,
-                                            (("10.0.0.1", 7001 + number), data)))
+                heapq.heappush(
+                    self.queue,
+                    (at, next(self.order), "datagram", to, (("10.0.0.1", 7001 + number), data)),
+                )
 
     # What they believe
 
     def sees(self, number, states=(State.ALIVE,)):
         """Whom one takes for one of these."""
-        return {int(record.word.name[1:]) for record in self.cores[number].view.records.values()
-                if record.word.state in states}
+        return {
+            int(record.word.name[1:])
+            for record in self.cores[number].view.records.values()
+            if record.word.state in states
+        }
 
     def agree(self, among=None):
         """Whether all that live, or these, take one another for alive and nobody else."""
@@ -107,4 +128,6 @@
         return all(self.sees(one) == living - {one} for one in living)
 
     def said(self, what):
-        return [(at, number, event.word.name) for at, number, event in self.events if event.what == what]
+        return [
+            (at, number, event.word.name) for at, number, event in self.events if event.what == what
+        ]
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -29,14 +29,19 @@
     return (net.sent_bytes - before) / count / 20.0
 
 
-ROUGH = [(0.0, 0.0, 1.0, 0), (0.2, 0.2, 60.0, 0), (0.3, 0.3, 80.0, 2)]  # 2 of 870 pairs in two minutes
+ROUGH = [
+    (0.0, 0.0, 1.0, 0),
+    (0.2, 0.2, 60.0, 0),
+    (0.3, 0.3, 80.0, 2),
+]  # 2 of 870 pairs in two minutes
 STUDIES = {f"members, {way}": (two_minutes, *way) for *way, _ in ROUGH}
 STUDIES |= {f"{count} members": (sent_by_each, count) for count in (16, 96)}
 
 
 @pytest.mark.parametrize("loss, doubled, jitter, died", ROUGH)
-def test_nobody_alive_is_called_dead_whatever_is_lost_doubled_or_overtaken(loss, doubled, jitter, died,
-                                                                           studies):
+def test_nobody_alive_is_called_dead_whatever_is_lost_doubled_or_overtaken(
+    loss, doubled, jitter, died, studies
+):
     seen, said = studies(f"members, {[loss, doubled, jitter]}")
     assert seen == [29] * 30 and said <= died
 
@@ -123,14 +128,18 @@
     net.leave(3)
     net.kill(3)
     net.run(6)
-    assert net.agree() and {name for _, _, name in net.said("left")} == {"n3"} and not net.said("died")
+    assert (
+        net.agree() and {name for _, _, name in net.said("left")} == {"n3"} and not net.said("died")
+    )
 
 
 def test_two_of_one_name_are_told_of_and_both_are_known():
     net = Net(6)
     twin = net.cores[5].view.own
-    net.cores[5].view.own = type(twin)("n4", *[getattr(twin, key) for key in (
-        "host", "port", "location", "life", "count", "state")])
+    net.cores[5].view.own = type(twin)(
+        "n4",
+        *[getattr(twin, key) for key in ("host", "port", "location", "life", "count", "state")],
+    )
     net.run(8)
     assert len({number for _, number, _ in net.said("two of one name")}) == 6
     assert all(core.view.size() == 6 for core in net.cores.values())
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -11,8 +11,10 @@
 
 
 def words(count):
-    return [Word(f"n{number}", "127.0.0.1", 7001 + number, "north", 5, 2, State.SUSPECT)
-            for number in range(count)]
+    return [
+        Word(f"n{number}", "127.0.0.1", 7001 + number, "north", 5, 2, State.SUSPECT)
+        for number in range(count)
+    ]
 
 
 @pytest.mark.parametrize("count, fit", [(0, 0), (1, 1), (14, 14)])
@@ -28,18 +30,34 @@
     assert 10 <= len(OURS.decode(data).words) < 60
 
 
-@pytest.mark.parametrize("change, reason", [
-    (lambda data: data[:5], "length"),
-    (lambda data: data + bytes(LENGTH_MOST), "length"),
-    (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "checksum"),
-    (lambda _: Codec("lab", b"another key").encode(Kind.PING, 1, ME, None, []), "checksum"),
-    (lambda _: Codec("other", b"a key of ours").encode(Kind.PING, 1, ME, None, []), "fleet"),
-    (lambda _: sealed(b"\x93\x01\x02\x03"), "form"),
-    (lambda _: sealed(b""), "length"),
-    (lambda _: OURS.encode(Kind.PING, 1, Word("", "h", 1, "l", 1, 0, State.ALIVE), None, []), "word"),
-    (lambda _: OURS.encode(Kind.PING, 1, Word("n", "h", 0, "l", 1, 0, State.ALIVE), None, []), "word"),
-    (lambda _: OURS.encode(Kind.PING, 1, ME, None, [Word("n" * 65, "h", 1, "l", 1, 0, State.ALIVE)]),
-     "word")])
+@pytest.mark.parametrize(
+    "change, reason",
+    [
+        (lambda data: data[:5], "length"),
+        (lambda data: data + bytes(LENGTH_MOST), "length"),
+        (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "checksum"),
+        (lambda _: Codec("lab", b"another key").encode(Kind.PING, 1, ME, None, []), "checksum"),
+        (lambda _: Codec("other", b"a key of ours").encode(Kind.PING, 1, ME, None, []), "fleet"),
+        (lambda _: sealed(b"\x93\x01\x02\x03"), "form"),
+        (lambda _: sealed(b""), "length"),
+        (
+            lambda _: OURS.encode(Kind.PING, 1, Word("", "h", 1, "l", 1, 0, State.ALIVE), None, []),
+            "word",
+        ),
+        (
+            lambda _: OURS.encode(
+                Kind.PING, 1, Word("n", "h", 0, "l", 1, 0, State.ALIVE), None, []
+            ),
+            "word",
+        ),
+        (
+            lambda _: OURS.encode(
+                Kind.PING, 1, ME, None, [Word("n" * 65, "h", 1, "l", 1, 0, State.ALIVE)]
+            ),
+            "word",
+        ),
+    ],
+)
 def test_what_cannot_be_used_is_named_and_dropped(change, reason):
     with pytest.raises(UnusableError, match=f"^{reason}$"):
         OURS.decode(change(OURS.encode(Kind.PING, 9, ME, None, words(2))))
--- a/tests/membership/test_own.py
+++ b/tests/membership/test_own.py
@@ -14,21 +14,27 @@
     assert not own.enabled and not own.share_cold and own.seeds
 
 
-@pytest.mark.parametrize("text, told", [
-    ("[fleet]\nenabled = yes\n", r"\[fleet\] key"),
-    ("[fleet]\nenabled = maybe\n", r"\[fleet\] enabled"),
-    (ON + "listen = here\n", r"\[fleet\] listen"),
-    (ON + "listen = 0.0.0.0:7946\n", r"\[fleet\] announce"),
-    (ON + "seeds = 127.0.0.1:7946 x\n", r"\[fleet\] seeds"),
-    (ON + "location = a b\n", r"\[fleet\] location"),
-    (ON + "colour = red\n", r"\[fleet\] colour: an unknown key"),
-    (ON + "[budgets]\nwarm = yes\n", r"\[budgets\] warm: an unknown key"),
-    (ON + "[other]\n", r"\[other\]: an unknown section")])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ("[fleet]\nenabled = yes\n", r"\[fleet\] key"),
+        ("[fleet]\nenabled = maybe\n", r"\[fleet\] enabled"),
+        (ON + "listen = here\n", r"\[fleet\] listen"),
+        (ON + "listen = 0.0.0.0:7946\n", r"\[fleet\] announce"),
+        (ON + "seeds = 127.0.0.1:7946 x\n", r"\[fleet\] seeds"),
+        (ON + "location = a b\n", r"\[fleet\] location"),
+        (ON + "colour = red\n", r"\[fleet\] colour: an unknown key"),
+        (ON + "[budgets]\nwarm = yes\n", r"\[budgets\] warm: an unknown key"),
+        (ON + "[other]\n", r"\[other\]: an unknown section"),
+    ],
+)
 def test_a_fault_names_its_key(text, told):
     with pytest.raises(CharterError, match=told):
         read_own(text, "/")
 
 
 def test_records_are_taken_from_the_files_folder():
-    own = read_own(ON + "records = kept\nlisten = 10.0.0.1:5\n[budgets]\ncold = yes\n", "/var/fleet")
+    own = read_own(
+        ON + "records = kept\nlisten = 10.0.0.1:5\n[budgets]\ncold = yes\n", "/var/fleet"
+    )
     assert own.records == "/var/fleet/kept" and own.announce == ("10.0.0.1", 5) and own.share_cold
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,5 +1,6 @@
-"""Fourteen directors as processes that talk through a relay which cuts, loses and holds up what they say;
-judged by what each has written down at the end and on the way."""
+"""Fourteen directors as processes that talk through a relay which cuts, loses and holds up what
+they say; judged by what each has written down at the end and on the way.
+"""
 
 import json
 import os
@@ -12,8 +13,8 @@
 
 from mulleinrelay.cells.records import read_logs, read_states
 from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.play import FleetLab
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 COUNT = 14
@@ -89,7 +90,9 @@
 
 
 def play(folder):
-    """The audit, the folder, and what directors believed in the middle of the cut and at the end."""
+    """The audit, the folder, and what directors believed in the middle of the cut and
+    at the end.
+    """
     lab, middle = FleetLab(read_fleet(TROUBLED), TROUBLED, folder), {}
 
     middle["parts"] = []  # (s, director, limit, may use, owns)
@@ -100,9 +103,12 @@
         states = read_states(os.path.join(folder, "fleet"))
         if since > 17.0 and len(middle) == 1:
             middle.update({held["name"]: held for held in states})
-        middle["parts"] += [(since, held["name"], name, limit["usable"], limit["own"])
-                            for held in states if held.get("budgets")
-                            for name, limit in held["budgets"]["limits"].items()]
+        middle["parts"] += [
+            (since, held["name"], name, limit["usable"], limit["own"])
+            for held in states
+            if held.get("budgets")
+            for name, limit in held["budgets"]["limits"].items()
+        ]
 
     def look_last(since, *_):
         look(since)
@@ -123,7 +129,15 @@
 
 
 def command(folder, *words):
-    whole = [sys.executable, "-m", "mulleinrelay", "fleet", *words, os.path.join(folder, "n0.ini"), "--json"]
+    whole = [
+        sys.executable,
+        "-m",
+        "mulleinrelay",
+        "fleet",
+        *words,
+        os.path.join(folder, "n0.ini"),
+        "--json",
+    ]
     ran = subprocess.run(whole, capture_output=True, text=True, cwd=ROOT, timeout=30)
     return ran.returncode, ran.stdout
 
@@ -139,8 +153,11 @@
 def said(audit, folder, first, last):
     """(director, member, what) between two times of the play."""
     began, lines = audit.heard.began / 1000.0, read_logs(os.path.join(folder, "fleet"))
-    return [(line["director"], *line["text"].split(" ", 1)) for line in lines
-            if first <= line["at"] - began < last]
+    return [
+        (line["director"], *line["text"].split(" ", 1))
+        for line in lines
+        if first <= line["at"] - began < last
+    ]
 
 
 def test_no_rule_is_broken_and_no_request_waits_for_talk(played):
@@ -170,10 +187,18 @@
 def test_the_killed_are_found_dead_and_their_new_lives_are_told_from_the_old(played):
     audit, folder, _ = played
     killed, first = met(audit, "killed"), at(audit, "killed")
-    died = {(who, member) for who, member, what in said(audit, folder, first, first + 8.0) if what == "died"}
+    died = {
+        (who, member)
+        for who, member, what in said(audit, folder, first, first + 8.0)
+        if what == "died"
+    }
     witnesses = {f"n{number}" for number in range(COUNT)} - killed - met(audit, "deaf")
-    assert all(sum((who, member) in died for who in witnesses) >= 0.8 * len(witnesses) for member in killed)
-    later = {member for _, member, what in said(audit, folder, first, 46.0) if what == "started again"}
+    assert all(
+        sum((who, member) in died for who in witnesses) >= 0.8 * len(witnesses) for member in killed
+    )
+    later = {
+        member for _, member, what in said(audit, folder, first, 46.0) if what == "started again"
+    }
     assert killed <= later
 
 
@@ -181,31 +206,50 @@
     audit, folder, _ = played
     deaf, killed = met(audit, "deaf"), met(audit, "killed")
     first, last = at(audit, "deaf"), at(audit, "deaf", False)
-    wrong = {(who, member) for who, member, what in said(audit, folder, first, last)
-             if what == "died" and who not in deaf and member not in deaf | killed | met(audit, "ended")}
+    wrong = {
+        (who, member)
+        for who, member, what in said(audit, folder, first, last)
+        if what == "died" and who not in deaf and member not in deaf | killed | met(audit, "ended")
+    }
     assert len(wrong) <= 1 and deaf
 
 
 def test_one_that_ends_leaves_and_is_not_called_dead(played):
     audit, folder, _ = played
     ended, first = met(audit, "ended"), at(audit, "ended")
-    words = [what for who, member, what in said(audit, folder, first, 46.0)
-             if member in ended and who not in ended | met(audit, "deaf")]
+    words = [
+        what
+        for who, member, what in said(audit, folder, first, 46.0)
+        if member in ended and who not in ended | met(audit, "deaf")
+    ]
     # Its new life may be heard of before its leaving
-    assert words.count("left") >= 3 and words.count("left") + words.count("started again") >= 0.8 * COUNT
+    assert (
+        words.count("left") >= 3
+        and words.count("left") + words.count("started again") >= 0.8 * COUNT
+    )
     assert words.count("died") <= 1
 
 
 def test_parts_of_cold_caches_go_to_the_busy_and_none_falls_through_cut_loss_and_kill(played):
-    """Counted at the caches: what was sent while three in four were cold, the fleet was parted and directors
-    that held parts were stopped and killed."""
+    """Counted at the caches: what was sent while three in four were cold, the fleet was parted and
+    directors that held parts were stopped and killed.
+    """
     audit, _, middle = played
-    first, cold = at(audit, "cold", False), set(next(held[5] for held in audit.faults if held[1] == "cold"))
-    sent = [attempt for attempt in audit.heard.attempts
-            if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0]
+    first, cold = (
+        at(audit, "cold", False),
+        set(next(held[5] for held in audit.faults if held[1] == "cold")),
+    )
+    sent = [
+        attempt
+        for attempt in audit.heard.attempts
+        if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0
+    ]
     assert not audit.heard.others["fell"] and len(sent) > 40
-    while_cold = [(name, usable / own) for since, name, limit, usable, own in middle["parts"]
-                  if "caches" in limit and first < since < first + 14.0]
+    while_cold = [
+        (name, usable / own)
+        for since, name, limit, usable, own in middle["parts"]
+        if "caches" in limit and first < since < first + 14.0
+    ]
     assert max(part for _, part in while_cold) > 1.5
     assert min(part for _, part in while_cold) < 0.9  # some lend
 
@@ -214,14 +258,21 @@
     code, told = played[2]["budgets"]
     limits = json.loads(told)
     assert code == 0 and sum(len(by) for by in limits.values()) == 2 * COUNT and len(limits) == 3
-    assert all(limit["usable"] > 0.98 * limit["own"] for by in limits.values() for limit in by.values())
+    assert all(
+        limit["usable"] > 0.98 * limit["own"] for by in limits.values() for limit in by.values()
+    )
 
 
 def test_a_file_that_is_wrong_is_named_by_key(tmp_path):
     path = tmp_path / "fleet.ini"
     path.write_text("[fleet]\nenabled = yes\nkey = short\n")
-    ran = subprocess.run([sys.executable, "-m", "mulleinrelay", "check", "--fleet", str(path)],
-                         capture_output=True, text=True, cwd=ROOT, timeout=30)
+    ran = subprocess.run(
+        [sys.executable, "-m", "mulleinrelay", "check", "--fleet", str(path)],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=30,
+    )
     assert ran.returncode == 2 and "[fleet] key" in ran.stderr
     code, _ = command(str(tmp_path), "members")
     assert code == 2
@@ -233,8 +284,12 @@
     from mulleinrelay.membership.own import read_own
     from mulleinrelay.membership.talk import Talk
 
-    own = read_own("[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path))
-    talk = Talk(own, "n1", 1, lambda: 1000.0 * time.time(), Log("n1", os.open(os.devnull, os.O_WRONLY)))
+    own = read_own(
+        "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
+    )
+    talk = Talk(
+        own, "n1", 1, lambda: 1000.0 * time.time(), Log("n1", os.open(os.devnull, os.O_WRONLY))
+    )
     talk.begin()
     talk.stop()
     assert not [thread for thread in threading.enumerate() if thread.name == "fleet"]
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -21,12 +21,16 @@
     return Word(name or f"n{number}", "h", number, "here", life, count, state)
 
 
-WORDS = st.builds(word, st.integers(2, 4), st.integers(1, 3), st.integers(0, 2), st.sampled_from(State))
+WORDS = st.builds(
+    word, st.integers(2, 4), st.integers(1, 3), st.integers(0, 2), st.sampled_from(State)
+)
 
 
 @given(st.lists(WORDS, max_size=12), st.randoms(use_true_random=False))
 def test_order_and_repetition_do_not_matter(words, draw):
-    """A director that was first heard of when it had gone already is not kept, so each is known before."""
+    """A director that was first heard of when it had gone already is not kept, so each is known
+    before.
+    """
     known = [word(number, 0) for number in (2, 3, 4)]
     found = []
     for _ in range(2):
@@ -41,15 +45,37 @@
         assert one.weight == max(other.weight for other in known + words if other.who == who)
 
 
-@pytest.mark.parametrize("said, life, count", [
-    (dict(state=State.SUSPECT), 5, 1), (dict(state=State.DEAD), 5, 1),
-    (dict(state=State.SUSPECT, count=7), 5, 8),
-    (dict(), 5, 0), (dict(life=3, state=State.DEAD), 5, 0),  # of an earlier life
-    (dict(life=9), 10, 0)])  # from before a restart with a clock that was ahead
+@pytest.mark.parametrize(
+    "said, life, count",
+    [
+        (dict(state=State.SUSPECT), 5, 1),
+        (dict(state=State.DEAD), 5, 1),
+        (dict(state=State.SUSPECT, count=7), 5, 8),
+        (dict(), 5, 0),
+        (dict(life=3, state=State.DEAD), 5, 0),  # of an earlier life
+        (dict(life=9), 10, 0),
+    ],
+)  # from before a restart with a clock that was ahead
 def test_what_is_said_of_oneself_is_denied_or_outlived(said, life, count):
     held = view()
-    held.merge(0.0, Word(**({"name": "me", "host": "h", "port": 1, "location": "here", "life": 5, "count": 0,
-                             "state": State.ALIVE} | said)), BY)
+    held.merge(
+        0.0,
+        Word(
+            **(
+                {
+                    "name": "me",
+                    "host": "h",
+                    "port": 1,
+                    "location": "here",
+                    "life": 5,
+                    "count": 0,
+                    "state": State.ALIVE,
+                }
+                | said
+            )
+        ),
+        BY,
+    )
     assert (held.own.life, held.own.count, held.own.state) == (life, count, State.ALIVE)
 
 
@@ -86,7 +112,9 @@
     for number in range(2, 12):
         held.merge(0.0, word(number), BY)
     told = [one.who for _ in range(40) for one in held.to_tell(4)]
-    assert {told.count(who) for who in held.records} == {8} and not held.telling  # 2 log2(12), rounded up
+    assert {told.count(who) for who in held.records} == {
+        8
+    } and not held.telling  # 2 log2(12), rounded up
     held.merge(1.0, word(5, state=State.SUSPECT), BY)
     assert held.to_tell(3) == [word(5, state=State.SUSPECT)]
 
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -9,11 +9,21 @@
 SPAN = 1500.0
 
 
-def fleet(directors, capacity, wants, seed, seconds=60.0, work=lambda draw: 100.0, first=0.0, uneven=0.0,
-          restarts=0.0):
-    """What a cold node is sent, as (ms, work): `capacity` is work a ms, `wants` requests a second of each
-    director, `uneven` how far apart these are; from `first` s on. `restarts`: a second, of all together; who
-    starts again has forgotten what it sent."""
+def fleet(
+    directors,
+    capacity,
+    wants,
+    seed,
+    seconds=60.0,
+    work=lambda draw: 100.0,
+    first=0.0,
+    uneven=0.0,
+    restarts=0.0,
+):
+    """What a cold node is sent, as (ms, work): `capacity` is work a ms, `wants` requests a second
+    of each director, `uneven` how far apart these are; from `first` s on. `restarts`: a second, of
+    all together; who starts again has forgotten what it sent.
+    """
     draw, sent = Random(seed), []
     held = [(Allowance(), Random(f"{seed}-{number}")) for number in range(directors)]
     shares = [math.exp(draw.gauss(0.0, uneven)) for _ in held]
@@ -47,9 +57,15 @@
     return [most_in_a_span(fleet(directors, capacity, wants, seed, 30.0)) for seed in range(5)]
 
 
-FLEETS, CAPACITIES = [(1, 200.0), (5, 40.0), (20, 10.0), (200, 1.0), (200, 20.0), (600, 0.5)], [0.6, 2.0, 8.0]
-STUDIES = {f"cold, {count} x {wants}, {capacity}": (all_together, count, capacity, wants)
-           for count, wants in FLEETS for capacity in CAPACITIES}
+FLEETS, CAPACITIES = (
+    [(1, 200.0), (5, 40.0), (20, 10.0), (200, 1.0), (200, 20.0), (600, 0.5)],
+    [0.6, 2.0, 8.0],
+)
+STUDIES = {
+    f"cold, {count} x {wants}, {capacity}": (all_together, count, capacity, wants)
+    for count, wants in FLEETS
+    for capacity in CAPACITIES
+}
 
 
 @pytest.mark.parametrize("directors, wants", FLEETS)
@@ -65,9 +81,13 @@
 @pytest.mark.parametrize("multiple", [1.2, 2.0, 2.5])
 @pytest.mark.parametrize("capacity", [0.05, 0.15, 0.5, 2.0])
 def test_a_few_dozen_stay_below_the_budget_and_what_is_chance(directors, multiple, capacity):
-    """The budget is N, of which the policy takes a part; 2 root N + 2 are chance. Loads are uneven, and each
-    director starts again once in a minute."""
-    part, number = min(COLD_MOST, COLD_PART * multiple) * capacity, multiple * capacity * SPAN / 100.0
+    """The budget is N, of which the policy takes a part; 2 root N + 2 are chance. Loads are uneven,
+    and each director starts again once in a minute.
+    """
+    part, number = (
+        min(COLD_MOST, COLD_PART * multiple) * capacity,
+        multiple * capacity * SPAN / 100.0,
+    )
     for seed in range(3):
         sent = fleet(directors, part, 20.0, seed, 20.0, uneven=1.0, restarts=directors / 60.0)
         assert most_in_a_span(sent) / 100.0 <= number + 2.0 * math.sqrt(number) + 2.0
@@ -75,7 +95,9 @@
 
 @pytest.mark.parametrize("directors, least", [(5, 0.5), (60, 0.25), (200, 0.25), (600, 0.15)])
 def test_a_cold_node_is_used_however_many_share_it(directors, least):
-    """Guards against parts so small that no request ever fits: the node would be idle while it is cold."""
+    """Guards against parts so small that no request ever fits: the node would be idle while it is
+    cold.
+    """
     capacity = 4.0
     sent = fleet(directors, capacity, 300.0 / directors, 1)
     assert sum(work for _, work in sent) >= least * capacity * 60_000.0
--- a/tests/spread/test_pacing.py
+++ b/tests/spread/test_pacing.py
@@ -5,12 +5,15 @@
 from mulleinrelay.spread import pacing
 
 
-@pytest.mark.parametrize("refusals, looks", [
-    ([], []),
-    ([0.0, 1.0, 1.4], []),
-    ([0.0, 1.0, 1.6, 1.9, 3.0, 3.7], [1.6, 3.7]),
-    ([10.0, 11.6, 12.0], [11.6]),
-])
+@pytest.mark.parametrize(
+    "refusals, looks",
+    [
+        ([], []),
+        ([0.0, 1.0, 1.4], []),
+        ([0.0, 1.0, 1.6, 1.9, 3.0, 3.7], [1.6, 3.7]),
+        ([10.0, 11.6, 12.0], [11.6]),
+    ],
+)
 def test_an_address_that_refuses_is_doubted(refusals, looks):
     pace, found = pacing.Reconnects(Random(1)), []
     for now in refusals:
@@ -30,7 +33,10 @@
 
 def test_directors_that_lose_their_stream_together_come_again_apart():
     waits = [pacing.Reconnects(Random(seed)).ended(0.0, True, False) for seed in range(200)]
-    assert max(sum(low <= 1000.0 * wait < low + 10 for wait in waits) for low in range(0, 100, 10)) < 40
+    assert (
+        max(sum(low <= 1000.0 * wait < low + 10 for wait in waits) for low in range(0, 100, 10))
+        < 40
+    )
 
 
 def test_waits_grow_to_their_bound_and_begin_anew():
--- a/tests/spread/test_popularity.py
+++ b/tests/spread/test_popularity.py
@@ -6,7 +6,9 @@
 
 
 def seen(rate, share, seconds, seed):
-    """A director with `rate` requests a second, `share` of them for one object, others for one in 1000."""
+    """A director with `rate` requests a second, `share` of them for one object, others for one in
+    1000.
+    """
     popular, draw, now = Popularity(0.0), Random(seed), 0.0
     while now < 1000.0 * seconds:
         now += 1000.0 * draw.expovariate(rate)
@@ -14,14 +16,20 @@
     return popular
 
 
-@pytest.mark.parametrize("rate, share, caches, of_a_hundred", [
-    (4.0, 0.08, (2, 3, 4), 95),  # hot over a location, a sighting in five seconds here
-    (4.0, 0.002, (1,), 95),  # wanted now and then
-    (100.0, 0.05, (3,), 85),  # 2.5 shares of 2%
-    (100.0, 0.01, (1,), 100),
-    (0.1, 0.05, (1,), 95)])  # next to nothing is known
+@pytest.mark.parametrize(
+    "rate, share, caches, of_a_hundred",
+    [
+        (4.0, 0.08, (2, 3, 4), 95),  # hot over a location, a sighting in five seconds here
+        (4.0, 0.002, (1,), 95),  # wanted now and then
+        (100.0, 0.05, (3,), 85),  # 2.5 shares of 2%
+        (100.0, 0.01, (1,), 100),
+        (0.1, 0.05, (1,), 95),
+    ],
+)  # next to nothing is known
 def test_at_how_many_caches_an_object_belongs(rate, share, caches, of_a_hundred):
-    """Guards against objects that all ask for and each sees rarely, and against calling everything hot."""
+    """Guards against objects that all ask for and each sees rarely, and against calling everything
+    hot.
+    """
     found = [seen(rate, share, 28.0, seed).caches(1) for seed in range(100)]
     assert sum(one in caches for one in found) >= of_a_hundred
 
--- a/tests/spread/test_reach.py
+++ b/tests/spread/test_reach.py
@@ -9,7 +9,9 @@
 
 
 def view(count, failed=(), at=0.0):
-    """A location of so many caches of which these fail, 100 ms apart; and whether the last told a cut."""
+    """A location of so many caches of which these fail, 100 ms apart; and whether the last told a
+    cut.
+    """
     reach, told = Reach(), False
     reach.listed(list(range(count)), True)
     for place, node in enumerate(failed):
@@ -17,15 +19,19 @@
     return reach, told
 
 
-@pytest.mark.parametrize("count, failed, cut", [
-    (6, [1, 2], True),
-    (6, [1], False),
-    (6, [1, 1, 1], False),  # one cache, however often
-    (20, [1, 2, 3, 4], False),
-    (20, [1, 2, 3, 4, 5], True),  # a quarter
-    (1, [0], False),  # nothing to compare it with
-    (6, [1, 99], False),  # not of this location
-    (2, [0, 1], True)])
+@pytest.mark.parametrize(
+    "count, failed, cut",
+    [
+        (6, [1, 2], True),
+        (6, [1], False),
+        (6, [1, 1, 1], False),  # one cache, however often
+        (20, [1, 2, 3, 4], False),
+        (20, [1, 2, 3, 4, 5], True),  # a quarter
+        (1, [0], False),  # nothing to compare it with
+        (6, [1, 99], False),  # not of this location
+        (2, [0, 1], True),
+    ],
+)
 def test_how_many_must_fail_in_a_row(count, failed, cut):
     reach, told = view(count, failed)
     assert reach.cut == told == cut
@@ -43,27 +49,35 @@
 
 
 @pytest.mark.parametrize("lasted, since", [(REAL + 1.0, 0.0), (REAL - 1.0, math.inf)])
-def test_what_was_shunned_in_a_cut_comes_back_with_it_but_not_after_a_wrong_judgement(lasted, since):
+def test_what_was_shunned_in_a_cut_comes_back_with_it_but_not_after_a_wrong_judgement(
+    lasted, since
+):
     reach, _ = view(6, [1, 2])
     assert reach.heard(100.0 + lasted, 4) == since and not reach.cut
 
 
 def test_slow_caches_that_were_taken_for_a_cut_need_more_the_next_time():
-    """Guards against a location that is passed by again and again while its caches are only slow."""
+    """Guards against a location that is passed by again and again while its caches are
+    only slow.
+    """
     reach, _ = view(8, [1, 2])
     assert reach.heard(150.0, 1) == math.inf
     assert not reach.fails(200.0, 1) and not reach.fails(210.0, 2) and not reach.fails(220.0, 3)
     assert reach.fails(230.0, 4)
     reach.heard(240.0, 1)
-    assert not any(reach.fails(300.0 + node, node) for node in range(7)) and reach.fails(310.0, 7)  # all
+    assert not any(reach.fails(300.0 + node, node) for node in range(7)) and reach.fails(
+        310.0, 7
+    )  # all
     reach.heard(10_000.0, 1)
     for later in (FORGIVEN, 2.0 * FORGIVEN + 1.0):
         assert not reach.fails(10_000.0 + later, 1)
     assert reach.fails(10_000.0 + 2.0 * FORGIVEN + 2.0, 2)
 
 
-@pytest.mark.parametrize("anew, nodes, cut", [(True, range(6), False), (False, range(6), True),
-                                              (False, range(3), True), (False, (), False)])
+@pytest.mark.parametrize(
+    "anew, nodes, cut",
+    [(True, range(6), False), (False, range(6), True), (False, range(3), True), (False, (), False)],
+)
 def test_a_cache_that_starts_anew_or_an_empty_list_ends_the_judgement(anew, nodes, cut):
     reach, _ = view(6, [1, 2])
     reach.listed(list(nodes), anew)
--- a/tests/spread/test_storm.py
+++ b/tests/spread/test_storm.py
@@ -15,8 +15,10 @@
     return storm, now
 
 
-@pytest.mark.parametrize("rejected, least, most", [
-    (0.0, 1.0, 1.0), (0.1, 0.6, 0.95), (0.25, 0.3, 0.7), (0.6, 0.0, 0.0), (1.0, 0.0, 0.0)])
+@pytest.mark.parametrize(
+    "rejected, least, most",
+    [(0.0, 1.0, 1.0), (0.1, 0.6, 0.95), (0.25, 0.3, 0.7), (0.6, 0.0, 0.0), (1.0, 0.0, 0.0)],
+)
 def test_a_request_earns_the_less_the_more_are_rejected(rejected, least, most):
     assert least * EARNED <= played(rejected)[0].earned() <= most * EARNED
 
@@ -36,8 +38,10 @@
 @pytest.mark.parametrize("fail", [0.3, 0.9, 1.0])
 @pytest.mark.parametrize("retries", [0, 3])
 def test_attempts_stay_bounded_whatever_clients_and_nodes_do(fail, retries):
-    """The fleet-wide bound: clients that ask again at once, nodes that turn away each attempt at once, a
-    purse that is full at the start. Attempts a request stay under what is earned, near one in a storm."""
+    """The fleet-wide bound: clients that ask again at once, nodes that turn away each attempt at
+    once, a purse that is full at the start. Attempts a request stay under what is earned, near one
+    in a storm.
+    """
     storm, draw, now, purse = Storm(), Random(2), 0.0, 8.0
     waiting, requests, attempts = [], 0, 0
     for _ in range(2000):
@@ -71,8 +75,9 @@
     assert turns == 2 and not storm.on
 
 
-@pytest.mark.parametrize("turned_away, took, price", [
-    (False, 10.0, 0.3), (False, 30.0, 1.0), (True, 1.0, 1.0)])
+@pytest.mark.parametrize(
+    "turned_away, took, price", [(False, 10.0, 0.3), (False, 30.0, 1.0), (True, 1.0, 1.0)]
+)
 def test_a_quick_failure_costs_little_but_a_full_node_does_not(turned_away, took, price):
     assert cost(turned_away, took, 100.0) == price
 
@@ -80,5 +85,8 @@
 def test_those_rejected_together_come_back_apart():
     draw = Random(3)
     told = [come_back(draw.random(), 1000.0) for _ in range(400)]
-    assert max(sum(slot <= advice < slot + 10.0 for advice in told) for slot in range(0, 200, 10)) <= 70
+    assert (
+        max(sum(slot <= advice < slot + 10.0 for advice in told) for slot in range(0, 200, 10))
+        <= 70
+    )
     assert sum(told) / 400.0 == pytest.approx(COME_BACK, rel=0.1) and come_back(0.9, 50.0) == 50.0
--- a/tests/spread/test_watching.py
+++ b/tests/spread/test_watching.py
@@ -29,7 +29,9 @@
     return found
 
 
-@pytest.mark.parametrize("sharers, most, least", [(1, 2.7, 1.3), (10, 27, 13), (40, 27, 13), (300, 27, 12)])
+@pytest.mark.parametrize(
+    "sharers, most, least", [(1, 2.7, 1.3), (10, 27, 13), (40, 27, 13), (300, 27, 12)]
+)
 def test_a_doubted_node_is_asked_within_bounds_however_many_share_it(sharers, most, least):
     found = asked(watches(sharers), 30_000.0, doubted="a")
     assert least <= len(found) / 30.0 <= most
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -8,7 +8,12 @@
 from mulleinrelay.net.intake import Intake
 from mulleinrelay.wirehost import NOTES, OUTCOMES
 
-FIELDS = {"route": "pages", "trace": "9b1f03aa5c7e2d41", "patience": "1500", "entity": "7f3a9c21e0b4d655"}
+FIELDS = {
+    "route": "pages",
+    "trace": "9b1f03aa5c7e2d41",
+    "patience": "1500",
+    "entity": "7f3a9c21e0b4d655",
+}
 FORGET = call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x03\0", 4)
 STEPS = [1, 2, 3, 5, 7, 64, 10**6]
 
@@ -45,13 +50,20 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_frames_are_the_same_in_any_split(step):
-    calls = [serve_frame(number, FIELDS | {"entity": f"{number:016x}"}, b"x" * size)
-             for number, size in ((1, 0), (2, 9000), (3, 1))]
+    calls = [
+        serve_frame(number, FIELDS | {"entity": f"{number:016x}"}, b"x" * size)
+        for number, size in ((1, 0), (2, 9000), (3, 1))
+    ]
     found = [thrift.read_call(frame) for frame in feed(thrift.Frames(64), b"".join(calls), step)]
-    assert [(call.method, call.kind, call.number) for call in found] == [("serve", 1, n) for n in (1, 2, 3)]
+    assert [(call.method, call.kind, call.number) for call in found] == [
+        ("serve", 1, n) for n in (1, 2, 3)
+    ]
     read = [thrift.read_serve(call.rest) for call in found]
     assert [(asked.object, len(asked.body)) for asked in read] == [
-        ("0" * 15 + "1", 0), ("0" * 15 + "2", 9000), ("0" * 15 + "3", 1)]
+        ("0" * 15 + "1", 0),
+        ("0" * 15 + "2", 9000),
+        ("0" * 15 + "3", 1),
+    ]
 
 
 @pytest.mark.parametrize("size", [-1, 0, thrift.FRAME_MOST + 1, 2**31 - 1])
@@ -95,7 +107,10 @@
         (MAP[:4] + b"\x08\x00\x00\x00\x01" + bytes(8), "not of strings"),
         (MAP[:-1] + b"\xff\x00", "not UTF-8"),
         (MAP + b"\x0b\x00\x02" + struct.pack(">i", -5), "-5 bytes wanted"),
-        (MAP + b"\x0b\x00\x02" + struct.pack(">i", 48001) + bytes(48001) + b"\0", "a body of 48001"),
+        (
+            MAP + b"\x0b\x00\x02" + struct.pack(">i", 48001) + bytes(48001) + b"\0",
+            "a body of 48001",
+        ),
         (MAP + b"\x63\x00\x09\x00", "unknown type 99"),
         (MAP + b"\x0c\x00\x09" * 20, "nested too deep"),
     ],
@@ -112,7 +127,9 @@
 
 
 def test_a_oneway_call_tells_its_number():
-    (frame,) = feed(thrift.Frames(), call_frame("forget", 9, b"\x08\x00\x01\x00\x00\x00\x07\x00", 4), 100)
+    (frame,) = feed(
+        thrift.Frames(), call_frame("forget", 9, b"\x08\x00\x01\x00\x00\x00\x07\x00", 4), 100
+    )
     call = thrift.read_call(frame)
     assert (call.method, call.kind, thrift.read_forget(call.rest)) == ("forget", thrift.ONEWAY, 7)
 
@@ -120,15 +137,23 @@
 @pytest.mark.parametrize(
     "pieces, wanted",
     [
-        (thrift.answer("isWell", 2, b"", {}, True),
-         "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 0d0002 0b0b 00000000 020003 010000"),
-        (thrift.rejected(3, 99.6),
-         "80010002 00000005 7365727665 00000003 0c0001 0d0001 0b0b 00000001 00000005 7061757365"
-         " 00000003 313030 00 00"),
-        (thrift.failed(4),
-         "80010002 00000005 7365727665 00000004 0c0002 0d0001 0b0b 00000000 00 00"),
-        (thrift.application_exception("x", 5, 1, "no"),
-         "80010003 00000001 78 00000005 0b0001 00000002 6e6f 080002 00000001 00"),
+        (
+            thrift.answer("isWell", 2, b"", {}, True),
+            "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 0d0002 0b0b 00000000 020003 010000",
+        ),
+        (
+            thrift.rejected(3, 99.6),
+            "80010002 00000005 7365727665 00000003 0c0001 0d0001 0b0b 00000001 00000005 7061757365"
+            " 00000003 313030 00 00",
+        ),
+        (
+            thrift.failed(4),
+            "80010002 00000005 7365727665 00000004 0c0002 0d0001 0b0b 00000000 00 00",
+        ),
+        (
+            thrift.application_exception("x", 5, 1, "no"),
+            "80010003 00000001 78 00000005 0b0001 00000002 6e6f 080002 00000001 00",
+        ),
     ],
 )
 def test_answers_as_on_the_wire(pieces, wanted):
@@ -141,34 +166,54 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_arrays_are_the_same_in_any_split(step):
-    stream = (resp.command(b"a1", b"DONE", b"why=HIT", b"\r\n*2\r\n" + bytes(9000))
-              + resp.command(b"a2", b"LACK", b"-") + resp.command(b"a3", b"KEEP", b"-", b"")
-              + b"*4\r\n$2\r\na4\r\n$4\r\nPAST\r\n$1\r\n-\r\n$-1\r\n")
+    stream = (
+        resp.command(b"a1", b"DONE", b"why=HIT", b"\r\n*2\r\n" + bytes(9000))
+        + resp.command(b"a2", b"LACK", b"-")
+        + resp.command(b"a3", b"KEEP", b"-", b"")
+        + b"*4\r\n$2\r\na4\r\n$4\r\nPAST\r\n$1\r\n-\r\n$-1\r\n"
+    )
     found = [resp.read_told(items, {}) for items in feed(resp.Arrays(64), stream, step)]
     assert [(told.about, told.outcome, len(told.body), told.kept) for told in found] == [
-        ("a1", Outcome.SERVED, 9006, False), ("a2", Outcome.MISS, 0, False),
-        ("a3", Outcome.SERVED, 0, True), ("a4", Outcome.MOOT, 0, False)]
+        ("a1", Outcome.SERVED, 9006, False),
+        ("a2", Outcome.MISS, 0, False),
+        ("a3", Outcome.SERVED, 0, True),
+        ("a4", Outcome.MOOT, 0, False),
+    ]
 
 
-@pytest.mark.parametrize("parser, whole, wrong", [
-    (resp.Arrays, [resp.command(b"9b", b"DONE", b"-", b"x"), resp.command(b"9c", b"LACK", b"-")], b"+OK\r\n"),
-    (thrift.Frames, [serve_frame(1, FIELDS), serve_frame(2, FIELDS)], b"\xff\xff\xff\xff"),
-])
+@pytest.mark.parametrize(
+    "parser, whole, wrong",
+    [
+        (
+            resp.Arrays,
+            [resp.command(b"9b", b"DONE", b"-", b"x"), resp.command(b"9c", b"LACK", b"-")],
+            b"+OK\r\n",
+        ),
+        (thrift.Frames, [serve_frame(1, FIELDS), serve_frame(2, FIELDS)], b"\xff\xff\xff\xff"),
+    ],
+)
 def test_what_is_whole_before_bytes_that_cannot_be_read_is_given(parser, whole, wrong):
     held, found, data = parser(), [], b"".join(whole) + wrong
-    held.room()[:len(data)] = data
+    held.room()[: len(data)] = data
     with pytest.raises((resp.RespError, thrift.ThriftError)):
         for one in held.filled(len(data)):
             found.append(one)
     assert len(found) == len(whole)
 
 
-@pytest.mark.parametrize("received, numbers", [
-    (b"", set()), (FORGET, {3}), (FORGET[:-1], set()), (serve_frame(1, FIELDS, FORGET) + FORGET, {3}),
-    (serve_frame(1, FIELDS, FORGET), set()),  # within a body
-    (call_frame("forget", 0, b"\x0b", 4) + FORGET, {3}), (b"\xff" * 8 + FORGET, set()),
-    (FORGET + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
-])
+@pytest.mark.parametrize(
+    "received, numbers",
+    [
+        (b"", set()),
+        (FORGET, {3}),
+        (FORGET[:-1], set()),
+        (serve_frame(1, FIELDS, FORGET) + FORGET, {3}),
+        (serve_frame(1, FIELDS, FORGET), set()),  # within a body
+        (call_frame("forget", 0, b"\x0b", 4) + FORGET, {3}),
+        (b"\xff" * 8 + FORGET, set()),
+        (FORGET + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
+    ],
+)
 def test_calls_that_are_called_off_by_what_is_not_taken_yet(received, numbers):
     assert thrift.called_off(received) == numbers
 
@@ -182,8 +227,19 @@
 
 @pytest.mark.parametrize(
     "stream",
-    [b"+OK\r\n", b"*0\r\n", b"*-1\r\n", b"*9\r\n", b"*x\r\n", b"*" + b"1" * 40, b"*1\r\n:5\r\n",
-     b"*1\r\n$-2\r\n", b"*1\r\n$262145\r\n", b"*1\r\n$2\r\nabXX", b"*1\r\n$1_0\r\n"],
+    [
+        b"+OK\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*9\r\n",
+        b"*x\r\n",
+        b"*" + b"1" * 40,
+        b"*1\r\n:5\r\n",
+        b"*1\r\n$-2\r\n",
+        b"*1\r\n$262145\r\n",
+        b"*1\r\n$2\r\nabXX",
+        b"*1\r\n$1_0\r\n",
+    ],
 )
 def test_arrays_that_cannot_be_read(stream):
     with pytest.raises(resp.RespError):
@@ -192,18 +248,29 @@
 
 @pytest.mark.parametrize(
     "items",
-    [(b"a1", b"DONE"), (b"a1", b"DONE", b"-"), (b"a1", b"NOPE", b"-", b""), (b"\xff", b"DONE", b"-", b""),
-     (b"a1", b"DONE", b"delay=x", b""), (b"a1", b"DONE", b"delay=nan", b""),
-     (b"a1", b"DONE", b"delay=-1", b""), (b"a1", b"FIT", b"rep=util:inf", b""),
-     (b"a1", b"FIT", b"rep=util:1e999", b""), (b"a1", b"FIT", b"rep=x1:", b""), (b"a1",) * 5],
+    [
+        (b"a1", b"DONE"),
+        (b"a1", b"DONE", b"-"),
+        (b"a1", b"NOPE", b"-", b""),
+        (b"\xff", b"DONE", b"-", b""),
+        (b"a1", b"DONE", b"delay=x", b""),
+        (b"a1", b"DONE", b"delay=nan", b""),
+        (b"a1", b"DONE", b"delay=-1", b""),
+        (b"a1", b"FIT", b"rep=util:inf", b""),
+        (b"a1", b"FIT", b"rep=util:1e999", b""),
+        (b"a1", b"FIT", b"rep=x1:", b""),
+        (b"a1",) * 5,
+    ],
 )
 def test_answers_that_cannot_be_read(items):
     with pytest.raises(resp.RespError):
         resp.read_told([memoryview(item) for item in items], {})
 
 
-@pytest.mark.parametrize("word, status", [
-    (b"DONE", 0), (b"KEEP", 0), (b"LACK", 2), (b"WAIT", 11), (b"BROKE", 5), (b"PAST", 114)])
+@pytest.mark.parametrize(
+    "word, status",
+    [(b"DONE", 0), (b"KEEP", 0), (b"LACK", 2), (b"WAIT", 11), (b"BROKE", 5), (b"PAST", 114)],
+)
 def test_words_mean_what_the_simulators_codes_mean(word, status):
     assert resp.ENDS[word] == OUTCOMES[status]
 
@@ -213,22 +280,41 @@
 
 
 def test_fields_of_an_answer():
-    told = resp.read_told([memoryview(item) for item in (
-        b"t1", b"BROKE", b"why=UP_DOWN,delay=12.5,rep=inflight:7;x1:0.61,new=1", b"")], {"x1": "crowding"})
-    assert (told.note, told.waited, told.load) == (Note.SOURCE_LOST, 12.5, {"inflight": 7, "crowding": .61})
+    told = resp.read_told(
+        [
+            memoryview(item)
+            for item in (
+                b"t1",
+                b"BROKE",
+                b"why=UP_DOWN,delay=12.5,rep=inflight:7;x1:0.61,new=1",
+                b"",
+            )
+        ],
+        {"x1": "crowding"},
+    )
+    assert (told.note, told.waited, told.load) == (
+        Note.SOURCE_LOST,
+        12.5,
+        {"inflight": 7, "crowding": 0.61},
+    )
 
 
 def test_commands_as_on_the_wire():
     plain = Order(None, None, "", 0.0, 0, False, False, True, False)
     asked = Asked("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
     assert b"".join(resp.pull(asked, plain, 7.9)) == (
-        b"*4\r\n$4\r\nPULL\r\n$2\r\n9b\r\n$32\r\nlane=pages,name=ab,piece=0,ttl=7\r\n$2\r\nxy\r\n")
+        b"*4\r\n$4\r\nPULL\r\n$2\r\n9b\r\n$32\r\nlane=pages,name=ab,piece=0,ttl=7\r\n$2\r\nxy\r\n"
+    )
     full = Order(None, None, "s-1", 0.5, 2, True, True, False, True)
     asked = Asked("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
     words = b"".join(resp.pull(asked, full, 0.2))
     assert words.split(b"\r\n")[6:] == [
         b"lane=p,name=ab,piece=0,ttl=1,dedupe=5c,mine=4b,miss=s-1,prio=2,within=1,"
-        b"f=collapse+only-if-cached+refresh+no-store-up", b"$0", b"", b""]
+        b"f=collapse+only-if-cached+refresh+no-store-up",
+        b"$0",
+        b"",
+        b"",
+    ]
     assert resp.kill("9b") == b"*2\r\n$4\r\nKILL\r\n$2\r\n9b\r\n"
     assert resp.probe("p", True) == b"*2\r\n$5\r\nMETER\r\n$1\r\np\r\n"
 
@@ -245,15 +331,17 @@
     body, head = EVENTS, HEAD + b"\r\n"
     if chunk:
         head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-        parts = [EVENTS[at:at + chunk] for at in range(0, len(EVENTS), chunk)]
+        parts = [EVENTS[at : at + chunk] for at in range(0, len(EVENTS), chunk)]
         body = b"".join(b"%x;q\r\n%s\r\n" % (len(part), part) for part in parts)
     stream, found = sse.Stream(), []
     for at in range(0, len(head + body), step):
-        found += stream.feed((head + body)[at:at + step])
+        found += stream.feed((head + body)[at : at + step])
     assert [(event.number, event.data) for event in found] == [(41, '{"a":\n1}'), (42, "x")]
 
 
-@pytest.mark.parametrize("last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)])
+@pytest.mark.parametrize(
+    "last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
+)
 def test_the_last_chunk_ends_the_stream(last, over):
     stream = sse.Stream()
     assert stream.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last) == []
@@ -265,14 +353,25 @@
 def test_lines_of_events_end_in_each_way_that_there_is(end, step):
     # Guards against drains that are read as half a line, and one that waits for the byte behind it.
     stream, found = sse.Stream(), []
-    data = HEAD + b"\r\n" + end.join([b"id:1", b"data: a", b"", b"data: b", b"id: 2", b"data: c", b"", b""])
+    data = (
+        HEAD
+        + b"\r\n"
+        + end.join([b"id:1", b"data: a", b"", b"data: b", b"id: 2", b"data: c", b"", b""])
+    )
     for place in range(0, len(data), step):
-        found += stream.feed(data[place:place + step])
+        found += stream.feed(data[place : place + step])
     assert [(event.number, event.data) for event in found] == [(1, "a"), (2, "b\nc")]
 
 
-@pytest.mark.parametrize("answer", [b"HTTP/1.1 404 Not Found\r\n\r\n", b"hello\r\n\r\n", b"x" * 20000,
-                                    HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 404 Not Found\r\n\r\n",
+        b"hello\r\n\r\n",
+        b"x" * 20000,
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+    ],
+)
 def test_an_answer_that_is_not_the_stream(answer):
     with pytest.raises(sse.SseError):
         sse.Stream().feed(answer)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -28,27 +28,34 @@
     return json.dumps(whole)
 
 
-@pytest.mark.parametrize("path, value, told", [
-    ("name", ..., "name: the key is missing"),
-    ("listen", "nowhere", "listen: host:port is wanted"),
-    ("listen", "127.0.0.1:70000", "listen: host:port"),
-    ("seed", "xyz", "seed: hex digits"),
-    ("bus", 7, "bus: a string is wanted"),
-    ("known/offset", "3", "known.offset: a whole number"),
-    ("known", [], "known: an object is wanted"),
-    ("limits/sockets", 1.5, "limits.sockets: a whole number"),
-    ("limits/sockets", 20, "limits.sockets: 64 or more"),
-    ("settings", ..., "settings: the key is missing"),
-    ("settings/classes/1/slo", None, "settings.classes[1].slo: a number"),
-    ("settings/classes/0/idempotency", "maybe", "settings.classes[0].idempotency: one of safe, keyed"),
-    ("settings/classes/0/name", ..., "settings.classes[0].name: the key is missing"),
-    ("settings/allowed/cancel", 1, "settings.allowed.cancel: true or false"),
-    ("settings/allowed/maxStreams", ..., "settings.allowed.maxStreams"),
-    ("settings/domain/neverKept", [False], "settings.domain.neverKept: an entry 1 is missing"),
-    ("settings/domain/freshFor", ["x", 0, 0], "settings.domain.freshFor[0]: a number"),
-    ("settings/myZone", 9, "settings.domain.countByZone: an entry 9 is missing"),
-    ("settings/rules/cold", True, "settings.rules.cold: a number"),
-])
+@pytest.mark.parametrize(
+    "path, value, told",
+    [
+        ("name", ..., "name: the key is missing"),
+        ("listen", "nowhere", "listen: host:port is wanted"),
+        ("listen", "127.0.0.1:70000", "listen: host:port"),
+        ("seed", "xyz", "seed: hex digits"),
+        ("bus", 7, "bus: a string is wanted"),
+        ("known/offset", "3", "known.offset: a whole number"),
+        ("known", [], "known: an object is wanted"),
+        ("limits/sockets", 1.5, "limits.sockets: a whole number"),
+        ("limits/sockets", 20, "limits.sockets: 64 or more"),
+        ("settings", ..., "settings: the key is missing"),
+        ("settings/classes/1/slo", None, "settings.classes[1].slo: a number"),
+        (
+            "settings/classes/0/idempotency",
+            "maybe",
+            "settings.classes[0].idempotency: one of safe, keyed",
+        ),
+        ("settings/classes/0/name", ..., "settings.classes[0].name: the key is missing"),
+        ("settings/allowed/cancel", 1, "settings.allowed.cancel: true or false"),
+        ("settings/allowed/maxStreams", ..., "settings.allowed.maxStreams"),
+        ("settings/domain/neverKept", [False], "settings.domain.neverKept: an entry 1 is missing"),
+        ("settings/domain/freshFor", ["x", 0, 0], "settings.domain.freshFor[0]: a number"),
+        ("settings/myZone", 9, "settings.domain.countByZone: an entry 9 is missing"),
+        ("settings/rules/cold", True, "settings.rules.cold: a number"),
+    ],
+)
 def test_a_fault_names_its_key(path, value, told, tmp_path):
     with pytest.raises(ConfigurationError) as fault:
         decode(changed(path, value))
@@ -67,7 +74,10 @@
 def test_a_configuration_as_a_director_gets_it(tmp_path):
     start = decode(json.dumps(configuration()))
     assert (start.name, start.seed, start.sockets, start.known) == ("n3", 0x8C1F, 1024, 1)
-    assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {"hub": 0, "edge": 1}
+    assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {
+        "hub": 0,
+        "edge": 1,
+    }
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration()))
     assert from_environment({"LB_CONFIG": str(file)}).name == "n3"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,8 +16,24 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import (BAN, HIT, OK, ROOT, SPOTS, WELL, Running, StandBus, StandNode, call_frame, configuration,
-                     event, held_back, rows, serve_frame, wait_for)
+from helpers import (
+    BAN,
+    HIT,
+    OK,
+    ROOT,
+    SPOTS,
+    WELL,
+    Running,
+    StandBus,
+    StandNode,
+    call_frame,
+    configuration,
+    event,
+    held_back,
+    rows,
+    serve_frame,
+    wait_for,
+)
 
 from mulleinrelay.facade import Facade
 from mulleinrelay.interface import Attempt, Node, State
@@ -75,12 +91,16 @@
 
 
 CASES = [("pages", between) for between in BETWEEN] + [
-    (name, between) for name in ("order", "pay") for between in BETWEEN if "source" not in between]
+    (name, between) for name in ("order", "pay") for between in BETWEEN if "source" not in between
+]
 
 
 @pytest.mark.parametrize("request_class, between", CASES)  # writes go straight to the only origin
-def test_what_waited_for_its_link_goes_as_the_list_and_purges_are_by_then(request_class, between, gate):
-    # Guards against requests to nodes that were announced as leaving, and copies from before a purge.
+def test_what_waited_for_its_link_goes_as_the_list_and_purges_are_by_then(
+    request_class, between, gate
+):
+    # Guards against requests to nodes that were announced as leaving, and copies from before a
+    # purge.
     with Running() as director:
         caller = director.caller()
         caller.send(request_class)
@@ -95,8 +115,13 @@
         assert what == 0 and len(heard) == 1
         assert ("within" in heard[0][2]) == ("purged" in between)
         if request_class == "pages" and "purged" not in between:
-            named = [name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard]
-            assert attempt.ways["source" in between][1].name not in [*named, heard[0][2].get("miss")]
+            named = [
+                name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard
+            ]
+            assert attempt.ways["source" in between][1].name not in [
+                *named,
+                heard[0][2].get("miss"),
+            ]
 
 
 @pytest.mark.parametrize("how", ["forget", "close"])
@@ -119,7 +144,8 @@
 
 
 def test_a_message_behind_a_peer_that_does_not_read_is_asked_about_at_its_first_byte():
-    # Guards against an attempt that leaves minutes late, when its node reads on, and one cut in the middle.
+    # Guards against an attempt that leaves minutes late, when its node reads on, and one cut in the
+    # middle.
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     outlet, stale, dropped = Outlet(threading.Lock()), set(), []
@@ -159,14 +185,17 @@
 
 
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_attempt():
-    # Guards against an attempt that is thought to have missed while it runs, so that it is repeated.
+    # Guards against an attempt that is thought to have missed while it runs, so that it is
+    # repeated.
     second = threading.Event()
 
     class Twice(StandNode):
         def answer(self, connection, about, fields):
             if len(director.heard()) == 1:
                 connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
-                return threading.Thread(target=self.later, args=(connection, about), daemon=True).start()
+                return threading.Thread(
+                    target=self.later, args=(connection, about), daemon=True
+                ).start()
             second.set()
             time.sleep(0.1)
             connection.sendall(resp.command(about, b"DONE", b"why=MISS", b"bytes"))
@@ -198,7 +227,9 @@
 
 
 @pytest.mark.parametrize("two_attempts", [True, False])
-def test_where_one_attempt_may_be_out_a_kill_that_cannot_be_written_ends_the_connection(two_attempts):
+def test_where_one_attempt_may_be_out_a_kill_that_cannot_be_written_ends_the_connection(
+    two_attempts,
+):
     # Guards against the next attempt that overtakes the word that the first one is given up.
     with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
@@ -217,8 +248,8 @@
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
 def test_no_echo_begins_at_a_node_that_was_announced_as_leaving(state, gate):
-    # Guards against questions of any kind to nodes that leave: what waited for its link, and what a quiet
-    # link would be asked.
+    # Guards against questions of any kind to nodes that leave: what waited for its link, and what a
+    # quiet link would be asked.
     with Running(None) as director:
         caches, facade = director.service.caches, director.service.facade
         nodes = list(facade.director.caches)
@@ -280,7 +311,9 @@
         front, stream, caller = director.service.front, director.service.bus, director.caller()
         listener, front.listener = front.listener, SimpleNamespace(accept=short)
         with monkeypatch.context() as held:
-            held.setattr(bus, "socket", SimpleNamespace(create_connection=short, SHUT_RDWR=socket.SHUT_RDWR))
+            held.setattr(
+                bus, "socket", SimpleNamespace(create_connection=short, SHUT_RDWR=socket.SHUT_RDWR)
+            )
             caller.send()  # it was accepted before, and is served all the while
             assert caller.answer()[:2] == (1, 0)
             stream.move(stream.address)
@@ -292,7 +325,8 @@
 
 
 def test_a_connection_that_its_node_has_closed_is_not_written_to(monkeypatch):
-    # Guards against an effect of which nobody can say whether it happened, for a close that had come before.
+    # Guards against an effect of which nobody can say whether it happened, for a close that had
+    # come before.
     rooms, reads, room = [], threading.Event(), resp.Arrays.room
 
     def late(arrays):  # the first connection is read once, and its close is not
@@ -317,8 +351,8 @@
 
 
 def test_answers_before_bytes_that_cannot_be_read_count():
-    # Guards against an effect that is called failed though its answer has come: the bytes behind it, of
-    # another answer that was spoilt, end the connection.
+    # Guards against an effect that is called failed though its answer has come: the bytes behind
+    # it, of another answer that was spoilt, end the connection.
     class Spoilt(StandNode):
         def answer(self, connection, about, fields):
             connection.sendall(resp.command(about, *HIT) + b"+what\r\n")
@@ -331,8 +365,10 @@
         assert caller.answer() == (1, 0, {}, b"bytes")
 
 
-@pytest.mark.parametrize("got, entity, current", [
-    ("aa", "aa", True), ("aa", "ab", False), (None, "aa", False), (None, "", False)])
+@pytest.mark.parametrize(
+    "got, entity, current",
+    [("aa", "aa", True), ("aa", "ab", False), (None, "aa", False), (None, "", False)],
+)
 def test_a_clients_copy_is_called_current_only_where_a_node_has_named_it(got, entity, current):
     with Running((b"KEEP", b"why=HIT,entity=%s,issued=1" % entity.encode(), b"")) as director:
         caller = director.caller()
@@ -352,7 +388,8 @@
 
 @pytest.mark.parametrize("calls", [20, 300])  # all that came can be read ahead, or not
 def test_none_is_begun_for_a_client_that_sent_many_and_left(calls, reading):
-    # Guards against attempts that begin long after the client that they are for has closed its connection.
+    # Guards against attempts that begin long after the client that they are for has closed its
+    # connection.
     with Running() as director:
         leaver, stayer = director.caller(), director.caller()
         for number in range(calls):
@@ -370,18 +407,23 @@
     "cancels": lambda caller: caller.socket.sendall(forget(1)),
     "cancels behind a call": lambda caller: caller.socket.sendall(WELL + forget(1)),
     "closes behind a call": lambda caller: (caller.socket.sendall(WELL), caller.close()),
-    "resets": lambda caller: (caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                                       struct.pack("ii", 1, 0)), caller.close()),
+    "resets": lambda caller: (
+        caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)),
+        caller.close(),
+    ),
 }
 
 
 @pytest.mark.parametrize("how", [*LEAVES, "calls", "cancels another"])
 def test_no_further_attempt_begins_for_a_client_whose_leaving_is_not_read_yet(how, monkeypatch):
-    # Guards against a director that is late itself: its links' threads run before that of the client.
+    # Guards against a director that is late itself: its links' threads run before that of the
+    # client.
     left = threading.Event()
     read = held_back(monkeypatch, Client, "hear", lambda client: client.called)
-    stays = {"calls": lambda caller: caller.socket.sendall(WELL),
-             "cancels another": lambda caller: caller.socket.sendall(forget(2))}
+    stays = {
+        "calls": lambda caller: caller.socket.sendall(WELL),
+        "cancels another": lambda caller: caller.socket.sendall(forget(2)),
+    }
 
     with Running(lambda fields: left.wait(5.0) and FULL) as director:
         caller = director.caller()
@@ -434,14 +476,18 @@
 
 
 @pytest.mark.parametrize("together", [True, False])
-@pytest.mark.parametrize("wrong", [b"\xff\xff\xff\xff" * 20, b"\0\0\0\x05hello", b"\x7f\xff\xff\xff"])
+@pytest.mark.parametrize(
+    "wrong", [b"\xff\xff\xff\xff" * 20, b"\0\0\0\x05hello", b"\x7f\xff\xff\xff"]
+)
 def test_what_was_taken_before_bytes_that_cannot_be_read_is_answered(wrong, together):
-    # Guards against a request that is lost with the rest of its connection, and an answer that a reset over
-    # unread bytes takes along.
+    # Guards against a request that is lost with the rest of its connection, and an answer that a
+    # reset over unread bytes takes along.
     answer = threading.Event()
     with Running(lambda fields: answer.wait(5.0) and HIT) as director:
         caller = director.caller()
-        whole = serve_frame(7, {"route": "pages", "trace": "e" * 16, "patience": "3000", "entity": "ab" * 8})
+        whole = serve_frame(
+            7, {"route": "pages", "trace": "e" * 16, "patience": "3000", "entity": "ab" * 8}
+        )
         caller.socket.sendall(whole + wrong if together else whole)
         assert wait_for(director.heard)
         if not together:
@@ -473,8 +519,9 @@
 
     def taken(facade, *arguments, **named):
         request = take(facade, *arguments, **named)
-        other = threading.Thread(target=lambda: [director.service.front.see_through(still)
-                                                 for still in facade.wind_up()])
+        other = threading.Thread(
+            target=lambda: [director.service.front.see_through(still) for still in facade.wind_up()]
+        )
         other.start()
         other.join()
         return request
@@ -498,14 +545,21 @@
             caller.socket.sendall(forget(number))
         reading.set()
         assert sorted(caller.answer()[0] for _ in range(5)) == [1, 3, 4, 6, 7]
-        assert sorted(int(fields["name"], 16) for _, _, fields, _ in director.heard()) == [1, 3, 4, 6, 7]
+        assert sorted(int(fields["name"], 16) for _, _, fields, _ in director.heard()) == [
+            1,
+            3,
+            4,
+            6,
+            7,
+        ]
         unreadable, well = call_frame("forget", 0, b"\x0b", 4), call_frame("isWell", 9, b"\0")
         caller.socket.sendall(forget(1) + unreadable + well)
         assert caller.answer()[:2] == (9, 0)  # one that is over, one that can't be read: no harm
 
 
 def test_a_call_that_crosses_the_end_of_the_drain_is_answered(monkeypatch):
-    # Guards against an end of all connections on a word that none owes an answer which a call has overtaken.
+    # Guards against an end of all connections on a word that none owes an answer which a call has
+    # overtaken.
     owes, crossed = Front.owes, []
 
     def cross(front):
@@ -535,7 +589,9 @@
 
 def test_who_the_system_has_accepted_before_the_drain_ends_is_answered(monkeypatch):
     # Guards against a listener that closes over connections on which calls have come.
-    free = held_back(monkeypatch, Front, "_let_in", lambda *_: threading.current_thread().name == "accept")
+    free = held_back(
+        monkeypatch, Front, "_let_in", lambda *_: threading.current_thread().name == "accept"
+    )
     with Running() as director:
         first = director.caller()
         assert free.met.wait(5.0)
@@ -552,8 +608,8 @@
 
 
 def test_what_crosses_the_end_of_an_idle_connection_is_neither_begun_nor_met_with_a_reset():
-    # Guards against a close over unread bytes, which may take the last answer along, and against a request
-    # that is sent on here and once more by its client.
+    # Guards against a close over unread bytes, which may take the last answer along, and against a
+    # request that is sent on here and once more by its client.
     with Running() as director:
         caller = director.caller()
         caller.send()
@@ -571,9 +627,12 @@
 
 
 def test_a_call_is_with_the_system_or_read_at_every_moment(monkeypatch):
-    # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in the list.
+    # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in
+    # the list.
     answer = threading.Event()
-    go = held_back(monkeypatch, Frames, "filled", lambda *_: threading.current_thread().name == "client")
+    go = held_back(
+        monkeypatch, Frames, "filled", lambda *_: threading.current_thread().name == "client"
+    )
     with Running(lambda fields: answer.wait(10.0) and HIT) as director:
         caller = director.caller()
         caller.send()
@@ -602,7 +661,8 @@
 
 
 def test_a_call_that_has_been_read_and_is_not_yet_begun_counts_as_open(monkeypatch):
-    # Guards against the end of a connection, or of the drain, between a call's reading and its begin.
+    # Guards against the end of a connection, or of the drain, between a call's reading and its
+    # begin.
     go = held_back(monkeypatch, Front, "_call")
     with Running() as director:
         caller, table = director.caller(), director.service.front
@@ -631,7 +691,9 @@
 def test_a_call_of_which_a_part_has_come_is_waited_for_at_the_end_of_a_drain():
     with Running() as director:
         caller, bad = director.caller(), director.caller()
-        whole = serve_frame(7, {"route": "pages", "trace": "f" * 16, "patience": "3000", "entity": "ab" * 8})
+        whole = serve_frame(
+            7, {"route": "pages", "trace": "f" * 16, "patience": "3000", "entity": "ab" * 8}
+        )
         for half in (caller, bad):
             half.socket.sendall(whole[:20])
         clients = director.service.front.clients
@@ -685,18 +747,31 @@
         assert good.answer()[:2] == (1, 0)
 
 
-@pytest.mark.parametrize("signals, ready", [
-    ([signal.SIGHUP], True), ([signal.SIGHUP] * 5, True),
-    ([signal.SIGTERM], False), ([signal.SIGHUP, signal.SIGTERM], False), ([signal.SIGTERM] * 3, False)])
+@pytest.mark.parametrize(
+    "signals, ready",
+    [
+        ([signal.SIGHUP], True),
+        ([signal.SIGHUP] * 5, True),
+        ([signal.SIGTERM], False),
+        ([signal.SIGHUP, signal.SIGTERM], False),
+        ([signal.SIGTERM] * 3, False),
+    ],
+)
 def test_a_signal_before_the_program_listens_to_signals(signals, ready, tmp_path):
     # Guards against a new configuration, told to all, that ends those who are just being started.
     file, root = tmp_path / "config.json", Path(ROOT)
     file.write_text(json.dumps(configuration()))
     run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
-    program = subprocess.Popen(["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)], cwd=root,
-                               stderr=subprocess.PIPE, env=os.environ | {"LB_CONFIG": str(file)})
+    program = subprocess.Popen(
+        ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
+        cwd=root,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"LB_CONFIG": str(file)},
+    )
     try:
-        assert wait_for(lambda: b"mulleinrelay\0serve" in Path(f"/proc/{program.pid}/cmdline").read_bytes())
+        assert wait_for(
+            lambda: b"mulleinrelay\0serve" in Path(f"/proc/{program.pid}/cmdline").read_bytes()
+        )
         for number in signals:
             program.send_signal(number)
         if ready:
@@ -713,7 +788,6 @@
 # The event stream
 
 
-
 class Trickles(StandBus):
     """Its first connection says `said`, then one byte after the other; the others are well."""
 
@@ -746,7 +820,9 @@
         monkeypatch.setattr(bus, name, getattr(bus, name) / 10.0)
     with Running(bus=StandBus([OK, None], [None], [None])) as director:
         director.service.bus.pace.ended = lambda *_: 0.01
-        director.bus.scripts.append([OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None])
+        director.bus.scripts.append(
+            [OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None]
+        )
         begun = time.monotonic()
         assert wait_for(lambda: director.service.bus.last == 2)
         assert time.monotonic() - begun < 0.7
@@ -761,7 +837,9 @@
     # Guards against a list from before what is known, and loses no purge that a gap may hide.
     with Running(bus=StandBus()) as director:
         whole = event(number, rows(director, "SERVING", "s-03", "s-11", "s-21", full=True))
-        assert wait_for(lambda: director.bus.asked)  # a connection that is opened now would take a script
+        assert wait_for(
+            lambda: director.bus.asked
+        )  # a connection that is opened now would take a script
         director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
         director.service.bus.move(director.service.bus.address)
         assert wait_for(lambda: director.service.bus.last == number + 1)
@@ -798,15 +876,19 @@
         assert wait_for(lambda: director.service.bus.last == 4)
 
 
-@pytest.mark.parametrize("numbers, last, drained", [
-    ([1, 2], 2, True), ([2], 2, True), ([3], 1, True), ([1], 1, False), ([None], 1, False)])
+@pytest.mark.parametrize(
+    "numbers, last, drained",
+    [([1, 2], 2, True), ([2], 2, True), ([3], 1, True), ([1], 1, False), ([None], 1, False)],
+)
 def test_events_in_a_new_configuration_count_though_the_stream_is_silent(numbers, last, drained):
-    # Guards against drains that a director was told of by its file; an old or unnumbered list is not new, and
-    # one behind a gap is heeded, while the stream is asked for what is missing.
+    # Guards against drains that a director was told of by its file; an old or unnumbered list is
+    # not new, and one behind a gap is heeded, while the stream is asked for what is missing.
     with Running(bus=StandBus([OK, None], [OK, None])) as director:
         stream, facade = director.service.bus, director.service.facade
-        told = [rows(director, "DRAINING", "s-01") | ({} if number is None else {"offset": number})
-                for number in numbers]
+        told = [
+            rows(director, "DRAINING", "s-01") | ({} if number is None else {"offset": number})
+            for number in numbers
+        ]
         director.service.renew(replace(director.service.start_settings, events=told))
         assert wait_for(lambda: len(director.bus.asked) == 2)
         assert director.bus.asked[1] == stream.last == last
@@ -846,14 +928,17 @@
         stream = director.service.bus
         stream.look_again = lambda: 1 / 0
         stream.pace.astray = lambda now: True
-        director.bus.scripts += [[OK, event(2, BAN), None]] * 9  # a connection that the move ends takes one
+        director.bus.scripts += [
+            [OK, event(2, BAN), None]
+        ] * 9  # a connection that the move ends takes one
         stream.move(stream.address)
         assert wait_for(lambda: stream.last == 2 and "fault" in director.sink.events)
 
 
 def test_a_program_that_starts_hears_what_it_missed_before_it_is_well(monkeypatch):
-    # Guards against first requests by a list that is out of date: a drain that was told while the program
-    # started has used up its grace. The stream's word is held back until the front listens and is asked.
+    # Guards against first requests by a list that is out of date: a drain that was told while the
+    # program started has used up its grace. The stream's word is held back until the front listens
+    # and is asked.
     monkeypatch.setattr(bus, "MISSED", 0.5)
     drain = event(2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}})
     stand, late = StandBus([OK, drain, None]), threading.Event()
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -15,7 +15,9 @@
     stage = Stage()
     request = stage.take()
     order = stage.facade.pick(request)
-    assert isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
+    assert (
+        isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
+    )
     stage.facade.report(order.attempt, Outcome.SERVED, Note.HIT, answer="bytes")
     stage.facade.report(order.attempt, Outcome.ERROR)
     stage.facade.forget(request)
@@ -24,23 +26,29 @@
     assert order.attempt.outcome == Outcome.SERVED and not stage.facade.open_requests()
 
 
-@pytest.mark.parametrize("first, second, verdict", [
-    ("forget", "report", Left),
-    ("report", "forget", Served),
-    ("forget", "wind_up", Left),
-    ("wind_up", "forget", Rejected),
-    ("wind_up", "report", Rejected),
-    ("report", "wind_up", Served),
-    ("time", "report", Rejected),
-    ("report", "time", Served),
-])
+@pytest.mark.parametrize(
+    "first, second, verdict",
+    [
+        ("forget", "report", Left),
+        ("report", "forget", Served),
+        ("forget", "wind_up", Left),
+        ("wind_up", "forget", Rejected),
+        ("wind_up", "report", Rejected),
+        ("report", "wind_up", Served),
+        ("time", "report", Rejected),
+        ("report", "time", Served),
+    ],
+)
 def test_whoever_comes_second_finds_the_request_ended(first, second, verdict):
     stage = Stage()
     request = stage.take()
     attempt = stage.facade.pick(request).attempt
-    deeds = {"forget": lambda: stage.facade.forget(request), "wind_up": stage.facade.wind_up,
-             "report": lambda: stage.facade.report(attempt, Outcome.SERVED, Note.HIT),
-             "time": lambda: stage.pass_time(7000.0)}
+    deeds = {
+        "forget": lambda: stage.facade.forget(request),
+        "wind_up": stage.facade.wind_up,
+        "report": lambda: stage.facade.report(attempt, Outcome.SERVED, Note.HIT),
+        "time": lambda: stage.pass_time(7000.0),
+    }
     deeds[first]()
     deeds[second]()
     steps = [stage.facade.pick(request)]
@@ -50,13 +58,16 @@
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
-@pytest.mark.parametrize("request_class, sent, outcome, verdict", [
-    ("pages", True, None, Rejected),
-    ("order", True, None, Rejected),
-    ("pay", True, None, Failed),
-    ("pay", False, None, Rejected),
-    ("pay", True, Outcome.RESET, Failed),
-])
+@pytest.mark.parametrize(
+    "request_class, sent, outcome, verdict",
+    [
+        ("pages", True, None, Rejected),
+        ("order", True, None, Rejected),
+        ("pay", True, None, Failed),
+        ("pay", False, None, Rejected),
+        ("pay", True, Outcome.RESET, Failed),
+    ],
+)
 def test_the_last_answers_of_a_drain_are_true(request_class, sent, outcome, verdict):
     # Guards against a drain that calls harmless what may have run.
     stage = Stage()
@@ -80,7 +91,9 @@
 
 
 def test_a_attempt_over_its_time_is_given_up_and_reported():
-    stage = Stage(allowed={"cancel": False})  # the module calls nothing off: the caller keeps the time
+    stage = Stage(
+        allowed={"cancel": False}
+    )  # the module calls nothing off: the caller keeps the time
     request = stage.take()
     attempt = stage.facade.pick(request).attempt
     stage.pass_time(6001.0)
@@ -187,15 +200,24 @@
 
 
 def test_nothing_is_kept_of_nodes_that_have_gone():
-    # Guards against memory that grows with every node that is replaced, in the facade and in the module.
+    # Guards against memory that grows with every node that is replaced, in the facade and in the
+    # module.
     stage, entry = Stage(), None
     for number in range(50):
-        gone, entry = entry, Listing(f"s-5{number}", ("127.0.0.1", 9), State.READY, 4.0, 0, 1, 0, 0.0)
+        gone, entry = (
+            entry,
+            Listing(f"s-5{number}", ("127.0.0.1", 9), State.READY, 4.0, 0, 1, 0, 0.0),
+        )
         if gone is not None:
             gone.state = State.GONE
         stage.facade.listed([entry] + ([gone] if gone else []), False)
         stage.until_verdict(stage.take(left=0.0))
-    assert len(stage.facade.nodes) == len(stage.facade.places) == len(stage.facade.director.members) == 7
+    assert (
+        len(stage.facade.nodes)
+        == len(stage.facade.places)
+        == len(stage.facade.director.members)
+        == 7
+    )
 
 
 class Calls:
@@ -218,8 +240,19 @@
 
 @pytest.mark.parametrize(
     "word, status, note",
-    [(b"DONE", 0, 1), (b"DONE", 0, 3), (b"DONE", 0, 5), (b"KEEP", 0, 1), (b"LACK", 2, 8), (b"LACK", 2, 0),
-     (b"WAIT", 11, 6), (b"WAIT", 11, 9), (b"BROKE", 5, 7), (b"BROKE", 5, 10), (b"PAST", 114, 0)],
+    [
+        (b"DONE", 0, 1),
+        (b"DONE", 0, 3),
+        (b"DONE", 0, 5),
+        (b"KEEP", 0, 1),
+        (b"LACK", 2, 8),
+        (b"LACK", 2, 0),
+        (b"WAIT", 11, 6),
+        (b"WAIT", 11, 9),
+        (b"BROKE", 5, 7),
+        (b"BROKE", 5, 10),
+        (b"PAST", 114, 0),
+    ],
 )
 def test_sockets_and_simulator_call_the_module_alike(word, status, note):
     stage = Stage()
@@ -235,7 +268,9 @@
     theirs.director = Calls(theirs.director.terms)
     theirs.requests[1] = stage.again(request)
     closed = int(status == 0)
-    theirs.take(5.0, wire.ANSWER, (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0), {})
+    theirs.take(
+        5.0, wire.ANSWER, (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0), {}
+    )
     theirs.play(5.0)
     assert ours.seen == theirs.director.seen and len(ours.seen) == 1
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,5 +1,7 @@
-"""One request through all orders of what may come to it, three events long, each kept to the rules by another
-account of what was begun; and one connection of a client likewise. Planted faults must be found."""
+"""One request through all orders of what may come to it, three events long, each kept to the rules
+by another account of what was begun; and one connection of a client likewise. Planted faults must
+be found.
+"""
 
 import itertools
 import socket
@@ -14,10 +16,24 @@
 from mulleinrelay.net.client import Client
 
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
-ANSWERS = {"served": Outcome.SERVED, "miss": Outcome.MISS, "full": Outcome.TURNED_AWAY,
-           "reset": Outcome.RESET, "error": Outcome.ERROR}
-EVENTS = [*ANSWERS, "second answer", "drains", "purged", "leaves", "overdue", "winds up", "waits",
-          "is written"]
+ANSWERS = {
+    "served": Outcome.SERVED,
+    "miss": Outcome.MISS,
+    "full": Outcome.TURNED_AWAY,
+    "reset": Outcome.RESET,
+    "error": Outcome.ERROR,
+}
+EVENTS = [
+    *ANSWERS,
+    "second answer",
+    "drains",
+    "purged",
+    "leaves",
+    "overdue",
+    "winds up",
+    "waits",
+    "is written",
+]
 
 
 class Play:
@@ -92,9 +108,13 @@
         self.stage.pass_time(2500.0)
         self.see_through()
         assert len(self.verdicts) == 1 and self.facade.pick(self.request) is None
-        assert not self.facade.lives and not [attempt for attempt in self.out() if attempt.outcome is None]
+        assert not self.facade.lives and not [
+            attempt for attempt in self.out() if attempt.outcome is None
+        ]
         if isinstance(self.verdicts[0], Rejected) and self.request_class == "pay":
-            assert all(self.ended.get(held) in NEVER_RAN for held in self.begun), "a retry might do it twice"
+            assert all(self.ended.get(held) in NEVER_RAN for held in self.begun), (
+                "a retry might do it twice"
+            )
         if isinstance(self.verdicts[0], Served):
             assert self.ended[self.verdicts[0].answer] == Outcome.SERVED
 
@@ -107,7 +127,9 @@
                 play.happen(event)
             play.end()
         except AssertionError as wrong:
-            raise AssertionError(f"{request_class}, waits {waits}, {', '.join(events)}: {wrong}") from wrong
+            raise AssertionError(
+                f"{request_class}, waits {waits}, {', '.join(events)}: {wrong}"
+            ) from wrong
 
 
 @pytest.mark.parametrize("request_class, length", [("pages", 3), ("order", 2), ("pay", 3)])
@@ -115,11 +137,20 @@
     search(request_class, length)
 
 
-@pytest.mark.parametrize("request_class, where, name, planted, told", [
-    ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
-    ("pay", policy, "may_have_run", lambda request: [], "twice"),
-    ("pay", policy, "may_have_run",
-     lambda request: [attempt for attempt in request.attempts if attempt.outcome is None], "twice")])
+@pytest.mark.parametrize(
+    "request_class, where, name, planted, told",
+    [
+        ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
+        ("pay", policy, "may_have_run", lambda request: [], "twice"),
+        (
+            "pay",
+            policy,
+            "may_have_run",
+            lambda request: [attempt for attempt in request.attempts if attempt.outcome is None],
+            "twice",
+        ),
+    ],
+)
 def test_a_planted_fault_is_found(request_class, where, name, planted, told, monkeypatch):
     monkeypatch.setattr(where, name, planted)
     with pytest.raises(AssertionError, match=told):
