--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,18 +1,23 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
-from mulleinrelay.interface import UNSAFE, IDEMPOTENT, KEYED, Attempt, Note, Outcome, State
-
-
-@pytest.mark.parametrize("repeat, group, outcome, attempts, final", [
-    (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
-    (KEYED, "all", Outcome.ERROR, 2, None),
-    (KEYED, "zone", Outcome.ERROR, 1, "fail"),
-    (KEYED, "zone", Outcome.TURNED_AWAY, 2, None),
-    (UNSAFE, "all", Outcome.RESET, 1, "fail"),
-    (UNSAFE, "all", Outcome.UNCONNECTED, 2, None),
-])
-def test_further_attempts_go_only_as_far_as_their_class_permits(repeat, group, outcome, attempts, final):
+from mulleinrelay.interface import IDEMPOTENT, KEYED, UNSAFE, Attempt, Note, Outcome, State
+
+
+@pytest.mark.parametrize(
+    "repeat, group, outcome, attempts, final",
+    [
+        (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
+        (KEYED, "all", Outcome.ERROR, 2, None),
+        (KEYED, "zone", Outcome.ERROR, 1, "fail"),
+        (KEYED, "zone", Outcome.TURNED_AWAY, 2, None),
+        (UNSAFE, "all", Outcome.RESET, 1, "fail"),
+        (UNSAFE, "all", Outcome.UNCONNECTED, 2, None),
+    ],
+)
+def test_further_attempts_go_only_as_far_as_their_class_permits(
+    repeat, group, outcome, attempts, final
+):
     fleet = Fleet(repeat, group)
     request = fleet.ask()
     fleet.answer(request.attempts[0], outcome, Note.NONE, after=20)
@@ -29,13 +34,22 @@
     assert len(request.attempts) == 1 and request.ended
 
 
-@pytest.mark.parametrize("outcome, after, final", [
-    (Outcome.ERROR, 4000, "reject"),  # the client comes again while the idempotency key is remembered
-    (Outcome.ERROR, 4900, "fail"),  # told to come back behind its end
-    (Outcome.ERROR, 5500, "fail"),
-    (Outcome.MISS, 5500, "reject"),  # never ran
-])
-def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(outcome, after, final):
+@pytest.mark.parametrize(
+    "outcome, after, final",
+    [
+        (
+            Outcome.ERROR,
+            4000,
+            "reject",
+        ),  # the client comes again while the idempotency key is remembered
+        (Outcome.ERROR, 4900, "fail"),  # told to come back behind its end
+        (Outcome.ERROR, 5500, "fail"),
+        (Outcome.MISS, 5500, "reject"),  # never ran
+    ],
+)
+def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(
+    outcome, after, final
+):
     fleet = Fleet(KEYED, attempts_most=1, advice_most=200.0)
     fleet.answer(fleet.ask().attempts[0], outcome, Note.NONE, after=after)
     assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final]
@@ -93,7 +107,9 @@
 
 @pytest.mark.parametrize("caches_cold", [True, False])
 def test_small_requests_count_as_the_mean_of_their_request_class_at_a_cold_member(caches_cold):
-    """Nine of ten took a tenth of the mean and went by that: together several times what fells the member."""
+    """Nine of ten took a tenth of the mean and went by that: together several times what fells the
+    member.
+    """
     fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
     rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
@@ -111,14 +127,24 @@
         for now in times:
             warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_100.0) / rule.warm_in
             number = rule.multiple * 6.0 * warmth * rule.span / mean / sharers
-            assert sum(now - rule.span <= at <= now for at in times) <= number + 2.0 * number ** 0.5 + 2.0
+            assert (
+                sum(now - rule.span <= at <= now for at in times)
+                <= number + 2.0 * number**0.5 + 2.0
+            )
 
 
 @pytest.mark.parametrize("key, group", [(77, 1), (0, 1)])
 def test_a_purge_bounds_the_copy_and_zero_is_never_sent_for_it(key, group):
     fleet = Fleet()
     fleet.call("purged", key, group, 40.0)
-    for after in (0.0, 0.5, 30.0, 1000.0, 4000.0, 20_000.0):  # a late fill may bring an old copy after all
+    for after in (
+        0.0,
+        0.5,
+        30.0,
+        1000.0,
+        4000.0,
+        20_000.0,
+    ):  # a late fill may bring an old copy after all
         fleet.ask(key=77, after=after)
         age = fleet.out.take("send")[-1][1]
         assert 0.0 < age <= fleet.now - 100000.0 + 40.0
@@ -158,19 +184,25 @@
         for delay, about in fleet.out.take("wake"):
             if about is attempt and attempt.node is silent:
                 fleet.call("woken", attempt, after=delay)
-                assert len(attempt.request.attempts) == 2 and attempt.request.attempts[1].node is not silent
+                assert (
+                    len(attempt.request.attempts) == 2
+                    and attempt.request.attempts[1].node is not silent
+                )
         if silent.shunned:
             break
     assert silent.shunned
 
 
-@pytest.mark.parametrize("outcome, another, weight", [
-    (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
-    (Outcome.UNCONNECTED, None, 6.0),
-    (Outcome.ERROR, None, 0.0),
-    (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
-    (Outcome.ERROR, Outcome.SERVED, 3.0),
-])
+@pytest.mark.parametrize(
+    "outcome, another, weight",
+    [
+        (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
+        (Outcome.UNCONNECTED, None, 6.0),
+        (Outcome.ERROR, None, 0.0),
+        (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
+        (Outcome.ERROR, Outcome.SERVED, 3.0),
+    ],
+)
 def test_bad_outcomes_weigh_by_what_they_tell_of_the_node(outcome, another, weight):
     """Clients that ask for what no node knows, and spoilt answers, had healthy caches shunned."""
     fleet = Fleet()
@@ -193,14 +225,18 @@
 
 @pytest.mark.parametrize("broken, well", [("parents", "caches"), ("caches", "parents")])
 def test_the_member_that_all_bad_attempts_share_is_shunned_and_the_others_are_not(broken, well):
-    """A failing parent shows as errors at every cache; without split blame the caches were shunned for it."""
+    """A failing parent shows as errors at every cache; without split blame the caches were shunned
+    for it.
+    """
     fleet = Fleet()
     sick = getattr(fleet, broken)[0]
     for _ in range(150):
         request = fleet.ask(after=20)
         attempt = request.attempts[0]
         bad = sick in (attempt.node, attempt.source)
-        fleet.answer(attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SERVED, Note.FILLED)))
+        fleet.answer(
+            attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SERVED, Note.FILLED))
+        )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt, note=Note.FILLED)
     assert sick.shunned and not any(member.shunned for member in getattr(fleet, well))
@@ -216,9 +252,13 @@
     assert small.attempts
 
 
-@pytest.mark.parametrize("crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)])
+@pytest.mark.parametrize(
+    "crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)]
+)
 def test_a_jammed_link_brings_in_no_fills_and_a_miss_is_rejected_at_once(crowding, age, filled):
-    """Without the bound, fills whose clients left kept a jammed link jammed for the rest of the day."""
+    """Without the bound, fills whose clients left kept a jammed link jammed for the rest of the
+    day.
+    """
     fleet = Fleet()
     fleet.answer(fleet.ask().attempts[0], load={"crowding": crowding})
     request = fleet.ask(after=age)
@@ -229,7 +269,9 @@
 
 
 def test_a_slow_member_that_answers_in_between_is_not_shunned():
-    """A fixed cut took crowded members for silent ones, and the count outlived the answer that refuted it."""
+    """A fixed cut took crowded members for silent ones, and the count outlived the answer that
+    refuted it.
+    """
     fleet = Fleet()
     for _ in range(30):
         attempt = fleet.ask(after=400).attempts[0]
@@ -241,7 +283,9 @@
 
 @pytest.mark.parametrize("first_byte, held_only", [(100.0, False), (3000.0, True)])
 def test_a_crowded_origin_gets_no_more_fills_and_parents_give_what_they_hold(first_byte, held_only):
-    """Without the bound a crowded origin was held crowded by fills that came too late for anyone."""
+    """Without the bound a crowded origin was held crowded by fills that came too late
+    for anyone.
+    """
     fleet = Fleet()
     for place in range(30):
         by_origin = place % 3 == 0
@@ -269,13 +313,21 @@
     assert 0 < filled <= 6
 
 
-@pytest.mark.parametrize("outcome, after, least, most", [
-    (Outcome.TURNED_AWAY, 50.0, 5, 13), (Outcome.TURNED_AWAY, 1.0, 5, 13), (Outcome.MOOT, 50.0, 5, 13),
-    (Outcome.MOOT, 1.0, 30, 30)])
+@pytest.mark.parametrize(
+    "outcome, after, least, most",
+    [
+        (Outcome.TURNED_AWAY, 50.0, 5, 13),
+        (Outcome.TURNED_AWAY, 1.0, 5, 13),
+        (Outcome.MOOT, 50.0, 5, 13),
+        (Outcome.MOOT, 1.0, 30, 30),
+    ],
+)
 def test_further_attempts_keep_to_their_budget_and_cost_little_where_little_was_lost(
-        outcome, after, least, most):
-    """Without the budget, attempts turned away came back as three or four more; a full node wastes no time,
-    and yet its peers are about to be full."""
+    outcome, after, least, most
+):
+    """Without the budget, attempts turned away came back as three or four more; a full node wastes
+    no time, and yet its peers are about to be full.
+    """
     fleet, further = Fleet(), 0
     for _ in range(30):
         request = fleet.ask()
@@ -292,8 +344,12 @@
 
 
 @pytest.mark.parametrize("wait, taken", [(100.0, True), (900.0, False)])
-def test_crowding_is_read_from_how_late_hits_come_and_not_from_attempts_times_directors(wait, taken):
-    """With twenty directors, two attempts out of one's own rejected the third request at idle caches."""
+def test_crowding_is_read_from_how_late_hits_come_and_not_from_attempts_times_directors(
+    wait, taken
+):
+    """With twenty directors, two attempts out of one's own rejected the third request at idle
+    caches.
+    """
     fleet = Fleet(directors_here=20)
     for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
         fleet.call("answered", attempt, Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
@@ -336,7 +392,9 @@
 
 @pytest.mark.parametrize("slow, kept", [((0,), False), ((0, 1), True)])
 def test_a_parent_is_passed_over_only_where_the_others_did_not_rise_alike(slow, kept):
-    """All slow alike sent directors on to parents that lacked the objects, and the origin was asked more."""
+    """All slow alike sent directors on to parents that lacked the objects, and the origin was asked
+    more.
+    """
     fleet = Fleet()
     warm_up(fleet)
     for at in slow:
@@ -344,12 +402,18 @@
             fleet.parents[at].recent.add(fleet.now, 700.0)
     fleet.director.random.random, fleet.director.trials = lambda: 1.0, 0.0
     orders = [fleet.director.by_hash(fleet.parents, key, 0) for key in range(5000, 5040)]
-    sources = [fleet.director.choose_outside(iter(order)) for order in orders if order[0] is fleet.parents[0]]
+    sources = [
+        fleet.director.choose_outside(iter(order))
+        for order in orders
+        if order[0] is fleet.parents[0]
+    ]
     assert all(source is fleet.parents[0] for source in sources) is kept
 
 
 def test_a_source_that_refuses_is_not_shunned_for_it():
-    """The crowded parents that were left were shunned like the dead ones, and the dead ones named again."""
+    """The crowded parents that were left were shunned like the dead ones, and the dead ones named
+    again.
+    """
     fleet = Fleet()
     for _ in range(30):
         request = fleet.ask(after=30)
@@ -366,11 +430,14 @@
     assert [fleet.director.delay(parent) for parent in fleet.parents] == before
 
 
-@pytest.mark.parametrize("outcome, well, taken_back", [
-    (Outcome.UNCONNECTED, True, True),
-    (Outcome.UNCONNECTED, False, False),
-    (Outcome.ERROR, True, False),  # it was reached all the while
-])
+@pytest.mark.parametrize(
+    "outcome, well, taken_back",
+    [
+        (Outcome.UNCONNECTED, True, True),
+        (Outcome.UNCONNECTED, False, False),
+        (Outcome.ERROR, True, False),  # it was reached all the while
+    ],
+)
 def test_an_echo_disproves_that_a_cache_is_not_reached_and_nothing_else(outcome, well, taken_back):
     fleet = Fleet(may_probe=True)
     sick = fleet.ask(key=77).attempts[0].node
@@ -390,7 +457,9 @@
 @pytest.mark.parametrize("state", [State.GONE, State.DRAINING])
 @pytest.mark.parametrize("first", ["breaks", "leaves"])
 def test_who_has_gone_or_starts_anew_is_asked_for_no_echo(first, state, whose):
-    """An attempt that was out at one that left broke afterwards: nobody knew its place, the module failed."""
+    """An attempt that was out at one that left broke afterwards: nobody knew its place, the module
+    failed.
+    """
     fleet = Fleet(may_probe=True)
     sick = fleet.caches[0] if whose == CACHE else fleet.parents[0]
     row = fleet.row(sick, whose, 1 if whose == CACHE else 0, state=state)
@@ -406,7 +475,9 @@
 
 @pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
 def test_where_no_size_is_told_a_attempt_is_overdue_by_what_answers_took(took, none_overdue):
-    """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent shunned."""
+    """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent
+    shunned.
+    """
     fleet = Fleet(flow=0.0)
     for _ in range(8):
         attempt = fleet.ask(size=0.0).attempts[0]
@@ -419,7 +490,9 @@
 @pytest.mark.parametrize("caches_cold", [True, False])
 def test_where_no_size_is_told_a_cold_member_is_sent_no_more_than_where_sizes_are(caches_cold):
     """A quarter of the goal stood in for the sending time, which was three times as long."""
-    fleet = Fleet(started=100_000.0 * caches_cold, hub_started=100_000.0 * (not caches_cold), flow=0.0)
+    fleet = Fleet(
+        started=100_000.0 * caches_cold, hub_started=100_000.0 * (not caches_cold), flow=0.0
+    )
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
     rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
     sent, sending = {member: [] for member in cold}, 400.0
@@ -455,13 +528,19 @@
     node = request.attempts[0].node
     fleet.now += wait
     fleet.call("answered", request.attempts[0], Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
-    back = next(step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node)
+    back = next(
+        step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node
+    )
     assert 0.25 * back <= seconds
 
 
-@pytest.mark.parametrize("may_probe, may_pass_by, whose", [(True, True, PARENT), (False, True, CACHE),
-                                                          (True, False, CACHE)])
-def test_where_no_cache_is_reached_parents_are_asked_until_an_echo_comes(may_probe, may_pass_by, whose):
+@pytest.mark.parametrize(
+    "may_probe, may_pass_by, whose",
+    [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
+)
+def test_where_no_cache_is_reached_parents_are_asked_until_an_echo_comes(
+    may_probe, may_pass_by, whose
+):
     fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
     for cache in fleet.caches:
         fleet.director.mark(cache, 4.0, "reset")
@@ -487,12 +566,17 @@
     return attempt
 
 
-@pytest.mark.parametrize("purse, reached, attempts, given_up", [
-    (8.0, True, 2, False),
-    (0.0, True, 1, False),  # its node lives and is slow: what is out there is about to come
-    (0.0, False, 1, True)])
+@pytest.mark.parametrize(
+    "purse, reached, attempts, given_up",
+    [
+        (8.0, True, 2, False),
+        (0.0, True, 1, False),  # its node lives and is slow: what is out there is about to come
+        (0.0, False, 1, True),
+    ],
+)
 def test_an_overdue_request_whose_further_attempt_is_not_earned_waits_for_a_node_that_lives(
-        purse, reached, attempts, given_up):
+    purse, reached, attempts, given_up
+):
     """Guards against storms in which nodes work for requests that were rejected meanwhile."""
     fleet = Fleet()
     request = fleet.ask()
@@ -503,13 +587,21 @@
     assert request.ended and len(fleet.out.take("reject")) == 1
 
 
-@pytest.mark.parametrize("may_probe, may_pass_by, whose", [(True, True, PARENT), (False, True, CACHE),
-                                                          (True, False, CACHE)])
-def test_two_caches_that_fail_in_a_row_tell_a_cut_and_requests_pass_by(may_probe, may_pass_by, whose):
+@pytest.mark.parametrize(
+    "may_probe, may_pass_by, whose",
+    [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
+)
+def test_two_caches_that_fail_in_a_row_tell_a_cut_and_requests_pass_by(
+    may_probe, may_pass_by, whose
+):
     fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
     for cache in fleet.caches[:2]:
-        fleet.director.learn(Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET), 1.0,
-                             Note.NONE, 0.0)
+        fleet.director.learn(
+            Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET),
+            1.0,
+            Note.NONE,
+            0.0,
+        )
     assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
     assert not any(cache.shunned for cache in fleet.caches)  # no judgement of each for itself
     fleet.call("told", fleet.caches[2], None, True, after=300.0)
@@ -539,7 +631,9 @@
 
 
 def test_a_part_of_a_cold_limit_that_was_borrowed_ends_by_itself():
-    """Guards against a director that was stopped and goes on with what has been given to another since."""
+    """Guards against a director that was stopped and goes on with what has been given to another
+    since.
+    """
     fleet = Fleet(started=100_000.0, directors_here=4)
     cold, share = fleet.caches[0], fleet.director.cold_here
     share.part, share.until, share.least, share.watched = 1.0, 101_000.0, 0.0, True
@@ -551,20 +645,32 @@
     assert all(fleet.director.has_room(cache, 100.0) for cache in fleet.caches[1:])  # warm ones
 
 
-@pytest.mark.parametrize("repeat, first, after, may", [
-    (IDEMPOTENT, None, 0.0, True), (IDEMPOTENT, Outcome.ERROR, 5900.0, True),
-    (IDEMPOTENT, Outcome.ERROR, 5995.0, False),
-    (KEYED, Outcome.ERROR, 4900.0, True), (KEYED, Outcome.ERROR, 4960.0, False),
-    (KEYED, Outcome.TURNED_AWAY, 4960.0, True), (KEYED, None, 4960.0, True),
-    (UNSAFE, None, 4960.0, True), (UNSAFE, Outcome.TURNED_AWAY, 4960.0, True)])
+@pytest.mark.parametrize(
+    "repeat, first, after, may",
+    [
+        (IDEMPOTENT, None, 0.0, True),
+        (IDEMPOTENT, Outcome.ERROR, 5900.0, True),
+        (IDEMPOTENT, Outcome.ERROR, 5995.0, False),
+        (KEYED, Outcome.ERROR, 4900.0, True),
+        (KEYED, Outcome.ERROR, 4960.0, False),
+        (KEYED, Outcome.TURNED_AWAY, 4960.0, True),
+        (KEYED, None, 4960.0, True),
+        (UNSAFE, None, 4960.0, True),
+        (UNSAFE, Outcome.TURNED_AWAY, 4960.0, True),
+    ],
+)
 def test_a_attempt_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
-    """A repeat that waited for its connection reached a node that no longer knew its idempotency key."""
+    """A repeat that waited for its connection reached a node that no longer knew its idempotency
+    key.
+    """
     fleet = Fleet(repeat)
     request = fleet.ask()
     if first is not None:
         fleet.answer(request.attempts[0], first)
     attempt = request.attempts[-1]
-    assert len(request.attempts) == 1 + (first is not None) and fleet.director.may_begin(fleet.now, attempt)
+    assert len(request.attempts) == 1 + (first is not None) and fleet.director.may_begin(
+        fleet.now, attempt
+    )
     assert fleet.director.may_begin(fleet.now + after, attempt) == may
 
 
@@ -579,12 +685,22 @@
     assert fleet.director.may_begin(fleet.now, request.attempts[1])
 
 
-@pytest.mark.parametrize("repeat, group, again, most, called_off", [
-    (IDEMPOTENT, "all", 8.0, 6, True), (IDEMPOTENT, "all", 0.5, 6, False), (IDEMPOTENT, "all", 8.0, 1, False),
-    (KEYED, "all", 8.0, 6, True), (KEYED, "zone", 8.0, 6, False)])
+@pytest.mark.parametrize(
+    "repeat, group, again, most, called_off",
+    [
+        (IDEMPOTENT, "all", 8.0, 6, True),
+        (IDEMPOTENT, "all", 0.5, 6, False),
+        (IDEMPOTENT, "all", 8.0, 1, False),
+        (KEYED, "all", 8.0, 6, True),
+        (KEYED, "zone", 8.0, 6, False),
+    ],
+)
 def test_an_overdue_attempt_is_called_off_only_where_another_may_follow(
-        repeat, group, again, most, called_off):
-    """A write whose repeats only its own zone knows was called off, and then failed for having begun."""
+    repeat, group, again, most, called_off
+):
+    """A write whose repeats only its own zone knows was called off, and then failed for having
+    begun.
+    """
     fleet = Fleet(repeat, group, two_attempts=False, attempts_most=most)
     request = fleet.ask()
     fleet.director.purse.again = again
@@ -596,7 +712,9 @@
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
 @pytest.mark.parametrize("times", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
 def test_on_a_quiet_day_no_size_is_turned_down_for_what_is_noise(times, directors_here):
-    """The largest tenth of a class is answered as the rest is while caches are as slow as noise has it."""
+    """The largest tenth of a class is answered as the rest is while caches are as slow as noise has
+    it.
+    """
     fleet = Fleet(directors_here=directors_here)
     for _ in range(30):
         fleet.answer(fleet.ask(size=1000.0).attempts[0], after=20.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,8 +9,24 @@
 import time
 
 import pytest
-from helpers import (BAN, HIT, MUTE, OK, ROOT, WELL, Caller, Program, Running, Sink, StandBus, StandNode,
-                     call_frame, configuration, event, wait_for)
+from helpers import (
+    BAN,
+    HIT,
+    MUTE,
+    OK,
+    ROOT,
+    WELL,
+    Caller,
+    Program,
+    Running,
+    Sink,
+    StandBus,
+    StandNode,
+    call_frame,
+    configuration,
+    event,
+    wait_for,
+)
 
 from mulleinrelay import serving
 from mulleinrelay.facade import Facade
@@ -47,24 +63,33 @@
 def test_a_write_goes_on_unchanged():
     with Running() as director:
         caller = director.caller()
-        caller.send("order", body=b"\r\n" * 24_000, trace="9b1f03aa5c7e2d41", nonce="5c0f6e1a", nth="3")
+        caller.send(
+            "order", body=b"\r\n" * 24_000, trace="9b1f03aa5c7e2d41", nonce="5c0f6e1a", nth="3"
+        )
         assert caller.answer()[:2] == (1, 0)
         ((_, about, fields, body),) = director.heard()
         assert (about, body) == ("9b1f03aa5c7e2d41", b"\r\n" * 24_000)
         assert {name: fields[name] for name in ("lane", "name", "piece", "dedupe")} == {
-            "lane": "order", "name": "00000000000000ab", "piece": "3", "dedupe": "5c0f6e1a"}
-
-
-@pytest.mark.parametrize("request_class, plan, what", [
-    ("pages", (b"WAIT", b"-", b""), 1),
-    ("pages", "reset", 1),
-    ("pages", "nonsense", 1),
-    ("pay", (b"WAIT", b"-", b""), 1),
-    ("pay", (b"BROKE", b"-", b""), 2),
-    ("pay", "reset", 2),
-    ("pay", "nonsense", 2),
-    ("order", "reset", 1),
-])
+            "lane": "order",
+            "name": "00000000000000ab",
+            "piece": "3",
+            "dedupe": "5c0f6e1a",
+        }
+
+
+@pytest.mark.parametrize(
+    "request_class, plan, what",
+    [
+        ("pages", (b"WAIT", b"-", b""), 1),
+        ("pages", "reset", 1),
+        ("pages", "nonsense", 1),
+        ("pay", (b"WAIT", b"-", b""), 1),
+        ("pay", (b"BROKE", b"-", b""), 2),
+        ("pay", "reset", 2),
+        ("pay", "nonsense", 2),
+        ("order", "reset", 1),
+    ],
+)
 def test_what_went_wrong_ends_as_the_request_class_permits(request_class, plan, what):
     with Running(plan) as director:
         caller = director.caller()
@@ -98,7 +123,9 @@
 
 def test_a_node_that_does_not_read_holds_up_its_own_requests_alone(monkeypatch):
     # Guards against a blocking write in a thread, or under a lock, that others wait for.
-    monkeypatch.setattr(StandNode, "talk", lambda self, connection: time.sleep(3.0) if self.plan else None)
+    monkeypatch.setattr(
+        StandNode, "talk", lambda self, connection: time.sleep(3.0) if self.plan else None
+    )
     with Running() as director:
         caller = director.caller()
         for _ in range(30):
@@ -108,7 +135,8 @@
 
 
 def test_a_client_that_does_not_read_holds_up_nobody_else():
-    # Guards against a thread that waits for one client, and against a memory full of what it has not read.
+    # Guards against a thread that waits for one client, and against a memory full of what it has
+    # not read.
     with Running((b"DONE", b"why=HIT", bytes(240_000))) as director:
         stalled, other = director.caller(), director.caller()
         front = director.service.front
@@ -118,15 +146,21 @@
         assert wait_for(lambda: not director.service.facade.open_requests())
         other.send()
         assert other.answer()[:2] == (1, 0)
-        assert wait_for(lambda: len(front.clients) == 1) and "client does not read" in director.sink.events
+        assert (
+            wait_for(lambda: len(front.clients) == 1)
+            and "client does not read" in director.sink.events
+        )
         with pytest.raises((EOFError, ConnectionError)):  # what was cut is not whole
             for _ in range(30):
                 stalled.answer()
 
 
 @pytest.mark.parametrize("plan", ["cut", MUTE])
-def test_a_connection_of_no_more_use_is_ended_and_what_is_open_on_it_goes_elsewhere(plan, monkeypatch):
-    # Guards against requests that wait out their time on a connection that stays open after a bad answer.
+def test_a_connection_of_no_more_use_is_ended_and_what_is_open_on_it_goes_elsewhere(
+    plan, monkeypatch
+):
+    # Guards against requests that wait out their time on a connection that stays open after a bad
+    # answer.
     monkeypatch.setattr(links, "QUIET", 100.0)  # before the module's own timer
     with Running() as director:
         caller, bad = director.caller(), director.nodes[:3]
@@ -192,8 +226,10 @@
 def test_a_reset_proves_that_nothing_ran_only_where_nothing_was_written():
     with Running() as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        attempts = [Attempt(None, number, Node(1), None, director.service.clock(), 6000.0)
-                    for number in range(2)]
+        attempts = [
+            Attempt(None, number, Node(1), None, director.service.clock(), 6000.0)
+            for number in range(2)
+        ]
         reported = []
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
@@ -235,13 +271,15 @@
     # Guards against a stalled reader of the log that stops the director under the module's lock.
     reads, writes = os.pipe()
     log, held = Log("n3", writes), []
-    burst = threading.Thread(target=lambda: [log.event(f"e{i % 1500}", text="x" * 200) for i in range(3000)],
-                             daemon=True)
+    burst = threading.Thread(
+        target=lambda: [log.event(f"e{i % 1500}", text="x" * 200) for i in range(3000)], daemon=True
+    )
     burst.start()
     burst.join(5.0)
     assert not burst.is_alive()
-    reader = threading.Thread(target=lambda: held.extend(iter(lambda: os.read(reads, 65_536), b"")),
-                              daemon=True)
+    reader = threading.Thread(
+        target=lambda: held.extend(iter(lambda: os.read(reads, 65_536), b"")), daemon=True
+    )
     reader.start()
     assert wait_for(log.lines.empty)
     log.event("last")
@@ -260,7 +298,9 @@
         number = caller.send()
         other.send()
         assert wait_for(lambda: len(director.heard()) == 2)
-        caller.socket.sendall(call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4))
+        caller.socket.sendall(
+            call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
+        )
         other.close()
         assert wait_for(lambda: len(director.heard("KILL")) == 2)
         assert director.service.facade.open_requests() == 0
@@ -268,23 +308,26 @@
         assert caller.answer()[:2] == (2, 0)
 
 
-@pytest.mark.parametrize("changes, told", [
-    ({"request_class": "nope"}, "an unknown request class"),
-    ({"patience": None}, "the field patience is missing"),
-    ({"patience": "nan"}, "the field patience cannot be read"),
-    ({"patience": "1e300"}, "the field patience cannot be read"),
-    ({"entity": "xyz"}, "the field entity cannot be read"),
-    ({"entity": "0_1"}, "the field entity cannot be read"),
-    ({"trace": "a,miss=s-01"}, "the field trace cannot be read"),
-    ({"got": "a\r\nb"}, "the field got cannot be read"),
-    ({"nth": "-1"}, "the field nth cannot be read"),
-    ({"batch": "x"}, "the field batch cannot be read"),
-    ({"batch": "256"}, "the field batch is out of range"),
-    ({"size": "inf"}, "the field size cannot be read"),
-    ({"request_class": "order", "nonce": None}, "no idempotency key"),
-    ({"request_class": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
-    ({"request_class": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
-])
+@pytest.mark.parametrize(
+    "changes, told",
+    [
+        ({"request_class": "nope"}, "an unknown request class"),
+        ({"patience": None}, "the field patience is missing"),
+        ({"patience": "nan"}, "the field patience cannot be read"),
+        ({"patience": "1e300"}, "the field patience cannot be read"),
+        ({"entity": "xyz"}, "the field entity cannot be read"),
+        ({"entity": "0_1"}, "the field entity cannot be read"),
+        ({"trace": "a,miss=s-01"}, "the field trace cannot be read"),
+        ({"got": "a\r\nb"}, "the field got cannot be read"),
+        ({"nth": "-1"}, "the field nth cannot be read"),
+        ({"batch": "x"}, "the field batch cannot be read"),
+        ({"batch": "256"}, "the field batch is out of range"),
+        ({"size": "inf"}, "the field size cannot be read"),
+        ({"request_class": "order", "nonce": None}, "no idempotency key"),
+        ({"request_class": "order", "nonce": "a=b"}, "the field nonce cannot be read"),
+        ({"request_class": "order", "body": bytes(48_001)}, "a body of 48001 bytes"),
+    ],
+)
 def test_a_call_that_cannot_be_used_makes_no_attempt(changes, told):
     with Running() as director:
         caller = director.caller()
@@ -294,8 +337,16 @@
         assert caller.answer()[:2] == (2, 0) and len(director.heard()) == 1
 
 
-@pytest.mark.parametrize("data", [b"\xff\xff\xff\xff", b"\x7f\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n",
-                                  b"\x00\x00\x00\x04abcd", WELL.replace(b"\x80\1\0\1", b"\x80\2\0\1")])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\xff\xff\xff\xff",
+        b"\x7f\xff\xff\xff",
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x00\x00\x00\x04abcd",
+        WELL.replace(b"\x80\1\0\1", b"\x80\2\0\1"),
+    ],
+)
 def test_what_is_no_call_ends_its_connection_alone(data):
     with Running() as director:
         bad, good = director.caller(), director.caller()
@@ -320,7 +371,9 @@
         caller = director.caller()
         caller.send()
         assert caller.answer()[:2] == (1, 2) and "fault" in director.sink.events
-        assert director.service.facade.open_requests() == 0  # guards against lives that nobody picks for
+        assert (
+            director.service.facade.open_requests() == 0
+        )  # guards against lives that nobody picks for
 
 
 def test_bounds_give_a_plain_outcome(monkeypatch):
@@ -350,7 +403,9 @@
         assert director.service.facade.open_requests() == 7
         orders.send("order", patience="3000")
         assert wait_for(lambda: director.service.facade.open_requests() == 8)
-        assert wait_for(lambda: any(b"order" in bytes(str(heard), "ascii") for heard in director.heard()))
+        assert wait_for(
+            lambda: any(b"order" in bytes(str(heard), "ascii") for heard in director.heard())
+        )
 
 
 def test_a_flood_of_connections_takes_no_place_from_those_who_call(monkeypatch):
@@ -376,16 +431,19 @@
         assert good.answer()[:2] == (61, 0)
 
 
-@pytest.mark.parametrize("called, halfway, owes, after, late", [
-    (False, 0.0, False, 1.5, False),
-    (False, 0.0, False, 2.5, True),
-    (False, 900.0, False, 2.5, True),  # a call that comes byte by byte
-    (True, 0.0, False, 4.5, False),
-    (True, 0.0, False, 6.5, True),
-    (True, 0.0, True, 6.5, False),
-    (True, 1003.0, False, 5.0, False),
-    (True, 1003.0, False, 6.5, True),
-])
+@pytest.mark.parametrize(
+    "called, halfway, owes, after, late",
+    [
+        (False, 0.0, False, 1.5, False),
+        (False, 0.0, False, 2.5, True),
+        (False, 900.0, False, 2.5, True),  # a call that comes byte by byte
+        (True, 0.0, False, 4.5, False),
+        (True, 0.0, False, 6.5, True),
+        (True, 0.0, True, 6.5, False),
+        (True, 1003.0, False, 5.0, False),
+        (True, 1003.0, False, 6.5, True),
+    ],
+)
 def test_who_overstays(called, halfway, owes, after, late):
     held = client.Client(None)
     held.called, held.halfway, held.used = called, halfway, 1000.0
@@ -395,8 +453,8 @@
 
 @pytest.mark.parametrize("case", ["number", "many", "id", "repeats"])
 def test_what_breaks_the_protocol_is_told_so_and_ends_nobody_elses_request(case):
-    # Guards against two answers under one number, nodes that mix up two requests of one id, hundreds of
-    # requests at once that take all links, and bad calls that come again at full speed.
+    # Guards against two answers under one number, nodes that mix up two requests of one id,
+    # hundreds of requests at once that take all links, and bad calls that come again at full speed.
     with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
         other, bad = director.caller(), director.caller()
         other.send(patience="900", trace="a" * 16)
@@ -416,7 +474,9 @@
             bad.send(entity="00000000000000cd", trace="a" * 16)
             told = ["the id was used before"]
         else:
-            for _ in range(9):  # the last one ends the connection: a further write could meet its reset
+            for _ in range(
+                9
+            ):  # the last one ends the connection: a further write could meet its reset
                 bad.send("nope")
             told = ["an unknown request class"] * 9
         assert [bad.answer()[1] for _ in told] == told
@@ -443,7 +503,8 @@
 
 
 def test_idle_links_make_room_for_attempts_to_other_nodes():
-    # Guards against a director at its bound of links whose links are all held for what may come, elsewhere.
+    # Guards against a director at its bound of links whose links are all held for what may come,
+    # elsewhere.
     with Running(HIT) as director:
         director.service.caches.links_most = 3
         caller = director.caller()
@@ -472,7 +533,8 @@
 
 
 def test_two_attempts_of_one_request_at_one_node_are_told_apart():
-    # Guards against the late answer to an attempt given up being taken for that of the next one under its id.
+    # Guards against the late answer to an attempt given up being taken for that of the next one
+    # under its id.
     with Running(lambda fields: None) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
         attempts = [Attempt(None, number, Node(1), None, 0.0, 1000.0) for number in range(3)]
@@ -503,38 +565,107 @@
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-GONE = {"topology": {"version": 2, "full": False, "servers": [
-    {"id": "s-01", "addr": "127.0.0.1:1", "zone": "edge", "kind": "box", "cell": 0, "state": "DELETED"}]}}
+GONE = {
+    "topology": {
+        "version": 2,
+        "full": False,
+        "servers": [
+            {
+                "id": "s-01",
+                "addr": "127.0.0.1:1",
+                "zone": "edge",
+                "kind": "box",
+                "cell": 0,
+                "state": "DELETED",
+            }
+        ],
+    }
+}
 ALL = {"topology": {"version": 4, "full": True, "servers": GONE["topology"]["servers"]}}
-NAMED = {"topology": {"version": 2, "servers": [
-    {"id": "s-01", "state": "DELETED"}, {"id": "s-99", "state": "DELETED", "zone": "nowhere"},
-    {"id": "s-02", "state": "DRAINING"}, {"id": "s-98", "state": "DRAINING", "zone": "nowhere"}]}}
-
-
-@pytest.mark.parametrize("scripts, asked, applied, logged", [
-    ([[OK, event(2, BAN), event(3, BAN)], [OK, event(3, BAN), event(4, GONE), None]], [1, 3], 3, 0),
-    ([[OK, event(2, BAN), None]], [1], 1, 0),  # silent: read again, from the last
-    ([[OK, event(2, BAN), event(4, BAN)], [OK, event(3, BAN), event(4, BAN), None]],
-     [1, 2], 3 + 1, 0),  # one behind a gap is heeded at once, and once more in its turn
-    ([[OK, event(4, BAN)], [OK, event(4, BAN), event(5, BAN), None]], [1, 1], 2 + 1, 0),  # never there
-    ([[b"HTTP/1.1 500 No\r\n\r\n"], [OK, event(2, BAN), None]], [1, 1], 1, 0),
-    ([[OK, b"id: 2\ndata: {\n\n", event(3, {"ban": 7}), event(4, {}), event(5, BAN), None]], [1], 1, 4),
-    ([[OK, event(2, {"topology": {"servers": [{"id": "x"}]}}), event(3, BAN), None]], [1], 2, 1),
-    ([[OK, event(1, GONE), event(2, BAN)[:9], event(2, BAN)[9:], None]], [1], 1, 0),
-    ([[OK, event(2, BAN)[:-1]], [OK, event(2, BAN), None]], [1, 1], 1, 0),  # half of it, then whole
-    ([[OK, event(4, ALL)], [OK, event(2, BAN), event(3, BAN), event(4, ALL), None]],
-     [1, 1], 3 + 1, 0),  # purges within a gap that a whole list would fill
-    ([[OK, event(2, NAMED), None]], [1], 1, 0),  # of who leaves the name is enough
-    ([[CHUNKED, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event(2, BAN)), event(2, BAN)), None],
-      [OK, event(3, BAN), None]], [1, 2], 2, 0),  # the last chunk ends it, though nobody closes
-])
+NAMED = {
+    "topology": {
+        "version": 2,
+        "servers": [
+            {"id": "s-01", "state": "DELETED"},
+            {"id": "s-99", "state": "DELETED", "zone": "nowhere"},
+            {"id": "s-02", "state": "DRAINING"},
+            {"id": "s-98", "state": "DRAINING", "zone": "nowhere"},
+        ],
+    }
+}
+
+
+@pytest.mark.parametrize(
+    "scripts, asked, applied, logged",
+    [
+        (
+            [[OK, event(2, BAN), event(3, BAN)], [OK, event(3, BAN), event(4, GONE), None]],
+            [1, 3],
+            3,
+            0,
+        ),
+        ([[OK, event(2, BAN), None]], [1], 1, 0),  # silent: read again, from the last
+        (
+            [[OK, event(2, BAN), event(4, BAN)], [OK, event(3, BAN), event(4, BAN), None]],
+            [1, 2],
+            3 + 1,
+            0,
+        ),  # one behind a gap is heeded at once, and once more in its turn
+        (
+            [[OK, event(4, BAN)], [OK, event(4, BAN), event(5, BAN), None]],
+            [1, 1],
+            2 + 1,
+            0,
+        ),  # never there
+        ([[b"HTTP/1.1 500 No\r\n\r\n"], [OK, event(2, BAN), None]], [1, 1], 1, 0),
+        (
+            [[OK, b"id: 2\ndata: {\n\n", event(3, {"ban": 7}), event(4, {}), event(5, BAN), None]],
+            [1],
+            1,
+            4,
+        ),
+        (
+            [[OK, event(2, {"topology": {"servers": [{"id": "x"}]}}), event(3, BAN), None]],
+            [1],
+            2,
+            1,
+        ),
+        ([[OK, event(1, GONE), event(2, BAN)[:9], event(2, BAN)[9:], None]], [1], 1, 0),
+        (
+            [[OK, event(2, BAN)[:-1]], [OK, event(2, BAN), None]],
+            [1, 1],
+            1,
+            0,
+        ),  # half of it, then whole
+        (
+            [[OK, event(4, ALL)], [OK, event(2, BAN), event(3, BAN), event(4, ALL), None]],
+            [1, 1],
+            3 + 1,
+            0,
+        ),  # purges within a gap that a whole list would fill
+        ([[OK, event(2, NAMED), None]], [1], 1, 0),  # of who leaves the name is enough
+        (
+            [
+                [CHUNKED, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event(2, BAN)), event(2, BAN)), None],
+                [OK, event(3, BAN), None],
+            ],
+            [1, 2],
+            2,
+            0,
+        ),  # the last chunk ends it, though nobody closes
+    ],
+)
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
     monkeypatch.setattr(bus, "SILENCE", 0.3)
     stand, seen, play = StandBus(*scripts), [], Facade._play
-    monkeypatch.setattr(Facade, "_play", lambda facade, *call: (seen.append(call[0]), play(facade, *call)))
+    monkeypatch.setattr(
+        Facade, "_play", lambda facade, *call: (seen.append(call[0]), play(facade, *call))
+    )
     with Running(bus=stand) as director:
-        assert wait_for(lambda: len(stand.asked) > len(asked))  # asked again after the script's silence
-        assert stand.asked[:len(asked)] == asked
+        assert wait_for(
+            lambda: len(stand.asked) > len(asked)
+        )  # asked again after the script's silence
+        assert stand.asked[: len(asked)] == asked
         assert stand.asked[len(asked)] == director.service.bus.last
         seen_events = sum(method in ("listed", "purged") for method in seen)
         assert seen_events == 1 + applied and director.sink.events.count("bad event") == logged
@@ -579,11 +710,17 @@
     probe.close()  # only for a port that is free
     stands = [StandBus(), StandBus([OK, event(2, BAN), event(3, ban), None]), StandBus()]
     file = tmp_path / "config.json"
-    texts = [json.dumps(configuration([node.address for node in nodes], bus.address, probe.address))
-             for bus in stands]
+    texts = [
+        json.dumps(configuration([node.address for node in nodes], bus.address, probe.address))
+        for bus in stands
+    ]
     file.write_text(texts[0])
-    program = subprocess.Popen([sys.executable, "-m", "mulleinrelay", "serve"], cwd=ROOT,
-                               stderr=subprocess.PIPE, env=os.environ | {"LB_CONFIG": str(file)})
+    program = subprocess.Popen(
+        [sys.executable, "-m", "mulleinrelay", "serve"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"LB_CONFIG": str(file)},
+    )
 
     def line():
         while (told := json.loads(program.stderr.readline()))["event"] == "bus reconnects":
@@ -603,13 +740,18 @@
         assert caller.answer()[:2] == (1, 0)
         caller.send()
         assert caller.answer() == (1, 0, {}, b"bytes")
-        # Guards against an end by SIGHUP, a faulty file that is taken over, and events lost by the move.
+        # Guards against an end by SIGHUP, a faulty file that is taken over, and events lost by the
+        # move.
         for text, told in ((texts[1], "read"), ("{}", "kept"), (texts[2], "read")):
             file.write_text(text)
             program.send_signal(signal.SIGHUP)
             assert line()["event"] == f"configuration {told}"
             assert wait_for(purged)
-        assert wait_for(lambda: stands[2].asked) and [bus.asked for bus in stands] == [[1], [1], [3]]
+        assert wait_for(lambda: stands[2].asked) and [bus.asked for bus in stands] == [
+            [1],
+            [1],
+            [3],
+        ]
         program.send_signal(signal.SIGTERM)
         assert program.wait(10.0) == 0
         assert [line()["phase"], line()["phase"]] == ["draining", "stopped"]
@@ -649,7 +791,9 @@
     new.close()
 
 
-@pytest.mark.parametrize("tries, outcome", [(1, "renewed"), (2, "renewed"), (9, "configuration kept")])
+@pytest.mark.parametrize(
+    "tries, outcome", [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
+)
 def test_a_configuration_that_is_not_whole_yet_is_read_again(tries, outcome, tmp_path, monkeypatch):
     file, sink, slept = tmp_path / "config.json", Sink(), []
     file.write_text("{")
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -1,4 +1,6 @@
-"""The program under its platform's limits: descriptors that idle clients fill, and restarts in numbers."""
+"""The program under its platform's limits: descriptors that idle clients fill, and restarts in
+numbers.
+"""
 
 import contextlib
 import json
@@ -7,16 +9,34 @@
 import socket
 
 import pytest
-from helpers import (HIT, OK, SPOTS, WELL, Caller, Program, StandBus, StandNode, configuration, event,
-                     free_port, wait_for)
+from helpers import (
+    HIT,
+    OK,
+    SPOTS,
+    WELL,
+    Caller,
+    Program,
+    StandBus,
+    StandNode,
+    configuration,
+    event,
+    free_port,
+    wait_for,
+)
 
 
 @pytest.mark.parametrize("told, descriptors", [(128, 128), (1024, 128)])
-def test_idle_clients_that_fill_the_descriptors_keep_no_director_from_a_drain(told, descriptors, tmp_path):
-    """Also where the system allows fewer than it was told of. Guards against a stream, links or clients that
-    find no descriptor left when discovery is back, and against what stays behind of them."""
+def test_idle_clients_that_fill_the_descriptors_keep_no_director_from_a_drain(
+    told, descriptors, tmp_path
+):
+    """Also where the system allows fewer than it was told of. Guards against a stream, links or
+    clients that find no descriptor left when discovery is back, and against what stays behind of
+    them.
+    """
     nodes, port, listens = [StandNode(HIT) for _ in SPOTS], free_port(), free_port()
-    whole = configuration([node.address for node in nodes], f"127.0.0.1:{port}", f"127.0.0.1:{listens}")
+    whole = configuration(
+        [node.address for node in nodes], f"127.0.0.1:{port}", f"127.0.0.1:{listens}"
+    )
     whole["limits"]["sockets"] = told
     (file := tmp_path / "config.json").write_text(json.dumps(whole))
     drain = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
@@ -31,21 +51,27 @@
                 one.sendall(WELL)
         caller.send()
         assert caller.answer()[0] == 2  # it was not ended for them
-        bus = ends.enter_context(contextlib.closing(StandBus([OK, event(2, drain), None], port=port)))
+        bus = ends.enter_context(
+            contextlib.closing(StandBus([OK, event(2, drain), None], port=port))
+        )
         assert wait_for(lambda: bus.asked, 20.0)
 
         def served_past_it():
             before = len(nodes[0].heard)
             for _ in range(12):
                 caller.send(entity=f"{caller.count:016x}")
-            return [caller.answer()[1] for _ in range(12)] == [0] * 12 and len(nodes[0].heard) == before
+            return [caller.answer()[1] for _ in range(12)] == [0] * 12 and len(
+                nodes[0].heard
+            ) == before
 
         assert wait_for(served_past_it, 20.0) and served_past_it()
         for one in idle:
             one.close()
         caller.close()
         here = f"/proc/{program.process.pid}"
-        assert wait_for(lambda: len(os.listdir(f"{here}/fd")) <= 16 and len(os.listdir(f"{here}/task")) <= 12)
+        assert wait_for(
+            lambda: len(os.listdir(f"{here}/fd")) <= 16 and len(os.listdir(f"{here}/task")) <= 12
+        )
         assert not program.says(event="fault")
         program.send_signal(signal.SIGTERM)
         assert program.wait() == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -45,25 +45,33 @@
     reply.add_bytes(wire.NOTE_DOWN, b"two servers known")
     frame = reply.frame(12)
     assert frame[:12] == struct.pack("<III", 2, 4 + 80 + 17, 12)
-    assert frame[52:61] == bytes.fromhex("460000000011000000") and frame.endswith(b"two servers known")
+    assert frame[52:61] == bytes.fromhex("460000000011000000") and frame.endswith(
+        b"two servers known"
+    )
 
 
-@pytest.mark.parametrize("frame, told", [
-    (EMPTY[:9], "input ended inside a frame header"),
-    (SAMPLE[:-5], "input ended inside batch 12"),
-    (struct.pack("<IIdI", 1, 12, 0.0, 3), "too short for 1 records"),
-    (struct.pack("<IIdI", 1, 68, 0.0, 3) + b"\x07" + b"\0" * 55, "unknown code 7"),
-    (
-        struct.pack("<IIdIxxx", 1, 68, 0.0, 3)[:20] + struct.pack("<BHII", 120, 0, 0, 2).ljust(56, b"\0"),
-        "outside the tail",
-    ),
-])
+@pytest.mark.parametrize(
+    "frame, told",
+    [
+        (EMPTY[:9], "input ended inside a frame header"),
+        (SAMPLE[:-5], "input ended inside batch 12"),
+        (struct.pack("<IIdI", 1, 12, 0.0, 3), "too short for 1 records"),
+        (struct.pack("<IIdI", 1, 68, 0.0, 3) + b"\x07" + b"\0" * 55, "unknown code 7"),
+        (
+            struct.pack("<IIdIxxx", 1, 68, 0.0, 3)[:20]
+            + struct.pack("<BHII", 120, 0, 0, 2).ljust(56, b"\0"),
+            "outside the tail",
+        ),
+    ],
+)
 def test_a_malformed_frame_is_named(frame, told):
     with pytest.raises(wire.WireError, match=told):
         serve(io.BytesIO(frame), io.BytesIO())
 
 
-@pytest.mark.parametrize("text, told", [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")])
+@pytest.mark.parametrize(
+    "text, told", [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")]
+)
 def test_start_settings_that_cannot_be_used_are_named(text, told):
     with pytest.raises(wire.WireError, match=told):
         answer_batch(0.0, [(wire.SELECT, (1,)), (wire.BEGIN, (1, text))], {}, {})
