--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -19,12 +19,12 @@
 import click
 import orjson
 
-from mulleinrelay.cells.records import read_states
 from mulleinrelay.lab.fleet.audit import Audit, read
 from mulleinrelay.lab.fleet.evenness import percentile
 from mulleinrelay.lab.fleet.plan import Scenario, read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
 from mulleinrelay.membership.messages import Codec, Kind, State, UnusableError, Word
+from mulleinrelay.records import read_states
 
 from .versions import ROOT
 
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -16,10 +16,10 @@
 
 import click
 
-from mulleinrelay.cells import moves
-from mulleinrelay.cells.assignment import bounded
-from mulleinrelay.cells.charter import Limits
-from mulleinrelay.cells.reading import write
+from mulleinrelay.cells import migrations
+from mulleinrelay.cells.hashing import bounded
+from mulleinrelay.cells.model import Limits
+from mulleinrelay.cells.parser import write
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
 
@@ -281,10 +281,10 @@
         }
     if only in (None, "move"):
         say("a move, and a cut-over at once")
-        demand = moves.Demand(
+        demand = migrations.Demand(
             rate=80.0, load=20.0, capacity=300.0, fill_cost=4.0, hit_share=0.97, objects=500.0
         )
-        shift = round(moves.shift_time(demand))
+        shift = round(migrations.shift_time(demand))
         spans = f"warm_ms = 2000\nshift_ms = {shift}\ndrain_ms = 2000"
         seconds = 8 + 1 + 2 + shift / 1000.0 + 3
         moved, cut = move("move", seconds, spans, 8.0), move("cut", seconds, "", 8.0)
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -116,9 +116,10 @@
 
 def drive(cells: str) -> Callable[[int], float]:
     """Gives what plays so many requests and tells the CPU they took."""
-    from mulleinrelay.configuration import decode
-    from mulleinrelay.interface import Note, Outcome
-    from mulleinrelay.net import front, resp, service
+    from mulleinrelay import director
+    from mulleinrelay.config.platform import decode
+    from mulleinrelay.net import client_listener, resp
+    from mulleinrelay.policy.model import Note, Outcome
 
     class Quiet:
         def event(self, *_, **__):
@@ -128,11 +129,11 @@
 
     start = decode(json.dumps(configuration()))
     if cells:
-        from mulleinrelay.cells.own import load_own
+        from mulleinrelay.cells.config import load_own
 
-        made = service.Service(start, Quiet(), load_own(cells))
+        made = director.Service(start, Quiet(), load_own(cells))
     else:
-        made = service.Service(start, Quiet())
+        made = director.Service(start, Quiet())
     for number, event in enumerate(start.events, 1):
         made.bus.apply(number, event)
     if cells:
@@ -151,7 +152,7 @@
     held = type("Told", (), {"kept": False, "body": bytes(400)})()
     made.front.caches = Nodes()
     ours, theirs = socket.socketpair()
-    client = front.Client(ours)
+    client = client_listener.Client(ours)
 
     theirs.setblocking(False)
     numbers = itertools.count(1)
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -28,7 +28,7 @@
 from mulleinrelay.lab.fleet.load import PAUSE, Demand
 from mulleinrelay.lab.fleet.plan import PARENT, Scenario, read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
-from mulleinrelay.spread.verdicts import Health
+from mulleinrelay.policy.outlier_detection import Health
 
 from . import recovery
 from .spread import head
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -18,7 +18,7 @@
 from mulleinrelay.cells import store
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.management.client import Access, CallError, Target
+from mulleinrelay.management.gnmi_client import Access, CallError, Target
 from mulleinrelay.management.paths import parse
 from mulleinrelay.standins.fleet import now_ms
 
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -9,7 +9,7 @@
 import tracemalloc
 from collections import deque
 
-from mulleinrelay.interface import (
+from mulleinrelay.policy.model import (
     IDEMPOTENT,
     ColdRule,
     Note,
@@ -21,7 +21,7 @@
     State,
     Terms,
 )
-from mulleinrelay.policy import Director, Member
+from mulleinrelay.policy.router import Director, Member
 
 CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
 SPAN = 10_000.0  # ms that the requests take
--- a/mulleinrelay/budgets/exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from ..interface import Share
-from .ledger import GRAINS, LEASE, Ask, Back, Ledger, Lend
+from ..policy.model import Share
+from .lease_ledger import GRAINS, LEASE, Ask, Back, Ledger, Lend
 
 STEP = 100.0  # between two looks at what is wanted
 ASKS = 3  # others that are asked in one step, for one limit
--- a/mulleinrelay/cells/governor.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..interface import IDEMPOTENT, KEYED, Pool, RequestClass
-from . import moves, releases
-from .charter import Cell, Charter, Limits
+from ..policy.model import IDEMPOTENT, KEYED, Pool, RequestClass
+from . import migrations, rollouts
+from .failover import Guests
 from .limits import FairPace, Lane, Pace, Retries, Share, Shares, Width, advice
-from .naming import Naming
+from .model import Cell, Charter, Limits
 from .placement import Nowhere, Placement, settled_homes
-from .reserve import Guests
+from .tenant_resolution import Naming
 
 ACCOUNTS_MOST = 20_000
 BODY_SLOT = 16.0  # KB of a body that count as one more open request
@@ -135,11 +135,11 @@
         self.rooms: dict[str, Room] = {}
         self.cells = Shares(board.open_most)
         self.rates = FairPace(board.rate)
-        self.courses: dict[str, releases.Course] = {}
+        self.courses: dict[str, rollouts.Course] = {}
         ready = prepare(charter)
         self.placement = Placement(charter, may_pass_by, ready.homes)
         self.unknown = Account(charter.limits)  # whose requests name no tenant of ours
-        self.stages: dict[str, moves.Stage] = {}
+        self.stages: dict[str, migrations.Stage] = {}
         self.step_due = 0.0
         self._take_over(now, ready)
 
@@ -162,7 +162,7 @@
         charter = ready.charter
         self.charter, self.naming = charter, ready.naming
         self.courses = {
-            name: self.courses.get(name) or releases.Course(release)
+            name: self.courses.get(name) or rollouts.Course(release)
             for name, release in charter.releases.items()
         }
         for name, course in self.courses.items():
@@ -173,8 +173,10 @@
                 self.rooms[name] = self._renewed(room, cell.limits)
         self.rooms = {name: self.rooms[name] for name in charter.cells}
         self._renew_accounts()
-        self.placement.reshuffle(releases.shuffles(self.courses))
-        self.stages = {name: self.stages.get(name, moves.Stage.PLANNED) for name in charter.moves}
+        self.placement.reshuffle(rollouts.shuffles(self.courses))
+        self.stages = {
+            name: self.stages.get(name, migrations.Stage.PLANNED) for name in charter.moves
+        }
 
     def _renewed(self, old: Room | None, limits: Limits) -> Room:
         room = Room(self.board, limits)
@@ -195,7 +197,7 @@
     def _limits(self, tenant: str) -> Limits:
         known = self.charter.tenants.get(tenant)
         own = known.limits if known is not None else self.charter.limits
-        return releases.in_force(self.courses, self.placement.homes.get(tenant, ""), own)
+        return rollouts.in_force(self.courses, self.placement.homes.get(tenant, ""), own)
 
     def listed(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
         """The ready caches of this location have changed: name, node, warmth."""
@@ -206,9 +208,9 @@
         second."""
         words = []
         for name, move in self.charter.moves.items():
-            if (stage := moves.stage(move, now)) != self.stages[name]:
+            if (stage := migrations.stage(move, now)) != self.stages[name]:
                 self.stages[name] = stage
-                share = moves.shifted(move, now)
+                share = migrations.shifted(move, now)
                 words.append(
                     f"move {name} {stage.value}: {share:.2f} of {move.source} in {move.target}"
                 )
@@ -218,7 +220,7 @@
                     f"release {name} {word}, wave {course.wave} of {len(course.release.waves)}"
                 )
                 self._renew_accounts()
-                self.placement.reshuffle(releases.shuffles(self.courses))
+                self.placement.reshuffle(rollouts.shuffles(self.courses))
         return words
 
     # One request
@@ -414,10 +416,10 @@
             },
             "moves": {
                 name: {
-                    "stage": moves.stage(move, now).value,
+                    "stage": migrations.stage(move, now).value,
                     "from": move.source,
                     "to": move.target,
-                    "share": round(moves.shifted(move, now), 4),
+                    "share": round(migrations.shifted(move, now), 4),
                 }
                 for name, move in self.charter.moves.items()
             },
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -12,11 +12,11 @@
 import click
 import orjson
 
-from . import changes, moves, store
-from .assignment import homes
-from .charter import Charter, CharterError, Limits, Release
-from .moves import Demand
-from .records import read_logs, read_states
+from ..records import read_logs, read_states
+from . import edits, migrations, store
+from .hashing import homes
+from .migrations import Demand
+from .model import Charter, CharterError, Limits, Release
 
 BAD_FILE, REFUSED = 2, 3
 
@@ -49,7 +49,7 @@
     except CharterError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(BAD_FILE)
-    except changes.RefusalError as why:
+    except edits.RefusalError as why:
         click.echo(f"mulleinrelay: refused: {why}", err=True)
         sys.exit(REFUSED)
     except OSError as wrong:
@@ -111,8 +111,8 @@
             "from": move.source,
             "to": move.target,
             "tenants": list(move.tenants),
-            "stage": moves.stage(move, now).value,
-            "share": round(moves.shifted(move, now), 4),
+            "stage": migrations.stage(move, now).value,
+            "share": round(migrations.shifted(move, now), 4),
         }
         for name, move in charter.moves.items()
     }
@@ -165,13 +165,13 @@
     with faults():
         charter, now = store.load(path), now_ms()
         if tenant is None:
-            found = changes.explain_tenant(charter, what, now)
+            found = edits.explain_tenant(charter, what, now)
         else:
             try:
                 key = int(what, 16)
             except ValueError:
                 raise click.UsageError(f"{what!r} is no object: 16 hex digits are wanted") from None
-            found = changes.explain_object(charter, tenant, key, now)
+            found = edits.explain_object(charter, tenant, key, now)
     tell(as_json, found, [f"{key}: {_worded(value)}" for key, value in found.items()])
 
 
@@ -225,16 +225,14 @@
     return Demand(rate, load, capacity, fill_cost, hit_share, objects)
 
 
-def spans_for(
-    demand: Demand | None, warm: float, shift: float | None, drain: float
-) -> changes.Spans:
+def spans_for(demand: Demand | None, warm: float, shift: float | None, drain: float) -> edits.Spans:
     if shift is not None:
-        return changes.Spans(warm, shift, drain)
+        return edits.Spans(warm, shift, drain)
     if demand is None:
         raise click.UsageError(
             "either --shift-ms, or --rate, --capacity and --objects, from which it is reckoned"
         )
-    return changes.reckoned(demand, warm, drain)
+    return edits.reckoned(demand, warm, drain)
 
 
 @cells.command()
@@ -258,8 +256,8 @@
         charter, now = store.load(path), now_ms()
         demand = demand_from(**demand_told)
         spans = spans_for(demand, warm_ms, shift_ms, drain_ms)
-        move = changes.start_move(charter, "planned", tenants, target, now, spans).moves["planned"]
-    course = moves.loads(move, demand or Demand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
+        move = edits.start_move(charter, "planned", tenants, target, now, spans).moves["planned"]
+    course = migrations.loads(move, demand or Demand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
     peak = max(load for _, _, load in course) if demand else None
     told = [
         {
@@ -274,7 +272,7 @@
         "to": target,
         "tenants": list(tenants),
         "shift_ms": spans.shift,
-        "lasts_ms": moves.done_at(move) - move.starts,
+        "lasts_ms": migrations.done_at(move) - move.starts,
         "peak_load": peak,
         "course": told,
     }
@@ -322,7 +320,7 @@
         new = change(
             path,
             "move",
-            lambda old: changes.start_move(old, name, tenants, target, now_ms(), spans),
+            lambda old: edits.start_move(old, name, tenants, target, now_ms(), spans),
             move=name,
             tenants=list(tenants),
             to=target,
@@ -333,7 +331,7 @@
         {"version": new.version, "move": name, "starts": made.starts, "shift_ms": spans.shift},
         [
             f"version {new.version}: move {name} starts in {(made.starts - now_ms()) / 1000.0:.1f} s, takes "
-            f"{(moves.done_at(made) - made.starts) / 1000.0:.0f} s; stop it with `cells abort {name}`"
+            f"{(migrations.done_at(made) - made.starts) / 1000.0:.0f} s; stop it with `cells abort {name}`"
         ],
     )
 
@@ -353,18 +351,18 @@
         )
 
 
-_simple("hold", "Stop a move where it is.", changes.hold)
-_simple("resume", "Let a held move go on.", changes.resume)
-_simple("abort", "Stop a move and let all go back.", changes.abort)
+_simple("hold", "Stop a move where it is.", edits.hold)
+_simple("resume", "Let a held move go on.", edits.resume)
+_simple("abort", "Stop a move and let all go back.", edits.abort)
 _simple(
     "take-back",
     "Take a release back everywhere.",
-    lambda old, name, _: changes.take_back(old, name),
+    lambda old, name, _: edits.take_back(old, name),
 )
 _simple(
     "keep",
     "Make a release's limits those of its tenants.",
-    lambda old, name, _: changes.keep_release(old, name),
+    lambda old, name, _: edits.keep_release(old, name),
 )
 
 
@@ -374,11 +372,11 @@
 def end(path: str, as_json: bool) -> None:
     """Leave out moves that are over; their tenants stand in the table then."""
     with faults():
-        done = changes.end_moves(store.load(path), now_ms())[1]
+        done = edits.end_moves(store.load(path), now_ms())[1]
         version = store.load(path).version
         if done:
             version = change(
-                path, "end", lambda old: changes.end_moves(old, now_ms())[0], moves=done
+                path, "end", lambda old: edits.end_moves(old, now_ms())[0], moves=done
             ).version
     tell(as_json, {"version": version, "ended": done}, [f"ended: {' '.join(done) or 'none'}"])
 
@@ -415,7 +413,7 @@
         new = change(
             path,
             "release",
-            lambda old: changes.start_release(
+            lambda old: edits.start_release(
                 old,
                 Release(
                     name,
--- a/mulleinrelay/cells/own.py
+++ b/mulleinrelay/cells/config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .charter import CharterError
-from .reading import NAME, Keys, sections
+from .model import CharterError
+from .parser import NAME, Keys, sections
 
 
 @dataclass(slots=True, frozen=True)
--- a/mulleinrelay/cells/changes.py
+++ b/mulleinrelay/cells/edits.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass, replace
 
-from . import moves
-from .assignment import digest, drawn, homes
-from .charter import Charter, Limits, Move, Release, Tenant
+from . import migrations
+from .hashing import digest, drawn, homes
+from .model import Charter, Limits, Move, Release, Tenant
 
 
 class RefusalError(Exception):
@@ -59,15 +59,15 @@
     return replace(charter, moves=charter.moves | {name: move}, tenants=charter.tenants | people)
 
 
-def reckoned(demand: moves.Demand, warm: float, drain: float) -> Spans:
+def reckoned(demand: migrations.Demand, warm: float, drain: float) -> Spans:
     """The spans of a move that the receiving caches can bear; raises RefusalError where
     they can't.
     """
-    found = moves.shift_time(demand)
+    found = migrations.shift_time(demand)
     if found is None:
         raise RefusalError(
             f"the receiving caches can't bear these tenants even when warm: {demand.load + demand.rate:.0f} "
-            f"of {moves.HEAD_ROOM * demand.capacity:.0f} hits a second, and the misses beside"
+            f"of {migrations.HEAD_ROOM * demand.capacity:.0f} hits a second, and the misses beside"
         )
     return Spans(warm, float(round(found)), drain)
 
@@ -112,7 +112,7 @@
         )
     if move.held_at:  # the pause that is over becomes part of the start
         move = replace(move, starts=move.starts + move.resumed_at - move.held_at, resumed_at=0.0)
-    if moves.stage(replace(move, held_at=0.0), at) == moves.Stage.DONE:
+    if migrations.stage(replace(move, held_at=0.0), at) == migrations.Stage.DONE:
         raise RefusalError(f"move {name} is done by then")
     return replace(charter, moves=charter.moves | {name: replace(move, held_at=at)})
 
@@ -135,7 +135,7 @@
             charter, moves={other: held for other, held in charter.moves.items() if other != name}
         )
     at = _soon(charter, move, now)
-    if moves.stage(move, at) == moves.Stage.DONE:
+    if migrations.stage(move, at) == migrations.Stage.DONE:
         raise RefusalError(f"move {name} is done by then; move the tenants back to {move.source}")
     return replace(charter, moves=charter.moves | {name: replace(move, aborted_at=at)})
 
@@ -146,7 +146,7 @@
     """
     ended, people, left = [], dict(charter.tenants), {}
     for name, move in charter.moves.items():
-        over = moves.ended_at(move)
+        over = migrations.ended_at(move)
         if over is None or now < over + charter.horizon + charter.spread + charter.skew:
             left[name] = move
             continue
@@ -234,9 +234,9 @@
         found["move"] = {
             "name": move.name,
             "to": move.target,
-            "stage": moves.stage(move, now).value,
-            "share_over": round(moves.shifted(move, now), 4),
-            "ended_at": moves.ended_at(move),
+            "stage": migrations.stage(move, now).value,
+            "share_over": round(migrations.shifted(move, now), 4),
+            "ended_at": migrations.ended_at(move),
         }
     if home:
         found["neighbours"] = list(charter.cells[home].neighbours)
@@ -247,7 +247,7 @@
     """In which cell a tenant's object stands now."""
     found = explain_tenant(charter, tenant, now)
     move = moving(charter, tenant)
-    if move is not None and moves.over(move, key, moves.shifted(move, now)):
+    if move is not None and migrations.over(move, key, migrations.shifted(move, now)):
         found["cell"], found["why"] = move.target, f"gone over with move {move.name}"
     return {"object": f"{key:016x}"} | found
 
--- a/mulleinrelay/cells/reserve.py
+++ b/mulleinrelay/cells/failover.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from .assignment import SCALE, mixed
-from .charter import Cell
+from .hashing import SCALE, mixed
 from .limits import Pace
+from .model import Cell
 
 SALT = 0x72657475726E
 
--- a/mulleinrelay/cells/assignment.py
+++ b/mulleinrelay/cells/hashing.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from .charter import TABLE, Charter
+from .model import TABLE, Charter
 
 SCALE = 2.0**64
 MASK, SALT, FIRST, SECOND = (
--- a/mulleinrelay/cells/moves.py
+++ b/mulleinrelay/cells/migrations.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from .assignment import SCALE, mixed
-from .charter import Move
+from .hashing import SCALE, mixed
+from .model import Move
 
 SALT = 0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
 HEAD_ROOM = (
--- a/mulleinrelay/cells/reading.py
+++ b/mulleinrelay/cells/parser.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import fields
 
-from .charter import (
+from .model import (
     FORM,
     REJECT,
     RENDEZVOUS,
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -7,12 +7,12 @@
 from enum import Enum
 from typing import Any
 
-from ..interface import IDEMPOTENT, KEYED, Pool, Purse, RequestClass
-from . import moves, reserve
-from .assignment import caches_of, homes, shuffled
-from .charter import Cell, Charter, CharterError, Move
-from .idempotency import Ledger, Way, way
-from .reserve import Standing
+from ..policy.model import IDEMPOTENT, KEYED, Pool, Purse, RequestClass
+from . import failover, migrations
+from .failover import Standing
+from .hashing import caches_of, homes, shuffled
+from .model import Cell, Charter, CharterError, Move
+from .sticky_routing import Ledger, Way, way
 
 PURSE_AT_FIRST = 2.0  # further attempts of a tenant that has just come; its requests earn more
 POOLS_MOST = 20_000  # kept; beyond, all are made anew as they are wanted
@@ -42,10 +42,10 @@
     """The one cell in which all of a tenant's objects stand; None: a move has them in two."""
     if move is None:
         return home
-    stage = moves.stage(move, now)
-    if stage in (moves.Stage.PLANNED, moves.Stage.ABORTED):
+    stage = migrations.stage(move, now)
+    if stage in (migrations.Stage.PLANNED, migrations.Stage.ABORTED):
         return move.source
-    return move.target if stage == moves.Stage.DONE else None
+    return move.target if stage == migrations.Stage.DONE else None
 
 
 def settled_homes(charter: Charter) -> dict[str, str]:
@@ -109,7 +109,7 @@
         self, now: float, home: str, old: Move | None, new_home: str, new: Move | None
     ) -> bool:
         """Whether a tenant's objects may change cells other than by the course of a move."""
-        if old is not None and new is not None and moves.same_course(old, new, now):
+        if old is not None and new is not None and migrations.same_course(old, new, now):
             return False
         before, after = (_settled(now, at, move) for at, move in ((home, old), (new_home, new)))
         return before is None or before != after
@@ -205,12 +205,12 @@
 
     def _sides(self, now: float, move: Move, key: int, to: Way, anywhere: bool) -> tuple[str, str]:
         """The cell that a moving object goes to, and the other one while that has a part in it."""
-        under_way = moves.under_way(move, now)
+        under_way = migrations.under_way(move, now)
         if (
             to == Way.NEW
             and under_way
             and anywhere
-            and not reserve.at_home(key, self.standings[move.target].home_share(now))
+            and not failover.at_home(key, self.standings[move.target].home_share(now))
         ):
             to = Way.OLD  # the receiving cell fell away: the old one takes its tenants as before
         cell, other = (move.target, move.source) if to == Way.NEW else (move.source, move.target)
@@ -237,9 +237,9 @@
             if standing.lost:
                 return Nowhere.UNPROVEN if repeated else Nowhere.LOST
             return self._spot(tenant, cell, other)
-        if reserve.at_home(key, standing.home_share(now)):
+        if failover.at_home(key, standing.home_share(now)):
             return self._spot(tenant, cell, other)
-        host = reserve.host(self.standings, standing.cell)
+        host = failover.host(self.standings, standing.cell)
         if host is None:
             return Nowhere.LOST if standing.lost else self._spot(tenant, cell, other)
         return Spot(host.cell.name, self._spot(tenant, host.cell.name, "").pool, guest_of=cell)
--- a/mulleinrelay/cells/releases.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from .charter import Limits, Release
+from .model import Limits, Release
 
 SEEN_LEAST = 30.0  # requests of a side before it tells anything
 HALVING = 10_000.0
--- a/mulleinrelay/cells/warden.py
+++ b/mulleinrelay/cells/service.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..configuration import Start
-from ..facade import Facade
-from ..interface import Asked, Request, RequestClass
-from ..log import Log
+from ..config.platform import Start
+from ..coordinator import Facade
+from ..policy.model import Asked, Request, RequestClass
+from ..records import Records
+from ..structured_log import Log
 from . import store
-from .changes import refusal
-from .charter import CharterError
-from .governor import Asking, Board, Denied, Governor, Grant, Prepared, prepare
-from .own import OwnFile
-from .records import Records
+from .admission_controller import Asking, Board, Denied, Governor, Grant, Prepared, prepare
+from .config import OwnFile
+from .edits import refusal
+from .model import CharterError
 
 STEP_EVERY = 100.0  # ms
 RECORDS_EVERY = 1_000.0
--- a/mulleinrelay/cells/idempotency.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -9,8 +9,8 @@
 from collections import OrderedDict
 from enum import Enum
 
-from . import moves
-from .charter import Move
+from . import migrations
+from .model import Move
 
 
 class Way(Enum):
@@ -63,5 +63,7 @@
     if known == move.target:
         return Way.NEW
     if everywhere or not repeated:
-        return Way.NEW if moves.over(move, key, moves.shifted(move, now)) else Way.OLD
-    return Way.NOWHERE if moves.over(move, key, moves.reach(move, now + skew)) else Way.OLD
+        return Way.NEW if migrations.over(move, key, migrations.shifted(move, now)) else Way.OLD
+    return (
+        Way.NOWHERE if migrations.over(move, key, migrations.reach(move, now + skew)) else Way.OLD
+    )
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -6,8 +6,8 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from .charter import Charter, CharterError
-from .reading import read, write
+from .model import Charter, CharterError
+from .parser import read, write
 
 
 def load(path: str) -> Charter:
--- a/mulleinrelay/cells/naming.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -8,7 +8,7 @@
 import ipaddress
 from bisect import bisect_right
 
-from .charter import TO_DEFAULT, Charter, CharterError
+from .model import TO_DEFAULT, Charter, CharterError
 
 
 class Ranges:
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -14,7 +14,7 @@
 DONE, NOT_STARTED, BAD_CONFIGURATION, MISUSED, REFUSED = 0, 1, 2, 2, 3
 GROUPS = {
     "cells": "mulleinrelay.cells.commands",
-    "ctl": "mulleinrelay.management.ctl",
+    "ctl": "mulleinrelay.management.commands",
     "lab": "mulleinrelay.lab.commands",
     "fleet": "mulleinrelay.membership.commands",
 }
@@ -88,7 +88,7 @@
 @FLEET
 def serve(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Run one director until SIGTERM; SIGHUP reads the configuration again."""
-    from .serving import serve
+    from .process import serve
 
     sys.exit(serve(config, cells, management, fleet))
 
@@ -100,7 +100,7 @@
 @FLEET
 def check(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Read the configurations and say what is wrong with them."""
-    from .configuration import ConfigurationError, from_environment
+    from .config.platform import ConfigurationError, from_environment
 
     if (
         (cells is None and management is None and fleet is None)
@@ -117,7 +117,7 @@
             f"up to number {start.known}"
         )
     if cells is not None:
-        from .cells.own import load_own
+        from .cells.config import load_own
         from .cells.store import load
 
         own = held_in(load_own, cells)
@@ -130,7 +130,7 @@
         )
         click.echo(f"cells: {'on' if own.enabled else 'off'}, {held}")
     if management is not None:
-        from .management.own import load_own as load_management
+        from .management.config import load_own as load_management
 
         managed = held_in(load_management, management)
         click.echo(
@@ -138,7 +138,7 @@
             f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles"
         )
     if fleet is not None:
-        from .membership.own import load_own as load_fleet
+        from .membership.config import load_own as load_fleet
 
         talked = held_in(load_fleet, fleet)
         click.echo(
@@ -149,7 +149,7 @@
 
 def held_in(load: Callable[[str], Any], path: str) -> Any:
     """One of our own files; says what is wrong with it and exits."""
-    from .cells.charter import CharterError
+    from .cells.model import CharterError
 
     try:
         return load(path)
--- a/mulleinrelay/configuration.py
+++ b/mulleinrelay/config/platform.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .interface import IDEMPOTENT, KEYED, UNSAFE, ColdRule, RequestClass, Terms
+from ..policy.model import IDEMPOTENT, KEYED, UNSAFE, ColdRule, RequestClass, Terms
 
 REPEAT = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
 REPORT_WORDS = {
--- a/mulleinrelay/facade.py
+++ b/mulleinrelay/coordinator.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from .interface import (
+from .policy.admission import Lateness
+from .policy.model import (
     NOWHERE,
     Attempt,
     Listing,
@@ -29,9 +30,8 @@
     State,
     Terms,
 )
-from .log import Log
-from .policy import Director, Member
-from .spread.admission import Lateness
+from .policy.router import Director, Member
+from .structured_log import Log
 
 ANSWER_SLACK = (
     8.0  # a request without a verdict so long after its client's time is failed by the caller
--- a/mulleinrelay/net/service.py
+++ b/mulleinrelay/director.py
@@ -7,17 +7,17 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from ..configuration import Start
-from ..facade import Facade
-from ..log import Log
-from .bus import Bus
-from .caches import Caches
-from .front import Front
+from .config.platform import Start
+from .coordinator import Facade
+from .net.client_listener import Front
+from .net.event_stream import Bus
+from .net.upstream_connections import Caches
+from .structured_log import Log
 
 if TYPE_CHECKING:
-    from ..cells.own import OwnFile
-    from ..management.own import OwnFile as ManagementFile
-    from ..membership.own import OwnFile as FleetFile
+    from .cells.config import OwnFile
+    from .management.config import OwnFile as ManagementFile
+    from .membership.config import OwnFile as FleetFile
 
 CLIENTS_SHARE, LINKS_SHARE = 0.5, 0.4  # of the descriptors
 SWEEP_EVERY, ASK_EVERY = 250.0, 25.0
@@ -74,7 +74,7 @@
         self.bus = Bus(start, self.facade, log)
         self.warden = None
         if cells is not None and cells.enabled:
-            from ..cells.warden import Warden  # its libraries are there only where it is on
+            from .cells.service import Warden
 
             self.warden = Warden(
                 cells, start, self.facade, self.clock, log, self.front.requests_most
@@ -84,7 +84,7 @@
         self.server = None
         self.talk = None
         if fleet is not None and fleet.enabled:
-            from ..membership.talk import Talk  # its library is there only where it is on
+            from .membership.service import Talk
 
             self.talk = Talk(fleet, start.name, start.seed, self.clock, log, self.facade)
 
@@ -98,7 +98,7 @@
             self.warden.begin()
         threading.Thread(target=self._keep_time, name="clock", daemon=True).start()
         if self.managed is not None:
-            from ..management.server import build
+            from .management.gnmi_server import build
 
             self.server = build(
                 self.managed, self.start_settings, self.facade, self.warden, self.clock, self.log
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from ..cells.charter import CharterError
+from ..cells.model import CharterError
 from .play import Lab
 from .scenario import read_scenario
 
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ...policy import mix
+from ...policy.router import mix
 
 HOT_SHARE, HOT_SPAN, HOT_OF = (
     0.02,
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -8,8 +8,8 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from ...cells.charter import CharterError
-from ...cells.reading import Keys, sections
+from ...cells.model import CharterError
+from ...cells.parser import Keys, sections
 
 DIRECTORS_MOST, CACHES_MOST = 5_000, 2_000  # in simulated time
 PROCESSES_MOST, NODES_MOST = 400, 400  # directors and caches of a lab on sockets
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 from typing import Any
 
-from ..cells import changes, store
-from ..cells.charter import Charter, Tenant
-from ..cells.reading import write
+from ..cells import edits, store
+from ..cells.model import Charter, Tenant
+from ..cells.parser import write
 from ..standins.clients import Terminals
 from ..standins.fleet import BOX, ORIGIN, PARENT, Fleet, Node, Spec, now_ms
 from ..standins.servers import World
@@ -266,14 +266,14 @@
 
     def _deed(self, deed: Deed) -> None:
         if deed.what == "move":
-            spans = changes.Spans(deed.warm, deed.shift, deed.drain)
+            spans = edits.Spans(deed.warm, deed.shift, deed.drain)
             self.change(
-                lambda old: changes.start_move(
+                lambda old: edits.start_move(
                     old, deed.name, deed.tenants, deed.target, now_ms(), spans
                 )
             )
         elif deed.what == "abort":
-            self.change(lambda old: changes.abort(old, deed.target, now_ms()))
+            self.change(lambda old: edits.abort(old, deed.target, now_ms()))
         elif deed.what == "cut":
             self.change(lambda old: cut_over(old, deed.tenants, deed.target))
         else:
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -3,8 +3,8 @@
 
 from dataclasses import dataclass, field
 
-from ..cells.charter import Charter, CharterError
-from ..cells.reading import Keys, read, sections
+from ..cells.model import Charter, CharterError
+from ..cells.parser import Keys, read, sections
 from ..standins.clients import Demand
 
 FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
--- a/mulleinrelay/management/mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -6,7 +6,7 @@
 import ipaddress
 from typing import Any
 
-from ..cells.charter import (
+from ..cells.model import (
     REJECT,
     TO_DEFAULT,
     Cell,
@@ -17,7 +17,7 @@
     Release,
     Tenant,
 )
-from ..cells.reading import LIMIT_KEYS, RANGE, agree
+from ..cells.parser import LIMIT_KEYS, RANGE, agree
 
 ATTRIBUTES = {
     "how": "how",
--- a/mulleinrelay/management/ctl.py
+++ b/mulleinrelay/management/commands.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .client import Access, CallError, Target
+from .gnmi_client import Access, CallError, Target
 from .paths import PathError, copied, differences, parse, worded
 
 DONE, UNREACHED, MISUSED, REFUSED = 0, 1, 2, 3
@@ -274,8 +274,8 @@
         wanted = json.load(file)
     except ValueError as wrong:
         raise click.UsageError(f"{file.name}: no JSON: {wrong}") from None
-    from .model import Model
     from .paths import bare
+    from .yang_model import Model
 
     shape = Model().shape
 
--- a/mulleinrelay/management/own.py
+++ b/mulleinrelay/management/config.py
@@ -5,10 +5,10 @@
 import os
 from dataclasses import dataclass
 
-from ..cells.charter import CharterError
-from ..cells.own import loaded
-from ..cells.reading import Keys, sections
-from .rights import ROLES, Rights, Role
+from ..cells.config import loaded
+from ..cells.model import CharterError
+from ..cells.parser import Keys, sections
+from .authorization import ROLES, Rights, Role
 
 LOOPBACK = ("127.", "::1", "localhost")
 
--- a/mulleinrelay/management/intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import Any
 
-from ..interface import Listing, State
+from ..policy.model import Listing, State
 
 DISAGREES = 10_000.0  # ms for which list and intent may differ before that is worth a line
 
--- a/mulleinrelay/management/client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -7,7 +7,7 @@
 
 import grpc
 
-from . import messages as gnmi
+from . import gnmi_messages as gnmi
 from . import paths
 from .paths import Path
 
--- a/mulleinrelay/management/server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -10,15 +10,15 @@
 
 import grpc
 
-from ..log import Log
-from . import messages as gnmi
+from ..structured_log import Log
+from . import gnmi_messages as gnmi
 from . import paths
+from .authorization import Role, wanted
+from .config import OwnFile
 from .datastore import RefusedError
-from .manager import Edit, Manager
-from .model import NAME, REVISION
-from .own import OwnFile
 from .paths import Path, PathError
-from .rights import Role, wanted
+from .service import Edit, Manager
+from .yang_model import NAME, REVISION
 
 STACK = 1_048_576  # bytes: the model's checks nest deeper than what serves requests
 SAMPLE_LEAST = 1.0  # s
@@ -494,10 +494,10 @@
     own: OwnFile, start: Any, facade: Any, warden: Any, clock: Callable[[], float], log: Log
 ) -> Server:
     """All of management for one director; raises KeepError, OSError."""
-    from ..cells.assignment import caches_of
-    from .keep import Keeper
-    from .model import Model
-    from .part import CellsPart, DrainPart, View
+    from ..cells.hashing import caches_of
+    from .datastore_file import Keeper
+    from .participants import CellsPart, DrainPart, View
+    from .yang_model import Model
 
     def cells(caches: list[str]) -> dict[str, list[str]]:
         return caches_of(warden.governor.charter, caches) if warden is not None else {}
--- a/mulleinrelay/management/part.py
+++ b/mulleinrelay/management/participants.py
@@ -6,15 +6,15 @@
 from dataclasses import replace
 from typing import Any
 
-from ..cells import governor, moves, store
-from ..cells.charter import Charter, CharterError
-from ..configuration import Start
-from ..facade import Facade
-from ..interface import Listing, State
-from . import intent as wanting
+from ..cells import admission_controller, migrations, store
+from ..cells.model import Charter, CharterError
+from ..config.platform import Start
+from ..coordinator import Facade
+from ..policy.model import Listing, State
+from . import drain_intent as wanting
+from .assignment_mapping import charter_from, charter_tree, decimal
 from .datastore import RefusedError
-from .intent import Intent, Want, left_without, wants
-from .mapping import charter_from, charter_tree, decimal
+from .drain_intent import Intent, Want, left_without, wants
 
 NAMES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
 
@@ -91,7 +91,9 @@
     def charter(self) -> Charter:
         return self.warden.governor.charter
 
-    def prepare(self, old: dict[str, Any], new: dict[str, Any]) -> governor.Prepared | None:
+    def prepare(
+        self, old: dict[str, Any], new: dict[str, Any]
+    ) -> admission_controller.Prepared | None:
         wanted = new.get("fleet", {}).get("assignment")
         if self.warden is None:
             if wanted:
@@ -104,17 +106,17 @@
             charter = charter_from(wanted, now.version + 1, round(self.clock()))
             if replace(charter, version=now.version, written=now.written) == now:
                 return None
-            return governor.prepare(charter)
+            return admission_controller.prepare(charter)
         except CharterError as wrong:
             raise RefusedError(str(wrong)) from None
 
-    def mark(self, ready: governor.Prepared | None) -> int:
+    def mark(self, ready: admission_controller.Prepared | None) -> int:
         """The version of the assignment file."""
         if self.warden is None:
             return 0
         return ready.charter.version if ready is not None else self.charter().version
 
-    def commit(self, ready: governor.Prepared | None) -> Callable[[], None]:
+    def commit(self, ready: admission_controller.Prepared | None) -> Callable[[], None]:
         if ready is None:
             return lambda: None
         before = self.charter()
@@ -122,11 +124,11 @@
 
         def undo() -> None:
             back = replace(before, version=ready.charter.version + 1)
-            self._take(governor.prepare(back), ready.charter.version)
+            self._take(admission_controller.prepare(back), ready.charter.version)
 
         return undo
 
-    def _take(self, ready: governor.Prepared, built_on: int) -> None:
+    def _take(self, ready: admission_controller.Prepared, built_on: int) -> None:
         try:
             with store.sole_writer(self.warden.own.assignment):
                 store.save(
@@ -229,8 +231,8 @@
             one
             | {
                 "state": {
-                    "stage": moves.stage(charter.moves[one["name"]], now).value,
-                    "share": decimal(moves.shifted(charter.moves[one["name"]], now)),
+                    "stage": migrations.stage(charter.moves[one["name"]], now).value,
+                    "share": decimal(migrations.shifted(charter.moves[one["name"]], now)),
                 }
             }
             if one["name"] in charter.moves
--- a/mulleinrelay/management/manager.py
+++ b/mulleinrelay/management/service.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..facade import Facade
-from ..log import Log
+from ..coordinator import Facade
+from ..structured_log import Log
 from . import paths
 from .datastore import Datastore, Held, RefusedError, Version
-from .keep import Keeper
-from .part import CellsPart, DrainPart, View
+from .datastore_file import Keeper
+from .participants import CellsPart, DrainPart, View
 from .paths import Path, PathError, Shape
 
 STEP_EVERY = 250.0  # ms
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -7,9 +7,9 @@
 import click
 import orjson
 
-from ..cells.charter import CharterError
-from ..cells.records import read_logs, read_states
-from .own import load_own
+from ..cells.model import CharterError
+from ..records import read_logs, read_states
+from .config import load_own
 
 FAILED, WRONG_FILE = 1, 2
 OLD = 5.0  # s: a director that is there writes its records each second
--- a/mulleinrelay/membership/own.py
+++ b/mulleinrelay/membership/config.py
@@ -4,9 +4,9 @@
 import os
 from dataclasses import dataclass
 
-from ..cells.charter import CharterError
-from ..cells.own import loaded
-from ..cells.reading import NAME, Keys, sections
+from ..cells.config import loaded
+from ..cells.model import CharterError
+from ..cells.parser import NAME, Keys, sections
 
 Address = tuple[str, int]
 KEY_LEAST = 8  # characters
--- a/mulleinrelay/membership/talk.py
+++ b/mulleinrelay/membership/service.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ..cells.records import Records
-from ..facade import Facade
-from ..log import Log
-from .detector import Membership
+from ..coordinator import Facade
+from ..records import Records
+from ..structured_log import Log
+from .config import OwnFile
 from .messages import LENGTH_MOST, Codec, State, Word
-from .own import OwnFile
+from .swim import Membership
 
 if TYPE_CHECKING:
-    from ..budgets.exchange import Exchange
+    from ..budgets.quota_exchange import Exchange
 
 RECORDS_EVERY = 1_000.0  # ms
 EVENTS_KEPT = 200  # changes that a director remembers for staff
@@ -28,7 +28,7 @@
 
 def share_cold(own: OwnFile, facade: Facade, seed: int, life: int, offset: float) -> "Exchange":
     """The limits on cold caches of this location, and on cold parents, as rights that are lent."""
-    from ..budgets.exchange import Exchange  # only where it is on
+    from ..budgets.quota_exchange import Exchange
 
     director, terms, now = facade.director, facade.terms, _now()
     exchange = Exchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
--- a/mulleinrelay/membership/detector.py
+++ b/mulleinrelay/membership/swim.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Protocol
 
+from .member_table import Event, Record, View, Who
 from .messages import Codec, Kind, Message, State, UnusableError, Word
-from .view import Event, Record, View, Who
 
 PERIOD = 500.0  # of one ping
 ANSWER_WITHIN = 150.0  # until others are asked to ping it
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -3,9 +3,9 @@
 from collections import deque
 from typing import Any
 
-from ..interface import Attempt, Note, Outcome, Request, State, Terms
 from ..net.resp import ENDS, NOTES
-from ..policy import Director, Member
+from ..policy.model import Attempt, Note, Outcome, Request, State, Terms
+from ..policy.router import Director, Member
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..configuration import Section, read_terms
-from ..interface import Attempt, Outcome
+from ..config.platform import Section, read_terms
 from ..lab.fleet.audit import Audit, Heard
 from ..lab.fleet.hosts import fields_of, fleet_of
 from ..lab.fleet.load import PAUSE, Demand, Wanted, may_try_again
 from ..lab.fleet.paths import DOWN, UP, Book, Lane, rule_for
 from ..lab.fleet.plan import ON_NODES, ON_PATHS, Scenario, Strike
 from ..lab.start import settings_at
-from ..net.caches import ECHO_WAIT
-from ..spread.links import QUIET
+from ..net.upstream_connections import ECHO_WAIT
+from ..policy.connection_reuse import QUIET
+from ..policy.model import Attempt, Outcome
 from ..standins.fleet import BOX, ORIGIN, PARENT
 from .clock import Clock
 from .directors import Modelled
--- a/mulleinrelay/net/client.py
+++ b/mulleinrelay/net/client_connection.py
@@ -14,9 +14,9 @@
 from collections import deque
 from collections.abc import Iterable
 
-from ..interface import Request
+from ..policy.model import Request
 from . import thrift
-from .outlet import Outlet, Piece
+from .write_queue import Outlet, Piece
 
 WRITE_WAIT = 6.0  # s that a client may take to read on before its connection is ended
 FIRST_CALL = (
--- a/mulleinrelay/net/front.py
+++ b/mulleinrelay/net/client_listener.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..configuration import Start
-from ..facade import Facade, Failed, GiveUp, Left, Rejected, Served, Verdict
-from ..interface import KEYED, Asked, Order, Request, RequestClass
-from ..log import Log
-from ..spread.admission import Places, to_end_first
+from ..config.platform import Start
+from ..coordinator import Facade, Failed, GiveUp, Left, Rejected, Served, Verdict
+from ..policy.admission import Places, to_end_first
+from ..policy.model import KEYED, Asked, Order, Request, RequestClass
+from ..structured_log import Log
 from . import thrift
-from .caches import Caches
-from .client import Client
+from .client_connection import Client
+from .upstream_connections import Caches
 
 BACKLOG = 1024
 OPEN_MOST = 32  # requests open on one connection
--- a/mulleinrelay/net/bus.py
+++ b/mulleinrelay/net/event_stream.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from ..configuration import ConfigurationError, Start
-from ..facade import Facade
-from ..log import Log
-from ..spread.pacing import Reconnects
+from ..config.platform import ConfigurationError, Start
+from ..coordinator import Facade
+from ..policy.stream_reconnect import Reconnects
+from ..structured_log import Log
 from . import sse
 
 SILENCE = 2.5  # s: a comment comes each second
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ..interface import Asked, Note, Order, Outcome
-from .intake import Intake
+from ..policy.model import Asked, Note, Order, Outcome
+from .receive_buffer import Intake
 
 BULK_MOST = 262_144
 ITEMS_MOST, LINE_MOST = 8, 32
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..configuration import ConfigurationError, Section
-from ..interface import NOWHERE, Listing, State
+from ..config.platform import ConfigurationError, Section
+from ..policy.model import NOWHERE, Listing, State
 
 LINE_MOST = 4_194_304  # the first event holds the whole list
 HEAD_MOST = 16_384
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ..interface import Asked
-from .intake import Intake
+from ..policy.model import Asked
+from .receive_buffer import Intake
 
 BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = (
     2,
--- a/mulleinrelay/net/caches.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..configuration import REPORT_WORDS
-from ..facade import Facade
-from ..interface import Asked, Attempt, Node, Order, Outcome, Place, Request
-from ..log import Log
-from ..spread import links as held_links
-from ..spread.links import Patience, hold_for
+from ..config.platform import REPORT_WORDS
+from ..coordinator import Facade
+from ..policy import connection_reuse as held_links
+from ..policy.connection_reuse import Patience, hold_for
+from ..policy.model import Asked, Attempt, Node, Order, Outcome, Place, Request
+from ..structured_log import Log
 from . import resp
-from .outlet import Outlet
+from .write_queue import Outlet
 
 OVER_FOR = 10_000.0  # ms for which an answer to an attempt that was given up may still come
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
--- a/mulleinrelay/spread/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from ..interface import IDEMPOTENT, RequestClass
+from .model import IDEMPOTENT, RequestClass
 
 LATE_FULL = 400.0  # of a timer, by which a director has no more time to spare than it has places
 LATE_HALVING, LATE_MOST = (
--- a/mulleinrelay/policy.py
+++ b/mulleinrelay/policy/router.py
@@ -12,7 +12,9 @@
 from random import Random
 from typing import Any
 
-from .interface import (
+from . import overload
+from .health_checks import Watch, pace
+from .model import (
     IDEMPOTENT,
     KEYED,
     UNSAFE,
@@ -27,13 +29,11 @@
     Terms,
     Writer,
 )
-from .spread import storm
-from .spread.cold import Allowance
-from .spread.popularity import Popularity
-from .spread.reach import Reach
-from .spread.storm import Storm
-from .spread.verdicts import Health
-from .spread.watching import Watch, pace
+from .outlier_detection import Health
+from .overload import Storm
+from .popularity import Popularity
+from .slow_start import Allowance
+from .zone_reachability import Reach
 
 # d: a member this much slower than its yardstick is passed over; above the noise of coarse bins
 NEAR = 80.0
@@ -321,7 +321,7 @@
             return self.stuck(request)
         if request.attempts and request.attempts[-1].outcome != Outcome.MISS:
             last, work = request.attempts[-1], self.work(request)
-            cost = storm.cost(last.outcome == Outcome.TURNED_AWAY, self.now - last.sent, work)
+            cost = overload.cost(last.outcome == Outcome.TURNED_AWAY, self.now - last.sent, work)
             purse = self.purse_of(request)
             if purse.again < cost:
                 return self.stuck(request)
@@ -432,7 +432,7 @@
             request.request_class.repeat == IDEMPOTENT,
         )
         advice = (
-            storm.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
+            overload.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
         )
         if pure or not doubtful or self.known(request, doubtful, self.now + advice):
             self.storm.note_rejected()
--- a/mulleinrelay/spread/cold.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -15,7 +15,7 @@
 import math
 from random import Random
 
-from ..interface import Share
+from .model import Share
 
 FILL = 0.8  # of the node's present capacity that all directors together go to where each has room
 TICKET_FILL = 0.4  # and where they draw: what comes by chance comes in clusters
--- a/mulleinrelay/serving.py
+++ b/mulleinrelay/process.py
@@ -8,9 +8,9 @@
 import threading
 import time
 
-from .configuration import ConfigurationError, Start, from_environment
-from .log import Log
-from .net.service import Service
+from .config.platform import ConfigurationError, Start, from_environment
+from .director import Service
+from .structured_log import Log
 
 STACK = 128 * 1024  # bytes for each thread; of these only what is touched counts
 READ_AGAIN = (0.05, 0.2, 0.0)  # s after which a configuration that can't be used is read again
@@ -82,20 +82,20 @@
     if not cells and not management and not fleet:
         return Service(start, log)
     try:
-        from .cells.charter import CharterError
+        from .cells.model import CharterError
 
         try:
             held, managed, talked = None, None, None
             if cells:
-                from .cells.own import load_own
+                from .cells.config import load_own
 
                 held = load_own(cells)
             if management:
-                from .management.own import load_own as load_management
+                from .management.config import load_own as load_management
 
                 managed = load_management(management)
             if fleet:
-                from .membership.own import load_own as load_fleet
+                from .membership.config import load_own as load_fleet
 
                 talked = load_fleet(fleet)
             return Service(start, log, held, managed, talked)
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -7,9 +7,9 @@
 from typing import Any, BinaryIO
 
 from . import wire
-from .configuration import ConfigurationError, terms_from_text
-from .interface import Attempt, Node, Note, Outcome, Request, State
-from .policy import Director, Member
+from .config.platform import ConfigurationError, terms_from_text
+from .policy.model import Attempt, Node, Note, Outcome, Request, State
+from .policy.router import Director, Member
 
 OUTCOMES = {
     0: Outcome.SERVED,
--- a/tests/budgets/ledgers.py
+++ b/tests/budgets/ledgers.py
@@ -6,7 +6,7 @@
 import copy
 from collections import deque
 
-from mulleinrelay.budgets.ledger import Ledger
+from mulleinrelay.budgets.lease_ledger import Ledger
 
 LEASE, SPAN = 3.0, 1.0
 
--- a/tests/budgets/test_exchange.py
+++ b/tests/budgets/test_exchange.py
@@ -8,9 +8,9 @@
 import pytest
 from net import Net
 
-from mulleinrelay.budgets.exchange import Exchange
-from mulleinrelay.budgets.ledger import KEPT, LEASE
-from mulleinrelay.interface import Share
+from mulleinrelay.budgets.lease_ledger import KEPT, LEASE
+from mulleinrelay.budgets.quota_exchange import Exchange
+from mulleinrelay.policy.model import Share
 
 SPAN = 1500.0
 
@@ -190,7 +190,7 @@
     net = Busy(2, [0.0, 0.0], 100.0)
     net.play(6)
     ledger, numbers = net.cores[0].companion.limits["cold"].ledger, itertools.count(1)
-    from mulleinrelay.budgets.ledger import Ask
+    from mulleinrelay.budgets.lease_ledger import Ask
 
     got = [
         ledger.asked(net.clock(0), "thief", 1, Ask(next(numbers), 1 << 20), 0) for _ in range(50)
--- a/tests/budgets/test_ledger.py
+++ b/tests/budgets/test_ledger.py
@@ -5,7 +5,7 @@
 import pytest
 from ledgers import MOST, World, search
 
-from mulleinrelay.budgets.ledger import Ledger, Lent
+from mulleinrelay.budgets.lease_ledger import Ledger, Lent
 
 
 def searched(most, *world):
@@ -66,7 +66,7 @@
     lease.
     """
     z3 = pytest.importorskip("z3")
-    from mulleinrelay.budgets.ledger import DRIFT, LEASE
+    from mulleinrelay.budgets.lease_ledger import DRIFT, LEASE
 
     asked, heard, fast, slow = z3.Reals("asked heard fast slow")
 
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -4,13 +4,13 @@
 
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
-from mulleinrelay.cells.charter import Cell, Charter, Limits, Move, Tenant
-from mulleinrelay.cells.governor import Asking, Board, Governor
-from mulleinrelay.cells.own import OwnFile
-from mulleinrelay.cells.reading import write
-from mulleinrelay.configuration import decode
-from mulleinrelay.interface import IDEMPOTENT, KEYED, UNSAFE, RequestClass
-from mulleinrelay.net.service import Service
+from mulleinrelay.cells.admission_controller import Asking, Board, Governor
+from mulleinrelay.cells.config import OwnFile
+from mulleinrelay.cells.model import Cell, Charter, Limits, Move, Tenant
+from mulleinrelay.cells.parser import write
+from mulleinrelay.config.platform import decode
+from mulleinrelay.director import Service
+from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
 PAGES = RequestClass(IDEMPOTENT, 500.0, 2.0, 6000.0, 5000.0, "all", 0.0, False)
 ORDER = RequestClass(KEYED, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from stage import Cell, Tenant, charter
 
-from mulleinrelay.cells.assignment import bounded, caches_of, homes, shuffled
-from mulleinrelay.cells.charter import CharterError
-from mulleinrelay.cells.naming import Naming
+from mulleinrelay.cells.hashing import bounded, caches_of, homes, shuffled
+from mulleinrelay.cells.model import CharterError
+from mulleinrelay.cells.tenant_resolution import Naming
 
 NAMES = st.lists(
     st.integers(0, 10_000).map(lambda number: f"t{number}"), min_size=1, max_size=60, unique=True
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -6,8 +6,9 @@
 from click.testing import CliRunner
 from stage import Cell, Ruled, charter
 
-from mulleinrelay.cells import records, store
-from mulleinrelay.cells.reading import write
+from mulleinrelay import records
+from mulleinrelay.cells import store
+from mulleinrelay.cells.parser import write
 from mulleinrelay.cli import main
 
 
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -5,9 +5,9 @@
 import pytest
 from stage import ORDER, ORDER_ALL, PAGES, PAY, Cell, Limits, Ruled, Tenant, charter, move
 
-from mulleinrelay.cells import changes, releases
-from mulleinrelay.cells.charter import Release
-from mulleinrelay.cells.governor import Board, Denied, Grant
+from mulleinrelay.cells import edits, rollouts
+from mulleinrelay.cells.admission_controller import Board, Denied, Grant
+from mulleinrelay.cells.model import Release
 
 TWO = (
     Cell("north", caches=("s-01", "s-02"), neighbours=("south",), reserve=0.2),
@@ -244,7 +244,7 @@
     ],
 )
 def test_a_release_goes_on_halts_or_is_taken_back(north, others, ends):
-    course = releases.Course(RELEASE)
+    course = rollouts.Course(RELEASE)
     words = play(course, 90_000.0, north, others)
     assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
     assert course.has("east") == (ends == "everywhere")
@@ -278,7 +278,7 @@
     ruled.governor.step(ruled.now)
     pool = ruled.ask().pool
     assert len(pool.caches) == 1 and set(pool.helpers) == {"s-01", "s-02", "s-03"}
-    kept = changes.keep_release(ruled.governor.charter, "r1")
+    kept = edits.keep_release(ruled.governor.charter, "r1")
     assert kept.cells["north"].shuffle == 1 and kept.cells["south"].shuffle == 0
     ruled.governor.renew(ruled.now, replace(kept, version=2))
     assert set(ruled.ask().pool.caches) == set(pool.caches)
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -7,13 +7,13 @@
 from helpers import HIT, rows, wait_for
 from stage import Cell, Housed, charter, move
 
-from mulleinrelay.cells.reading import write
-from mulleinrelay.cells.warden import Warden
-from mulleinrelay.configuration import ConfigurationError
+from mulleinrelay import director as director_module
+from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.service import Warden
+from mulleinrelay.config.platform import ConfigurationError
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import CharterError, read_scenario
-from mulleinrelay.net import service
-from mulleinrelay.serving import make
+from mulleinrelay.process import make
 
 SERVED, REJECTED, FAILED = 0, 1, 2
 FILLED = (b"DONE", b"why=MISS,entity=aa,issued=1,delay=5", b"bytes")
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 def halfway(share=0.5, **changes):
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from stage import ORDER, ORDER_ALL, PAGES, Cell, Ruled, charter, move
 
-from mulleinrelay.cells import changes, idempotency, moves
-from mulleinrelay.cells.assignment import SCALE, mixed
-from mulleinrelay.cells.moves import Demand, Stage
+from mulleinrelay.cells import edits, migrations, sticky_routing
+from mulleinrelay.cells.hashing import SCALE, mixed
+from mulleinrelay.cells.migrations import Demand, Stage
 from mulleinrelay.cells.placement import Nowhere, Placement
 
 STAGES = [
@@ -25,7 +25,9 @@
 
 @pytest.mark.parametrize("now, stage, share", STAGES)
 def test_the_course_follows_the_clock(now, stage, share):
-    assert moves.stage(move(), now) == stage and moves.shifted(move(), now) == pytest.approx(share)
+    assert migrations.stage(move(), now) == stage and migrations.shifted(
+        move(), now
+    ) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(
@@ -43,9 +45,9 @@
     ],
 )
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
-    assert moves.stage(move(**turn), now) == stage
+    assert migrations.stage(move(**turn), now) == stage
     if stage != Stage.DONE:
-        assert moves.shifted(move(**turn), now) == pytest.approx(share)
+        assert migrations.shifted(move(**turn), now) == pytest.approx(share)
 
 
 @settings(max_examples=200, deadline=None)
@@ -60,11 +62,11 @@
 def test_the_share_never_jumps(warm, shift, drain, aborted_at, now, key):
     held = move(warm_for=warm, shift_for=shift, drain_for=drain, aborted_at=aborted_at or 0.0)
     step = 10.0
-    before, after = moves.shifted(held, now), moves.shifted(held, now + step)
+    before, after = migrations.shifted(held, now), migrations.shifted(held, now + step)
     steepest = max(1.0 / shift, held.warm_share / warm if warm else 0.0) * step
     assert abs(after - before) <= steepest + (held.warm_share if not warm else 0.0) + 1e-9
     if not aborted_at:  # what has gone over stays over
-        assert not moves.over(held, key, before) or moves.over(held, key, after)
+        assert not migrations.over(held, key, before) or migrations.over(held, key, after)
 
 
 @pytest.mark.parametrize("capacity, bears", [(300.0, True), (130.0, False)])
@@ -72,14 +74,14 @@
     demand = Demand(
         rate=100.0, load=20.0, capacity=capacity, fill_cost=4.0, hit_share=0.95, objects=2_000.0
     )
-    found = moves.shift_time(demand)
+    found = migrations.shift_time(demand)
     assert (found is not None) == bears
     if bears:
         held = move(shift_for=found)
-        peak = max(load for _, _, load in moves.loads(held, demand))
-        assert 0.5 < peak <= moves.HEAD_ROOM + 0.01
+        peak = max(load for _, _, load in migrations.loads(held, demand))
+        assert 0.5 < peak <= migrations.HEAD_ROOM + 0.01
         cut = move(warm_for=0.0, shift_for=1.0)  # all at once
-        assert max(load for _, _, load in moves.loads(cut, demand)) > 1.0
+        assert max(load for _, _, load in migrations.loads(cut, demand)) > 1.0
 
 
 # A client's try at one director and its retry at another, which go by different versions and clocks
@@ -89,7 +91,7 @@
     next(
         key
         for key in itertools.count(place * 100_000)
-        if place / 5.0 <= mixed(key, moves.SALT) / SCALE < place / 5.0 + 0.1
+        if place / 5.0 <= mixed(key, migrations.SALT) / SCALE < place / 5.0 + 0.1
     )
     for place in range(5)
 ]
@@ -102,15 +104,15 @@
         if False
         else replace(charter(), spread=SPREAD, skew=SKEW, horizon=HORIZON, written=0.0)
     )
-    spans = changes.Spans(200.0, 800.0, 200.0)
-    begun = replace(changes.start_move(base, "m1", ("acme",), "south", 0.0, spans), version=2)
+    spans = edits.Spans(200.0, 800.0, 200.0)
+    begun = replace(edits.start_move(base, "m1", ("acme",), "south", 0.0, spans), version=2)
     yield "plain", [(0.0, begun)]
     for at in (300.0, 800.0, 1_100.0):
-        aborted = replace(changes.abort(begun, "m1", at), version=3, written=at)
+        aborted = replace(edits.abort(begun, "m1", at), version=3, written=at)
         yield f"aborted {at}", [(0.0, begun), (at, aborted)]
-        held = replace(changes.hold(begun, "m1", at), version=3, written=at)
+        held = replace(edits.hold(begun, "m1", at), version=3, written=at)
         yield f"held {at}", [(0.0, begun), (at, held)]
-        resumed = replace(changes.resume(held, "m1", at + 900.0), version=4, written=at + 900.0)
+        resumed = replace(edits.resume(held, "m1", at + 900.0), version=4, written=at + 900.0)
         yield f"resumed {at}", [(0.0, begun), (at, held), (at + 900.0, resumed)]
 
 
@@ -166,8 +168,8 @@
                         again = other.spot(first + later, key, request_class, True)
                         if isinstance(again, Nowhere):
                             held, off = history[0][1].moves["m1"], off + 1
-                            assert moves.over(
-                                held, key, moves.reach(held, first + later + 2.0 * SKEW)
+                            assert migrations.over(
+                                held, key, migrations.reach(held, first + later + 2.0 * SKEW)
                             )
                         elif again.cell != ran.cell:
                             broken.append((name, first, later, ran.cell, again.cell))
@@ -188,9 +190,9 @@
     "fault",
     [
         lambda held, key, repeated, *rest: (
-            idempotency.Way.NEW
-            if moves.over(held, key, moves.shifted(held, rest[2]))
-            else idempotency.Way.OLD
+            sticky_routing.Way.NEW
+            if migrations.over(held, key, migrations.shifted(held, rest[2]))
+            else sticky_routing.Way.OLD
         ),  # a retry goes by the share of the moment, as a first try does
     ],
 )
@@ -286,47 +288,47 @@
 
 # What staff may do
 
-SPANS = changes.Spans(1_000.0, 2_000.0, 1_000.0)
+SPANS = edits.Spans(1_000.0, 2_000.0, 1_000.0)
 
 
 @pytest.mark.parametrize(
     "deed, why",
     [
-        (lambda held: changes.start_move(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
+        (lambda held: edits.start_move(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
         (
-            lambda held: changes.start_move(held, "m2", ("acme",), "south", 0.0, SPANS),
+            lambda held: edits.start_move(held, "m2", ("acme",), "south", 0.0, SPANS),
             "moved by m1",
         ),
         (
-            lambda held: changes.start_move(held, "m2", ("shared", "beta"), "south", 0.0, SPANS),
+            lambda held: edits.start_move(held, "m2", ("shared", "beta"), "south", 0.0, SPANS),
             "one cell",
         ),
-        (lambda held: changes.start_move(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
+        (lambda held: edits.start_move(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
         (
-            lambda held: changes.start_move(held, "m2", ("nobody",), "south", 0.0, SPANS),
+            lambda held: edits.start_move(held, "m2", ("nobody",), "south", 0.0, SPANS),
             "no tenant",
         ),
-        (lambda held: changes.hold(held, "m9", 0.0), "no move"),
-        (lambda held: changes.resume(held, "m1", 0.0), "not held"),
-        (lambda held: changes.hold(held, "m1", 99_000.0), "done"),
-        (lambda held: changes.abort(held, "m1", 99_000.0), "done"),
-        (lambda held: changes.hold(changes.hold(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
+        (lambda held: edits.hold(held, "m9", 0.0), "no move"),
+        (lambda held: edits.resume(held, "m1", 0.0), "not held"),
+        (lambda held: edits.hold(held, "m1", 99_000.0), "done"),
+        (lambda held: edits.abort(held, "m1", 99_000.0), "done"),
+        (lambda held: edits.hold(edits.hold(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
         (
-            lambda held: changes.abort(changes.abort(held, "m1", 10_500.0), "m1", 10_600.0),
+            lambda held: edits.abort(edits.abort(held, "m1", 10_500.0), "m1", 10_600.0),
             "already",
         ),
     ],
 )
 def test_what_would_break_a_move_is_refused_in_words(deed, why):
-    with pytest.raises(changes.RefusalError, match=why):
+    with pytest.raises(edits.RefusalError, match=why):
         deed(replace(charter(moves=(move(drain_for=9_000.0),)), spread=100.0, skew=10.0))
 
 
 def test_a_move_that_is_over_leaves_its_tenants_where_they_ended():
     held = charter(moves=(move(),))
-    assert changes.end_moves(held, 17_000.0)[1] == []  # a client may still try again
-    after, names = changes.end_moves(held, 99_000.0)
+    assert edits.end_moves(held, 17_000.0)[1] == []  # a client may still try again
+    after, names = edits.end_moves(held, 99_000.0)
     assert names == ["m1"] and after.tenants["acme"].cell == "south" and not after.moves
-    back, _ = changes.end_moves(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
+    back, _ = edits.end_moves(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
     assert back.tenants["acme"].cell == "north"
-    assert changes.abort(held, "m1", 1_000.0).moves == {}  # nobody has begun
+    assert edits.abort(held, "m1", 1_000.0).moves == {}  # nobody has begun
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -6,8 +6,8 @@
 from helpers import rows, wait_for
 from stage import Cell, Housed, Limits, Tenant, charter
 
-from mulleinrelay.cells.reading import write
-from mulleinrelay.net import service
+from mulleinrelay import director as director_module
+from mulleinrelay.cells.parser import write
 
 REJECTED, FAILED = 1, 2
 TWO = (
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 def edge_caches(housed):
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_reading.py
@@ -9,9 +9,9 @@
 from stage import Cell, Limits, Tenant, charter, move
 
 from mulleinrelay.cells import store
-from mulleinrelay.cells.charter import CharterError, Release
-from mulleinrelay.cells.own import load_own, read_own
-from mulleinrelay.cells.reading import read, write
+from mulleinrelay.cells.config import load_own, read_own
+from mulleinrelay.cells.model import CharterError, Release
+from mulleinrelay.cells.parser import read, write
 
 HEAD = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
 WHOLE = HEAD + "[cell north]\n[cell south]\n[tenant acme]\n"
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -10,9 +10,9 @@
 from helpers import Stage
 from stage import Cell, Ruled, charter, move
 
-from mulleinrelay.facade import GiveUp, Order
-from mulleinrelay.interface import Note, Outcome, State
-from mulleinrelay.policy import Director
+from mulleinrelay.coordinator import GiveUp, Order
+from mulleinrelay.policy.model import Note, Outcome, State
+from mulleinrelay.policy.router import Director
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -7,11 +7,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from stage import PAGES, charter
 
-from mulleinrelay.cells import changes, moves
+from mulleinrelay.cells import edits, migrations
+from mulleinrelay.cells.parser import read, write
 from mulleinrelay.cells.placement import Placement
-from mulleinrelay.cells.reading import read, write
 
-SPANS = changes.Spans(500.0, 2_000.0, 500.0)
+SPANS = edits.Spans(500.0, 2_000.0, 500.0)
 CACHES = [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
 KEYS = range(0, 4_000, 40)
 
@@ -34,7 +34,7 @@
     def change(self, make):
         try:
             new = make(self.held)
-        except changes.RefusalError:
+        except edits.RefusalError:
             return
         if new != self.held:
             new = replace(new, version=self.held.version + 1, written=self.now)
@@ -48,23 +48,23 @@
     def start(self, cell):
         self.count += 1
         name = f"m{self.count}"
-        self.change(lambda held: changes.start_move(held, name, ("acme",), cell, self.now, SPANS))
+        self.change(lambda held: edits.start_move(held, name, ("acme",), cell, self.now, SPANS))
 
     @rule()
     def hold(self):
-        self.change(lambda held: changes.hold(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.hold(held, next(iter(held.moves), "none"), self.now))
 
     @rule()
     def resume(self):
-        self.change(lambda held: changes.resume(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.resume(held, next(iter(held.moves), "none"), self.now))
 
     @rule()
     def abort(self):
-        self.change(lambda held: changes.abort(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.abort(held, next(iter(held.moves), "none"), self.now))
 
     @rule()
     def end(self):
-        self.change(lambda held: changes.end_moves(held, self.now)[0])
+        self.change(lambda held: edits.end_moves(held, self.now)[0])
 
     @rule(span=st.sampled_from([10.0, 100.0, 100.0, 400.0, 1_500.0]))
     def pass_time(self, span):
@@ -81,10 +81,13 @@
     @invariant()
     def what_is_over_is_told_by_the_clock(self):
         for held in self.held.moves.values():
-            share = moves.shifted(held, self.now)
+            share = migrations.shifted(held, self.now)
             found = sum(cell == held.target for cell in self.look()) / len(KEYS)
             assert abs(found - share) < 0.2
-            if moves.stage(held, self.now) in (moves.Stage.PLANNED, moves.Stage.ABORTED):
+            if migrations.stage(held, self.now) in (
+                migrations.Stage.PLANNED,
+                migrations.Stage.ABORTED,
+            ):
                 assert found == 0.0
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import settings
 
-from mulleinrelay.net import bus
+from mulleinrelay.net import event_stream
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
@@ -24,7 +24,7 @@
     """Stand-ins of the event stream tell all with its head: their directors needn't wait for what
     follows.
     """
-    monkeypatch.setattr(bus, "MISSED", 0.0)
+    monkeypatch.setattr(event_stream, "MISSED", 0.0)
 
 
 def pytest_collection_modifyitems(items):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,9 +12,11 @@
 import threading
 import time
 
-from mulleinrelay.configuration import Section, decode, read_terms
-from mulleinrelay.facade import Facade, GiveUp
-from mulleinrelay.interface import (
+from mulleinrelay.config.platform import Section, decode, read_terms
+from mulleinrelay.coordinator import Facade, GiveUp
+from mulleinrelay.director import Service
+from mulleinrelay.net import resp, thrift
+from mulleinrelay.policy.model import (
     IDEMPOTENT,
     Attempt,
     ColdRule,
@@ -27,9 +29,7 @@
     State,
     Terms,
 )
-from mulleinrelay.net import resp, thrift
-from mulleinrelay.net.service import Service
-from mulleinrelay.policy import Director, Member
+from mulleinrelay.policy.router import Director, Member
 
 CACHE, PARENT, ORIGIN = 0, 2, 3
 HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mulleinrelay.cells.charter import CharterError
+from mulleinrelay.cells.model import CharterError
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.load import Demand, Wanted, may_try_again
 from mulleinrelay.lab.fleet.plan import read_fleet
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -5,8 +5,7 @@
 import pytest
 
 from benchmarks import recovery
-from mulleinrelay import policy
-from mulleinrelay.spread import storm
+from mulleinrelay.policy import overload, router
 
 FEW, MANY = (
     [("slow", 8), ("burst", 3), ("cut", 4)],
@@ -39,10 +38,10 @@
     """Directors that send on whatever was turned away, at no cost: the overload
     outlives its cause.
     """
-    monkeypatch.setattr(storm, "EARNED", 6.0)
-    monkeypatch.setattr(storm, "NONE_AT", 1e9)
-    monkeypatch.setattr(storm, "cost", lambda *_: 0.05)
-    monkeypatch.setattr(policy, "FULL", 0.0)
+    monkeypatch.setattr(overload, "EARNED", 6.0)
+    monkeypatch.setattr(overload, "NONE_AT", 1e9)
+    monkeypatch.setattr(overload, "cost", lambda *_: 0.05)
+    monkeypatch.setattr(router, "FULL", 0.0)
     wild = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
     tame = studies("slow, 8 s")
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -4,13 +4,13 @@
 
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
-from mulleinrelay.cells.charter import Cell, Charter, Tenant
-from mulleinrelay.cells.own import OwnFile as CellsFile
-from mulleinrelay.cells.reading import write
-from mulleinrelay.configuration import decode
-from mulleinrelay.management.client import Access, Target
-from mulleinrelay.management.own import read_own
-from mulleinrelay.net.service import Service
+from mulleinrelay.cells.config import OwnFile as CellsFile
+from mulleinrelay.cells.model import Cell, Charter, Tenant
+from mulleinrelay.cells.parser import write
+from mulleinrelay.config.platform import decode
+from mulleinrelay.director import Service
+from mulleinrelay.management.config import read_own
+from mulleinrelay.management.gnmi_client import Access, Target
 
 CLEAR = "[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = 127.0.0.1:0\nstate_dir = state\n"
 
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -20,7 +20,7 @@
     Unconfirmed,
     Version,
 )
-from mulleinrelay.management.keep import Keeper, KeepError, decoded, encoded
+from mulleinrelay.management.datastore_file import Keeper, KeepError, decoded, encoded
 
 
 class Spy:
@@ -237,7 +237,7 @@
 WRITER = """
 import sys
 from mulleinrelay.management.datastore import Held, Version
-from mulleinrelay.management.keep import Keeper
+from mulleinrelay.management.datastore_file import Keeper
 keeper, number = Keeper(sys.argv[1]), 0
 print("on", flush=True)
 while True:
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -18,20 +18,20 @@
 from manage import CLEAR, HIT, Managed
 from pygnmi.client import gNMIclient
 
+from mulleinrelay import director as director_module
 from mulleinrelay.cells import store
 from mulleinrelay.cli import main
-from mulleinrelay.management import messages as gnmi
-from mulleinrelay.management.client import CallError
-from mulleinrelay.management.model import FOLDER, Model
+from mulleinrelay.management import gnmi_messages as gnmi
+from mulleinrelay.management.gnmi_client import CallError
 from mulleinrelay.management.paths import parse
-from mulleinrelay.net import service
+from mulleinrelay.management.yang_model import FOLDER, Model
 
 DRAIN = "/fleet/drains/drain"
 
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 @pytest.fixture(scope="module")
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -4,15 +4,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.cells.charter import CharterError
-from mulleinrelay.interface import Listing, State
+from mulleinrelay.cells.model import CharterError
 from mulleinrelay.management import paths
-from mulleinrelay.management.intent import DISAGREES, Intent, Phase, Want, left_without
-from mulleinrelay.management.manager import children, state_only
-from mulleinrelay.management.own import read_own
+from mulleinrelay.management.authorization import Rights, Role, wanted
+from mulleinrelay.management.config import read_own
+from mulleinrelay.management.drain_intent import DISAGREES, Intent, Phase, Want, left_without
+from mulleinrelay.management.gnmi_server import covers
 from mulleinrelay.management.paths import PathError, Shape, parse, worded
-from mulleinrelay.management.rights import Rights, Role, wanted
-from mulleinrelay.management.server import covers
+from mulleinrelay.management.service import children, state_only
+from mulleinrelay.policy.model import Listing, State
 
 LEAF, LEAVES = Shape(), Shape(is_leaf_list=True)
 SHAPE = Shape(
--- a/tests/management/test_tls.py
+++ b/tests/management/test_tls.py
@@ -11,9 +11,9 @@
 from helpers import wait_for
 from manage import Managed
 
-from mulleinrelay.management.client import CallError
+from mulleinrelay import director as director_module
+from mulleinrelay.management.gnmi_client import CallError
 from mulleinrelay.management.paths import parse
-from mulleinrelay.net import service
 
 DRAIN = parse("/fleet/drains/drain[box=s-02]")
 LIMIT = parse("/fleet/assignment/tenant[name=acme]/limits/rate")
@@ -33,7 +33,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 def certificate(name, issuer=None):
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -6,8 +6,8 @@
 import itertools
 from random import Random
 
-from mulleinrelay.membership.detector import Membership
 from mulleinrelay.membership.messages import Codec, State, Word
+from mulleinrelay.membership.swim import Membership
 
 
 class Net:
--- a/tests/membership/test_own.py
+++ b/tests/membership/test_own.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from mulleinrelay.cells.charter import CharterError
-from mulleinrelay.membership.own import load_own, read_own
+from mulleinrelay.cells.model import CharterError
+from mulleinrelay.membership.config import load_own, read_own
 
 DEPLOY = os.path.join(os.path.dirname(__file__), "..", "..", "deploy", "fleet.ini")
 ON = "[fleet]\nenabled = yes\nkey = long enough\n"
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from mulleinrelay.cells.records import read_logs, read_states
 from mulleinrelay.lab.fleet.audit import Audit, read
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.records import read_logs, read_states
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 COUNT = 14
@@ -280,9 +280,9 @@
 
 def test_threads_of_talk_end(tmp_path):
     """Guards against a director that does not stop because its talk waits."""
-    from mulleinrelay.log import Log
-    from mulleinrelay.membership.own import read_own
-    from mulleinrelay.membership.talk import Talk
+    from mulleinrelay.membership.config import read_own
+    from mulleinrelay.membership.service import Talk
+    from mulleinrelay.structured_log import Log
 
     own = read_own(
         "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from mulleinrelay.membership.member_table import REMEMBERED, View
 from mulleinrelay.membership.messages import State, Word
-from mulleinrelay.membership.view import REMEMBERED, View
 
 ME = Word("me", "h", 1, "here", 5, 0, State.ALIVE)
 BY = ("by", "h", 9)
--- a/tests/spread/test_admission.py
+++ b/tests/spread/test_admission.py
@@ -1,7 +1,7 @@
 import pytest
 
-from mulleinrelay.interface import IDEMPOTENT, KEYED, UNSAFE, RequestClass
-from mulleinrelay.spread.admission import LATE_FULL, Lateness, Places, to_end_first
+from mulleinrelay.policy.admission import LATE_FULL, Lateness, Places, to_end_first
+from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
 
 def case(repeat=IDEMPOTENT, credit=1.0):
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from mulleinrelay.policy import COLD_MOST, COLD_PART
-from mulleinrelay.spread.cold import FILL, Allowance
+from mulleinrelay.policy.router import COLD_MOST, COLD_PART
+from mulleinrelay.policy.slow_start import FILL, Allowance
 
 SPAN = 1500.0
 
--- a/tests/spread/test_links.py
+++ b/tests/spread/test_links.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mulleinrelay.spread.links import (
+from mulleinrelay.policy.connection_reuse import (
     HELD_FAR,
     HELD_MOST,
     HELD_SHORT,
--- a/tests/spread/test_pacing.py
+++ b/tests/spread/test_pacing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mulleinrelay.spread import pacing
+from mulleinrelay.policy import stream_reconnect
 
 
 @pytest.mark.parametrize(
@@ -15,7 +15,7 @@
     ],
 )
 def test_an_address_that_refuses_is_doubted(refusals, looks):
-    pace, found = pacing.Reconnects(Random(1)), []
+    pace, found = stream_reconnect.Reconnects(Random(1)), []
     for now in refusals:
         pace.ended(now, False, True)
         if pace.astray(now):
@@ -24,7 +24,7 @@
 
 
 def test_a_stream_that_was_up_is_not_doubted():
-    pace = pacing.Reconnects(Random(1))
+    pace = stream_reconnect.Reconnects(Random(1))
     pace.ended(0.0, False, True)
     pace.ended(1.0, True, False)
     pace.ended(1.1, False, True)
@@ -32,7 +32,9 @@
 
 
 def test_directors_that_lose_their_stream_together_come_again_apart():
-    waits = [pacing.Reconnects(Random(seed)).ended(0.0, True, False) for seed in range(200)]
+    waits = [
+        stream_reconnect.Reconnects(Random(seed)).ended(0.0, True, False) for seed in range(200)
+    ]
     assert (
         max(sum(low <= 1000.0 * wait < low + 10 for wait in waits) for low in range(0, 100, 10))
         < 40
@@ -40,7 +42,10 @@
 
 
 def test_waits_grow_to_their_bound_and_begin_anew():
-    pace = pacing.Reconnects(Random(3))
+    pace = stream_reconnect.Reconnects(Random(3))
     waits = [pace.ended(now, False, True) for now in range(10)]
-    assert waits[0] < 0.07 and 0.7 < waits[-1] <= 1.25 * pacing.WAIT_MOST
-    assert pace.ended(11.0, True, False) <= pacing.SPREAD and pace.ended(12.0, False, False) < 0.07
+    assert waits[0] < 0.07 and 0.7 < waits[-1] <= 1.25 * stream_reconnect.WAIT_MOST
+    assert (
+        pace.ended(11.0, True, False) <= stream_reconnect.SPREAD
+        and pace.ended(12.0, False, False) < 0.07
+    )
--- a/tests/spread/test_popularity.py
+++ b/tests/spread/test_popularity.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mulleinrelay.spread.popularity import SPAN, SPANS_MOST, Popularity
+from mulleinrelay.policy.popularity import SPAN, SPANS_MOST, Popularity
 
 
 def seen(rate, share, seconds, seed):
--- a/tests/spread/test_reach.py
+++ b/tests/spread/test_reach.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.spread.reach import FORGIVEN, REAL, WITHIN, Reach
+from mulleinrelay.policy.zone_reachability import FORGIVEN, REAL, WITHIN, Reach
 
 
 def view(count, failed=(), at=0.0):
--- a/tests/spread/test_storm.py
+++ b/tests/spread/test_storm.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mulleinrelay.spread.storm import COME_BACK, EARNED, HALVING, SHARE, Storm, come_back, cost
+from mulleinrelay.policy.overload import COME_BACK, EARNED, HALVING, SHARE, Storm, come_back, cost
 
 
 def played(rejected, requests=400, every=10.0, seed=1):
--- a/tests/spread/test_watching.py
+++ b/tests/spread/test_watching.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from mulleinrelay.spread import watching
-from mulleinrelay.spread.watching import Watch
+from mulleinrelay.policy.health_checks import Watch
+from mulleinrelay.policy import health_checks
 
 NODES = ["a", "b", "c", "d"]
 
@@ -63,7 +63,9 @@
 
 
 def test_a_busy_director_asks_no_more_than_its_pace():
-    assert len(asked(watches(1, True), 20_000.0, 200.0)) <= 20_000.0 / watching.REPORT_EVERY + 1
+    assert (
+        len(asked(watches(1, True), 20_000.0, 200.0)) <= 20_000.0 / health_checks.REPORT_EVERY + 1
+    )
 
 
 def test_no_question_where_no_reports_are_to_be_had():
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers import call_frame, serve_frame
 
-from mulleinrelay.interface import Asked, Note, Order, Outcome
 from mulleinrelay.net import resp, sse, thrift
-from mulleinrelay.net.intake import Intake
+from mulleinrelay.net.receive_buffer import Intake
+from mulleinrelay.policy.model import Asked, Note, Order, Outcome
 from mulleinrelay.wirehost import NOTES, OUTCOMES
 
 FIELDS = {
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,7 @@
 from helpers import configuration
 
 from mulleinrelay import cli
-from mulleinrelay.configuration import ConfigurationError, decode, from_environment
+from mulleinrelay.config.platform import ConfigurationError, decode, from_environment
 
 
 def call(*arguments):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,24 +35,25 @@
     wait_for,
 )
 
-from mulleinrelay.facade import Facade
-from mulleinrelay.interface import Attempt, Node, State
-from mulleinrelay.net import bus, resp, service
-from mulleinrelay.net import caches as caches_module
-from mulleinrelay.net import client as client_module
-from mulleinrelay.net import outlet as outlet_module
-from mulleinrelay.net.caches import Caches, Link
-from mulleinrelay.net.client import Client
-from mulleinrelay.net.front import Front
-from mulleinrelay.net.outlet import Outlet
+from mulleinrelay import director as director_module
+from mulleinrelay.coordinator import Facade
+from mulleinrelay.net import client_connection as client_module
+from mulleinrelay.net import event_stream, resp
+from mulleinrelay.net import upstream_connections as caches_module
+from mulleinrelay.net import write_queue as outlet_module
+from mulleinrelay.net.client_connection import Client
+from mulleinrelay.net.client_listener import Front
 from mulleinrelay.net.thrift import Frames
+from mulleinrelay.net.upstream_connections import Caches, Link
+from mulleinrelay.net.write_queue import Outlet
+from mulleinrelay.policy.model import Attempt, Node, State
 
 FULL = (b"WAIT", b"-", b"")
 
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 @pytest.fixture
@@ -312,7 +313,9 @@
         listener, front.listener = front.listener, SimpleNamespace(accept=short)
         with monkeypatch.context() as held:
             held.setattr(
-                bus, "socket", SimpleNamespace(create_connection=short, SHUT_RDWR=socket.SHUT_RDWR)
+                event_stream,
+                "socket",
+                SimpleNamespace(create_connection=short, SHUT_RDWR=socket.SHUT_RDWR),
             )
             caller.send()  # it was accepted before, and is served all the while
             assert caller.answer()[:2] == (1, 0)
@@ -806,7 +809,7 @@
 def test_a_stream_that_brings_bytes_and_no_line_is_left(said, monkeypatch):
     # Guards against drains that are never heard of while a head or a line trickles in.
     for name, seconds in (("SILENCE", 0.2), ("FIRST_WORD", 0.3), ("WHOLE_LINE", 0.4)):
-        monkeypatch.setattr(bus, name, seconds)
+        monkeypatch.setattr(event_stream, name, seconds)
     stand = Trickles([OK, event(2, BAN), None])
     stand.said = said
     with Running(bus=stand) as director:
@@ -817,7 +820,7 @@
 def test_a_drain_is_heard_though_three_connections_in_a_row_say_nothing(monkeypatch):
     # What is told counts after 7 s: the waits are those of the program, a tenth as long.
     for name in ("SILENCE", "FIRST_WORD", "WHOLE_LINE"):
-        monkeypatch.setattr(bus, name, getattr(bus, name) / 10.0)
+        monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with Running(bus=StandBus([OK, None], [None], [None])) as director:
         director.service.bus.pace.ended = lambda *_: 0.01
         director.bus.scripts.append(
@@ -939,7 +942,7 @@
     # Guards against first requests by a list that is out of date: a drain that was told while the
     # program started has used up its grace. The stream's word is held back until the front listens
     # and is asked.
-    monkeypatch.setattr(bus, "MISSED", 0.5)
+    monkeypatch.setattr(event_stream, "MISSED", 0.5)
     drain = event(2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}})
     stand, late = StandBus([OK, drain, None]), threading.Event()
     talk = stand.talk
@@ -968,8 +971,8 @@
 
 @pytest.mark.parametrize("script", ["refused", "closed", "silent"])
 def test_a_program_that_starts_is_well_though_the_stream_says_nothing(script, monkeypatch):
-    monkeypatch.setattr(bus, "FIRST_WORD", 0.2)
-    monkeypatch.setattr(bus, "MISSED", 60.0)
+    monkeypatch.setattr(event_stream, "FIRST_WORD", 0.2)
+    monkeypatch.setattr(event_stream, "MISSED", 60.0)
     stand = StandBus(*{"silent": [[None]] * 9, "closed": [[]] * 9}.get(script, []))
     if script == "refused":
         stand.close()
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,9 +5,9 @@
 from helpers import Sink, Stage, settings
 
 from mulleinrelay import wire
-from mulleinrelay.facade import Failed, GiveUp, Left, Order, Rejected, Served
-from mulleinrelay.interface import Listing, Note, Outcome, State
+from mulleinrelay.coordinator import Failed, GiveUp, Left, Order, Rejected, Served
 from mulleinrelay.net import resp
+from mulleinrelay.policy.model import Listing, Note, Outcome, State
 from mulleinrelay.wirehost import Instance
 
 
--- a/tests/test_judging.py
+++ b/tests/test_judging.py
@@ -5,8 +5,8 @@
 import pytest
 from helpers import Fleet
 
-from mulleinrelay.policy import Member
-from mulleinrelay.spread.verdicts import Health
+from mulleinrelay.policy.outlier_detection import Health
+from mulleinrelay.policy.router import Member
 
 
 class Judged:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,10 +10,10 @@
 import pytest
 from helpers import Stage
 
-from mulleinrelay import policy
-from mulleinrelay.facade import Facade, GiveUp, Rejected, Served
-from mulleinrelay.interface import Order, Outcome, State
-from mulleinrelay.net.client import Client
+from mulleinrelay.coordinator import Facade, GiveUp, Rejected, Served
+from mulleinrelay.net.client_connection import Client
+from mulleinrelay.policy.model import Order, Outcome, State
+from mulleinrelay.policy import router
 
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
 ANSWERS = {
@@ -141,10 +141,10 @@
     "request_class, where, name, planted, told",
     [
         ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
-        ("pay", policy, "may_have_run", lambda request: [], "twice"),
+        ("pay", router, "may_have_run", lambda request: [], "twice"),
         (
             "pay",
-            policy,
+            router,
             "may_have_run",
             lambda request: [attempt for attempt in request.attempts if attempt.outcome is None],
             "twice",
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,7 +1,7 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
-from mulleinrelay.interface import IDEMPOTENT, KEYED, UNSAFE, Attempt, Note, Outcome, State
+from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, Attempt, Note, Outcome, State
 
 
 @pytest.mark.parametrize(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,19 +28,19 @@
     wait_for,
 )
 
-from mulleinrelay import serving
-from mulleinrelay.facade import Facade
-from mulleinrelay.interface import Attempt, Node, Outcome
-from mulleinrelay.log import Log
-from mulleinrelay.net import bus, client, service
-from mulleinrelay.net.caches import Link
-from mulleinrelay.net.outlet import Outlet
-from mulleinrelay.spread import links
+from mulleinrelay import director as director_module, process
+from mulleinrelay.coordinator import Facade
+from mulleinrelay.net import client_connection, event_stream
+from mulleinrelay.net.upstream_connections import Link
+from mulleinrelay.net.write_queue import Outlet
+from mulleinrelay.policy.model import Attempt, Node, Outcome
+from mulleinrelay.policy import connection_reuse
+from mulleinrelay.structured_log import Log
 
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(service, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
 @pytest.mark.parametrize("size", [0, 1, 240_000])
@@ -161,7 +161,7 @@
 ):
     # Guards against requests that wait out their time on a connection that stays open after a bad
     # answer.
-    monkeypatch.setattr(links, "QUIET", 100.0)  # before the module's own timer
+    monkeypatch.setattr(connection_reuse, "QUIET", 100.0)  # before the module's own timer
     with Running() as director:
         caller, bad = director.caller(), director.nodes[:3]
         caller.send(entity="00000000000000cd")
@@ -410,7 +410,7 @@
 
 def test_a_flood_of_connections_takes_no_place_from_those_who_call(monkeypatch):
     # Guards against a table that one ended connection opens to many, past all descriptors.
-    monkeypatch.setattr(client, "FIRST_CALL", 0.5)
+    monkeypatch.setattr(client_connection, "FIRST_CALL", 0.5)
     with Running() as director:
         table, most = director.service.front, 0
         table.clients_most = 8
@@ -445,7 +445,7 @@
     ],
 )
 def test_who_overstays(called, halfway, owes, after, late):
-    held = client.Client(None)
+    held = client_connection.Client(None)
     held.called, held.halfway, held.used = called, halfway, 1000.0
     held.open = {1: None} if owes else {}
     assert held.overstays(1000.0 + after) == late
@@ -656,7 +656,7 @@
     ],
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
-    monkeypatch.setattr(bus, "SILENCE", 0.3)
+    monkeypatch.setattr(event_stream, "SILENCE", 0.3)
     stand, seen, play = StandBus(*scripts), [], Facade._play
     monkeypatch.setattr(
         Facade, "_play", lambda facade, *call: (seen.append(call[0]), play(facade, *call))
@@ -687,7 +687,7 @@
 
 
 def test_a_drain_answers_what_is_open(monkeypatch):
-    monkeypatch.setattr(service, "LAST_ANSWERS", 3.4)  # of 3.7 s
+    monkeypatch.setattr(director_module, "LAST_ANSWERS", 3.4)  # of 3.7 s
     with Running(None) as director:
         caller = director.caller()
         caller.send()
@@ -695,13 +695,13 @@
         assert wait_for(lambda: len(director.heard()) == 2)
         director.service.stop()
         begun = time.monotonic()
-        assert wait_for(lambda: director.service.phase == service.Phase.DRAINING)
+        assert wait_for(lambda: director.service.phase == director.Phase.DRAINING)
         late = director.caller()
         late.socket.sendall(WELL)
         assert late.answer()[:2] == (1, 0) and not director.service.front.well
         assert sorted(caller.answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
         assert 0.25 < time.monotonic() - begun < 1.5
-        assert director.service.ended.wait(5.0) and director.service.phase == service.Phase.STOPPED
+        assert director.service.ended.wait(5.0) and director.service.phase == director.Phase.STOPPED
 
 
 def test_the_program_serves_until_it_is_told_to_end(tmp_path):
@@ -711,7 +711,9 @@
     stands = [StandBus(), StandBus([OK, event(2, BAN), event(3, ban), None]), StandBus()]
     file = tmp_path / "config.json"
     texts = [
-        json.dumps(configuration([node.address for node in nodes], bus.address, probe.address))
+        json.dumps(
+            configuration([node.address for node in nodes], event_stream.address, probe.address)
+        )
         for bus in stands
     ]
     file.write_text(texts[0])
@@ -747,7 +749,7 @@
             program.send_signal(signal.SIGHUP)
             assert line()["event"] == f"configuration {told}"
             assert wait_for(purged)
-        assert wait_for(lambda: stands[2].asked) and [bus.asked for bus in stands] == [
+        assert wait_for(lambda: stands[2].asked) and [event_stream.asked for bus in stands] == [
             [1],
             [1],
             [3],
@@ -766,7 +768,7 @@
 def test_a_signal_is_obeyed_whichever_thread_it_breaks(place, tmp_path):
     bus = StandBus()
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(configuration(bus=bus.address)))
+    file.write_text(json.dumps(configuration(bus=event_stream.address)))
     with Program(file) as program:
         pid = program.process.pid
         threads = sorted(int(name) for name in os.listdir(f"/proc/{pid}/task"))
@@ -776,7 +778,7 @@
             time.sleep(0.1)
         assert program.wait(10.0) == 0
         assert program.says(event="configuration read") and program.says(phase="stopped")
-    bus.close()
+    event_stream.close()
 
 
 def test_a_stream_that_has_moved_is_found_though_no_signal_came(tmp_path):
@@ -805,7 +807,7 @@
 
     monkeypatch.setattr(time, "sleep", pass_time)
     sink.renew = lambda start: sink.event("renewed", bus=start.bus)
-    serving.renew(sink, sink, str(file))
+    process.renew(sink, sink, str(file))
     assert sink.events == [outcome]
 
 
