--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -117,9 +117,9 @@
 def drive(cells: str) -> Callable[[int], float]:
     """Gives what plays so many requests and tells the CPU they took."""
     from mulleinrelay import director
-    from mulleinrelay.config.platform import decode
+    from mulleinrelay.config.platform import parse_config
     from mulleinrelay.net import client_listener, resp
-    from mulleinrelay.policy.model import Note, Outcome
+    from mulleinrelay.policy.model import CacheStatus, Outcome
 
     class Quiet:
         def event(self, *_, **__):
@@ -127,13 +127,13 @@
 
         fault = event
 
-    start = decode(json.dumps(configuration()))
+    start = parse_config(json.dumps(configuration()))
     if cells:
-        from mulleinrelay.cells.config import load_own
+        from mulleinrelay.cells.config import load_cells_config
 
-        made = director.Service(start, Quiet(), load_own(cells))
+        made = director.Director(start, Quiet(), load_cells_config(cells))
     else:
-        made = director.Service(start, Quiet())
+        made = director.Director(start, Quiet())
     for number, event in enumerate(start.events, 1):
         made.bus.apply(number, event)
     if cells:
@@ -144,7 +144,7 @@
 
         def send(self, order, asked):
             resp.pull(asked, order, 1000.0)
-            made.facade.report(order.attempt, Outcome.SERVED, Note.HIT, answer=held)
+            made.facade.report(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer=held)
 
         def give_up(self, attempt):
             """Never called off here."""
@@ -152,7 +152,7 @@
     held = type("Told", (), {"kept": False, "body": bytes(400)})()
     made.front.caches = Nodes()
     ours, theirs = socket.socketpair()
-    client = client_listener.Client(ours)
+    client = client_listener.ClientConnection(ours)
 
     theirs.setblocking(False)
     numbers = itertools.count(1)
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -28,7 +28,7 @@
 from mulleinrelay.lab.fleet.load import PAUSE, Demand
 from mulleinrelay.lab.fleet.plan import PARENT, Scenario, read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
-from mulleinrelay.policy.outlier_detection import Health
+from mulleinrelay.policy.outlier_detection import OutlierDetector
 
 from . import recovery
 from .spread import head
@@ -274,7 +274,7 @@
     """
     draw, shunned = random.Random(f"{seed}-good"), 0
     for _ in range(directors * caches):
-        health, now, was = Health(), 0.0, False
+        health, now, was = OutlierDetector(), 0.0, False
         # Only what lies near an error can shun it, so the long spans of good outcomes are passed
         # over
         while now < GOOD_HOURS * 3_600_000.0:
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -18,7 +18,7 @@
 from mulleinrelay.cells import store
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.management.gnmi_client import Access, CallError, Target
+from mulleinrelay.management.gnmi_client import Access, CallError, GnmiTarget
 from mulleinrelay.management.paths import parse
 from mulleinrelay.standins.fleet import now_ms
 
@@ -70,8 +70,8 @@
 ]
 
 
-def targets(lab: Lab) -> list[Target]:
-    return [Target(director.managed, Access()) for director in lab.directors]
+def targets(lab: Lab) -> list[GnmiTarget]:
+    return [GnmiTarget(director.managed, Access()) for director in lab.directors]
 
 
 def drains(count: int = 50, directors: int = 3) -> dict:
@@ -168,9 +168,9 @@
         lab._start_directors()
         for turn in range(count):
             director = lab.directors[-1]
-            target, number = Target(director.managed, Access()), turn * 100
+            target, number = GnmiTarget(director.managed, Access()), turn * 100
 
-            def write(target: Target = target, number: int = number) -> None:
+            def write(target: GnmiTarget = target, number: int = number) -> None:
                 try:
                     for step in range(100):
                         target.set(
@@ -193,7 +193,7 @@
             writer.join(10.0)
             target.close()
             lab.again(director)
-            after = Target(director.managed, Access())
+            after = GnmiTarget(director.managed, Access())
             held = dict(after.get(parse("/fleet"), 1))[parse("/fleet")]
             weight = float(
                 next(one for one in held["assignment"]["tenant"] if one["name"] == "acme")["weight"]
@@ -242,7 +242,7 @@
         ]
         lab._start_directors()
         lab.world.stream.tell({"topology": {"version": 9, "full": False, "servers": rows}})
-        target, took = Target(lab.directors[0].managed, Access(seconds=60.0)), []
+        target, took = GnmiTarget(lab.directors[0].managed, Access(seconds=60.0)), []
         time.sleep(1.0)
         for _ in range(5):
             begun = time.perf_counter()
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -11,17 +11,17 @@
 
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
-    ColdRule,
-    Note,
+    CachePool,
+    CacheStatus,
+    EndpointState,
     Outcome,
-    Pool,
-    Purse,
     Request,
     RequestClass,
-    State,
-    Terms,
+    RetryBudget,
+    ServiceSettings,
+    SlowStartPolicy,
 )
-from mulleinrelay.policy.router import Director, Member
+from mulleinrelay.policy.router import Router, TrackedEndpoint
 
 CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
 SPAN = 10_000.0  # ms that the requests take
@@ -41,9 +41,9 @@
         return lambda *_: None
 
 
-def terms() -> Terms:
+def terms() -> ServiceSettings:
     case = RequestClass(IDEMPOTENT, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
-    return Terms(
+    return ServiceSettings(
         [case],
         1,
         3,
@@ -64,16 +64,20 @@
         False,
         ["crowding"],
         False,
-        ColdRule(1.0, 1.0, 1_500.0, 2.5),
-        ColdRule(0.06, 20_000.0, 1_500.0, 2.0),
+        SlowStartPolicy(1.0, 1.0, 1_500.0, 2.5),
+        SlowStartPolicy(0.06, 20_000.0, 1_500.0, 2.0),
         1_000.0,
     )
 
 
-def director(caches: list[Member], outside: list[tuple[Member, int, float]]) -> Director:
-    made = Director(0.0, 7, terms())
-    rows = [(cache, State.READY, 4.0, CACHE, 1, 0, 0.0) for cache in caches]
-    rows += [(member, State.READY, 4.0, kind, 0, 0, started) for member, kind, started in outside]
+def director(
+    caches: list[TrackedEndpoint], outside: list[tuple[TrackedEndpoint, int, float]]
+) -> Router:
+    made = Router(0.0, 7, terms())
+    rows = [(cache, EndpointState.READY, 4.0, CACHE, 1, 0, 0.0) for cache in caches]
+    rows += [
+        (member, EndpointState.READY, 4.0, kind, 0, 0, started) for member, kind, started in outside
+    ]
     made.round(0.0, [("listed", (rows, True, False))], Out())
     return made
 
@@ -85,25 +89,28 @@
         tracemalloc.start()
     pools, directors = [], []
     for cell in range(CELLS):
-        own = [Member(100 + cell * CACHES + place) for place in range(CACHES // CELLS)]
+        own = [TrackedEndpoint(100 + cell * CACHES + place) for place in range(CACHES // CELLS)]
         pools.append(own)
         if split:
             parents = [
-                (Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)
+                (TrackedEndpoint(10 + place), PARENT, 0.5 if place == 0 else 0.0)
+                for place in range(PARENTS)
             ]
-            directors.append(director(own, [*parents, (Member(1), ORIGIN, 0.0)]))
+            directors.append(director(own, [*parents, (TrackedEndpoint(1), ORIGIN, 0.0)]))
     if not split:
         parents = [
-            (Member(10 + place), PARENT, 0.5 if place == 0 else 0.0) for place in range(PARENTS)
+            (TrackedEndpoint(10 + place), PARENT, 0.5 if place == 0 else 0.0)
+            for place in range(PARENTS)
         ]
         directors = [
             director(
-                [cache for own in pools for cache in own], [*parents, (Member(1), ORIGIN, 0.0)]
+                [cache for own in pools for cache in own],
+                [*parents, (TrackedEndpoint(1), ORIGIN, 0.0)],
             )
         ]
         directors *= CELLS
     held = set()
-    confined = [Pool(dict.fromkeys(own), {}, {}, Purse(8.0)) for own in pools]
+    confined = [CachePool(dict.fromkeys(own), {}, {}, RetryBudget(8.0)) for own in pools]
     cold = {
         id(one): next(member for member in one.members if member.key == 10) for one in directors
     }
@@ -135,7 +142,7 @@
                     1.0, 0.06 + 0.94 * now / 20_000.0
                 )  # a third of it is this director's part
                 peak = max(peak, 40.0 * len(to_cold) / (4.0 * warmth * 1_500.0 / 3.0))
-            note = Note.HIT if hit else Note.FILLED
+            note = CacheStatus.HIT if hit else CacheStatus.FILLED
             one.round(
                 now + 5.0,
                 [
--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class LeaseLedger:
     """`own`: grains that this director owns; `span`: ms over which use is counted; `life`: of this
     process, greater than that of any before it under the same name.
     """
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from ..policy.model import Share
-from .lease_ledger import GRAINS, LEASE, Ask, Back, Ledger, Lend
+from ..policy.model import QuotaShare
+from .lease_ledger import GRAINS, LEASE, Ask, Back, LeaseLedger, Lend
 
 STEP = 100.0  # between two looks at what is wanted
 ASKS = 3  # others that are asked in one step, for one limit
@@ -45,8 +45,8 @@
     """One limit at one director. `location`: those who share it; empty: all."""
 
     name: str
-    ledger: Ledger
-    share: Share
+    ledger: LeaseLedger
+    share: QuotaShare
     location: str
     wanted: float = 0.0  # parts of the whole, fading
     used: list[float] = field(
@@ -55,7 +55,7 @@
     turned: float = 0.0
 
 
-class Exchange:
+class QuotaExchange:
     """All limits that a director shares."""
 
     def __init__(
@@ -76,10 +76,10 @@
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
 
     def add(
-        self, now: float, name: str, owners: int, span: float, share: Share, location: str
+        self, now: float, name: str, owners: int, span: float, share: QuotaShare, location: str
     ) -> None:
         """A limit that `owners` directors own in equal parts."""
-        ledger = Ledger(GRAINS // max(1, owners), span, now, self.life)
+        ledger = LeaseLedger(GRAINS // max(1, owners), span, now, self.life)
         ledger.number = self.random.randrange(1 << 40)  # an old life's numbers are not met again
         self.limits[name] = Limit(name, ledger, share, location)
         share.watched, share.part = True, 0.0
--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..policy.model import IDEMPOTENT, KEYED, Pool, RequestClass
+from ..policy.model import IDEMPOTENT, KEYED, CachePool, RequestClass
 from . import migrations, rollouts
-from .failover import Guests
+from .failover import FailoverQuota
 from .limits import FairPace, Lane, Pace, Retries, Share, Shares, Width, advice
-from .model import Cell, Charter, Limits
-from .placement import Nowhere, Placement, settled_homes
-from .tenant_resolution import Naming
+from .model import Assignment, Cell, Limits
+from .placement import Placement, Unplaced, settled_homes
+from .tenant_resolution import TenantResolver
 
 ACCOUNTS_MOST = 20_000
 BODY_SLOT = 16.0  # KB of a body that count as one more open request
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Board:
+class DirectorCapacity:
     """What the director itself has."""
 
     open_most: float  # requests open
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Denied:
+class AdmissionRejection:
     """Turned away. `harmless`: nothing of it can have run, so it is rejected; else it fails."""
 
     why: str
@@ -57,7 +57,7 @@
     harmless: bool
 
 
-class Account:
+class TenantState:
     """One tenant at this director."""
 
     __slots__ = ("limits", "pace", "retries", "body", "denied", "granted", "used", "seats")
@@ -69,87 +69,89 @@
     def renew(self, limits: Limits) -> None:
         self.limits = limits
         self.pace, self.retries = Pace(limits.rate, limits.burst), Retries(limits.retries)
-        self.seats: dict[str, Seat] = {}  # by cell
+        self.seats: dict[str, TenantCellLimits] = {}  # by cell
 
 
 @dataclass(slots=True, eq=False)
-class Seat:
+class TenantCellLimits:
     """A tenant's place in one cell: looked up once, as long as its shares are in use."""
 
     cell: Cell
-    room: "Room"
+    room: "CellState"
     share: Share
     cell_share: Share
     weight: float
 
 
-class Room:
+class CellState:
     """One cell at this director: its width, its tenants' shares of that, and its rate."""
 
-    def __init__(self, board: Board, limits: Limits) -> None:
+    def __init__(self, board: DirectorCapacity, limits: Limits) -> None:
         self.rates = FairPace(limits.rate)
         self.limits = limits
         most = min(board.open_most, limits.open_most or board.open_most)
         self.width = Width(min(WIDTH_LEAST, most), most)
         self.shares = Shares(most)
-        self.guests: dict[str, Guests] = {}
+        self.guests: dict[str, FailoverQuota] = {}
         self.good, self.total, self.denied = 0, 0, 0
         self.rated_at = -1e12
 
 
 @dataclass(slots=True, eq=False)
-class Grant:
+class AdmissionGrant:
     """Room for one request, to be settled once."""
 
     tenant: str
     cell: str
-    pool: Pool
+    pool: CachePool
     amount: float
     body: float
-    account: Account
-    room: Room
+    account: TenantState
+    room: CellState
     share: Share
     cell_share: Share
-    guests: Guests | None
+    guests: FailoverQuota | None
     settled: bool = field(default=False)
 
 
 @dataclass(slots=True, eq=False)
-class Prepared:
+class PreparedAssignment:
     """A charter with what is reckoned from it alone, so that taking it over holds no request up."""
 
-    charter: Charter
-    naming: Naming
+    charter: Assignment
+    naming: TenantResolver
     homes: dict[str, str]
 
 
-def prepare(charter: Charter) -> Prepared:
+def prepare_assignment(charter: Assignment) -> PreparedAssignment:
     """Raises CharterError where the charter can't be used."""
-    return Prepared(charter, Naming(charter), settled_homes(charter))
+    return PreparedAssignment(charter, TenantResolver(charter), settled_homes(charter))
 
 
-class Governor:
-    def __init__(self, now: float, charter: Charter, board: Board, may_pass_by: bool) -> None:
+class AdmissionController:
+    def __init__(
+        self, now: float, charter: Assignment, board: DirectorCapacity, may_pass_by: bool
+    ) -> None:
         self.board = board
-        self.accounts: dict[str, Account] = {}
-        self.rooms: dict[str, Room] = {}
+        self.accounts: dict[str, TenantState] = {}
+        self.rooms: dict[str, CellState] = {}
         self.cells = Shares(board.open_most)
         self.rates = FairPace(board.rate)
         self.courses: dict[str, rollouts.Course] = {}
-        ready = prepare(charter)
+        ready = prepare_assignment(charter)
         self.placement = Placement(charter, may_pass_by, ready.homes)
-        self.unknown = Account(charter.limits)  # whose requests name no tenant of ours
-        self.stages: dict[str, migrations.Stage] = {}
+        self.unknown = TenantState(charter.limits)  # whose requests name no tenant of ours
+        self.stages: dict[str, migrations.MigrationStage] = {}
         self.step_due = 0.0
         self._take_over(now, ready)
 
     # What changes
 
-    def renew(self, now: float, ready: "Charter | Prepared") -> list[str]:
+    def renew(self, now: float, ready: "Assignment | PreparedAssignment") -> list[str]:
         """A new version of the file is in force; gives words for the log. Raises CharterError, and
         then the old one stays. Accounts, widths and idempotency keys are kept.
         """
-        ready = ready if isinstance(ready, Prepared) else prepare(ready)
+        ready = ready if isinstance(ready, PreparedAssignment) else prepare_assignment(ready)
         charter = ready.charter
         words = self.placement.renew(now, charter, ready.homes)
         self._take_over(now, ready)
@@ -158,7 +160,7 @@
         )
         return [first, *words]
 
-    def _take_over(self, now: float, ready: "Prepared") -> None:
+    def _take_over(self, now: float, ready: "PreparedAssignment") -> None:
         charter = ready.charter
         self.charter, self.naming = charter, ready.naming
         self.courses = {
@@ -175,11 +177,11 @@
         self._renew_accounts()
         self.placement.reshuffle(rollouts.shuffles(self.courses))
         self.stages = {
-            name: self.stages.get(name, migrations.Stage.PLANNED) for name in charter.moves
+            name: self.stages.get(name, migrations.MigrationStage.PLANNED) for name in charter.moves
         }
 
-    def _renewed(self, old: Room | None, limits: Limits) -> Room:
-        room = Room(self.board, limits)
+    def _renewed(self, old: CellState | None, limits: Limits) -> CellState:
+        room = CellState(self.board, limits)
         if old is not None:  # what is open stays counted where it was taken
             old.rates.renew(limits.rate)
             old.limits, old.width = limits, room.width
@@ -231,7 +233,7 @@
         most = self._limits(tenant).connections if tenant else 0
         return not most or held < most
 
-    def admit(self, now: float, asking: Asking) -> Grant | Denied:
+    def admit(self, now: float, asking: Asking) -> AdmissionGrant | AdmissionRejection:
         tenant = self.naming.tenant(asking.told, asking.address, asking.group)
         if tenant is None:
             self.unknown.denied += 1
@@ -251,10 +253,12 @@
             spot = self.placement.spot(
                 now, tenant, key, asking.request_class, asking.idempotency_key, asking.repeated
             )
-        if isinstance(spot, Nowhere):
+        if isinstance(spot, Unplaced):
             account.denied += 1
-            harmless = spot != Nowhere.UNPROVEN and self._harmless(asking)
-            return Denied(spot.value, advice(LOST_WAIT, self.board.come_back_most), harmless)
+            harmless = spot != Unplaced.UNPROVEN and self._harmless(asking)
+            return AdmissionRejection(
+                spot.value, advice(LOST_WAIT, self.board.come_back_most), harmless
+            )
         seat = account.seats.get(spot.cell)
         if (
             seat is None
@@ -285,7 +289,7 @@
             return self._deny(account, asking, "share of the cell", 0.0, room)
         guests = None
         if spot.guest_of:
-            guests = room.guests.setdefault(spot.guest_of, Guests())
+            guests = room.guests.setdefault(spot.guest_of, FailoverQuota())
             home, host = self.charter.cells[spot.guest_of], self.placement.standings[spot.cell]
             rate = room.rates.rate or (self.rates.part(lanes[0]) if lanes else 0.0)
             if wait := guests.wait(now, home.reserve, host.warmth(), room.width.now_most, rate):
@@ -307,11 +311,13 @@
         account.body += body
         if asking.idempotency_key:
             self.placement.note(now, tenant, asking.idempotency_key, asking.request_class, spot)
-        return Grant(
+        return AdmissionGrant(
             tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests
         )
 
-    def settle(self, now: float, grant: Grant, good: bool, owed: bool, delay: float) -> str:
+    def settle(
+        self, now: float, grant: AdmissionGrant, good: bool, owed: bool, delay: float
+    ) -> str:
         """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its
         sending time aside. Gives a word where the cell's width has shrunk.
         """
@@ -335,7 +341,7 @@
             return f"cell {grant.cell} narrowed to {room.width.now_most:.0f} requests open"
         return ""
 
-    def _lane(self, now: float, room: Room, lane: Lane, tenant: str, weight: float) -> Lane:
+    def _lane(self, now: float, room: CellState, lane: Lane, tenant: str, weight: float) -> Lane:
         own = room.rates.lane(tenant, weight)
         if (
             not room.limits.rate
@@ -348,10 +354,10 @@
             room.rates.renew(self.rates.free_for(lane))
         return own
 
-    def _take_seat(self, account: Account, tenant: str, cell: str) -> Seat:
+    def _take_seat(self, account: TenantState, tenant: str, cell: str) -> TenantCellLimits:
         room, weight = self.rooms[cell], self.charter.tenants[tenant].weight
         held = self.charter.cells[cell]
-        seat = account.seats[cell] = Seat(
+        seat = account.seats[cell] = TenantCellLimits(
             held,
             room,
             room.shares.party(tenant, weight, account.limits.open_most),
@@ -360,26 +366,33 @@
         )
         return seat
 
-    def _open_account(self, tenant: str) -> Account:
+    def _open_account(self, tenant: str) -> TenantState:
         # the least lately used half goes; what is open is in the grants
         if len(self.accounts) >= ACCOUNTS_MOST:
             kept = sorted(self.accounts.items(), key=lambda held: held[1].used)[
                 ACCOUNTS_MOST // 2 :
             ]
             self.accounts = dict(kept)
-        account = self.accounts[tenant] = Account(self._limits(tenant))
+        account = self.accounts[tenant] = TenantState(self._limits(tenant))
         return account
 
     def _deny(
-        self, account: Account, asking: Asking, why: str, wait: float, room: Room | None = None
-    ) -> Denied:
+        self,
+        account: TenantState,
+        asking: Asking,
+        why: str,
+        wait: float,
+        room: CellState | None = None,
+    ) -> AdmissionRejection:
         account.denied += 1
         if room is not None:
             room.denied += 1
         return self._denied(asking, why, wait)
 
-    def _denied(self, asking: Asking, why: str, wait: float) -> Denied:
-        return Denied(why, advice(wait, self.board.come_back_most), self._harmless(asking))
+    def _denied(self, asking: Asking, why: str, wait: float) -> AdmissionRejection:
+        return AdmissionRejection(
+            why, advice(wait, self.board.come_back_most), self._harmless(asking)
+        )
 
     def _harmless(self, asking: Asking) -> bool:
         """Whether a client that is rejected may come again: no attempt of this request has gone
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -12,11 +12,12 @@
 import click
 import orjson
 
+from ..errors import ConfigError
 from ..records import read_logs, read_states
 from . import edits, migrations, store
 from .hashing import homes
 from .migrations import Demand
-from .model import Charter, CharterError, Limits, Release
+from .model import Assignment, Limits, Rollout
 
 BAD_FILE, REFUSED = 2, 3
 
@@ -46,7 +47,7 @@
     """Ends the command with its exit code where a file or a change is no good."""
     try:
         yield
-    except CharterError as wrong:
+    except ConfigError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(BAD_FILE)
     except edits.RefusalError as why:
@@ -83,7 +84,9 @@
     )
 
 
-def change(path: str, what: str, make: Callable[[Charter], Charter], **figures: Any) -> Charter:
+def change(
+    path: str, what: str, make: Callable[[Assignment], Assignment], **figures: Any
+) -> Assignment:
     """Writes the next version and notes who did what in the log; raises CharterError,
     changes.RefusalError."""
     with store.sole_writer(path):
@@ -336,7 +339,7 @@
     )
 
 
-def _simple(verb: str, says: str, make: Callable[[Charter, str, float], Charter]) -> None:
+def _simple(verb: str, says: str, make: Callable[[Assignment, str, float], Assignment]) -> None:
     @cells.command(name=verb, help=says)
     @click.argument("name")
     @FILE
@@ -415,7 +418,7 @@
             "release",
             lambda old: edits.start_release(
                 old,
-                Release(
+                Rollout(
                     name,
                     canary,
                     tuple(tuple(wave.replace(",", " ").split()) for wave in waves),
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -3,16 +3,14 @@
 """
 
 import os
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-from .model import CharterError
-from .parser import NAME, Keys, sections
+from ..config.ini import NAME_PATTERN, IniSection, load_ini, parse_sections
+from ..errors import ConfigError
 
 
 @dataclass(slots=True, frozen=True)
-class OwnFile:
+class CellsConfig:
     enabled: bool
     assignment: str  # path
     tenant_field: str  # of the clients' map; empty: none
@@ -23,50 +21,37 @@
     come_back_most: float  # ms
 
 
-def read_own(text: str, folder: str) -> OwnFile:
+def parse_cells_config(text: str, folder: str) -> CellsConfig:
     """Paths are taken from `folder`. Raises CharterError."""
-    found = sections(text)
+    found = parse_sections(text)
     for title in found:
         if title not in ("cells", "director"):
-            raise CharterError(f"[{title}]: an unknown section; known are cells, director")
+            raise ConfigError(f"[{title}]: an unknown section; known are cells, director")
     cells, director = (
-        Keys("cells", found.get("cells", {})),
-        Keys("director", found.get("director", {})),
+        IniSection("cells", found.get("cells", {})),
+        IniSection("director", found.get("director", {})),
     )
     enabled = cells.flag("enabled", False)
     assignment, records = cells.text("assignment", ""), cells.text("records", "")
     if enabled and not assignment:
-        raise cells.fault("assignment", "a path is wanted where enabled = yes")
-    own = OwnFile(
+        raise cells.error("assignment", "a path is wanted where enabled = yes")
+    own = CellsConfig(
         enabled,
         os.path.join(folder, assignment) if assignment else "",
         cells.text("tenant_field", "tenant"),
         cells.number("read_every_ms", 1_000.0, 60_000.0, 50.0),
         os.path.join(folder, records) if records else "",
-        director.whole("open_most", 0, 1_000_000),
+        director.integer("open_most", 0, 1_000_000),
         director.number("rate", 0.0),
         director.number("come_back_most_ms", 5_000.0, 600_000.0),
     )
-    if own.tenant_field and not NAME.fullmatch(own.tenant_field):
-        raise cells.fault("tenant_field", f"{own.tenant_field!r} is no name")
-    cells.done()
-    director.done()
+    if own.tenant_field and not NAME_PATTERN.fullmatch(own.tenant_field):
+        raise cells.error("tenant_field", f"{own.tenant_field!r} is no name")
+    cells.reject_unknown_keys()
+    director.reject_unknown_keys()
     return own
 
 
-def loaded(path: str, read: Callable[[str, str], Any]) -> Any:
-    """A file of ours, by what reads its text and takes its folder. Raises CharterError, also where
-    it can't be read.
-    """
-    try:
-        with open(path, encoding="utf-8") as file:
-            return read(file.read(), os.path.dirname(os.path.abspath(path)))
-    except OSError as wrong:
-        raise CharterError(f"{path}: {wrong.strerror}") from None
-    except UnicodeDecodeError:
-        raise CharterError(f"{path}: not UTF-8") from None
-
-
-def load_own(path: str) -> OwnFile:
+def load_cells_config(path: str) -> CellsConfig:
     """Raises CharterError."""
-    return loaded(path, read_own)
+    return load_ini(path, parse_cells_config)
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -8,7 +8,7 @@
 
 from . import migrations
 from .hashing import digest, drawn, homes
-from .model import Charter, Limits, Move, Release, Tenant
+from .model import Assignment, Limits, Migration, Rollout, Tenant
 
 
 class RefusalError(Exception):
@@ -25,14 +25,14 @@
 
 
 def start_move(
-    charter: Charter,
+    charter: Assignment,
     name: str,
     tenants: tuple[str, ...],
     target: str,
     now: float,
     spans: Spans,
     starts_in: float = 0.0,
-) -> Charter:
+) -> Assignment:
     if name in charter.moves:
         raise RefusalError(f"there is a move {name} already")
     if target not in charter.cells:
@@ -53,7 +53,7 @@
     if source == target:
         raise RefusalError(f"they stand in {target} already")
     starts = now + max(starts_in, charter.spread + charter.skew)
-    move = Move(name, tenants, source, target, starts, spans.warm, spans.shift, spans.drain)
+    move = Migration(name, tenants, source, target, starts, spans.warm, spans.shift, spans.drain)
     # no hash moves them
     people = {tenant: replace(charter.tenants[tenant], cell=source) for tenant in tenants}
     return replace(charter, moves=charter.moves | {name: move}, tenants=charter.tenants | people)
@@ -72,7 +72,7 @@
     return Spans(warm, float(round(found)), drain)
 
 
-def refusal(old: Charter, new: Charter) -> str:
+def refusal(old: Assignment, new: Assignment) -> str:
     """Why a file that can be read is not taken all the same; empty: it is."""
     if new.version < old.version or (new.version == old.version and new != old):
         return (
@@ -82,11 +82,11 @@
     return ""
 
 
-def moving(charter: Charter, tenant: str) -> Move | None:
+def moving(charter: Assignment, tenant: str) -> Migration | None:
     return next((move for move in charter.moves.values() if tenant in move.tenants), None)
 
 
-def _move(charter: Charter, name: str) -> Move:
+def _move(charter: Assignment, name: str) -> Migration:
     if name not in charter.moves:
         raise RefusalError(
             f"there is no move {name}; there are {', '.join(charter.moves) or 'none'}"
@@ -94,11 +94,11 @@
     return charter.moves[name]
 
 
-def _soon(charter: Charter, move: Move, now: float) -> float:
+def _soon(charter: Assignment, move: Migration, now: float) -> float:
     return max(move.starts, now + charter.spread + charter.skew)
 
 
-def hold(charter: Charter, name: str, now: float) -> Charter:
+def hold(charter: Assignment, name: str, now: float) -> Assignment:
     """The share stays where it is until it is resumed."""
     move = _move(charter, name)
     at = _soon(charter, move, now)
@@ -112,12 +112,12 @@
         )
     if move.held_at:  # the pause that is over becomes part of the start
         move = replace(move, starts=move.starts + move.resumed_at - move.held_at, resumed_at=0.0)
-    if migrations.stage(replace(move, held_at=0.0), at) == migrations.Stage.DONE:
+    if migrations.stage(replace(move, held_at=0.0), at) == migrations.MigrationStage.DONE:
         raise RefusalError(f"move {name} is done by then")
     return replace(charter, moves=charter.moves | {name: replace(move, held_at=at)})
 
 
-def resume(charter: Charter, name: str, now: float) -> Charter:
+def resume(charter: Assignment, name: str, now: float) -> Assignment:
     move = _move(charter, name)
     if not move.held_at or move.resumed_at or move.aborted_at:
         raise RefusalError(f"move {name} is not held")
@@ -125,7 +125,7 @@
     return replace(charter, moves=charter.moves | {name: replace(move, resumed_at=at)})
 
 
-def abort(charter: Charter, name: str, now: float) -> Charter:
+def abort(charter: Assignment, name: str, now: float) -> Assignment:
     """All goes back, as fast as it came. A move that has not begun anywhere is left out at once."""
     move = _move(charter, name)
     if move.aborted_at:
@@ -135,12 +135,12 @@
             charter, moves={other: held for other, held in charter.moves.items() if other != name}
         )
     at = _soon(charter, move, now)
-    if migrations.stage(move, at) == migrations.Stage.DONE:
+    if migrations.stage(move, at) == migrations.MigrationStage.DONE:
         raise RefusalError(f"move {name} is done by then; move the tenants back to {move.source}")
     return replace(charter, moves=charter.moves | {name: replace(move, aborted_at=at)})
 
 
-def end_moves(charter: Charter, now: float) -> tuple[Charter, list[str]]:
+def end_moves(charter: Assignment, now: float) -> tuple[Assignment, list[str]]:
     """Leaves out moves that are over, once no client's retry can ask for what was: their tenants
     then stand in the table where they ended. Gives the names of those.
     """
@@ -156,7 +156,7 @@
     return replace(charter, moves=left, tenants=people), ended
 
 
-def put_tenant(charter: Charter, tenant: Tenant) -> Charter:
+def put_tenant(charter: Assignment, tenant: Tenant) -> Assignment:
     """Adds a tenant, or changes all of it but its cell, which only a move changes."""
     if (old := charter.tenants.get(tenant.name)) is not None and old.cell != tenant.cell:
         raise RefusalError(
@@ -165,13 +165,13 @@
     return replace(charter, tenants=charter.tenants | {tenant.name: tenant})
 
 
-def start_release(charter: Charter, release: Release) -> Charter:
+def start_release(charter: Assignment, release: Rollout) -> Assignment:
     if release.name in charter.releases:
         raise RefusalError(f"there is a release {release.name} already")
     return replace(charter, releases=charter.releases | {release.name: release})
 
 
-def take_back(charter: Charter, name: str) -> Charter:
+def take_back(charter: Assignment, name: str) -> Assignment:
     if name not in charter.releases:
         raise RefusalError(
             f"there is no release {name}; there are {', '.join(charter.releases) or 'none'}"
@@ -182,7 +182,7 @@
     )
 
 
-def keep_release(charter: Charter, name: str) -> Charter:
+def keep_release(charter: Assignment, name: str) -> Assignment:
     """A release that has proven itself becomes the limits of all tenants of its cells, and is left
     out.
     """
@@ -204,7 +204,7 @@
     return replace(charter, releases=left, tenants=people, cells=rooms)
 
 
-def explain_tenant(charter: Charter, tenant: str, now: float) -> dict[str, object]:
+def explain_tenant(charter: Assignment, tenant: str, now: float) -> dict[str, object]:
     """Why a tenant stands where it does."""
     if tenant not in charter.tenants:
         raise RefusalError(
@@ -243,7 +243,7 @@
     return found
 
 
-def explain_object(charter: Charter, tenant: str, key: int, now: float) -> dict[str, object]:
+def explain_object(charter: Assignment, tenant: str, key: int, now: float) -> dict[str, object]:
     """In which cell a tenant's object stands now."""
     found = explain_tenant(charter, tenant, now)
     move = moving(charter, tenant)
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class CellAvailability:
     """One cell at this director."""
 
     cell: Cell
@@ -59,7 +59,7 @@
     return share >= 1.0 or (share > 0.0 and mixed(key, SALT) / SCALE < share)
 
 
-def host(standings: dict[str, Standing], cell: Cell) -> Standing | None:
+def host(standings: dict[str, CellAvailability], cell: Cell) -> CellAvailability | None:
     """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A
     neighbour that is coming back itself takes nobody in: its own tenants are still elsewhere.
     """
@@ -70,7 +70,7 @@
     return None
 
 
-class Guests:
+class FailoverQuota:
     """The bound on what a cell's tenants may take at one neighbour."""
 
     def __init__(self) -> None:
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from .model import TABLE, Charter
+from .model import TABLE, Assignment
 
 SCALE = 2.0**64
 MASK, SALT, FIRST, SECOND = (
@@ -95,7 +95,7 @@
     return most
 
 
-def homes(charter: Charter) -> dict[str, str]:
+def homes(charter: Assignment) -> dict[str, str]:
     """The cell of each tenant of the charter, moves aside. A tenant with a cell of its own in the
     table stands there and counts against nobody's bound; with `table` as the way every other goes
     to no cell.
@@ -108,7 +108,7 @@
     return fixed | bounded(free, weights, charter.load_bound)
 
 
-def caches_of(charter: Charter, caches: Iterable[str]) -> dict[str, list[str]]:
+def caches_of(charter: Assignment, caches: Iterable[str]) -> dict[str, list[str]]:
     """The caches (of one location) of each cell, sorted. Those that no cell names go by hash to the
     cells that name none, one at the least to each where there are as many; the others are nobody's.
     """
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -15,7 +15,7 @@
 from enum import StrEnum
 
 from .hashing import SCALE, mixed
-from .model import Move
+from .model import Migration
 
 SALT = 0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
 HEAD_ROOM = (
@@ -25,7 +25,7 @@
 SHIFT_LEAST = 2_000.0
 
 
-class Stage(StrEnum):
+class MigrationStage(StrEnum):
     PLANNED = "planned"
     WARM = "warm"
     SHIFT = "shift"
@@ -50,7 +50,7 @@
     objects: float
 
 
-def _rises(move: Move, now: float) -> float:
+def _rises(move: Migration, now: float) -> float:
     """The share while nothing holds or aborts it."""
     since = now - move.starts
     if since <= 0.0:
@@ -62,7 +62,7 @@
     return warmed + (1.0 - warmed) * since / move.shift_for if since < move.shift_for else 1.0
 
 
-def _frozen(move: Move, now: float) -> float:
+def _frozen(move: Migration, now: float) -> float:
     """The time by the move's own clock, which stands while it is held."""
     if not move.held_at or now < move.held_at:
         return now
@@ -71,11 +71,11 @@
     return now - (move.resumed_at - move.held_at)
 
 
-def _back_for(move: Move) -> float:
+def _back_for(move: Migration) -> float:
     return max(move.shift_for, 1.0)
 
 
-def shifted(move: Move, now: float) -> float:
+def shifted(move: Migration, now: float) -> float:
     """The share of objects that stand in the new cell, 0 to 1."""
     if not move.aborted_at or now < move.aborted_at:
         return _rises(move, _frozen(move, now))
@@ -83,12 +83,12 @@
     return max(0.0, reached - (now - move.aborted_at) / _back_for(move))
 
 
-def done_at(move: Move) -> float:
+def done_at(move: Migration) -> float:
     """When it is done, by its own clock."""
     return move.starts + move.warm_for + move.shift_for + move.drain_for
 
 
-def ended_at(move: Move) -> float | None:
+def ended_at(move: Migration) -> float | None:
     """When it is done or all has gone back; None: held."""
     if move.aborted_at:
         return move.aborted_at + shifted(move, move.aborted_at) * _back_for(move)
@@ -97,7 +97,7 @@
     return done_at(move) + move.resumed_at - move.held_at if move.resumed_at else None
 
 
-def same_course(one: Move, other: Move, now: float) -> bool:
+def same_course(one: Migration, other: Migration, now: float) -> bool:
     """Whether both are the same move, at the same point now; what is still to come may differ."""
     alike = ("tenants", "source", "target", "warm_for", "shift_for", "drain_for", "warm_share")
     return (
@@ -106,40 +106,46 @@
     )
 
 
-def stage(move: Move, now: float) -> Stage:
+def stage(move: Migration, now: float) -> MigrationStage:
     if move.aborted_at and now >= move.aborted_at:
         if _frozen(move, move.aborted_at) >= done_at(move):
-            return Stage.DONE  # too late to go back by an abort; a new move takes them back
-        return Stage.BACK if shifted(move, now) > 0.0 else Stage.ABORTED
+            return (
+                MigrationStage.DONE
+            )  # too late to go back by an abort; a new move takes them back
+        return MigrationStage.BACK if shifted(move, now) > 0.0 else MigrationStage.ABORTED
     at = _frozen(move, now) - move.starts
     for name, span in (
-        (Stage.PLANNED, 0.0),
-        (Stage.WARM, move.warm_for),
-        (Stage.SHIFT, move.shift_for),
-        (Stage.DRAIN, move.drain_for),
+        (MigrationStage.PLANNED, 0.0),
+        (MigrationStage.WARM, move.warm_for),
+        (MigrationStage.SHIFT, move.shift_for),
+        (MigrationStage.DRAIN, move.drain_for),
     ):
         at -= span
         if at < 0.0:
             return name
-    return Stage.DONE
+    return MigrationStage.DONE
 
 
-def over(move: Move, key: int, share: float) -> bool:
+def over(move: Migration, key: int, share: float) -> bool:
     """Whether an object stands in the new cell when that share has gone over."""
     return mixed(key, SALT) / SCALE < share
 
 
-def under_way(move: Move, now: float) -> bool:
+def under_way(move: Migration, now: float) -> bool:
     """Whether both cells still have a part in it."""
-    return stage(move, now) not in (Stage.PLANNED, Stage.DONE, Stage.ABORTED)
+    return stage(move, now) not in (
+        MigrationStage.PLANNED,
+        MigrationStage.DONE,
+        MigrationStage.ABORTED,
+    )
 
 
-def reach(move: Move, now: float) -> float:
+def reach(move: Migration, now: float) -> float:
     """The largest share that any version of the move has had up to now."""
     return _rises(move, now)
 
 
-def loads(move: Move, demand: Demand) -> list[tuple[float, float, float]]:
+def loads(move: Migration, demand: Demand) -> list[tuple[float, float, float]]:
     """(ms from the start, share over, load on the receiving caches over their capacity) along the
     course. An object is filled when it is first looked up in its new place, so those that came at
     once are filled as fast as requests find them; of what is there, the usual share is.
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class Migration:
     """Tenants on their way from one cell to another."""
 
     name: str
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Release:
+class Rollout:
     """Limits, and how tenants lie over a cell's caches, that go to one cell first, then on by
     waves.
     """
@@ -84,15 +84,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Charter:
+class Assignment:
     """One version of the assignment."""
 
     version: int
     written: float
     cells: dict[str, Cell]
     tenants: dict[str, Tenant]
-    moves: dict[str, Move] = field(default_factory=dict)
-    releases: dict[str, Release] = field(default_factory=dict)
+    moves: dict[str, Migration] = field(default_factory=dict)
+    releases: dict[str, Rollout] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)  # of tenants that set none
     how: str = RENDEZVOUS
     load_bound: float = 1.25
@@ -103,7 +103,3 @@
     horizon: float = (
         12_000.0  # a client's last retry comes so long after its first try at the latest
     )
-
-
-class CharterError(Exception):
-    """What an assignment file may not say; the text names the key."""
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -2,135 +2,58 @@
 names the key, as in `[tenant acme] rate: a number of 0 or more is wanted`.
 """
 
-import configparser
 import ipaddress
 import re
 from collections.abc import Iterable
 from dataclasses import fields
 
+from ..config.ini import NAME_PATTERN, NUMBER_LIMIT, IniSection, parse_sections
+from ..errors import ConfigError
 from .model import (
     FORM,
     REJECT,
     RENDEZVOUS,
     TABLE,
     TO_DEFAULT,
+    Assignment,
     Cell,
-    Charter,
-    CharterError,
     Limits,
-    Move,
-    Release,
+    Migration,
+    Rollout,
     Tenant,
 )
 
-NAME = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)
 RANGE = re.compile(r"(\d{1,3})(?:-(\d{1,3}))?", re.ASCII)
 GROUP_MOST = 255
-LATEST = 1e15  # a Unix time in ms beyond this is no time
-TEXT_MOST = 64_000_000
 
 
-class Keys:
-    """One section; each reading checks the form, and `done` finds keys that nobody asked for."""
-
-    def __init__(self, title: str, held: dict[str, str]) -> None:
-        self.title, self.held, self.read = title, held, set[str]()
-
-    def fault(self, key: str, text: str) -> CharterError:
-        return CharterError(f"[{self.title}] {key}: {text}")
-
-    def text(self, key: str, default: str | None = None) -> str:
-        self.read.add(key)
-        value = self.held.get(key, default)
-        if value is None:
-            raise self.fault(key, "the key is missing")
-        return value.strip()
-
-    def number(
-        self, key: str, default: float | None = None, most: float = LATEST, least: float = 0.0
-    ) -> float:
-        text = self.text(key, None if default is None else repr(default))
-        try:
-            value = float(text)
-        except ValueError:
-            value = float("nan")
-        if not least <= value <= most:
-            wanted = f"from {least:g} to {most:g}" if most < LATEST else f"of {least:g} or more"
-            raise self.fault(key, f"a number {wanted} is wanted, not {text!r}")
-        return value
-
-    def whole(self, key: str, default: int | None = None, most: int = 1_000_000_000) -> int:
-        value = self.number(key, default, most)
-        if value != int(value):
-            raise self.fault(key, "a whole number is wanted")
-        return int(value)
-
-    def flag(self, key: str, default: bool) -> bool:
-        value = self.text(key, "yes" if default else "no").lower()
-        if value not in ("yes", "no"):
-            raise self.fault(key, "yes or no is wanted")
-        return value == "yes"
-
-    def choice(self, key: str, among: Iterable[str], default: str) -> str:
-        value = self.text(key, default)
-        if value not in among:
-            raise self.fault(key, f"one of {', '.join(among)} is wanted, not {value!r}")
-        return value
-
-    def names(self, key: str, default: str = "") -> tuple[str, ...]:
-        found = tuple(self.text(key, default).replace(",", " ").split())
-        for name in found:
-            if not NAME.fullmatch(name):
-                raise self.fault(key, f"{name!r} is no name (letters, digits, _ . : -)")
-        if len(set(found)) != len(found):
-            raise self.fault(key, "a name stands there twice")
-        return found
-
-    def done(self) -> None:
-        if strange := sorted(set(self.held) - self.read):
-            known = ", ".join(sorted(self.read))
-            raise self.fault(strange[0], f"an unknown key; known are {known}")
-
-
-def sections(text: str) -> dict[str, dict[str, str]]:
-    """Raises CharterError where the text is no INI."""
-    if len(text) > TEXT_MOST:
-        raise CharterError(f"the file: over {TEXT_MOST // 1_000_000} MB")
-    parser = configparser.RawConfigParser(strict=True, interpolation=None, default_section="\0")
-    try:
-        parser.read_string(text)
-    except configparser.Error as wrong:
-        raise CharterError("the file: " + " ".join(str(wrong).split())) from None
-    return {title: dict(parser[title]) for title in parser.sections()}
-
-
-def read(text: str) -> Charter:
+def read(text: str) -> Assignment:
     """Raises CharterError; the charter is whole and agrees in itself."""
-    found = sections(text)
+    found = parse_sections(text)
     if "assignment" not in found:
-        raise CharterError("[assignment]: the section is missing")
-    head = Keys("assignment", found.pop("assignment"))
-    form = head.whole("form")
+        raise ConfigError("[assignment]: the section is missing")
+    head = IniSection("assignment", found.pop("assignment"))
+    form = head.integer("form")
     if form != FORM:
-        raise head.fault("form", f"this program reads form {FORM}, the file has {form}")
-    limits = _limits(Keys("limits", found.pop("limits", {})), Limits())
+        raise head.error("form", f"this program reads form {FORM}, the file has {form}")
+    limits = _limits(IniSection("limits", found.pop("limits", {})), Limits())
     kinds: dict[str, dict[str, object]] = {"cell": {}, "tenant": {}, "move": {}, "release": {}}
     readers = {"cell": _cell, "tenant": _tenant, "move": _move, "release": _release}
     for title, held in found.items():
         kind, _, name = title.partition(" ")
         name = name.strip()
-        if kind not in kinds or not NAME.fullmatch(name):
-            raise CharterError(
+        if kind not in kinds or not NAME_PATTERN.fullmatch(name):
+            raise ConfigError(
                 f"[{title}]: an unknown section; known are assignment, limits, cell NAME, "
                 "tenant NAME, move NAME, release NAME"
             )
         if name in kinds[kind]:
-            raise CharterError(f"[{title}]: stands there twice")
-        keys = Keys(title, held)
+            raise ConfigError(f"[{title}]: stands there twice")
+        keys = IniSection(title, held)
         kinds[kind][name] = readers[kind](keys, name, limits)
-        keys.done()
-    charter = Charter(
-        version=head.whole("version"),
+        keys.reject_unknown_keys()
+    charter = Assignment(
+        version=head.integer("version"),
         written=head.number("written"),
         limits=limits,
         cells=kinds["cell"],
@@ -145,7 +68,7 @@
         skew=head.number("skew_ms", 500.0),
         horizon=head.number("horizon_ms", 12_000.0),
     )
-    head.done()
+    head.reject_unknown_keys()
     agree(charter)
     return charter
 
@@ -153,27 +76,27 @@
 LIMIT_KEYS = ("rate", "burst", "open_most", "body_kb", "retries", "connections")
 
 
-def _limits(keys: Keys, default: Limits, whole: bool = True) -> Limits:
+def _limits(keys: IniSection, default: Limits, whole: bool = True) -> Limits:
     """`whole`: nothing else stands in this section."""
     found = Limits(
         *(
-            keys.whole(name, getattr(default, name))
+            keys.integer(name, getattr(default, name))
             if name == "connections"
             else keys.number(name, float(getattr(default, name)))
             for name in LIMIT_KEYS
         )
     )
     if whole:
-        keys.done()
+        keys.reject_unknown_keys()
     return found
 
 
-def _cell(keys: Keys, name: str, limits: Limits) -> Cell:
+def _cell(keys: IniSection, name: str, limits: Limits) -> Cell:
     return Cell(
         name,
         keys.number("weight", 1.0, 1e6),
         keys.names("caches"),
-        keys.whole("shuffle", 0, 10_000),
+        keys.integer("shuffle", 0, 10_000),
         keys.names("neighbours"),
         keys.number("reserve", 0.0, 1.0),
         keys.number("return_ms", 10_000.0),
@@ -181,19 +104,19 @@
     )
 
 
-def _tenant(keys: Keys, name: str, limits: Limits) -> Tenant:
+def _tenant(keys: IniSection, name: str, limits: Limits) -> Tenant:
     addresses = tuple(keys.text("addresses", "").replace(",", " ").split())
     for address in addresses:
         try:
             ipaddress.ip_network(address)
         except ValueError as wrong:
-            raise keys.fault("addresses", str(wrong)) from None
+            raise keys.error("addresses", str(wrong)) from None
     groups = []
     for part in keys.text("groups", "").replace(",", " ").split():
         form = RANGE.fullmatch(part)
         first, last = (int(form[1]), int(form[2] or form[1])) if form else (1, 0)
         if not first <= last <= GROUP_MOST:
-            raise keys.fault(
+            raise keys.error(
                 "groups", f"{part!r} is no group or range of groups from 0 to {GROUP_MOST}"
             )
         groups.append((first, last))
@@ -207,8 +130,8 @@
     )
 
 
-def _move(keys: Keys, name: str, _: Limits) -> Move:
-    return Move(
+def _move(keys: IniSection, name: str, _: Limits) -> Migration:
+    return Migration(
         name,
         keys.names("tenants"),
         keys.text("from"),
@@ -224,13 +147,13 @@
     )
 
 
-def _release(keys: Keys, name: str, limits: Limits) -> Release:
+def _release(keys: IniSection, name: str, limits: Limits) -> Rollout:
     waves = tuple(
         tuple(wave.replace(",", " ").split())
         for wave in keys.text("waves", "").split(";")
         if wave.strip()
     )
-    return Release(
+    return Rollout(
         name,
         keys.text("canary"),
         waves,
@@ -244,31 +167,31 @@
     )
 
 
-def agree(charter: Charter) -> None:
+def agree(charter: Assignment) -> None:
     """Whether the parts of a charter fit together; raises CharterError."""
     cells, tenants = charter.cells, charter.tenants
 
     def known(title: str, key: str, name: str, among: Iterable[str], what: str) -> None:
         if name not in among:
-            raise CharterError(f"[{title}] {key}: no {what} {name!r}")
+            raise ConfigError(f"[{title}] {key}: no {what} {name!r}")
 
     if not cells:
-        raise CharterError("[cell NAME]: one cell at the least is wanted")
+        raise ConfigError("[cell NAME]: one cell at the least is wanted")
     if not any(cell.weight for cell in cells.values()):
-        raise CharterError("[cell NAME] weight: one cell at the least must have more than 0")
+        raise ConfigError("[cell NAME] weight: one cell at the least must have more than 0")
     if charter.default_tenant:
         known("assignment", "default_tenant", charter.default_tenant, tenants, "tenant")
     elif charter.unknown == TO_DEFAULT:
-        raise CharterError("[assignment] default_tenant: wanted where unknown = default_tenant")
+        raise ConfigError("[assignment] default_tenant: wanted where unknown = default_tenant")
     holder: dict[str, str] = {}
     for name, cell in cells.items():
         for other in cell.neighbours:
             known(f"cell {name}", "neighbours", other, cells, "cell")
             if other == name:
-                raise CharterError(f"[cell {name}] neighbours: a cell is no neighbour of its own")
+                raise ConfigError(f"[cell {name}] neighbours: a cell is no neighbour of its own")
         for cache in cell.caches:
             if cache in holder:
-                raise CharterError(
+                raise ConfigError(
                     f"[cell {name}] caches: {cache} stands in cell {holder[cache]} already"
                 )
             holder[cache] = name
@@ -276,7 +199,7 @@
         if tenant.cell:
             known(f"tenant {name}", "cell", tenant.cell, cells, "cell")
         elif charter.how == TABLE:
-            raise CharterError(f"[tenant {name}] cell: wanted where how = {TABLE}")
+            raise ConfigError(f"[tenant {name}] cell: wanted where how = {TABLE}")
     _agree_moves(charter, known)
     for name, release in charter.releases.items():
         seen: set[str] = set()
@@ -287,37 +210,37 @@
             for cell in names:
                 known(f"release {name}", key, cell, cells, "cell")
                 if cell in seen:
-                    raise CharterError(f"[release {name}] {key}: {cell} stands there twice")
+                    raise ConfigError(f"[release {name}] {key}: {cell} stands there twice")
                 seen.add(cell)
 
 
-def _agree_moves(charter: Charter, known) -> None:
+def _agree_moves(charter: Assignment, known) -> None:
     moving: dict[str, str] = {}
     for name, move in charter.moves.items():
         title = f"move {name}"
         known(title, "from", move.source, charter.cells, "cell")
         known(title, "to", move.target, charter.cells, "cell")
         if move.source == move.target:
-            raise CharterError(f"[{title}] to: the same cell as from")
+            raise ConfigError(f"[{title}] to: the same cell as from")
         if not move.tenants:
-            raise CharterError(f"[{title}] tenants: one at the least is wanted")
+            raise ConfigError(f"[{title}] tenants: one at the least is wanted")
         for tenant in move.tenants:
             known(title, "tenants", tenant, charter.tenants, "tenant")
             if tenant in moving:
-                raise CharterError(
+                raise ConfigError(
                     f"[{title}] tenants: {tenant} is moved by {moving[tenant]} already"
                 )
             moving[tenant] = name
         for key, at, least in (
             ("held_at", move.held_at, move.starts),
             ("aborted_at", move.aborted_at, move.starts),
-            ("resumed_at", move.resumed_at, move.held_at or LATEST),
+            ("resumed_at", move.resumed_at, move.held_at or NUMBER_LIMIT),
         ):
             if at and at < least:
-                raise CharterError(f"[{title}] {key}: before the move starts or was held")
+                raise ConfigError(f"[{title}] {key}: before the move starts or was held")
 
 
-def write(charter: Charter) -> str:
+def write(charter: Assignment) -> str:
     """The text of a charter; `read` gives an equal one."""
     out = [
         "; written by `mulleinrelay cells`; changed by hand only with a higher version",
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -7,11 +7,12 @@
 from enum import Enum
 from typing import Any
 
-from ..policy.model import IDEMPOTENT, KEYED, Pool, Purse, RequestClass
+from ..errors import ConfigError
+from ..policy.model import IDEMPOTENT, KEYED, CachePool, RequestClass, RetryBudget
 from . import failover, migrations
-from .failover import Standing
+from .failover import CellAvailability
 from .hashing import caches_of, homes, shuffled
-from .model import Cell, Charter, CharterError, Move
+from .model import Assignment, Cell, Migration
 from .sticky_routing import Ledger, Way, way
 
 PURSE_AT_FIRST = 2.0  # further attempts of a tenant that has just come; its requests earn more
@@ -19,7 +20,7 @@
 RECEIPTS_MOST = 20_000
 
 
-class Nowhere(Enum):
+class Unplaced(Enum):
     """Why a request goes to no cell."""
 
     LOST = "its cell is lost and no neighbour takes it in"
@@ -28,27 +29,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class Spot:
+class CellPlacement:
     """Where a request goes: the cell that bears it, the pool, and whose guest it is (empty: at
     home).
     """
 
     cell: str
-    pool: Pool
+    pool: CachePool
     guest_of: str = ""
 
 
-def _settled(now: float, home: str, move: Move | None) -> str | None:
+def _settled(now: float, home: str, move: Migration | None) -> str | None:
     """The one cell in which all of a tenant's objects stand; None: a move has them in two."""
     if move is None:
         return home
     stage = migrations.stage(move, now)
-    if stage in (migrations.Stage.PLANNED, migrations.Stage.ABORTED):
+    if stage in (migrations.MigrationStage.PLANNED, migrations.MigrationStage.ABORTED):
         return move.source
-    return move.target if stage == migrations.Stage.DONE else None
+    return move.target if stage == migrations.MigrationStage.DONE else None
 
 
-def settled_homes(charter: Charter) -> dict[str, str]:
+def settled_homes(charter: Assignment) -> dict[str, str]:
     """The homes of all tenants; raises CharterError where a move's tenants don't stand where it
     begins. It takes seconds for a large table.
     """
@@ -56,7 +57,7 @@
     for name, move in charter.moves.items():
         for tenant in move.tenants:
             if found.get(tenant) != move.source:
-                raise CharterError(
+                raise ConfigError(
                     f"[move {name}] from: tenant {tenant} stands in "
                     f"{found.get(tenant) or 'no cell'}, not in {move.source}"
                 )
@@ -65,18 +66,18 @@
 
 class Placement:
     def __init__(
-        self, charter: Charter, may_pass_by: bool, found: dict[str, str] | None = None
+        self, charter: Assignment, may_pass_by: bool, found: dict[str, str] | None = None
     ) -> None:
         """`found`: its homes, where they have been reckoned already."""
         self.may_pass_by = may_pass_by
         self.ledger = Ledger(RECEIPTS_MOST)
         self.caches: list[tuple[str, Any, float]] = []  # the ready ones here: name, node, warmth
-        self.standings: dict[str, Standing] = {}
+        self.standings: dict[str, CellAvailability] = {}
         self.unsettled: dict[
             str, float
         ] = {}  # tenants that changed cells without a move, and until when
         self.homes: dict[str, str] = {}
-        self.purses: dict[str, Purse] = {}
+        self.purses: dict[str, RetryBudget] = {}
         self.shuffles: dict[str, int] = {}  # cells whose tenants lie otherwise by a release
         self._take_over(charter, found or settled_homes(charter))
         self.by_cell: dict[str, list[str]] = {name: [] for name in charter.cells}
@@ -87,7 +88,7 @@
 
     # What comes in
 
-    def renew(self, now: float, charter: Charter, found: dict[str, str]) -> list[str]:
+    def renew(self, now: float, charter: Assignment, found: dict[str, str]) -> list[str]:
         """A new version and its homes; gives words on what changed its mode. Tenants whose cell it
         changes without a move change at once, which is said.
         """
@@ -106,7 +107,7 @@
         return words + self._stand(now)
 
     def _jumps(
-        self, now: float, home: str, old: Move | None, new_home: str, new: Move | None
+        self, now: float, home: str, old: Migration | None, new_home: str, new: Migration | None
     ) -> bool:
         """Whether a tenant's objects may change cells other than by the course of a move."""
         if old is not None and new is not None and migrations.same_course(old, new, now):
@@ -130,17 +131,18 @@
         self.caches = sorted(caches, key=lambda entry: entry[0])
         return self._stand(now)
 
-    def _take_over(self, charter: Charter, found: dict[str, str]) -> None:
+    def _take_over(self, charter: Assignment, found: dict[str, str]) -> None:
         self.charter, self.homes = charter, found
         self.moving = {tenant: move for move in charter.moves.values() for tenant in move.tenants}
         self.standings = {
-            name: self.standings.get(name) or Standing(cell) for name, cell in charter.cells.items()
+            name: self.standings.get(name) or CellAvailability(cell)
+            for name, cell in charter.cells.items()
         }
         for name, standing in self.standings.items():
             standing.cell = charter.cells[name]
-        self.pools: dict[tuple[str, str, str], Spot] = {}
+        self.pools: dict[tuple[str, str, str], CellPlacement] = {}
         # tenants at home in cells that stand: all their idempotent requests go alike
-        self.steady: dict[str, Spot] = {}
+        self.steady: dict[str, CellPlacement] = {}
 
     def _stand(self, now: float) -> list[str]:
         self.by_cell = caches_of(self.charter, [name for name, _, _ in self.caches])
@@ -165,10 +167,10 @@
         request_class: RequestClass,
         idempotency_key: str,
         repeated: bool,
-    ) -> Spot | Nowhere:
+    ) -> CellPlacement | Unplaced:
         home = self.homes.get(tenant)
         if home is None:
-            return Nowhere.HOMELESS
+            return Unplaced.HOMELESS
         anywhere = request_class.repeat != KEYED or request_class.group != "cell"
         known = None
         if idempotency_key and request_class.repeat == KEYED:
@@ -181,12 +183,12 @@
             and known is None
             and (now < self.unproven_until or now < self.unsettled.get(tenant, 0.0))
         ):
-            return Nowhere.UNPROVEN
+            return Unplaced.UNPROVEN
         cell, other = known if known in self.standings else home, ""
         if move is not None:
             to = way(move, key, repeated, anywhere, known, now, self.charter.skew)
             if to == Way.NOWHERE:
-                return Nowhere.UNPROVEN
+                return Unplaced.UNPROVEN
             cell, other = self._sides(now, move, key, to, anywhere)
         found = self._at(now, tenant, key, cell, other, request_class, anywhere, repeated)
         standing = self.standings[home]
@@ -196,14 +198,21 @@
         return found
 
     def note(
-        self, now: float, tenant: str, idempotency_key: str, request_class: RequestClass, spot: Spot
+        self,
+        now: float,
+        tenant: str,
+        idempotency_key: str,
+        request_class: RequestClass,
+        spot: CellPlacement,
     ) -> None:
         """The request is taken: its repeats go the same way."""
         if idempotency_key and request_class.repeat == KEYED:
             kept = request_class.memory_span + request_class.client_timeout + self.charter.horizon
             self.ledger.note(tenant, idempotency_key, spot.cell, now, kept)
 
-    def _sides(self, now: float, move: Move, key: int, to: Way, anywhere: bool) -> tuple[str, str]:
+    def _sides(
+        self, now: float, move: Migration, key: int, to: Way, anywhere: bool
+    ) -> tuple[str, str]:
         """The cell that a moving object goes to, and the other one while that has a part in it."""
         under_way = migrations.under_way(move, now)
         if (
@@ -226,7 +235,7 @@
         request_class: RequestClass,
         anywhere: bool,
         repeated: bool,
-    ) -> Spot | Nowhere:
+    ) -> CellPlacement | Unplaced:
         """`other`: the other side of a move. `anywhere`: it need not stay with the nodes of one
         cell.
         """
@@ -235,16 +244,18 @@
             return self._spot(tenant, cell, other)
         if not anywhere:
             if standing.lost:
-                return Nowhere.UNPROVEN if repeated else Nowhere.LOST
+                return Unplaced.UNPROVEN if repeated else Unplaced.LOST
             return self._spot(tenant, cell, other)
         if failover.at_home(key, standing.home_share(now)):
             return self._spot(tenant, cell, other)
         host = failover.host(self.standings, standing.cell)
         if host is None:
-            return Nowhere.LOST if standing.lost else self._spot(tenant, cell, other)
-        return Spot(host.cell.name, self._spot(tenant, host.cell.name, "").pool, guest_of=cell)
+            return Unplaced.LOST if standing.lost else self._spot(tenant, cell, other)
+        return CellPlacement(
+            host.cell.name, self._spot(tenant, host.cell.name, "").pool, guest_of=cell
+        )
 
-    def _spot(self, tenant: str, cell: str, other: str) -> Spot:
+    def _spot(self, tenant: str, cell: str, other: str) -> CellPlacement:
         """At home in `cell`; made once and kept until the list or the file changes."""
         spot = self.pools.get((tenant, cell, other))
         if spot is None:
@@ -257,8 +268,10 @@
             helps = old or (move is not None and move.aborted_at > 0.0)  # what went over comes back
             if cell in self.shuffles:  # what a tenant left behind by the release fills it
                 aside, helps = aside | {self.nodes[name]: None for name in self.by_cell[cell]}, True
-            pool = Pool(caches, aside if old else {}, aside if helps else {}, self.purse(tenant))
-            spot = self.pools[tenant, cell, other] = Spot(cell, pool)
+            pool = CachePool(
+                caches, aside if old else {}, aside if helps else {}, self.purse(tenant)
+            )
+            spot = self.pools[tenant, cell, other] = CellPlacement(cell, pool)
         return spot
 
     def _forget(self) -> None:
@@ -269,11 +282,11 @@
         count = self.shuffles.get(cell.name, cell.shuffle)
         return {self.nodes[name]: None for name in shuffled(tenant, self.by_cell[cell.name], count)}
 
-    def purse(self, tenant: str) -> Purse:
+    def purse(self, tenant: str) -> RetryBudget:
         found = self.purses.get(tenant)
         if found is None:
             if len(self.purses) >= POOLS_MOST:
                 self.purses.clear()
                 self._forget()
-            found = self.purses[tenant] = Purse(PURSE_AT_FIRST)
+            found = self.purses[tenant] = RetryBudget(PURSE_AT_FIRST)
         return found
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from .model import Limits, Release
+from .model import Limits, Rollout
 
 SEEN_LEAST = 30.0  # requests of a side before it tells anything
 HALVING = 10_000.0
@@ -65,7 +65,7 @@
 class Course:
     """One release at this director."""
 
-    release: Release
+    release: Rollout
     now: dict[str, Record] = field(default_factory=dict)  # by cell
     past: dict[str, Record] = field(
         default_factory=dict
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -7,31 +7,39 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config.platform import Start
-from ..coordinator import Facade
-from ..policy.model import Asked, Request, RequestClass
-from ..records import Records
-from ..structured_log import Log
+from ..config.platform import DirectorConfig
+from ..coordinator import RequestCoordinator
+from ..errors import ConfigError
+from ..policy.model import ClientRequest, Request, RequestClass
+from ..records import DirectorRecords
+from ..structured_log import StructuredLog
 from . import store
-from .admission_controller import Asking, Board, Denied, Governor, Grant, Prepared, prepare
-from .config import OwnFile
+from .admission_controller import (
+    AdmissionController,
+    AdmissionGrant,
+    AdmissionRejection,
+    Asking,
+    DirectorCapacity,
+    PreparedAssignment,
+    prepare_assignment,
+)
+from .config import CellsConfig
 from .edits import refusal
-from .model import CharterError
 
 STEP_EVERY = 100.0  # ms
 RECORDS_EVERY = 1_000.0
 
 
-class Warden:
+class CellService:
     """For the front: `enter` and `leave` for connections, `admit` and `settle` for requests."""
 
     def __init__(
         self,
-        own: OwnFile,
-        start: Start,
-        facade: Facade,
+        own: CellsConfig,
+        start: DirectorConfig,
+        facade: RequestCoordinator,
         clock: Callable[[], float],
-        log: Log,
+        log: StructuredLog,
         requests_most: int,
     ) -> None:
         """Raises CharterError where the assignment file can't be used: there is no older version
@@ -42,13 +50,13 @@
         self.lock = threading.Lock()
         self.stamp = store.stamp(own.assignment)
         charter = store.load(own.assignment)
-        board = Board(
+        board = DirectorCapacity(
             min(own.open_most or requests_most, requests_most), own.rate, own.come_back_most
         )
-        self.governor = Governor(clock(), charter, board, start.terms.may_pass_by)
+        self.governor = AdmissionController(clock(), charter, board, start.terms.may_pass_by)
         self.connections: Counter[str] = Counter()
         self.caches: list[tuple[str, Any, float]] = []
-        self.records = Records(own.records, start.name) if own.records else None
+        self.records = DirectorRecords(own.records, start.name) if own.records else None
         self.read_due = self.records_due = 0.0
         self.told: list[str] = []
         self.ended = threading.Event()
@@ -80,7 +88,9 @@
             if not self.connections[entry]:
                 del self.connections[entry]
 
-    def admit(self, asked: Asked, request_class: RequestClass, address: str) -> Grant | Denied:
+    def admit(
+        self, asked: ClientRequest, request_class: RequestClass, address: str
+    ) -> AdmissionGrant | AdmissionRejection:
         asking = Asking(
             asked.tenant,
             address,
@@ -94,7 +104,7 @@
         with self.lock:
             return self.governor.admit(self.clock(), asking)
 
-    def settle(self, grant: Grant, request: Request, good: bool, owed: bool) -> None:
+    def settle(self, grant: AdmissionGrant, request: Request, good: bool, owed: bool) -> None:
         now = self.clock()
         sending = request.size / self.flow if self.flow else 0.0
         with self.lock:
@@ -155,13 +165,13 @@
                 return []
             if fault := refusal(self.governor.charter, charter):  # only this thread changes it
                 return [fault]
-            ready = prepare(charter)
+            ready = prepare_assignment(charter)
             with self.lock:
                 return self.governor.renew(now, ready)
-        except CharterError as wrong:
+        except ConfigError as wrong:
             return [f"assignment kept at version {self.governor.charter.version}: {wrong}"]
 
-    def take(self, ready: Prepared) -> None:
+    def take(self, ready: PreparedAssignment) -> None:
         """A version that another part of the program has made, and has written to the file. Raises
         CharterError."""
         with self.lock:
--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from . import migrations
-from .model import Move
+from .model import Migration
 
 
 class Way(Enum):
@@ -45,7 +45,7 @@
 
 
 def way(
-    move: Move,
+    move: Migration,
     key: int,
     repeated: bool,
     everywhere: bool,
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -6,19 +6,20 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from .model import Charter, CharterError
+from ..errors import ConfigError
+from .model import Assignment
 from .parser import read, write
 
 
-def load(path: str) -> Charter:
+def load(path: str) -> Assignment:
     """Raises CharterError, also where the file can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             return read(file.read())
     except OSError as wrong:
-        raise CharterError(f"{path}: {wrong.strerror}") from None
+        raise ConfigError(f"{path}: {wrong.strerror}") from None
     except UnicodeDecodeError:
-        raise CharterError(f"{path}: not UTF-8") from None
+        raise ConfigError(f"{path}: not UTF-8") from None
 
 
 def stamp(path: str) -> tuple[int, int, int] | None:
@@ -38,31 +39,31 @@
     try:
         lock = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
     except OSError as wrong:
-        raise CharterError(f"{path}.lock: {wrong.strerror}") from None
+        raise ConfigError(f"{path}.lock: {wrong.strerror}") from None
     try:
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            raise CharterError(f"{path}: another command is writing it") from None
+            raise ConfigError(f"{path}: another command is writing it") from None
         yield
     finally:
         os.close(lock)
 
 
-def save(path: str, charter: Charter, now: float, built_on: int) -> Charter:
+def save(path: str, charter: Assignment, now: float, built_on: int) -> Assignment:
     """Writes the next version, if the file still holds version `built_on` (0: there is no file
     yet); raises CharterError. A power cut leaves the old file or the new one. To be called by the
     sole writer.
     """
     held = load(path).version if os.path.exists(path) else 0
     if held != built_on:
-        raise CharterError(
+        raise ConfigError(
             f"{path}: holds version {held}, this change was built on {built_on}; do it again"
         )
     new = replace(charter, version=held + 1, written=now)
     text = write(new)
     if read(text) != new:
-        raise CharterError(f"{path}: what would be written does not read back; nothing was changed")
+        raise ConfigError(f"{path}: what would be written does not read back; nothing was changed")
     temporary, folder = f"{path}.new", os.path.dirname(os.path.abspath(path))
     try:
         with open(temporary, "w", encoding="utf-8") as file:
@@ -76,5 +77,5 @@
         finally:
             os.close(descriptor)
     except OSError as wrong:
-        raise CharterError(f"{path}: {wrong.strerror}; the old version stands") from None
+        raise ConfigError(f"{path}: {wrong.strerror}; the old version stands") from None
     return new
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -8,7 +8,8 @@
 import ipaddress
 from bisect import bisect_right
 
-from .model import TO_DEFAULT, Charter, CharterError
+from ..errors import ConfigError
+from .model import TO_DEFAULT, Assignment
 
 
 class Ranges:
@@ -29,7 +30,7 @@
                 last > stack[-1][0]
                 or (self.starts[-1:] == [first] and last == stack[-1][0] and name != stack[-1][1])
             ):
-                raise CharterError(f"[tenant {name}] {what}: crosses that of tenant {stack[-1][1]}")
+                raise ConfigError(f"[tenant {name}] {what}: crosses that of tenant {stack[-1][1]}")
             self._begin(first, name)
             stack.append((last, name))
         while stack:
@@ -51,8 +52,8 @@
         return self.names[place] if place >= 0 else ""
 
 
-class Naming:
-    def __init__(self, charter: Charter) -> None:
+class TenantResolver:
+    def __init__(self, charter: Assignment) -> None:
         """Raises CharterError where ranges of two tenants cross."""
         self.charter, self.addresses_kept = charter, 4096
         by_version: dict[int, list[tuple[int, int, str]]] = {4: [], 6: []}
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -10,6 +10,7 @@
 import click
 
 from . import VERSION
+from .errors import ConfigError
 
 DONE, NOT_STARTED, BAD_CONFIGURATION, MISUSED, REFUSED = 0, 1, 2, 2, 3
 GROUPS = {
@@ -100,7 +101,7 @@
 @FLEET
 def check(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Read the configurations and say what is wrong with them."""
-    from .config.platform import ConfigurationError, from_environment
+    from .config.platform import load_config
 
     if (
         (cells is None and management is None and fleet is None)
@@ -108,8 +109,8 @@
         or os.environ.get("LB_CONFIG")
     ):
         try:
-            start = from_environment(os.environ, config)
-        except ConfigurationError as wrong:
+            start = load_config(os.environ, config)
+        except ConfigError as wrong:
             faulty(str(wrong))
         click.echo(
             f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
@@ -117,10 +118,10 @@
             f"up to number {start.known}"
         )
     if cells is not None:
-        from .cells.config import load_own
+        from .cells.config import load_cells_config
         from .cells.store import load
 
-        own = held_in(load_own, cells)
+        own = held_in(load_cells_config, cells)
         charter = held_in(load, own.assignment) if own.assignment else None
         held = (
             f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
@@ -130,17 +131,17 @@
         )
         click.echo(f"cells: {'on' if own.enabled else 'off'}, {held}")
     if management is not None:
-        from .management.config import load_own as load_management
+        from .management.config import load_management_config
 
-        managed = held_in(load_management, management)
+        managed = held_in(load_management_config, management)
         click.echo(
             f"management: {'on' if managed.enabled else 'off'}, {managed.listen}, "
             f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles"
         )
     if fleet is not None:
-        from .membership.config import load_own as load_fleet
+        from .membership.config import load_fleet_config
 
-        talked = held_in(load_fleet, fleet)
+        talked = held_in(load_fleet_config, fleet)
         click.echo(
             f"fleet: {'on' if talked.enabled else 'off'}, {talked.fleet}, heard at "
             f"{talked.announce[0]}:{talked.announce[1]}, {len(talked.seeds)} seeds"
@@ -149,11 +150,10 @@
 
 def held_in(load: Callable[[str], Any], path: str) -> Any:
     """One of our own files; says what is wrong with it and exits."""
-    from .cells.model import CharterError
 
     try:
         return load(path)
-    except CharterError as wrong:
+    except ConfigError as wrong:
         faulty(str(wrong))
 
 
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -9,10 +9,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..policy.model import IDEMPOTENT, KEYED, UNSAFE, ColdRule, RequestClass, Terms
+from ..errors import ConfigError
+from ..policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass, ServiceSettings, SlowStartPolicy
 
 REPEAT = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
-REPORT_WORDS = {
+LOAD_REPORT_FIELDS = {
     "busy_reqs": "held",
     "inflight": "held",
     "cpu_share": "busy",
@@ -26,16 +27,12 @@
 MISSING = object()
 
 
-class ConfigurationError(Exception):
-    """A key that is missing or cannot be used; the text names it."""
-
-
-class Section:
+class JsonSection:
     """A JSON object with the path that led to it; each reading checks the form."""
 
     def __init__(self, held: Any, path: str) -> None:
         if not isinstance(held, dict):
-            raise ConfigurationError(f"{path or 'the configuration'}: an object is wanted")
+            raise ConfigError(f"{path or 'the configuration'}: an object is wanted")
         self.held, self.path = held, path
 
     def at(self, key: str) -> str:
@@ -44,11 +41,11 @@
     def read(self, key: str, forms: tuple[type, ...], wanted: str, default: Any = MISSING) -> Any:
         value = self.held.get(key, default)
         if value is MISSING:
-            raise ConfigurationError(f"{self.at(key)}: the key is missing")
+            raise ConfigError(f"{self.at(key)}: the key is missing")
         if value is default:
             return value
         if not isinstance(value, forms) or (isinstance(value, bool) and bool not in forms):
-            raise ConfigurationError(f"{self.at(key)}: {wanted} is wanted")
+            raise ConfigError(f"{self.at(key)}: {wanted} is wanted")
         return value
 
     def number(self, key: str, default: Any = MISSING) -> float:
@@ -66,7 +63,7 @@
     def choice(self, key: str, among: dict[str, Any]) -> Any:
         value = self.text(key)
         if value not in among:
-            raise ConfigurationError(f"{self.at(key)}: one of {', '.join(among)} is wanted")
+            raise ConfigError(f"{self.at(key)}: one of {', '.join(among)} is wanted")
         return among[value]
 
     def items(self, key: str) -> list[Any]:
@@ -76,36 +73,39 @@
         """One entry of a list that must be long enough."""
         held = self.items(key)
         if place >= len(held):
-            raise ConfigurationError(f"{self.at(key)}: an entry {place} is missing")
+            raise ConfigError(f"{self.at(key)}: an entry {place} is missing")
         if not isinstance(held[place], forms) or (
             isinstance(held[place], bool) and bool not in forms
         ):
-            raise ConfigurationError(f"{self.at(key)}[{place}]: {wanted} is wanted")
+            raise ConfigError(f"{self.at(key)}[{place}]: {wanted} is wanted")
         return held[place]
 
-    def section(self, key: str) -> "Section":
-        return Section(self.read(key, (dict,), "an object"), self.at(key))
+    def section(self, key: str) -> "JsonSection":
+        return JsonSection(self.read(key, (dict,), "an object"), self.at(key))
 
-    def sections(self, key: str) -> list["Section"]:
+    def sections(self, key: str) -> list["JsonSection"]:
         return [
-            Section(held, f"{self.at(key)}[{place}]") for place, held in enumerate(self.items(key))
+            JsonSection(held, f"{self.at(key)}[{place}]")
+            for place, held in enumerate(self.items(key))
         ]
 
     def address(self, key: str) -> tuple[str, int]:
         host, _, port = self.text(key).rpartition(":")
         if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-            raise ConfigurationError(f"{self.at(key)}: host:port is wanted")
+            raise ConfigError(f"{self.at(key)}: host:port is wanted")
         return host, int(port)
 
 
-def costs_of(settings: Section) -> Section:
+def costs_of(settings: JsonSection) -> JsonSection:
     """Prices by what they are for; none where they are not told."""
     return (
-        settings.section("costs") if "costs" in settings.held else Section({}, settings.at("costs"))
+        settings.section("costs")
+        if "costs" in settings.held
+        else JsonSection({}, settings.at("costs"))
     )
 
 
-def read_terms(boot: Section) -> Terms:
+def parse_service_settings(boot: JsonSection) -> ServiceSettings:
     """What the decision module reads of the start settings, in the project's own words."""
     allowed, domain, rules = boot.section("allowed"), boot.section("domain"), boot.section("rules")
     report, number, flag = (
@@ -128,7 +128,7 @@
         for at, case in enumerate(boot.sections("classes"))
     ]
     zone, overload_for = boot.whole("myZone"), rules.number("overloadFor")
-    return Terms(
+    return ServiceSettings(
         request_classes=request_classes,
         zone=zone,
         directors=boot.whole("balancers"),
@@ -147,15 +147,15 @@
         joins=domain.flag("collapses"),
         siblings=domain.text("peersFill") != "none",
         must_subscribe=boot.text("registryMode") == "subscribe",
-        reports=[REPORT_WORDS.get(word, word) for word in report.items("columns")],
+        reports=[LOAD_REPORT_FIELDS.get(word, word) for word in report.items("columns")],
         asks_reports=report.text("how") == "probe",
-        cold_cache=ColdRule(
+        cold_cache=SlowStartPolicy(
             rules.number("coldFrom"),
             rules.number("cold"),
             overload_for,
             rules.number("fallMultiple", FALL_MULTIPLE),
         ),
-        cold_parent=ColdRule(
+        cold_parent=SlowStartPolicy(
             domain.number("parentStartsAt"),
             domain.number("parentWarmsIn"),
             overload_for,
@@ -166,15 +166,15 @@
     )
 
 
-def terms_from_text(text: bytes) -> Terms:
+def parse_service_settings_text(text: bytes) -> ServiceSettings:
     try:
-        return read_terms(Section(json.loads(text), ""))
+        return parse_service_settings(JsonSection(json.loads(text), ""))
     except ValueError as wrong:
-        raise ConfigurationError(f"the start settings cannot be read as JSON: {wrong}") from None
+        raise ConfigError(f"the start settings cannot be read as JSON: {wrong}") from None
 
 
 @dataclass(slots=True, eq=False)
-class Start:
+class DirectorConfig:
     """All that one director is told at its start."""
 
     name: str
@@ -185,7 +185,7 @@
     bus: tuple[str, int]
     known: int  # number of the last event that `events` holds
     events: list[Any]
-    terms: Terms
+    terms: ServiceSettings
     request_classes: dict[str, RequestClass]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -195,24 +195,28 @@
     links_priced: bool = False  # a new connection to a node costs more than an open one
 
 
-def decode(text: bytes | str) -> Start:
+def parse_config(text: bytes | str) -> DirectorConfig:
     try:
-        whole = Section(json.loads(text), "")
+        whole = JsonSection(json.loads(text), "")
     except ValueError as wrong:
-        raise ConfigurationError(f"the configuration cannot be read as JSON: {wrong}") from None
+        raise ConfigError(f"the configuration cannot be read as JSON: {wrong}") from None
     settings, known = whole.section("settings"), whole.section("known")
-    allowed, terms, seed = settings.section("allowed"), read_terms(settings), whole.text("seed")
-    limits = whole.section("limits") if "limits" in whole.held else Section({}, "limits")
+    allowed, terms, seed = (
+        settings.section("allowed"),
+        parse_service_settings(settings),
+        whole.text("seed"),
+    )
+    limits = whole.section("limits") if "limits" in whole.held else JsonSection({}, "limits")
     costs = costs_of(settings)
     try:
         number = int(seed, 16)
     except ValueError:
-        raise ConfigurationError("seed: hex digits are wanted") from None
+        raise ConfigError("seed: hex digits are wanted") from None
     sockets = limits.whole("sockets", DEFAULT_SOCKETS)
     if sockets < SOCKETS_LEAST:
-        raise ConfigurationError(f"limits.sockets: {SOCKETS_LEAST} or more is wanted")
+        raise ConfigError(f"limits.sockets: {SOCKETS_LEAST} or more is wanted")
     names = [case.text("name") for case in settings.sections("classes")]
-    return Start(
+    return DirectorConfig(
         name=whole.text("name"),
         listen=whole.address("listen"),
         seed=number,
@@ -232,15 +236,15 @@
     )
 
 
-def from_environment(
+def load_config(
     environment: dict[str, str] | os._Environ[str], path: str | None = None
-) -> Start:
+) -> DirectorConfig:
     """The configuration that LB_CONFIG (or `path`) names."""
     path = path or environment.get("LB_CONFIG")
     if not path:
-        raise ConfigurationError("LB_CONFIG: not set, and no path was given")
+        raise ConfigError("LB_CONFIG: not set, and no path was given")
     try:
         with open(path, "rb") as file:
-            return decode(file.read())
+            return parse_config(file.read())
     except OSError as wrong:
-        raise ConfigurationError(f"LB_CONFIG: {path}: {wrong.strerror}") from None
+        raise ConfigError(f"LB_CONFIG: {path}: {wrong.strerror}") from None
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -15,38 +15,38 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from .policy.admission import Lateness
+from .policy.admission import SchedulingDelay
 from .policy.model import (
-    NOWHERE,
+    UNKNOWN_ADDRESS,
     Attempt,
-    Listing,
-    Note,
-    Order,
+    CachePool,
+    CacheStatus,
+    EndpointAddress,
+    EndpointState,
+    EndpointUpdate,
     Outcome,
-    Place,
-    Pool,
     Request,
     RequestClass,
-    State,
-    Terms,
+    SendAttempt,
+    ServiceSettings,
 )
-from .policy.router import Director, Member
-from .structured_log import Log
+from .policy.router import Router, TrackedEndpoint
+from .structured_log import StructuredLog
 
 ANSWER_SLACK = (
     8.0  # a request without a verdict so long after its client's time is failed by the caller
 )
 
 
-class Intent(Protocol):
+class EndpointOverrides(Protocol):
     """What staff want of nodes, over the list. Called under the lock."""
 
-    def told(self, now: float, entries: list[Listing], whole: bool) -> None: ...
-    def state(self, entry: Listing) -> State: ...
+    def told(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None: ...
+    def state(self, entry: EndpointUpdate) -> EndpointState: ...
 
 
 @dataclass(slots=True, eq=False)
-class GiveUp:
+class CancelAttempt:
     """Call this attempt off."""
 
     attempt: Attempt
@@ -68,47 +68,49 @@
 
 
 @dataclass(slots=True, eq=False)
-class Left:
+class ClientGone:
     """The client is gone; no answer is owed."""
 
 
-Verdict = Served | Rejected | Failed | Left
+RequestResult = Served | Rejected | Failed | ClientGone
 
 
-class Life:
+class PendingRequest:
     """A request that is not over: what is to be done for it, and its verdict."""
 
     __slots__ = ("steps", "verdict", "holder")
 
     def __init__(self, holder: int) -> None:
-        self.steps: deque[Order | GiveUp] = deque()
-        self.verdict: Verdict | None = None
+        self.steps: deque[SendAttempt | CancelAttempt] = deque()
+        self.verdict: RequestResult | None = None
         self.holder = holder  # the thread that picks for it; 0: none
 
-    def settle(self, verdict: Verdict) -> None:
+    def settle(self, verdict: RequestResult) -> None:
         if self.verdict is None:
             self.verdict = verdict
 
 
-class Facade:
-    def __init__(self, clock: Callable[[], float], seed: int, terms: Terms, log: Log) -> None:
+class RequestCoordinator:
+    def __init__(
+        self, clock: Callable[[], float], seed: int, terms: ServiceSettings, log: StructuredLog
+    ) -> None:
         self.clock, self.terms, self.log_to = clock, terms, log
         self.lock = threading.Lock()
         self.early = threading.Condition(self.lock)  # rung when the next timer has moved forward
-        self.lives: dict[Request, Life] = {}
-        self.nodes: dict[str, Member] = {}
-        self.places: dict[Member, Place] = {}
+        self.lives: dict[Request, PendingRequest] = {}
+        self.nodes: dict[str, TrackedEndpoint] = {}
+        self.places: dict[TrackedEndpoint, EndpointAddress] = {}
         self.entries: dict[
-            str, Listing
+            str, EndpointUpdate
         ] = {}  # as the list told them last, those that have gone left out
-        self.intent: Intent | None = None  # what staff want over the list
+        self.intent: EndpointOverrides | None = None  # what staff want over the list
         self.timers: list[tuple[float, int, str, Request | Attempt]] = []
         self.timer_count, self.resting_until = 0, 0.0
-        self.lateness = Lateness()
-        self.probes: list[tuple[Member, Place]] = []
+        self.lateness = SchedulingDelay()
+        self.probes: list[tuple[TrackedEndpoint, EndpointAddress]] = []
         self.called_off: list[Attempt] = []
         self.calls: list[tuple[str, tuple[Any, ...]]] = []
-        self.director = Director(clock(), seed, terms)
+        self.director = Router(clock(), seed, terms)
 
     # For the network code: requests
 
@@ -123,7 +125,7 @@
         repeated: bool,
         ticket: Any = None,
         room: bool = True,
-        pool: Pool | None = None,
+        pool: CachePool | None = None,
     ) -> Request:
         """A request has come; the caller now picks for it, and until then nobody else does. Where
         there is no room to see it through, the module ends it at once. With a pool it is confined
@@ -134,12 +136,12 @@
             request = Request(
                 ticket, request_class, key, part, group, size, now, now + left, repeated, pool=pool
             )
-            self.lives[request] = Life(threading.get_ident())
+            self.lives[request] = PendingRequest(threading.get_ident())
             self._set_timer(left + ANSWER_SLACK, "overdue", request)
             self._play("requested" if room else "woken", request)
         return request
 
-    def pick(self, request: Request) -> Order | GiveUp | Verdict | None:
+    def pick(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
         """What is to be done next for the request; a verdict comes last, and once. None where
         nothing is to be done, or where another thread is at it, which picks what has come
         meanwhile.
@@ -151,7 +153,7 @@
             life.holder = here
             while life.steps:
                 step = life.steps.popleft()
-                if isinstance(step, GiveUp) or (
+                if isinstance(step, CancelAttempt) or (
                     life.verdict is None and step.attempt.outcome is None
                 ):
                     return step
@@ -164,7 +166,7 @@
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: Note = Note.NONE,
+        note: CacheStatus = CacheStatus.NONE,
         waited: float = 0.0,
         load: dict[str, float] | None = None,
         answer: Any = None,
@@ -188,7 +190,7 @@
             )
             return here and self.director.may_begin(self.clock(), attempt)
 
-    def may_ask(self, node: Member, place: Place) -> bool:
+    def may_ask(self, node: TrackedEndpoint, place: EndpointAddress) -> bool:
         """Whether a node may be asked for an echo or a report there, when the first byte is to be
         written.
         """
@@ -200,7 +202,7 @@
         with self.lock:
             life = self.lives.get(request)
             if life is not None and life.verdict is None:
-                life.settle(Left())
+                life.settle(ClientGone())
                 self._play("end", request)
 
     def drop(self, request: Request) -> None:
@@ -228,7 +230,7 @@
         """
         return self.lateness.fullness(self.clock())
 
-    def ready_caches(self) -> list[tuple[str, Member, float]]:
+    def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
         """Those of this location by name, each with the share of its capacity that it has at the
         least.
         """
@@ -245,12 +247,12 @@
 
     # For the network code: nodes, events and time
 
-    def listed(self, entries: list[Listing], whole: bool) -> None:
+    def listed(self, entries: list[EndpointUpdate], whole: bool) -> None:
         with self.lock:
             entries = [held for entry in entries if (held := self._as_known(entry)) is not None]
             self.entries = {} if whole else self.entries
             for entry in entries:
-                if entry.state == State.GONE:
+                if entry.state == EndpointState.GONE:
                     self.entries.pop(entry.name, None)
                 else:
                     self.entries[entry.name] = entry
@@ -258,15 +260,19 @@
                 self.intent.told(self.clock(), entries, whole)
             self._list(entries, whole)
 
-    def _as_known(self, entry: Listing) -> Listing | None:
+    def _as_known(self, entry: EndpointUpdate) -> EndpointUpdate | None:
         """What was left out of a row is as it was; None where that is not known."""
         known = self.entries.get(entry.name)
         if known is None:
-            return entry if entry.address != NOWHERE or entry.state == State.GONE else None
-        partial = entry.address == NOWHERE or entry.state == State.GONE
+            return (
+                entry
+                if entry.address != UNKNOWN_ADDRESS or entry.state == EndpointState.GONE
+                else None
+            )
+        partial = entry.address == UNKNOWN_ADDRESS or entry.state == EndpointState.GONE
         return replace(known, state=entry.state) if partial else entry
 
-    def wanted(self, make: Callable[["Intent"], list[str]]) -> None:
+    def wanted(self, make: Callable[["EndpointOverrides"], list[str]]) -> None:
         """What staff want has changed: `make` changes the intent and gives the nodes that it
         touches.
         """
@@ -275,7 +281,9 @@
             if touched:
                 self._list(touched, False)
 
-    def boxes(self) -> list[tuple[Listing, State, Member, float | None, float]]:
+    def boxes(
+        self,
+    ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
         """For staff, by name: as the list tells a node, the state that this director goes by, what
         it believes, the smoothed delay (ms; None: not measured) and its warmth.
         """
@@ -297,23 +305,23 @@
     def purges_binding(self) -> int:
         return len(self.director.purges)
 
-    def _state(self, entry: Listing) -> State:
+    def _state(self, entry: EndpointUpdate) -> EndpointState:
         return self.intent.state(entry) if self.intent is not None else entry.state
 
-    def _list(self, entries: list[Listing], whole: bool) -> None:
+    def _list(self, entries: list[EndpointUpdate], whole: bool) -> None:
         """Tells the module, under the lock."""
         rows, named = [], set()
         for entry in entries:
             member = self.nodes.get(entry.name)
             if member is None:
-                member = self.nodes[entry.name] = Member(_key(entry.name))
+                member = self.nodes[entry.name] = TrackedEndpoint(_key(entry.name))
             named.add(entry.name)
             place = self.places.get(member)
             if place is None or place.address != entry.address or member.started != entry.started:
                 if place is not None:
                     place.gone = True
-                place = self.places[member] = Place(entry.name, entry.address)
-            place.gone = entry.state == State.GONE
+                place = self.places[member] = EndpointAddress(entry.name, entry.address)
+            place.gone = entry.state == EndpointState.GONE
             rows.append(
                 (
                     member,
@@ -337,12 +345,12 @@
         with self.lock:
             self._play("purged", key, group, self.clock() - at)
 
-    def told(self, node: Member, load: dict[str, float] | None, well: bool = True) -> None:
+    def told(self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True) -> None:
         """What a probe brought."""
         with self.lock:
             self._play("told", node, load, well)
 
-    def tick(self) -> tuple[float, list[tuple[Member, Place]], list[Request]]:
+    def tick(self) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
         """Runs the timers that are due; gives when to call again, the nodes to be probed, and the
         requests to be picked for.
         """
@@ -358,7 +366,7 @@
                 if what == "timeout":
                     if about.outcome is None:
                         self._call_off(about)
-                        self._ended(about, Outcome.TIMEOUT, Note.NONE, 0.0, None, None)
+                        self._ended(about, Outcome.TIMEOUT, CacheStatus.NONE, 0.0, None, None)
                 elif what == "overdue":
                     if (
                         life.verdict is None
@@ -409,7 +417,7 @@
                         Outcome.CANCELLED,
                         now - attempt.sent,
                         attempt.request.ended,
-                        Note.NONE,
+                        CacheStatus.NONE,
                         0.0,
                         None,
                     ),
@@ -422,7 +430,7 @@
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
         waited: float,
         load: dict[str, float] | None,
         answer: Any,
@@ -445,14 +453,14 @@
                 (
                     step
                     for step in life.steps
-                    if isinstance(step, Order) and step.attempt is attempt
+                    if isinstance(step, SendAttempt) and step.attempt is attempt
                 ),
                 None,
             )
             if waiting is not None:  # never sent
                 life.steps.remove(waiting)
             else:
-                life.steps.append(GiveUp(attempt))
+                life.steps.append(CancelAttempt(attempt))
 
     def _set_timer(self, delay: float, what: str, about: Request | Attempt) -> None:
         due = self.clock() + delay
@@ -486,7 +494,7 @@
         )
         named = self.places[source].name if source else ""
         life.steps.append(
-            Order(
+            SendAttempt(
                 attempt,
                 self.places[attempt.node],
                 named,
@@ -516,7 +524,7 @@
     def wake(self, delay: float, about: Request | Attempt) -> None:
         self._set_timer(delay, "wake", about)
 
-    def probe(self, node: Member) -> None:
+    def probe(self, node: TrackedEndpoint) -> None:
         self.probes.append((node, self.places[node]))
         self.early.notify_all()
 
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -7,17 +7,17 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from .config.platform import Start
-from .coordinator import Facade
-from .net.client_listener import Front
-from .net.event_stream import Bus
-from .net.upstream_connections import Caches
-from .structured_log import Log
+from .config.platform import DirectorConfig
+from .coordinator import RequestCoordinator
+from .net.client_listener import ClientListener
+from .net.event_stream import EventStream
+from .net.upstream_connections import UpstreamConnections
+from .structured_log import StructuredLog
 
 if TYPE_CHECKING:
-    from .cells.config import OwnFile
-    from .management.config import OwnFile as ManagementFile
-    from .membership.config import OwnFile as FleetFile
+    from .cells.config import CellsConfig
+    from .management.config import ManagementConfig
+    from .membership.config import FleetConfig
 
 CLIENTS_SHARE, LINKS_SHARE = 0.5, 0.4  # of the descriptors
 SWEEP_EVERY, ASK_EVERY = 250.0, 25.0
@@ -39,14 +39,14 @@
     STOPPED = "stopped"
 
 
-class Service:
+class Director:
     def __init__(
         self,
-        start: Start,
-        log: Log,
-        cells: "OwnFile | None" = None,
-        management: "ManagementFile | None" = None,
-        fleet: "FleetFile | None" = None,
+        start: DirectorConfig,
+        log: StructuredLog,
+        cells: "CellsConfig | None" = None,
+        management: "ManagementConfig | None" = None,
+        fleet: "FleetConfig | None" = None,
     ) -> None:
         """`cells`: tenants are confined as that file says. `management`: staff reach it by gNMI.
         `fleet`: it talks to other directors. Raises CharterError where the assignment can't be
@@ -58,8 +58,8 @@
             time.time() * 1000.0 - time.monotonic() * 1000.0
         )  # taken once: steps don't reach us
         self.stopping, self.ended = threading.Event(), threading.Event()
-        self.facade = Facade(self.clock, start.seed, start.terms, log)
-        self.caches = Caches(
+        self.facade = RequestCoordinator(self.clock, start.seed, start.terms, log)
+        self.caches = UpstreamConnections(
             self.facade,
             self.clock,
             log,
@@ -70,13 +70,15 @@
             start.terms.may_probe,
             start.links_priced,
         )
-        self.front = Front(start, self.facade, self.caches, log, int(CLIENTS_SHARE * start.sockets))
-        self.bus = Bus(start, self.facade, log)
+        self.front = ClientListener(
+            start, self.facade, self.caches, log, int(CLIENTS_SHARE * start.sockets)
+        )
+        self.bus = EventStream(start, self.facade, log)
         self.warden = None
         if cells is not None and cells.enabled:
-            from .cells.service import Warden
+            from .cells.service import CellService
 
-            self.warden = Warden(
+            self.warden = CellService(
                 cells, start, self.facade, self.clock, log, self.front.requests_most
             )
             self.front.gate = self.warden
@@ -84,9 +86,11 @@
         self.server = None
         self.talk = None
         if fleet is not None and fleet.enabled:
-            from .membership.service import Talk
+            from .membership.service import MembershipService
 
-            self.talk = Talk(fleet, start.name, start.seed, self.clock, log, self.facade)
+            self.talk = MembershipService(
+                fleet, start.name, start.seed, self.clock, log, self.facade
+            )
 
     def clock(self) -> float:
         """Unix milliseconds."""
@@ -112,7 +116,7 @@
         self.front.well = True
         self._enter(Phase.READY)
 
-    def renew(self, start: Start) -> None:
+    def renew(self, start: DirectorConfig) -> None:
         """Takes over what may change while it runs, the address of the event stream and the events
         known by now; the rest stays.
         """
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from ..cells.model import CharterError
+from ..errors import ConfigError
 from .play import Lab
 from .scenario import read_scenario
 
@@ -62,7 +62,7 @@
                 "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
             )
         scenario = read_scenario(text)
-    except (CharterError, UnicodeDecodeError) as wrong:
+    except (ConfigError, UnicodeDecodeError) as wrong:
         click.echo(f"mulleinrelay: {path}: {wrong}", err=True)
         sys.exit(2)
     except OSError as wrong:
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -8,8 +8,8 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from ...cells.model import CharterError
-from ...cells.parser import Keys, sections
+from ...config.ini import IniSection, parse_sections
+from ...errors import ConfigError
 
 DIRECTORS_MOST, CACHES_MOST = 5_000, 2_000  # in simulated time
 PROCESSES_MOST, NODES_MOST = 400, 400  # directors and caches of a lab on sockets
@@ -239,7 +239,7 @@
     def sized(self, directors: int) -> "Scenario":
         """The same with so many directors, under the same load."""
         if not 1 <= directors <= DIRECTORS_MOST:
-            raise CharterError(
+            raise ConfigError(
                 f"[directors] count: 1 to {DIRECTORS_MOST} is wanted, not {directors}"
             )
         return replace(self, directors=directors)
@@ -252,7 +252,7 @@
             ("[nodes] caches", caches, NODES_MOST),
         ):
             if count > most:
-                raise CharterError(
+                raise ConfigError(
                     f"{key}: {count} are more than the {most} that sockets play; see --model"
                 )
         return self
@@ -260,43 +260,44 @@
 
 def read_fleet(text: str) -> Scenario:
     """Raises CharterError, whose text names the key."""
-    found = sections(text)
+    found = parse_sections(text)
     plain = Scenario()
     faults = []
     lab, directors, fleet, load = (
-        Keys(title, found.pop(title, {})) for title in ("fleet lab", "directors", "nodes", "load")
+        IniSection(title, found.pop(title, {}))
+        for title in ("fleet lab", "directors", "nodes", "load")
     )
     for title, held in found.items():
         kind, _, name = title.partition(" ")
         if kind != "fault" or not name:
-            raise CharterError(
+            raise ConfigError(
                 f"[{title}]: an unknown section; known are fleet lab, directors, nodes, load, fault NAME"
             )
-        faults.append(_fault(Keys(title, held), name))
+        faults.append(_fault(IniSection(title, held), name))
     locations = fleet.names("locations", "north south")
     if not locations:
-        raise fleet.fault("locations", "names are wanted")
+        raise fleet.error("locations", "names are wanted")
     scenario = Scenario(
         name=lab.text("name", plain.name),
         seconds=lab.number("seconds", plain.seconds, 900.0, 1.0),
         warm=lab.number("warm_s", plain.warm, 300.0),
-        seed=lab.whole("seed", plain.seed),
-        clients=lab.whole("client_processes", plain.clients, 16) or 1,
-        relays=lab.whole("relay_processes", plain.relays, 16) or 1,
-        directors=directors.whole("count", plain.directors, DIRECTORS_MOST) or 1,
+        seed=lab.integer("seed", plain.seed),
+        clients=lab.integer("client_processes", plain.clients, 16) or 1,
+        relays=lab.integer("relay_processes", plain.relays, 16) or 1,
+        directors=directors.integer("count", plain.directors, DIRECTORS_MOST) or 1,
         one_seed=directors.flag("one_seed", False),
         talk=directors.flag("talk", False),
         share=directors.flag("share", False),
         uneven=directors.number("uneven", plain.uneven, 3.0),
         least=directors.number("least_rate", plain.least, 1e3),
         memory_mb=directors.number("memory_mb", plain.memory_mb, 4096.0, 32.0),
-        sockets=directors.whole("sockets", plain.sockets, 65_536),
+        sockets=directors.integer("sockets", plain.sockets, 65_536),
         probes=directors.flag("probes", plain.probes),
         locations=locations,
-        caches=fleet.whole("caches", plain.caches, CACHES_MOST) or 1,
+        caches=fleet.integer("caches", plain.caches, CACHES_MOST) or 1,
         mixed=fleet.number("large_share", plain.mixed, 1.0),
-        hubs=fleet.whole("hubs", plain.hubs, 8) or 1,
-        parents=fleet.whole("parents", plain.parents, 64) or 1,
+        hubs=fleet.integer("hubs", plain.hubs, 8) or 1,
+        parents=fleet.integer("parents", plain.parents, 64) or 1,
         capacity=fleet.number("capacity", plain.capacity, 1e6, 1.0),
         fill_cost=fleet.number("fill_cost", plain.fill_cost, 1e3, 1.0),
         parent_ms=fleet.number("parent_ms", plain.parent_ms),
@@ -304,8 +305,8 @@
         origin_ms=fleet.number("origin_ms", plain.origin_ms),
         parent_capacity=fleet.number("parent_capacity", plain.parent_capacity, 1e6, 1.0),
         origin_capacity=fleet.number("origin_capacity", plain.origin_capacity, 1e6, 1.0),
-        holds=fleet.whole("holds", plain.holds),
-        parent_holds=fleet.whole("parent_holds", plain.parent_holds),
+        holds=fleet.integer("holds", plain.holds),
+        parent_holds=fleet.integer("parent_holds", plain.parent_holds),
         cold_from=fleet.number("cold_from", plain.cold_from, 1.0, 0.01),
         cold_ms=fleet.number("cold_ms", plain.cold_ms),
         parent_cold_ms=fleet.number("parent_cold_ms", plain.parent_cold_ms),
@@ -315,26 +316,26 @@
             fleet.number("notice_to_ms", plain.notice_ms[1]),
         ),
         rate=load.number("rate", plain.rate, 1e5, 0.1),
-        objects=load.whole("objects", plain.objects) or 1,
+        objects=load.integer("objects", plain.objects) or 1,
         skew=load.number("skew", plain.skew, 3.0),
         shared=load.number("shared", plain.shared, 1.0),
         orders=load.number("orders", plain.orders, 1.0),
         effects=load.number("effects", plain.effects, 1.0),
         patience_ms=load.number("patience_ms", plain.patience_ms, 60_000.0, 100.0),
         goal_ms=load.number("goal_ms", plain.goal_ms, 60_000.0, 10.0),
-        tries=load.whole("tries", plain.tries, 10) or 1,
+        tries=load.integer("tries", plain.tries, 10) or 1,
         late_ms=load.number("late_ms", plain.late_ms),
         front_ms=load.number("front_ms", plain.front_ms),
         faults=faults,
     )
     for keys in (lab, directors, fleet, load):
-        keys.done()
+        keys.reject_unknown_keys()
     if scenario.caches * len(locations) > CACHES_MOST:
-        raise fleet.fault("caches", f"over {CACHES_MOST} in all")
+        raise fleet.error("caches", f"over {CACHES_MOST} in all")
     if scenario.warm >= scenario.seconds:
-        raise lab.fault("warm_s", "less than `seconds` is wanted")
+        raise lab.error("warm_s", "less than `seconds` is wanted")
     if scenario.notice_ms[0] > scenario.notice_ms[1]:
-        raise fleet.fault("notice_to_ms", "no less than notice_from_ms is wanted")
+        raise fleet.error("notice_to_ms", "no less than notice_from_ms is wanted")
     _check(scenario)
     return scenario
 
@@ -342,26 +343,26 @@
 def _check(scenario: Scenario) -> None:
     names = {site.name for site in scenario.sites()}
     for fault in scenario.faults:
-        keys = Keys(f"fault {fault.name}", {})
+        keys = IniSection(f"fault {fault.name}", {})
         for key, place in (("location", fault.location), ("other", fault.other)):
             if place and place not in scenario.locations:
-                raise keys.fault(key, f"no location {place!r}")
+                raise keys.error(key, f"no location {place!r}")
         if strange := sorted(set(fault.nodes) - names):
-            raise keys.fault("nodes", f"no node {strange[0]!r}")
+            raise keys.error("nodes", f"no node {strange[0]!r}")
         if fault.what in ON_PATHS and fault.other and fault.paths != ("director",):
-            raise keys.fault("other", "of a path it goes with paths = director")
+            raise keys.error("other", "of a path it goes with paths = director")
         if fault.what == "shift" and not (fault.location and fault.other):
-            raise keys.fault("other", "a shift wants `location` and `other`")
+            raise keys.error("other", "a shift wants `location` and `other`")
         if fault.at + fault.span > scenario.seconds:
-            raise keys.fault("for", f"it ends after the play's {scenario.seconds:g} s")
+            raise keys.error("for", f"it ends after the play's {scenario.seconds:g} s")
 
 
-def _fault(keys: Keys, name: str) -> Fault:
+def _fault(keys: IniSection, name: str) -> Fault:
     what = keys.choice("what", WHATS, "")
     paths = keys.names("paths", "stream" if what == "late_list" else "cache parent")
     for path in paths:
         if path not in PATHS:
-            raise keys.fault("paths", f"one of {', '.join(PATHS)} is wanted, not {path!r}")
+            raise keys.error("paths", f"one of {', '.join(PATHS)} is wanted, not {path!r}")
     fault = Fault(
         name,
         what,
@@ -378,5 +379,5 @@
         keys.names("nodes"),
         keys.text("other", ""),
     )
-    keys.done()
+    keys.reject_unknown_keys()
     return fault
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ..cells import edits, store
-from ..cells.model import Charter, Tenant
+from ..cells.model import Assignment, Tenant
 from ..cells.parser import write
 from ..standins.clients import Terminals
 from ..standins.fleet import BOX, ORIGIN, PARENT, Fleet, Node, Spec, now_ms
@@ -279,7 +279,7 @@
         else:
             self.world.strike(deed.what, deed.node)
 
-    def change(self, make: Callable[[Charter], Charter]) -> Charter:
+    def change(self, make: Callable[[Assignment], Assignment]) -> Assignment:
         with store.sole_writer(self.assignment):
             old = store.load(self.assignment)
             return store.save(self.assignment, make(old), round(now_ms()), old.version)
@@ -330,7 +330,7 @@
         }
 
 
-def cut_over(charter: Charter, tenants: tuple[str, ...], target: str) -> Charter:
+def cut_over(charter: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
     """The tenants stand in another cell at once: what a move is measured against."""
     people: dict[str, Tenant] = {
         name: replace(charter.tenants[name], cell=target) for name in tenants
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -3,8 +3,10 @@
 
 from dataclasses import dataclass, field
 
-from ..cells.model import Charter, CharterError
-from ..cells.parser import Keys, read, sections
+from ..cells.model import Assignment
+from ..cells.parser import read
+from ..config.ini import IniSection, parse_sections
+from ..errors import ConfigError
 from ..standins.clients import Demand
 
 FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
@@ -48,25 +50,25 @@
     parent_holds: int
     open_most: int
     rate: float
-    charter: Charter
+    charter: Assignment
     demands: list[Demand] = field(default_factory=list)
     deeds: list[Deed] = field(default_factory=list)
 
 
 def read_scenario(text: str) -> Scenario:
     """Raises CharterError, whose text names the key."""
-    found = sections(text)
-    lab, fleet, director = (Keys(title, found.pop(title, {})) for title in OURS)
+    found = parse_sections(text)
+    lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OURS)
     demands, deeds, ours = [], [], {}
     for title, held in found.items():
         kind, _, name = title.partition(" ")
-        keys = Keys(title, held)
+        keys = IniSection(title, held)
         if kind == "load":
             demands.append(_demand(keys, name))
-            keys.done()
+            keys.reject_unknown_keys()
         elif kind == "deed":
             deeds.append(_deed(keys, name))
-            keys.done()
+            keys.reject_unknown_keys()
         else:
             ours[title] = held
     ours.setdefault("assignment", {})
@@ -86,15 +88,15 @@
     )
     names = fleet.names("caches")
     if not names:
-        raise fleet.fault("caches", "names of caches are wanted")
+        raise fleet.error("caches", "names of caches are wanted")
     scenario = Scenario(
         seconds=lab.number("seconds", 10.0, 600.0, 1.0),
-        directors=lab.whole("directors", 1, 8) or 1,
-        seed=lab.whole("seed", 1),
+        directors=lab.integer("directors", 1, 8) or 1,
+        seed=lab.integer("seed", 1),
         cells=lab.flag("cells", True),
         management=lab.flag("management", False),
         caches=names,
-        parents=fleet.whole("parents", 2, 16),
+        parents=fleet.integer("parents", 2, 16),
         capacity=fleet.number("capacity", 400.0, 1e6, 1.0),
         fill_cost=fleet.number("fill_cost", 4.0, 1e3, 1.0),
         hit_delay=fleet.number("hit_ms", 2.0),
@@ -104,18 +106,18 @@
         cold_from=fleet.number("cold_from", 1.0, 1.0),
         cold_for=fleet.number("cold_ms", 0.0),
         falls=fleet.flag("falls", False),
-        parent_holds=fleet.whole("parent_holds", 0),
-        open_most=director.whole("open_most", 0),
+        parent_holds=fleet.integer("parent_holds", 0),
+        open_most=director.integer("open_most", 0),
         rate=director.number("rate", 0.0),
         charter=charter,
         demands=demands,
         deeds=sorted(deeds, key=lambda deed: deed.at),
     )
     for keys in (lab, fleet, director):
-        keys.done()
+        keys.reject_unknown_keys()
     for demand in demands:
         if scenario.cells and demand.tenant not in charter.tenants and charter.unknown == "reject":
-            raise CharterError(f"[load {demand.tenant}]: no such tenant")
+            raise ConfigError(f"[load {demand.tenant}]: no such tenant")
     for deed in deeds:
         if (
             deed.node
@@ -123,28 +125,28 @@
             and deed.node not in names
             and deed.node[:1] not in "po"
         ):
-            raise CharterError(f"[deed {deed.name}] node: no cache {deed.node!r}")
+            raise ConfigError(f"[deed {deed.name}] node: no cache {deed.node!r}")
     return scenario
 
 
-def _demand(keys: Keys, tenant: str) -> Demand:
+def _demand(keys: IniSection, tenant: str) -> Demand:
     bursts = []
     if keys.number("burst_rate", 0.0):
         bursts = [(keys.number("burst_at"), keys.number("burst_until"), keys.number("burst_rate"))]
     return Demand(
         tenant,
         keys.number("rate"),
-        keys.whole("objects", 200) or 1,
+        keys.integer("objects", 200) or 1,
         keys.number("orders", 0.0, 1.0),
         keys.number("skew", 0.8, 3.0),
         keys.number("patience_ms", 1_500.0, 60_000.0, 10.0),
-        keys.whole("tries", 3, 10),
-        keys.whole("connections", 2, 64) or 1,
+        keys.integer("tries", 3, 10),
+        keys.integer("connections", 2, 64) or 1,
         bursts,
     )
 
 
-def _deed(keys: Keys, name: str) -> Deed:
+def _deed(keys: IniSection, name: str) -> Deed:
     what = keys.choice("what", DEEDS, "")
     deed = Deed(name, keys.number("at"), what)
     if what in FAULTS:
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -6,18 +6,9 @@
 import ipaddress
 from typing import Any
 
-from ..cells.model import (
-    REJECT,
-    TO_DEFAULT,
-    Cell,
-    Charter,
-    CharterError,
-    Limits,
-    Move,
-    Release,
-    Tenant,
-)
+from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
 from ..cells.parser import LIMIT_KEYS, RANGE, agree
+from ..errors import ConfigError
 
 ATTRIBUTES = {
     "how": "how",
@@ -100,7 +91,7 @@
     )
 
 
-def charter_tree(charter: Charter) -> dict[str, Any]:
+def charter_tree(charter: Assignment) -> dict[str, Any]:
     """The `assignment` of a charter."""
     found: dict[str, Any] = {
         name: _told(name, getattr(charter, key)) if name != "how" else charter.how
@@ -159,7 +150,7 @@
     return {name: list(held)} if held else {}
 
 
-def charter_from(tree: dict[str, Any], version: int, written: float) -> Charter:
+def charter_from(tree: dict[str, Any], version: int, written: float) -> Assignment:
     """Of an `assignment` that the model has let pass; raises CharterError for what only the program
     knows.
     """
@@ -189,7 +180,7 @@
         for one in tree.get("tenant", ())
     }
     moves = {
-        one["name"]: Move(
+        one["name"]: Migration(
             name=one["name"],
             tenants=tuple(one["tenant"]),
             source=one["from"],
@@ -199,7 +190,7 @@
         for one in tree.get("move", ())
     }
     releases = {
-        one["name"]: Release(
+        one["name"]: Rollout(
             name=one["name"],
             canary=one["canary"],
             limits=_limits(one, limits),
@@ -213,7 +204,7 @@
         )
         for one in tree.get("release", ())
     }
-    charter = Charter(
+    charter = Assignment(
         version,
         written,
         cells,
@@ -237,14 +228,14 @@
     try:
         ipaddress.ip_network(text)
     except ValueError as wrong:
-        raise CharterError(f"tenant {tenant}: address {wrong}") from None
+        raise ConfigError(f"tenant {tenant}: address {wrong}") from None
     return text
 
 
 def _group(tenant: str, text: str) -> tuple[int, int]:
     form = RANGE.fullmatch(text)
     if form is None or not int(form[1]) <= int(form[2] or form[1]) <= 255:
-        raise CharterError(
+        raise ConfigError(
             f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to 255"
         )
     return int(form[1]), int(form[2] or form[1])
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .gnmi_client import Access, CallError, Target
+from .gnmi_client import Access, CallError, GnmiTarget
 from .paths import PathError, copied, differences, parse, worded
 
 DONE, UNREACHED, MISUSED, REFUSED = 0, 1, 2, 3
@@ -69,13 +69,13 @@
 
 
 def at_each(
-    context: click.Context, do: Callable[[Target], Any], show: Callable[[str, Any], None]
+    context: click.Context, do: Callable[[GnmiTarget], Any], show: Callable[[str, Any], None]
 ) -> None:
     """Does it at each director, tells each result, and exits."""
     code, results = DONE, {}
     for address in context.obj["targets"]:
         try:
-            target = Target(address, context.obj["access"])
+            target = GnmiTarget(address, context.obj["access"])
         except OSError as wrong:
             click.echo(f"mulleinrelay: {wrong.filename}: {wrong.strerror}", err=True)
             sys.exit(MISUSED)
@@ -235,7 +235,7 @@
     value |= {"reason": reason} if reason else {}
     path = parse(DRAIN)[:-1] + (("drain", (("box", box),)),)
 
-    def do(target: Target) -> dict[str, Any]:
+    def do(target: GnmiTarget) -> dict[str, Any]:
         version = target.set(replaces=[(path, value)], extra=extras(None, f"drain {box}"))
         found = target.get((*path, ("state", ())))
         return {"version": version, "state": found[0][1]}
@@ -279,7 +279,7 @@
 
     shape = Model().shape
 
-    def do(target: Target) -> dict[str, Any]:
+    def do(target: GnmiTarget) -> dict[str, Any]:
         found = target.get((), 1)
         changed, gone = differences(shape, copied(found[0][1]) if found else {}, bare(wanted))
         return {
@@ -307,7 +307,7 @@
 ) -> None:
     """Lines as things change, of the first director given."""
     wanted = [path_from(text) for text in paths_ or ("/fleet/boxes", "/fleet/drains")]
-    target = Target(context.obj["targets"][0], context.obj["access"])
+    target = GnmiTarget(context.obj["targets"][0], context.obj["access"])
     end = time.monotonic() + seconds if seconds else None
     if end is not None:
         import threading
@@ -336,7 +336,7 @@
 def history(context: click.Context) -> None:
     """The last versions: when, by whom, what."""
 
-    def do(target: Target) -> dict[str, Any]:
+    def do(target: GnmiTarget) -> dict[str, Any]:
         return target.get(parse("/fleet/datastore"))[0][1]
 
     def show(address: str, held: dict[str, Any]) -> None:
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -5,16 +5,15 @@
 import os
 from dataclasses import dataclass
 
-from ..cells.config import loaded
-from ..cells.model import CharterError
-from ..cells.parser import Keys, sections
+from ..config.ini import IniSection, load_ini, parse_sections
+from ..errors import ConfigError
 from .authorization import ROLES, Rights, Role
 
 LOOPBACK = ("127.", "::1", "localhost")
 
 
 @dataclass(slots=True, frozen=True)
-class OwnFile:
+class ManagementConfig:
     enabled: bool
     listen: str  # host:port
     state_dir: str  # empty: nothing lasts
@@ -28,28 +27,26 @@
     calls_most: int
 
 
-def read_own(text: str, folder: str) -> OwnFile:
+def parse_management_config(text: str, folder: str) -> ManagementConfig:
     """Paths are taken from `folder`. Raises CharterError."""
-    found = sections(text)
+    found = parse_sections(text)
     for title in found:
         if title not in ("management", "roles", "limits"):
-            raise CharterError(
-                f"[{title}]: an unknown section; known are management, roles, limits"
-            )
+            raise ConfigError(f"[{title}]: an unknown section; known are management, roles, limits")
     keys, limits = (
-        Keys("management", found.get("management", {})),
-        Keys("limits", found.get("limits", {})),
+        IniSection("management", found.get("management", {})),
+        IniSection("limits", found.get("limits", {})),
     )
     enabled, listen = keys.flag("enabled", False), keys.text("listen", "127.0.0.1:9339")
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise keys.fault("listen", "host:port is wanted")
+        raise keys.error("listen", "host:port is wanted")
 
     def path(key: str) -> str:
         value = keys.text(key, "")
         return os.path.join(folder, value) if value else ""
 
-    own = OwnFile(
+    own = ManagementConfig(
         enabled,
         listen,
         path("state_dir"),
@@ -57,30 +54,30 @@
         path("key"),
         path("clients_ca"),
         _rights(found.get("roles", {}), keys.flag("insecure_loopback", False)),
-        limits.whole("subscribers", 32, 10_000),
-        limits.whole("queue", 1_000, 1_000_000),
-        limits.whole("message_kb", 4_096, 1_000_000),
-        limits.whole("calls", 16, 1_000),
+        limits.integer("subscribers", 32, 10_000),
+        limits.integer("queue", 1_000, 1_000_000),
+        limits.integer("message_kb", 4_096, 1_000_000),
+        limits.integer("calls", 16, 1_000),
     )
     given = [bool(own.certificate), bool(own.key), bool(own.clients_ca)]
     if any(given) and not all(given):
-        raise keys.fault("certificate", "certificate, key and clients_ca go together")
+        raise keys.error("certificate", "certificate, key and clients_ca go together")
     if enabled and not any(given):
         if not host.strip("[]").startswith(LOOPBACK):
-            raise keys.fault("listen", "without a certificate it listens on loopback only")
-        if "insecure_loopback" not in keys.held or not keys.flag("insecure_loopback", False):
-            raise keys.fault("insecure_loopback", "yes is wanted to listen without a certificate")
-    keys.done()
-    limits.done()
+            raise keys.error("listen", "without a certificate it listens on loopback only")
+        if "insecure_loopback" not in keys.values or not keys.flag("insecure_loopback", False):
+            raise keys.error("insecure_loopback", "yes is wanted to listen without a certificate")
+    keys.reject_unknown_keys()
+    limits.reject_unknown_keys()
     return own
 
 
 def _rights(held: dict[str, str], open_loopback: bool) -> Rights:
-    keys = Keys("roles", held)
+    keys = IniSection("roles", held)
     by_name = {name: ROLES[keys.choice(name, ROLES, "")] for name in held}
     return Rights(by_name, Role.CONFIGURE if open_loopback else Role.NONE)
 
 
-def load_own(path: str) -> OwnFile:
+def load_management_config(path: str) -> ManagementConfig:
     """Raises CharterError."""
-    return loaded(path, read_own)
+    return load_ini(path, parse_management_config)
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -22,7 +22,7 @@
         self.code = code
 
 
-class Part(Protocol):
+class Participant(Protocol):
     """Something in the running program that a change reaches."""
 
     name: str
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class DatastoreState:
     """All that is kept over a restart."""
 
     versions: list[Version]
@@ -72,11 +72,13 @@
 class Datastore:
     # the model's: gives the canonical tree, raises RefusedError
     check: Callable[[dict[str, Any]], dict[str, Any]]
-    parts: Sequence[Part]
+    parts: Sequence[Participant]
     keep: Callable[
-        [Held], None
+        [DatastoreState], None
     ]  # makes it last; raises RefusedError, and then the change is undone
-    held: Held = field(default_factory=lambda: Held([Version(0, {}, 0.0, "", "empty")]))
+    held: DatastoreState = field(
+        default_factory=lambda: DatastoreState([Version(0, {}, 0.0, "", "empty")])
+    )
 
     @property
     def running(self) -> Version:
@@ -117,7 +119,7 @@
     def confirm(self, name: str) -> None:
         """Raises RefusedError."""
         self._waiting_for(name)
-        held = Held(self.held.versions, None)
+        held = DatastoreState(self.held.versions, None)
         self.keep(held)
         self.held = held
 
@@ -167,7 +169,7 @@
         """
         ready = [(part, part.prepare(old, new.tree)) for part in self.parts]
         new = replace(new, marks={part.name: part.mark(made) for part, made in ready})
-        held = Held([*self.held.versions, new][-HISTORY_MOST:], unconfirmed)
+        held = DatastoreState([*self.held.versions, new][-HISTORY_MOST:], unconfirmed)
         undo: list[Callable[[], None]] = []
         self.keep(held)
         try:
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from .datastore import Held, RefusedError, Unconfirmed, Version
+from .datastore import DatastoreState, RefusedError, Unconfirmed, Version
 
 MAGIC, FORM = b"mulleinrelay-datastore", 1
 BYTES_MOST = 256_000_000
@@ -18,7 +18,7 @@
     """A file that can't be used; the text says why and what to do."""
 
 
-def encoded(held: Held) -> bytes:
+def encoded(held: DatastoreState) -> bytes:
     """Trees that several versions share stand once."""
     trees: list[Any] = []
     places: dict[int, int] = {}
@@ -38,7 +38,7 @@
     return b"%s %d %d %08x\n" % (MAGIC, FORM, len(body), zlib.crc32(body)) + body
 
 
-def decoded(data: bytes) -> Held:
+def decoded(data: bytes) -> DatastoreState:
     """Raises KeepError."""
     head, _, body = data.partition(b"\n")
     words = head.split(b" ")
@@ -65,16 +65,16 @@
         raise KeepError(f"holds something else than a datastore: {wrong}") from None
     if not versions:
         raise KeepError("holds no version")
-    return Held(versions, unconfirmed)
+    return DatastoreState(versions, unconfirmed)
 
 
-class Keeper:
+class DatastoreFile:
     """Writes one folder; without one nothing lasts."""
 
     def __init__(self, folder: str) -> None:
         self.path = os.path.join(folder, "datastore") if folder else ""
 
-    def load(self) -> Held | None:
+    def load(self) -> DatastoreState | None:
         """None: there is none yet. Raises KeepError."""
         if not self.path:
             return None
@@ -90,7 +90,7 @@
         except KeepError as wrong:
             raise KeepError(f"{self.path}: {wrong}") from None
 
-    def save(self, held: Held) -> None:
+    def save(self, held: DatastoreState) -> None:
         """Raises RefusedError: what can't be kept isn't taken over."""
         if not self.path:
             return
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import Any
 
-from ..policy.model import Listing, State
+from ..policy.model import EndpointState, EndpointUpdate
 
 DISAGREES = 10_000.0  # ms for which list and intent may differ before that is worth a line
 
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Intent:
+class DrainIntent:
     """All drains, over the list as it was told last."""
 
     drains: dict[str, Drain] = field(default_factory=dict)
-    listed: dict[str, Listing] = field(default_factory=dict)
+    listed: dict[str, EndpointUpdate] = field(default_factory=dict)
 
-    def copy(self) -> "Intent":
-        return Intent(
+    def copy(self) -> "DrainIntent":
+        return DrainIntent(
             {name: replace(drain) for name, drain in self.drains.items()}, dict(self.listed)
         )
 
@@ -87,12 +87,12 @@
             self._meet(now, name)
         return touched
 
-    def told(self, now: float, entries: Iterable[Listing], whole: bool) -> None:
+    def told(self, now: float, entries: Iterable[EndpointUpdate], whole: bool) -> None:
         """What the list tells."""
         if whole:
             self.listed = {}
         for entry in entries:
-            if entry.state == State.GONE:
+            if entry.state == EndpointState.GONE:
                 self.listed.pop(entry.name, None)
             else:
                 self.listed[entry.name] = entry
@@ -120,17 +120,17 @@
         drain.life = life
         if drain.phase != Phase.BINDING:
             drain.phase, drain.since = Phase.BINDING, now
-        if entry.state != State.READY:
+        if entry.state != EndpointState.READY:
             drain.ready_since = 0.0
         elif not drain.ready_since:
             drain.ready_since = now
 
-    def state(self, entry: Listing) -> State:
+    def state(self, entry: EndpointUpdate) -> EndpointState:
         """The state that this director goes by."""
         drain = self.drains.get(entry.name)
-        if drain is None or drain.phase != Phase.BINDING or entry.state != State.READY:
+        if drain is None or drain.phase != Phase.BINDING or entry.state != EndpointState.READY:
             return entry.state
-        return State.DRAINING
+        return EndpointState.DRAINING
 
     def disagreeing(self, now: float) -> list[Drain]:
         """Drains that the list has contradicted for long, once each."""
@@ -145,7 +145,7 @@
 
 
 def left_without(
-    listed: Mapping[str, Listing],
+    listed: Mapping[str, EndpointUpdate],
     before: Iterable[str],
     wanted: Mapping[str, Want],
     is_cache: Any,
@@ -161,13 +161,15 @@
     drained = set(wanted) | set(before)
     zones: dict[int, list[str]] = {}
     for name, entry in listed.items():
-        if is_cache(entry) and entry.state == State.READY:
+        if is_cache(entry) and entry.state == EndpointState.READY:
             zones.setdefault(entry.zone, []).append(name)
     for zone, names in sorted(zones.items()):
         if new & set(names) and set(names) <= drained:
             return f"location {zone} would be left without caches: {', '.join(sorted(names))}"
     for cell, names in sorted(cells.items()):
-        ready = {name for name in names if name in listed and listed[name].state == State.READY}
+        ready = {
+            name for name in names if name in listed and listed[name].state == EndpointState.READY
+        }
         if new & ready and ready <= drained:
             return f"cell {cell} would be left without caches: {', '.join(sorted(ready))}"
     return ""
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -31,7 +31,7 @@
         self.code = code
 
 
-class Target:
+class GnmiTarget:
     def __init__(self, address: str, access: Access) -> None:
         """Raises OSError where a certificate can't be read."""
         self.address, self.access = address, access
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -10,14 +10,14 @@
 
 import grpc
 
-from ..structured_log import Log
+from ..structured_log import StructuredLog
 from . import gnmi_messages as gnmi
 from . import paths
 from .authorization import Role, wanted
-from .config import OwnFile
+from .config import ManagementConfig
 from .datastore import RefusedError
 from .paths import Path, PathError
-from .service import Edit, Manager
+from .service import Edit, ManagementService
 from .yang_model import NAME, REVISION
 
 STACK = 1_048_576  # bytes: the model's checks nest deeper than what serves requests
@@ -89,10 +89,12 @@
     )
 
 
-class Server:
+class GnmiServer:
     """Raises RuntimeError where it can't listen, OSError where a certificate can't be read."""
 
-    def __init__(self, own: OwnFile, manager: Manager, log: Log) -> None:
+    def __init__(
+        self, own: ManagementConfig, manager: ManagementService, log: StructuredLog
+    ) -> None:
         self.own, self.manager, self.log = own, manager, log
         self.streams, self.lock = 0, threading.Lock()
         workers = own.subscribers_most + own.calls_most
@@ -491,26 +493,31 @@
 
 
 def build(
-    own: OwnFile, start: Any, facade: Any, warden: Any, clock: Callable[[], float], log: Log
-) -> Server:
+    own: ManagementConfig,
+    start: Any,
+    facade: Any,
+    warden: Any,
+    clock: Callable[[], float],
+    log: StructuredLog,
+) -> GnmiServer:
     """All of management for one director; raises KeepError, OSError."""
     from ..cells.hashing import caches_of
-    from .datastore_file import Keeper
-    from .participants import CellsPart, DrainPart, View
+    from .datastore_file import DatastoreFile
+    from .participants import AssignmentParticipant, DrainParticipant, StateView
     from .yang_model import Model
 
     def cells(caches: list[str]) -> dict[str, list[str]]:
         return caches_of(warden.governor.charter, caches) if warden is not None else {}
 
-    drains, assignment = DrainPart(facade, cells), CellsPart(warden, clock)
-    manager = Manager(
+    drains, assignment = DrainParticipant(facade, cells), AssignmentParticipant(warden, clock)
+    manager = ManagementService(
         facade,
         log,
-        Keeper(own.state_dir),
+        DatastoreFile(own.state_dir),
         Model(),
         drains,
         assignment,
-        View(start, facade, warden, drains),
+        StateView(start, facade, warden, drains),
         clock,
     )
-    return Server(own, manager, log)
+    return GnmiServer(own, manager, log)
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -7,25 +7,32 @@
 from typing import Any
 
 from ..cells import admission_controller, migrations, store
-from ..cells.model import Charter, CharterError
-from ..config.platform import Start
-from ..coordinator import Facade
-from ..policy.model import Listing, State
+from ..cells.model import Assignment
+from ..config.platform import DirectorConfig
+from ..coordinator import RequestCoordinator
+from ..errors import ConfigError
+from ..policy.model import EndpointState, EndpointUpdate
 from . import drain_intent as wanting
 from .assignment_mapping import charter_from, charter_tree, decimal
 from .datastore import RefusedError
-from .drain_intent import Intent, Want, left_without, wants
+from .drain_intent import DrainIntent, Want, left_without, wants
 
-NAMES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
+NAMES = {
+    EndpointState.READY: "ready",
+    EndpointState.DRAINING: "draining",
+    EndpointState.GONE: "gone",
+}
 
 
-class DrainPart:
+class DrainParticipant:
     """Staff's drains, over the list."""
 
     name = "drains"
 
-    def __init__(self, facade: Facade, cells: Callable[[list[str]], dict[str, list[str]]]) -> None:
-        self.facade, self.cells, self.intent = facade, cells, Intent()
+    def __init__(
+        self, facade: RequestCoordinator, cells: Callable[[list[str]], dict[str, list[str]]]
+    ) -> None:
+        self.facade, self.cells, self.intent = facade, cells, DrainIntent()
         with facade.lock:
             facade.intent = self.intent
             self.intent.told(facade.clock(), list(facade.entries.values()), True)
@@ -56,7 +63,7 @@
         return 0
 
     def commit(self, ready: dict[str, Want]) -> Callable[[], None]:
-        before: list[Intent] = []
+        before: list[DrainIntent] = []
 
         def take(held: Any) -> list[str]:
             before.append(self.intent.copy())
@@ -70,12 +77,12 @@
         self.facade.wanted(take)
         return lambda: self.facade.wanted(put_back)
 
-    def _is_cache(self, entry: Listing) -> bool:
+    def _is_cache(self, entry: EndpointUpdate) -> bool:
         terms = self.facade.terms
         return entry.kind not in (terms.parent_kind, terms.origin_kind) and entry.zone == terms.zone
 
 
-class CellsPart:
+class AssignmentParticipant:
     """The assignment, where cells are on. What is changed here goes into the assignment
     file, too.
     """
@@ -88,12 +95,12 @@
     def tree(self) -> dict[str, Any]:
         return charter_tree(self.charter()) if self.warden is not None else {}
 
-    def charter(self) -> Charter:
+    def charter(self) -> Assignment:
         return self.warden.governor.charter
 
     def prepare(
         self, old: dict[str, Any], new: dict[str, Any]
-    ) -> admission_controller.Prepared | None:
+    ) -> admission_controller.PreparedAssignment | None:
         wanted = new.get("fleet", {}).get("assignment")
         if self.warden is None:
             if wanted:
@@ -106,17 +113,17 @@
             charter = charter_from(wanted, now.version + 1, round(self.clock()))
             if replace(charter, version=now.version, written=now.written) == now:
                 return None
-            return admission_controller.prepare(charter)
-        except CharterError as wrong:
+            return admission_controller.prepare_assignment(charter)
+        except ConfigError as wrong:
             raise RefusedError(str(wrong)) from None
 
-    def mark(self, ready: admission_controller.Prepared | None) -> int:
+    def mark(self, ready: admission_controller.PreparedAssignment | None) -> int:
         """The version of the assignment file."""
         if self.warden is None:
             return 0
         return ready.charter.version if ready is not None else self.charter().version
 
-    def commit(self, ready: admission_controller.Prepared | None) -> Callable[[], None]:
+    def commit(self, ready: admission_controller.PreparedAssignment | None) -> Callable[[], None]:
         if ready is None:
             return lambda: None
         before = self.charter()
@@ -124,25 +131,31 @@
 
         def undo() -> None:
             back = replace(before, version=ready.charter.version + 1)
-            self._take(admission_controller.prepare(back), ready.charter.version)
+            self._take(admission_controller.prepare_assignment(back), ready.charter.version)
 
         return undo
 
-    def _take(self, ready: admission_controller.Prepared, built_on: int) -> None:
+    def _take(self, ready: admission_controller.PreparedAssignment, built_on: int) -> None:
         try:
             with store.sole_writer(self.warden.own.assignment):
                 store.save(
                     self.warden.own.assignment, ready.charter, ready.charter.written, built_on
                 )
             self.warden.take(ready)
-        except CharterError as wrong:
+        except ConfigError as wrong:
             raise RefusedError(str(wrong), "failed") from None
 
 
-class View:
+class StateView:
     """What a director tells of itself, as the model's state."""
 
-    def __init__(self, start: Start, facade: Facade, warden: Any, drains: DrainPart) -> None:
+    def __init__(
+        self,
+        start: DirectorConfig,
+        facade: RequestCoordinator,
+        warden: Any,
+        drains: DrainParticipant,
+    ) -> None:
         self.start, self.facade, self.warden, self.drains = start, facade, warden, drains
         self.zones = {place: name for name, place in start.zones.items()}
         self.kinds = {place: name for name, place in start.kinds.items()}
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..coordinator import Facade
-from ..structured_log import Log
+from ..coordinator import RequestCoordinator
+from ..structured_log import StructuredLog
 from . import paths
-from .datastore import Datastore, Held, RefusedError, Version
-from .datastore_file import Keeper
-from .participants import CellsPart, DrainPart, View
+from .datastore import Datastore, DatastoreState, RefusedError, Version
+from .datastore_file import DatastoreFile
+from .participants import AssignmentParticipant, DrainParticipant, StateView
 from .paths import Path, PathError, Shape
 
 STEP_EVERY = 250.0  # ms
@@ -61,16 +61,16 @@
             self.rung.notify()
 
 
-class Manager:
+class ManagementService:
     def __init__(
         self,
-        facade: Facade,
-        log: Log,
-        keeper: Keeper,
+        facade: RequestCoordinator,
+        log: StructuredLog,
+        keeper: DatastoreFile,
         model: Any,
-        drains: DrainPart,
-        cells: CellsPart,
-        view: View,
+        drains: DrainParticipant,
+        cells: AssignmentParticipant,
+        view: StateView,
         clock: Callable[[], float],
     ) -> None:
         """`model`: has a `shape` and `check(tree)`. Raises KeepError where what was kept can't be
@@ -90,7 +90,7 @@
         kept = keeper.load()
         self._resume(kept if kept is not None else self.store.held)
 
-    def _resume(self, held: Held) -> None:
+    def _resume(self, held: DatastoreState) -> None:
         """Takes over what was kept; the assignment is that of its own file."""
         self.store.held = held
         last = held.versions[-1]
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -7,9 +7,9 @@
 import click
 import orjson
 
-from ..cells.model import CharterError
+from ..errors import ConfigError
 from ..records import read_logs, read_states
-from .config import load_own
+from .config import load_fleet_config
 
 FAILED, WRONG_FILE = 1, 2
 OLD = 5.0  # s: a director that is there writes its records each second
@@ -27,8 +27,8 @@
 
 def folder_of(path: str) -> str:
     try:
-        own = load_own(path)
-    except CharterError as wrong:
+        own = load_fleet_config(path)
+    except ConfigError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(WRONG_FILE)
     if not own.records or not os.path.isdir(own.records):
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Record:
+class MemberRecord:
     word: Word
     since: float  # of this state
     doubters: set[Who] = field(default_factory=set)  # who said so, of a suspicion
@@ -37,12 +37,12 @@
     word: Word
 
 
-class View:
+class MemberTable:
     """All records but the own, at most `most`."""
 
     def __init__(self, own: Word, most: int, random: Random) -> None:
         self.own, self.most, self.random = own, most, random
-        self.records: dict[Who, Record] = {}
+        self.records: dict[Who, MemberRecord] = {}
         self.telling: dict[Who, list[float]] = {}  # words still to be passed on: how often each was
         self.events: list[Event] = []
         self.refused = 0  # words on directors for which there is no room
@@ -91,7 +91,9 @@
             for other in self.records.values()
             if other.word.name == word.name and other.word.state <= State.SUSPECT
         ]
-        self.records[word.who] = Record(word, now, {by} if word.state == State.SUSPECT else set())
+        self.records[word.who] = MemberRecord(
+            word, now, {by} if word.state == State.SUSPECT else set()
+        )
         self.events.append(Event("joined", word))
         if same or word.name == self.own.name:
             self.events.append(Event("two of one name", word))
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ..coordinator import Facade
-from ..records import Records
-from ..structured_log import Log
-from .config import OwnFile
+from ..coordinator import RequestCoordinator
+from ..records import DirectorRecords
+from ..structured_log import StructuredLog
+from .config import FleetConfig
 from .messages import LENGTH_MOST, Codec, State, Word
 from .swim import Membership
 
 if TYPE_CHECKING:
-    from ..budgets.quota_exchange import Exchange
+    from ..budgets.quota_exchange import QuotaExchange
 
 RECORDS_EVERY = 1_000.0  # ms
 EVENTS_KEPT = 200  # changes that a director remembers for staff
@@ -26,12 +26,14 @@
 TOGETHER = 64  # datagrams read before the time is looked at again
 
 
-def share_cold(own: OwnFile, facade: Facade, seed: int, life: int, offset: float) -> "Exchange":
+def share_cold(
+    own: FleetConfig, facade: RequestCoordinator, seed: int, life: int, offset: float
+) -> "QuotaExchange":
     """The limits on cold caches of this location, and on cold parents, as rights that are lent."""
-    from ..budgets.quota_exchange import Exchange
+    from ..budgets.quota_exchange import QuotaExchange
 
     director, terms, now = facade.director, facade.terms, _now()
-    exchange = Exchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
+    exchange = QuotaExchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
     exchange.add(
         now,
         f"cold caches of {own.location}",
@@ -46,15 +48,15 @@
     return exchange
 
 
-class Talk:
+class MembershipService:
     def __init__(
         self,
-        own: OwnFile,
+        own: FleetConfig,
         name: str,
         seed: int,
         clock: Callable[[], float],
-        log: Log,
-        facade: Facade | None = None,
+        log: StructuredLog,
+        facade: RequestCoordinator | None = None,
     ) -> None:
         """`clock`: Unix milliseconds, read once for the number of this life; the rest goes by
         another.
@@ -74,7 +76,7 @@
         )
         if own.share_cold and facade is not None:
             self.core.companion = share_cold(own, facade, seed, word.life, clock() - _now())
-        self.records = Records(own.records, name) if own.records else None
+        self.records = DirectorRecords(own.records, name) if own.records else None
         self.records_due, self.told, self.last = 0.0, [], []
         self.bytes_out = self.bytes_in = 0
         self.ended = threading.Event()
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Protocol
 
-from .member_table import Event, Record, View, Who
+from .member_table import Event, MemberRecord, MemberTable, Who
 from .messages import Codec, Kind, Message, State, UnusableError, Word
 
 PERIOD = 500.0  # of one ping
@@ -79,7 +79,7 @@
         most: int = 4000,
     ) -> None:
         self.codec, self.random, self.seeds = codec, random, seeds
-        self.view = View(own, most, random)
+        self.view = MemberTable(own, most, random)
         self.health = 0  # 0: well
         self.number = random.randrange(1 << 30)
         self.pings: dict[int, Ping] = {}
@@ -330,7 +330,7 @@
             for other in self.random.sample(others, min(ASKED, len(others)))
         ]
 
-    def _doubt(self, now: float, ping: Ping, record: Record) -> list[tuple[Address, bytes]]:
+    def _doubt(self, now: float, ping: Ping, record: MemberRecord) -> list[tuple[Address, bytes]]:
         others = self.view.size() - 2
         if (
             others > 0 and not ping.none_heard
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -4,10 +4,14 @@
 from typing import Any
 
 from ..net.resp import ENDS, NOTES
-from ..policy.model import Attempt, Note, Outcome, Request, State, Terms
-from ..policy.router import Director, Member
+from ..policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request, ServiceSettings
+from ..policy.router import Router, TrackedEndpoint
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 
 
 class Modelled:
@@ -17,16 +21,16 @@
         self,
         world: Any,
         number: int,
-        terms: Terms,
+        terms: ServiceSettings,
         zone_of: dict[str, int],
         kinds: dict[str, int],
         seed: int,
     ) -> None:
         self.world, self.number, self.terms = world, number, terms
         self.zone_of, self.kinds = zone_of, kinds
-        self.director = Director(world.clock(), seed, terms)
-        self.members: dict[str, Member] = {}
-        self.names: dict[Member, str] = {}
+        self.director = Router(world.clock(), seed, terms)
+        self.members: dict[str, TrackedEndpoint] = {}
+        self.names: dict[TrackedEndpoint, str] = {}
         self.open: dict[Request, Any] = {}
         self.called_off: deque[Attempt] = deque()
         self.gone = False  # killed; a new one stands in its place
@@ -48,7 +52,7 @@
                                 Outcome.CANCELLED,
                                 now - attempt.sent,
                                 attempt.request.ended,
-                                Note.NONE,
+                                CacheStatus.NONE,
                                 0.0,
                                 None,
                             ),
@@ -60,7 +64,9 @@
         for row in rows:
             member = self.members.get(row["id"])
             if member is None:
-                member = self.members[row["id"]] = Member(int(row["id"].rpartition("-")[2], 16))
+                member = self.members[row["id"]] = TrackedEndpoint(
+                    int(row["id"].rpartition("-")[2], 16)
+                )
                 self.names[member] = row["id"]
             told.append(
                 (
@@ -95,10 +101,14 @@
     def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
         """What a node said."""
         if not self.gone and attempt.outcome is None:
-            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, Note.NONE), waited)
+            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.NONE), waited)
 
     def ended(
-        self, attempt: Attempt, outcome: Outcome, note: Note = Note.NONE, waited: float = 0.0
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        note: CacheStatus = CacheStatus.NONE,
+        waited: float = 0.0,
     ) -> None:
         if self.gone or attempt.outcome is not None:
             return
@@ -182,7 +192,7 @@
     def wake(self, delay: float, about: Any) -> None:
         self.world.clock.at(self.world.clock() + delay, lambda: self.woken(about))
 
-    def probe(self, node: Member) -> None:
+    def probe(self, node: TrackedEndpoint) -> None:
         self.world.probe(self, self.names[node])
 
     def subscribe(self) -> None:
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..config.platform import Section, read_terms
+from ..config.platform import JsonSection, parse_service_settings
 from ..lab.fleet.audit import Audit, Heard
 from ..lab.fleet.hosts import fields_of, fleet_of
 from ..lab.fleet.load import PAUSE, Demand, Wanted, may_try_again
@@ -67,7 +67,7 @@
         self.zone_of = {place: at for at, place in enumerate(self.places)}
         self.kinds = {BOX: 0, PARENT: 1, ORIGIN: 2}
         self.terms = {
-            place: read_terms(Section(settings_at(scenario, place), ""))
+            place: parse_service_settings(JsonSection(settings_at(scenario, place), ""))
             for place in scenario.locations
         }
         self.demands = {place: Demand(scenario, place) for place in scenario.locations}
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -16,7 +16,7 @@
 
 from ..policy.model import Request
 from . import thrift
-from .write_queue import Outlet, Piece
+from .write_queue import Piece, WriteQueue
 
 WRITE_WAIT = 6.0  # s that a client may take to read on before its connection is ended
 FIRST_CALL = (
@@ -38,14 +38,14 @@
 )
 
 
-class Client:
+class ClientConnection:
     def __init__(
         self, connection: socket.socket | None, address: str = "", entry: str = ""
     ) -> None:
         """`entry`: what the gate gave for it and gets back."""
         self.connection, self.address, self.entry = connection, address, entry
         self.lock = threading.Lock()  # guards `open`, the outlet, and the reading of calls
-        self.outlet = Outlet(self.lock, WRITE_WAIT)
+        self.outlet = WriteQueue(self.lock, WRITE_WAIT)
         self.outlet.connection = connection
         self.open: dict[int, Request | None] = {}  # None: not yet the module's
         self.frames = thrift.Frames()
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -7,14 +7,22 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..config.platform import Start
-from ..coordinator import Facade, Failed, GiveUp, Left, Rejected, Served, Verdict
-from ..policy.admission import Places, to_end_first
-from ..policy.model import KEYED, Asked, Order, Request, RequestClass
-from ..structured_log import Log
+from ..config.platform import DirectorConfig
+from ..coordinator import (
+    CancelAttempt,
+    ClientGone,
+    Failed,
+    Rejected,
+    RequestCoordinator,
+    RequestResult,
+    Served,
+)
+from ..policy.admission import AdmissionThresholds, to_end_first
+from ..policy.model import KEYED, ClientRequest, Request, RequestClass, SendAttempt
+from ..structured_log import StructuredLog
 from . import thrift
-from .client_connection import Client
-from .upstream_connections import Caches
+from .client_connection import ClientConnection
+from .upstream_connections import UpstreamConnections
 
 BACKLOG = 1024
 OPEN_MOST = 32  # requests open on one connection
@@ -28,16 +36,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class RequestContext:
     """Whose request it is, by which number, and as worded."""
 
-    client: Client
+    client: ClientConnection
     number: int
-    asked: Asked
+    asked: ClientRequest
     grant: Any = None  # the gate's
 
 
-class Gate(Protocol):
+class AdmissionControl(Protocol):
     """Who turns requests and connections away before the module hears of them, and says what the
     others are confined to.
     """
@@ -48,17 +56,22 @@
         """None: no further connection may come from there."""
 
     def leave(self, entry: str) -> None: ...
-    def admit(self, asked: Asked, request_class: RequestClass, address: str) -> Any:
+    def admit(self, asked: ClientRequest, request_class: RequestClass, address: str) -> Any:
         """Something with a `pool`, or with `come_back` (ms) and `harmless`, and then no `pool`."""
 
     def settle(self, grant: Any, request: Request, good: bool, owed: bool) -> None: ...
 
 
-class Front:
+class ClientListener:
     def __init__(
-        self, start: Start, facade: Facade, caches: Caches, log: Log, clients_most: int
+        self,
+        start: DirectorConfig,
+        facade: RequestCoordinator,
+        caches: UpstreamConnections,
+        log: StructuredLog,
+        clients_most: int,
     ) -> None:
-        self.gate: Gate | None = None
+        self.gate: AdmissionControl | None = None
         self.marks: set[str] = (
             set()
         )  # ids of requests, which are new with each, also with a client's retry
@@ -66,11 +79,11 @@
         self.marks_most, self.marks_since = int(MARKS_PER_MB * start.memory_mb), time.monotonic()
         self.start, self.facade, self.caches, self.log = start, facade, caches, log
         self.clients_most, self.requests_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
-        self.places = Places(start.request_classes.values())
+        self.places = AdmissionThresholds(start.request_classes.values())
         self.well = False
         self.listener: socket.socket | None = None
         self.acceptor = threading.Thread(target=self._accept, name="accept", daemon=True)
-        self.clients: dict[Client, None] = {}
+        self.clients: dict[ClientConnection, None] = {}
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
         caches.see_through = self.see_through
@@ -161,7 +174,7 @@
 
     def _seat(self, connection: socket.socket, address: str, entry: str) -> bool:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(connection, address, entry)
+        client = ClientConnection(connection, address, entry)
         with self.lock:
             most, spare = self.clients_most, max(1, self.clients_most // SPARE_SHARE)
             while (here := len(self.clients)) > most - spare:
@@ -193,7 +206,7 @@
             raise
         return True
 
-    def _idle(self) -> list[Client]:
+    def _idle(self) -> list[ClientConnection]:
         """The connections that may make room, in their order."""
         idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
         return sorted(
@@ -203,7 +216,7 @@
             ),
         )
 
-    def _read(self, client: Client) -> None:
+    def _read(self, client: ClientConnection) -> None:
         try:
             while client.hear():
                 call = client.calls[0]
@@ -236,7 +249,7 @@
             if self.gate is not None:
                 self.gate.leave(client.entry)
 
-    def _call(self, client: Client, call: thrift.Call) -> None:
+    def _call(self, client: ClientConnection, call: thrift.Call) -> None:
         try:
             if call.method == "serve":
                 self._serve(client, call)
@@ -268,7 +281,7 @@
 
     # Requests
 
-    def _serve(self, client: Client, call: thrift.Call) -> None:
+    def _serve(self, client: ClientConnection, call: thrift.Call) -> None:
         asked = thrift.read_serve(
             call.rest, self.gate.tenant_field if self.gate is not None else ""
         )
@@ -316,7 +329,7 @@
             asked.size,
             min(asked.left, request_class.client_timeout) - waited,
             asked.repeated,
-            Ticket(client, call.number, asked, grant),
+            RequestContext(client, call.number, asked, grant),
             room=room,
             pool=pool,
         )
@@ -324,7 +337,9 @@
             client.open[call.number] = request
         self.see_through(request)
 
-    def _turn_away(self, client: Client, number: int, come_back: float, harmless: bool) -> None:
+    def _turn_away(
+        self, client: ClientConnection, number: int, come_back: float, harmless: bool
+    ) -> None:
         """The one answer of a request that the module has not heard of."""
         pieces = thrift.rejected(number, come_back) if harmless else thrift.failed(number)
         with client.lock:
@@ -350,11 +365,11 @@
 
     def see_through(self, request: Request) -> None:
         """Does what is to be done for a request, in the thread whose call moved it."""
-        ticket: Ticket | None = request.ticket
+        ticket: RequestContext | None = request.ticket
         try:
             while ticket is not None and (step := self.facade.pick(request)) is not None:
                 self._do(step, ticket)
-                if isinstance(step, Verdict):
+                if isinstance(step, RequestResult):
                     request.ticket = (
                         None  # timers may hold the request for a while, but not what it brought
                     )
@@ -363,7 +378,7 @@
                             ticket.grant,
                             request,
                             isinstance(step, Served),
-                            not isinstance(step, Left),
+                            not isinstance(step, ClientGone),
                         )
         except Exception as broken:
             self.log.fault("see through", broken)
@@ -372,11 +387,13 @@
                 self.gate.settle(ticket.grant, request, False, True)
             ticket.client.answer(ticket.number, thrift.failed(ticket.number))
 
-    def _do(self, step: Order | GiveUp | Verdict, ticket: Ticket) -> None:
+    def _do(
+        self, step: SendAttempt | CancelAttempt | RequestResult, ticket: RequestContext
+    ) -> None:
         client, number = ticket.client, ticket.number
-        if isinstance(step, Order):
+        if isinstance(step, SendAttempt):
             self.caches.send(step, ticket.asked)
-        elif isinstance(step, GiveUp):
+        elif isinstance(step, CancelAttempt):
             self.caches.give_up(step.attempt)
         elif isinstance(step, Served):
             told = step.answer
@@ -390,7 +407,7 @@
         elif isinstance(step, Failed):
             client.answer(number, thrift.failed(number))
 
-    def _bound_unread(self, client: Client) -> None:
+    def _bound_unread(self, client: ClientConnection) -> None:
         """Ends the connection of one who does not read, where too much of the memory waits for
         such.
         """
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -11,10 +11,11 @@
 
 import orjson
 
-from ..config.platform import ConfigurationError, Start
-from ..coordinator import Facade
-from ..policy.stream_reconnect import Reconnects
-from ..structured_log import Log
+from ..config.platform import DirectorConfig
+from ..coordinator import RequestCoordinator
+from ..errors import ConfigError
+from ..policy.stream_reconnect import ReconnectBackoff
+from ..structured_log import StructuredLog
 from . import sse
 
 SILENCE = 2.5  # s: a comment comes each second
@@ -30,14 +31,16 @@
     """Events that were passed over by the stream."""
 
 
-class Bus:
-    def __init__(self, start: Start, facade: Facade, log: Log) -> None:
+class EventStream:
+    def __init__(
+        self, start: DirectorConfig, facade: RequestCoordinator, log: StructuredLog
+    ) -> None:
         self.start, self.facade, self.log = start, facade, log
         self.address = start.bus
         self.last, self.gap_at = 0, 0
         self.lock = threading.Lock()  # guards the number of the last event, over its being applied
         self.connection: socket.socket | None = None
-        self.pace = Reconnects(Random(start.seed))
+        self.pace = ReconnectBackoff(Random(start.seed))
         self.look_again: Callable[[], tuple[str, int] | None] = lambda: (
             None
         )  # where the stream is by now
@@ -100,7 +103,7 @@
                 self.last = number
             event = sse.read_event(held, self.start.zones, self.start.kinds)
             self._tell(event)
-            for wrong in event.wrong if isinstance(event, sse.Listed) else ():
+            for wrong in event.wrong if isinstance(event, sse.EndpointListEvent) else ():
                 self.log.event("bad event", number=number, why=wrong)
         except GapError:  # read again from the last, once
             raise
@@ -116,8 +119,8 @@
         except Exception:  # logged in its turn
             pass
 
-    def _tell(self, event: sse.Listed | sse.Purged) -> None:
-        if isinstance(event, sse.Purged):
+    def _tell(self, event: sse.EndpointListEvent | sse.PurgeEvent) -> None:
+        if isinstance(event, sse.PurgeEvent):
             self.facade.purged(event.key, event.group, event.at)
         else:
             self.facade.listed(event.entries, event.whole)
@@ -130,7 +133,7 @@
             self._in_order([(None, held) for held in told if sse.number_of(held, None) is not None])
         except GapError:
             self.gap_at = -1  # the stream has not been asked for what is missing
-        except ConfigurationError as wrong:
+        except ConfigError as wrong:
             self.log.event("bad event", why=str(wrong))
 
     def _run(self) -> None:
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -3,7 +3,7 @@
 """
 
 
-class Intake:
+class ReceiveBuffer:
     def __init__(self, size: int) -> None:
         self.size = size
         self.view = memoryview(bytearray(size))
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ..policy.model import Asked, Note, Order, Outcome
-from .receive_buffer import Intake
+from ..policy.model import CacheStatus, ClientRequest, Outcome, SendAttempt
+from .receive_buffer import ReceiveBuffer
 
 BULK_MOST = 262_144
 ITEMS_MOST, LINE_MOST = 8, 32
@@ -22,7 +22,7 @@
 HOWS = (("join", "collapse"), ("held_only", "only-if-cached"), ("renew", "refresh"))
 WELL = {b"FIT": True, b"UNFIT": False}
 NOTES = {
-    word: Note(place + 1)
+    word: CacheStatus(place + 1)
     for place, word in enumerate(
         (
             "HIT",
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, size: int = 65_536) -> None:
-        self.intake = Intake(size)
+        self.intake = ReceiveBuffer(size)
         self.whole = 0
         self._begin()
 
@@ -123,7 +123,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Told:
+class NodeAnswer:
     """One answer of a node. `outcome` is None for that to a probe."""
 
     about: str
@@ -131,7 +131,7 @@
     body: memoryview
     kept: bool = False  # the client's own copy is the one
     tag: str = ""  # of the copy that the answer is about
-    note: Note = Note.NONE
+    note: CacheStatus = CacheStatus.NONE
     waited: float = 0.0
     load: dict[str, float] | None = None
     well: bool = True  # of a probe: whether the node calls itself fit
@@ -144,7 +144,7 @@
         return Outcome.ERROR if strange else self.outcome
 
 
-def read_told(items: list[memoryview], report_words: dict[str, str]) -> Told:
+def read_told(items: list[memoryview], report_words: dict[str, str]) -> NodeAnswer:
     if not 3 <= len(items) <= 4:
         raise RespError(f"an answer of {len(items)} items")
     word = bytes(items[1])
@@ -154,7 +154,7 @@
     if word == b"DONE" and len(items) < 4:  # it would pass for an object without bytes
         raise RespError("an object without its bytes")
     try:
-        told = Told(
+        told = NodeAnswer(
             str(items[0], "ascii"),
             outcome,
             items[3] if len(items) > 3 else items[2][:0],
@@ -165,7 +165,7 @@
         for pair in fields.split(",") if fields not in ("-", "") else ():
             name, _, value = pair.partition("=")
             if name == "why":
-                told.note = NOTES.get(value, Note.NONE)
+                told.note = NOTES.get(value, CacheStatus.NONE)
             elif name == "entity":
                 told.tag = value
             elif name == "delay":
@@ -197,7 +197,7 @@
     )
 
 
-def pull(asked: Asked, order: Order, left: float) -> list[memoryview | bytes]:
+def pull(asked: ClientRequest, order: SendAttempt, left: float) -> list[memoryview | bytes]:
     """An attempt, as pieces to be written one after the other."""
     fields = {
         "lane": asked.request_class,
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -5,13 +5,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..config.platform import ConfigurationError, Section
-from ..policy.model import NOWHERE, Listing, State
+from ..config.platform import JsonSection
+from ..errors import ConfigError
+from ..policy.model import UNKNOWN_ADDRESS, EndpointState, EndpointUpdate
 
 LINE_MOST = 4_194_304  # the first event holds the whole list
 HEAD_MOST = 16_384
 DATA_LINES_MOST = 1024  # of one event; each may be long
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 
 
 class SseError(Exception):
@@ -129,59 +134,63 @@
 
 
 @dataclass(slots=True, eq=False)
-class Listed:
-    entries: list[Listing]
+class EndpointListEvent:
+    entries: list[EndpointUpdate]
     whole: bool
     wrong: list[str]  # entries that can't be read, and why
 
 
 @dataclass(slots=True, eq=False)
-class Purged:
+class PurgeEvent:
     key: int  # 0: the whole group
     group: int
     at: float
 
 
-def forbidding(event: Listed | Purged) -> Listed | Purged:
+def forbidding(event: EndpointListEvent | PurgeEvent) -> EndpointListEvent | PurgeEvent:
     """What of an event holds at once, though others before it are yet to come: all but who is
     ready.
     """
-    if isinstance(event, Purged):
+    if isinstance(event, PurgeEvent):
         return event
-    return Listed([entry for entry in event.entries if entry.state != State.READY], False, [])
+    return EndpointListEvent(
+        [entry for entry in event.entries if entry.state != EndpointState.READY], False, []
+    )
 
 
 def number_of(held: Any, number: int | None) -> int | None:
     """The number that an event gives itself, else that of its line."""
-    return Section(held, "event").whole("offset", number)
+    return JsonSection(held, "event").whole("offset", number)
 
 
-def _leaving(row: Section) -> Listing | None:
+def _leaving(row: JsonSection) -> EndpointUpdate | None:
     """Of one that leaves the name is enough: what else is told of it may be left out or out of
     date.
     """
     name, state = row.held.get("id"), row.held.get("state")
     if not isinstance(name, str) or state not in ("DELETED", "DRAINING"):
         return None
-    return Listing(name, NOWHERE, STATES[state], 1.0, -1, -1, 0, 0.0)
+    return EndpointUpdate(name, UNKNOWN_ADDRESS, STATES[state], 1.0, -1, -1, 0, 0.0)
 
 
-def read_event(held: Any, zones: dict[str, int], kinds: dict[str, int]) -> Listed | Purged:
+def read_event(
+    held: Any, zones: dict[str, int], kinds: dict[str, int]
+) -> EndpointListEvent | PurgeEvent:
     """What an event says. Raises ConfigurationError or ValueError, with the key, where it can't be
     read.
     """
-    event = Section(held, "event")
+    event = JsonSection(held, "event")
     if "ban" in event.held:
         ban = event.section("ban")
         if "url" in ban.held:
-            return Purged(int(ban.text("url"), 16), ban.whole("tag", 0), ban.number("ts"))
-        return Purged(0, ban.whole("tag"), ban.number("ts"))
+            return PurgeEvent(int(ban.text("url"), 16), ban.whole("tag", 0), ban.number("ts"))
+        return PurgeEvent(0, ban.whole("tag"), ban.number("ts"))
     topology = event.section("topology")
-    listed = Listed([], topology.flag("full", False), [])
+    listed = EndpointListEvent([], topology.flag("full", False), [])
     for row in topology.sections("servers"):
         try:
             listed.entries.append(
-                Listing(
+                EndpointUpdate(
                     row.text("id"),
                     row.address("addr"),
                     row.choice("state", STATES),
@@ -192,7 +201,7 @@
                     float(row.number("started_ms", 0)),
                 )
             )
-        except ConfigurationError as wrong:  # the others count
+        except ConfigError as wrong:  # the others count
             if (leaving := _leaving(row)) is None:
                 listed.wrong.append(str(wrong))
             else:
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ..policy.model import Asked
-from .receive_buffer import Intake
+from ..policy.model import ClientRequest
+from .receive_buffer import ReceiveBuffer
 
 BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = (
     2,
@@ -46,7 +46,7 @@
     """Cuts what is received into frames."""
 
     def __init__(self, size: int = 4096, most: int = FRAME_MOST) -> None:
-        self.intake, self.most = Intake(size), most
+        self.intake, self.most = ReceiveBuffer(size), most
         self.whole = 0
 
     def room(self) -> memoryview:
@@ -159,7 +159,7 @@
     return call
 
 
-def read_serve(reader: Reader, tenant_field: str = "") -> Asked:
+def read_serve(reader: Reader, tenant_field: str = "") -> ClientRequest:
     """The arguments of `serve`, each field checked by its form. `tenant_field`: where our own
     installations' clients name their tenant; empty: nowhere.
     """
@@ -179,7 +179,7 @@
     return _asked(fields, body, tenant_field)
 
 
-def _asked(fields: dict[str, str], body: memoryview, tenant_field: str) -> Asked:
+def _asked(fields: dict[str, str], body: memoryview, tenant_field: str) -> ClientRequest:
     def read(name: str, form: re.Pattern[str], default: str | None = None) -> str:
         value = fields.get(name)
         if value is None and default is not None:
@@ -193,7 +193,7 @@
     group = int(read("batch", NUMBER, "0"))
     if group > GROUP_MOST:
         raise ThriftError("the field batch is out of range")
-    return Asked(
+    return ClientRequest(
         request_class=read("route", TOKEN),
         mark=read("trace", HEX),
         object=read("entity", HEX),
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -16,14 +16,22 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..config.platform import REPORT_WORDS
-from ..coordinator import Facade
+from ..config.platform import LOAD_REPORT_FIELDS
+from ..coordinator import RequestCoordinator
 from ..policy import connection_reuse as held_links
-from ..policy.connection_reuse import Patience, hold_for
-from ..policy.model import Asked, Attempt, Node, Order, Outcome, Place, Request
-from ..structured_log import Log
+from ..policy.connection_reuse import PingBackoff, hold_for
+from ..policy.model import (
+    Attempt,
+    ClientRequest,
+    Endpoint,
+    EndpointAddress,
+    Outcome,
+    Request,
+    SendAttempt,
+)
+from ..structured_log import StructuredLog
 from . import resp
-from .write_queue import Outlet
+from .write_queue import WriteQueue
 
 OVER_FOR = 10_000.0  # ms for which an answer to an attempt that was given up may still come
 ECHO_WAIT = 100.0  # ms from asking a link for an echo to its end
@@ -32,20 +40,20 @@
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    node: Node
+    node: Endpoint
     sent: float
 
 
-class Link:
+class UpstreamConnection:
     """One connection to a node. All fields are guarded by the lock of Caches."""
 
-    def __init__(self, place: Place, now: float, lock: threading.Lock) -> None:
+    def __init__(self, place: EndpointAddress, now: float, lock: threading.Lock) -> None:
         self.place, self.used, self.heard = place, now, now
-        self.outlet = Outlet(lock)
+        self.outlet = WriteQueue(lock)
         self.open: dict[str, Attempt | Probe] = {}
         self.over: dict[str, float] = {}  # ended here alone; a late or second answer may still come
         self.asked = 0.0  # when it was asked whether it still brings answers
-        self.patience, self.held_for = Patience(), 0.0
+        self.patience, self.held_for = PingBackoff(), 0.0
         self.given_up = 0.0  # when an attempt was given up with nothing heard since it was sent
 
     def takes(self, about: str, most: int) -> bool:
@@ -83,14 +91,14 @@
         )
 
 
-class Caches:
+class UpstreamConnections:
     """All links of one director."""
 
     def __init__(
         self,
-        facade: Facade,
+        facade: RequestCoordinator,
         clock: Callable[[], float],
-        log: Log,
+        log: StructuredLog,
         connect_timeout: float,
         idle_for: float,
         attempts_a_connection: int,
@@ -114,17 +122,17 @@
         }
         self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
         self.lock = threading.Lock()
-        self.links: dict[Place, list[Link]] = {}
+        self.links: dict[EndpointAddress, list[UpstreamConnection]] = {}
         self.down: dict[
-            Place, int
+            EndpointAddress, int
         ] = {}  # places whose last link failed, with attempts lost since the first
-        self.of_attempt: dict[Attempt, tuple[Link, str]] = {}
+        self.of_attempt: dict[Attempt, tuple[UpstreamConnection, str]] = {}
         self.count, self.stopped = 0, False
         self.tags = itertools.count(1)
 
     # For those who see a request through
 
-    def send(self, order: Order, asked: Asked) -> None:
+    def send(self, order: SendAttempt, asked: ClientRequest) -> None:
         attempt, order.attempt.tag = order.attempt, asked.tag
         left = attempt.request.until - self.clock()
         self._put(order.place, asked.mark, attempt, resp.pull(asked, order, left))
@@ -144,7 +152,7 @@
                 if self.facade.terms.may_cancel:
                     self._kill(link, about)
 
-    def _kill(self, link: Link, about: str) -> None:
+    def _kill(self, link: UpstreamConnection, about: str) -> None:
         """Under the lock. Where a request may have one attempt out at a time, the next one must not
         overtake a word that waits behind others to be written: the end of the connection says it at
         once.
@@ -153,7 +161,7 @@
         if link.outlet.waiting and not self.facade.terms.two_attempts:
             link.outlet.end()
 
-    def probe(self, node: Node, place: Place, with_report: bool = True) -> None:
+    def probe(self, node: Endpoint, place: EndpointAddress, with_report: bool = True) -> None:
         tag = f"probe-{next(self.tags)}"
         self._put(place, tag, Probe(node, self.clock()), [resp.probe(tag, with_report)])
 
@@ -244,7 +252,11 @@
     # Inside
 
     def _put(
-        self, place: Place, about: str, held: Attempt | Probe, pieces: list[memoryview | bytes]
+        self,
+        place: EndpointAddress,
+        about: str,
+        held: Attempt | Probe,
+        pieces: list[memoryview | bytes],
     ) -> None:
         now, link = self.clock(), None
         with self.lock:
@@ -266,7 +278,7 @@
                 held, Outcome.MOOT
             )  # not to be sent, or no connection here: no word about the node
 
-    def _choose(self, links: list[Link], about: str) -> Link | None:
+    def _choose(self, links: list[UpstreamConnection], about: str) -> UpstreamConnection | None:
         """Under the lock. One that nothing is out on may have been closed by the node in this very
         moment: what is written there is lost, and nobody could say whether it ran.
         """
@@ -279,11 +291,11 @@
             link.outlet.end()
         return None
 
-    def _may_ask(self, link: Link) -> bool:
+    def _may_ask(self, link: UpstreamConnection) -> bool:
         """Under the lock. Whether those that something is out at there may be asked for an echo."""
         return all(self.facade.may_ask(held.node, link.place) for held in link.open.values())
 
-    def _is_stale(self, held: Attempt | Probe | None, place: Place) -> bool:
+    def _is_stale(self, held: Attempt | Probe | None, place: EndpointAddress) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes
         after it.
         """
@@ -298,7 +310,7 @@
             )  # told by the connection's own thread as well, but that may be late
         return not self.facade.may_begin(held)
 
-    def _stale_on(self, link: Link, about: str) -> Attempt | Probe | None:
+    def _stale_on(self, link: UpstreamConnection, about: str) -> Attempt | Probe | None:
         """Under the lock. What waited for its link and must not be sent any more; off the link with
         it, so that nobody gives up there what never was.
         """
@@ -318,9 +330,11 @@
         self.facade.report(attempt, *how)
         self.see_through(attempt.request)
 
-    def _connect(self, place: Place, links: list[Link], now: float) -> Link | None:
+    def _connect(
+        self, place: EndpointAddress, links: list[UpstreamConnection], now: float
+    ) -> UpstreamConnection | None:
         """Under the lock. A new link, or None where no thread is to be had for it."""
-        link = Link(place, now, self.lock)
+        link = UpstreamConnection(place, now, self.lock)
         link.outlet.stale = lambda about: self._stale_on(link, about)
         link.outlet.withdrawn = self._withdrawn
         try:
@@ -332,7 +346,7 @@
         self.count += 1
         return link
 
-    def _run(self, link: Link) -> None:
+    def _run(self, link: UpstreamConnection) -> None:
         """The thread of a link: connects, then reads until the end."""
         outcome, why, connection = Outcome.UNCONNECTED, "", None
         try:
@@ -359,11 +373,11 @@
         finally:
             self._end(link, connection, outcome, why)
 
-    def _read(self, link: Link, connection: socket.socket) -> None:
+    def _read(self, link: UpstreamConnection, connection: socket.socket) -> None:
         arrays = resp.Arrays()
         while (length := connection.recv_into(arrays.room())) > 0:
             for items in arrays.filled(length):
-                told = resp.read_told(items, REPORT_WORDS)
+                told = resp.read_told(items, LOAD_REPORT_FIELDS)
                 with self.lock:
                     held = link.open.pop(told.about, None)
                     link.used = link.heard = self.clock()
@@ -393,7 +407,7 @@
                     self.log.event("unknown id", node=link.place.name, about=told.about[:32])
 
     def _end(
-        self, link: Link, connection: socket.socket | None, outcome: Outcome, why: str
+        self, link: UpstreamConnection, connection: socket.socket | None, outcome: Outcome, why: str
     ) -> None:
         with self.lock:
             ours = link.outlet.ended
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -26,7 +26,7 @@
     first: bool  # nothing of its message is written
 
 
-class Outlet:
+class WriteQueue:
     """All fields are guarded by the lock, which its owner may share; waiting is done outside it."""
 
     def __init__(self, lock: threading.Lock, write_wait: float | None = None) -> None:
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -21,7 +21,7 @@
 STEPS_MOST = 4  # half of the places are open to all
 
 
-class Lateness:
+class SchedulingDelay:
     """How late this director is by itself: it has not enough of a core, or was stopped."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
     return called, called and calling, asked, used
 
 
-class Places:
+class AdmissionThresholds:
     """How full a director may be for requests of each request class."""
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -24,7 +24,7 @@
 HELD_SHORT = 50.0  # where there would be more, each is held for so long
 
 
-class Patience:
+class PingBackoff:
     """How long one link may say nothing while attempts are out on it, before it is asked for an
     echo.
     """
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -24,7 +24,7 @@
     return max(ECHO_LEAST, ECHO_EACH * sharers)
 
 
-class Watch:
+class HealthCheckScheduler:
     """One director's questions."""
 
     def __init__(self, now: float, random: Random, reports: bool, price: float = 0.0) -> None:
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -13,10 +13,10 @@
 from typing import Any, Protocol
 
 IDEMPOTENT, KEYED, UNSAFE = "idempotent", "keyed", "unsafe"
-NOWHERE = ("", 0)  # the address of a node of which only the name and the state are told
+UNKNOWN_ADDRESS = ("", 0)  # the address of a node of which only the name and the state are told
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     READY = 0
     GONE = 1
     DRAINING = 2
@@ -40,7 +40,7 @@
         return self >= Outcome.TURNED_AWAY
 
 
-class Note(IntEnum):
+class CacheStatus(IntEnum):
     """What a cache tells of an answer's way, where it tells."""
 
     NONE = 0
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class ColdRule:
+class SlowStartPolicy:
     """What a node that has just started can take."""
 
     starts_at: float  # share of its capacity at the start
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Terms:
+class ServiceSettings:
     """What a director is told at its start about the service it stands in."""
 
     request_classes: list[RequestClass]
@@ -103,14 +103,14 @@
     must_subscribe: bool
     reports: list[str]  # names of a load report's values
     asks_reports: bool  # they come to probes only
-    cold_cache: ColdRule
-    cold_parent: ColdRule
+    cold_cache: SlowStartPolicy
+    cold_parent: SlowStartPolicy
     purge_span: float
     probe_price: float = 0.0  # of one probe a request, in credit; 0 where not told
 
 
 @dataclass(slots=True, eq=False)
-class Node:
+class Endpoint:
     """A cache, a parent or the origin, as the list tells of it."""
 
     key: int
@@ -118,7 +118,7 @@
     kind: int = -1
     listed_cell: int = -1  # the list's own word; what a tenant is confined to is a Pool
     share: float = 1.0
-    state: State = State.GONE
+    state: EndpointState = EndpointState.GONE
     started: float = 0.0
 
 
@@ -126,28 +126,28 @@
 class Attempt:
     request: "Request"
     number: int
-    node: Node
-    source: Node | None
+    node: Endpoint
+    source: Endpoint | None
     sent: float
     timeout: float
     outcome: Outcome | None = None
     bag: Any = None  # the module's own notes on it
     purged: float = 0.0  # the purge that bounds the age of its copy; 0: none does
     ways: tuple[
-        tuple[Node, "Place"], ...
+        tuple[Endpoint, "EndpointAddress"], ...
     ] = ()  # the caller's: where node and source were when decided
     tag: str = ""  # the caller's: of the client's copy, as the node was told
 
 
 @dataclass(slots=True, eq=False)
-class Purse:
+class RetryBudget:
     """Further attempts that may go now, for all requests that share it."""
 
     again: float
 
 
 @dataclass(slots=True, eq=False)
-class Share:
+class QuotaShare:
     """This director's part of a limit that directors have in common: `part` until then, and after
     that, however long it was stopped meanwhile, only `least`. Where it is `watched`, the largest
     parts that it used and that it was refused since somebody last looked.
@@ -165,16 +165,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pool:
+class CachePool:
     """What a request is confined to: the caches it may go to, those that are taken where none of
     these may be sent to, those that may fill it as siblings besides, and further attempts that it
     shares with others.
     """
 
-    caches: dict[Node, None]
-    spare: dict[Node, None]
-    helpers: dict[Node, None]
-    purse: Purse
+    caches: dict[Endpoint, None]
+    spare: dict[Endpoint, None]
+    helpers: dict[Endpoint, None]
+    purse: RetryBudget
 
 
 @dataclass(slots=True, eq=False)
@@ -190,11 +190,11 @@
     repeated: bool = False
     ended: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    pool: Pool | None = None  # None: all caches of the location
+    pool: CachePool | None = None  # None: all caches of the location
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ClientRequest:
     """A request as its client worded it; the texts and the body go on with each
     attempt, unchanged.
     """
@@ -214,7 +214,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class EndpointAddress:
     """Where a node is found: its name and address on the wire. A machine that starts again gets a
     new one.
     """
@@ -225,12 +225,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Listing:
+class EndpointUpdate:
     """One node as the list tells of it."""
 
     name: str
     address: tuple[str, int]
-    state: State
+    state: EndpointState
     share: float
     kind: int
     zone: int
@@ -239,11 +239,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Order:
+class SendAttempt:
     """Send this attempt."""
 
     attempt: Attempt
-    place: Place
+    place: EndpointAddress
     source: str  # the name of the node that a miss is filled from; empty: no fill
     max_age: float
     rank: int
@@ -253,7 +253,7 @@
     renew: bool
 
 
-class Writer(Protocol):
+class ActionSink(Protocol):
     """Where decisions go, one method an action."""
 
     def send(
@@ -270,6 +270,6 @@
     def reject(self, request: Request, come_back: float) -> None: ...
     def fail(self, request: Request) -> None: ...
     def wake(self, delay: float, about: Any) -> None: ...
-    def probe(self, node: Node) -> None: ...
+    def probe(self, node: Endpoint) -> None: ...
     def subscribe(self) -> None: ...
     def log(self, text: str) -> None: ...
--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -25,7 +25,7 @@
 FADES = 64_000.0  # halving of the sum
 
 
-class Health:
+class OutlierDetector:
     """One member's outcomes at one director."""
 
     def __init__(self) -> None:
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -16,7 +16,7 @@
 QUICK, QUICK_COST = 0.25, 0.3  # a further attempt after one that ended in that part of its work
 
 
-class Storm:
+class OverloadDetector:
     """One director's requests and rejections of the last seconds."""
 
     def __init__(self) -> None:
