--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -13,27 +13,27 @@
 from typing import Any
 
 from . import overload
-from .health_checks import Watch, pace
+from .health_checks import HealthCheckScheduler, pace
 from .model import (
     IDEMPOTENT,
     KEYED,
     UNSAFE,
+    ActionSink,
     Attempt,
-    Node,
-    Note,
+    CacheStatus,
+    Endpoint,
+    EndpointState,
     Outcome,
-    Purse,
+    QuotaShare,
     Request,
-    Share,
-    State,
-    Terms,
-    Writer,
+    RetryBudget,
+    ServiceSettings,
 )
-from .outlier_detection import Health
-from .overload import Storm
+from .outlier_detection import OutlierDetector
+from .overload import OverloadDetector
 from .popularity import Popularity
-from .slow_start import Allowance
-from .zone_reachability import Reach
+from .slow_start import SlowStartBudget
+from .zone_reachability import ZoneReachability
 
 # d: a member this much slower than its yardstick is passed over; above the noise of coarse bins
 NEAR = 80.0
@@ -96,7 +96,7 @@
 MIDDLES = [6.0 * 2.0**place for place in range(11)]  # of a histogram's bins
 
 
-class Histogram:
+class DecayingHistogram:
     """Weights in bins that double in width, halved from time to time."""
 
     def __init__(self, halving: float) -> None:
@@ -133,13 +133,15 @@
         return 0.0
 
 
-class Member(Node):
+class TrackedEndpoint(Endpoint):
     """A cache, parent or the origin with what this director has seen of it."""
 
     def reset(self) -> None:
-        self.recent, self.usual = Histogram(HALF_RECENT), Histogram(HALF_USUAL)
-        self.health = Health()
-        self.late = Histogram(HALF_RECENT)  # hits: time beyond their sending time, in percent of it
+        self.recent, self.usual = DecayingHistogram(HALF_RECENT), DecayingHistogram(HALF_USUAL)
+        self.health = OutlierDetector()
+        self.late = DecayingHistogram(
+            HALF_RECENT
+        )  # hits: time beyond their sending time, in percent of it
         self.heard, self.quiet, self.lost = (
             0.0,
             0.0,
@@ -152,7 +154,7 @@
         )  # unreached: shunned for silence
         self.shunned_at = 0.0
         self.out: dict[Attempt, None] = {}
-        self.cold = Allowance()  # what this director may send it while cold
+        self.cold = SlowStartBudget()  # what this director may send it while cold
 
 
 def mix(*parts: int) -> int:
@@ -169,15 +171,15 @@
     return [held for held in request.attempts if held.outcome is None or not held.outcome.never_ran]
 
 
-class Director:
-    def __init__(self, now: float, seed: int, terms: Terms) -> None:
+class Router:
+    def __init__(self, now: float, seed: int, terms: ServiceSettings) -> None:
         self.terms, self.now, self.random = terms, now, Random(seed)
-        self.watch = Watch(now, self.random, terms.asks_reports, terms.probe_price)
-        self.reach = Reach()
-        self.members: dict[Member, None] = {}  # all that are listed
+        self.watch = HealthCheckScheduler(now, self.random, terms.asks_reports, terms.probe_price)
+        self.reach = ZoneReachability()
+        self.members: dict[TrackedEndpoint, None] = {}  # all that are listed
         self.listed([], True, False)  # caches: the ready ones of this location; parents; the origin
         self.popular = Popularity(now)
-        self.beliefs: dict[tuple[int, int], dict[Member, float]] = {}
+        self.beliefs: dict[tuple[int, int], dict[TrackedEndpoint, float]] = {}
         self.purges: dict[
             tuple[str, int], float
         ] = {}  # moment of the last purge of an object or a group
@@ -186,15 +188,15 @@
             case: [0.0, 0.0] for case in classes
         }  # sum of sending times and their number
         self.took = {
-            case: Histogram(HALF_USUAL) for case in classes
+            case: DecayingHistogram(HALF_USUAL) for case in classes
         }  # answers, but for known fills
         self.subscribed = not terms.must_subscribe
         self.cold_here, self.cold_parents = (
-            Share(1.0 / terms.directors_here),
-            Share(1.0 / terms.directors),
+            QuotaShare(1.0 / terms.directors_here),
+            QuotaShare(1.0 / terms.directors),
         )
         self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
-        self.purse = Purse(
+        self.purse = RetryBudget(
             AGAIN_MOST
         )  # further attempts that may go now, where no pool brings its own
         self.trials = self.random.random()  # trials that may go now; directors start apart
@@ -202,12 +204,12 @@
             0.0,
             0.0,
         )  # crowding of the location's link, and when it was told
-        self.behind = Histogram(HALF_BEHIND)  # delay of what came by way of the origin
-        self.storm = Storm()
+        self.behind = DecayingHistogram(HALF_BEHIND)  # delay of what came by way of the origin
+        self.storm = OverloadDetector()
 
     # What comes in; `end` (the client left) and `sign_of_life` are called from outside, too
 
-    def round(self, now: float, inbox: list[tuple[str, tuple[Any, ...]]], out: Writer) -> None:
+    def round(self, now: float, inbox: list[tuple[str, tuple[Any, ...]]], out: ActionSink) -> None:
         self.now, self.out = now, out
         if not self.subscribed:
             self.subscribed = True
@@ -223,7 +225,7 @@
             return
         if whole:
             for member in self.members:
-                member.state = State.GONE
+                member.state = EndpointState.GONE
         anew = False
         for member, *row in rows:
             if row[-1] != member.started or member not in self.members:
@@ -239,9 +241,11 @@
             ) = row
             self.members[member] = None
         self.members = {
-            member: None for member in self.members if member.state != State.GONE or member.out
+            member: None
+            for member in self.members
+            if member.state != EndpointState.GONE or member.out
         }
-        ready = [member for member in self.members if member.state == State.READY]
+        ready = [member for member in self.members if member.state == EndpointState.READY]
         kinds = (self.terms.parent_kind, self.terms.origin_kind)
         self.caches = [m for m in ready if m.kind not in kinds and m.zone == self.terms.zone]
         self.parents = [m for m in ready if m.kind == self.terms.parent_kind]
@@ -274,7 +278,7 @@
         outcome: Outcome,
         wait: float,
         closed: bool,
-        note: Note,
+        note: CacheStatus,
         first_byte: float,
         load: dict[str, float] | None,
     ) -> None:
@@ -294,18 +298,20 @@
         elif about.outcome is None and not about.request.ended:
             self.check(about)
 
-    def told(self, member: Member, load: dict[str, float] | None, well: bool = True) -> None:
+    def told(
+        self, member: TrackedEndpoint, load: dict[str, float] | None, well: bool = True
+    ) -> None:
         """What a probe brought; an answer disproves that the member is not reached."""
         self.note_load(member, load)
         if well and (member.unreached or (self.reach.cut and member in self.reach.nodes)):
             self.take_back(member)
 
-    def take_back(self, member: Member) -> None:
+    def take_back(self, member: TrackedEndpoint) -> None:
         member.health.forget_bad()
         member.quiet = member.quiet or QUIET_MOST
         self.sign_of_life(member)
 
-    def note_load(self, member: Member, load: dict[str, float] | None) -> None:
+    def note_load(self, member: TrackedEndpoint, load: dict[str, float] | None) -> None:
         if load and member in self.caches and "crowding" in load:
             self.link, self.link_told = load["crowding"], self.now
 
@@ -353,7 +359,7 @@
         failed = sum(attempt.outcome == Outcome.ERROR for attempt in request.attempts)
         return few and failed < ERRORS_MOST and self.may_send(request)
 
-    def purse_of(self, request: Request) -> Purse:
+    def purse_of(self, request: Request) -> RetryBudget:
         return request.pool.purse if request.pool else self.purse
 
     def stuck(self, request: Request) -> None:
@@ -368,7 +374,13 @@
         if late or last is None or last.outcome is not None or last.node.unreached:
             self.give_up(request)
 
-    def send(self, request: Request, node: Member, source: Member | None, held_only: bool) -> None:
+    def send(
+        self,
+        request: Request,
+        node: TrackedEndpoint,
+        source: TrackedEndpoint | None,
+        held_only: bool,
+    ) -> None:
         attempt = Attempt(
             request, len(request.attempts), node, source, self.now, request.until - self.now
         )
@@ -468,11 +480,11 @@
         fresh = self.purge_moment(request) <= attempt.purged
         return ready and alone and fresh and not request.ended and self.may_send(request, attempt)
 
-    def may_ask(self, member: Member) -> bool:
+    def may_ask(self, member: TrackedEndpoint) -> bool:
         """Whether it may be asked for an echo or a report: who leaves is sent nothing new, those
         neither.
         """
-        return member.state == State.READY
+        return member.state == EndpointState.READY
 
     def may_send(self, request: Request, attempt: Attempt | None = None) -> bool:
         """`attempt`: which is about to begin; not counted among those that may have run."""
@@ -495,7 +507,7 @@
 
     # Which cache
 
-    def choose_cache(self, request: Request) -> Member | None:
+    def choose_cache(self, request: Request) -> TrackedEndpoint | None:
         """Of all caches, or of the request's pool; where none there may be sent to, of those it
         spares.
         """
@@ -504,7 +516,7 @@
         found = self.best(request, [cache for cache in self.caches if cache in pool.caches])
         return found or self.best(request, [cache for cache in self.caches if cache in pool.spare])
 
-    def best(self, request: Request, caches: list[Member]) -> Member | None:
+    def best(self, request: Request, caches: list[TrackedEndpoint]) -> TrackedEndpoint | None:
         most = self.bearable(request) if self.terms.sized else math.inf
         tried = {attempt.node for attempt in request.attempts if attempt.outcome != Outcome.MISS}
         ranked = self.by_hash(
@@ -517,7 +529,7 @@
             first.sort(key=self.crowd)
         return next((member for member in chain(first, fit) if self.crowd(member) <= most), None)
 
-    def crowd(self, member: Member) -> float:
+    def crowd(self, member: TrackedEndpoint) -> float:
         """By how much a transfer is slowed there: recent hits show it (one on time put in, as few
         are known), and this director's own attempts that are out, as many times as it stands for
         directors here.
@@ -527,7 +539,7 @@
         shown = 1.0 + 0.01 * total / (weight + 1.0)
         return max(1.0, shown + ((1 + len(member.out) * sharers) / fits - shown) / sharers)
 
-    def by_hash(self, members: list[Member], *what: int) -> list[Member]:
+    def by_hash(self, members: list[TrackedEndpoint], *what: int) -> list[TrackedEndpoint]:
         """Rendezvous order, weighted by size and by how warm a member is: a lost one moves only its
         own.
         """
@@ -562,7 +574,9 @@
 
     # Which source
 
-    def choose_source(self, request: Request, cache: Member | None) -> tuple[Member | None, bool]:
+    def choose_source(
+        self, request: Request, cache: TrackedEndpoint | None
+    ) -> tuple[TrackedEndpoint | None, bool]:
         """Where a miss is filled from, and whether that is asked only for what it holds."""
         work = self.counted(request)
         tried = {attempt.source for attempt in request.attempts if self.doubts_source(attempt)}
@@ -602,12 +616,14 @@
             (cache, False) if late or (held_only and source is self.origin) else (source, held_only)
         )
 
-    def siblings(self, request: Request) -> list[Member]:
+    def siblings(self, request: Request) -> list[TrackedEndpoint]:
         if (pool := request.pool) is None:
             return self.caches
         return [cache for cache in self.caches if cache in pool.caches or cache in pool.helpers]
 
-    def old_home(self, request: Request, tried: set[Member | None], work: float) -> Member | None:
+    def old_home(
+        self, request: Request, tried: set[TrackedEndpoint | None], work: float
+    ) -> TrackedEndpoint | None:
         """The cache that an object on the move stood at, which is believed to hold it though no
         recent answer told so. Spares the origin; could harm by an attempt for what nobody has asked
         for lately.
@@ -616,7 +632,7 @@
         first = next(self.fit(self.by_hash(helpers, request.key, request.part), work), None)
         return first if first not in tried else None
 
-    def choose_outside(self, fit: Iterator[Member]) -> Member | None:
+    def choose_outside(self, fit: Iterator[TrackedEndpoint]) -> TrackedEndpoint | None:
         """The hashed parent, the next when that one is slower than usual, the origin when all are
         slow. What rose at all alike sends nobody on: next ones lack the objects, and the origin
         would be asked.
@@ -637,7 +653,7 @@
                 return parent
         return first or self.origin
 
-    def rise(self, parent: Member) -> float:
+    def rise(self, parent: TrackedEndpoint) -> float:
         """How far its delay has risen above its usual level, part of a usual reading put in."""
         (total, number), usual = parent.recent.sums(self.now), parent.usual.mean(self.now)
         return 0.0 if usual is None else (total - number * usual) / (number + USUAL_PUT_IN)
@@ -650,16 +666,16 @@
             return attempt.source is not None and attempt.source.heard < attempt.sent
         return attempt.outcome in (Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.MISS)
 
-    def holds(self, cache: Member, request: Request) -> bool:
+    def holds(self, cache: TrackedEndpoint, request: Request) -> bool:
         at = self.beliefs.get((request.key, request.part), {}).get(cache, 0.0)
         return at > max(self.now - BELIEF_AGE, self.purge_moment(request))
 
-    def trial(self, member: Member) -> bool:
+    def trial(self, member: TrackedEndpoint) -> bool:
         if due := self.now >= member.trial_due and self.trials >= 1.0:
             member.trial_due, self.trials = self.now + TRIAL_EVERY, self.trials - 1.0
         return due
 
-    def delay(self, member: Member) -> float:
+    def delay(self, member: TrackedEndpoint) -> float:
         """The smoothed delay; an unmeasured member gets the average of the measured."""
         if (mean := member.recent.mean(self.now)) is not None:
             return mean
@@ -670,7 +686,7 @@
 
     # The guards
 
-    def fit(self, members: list[Member], work: float) -> Iterator[Member]:
+    def fit(self, members: list[TrackedEndpoint], work: float) -> Iterator[TrackedEndpoint]:
         """Those that may be sent to, as asked for: the well and on trial, or all where none is
         well.
         """
@@ -683,14 +699,14 @@
                 sick.append(member)
         yield from () if well else (member for member in sick if self.has_room(member, work))
 
-    def cold_rule(self, member: Member) -> Any:
+    def cold_rule(self, member: TrackedEndpoint) -> Any:
         return (
             self.terms.cold_parent
             if member.kind == self.terms.parent_kind
             else self.terms.cold_cache
         )
 
-    def warmth(self, member: Member) -> float:
+    def warmth(self, member: TrackedEndpoint) -> float:
         """The share of its capacity that a member has at the least."""
         if not member.started or member.kind == self.terms.origin_kind:
             return 1.0
@@ -700,7 +716,7 @@
             rule.starts_at + (1.0 - rule.starts_at) * (self.now - member.started) / rule.warm_in,
         )
 
-    def has_room(self, member: Member, work: float) -> bool:
+    def has_room(self, member: TrackedEndpoint, work: float) -> bool:
         """A cold member gets this director's part of what it may be sent now, over any span of the
         rule.
         """
@@ -716,7 +732,7 @@
             member.cold.note(share, work, fits, whole * rule.span)
         return fits
 
-    def too_late(self, delays: Histogram, request: Request) -> bool:
+    def too_late(self, delays: DecayingHistogram, request: Request) -> bool:
         """Whether a fill would miss the goal by its source's delay or the origin's; what is held
         must do. Guards against a source that more fills hold crowded, from any cause; could harm
         short goals afar.
@@ -784,7 +800,7 @@
         ratio = self.goal_left(request) / self.work(request)
         return max(self.admit * ratio, min(CALM, ratio))
 
-    def learn(self, attempt: Attempt, wait: float, note: Note, first_byte: float) -> None:
+    def learn(self, attempt: Attempt, wait: float, note: CacheStatus, first_byte: float) -> None:
         outcome, node, source = attempt.outcome, attempt.node, attempt.source
         spot = (attempt.request.key, attempt.request.part)
         held, unreached = self.beliefs.get(spot, {}), node.unreached
@@ -797,20 +813,25 @@
             ]:
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
             work = self.work(attempt.request)
-            if note in (Note.HIT, Note.NONE):
+            if note in (CacheStatus.HIT, CacheStatus.NONE):
                 self.took[attempt.request.request_class].add(self.now, wait)
-            if note == Note.HIT and not unreached:  # what a cut held up tells nothing of crowding
+            if (
+                note == CacheStatus.HIT and not unreached
+            ):  # what a cut held up tells nothing of crowding
                 late = 100.0 * (wait - work) / max(work, LEAST_WORK)
                 node.late.add(self.now, min(late, LATE_MOST))
-            if node in self.caches and (self.rank(attempt.request) or note == Note.HIT):
+            if node in self.caches and (self.rank(attempt.request) or note == CacheStatus.HIT):
                 self.beliefs.setdefault(spot, {})[node] = self.now
-            if source not in (None, node) and note in (Note.FILLED, Note.FILLED_BY_ORIGIN):
+            if source not in (None, node) and note in (
+                CacheStatus.FILLED,
+                CacheStatus.FILLED_BY_ORIGIN,
+            ):
                 delay = max(first_byte, wait - work * max(self.crowd(node), self.link_slows()))
                 self.sign_of_life(source)
-                if note == Note.FILLED_BY_ORIGIN or source is self.origin:
+                if note == CacheStatus.FILLED_BY_ORIGIN or source is self.origin:
                     self.behind.add(self.now, delay)
                 if (
-                    note != Note.FILLED_BY_ORIGIN or source is self.origin
+                    note != CacheStatus.FILLED_BY_ORIGIN or source is self.origin
                 ):  # else it tells of the origin
                     source.recent.add(self.now, delay)
                     source.usual.add(self.now, delay)
@@ -832,18 +853,24 @@
             self.mark(node, 1.0, "reset")
         if source in (None, node) or outcome in (Outcome.CANCELLED, Outcome.MOOT):
             return
-        if note == Note.SOURCE_LACKS or (outcome == Outcome.MISS and note == Note.NONE):
+        if note == CacheStatus.SOURCE_LACKS or (
+            outcome == Outcome.MISS and note == CacheStatus.NONE
+        ):
             held.pop(source, None)
-        elif note in (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.ORIGIN_BROKE):
-            if note == Note.ORIGIN_BROKE or source is self.origin:
+        elif note in (
+            CacheStatus.SOURCE_REFUSED,
+            CacheStatus.SOURCE_LOST,
+            CacheStatus.ORIGIN_BROKE,
+        ):
+            if note == CacheStatus.ORIGIN_BROKE or source is self.origin:
                 self.behind.add(self.now, attempt.timeout)
-            if note != Note.ORIGIN_BROKE:  # that is no fault of the parent's
+            if note != CacheStatus.ORIGIN_BROKE:  # that is no fault of the parent's
                 source.recent.add(self.now, attempt.timeout)
             if (
-                note == Note.SOURCE_REFUSED
+                note == CacheStatus.SOURCE_REFUSED
             ):  # it lives and is crowded: its delay tells, it is not sick
                 self.sign_of_life(source)
-            elif note == Note.SOURCE_LOST:
+            elif note == CacheStatus.SOURCE_LOST:
                 self.mark(source, 1.0, note.name.lower())
 
     def blame(self, attempt: Attempt, why: str) -> None:
@@ -857,11 +884,11 @@
         for member, share in zip(both, shares, strict=True):
             self.mark(member, share / sum(shares), why)
 
-    def mark(self, member: Member, bad: float, why: str) -> None:
+    def mark(self, member: TrackedEndpoint, bad: float, why: str) -> None:
         member.health.mark(self.now, bad)
         self.judge(member, why)
 
-    def not_reached(self, member: Member) -> None:
+    def not_reached(self, member: TrackedEndpoint) -> None:
         """One more of the location's caches says nothing: all may be cut off, and a few
         are asked.
         """
@@ -873,7 +900,7 @@
                 f"location cut off: {len(self.reach.failed)} of {len(self.caches)} caches in a row"
             )
 
-    def sign_of_life(self, member: Member) -> None:
+    def sign_of_life(self, member: TrackedEndpoint) -> None:
         member.heard = self.now
         if (since := self.reach.heard(self.now, member)) is not None:
             self.out.log(f"location reached again by {member.key:x}")
@@ -886,7 +913,7 @@
             member.quiet = 0.0
             self.judge(member, "")
 
-    def judge(self, member: Member, why: str) -> None:
+    def judge(self, member: TrackedEndpoint, why: str) -> None:
         """Shuns a member that fails too often or has been silent too long; trials bring it back."""
         sick, health = member.quiet >= QUIET_MOST or member.health.is_bad(), member.health
         if sick != member.shunned:
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -15,7 +15,7 @@
 import math
 from random import Random
 
-from .model import Share
+from .model import QuotaShare
 
 FILL = 0.8  # of the node's present capacity that all directors together go to where each has room
 TICKET_FILL = 0.4  # and where they draw: what comes by chance comes in clusters
@@ -24,7 +24,7 @@
 )
 
 
-class Allowance:
+class SlowStartBudget:
     """What one director may send one cold node."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self.spent.append((now, work))
         self.until = -math.inf
 
-    def note(self, share: Share, work: float, fits: bool, whole: float) -> None:
+    def note(self, share: QuotaShare, work: float, fits: bool, whole: float) -> None:
         """How large a part of the node's capacity over the span, `whole`, this would take."""
         part = (sum(held for _, held in self.spent) + work) / (FILL * whole)
         if fits:
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -12,7 +12,7 @@
 )  # of refusals until the configuration is looked at; between two looks
 
 
-class Reconnects:
+class ReconnectBackoff:
     """One director's waits before its stream's next connection."""
 
     def __init__(self, random: Random) -> None:
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -25,7 +25,7 @@
 )  # of how many must fail, for each that was none; one less in so long
 
 
-class Reach:
+class ZoneReachability:
     """One director's view of its location."""
 
     def __init__(self) -> None:
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -8,9 +8,10 @@
 import threading
 import time
 
-from .config.platform import ConfigurationError, Start, from_environment
-from .director import Service
-from .structured_log import Log
+from .config.platform import DirectorConfig, load_config
+from .director import Director
+from .errors import ConfigError
+from .structured_log import StructuredLog
 
 STACK = 128 * 1024  # bytes for each thread; of these only what is touched counts
 READ_AGAIN = (0.05, 0.2, 0.0)  # s after which a configuration that can't be used is read again
@@ -23,14 +24,14 @@
     """Gives the exit code."""
     told = signals()
     try:
-        start = from_environment(os.environ, config)
+        start = load_config(os.environ, config)
         # Beyond what the system allows, clients and links would leave the event stream no
         # descriptor.
         start.sockets = min(start.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         threading.stack_size(STACK)
-        log = Log(start.name)
+        log = StructuredLog(start.name)
         service = make(start, log, cells, management, fleet)
-    except ConfigurationError as wrong:
+    except ConfigError as wrong:
         print(f"mulleinrelay: {wrong}", file=sys.stderr)
         return BAD_CONFIGURATION
     try:
@@ -72,39 +73,37 @@
 
 
 def make(
-    start: Start,
-    log: Log,
+    start: DirectorConfig,
+    log: StructuredLog,
     cells: str | None,
     management: str | None = None,
     fleet: str | None = None,
-) -> Service:
+) -> Director:
     """Raises ConfigurationError, also for what is wrong with our own files."""
     if not cells and not management and not fleet:
-        return Service(start, log)
+        return Director(start, log)
     try:
-        from .cells.model import CharterError
-
         try:
             held, managed, talked = None, None, None
             if cells:
-                from .cells.config import load_own
+                from .cells.config import load_cells_config
 
-                held = load_own(cells)
+                held = load_cells_config(cells)
             if management:
-                from .management.config import load_own as load_management
+                from .management.config import load_management_config
 
-                managed = load_management(management)
+                managed = load_management_config(management)
             if fleet:
-                from .membership.config import load_own as load_fleet
+                from .membership.config import load_fleet_config
 
-                talked = load_fleet(fleet)
-            return Service(start, log, held, managed, talked)
-        except CharterError as wrong:
-            raise ConfigurationError(str(wrong)) from None
+                talked = load_fleet_config(fleet)
+            return Director(start, log, held, managed, talked)
+        except ConfigError as wrong:
+            raise ConfigError(str(wrong)) from None
     except ModuleNotFoundError as missing:
         if (missing.name or "").startswith("mulleinrelay"):
             raise
-        raise ConfigurationError(
+        raise ConfigError(
             f"the library {missing.name} is missing; install mulleinrelay[cells], "
             "mulleinrelay[management] or mulleinrelay[fleet]"
         ) from None
@@ -113,19 +112,19 @@
 def bus_named(path: str | None) -> tuple[str, int] | None:
     """The event stream's address as the configuration has it now; None where it can't be read."""
     try:
-        return from_environment(os.environ, path).bus
-    except ConfigurationError:
+        return load_config(os.environ, path).bus
+    except ConfigError:
         return None
 
 
-def renew(service: Service, log: Log, path: str | None) -> None:
+def renew(service: Director, log: StructuredLog, path: str | None) -> None:
     """Reads the configuration again; where it can't be used, a few times, as it may not be whole
     yet.
     """
     for wait in READ_AGAIN:
         try:
-            return service.renew(from_environment(os.environ, path))
-        except ConfigurationError as wrong:
+            return service.renew(load_config(os.environ, path))
+        except ConfigError as wrong:
             why = str(wrong)
             time.sleep(wait)
     log.event("configuration kept", why=why)  # what was read last holds on
--- a/mulleinrelay/records.py
+++ b/mulleinrelay/records.py
@@ -10,7 +10,7 @@
 LOG_BYTES = 1_000_000  # then the log begins anew, and the one before is kept
 
 
-class Records:
+class DirectorRecords:
     """Written by one thread. A folder that can't be written is told of once, and tried again."""
 
     def __init__(self, folder: str, name: str) -> None:
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -16,7 +16,7 @@
 )
 
 
-class Log:
+class StructuredLog:
     def __init__(self, name: str = "", descriptor: int = 2) -> None:
         self.name, self.descriptor = name, descriptor
         self.lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -7,9 +7,10 @@
 from typing import Any, BinaryIO
 
 from . import wire
-from .config.platform import ConfigurationError, terms_from_text
-from .policy.model import Attempt, Node, Note, Outcome, Request, State
-from .policy.router import Director, Member
+from .config.platform import parse_service_settings_text
+from .errors import ConfigError
+from .policy.model import Attempt, CacheStatus, Endpoint, EndpointState, Outcome, Request
+from .policy.router import Router, TrackedEndpoint
 
 OUTCOMES = {
     0: Outcome.SERVED,
@@ -22,7 +23,7 @@
     114: Outcome.MOOT,
     2: Outcome.MISS,
 }
-NOTES = {int(note): note for note in Note}
+NOTES = {int(note): note for note in CacheStatus}
 FAILED_LIST, DELTA = 3, 2
 JOIN, HELD_ONLY, PARENT_DROPS, RENEW = 1, 2, 4, 8
 
@@ -34,17 +35,17 @@
         self.number = number
         self.reply = wire.Reply()
         self.requests: dict[int, Request] = {}
-        self.nodes: dict[bytes, Member] = {}
+        self.nodes: dict[bytes, TrackedEndpoint] = {}
         self.timers: dict[int, Any] = {}
         self.timer_count = 0
         self.inbox: list[tuple[str, tuple[Any, ...]]] = []
         self.touched: list[Request] = []
-        self.director: Director | None = None
+        self.director: Router | None = None
 
-    def node(self, address: bytes) -> Member:
+    def node(self, address: bytes) -> TrackedEndpoint:
         found = self.nodes.get(address)
         if found is None:
-            found = self.nodes[address] = Member(int.from_bytes(address, "big"))
+            found = self.nodes[address] = TrackedEndpoint(int.from_bytes(address, "big"))
         return found
 
     def load(self, count: int, values: tuple[float, ...]) -> dict[str, float] | None:
@@ -59,8 +60,8 @@
         call = self.inbox.append
         if code == wire.BEGIN:
             try:
-                self.director = Director(now, fields[0], terms_from_text(fields[1]))
-            except ConfigurationError as wrong:
+                self.director = Router(now, fields[0], parse_service_settings_text(fields[1]))
+            except ConfigError as wrong:
                 raise wire.WireError(f"bootInfo: {wrong}") from None
         elif self.director is None:
             return
@@ -94,7 +95,7 @@
                         outcome,
                         wait,
                         bool(closed),
-                        NOTES.get(note, Note.NONE),
+                        NOTES.get(note, CacheStatus.NONE),
                         first_byte,
                         self.load(count, tuple(values)),
                     ),
@@ -113,7 +114,7 @@
                 []
                 if how == FAILED_LIST
                 else [
-                    (self.node(address), State(state), share, kind, zone, cell, started)
+                    (self.node(address), EndpointState(state), share, kind, zone, cell, started)
                     for cell, kind, share, address, state, started, zone in banks[bank]
                 ]
             )
@@ -181,7 +182,7 @@
         self.timers[self.timer_count] = about
         self.reply.add(wire.SET_TIMER, self.timer_count, delay)
 
-    def probe(self, node: Node) -> None:
+    def probe(self, node: Endpoint) -> None:
         self.reply.add(wire.ASK_LOAD, node.key.to_bytes(6, "big"))
 
     def subscribe(self) -> None:
--- a/tests/budgets/ledgers.py
+++ b/tests/budgets/ledgers.py
@@ -6,12 +6,12 @@
 import copy
 from collections import deque
 
-from mulleinrelay.budgets.lease_ledger import Ledger
+from mulleinrelay.budgets.lease_ledger import LeaseLedger
 
 LEASE, SPAN = 3.0, 1.0
 
 
-def ledger(own, now, life, make=Ledger):
+def ledger(own, now, life, make=LeaseLedger):
     return make(own, SPAN, now, life, LEASE, 0.0, 0.5)
 
 
@@ -20,7 +20,7 @@
     adversary's means.
     """
 
-    def __init__(self, count, own, restarts, asks, make=Ledger):
+    def __init__(self, count, own, restarts, asks, make=LeaseLedger):
         self.own, self.make, self.now = own, make, 0.0
         self.ledgers = [ledger(own, -10.0 * LEASE, 1, make) for _ in range(count)]
         self.under_way, self.restarts, self.asks, self.backs = [], restarts, asks, 1
--- a/tests/budgets/test_exchange.py
+++ b/tests/budgets/test_exchange.py
@@ -9,8 +9,8 @@
 from net import Net
 
 from mulleinrelay.budgets.lease_ledger import KEPT, LEASE
-from mulleinrelay.budgets.quota_exchange import Exchange
-from mulleinrelay.policy.model import Share
+from mulleinrelay.budgets.quota_exchange import QuotaExchange
+from mulleinrelay.policy.model import QuotaShare
 
 SPAN = 1500.0
 
@@ -28,8 +28,10 @@
     def start(self, number, life=None):
         super().start(number, life)
         core, now = self.cores[number], self.clock(number)
-        self.shares[number], self.own[number] = Share(1.0 / len(self.demand)), []
-        core.companion = Exchange(now, Random(f"{number}-{self.starts}-rights"), core.view.own.life)
+        self.shares[number], self.own[number] = QuotaShare(1.0 / len(self.demand)), []
+        core.companion = QuotaExchange(
+            now, Random(f"{number}-{self.starts}-rights"), core.view.own.life
+        )
         core.companion.add(now, "cold", len(self.demand), SPAN, self.shares[number], "")
 
     def play(self, seconds):
--- a/tests/budgets/test_ledger.py
+++ b/tests/budgets/test_ledger.py
@@ -5,7 +5,7 @@
 import pytest
 from ledgers import MOST, World, search
 
-from mulleinrelay.budgets.lease_ledger import Ledger, Lent
+from mulleinrelay.budgets.lease_ledger import LeaseLedger, Lent
 
 
 def searched(most, *world):
@@ -22,25 +22,25 @@
     assert trace is None and seen >= 2_000
 
 
-class AtBothEnds(Ledger):
+class AtBothEnds(LeaseLedger):
     """The owner says that it lends, and goes on to use it."""
 
     def asked(self, now, borrower, life, ask, used):
-        lend = Ledger.asked(self, now, borrower, life, ask, used)
+        lend = LeaseLedger.asked(self, now, borrower, life, ask, used)
         self.lent = {who: Lent(0, held.until) for who, held in self.lent.items()}
         return lend
 
 
-class AfterAPause(Ledger):
+class AfterAPause(LeaseLedger):
     """The borrower counts its lease from when it heard of it, not from when it asked."""
 
     def answered(self, now, lender, life, lend):
         if lend.number in self.asks:
             self.asks[lend.number].at = now
-        return Ledger.answered(self, now, lender, life, lend)
+        return LeaseLedger.answered(self, now, lender, life, lend)
 
 
-class NumbersAgain(Ledger):
+class NumbersAgain(LeaseLedger):
     """The owner's next life uses all of its own at once."""
 
     def at_home(self, now):
@@ -84,8 +84,8 @@
 
 
 def test_a_grain_that_was_out_rests_for_a_span_at_home():
-    one = Ledger(100, 1500.0, -1e9, 1)
-    two = Ledger(100, 1500.0, -1e9, 1)
+    one = LeaseLedger(100, 1500.0, -1e9, 1)
+    two = LeaseLedger(100, 1500.0, -1e9, 1)
     ask = two.ask(0.0, "one", 50)
     lend = one.asked(10.0, "two", 1, ask, 30)
     assert lend.grains == 50 and two.answered(20.0, "one", 1, lend)
@@ -98,11 +98,11 @@
 
 @pytest.mark.parametrize("used, spare", [(0, 95), (5, 95), (50, 50), (100, 0), (500, 0)])
 def test_what_was_used_of_late_or_is_kept_is_not_lent(used, spare):
-    assert Ledger(100, 1500.0, -1e9, 1).spare(0.0, used) == spare
+    assert LeaseLedger(100, 1500.0, -1e9, 1).spare(0.0, used) == spare
 
 
 @pytest.mark.parametrize(
     "after, usable", [(0.0, 0), (1400.0, 0), (1600.0, 5), (3500.0, 5), (3700.0, 100)]
 )
 def test_who_starts_anew_waits_for_what_an_earlier_life_may_have_out(after, usable):
-    assert Ledger(100, 1500.0, 0.0, 2).usable(after) == usable
+    assert LeaseLedger(100, 1500.0, 0.0, 2).usable(after) == usable
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -4,12 +4,12 @@
 
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
-from mulleinrelay.cells.admission_controller import Asking, Board, Governor
-from mulleinrelay.cells.config import OwnFile
-from mulleinrelay.cells.model import Cell, Charter, Limits, Move, Tenant
+from mulleinrelay.cells.admission_controller import AdmissionController, Asking, DirectorCapacity
+from mulleinrelay.cells.config import CellsConfig
+from mulleinrelay.cells.model import Assignment, Cell, Limits, Migration, Tenant
 from mulleinrelay.cells.parser import write
-from mulleinrelay.config.platform import decode
-from mulleinrelay.director import Service
+from mulleinrelay.config.platform import parse_config
+from mulleinrelay.director import Director
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
 PAGES = RequestClass(IDEMPOTENT, 500.0, 2.0, 6000.0, 5000.0, "all", 0.0, False)
@@ -41,7 +41,7 @@
             else Tenant(one, last if one == "beta" else first, limits=tenant_limits or Limits())
         )
         people[tenant.name] = tenant
-    return Charter(
+    return Assignment(
         version,
         1000.0,
         held,
@@ -53,7 +53,7 @@
 
 
 def move(starts=10_000.0, **changes):
-    return Move(
+    return Migration(
         **(
             {
                 "name": "m1",
@@ -77,7 +77,9 @@
         self, held=None, caches=("s-01", "s-02", "s-03", "s-04"), board=None, by_pass=True
     ):
         self.now = 1_000.0
-        self.governor = Governor(self.now, held or charter(), board or Board(100.0), by_pass)
+        self.governor = AdmissionController(
+            self.now, held or charter(), board or DirectorCapacity(100.0), by_pass
+        )
         self.words = self.listed(caches)
 
     def listed(self, caches, warmth=None):
@@ -119,7 +121,7 @@
             whole = configuration(
                 [node.address for node in self.nodes], self.bus.address, **changes
             )
-            own = OwnFile(
+            own = CellsConfig(
                 True,
                 str(self.path),
                 "tenant",
@@ -130,8 +132,8 @@
                 5_000.0,
             )
             self.sinks.append(Sink())
-            start = decode(json.dumps(whole | {"name": f"n{number}"}))
-            self.services.append(Service(start, self.sinks[-1], own))
+            start = parse_config(json.dumps(whole | {"name": f"n{number}"}))
+            self.services.append(Director(start, self.sinks[-1], own))
 
     def __enter__(self):
         for service in self.services:
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -8,8 +8,8 @@
 from stage import Cell, Tenant, charter
 
 from mulleinrelay.cells.hashing import bounded, caches_of, homes, shuffled
-from mulleinrelay.cells.model import CharterError
-from mulleinrelay.cells.tenant_resolution import Naming
+from mulleinrelay.cells.tenant_resolution import TenantResolver
+from mulleinrelay.errors import ConfigError
 
 NAMES = st.lists(
     st.integers(0, 10_000).map(lambda number: f"t{number}"), min_size=1, max_size=60, unique=True
@@ -108,11 +108,12 @@
         Tenant("beta", "north", addresses=("10.1.2.0/24",), groups=((40, 40),)),
         Tenant("gamma", "south", addresses=("fd00::/8",), groups=((0, 9),)),
     )
-    naming = Naming(charter(tenants=people))
+    naming = TenantResolver(charter(tenants=people))
     assert naming.tenant(told, address, group) == tenant
     if tenant == "shared":
         assert (
-            Naming(charter(tenants=people, unknown="reject")).tenant(told, address, group) is None
+            TenantResolver(charter(tenants=people, unknown="reject")).tenant(told, address, group)
+            is None
         )
 
 
@@ -125,8 +126,10 @@
     ],
 )
 def test_ranges_that_cross_are_refused(one, other):
-    with pytest.raises(CharterError, match="crosses"):
-        Naming(charter(tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other))))
+    with pytest.raises(ConfigError, match="crosses"):
+        TenantResolver(
+            charter(tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other)))
+        )
 
 
 @settings(max_examples=80, deadline=None)
@@ -139,7 +142,7 @@
     for size, place in networks:
         text = f"10.0.0.{(place * 16) & (0xFF << size) & 0xFF}/{32 - size}"
         tenants.setdefault(text, Tenant(f"t{len(tenants)}", "north", addresses=(text,)))
-    naming = Naming(charter(tenants=(*tenants.values(), "shared")))
+    naming = TenantResolver(charter(tenants=(*tenants.values(), "shared")))
     holds = [
         (int(text.rpartition("/")[2]), tenant.name)
         for text, tenant in tenants.items()
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -6,8 +6,12 @@
 from stage import ORDER, ORDER_ALL, PAGES, PAY, Cell, Limits, Ruled, Tenant, charter, move
 
 from mulleinrelay.cells import edits, rollouts
-from mulleinrelay.cells.admission_controller import Board, Denied, Grant
-from mulleinrelay.cells.model import Release
+from mulleinrelay.cells.admission_controller import (
+    AdmissionGrant,
+    AdmissionRejection,
+    DirectorCapacity,
+)
+from mulleinrelay.cells.model import Rollout
 
 TWO = (
     Cell("north", caches=("s-01", "s-02"), neighbours=("south",), reserve=0.2),
@@ -18,7 +22,7 @@
 
 def asked(ruled, count, **how):
     """How many of so many are let in and stay open."""
-    return sum(isinstance(ruled.ask(key=key, **how), Grant) for key in range(count))
+    return sum(isinstance(ruled.ask(key=key, **how), AdmissionGrant) for key in range(count))
 
 
 def test_a_flooding_tenant_leaves_the_other_cell_its_part():
@@ -55,10 +59,10 @@
 def test_what_is_settled_makes_room_once():
     ruled = Ruled(charter(TWO, tenant_limits=Limits(open_most=1)))
     grant = ruled.ask()
-    assert isinstance(ruled.ask(), Denied)
+    assert isinstance(ruled.ask(), AdmissionRejection)
     ruled.done(grant)
     ruled.done(grant)
-    assert isinstance(ruled.ask(), Grant) and isinstance(ruled.ask(), Denied)
+    assert isinstance(ruled.ask(), AdmissionGrant) and isinstance(ruled.ask(), AdmissionRejection)
 
 
 @pytest.mark.parametrize(
@@ -99,7 +103,9 @@
 def test_a_lost_cell_gets_its_neighbour_s_reserve_and_no_more():
     ruled = Ruled(charter(TWO))
     assert "cell north lost" in ruled.listed(("s-03", "s-04"))
-    grants = [grant for key in range(100) if isinstance(grant := ruled.ask(key=key), Grant)]
+    grants = [
+        grant for key in range(100) if isinstance(grant := ruled.ask(key=key), AdmissionGrant)
+    ]
     assert len(grants) == 20 and {grant.cell for grant in grants} == {"south"}
     assert set(grants[0].pool.caches) == {"s-03", "s-04"}
     assert asked(ruled, 50, told="beta") == 50
@@ -135,18 +141,19 @@
     ruled.listed(("s-03", "s-04"))
     ruled.now = 1e6
     found = ruled.ask(request_class=request_class, idempotency_key="r", repeated=repeated)
-    assert (found.harmless if isinstance(found, Denied) else None) == kind
+    assert (found.harmless if isinstance(found, AdmissionRejection) else None) == kind
 
 
 def test_an_order_that_passes_the_caches_by_needs_none():
     ruled = Ruled(charter(TWO))
     ruled.listed(())
-    assert isinstance(ruled.ask(request_class=ORDER_ALL, idempotency_key="r"), Grant)
+    assert isinstance(ruled.ask(request_class=ORDER_ALL, idempotency_key="r"), AdmissionGrant)
 
 
 def test_its_tenants_return_one_object_after_the_other():
     ruled = Ruled(
-        charter(TWO, tenants=(Tenant("acme", "north"), "beta", "shared")), board=Board(1e6)
+        charter(TWO, tenants=(Tenant("acme", "north"), "beta", "shared")),
+        board=DirectorCapacity(1e6),
     )
     ruled.listed(("s-03", "s-04"))
     assert "cell north back" in ruled.listed(ALL)
@@ -197,7 +204,7 @@
     Cell("south", caches=("s-02",)),
     Cell("east", caches=("s-03",)),
 )
-RELEASE = Release("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
+RELEASE = Rollout("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
 
 
 def play(course, until, north, others, now=0.0):
@@ -255,7 +262,7 @@
         charter(
             THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)
         ),
-        board=Board(1000.0),
+        board=DirectorCapacity(1000.0),
     )
     ruled.now = 20_000.0
     assert asked(ruled, 90) == 90
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -9,8 +9,8 @@
 
 from mulleinrelay import director as director_module
 from mulleinrelay.cells.parser import write
-from mulleinrelay.cells.service import Warden
-from mulleinrelay.config.platform import ConfigurationError
+from mulleinrelay.cells.service import CellService
+from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import CharterError, read_scenario
 from mulleinrelay.process import make
@@ -46,14 +46,14 @@
     def silent(fields):
         return None if fields["name"].startswith("f") else HIT
 
-    ended, settle = [], Warden.settle
+    ended, settle = [], CellService.settle
 
     def noted(warden, grant, request, *how):
         if request.key >> 60 == 0xF:
             ended.append(request)
         settle(warden, grant, request, *how)
 
-    monkeypatch.setattr(Warden, "settle", noted)
+    monkeypatch.setattr(CellService, "settle", noted)
     with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
         others = housed.caller()
         others.send(tenant="beta")
@@ -255,5 +255,5 @@
 def test_a_director_does_not_start_on_a_faulty_assignment(tmp_path):
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
     with Housed(tmp_path, charter(TWO)) as housed:
-        with pytest.raises(ConfigurationError, match="none.ini"):
+        with pytest.raises(ConfigError, match="none.ini"):
             make(housed.services[0].start_settings, housed.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -10,16 +10,16 @@
 
 from mulleinrelay.cells import edits, migrations, sticky_routing
 from mulleinrelay.cells.hashing import SCALE, mixed
-from mulleinrelay.cells.migrations import Demand, Stage
-from mulleinrelay.cells.placement import Nowhere, Placement
+from mulleinrelay.cells.migrations import Demand, MigrationStage
+from mulleinrelay.cells.placement import Placement, Unplaced
 
 STAGES = [
-    (9_999.0, Stage.PLANNED, 0.0),
-    (10_500.0, Stage.WARM, 0.025),
-    (11_000.0, Stage.SHIFT, 0.05),
-    (13_000.0, Stage.SHIFT, 0.525),
-    (15_000.0, Stage.DRAIN, 1.0),
-    (17_000.0, Stage.DONE, 1.0),
+    (9_999.0, MigrationStage.PLANNED, 0.0),
+    (10_500.0, MigrationStage.WARM, 0.025),
+    (11_000.0, MigrationStage.SHIFT, 0.05),
+    (13_000.0, MigrationStage.SHIFT, 0.525),
+    (15_000.0, MigrationStage.DRAIN, 1.0),
+    (17_000.0, MigrationStage.DONE, 1.0),
 ]
 
 
@@ -33,20 +33,20 @@
 @pytest.mark.parametrize(
     "turn, now, stage, share",
     [
-        ({"aborted_at": 13_000.0}, 13_000.0, Stage.BACK, 0.525),
-        ({"aborted_at": 13_000.0}, 14_000.0, Stage.BACK, 0.275),
-        ({"aborted_at": 13_000.0}, 16_000.0, Stage.ABORTED, 0.0),
-        ({"aborted_at": 10_500.0}, 11_000.0, Stage.ABORTED, 0.0),
-        ({"aborted_at": 18_000.0}, 19_000.0, Stage.DONE, 0.75),
-        ({"held_at": 13_000.0}, 99_000.0, Stage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, Stage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, Stage.DRAIN, 1.0),
-        ({"held_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, Stage.BACK, 0.275),
+        ({"aborted_at": 13_000.0}, 13_000.0, MigrationStage.BACK, 0.525),
+        ({"aborted_at": 13_000.0}, 14_000.0, MigrationStage.BACK, 0.275),
+        ({"aborted_at": 13_000.0}, 16_000.0, MigrationStage.ABORTED, 0.0),
+        ({"aborted_at": 10_500.0}, 11_000.0, MigrationStage.ABORTED, 0.0),
+        ({"aborted_at": 18_000.0}, 19_000.0, MigrationStage.DONE, 0.75),
+        ({"held_at": 13_000.0}, 99_000.0, MigrationStage.SHIFT, 0.525),
+        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, MigrationStage.SHIFT, 0.525),
+        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, MigrationStage.DRAIN, 1.0),
+        ({"held_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, MigrationStage.BACK, 0.275),
     ],
 )
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
     assert migrations.stage(move(**turn), now) == stage
-    if stage != Stage.DONE:
+    if stage != MigrationStage.DONE:
         assert migrations.shifted(move(**turn), now) == pytest.approx(share)
 
 
@@ -162,11 +162,11 @@
             for first in range(400, 3_000, 200):
                 for key in KEYS:
                     ran = one.spot(float(first), key, request_class, False)
-                    assert not isinstance(ran, Nowhere)  # a first try always has a place
+                    assert not isinstance(ran, Unplaced)  # a first try always has a place
                     for later in (1.0, 300.0, HORIZON):
                         tried += 1
                         again = other.spot(first + later, key, request_class, True)
-                        if isinstance(again, Nowhere):
+                        if isinstance(again, Unplaced):
                             held, off = history[0][1].moves["m1"], off + 1
                             assert migrations.over(
                                 held, key, migrations.reach(held, first + later + 2.0 * SKEW)
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_reading.py
@@ -9,9 +9,10 @@
 from stage import Cell, Limits, Tenant, charter, move
 
 from mulleinrelay.cells import store
-from mulleinrelay.cells.config import load_own, read_own
-from mulleinrelay.cells.model import CharterError, Release
+from mulleinrelay.cells.config import load_cells_config, parse_cells_config
+from mulleinrelay.cells.model import Rollout
 from mulleinrelay.cells.parser import read, write
+from mulleinrelay.errors import ConfigError
 
 HEAD = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
 WHOLE = HEAD + "[cell north]\n[cell south]\n[tenant acme]\n"
@@ -82,7 +83,7 @@
     ],
 )
 def test_a_fault_names_its_key(text, told):
-    with pytest.raises(CharterError) as fault:
+    with pytest.raises(ConfigError) as fault:
         read(text)
     assert str(fault.value).startswith(told)
 
@@ -114,7 +115,7 @@
         (*people, Tenant("shared", "south")),
         (move(tenants=("shared",), source="south", target="north"),),
         version,
-        (Release("r1", "north", (("south",),), 5.0, 9.0, limits),),
+        (Rollout("r1", "north", (("south",),), 5.0, 9.0, limits),),
         limits=limits,
     )
     held = replace(held, written=written)
@@ -134,13 +135,13 @@
     ],
 )
 def test_our_own_file(text, told):
-    with pytest.raises(CharterError) as fault:
-        read_own(text, "/somewhere")
+    with pytest.raises(ConfigError) as fault:
+        parse_cells_config(text, "/somewhere")
     assert str(fault.value).startswith(told)
 
 
 def test_the_examples_can_be_used():
-    own = load_own("deploy/cells.ini")
+    own = load_cells_config("deploy/cells.ini")
     assert not own.enabled and store.load(own.assignment).tenants["acme"].groups == (
         (0, 15),
         (40, 40),
@@ -152,9 +153,9 @@
     with store.sole_writer(path):
         assert store.save(path, charter(), 1.0, 0).version == 1
         assert store.save(path, charter(), 2.0, 1).version == 2
-        with pytest.raises(CharterError, match="holds version 2"):
+        with pytest.raises(ConfigError, match="holds version 2"):
             store.save(path, charter(), 3.0, 1)
-        with pytest.raises(CharterError, match="another command"), store.sole_writer(path):
+        with pytest.raises(ConfigError, match="another command"), store.sole_writer(path):
             pass
     assert store.load(path).version == 2
 
@@ -168,7 +169,7 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, step, fail)
-    with pytest.raises(CharterError, match="the old version stands"):
+    with pytest.raises(ConfigError, match="the old version stands"):
         store.save(path, charter(), 2.0, 1)
     monkeypatch.undo()
     assert store.load(path).version == 1
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -10,9 +10,9 @@
 from helpers import Stage
 from stage import Cell, Ruled, charter, move
 
-from mulleinrelay.coordinator import GiveUp, Order
-from mulleinrelay.policy.model import Note, Outcome, State
-from mulleinrelay.policy.router import Director
+from mulleinrelay.coordinator import CancelAttempt, Order
+from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
+from mulleinrelay.policy.router import Router
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
@@ -51,7 +51,11 @@
             self.told["purge"] = now
             return self.stage.facade.purged(0xABC, 0, now)
         row = next(entry for entry in self.stage.entries if entry.name == box)
-        state = {"drain": State.DRAINING, "cold": State.READY, "gone": State.GONE}[what]
+        state = {
+            "drain": EndpointState.DRAINING,
+            "cold": EndpointState.READY,
+            "gone": EndpointState.GONE,
+        }[what]
         self.told[what, box] = now
         changed = replace(row, state=state, started=now if what == "cold" else row.started)
         self.stage.facade.listed([changed], False)
@@ -72,9 +76,11 @@
                 if isinstance(step, Order):
                     yield step
                     facade.report(
-                        step.attempt, Outcome.SERVED, Note.FILLED if step.source else Note.HIT
+                        step.attempt,
+                        Outcome.SERVED,
+                        CacheStatus.FILLED if step.source else CacheStatus.HIT,
                     )
-                elif not isinstance(step, GiveUp):
+                elif not isinstance(step, CancelAttempt):
                     break
             self.ruled.done(grant)
 
@@ -132,7 +138,7 @@
                 "listed",
                 lambda whole: (
                     lambda self, rows, *rest: whole(
-                        self, [(row[0], State.READY, *row[2:]) for row in rows], *rest
+                        self, [(row[0], EndpointState.READY, *row[2:]) for row in rows], *rest
                     )
                 ),
             ),
@@ -144,5 +150,5 @@
 )
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
     name, make = fault
-    monkeypatch.setattr(Director, name, make(getattr(Director, name)))
+    monkeypatch.setattr(Router, name, make(getattr(Router, name)))
     assert rule in search(troubles)[0]
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -85,8 +85,8 @@
             found = sum(cell == held.target for cell in self.look()) / len(KEYS)
             assert abs(found - share) < 0.2
             if migrations.stage(held, self.now) in (
-                migrations.Stage.PLANNED,
-                migrations.Stage.ABORTED,
+                migrations.MigrationStage.PLANNED,
+                migrations.MigrationStage.ABORTED,
             ):
                 assert found == 0.0
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,24 +12,24 @@
 import threading
 import time
 
-from mulleinrelay.config.platform import Section, decode, read_terms
-from mulleinrelay.coordinator import Facade, GiveUp
-from mulleinrelay.director import Service
+from mulleinrelay.config.platform import JsonSection, parse_config, parse_service_settings
+from mulleinrelay.coordinator import CancelAttempt, RequestCoordinator
+from mulleinrelay.director import Director
 from mulleinrelay.net import resp, thrift
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
     Attempt,
-    ColdRule,
-    Listing,
-    Note,
-    Order,
+    CacheStatus,
+    EndpointState,
+    EndpointUpdate,
     Outcome,
     Request,
     RequestClass,
-    State,
-    Terms,
+    SendAttempt,
+    ServiceSettings,
+    SlowStartPolicy,
 )
-from mulleinrelay.policy.router import Director, Member
+from mulleinrelay.policy.router import Router, TrackedEndpoint
 
 CACHE, PARENT, ORIGIN = 0, 2, 3
 HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
@@ -87,16 +87,16 @@
             must_subscribe=False,
             reports=["crowding"],
             asks_reports=False,
-            cold_cache=ColdRule(0.2, 17000.0, 1500.0, 2.5),
-            cold_parent=ColdRule(0.063, 20000.0, 1500.0, 2.0),
+            cold_cache=SlowStartPolicy(0.2, 17000.0, 1500.0, 2.5),
+            cold_parent=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
             purge_span=6000.0,
         )
-        self.terms = Terms(**(terms | changes))
+        self.terms = ServiceSettings(**(terms | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
-        self.director = Director(self.now, 7, self.terms)
-        self.caches = [Member(key) for key in (11, 12, 13)]
-        self.parents = [Member(key) for key in (21, 22)]
-        self.origin = Member(31)
+        self.director = Router(self.now, 7, self.terms)
+        self.caches = [TrackedEndpoint(key) for key in (11, 12, 13)]
+        self.parents = [TrackedEndpoint(key) for key in (21, 22)]
+        self.origin = TrackedEndpoint(31)
         self.count = 0
         rows = [
             self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
@@ -105,7 +105,7 @@
         rows += [self.row(parent, PARENT, 0, hub_started) for parent in self.parents]
         self.call("listed", rows + [self.row(self.origin, ORIGIN, 0, None)], True, False)
 
-    def row(self, member, kind, zone, started=None, state=State.READY):
+    def row(self, member, kind, zone, started=None, state=EndpointState.READY):
         return (member, state, 6.0, kind, zone, 0, started or 0.0)
 
     def call(self, method, *arguments, after=0.0):
@@ -121,7 +121,13 @@
         return request
 
     def answer(
-        self, attempt, outcome=Outcome.SERVED, note=Note.HIT, first_byte=0.0, after=0.0, load=None
+        self,
+        attempt,
+        outcome=Outcome.SERVED,
+        note=CacheStatus.HIT,
+        first_byte=0.0,
+        after=0.0,
+        load=None,
     ):
         closed = outcome == Outcome.SERVED
         self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
@@ -240,14 +246,14 @@
 
     def __init__(self, **changes):
         self.now = 100_000.0
-        self.terms = read_terms(Section(settings(**changes), ""))
+        self.terms = parse_service_settings(JsonSection(settings(**changes), ""))
         self.sink = Sink()
-        self.facade = Facade(lambda: self.now, 7, self.terms, self.sink)
+        self.facade = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
         self.entries = [
-            Listing(
+            EndpointUpdate(
                 name,
                 ("127.0.0.1", place + 1),
-                State.READY,
+                EndpointState.READY,
                 4.0,
                 ["box", "parent", "origin"].index(kind),
                 ["hub", "edge"].index(zone),
@@ -274,7 +280,7 @@
         return twin
 
     def until_verdict(self, request):
-        while isinstance(step := self.facade.pick(request), Order | GiveUp):
+        while isinstance(step := self.facade.pick(request), SendAttempt | CancelAttempt):
             pass
         return step
 
@@ -513,7 +519,7 @@
         self.bus = bus or StandBus()
         whole = configuration([node.address for node in self.nodes], self.bus.address, **changes)
         self.sink = Sink()
-        self.service = Service(decode(json.dumps(whole)), self.sink)
+        self.service = Director(parse_config(json.dumps(whole)), self.sink)
 
     def __enter__(self):
         self.service.start()
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mulleinrelay.cells.model import CharterError
+from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.load import Demand, Wanted, may_try_again
 from mulleinrelay.lab.fleet.plan import read_fleet
@@ -33,7 +33,7 @@
     ],
 )
 def test_a_fault_names_its_key(text, told):
-    with pytest.raises(CharterError, match=told):
+    with pytest.raises(ConfigError, match=told):
         read_fleet(text)
 
 
@@ -124,7 +124,7 @@
     if not refused:
         assert scenario.sized(directors).on_sockets().directors == directors
         return
-    with pytest.raises(CharterError, match=refused):
+    with pytest.raises(ConfigError, match=refused):
         scenario.sized(directors).on_sockets()
 
 
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -4,19 +4,19 @@
 
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
-from mulleinrelay.cells.config import OwnFile as CellsFile
-from mulleinrelay.cells.model import Cell, Charter, Tenant
+from mulleinrelay.cells.config import CellsConfig as CellsFile
+from mulleinrelay.cells.model import Assignment, Cell, Tenant
 from mulleinrelay.cells.parser import write
-from mulleinrelay.config.platform import decode
-from mulleinrelay.director import Service
-from mulleinrelay.management.config import read_own
-from mulleinrelay.management.gnmi_client import Access, Target
+from mulleinrelay.config.platform import parse_config
+from mulleinrelay.director import Director
+from mulleinrelay.management.config import parse_management_config
+from mulleinrelay.management.gnmi_client import Access, GnmiTarget
 
 CLEAR = "[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = 127.0.0.1:0\nstate_dir = state\n"
 
 
 def charter():
-    return Charter(
+    return Assignment(
         1,
         1000.0,
         {
@@ -40,10 +40,12 @@
             if not self.path.exists():
                 self.path.write_text(write(charter()))
             held = CellsFile(True, str(self.path), "tenant", 50.0, "", 0, 0.0, 5_000.0)
-        self.start = decode(
+        self.start = parse_config(
             json.dumps(configuration([node.address for node in self.nodes], self.bus.address))
         )
-        self.service = Service(self.start, self.sink, held, read_own(own, str(folder)))
+        self.service = Director(
+            self.start, self.sink, held, parse_management_config(own, str(folder))
+        )
 
     def __enter__(self):
         self.service.start()
@@ -52,7 +54,7 @@
         return self
 
     def target(self, **access):
-        self.targets.append(Target(self.address, Access(**access)))
+        self.targets.append(GnmiTarget(self.address, Access(**access)))
         return self.targets[-1]
 
     def caller(self):
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -15,12 +15,12 @@
 from mulleinrelay.management.datastore import (
     HISTORY_MOST,
     Datastore,
-    Held,
+    DatastoreState,
     RefusedError,
     Unconfirmed,
     Version,
 )
-from mulleinrelay.management.datastore_file import Keeper, KeepError, decoded, encoded
+from mulleinrelay.management.datastore_file import DatastoreFile, KeepError, decoded, encoded
 
 
 class Spy:
@@ -183,14 +183,14 @@
 
 TestStoreMachine = StoreMachine.TestCase
 
-HELD = Held(
+HELD = DatastoreState(
     [Version(1, {"a": 1}, 1.0, "me", "x"), Version(2, {"b": [1, "ü"]}, 2.0, "", "")],
     Unconfirmed("c", 9.0, {"a": 1}),
 )
 
 
 def test_what_is_kept_reads_back(tmp_path):
-    keeper = Keeper(str(tmp_path / "state"))
+    keeper = DatastoreFile(str(tmp_path / "state"))
     assert keeper.load() is None
     keeper.save(HELD)
     assert keeper.load() == HELD
@@ -225,13 +225,13 @@
 def test_what_is_no_datastore_is_refused_in_words(data, why, tmp_path):
     (tmp_path / "datastore").write_bytes(data)
     with pytest.raises(KeepError, match=why):
-        Keeper(str(tmp_path)).load()
+        DatastoreFile(str(tmp_path)).load()
 
 
 def test_a_folder_that_cannot_be_written_refuses_the_change(tmp_path):
     (tmp_path / "state").write_text("a file")
     with pytest.raises(RefusedError, match="nothing was changed"):
-        Keeper(str(tmp_path / "state")).save(HELD)
+        DatastoreFile(str(tmp_path / "state")).save(HELD)
 
 
 WRITER = """
@@ -257,7 +257,7 @@
         program.send_signal(signal.SIGKILL)
         program.wait()
         program.stdout.close()
-        held = Keeper(str(tmp_path)).load()
+        held = DatastoreFile(str(tmp_path)).load()
         if held is not None:
             version = held.versions[0]
             assert version.tree == {"a": [version.number] * 20_000}
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -4,15 +4,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.cells.model import CharterError
+from mulleinrelay.errors import ConfigError
 from mulleinrelay.management import paths
 from mulleinrelay.management.authorization import Rights, Role, wanted
-from mulleinrelay.management.config import read_own
-from mulleinrelay.management.drain_intent import DISAGREES, Intent, Phase, Want, left_without
+from mulleinrelay.management.config import parse_management_config
+from mulleinrelay.management.drain_intent import DISAGREES, DrainIntent, Phase, Want, left_without
 from mulleinrelay.management.gnmi_server import covers
 from mulleinrelay.management.paths import PathError, Shape, parse, worded
 from mulleinrelay.management.service import children, state_only
-from mulleinrelay.policy.model import Listing, State
+from mulleinrelay.policy.model import EndpointState, EndpointUpdate
 
 LEAF, LEAVES = Shape(), Shape(is_leaf_list=True)
 SHAPE = Shape(
@@ -228,15 +228,15 @@
 # Drains over the list
 
 
-def entry(name="s-1", state=State.READY, started=0.0, port=1, zone=1, kind=0):
-    return Listing(name, ("127.0.0.1", port), state, 4.0, kind, zone, 0, started)
+def entry(name="s-1", state=EndpointState.READY, started=0.0, port=1, zone=1, kind=0):
+    return EndpointUpdate(name, ("127.0.0.1", port), state, 4.0, kind, zone, 0, started)
 
 
 BOX = entry()
 
 
 def drained(every_life=False, listed=(BOX,)):
-    intent = Intent()
+    intent = DrainIntent()
     intent.told(0.0, listed, True)
     intent.want(1.0, {"s-1": Want("s-1", every_life)})
     return intent
@@ -245,15 +245,30 @@
 @pytest.mark.parametrize(
     "every_life, then, phase, state",
     [
-        (False, [entry()], Phase.BINDING, State.DRAINING),
-        (False, [entry(started=9.0)], Phase.OVER, State.READY),
-        (True, [entry(started=9.0)], Phase.BINDING, State.DRAINING),
-        (False, [entry(port=2)], Phase.OVER, State.READY),
-        (False, [entry(state=State.GONE), entry()], Phase.BINDING, State.DRAINING),
-        (False, [entry(state=State.GONE), entry(started=5.0)], Phase.OVER, State.READY),
-        (True, [entry(state=State.GONE), entry(started=5.0)], Phase.BINDING, State.DRAINING),
-        (False, [entry(state=State.DRAINING), entry()], Phase.BINDING, State.DRAINING),
-        (False, [entry(started=9.0), entry()], Phase.OVER, State.READY),
+        (False, [entry()], Phase.BINDING, EndpointState.DRAINING),
+        (False, [entry(started=9.0)], Phase.OVER, EndpointState.READY),
+        (True, [entry(started=9.0)], Phase.BINDING, EndpointState.DRAINING),
+        (False, [entry(port=2)], Phase.OVER, EndpointState.READY),
+        (False, [entry(state=EndpointState.GONE), entry()], Phase.BINDING, EndpointState.DRAINING),
+        (
+            False,
+            [entry(state=EndpointState.GONE), entry(started=5.0)],
+            Phase.OVER,
+            EndpointState.READY,
+        ),
+        (
+            True,
+            [entry(state=EndpointState.GONE), entry(started=5.0)],
+            Phase.BINDING,
+            EndpointState.DRAINING,
+        ),
+        (
+            False,
+            [entry(state=EndpointState.DRAINING), entry()],
+            Phase.BINDING,
+            EndpointState.DRAINING,
+        ),
+        (False, [entry(started=9.0), entry()], Phase.OVER, EndpointState.READY),
     ],
 )
 def test_a_drain_binds_the_life_it_met(every_life, then, phase, state):
@@ -267,13 +282,13 @@
     intent = drained(listed=[entry("s-2")])
     assert intent.drains["s-1"].phase == Phase.WAITING
     intent.told(5.0, [entry()], False)
-    assert intent.state(entry()) == State.DRAINING
+    assert intent.state(entry()) == EndpointState.DRAINING
 
 
 def test_a_newcomer_at_the_address_of_a_drained_box_is_not_meant():
     intent = drained(True)
-    intent.told(5.0, [entry(state=State.GONE), entry("s-9")], False)
-    assert intent.state(entry("s-9")) == State.READY
+    intent.told(5.0, [entry(state=EndpointState.GONE), entry("s-9")], False)
+    assert intent.state(entry("s-9")) == EndpointState.READY
 
 
 def test_intent_and_list_that_disagree_are_told_of_once():
@@ -282,7 +297,7 @@
     assert [drain.want.box for drain in intent.disagreeing(DISAGREES + 100.0)] == ["s-1"]
     assert not intent.disagreeing(9e9)
     agreed = drained()
-    agreed.told(5.0, [entry(state=State.DRAINING)], False)
+    agreed.told(5.0, [entry(state=EndpointState.DRAINING)], False)
     assert not agreed.disagreeing(9e9)
 
 
@@ -348,6 +363,6 @@
     ],
 )
 def test_a_fault_of_our_own_file_names_its_key(text, told):
-    with pytest.raises(CharterError) as fault:
-        read_own(text, "/somewhere")
+    with pytest.raises(ConfigError) as fault:
+        parse_management_config(text, "/somewhere")
     assert str(fault.value).startswith(told)
--- a/tests/membership/test_own.py
+++ b/tests/membership/test_own.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from mulleinrelay.cells.model import CharterError
-from mulleinrelay.membership.config import load_own, read_own
+from mulleinrelay.errors import ConfigError
+from mulleinrelay.membership.config import load_fleet_config, parse_fleet_config
 
 DEPLOY = os.path.join(os.path.dirname(__file__), "..", "..", "deploy", "fleet.ini")
 ON = "[fleet]\nenabled = yes\nkey = long enough\n"
 
 
 def test_the_deployed_file_is_off_and_holds_every_key():
-    own = load_own(DEPLOY)
+    own = load_fleet_config(DEPLOY)
     assert not own.enabled and not own.share_cold and own.seeds
 
 
@@ -29,12 +29,12 @@
     ],
 )
 def test_a_fault_names_its_key(text, told):
-    with pytest.raises(CharterError, match=told):
-        read_own(text, "/")
+    with pytest.raises(ConfigError, match=told):
+        parse_fleet_config(text, "/")
 
 
 def test_records_are_taken_from_the_files_folder():
-    own = read_own(
+    own = parse_fleet_config(
         ON + "records = kept\nlisten = 10.0.0.1:5\n[budgets]\ncold = yes\n", "/var/fleet"
     )
     assert own.records == "/var/fleet/kept" and own.announce == ("10.0.0.1", 5) and own.share_cold
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -280,15 +280,19 @@
 
 def test_threads_of_talk_end(tmp_path):
     """Guards against a director that does not stop because its talk waits."""
-    from mulleinrelay.membership.config import read_own
-    from mulleinrelay.membership.service import Talk
-    from mulleinrelay.structured_log import Log
+    from mulleinrelay.membership.config import parse_fleet_config
+    from mulleinrelay.membership.service import MembershipService
+    from mulleinrelay.structured_log import StructuredLog
 
-    own = read_own(
+    own = parse_fleet_config(
         "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
     )
-    talk = Talk(
-        own, "n1", 1, lambda: 1000.0 * time.time(), Log("n1", os.open(os.devnull, os.O_WRONLY))
+    talk = MembershipService(
+        own,
+        "n1",
+        1,
+        lambda: 1000.0 * time.time(),
+        StructuredLog("n1", os.open(os.devnull, os.O_WRONLY)),
     )
     talk.begin()
     talk.stop()
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.membership.member_table import REMEMBERED, View
+from mulleinrelay.membership.member_table import REMEMBERED, MemberTable
 from mulleinrelay.membership.messages import State, Word
 
 ME = Word("me", "h", 1, "here", 5, 0, State.ALIVE)
@@ -14,7 +14,7 @@
 
 
 def view(most=100):
-    return View(ME, most, Random(1))
+    return MemberTable(ME, most, Random(1))
 
 
 def word(number=2, life=5, count=0, state=State.ALIVE, name=None):
--- a/tests/spread/test_admission.py
+++ b/tests/spread/test_admission.py
@@ -1,6 +1,11 @@
 import pytest
 
-from mulleinrelay.policy.admission import LATE_FULL, Lateness, Places, to_end_first
+from mulleinrelay.policy.admission import (
+    LATE_FULL,
+    AdmissionThresholds,
+    SchedulingDelay,
+    to_end_first,
+)
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
 
@@ -27,14 +32,14 @@
     ],
 )
 def test_the_last_places_are_kept_for_effects_and_then_by_credit(request_class, repeated, last):
-    places = Places(ALL)
+    places = AdmissionThresholds(ALL)
     room = [places.has_room(request_class, repeated, taken / 80) for taken in (last, last + 1)]
     assert room == [True, False]
 
 
 @pytest.mark.parametrize("cases", [[PAGES], [case(), case()], [ORDER, PAY]])
 def test_equals_share_all_places(cases):
-    places = Places(cases)
+    places = AdmissionThresholds(cases)
     assert all(
         places.has_room(held, False, 79 / 80) and not places.has_room(held, False, 1.0)
         for held in cases
@@ -43,14 +48,14 @@
 
 def test_half_of_the_places_are_open_to_all():
     cases = [case(credit=credit) for credit in range(1, 12)] + [ORDER]
-    assert all(Places(cases).has_room(held, True, 39 / 80) for held in cases)
+    assert all(AdmissionThresholds(cases).has_room(held, True, 39 / 80) for held in cases)
 
 
 def test_orders_find_room_in_a_flood_of_pages():
     """Ten times as many pages as places, each held for long: without the reserve orders
     find none.
     """
-    places, taken, orders = Places(ALL), 0, 0
+    places, taken, orders = AdmissionThresholds(ALL), 0, 0
     for number in range(800):
         request_class = ORDER if number % 100 == 99 else PAGES
         if places.has_room(request_class, False, taken / 80):
@@ -73,7 +78,7 @@
     """Guards orders against a director that is short of CPU, and against one stop that turns all
     away.
     """
-    lateness, places = Lateness(), Places(ALL)
+    lateness, places = SchedulingDelay(), AdmissionThresholds(ALL)
     lateness.note(1000.0, late)
     lateness.note(1001.0, 0.0)
     full = lateness.fullness(1001.0 + after)
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -4,7 +4,7 @@
 import pytest
 
 from mulleinrelay.policy.router import COLD_MOST, COLD_PART
-from mulleinrelay.policy.slow_start import FILL, Allowance
+from mulleinrelay.policy.slow_start import FILL, SlowStartBudget
 
 SPAN = 1500.0
 
@@ -25,13 +25,13 @@
     all together; who starts again has forgotten what it sent.
     """
     draw, sent = Random(seed), []
-    held = [(Allowance(), Random(f"{seed}-{number}")) for number in range(directors)]
+    held = [(SlowStartBudget(), Random(f"{seed}-{number}")) for number in range(directors)]
     shares = [math.exp(draw.gauss(0.0, uneven)) for _ in held]
     now, rate = 1000.0 * first, directors * wants / 1000.0
     while now < 1000.0 * (first + seconds):
         now += draw.expovariate(rate)
         if draw.random() < restarts / 1000.0 / rate:
-            held[draw.randrange(directors)] = (Allowance(), Random(now))
+            held[draw.randrange(directors)] = (SlowStartBudget(), Random(now))
         allowance, random = draw.choices(held, shares)[0]
         asked = work(draw)
         if allowance.fits(now, asked, capacity / directors, SPAN, random):
@@ -115,7 +115,7 @@
 
 def test_all_wanting_the_same_node_in_the_same_moment_find_few_tickets():
     capacity, sent = 4.0, []
-    held = [(Allowance(), Random(number)) for number in range(200)]
+    held = [(SlowStartBudget(), Random(number)) for number in range(200)]
     for allowance, random in held:  # each has looked at it now and then, and not used it
         for now in range(0, 10_000, 50):
             allowance.fits(float(now), 100.0, capacity / 200, SPAN, random)
@@ -127,7 +127,7 @@
 
 
 def test_an_answer_holds_for_its_moment():
-    allowance, random = Allowance(), Random(5)
+    allowance, random = SlowStartBudget(), Random(5)
     for now in range(0, 30_000, 100):
         asked = {allowance.fits(float(now), 100.0, 0.02, SPAN, random) for _ in range(5)}
         assert len(asked) == 1
--- a/tests/spread/test_links.py
+++ b/tests/spread/test_links.py
@@ -8,7 +8,7 @@
     HELD_SHORT,
     PRICED,
     QUIET,
-    Patience,
+    PingBackoff,
     fullness,
     hold_for,
     to_end,
@@ -19,7 +19,7 @@
     "attempts, wait", [(1, 750.0), (2, 500.0), (4, 300.0), (14, 100.0), (60, 100.0)]
 )
 def test_of_many_attempts_one_should_come_sooner(attempts, wait):
-    assert Patience().wait(attempts) == wait
+    assert PingBackoff().wait(attempts) == wait
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
 def test_a_link_that_was_asked_in_vain_is_asked_more_rarely_until_its_answers_come(
     echoes, answers, times
 ):
-    patience = Patience()
+    patience = PingBackoff()
     for _ in range(echoes):
         patience.echoed()
     for _ in range(answers):
@@ -41,7 +41,7 @@
     """200 requests in turn on one link of a well node whose answers take long: asked in vain 200
     times by one wait alone.
     """
-    patience, draw, echoes = Patience(), Random(1), 0
+    patience, draw, echoes = PingBackoff(), Random(1), 0
     for _ in range(200):
         left = takes * draw.uniform(0.5, 1.5)
         while left > patience.wait(1):
--- a/tests/spread/test_pacing.py
+++ b/tests/spread/test_pacing.py
@@ -15,7 +15,7 @@
     ],
 )
 def test_an_address_that_refuses_is_doubted(refusals, looks):
-    pace, found = stream_reconnect.Reconnects(Random(1)), []
+    pace, found = stream_reconnect.ReconnectBackoff(Random(1)), []
     for now in refusals:
         pace.ended(now, False, True)
         if pace.astray(now):
@@ -24,7 +24,7 @@
 
 
 def test_a_stream_that_was_up_is_not_doubted():
-    pace = stream_reconnect.Reconnects(Random(1))
+    pace = stream_reconnect.ReconnectBackoff(Random(1))
     pace.ended(0.0, False, True)
     pace.ended(1.0, True, False)
     pace.ended(1.1, False, True)
@@ -33,7 +33,8 @@
 
 def test_directors_that_lose_their_stream_together_come_again_apart():
     waits = [
-        stream_reconnect.Reconnects(Random(seed)).ended(0.0, True, False) for seed in range(200)
+        stream_reconnect.ReconnectBackoff(Random(seed)).ended(0.0, True, False)
+        for seed in range(200)
     ]
     assert (
         max(sum(low <= 1000.0 * wait < low + 10 for wait in waits) for low in range(0, 100, 10))
@@ -42,7 +43,7 @@
 
 
 def test_waits_grow_to_their_bound_and_begin_anew():
-    pace = stream_reconnect.Reconnects(Random(3))
+    pace = stream_reconnect.ReconnectBackoff(Random(3))
     waits = [pace.ended(now, False, True) for now in range(10)]
     assert waits[0] < 0.07 and 0.7 < waits[-1] <= 1.25 * stream_reconnect.WAIT_MOST
     assert (
--- a/tests/spread/test_reach.py
+++ b/tests/spread/test_reach.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.policy.zone_reachability import FORGIVEN, REAL, WITHIN, Reach
+from mulleinrelay.policy.zone_reachability import FORGIVEN, REAL, WITHIN, ZoneReachability
 
 
 def view(count, failed=(), at=0.0):
     """A location of so many caches of which these fail, 100 ms apart; and whether the last told a
     cut.
     """
-    reach, told = Reach(), False
+    reach, told = ZoneReachability(), False
     reach.listed(list(range(count)), True)
     for place, node in enumerate(failed):
         told = reach.fails(at + 100.0 * place, node)
@@ -92,7 +92,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 4), st.floats(1.0, 3000.0)), max_size=60))
 def test_a_cut_is_only_ever_told_of_caches_none_of_which_was_heard_since(steps):
-    reach, now, silent = Reach(), 0.0, {}
+    reach, now, silent = ZoneReachability(), 0.0, {}
     reach.listed(list(range(5)), True)
     for failing, node, after in steps:
         now += after
--- a/tests/spread/test_storm.py
+++ b/tests/spread/test_storm.py
@@ -2,11 +2,19 @@
 
 import pytest
 
-from mulleinrelay.policy.overload import COME_BACK, EARNED, HALVING, SHARE, Storm, come_back, cost
+from mulleinrelay.policy.overload import (
+    COME_BACK,
+    EARNED,
+    HALVING,
+    SHARE,
+    OverloadDetector,
+    come_back,
+    cost,
+)
 
 
 def played(rejected, requests=400, every=10.0, seed=1):
-    storm, draw, now = Storm(), Random(seed), 0.0
+    storm, draw, now = OverloadDetector(), Random(seed), 0.0
     for _ in range(requests):
         now += every
         storm.requested(now)
@@ -42,7 +50,7 @@
     once, a purse that is full at the start. Attempts a request stay under what is earned, near one
     in a storm.
     """
-    storm, draw, now, purse = Storm(), Random(2), 0.0, 8.0
+    storm, draw, now, purse = OverloadDetector(), Random(2), 0.0, 8.0
     waiting, requests, attempts = [], 0, 0
     for _ in range(2000):
         waiting.append(0)
@@ -65,7 +73,7 @@
 
 
 def test_the_mode_turns_once_a_storm_and_once_after():
-    storm, now, turns = Storm(), 0.0, 0
+    storm, now, turns = OverloadDetector(), 0.0, 0
     for share in (0.0, 4 * SHARE, 0.0):
         for place in range(1500):
             now += 10.0
--- a/tests/spread/test_watching.py
+++ b/tests/spread/test_watching.py
@@ -3,14 +3,16 @@
 
 import pytest
 
-from mulleinrelay.policy.health_checks import Watch
 from mulleinrelay.policy import health_checks
+from mulleinrelay.policy.health_checks import HealthCheckScheduler
 
 NODES = ["a", "b", "c", "d"]
 
 
 def watches(count, reports=False, one_seed=False):
-    return [Watch(0.0, Random(1 if one_seed else seed), reports) for seed in range(count)]
+    return [
+        HealthCheckScheduler(0.0, Random(1 if one_seed else seed), reports) for seed in range(count)
+    ]
 
 
 def asked(watches, until, rate=0.0, step=25.0, doubted=None):
@@ -82,7 +84,7 @@
 
 @pytest.mark.parametrize("price, rate", [(0.0, 0.2), (0.014, 0.2), (0.056, 0.1), (1.4, 0.02)])
 def test_dear_reports_are_asked_for_more_rarely(price, rate):
-    watch = Watch(0.0, Random(1), True, price)
+    watch = HealthCheckScheduler(0.0, Random(1), True, price)
     watch.earned = 0.0
     watch.requested()
     assert watch.earned == pytest.approx(rate)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -4,8 +4,8 @@
 from helpers import call_frame, serve_frame
 
 from mulleinrelay.net import resp, sse, thrift
-from mulleinrelay.net.receive_buffer import Intake
-from mulleinrelay.policy.model import Asked, Note, Order, Outcome
+from mulleinrelay.net.receive_buffer import ReceiveBuffer
+from mulleinrelay.policy.model import CacheStatus, ClientRequest, Outcome, SendAttempt
 from mulleinrelay.wirehost import NOTES, OUTCOMES
 
 FIELDS = {
@@ -35,7 +35,7 @@
 
 def test_a_view_handed_out_is_never_written_again():
     # Guards against an answer's bytes changing under a client that is still being written to.
-    intake = Intake(8)
+    intake = ReceiveBuffer(8)
     intake.room()[:6] = b"abcdef"
     intake.end += 6
     taken = intake.take(4)
@@ -276,7 +276,11 @@
 
 
 def test_notes_stand_in_the_simulators_order():
-    assert list(resp.NOTES.values()) == [NOTES[number] for number in range(1, 11)] == list(Note)[1:]
+    assert (
+        list(resp.NOTES.values())
+        == [NOTES[number] for number in range(1, 11)]
+        == list(CacheStatus)[1:]
+    )
 
 
 def test_fields_of_an_answer():
@@ -293,20 +297,20 @@
         {"x1": "crowding"},
     )
     assert (told.note, told.waited, told.load) == (
-        Note.SOURCE_LOST,
+        CacheStatus.SOURCE_LOST,
         12.5,
         {"inflight": 7, "crowding": 0.61},
     )
 
 
 def test_commands_as_on_the_wire():
-    plain = Order(None, None, "", 0.0, 0, False, False, True, False)
-    asked = Asked("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
+    plain = SendAttempt(None, None, "", 0.0, 0, False, False, True, False)
+    asked = ClientRequest("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
     assert b"".join(resp.pull(asked, plain, 7.9)) == (
         b"*4\r\n$4\r\nPULL\r\n$2\r\n9b\r\n$32\r\nlane=pages,name=ab,piece=0,ttl=7\r\n$2\r\nxy\r\n"
     )
-    full = Order(None, None, "s-1", 0.5, 2, True, True, False, True)
-    asked = Asked("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
+    full = SendAttempt(None, None, "s-1", 0.5, 2, True, True, False, True)
+    asked = ClientRequest("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
     words = b"".join(resp.pull(asked, full, 0.2))
     assert words.split(b"\r\n")[6:] == [
         b"lane=p,name=ab,piece=0,ttl=1,dedupe=5c,mine=4b,miss=s-1,prio=2,within=1,"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,8 @@
 from helpers import configuration
 
 from mulleinrelay import cli
-from mulleinrelay.config.platform import ConfigurationError, decode, from_environment
+from mulleinrelay.config.platform import load_config, parse_config
+from mulleinrelay.errors import ConfigError
 
 
 def call(*arguments):
@@ -57,8 +58,8 @@
     ],
 )
 def test_a_fault_names_its_key(path, value, told, tmp_path):
-    with pytest.raises(ConfigurationError) as fault:
-        decode(changed(path, value))
+    with pytest.raises(ConfigError) as fault:
+        parse_config(changed(path, value))
     assert str(fault.value).startswith(told)
     file = tmp_path / "config.json"
     file.write_text(changed(path, value))
@@ -67,12 +68,12 @@
 
 @pytest.mark.parametrize("text", ["", "[", "[]", "nul"])
 def test_what_is_no_object_is_told(text):
-    with pytest.raises(ConfigurationError, match="configuration"):
-        decode(text)
+    with pytest.raises(ConfigError, match="configuration"):
+        parse_config(text)
 
 
 def test_a_configuration_as_a_director_gets_it(tmp_path):
-    start = decode(json.dumps(configuration()))
+    start = parse_config(json.dumps(configuration()))
     assert (start.name, start.seed, start.sockets, start.known) == ("n3", 0x8C1F, 1024, 1)
     assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {
         "hub": 0,
@@ -80,15 +81,15 @@
     }
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration()))
-    assert from_environment({"LB_CONFIG": str(file)}).name == "n3"
+    assert load_config({"LB_CONFIG": str(file)}).name == "n3"
     code, told, _ = call("check", "--config", str(file))
     assert code == 0 and told.startswith("n3: listens on 127.0.0.1:")
 
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/no/such/file"}])
 def test_a_configuration_that_is_not_there(environment):
-    with pytest.raises(ConfigurationError, match="LB_CONFIG"):
-        from_environment(environment)
+    with pytest.raises(ConfigError, match="LB_CONFIG"):
+        load_config(environment)
 
 
 def test_version():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,17 +36,17 @@
 )
 
 from mulleinrelay import director as director_module
-from mulleinrelay.coordinator import Facade
+from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection as client_module
 from mulleinrelay.net import event_stream, resp
 from mulleinrelay.net import upstream_connections as caches_module
 from mulleinrelay.net import write_queue as outlet_module
-from mulleinrelay.net.client_connection import Client
-from mulleinrelay.net.client_listener import Front
+from mulleinrelay.net.client_connection import ClientConnection
+from mulleinrelay.net.client_listener import ClientListener
 from mulleinrelay.net.thrift import Frames
-from mulleinrelay.net.upstream_connections import Caches, Link
-from mulleinrelay.net.write_queue import Outlet
-from mulleinrelay.policy.model import Attempt, Node, State
+from mulleinrelay.net.upstream_connections import UpstreamConnection, UpstreamConnections
+from mulleinrelay.net.write_queue import WriteQueue
+from mulleinrelay.policy.model import Attempt, Endpoint, EndpointState
 
 FULL = (b"WAIT", b"-", b"")
 
@@ -59,7 +59,7 @@
 @pytest.fixture
 def gate(monkeypatch):
     """Links come up only once it is set."""
-    yield (up := held_back(monkeypatch, Caches, "_run"))
+    yield (up := held_back(monkeypatch, UpstreamConnections, "_run"))
     up.set()
 
 
@@ -81,11 +81,19 @@
 
 
 BETWEEN = {
-    "its cache drains": lambda d, attempt: told(d, attempt.ways[0][1].name, state=State.DRAINING),
-    "its cache is gone": lambda d, attempt: told(d, attempt.ways[0][1].name, state=State.GONE),
+    "its cache drains": lambda d, attempt: told(
+        d, attempt.ways[0][1].name, state=EndpointState.DRAINING
+    ),
+    "its cache is gone": lambda d, attempt: told(
+        d, attempt.ways[0][1].name, state=EndpointState.GONE
+    ),
     "another machine is there": lambda d, attempt: told(d, attempt.ways[0][1].name, started=5.0),
-    "its source drains": lambda d, attempt: told(d, attempt.ways[1][1].name, state=State.DRAINING),
-    "its source is gone": lambda d, attempt: told(d, attempt.ways[1][1].name, state=State.GONE),
+    "its source drains": lambda d, attempt: told(
+        d, attempt.ways[1][1].name, state=EndpointState.DRAINING
+    ),
+    "its source is gone": lambda d, attempt: told(
+        d, attempt.ways[1][1].name, state=EndpointState.GONE
+    ),
     "its object is purged": lambda d, attempt: d.service.facade.purged(0xAB, 0, d.service.clock()),
     "its group is purged": lambda d, attempt: d.service.facade.purged(0, 17, d.service.clock()),
 }
@@ -149,7 +157,7 @@
     # middle.
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    outlet, stale, dropped = Outlet(threading.Lock()), set(), []
+    outlet, stale, dropped = WriteQueue(threading.Lock()), set(), []
     outlet.stale, outlet.withdrawn = lambda owner: owner if owner in stale else None, dropped.append
     assert outlet.open(ours)
     with outlet.lock:
@@ -171,7 +179,7 @@
     monkeypatch.setattr(outlet_module, "LOOK_AGAIN", 20)
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    outlet = Outlet(threading.Lock(), write_wait=0.3)
+    outlet = WriteQueue(threading.Lock(), write_wait=0.3)
     assert outlet.open(ours)
     with outlet.lock:
         outlet.put(1, [bytes(2_000_000)])
@@ -234,9 +242,9 @@
     # Guards against the next attempt that overtakes the word that the first one is given up.
     with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        attempt = Attempt(None, 0, Node(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         ours, theirs = socket.socketpair()
-        link = Link(place, director.service.clock(), caches.lock)
+        link = UpstreamConnection(place, director.service.clock(), caches.lock)
         link.outlet.connection = ours
         caches.links[place] = [link]
         caches._put(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
@@ -247,7 +255,7 @@
         ours.close()
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_no_echo_begins_at_a_node_that_was_announced_as_leaving(state, gate):
     # Guards against questions of any kind to nodes that leave: what waited for its link, and what a
     # quiet link would be asked.
@@ -266,7 +274,7 @@
         assert len(director.heard("METER")) == 2
 
 
-@pytest.mark.parametrize("state", [State.READY, State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
 def test_a_quiet_link_is_asked_for_an_echo_only_where_its_node_stays(state):
     with Running(None) as director:
         caller, caches = director.caller(), director.service.caches
@@ -277,7 +285,7 @@
         link = caches.of_attempt[attempt][0]
         link.heard, attempt.sent = 0.0, 1.0
         caches.ask()
-        assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == State.READY)
+        assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == EndpointState.READY)
 
 
 def test_a_director_short_of_descriptors_does_not_blame_nodes(monkeypatch):
@@ -385,7 +393,7 @@
 @pytest.fixture
 def reading(monkeypatch):
     """Connections of clients are read only once it is set."""
-    yield (begin := held_back(monkeypatch, Front, "_read"))
+    yield (begin := held_back(monkeypatch, ClientListener, "_read"))
     begin.set()
 
 
@@ -422,7 +430,7 @@
     # Guards against a director that is late itself: its links' threads run before that of the
     # client.
     left = threading.Event()
-    read = held_back(monkeypatch, Client, "hear", lambda client: client.called)
+    read = held_back(monkeypatch, ClientConnection, "hear", lambda client: client.called)
     stays = {
         "calls": lambda caller: caller.socket.sendall(WELL),
         "cancels another": lambda caller: caller.socket.sendall(forget(2)),
@@ -464,7 +472,9 @@
 
 def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_attempt(monkeypatch):
     left = threading.Event()
-    go = held_back(monkeypatch, Front, "_call", lambda front, client, call: call.method == "forget")
+    go = held_back(
+        monkeypatch, ClientListener, "_call", lambda front, client, call: call.method == "forget"
+    )
     with Running(lambda fields: left.wait(5.0) and FULL) as director:
         caller = director.caller()
         caller.send()
@@ -518,7 +528,7 @@
 
 def test_a_verdict_between_a_calls_taking_and_its_table_is_told_once(monkeypatch):
     # Guards against an answer that finds no number to go to, and a number that is owed for ever.
-    take = Facade.take
+    take = RequestCoordinator.take
 
     def taken(facade, *arguments, **named):
         request = take(facade, *arguments, **named)
@@ -529,7 +539,7 @@
         other.join()
         return request
 
-    monkeypatch.setattr(Facade, "take", taken)
+    monkeypatch.setattr(RequestCoordinator, "take", taken)
     with Running() as director:
         caller = director.caller()
         caller.send()
@@ -563,7 +573,7 @@
 def test_a_call_that_crosses_the_end_of_the_drain_is_answered(monkeypatch):
     # Guards against an end of all connections on a word that none owes an answer which a call has
     # overtaken.
-    owes, crossed = Front.owes, []
+    owes, crossed = ClientListener.owes, []
 
     def cross(front):
         idle = not owes(front)
@@ -573,7 +583,7 @@
             return False
         return not idle
 
-    monkeypatch.setattr(Front, "owes", cross)
+    monkeypatch.setattr(ClientListener, "owes", cross)
     with Running(lambda fields: time.sleep(0.2) or HIT) as director:
         caller, rests = director.caller(), director.caller()
         caller.socket.sendall(WELL)
@@ -593,7 +603,10 @@
 def test_who_the_system_has_accepted_before_the_drain_ends_is_answered(monkeypatch):
     # Guards against a listener that closes over connections on which calls have come.
     free = held_back(
-        monkeypatch, Front, "_let_in", lambda *_: threading.current_thread().name == "accept"
+        monkeypatch,
+        ClientListener,
+        "_let_in",
+        lambda *_: threading.current_thread().name == "accept",
     )
     with Running() as director:
         first = director.caller()
@@ -666,7 +679,7 @@
 def test_a_call_that_has_been_read_and_is_not_yet_begun_counts_as_open(monkeypatch):
     # Guards against the end of a connection, or of the drain, between a call's reading and its
     # begin.
-    go = held_back(monkeypatch, Front, "_call")
+    go = held_back(monkeypatch, ClientListener, "_call")
     with Running() as director:
         caller, table = director.caller(), director.service.front
         caller.send()
@@ -710,7 +723,7 @@
 
 
 def test_the_time_that_a_call_waits_behind_others_is_the_clients(monkeypatch):
-    go = held_back(monkeypatch, Front, "_call")
+    go = held_back(monkeypatch, ClientListener, "_call")
     with Running(None) as director:
         caller = director.caller()
         caller.send(patience="2000")
@@ -907,7 +920,10 @@
         director.service.bus.move(director.service.bus.address)
         assert wait_for(lambda: director.service.bus.last == 2)
         assert {name for name, _, _ in facade.ready_caches()} == {"s-02", "s-03"}
-        assert facade.entries["s-01"].state == State.DRAINING and facade.entries["s-01"].address[1]
+        assert (
+            facade.entries["s-01"].state == EndpointState.DRAINING
+            and facade.entries["s-01"].address[1]
+        )
 
 
 def test_a_move_while_the_old_address_is_being_connected_to_is_followed(monkeypatch):
@@ -919,7 +935,7 @@
         drain = rows(director, "DRAINING", "s-01") | {"offset": 2}
         director.service.renew(replace(director.service.start_settings, bus=moved, events=[drain]))
         # Though the stream's thread waits: a grace may run from now on.
-        assert director.service.facade.entries["s-01"].state == State.DRAINING
+        assert director.service.facade.entries["s-01"].state == EndpointState.DRAINING
         up.set()
         assert wait_for(lambda: director.service.bus.last == 3)
     assert new.asked == [2]
@@ -953,7 +969,7 @@
 
     stand.talk = held
     director = Running(bus=stand)
-    begun, asked = Front.begin, []
+    begun, asked = ClientListener.begin, []
 
     def begin(front):
         begun(front)
@@ -962,11 +978,11 @@
             asked.append(b"\x02\x00\x00\x01" in client.recv(4096))  # `good`
         late.set()
 
-    monkeypatch.setattr(Front, "begin", begin)
+    monkeypatch.setattr(ClientListener, "begin", begin)
     with director:
         assert asked == [False]
         assert director.service.front.well
-        assert director.service.facade.entries["s-01"].state == State.DRAINING
+        assert director.service.facade.entries["s-01"].state == EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("script", ["refused", "closed", "silent"])
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,9 +5,9 @@
 from helpers import Sink, Stage, settings
 
 from mulleinrelay import wire
-from mulleinrelay.coordinator import Failed, GiveUp, Left, Order, Rejected, Served
+from mulleinrelay.coordinator import CancelAttempt, ClientGone, Failed, Order, Rejected, Served
 from mulleinrelay.net import resp
-from mulleinrelay.policy.model import Listing, Note, Outcome, State
+from mulleinrelay.policy.model import CacheStatus, EndpointState, EndpointUpdate, Outcome
 from mulleinrelay.wirehost import Instance
 
 
@@ -18,7 +18,7 @@
     assert (
         isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
     )
-    stage.facade.report(order.attempt, Outcome.SERVED, Note.HIT, answer="bytes")
+    stage.facade.report(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
     stage.facade.report(order.attempt, Outcome.ERROR)
     stage.facade.forget(request)
     verdict = stage.facade.pick(request)
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize(
     "first, second, verdict",
     [
-        ("forget", "report", Left),
+        ("forget", "report", ClientGone),
         ("report", "forget", Served),
-        ("forget", "wind_up", Left),
+        ("forget", "wind_up", ClientGone),
         ("wind_up", "forget", Rejected),
         ("wind_up", "report", Rejected),
         ("report", "wind_up", Served),
@@ -46,13 +46,13 @@
     deeds = {
         "forget": lambda: stage.facade.forget(request),
         "wind_up": stage.facade.wind_up,
-        "report": lambda: stage.facade.report(attempt, Outcome.SERVED, Note.HIT),
+        "report": lambda: stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT),
         "time": lambda: stage.pass_time(7000.0),
     }
     deeds[first]()
     deeds[second]()
     steps = [stage.facade.pick(request)]
-    while isinstance(steps[-1], GiveUp):
+    while isinstance(steps[-1], CancelAttempt):
         steps.append(stage.facade.pick(request))
     assert isinstance(steps[-1], verdict) and not stage.facade.open_requests()
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
@@ -86,7 +86,7 @@
     stage = Stage()
     request = stage.take()
     stage.facade.forget(request)
-    assert isinstance(stage.facade.pick(request), Left)
+    assert isinstance(stage.facade.pick(request), ClientGone)
     assert request.attempts[0].outcome == Outcome.CANCELLED
 
 
@@ -112,7 +112,7 @@
         other.start()
         other.join()
 
-    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, answer=1)
+    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, answer=1)
     pick_elsewhere()
     assert found == [None]
     assert stage.facade.pick(request).answer == 1 and stage.facade.pick(request) is None
@@ -120,7 +120,7 @@
     request = stage.take()
     attempt = stage.facade.pick(request).attempt
     assert stage.facade.pick(request) is None  # nothing left to do: whoever brings more may pick
-    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, answer=2)
+    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
 
@@ -206,10 +206,12 @@
     for number in range(50):
         gone, entry = (
             entry,
-            Listing(f"s-5{number}", ("127.0.0.1", 9), State.READY, 4.0, 0, 1, 0, 0.0),
+            EndpointUpdate(
+                f"s-5{number}", ("127.0.0.1", 9), EndpointState.READY, 4.0, 0, 1, 0, 0.0
+            ),
         )
         if gone is not None:
-            gone.state = State.GONE
+            gone.state = EndpointState.GONE
         stage.facade.listed([entry] + ([gone] if gone else []), False)
         stage.until_verdict(stage.take(left=0.0))
     assert (
@@ -291,5 +293,5 @@
 def test_a_report_in_an_answer_reaches_the_module():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
     attempt = stage.facade.pick(stage.take()).attempt
-    stage.facade.report(attempt, Outcome.SERVED, Note.HIT, load={"crowding": 3.5})
+    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5})
     assert stage.facade.director.link == 3.5
--- a/tests/test_judging.py
+++ b/tests/test_judging.py
@@ -5,8 +5,8 @@
 import pytest
 from helpers import Fleet
 
-from mulleinrelay.policy.outlier_detection import Health
-from mulleinrelay.policy.router import Member
+from mulleinrelay.policy.outlier_detection import OutlierDetector
+from mulleinrelay.policy.router import TrackedEndpoint
 
 
 class Judged:
@@ -14,7 +14,7 @@
 
     def __init__(self, rate, seed):
         self.director, self.draw, self.rate, self.now = Fleet().director, Random(seed), rate, 1e6
-        self.member = Member(5)
+        self.member = TrackedEndpoint(5)
         self.member.reset()
         self.director.out = self
 
@@ -73,7 +73,7 @@
 
 def test_good_outcomes_of_long_ago_excuse_nothing():
     """The sum of odds finds what a share of the last dozen does not."""
-    health = Health()
+    health = OutlierDetector()
     for number in range(60):
         health.mark(1000.0 * number, 0.0)
     for number in range(3):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,10 +10,10 @@
 import pytest
 from helpers import Stage
 
-from mulleinrelay.coordinator import Facade, GiveUp, Rejected, Served
-from mulleinrelay.net.client_connection import Client
-from mulleinrelay.policy.model import Order, Outcome, State
+from mulleinrelay.coordinator import CancelAttempt, Rejected, RequestCoordinator, Served
+from mulleinrelay.net.client_connection import ClientConnection
 from mulleinrelay.policy import router
+from mulleinrelay.policy.model import EndpointState, Outcome, SendAttempt
 
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
 ANSWERS = {
@@ -50,11 +50,11 @@
 
     def see_through(self):
         while (step := self.facade.pick(self.request)) is not None:
-            if isinstance(step, Order):
+            if isinstance(step, SendAttempt):
                 assert not self.verdicts
                 self.held.append(step)
                 self.write_on()
-            elif isinstance(step, GiveUp):
+            elif isinstance(step, CancelAttempt):
                 self.ended.setdefault(step.attempt, Outcome.CANCELLED)
             else:
                 self.verdicts.append(step)
@@ -88,7 +88,9 @@
         elif event == "drains" and self.request.attempts:
             name = self.facade.places[self.request.attempts[-1].node].name
             self.draining.add(name)
-            self.facade.listed([replace(self.facade.entries[name], state=State.DRAINING)], False)
+            self.facade.listed(
+                [replace(self.facade.entries[name], state=EndpointState.DRAINING)], False
+            )
         elif event == "purged":
             self.facade.purged(0xABC, 0, self.stage.now)
         elif event == "leaves":
@@ -140,7 +142,7 @@
 @pytest.mark.parametrize(
     "request_class, where, name, planted, told",
     [
-        ("pages", Facade, "may_begin", lambda facade, attempt: True, "drains"),
+        ("pages", RequestCoordinator, "may_begin", lambda facade, attempt: True, "drains"),
         ("pay", router, "may_have_run", lambda request: [], "twice"),
         (
             "pay",
@@ -174,7 +176,7 @@
     """Holds one connection to an account of its own. `called`: it has brought a call before."""
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
-    client, number, left, shut, owed = Client(ours), 0, False, False, []
+    client, number, left, shut, owed = ClientConnection(ours), 0, False, False, []
     client.called = called
     for move in [*moves, "is read"]:
         if move == "calls" and not left:
@@ -221,7 +223,7 @@
 
 @pytest.mark.parametrize("name", ["_unread", "owed"])
 def test_a_planted_loss_is_found(name, monkeypatch):
-    monkeypatch.setattr(Client, name, lambda client: False)
+    monkeypatch.setattr(ClientConnection, name, lambda client: False)
     with pytest.raises(AssertionError, match="lost"):
         for moves in itertools.product(MOVES, repeat=3):
             play_connection(True, moves)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,7 +1,15 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
-from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, Attempt, Note, Outcome, State
+from mulleinrelay.policy.model import (
+    IDEMPOTENT,
+    KEYED,
+    UNSAFE,
+    Attempt,
+    CacheStatus,
+    EndpointState,
+    Outcome,
+)
 
 
 @pytest.mark.parametrize(
@@ -20,7 +28,7 @@
 ):
     fleet = Fleet(repeat, group)
     request = fleet.ask()
-    fleet.answer(request.attempts[0], outcome, Note.NONE, after=20)
+    fleet.answer(request.attempts[0], outcome, CacheStatus.NONE, after=20)
     assert len(request.attempts) == attempts
     assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final] * bool(
         final
@@ -30,7 +38,7 @@
 def test_a_keyed_request_is_not_sent_again_past_its_memory_span():
     fleet = Fleet(KEYED)
     request = fleet.ask()
-    fleet.answer(request.attempts[0], Outcome.ERROR, Note.NONE, after=5000)
+    fleet.answer(request.attempts[0], Outcome.ERROR, CacheStatus.NONE, after=5000)
     assert len(request.attempts) == 1 and request.ended
 
 
@@ -51,7 +59,7 @@
     outcome, after, final
 ):
     fleet = Fleet(KEYED, attempts_most=1, advice_most=200.0)
-    fleet.answer(fleet.ask().attempts[0], outcome, Note.NONE, after=after)
+    fleet.answer(fleet.ask().attempts[0], outcome, CacheStatus.NONE, after=after)
     assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final]
 
 
@@ -61,13 +69,13 @@
     delay = max(delay for delay, about in fleet.out.take("wake") if about is request)
     assert delay < 900.0
     fleet.call("woken", request, after=delay)
-    fleet.answer(request.attempts[0], Outcome.CANCELLED, Note.NONE, after=1)
+    fleet.answer(request.attempts[0], Outcome.CANCELLED, CacheStatus.NONE, after=1)
     fleet.call("end", request, after=100)
     assert len(fleet.out.take("reject")) == 1 and not fleet.out.take("fail")
     assert len(request.attempts) == 1
 
 
-@pytest.mark.parametrize("change", [State.DRAINING, State.GONE, None])
+@pytest.mark.parametrize("change", [EndpointState.DRAINING, EndpointState.GONE, None])
 def test_nothing_goes_to_a_drained_or_removed_node(change):
     fleet = Fleet()
     if change is None:
@@ -95,7 +103,7 @@
         attempt = fleet.ask(size=500.0, after=5).attempts[0]
         for member in {attempt.node, attempt.source} & set(sent):
             sent[member] += 50.0
-        fleet.answer(attempt, note=Note.FILLED, first_byte=30.0)
+        fleet.answer(attempt, note=CacheStatus.FILLED, first_byte=30.0)
     member, rule = (
         (fleet.caches[0], fleet.terms.cold_cache)
         if caches_cold
@@ -121,7 +129,7 @@
         for member in {held for each in attempt for held in (each.node, each.source)} & set(sent):
             sent[member].append(fleet.now)
         for each in attempt:
-            fleet.answer(each, note=Note.FILLED, first_byte=30.0)
+            fleet.answer(each, note=CacheStatus.FILLED, first_byte=30.0)
     mean = 100.0
     for times in sent.values():
         for now in times:
@@ -166,8 +174,8 @@
     fleet = Fleet()
     first = fleet.ask(key=5)
     owner = first.attempts[0].node
-    fleet.answer(first.attempts[0], Outcome.TURNED_AWAY, Note.NO_PLACE)
-    fleet.answer(first.attempts[1], note=Note.FILLED, first_byte=20.0)
+    fleet.answer(first.attempts[0], Outcome.TURNED_AWAY, CacheStatus.NO_PLACE)
+    fleet.answer(first.attempts[1], note=CacheStatus.FILLED, first_byte=20.0)
     fleet.out.take("send")
     again = fleet.ask(key=5)
     assert again.attempts[0].node is owner and again.attempts[0].source is first.attempts[1].node
@@ -216,7 +224,7 @@
             fleet.answer(request.attempts[0])
     for request in requests:
         request.attempts[0].bag = True  # a hit was due, so that no source shares the blame
-        fleet.answer(request.attempts[0], outcome, Note.NONE)
+        fleet.answer(request.attempts[0], outcome, CacheStatus.NONE)
         if another is not None:
             fleet.answer(request.attempts[1], another)
     assert cache.health.bad == weight
@@ -235,10 +243,11 @@
         attempt = request.attempts[0]
         bad = sick in (attempt.node, attempt.source)
         fleet.answer(
-            attempt, *((Outcome.ERROR, Note.NONE) if bad else (Outcome.SERVED, Note.FILLED))
+            attempt,
+            *((Outcome.ERROR, CacheStatus.NONE) if bad else (Outcome.SERVED, CacheStatus.FILLED)),
         )
         for attempt in request.attempts[1:]:
-            fleet.answer(attempt, note=Note.FILLED)
+            fleet.answer(attempt, note=CacheStatus.FILLED)
     assert sick.shunned and not any(member.shunned for member in getattr(fleet, well))
 
 
@@ -264,7 +273,7 @@
     request = fleet.ask(after=age)
     assert (request.attempts[0].source is not request.attempts[0].node) is filled
     if not filled:
-        fleet.answer(request.attempts[0], Outcome.MISS, Note.NONE)
+        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.NONE)
         assert request.ended and len(request.attempts) == 1
 
 
@@ -289,13 +298,15 @@
     fleet = Fleet()
     for place in range(30):
         by_origin = place % 3 == 0
-        note, delay = (Note.FILLED_BY_ORIGIN, first_byte) if by_origin else (Note.FILLED, 12.0)
+        note, delay = (
+            (CacheStatus.FILLED_BY_ORIGIN, first_byte) if by_origin else (CacheStatus.FILLED, 12.0)
+        )
         fleet.answer(fleet.ask().attempts[0], note=note, first_byte=delay)
     fleet.out.take("send")
     request = fleet.ask()
     assert fleet.out.take("send")[0][4] is held_only and request.attempts[0].source in fleet.parents
     if held_only:
-        fleet.answer(request.attempts[0], Outcome.MISS, Note.SOURCE_LACKS)
+        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.SOURCE_LACKS)
         assert request.ended and len(request.attempts) == 1
 
 
@@ -304,7 +315,7 @@
     fleet = Fleet()
     fleet.director.random.random = lambda: 1.0
     for _ in range(20):
-        fleet.answer(fleet.ask().attempts[0], note=Note.FILLED, first_byte=3000.0)
+        fleet.answer(fleet.ask().attempts[0], note=CacheStatus.FILLED, first_byte=3000.0)
     filled = 0
     for _ in range(50):
         attempt = fleet.ask(after=20).attempts[0]
@@ -331,14 +342,14 @@
     fleet, further = Fleet(), 0
     for _ in range(30):
         request = fleet.ask()
-        fleet.answer(request.attempts[0], outcome, Note.NO_PLACE, after=after)
+        fleet.answer(request.attempts[0], outcome, CacheStatus.NO_PLACE, after=after)
         further += len(request.attempts) - 1
         for attempt in request.attempts[1:]:
             fleet.answer(attempt)
     assert least <= further <= most
 
 
-def warm_up(fleet, number=40, note=Note.FILLED, first_byte=20.0):
+def warm_up(fleet, number=40, note=CacheStatus.FILLED, first_byte=20.0):
     for _ in range(number):
         fleet.answer(fleet.ask().attempts[0], note=note, first_byte=first_byte)
 
@@ -352,7 +363,7 @@
     """
     fleet = Fleet(directors_here=20)
     for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
-        fleet.call("answered", attempt, Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
+        fleet.call("answered", attempt, Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None)
     for cache in fleet.caches:
         cache.late.add(fleet.now, wait - 100.0)
     assert any(fleet.ask(after=0.0).ended for _ in range(4)) is not taken
@@ -384,7 +395,9 @@
     for _ in range(12):
         request = fleet.ask(after=4000)
         bad = request.attempts[0].source is fleet.parents[0]
-        fleet.answer(request.attempts[0], *((Outcome.TURNED_AWAY, Note.SOURCE_LOST) if bad else ()))
+        fleet.answer(
+            request.attempts[0], *((Outcome.TURNED_AWAY, CacheStatus.SOURCE_LOST) if bad else ())
+        )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt)
     assert fleet.parents[0].shunned
@@ -418,7 +431,7 @@
     for _ in range(30):
         request = fleet.ask(after=30)
         for attempt in request.attempts:
-            fleet.answer(attempt, Outcome.TURNED_AWAY, Note.SOURCE_REFUSED)
+            fleet.answer(attempt, Outcome.TURNED_AWAY, CacheStatus.SOURCE_REFUSED)
     assert not any(parent.shunned for parent in fleet.parents)
 
 
@@ -426,7 +439,7 @@
     fleet = Fleet()
     warm_up(fleet, 40)
     before = [fleet.director.delay(parent) for parent in fleet.parents]
-    warm_up(fleet, 40, Note.FILLED_BY_ORIGIN, 900.0)
+    warm_up(fleet, 40, CacheStatus.FILLED_BY_ORIGIN, 900.0)
     assert [fleet.director.delay(parent) for parent in fleet.parents] == before
 
 
@@ -454,7 +467,7 @@
 
 
 @pytest.mark.parametrize("whose", [CACHE, PARENT])
-@pytest.mark.parametrize("state", [State.GONE, State.DRAINING])
+@pytest.mark.parametrize("state", [EndpointState.GONE, EndpointState.DRAINING])
 @pytest.mark.parametrize("first", ["breaks", "leaves"])
 def test_who_has_gone_or_starts_anew_is_asked_for_no_echo(first, state, whose):
     """An attempt that was out at one that left broke afterwards: nobody knew its place, the module
@@ -481,7 +494,7 @@
     fleet = Fleet(flow=0.0)
     for _ in range(8):
         attempt = fleet.ask(size=0.0).attempts[0]
-        fleet.call("answered", attempt, Outcome.SERVED, took, True, Note.NONE, 0.0, None)
+        fleet.call("answered", attempt, Outcome.SERVED, took, True, CacheStatus.NONE, 0.0, None)
     request = fleet.ask(size=0.0)
     fleet.call("woken", request.attempts[0], after=450.0)
     assert (len(request.attempts) == 1) is none_overdue
@@ -500,7 +513,9 @@
         for attempt in fleet.ask(size=0.0, after=2.0).attempts:
             for member in {attempt.node, attempt.source} & set(sent):
                 sent[member].append(fleet.now)
-            fleet.call("answered", attempt, Outcome.SERVED, sending, True, Note.NONE, 0.0, None)
+            fleet.call(
+                "answered", attempt, Outcome.SERVED, sending, True, CacheStatus.NONE, 0.0, None
+            )
     for times in sent.values():
         for now in times:
             warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_000.0) / rule.warm_in
@@ -527,7 +542,9 @@
     request = fleet.ask(key=77)
     node = request.attempts[0].node
     fleet.now += wait
-    fleet.call("answered", request.attempts[0], Outcome.SERVED, wait, True, Note.HIT, 0.0, None)
+    fleet.call(
+        "answered", request.attempts[0], Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None
+    )
     back = next(
         step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node
     )
@@ -555,7 +572,9 @@
     node = request.attempts[0].node
     fleet.director.mark(node, 4.0, "reset")
     fleet.now += 5000.0
-    fleet.call("answered", request.attempts[0], Outcome.SERVED, 5000.0, True, Note.HIT, 0.0, None)
+    fleet.call(
+        "answered", request.attempts[0], Outcome.SERVED, 5000.0, True, CacheStatus.HIT, 0.0, None
+    )
     assert fleet.director.crowd(node) == 1.0
 
 
@@ -599,7 +618,7 @@
         fleet.director.learn(
             Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET),
             1.0,
-            Note.NONE,
+            CacheStatus.NONE,
             0.0,
         )
     assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,14 +28,15 @@
     wait_for,
 )
 
-from mulleinrelay import director as director_module, process
-from mulleinrelay.coordinator import Facade
+from mulleinrelay import director as director_module
+from mulleinrelay import process
+from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection, event_stream
-from mulleinrelay.net.upstream_connections import Link
-from mulleinrelay.net.write_queue import Outlet
-from mulleinrelay.policy.model import Attempt, Node, Outcome
+from mulleinrelay.net.upstream_connections import UpstreamConnection
+from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy import connection_reuse
-from mulleinrelay.structured_log import Log
+from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
+from mulleinrelay.structured_log import StructuredLog
 
 
 @pytest.fixture(autouse=True)
@@ -186,7 +187,7 @@
 
 def test_what_waits_for_a_link_can_be_taken_back_while_nothing_of_it_is_written():
     ours, theirs = socket.socketpair()
-    outlet = Outlet(threading.Lock())
+    outlet = WriteQueue(threading.Lock())
     with outlet.lock:
         outlet.put("a", [b"first", b"second"])
         outlet.put("b", [b"third"])
@@ -208,12 +209,12 @@
     # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
     with Running() as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        attempt = Attempt(None, 0, Node(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         reported = []
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
         with caches.lock:
-            link = Link(place, 0.0, caches.lock)
+            link = UpstreamConnection(place, 0.0, caches.lock)
             link.outlet.connection = ours
             caches.links[place] = [link]
             link.outlet.put(None, [bytes(4_000_000)])
@@ -227,13 +228,13 @@
     with Running() as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
         attempts = [
-            Attempt(None, number, Node(1), None, director.service.clock(), 6000.0)
+            Attempt(None, number, Endpoint(1), None, director.service.clock(), 6000.0)
             for number in range(2)
         ]
         reported = []
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
-        link = Link(place, 0.0, caches.lock)
+        link = UpstreamConnection(place, 0.0, caches.lock)
         link.outlet.connection = ours
         link.open = {"9b": attempts[0], "9c": attempts[1]}
         with caches.lock:
@@ -270,7 +271,7 @@
 def test_a_log_that_nobody_reads_holds_up_nothing():
     # Guards against a stalled reader of the log that stops the director under the module's lock.
     reads, writes = os.pipe()
-    log, held = Log("n3", writes), []
+    log, held = StructuredLog("n3", writes), []
     burst = threading.Thread(
         target=lambda: [log.event(f"e{i % 1500}", text="x" * 200) for i in range(3000)], daemon=True
     )
@@ -445,7 +446,7 @@
     ],
 )
 def test_who_overstays(called, halfway, owes, after, late):
-    held = client_connection.Client(None)
+    held = client_connection.ClientConnection(None)
     held.called, held.halfway, held.used = called, halfway, 1000.0
     held.open = {1: None} if owes else {}
     assert held.overstays(1000.0 + after) == late
@@ -537,7 +538,7 @@
     # under its id.
     with Running(lambda fields: None) as director:
         caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
-        attempts = [Attempt(None, number, Node(1), None, 0.0, 1000.0) for number in range(3)]
+        attempts = [Attempt(None, number, Endpoint(1), None, 0.0, 1000.0) for number in range(3)]
         reported = []
         caches._report = lambda attempt, *rest: reported.append(attempt)
         for attempt in attempts[:2]:
@@ -657,9 +658,11 @@
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
     monkeypatch.setattr(event_stream, "SILENCE", 0.3)
-    stand, seen, play = StandBus(*scripts), [], Facade._play
+    stand, seen, play = StandBus(*scripts), [], RequestCoordinator._play
     monkeypatch.setattr(
-        Facade, "_play", lambda facade, *call: (seen.append(call[0]), play(facade, *call))
+        RequestCoordinator,
+        "_play",
+        lambda facade, *call: (seen.append(call[0]), play(facade, *call)),
     )
     with Running(bus=stand) as director:
         assert wait_for(
@@ -711,9 +714,7 @@
     stands = [StandBus(), StandBus([OK, event(2, BAN), event(3, ban), None]), StandBus()]
     file = tmp_path / "config.json"
     texts = [
-        json.dumps(
-            configuration([node.address for node in nodes], event_stream.address, probe.address)
-        )
+        json.dumps(configuration([node.address for node in nodes], bus.address, probe.address))
         for bus in stands
     ]
     file.write_text(texts[0])
@@ -749,7 +750,7 @@
             program.send_signal(signal.SIGHUP)
             assert line()["event"] == f"configuration {told}"
             assert wait_for(purged)
-        assert wait_for(lambda: stands[2].asked) and [event_stream.asked for bus in stands] == [
+        assert wait_for(lambda: stands[2].asked) and [bus.asked for bus in stands] == [
             [1],
             [1],
             [3],
@@ -768,7 +769,7 @@
 def test_a_signal_is_obeyed_whichever_thread_it_breaks(place, tmp_path):
     bus = StandBus()
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(configuration(bus=event_stream.address)))
+    file.write_text(json.dumps(configuration(bus=bus.address)))
     with Program(file) as program:
         pid = program.process.pid
         threads = sorted(int(name) for name in os.listdir(f"/proc/{pid}/task"))
@@ -778,7 +779,7 @@
             time.sleep(0.1)
         assert program.wait(10.0) == 0
         assert program.says(event="configuration read") and program.says(phase="stopped")
-    event_stream.close()
+    bus.close()
 
 
 def test_a_stream_that_has_moved_is_found_though_no_signal_came(tmp_path):
