--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -125,7 +125,7 @@
         def event(self, *_, **__):
             """Nothing is logged."""
 
-        fault = event
+        exception = event
 
     start = parse_config(json.dumps(configuration()))
     if cells:
@@ -134,23 +134,25 @@
         made = director.Director(start, Quiet(), load_cells_config(cells))
     else:
         made = director.Director(start, Quiet())
-    for number, event in enumerate(start.events, 1):
-        made.bus.apply(number, event)
+    for number, event in enumerate(start.known_events, 1):
+        made.event_stream.apply(number, event)
     if cells:
-        made.warden._step()
+        made.cell_service._step()
 
     class Nodes:
         """Answers each attempt at once, as a cache that holds the object."""
 
         def send(self, order, asked):
             resp.pull(asked, order, 1000.0)
-            made.facade.report(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer=held)
+            made.coordinator.report_outcome(
+                order.attempt, Outcome.SERVED, CacheStatus.HIT, answer=held
+            )
 
         def give_up(self, attempt):
             """Never called off here."""
 
     held = type("Told", (), {"kept": False, "body": bytes(400)})()
-    made.front.caches = Nodes()
+    made.listener.upstream = Nodes()
     ours, theirs = socket.socketpair()
     client = client_listener.ClientConnection(ours)
 
@@ -164,8 +166,8 @@
         frames = [frame(next(numbers)) for _ in range(requests)]
         begun = time.thread_time()
         for each in frames:
-            made.front._call(client, each)
-        made.facade.tick()
+            made.listener._call(client, each)
+        made.coordinator.run_due_timers()
         used = time.thread_time() - begun
         try:
             while theirs.recv(1 << 20):
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -112,7 +112,8 @@
     held = set()
     confined = [CachePool(dict.fromkeys(own), {}, {}, RetryBudget(8.0)) for own in pools]
     cold = {
-        id(one): next(member for member in one.members if member.key == 10) for one in directors
+        id(one): next(member for member in one.members if member.hash_key == 10)
+        for one in directors
     }
     readings, to_cold, peak, begun = 0, deque(), 0.0, time.process_time()
     for number in range(REQUESTS):
@@ -131,8 +132,8 @@
         )
         one.round(now, [("requested", (request,))], out)
         for attempt in out.attempts:
-            hit = (attempt.node.key, request.key) in held
-            held.add((attempt.node.key, request.key))
+            hit = (attempt.node.key, request.object_id) in held
+            held.add((attempt.node.key, request.object_id))
             readings += not hit and attempt.source is not None and attempt.source.kind == PARENT
             if not hit and attempt.source is cold[id(one)]:
                 to_cold.append(now)
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -82,7 +82,7 @@
         ledger = LeaseLedger(GRAINS // max(1, owners), span, now, self.life)
         ledger.number = self.random.randrange(1 << 40)  # an old life's numbers are not met again
         self.limits[name] = Limit(name, ledger, share, location)
-        share.watched, share.part = True, 0.0
+        share.is_tracked, share.fraction = True, 0.0
 
     def wake(self) -> float:
         return self.due
@@ -122,11 +122,11 @@
     def _tell(self, now: float, limit: Limit) -> None:
         """The decision module's part, and when it ends should this not be called again."""
         share, ledger = limit.share, limit.ledger
-        share.least = ledger.at_home(now) / GRAINS
-        share.until = self.offset + min(
+        share.fallback_fraction = ledger.at_home(now) / GRAINS
+        share.expires_at = self.offset + min(
             (held.until for held in ledger.borrowed.values()), default=math.inf
         )
-        share.part = ledger.usable(now) / GRAINS
+        share.fraction = ledger.usable(now) / GRAINS
 
     def _heard(self, now: float, who: Who, limit: Limit, one: Said) -> Said | None:
         ledger = limit.ledger
@@ -156,10 +156,10 @@
         while now >= limit.turned + span / QUARTERS:
             limit.turned = max(limit.turned + span / QUARTERS, now - span)
             limit.used = [0.0, *limit.used[:QUARTERS]]
-        limit.used[0] = max(limit.used[0], share.used)
-        wanted = max(share.used * AHEAD, share.refused * REFUSED)
+        limit.used[0] = max(limit.used[0], share.peak_used)
+        wanted = max(share.peak_used * AHEAD, share.peak_rejected * REFUSED)
         limit.wanted = max(wanted, limit.wanted * 0.5 ** (STEP / FORGETS))
-        share.used = share.refused = 0.0
+        share.peak_used = share.peak_rejected = 0.0
 
     def _busy(self, limit: Limit) -> int:
         """Grains that this director has used of late, or is about to want."""
--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -52,9 +52,9 @@
 class AdmissionRejection:
     """Turned away. `harmless`: nothing of it can have run, so it is rejected; else it fails."""
 
-    why: str
-    come_back: float
-    harmless: bool
+    reason: str
+    retry_after_ms: float
+    is_never_executed: bool
 
 
 class TenantState:
@@ -68,7 +68,7 @@
 
     def renew(self, limits: Limits) -> None:
         self.limits = limits
-        self.pace, self.retries = Pace(limits.rate, limits.burst), Retries(limits.retries)
+        self.pace, self.retries = Pace(limits.rate, limits.burst), Retries(limits.retry_ratio)
         self.seats: dict[str, TenantCellLimits] = {}  # by cell
 
 
@@ -89,7 +89,7 @@
     def __init__(self, board: DirectorCapacity, limits: Limits) -> None:
         self.rates = FairPace(limits.rate)
         self.limits = limits
-        most = min(board.open_most, limits.open_most or board.open_most)
+        most = min(board.open_most, limits.max_open_requests or board.open_most)
         self.width = Width(min(WIDTH_LEAST, most), most)
         self.shares = Shares(most)
         self.guests: dict[str, FailoverQuota] = {}
@@ -118,13 +118,13 @@
 class PreparedAssignment:
     """A charter with what is reckoned from it alone, so that taking it over holds no request up."""
 
-    charter: Assignment
+    assignment: Assignment
     naming: TenantResolver
     homes: dict[str, str]
 
 
 def prepare_assignment(charter: Assignment) -> PreparedAssignment:
-    """Raises CharterError where the charter can't be used."""
+    """Raises ConfigError where the charter can't be used."""
     return PreparedAssignment(charter, TenantResolver(charter), settled_homes(charter))
 
 
@@ -147,12 +147,12 @@
 
     # What changes
 
-    def renew(self, now: float, ready: "Assignment | PreparedAssignment") -> list[str]:
-        """A new version of the file is in force; gives words for the log. Raises CharterError, and
+    def replace_assignment(self, now: float, ready: "Assignment | PreparedAssignment") -> list[str]:
+        """A new version of the file is in force; gives words for the log. Raises ConfigError, and
         then the old one stays. Accounts, widths and idempotency keys are kept.
         """
         ready = ready if isinstance(ready, PreparedAssignment) else prepare_assignment(ready)
-        charter = ready.charter
+        charter = ready.assignment
         words = self.placement.renew(now, charter, ready.homes)
         self._take_over(now, ready)
         first = (
@@ -161,14 +161,14 @@
         return [first, *words]
 
     def _take_over(self, now: float, ready: "PreparedAssignment") -> None:
-        charter = ready.charter
-        self.charter, self.naming = charter, ready.naming
+        charter = ready.assignment
+        self.assignment, self.naming = charter, ready.naming
         self.courses = {
             name: self.courses.get(name) or rollouts.Course(release)
-            for name, release in charter.releases.items()
+            for name, release in charter.rollouts.items()
         }
         for name, course in self.courses.items():
-            course.release = charter.releases[name]
+            course.release = charter.rollouts[name]
         for name, cell in charter.cells.items():
             room = self.rooms.get(name)
             if room is None or room.limits != cell.limits:
@@ -177,7 +177,8 @@
         self._renew_accounts()
         self.placement.reshuffle(rollouts.shuffles(self.courses))
         self.stages = {
-            name: self.stages.get(name, migrations.MigrationStage.PLANNED) for name in charter.moves
+            name: self.stages.get(name, migrations.MigrationStage.PLANNED)
+            for name in charter.migrations
         }
 
     def _renewed(self, old: CellState | None, limits: Limits) -> CellState:
@@ -197,11 +198,11 @@
                 account.renew(limits)
 
     def _limits(self, tenant: str) -> Limits:
-        known = self.charter.tenants.get(tenant)
-        own = known.limits if known is not None else self.charter.limits
+        known = self.assignment.tenants.get(tenant)
+        own = known.limits if known is not None else self.assignment.limits
         return rollouts.in_force(self.courses, self.placement.homes.get(tenant, ""), own)
 
-    def listed(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
+    def update_caches(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
         """The ready caches of this location have changed: name, node, warmth."""
         return self.placement.listed(now, caches)
 
@@ -209,7 +210,7 @@
         """Releases and moves go on by the clock; gives words for the log. To be called some times a
         second."""
         words = []
-        for name, move in self.charter.moves.items():
+        for name, move in self.assignment.migrations.items():
             if (stage := migrations.stage(move, now)) != self.stages[name]:
                 self.stages[name] = stage
                 share = migrations.shifted(move, now)
@@ -227,26 +228,28 @@
 
     # One request
 
-    def welcome(self, address: str, held: int) -> bool:
+    def can_admit_connection(self, address: str, held: int) -> bool:
         """Whether one more connection from an address may come, where its tenant holds so many."""
         tenant = self.naming.of_address(address)
-        most = self._limits(tenant).connections if tenant else 0
+        most = self._limits(tenant).max_connections if tenant else 0
         return not most or held < most
 
-    def admit(self, now: float, asking: Asking) -> AdmissionGrant | AdmissionRejection:
+    def admit_request(self, now: float, asking: Asking) -> AdmissionGrant | AdmissionRejection:
         tenant = self.naming.tenant(asking.told, asking.address, asking.group)
         if tenant is None:
             self.unknown.denied += 1
             return self._denied(asking, "unknown tenant", LOST_WAIT)
         account = self.accounts.get(tenant) or self._open_account(tenant)
         account.used = now
-        retry = asking.repeated and asking.request_class.repeat == IDEMPOTENT
+        retry = asking.repeated and asking.request_class.idempotency == IDEMPOTENT
         if wait := account.pace.wait(now):
             return self._deny(account, asking, "rate of the tenant", wait)
         if retry and not account.retries.may():
             return self._deny(account, asking, "retries of the tenant", LOST_WAIT)
         spot = (
-            self.placement.steady.get(tenant) if asking.request_class.repeat == IDEMPOTENT else None
+            self.placement.steady.get(tenant)
+            if asking.request_class.idempotency == IDEMPOTENT
+            else None
         )
         if spot is None:
             key = int(asking.key, 16) if isinstance(asking.key, str) else asking.key
@@ -275,7 +278,7 @@
             lanes = lane, self._lane(now, room, lane, tenant, seat.weight)
             if wait := self.rates.wait(lane, now) or room.rates.wait(lanes[1], now):
                 return self._deny(account, asking, "rate of the cell", wait, room)
-        if account.limits.body_kb and account.body + body > account.limits.body_kb:
+        if account.limits.max_body_kb and account.body + body > account.limits.max_body_kb:
             return self._deny(account, asking, "bodies of the tenant", LOST_WAIT, room)
         room.width.used(room.shares.open + amount)
         if room.shares.open + amount > 0.5 * room.shares.width:
@@ -290,9 +293,11 @@
         guests = None
         if spot.guest_of:
             guests = room.guests.setdefault(spot.guest_of, FailoverQuota())
-            home, host = self.charter.cells[spot.guest_of], self.placement.standings[spot.cell]
+            home, host = self.assignment.cells[spot.guest_of], self.placement.standings[spot.cell]
             rate = room.rates.rate or (self.rates.part(lanes[0]) if lanes else 0.0)
-            if wait := guests.wait(now, home.reserve, host.warmth(), room.width.now_most, rate):
+            if wait := guests.wait(
+                now, home.failover_quota, host.warmth(), room.width.now_most, rate
+            ):
                 return self._deny(account, asking, "reserve of the neighbour", wait, room)
             guests.take(now)
         account.pace.take(now)
@@ -315,7 +320,7 @@
             tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests
         )
 
-    def settle(
+    def complete_request(
         self, now: float, grant: AdmissionGrant, good: bool, owed: bool, delay: float
     ) -> str:
         """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its
@@ -355,12 +360,12 @@
         return own
 
     def _take_seat(self, account: TenantState, tenant: str, cell: str) -> TenantCellLimits:
-        room, weight = self.rooms[cell], self.charter.tenants[tenant].weight
-        held = self.charter.cells[cell]
+        room, weight = self.rooms[cell], self.assignment.tenants[tenant].weight
+        held = self.assignment.cells[cell]
         seat = account.seats[cell] = TenantCellLimits(
             held,
             room,
-            room.shares.party(tenant, weight, account.limits.open_most),
+            room.shares.party(tenant, weight, account.limits.max_open_requests),
             self.cells.party(cell, held.weight),
             weight,
         )
@@ -399,8 +404,8 @@
         out, but what it repeats may have run.
         """
         case = asking.request_class
-        everywhere = case.repeat == KEYED and case.group == "all"
-        return not asking.repeated or case.repeat == IDEMPOTENT or everywhere
+        everywhere = case.idempotency == KEYED and case.key_scope == "all"
+        return not asking.repeated or case.idempotency == IDEMPOTENT or everywhere
 
     # For staff
 
@@ -409,7 +414,7 @@
         held = self.placement
         most = sorted(self.accounts.items(), key=lambda one: (-one[1].denied, one[0]))
         return {
-            "version": self.charter.version,
+            "version": self.assignment.version,
             "at": round(now),
             "open": self.cells.open,
             "unknown_denied": self.unknown.denied,
@@ -434,7 +439,7 @@
                     "to": move.target,
                     "share": round(migrations.shifted(move, now), 4),
                 }
-                for name, move in self.charter.moves.items()
+                for name, move in self.assignment.migrations.items()
             },
             "releases": {
                 name: {
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -87,7 +87,7 @@
 def change(
     path: str, what: str, make: Callable[[Assignment], Assignment], **figures: Any
 ) -> Assignment:
-    """Writes the next version and notes who did what in the log; raises CharterError,
+    """Writes the next version and notes who did what in the log; raises ConfigError,
     changes.RefusalError."""
     with store.sole_writer(path):
         old = store.load(path)
@@ -117,15 +117,15 @@
             "stage": migrations.stage(move, now).value,
             "share": round(migrations.shifted(move, now), 4),
         }
-        for name, move in charter.moves.items()
+        for name, move in charter.migrations.items()
     }
     whole = {
         "version": charter.version,
         "cells": held,
         "moves": going,
         "releases": {
-            name: {"canary": one.canary, "taken_back": one.taken_back}
-            for name, one in charter.releases.items()
+            name: {"canary": one.canary, "taken_back": one.is_rolled_back}
+            for name, one in charter.rollouts.items()
         },
         "directors": states,
     }
@@ -139,8 +139,8 @@
         for name, one in going.items()
     ]
     lines += [
-        f"  release {name}: canary {one.canary}{', taken back' if one.taken_back else ''}"
-        for name, one in charter.releases.items()
+        f"  release {name}: canary {one.canary}{', taken back' if one.is_rolled_back else ''}"
+        for name, one in charter.rollouts.items()
     ]
     for state in states:
         behind = "" if state.get("version") == charter.version else " (NOT the file's version)"
@@ -259,7 +259,9 @@
         charter, now = store.load(path), now_ms()
         demand = demand_from(**demand_told)
         spans = spans_for(demand, warm_ms, shift_ms, drain_ms)
-        move = edits.start_move(charter, "planned", tenants, target, now, spans).moves["planned"]
+        move = edits.start_move(charter, "planned", tenants, target, now, spans).migrations[
+            "planned"
+        ]
     course = migrations.loads(move, demand or Demand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
     peak = max(load for _, _, load in course) if demand else None
     told = [
@@ -275,7 +277,7 @@
         "to": target,
         "tenants": list(tenants),
         "shift_ms": spans.shift,
-        "lasts_ms": migrations.done_at(move) - move.starts,
+        "lasts_ms": migrations.done_at(move) - move.starts_at,
         "peak_load": peak,
         "course": told,
     }
@@ -328,13 +330,13 @@
             tenants=list(tenants),
             to=target,
         )
-    made = new.moves[name]
+    made = new.migrations[name]
     tell(
         as_json,
-        {"version": new.version, "move": name, "starts": made.starts, "shift_ms": spans.shift},
+        {"version": new.version, "move": name, "starts": made.starts_at, "shift_ms": spans.shift},
         [
-            f"version {new.version}: move {name} starts in {(made.starts - now_ms()) / 1000.0:.1f} s, takes "
-            f"{(migrations.done_at(made) - made.starts) / 1000.0:.0f} s; stop it with `cells abort {name}`"
+            f"version {new.version}: move {name} starts in {(made.starts_at - now_ms()) / 1000.0:.1f} s, takes "
+            f"{(migrations.done_at(made) - made.starts_at) / 1000.0:.0f} s; stop it with `cells abort {name}`"
         ],
     )
 
@@ -422,10 +424,10 @@
                     name,
                     canary,
                     tuple(tuple(wave.replace(",", " ").split()) for wave in waves),
-                    now_ms() + old.spread + old.skew,
+                    now_ms() + old.propagation_time + old.clock_skew,
                     wave_ms,
-                    Limits(rate=rate, open_most=open_most, retries=retries),
-                    shuffle=-1 if shuffle is None else shuffle,
+                    Limits(rate=rate, max_open_requests=open_most, retry_ratio=retries),
+                    shuffle_shards=-1 if shuffle is None else shuffle,
                 ),
             ),
             name=name,
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -12,17 +12,17 @@
 @dataclass(slots=True, frozen=True)
 class CellsConfig:
     enabled: bool
-    assignment: str  # path
+    assignment_file: str  # path
     tenant_field: str  # of the clients' map; empty: none
-    read_every: float  # ms
-    records: str  # folder; empty: none are kept
-    open_most: int  # 0: by the memory
+    poll_interval: float  # ms
+    records_folder: str  # folder; empty: none are kept
+    max_open_requests: int  # 0: by the memory
     rate: float  # requests a second that this director can bear; 0: not bounded
-    come_back_most: float  # ms
+    max_retry_after: float  # ms
 
 
 def parse_cells_config(text: str, folder: str) -> CellsConfig:
-    """Paths are taken from `folder`. Raises CharterError."""
+    """Paths are taken from `folder`. Raises ConfigError."""
     found = parse_sections(text)
     for title in found:
         if title not in ("cells", "director"):
@@ -53,5 +53,5 @@
 
 
 def load_cells_config(path: str) -> CellsConfig:
-    """Raises CharterError."""
+    """Raises ConfigError."""
     return load_ini(path, parse_cells_config)
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -33,7 +33,7 @@
     spans: Spans,
     starts_in: float = 0.0,
 ) -> Assignment:
-    if name in charter.moves:
+    if name in charter.migrations:
         raise RefusalError(f"there is a move {name} already")
     if target not in charter.cells:
         raise RefusalError(f"there is no cell {target}")
@@ -52,11 +52,13 @@
     source = next(iter(sources))
     if source == target:
         raise RefusalError(f"they stand in {target} already")
-    starts = now + max(starts_in, charter.spread + charter.skew)
+    starts = now + max(starts_in, charter.propagation_time + charter.clock_skew)
     move = Migration(name, tenants, source, target, starts, spans.warm, spans.shift, spans.drain)
     # no hash moves them
     people = {tenant: replace(charter.tenants[tenant], cell=source) for tenant in tenants}
-    return replace(charter, moves=charter.moves | {name: move}, tenants=charter.tenants | people)
+    return replace(
+        charter, migrations=charter.migrations | {name: move}, tenants=charter.tenants | people
+    )
 
 
 def reckoned(demand: migrations.Demand, warm: float, drain: float) -> Spans:
@@ -83,19 +85,19 @@
 
 
 def moving(charter: Assignment, tenant: str) -> Migration | None:
-    return next((move for move in charter.moves.values() if tenant in move.tenants), None)
+    return next((move for move in charter.migrations.values() if tenant in move.tenants), None)
 
 
 def _move(charter: Assignment, name: str) -> Migration:
-    if name not in charter.moves:
+    if name not in charter.migrations:
         raise RefusalError(
-            f"there is no move {name}; there are {', '.join(charter.moves) or 'none'}"
+            f"there is no move {name}; there are {', '.join(charter.migrations) or 'none'}"
         )
-    return charter.moves[name]
+    return charter.migrations[name]
 
 
 def _soon(charter: Assignment, move: Migration, now: float) -> float:
-    return max(move.starts, now + charter.spread + charter.skew)
+    return max(move.starts_at, now + charter.propagation_time + charter.clock_skew)
 
 
 def hold(charter: Assignment, name: str, now: float) -> Assignment:
@@ -104,25 +106,27 @@
     at = _soon(charter, move, now)
     if move.aborted_at:
         raise RefusalError(f"move {name} is aborted")
-    if move.held_at and not move.resumed_at:
+    if move.paused_at and not move.resumed_at:
         raise RefusalError(f"move {name} is held already")
-    if move.held_at and now < move.resumed_at:
+    if move.paused_at and now < move.resumed_at:
         raise RefusalError(
             f"move {name} is just being resumed; wait {move.resumed_at - now:.0f} ms"
         )
-    if move.held_at:  # the pause that is over becomes part of the start
-        move = replace(move, starts=move.starts + move.resumed_at - move.held_at, resumed_at=0.0)
-    if migrations.stage(replace(move, held_at=0.0), at) == migrations.MigrationStage.DONE:
+    if move.paused_at:  # the pause that is over becomes part of the start
+        move = replace(
+            move, starts_at=move.starts_at + move.resumed_at - move.paused_at, resumed_at=0.0
+        )
+    if migrations.stage(replace(move, paused_at=0.0), at) == migrations.MigrationStage.DONE:
         raise RefusalError(f"move {name} is done by then")
-    return replace(charter, moves=charter.moves | {name: replace(move, held_at=at)})
+    return replace(charter, migrations=charter.migrations | {name: replace(move, paused_at=at)})
 
 
 def resume(charter: Assignment, name: str, now: float) -> Assignment:
     move = _move(charter, name)
-    if not move.held_at or move.resumed_at or move.aborted_at:
+    if not move.paused_at or move.resumed_at or move.aborted_at:
         raise RefusalError(f"move {name} is not held")
-    at = max(move.held_at, _soon(charter, move, now))
-    return replace(charter, moves=charter.moves | {name: replace(move, resumed_at=at)})
+    at = max(move.paused_at, _soon(charter, move, now))
+    return replace(charter, migrations=charter.migrations | {name: replace(move, resumed_at=at)})
 
 
 def abort(charter: Assignment, name: str, now: float) -> Assignment:
@@ -130,14 +134,15 @@
     move = _move(charter, name)
     if move.aborted_at:
         raise RefusalError(f"move {name} is aborted already")
-    if now + charter.spread + charter.skew < move.starts:
+    if now + charter.propagation_time + charter.clock_skew < move.starts_at:
         return replace(
-            charter, moves={other: held for other, held in charter.moves.items() if other != name}
+            charter,
+            migrations={other: held for other, held in charter.migrations.items() if other != name},
         )
     at = _soon(charter, move, now)
     if migrations.stage(move, at) == migrations.MigrationStage.DONE:
         raise RefusalError(f"move {name} is done by then; move the tenants back to {move.source}")
-    return replace(charter, moves=charter.moves | {name: replace(move, aborted_at=at)})
+    return replace(charter, migrations=charter.migrations | {name: replace(move, aborted_at=at)})
 
 
 def end_moves(charter: Assignment, now: float) -> tuple[Assignment, list[str]]:
@@ -145,15 +150,18 @@
     then stand in the table where they ended. Gives the names of those.
     """
     ended, people, left = [], dict(charter.tenants), {}
-    for name, move in charter.moves.items():
+    for name, move in charter.migrations.items():
         over = migrations.ended_at(move)
-        if over is None or now < over + charter.horizon + charter.spread + charter.skew:
+        if (
+            over is None
+            or now < over + charter.retry_horizon + charter.propagation_time + charter.clock_skew
+        ):
             left[name] = move
             continue
         ended.append(name)
         cell = move.source if move.aborted_at else move.target
         people |= {tenant: replace(people[tenant], cell=cell) for tenant in move.tenants}
-    return replace(charter, moves=left, tenants=people), ended
+    return replace(charter, migrations=left, tenants=people), ended
 
 
 def put_tenant(charter: Assignment, tenant: Tenant) -> Assignment:
@@ -166,19 +174,19 @@
 
 
 def start_release(charter: Assignment, release: Rollout) -> Assignment:
-    if release.name in charter.releases:
+    if release.name in charter.rollouts:
         raise RefusalError(f"there is a release {release.name} already")
-    return replace(charter, releases=charter.releases | {release.name: release})
+    return replace(charter, rollouts=charter.rollouts | {release.name: release})
 
 
 def take_back(charter: Assignment, name: str) -> Assignment:
-    if name not in charter.releases:
+    if name not in charter.rollouts:
         raise RefusalError(
-            f"there is no release {name}; there are {', '.join(charter.releases) or 'none'}"
+            f"there is no release {name}; there are {', '.join(charter.rollouts) or 'none'}"
         )
     return replace(
         charter,
-        releases=charter.releases | {name: replace(charter.releases[name], taken_back=True)},
+        rollouts=charter.rollouts | {name: replace(charter.rollouts[name], is_rolled_back=True)},
     )
 
 
@@ -186,22 +194,22 @@
     """A release that has proven itself becomes the limits of all tenants of its cells, and is left
     out.
     """
-    if name not in charter.releases or charter.releases[name].taken_back:
+    if name not in charter.rollouts or charter.rollouts[name].is_rolled_back:
         raise RefusalError(f"there is no release {name} in force")
-    release, at = charter.releases[name], homes(charter)
+    release, at = charter.rollouts[name], homes(charter)
     cells = {release.canary, *(cell for wave in release.waves for cell in wave)}
     people = {
         key: replace(tenant, limits=release.limits) if at.get(key) in cells else tenant
         for key, tenant in charter.tenants.items()
     }
-    left = {other: held for other, held in charter.releases.items() if other != name}
+    left = {other: held for other, held in charter.rollouts.items() if other != name}
     rooms = charter.cells
-    if release.shuffle >= 0:
+    if release.shuffle_shards >= 0:
         rooms = {
-            key: replace(cell, shuffle=release.shuffle) if key in cells else cell
+            key: replace(cell, shuffle_shards=release.shuffle_shards) if key in cells else cell
             for key, cell in rooms.items()
         }
-    return replace(charter, releases=left, tenants=people, cells=rooms)
+    return replace(charter, rollouts=left, tenants=people, cells=rooms)
 
 
 def explain_tenant(charter: Assignment, tenant: str, now: float) -> dict[str, object]:
@@ -209,7 +217,11 @@
     if tenant not in charter.tenants:
         raise RefusalError(
             f"there is no tenant {tenant}; its requests are "
-            + (f"{charter.default_tenant}'s" if charter.unknown != "reject" else "rejected")
+            + (
+                f"{charter.default_tenant}'s"
+                if charter.unknown_tenant_policy != "reject"
+                else "rejected"
+            )
         )
     held, home, move = (
         charter.tenants[tenant],
@@ -239,7 +251,7 @@
             "ended_at": migrations.ended_at(move),
         }
     if home:
-        found["neighbours"] = list(charter.cells[home].neighbours)
+        found["neighbours"] = list(charter.cells[home].failover_cells)
     return found
 
 
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -46,7 +46,7 @@
             return 0.0
         if not self.back_since:
             return 1.0
-        share = (now - self.back_since) / max(self.cell.return_for, 1.0)
+        share = (now - self.back_since) / max(self.cell.return_duration, 1.0)
         if share >= 1.0:
             self.back_since = 0.0
         return min(share, 1.0)
@@ -63,7 +63,7 @@
     """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A
     neighbour that is coming back itself takes nobody in: its own tenants are still elsewhere.
     """
-    for name in cell.neighbours:
+    for name in cell.failover_cells:
         found = standings.get(name)
         if found is not None and not found.lost and not found.back_since:
             return found
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -101,7 +101,7 @@
     to no cell.
     """
     fixed = {name: tenant.cell for name, tenant in charter.tenants.items() if tenant.cell}
-    if charter.how == TABLE:
+    if charter.placement_method == TABLE:
         return fixed
     free = {name: tenant.weight for name, tenant in charter.tenants.items() if not tenant.cell}
     weights = {name: cell.weight for name, cell in charter.cells.items() if cell.weight > 0.0}
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -52,27 +52,31 @@
 
 def _rises(move: Migration, now: float) -> float:
     """The share while nothing holds or aborts it."""
-    since = now - move.starts
+    since = now - move.starts_at
     if since <= 0.0:
         return 0.0
-    if since < move.warm_for:
-        return move.warm_share * since / move.warm_for
-    warmed = move.warm_share if move.warm_for > 0.0 else 0.0
-    since -= move.warm_for
-    return warmed + (1.0 - warmed) * since / move.shift_for if since < move.shift_for else 1.0
+    if since < move.warm_up_duration:
+        return move.warm_up_fraction * since / move.warm_up_duration
+    warmed = move.warm_up_fraction if move.warm_up_duration > 0.0 else 0.0
+    since -= move.warm_up_duration
+    return (
+        warmed + (1.0 - warmed) * since / move.shift_duration
+        if since < move.shift_duration
+        else 1.0
+    )
 
 
 def _frozen(move: Migration, now: float) -> float:
     """The time by the move's own clock, which stands while it is held."""
-    if not move.held_at or now < move.held_at:
+    if not move.paused_at or now < move.paused_at:
         return now
     if not move.resumed_at or now < move.resumed_at:
-        return move.held_at
-    return now - (move.resumed_at - move.held_at)
+        return move.paused_at
+    return now - (move.resumed_at - move.paused_at)
 
 
 def _back_for(move: Migration) -> float:
-    return max(move.shift_for, 1.0)
+    return max(move.shift_duration, 1.0)
 
 
 def shifted(move: Migration, now: float) -> float:
@@ -85,21 +89,29 @@
 
 def done_at(move: Migration) -> float:
     """When it is done, by its own clock."""
-    return move.starts + move.warm_for + move.shift_for + move.drain_for
+    return move.starts_at + move.warm_up_duration + move.shift_duration + move.drain_duration
 
 
 def ended_at(move: Migration) -> float | None:
     """When it is done or all has gone back; None: held."""
     if move.aborted_at:
         return move.aborted_at + shifted(move, move.aborted_at) * _back_for(move)
-    if not move.held_at or done_at(move) <= move.held_at:
+    if not move.paused_at or done_at(move) <= move.paused_at:
         return done_at(move)
-    return done_at(move) + move.resumed_at - move.held_at if move.resumed_at else None
+    return done_at(move) + move.resumed_at - move.paused_at if move.resumed_at else None
 
 
 def same_course(one: Migration, other: Migration, now: float) -> bool:
     """Whether both are the same move, at the same point now; what is still to come may differ."""
-    alike = ("tenants", "source", "target", "warm_for", "shift_for", "drain_for", "warm_share")
+    alike = (
+        "tenants",
+        "source",
+        "target",
+        "warm_up_duration",
+        "shift_duration",
+        "drain_duration",
+        "warm_up_fraction",
+    )
     return (
         all(getattr(one, name) == getattr(other, name) for name in alike)
         and abs(shifted(one, now) - shifted(other, now)) < 1e-9
@@ -113,12 +125,12 @@
                 MigrationStage.DONE
             )  # too late to go back by an abort; a new move takes them back
         return MigrationStage.BACK if shifted(move, now) > 0.0 else MigrationStage.ABORTED
-    at = _frozen(move, now) - move.starts
+    at = _frozen(move, now) - move.starts_at
     for name, span in (
         (MigrationStage.PLANNED, 0.0),
-        (MigrationStage.WARM, move.warm_for),
-        (MigrationStage.SHIFT, move.shift_for),
-        (MigrationStage.DRAIN, move.drain_for),
+        (MigrationStage.WARM, move.warm_up_duration),
+        (MigrationStage.SHIFT, move.shift_duration),
+        (MigrationStage.DRAIN, move.drain_duration),
     ):
         at -= span
         if at < 0.0:
@@ -150,11 +162,11 @@
     course. An object is filled when it is first looked up in its new place, so those that came at
     once are filled as fast as requests find them; of what is there, the usual share is.
     """
-    span = move.warm_for + move.shift_for + 1_000.0
+    span = move.warm_up_duration + move.shift_duration + 1_000.0
     step = max(1.0, span / 2_000.0)
     found, lacking, before, at = [], 0.0, 0.0, 0.0
     while at <= span:
-        share = shifted(move, move.starts + at)
+        share = shifted(move, move.starts_at + at)
         lacking += max(0.0, share - before) * demand.objects
         rate, part = demand.rate * share, lacking / max(share * demand.objects, 1e-9)
         first = rate * min(1.0, part)
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,11 +1,10 @@
-"""An assignment file as text, to a charter and back; pure. A fault is a CharterError whose text
+"""An assignment file as text, to a charter and back; pure. A fault is a ConfigError whose text
 names the key, as in `[tenant acme] rate: a number of 0 or more is wanted`.
 """
 
 import ipaddress
 import re
 from collections.abc import Iterable
-from dataclasses import fields
 
 from ..config.ini import NAME_PATTERN, NUMBER_LIMIT, IniSection, parse_sections
 from ..errors import ConfigError
@@ -28,7 +27,7 @@
 
 
 def read(text: str) -> Assignment:
-    """Raises CharterError; the charter is whole and agrees in itself."""
+    """Raises ConfigError; the charter is whole and agrees in itself."""
     found = parse_sections(text)
     if "assignment" not in found:
         raise ConfigError("[assignment]: the section is missing")
@@ -54,36 +53,44 @@
         keys.reject_unknown_keys()
     charter = Assignment(
         version=head.integer("version"),
-        written=head.number("written"),
+        written_at=head.number("written"),
         limits=limits,
         cells=kinds["cell"],
         tenants=kinds["tenant"],
-        moves=kinds["move"],
-        releases=kinds["release"],
-        how=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
+        migrations=kinds["move"],
+        rollouts=kinds["release"],
+        placement_method=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
         load_bound=head.number("load_bound", 1.25, 100.0, 1.0),
         default_tenant=head.text("default_tenant", ""),
-        unknown=head.choice("unknown", (TO_DEFAULT, REJECT), TO_DEFAULT),
-        spread=head.number("spread_ms", 5_000.0),
-        skew=head.number("skew_ms", 500.0),
-        horizon=head.number("horizon_ms", 12_000.0),
+        unknown_tenant_policy=head.choice("unknown", (TO_DEFAULT, REJECT), TO_DEFAULT),
+        propagation_time=head.number("spread_ms", 5_000.0),
+        clock_skew=head.number("skew_ms", 500.0),
+        retry_horizon=head.number("horizon_ms", 12_000.0),
     )
     head.reject_unknown_keys()
     agree(charter)
     return charter
 
 
-LIMIT_KEYS = ("rate", "burst", "open_most", "body_kb", "retries", "connections")
+# Keys of limits in the file, and the fields of `Limits` that hold them, in the order of both.
+LIMIT_FIELDS = {
+    "rate": "rate",
+    "burst": "burst",
+    "open_most": "max_open_requests",
+    "body_kb": "max_body_kb",
+    "retries": "retry_ratio",
+    "connections": "max_connections",
+}
 
 
 def _limits(keys: IniSection, default: Limits, whole: bool = True) -> Limits:
     """`whole`: nothing else stands in this section."""
     found = Limits(
         *(
-            keys.integer(name, getattr(default, name))
-            if name == "connections"
-            else keys.number(name, float(getattr(default, name)))
-            for name in LIMIT_KEYS
+            keys.integer(key, getattr(default, field))
+            if key == "connections"
+            else keys.number(key, float(getattr(default, field)))
+            for key, field in LIMIT_FIELDS.items()
         )
     )
     if whole:
@@ -168,7 +175,7 @@
 
 
 def agree(charter: Assignment) -> None:
-    """Whether the parts of a charter fit together; raises CharterError."""
+    """Whether the parts of a charter fit together; raises ConfigError."""
     cells, tenants = charter.cells, charter.tenants
 
     def known(title: str, key: str, name: str, among: Iterable[str], what: str) -> None:
@@ -181,11 +188,11 @@
         raise ConfigError("[cell NAME] weight: one cell at the least must have more than 0")
     if charter.default_tenant:
         known("assignment", "default_tenant", charter.default_tenant, tenants, "tenant")
-    elif charter.unknown == TO_DEFAULT:
+    elif charter.unknown_tenant_policy == TO_DEFAULT:
         raise ConfigError("[assignment] default_tenant: wanted where unknown = default_tenant")
     holder: dict[str, str] = {}
     for name, cell in cells.items():
-        for other in cell.neighbours:
+        for other in cell.failover_cells:
             known(f"cell {name}", "neighbours", other, cells, "cell")
             if other == name:
                 raise ConfigError(f"[cell {name}] neighbours: a cell is no neighbour of its own")
@@ -198,10 +205,10 @@
     for name, tenant in tenants.items():
         if tenant.cell:
             known(f"tenant {name}", "cell", tenant.cell, cells, "cell")
-        elif charter.how == TABLE:
+        elif charter.placement_method == TABLE:
             raise ConfigError(f"[tenant {name}] cell: wanted where how = {TABLE}")
     _agree_moves(charter, known)
-    for name, release in charter.releases.items():
+    for name, release in charter.rollouts.items():
         seen: set[str] = set()
         for key, names in (
             ("canary", (release.canary,)),
@@ -216,7 +223,7 @@
 
 def _agree_moves(charter: Assignment, known) -> None:
     moving: dict[str, str] = {}
-    for name, move in charter.moves.items():
+    for name, move in charter.migrations.items():
         title = f"move {name}"
         known(title, "from", move.source, charter.cells, "cell")
         known(title, "to", move.target, charter.cells, "cell")
@@ -232,9 +239,9 @@
                 )
             moving[tenant] = name
         for key, at, least in (
-            ("held_at", move.held_at, move.starts),
-            ("aborted_at", move.aborted_at, move.starts),
-            ("resumed_at", move.resumed_at, move.held_at or NUMBER_LIMIT),
+            ("held_at", move.paused_at, move.starts_at),
+            ("aborted_at", move.aborted_at, move.starts_at),
+            ("resumed_at", move.resumed_at, move.paused_at or NUMBER_LIMIT),
         ):
             if at and at < least:
                 raise ConfigError(f"[{title}] {key}: before the move starts or was held")
@@ -250,14 +257,14 @@
         {
             "form": FORM,
             "version": charter.version,
-            "written": charter.written,
-            "how": charter.how,
+            "written": charter.written_at,
+            "how": charter.placement_method,
             "load_bound": charter.load_bound,
             "default_tenant": charter.default_tenant,
-            "unknown": charter.unknown,
-            "spread_ms": charter.spread,
-            "skew_ms": charter.skew,
-            "horizon_ms": charter.horizon,
+            "unknown": charter.unknown_tenant_policy,
+            "spread_ms": charter.propagation_time,
+            "skew_ms": charter.clock_skew,
+            "horizon_ms": charter.retry_horizon,
         }
     )
     out += ["", "[limits]", *_lines(_of_limits(charter.limits))]
@@ -269,10 +276,10 @@
                 {
                     "weight": cell.weight,
                     "caches": cell.caches,
-                    "shuffle": cell.shuffle,
-                    "neighbours": cell.neighbours,
-                    "reserve": cell.reserve,
-                    "return_ms": cell.return_for,
+                    "shuffle": cell.shuffle_shards,
+                    "neighbours": cell.failover_cells,
+                    "reserve": cell.failover_quota,
+                    "return_ms": cell.return_duration,
                 }
                 | _of_limits(cell.limits)
             ),
@@ -294,7 +301,7 @@
                 | _of_limits(tenant.limits)
             ),
         ]
-    for name, move in charter.moves.items():
+    for name, move in charter.migrations.items():
         out += [
             "",
             f"[move {name}]",
@@ -303,18 +310,18 @@
                     "tenants": move.tenants,
                     "from": move.source,
                     "to": move.target,
-                    "starts": move.starts,
-                    "warm_ms": move.warm_for,
-                    "shift_ms": move.shift_for,
-                    "drain_ms": move.drain_for,
-                    "warm_share": move.warm_share,
-                    "held_at": move.held_at,
+                    "starts": move.starts_at,
+                    "warm_ms": move.warm_up_duration,
+                    "shift_ms": move.shift_duration,
+                    "drain_ms": move.drain_duration,
+                    "warm_share": move.warm_up_fraction,
+                    "held_at": move.paused_at,
                     "resumed_at": move.resumed_at,
                     "aborted_at": move.aborted_at,
                 }
             ),
         ]
-    for name, release in charter.releases.items():
+    for name, release in charter.rollouts.items():
         out += [
             "",
             f"[release {name}]",
@@ -322,12 +329,12 @@
                 {
                     "canary": release.canary,
                     "waves": "; ".join(" ".join(wave) for wave in release.waves),
-                    "starts": release.starts,
-                    "wave_ms": release.wave_for,
-                    "drop_most": release.drop_most,
-                    "slower_most": release.slower_most,
-                    "taken_back": "yes" if release.taken_back else "no",
-                    "shuffle": release.shuffle,
+                    "starts": release.starts_at,
+                    "wave_ms": release.wave_duration,
+                    "drop_most": release.max_success_drop,
+                    "slower_most": release.max_slowdown,
+                    "taken_back": "yes" if release.is_rolled_back else "no",
+                    "shuffle": release.shuffle_shards,
                 }
                 | _of_limits(release.limits)
             ),
@@ -336,7 +343,7 @@
 
 
 def _of_limits(limits: Limits) -> dict[str, object]:
-    return {field.name: getattr(limits, field.name) for field in fields(limits)}
+    return {key: getattr(limits, field) for key, field in LIMIT_FIELDS.items()}
 
 
 def _lines(held: dict[str, object]) -> list[str]:
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -50,11 +50,11 @@
 
 
 def settled_homes(charter: Assignment) -> dict[str, str]:
-    """The homes of all tenants; raises CharterError where a move's tenants don't stand where it
+    """The homes of all tenants; raises ConfigError where a move's tenants don't stand where it
     begins. It takes seconds for a large table.
     """
     found = homes(charter)
-    for name, move in charter.moves.items():
+    for name, move in charter.migrations.items():
         for tenant in move.tenants:
             if found.get(tenant) != move.source:
                 raise ConfigError(
@@ -84,7 +84,12 @@
         self.nodes: dict[str, Any] = {}
         # What another director may still do by the version before, or this one did before it was
         # restarted
-        self.unproven_until = charter.written + charter.spread + charter.skew + charter.horizon
+        self.unproven_until = (
+            charter.written_at
+            + charter.propagation_time
+            + charter.clock_skew
+            + charter.retry_horizon
+        )
 
     # What comes in
 
@@ -94,7 +99,7 @@
         """
         before = {name: (home, self.moving.get(name)) for name, home in self.homes.items()}
         self._take_over(charter, found)
-        until = now + charter.horizon + charter.skew + charter.spread
+        until = now + charter.retry_horizon + charter.clock_skew + charter.propagation_time
         jumped = [
             name
             for name in self.homes
@@ -133,7 +138,9 @@
 
     def _take_over(self, charter: Assignment, found: dict[str, str]) -> None:
         self.charter, self.homes = charter, found
-        self.moving = {tenant: move for move in charter.moves.values() for tenant in move.tenants}
+        self.moving = {
+            tenant: move for move in charter.migrations.values() for tenant in move.tenants
+        }
         self.standings = {
             name: self.standings.get(name) or CellAvailability(cell)
             for name, cell in charter.cells.items()
@@ -171,9 +178,9 @@
         home = self.homes.get(tenant)
         if home is None:
             return Unplaced.HOMELESS
-        anywhere = request_class.repeat != KEYED or request_class.group != "cell"
+        anywhere = request_class.idempotency != KEYED or request_class.key_scope != "cell"
         known = None
-        if idempotency_key and request_class.repeat == KEYED:
+        if idempotency_key and request_class.idempotency == KEYED:
             known = self.ledger.where(tenant, idempotency_key, now)
         repeated = repeated or known is not None
         move = self.moving.get(tenant)
@@ -186,13 +193,13 @@
             return Unplaced.UNPROVEN
         cell, other = known if known in self.standings else home, ""
         if move is not None:
-            to = way(move, key, repeated, anywhere, known, now, self.charter.skew)
+            to = way(move, key, repeated, anywhere, known, now, self.charter.clock_skew)
             if to == Way.NOWHERE:
                 return Unplaced.UNPROVEN
             cell, other = self._sides(now, move, key, to, anywhere)
         found = self._at(now, tenant, key, cell, other, request_class, anywhere, repeated)
         standing = self.standings[home]
-        idempotent = request_class.repeat == IDEMPOTENT
+        idempotent = request_class.idempotency == IDEMPOTENT
         if move is None and idempotent and not standing.lost and not standing.back_since:
             self.steady[tenant] = found
         return found
@@ -206,8 +213,12 @@
         spot: CellPlacement,
     ) -> None:
         """The request is taken: its repeats go the same way."""
-        if idempotency_key and request_class.repeat == KEYED:
-            kept = request_class.memory_span + request_class.client_timeout + self.charter.horizon
+        if idempotency_key and request_class.idempotency == KEYED:
+            kept = (
+                request_class.key_retention
+                + request_class.client_timeout
+                + self.charter.retry_horizon
+            )
             self.ledger.note(tenant, idempotency_key, spot.cell, now, kept)
 
     def _sides(
@@ -240,7 +251,7 @@
         cell.
         """
         standing = self.standings[cell]
-        if request_class.never_kept and self.may_pass_by:  # needs no cache
+        if request_class.is_uncacheable and self.may_pass_by:  # needs no cache
             return self._spot(tenant, cell, other)
         if not anywhere:
             if standing.lost:
@@ -279,7 +290,7 @@
         self.steady.clear()
 
     def _nodes(self, tenant: str, cell: Cell) -> dict[Any, None]:
-        count = self.shuffles.get(cell.name, cell.shuffle)
+        count = self.shuffles.get(cell.name, cell.shuffle_shards)
         return {self.nodes[name]: None for name in shuffled(tenant, self.by_cell[cell.name], count)}
 
     def purse(self, tenant: str) -> RetryBudget:
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -107,9 +107,9 @@
         second.
         """
         before = self.phase()
-        if self.release.taken_back and not self.taken_back:
+        if self.release.is_rolled_back and not self.taken_back:
             self.taken_back = "by staff"
-        elif not self.taken_back and now >= self.release.starts:
+        elif not self.taken_back and now >= self.release.starts_at:
             if self.wave < 0:
                 self._reach(now, 0)
             else:
@@ -133,7 +133,10 @@
         self.now = {}
 
     def _judge(self, now: float) -> None:
-        if self.wave >= len(self.release.waves) and now >= self.wave_at + self.release.wave_for:
+        if (
+            self.wave >= len(self.release.waves)
+            and now >= self.wave_at + self.release.wave_duration
+        ):
             self.halted = False  # it has proven itself everywhere; what comes now is not its doing
             return
         verdict = self._compare()
@@ -141,7 +144,7 @@
             self.taken_back = "worse than its past and than the cells without it"
         self.halted = verdict == "both"
         last = self.wave >= len(self.release.waves)
-        if verdict == "well" and not last and now >= self.wave_at + self.release.wave_for:
+        if verdict == "well" and not last and now >= self.wave_at + self.release.wave_duration:
             self._reach(now, self.wave + 1)
 
     def _compare(self) -> str:
@@ -164,11 +167,11 @@
             * _deviation(its_past, with_it)
             * (1.0 / with_it.total + 1.0 / its_past.total) ** 0.5
         )
-        bound = self.release.drop_most + noise
+        bound = self.release.max_success_drop + noise
         beyond = slower / max(1.0, others_slower)
-        if fell - max(0.0, others_fell) > bound or beyond > self.release.slower_most:
+        if fell - max(0.0, others_fell) > bound or beyond > self.release.max_slowdown:
             return "worse"
-        if fell > bound or slower > self.release.slower_most:
+        if fell > bound or slower > self.release.max_slowdown:
             return "both"
         return "well"
 
@@ -197,10 +200,10 @@
     it says so.
     """
     return {
-        cell: course.release.shuffle
+        cell: course.release.shuffle_shards
         for course in courses.values()
         for cell in course.since
-        if course.has(cell) and course.release.shuffle >= 0
+        if course.has(cell) and course.release.shuffle_shards >= 0
     }
 
 
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -42,27 +42,33 @@
         log: StructuredLog,
         requests_most: int,
     ) -> None:
-        """Raises CharterError where the assignment file can't be used: there is no older version
+        """Raises ConfigError where the assignment file can't be used: there is no older version
         yet.
         """
-        self.own, self.facade, self.clock, self.log = own, facade, clock, log
-        self.tenant_field, self.flow = own.tenant_field, start.terms.flow
+        self.config, self.coordinator, self.clock, self.log = own, facade, clock, log
+        self.tenant_field, self.flow = own.tenant_field, start.settings.transfer_rate
         self.lock = threading.Lock()
-        self.stamp = store.stamp(own.assignment)
-        charter = store.load(own.assignment)
+        self.stamp = store.stamp(own.assignment_file)
+        charter = store.load(own.assignment_file)
         board = DirectorCapacity(
-            min(own.open_most or requests_most, requests_most), own.rate, own.come_back_most
+            min(own.max_open_requests or requests_most, requests_most),
+            own.rate,
+            own.max_retry_after,
+        )
+        self.controller = AdmissionController(
+            clock(), charter, board, start.settings.allows_cache_bypass
         )
-        self.governor = AdmissionController(clock(), charter, board, start.terms.may_pass_by)
         self.connections: Counter[str] = Counter()
         self.caches: list[tuple[str, Any, float]] = []
-        self.records = DirectorRecords(own.records, start.name) if own.records else None
+        self.records = (
+            DirectorRecords(own.records_folder, start.name) if own.records_folder else None
+        )
         self.read_due = self.records_due = 0.0
         self.told: list[str] = []
         self.ended = threading.Event()
 
-    def begin(self) -> None:
-        self._say([f"version {self.governor.charter.version}"])
+    def start(self) -> None:
+        self._say([f"version {self.controller.assignment.version}"])
         self._step()
         threading.Thread(target=self._go_on, name="cells", daemon=True).start()
 
@@ -71,24 +77,24 @@
 
     # For the front
 
-    def enter(self, address: str) -> str | None:
+    def admit_connection(self, address: str) -> str | None:
         """One more connection from there; gives its tenant, empty where the address tells none,
         None where that holds as many as it may.
         """
         with self.lock:
-            tenant = self.governor.naming.of_address(address)
-            if not self.governor.welcome(address, self.connections[tenant]):
+            tenant = self.controller.naming.of_address(address)
+            if not self.controller.can_admit_connection(address, self.connections[tenant]):
                 return None
             self.connections[tenant] += 1
             return tenant
 
-    def leave(self, entry: str) -> None:
+    def release_connection(self, entry: str) -> None:
         with self.lock:
             self.connections[entry] -= 1
             if not self.connections[entry]:
                 del self.connections[entry]
 
-    def admit(
+    def admit_request(
         self, asked: ClientRequest, request_class: RequestClass, address: str
     ) -> AdmissionGrant | AdmissionRejection:
         asking = Asking(
@@ -98,18 +104,20 @@
             asked.object,
             request_class,
             asked.idempotency_key,
-            asked.repeated,
+            asked.is_retry,
             len(asked.body),
         )
         with self.lock:
-            return self.governor.admit(self.clock(), asking)
+            return self.controller.admit_request(self.clock(), asking)
 
-    def settle(self, grant: AdmissionGrant, request: Request, good: bool, owed: bool) -> None:
+    def complete_request(
+        self, grant: AdmissionGrant, request: Request, good: bool, owed: bool
+    ) -> None:
         now = self.clock()
-        sending = request.size / self.flow if self.flow else 0.0
+        sending = request.size_kb / self.flow if self.flow else 0.0
         with self.lock:
-            word = self.governor.settle(
-                now, grant, good, owed, max(0.0, now - request.arrived - sending)
+            word = self.controller.complete_request(
+                now, grant, good, owed, max(0.0, now - request.arrived_at - sending)
             )
         if word:
             self._say([word])
@@ -121,24 +129,24 @@
             try:
                 self._step()
             except Exception as broken:
-                self.log.fault("cells", broken)
+                self.log.exception("cells", broken)
 
     def _step(self) -> None:
         now, words = self.clock(), []
-        caches = self.facade.ready_caches()
+        caches = self.coordinator.ready_caches()
         with self.lock:
             if self._changed(caches):
                 self.caches = caches
-                words += self.governor.listed(now, caches)
-            words += self.governor.step(now)
+                words += self.controller.update_caches(now, caches)
+            words += self.controller.step(now)
         if now >= self.read_due:
-            self.read_due = now + self.own.read_every
+            self.read_due = now + self.config.poll_interval
             words += self._read(now)
         self._say(words)
         if self.records is not None and now >= self.records_due:
             self.records_due = now + RECORDS_EVERY
             with self.lock:
-                status = self.governor.status(now)
+                status = self.controller.status(now)
             told, self.told = self.told, []
             if word := self.records.keep(status, told):
                 self._say([word])
@@ -155,27 +163,27 @@
         )
 
     def _read(self, now: float) -> list[str]:
-        stamp = store.stamp(self.own.assignment)
+        stamp = store.stamp(self.config.assignment_file)
         if stamp == self.stamp:
             return []
         self.stamp = stamp
         try:
-            charter = store.load(self.own.assignment)
-            if charter == self.governor.charter:  # what `take` has written
+            charter = store.load(self.config.assignment_file)
+            if charter == self.controller.assignment:  # what `take` has written
                 return []
-            if fault := refusal(self.governor.charter, charter):  # only this thread changes it
+            if fault := refusal(self.controller.assignment, charter):  # only this thread changes it
                 return [fault]
             ready = prepare_assignment(charter)
             with self.lock:
-                return self.governor.renew(now, ready)
+                return self.controller.replace_assignment(now, ready)
         except ConfigError as wrong:
-            return [f"assignment kept at version {self.governor.charter.version}: {wrong}"]
+            return [f"assignment kept at version {self.controller.assignment.version}: {wrong}"]
 
-    def take(self, ready: PreparedAssignment) -> None:
+    def apply_prepared(self, ready: PreparedAssignment) -> None:
         """A version that another part of the program has made, and has written to the file. Raises
-        CharterError."""
+        ConfigError."""
         with self.lock:
-            words = self.governor.renew(self.clock(), ready)
+            words = self.controller.replace_assignment(self.clock(), ready)
         self._say(words)
 
     def _say(self, words: list[str]) -> None:
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -12,7 +12,7 @@
 
 
 def load(path: str) -> Assignment:
-    """Raises CharterError, also where the file can't be read."""
+    """Raises ConfigError, also where the file can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             return read(file.read())
@@ -33,7 +33,7 @@
 
 @contextmanager
 def sole_writer(path: str) -> Iterator[None]:
-    """Holds the file's lock, so that two commands don't overwrite one another; raises CharterError
+    """Holds the file's lock, so that two commands don't overwrite one another; raises ConfigError
     where another holds it.
     """
     try:
@@ -52,7 +52,7 @@
 
 def save(path: str, charter: Assignment, now: float, built_on: int) -> Assignment:
     """Writes the next version, if the file still holds version `built_on` (0: there is no file
-    yet); raises CharterError. A power cut leaves the old file or the new one. To be called by the
+    yet); raises ConfigError. A power cut leaves the old file or the new one. To be called by the
     sole writer.
     """
     held = load(path).version if os.path.exists(path) else 0
@@ -60,7 +60,7 @@
         raise ConfigError(
             f"{path}: holds version {held}, this change was built on {built_on}; do it again"
         )
-    new = replace(charter, version=held + 1, written=now)
+    new = replace(charter, version=held + 1, written_at=now)
     text = write(new)
     if read(text) != new:
         raise ConfigError(f"{path}: what would be written does not read back; nothing was changed")
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -54,7 +54,7 @@
 
 class TenantResolver:
     def __init__(self, charter: Assignment) -> None:
-        """Raises CharterError where ranges of two tenants cross."""
+        """Raises ConfigError where ranges of two tenants cross."""
         self.charter, self.addresses_kept = charter, 4096
         by_version: dict[int, list[tuple[int, int, str]]] = {4: [], 6: []}
         groups = []
@@ -96,6 +96,6 @@
                 return told
         elif found := self.of_address(address) or self.by_group.name(group):
             return found
-        if self.charter.unknown == TO_DEFAULT and self.charter.default_tenant:
+        if self.charter.unknown_tenant_policy == TO_DEFAULT and self.charter.default_tenant:
             return self.charter.default_tenant
         return None
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -114,18 +114,18 @@
             faulty(str(wrong))
         click.echo(
             f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
-            f"{len(start.request_classes)} request classes, {len(start.events)} events known, "
-            f"up to number {start.known}"
+            f"{len(start.request_classes)} request classes, {len(start.known_events)} events known, "
+            f"up to number {start.last_event_number}"
         )
     if cells is not None:
         from .cells.config import load_cells_config
         from .cells.store import load
 
         own = held_in(load_cells_config, cells)
-        charter = held_in(load, own.assignment) if own.assignment else None
+        charter = held_in(load, own.assignment_file) if own.assignment_file else None
         held = (
             f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
-            f"{len(charter.moves)} moves"
+            f"{len(charter.migrations)} moves"
             if charter
             else "no assignment"
         )
--- a/mulleinrelay/config/__init__.py
+++ b/mulleinrelay/config/__init__.py
@@ -1,1 +1,3 @@
-"""Configuration: the platform's start settings (JSON) and the reader of this project's INI files."""
+"""Configuration: the platform's start settings (JSON) and the reader of this project's
+INI files.
+"""
--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -1,8 +1,9 @@
 """The one reader of this project's INI files: cells, management, fleet, assignment and lab.
 
-`parse_sections` cuts a text into sections; an `IniSection` then reads one of them key by key, checks
-the form of each value, and finally finds keys that nobody asked for. Every fault is a `ConfigError`
-that names section and key, as in `[tenant acme] rate: a number of 0 or more is wanted`.
+`parse_sections` cuts a text into sections; an `IniSection` then reads one of them key by key,
+checks the form of each value, and finally finds keys that nobody asked for. Every fault is a
+`ConfigError` that names section and key, as in `[tenant acme] rate: a number of 0 or more is
+wanted`.
 """
 
 import configparser
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -1,6 +1,6 @@
 """The one place where LB_CONFIG and the start settings are read, checked and given their defaults.
 
-A fault is a ConfigurationError whose text names the key. Both the simulator's host and the director
+A fault is a ConfigError whose text names the key. Both the simulator's host and the director
 on sockets get their Terms here.
 """
 
@@ -131,38 +131,38 @@
     return ServiceSettings(
         request_classes=request_classes,
         zone=zone,
-        directors=boot.whole("balancers"),
-        directors_here=max(1, domain.each("countByZone", zone, *number)),
+        director_count=boot.whole("balancers"),
+        local_director_count=max(1, domain.each("countByZone", zone, *number)),
         parent_kind=domain.whole("midKind"),
         origin_kind=domain.whole("storeKind"),
-        sized=boot.text("weights") != "none",
-        flow=domain.number("oneFlowKbPerS") / 1000.0,
-        attempts_most=allowed.whole("maxAttempts"),
-        two_attempts=allowed.flag("mayDuplicate"),
-        may_cancel=allowed.flag("cancel"),
-        may_probe=allowed.flag("mayProbe"),
-        may_advise=allowed.flag("retryAfter"),
-        advice_most=allowed.number("maxRetryAfter"),
-        may_pass_by=domain.flag("mayPassBy"),
-        joins=domain.flag("collapses"),
-        siblings=domain.text("peersFill") != "none",
-        must_subscribe=boot.text("registryMode") == "subscribe",
-        reports=[LOAD_REPORT_FIELDS.get(word, word) for word in report.items("columns")],
-        asks_reports=report.text("how") == "probe",
-        cold_cache=SlowStartPolicy(
+        advertises_weights=boot.text("weights") != "none",
+        transfer_rate=domain.number("oneFlowKbPerS") / 1000.0,
+        max_attempts=allowed.whole("maxAttempts"),
+        allows_hedging=allowed.flag("mayDuplicate"),
+        allows_cancel=allowed.flag("cancel"),
+        allows_health_checks=allowed.flag("mayProbe"),
+        allows_retry_after=allowed.flag("retryAfter"),
+        max_retry_after=allowed.number("maxRetryAfter"),
+        allows_cache_bypass=domain.flag("mayPassBy"),
+        allows_coalescing=domain.flag("collapses"),
+        allows_sibling_fills=domain.text("peersFill") != "none",
+        requires_subscription=boot.text("registryMode") == "subscribe",
+        load_report_fields=[LOAD_REPORT_FIELDS.get(word, word) for word in report.items("columns")],
+        polls_load_reports=report.text("how") == "probe",
+        cache_slow_start=SlowStartPolicy(
             rules.number("coldFrom"),
             rules.number("cold"),
             overload_for,
             rules.number("fallMultiple", FALL_MULTIPLE),
         ),
-        cold_parent=SlowStartPolicy(
+        parent_slow_start=SlowStartPolicy(
             domain.number("parentStartsAt"),
             domain.number("parentWarmsIn"),
             overload_for,
             domain.number("parentLimitFactor", FALL_MULTIPLE),
         ),
-        purge_span=domain.number("purgeTakes"),
-        probe_price=costs_of(boot).number("probe", 0.0),
+        purge_propagation=domain.number("purgeTakes"),
+        health_check_cost=costs_of(boot).number("probe", 0.0),
     )
 
 
@@ -181,18 +181,18 @@
     listen: tuple[str, int]
     seed: int
     memory_mb: float
-    sockets: int
-    bus: tuple[str, int]
-    known: int  # number of the last event that `events` holds
-    events: list[Any]
-    terms: ServiceSettings
+    max_descriptors: int
+    event_stream_address: tuple[str, int]
+    last_event_number: int  # number of the last event that `events` holds
+    known_events: list[Any]
+    settings: ServiceSettings
     request_classes: dict[str, RequestClass]
     zones: dict[str, int]
     kinds: dict[str, int]
     connect_timeout: float
-    idle_for: float  # nodes close a connection that was idle so long
-    attempts_a_connection: int
-    links_priced: bool = False  # a new connection to a node costs more than an open one
+    idle_timeout: float  # nodes close a connection that was idle so long
+    max_attempts_per_connection: int
+    connections_are_priced: bool = False  # a new connection to a node costs more than an open one
 
 
 def parse_config(text: bytes | str) -> DirectorConfig:
@@ -221,18 +221,18 @@
         listen=whole.address("listen"),
         seed=number,
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
-        sockets=sockets,
-        bus=whole.address("bus"),
-        known=known.whole("offset"),
-        events=known.items("batch"),
-        terms=terms,
+        max_descriptors=sockets,
+        event_stream_address=whole.address("bus"),
+        last_event_number=known.whole("offset"),
+        known_events=known.items("batch"),
+        settings=terms,
         request_classes=dict(zip(names, terms.request_classes, strict=True)),
         zones={name: place for place, name in enumerate(settings.items("azs"))},
         kinds={name: place for place, name in enumerate(settings.items("shapes"))},
         connect_timeout=allowed.number("connectTimeout"),
-        idle_for=allowed.number("connIdle"),
-        attempts_a_connection=allowed.whole("maxStreams"),
-        links_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
+        idle_timeout=allowed.number("connIdle"),
+        max_attempts_per_connection=allowed.whole("maxStreams"),
+        connections_are_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
     )
 
 
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -41,8 +41,8 @@
 class EndpointOverrides(Protocol):
     """What staff want of nodes, over the list. Called under the lock."""
 
-    def told(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None: ...
-    def state(self, entry: EndpointUpdate) -> EndpointState: ...
+    def update_endpoints(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None: ...
+    def effective_state(self, entry: EndpointUpdate) -> EndpointState: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class Rejected:
-    come_back: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True, eq=False)
@@ -78,43 +78,45 @@
 class PendingRequest:
     """A request that is not over: what is to be done for it, and its verdict."""
 
-    __slots__ = ("steps", "verdict", "holder")
+    __slots__ = ("next_steps", "result", "owner_thread")
 
     def __init__(self, holder: int) -> None:
-        self.steps: deque[SendAttempt | CancelAttempt] = deque()
-        self.verdict: RequestResult | None = None
-        self.holder = holder  # the thread that picks for it; 0: none
+        self.next_steps: deque[SendAttempt | CancelAttempt] = deque()
+        self.result: RequestResult | None = None
+        self.owner_thread = holder  # the thread that picks for it; 0: none
 
-    def settle(self, verdict: RequestResult) -> None:
-        if self.verdict is None:
-            self.verdict = verdict
+    def complete(self, verdict: RequestResult) -> None:
+        if self.result is None:
+            self.result = verdict
 
 
 class RequestCoordinator:
     def __init__(
         self, clock: Callable[[], float], seed: int, terms: ServiceSettings, log: StructuredLog
     ) -> None:
-        self.clock, self.terms, self.log_to = clock, terms, log
+        self.clock, self.settings, self.log_events = clock, terms, log
         self.lock = threading.Lock()
-        self.early = threading.Condition(self.lock)  # rung when the next timer has moved forward
-        self.lives: dict[Request, PendingRequest] = {}
-        self.nodes: dict[str, TrackedEndpoint] = {}
-        self.places: dict[TrackedEndpoint, EndpointAddress] = {}
-        self.entries: dict[
+        self.timer_changed = threading.Condition(
+            self.lock
+        )  # rung when the next timer has moved forward
+        self.pending_requests: dict[Request, PendingRequest] = {}
+        self.endpoints: dict[str, TrackedEndpoint] = {}
+        self.addresses: dict[TrackedEndpoint, EndpointAddress] = {}
+        self.endpoint_updates: dict[
             str, EndpointUpdate
         ] = {}  # as the list told them last, those that have gone left out
-        self.intent: EndpointOverrides | None = None  # what staff want over the list
+        self.overrides: EndpointOverrides | None = None  # what staff want over the list
         self.timers: list[tuple[float, int, str, Request | Attempt]] = []
         self.timer_count, self.resting_until = 0, 0.0
         self.lateness = SchedulingDelay()
         self.probes: list[tuple[TrackedEndpoint, EndpointAddress]] = []
         self.called_off: list[Attempt] = []
         self.calls: list[tuple[str, tuple[Any, ...]]] = []
-        self.director = Router(clock(), seed, terms)
+        self.router = Router(clock(), seed, terms)
 
     # For the network code: requests
 
-    def take(
+    def accept(
         self,
         request_class: RequestClass,
         key: int,
@@ -136,37 +138,37 @@
             request = Request(
                 ticket, request_class, key, part, group, size, now, now + left, repeated, pool=pool
             )
-            self.lives[request] = PendingRequest(threading.get_ident())
+            self.pending_requests[request] = PendingRequest(threading.get_ident())
             self._set_timer(left + ANSWER_SLACK, "overdue", request)
             self._play("requested" if room else "woken", request)
         return request
 
-    def pick(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
+    def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
         """What is to be done next for the request; a verdict comes last, and once. None where
         nothing is to be done, or where another thread is at it, which picks what has come
         meanwhile.
         """
         with self.lock:
-            life, here = self.lives.get(request), threading.get_ident()
-            if life is None or life.holder not in (0, here):
+            life, here = self.pending_requests.get(request), threading.get_ident()
+            if life is None or life.owner_thread not in (0, here):
                 return None
-            life.holder = here
-            while life.steps:
-                step = life.steps.popleft()
+            life.owner_thread = here
+            while life.next_steps:
+                step = life.next_steps.popleft()
                 if isinstance(step, CancelAttempt) or (
-                    life.verdict is None and step.attempt.outcome is None
+                    life.result is None and step.attempt.outcome is None
                 ):
                     return step
-            life.holder = 0
-            if life.verdict is not None:
-                del self.lives[request]
-            return life.verdict
+            life.owner_thread = 0
+            if life.result is not None:
+                del self.pending_requests[request]
+            return life.result
 
-    def report(
+    def report_outcome(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: CacheStatus = CacheStatus.NONE,
+        note: CacheStatus = CacheStatus.UNKNOWN,
         waited: float = 0.0,
         load: dict[str, float] | None = None,
         answer: Any = None,
@@ -175,56 +177,63 @@
         with self.lock:
             self._ended(attempt, outcome, note, waited, load, answer)
 
-    def may_begin(self, attempt: Attempt) -> bool:
+    def can_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt that was decided may still go out: asked when its first byte is to be
         written, which may be long after. What came between (a drain, another machine at the
         address, a purge, the client's leaving, another answer) holds; an attempt that may not is
         reported as moot, and what is to be done instead is decided anew.
         """
         with self.lock:
-            life = self.lives.get(attempt.request)
-            if life is None or life.verdict is not None or attempt.outcome is not None:
+            life = self.pending_requests.get(attempt.request)
+            if life is None or life.result is not None or attempt.outcome is not None:
                 return False
             here = all(
-                self.places.get(node) is place and not place.gone for node, place in attempt.ways
+                self.addresses.get(node) is place and not place.is_removed
+                for node, place in attempt.addresses
             )
-            return here and self.director.may_begin(self.clock(), attempt)
+            return here and self.router.may_begin(self.clock(), attempt)
 
-    def may_ask(self, node: TrackedEndpoint, place: EndpointAddress) -> bool:
+    def can_health_check(self, node: TrackedEndpoint, place: EndpointAddress) -> bool:
         """Whether a node may be asked for an echo or a report there, when the first byte is to be
         written.
         """
         with self.lock:
-            return self.places.get(node) is place and not place.gone and self.director.may_ask(node)
+            return (
+                self.addresses.get(node) is place
+                and not place.is_removed
+                and self.router.may_ask(node)
+            )
 
-    def forget(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         """The client has left."""
         with self.lock:
-            life = self.lives.get(request)
-            if life is not None and life.verdict is None:
-                life.settle(ClientGone())
+            life = self.pending_requests.get(request)
+            if life is not None and life.result is None:
+                life.complete(ClientGone())
                 self._play("end", request)
 
-    def drop(self, request: Request) -> None:
+    def discard(self, request: Request) -> None:
         """Nobody will pick for this request any more; who holds the links of its attempts gives
         them up.
         """
-        self.forget(request)
+        self.client_left(request)
         with self.lock:
-            self.lives.pop(request, None)
+            self.pending_requests.pop(request, None)
 
-    def wind_up(self) -> list[Request]:
+    def finish_pending_requests(self) -> list[Request]:
         """The final answer at once for all that is open; to be picked for."""
         with self.lock:
-            still = [request for request, life in self.lives.items() if life.verdict is None]
+            still = [
+                request for request, life in self.pending_requests.items() if life.result is None
+            ]
             for request in still:
                 self._play("woken", request)
         return still
 
-    def open_requests(self) -> int:
-        return len(self.lives)
+    def pending_count(self) -> int:
+        return len(self.pending_requests)
 
-    def short_of_time(self) -> float:
+    def cpu_pressure(self) -> float:
         """0 where timers come when they are due, near 1 where this director is itself
         what is late.
         """
@@ -235,11 +244,11 @@
         least.
         """
         with self.lock:
-            now, director = self.clock(), self.director
+            now, director = self.clock(), self.router
             director.now = max(director.now, now)
             return sorted(
                 (
-                    (self.places[member].name, member, director.warmth(member))
+                    (self.addresses[member].name, member, director.warmth(member))
                     for member in director.caches
                 ),
                 key=lambda entry: entry[0],
@@ -247,22 +256,22 @@
 
     # For the network code: nodes, events and time
 
-    def listed(self, entries: list[EndpointUpdate], whole: bool) -> None:
+    def update_endpoints(self, entries: list[EndpointUpdate], whole: bool) -> None:
         with self.lock:
             entries = [held for entry in entries if (held := self._as_known(entry)) is not None]
-            self.entries = {} if whole else self.entries
+            self.endpoint_updates = {} if whole else self.endpoint_updates
             for entry in entries:
                 if entry.state == EndpointState.GONE:
-                    self.entries.pop(entry.name, None)
+                    self.endpoint_updates.pop(entry.name, None)
                 else:
-                    self.entries[entry.name] = entry
-            if self.intent is not None:
-                self.intent.told(self.clock(), entries, whole)
+                    self.endpoint_updates[entry.name] = entry
+            if self.overrides is not None:
+                self.overrides.update_endpoints(self.clock(), entries, whole)
             self._list(entries, whole)
 
     def _as_known(self, entry: EndpointUpdate) -> EndpointUpdate | None:
         """What was left out of a row is as it was; None where that is not known."""
-        known = self.entries.get(entry.name)
+        known = self.endpoint_updates.get(entry.name)
         if known is None:
             return (
                 entry
@@ -272,23 +281,27 @@
         partial = entry.address == UNKNOWN_ADDRESS or entry.state == EndpointState.GONE
         return replace(known, state=entry.state) if partial else entry
 
-    def wanted(self, make: Callable[["EndpointOverrides"], list[str]]) -> None:
+    def change_overrides(self, make: Callable[["EndpointOverrides"], list[str]]) -> None:
         """What staff want has changed: `make` changes the intent and gives the nodes that it
         touches.
         """
         with self.lock:
-            touched = [self.entries[name] for name in make(self.intent) if name in self.entries]
+            touched = [
+                self.endpoint_updates[name]
+                for name in make(self.overrides)
+                if name in self.endpoint_updates
+            ]
             if touched:
                 self._list(touched, False)
 
-    def boxes(
+    def endpoint_states(
         self,
     ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
         """For staff, by name: as the list tells a node, the state that this director goes by, what
         it believes, the smoothed delay (ms; None: not measured) and its warmth.
         """
         with self.lock:
-            now, director = self.clock(), self.director
+            now, director = self.clock(), self.router
             director.now = max(director.now, now)
             return [
                 (
@@ -298,59 +311,69 @@
                     member.recent.mean(now),
                     director.warmth(member),
                 )
-                for name, entry in sorted(self.entries.items())
-                if (member := self.nodes.get(name))
+                for name, entry in sorted(self.endpoint_updates.items())
+                if (member := self.endpoints.get(name))
             ]
 
-    def purges_binding(self) -> int:
-        return len(self.director.purges)
+    def active_purge_count(self) -> int:
+        return len(self.router.purges)
 
     def _state(self, entry: EndpointUpdate) -> EndpointState:
-        return self.intent.state(entry) if self.intent is not None else entry.state
+        return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
 
     def _list(self, entries: list[EndpointUpdate], whole: bool) -> None:
         """Tells the module, under the lock."""
         rows, named = [], set()
         for entry in entries:
-            member = self.nodes.get(entry.name)
+            member = self.endpoints.get(entry.name)
             if member is None:
-                member = self.nodes[entry.name] = TrackedEndpoint(_key(entry.name))
+                member = self.endpoints[entry.name] = TrackedEndpoint(_key(entry.name))
             named.add(entry.name)
-            place = self.places.get(member)
-            if place is None or place.address != entry.address or member.started != entry.started:
+            place = self.addresses.get(member)
+            if (
+                place is None
+                or place.address != entry.address
+                or member.started_at != entry.started_at
+            ):
                 if place is not None:
-                    place.gone = True
-                place = self.places[member] = EndpointAddress(entry.name, entry.address)
-            place.gone = entry.state == EndpointState.GONE
+                    place.is_removed = True
+                place = self.addresses[member] = EndpointAddress(entry.name, entry.address)
+            place.is_removed = entry.state == EndpointState.GONE
             rows.append(
                 (
                     member,
                     self._state(entry),
-                    entry.share,
+                    entry.weight,
                     entry.kind,
                     entry.zone,
-                    entry.listed_cell,
-                    entry.started,
+                    entry.advertised_cell,
+                    entry.started_at,
                 )
             )
         if whole:
-            for name, member in self.nodes.items():
-                self.places[member].gone |= name not in named
+            for name, member in self.endpoints.items():
+                self.addresses[member].is_removed |= name not in named
         self._play("listed", rows, whole, False)
-        for name, member in list(self.nodes.items()):  # those that have gone would add up with time
-            if self.places[member].gone and member not in self.director.members:
-                del self.nodes[name], self.places[member]
+        for name, member in list(
+            self.endpoints.items()
+        ):  # those that have gone would add up with time
+            if self.addresses[member].is_removed and member not in self.router.members:
+                del self.endpoints[name], self.addresses[member]
 
-    def purged(self, key: int, group: int, at: float) -> None:
+    def apply_purge(self, key: int, group: int, at: float) -> None:
         with self.lock:
             self._play("purged", key, group, self.clock() - at)
 
-    def told(self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True) -> None:
+    def report_health_check(
+        self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True
+    ) -> None:
         """What a probe brought."""
         with self.lock:
             self._play("told", node, load, well)
 
-    def tick(self) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
+    def run_due_timers(
+        self,
+    ) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
         """Runs the timers that are due; gives when to call again, the nodes to be probed, and the
         requests to be picked for.
         """
@@ -361,33 +384,33 @@
             while self.timers and self.timers[0][0] <= now:
                 _, _, what, about = heapq.heappop(self.timers)
                 request = about if isinstance(about, Request) else about.request
-                if (life := self.lives.get(request)) is None:
+                if (life := self.pending_requests.get(request)) is None:
                     continue
                 if what == "timeout":
                     if about.outcome is None:
                         self._call_off(about)
-                        self._ended(about, Outcome.TIMEOUT, CacheStatus.NONE, 0.0, None, None)
+                        self._ended(about, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0.0, None, None)
                 elif what == "overdue":
                     if (
-                        life.verdict is None
+                        life.result is None
                     ):  # the module gave none; its client must not wait in vain
-                        self.log_to.event("overdue", attempts=len(request.attempts))
-                        life.settle(Failed())
+                        self.log_events.event("overdue", attempts=len(request.attempts))
+                        life.complete(Failed())
                         self._play("end", request)
-                elif not (about.ended if request is about else about.outcome is not None):
+                elif not (about.is_complete if request is about else about.outcome is not None):
                     self._play("woken", about)
-                if life.steps or life.verdict is not None:
+                if life.next_steps or life.result is not None:
                     moved[request] = None
             probes, self.probes = self.probes, []
             return self.timers[0][0] if self.timers else now + 1000.0, probes, list(moved)
 
-    def rest(self, until: float) -> None:
+    def wait_until(self, until: float) -> None:
         """Blocks until then, or until an earlier timer or a probe is wanted."""
         with self.lock:
             self.resting_until = until
             left = until - self.clock()
             if left > 0.0 and not self.probes and (not self.timers or self.timers[0][0] >= until):
-                self.early.wait(left / 1000.0)
+                self.timer_changed.wait(left / 1000.0)
             self.resting_until = 0.0
 
     # Inside, under the lock
@@ -397,16 +420,16 @@
         calls = [(method, arguments)]
         while calls:
             try:
-                self.director.round(self.clock(), calls, self)
+                self.router.round(self.clock(), calls, self)
             except Exception as broken:
-                self.log_to.fault(f"module, {method}", broken)
+                self.log_events.exception(f"module, {method}", broken)
                 if arguments and isinstance(arguments[0], Request | Attempt):
                     about = (
                         arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
                     )
-                    about.ended = True
-                    if (life := self.lives.get(about)) is not None:
-                        life.settle(Failed())
+                    about.is_complete = True
+                    if (life := self.pending_requests.get(about)) is not None:
+                        life.complete(Failed())
             called_off, self.called_off = self.called_off, []
             now = self.clock()
             calls = [
@@ -415,9 +438,9 @@
                     (
                         attempt,
                         Outcome.CANCELLED,
-                        now - attempt.sent,
-                        attempt.request.ended,
-                        CacheStatus.NONE,
+                        now - attempt.sent_at,
+                        attempt.request.is_complete,
+                        CacheStatus.UNKNOWN,
                         0.0,
                         None,
                     ),
@@ -438,36 +461,36 @@
         if attempt.outcome is not None:
             return
         request = attempt.request
-        life = self.lives.get(request)
-        if outcome == Outcome.SERVED and not request.ended and life is not None:
-            life.settle(Served(answer))
-        closed = request.ended or outcome == Outcome.SERVED
+        life = self.pending_requests.get(request)
+        if outcome == Outcome.SERVED and not request.is_complete and life is not None:
+            life.complete(Served(answer))
+        closed = request.is_complete or outcome == Outcome.SERVED
         self._play(
-            "answered", attempt, outcome, self.clock() - attempt.sent, closed, note, waited, load
+            "answered", attempt, outcome, self.clock() - attempt.sent_at, closed, note, waited, load
         )
 
     def _call_off(self, attempt: Attempt) -> None:
-        life = self.lives.get(attempt.request)
+        life = self.pending_requests.get(attempt.request)
         if life is not None:
             waiting = next(
                 (
                     step
-                    for step in life.steps
+                    for step in life.next_steps
                     if isinstance(step, SendAttempt) and step.attempt is attempt
                 ),
                 None,
             )
             if waiting is not None:  # never sent
-                life.steps.remove(waiting)
+                life.next_steps.remove(waiting)
             else:
-                life.steps.append(CancelAttempt(attempt))
+                life.next_steps.append(CancelAttempt(attempt))
 
     def _set_timer(self, delay: float, what: str, about: Request | Attempt) -> None:
         due = self.clock() + delay
         self.timer_count += 1
         heapq.heappush(self.timers, (due, self.timer_count, what, about))
         if due < self.resting_until:
-            self.early.notify_all()
+            self.timer_changed.notify_all()
 
     # The module's Writer
 
@@ -482,21 +505,21 @@
         renew: bool,
     ) -> None:
         source = (
-            attempt.source
-            if attempt.source is not None and attempt.source is not attempt.node
+            attempt.fill_source
+            if attempt.fill_source is not None and attempt.fill_source is not attempt.endpoint
             else None
         )
-        life = self.lives.get(attempt.request)
+        life = self.pending_requests.get(attempt.request)
         if life is None:
             return
-        attempt.ways = tuple(
-            (node, self.places[node]) for node in (attempt.node, source) if node is not None
+        attempt.addresses = tuple(
+            (node, self.addresses[node]) for node in (attempt.endpoint, source) if node is not None
         )
-        named = self.places[source].name if source else ""
-        life.steps.append(
+        named = self.addresses[source].name if source else ""
+        life.next_steps.append(
             SendAttempt(
                 attempt,
-                self.places[attempt.node],
+                self.addresses[attempt.endpoint],
                 named,
                 max_age,
                 rank,
@@ -514,25 +537,25 @@
             self.called_off.append(attempt)
 
     def reject(self, request: Request, come_back: float) -> None:
-        if (life := self.lives.get(request)) is not None:
-            life.settle(Rejected(come_back))
+        if (life := self.pending_requests.get(request)) is not None:
+            life.complete(Rejected(come_back))
 
     def fail(self, request: Request) -> None:
-        if (life := self.lives.get(request)) is not None:
-            life.settle(Failed())
+        if (life := self.pending_requests.get(request)) is not None:
+            life.complete(Failed())
 
     def wake(self, delay: float, about: Request | Attempt) -> None:
         self._set_timer(delay, "wake", about)
 
     def probe(self, node: TrackedEndpoint) -> None:
-        self.probes.append((node, self.places[node]))
-        self.early.notify_all()
+        self.probes.append((node, self.addresses[node]))
+        self.timer_changed.notify_all()
 
     def subscribe(self) -> None:
         """The event stream is always read."""
 
     def log(self, text: str) -> None:
-        self.log_to.event("mode", text=text)
+        self.log_events.event("mode", text=text)
 
 
 def _key(name: str) -> int:
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -49,47 +49,49 @@
         fleet: "FleetConfig | None" = None,
     ) -> None:
         """`cells`: tenants are confined as that file says. `management`: staff reach it by gNMI.
-        `fleet`: it talks to other directors. Raises CharterError where the assignment can't be
+        `fleet`: it talks to other directors. Raises ConfigError where the assignment can't be
         used.
         """
-        self.start_settings, self.log = start, log
+        self.config, self.log = start, log
         self.phase = Phase.STARTING
         self.offset = (
             time.time() * 1000.0 - time.monotonic() * 1000.0
         )  # taken once: steps don't reach us
         self.stopping, self.ended = threading.Event(), threading.Event()
-        self.facade = RequestCoordinator(self.clock, start.seed, start.terms, log)
-        self.caches = UpstreamConnections(
-            self.facade,
+        self.coordinator = RequestCoordinator(self.clock, start.seed, start.settings, log)
+        self.upstream = UpstreamConnections(
+            self.coordinator,
             self.clock,
             log,
             start.connect_timeout,
-            start.idle_for,
-            start.attempts_a_connection,
-            int(LINKS_SHARE * start.sockets),
-            start.terms.may_probe,
-            start.links_priced,
+            start.idle_timeout,
+            start.max_attempts_per_connection,
+            int(LINKS_SHARE * start.max_descriptors),
+            start.settings.allows_health_checks,
+            start.connections_are_priced,
         )
-        self.front = ClientListener(
-            start, self.facade, self.caches, log, int(CLIENTS_SHARE * start.sockets)
+        self.listener = ClientListener(
+            start, self.coordinator, self.upstream, log, int(CLIENTS_SHARE * start.max_descriptors)
         )
-        self.bus = EventStream(start, self.facade, log)
-        self.warden = None
+        self.event_stream = EventStream(start, self.coordinator, log)
+        self.cell_service = None
         if cells is not None and cells.enabled:
             from .cells.service import CellService
 
-            self.warden = CellService(
-                cells, start, self.facade, self.clock, log, self.front.requests_most
+            self.cell_service = CellService(
+                cells, start, self.coordinator, self.clock, log, self.listener.requests_most
             )
-            self.front.gate = self.warden
-        self.managed = management if management is not None and management.enabled else None
-        self.server = None
-        self.talk = None
+            self.listener.admission_control = self.cell_service
+        self.management_config = (
+            management if management is not None and management.enabled else None
+        )
+        self.gnmi_server = None
+        self.membership = None
         if fleet is not None and fleet.enabled:
             from .membership.service import MembershipService
 
-            self.talk = MembershipService(
-                fleet, start.name, start.seed, self.clock, log, self.facade
+            self.membership = MembershipService(
+                fleet, start.name, start.seed, self.clock, log, self.coordinator
             )
 
     def clock(self) -> float:
@@ -97,31 +99,39 @@
         return self.offset + time.monotonic() * 1000.0
 
     def start(self) -> None:
-        self.bus.begin()
-        if self.warden is not None:
-            self.warden.begin()
+        self.event_stream.start()
+        if self.cell_service is not None:
+            self.cell_service.start()
         threading.Thread(target=self._keep_time, name="clock", daemon=True).start()
-        if self.managed is not None:
+        if self.management_config is not None:
             from .management.gnmi_server import build
 
-            self.server = build(
-                self.managed, self.start_settings, self.facade, self.warden, self.clock, self.log
+            self.gnmi_server = build(
+                self.management_config,
+                self.config,
+                self.coordinator,
+                self.cell_service,
+                self.clock,
+                self.log,
             )
-            self.server.begin()
-            self.server.manager.begin()
-        if self.talk is not None:
-            self.talk.begin()
-        self.front.begin()
-        self.bus.await_word()
-        self.front.well = True
+            self.gnmi_server.start()
+            self.gnmi_server.manager.start()
+        if self.membership is not None:
+            self.membership.start()
+        self.listener.start()
+        self.event_stream.wait_until_current()
+        self.listener.well = True
         self._enter(Phase.READY)
 
-    def renew(self, start: DirectorConfig) -> None:
+    def reload(self, start: DirectorConfig) -> None:
         """Takes over what may change while it runs, the address of the event stream and the events
         known by now; the rest stays.
         """
-        self.log.event("configuration read", bus=f"{start.bus[0]}:{start.bus[1]}")
-        self.bus.move(start.bus, start.events)
+        self.log.event(
+            "configuration read",
+            bus=f"{start.event_stream_address[0]}:{start.event_stream_address[1]}",
+        )
+        self.event_stream.reconnect_to(start.event_stream_address, start.known_events)
 
     def stop(self) -> None:
         """Starts the drain; `wait` returns when it is over."""
@@ -130,54 +140,56 @@
     def wait(self) -> None:
         self.stopping.wait()
         begun = time.monotonic()
-        request_classes = self.start_settings.request_classes.values()
+        request_classes = self.config.request_classes.values()
         longest = max((case.client_timeout for case in request_classes), default=0.0) / 1000.0
         end = min(LONGEST_WAIT, longest) + SPARE
-        self.front.well = False
+        self.listener.well = False
         self._enter(Phase.DRAINING)
         while (since := time.monotonic() - begun) < end - WRITTEN:
-            if since >= COMING and not self.facade.open_requests() and not self.front.owes():
-                if (
-                    self.front.wind_down()
-                ):  # else a call has crossed it, or an end has yet to arrive
+            if (
+                since >= COMING
+                and not self.coordinator.pending_count()
+                and not self.listener.has_pending_writes()
+            ):
+                if self.listener.drain():  # else a call has crossed it, or an end has yet to arrive
                     break
             if since >= end - LAST_ANSWERS:
-                for request in self.facade.wind_up():
-                    self.front.see_through(request)
+                for request in self.coordinator.finish_pending_requests():
+                    self.listener.run_request(request)
             time.sleep(0.02)
-        self.front.stop()
-        self.bus.stop()
-        if self.talk is not None:
-            self.talk.stop()
-        if self.server is not None:
-            self.server.stop()
-        if self.warden is not None:
-            self.warden.stop()
-        self.caches.stop()
+        self.listener.stop()
+        self.event_stream.stop()
+        if self.membership is not None:
+            self.membership.stop()
+        if self.gnmi_server is not None:
+            self.gnmi_server.stop()
+        if self.cell_service is not None:
+            self.cell_service.stop()
+        self.upstream.stop()
         self._enter(Phase.STOPPED)
         self.ended.set()
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        self.log.event("phase", phase=phase.value, open=self.facade.open_requests())
+        self.log.event("phase", phase=phase.value, open=self.coordinator.pending_count())
 
     def _keep_time(self) -> None:
         sweep = ask = self.clock()
         while not self.ended.is_set():
             try:
-                due, probes, moved = self.facade.tick()
+                due, probes, moved = self.coordinator.run_due_timers()
                 for request in moved:
-                    self.front.see_through(request)
+                    self.listener.run_request(request)
                 for node, place in probes:
-                    self.caches.probe(node, place)
+                    self.upstream.check_health(node, place)
                 if (now := self.clock()) >= ask:
-                    self.caches.ask()
+                    self.upstream.ping_quiet_connections()
                     ask = now + ASK_EVERY
                 if now >= sweep:
-                    self.caches.sweep()
-                    self.front.sweep()
+                    self.upstream.close_idle()
+                    self.listener.sweep()
                     sweep = now + SWEEP_EVERY
-                self.facade.rest(min(due, sweep, ask))
+                self.coordinator.wait_until(min(due, sweep, ask))
             except Exception as broken:
-                self.log.fault("clock", broken)
+                self.log.exception("clock", broken)
                 self.ended.wait(0.05)  # should it go on, the others still get the core
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -113,7 +113,7 @@
     plot: str | None,
     model: bool,
 ) -> None:
-    """Raises CharterError, and OSError where the file can't be written."""
+    """Raises ConfigError, and OSError where the file can't be written."""
     from .fleet.plan import read_fleet
 
     scenario = read_fleet(text)
--- a/mulleinrelay/lab/fleet/plan.py
+++ b/mulleinrelay/lab/fleet/plan.py
@@ -1,7 +1,7 @@
 """What a fleet scenario says, and what follows from its seed: who stands where, who is asked how
 often, and when each fault strikes whom. Pure; the same file and seed give the same plan.
 
-A fault is a CharterError whose text names the key.
+A fault is a ConfigError whose text names the key.
 """
 
 import math
@@ -245,7 +245,7 @@
         return replace(self, directors=directors)
 
     def on_sockets(self) -> "Scenario":
-        """Itself, where a lab on sockets can play it. Raises CharterError."""
+        """Itself, where a lab on sockets can play it. Raises ConfigError."""
         caches = self.caches * len(self.locations)
         for key, count, most in (
             ("[directors] count", self.directors, PROCESSES_MOST),
@@ -259,7 +259,7 @@
 
 
 def read_fleet(text: str) -> Scenario:
-    """Raises CharterError, whose text names the key."""
+    """Raises ConfigError, whose text names the key."""
     found = parse_sections(text)
     plain = Scenario()
     faults = []
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -122,7 +122,7 @@
     ) -> None:
         """`text`: the scenario's file, which the lab's processes read again. `program`: the folder
         that holds the package that the directors run, so that earlier versions can be played.
-        Raises CharterError.
+        Raises ConfigError.
         """
         self.scenario, self.text, self.program = scenario.on_sockets(), text, program
         self.kept = folder is not None
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -56,7 +56,7 @@
 
 
 def read_scenario(text: str) -> Scenario:
-    """Raises CharterError, whose text names the key."""
+    """Raises ConfigError, whose text names the key."""
     found = parse_sections(text)
     lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OURS)
     demands, deeds, ours = [], [], {}
@@ -116,7 +116,11 @@
     for keys in (lab, fleet, director):
         keys.reject_unknown_keys()
     for demand in demands:
-        if scenario.cells and demand.tenant not in charter.tenants and charter.unknown == "reject":
+        if (
+            scenario.cells
+            and demand.tenant not in charter.tenants
+            and charter.unknown_tenant_policy == "reject"
+        ):
             raise ConfigError(f"[load {demand.tenant}]: no such tenant")
     for deed in deeds:
         if (
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -7,31 +7,31 @@
 from typing import Any
 
 from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
-from ..cells.parser import LIMIT_KEYS, RANGE, agree
+from ..cells.parser import LIMIT_FIELDS, RANGE, agree
 from ..errors import ConfigError
 
 ATTRIBUTES = {
-    "how": "how",
+    "how": "placement_method",
     "load-bound": "load_bound",
-    "spread": "spread",
-    "skew": "skew",
-    "horizon": "horizon",
+    "spread": "propagation_time",
+    "skew": "clock_skew",
+    "horizon": "retry_horizon",
 }
 MOVE = {
-    "starts": "starts",
-    "warm-for": "warm_for",
-    "shift-for": "shift_for",
-    "drain-for": "drain_for",
-    "warm-share": "warm_share",
-    "held-at": "held_at",
+    "starts": "starts_at",
+    "warm-for": "warm_up_duration",
+    "shift-for": "shift_duration",
+    "drain-for": "drain_duration",
+    "warm-share": "warm_up_fraction",
+    "held-at": "paused_at",
     "resumed-at": "resumed_at",
     "aborted-at": "aborted_at",
 }
 RELEASE = {
-    "starts": "starts",
-    "wave-for": "wave_for",
-    "drop-most": "drop_most",
-    "slower-most": "slower_most",
+    "starts": "starts_at",
+    "wave-for": "wave_duration",
+    "drop-most": "max_success_drop",
+    "slower-most": "max_slowdown",
 }
 DECIMAL = {
     "weight",
@@ -74,8 +74,8 @@
 
 def _limits_tree(limits: Limits) -> dict[str, Any]:
     return {
-        key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, key))
-        for key in LIMIT_KEYS
+        key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, field))
+        for key, field in LIMIT_FIELDS.items()
     }
 
 
@@ -83,10 +83,10 @@
     held = tree.get("limits", {})
     return Limits(
         *(
-            int(held.get(key, default.connections))
+            int(held.get(key, default.max_connections))
             if key == "connections"
-            else float(held.get(key.replace("_", "-"), getattr(default, key)))
-            for key in LIMIT_KEYS
+            else float(held.get(key.replace("_", "-"), getattr(default, field)))
+            for key, field in LIMIT_FIELDS.items()
         )
     )
 
@@ -94,10 +94,10 @@
 def charter_tree(charter: Assignment) -> dict[str, Any]:
     """The `assignment` of a charter."""
     found: dict[str, Any] = {
-        name: _told(name, getattr(charter, key)) if name != "how" else charter.how
+        name: _told(name, getattr(charter, key)) if name != "how" else charter.placement_method
         for name, key in ATTRIBUTES.items()
     }
-    found["unknown"] = "reject" if charter.unknown == REJECT else "default-tenant"
+    found["unknown"] = "reject" if charter.unknown_tenant_policy == REJECT else "default-tenant"
     if charter.default_tenant:
         found["default-tenant"] = charter.default_tenant
     found["limits"] = _limits_tree(charter.limits)
@@ -105,13 +105,13 @@
         {
             "name": cell.name,
             "weight": decimal(cell.weight),
-            "shuffle": cell.shuffle,
-            "reserve": decimal(cell.reserve),
-            "return-for": int(cell.return_for),
+            "shuffle": cell.shuffle_shards,
+            "reserve": decimal(cell.failover_quota),
+            "return-for": int(cell.return_duration),
             "limits": _limits_tree(cell.limits),
         }
         | _some("cache", cell.caches)
-        | _some("neighbour", cell.neighbours)
+        | _some("neighbour", cell.failover_cells)
         for cell in charter.cells.values()
     ]
     found["tenant"] = [
@@ -127,21 +127,21 @@
     found["move"] = [
         {"name": one.name, "tenant": list(one.tenants), "from": one.source, "to": one.target}
         | {name: _told(name, getattr(one, key)) for name, key in MOVE.items()}
-        for one in charter.moves.values()
+        for one in charter.migrations.values()
     ]
     found["release"] = [
         {
             "name": one.name,
             "canary": one.canary,
-            "taken-back": one.taken_back,
-            "shuffle": one.shuffle,
+            "taken-back": one.is_rolled_back,
+            "shuffle": one.shuffle_shards,
             "limits": _limits_tree(one.limits),
         }
         | _some(
             "wave", [{"number": place, "cell": list(wave)} for place, wave in enumerate(one.waves)]
         )
         | {name: _told(name, getattr(one, key)) for name, key in RELEASE.items()}
-        for one in charter.releases.values()
+        for one in charter.rollouts.values()
     ]
     return {name: held for name, held in found.items() if held != []}
 
@@ -151,7 +151,7 @@
 
 
 def charter_from(tree: dict[str, Any], version: int, written: float) -> Assignment:
-    """Of an `assignment` that the model has let pass; raises CharterError for what only the program
+    """Of an `assignment` that the model has let pass; raises ConfigError for what only the program
     knows.
     """
     limits = _limits(tree, Limits())
@@ -198,8 +198,8 @@
                 tuple(wave["cell"])
                 for wave in sorted(one.get("wave", ()), key=lambda wave: wave["number"])
             ),
-            taken_back=bool(one.get("taken-back", False)),
-            shuffle=int(one.get("shuffle", -1)),
+            is_rolled_back=bool(one.get("taken-back", False)),
+            shuffle_shards=int(one.get("shuffle", -1)),
             **_figures(one, RELEASE),
         )
         for one in tree.get("release", ())
@@ -213,7 +213,7 @@
         releases,
         limits,
         default_tenant=tree.get("default-tenant", ""),
-        unknown=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
+        unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
         **{
             key: tree[name] if name == "how" else float(tree[name])
             for name, key in ATTRIBUTES.items()
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -28,7 +28,7 @@
 
 
 def parse_management_config(text: str, folder: str) -> ManagementConfig:
-    """Paths are taken from `folder`. Raises CharterError."""
+    """Paths are taken from `folder`. Raises ConfigError."""
     found = parse_sections(text)
     for title in found:
         if title not in ("management", "roles", "limits"):
@@ -79,5 +79,5 @@
 
 
 def load_management_config(path: str) -> ManagementConfig:
-    """Raises CharterError."""
+    """Raises ConfigError."""
     return load_ini(path, parse_management_config)
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -87,7 +87,7 @@
             self._meet(now, name)
         return touched
 
-    def told(self, now: float, entries: Iterable[EndpointUpdate], whole: bool) -> None:
+    def update_endpoints(self, now: float, entries: Iterable[EndpointUpdate], whole: bool) -> None:
         """What the list tells."""
         if whole:
             self.listed = {}
@@ -111,7 +111,7 @@
                 return
             # Gone for now: its life may go on, as a list that breaks off tells it again
             return
-        life = Life(entry.address, entry.started)
+        life = Life(entry.address, entry.started_at)
         if drain.life is None:
             drain.life = life
         if drain.life != life and not drain.want.every_life:
@@ -125,7 +125,7 @@
         elif not drain.ready_since:
             drain.ready_since = now
 
-    def state(self, entry: EndpointUpdate) -> EndpointState:
+    def effective_state(self, entry: EndpointUpdate) -> EndpointState:
         """The state that this director goes by."""
         drain = self.drains.get(entry.name)
         if drain is None or drain.phase != Phase.BINDING or entry.state != EndpointState.READY:
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -135,7 +135,7 @@
         if not self.port:
             raise RuntimeError(f"management: cannot listen on {own.listen}")
 
-    def begin(self) -> None:
+    def start(self) -> None:
         before = threading.stack_size(STACK)
         try:  # the pool's threads are made here, with room for the model's checks
             gate = threading.Barrier(self.own.subscribers_most + self.own.calls_most + 1)
@@ -507,7 +507,7 @@
     from .yang_model import Model
 
     def cells(caches: list[str]) -> dict[str, list[str]]:
-        return caches_of(warden.governor.charter, caches) if warden is not None else {}
+        return caches_of(warden.controller.assignment, caches) if warden is not None else {}
 
     drains, assignment = DrainParticipant(facade, cells), AssignmentParticipant(warden, clock)
     manager = ManagementService(
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -34,8 +34,10 @@
     ) -> None:
         self.facade, self.cells, self.intent = facade, cells, DrainIntent()
         with facade.lock:
-            facade.intent = self.intent
-            self.intent.told(facade.clock(), list(facade.entries.values()), True)
+            facade.overrides = self.intent
+            self.intent.update_endpoints(
+                facade.clock(), list(facade.endpoint_updates.values()), True
+            )
 
     def prepare(self, old: dict[str, Any], new: dict[str, Any]) -> dict[str, Want]:
         wanted = wants(new)
@@ -74,11 +76,11 @@
             self.intent.drains = before[0].drains
             return sorted(touched)
 
-        self.facade.wanted(take)
-        return lambda: self.facade.wanted(put_back)
+        self.facade.change_overrides(take)
+        return lambda: self.facade.change_overrides(put_back)
 
     def _is_cache(self, entry: EndpointUpdate) -> bool:
-        terms = self.facade.terms
+        terms = self.facade.settings
         return entry.kind not in (terms.parent_kind, terms.origin_kind) and entry.zone == terms.zone
 
 
@@ -96,7 +98,7 @@
         return charter_tree(self.charter()) if self.warden is not None else {}
 
     def charter(self) -> Assignment:
-        return self.warden.governor.charter
+        return self.warden.controller.assignment
 
     def prepare(
         self, old: dict[str, Any], new: dict[str, Any]
@@ -111,7 +113,7 @@
         now = self.charter()
         try:
             charter = charter_from(wanted, now.version + 1, round(self.clock()))
-            if replace(charter, version=now.version, written=now.written) == now:
+            if replace(charter, version=now.version, written_at=now.written_at) == now:
                 return None
             return admission_controller.prepare_assignment(charter)
         except ConfigError as wrong:
@@ -121,7 +123,7 @@
         """The version of the assignment file."""
         if self.warden is None:
             return 0
-        return ready.charter.version if ready is not None else self.charter().version
+        return ready.assignment.version if ready is not None else self.charter().version
 
     def commit(self, ready: admission_controller.PreparedAssignment | None) -> Callable[[], None]:
         if ready is None:
@@ -130,18 +132,21 @@
         self._take(ready, before.version)
 
         def undo() -> None:
-            back = replace(before, version=ready.charter.version + 1)
-            self._take(admission_controller.prepare_assignment(back), ready.charter.version)
+            back = replace(before, version=ready.assignment.version + 1)
+            self._take(admission_controller.prepare_assignment(back), ready.assignment.version)
 
         return undo
 
     def _take(self, ready: admission_controller.PreparedAssignment, built_on: int) -> None:
         try:
-            with store.sole_writer(self.warden.own.assignment):
+            with store.sole_writer(self.warden.config.assignment_file):
                 store.save(
-                    self.warden.own.assignment, ready.charter, ready.charter.written, built_on
+                    self.warden.config.assignment_file,
+                    ready.assignment,
+                    ready.assignment.written_at,
+                    built_on,
                 )
-            self.warden.take(ready)
+            self.warden.apply_prepared(ready)
         except ConfigError as wrong:
             raise RefusedError(str(wrong), "failed") from None
 
@@ -162,10 +167,10 @@
         self.request_classes = [
             {
                 "name": name,
-                "repeat": case.repeat,
-                "latency-goal": decimal(case.latency_goal),
+                "repeat": case.idempotency,
+                "latency-goal": decimal(case.latency_objective),
                 "client-timeout": decimal(case.client_timeout),
-                "memory-span": decimal(case.memory_span),
+                "memory-span": decimal(case.key_retention),
             }
             for name, case in start.request_classes.items()
         ]
@@ -187,7 +192,7 @@
             fleet["assignment"] = self._assignment(now, fleet["assignment"])
         state = {
             "boxes": {"box": boxes},
-            "purges": {"binding": self.facade.purges_binding()},
+            "purges": {"binding": self.facade.active_purge_count()},
             "request-classes": {"request-class": self.request_classes},
             "datastore": datastore,
         }
@@ -198,7 +203,7 @@
 
     def _boxes(self) -> tuple[list[dict[str, Any]], dict[str, int]]:
         found, out = [], {}
-        for entry, state, member, delay, warmth in self.facade.boxes():
+        for entry, state, member, delay, warmth in self.facade.endpoint_states():
             out[entry.name] = len(member.out)
             found.append(
                 {
@@ -208,7 +213,7 @@
                     "kind": self.kinds.get(entry.kind, ""),
                     "listed-state": NAMES[entry.state],
                     "state": NAMES[state],
-                    "started": str(int(entry.started)),
+                    "started": str(int(entry.started_at)),
                     "shunned": member.shunned,
                     "warmth": decimal(warmth),
                     "attempts-out": len(member.out),
@@ -231,8 +236,8 @@
 
     def _assignment(self, now: float, tree: dict[str, Any]) -> dict[str, Any]:
         with self.warden.lock:
-            status = self.warden.governor.status(now)
-            charter = self.warden.governor.charter
+            status = self.warden.controller.status(now)
+            charter = self.warden.controller.assignment
         found = dict(tree)
         found["cell"] = [
             one | {"state": _cell(status["cells"][one["name"]])}
@@ -244,11 +249,11 @@
             one
             | {
                 "state": {
-                    "stage": migrations.stage(charter.moves[one["name"]], now).value,
-                    "share": decimal(migrations.shifted(charter.moves[one["name"]], now)),
+                    "stage": migrations.stage(charter.migrations[one["name"]], now).value,
+                    "share": decimal(migrations.shifted(charter.migrations[one["name"]], now)),
                 }
             }
-            if one["name"] in charter.moves
+            if one["name"] in charter.migrations
             else one
             for one in tree.get("move", ())
         ]
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -114,7 +114,7 @@
             fleet["assignment"] = held
         return self.model.check({"fleet": fleet}) if fleet else {}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         threading.Thread(target=self._go_on, name="management", daemon=True).start()
 
     def stop(self) -> None:
@@ -262,7 +262,7 @@
             try:
                 self.step()
             except Exception as broken:
-                self.log.fault("management", broken)
+                self.log.exception("management", broken)
 
     def step(self) -> None:
         now = self.clock()
--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -35,7 +35,7 @@
 
 
 def parse_fleet_config(text: str, folder: str) -> FleetConfig:
-    """Paths are taken from `folder`. Raises CharterError."""
+    """Paths are taken from `folder`. Raises ConfigError."""
     found = parse_sections(text)
     for title in found:
         if title not in ("fleet", "budgets"):
@@ -74,5 +74,5 @@
 
 
 def load_fleet_config(path: str) -> FleetConfig:
-    """Raises CharterError."""
+    """Raises ConfigError."""
     return load_ini(path, parse_fleet_config)
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -32,18 +32,23 @@
     """The limits on cold caches of this location, and on cold parents, as rights that are lent."""
     from ..budgets.quota_exchange import QuotaExchange
 
-    director, terms, now = facade.director, facade.terms, _now()
+    director, terms, now = facade.router, facade.settings, _now()
     exchange = QuotaExchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
     exchange.add(
         now,
         f"cold caches of {own.location}",
-        terms.directors_here,
-        terms.cold_cache.span,
+        terms.local_director_count,
+        terms.cache_slow_start.overload_window,
         director.cold_here,
         own.location,
     )
     exchange.add(
-        now, "cold parents", terms.directors, terms.cold_parent.span, director.cold_parents, ""
+        now,
+        "cold parents",
+        terms.director_count,
+        terms.parent_slow_start.overload_window,
+        director.cold_parents,
+        "",
     )
     return exchange
 
@@ -61,7 +66,7 @@
         """`clock`: Unix milliseconds, read once for the number of this life; the rest goes by
         another.
         """
-        self.own, self.name, self.log = own, name, log
+        self.config, self.name, self.log = own, name, log
         word = Word(
             name, own.announce[0], own.announce[1], own.location, int(clock()), 0, State.ALIVE
         )
@@ -83,14 +88,14 @@
         self.thread: threading.Thread | None = None
         self.socket: socket.socket | None = None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Raises OSError where it can't listen."""
         made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            made.bind(self.own.listen)
+            made.bind(self.config.listen)
         except OSError as wrong:
             made.close()
-            wrong.filename = f"{self.own.listen[0]}:{self.own.listen[1]} for datagrams"
+            wrong.filename = f"{self.config.listen[0]}:{self.config.listen[1]} for datagrams"
             raise
         self.socket = made
         self.thread = threading.Thread(target=self._run, name="fleet", daemon=True)
@@ -120,7 +125,7 @@
             try:
                 self._step()
             except Exception as broken:
-                self.log.fault("fleet", broken)
+                self.log.exception("fleet", broken)
                 self.ended.wait(0.1)
 
     def _step(self) -> None:
@@ -193,7 +198,7 @@
             ]
             own = view.own
             return {
-                "fleet": self.own.fleet,
+                "fleet": self.config.fleet,
                 "name": own.name,
                 "address": f"{own.host}:{own.port}",
                 "location": own.location,
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -50,9 +50,9 @@
                             (
                                 attempt,
                                 Outcome.CANCELLED,
-                                now - attempt.sent,
-                                attempt.request.ended,
-                                CacheStatus.NONE,
+                                now - attempt.sent_at,
+                                attempt.request.is_complete,
+                                CacheStatus.UNKNOWN,
                                 0.0,
                                 None,
                             ),
@@ -101,27 +101,27 @@
     def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
         """What a node said."""
         if not self.gone and attempt.outcome is None:
-            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.NONE), waited)
+            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.UNKNOWN), waited)
 
     def ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: CacheStatus = CacheStatus.NONE,
+        note: CacheStatus = CacheStatus.UNKNOWN,
         waited: float = 0.0,
     ) -> None:
         if self.gone or attempt.outcome is not None:
             return
         request, now = attempt.request, self.world.clock()
         good = outcome == Outcome.SERVED
-        if good and not request.ended:
+        if good and not request.is_complete:
             self._settle(request, "served", 0.0)
         self.play(
             "answered",
             attempt,
             outcome,
-            now - attempt.sent,
-            request.ended or good,
+            now - attempt.sent_at,
+            request.is_complete or good,
             note,
             waited,
             None,
@@ -132,7 +132,7 @@
             self.ended(attempt, Outcome.TIMEOUT)
 
     def woken(self, about: Request | Attempt) -> None:
-        over = about.ended if isinstance(about, Request) else about.outcome is not None
+        over = about.is_complete if isinstance(about, Request) else about.outcome is not None
         if not self.gone and not over:
             self.play("woken", about)
 
@@ -153,8 +153,8 @@
         parent_keeps: bool,
         renew: bool,
     ) -> None:
-        filled = attempt.source is not None and attempt.source is not attempt.node
-        source = self.names[attempt.source] if filled else ""
+        filled = attempt.fill_source is not None and attempt.fill_source is not attempt.endpoint
+        source = self.names[attempt.fill_source] if filled else ""
         hows = [
             word
             for word, on in (
@@ -165,18 +165,18 @@
             if on
         ]
         fields = {
-            "lane": attempt.request.ticket.wanted.request_class,
-            "name": f"{attempt.request.key:016x}",
+            "lane": attempt.request.context.wanted.request_class,
+            "name": f"{attempt.request.object_id:016x}",
             "piece": "0",
             "miss": source,
             "prio": str(rank),
             "f": "+".join(hows),
-            "dedupe": attempt.request.ticket.wanted.idempotency_key
-            or f"mark-{attempt.request.ticket.number}-{attempt.request.ticket.tries}",
+            "dedupe": attempt.request.context.wanted.idempotency_key
+            or f"mark-{attempt.request.context.number}-{attempt.request.context.tries}",
         }
         if max_age > 0.0:
             fields["within"] = f"{max(1.0, max_age):.0f}"
-        self.world.send(self, attempt, self.names[attempt.node], fields)
+        self.world.send(self, attempt, self.names[attempt.endpoint], fields)
         self.world.clock.at(self.world.clock() + attempt.timeout, lambda: self.timed_out(attempt))
 
     def abandon(self, attempt: Attempt) -> None:
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -235,7 +235,7 @@
         node, number, now = self.fleet.nodes[name], director.number, self.clock()
         if not node.alive:
             return self.clock.at(
-                now + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.UNCONNECTED)
+                now + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.CONNECT_FAILED)
             )
         if attempt.outcome is not None or director.gone:
             return self.out[name].pop(attempt, None)
@@ -257,7 +257,7 @@
                 words[0].decode(),
                 held.get("why", ""),
                 int(old),
-                f"{attempt.request.ticket.number}-{attempt.request.ticket.tries}",
+                f"{attempt.request.context.number}-{attempt.request.context.tries}",
             )
         )
         for fallen in {name, fields["miss"]} - {""}:
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -52,14 +52,14 @@
 
     tenant_field: str
 
-    def enter(self, address: str) -> str | None:
+    def admit_connection(self, address: str) -> str | None:
         """None: no further connection may come from there."""
 
-    def leave(self, entry: str) -> None: ...
-    def admit(self, asked: ClientRequest, request_class: RequestClass, address: str) -> Any:
+    def release_connection(self, entry: str) -> None: ...
+    def admit_request(self, asked: ClientRequest, request_class: RequestClass, address: str) -> Any:
         """Something with a `pool`, or with `come_back` (ms) and `harmless`, and then no `pool`."""
 
-    def settle(self, grant: Any, request: Request, good: bool, owed: bool) -> None: ...
+    def complete_request(self, grant: Any, request: Request, good: bool, owed: bool) -> None: ...
 
 
 class ClientListener:
@@ -71,13 +71,13 @@
         log: StructuredLog,
         clients_most: int,
     ) -> None:
-        self.gate: AdmissionControl | None = None
+        self.admission_control: AdmissionControl | None = None
         self.marks: set[str] = (
             set()
         )  # ids of requests, which are new with each, also with a client's retry
         self.older: set[str] = set()
         self.marks_most, self.marks_since = int(MARKS_PER_MB * start.memory_mb), time.monotonic()
-        self.start, self.facade, self.caches, self.log = start, facade, caches, log
+        self.config, self.coordinator, self.upstream, self.log = start, facade, caches, log
         self.clients_most, self.requests_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
         self.places = AdmissionThresholds(start.request_classes.values())
         self.well = False
@@ -86,18 +86,18 @@
         self.clients: dict[ClientConnection, None] = {}
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
-        caches.see_through = self.see_through
+        caches.see_through = self.run_request
         caches.has_left = lambda ticket, first: ticket.client.has_left(ticket.number, first)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(self.start.listen)
+        listener.bind(self.config.listen)
         listener.listen(BACKLOG)
         self.listener = listener
         self.acceptor.start()
 
-    def wind_down(self) -> bool:
+    def drain(self) -> bool:
         """Ends what is idle; whether nobody is left. To be called again until then: a request that
         was taken meanwhile is seen through first, and none is taken on a connection that has been
         ended. Those whom the system has accepted are let in before the listener closes, as they may
@@ -124,7 +124,7 @@
 
     def stop(self) -> None:
         """Ends all, whatever is open."""
-        self.wind_down()
+        self.drain()
         for client in list(self.clients):
             client.end()
 
@@ -137,7 +137,7 @@
             if not client.end_lingering(now) and client.overstays(now):
                 client.end_idle()
 
-    def owes(self) -> bool:
+    def has_pending_writes(self) -> bool:
         return any(client.owed() for client in list(self.clients))
 
     # Connections
@@ -149,7 +149,7 @@
             except OSError as broken:
                 if broken.errno in (errno.EINVAL, errno.EBADF):  # closed by `stop`
                     return
-                self.log.fault("accept", broken)  # out of descriptors, say
+                self.log.exception("accept", broken)  # out of descriptors, say
                 time.sleep(0.05)
                 continue
             self._welcome(connection, address)
@@ -158,19 +158,23 @@
         try:
             self._let_in(connection, address[0])
         except Exception as broken:  # no thread to be had, say: this client is lost, others are not
-            self.log.fault("accept", broken)
+            self.log.exception("accept", broken)
             connection.close()
 
     def _let_in(self, connection: socket.socket, address: str) -> None:
-        entry = self.gate.enter(address) if self.gate is not None else ""
+        entry = (
+            self.admission_control.admit_connection(address)
+            if self.admission_control is not None
+            else ""
+        )
         if entry is None:
             return connection.close()
         seated = False
         try:
             seated = self._seat(connection, address, entry)
         finally:
-            if self.gate is not None and not seated:
-                self.gate.leave(entry)
+            if self.admission_control is not None and not seated:
+                self.admission_control.release_connection(entry)
 
     def _seat(self, connection: socket.socket, address: str, entry: str) -> bool:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -231,7 +235,7 @@
         except OSError:
             pass
         except Exception as broken:
-            self.log.fault("client", broken)
+            self.log.exception("client", broken)
         finally:
             client.end()
             with client.lock:
@@ -246,8 +250,8 @@
             with self.lock:
                 self.clients.pop(client, None)
                 self.gone.notify()
-            if self.gate is not None:
-                self.gate.leave(client.entry)
+            if self.admission_control is not None:
+                self.admission_control.release_connection(client.entry)
 
     def _call(self, client: ClientConnection, call: thrift.Call) -> None:
         try:
@@ -283,12 +287,13 @@
 
     def _serve(self, client: ClientConnection, call: thrift.Call) -> None:
         asked = thrift.read_serve(
-            call.rest, self.gate.tenant_field if self.gate is not None else ""
+            call.rest,
+            self.admission_control.tenant_field if self.admission_control is not None else "",
         )
-        request_class = self.start.request_classes.get(asked.request_class)
+        request_class = self.config.request_classes.get(asked.request_class)
         if request_class is None:
             raise thrift.ThriftError("an unknown request class")
-        if request_class.repeat == KEYED and not asked.idempotency_key:
+        if request_class.idempotency == KEYED and not asked.idempotency_key:
             raise thrift.ThriftError("no idempotency key")
         if call.number in client.open:  # only this thread adds to it
             with client.lock:
@@ -304,38 +309,40 @@
             client.open[call.number] = None
             client.asked = True
             client.drop(call)
-        if not self._mark(asked.mark):
+        if not self._mark(asked.request_id):
             with client.lock:
                 del client.open[call.number]
             raise thrift.ThriftError("the id was used before")
         client.bad, pool, grant = 0, None, None
-        if self.gate is not None:
-            grant = self.gate.admit(asked, request_class, client.address)
+        if self.admission_control is not None:
+            grant = self.admission_control.admit_request(asked, request_class, client.address)
             pool = getattr(grant, "pool", None)
             if pool is None:
-                return self._turn_away(client, call.number, grant.come_back, grant.harmless)
+                return self._turn_away(
+                    client, call.number, grant.retry_after_ms, grant.is_never_executed
+                )
         fullness = max(
-            self.facade.open_requests() / self.requests_most,
-            self.facade.short_of_time(),
-            self.caches.fullness(),
+            self.coordinator.pending_count() / self.requests_most,
+            self.coordinator.cpu_pressure(),
+            self.upstream.fullness(),
         )
-        room = self.places.has_room(request_class, asked.repeated, fullness)
+        room = self.places.has_room(request_class, asked.is_retry, fullness)
         waited = 1000.0 * (time.monotonic() - call.read_at)  # behind others that came at once
-        request = self.facade.take(
+        request = self.coordinator.accept(
             request_class,
             int(asked.object, 16),
             int(asked.part),
             asked.group,
-            asked.size,
-            min(asked.left, request_class.client_timeout) - waited,
-            asked.repeated,
+            asked.size_kb,
+            min(asked.remaining_time, request_class.client_timeout) - waited,
+            asked.is_retry,
             RequestContext(client, call.number, asked, grant),
             room=room,
             pool=pool,
         )
         with client.lock:
             client.open[call.number] = request
-        self.see_through(request)
+        self.run_request(request)
 
     def _turn_away(
         self, client: ClientConnection, number: int, come_back: float, harmless: bool
@@ -360,31 +367,31 @@
             return True
 
     def _forget(self, request: Request) -> None:
-        self.facade.forget(request)
-        self.see_through(request)
+        self.coordinator.client_left(request)
+        self.run_request(request)
 
-    def see_through(self, request: Request) -> None:
+    def run_request(self, request: Request) -> None:
         """Does what is to be done for a request, in the thread whose call moved it."""
-        ticket: RequestContext | None = request.ticket
+        ticket: RequestContext | None = request.context
         try:
-            while ticket is not None and (step := self.facade.pick(request)) is not None:
+            while ticket is not None and (step := self.coordinator.next_step(request)) is not None:
                 self._do(step, ticket)
                 if isinstance(step, RequestResult):
-                    request.ticket = (
+                    request.context = (
                         None  # timers may hold the request for a while, but not what it brought
                     )
                     if ticket.grant is not None:
-                        self.gate.settle(
+                        self.admission_control.complete_request(
                             ticket.grant,
                             request,
                             isinstance(step, Served),
                             not isinstance(step, ClientGone),
                         )
         except Exception as broken:
-            self.log.fault("see through", broken)
-            self.facade.drop(request)
+            self.log.exception("see through", broken)
+            self.coordinator.discard(request)
             if ticket.grant is not None:
-                self.gate.settle(ticket.grant, request, False, True)
+                self.admission_control.complete_request(ticket.grant, request, False, True)
             ticket.client.answer(ticket.number, thrift.failed(ticket.number))
 
     def _do(
@@ -392,9 +399,9 @@
     ) -> None:
         client, number = ticket.client, ticket.number
         if isinstance(step, SendAttempt):
-            self.caches.send(step, ticket.asked)
+            self.upstream.send(step, ticket.asked)
         elif isinstance(step, CancelAttempt):
-            self.caches.give_up(step.attempt)
+            self.upstream.cancel(step.attempt)
         elif isinstance(step, Served):
             told = step.answer
             fields = {"ok304": "1"} if told.kept else {}
@@ -403,7 +410,7 @@
             if client.outlet.queued:
                 self._bound_unread(client)
         elif isinstance(step, Rejected):
-            client.answer(number, thrift.rejected(number, step.come_back))
+            client.answer(number, thrift.rejected(number, step.retry_after_ms))
         elif isinstance(step, Failed):
             client.answer(number, thrift.failed(number))
 
@@ -413,6 +420,6 @@
         """
         with self.lock:
             unread = sum(other.outlet.queued for other in self.clients)
-        if unread > UNREAD_SHARE * self.start.memory_mb * 1e6:
+        if unread > UNREAD_SHARE * self.config.memory_mb * 1e6:
             self.log.event("client does not read", bytes=client.outlet.queued, all=unread)
             client.end()
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -35,13 +35,13 @@
     def __init__(
         self, start: DirectorConfig, facade: RequestCoordinator, log: StructuredLog
     ) -> None:
-        self.start, self.facade, self.log = start, facade, log
-        self.address = start.bus
+        self.config, self.facade, self.log = start, facade, log
+        self.address = start.event_stream_address
         self.last, self.gap_at = 0, 0
         self.lock = threading.Lock()  # guards the number of the last event, over its being applied
         self.connection: socket.socket | None = None
         self.pace = ReconnectBackoff(Random(start.seed))
-        self.look_again: Callable[[], tuple[str, int] | None] = lambda: (
+        self.read_configured_address: Callable[[], tuple[str, int] | None] = lambda: (
             None
         )  # where the stream is by now
         self.stopped, self.moved = threading.Event(), threading.Event()
@@ -51,14 +51,14 @@
         )  # a head, or none will come; an end
         self.thread = threading.Thread(target=self._run, name="bus", daemon=True)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Applies the events of the start; then follows the stream in a thread."""
-        for held in self.start.events:
+        for held in self.config.known_events:
             self.apply(None, held, follows=False)
-        self.last = max(self.last, self.start.known)
+        self.last = max(self.last, self.config.last_event_number)
         self.thread.start()
 
-    def move(self, address: tuple[str, int], told: Sequence[Any] = ()) -> None:
+    def reconnect_to(self, address: tuple[str, int], told: Sequence[Any] = ()) -> None:
         """The stream is read on elsewhere, from the last event applied, or the last of those `told`
         with the address. They are applied here and now: the stream may have been silent for a
         while, and its thread be held up by an address that doesn't answer.
@@ -67,7 +67,7 @@
         self._catch_up(told)
         self._wake()
 
-    def await_word(self) -> None:
+    def wait_until_current(self) -> None:
         """Until the stream has told what the configuration did not know yet, or that it can't be
         had, or has said nothing for as long as a stream may. Guards against a start with a list
         that is out of date: what was told while the program started has used up its grace, and the
@@ -101,7 +101,7 @@
                     self.gap_at = self.last
                     raise GapError(f"event {number} after {self.last}")
                 self.last = number
-            event = sse.read_event(held, self.start.zones, self.start.kinds)
+            event = sse.read_event(held, self.config.zones, self.config.kinds)
             self._tell(event)
             for wrong in event.wrong if isinstance(event, sse.EndpointListEvent) else ():
                 self.log.event("bad event", number=number, why=wrong)
@@ -115,15 +115,15 @@
         from now on. All of it is applied in its turn.
         """
         try:
-            self._tell(sse.forbidding(sse.read_event(held, self.start.zones, self.start.kinds)))
+            self._tell(sse.forbidding(sse.read_event(held, self.config.zones, self.config.kinds)))
         except Exception:  # logged in its turn
             pass
 
     def _tell(self, event: sse.EndpointListEvent | sse.PurgeEvent) -> None:
         if isinstance(event, sse.PurgeEvent):
-            self.facade.purged(event.key, event.group, event.at)
+            self.facade.apply_purge(event.key, event.group, event.at)
         else:
-            self.facade.listed(event.entries, event.whole)
+            self.facade.update_endpoints(event.entries, event.whole)
 
     def _catch_up(self, told: Sequence[Any]) -> None:
         """Events that came with a new address, as far as they follow on what is known; the stream
@@ -165,9 +165,9 @@
         drains.
         """
         try:
-            return self.look_again()
+            return self.read_configured_address()
         except Exception as broken:
-            self.log.fault("bus", broken)
+            self.log.exception("bus", broken)
             return None
 
     def _follow(self, host: str, port: int) -> None:
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -15,11 +15,15 @@
     b"DONE": Outcome.SERVED,
     b"KEEP": Outcome.SERVED,
     b"LACK": Outcome.MISS,
-    b"WAIT": Outcome.TURNED_AWAY,
+    b"WAIT": Outcome.REJECTED,
     b"BROKE": Outcome.ERROR,
-    b"PAST": Outcome.MOOT,
+    b"PAST": Outcome.NOT_SENT,
 }
-HOWS = (("join", "collapse"), ("held_only", "only-if-cached"), ("renew", "refresh"))
+HOWS = (
+    ("allow_coalescing", "collapse"),
+    ("only_if_cached", "only-if-cached"),
+    ("revalidate", "refresh"),
+)
 WELL = {b"FIT": True, b"UNFIT": False}
 NOTES = {
     word: CacheStatus(place + 1)
@@ -131,7 +135,7 @@
     body: memoryview
     kept: bool = False  # the client's own copy is the one
     tag: str = ""  # of the copy that the answer is about
-    note: CacheStatus = CacheStatus.NONE
+    note: CacheStatus = CacheStatus.UNKNOWN
     waited: float = 0.0
     load: dict[str, float] | None = None
     well: bool = True  # of a probe: whether the node calls itself fit
@@ -165,7 +169,7 @@
         for pair in fields.split(",") if fields not in ("-", "") else ():
             name, _, value = pair.partition("=")
             if name == "why":
-                told.note = NOTES.get(value, CacheStatus.NONE)
+                told.note = NOTES.get(value, CacheStatus.UNKNOWN)
             elif name == "entity":
                 told.tag = value
             elif name == "delay":
@@ -207,21 +211,21 @@
     }
     if asked.idempotency_key:
         fields["dedupe"] = asked.idempotency_key
-    if asked.tag:
-        fields["mine"] = asked.tag
-    if order.source:
-        fields["miss"] = order.source
-    if order.rank:
-        fields["prio"] = order.rank
+    if asked.entity_tag:
+        fields["mine"] = asked.entity_tag
+    if order.fill_source:
+        fields["miss"] = order.fill_source
+    if order.retention_rank:
+        fields["prio"] = order.retention_rank
     if order.max_age > 0.0:  # 0 would mean any age
         fields["within"] = max(1, int(order.max_age))
     hows = [word for name, word in HOWS if getattr(order, name)]
-    if not order.parent_keeps:
+    if not order.store_at_parent:
         hows.append("no-store-up")
     if hows:
         fields["f"] = "+".join(hows)
     listed = ",".join(f"{name}={value}" for name, value in fields.items()).encode()
-    head = command(b"PULL", asked.mark.encode(), listed).replace(b"*3", b"*4", 1)
+    head = command(b"PULL", asked.request_id.encode(), listed).replace(b"*3", b"*4", 1)
     if not len(asked.body):
         return [head + b"$0\r\n\r\n"]
     return [head + b"$%d\r\n" % len(asked.body), asked.body, b"\r\n"]
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -176,7 +176,7 @@
 def read_event(
     held: Any, zones: dict[str, int], kinds: dict[str, int]
 ) -> EndpointListEvent | PurgeEvent:
-    """What an event says. Raises ConfigurationError or ValueError, with the key, where it can't be
+    """What an event says. Raises ConfigError or ValueError, with the key, where it can't be
     read.
     """
     event = JsonSection(held, "event")
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -195,16 +195,16 @@
         raise ThriftError("the field batch is out of range")
     return ClientRequest(
         request_class=read("route", TOKEN),
-        mark=read("trace", HEX),
+        request_id=read("trace", HEX),
         object=read("entity", HEX),
         part=read("nth", NUMBER, "0"),
         idempotency_key=read("nonce", TOKEN, ""),
-        tag=read("got", TOKEN, ""),
+        entity_tag=read("got", TOKEN, ""),
         body=body,
-        left=float(read("patience", DECIMAL)),
+        remaining_time=float(read("patience", DECIMAL)),
         group=group,
-        size=float(read("size", DECIMAL, "0")),
-        repeated="redo" in fields,
+        size_kb=float(read("size", DECIMAL, "0")),
+        is_retry="redo" in fields,
         tenant=read(tenant_field, TOKEN, "") if tenant_field else "",
     )
 
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -40,8 +40,8 @@
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    node: Endpoint
-    sent: float
+    endpoint: Endpoint
+    sent_at: float
 
 
 class UpstreamConnection:
@@ -84,7 +84,8 @@
     def quiet_since(self) -> float:
         """Since when attempts have been out with nothing heard."""
         first = next(
-            (attempt.sent for attempt in self.open.values() if isinstance(attempt, Attempt)), None
+            (attempt.sent_at for attempt in self.open.values() if isinstance(attempt, Attempt)),
+            None,
         )
         return (
             math.inf if first is None or self.outlet.connection is None else max(first, self.heard)
@@ -114,11 +115,11 @@
         )  # set by the front, as the next is
         # Whether the client of a ticket has gone; for its first attempt, or a further one.
         self.has_left: Callable[[Any, bool], bool] = lambda ticket, first: False
-        self.connect_timeout, terms = connect_timeout, facade.terms
+        self.connect_timeout, terms = connect_timeout, facade.settings
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {
             far: hold_for(idle_for, sharers, far, links_priced)
-            for far, sharers in ((False, terms.directors_here), (True, terms.directors))
+            for far, sharers in ((False, terms.local_director_count), (True, terms.director_count))
         }
         self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
         self.lock = threading.Lock()
@@ -133,23 +134,23 @@
     # For those who see a request through
 
     def send(self, order: SendAttempt, asked: ClientRequest) -> None:
-        attempt, order.attempt.tag = order.attempt, asked.tag
-        left = attempt.request.until - self.clock()
-        self._put(order.place, asked.mark, attempt, resp.pull(asked, order, left))
+        attempt, order.attempt.entity_tag = order.attempt, asked.entity_tag
+        left = attempt.request.deadline - self.clock()
+        self._put(order.address, asked.request_id, attempt, resp.pull(asked, order, left))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         with self.lock:
             link, about = self.of_attempt.pop(attempt, (None, ""))
             if link is None or link.open.pop(about, None) is None:
                 return
             now = self.clock()
             if (
-                link.heard < attempt.sent and now > attempt.sent + self.connect_timeout
+                link.heard < attempt.sent_at and now > attempt.sent_at + self.connect_timeout
             ):  # sooner: no word
                 link.given_up = link.given_up or now
             if not link.outlet.withdraw(about):
                 link.over[about] = now
-                if self.facade.terms.may_cancel:
+                if self.facade.settings.allows_cancel:
                     self._kill(link, about)
 
     def _kill(self, link: UpstreamConnection, about: str) -> None:
@@ -158,14 +159,16 @@
         once.
         """
         link.outlet.put(None, [resp.kill(about)])
-        if link.outlet.waiting and not self.facade.terms.two_attempts:
+        if link.outlet.waiting and not self.facade.settings.allows_hedging:
             link.outlet.end()
 
-    def probe(self, node: Endpoint, place: EndpointAddress, with_report: bool = True) -> None:
+    def check_health(
+        self, node: Endpoint, place: EndpointAddress, with_report: bool = True
+    ) -> None:
         tag = f"probe-{next(self.tags)}"
         self._put(place, tag, Probe(node, self.clock()), [resp.probe(tag, with_report)])
 
-    def ask(self) -> None:
+    def ping_quiet_connections(self) -> None:
         """Asks links that have been quiet with attempts out for an echo, and ends those that bring
         none: all that is open there is told at once. Guards against connections that stay open and
         are of no more use, after an answer that was spoilt, cut, endless or never came; harms where
@@ -187,28 +190,28 @@
                         None, [resp.probe(f"probe-{next(self.tags)}", with_report=False)]
                     )
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Closes what has long been idle, is gone or silent, forgets probes that nobody answered,
         and takes back attempts of which nothing could be written for as long as connecting may
         take: they never ran, and sent later they might come after a drain or a purge.
         """
         now, stuck = self.clock(), []
         with self.lock:
-            self.down = {place: lost for place, lost in self.down.items() if not place.gone}
+            self.down = {place: lost for place, lost in self.down.items() if not place.is_removed}
             for place, links in list(self.links.items()):
                 for link in list(links):
                     link.over = {
                         about: at for about, at in link.over.items() if now < at + OVER_FOR
                     }
                     for tag, held in list(link.open.items()):
-                        if isinstance(held, Probe) and now > held.sent + PROBE_WAIT:
+                        if isinstance(held, Probe) and now > held.sent_at + PROBE_WAIT:
                             del link.open[tag]
                             link.given_up = link.given_up or (
-                                now if link.heard < held.sent else 0.0
+                                now if link.heard < held.sent_at else 0.0
                             )
                         elif (
                             isinstance(held, Attempt)
-                            and now > held.sent + self.connect_timeout
+                            and now > held.sent_at + self.connect_timeout
                             and link.outlet.withdraw(tag)
                         ):
                             del link.open[tag]
@@ -216,11 +219,11 @@
                             link.given_up = link.given_up or now
                             stuck.append(held)
                     if not link.open and (
-                        place.gone or link.given_up or now > link.used + link.held_for
+                        place.is_removed or link.given_up or now > link.used + link.held_for
                     ):
                         link.outlet.end()
         for attempt in stuck:
-            self._report(attempt, Outcome.UNCONNECTED)
+            self._report(attempt, Outcome.CONNECT_FAILED)
 
     def fullness(self) -> float:
         """Of the links that there may be, the part that attempts are out on."""
@@ -269,13 +272,13 @@
                         link = self._connect(place, links, now)
             if link is not None:
                 link.open[about], link.used = held, now
-                link.held_for = self.held_for[held.node.kind in self.far]
+                link.held_for = self.held_for[held.endpoint.kind in self.far]
                 if isinstance(held, Attempt):
                     self.of_attempt[held] = (link, about)
                 link.outlet.put(about, pieces)
         if link is None and isinstance(held, Attempt):
             self._report(
-                held, Outcome.MOOT
+                held, Outcome.NOT_SENT
             )  # not to be sent, or no connection here: no word about the node
 
     def _choose(self, links: list[UpstreamConnection], about: str) -> UpstreamConnection | None:
@@ -293,22 +296,24 @@
 
     def _may_ask(self, link: UpstreamConnection) -> bool:
         """Under the lock. Whether those that something is out at there may be asked for an echo."""
-        return all(self.facade.may_ask(held.node, link.place) for held in link.open.values())
+        return all(
+            self.facade.can_health_check(held.endpoint, link.place) for held in link.open.values()
+        )
 
     def _is_stale(self, held: Attempt | Probe | None, place: EndpointAddress) -> bool:
         """Under the lock, which is held until the first byte is written: what comes later comes
         after it.
         """
         if isinstance(held, Probe):
-            return not self.facade.may_ask(held.node, place)
-        if held is None or not held.ways:
+            return not self.facade.can_health_check(held.endpoint, place)
+        if held is None or not held.addresses:
             return False
         request = held.request
-        if request.ticket is not None and self.has_left(request.ticket, not held.number):
-            self.facade.forget(
+        if request.context is not None and self.has_left(request.context, not held.number):
+            self.facade.client_left(
                 request
             )  # told by the connection's own thread as well, but that may be late
-        return not self.facade.may_begin(held)
+        return not self.facade.can_begin(held)
 
     def _stale_on(self, link: UpstreamConnection, about: str) -> Attempt | Probe | None:
         """Under the lock. What waited for its link and must not be sent any more; off the link with
@@ -323,11 +328,11 @@
 
     def _withdrawn(self, held: Attempt | Probe) -> None:
         if isinstance(held, Attempt):
-            self._report(held, Outcome.MOOT)
+            self._report(held, Outcome.NOT_SENT)
 
     def _report(self, attempt: Attempt, *how: Any) -> None:
         """Tells how an attempt went, and does what follows from it."""
-        self.facade.report(attempt, *how)
+        self.facade.report_outcome(attempt, *how)
         self.see_through(attempt.request)
 
     def _connect(
@@ -340,7 +345,7 @@
         try:
             threading.Thread(target=self._run, args=(link,), name="link", daemon=True).start()
         except RuntimeError as broken:
-            self.log.fault("link", broken)
+            self.log.exception("link", broken)
             return None
         links.append(link)
         self.count += 1
@@ -348,7 +353,7 @@
 
     def _run(self, link: UpstreamConnection) -> None:
         """The thread of a link: connects, then reads until the end."""
-        outcome, why, connection = Outcome.UNCONNECTED, "", None
+        outcome, why, connection = Outcome.CONNECT_FAILED, "", None
         try:
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # none may be left
             connection.settimeout(self.connect_timeout / 1000.0)
@@ -364,12 +369,12 @@
                 self._read(link, connection)
         except OSError as broken:
             why = errno.errorcode.get(broken.errno or 0, type(broken).__name__)
-            if outcome == Outcome.UNCONNECTED and held_links.is_own_want(broken.errno):
-                outcome = Outcome.MOOT
+            if outcome == Outcome.CONNECT_FAILED and held_links.is_own_want(broken.errno):
+                outcome = Outcome.NOT_SENT
         except resp.RespError as broken:
             why, outcome = str(broken), Outcome.RESET
         except Exception as broken:
-            self.log.fault("link", broken)
+            self.log.exception("link", broken)
         finally:
             self._end(link, connection, outcome, why)
 
@@ -398,10 +403,15 @@
                     if isinstance(held, Attempt):
                         self.of_attempt.pop(held, None)
                 if isinstance(held, Probe):
-                    self.facade.told(held.node, told.load, told.well)
+                    self.facade.report_health_check(held.endpoint, told.load, told.well)
                 elif held is not None:
                     self._report(
-                        held, told.outcome_for(held.tag), told.note, told.waited, told.load, told
+                        held,
+                        told.outcome_for(held.entity_tag),
+                        told.note,
+                        told.waited,
+                        told.load,
+                        told,
                     )
                 elif not known:
                     self.log.event("unknown id", node=link.place.name, about=told.about[:32])
@@ -435,5 +445,5 @@
             self.log.event("link down", node=link.place.name, lost=len(lost), why=why or "closed")
         for held, unbegun in lost:
             self._report(
-                held, Outcome.UNCONNECTED if unbegun and outcome == Outcome.RESET else outcome
+                held, Outcome.CONNECT_FAILED if unbegun and outcome == Outcome.RESET else outcome
             )
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -57,10 +57,14 @@
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
         cases = list(request_classes)
-        credits = sorted({case.credit for case in cases if case.repeat == IDEMPOTENT}, reverse=True)
-        first = 1 if any(case.repeat != IDEMPOTENT for case in cases) else 0
+        credits = sorted(
+            {case.priority_weight for case in cases if case.idempotency == IDEMPOTENT}, reverse=True
+        )
+        first = 1 if any(case.idempotency != IDEMPOTENT for case in cases) else 0
         self.steps = {
-            case: first + credits.index(case.credit) if case.repeat == IDEMPOTENT else 0
+            case: first + credits.index(case.priority_weight)
+            if case.idempotency == IDEMPOTENT
+            else 0
             for case in cases
         }
 
@@ -70,6 +74,6 @@
         is near; that counts as a step less where nothing depends on its running once.
         """
         step = self.steps[request_class]
-        if repeated and request_class.repeat == IDEMPOTENT:
+        if repeated and request_class.idempotency == IDEMPOTENT:
             step += 1
         return fullness < 1.0 - KEPT * min(step, STEPS_MOST)
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -30,53 +30,55 @@
     TIMEOUT = 2
     RESET = 3
     CANCELLED = 4
-    TURNED_AWAY = 5
-    UNCONNECTED = 6
-    MOOT = 7
+    REJECTED = 5
+    CONNECT_FAILED = 6
+    NOT_SENT = 7
     MISS = 8
 
     @property
-    def never_ran(self) -> bool:
-        return self >= Outcome.TURNED_AWAY
+    def is_never_executed(self) -> bool:
+        return self >= Outcome.REJECTED
 
 
 class CacheStatus(IntEnum):
     """What a cache tells of an answer's way, where it tells."""
 
-    NONE = 0
+    UNKNOWN = 0
     HIT = 1
     FILLED = 2
     FILLED_BY_ORIGIN = 3
-    JOINED = 4
+    COALESCED = 4
     STALE = 5
-    SOURCE_REFUSED = 6
-    SOURCE_LOST = 7
-    SOURCE_LACKS = 8
-    NO_PLACE = 9
-    ORIGIN_BROKE = 10
+    SOURCE_REJECTED = 6
+    SOURCE_FAILED = 7
+    SOURCE_MISS = 8
+    NOT_STORED = 9
+    ORIGIN_FAILED = 10
 
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    repeat: str  # IDEMPOTENT, KEYED or UNSAFE
-    latency_goal: float
-    goal_stretch: float  # the goal grows by this multiple of the answer's own sending time
+    idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
+    latency_objective: float
+    objective_stretch: float  # the goal grows by this multiple of the answer's own sending time
     client_timeout: float
-    memory_span: float  # how long a keyed repeat is known
-    group: str  # which nodes know it: "all", "zone" or "cell"
-    fresh_for: float
-    never_kept: bool  # runs at the origin
-    credit: float = 1.0  # of a request served in time
+    key_retention: float  # how long a keyed repeat is known
+    key_scope: str  # which nodes know it: "all", "zone" or "cell"
+    freshness_lifetime: float
+    is_uncacheable: bool  # runs at the origin
+    priority_weight: float = 1.0  # of a request served in time
 
 
 @dataclass(slots=True)
 class SlowStartPolicy:
     """What a node that has just started can take."""
 
-    starts_at: float  # share of its capacity at the start
-    warm_in: float
-    span: float
-    multiple: float  # of what it can do then; sent more for the span, by all together, it falls
+    initial_fraction: float  # share of its capacity at the start
+    duration: float
+    overload_window: float
+    overload_factor: (
+        float  # of what it can do then; sent more for the span, by all together, it falls
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -85,65 +87,65 @@
 
     request_classes: list[RequestClass]
     zone: int
-    directors: int
-    directors_here: int  # in this director's own location
+    director_count: int
+    local_director_count: int  # in this director's own location
     parent_kind: int
     origin_kind: int
-    sized: bool  # the list tells sizes of nodes
-    flow: float  # KB a millisecond of one transfer; 0 where not told
-    attempts_most: int
-    two_attempts: bool  # an idempotent request may have two attempts out at once
-    may_cancel: bool
-    may_probe: bool
-    may_advise: bool  # clients are told when to come back
-    advice_most: float
-    may_pass_by: bool
-    joins: bool
-    siblings: bool
-    must_subscribe: bool
-    reports: list[str]  # names of a load report's values
-    asks_reports: bool  # they come to probes only
-    cold_cache: SlowStartPolicy
-    cold_parent: SlowStartPolicy
-    purge_span: float
-    probe_price: float = 0.0  # of one probe a request, in credit; 0 where not told
+    advertises_weights: bool  # the list tells sizes of nodes
+    transfer_rate: float  # KB a millisecond of one transfer; 0 where not told
+    max_attempts: int
+    allows_hedging: bool  # an idempotent request may have two attempts out at once
+    allows_cancel: bool
+    allows_health_checks: bool
+    allows_retry_after: bool  # clients are told when to come back
+    max_retry_after: float
+    allows_cache_bypass: bool
+    allows_coalescing: bool
+    allows_sibling_fills: bool
+    requires_subscription: bool
+    load_report_fields: list[str]  # names of a load report's values
+    polls_load_reports: bool  # they come to probes only
+    cache_slow_start: SlowStartPolicy
+    parent_slow_start: SlowStartPolicy
+    purge_propagation: float
+    health_check_cost: float = 0.0  # of one probe a request, in credit; 0 where not told
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
     """A cache, a parent or the origin, as the list tells of it."""
 
-    key: int
+    hash_key: int
     zone: int = -1
     kind: int = -1
-    listed_cell: int = -1  # the list's own word; what a tenant is confined to is a Pool
-    share: float = 1.0
+    advertised_cell: int = -1  # the list's own word; what a tenant is confined to is a Pool
+    weight: float = 1.0
     state: EndpointState = EndpointState.GONE
-    started: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     request: "Request"
     number: int
-    node: Endpoint
-    source: Endpoint | None
-    sent: float
+    endpoint: Endpoint
+    fill_source: Endpoint | None
+    sent_at: float
     timeout: float
     outcome: Outcome | None = None
-    bag: Any = None  # the module's own notes on it
-    purged: float = 0.0  # the purge that bounds the age of its copy; 0: none does
-    ways: tuple[
+    expects_hit: Any = None  # the module's own notes on it
+    purged_at: float = 0.0  # the purge that bounds the age of its copy; 0: none does
+    addresses: tuple[
         tuple[Endpoint, "EndpointAddress"], ...
     ] = ()  # the caller's: where node and source were when decided
-    tag: str = ""  # the caller's: of the client's copy, as the node was told
+    entity_tag: str = ""  # the caller's: of the client's copy, as the node was told
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
     """Further attempts that may go now, for all requests that share it."""
 
-    again: float
+    tokens: float
 
 
 @dataclass(slots=True, eq=False)
@@ -153,15 +155,15 @@
     parts that it used and that it was refused since somebody last looked.
     """
 
-    part: float
-    until: float = math.inf
-    least: float = 0.0
-    watched: bool = False
-    used: float = 0.0
-    refused: float = 0.0
+    fraction: float
+    expires_at: float = math.inf
+    fallback_fraction: float = 0.0
+    is_tracked: bool = False
+    peak_used: float = 0.0
+    peak_rejected: float = 0.0
 
-    def held(self, now: float) -> float:
-        return self.part if now < self.until else self.least
+    def fraction_at(self, now: float) -> float:
+        return self.fraction if now < self.expires_at else self.fallback_fraction
 
 
 @dataclass(slots=True, eq=False)
@@ -172,23 +174,23 @@
     """
 
     caches: dict[Endpoint, None]
-    spare: dict[Endpoint, None]
-    helpers: dict[Endpoint, None]
-    purse: RetryBudget
+    failover_caches: dict[Endpoint, None]
+    migration_sources: dict[Endpoint, None]
+    retry_budget: RetryBudget
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    ticket: Any  # the caller's own, for the way back
+    context: Any  # the caller's own, for the way back
     request_class: RequestClass
-    key: int
+    object_id: int
     part: int
     group: int
-    size: float  # KB; 0 where not told
-    arrived: float
-    until: float  # when the client stops waiting
-    repeated: bool = False
-    ended: bool = False
+    size_kb: float  # KB; 0 where not told
+    arrived_at: float
+    deadline: float  # when the client stops waiting
+    is_retry: bool = False
+    is_complete: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     pool: CachePool | None = None  # None: all caches of the location
 
@@ -200,16 +202,16 @@
     """
 
     request_class: str
-    mark: str
+    request_id: str
     object: str
     part: str
     idempotency_key: str  # by which a repeat is known; empty: none
-    tag: str  # of the copy that the client holds; empty: none
+    entity_tag: str  # of the copy that the client holds; empty: none
     body: memoryview
-    left: float  # ms that the client waits
+    remaining_time: float  # ms that the client waits
     group: int
-    size: float
-    repeated: bool
+    size_kb: float
+    is_retry: bool
     tenant: str = ""  # as the client names it, in a field of our own
 
 
@@ -221,7 +223,7 @@
 
     name: str
     address: tuple[str, int]
-    gone: bool = False
+    is_removed: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -231,11 +233,11 @@
     name: str
     address: tuple[str, int]
     state: EndpointState
-    share: float
+    weight: float
     kind: int
     zone: int
-    listed_cell: int
-    started: float
+    advertised_cell: int
+    started_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -243,14 +245,14 @@
     """Send this attempt."""
 
     attempt: Attempt
-    place: EndpointAddress
-    source: str  # the name of the node that a miss is filled from; empty: no fill
+    address: EndpointAddress
+    fill_source: str  # the name of the node that a miss is filled from; empty: no fill
     max_age: float
-    rank: int
-    join: bool
-    held_only: bool
-    parent_keeps: bool
-    renew: bool
+    retention_rank: int
+    allow_coalescing: bool
+    only_if_cached: bool
+    store_at_parent: bool
+    revalidate: bool
 
 
 class ActionSink(Protocol):
