--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -75,7 +75,7 @@
     2.0  # a fill may run this much faster than an answer, so a link slows answers only above it
 )
 REPORT_AGE = 1500.0  # an older word of the link's crowding is not used
-UNREACHED = ("silent", "unconnected", "reset")  # what an echo disproves
+UNREACHED = ("silent", "connect_failed", "reset")  # what an echo disproves
 ADMIT_MANY, ADMIT_ALONE = 0.4, 0.3  # part of its goal that a request may take; the 2nd if alone
 # the first echo of a location that counts as cut off comes so soon: it may be reached after all
 SOON = 250.0
@@ -168,13 +168,19 @@
 
 
 def may_have_run(request: Request) -> list[Attempt]:
-    return [held for held in request.attempts if held.outcome is None or not held.outcome.never_ran]
+    return [
+        held
+        for held in request.attempts
+        if held.outcome is None or not held.outcome.is_never_executed
+    ]
 
 
 class Router:
     def __init__(self, now: float, seed: int, terms: ServiceSettings) -> None:
         self.terms, self.now, self.random = terms, now, Random(seed)
-        self.watch = HealthCheckScheduler(now, self.random, terms.asks_reports, terms.probe_price)
+        self.watch = HealthCheckScheduler(
+            now, self.random, terms.polls_load_reports, terms.health_check_cost
+        )
         self.reach = ZoneReachability()
         self.members: dict[TrackedEndpoint, None] = {}  # all that are listed
         self.listed([], True, False)  # caches: the ready ones of this location; parents; the origin
@@ -190,12 +196,12 @@
         self.took = {
             case: DecayingHistogram(HALF_USUAL) for case in classes
         }  # answers, but for known fills
-        self.subscribed = not terms.must_subscribe
+        self.subscribed = not terms.requires_subscription
         self.cold_here, self.cold_parents = (
-            QuotaShare(1.0 / terms.directors_here),
-            QuotaShare(1.0 / terms.directors),
+            QuotaShare(1.0 / terms.local_director_count),
+            QuotaShare(1.0 / terms.director_count),
         )
-        self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.directors_here)
+        self.admit = ADMIT_MANY + ADMIT_ALONE / math.sqrt(terms.local_director_count)
         self.purse = RetryBudget(
             AGAIN_MOST
         )  # further attempts that may go now, where no pool brings its own
@@ -216,7 +222,7 @@
             out.subscribe()
         for method, arguments in inbox:
             getattr(self, method)(*arguments)
-        for member in self.watch.due(now, self.caches) if self.terms.may_probe else ():
+        for member in self.watch.due(now, self.caches) if self.terms.allows_health_checks else ():
             out.probe(member)
 
     def listed(self, rows: list[tuple[Any, ...]], whole: bool, broken: bool) -> None:
@@ -228,16 +234,16 @@
                 member.state = EndpointState.GONE
         anew = False
         for member, *row in rows:
-            if row[-1] != member.started or member not in self.members:
+            if row[-1] != member.started_at or member not in self.members:
                 member.reset()
                 anew |= row[3] == self.terms.zone
             (
                 member.state,
-                member.share,
+                member.weight,
                 member.kind,
                 member.zone,
-                member.listed_cell,
-                member.started,
+                member.advertised_cell,
+                member.started_at,
             ) = row
             self.members[member] = None
         self.members = {
@@ -256,20 +262,20 @@
         )
 
     def requested(self, request: Request) -> None:
-        if self.popular.seen(self.now, (request.key, request.part)):
+        if self.popular.seen(self.now, (request.object_id, request.part)):
             self.forget_old()
         self.watch.requested()
         purse = self.purse_of(request)
         turned = self.storm.requested(self.now)
-        purse.again = min(AGAIN_MOST, purse.again + self.storm.earned())
+        purse.tokens = min(AGAIN_MOST, purse.tokens + self.storm.earned())
         self.trials = min(TRIALS_MOST, self.trials + TRIAL_EARNED)
         if turned:
             self.log_rejections()
-        if request.size and self.terms.flow:
+        if request.size_kb and self.terms.transfer_rate:
             known = self.sending[request.request_class]
-            known[0] += request.size / self.terms.flow
+            known[0] += request.size_kb / self.terms.transfer_rate
             known[1] += 1
-        self.out.wake(max(0.0, request.until - self.now - GUARD), request)
+        self.out.wake(max(0.0, request.deadline - self.now - GUARD), request)
         self.route(request)
 
     def answered(
@@ -283,19 +289,21 @@
         load: dict[str, float] | None,
     ) -> None:
         request, attempt.outcome = attempt.request, outcome
-        attempt.node.out.pop(attempt, None)
-        self.note_load(attempt.node, load)
+        attempt.endpoint.out.pop(attempt, None)
+        self.note_load(attempt.endpoint, load)
         self.learn(attempt, wait, note, first_byte)
         if closed:
             self.end(request)
-        elif not request.ended and not any(other.outcome is None for other in request.attempts):
+        elif not request.is_complete and not any(
+            other.outcome is None for other in request.attempts
+        ):
             self.route(request)
 
     def woken(self, about: Request | Attempt) -> None:
         if isinstance(about, Request):
-            if not about.ended:
+            if not about.is_complete:
                 self.give_up(about)
-        elif about.outcome is None and not about.request.ended:
+        elif about.outcome is None and not about.request.is_complete:
             self.check(about)
 
     def told(
@@ -327,14 +335,14 @@
             return self.stuck(request)
         if request.attempts and request.attempts[-1].outcome != Outcome.MISS:
             last, work = request.attempts[-1], self.work(request)
-            cost = overload.cost(last.outcome == Outcome.TURNED_AWAY, self.now - last.sent, work)
+            cost = overload.cost(last.outcome == Outcome.REJECTED, self.now - last.sent_at, work)
             purse = self.purse_of(request)
-            if purse.again < cost:
+            if purse.tokens < cost:
                 return self.stuck(request)
-            purse.again -= cost
-        write, pass_by = request.request_class.never_kept, self.terms.may_pass_by
+            purse.tokens -= cost
+        write, pass_by = request.request_class.is_uncacheable, self.terms.allows_cache_bypass
         # Seen before the list tells, if it ever does; echoes bring the caches back.
-        lost = self.terms.may_probe and (
+        lost = self.terms.allows_health_checks and (
             self.reach.cut or all(cache.unreached for cache in self.caches)
         )
         cache = None if (write or lost) and pass_by else self.choose_cache(request)
@@ -347,7 +355,7 @@
         if source is cache or (held_only and source not in self.caches):  # that fell short before?
             if any(
                 one.outcome == Outcome.MISS
-                and (one.source is one.node or one.source not in self.caches)
+                and (one.fill_source is one.endpoint or one.fill_source not in self.caches)
                 for one in request.attempts
             ):
                 return self.stuck(request)
@@ -355,12 +363,12 @@
 
     def may_go_on(self, request: Request) -> bool:
         """Whether an attempt may follow those that there were."""
-        few = len(request.attempts) < self.terms.attempts_most
+        few = len(request.attempts) < self.terms.max_attempts
         failed = sum(attempt.outcome == Outcome.ERROR for attempt in request.attempts)
         return few and failed < ERRORS_MOST and self.may_send(request)
 
     def purse_of(self, request: Request) -> RetryBudget:
-        return request.pool.purse if request.pool else self.purse
+        return request.pool.retry_budget if request.pool else self.purse
 
     def stuck(self, request: Request) -> None:
         """No further attempt may go: waits for what is out at a node that is reached, else gives
@@ -369,9 +377,9 @@
         """
         last, late = (
             request.attempts[-1] if request.attempts else None,
-            self.now >= request.until - GUARD,
+            self.now >= request.deadline - GUARD,
         )
-        if late or last is None or last.outcome is not None or last.node.unreached:
+        if late or last is None or last.outcome is not None or last.endpoint.unreached:
             self.give_up(request)
 
     def send(
@@ -382,9 +390,12 @@
         held_only: bool,
     ) -> None:
         attempt = Attempt(
-            request, len(request.attempts), node, source, self.now, request.until - self.now
+            request, len(request.attempts), node, source, self.now, request.deadline - self.now
+        )
+        attempt.expects_hit, attempt.purged_at = (
+            self.holds(node, request),
+            self.purge_moment(request),
         )
-        attempt.bag, attempt.purged = self.holds(node, request), self.purge_moment(request)
         request.attempts.append(attempt)
         node.out[attempt] = None
         for member in {node: None, source: None}:
@@ -392,9 +403,9 @@
                 member.cold.spend(self.now, self.counted(request))
         keep, renew = (
             self.rank(request) if node in self.caches else 0,
-            request.request_class.fresh_for > 0,
+            request.request_class.freshness_lifetime > 0,
         )
-        join = self.terms.joins and not any(
+        join = self.terms.allows_coalescing and not any(
             other.outcome == Outcome.TIMEOUT for other in request.attempts
         )
         self.out.send(attempt, self.max_age(request), keep, join, held_only, keep > 0, renew)
@@ -406,13 +417,13 @@
         """An attempt is overdue: where nothing was heard of its node or source since, it goes
         elsewhere.
         """
-        request, source = attempt.request, attempt.source
-        due = self.work(request) * self.crowd(attempt.node)
-        doubtful = [] if attempt.node.heard >= attempt.sent else [attempt.node]
-        if not attempt.bag and source is not None and source is not attempt.node:
+        request, source = attempt.request, attempt.fill_source
+        due = self.work(request) * self.crowd(attempt.endpoint)
+        doubtful = [] if attempt.endpoint.heard >= attempt.sent_at else [attempt.endpoint]
+        if not attempt.expects_hit and source is not None and source is not attempt.endpoint:
             due += self.delay(source) + self.work(request) * (self.link_slows() - 1.0)
-            doubtful += [] if source.heard >= attempt.sent else [source]
-        late = self.now - attempt.sent
+            doubtful += [] if source.heard >= attempt.sent_at else [source]
+        late = self.now - attempt.sent_at
         self.out.wake(0.5 * late, attempt)
         sign = min(1.0, 0.5 * (late / due - 1.0))
         if sign <= 0.0 or not doubtful:
@@ -420,18 +431,18 @@
         for member in doubtful:
             member.quiet += sign / len(doubtful)
             self.judge(member, "silent")
-        if sign >= OVERDUE and doubtful == [attempt.node]:
-            self.not_reached(attempt.node)
+        if sign >= OVERDUE and doubtful == [attempt.endpoint]:
+            self.not_reached(attempt.endpoint)
         if (
             sign >= OVERDUE
             and attempt is request.attempts[-1]
-            and request.request_class.repeat != UNSAFE
+            and request.request_class.idempotency != UNSAFE
         ):
-            if self.terms.two_attempts:
+            if self.terms.allows_hedging:
                 self.route(request)
             elif (
-                self.terms.may_cancel
-                and self.purse_of(request).again >= 1.0
+                self.terms.allows_cancel
+                and self.purse_of(request).tokens >= 1.0
                 and self.may_go_on(request)
             ):
                 self.out.abandon(attempt)  # else its answer is all that may come
@@ -441,10 +452,12 @@
         doubtful, terms, pure = (
             may_have_run(request),
             self.terms,
-            request.request_class.repeat == IDEMPOTENT,
+            request.request_class.idempotency == IDEMPOTENT,
         )
         advice = (
-            overload.come_back(self.random.random(), terms.advice_most) if terms.may_advise else 0.0
+            overload.come_back(self.random.random(), terms.max_retry_after)
+            if terms.allows_retry_after
+            else 0.0
         )
         if pure or not doubtful or self.known(request, doubtful, self.now + advice):
             self.storm.note_rejected()
@@ -461,9 +474,9 @@
         )
 
     def end(self, request: Request) -> None:
-        request.ended = True
+        request.is_complete = True
         for attempt in request.attempts:
-            if attempt.outcome is None and self.terms.may_cancel:
+            if attempt.outcome is None and self.terms.allows_cancel:
                 self.out.abandon(attempt)
 
     def may_begin(self, now: float, attempt: Attempt) -> bool:
@@ -473,12 +486,19 @@
         """
         self.now, request = max(self.now, now), attempt.request
         ready = all(
-            member is None or self.may_ask(member) for member in (attempt.node, attempt.source)
+            member is None or self.may_ask(member)
+            for member in (attempt.endpoint, attempt.fill_source)
         )
         others = [other for other in request.attempts if other is not attempt]
-        alone = self.terms.two_attempts or not any(other.outcome is None for other in others)
-        fresh = self.purge_moment(request) <= attempt.purged
-        return ready and alone and fresh and not request.ended and self.may_send(request, attempt)
+        alone = self.terms.allows_hedging or not any(other.outcome is None for other in others)
+        fresh = self.purge_moment(request) <= attempt.purged_at
+        return (
+            ready
+            and alone
+            and fresh
+            and not request.is_complete
+            and self.may_send(request, attempt)
+        )
 
     def may_ask(self, member: TrackedEndpoint) -> bool:
         """Whether it may be asked for an echo or a report: who leaves is sent nothing new, those
@@ -490,11 +510,11 @@
         """`attempt`: which is about to begin; not counted among those that may have run."""
         doubtful = [held for held in may_have_run(request) if held is not attempt]
         if (
-            self.now >= request.until - GUARD
+            self.now >= request.deadline - GUARD
             or not doubtful
-            or request.request_class.repeat == IDEMPOTENT
+            or request.request_class.idempotency == IDEMPOTENT
         ):
-            return self.now < request.until - GUARD
+            return self.now < request.deadline - GUARD
         return self.known(request, doubtful, self.now)
 
     def known(self, request: Request, doubtful: list[Attempt], at: float) -> bool:
@@ -502,8 +522,8 @@
         everywhere.
         """
         case = request.request_class
-        forgotten = doubtful[0].sent + case.memory_span - WINDOW_MARGIN
-        return case.repeat == KEYED and case.group == "all" and at < forgotten
+        forgotten = doubtful[0].sent_at + case.key_retention - WINDOW_MARGIN
+        return case.idempotency == KEYED and case.key_scope == "all" and at < forgotten
 
     # Which cache
 
@@ -514,16 +534,20 @@
         if (pool := request.pool) is None:
             return self.best(request, self.caches)
         found = self.best(request, [cache for cache in self.caches if cache in pool.caches])
-        return found or self.best(request, [cache for cache in self.caches if cache in pool.spare])
+        return found or self.best(
+            request, [cache for cache in self.caches if cache in pool.failover_caches]
+        )
 
     def best(self, request: Request, caches: list[TrackedEndpoint]) -> TrackedEndpoint | None:
-        most = self.bearable(request) if self.terms.sized else math.inf
-        tried = {attempt.node for attempt in request.attempts if attempt.outcome != Outcome.MISS}
+        most = self.bearable(request) if self.terms.advertises_weights else math.inf
+        tried = {
+            attempt.endpoint for attempt in request.attempts if attempt.outcome != Outcome.MISS
+        }
         ranked = self.by_hash(
-            [cache for cache in caches if cache not in tried], request.key, request.part
+            [cache for cache in caches if cache not in tried], request.object_id, request.part
         )
         fit = self.fit(ranked, self.counted(request))
-        first = list(islice(fit, self.popular.caches((request.key, request.part))))
+        first = list(islice(fit, self.popular.caches((request.object_id, request.part))))
         if len(first) > 1:  # among equals each director takes its own, or all would take the first
             self.random.shuffle(first)
             first.sort(key=self.crowd)
@@ -535,7 +559,10 @@
         directors here.
         """
         total, weight = member.late.sums(self.now)
-        fits, sharers = max(member.share * self.warmth(member), 0.1), self.terms.directors_here
+        fits, sharers = (
+            max(member.weight * self.warmth(member), 0.1),
+            self.terms.local_director_count,
+        )
         shown = 1.0 + 0.01 * total / (weight + 1.0)
         return max(1.0, shown + ((1 + len(member.out) * sharers) / fits - shown) / sharers)
 
@@ -546,8 +573,8 @@
         return sorted(
             members,
             key=lambda member: (
-                -math.log((mix(*what, member.key) + 1) / 2.0**64)
-                / max(member.share * self.warmth(member), 1e-3)
+                -math.log((mix(*what, member.hash_key) + 1) / 2.0**64)
+                / max(member.weight * self.warmth(member), 1e-3)
             ),
         )
 
@@ -560,7 +587,7 @@
         self.purges = {
             what: at
             for what, at in self.purges.items()
-            if self.now - at < PURGE_KEPT * self.terms.purge_span
+            if self.now - at < PURGE_KEPT * self.terms.purge_propagation
         }
 
     def rank(self, request: Request) -> int:
@@ -568,7 +595,7 @@
         wipes nothing.
         """
         known = self.sending[request.request_class]
-        if self.popular.count((request.key, request.part)) >= 2:
+        if self.popular.count((request.object_id, request.part)) >= 2:
             return 2
         return 0 if known[1] and self.work(request) > OVERSIZED * known[0] / known[1] else 1
 
@@ -579,11 +606,11 @@
     ) -> tuple[TrackedEndpoint | None, bool]:
         """Where a miss is filled from, and whether that is asked only for what it holds."""
         work = self.counted(request)
-        tried = {attempt.source for attempt in request.attempts if self.doubts_source(attempt)}
+        tried = {attempt.fill_source for attempt in request.attempts if self.doubts_source(attempt)}
         if cache is not None:
             limit, asks = (
                 self.delay(cache) + NEAR,
-                self.terms.siblings and not self.holds(cache, request),
+                self.terms.allows_sibling_fills and not self.holds(cache, request),
             )
             for sibling in self.siblings(request) if asks else ():
                 if (
@@ -594,16 +621,21 @@
                 ):
                     return sibling, True
             pool = request.pool
-            if asks and pool and pool.helpers and (helper := self.old_home(request, tried, work)):
+            if (
+                asks
+                and pool
+                and pool.migration_sources
+                and (helper := self.old_home(request, tried, work))
+            ):
                 return helper, True
             if self.link_slows() > self.bearable(request):
                 return cache, False
         if self.origin is not None and self.random.random() < ORIGIN_TRIAL:
             return self.origin, False
         ranked = self.by_hash(
-            [m for m in self.parents if m not in tried], request.key, request.part
+            [m for m in self.parents if m not in tried], request.object_id, request.part
         )
-        if not request.repeated and request.until - self.now < self.goal_left(request) - GUARD:
+        if not request.is_retry and request.deadline - self.now < self.goal_left(request) - GUARD:
             ranked.sort(
                 key=self.delay
             )  # waits less than its goal: a near parent may do; harms by copies
@@ -619,7 +651,11 @@
     def siblings(self, request: Request) -> list[TrackedEndpoint]:
         if (pool := request.pool) is None:
             return self.caches
-        return [cache for cache in self.caches if cache in pool.caches or cache in pool.helpers]
+        return [
+            cache
+            for cache in self.caches
+            if cache in pool.caches or cache in pool.migration_sources
+        ]
 
     def old_home(
         self, request: Request, tried: set[TrackedEndpoint | None], work: float
@@ -628,8 +664,8 @@
         recent answer told so. Spares the origin; could harm by an attempt for what nobody has asked
         for lately.
         """
-        helpers = [cache for cache in self.caches if cache in request.pool.helpers]
-        first = next(self.fit(self.by_hash(helpers, request.key, request.part), work), None)
+        helpers = [cache for cache in self.caches if cache in request.pool.migration_sources]
+        first = next(self.fit(self.by_hash(helpers, request.object_id, request.part), work), None)
         return first if first not in tried else None
 
     def choose_outside(self, fit: Iterator[TrackedEndpoint]) -> TrackedEndpoint | None:
@@ -663,11 +699,11 @@
         named again.
         """
         if attempt.outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT):
-            return attempt.source is not None and attempt.source.heard < attempt.sent
-        return attempt.outcome in (Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.MISS)
+            return attempt.fill_source is not None and attempt.fill_source.heard < attempt.sent_at
+        return attempt.outcome in (Outcome.ERROR, Outcome.REJECTED, Outcome.MISS)
 
     def holds(self, cache: TrackedEndpoint, request: Request) -> bool:
-        at = self.beliefs.get((request.key, request.part), {}).get(cache, 0.0)
+        at = self.beliefs.get((request.object_id, request.part), {}).get(cache, 0.0)
         return at > max(self.now - BELIEF_AGE, self.purge_moment(request))
 
     def trial(self, member: TrackedEndpoint) -> bool:
@@ -701,19 +737,20 @@
 
     def cold_rule(self, member: TrackedEndpoint) -> Any:
         return (
-            self.terms.cold_parent
+            self.terms.parent_slow_start
             if member.kind == self.terms.parent_kind
-            else self.terms.cold_cache
+            else self.terms.cache_slow_start
         )
 
     def warmth(self, member: TrackedEndpoint) -> float:
         """The share of its capacity that a member has at the least."""
-        if not member.started or member.kind == self.terms.origin_kind:
+        if not member.started_at or member.kind == self.terms.origin_kind:
             return 1.0
         rule = self.cold_rule(member)
         return min(
             1.0,
-            rule.starts_at + (1.0 - rule.starts_at) * (self.now - member.started) / rule.warm_in,
+            rule.initial_fraction
+            + (1.0 - rule.initial_fraction) * (self.now - member.started_at) / rule.duration,
         )
 
     def has_room(self, member: TrackedEndpoint, work: float) -> bool:
@@ -724,12 +761,12 @@
         if warmth >= 1.0:
             return True
         share = self.cold_parents if member in self.parents else self.cold_here
-        whole = member.share * warmth * min(COLD_MOST, COLD_PART * rule.multiple)
+        whole = member.weight * warmth * min(COLD_MOST, COLD_PART * rule.overload_factor)
         fits = member.cold.fits(
-            self.now, work, whole * share.held(self.now), rule.span, self.random
+            self.now, work, whole * share.fraction_at(self.now), rule.overload_window, self.random
         )
-        if share.watched:
-            member.cold.note(share, work, fits, whole * rule.span)
+        if share.is_tracked:
+            member.cold.note(share, work, fits, whole * rule.overload_window)
         return fits
 
     def too_late(self, delays: DecayingHistogram, request: Request) -> bool:
@@ -749,29 +786,29 @@
     def purge_moment(self, request: Request) -> float:
         return max(
             self.purges.get(what, 0.0)
-            for what in (("object", request.key), ("group", request.group))
+            for what in (("object", request.object_id), ("group", request.group))
         )
 
     def max_age(self, request: Request) -> float:
         """Bounds the copy by the last purge; 0 would mean any age, so the bound stays above it."""
         moment = self.purge_moment(request)
-        if not moment or self.now - moment > PURGE_KEPT * self.terms.purge_span:
+        if not moment or self.now - moment > PURGE_KEPT * self.terms.purge_propagation:
             return 0.0
         bound = max(0.01, self.now - moment - PURGE_MARGIN)
-        return min(bound, request.request_class.fresh_for or bound)
+        return min(bound, request.request_class.freshness_lifetime or bound)
 
     # What is learnt
 
     def work(self, request: Request) -> float:
-        if request.size and self.terms.flow:
-            return request.size / self.terms.flow
+        if request.size_kb and self.terms.transfer_rate:
+            return request.size_kb / self.terms.transfer_rate
         total, number = self.sending[request.request_class]
         if (
             not number
         ):  # no size is ever told, or none yet: what the middle answer took, fills and all
             return (
                 self.took[request.request_class].middle(self.now)
-                or request.request_class.latency_goal / 4
+                or request.request_class.latency_objective / 4
             )
         return total / number
 
@@ -784,14 +821,17 @@
         if not number:
             return (
                 self.took[request.request_class].middle(self.now)
-                or request.request_class.latency_goal
+                or request.request_class.latency_objective
             )
         return total / number if number >= KNOWN else max(work, total / number)
 
     def goal_left(self, request: Request) -> float:
         case = request.request_class
-        goal = min(case.client_timeout, case.latency_goal + case.goal_stretch * self.work(request))
-        return request.arrived + goal - self.now
+        goal = min(
+            case.client_timeout,
+            case.latency_objective + case.objective_stretch * self.work(request),
+        )
+        return request.arrived_at + goal - self.now
 
     def bearable(self, request: Request) -> float:
         """By how much an answer may be slowed: others come meanwhile, and large ones are the first
@@ -801,10 +841,10 @@
         return max(self.admit * ratio, min(CALM, ratio))
 
     def learn(self, attempt: Attempt, wait: float, note: CacheStatus, first_byte: float) -> None:
-        outcome, node, source = attempt.outcome, attempt.node, attempt.source
-        spot = (attempt.request.key, attempt.request.part)
+        outcome, node, source = attempt.outcome, attempt.endpoint, attempt.fill_source
+        spot = (attempt.request.object_id, attempt.request.part)
         held, unreached = self.beliefs.get(spot, {}), node.unreached
-        if outcome in (Outcome.SERVED, Outcome.MISS, Outcome.TURNED_AWAY, Outcome.ERROR):
+        if outcome in (Outcome.SERVED, Outcome.MISS, Outcome.REJECTED, Outcome.ERROR):
             self.sign_of_life(node)
         if outcome == Outcome.SERVED:
             self.mark(node, 0.0, "")
@@ -813,7 +853,7 @@
             ]:
                 self.blame(other, "error")  # only now: what no node can give is the client's fault
             work = self.work(attempt.request)
-            if note in (CacheStatus.HIT, CacheStatus.NONE):
+            if note in (CacheStatus.HIT, CacheStatus.UNKNOWN):
                 self.took[attempt.request.request_class].add(self.now, wait)
             if (
                 note == CacheStatus.HIT and not unreached
@@ -838,48 +878,52 @@
                 self.mark(source, 0.0, "")
             return
         held.pop(node, None)
-        if outcome == Outcome.TURNED_AWAY:  # crowded, as late hits would show if any came
+        if outcome == Outcome.REJECTED:  # crowded, as late hits would show if any came
             node.late.add(self.now, FULL)
-        if outcome in (Outcome.UNCONNECTED, Outcome.RESET):
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             self.not_reached(node)
-        if outcome == Outcome.UNCONNECTED:
-            self.mark(node, 2.0, "unconnected")
+        if outcome == Outcome.CONNECT_FAILED:
+            self.mark(node, 2.0, "connect_failed")
         elif (
-            outcome == Outcome.RESET and attempt.sent > node.lost
+            outcome == Outcome.RESET and attempt.sent_at > node.lost
         ):  # once a break: a spoilt answer takes
             node.lost = (
                 self.now
             )  # along all that is out on its link; a node that died is unconnected next
             self.mark(node, 1.0, "reset")
-        if source in (None, node) or outcome in (Outcome.CANCELLED, Outcome.MOOT):
+        if source in (None, node) or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
-        if note == CacheStatus.SOURCE_LACKS or (
-            outcome == Outcome.MISS and note == CacheStatus.NONE
+        if note == CacheStatus.SOURCE_MISS or (
+            outcome == Outcome.MISS and note == CacheStatus.UNKNOWN
         ):
             held.pop(source, None)
         elif note in (
-            CacheStatus.SOURCE_REFUSED,
-            CacheStatus.SOURCE_LOST,
-            CacheStatus.ORIGIN_BROKE,
+            CacheStatus.SOURCE_REJECTED,
+            CacheStatus.SOURCE_FAILED,
+            CacheStatus.ORIGIN_FAILED,
         ):
-            if note == CacheStatus.ORIGIN_BROKE or source is self.origin:
+            if note == CacheStatus.ORIGIN_FAILED or source is self.origin:
                 self.behind.add(self.now, attempt.timeout)
-            if note != CacheStatus.ORIGIN_BROKE:  # that is no fault of the parent's
+            if note != CacheStatus.ORIGIN_FAILED:  # that is no fault of the parent's
                 source.recent.add(self.now, attempt.timeout)
             if (
-                note == CacheStatus.SOURCE_REFUSED
+                note == CacheStatus.SOURCE_REJECTED
             ):  # it lives and is crowded: its delay tells, it is not sick
                 self.sign_of_life(source)
-            elif note == CacheStatus.SOURCE_LOST:
+            elif note == CacheStatus.SOURCE_FAILED:
                 self.mark(source, 1.0, note.name.lower())
 
     def blame(self, attempt: Attempt, why: str) -> None:
         """One went wrong: its cache alone is to blame where a hit was due, else both by their
         records.
         """
-        if attempt.bag or attempt.source is None or attempt.source is attempt.node:
-            return self.mark(attempt.node, 1.0, why)
-        both = (attempt.node, attempt.source)
+        if (
+            attempt.expects_hit
+            or attempt.fill_source is None
+            or attempt.fill_source is attempt.endpoint
+        ):
+            return self.mark(attempt.endpoint, 1.0, why)
+        both = (attempt.endpoint, attempt.fill_source)
         shares = [member.health.share() for member in both]
         for member, share in zip(both, shares, strict=True):
             self.mark(member, share / sum(shares), why)
@@ -892,8 +936,8 @@
         """One more of the location's caches says nothing: all may be cut off, and a few
         are asked.
         """
-        if self.terms.may_probe and self.reach.fails(self.now, member):
-            here = self.terms.directors_here
+        if self.terms.allows_health_checks and self.reach.fails(self.now, member):
+            here = self.terms.local_director_count
             for node in self.reach.asked(pace(here), self.random):
                 self.watch.doubts(node, self.now, here, SOON)
             self.out.log(
@@ -903,7 +947,7 @@
     def sign_of_life(self, member: TrackedEndpoint) -> None:
         member.heard = self.now
         if (since := self.reach.heard(self.now, member)) is not None:
-            self.out.log(f"location reached again by {member.key:x}")
+            self.out.log(f"location reached again by {member.hash_key:x}")
             for cache in self.caches:
                 if cache.unreached and cache.shunned_at >= since:
                     self.take_back(cache)
@@ -922,13 +966,15 @@
             if member.unreached and self.may_ask(member):
                 self.not_reached(member)
                 sharers = (
-                    self.terms.directors if member in self.parents else self.terms.directors_here
+                    self.terms.director_count
+                    if member in self.parents
+                    else self.terms.local_director_count
                 )
                 self.watch.doubts(member, self.now, sharers)
             else:
                 self.watch.heard(member)
             word = f"shunned ({why})" if sick else "taken back"
             self.out.log(
-                f"{member.key:x} {word}: {health.bad:.1f} bad, {health.good:.1f} good, "
+                f"{member.hash_key:x} {word}: {health.bad:.1f} bad, {health.good:.1f} good, "
                 f"odds {health.sum:.1f}, silence {member.quiet:.1f}"
             )
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -43,9 +43,9 @@
         """How large a part of the node's capacity over the span, `whole`, this would take."""
         part = (sum(held for _, held in self.spent) + work) / (FILL * whole)
         if fits:
-            share.used = max(share.used, part)
+            share.peak_used = max(share.peak_used, part)
         else:
-            share.refused = max(share.refused, part)
+            share.peak_rejected = max(share.peak_rejected, part)
 
     def fits(self, now: float, work: float, part: float, span: float, random: Random) -> bool:
         """Whether a request of `work` may go. `part`: of the node's present capacity, work a ms;
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -27,7 +27,9 @@
         start = load_config(os.environ, config)
         # Beyond what the system allows, clients and links would leave the event stream no
         # descriptor.
-        start.sockets = min(start.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        start.max_descriptors = min(
+            start.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        )
         threading.stack_size(STACK)
         log = StructuredLog(start.name)
         service = make(start, log, cells, management, fleet)
@@ -44,7 +46,7 @@
     except RuntimeError as wrong:  # what management kept can't be used, or its port is taken
         print(f"mulleinrelay: {wrong}", file=sys.stderr)
         return BAD_CONFIGURATION
-    service.bus.look_again = lambda: bus_named(config)
+    service.event_stream.read_configured_address = lambda: bus_named(config)
     gc.collect()
     gc.freeze()  # what stands at the start stays: the collector need not look at it again
     while os.read(told, 1)[0] == signal.SIGHUP:
@@ -79,7 +81,7 @@
     management: str | None = None,
     fleet: str | None = None,
 ) -> Director:
-    """Raises ConfigurationError, also for what is wrong with our own files."""
+    """Raises ConfigError, also for what is wrong with our own files."""
     if not cells and not management and not fleet:
         return Director(start, log)
     try:
@@ -112,7 +114,7 @@
 def bus_named(path: str | None) -> tuple[str, int] | None:
     """The event stream's address as the configuration has it now; None where it can't be read."""
     try:
-        return load_config(os.environ, path).bus
+        return load_config(os.environ, path).event_stream_address
     except ConfigError:
         return None
 
@@ -123,7 +125,7 @@
     """
     for wait in READ_AGAIN:
         try:
-            return service.renew(load_config(os.environ, path))
+            return service.reload(load_config(os.environ, path))
         except ConfigError as wrong:
             why = str(wrong)
             time.sleep(wait)
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -38,7 +38,7 @@
         line = {"at": round(now, 3), "director": self.name, "event": what, **figures}
         self.lines.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
-    def fault(self, where: str, broken: BaseException) -> None:
+    def exception(self, where: str, broken: BaseException) -> None:
         last = traceback.extract_tb(broken.__traceback__)[-3:]
         self.event(
             "fault",
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -15,12 +15,12 @@
 OUTCOMES = {
     0: Outcome.SERVED,
     5: Outcome.ERROR,
-    11: Outcome.TURNED_AWAY,
+    11: Outcome.REJECTED,
     110: Outcome.TIMEOUT,
-    111: Outcome.UNCONNECTED,
+    111: Outcome.CONNECT_FAILED,
     104: Outcome.RESET,
     125: Outcome.CANCELLED,
-    114: Outcome.MOOT,
+    114: Outcome.NOT_SENT,
     2: Outcome.MISS,
 }
 NOTES = {int(note): note for note in CacheStatus}
@@ -51,7 +51,9 @@
     def load(self, count: int, values: tuple[float, ...]) -> dict[str, float] | None:
         assert self.director is not None
         return (
-            dict(zip(self.director.terms.reports, values[:count], strict=False)) if count else None
+            dict(zip(self.director.terms.load_report_fields, values[:count], strict=False))
+            if count
+            else None
         )
 
     def take(
@@ -95,7 +97,7 @@
                         outcome,
                         wait,
                         bool(closed),
-                        NOTES.get(note, CacheStatus.NONE),
+                        NOTES.get(note, CacheStatus.UNKNOWN),
                         first_byte,
                         self.load(count, tuple(values)),
                     ),
@@ -136,8 +138,10 @@
     def forget(self) -> None:
         """Drops the tickets whose requests are over and have no attempt out."""
         for request in self.touched:
-            if request.ended and all(attempt.outcome is not None for attempt in request.attempts):
-                self.requests.pop(request.ticket, None)
+            if request.is_complete and all(
+                attempt.outcome is not None for attempt in request.attempts
+            ):
+                self.requests.pop(request.context, None)
         self.touched = []
 
     def send(
@@ -153,29 +157,29 @@
         opts = (
             JOIN * join + HELD_ONLY * held_only + PARENT_DROPS * (not parent_keeps) + RENEW * renew
         )
-        source = attempt.source or attempt.node
-        node = attempt.node.key.to_bytes(6, "big")
+        source = attempt.fill_source or attempt.endpoint
+        node = attempt.endpoint.hash_key.to_bytes(6, "big")
         self.reply.add(
             wire.DELIVER_VIA,
-            attempt.request.ticket,
+            attempt.request.context,
             max_age,
             node,
             opts,
-            source.key.to_bytes(6, "big"),
+            source.hash_key.to_bytes(6, "big"),
             attempt.timeout,
             rank,
         )
 
     def abandon(self, attempt: Attempt) -> None:
-        self.reply.add(wire.ABANDON, attempt.request.ticket, attempt.number)
+        self.reply.add(wire.ABANDON, attempt.request.context, attempt.number)
 
     def reject(self, request: Request, come_back: float) -> None:
         self.touched.append(request)
-        self.reply.add(wire.REFUSE, request.ticket, come_back)
+        self.reply.add(wire.REFUSE, request.context, come_back)
 
     def fail(self, request: Request) -> None:
         self.touched.append(request)
-        self.reply.add(wire.SURRENDER, request.ticket)
+        self.reply.add(wire.SURRENDER, request.context)
 
     def wake(self, delay: float, about: Any) -> None:
         self.timer_count += 1
@@ -183,7 +187,7 @@
         self.reply.add(wire.SET_TIMER, self.timer_count, delay)
 
     def probe(self, node: Endpoint) -> None:
-        self.reply.add(wire.ASK_LOAD, node.key.to_bytes(6, "big"))
+        self.reply.add(wire.ASK_LOAD, node.hash_key.to_bytes(6, "big"))
 
     def subscribe(self) -> None:
         self.reply.add(wire.KEEP_INFORMED, 1)
--- a/tests/budgets/test_exchange.py
+++ b/tests/budgets/test_exchange.py
@@ -47,12 +47,12 @@
         now, share = self.clock(number), self.shares[number]
         mine = self.own[number] = [at for at in self.own[number] if at > now - SPAN]
         part = (len(mine) + 1) / (self.rate * SPAN / 1000.0)
-        if part <= share.held(now):
-            share.used = max(share.used, part)
+        if part <= share.fraction_at(now):
+            share.peak_used = max(share.peak_used, part)
             mine.append(now)
             self.taken.append(self.now)
         else:
-            share.refused = max(share.refused, part)
+            share.peak_rejected = max(share.peak_rejected, part)
             self.refused += 1
 
     def most(self, since=0.0, span=SPAN):
@@ -88,7 +88,7 @@
     for core in still.cores.values():
         core.companion.step = lambda *_: []  # nobody lends
     for share in still.shares.values():
-        share.part = 1.0 / 30
+        share.fraction = 1.0 / 30
     still.play(6)
     return len(still.taken) / (900.0 * 6)
 
@@ -157,25 +157,27 @@
     net.cut([3], range(10))
     net.cut(range(10), [3])
     net.play((LEASE + SPAN) / 1000.0 + 0.2)
-    assert net.shares[3].held(net.clock(3)) == pytest.approx(0.1, rel=1e-3)
+    assert net.shares[3].fraction_at(net.clock(3)) == pytest.approx(0.1, rel=1e-3)
     net.play(5)
-    assert net.shares[3].held(net.clock(3)) == pytest.approx(0.1, rel=1e-3)
+    assert net.shares[3].fraction_at(net.clock(3)) == pytest.approx(0.1, rel=1e-3)
 
 
 def test_a_part_that_was_borrowed_ends_by_itself_while_its_director_is_stopped():
     net = Busy(10, uneven(10, 100.0), 100.0, seed=7)
     net.play(8)
-    assert net.shares[0].held(net.clock(0)) > 0.3
+    assert net.shares[0].fraction_at(net.clock(0)) > 0.3
     net.stop(0)
     net.run(3)
-    assert net.shares[0].held(net.clock(0)) <= 0.1 + 1e-9  # as it wakes, before anything is done
+    assert (
+        net.shares[0].fraction_at(net.clock(0)) <= 0.1 + 1e-9
+    )  # as it wakes, before anything is done
 
 
 def test_without_a_use_nothing_is_asked_for():
     net = Busy(8, [0.0] * 8, 100.0, seed=8)
     net.play(6)
     assert all(core.companion.counts["asked"] == 0 for core in net.cores.values())
-    assert all(share.part == pytest.approx(1.0 / 8, rel=1e-3) for share in net.shares.values())
+    assert all(share.fraction == pytest.approx(1.0 / 8, rel=1e-3) for share in net.shares.values())
 
 
 @pytest.mark.parametrize(
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -26,7 +26,7 @@
     releases=(),
     tenant_limits=None,
     **changes,
-):
+) -> Assignment:
     """A charter of two cells whose tenants stand in the first, save `beta` in the second."""
     held = {
         one if isinstance(one, str) else one.name: Cell(one) if isinstance(one, str) else one
@@ -52,7 +52,7 @@
     )
 
 
-def move(starts=10_000.0, **changes):
+def move(starts_at=10_000.0, **changes) -> Migration:
     return Migration(
         **(
             {
@@ -60,10 +60,10 @@
                 "tenants": ("acme",),
                 "source": "north",
                 "target": "south",
-                "starts": starts,
-                "warm_for": 1_000.0,
-                "shift_for": 4_000.0,
-                "drain_for": 2_000.0,
+                "starts_at": starts_at,
+                "warm_up_duration": 1_000.0,
+                "shift_duration": 4_000.0,
+                "drain_duration": 2_000.0,
             }
             | changes
         )
@@ -84,7 +84,7 @@
 
     def listed(self, caches, warmth=None):
         warmth = warmth or {}
-        return self.governor.listed(
+        return self.governor.update_caches(
             self.now, [(name, name, warmth.get(name, 1.0)) for name in caches]
         )
 
@@ -99,13 +99,13 @@
         address="",
         group=99,
     ):
-        return self.governor.admit(
+        return self.governor.admit_request(
             self.now,
             Asking(told, address, group, key, request_class, idempotency_key, repeated, body),
         )
 
     def done(self, grant, good=True, delay=5.0, owed=True):
-        return self.governor.settle(self.now, grant, good, owed, delay)
+        return self.governor.complete_request(self.now, grant, good, owed, delay)
 
 
 class Housed:
@@ -116,7 +116,8 @@
         self.path.write_text(write(held))
         plans = plan if isinstance(plan, list) else [plan] * len(SPOTS)
         self.nodes = [StandNode(each) for each in plans]
-        self.bus, self.services, self.sinks, self.callers = StandBus(), [], [], []
+        self.bus, self.sinks, self.callers = StandBus(), [], []
+        self.services: list[Director] = []
         for number in range(directors):
             whole = configuration(
                 [node.address for node in self.nodes], self.bus.address, **changes
@@ -135,13 +136,13 @@
             start = parse_config(json.dumps(whole | {"name": f"n{number}"}))
             self.services.append(Director(start, self.sinks[-1], own))
 
-    def __enter__(self):
+    def __enter__(self) -> "Housed":
         for service in self.services:
             service.start()
         return self
 
     def caller(self, number=0):
-        self.callers.append(Caller(self.services[number].front.listener.getsockname()))
+        self.callers.append(Caller(self.services[number].listener.listener.getsockname()))
         return self.callers[-1]
 
     def heard(self, word="PULL"):
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -112,7 +112,9 @@
     assert naming.tenant(told, address, group) == tenant
     if tenant == "shared":
         assert (
-            TenantResolver(charter(tenants=people, unknown="reject")).tenant(told, address, group)
+            TenantResolver(charter(tenants=people, unknown_tenant_policy="reject")).tenant(
+                told, address, group
+            )
             is None
         )
 
@@ -153,5 +155,9 @@
 
 
 def test_a_table_leaves_those_without_an_entry_nowhere():
-    held = charter(tenants=(Tenant("acme", "south"), Tenant("beta")), how="table", unknown="reject")
+    held = charter(
+        tenants=(Tenant("acme", "south"), Tenant("beta")),
+        placement_method="table",
+        unknown_tenant_policy="reject",
+    )
     assert homes(held) == {"acme": "south"}
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -15,7 +15,7 @@
 @pytest.fixture
 def path(tmp_path):
     file = tmp_path / "assignment.ini"
-    file.write_text(write(charter(("north", Cell("south", neighbours=("north",))))))
+    file.write_text(write(charter(("north", Cell("south", failover_cells=("north",))))))
     return str(file)
 
 
@@ -113,7 +113,7 @@
     assert call(path, "release", "r1", "--canary", "north")[0] == 3
     assert call(path, "keep", "r1")[0] == 0
     held = store.load(path)
-    assert held.version == 7 and held.tenants["beta"].limits.rate == 9.0 and not held.releases
+    assert held.version == 7 and held.tenants["beta"].limits.rate == 9.0 and not held.rollouts
     told = [line.split()[2] for line in call(path, "log")[1].splitlines()]
     lines = json.loads(call(path, "log", "--json")[1])["lines"]
     assert len(told) == len(lines) == 6 and [line["director"] for line in lines] == ["staff"] * 6
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -14,7 +14,7 @@
 from mulleinrelay.cells.model import Rollout
 
 TWO = (
-    Cell("north", caches=("s-01", "s-02"), neighbours=("south",), reserve=0.2),
+    Cell("north", caches=("s-01", "s-02"), failover_cells=("south",), failover_quota=0.2),
     Cell("south", caches=("s-03", "s-04")),
 )
 ALL = ("s-01", "s-02", "s-03", "s-04")
@@ -45,9 +45,9 @@
     "limits, how, let",
     [
         (Limits(rate=10.0, burst=5), {}, 5),
-        (Limits(open_most=7), {}, 7),
-        (Limits(body_kb=100.0), {"body": 48_000}, 2),
-        (Limits(retries=0.0), {"repeated": True}, 10),
+        (Limits(max_open_requests=7), {}, 7),
+        (Limits(max_body_kb=100.0), {"body": 48_000}, 2),
+        (Limits(retry_ratio=0.0), {"repeated": True}, 10),
         (Limits(), {"body": 48_000}, 20),
     ],
 )  # a body counts as further requests: 80 / (1 + 46.9 / 16)
@@ -57,7 +57,7 @@
 
 
 def test_what_is_settled_makes_room_once():
-    ruled = Ruled(charter(TWO, tenant_limits=Limits(open_most=1)))
+    ruled = Ruled(charter(TWO, tenant_limits=Limits(max_open_requests=1)))
     grant = ruled.ask()
     assert isinstance(ruled.ask(), AdmissionRejection)
     ruled.done(grant)
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, repeated, harmless",
+    "request_class, repeated, is_never_executed",
     [
         (PAGES, True, True),
         (PAGES, False, True),
@@ -77,11 +77,13 @@
         (PAY, True, False),
     ],
 )
-def test_what_may_have_run_is_never_called_harmless(request_class, repeated, harmless):
+def test_what_may_have_run_is_never_called_is_never_executed(
+    request_class, repeated, is_never_executed
+):
     ruled = Ruled(charter(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
     ruled.ask()
     denied = ruled.ask(request_class=request_class, repeated=repeated)
-    assert denied.harmless == harmless and denied.come_back > 0.0
+    assert denied.is_never_executed == is_never_executed and denied.retry_after_ms > 0.0
 
 
 def test_a_slow_cell_narrows_and_the_other_keeps_its_width():
@@ -121,15 +123,15 @@
 @pytest.mark.parametrize(
     "cells, why",
     [
-        ((TWO[0], replace(TWO[1], neighbours=("north",))), "lost"),
-        ((replace(TWO[0], neighbours=()), TWO[1]), "lost"),
+        ((TWO[0], replace(TWO[1], failover_cells=("north",))), "lost"),
+        ((replace(TWO[0], failover_cells=()), TWO[1]), "lost"),
     ],
 )
 def test_where_nobody_takes_them_in_they_are_rejected(cells, why):
     ruled = Ruled(charter(cells))
-    ruled.listed(() if cells[0].neighbours else ("s-03",))
+    ruled.listed(() if cells[0].failover_cells else ("s-03",))
     denied = ruled.ask()
-    assert why in denied.why and denied.harmless
+    assert why in denied.reason and denied.is_never_executed
 
 
 @pytest.mark.parametrize(
@@ -141,7 +143,7 @@
     ruled.listed(("s-03", "s-04"))
     ruled.now = 1e6
     found = ruled.ask(request_class=request_class, idempotency_key="r", repeated=repeated)
-    assert (found.harmless if isinstance(found, AdmissionRejection) else None) == kind
+    assert (found.is_never_executed if isinstance(found, AdmissionRejection) else None) == kind
 
 
 def test_an_order_that_passes_the_caches_by_needs_none():
@@ -167,7 +169,9 @@
 
 def test_a_purse_of_further_attempts_is_the_tenant_s_own():
     ruled = Ruled(charter(TWO))
-    purses = [ruled.ask(told, key=key).pool.purse for told in ("acme", "shared") for key in (1, 2)]
+    purses = [
+        ruled.ask(told, key=key).pool.retry_budget for told in ("acme", "shared") for key in (1, 2)
+    ]
     assert purses[0] is purses[1] and purses[2] is purses[3] and purses[0] is not purses[2]
 
 
@@ -183,18 +187,18 @@
         version=2,
     )
     with pytest.raises(Exception, match="crosses"):
-        ruled.governor.renew(ruled.now, crossing)
-    assert ruled.governor.charter.version == 1 and ruled.ask("", group=3).tenant == "shared"
+        ruled.governor.replace_assignment(ruled.now, crossing)
+    assert ruled.governor.assignment.version == 1 and ruled.ask("", group=3).tenant == "shared"
 
 
 @pytest.mark.parametrize("held, may", [(0, True), (2, True), (3, False)])
 def test_connections_by_address(held, may):
     people = (
-        Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(connections=3)),
+        Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(max_connections=3)),
         "shared",
     )
-    assert Ruled(charter(TWO, people)).governor.welcome("10.2.3.4", held) == may
-    assert Ruled(charter(TWO, people)).governor.welcome("11.2.3.4", 1000)
+    assert Ruled(charter(TWO, people)).governor.can_admit_connection("10.2.3.4", held) == may
+    assert Ruled(charter(TWO, people)).governor.can_admit_connection("11.2.3.4", 1000)
 
 
 # Releases
@@ -269,32 +273,32 @@
     assert ruled.governor.step(ruled.now) == ["release r1 canary, wave 0 of 2"]
     assert asked(ruled, 90, told="acme") < 10 < asked(ruled, 20, told="beta") + 1
     taken_back = replace(
-        ruled.governor.charter, version=2, releases={"r1": replace(RELEASE, taken_back=True)}
+        ruled.governor.assignment, version=2, rollouts={"r1": replace(RELEASE, is_rolled_back=True)}
     )
-    ruled.governor.renew(ruled.now, taken_back)
+    ruled.governor.replace_assignment(ruled.now, taken_back)
     assert "taken back (by staff)" in ruled.governor.step(ruled.now)[0]
     assert ruled.governor.accounts["acme"].limits.rate == 0.0
 
 
 def test_a_release_lays_tenants_over_fewer_caches_and_the_others_fill_them():
     one = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
-    release = replace(RELEASE, shuffle=1, limits=Limits(), waves=())
+    release = replace(RELEASE, shuffle_shards=1, limits=Limits(), waves=())
     ruled = Ruled(charter(one, releases=(release,)))
     assert len(ruled.ask().pool.caches) == 3
     ruled.now = 20_000.0
     ruled.governor.step(ruled.now)
     pool = ruled.ask().pool
-    assert len(pool.caches) == 1 and set(pool.helpers) == {"s-01", "s-02", "s-03"}
-    kept = edits.keep_release(ruled.governor.charter, "r1")
-    assert kept.cells["north"].shuffle == 1 and kept.cells["south"].shuffle == 0
-    ruled.governor.renew(ruled.now, replace(kept, version=2))
+    assert len(pool.caches) == 1 and set(pool.migration_sources) == {"s-01", "s-02", "s-03"}
+    kept = edits.keep_release(ruled.governor.assignment, "r1")
+    assert kept.cells["north"].shuffle_shards == 1 and kept.cells["south"].shuffle_shards == 0
+    ruled.governor.replace_assignment(ruled.now, replace(kept, version=2))
     assert set(ruled.ask().pool.caches) == set(pool.caches)
 
 
 def test_a_director_restarted_in_a_move_goes_by_the_clock_and_proves_nothing():
-    held = replace(charter(TWO, moves=(move(starts=100_000.0),)), written=90_000.0)
+    held = replace(charter(TWO, moves=(move(starts_at=100_000.0),)), written_at=90_000.0)
     before, after = Ruled(held), Ruled(held)
     before.now = after.now = 103_000.0
     cells = [[one.ask(key=key).cell for key in range(50)] for one in (before, after)]
     assert cells[0] == cells[1] and len(set(cells[0])) == 2
-    assert not after.ask(request_class=ORDER, idempotency_key="r", repeated=True).harmless
+    assert not after.ask(request_class=ORDER, idempotency_key="r", repeated=True).is_never_executed
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -12,7 +12,7 @@
 from mulleinrelay.cells.service import CellService
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
-from mulleinrelay.lab.scenario import CharterError, read_scenario
+from mulleinrelay.lab.scenario import read_scenario
 from mulleinrelay.process import make
 
 SERVED, REJECTED, FAILED = 0, 1, 2
@@ -29,12 +29,12 @@
 def halfway(share=0.5, **changes):
     """A move that has long begun and is held when that share has gone over."""
     return move(
-        starts=1_000.0,
-        warm_for=0.0,
-        shift_for=1_000.0,
-        drain_for=EVER,
-        warm_share=0.0,
-        held_at=1_000.0 + 1_000.0 * share,
+        starts_at=1_000.0,
+        warm_up_duration=0.0,
+        shift_duration=1_000.0,
+        drain_duration=EVER,
+        warm_up_fraction=0.0,
+        paused_at=1_000.0 + 1_000.0 * share,
         **changes,
     )
 
@@ -46,14 +46,14 @@
     def silent(fields):
         return None if fields["name"].startswith("f") else HIT
 
-    ended, settle = [], CellService.settle
+    ended, settle = [], CellService.complete_request
 
     def noted(warden, grant, request, *how):
-        if request.key >> 60 == 0xF:
+        if request.object_id >> 60 == 0xF:
             ended.append(request)
         settle(warden, grant, request, *how)
 
-    monkeypatch.setattr(CellService, "settle", noted)
+    monkeypatch.setattr(CellService, "complete_request", noted)
     with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
         others = housed.caller()
         others.send(tenant="beta")
@@ -94,7 +94,9 @@
             write(dataclasses.replace(charter(TWO, moves=(halfway(),)), version=2))
         )
         assert wait_for(
-            lambda: all(one.warden.governor.charter.version == 2 for one in housed.services)
+            lambda: all(
+                one.cell_service.controller.assignment.version == 2 for one in housed.services
+            )
         )
         went = []
         for number in (0, 1):
@@ -122,9 +124,9 @@
         tmp_path, charter(TWO), plan=[held, HIT, HIT, HIT, HIT, HIT], directors=2
     ) as housed:
         for one in housed.services:
-            one.start_settings.request_classes["order"].group = "cell"
-            one.start_settings.request_classes["order"].never_kept = False
-            one.warden.governor.placement.unproven_until = 0.0
+            one.config.request_classes["order"].key_scope = "cell"
+            one.config.request_classes["order"].is_uncacheable = False
+            one.cell_service.controller.placement.unproven_until = 0.0
         first = housed.caller()
         first.send("order", tenant="acme", nonce="n1", patience="2900")
         assert wait_for(lambda: housed.heard()["s-01"])
@@ -132,7 +134,9 @@
             write(dataclasses.replace(charter(TWO, moves=(halfway(1.0),)), version=2))
         )
         assert wait_for(
-            lambda: all(one.warden.governor.charter.version == 2 for one in housed.services)
+            lambda: all(
+                one.cell_service.controller.assignment.version == 2 for one in housed.services
+            )
         )
         again = housed.caller(where)
         again.send("order", tenant="acme", nonce="n1", redo="1", patience="2900")
@@ -160,8 +164,8 @@
 def test_a_drain_told_in_the_middle_of_a_move_holds_for_both_cells(tmp_path):
     with Housed(tmp_path, charter(TWO, moves=(halfway(),))) as housed:
         director = housed.services[0]
-        director.bus.apply(2, rows(housed, "DRAINING", "s-01", "s-02"))
-        assert wait_for(lambda: len(director.facade.ready_caches()) == 1)
+        director.event_stream.apply(2, rows(housed, "DRAINING", "s-01", "s-02"))
+        assert wait_for(lambda: len(director.coordinator.ready_caches()) == 1)
         caller = housed.caller()
         for number in range(40):
             caller.send(tenant="acme", entity=f"{number:016x}")
@@ -177,7 +181,7 @@
         caller.send(tenant="acme", entity="00000000000000ab")
         assert caller.answer()[1] == SERVED
         director = housed.services[0]
-        director.bus.apply(
+        director.event_stream.apply(
             2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}}
         )
         caller.send(tenant="acme", entity="00000000000000ab")
@@ -247,7 +251,7 @@
     ],
 )
 def test_a_faulty_scenario_names_its_key(change, told):
-    with pytest.raises(CharterError) as fault:
+    with pytest.raises(ConfigError) as fault:
         read_scenario(LAB.replace(*change, 1))
     assert str(fault.value).startswith(told)
 
@@ -256,4 +260,4 @@
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
     with Housed(tmp_path, charter(TWO)) as housed:
         with pytest.raises(ConfigError, match="none.ini"):
-            make(housed.services[0].start_settings, housed.sinks[0], str(tmp_path / "cells.ini"))
+            make(housed.services[0].config, housed.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -38,10 +38,10 @@
         ({"aborted_at": 13_000.0}, 16_000.0, MigrationStage.ABORTED, 0.0),
         ({"aborted_at": 10_500.0}, 11_000.0, MigrationStage.ABORTED, 0.0),
         ({"aborted_at": 18_000.0}, 19_000.0, MigrationStage.DONE, 0.75),
-        ({"held_at": 13_000.0}, 99_000.0, MigrationStage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, MigrationStage.SHIFT, 0.525),
-        ({"held_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, MigrationStage.DRAIN, 1.0),
-        ({"held_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, MigrationStage.BACK, 0.275),
+        ({"paused_at": 13_000.0}, 99_000.0, MigrationStage.SHIFT, 0.525),
+        ({"paused_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, MigrationStage.SHIFT, 0.525),
+        ({"paused_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, MigrationStage.DRAIN, 1.0),
+        ({"paused_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, MigrationStage.BACK, 0.275),
     ],
 )
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
@@ -60,11 +60,16 @@
     st.integers(0, 2**64 - 1),
 )
 def test_the_share_never_jumps(warm, shift, drain, aborted_at, now, key):
-    held = move(warm_for=warm, shift_for=shift, drain_for=drain, aborted_at=aborted_at or 0.0)
+    held = move(
+        warm_up_duration=warm,
+        shift_duration=shift,
+        drain_duration=drain,
+        aborted_at=aborted_at or 0.0,
+    )
     step = 10.0
     before, after = migrations.shifted(held, now), migrations.shifted(held, now + step)
-    steepest = max(1.0 / shift, held.warm_share / warm if warm else 0.0) * step
-    assert abs(after - before) <= steepest + (held.warm_share if not warm else 0.0) + 1e-9
+    steepest = max(1.0 / shift, held.warm_up_fraction / warm if warm else 0.0) * step
+    assert abs(after - before) <= steepest + (held.warm_up_fraction if not warm else 0.0) + 1e-9
     if not aborted_at:  # what has gone over stays over
         assert not migrations.over(held, key, before) or migrations.over(held, key, after)
 
@@ -77,10 +82,10 @@
     found = migrations.shift_time(demand)
     assert (found is not None) == bears
     if bears:
-        held = move(shift_for=found)
+        held = move(shift_duration=found)
         peak = max(load for _, _, load in migrations.loads(held, demand))
         assert 0.5 < peak <= migrations.HEAD_ROOM + 0.01
-        cut = move(warm_for=0.0, shift_for=1.0)  # all at once
+        cut = move(warm_up_duration=0.0, shift_duration=1.0)  # all at once
         assert max(load for _, _, load in migrations.loads(cut, demand)) > 1.0
 
 
@@ -100,19 +105,25 @@
 def histories():
     """Versions of the file, (written at, charter) each, as staff's commands write them."""
     base = (
-        charter(spread=SPREAD, skew=SKEW, horizon=HORIZON, written=None)
+        charter(propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=None)
         if False
-        else replace(charter(), spread=SPREAD, skew=SKEW, horizon=HORIZON, written=0.0)
+        else replace(
+            charter(),
+            propagation_time=SPREAD,
+            clock_skew=SKEW,
+            retry_horizon=HORIZON,
+            written_at=0.0,
+        )
     )
     spans = edits.Spans(200.0, 800.0, 200.0)
     begun = replace(edits.start_move(base, "m1", ("acme",), "south", 0.0, spans), version=2)
     yield "plain", [(0.0, begun)]
     for at in (300.0, 800.0, 1_100.0):
-        aborted = replace(edits.abort(begun, "m1", at), version=3, written=at)
+        aborted = replace(edits.abort(begun, "m1", at), version=3, written_at=at)
         yield f"aborted {at}", [(0.0, begun), (at, aborted)]
-        held = replace(edits.hold(begun, "m1", at), version=3, written=at)
+        held = replace(edits.hold(begun, "m1", at), version=3, written_at=at)
         yield f"held {at}", [(0.0, begun), (at, held)]
-        resumed = replace(edits.resume(held, "m1", at + 900.0), version=4, written=at + 900.0)
+        resumed = replace(edits.resume(held, "m1", at + 900.0), version=4, written_at=at + 900.0)
         yield f"resumed {at}", [(0.0, begun), (at, held), (at + 900.0, resumed)]
 
 
@@ -148,7 +159,9 @@
     many were tried and failed.
     """
     broken, tried, off = [], 0, 0
-    base = replace(charter(), spread=SPREAD, skew=SKEW, horizon=HORIZON, written=-1e6)
+    base = replace(
+        charter(), propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=-1e6
+    )
     for name, history in histories_():
         readers = [
             Reader(base, history, lag, skew, most)
@@ -167,7 +180,7 @@
                         tried += 1
                         again = other.spot(first + later, key, request_class, True)
                         if isinstance(again, Unplaced):
-                            held, off = history[0][1].moves["m1"], off + 1
+                            held, off = history[0][1].migrations["m1"], off + 1
                             assert migrations.over(
                                 held, key, migrations.reach(held, first + later + 2.0 * SKEW)
                             )
@@ -202,7 +215,7 @@
 
 
 def test_a_retry_at_the_same_director_stays_with_the_cell_that_ran_it():
-    held = replace(charter(moves=(move(),)), written=-1e6)
+    held = replace(charter(moves=(move(),)), written_at=-1e6)
     ruled = Ruled(held)
     ruled.now = 10_100.0
     first = {
@@ -218,7 +231,7 @@
         ruled.ask(key=key, request_class=ORDER, idempotency_key=f"n{key}").cell for key in KEYS
     }
     strange = ruled.ask(key=KEYS[0], request_class=ORDER, idempotency_key="other", repeated=True)
-    assert not strange.harmless  # failed: another director may have run it
+    assert not strange.is_never_executed  # failed: another director may have run it
 
 
 @pytest.mark.parametrize(
@@ -236,7 +249,9 @@
     pool = ruled.ask(key=KEYS[0]).pool
     old = ruled.governor.placement.by_cell["north"]
     assert ruled.ask(key=KEYS[0]).cell == cell
-    assert (set(pool.spare) == set(old)) == spare and (set(pool.helpers) == set(old)) == helpers
+    assert (set(pool.failover_caches) == set(old)) == spare and (
+        set(pool.migration_sources) == set(old)
+    ) == helpers
 
 
 def every_cell(ruled, count):
@@ -252,7 +267,7 @@
 
 def test_a_receiving_cell_that_dies_gives_back_and_returns_without_a_jump():
     two = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
-    ruled = Ruled(charter(two, moves=(move(drain_for=60_000.0),)))
+    ruled = Ruled(charter(two, moves=(move(drain_duration=60_000.0),)))
     south = ruled.governor.placement.by_cell["south"]
     ruled.now = 16_000.0
     assert cells_of(ruled, 200) == {"south"}
@@ -274,14 +289,16 @@
 
 
 def test_a_changed_file_in_the_middle_of_a_move_proves_nothing():
-    ruled = Ruled(replace(charter(moves=(move(),)), written=-1e6))
+    ruled = Ruled(replace(charter(moves=(move(),)), written_at=-1e6))
     ruled.now = 13_000.0
-    other = replace(charter(moves=(move(name="m2", starts=12_900.0),)), version=2, written=-1e6)
-    words = ruled.governor.renew(ruled.now, other)
+    other = replace(
+        charter(moves=(move(name="m2", starts_at=12_900.0),)), version=2, written_at=-1e6
+    )
+    words = ruled.governor.replace_assignment(ruled.now, other)
     assert any("without a move" in word for word in words)
     assert not ruled.ask(
         key=KEYS[4], request_class=ORDER, idempotency_key="x", repeated=True
-    ).harmless
+    ).is_never_executed
     ruled.now += 1.0
     assert ruled.ask(key=KEYS[4], request_class=PAGES).cell == "north"
 
@@ -321,14 +338,20 @@
 )
 def test_what_would_break_a_move_is_refused_in_words(deed, why):
     with pytest.raises(edits.RefusalError, match=why):
-        deed(replace(charter(moves=(move(drain_for=9_000.0),)), spread=100.0, skew=10.0))
+        deed(
+            replace(
+                charter(moves=(move(drain_duration=9_000.0),)),
+                propagation_time=100.0,
+                clock_skew=10.0,
+            )
+        )
 
 
 def test_a_move_that_is_over_leaves_its_tenants_where_they_ended():
     held = charter(moves=(move(),))
     assert edits.end_moves(held, 17_000.0)[1] == []  # a client may still try again
     after, names = edits.end_moves(held, 99_000.0)
-    assert names == ["m1"] and after.tenants["acme"].cell == "south" and not after.moves
+    assert names == ["m1"] and after.tenants["acme"].cell == "south" and not after.migrations
     back, _ = edits.end_moves(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
     assert back.tenants["acme"].cell == "north"
-    assert edits.abort(held, "m1", 1_000.0).moves == {}  # nobody has begun
+    assert edits.abort(held, "m1", 1_000.0).migrations == {}  # nobody has begun
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -11,7 +11,7 @@
 
 REJECTED, FAILED = 1, 2
 TWO = (
-    Cell("north", caches=("s-01",), neighbours=("south",), reserve=0.5),
+    Cell("north", caches=("s-01",), failover_cells=("south",), failover_quota=0.5),
     Cell("south", caches=("s-02", "s-03")),
 )
 
@@ -58,7 +58,7 @@
     [("reject", "nobody", REJECTED), ("default_tenant", "nobody", 0), ("reject", "acme", 0)],
 )
 def test_an_unknown_tenant_gets_what_the_file_says(unknown, told, what, tmp_path):
-    with Housed(tmp_path, charter(TWO, unknown=unknown)) as housed:
+    with Housed(tmp_path, charter(TWO, unknown_tenant_policy=unknown)) as housed:
         caller = housed.caller()
         caller.send(tenant=told)
         assert caller.answer()[1] == what
@@ -71,7 +71,7 @@
         TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=1)), "beta", "shared")
     )
     with Housed(tmp_path, held) as housed:
-        housed.services[0].start_settings.request_classes["order"].group = "cell"
+        housed.services[0].config.request_classes["order"].key_scope = "cell"
         caller = housed.caller()
         caller.send("order", tenant="acme", redo="1")
         assert caller.answer()[1] == 0
@@ -85,7 +85,7 @@
         caller.send(tenant="acme")
         assert caller.answer()[1] == 0
         director = housed.services[0]
-        director.bus.apply(2, rows(housed, "DRAINING", "s-01"))
+        director.event_stream.apply(2, rows(housed, "DRAINING", "s-01"))
         assert wait_for(
             lambda: any("north lost" in str(figures) for figures in housed.sinks[0].figures)
         )
@@ -105,6 +105,6 @@
         whole = write(charter(TWO, version=2)) if text == "version = 0" else text
         housed.path.write_text(whole)
         assert wait_for(lambda: any(told in str(figures) for figures in housed.sinks[0].figures))
-        assert housed.services[0].warden.governor.charter.version == 3
+        assert housed.services[0].cell_service.controller.assignment.version == 3
         housed.path.write_text(write(dataclasses.replace(charter(TWO), version=4)))
-        assert wait_for(lambda: housed.services[0].warden.governor.charter.version == 4)
+        assert wait_for(lambda: housed.services[0].cell_service.controller.assignment.version == 4)
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_reading.py
@@ -118,7 +118,7 @@
         (Rollout("r1", "north", (("south",),), 5.0, 9.0, limits),),
         limits=limits,
     )
-    held = replace(held, written=written)
+    held = replace(held, written_at=written)
     assert read(write(held)) == held
 
 
@@ -142,7 +142,7 @@
 
 def test_the_examples_can_be_used():
     own = load_cells_config("deploy/cells.ini")
-    assert not own.enabled and store.load(own.assignment).tenants["acme"].groups == (
+    assert not own.enabled and store.load(own.assignment_file).tenants["acme"].groups == (
         (0, 15),
         (40, 40),
     )
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -10,13 +10,15 @@
 from helpers import Stage
 from stage import Cell, Ruled, charter, move
 
-from mulleinrelay.coordinator import CancelAttempt, Order
+from mulleinrelay.coordinator import CancelAttempt, SendAttempt
 from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
 from mulleinrelay.policy.router import Router
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
-MOVE = move(starts=101_000.0, warm_for=500.0, shift_for=2_000.0, drain_for=1_500.0)
+MOVE = move(
+    starts_at=101_000.0, warm_up_duration=500.0, shift_duration=2_000.0, drain_duration=1_500.0
+)
 ABORTED = replace(MOVE, aborted_at=102_500.0)
 VERSIONS = [
     charter(TWO),
@@ -37,9 +39,11 @@
 
     def __init__(self, version):
         self.stage = Stage()
-        self.stage.facade.terms.directors = self.stage.facade.terms.directors_here = 2
-        director = self.stage.facade.director
-        director.cold_here.part = director.cold_parents.part = (
+        self.stage.facade.settings.director_count = (
+            self.stage.facade.settings.local_director_count
+        ) = 2
+        director = self.stage.facade.router
+        director.cold_here.fraction = director.cold_parents.fraction = (
             0.5  # as such terms at its start would have it
         )
         self.ruled = Ruled(version)
@@ -49,7 +53,7 @@
         self.stage.now = now
         if what == "purge":
             self.told["purge"] = now
-            return self.stage.facade.purged(0xABC, 0, now)
+            return self.stage.facade.apply_purge(0xABC, 0, now)
         row = next(entry for entry in self.stage.entries if entry.name == box)
         state = {
             "drain": EndpointState.DRAINING,
@@ -57,28 +61,28 @@
             "gone": EndpointState.GONE,
         }[what]
         self.told[what, box] = now
-        changed = replace(row, state=state, started=now if what == "cold" else row.started)
-        self.stage.facade.listed([changed], False)
+        changed = replace(row, state=state, started_at=now if what == "cold" else row.started_at)
+        self.stage.facade.update_endpoints([changed], False)
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
         self.stage.now = self.ruled.now = now
         facade, governor = self.stage.facade, self.ruled.governor
         caches = facade.ready_caches()
-        governor.listed(now, caches)
+        governor.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
             grant = self.ruled.ask(key=key)
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.request_classes[0]
-            request = facade.take(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
-            while (step := facade.pick(request)) is not None:
-                if isinstance(step, Order):
+            request = facade.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
+            while (step := facade.next_step(request)) is not None:
+                if isinstance(step, SendAttempt):
                     yield step
-                    facade.report(
+                    facade.report_outcome(
                         step.attempt,
                         Outcome.SERVED,
-                        CacheStatus.FILLED if step.source else CacheStatus.HIT,
+                        CacheStatus.FILLED if step.fill_source else CacheStatus.HIT,
                     )
                 elif not isinstance(step, CancelAttempt):
                     break
@@ -95,12 +99,12 @@
                 side.strike(now, what, box)
         for side in sides:
             for order in side.requests(now):
-                named = {order.place.name, order.source}
+                named = {order.address.name, order.fill_source}
                 if what in ("drain", "gone") and when <= now and box in named:
                     broken.add(3)
                 if what == "cold" and when <= now and box in named:
                     spent.append((now, WORK))
-                if what == "purge" and when <= now and order.attempt.request.key == 0xABC:
+                if what == "purge" and when <= now and order.attempt.request.object_id == 0xABC:
                     if not 0.0 < order.max_age <= now - when + 1.0:
                         broken.add(5)
         now += STEP
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -22,7 +22,9 @@
     @initialize()
     def begin(self):
         self.now, self.count = 100_000.0, 0
-        self.held = replace(charter(), spread=300.0, skew=50.0, horizon=400.0, written=0.0)
+        self.held = replace(
+            charter(), propagation_time=300.0, clock_skew=50.0, retry_horizon=400.0, written_at=0.0
+        )
         self.placement = Placement(self.held, True)
         self.placement.listed(self.now, CACHES)
         self.cells = self.look()
@@ -37,7 +39,7 @@
         except edits.RefusalError:
             return
         if new != self.held:
-            new = replace(new, version=self.held.version + 1, written=self.now)
+            new = replace(new, version=self.held.version + 1, written_at=self.now)
             assert read(write(new)) == new
             self.held = new
             self.placement.renew(
@@ -52,15 +54,15 @@
 
     @rule()
     def hold(self):
-        self.change(lambda held: edits.hold(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.hold(held, next(iter(held.migrations), "none"), self.now))
 
     @rule()
     def resume(self):
-        self.change(lambda held: edits.resume(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.resume(held, next(iter(held.migrations), "none"), self.now))
 
     @rule()
     def abort(self):
-        self.change(lambda held: edits.abort(held, next(iter(held.moves), "none"), self.now))
+        self.change(lambda held: edits.abort(held, next(iter(held.migrations), "none"), self.now))
 
     @rule()
     def end(self):
@@ -80,7 +82,7 @@
 
     @invariant()
     def what_is_over_is_told_by_the_clock(self):
-        for held in self.held.moves.values():
+        for held in self.held.migrations.values():
             share = migrations.shifted(held, self.now)
             found = sum(cell == held.target for cell in self.look()) / len(KEYS)
             assert abs(found - share) < 0.2
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -69,27 +69,27 @@
         terms = dict(
             request_classes=[case],
             zone=1,
-            directors=3,
-            directors_here=1,
+            director_count=3,
+            local_director_count=1,
             parent_kind=PARENT,
             origin_kind=ORIGIN,
-            sized=True,
-            flow=10.0,
-            attempts_most=6,
-            two_attempts=True,
-            may_cancel=True,
-            may_probe=False,
-            may_advise=True,
-            advice_most=1000.0,
-            may_pass_by=True,
-            joins=True,
-            siblings=True,
-            must_subscribe=False,
-            reports=["crowding"],
-            asks_reports=False,
-            cold_cache=SlowStartPolicy(0.2, 17000.0, 1500.0, 2.5),
-            cold_parent=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
-            purge_span=6000.0,
+            advertises_weights=True,
+            transfer_rate=10.0,
+            max_attempts=6,
+            allows_hedging=True,
+            allows_cancel=True,
+            allows_health_checks=False,
+            allows_retry_after=True,
+            max_retry_after=1000.0,
+            allows_cache_bypass=True,
+            allows_coalescing=True,
+            allows_sibling_fills=True,
+            requires_subscription=False,
+            load_report_fields=["crowding"],
+            polls_load_reports=False,
+            cache_slow_start=SlowStartPolicy(0.2, 17000.0, 1500.0, 2.5),
+            parent_slow_start=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
+            purge_propagation=6000.0,
         )
         self.terms = ServiceSettings(**(terms | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
@@ -112,7 +112,7 @@
         self.now += after
         self.director.round(self.now, [(method, arguments)], self.out)
 
-    def ask(self, key=None, size=1000.0, left=6000.0, after=1.0):
+    def ask(self, key=None, size=1000.0, left=6000.0, after=1.0) -> Request:
         self.now += after
         self.count += 1
         key = key or 1000 + self.count
@@ -235,7 +235,7 @@
         self.events.append(what)
         self.figures.append(figures)
 
-    def fault(self, where, broken):
+    def exception(self, where, broken):
         self.event("fault", where=where, kind=type(broken).__name__)
 
 
@@ -262,32 +262,32 @@
             )
             for place, (name, zone, kind) in enumerate(SPOTS)
         ]
-        self.facade.listed(self.entries, True)
+        self.facade.update_endpoints(self.entries, True)
 
     def now_is_real(self):
         self.facade.clock = lambda: time.monotonic() * 1000.0
         self.now = self.facade.clock()
 
-    def take(self, request_class="pages", left=6000.0, room=True):
+    def take(self, request_class="pages", left=6000.0, room=True) -> Request:
         case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
-        return self.facade.take(case, 0xABC, 0, 1, 100.0, left, False, room=room)
+        return self.facade.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
 
     def again(self, request):
         """The same request with its first attempt out, for another host of the module."""
         first = request.attempts[0]
-        twin = Request(1, request.request_class, request.key, 0, 1, 100.0, 0.0, 6000.0)
-        twin.attempts.append(Attempt(twin, 0, first.node, first.source, 0.0, 6000.0))
+        twin = Request(1, request.request_class, request.object_id, 0, 1, 100.0, 0.0, 6000.0)
+        twin.attempts.append(Attempt(twin, 0, first.endpoint, first.fill_source, 0.0, 6000.0))
         return twin
 
     def until_verdict(self, request):
-        while isinstance(step := self.facade.pick(request), SendAttempt | CancelAttempt):
+        while isinstance(step := self.facade.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
     def pass_time(self, span):
         """Runs the timers of a span, each at its time."""
         end = self.now + span
-        while (due := self.facade.tick()[0]) <= end:
+        while (due := self.facade.run_due_timers()[0]) <= end:
             self.now = max(self.now, due)
         self.now = end
 
@@ -521,15 +521,15 @@
         self.sink = Sink()
         self.service = Director(parse_config(json.dumps(whole)), self.sink)
 
-    def __enter__(self):
+    def __enter__(self) -> "Running":
         self.service.start()
-        self.address = self.service.front.listener.getsockname()
+        self.address = self.service.listener.listener.getsockname()
         self.ender = threading.Thread(target=self.service.wait, daemon=True)
         self.ender.start()
         self.callers = []
         return self
 
-    def caller(self):
+    def caller(self) -> Caller:
         self.callers.append(Caller(self.address))
         return self.callers[-1]
 
@@ -596,7 +596,7 @@
         self.reader.join(seconds)
         return code
 
-    def __enter__(self):
+    def __enter__(self) -> "Program":
         assert wait_for(lambda: self.says(phase="ready"), 20.0)
         return self
 
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -15,12 +15,12 @@
 CLEAR = "[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = 127.0.0.1:0\nstate_dir = state\n"
 
 
-def charter():
+def charter() -> Assignment:
     return Assignment(
         1,
         1000.0,
         {
-            "north": Cell("north", caches=("s-01",), neighbours=("south",)),
+            "north": Cell("north", caches=("s-01",), failover_cells=("south",)),
             "south": Cell("south", caches=("s-02", "s-03")),
         },
         {"acme": Tenant("acme", "north"), "beta": Tenant("beta", "south")},
@@ -47,10 +47,10 @@
             self.start, self.sink, held, parse_management_config(own, str(folder))
         )
 
-    def __enter__(self):
+    def __enter__(self) -> "Managed":
         self.service.start()
-        self.address = f"127.0.0.1:{self.service.server.port}"
-        self.manager = self.service.server.manager
+        self.address = f"127.0.0.1:{self.service.gnmi_server.port}"
+        self.manager = self.service.gnmi_server.manager
         return self
 
     def target(self, **access):
@@ -58,11 +58,11 @@
         return self.targets[-1]
 
     def caller(self):
-        self.callers.append(Caller(self.service.front.listener.getsockname()))
+        self.callers.append(Caller(self.service.listener.listener.getsockname()))
         return self.callers[-1]
 
     def ready(self):
-        return [name for name, _, _ in self.service.facade.ready_caches()]
+        return [name for name, _, _ in self.service.coordinator.ready_caches()]
 
     def heard(self):
         return heard(self.nodes)
@@ -79,7 +79,7 @@
             "weight": 4,
             "started_ms": started,
         }
-        self.service.bus.apply(
+        self.service.event_stream.apply(
             number, {"topology": {"version": number, "full": full, "servers": [row]}}
         )
 
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -236,13 +236,13 @@
 
 WRITER = """
 import sys
-from mulleinrelay.management.datastore import Held, Version
-from mulleinrelay.management.datastore_file import Keeper
-keeper, number = Keeper(sys.argv[1]), 0
+from mulleinrelay.management.datastore import DatastoreState, Version
+from mulleinrelay.management.datastore_file import DatastoreFile
+keeper, number = DatastoreFile(sys.argv[1]), 0
 print("on", flush=True)
 while True:
     number += 1
-    keeper.save(Held([Version(number, {"a": [number] * 20_000}, 1.0, "", "")]))
+    keeper.save(DatastoreState([Version(number, {"a": [number] * 20_000}, 1.0, "", "")]))
 """
 
 
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -53,7 +53,7 @@
         whole.held,
         director.path.read_bytes(),
         director.ready(),
-        director.service.warden.governor.charter,
+        director.service.cell_service.controller.assignment,
         (director.folder / "state" / "datastore").read_bytes(),
     )
 
@@ -270,11 +270,13 @@
             ],
         )
         assert done.exit_code == 0
-        assert wait_for(lambda: "m1" in director.service.warden.governor.charter.moves)
+        assert wait_for(
+            lambda: "m1" in director.service.cell_service.controller.assignment.migrations
+        )
         ((_, held),) = target.get(parse("/fleet/assignment/move[name=m1]"))
         assert held["state"]["stage"] == "planned"
         number = target.set(deletes=[parse("/fleet/assignment/move[name=m1]")])
-        assert store.load(str(director.path)).moves == {} and target.get(
+        assert store.load(str(director.path)).migrations == {} and target.get(
             parse("/fleet/datastore/version")
         )[0][1] == str(number)
 
@@ -302,7 +304,7 @@
     assert before[:2] == after[:2] and before[3] == after[3] and before[5] == after[5]
     assert after[4].tenants == before[4].tenants  # under a higher version of the file
     assert wait_for(
-        lambda: running.service.warden.governor.charter == store.load(str(running.path))
+        lambda: running.service.cell_service.controller.assignment == store.load(str(running.path))
     )
 
 
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -237,7 +237,7 @@
 
 def drained(every_life=False, listed=(BOX,)):
     intent = DrainIntent()
-    intent.told(0.0, listed, True)
+    intent.update_endpoints(0.0, listed, True)
     intent.want(1.0, {"s-1": Want("s-1", every_life)})
     return intent
 
@@ -274,21 +274,21 @@
 def test_a_drain_binds_the_life_it_met(every_life, then, phase, state):
     intent = drained(every_life)
     for number, one in enumerate(then):
-        intent.told(10.0 + number, [one], False)
-    assert intent.drains["s-1"].phase == phase and intent.state(then[-1]) == state
+        intent.update_endpoints(10.0 + number, [one], False)
+    assert intent.drains["s-1"].phase == phase and intent.effective_state(then[-1]) == state
 
 
 def test_a_drain_of_a_box_that_is_not_listed_waits_for_it():
     intent = drained(listed=[entry("s-2")])
     assert intent.drains["s-1"].phase == Phase.WAITING
-    intent.told(5.0, [entry()], False)
-    assert intent.state(entry()) == EndpointState.DRAINING
+    intent.update_endpoints(5.0, [entry()], False)
+    assert intent.effective_state(entry()) == EndpointState.DRAINING
 
 
 def test_a_newcomer_at_the_address_of_a_drained_box_is_not_meant():
     intent = drained(True)
-    intent.told(5.0, [entry(state=EndpointState.GONE), entry("s-9")], False)
-    assert intent.state(entry("s-9")) == EndpointState.READY
+    intent.update_endpoints(5.0, [entry(state=EndpointState.GONE), entry("s-9")], False)
+    assert intent.effective_state(entry("s-9")) == EndpointState.READY
 
 
 def test_intent_and_list_that_disagree_are_told_of_once():
@@ -297,7 +297,7 @@
     assert [drain.want.box for drain in intent.disagreeing(DISAGREES + 100.0)] == ["s-1"]
     assert not intent.disagreeing(9e9)
     agreed = drained()
-    agreed.told(5.0, [entry(state=EndpointState.DRAINING)], False)
+    agreed.update_endpoints(5.0, [entry(state=EndpointState.DRAINING)], False)
     assert not agreed.disagreeing(9e9)
 
 
--- a/tests/management/test_tls.py
+++ b/tests/management/test_tls.py
@@ -136,7 +136,7 @@
 
         def hang_up():
             while not ended.is_set():
-                director.service.renew(director.start)
+                director.service.reload(director.start)
 
         disturber = threading.Thread(target=hang_up)
         disturber.start()
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -294,6 +294,6 @@
         lambda: 1000.0 * time.time(),
         StructuredLog("n1", os.open(os.devnull, os.O_WRONLY)),
     )
-    talk.begin()
+    talk.start()
     talk.stop()
     assert not [thread for thread in threading.enumerate() if thread.name == "fleet"]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -92,7 +92,11 @@
     (frame,) = feed(thrift.Frames(), serve_frame(1, FIELDS | {"new": "1"}, b"xy"), 1000)
     known = bytes(thrift.read_call(frame).rest.frame[17:-1])
     asked = thrift.read_serve(thrift.Reader(memoryview(unknown + known + unknown + b"\x00")))
-    assert (asked.request_class, asked.left, bytes(asked.body)) == ("pages", 1500.0, b"xy")
+    assert (asked.request_class, asked.remaining_time, bytes(asked.body)) == (
+        "pages",
+        1500.0,
+        b"xy",
+    )
 
 
 @pytest.mark.parametrize(
@@ -177,7 +181,7 @@
         ("a1", Outcome.SERVED, 9006, False),
         ("a2", Outcome.MISS, 0, False),
         ("a3", Outcome.SERVED, 0, True),
-        ("a4", Outcome.MOOT, 0, False),
+        ("a4", Outcome.NOT_SENT, 0, False),
     ]
 
 
@@ -297,7 +301,7 @@
         {"x1": "crowding"},
     )
     assert (told.note, told.waited, told.load) == (
-        CacheStatus.SOURCE_LOST,
+        CacheStatus.SOURCE_FAILED,
         12.5,
         {"inflight": 7, "crowding": 0.61},
     )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -74,7 +74,12 @@
 
 def test_a_configuration_as_a_director_gets_it(tmp_path):
     start = parse_config(json.dumps(configuration()))
-    assert (start.name, start.seed, start.sockets, start.known) == ("n3", 0x8C1F, 1024, 1)
+    assert (start.name, start.seed, start.max_descriptors, start.last_event_number) == (
+        "n3",
+        0x8C1F,
+        1024,
+        1,
+    )
     assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {
         "hub": 0,
         "edge": 1,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -71,7 +71,7 @@
 
 def waiting(director):
     """The one attempt that waits for its link."""
-    caches = director.service.caches
+    caches = director.service.upstream
     assert wait_for(lambda: len(caches.of_attempt) == 1)
     return next(iter(caches.of_attempt))
 
@@ -82,7 +82,7 @@
 
 BETWEEN = {
     "its cache drains": lambda d, attempt: told(
-        d, attempt.ways[0][1].name, state=EndpointState.DRAINING
+        d, attempt.addresses[0][1].name, state=EndpointState.DRAINING
     ),
     "its cache is gone": lambda d, attempt: told(
         d, attempt.ways[0][1].name, state=EndpointState.GONE
@@ -148,7 +148,7 @@
         gate.set()
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (1, 0)
-        assert wait_for(lambda: not director.service.caches.of_attempt)
+        assert wait_for(lambda: not director.service.upstream.of_attempt)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
@@ -225,12 +225,14 @@
 @pytest.mark.parametrize("cancel, told", [(True, 1), (False, 0)])
 def test_a_node_is_told_of_what_is_given_up_only_where_the_settings_allow_it(cancel, told):
     with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
-        caller, caches = director.caller(), director.service.caches
+        caller, caches = director.caller(), director.service.upstream
         caller.send("pay", patience="300")
         assert wait_for(director.heard)
         (attempt,) = caches.of_attempt
-        caches.give_up(attempt)
-        caches.probe(attempt.node, attempt.ways[0][1])  # behind it on the same connection
+        caches.cancel(attempt)
+        caches.check_health(
+            attempt.endpoint, attempt.addresses[0][1]
+        )  # behind it on the same connection
         assert wait_for(lambda: director.heard("METER")) and len(director.heard("KILL")) == told
         assert caller.answer()[:2] == (1, 2)
 
@@ -241,7 +243,10 @@
 ):
     # Guards against the next attempt that overtakes the word that the first one is given up.
     with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
-        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
         attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         ours, theirs = socket.socketpair()
         link = UpstreamConnection(place, director.service.clock(), caches.lock)
@@ -249,7 +254,7 @@
         caches.links[place] = [link]
         caches._put(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
         assert caches.of_attempt[attempt][0] is link
-        caches.give_up(attempt)
+        caches.cancel(attempt)
         assert link.outlet.ended != two_attempts
         theirs.close()
         ours.close()
@@ -260,16 +265,16 @@
     # Guards against questions of any kind to nodes that leave: what waited for its link, and what a
     # quiet link would be asked.
     with Running(None) as director:
-        caches, facade = director.service.caches, director.service.facade
-        nodes = list(facade.director.caches)
+        caches, facade = director.service.upstream, director.service.coordinator
+        nodes = list(facade.router.caches)
         for node in nodes:
-            caches.probe(node, facade.places[node])
-        leaves = facade.places[nodes[0]]
+            caches.check_health(node, facade.addresses[node])
+        leaves = facade.addresses[nodes[0]]
         told(director, leaves.name, state=state)
         gate.set()
         assert wait_for(lambda: len(director.heard("METER")) == 2)
         assert wait_for(lambda: not any(link.open for link in caches.links.get(leaves, ())))
-        caches.probe(nodes[0], leaves)
+        caches.check_health(nodes[0], leaves)
         time.sleep(0.05)
         assert len(director.heard("METER")) == 2
 
@@ -277,14 +282,14 @@
 @pytest.mark.parametrize("state", [EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
 def test_a_quiet_link_is_asked_for_an_echo_only_where_its_node_stays(state):
     with Running(None) as director:
-        caller, caches = director.caller(), director.service.caches
+        caller, caches = director.caller(), director.service.upstream
         caller.send(patience="6000")
         assert wait_for(director.heard)
         attempt = waiting(director)
         told(director, attempt.ways[0][1].name, state=state)
         link = caches.of_attempt[attempt][0]
         link.heard, attempt.sent = 0.0, 1.0
-        caches.ask()
+        caches.ping_quiet_connections()
         assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == EndpointState.READY)
 
 
@@ -303,7 +308,7 @@
             caller = director.caller()
             caller.send()
             assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
-        members = director.service.facade.director.members
+        members = director.service.coordinator.router.members
         assert members and not any(member.shunned or member.health.bad for member in members)
         caller.send()
         assert caller.answer()[:2] == (2, 0)
@@ -317,7 +322,11 @@
         raise OSError(errno.EMFILE, "too many open files")
 
     with Running(bus=bus_at) as director:
-        front, stream, caller = director.service.front, director.service.bus, director.caller()
+        front, stream, caller = (
+            director.service.listener,
+            director.service.event_stream,
+            director.caller(),
+        )
         listener, front.listener = front.listener, SimpleNamespace(accept=short)
         with monkeypatch.context() as held:
             held.setattr(
@@ -327,7 +336,7 @@
             )
             caller.send()  # it was accepted before, and is served all the while
             assert caller.answer()[:2] == (1, 0)
-            stream.move(stream.address)
+            stream.reconnect_to(stream.address)
             assert wait_for(lambda: len(tries) >= 4)
         front.listener = listener
         other = director.caller()
@@ -352,7 +361,7 @@
         caller, origin = director.caller(), director.nodes[-1]
         caller.send("pay")
         assert caller.answer()[:2] == (1, 0)
-        (links,) = director.service.caches.links.values()
+        (links,) = director.service.upstream.links.values()
         link = links[0]
         origin.connections[0].shutdown(socket.SHUT_RDWR)
         assert wait_for(link.closed_there)
@@ -409,7 +418,7 @@
         stayer.send(entity="00000000000000cd")
         reading.set()
         assert stayer.answer()[:2] == (1, 0)
-        assert wait_for(lambda: len(director.service.front.clients) == 1)
+        assert wait_for(lambda: len(director.service.listener.clients) == 1)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
@@ -441,10 +450,10 @@
         caller.send()
         assert wait_for(director.heard)
         (LEAVES | stays)[how](caller)
-        (client,) = director.service.front.clients
+        (client,) = director.service.listener.clients
         assert wait_for(lambda: client._next() is not None)
         left.set()
-        assert wait_for(lambda: not director.service.facade.open_requests())
+        assert wait_for(lambda: not director.service.coordinator.pending_count())
         assert (len(director.heard()) == 1) is (how in LEAVES)
         read.set()
 
@@ -456,15 +465,17 @@
         caller, other = director.caller(), director.caller()
         other.send()
         assert other.answer()[:2] == (1, 0)  # the link is up
-        with director.service.facade.lock:
+        with director.service.coordinator.lock:
             caller.send()
-            assert wait_for(lambda: any(client.open for client in director.service.front.clients))
+            assert wait_for(
+                lambda: any(client.open for client in director.service.listener.clients)
+            )
             if how == "forget":
                 caller.socket.sendall(forget(1))
             else:
                 caller.close()
             time.sleep(2.0 * client_module.AT_ONCE)
-        assert wait_for(lambda: not director.service.facade.open_requests())
+        assert wait_for(lambda: not director.service.coordinator.pending_count())
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (2, 0)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["ab", "cd"]
@@ -480,10 +491,10 @@
         caller.send()
         assert wait_for(director.heard)
         caller.socket.sendall(forget(1))
-        (client,) = director.service.front.clients
+        (client,) = director.service.listener.clients
         assert wait_for(lambda: client.calls)
         left.set()
-        assert wait_for(lambda: not director.service.facade.open_requests())
+        assert wait_for(lambda: not director.service.coordinator.pending_count())
         assert len(director.heard()) == 1
         go.set()
 
@@ -505,14 +516,14 @@
         assert wait_for(director.heard)
         if not together:
             caller.socket.sendall(wrong)
-        (client,) = director.service.front.clients
+        (client,) = director.service.listener.clients
         assert wait_for(lambda: client.wrong)
         caller.socket.sendall(wrong)
         answer.set()
         assert caller.answer() == (7, 0, {}, b"bytes")
         with pytest.raises(EOFError):
             caller.answer()
-        assert wait_for(lambda: not director.service.front.clients)  # though it does not close
+        assert wait_for(lambda: not director.service.listener.clients)  # though it does not close
 
 
 def test_who_sends_what_cannot_be_read_and_goes_is_not_waited_for():
@@ -522,31 +533,36 @@
         assert wait_for(director.heard)
         caller.socket.sendall(b"\xff" * 100)
         caller.close()
-        assert wait_for(lambda: not director.service.front.clients, 1.0)
-        assert not director.service.facade.open_requests()
+        assert wait_for(lambda: not director.service.listener.clients, 1.0)
+        assert not director.service.coordinator.pending_count()
 
 
 def test_a_verdict_between_a_calls_taking_and_its_table_is_told_once(monkeypatch):
     # Guards against an answer that finds no number to go to, and a number that is owed for ever.
-    take = RequestCoordinator.take
+    take = RequestCoordinator.accept
 
     def taken(facade, *arguments, **named):
         request = take(facade, *arguments, **named)
         other = threading.Thread(
-            target=lambda: [director.service.front.see_through(still) for still in facade.wind_up()]
+            target=lambda: [
+                director.service.listener.run_request(still) for still in facade.wind_up()
+            ]
         )
         other.start()
         other.join()
         return request
 
-    monkeypatch.setattr(RequestCoordinator, "take", taken)
+    monkeypatch.setattr(RequestCoordinator, "accept", taken)
     with Running() as director:
         caller = director.caller()
         caller.send()
         assert caller.answer()[:2] == (1, 1)
         caller.socket.sendall(WELL)
         assert caller.answer()[:2] == (1, 0)  # and nothing between
-        assert not director.service.front.owes() and not director.service.facade.open_requests()
+        assert (
+            not director.service.listener.has_pending_writes()
+            and not director.service.coordinator.pending_count()
+        )
 
 
 def test_a_call_is_not_begun_where_its_cancellation_has_come_behind_it(reading):
@@ -573,17 +589,17 @@
 def test_a_call_that_crosses_the_end_of_the_drain_is_answered(monkeypatch):
     # Guards against an end of all connections on a word that none owes an answer which a call has
     # overtaken.
-    owes, crossed = ClientListener.owes, []
+    owes, crossed = ClientListener.has_pending_writes, []
 
     def cross(front):
         idle = not owes(front)
         if idle and director.service.stopping.is_set() and not crossed:
             crossed.append(caller.send())
-            assert wait_for(director.service.facade.open_requests)
+            assert wait_for(director.service.coordinator.pending_count)
             return False
         return not idle
 
-    monkeypatch.setattr(ClientListener, "owes", cross)
+    monkeypatch.setattr(ClientListener, "has_pending_writes", cross)
     with Running(lambda fields: time.sleep(0.2) or HIT) as director:
         caller, rests = director.caller(), director.caller()
         caller.socket.sendall(WELL)
@@ -629,17 +645,21 @@
     with Running() as director:
         caller = director.caller()
         caller.send()
-        assert wait_for(lambda: len(director.heard()) == 1 and not director.service.front.owes())
-        (client,) = director.service.front.clients
+        assert wait_for(
+            lambda: (
+                len(director.heard()) == 1 and not director.service.listener.has_pending_writes()
+            )
+        )
+        (client,) = director.service.listener.clients
         client.end_idle()
         caller.send()
         time.sleep(0.02)  # it is read and left unused; an answer or a reset would come by now
         assert caller.answer() == (1, 0, {}, b"bytes")
         with pytest.raises(EOFError):
             caller.answer()
-        assert len(director.heard()) == 1 and director.service.front.clients
+        assert len(director.heard()) == 1 and director.service.listener.clients
         caller.close()
-        assert wait_for(lambda: not director.service.front.clients)
+        assert wait_for(lambda: not director.service.listener.clients)
 
 
 def test_a_call_is_with_the_system_or_read_at_every_moment(monkeypatch):
@@ -653,7 +673,7 @@
         caller = director.caller()
         caller.send()
         assert go.met.wait(5.0)
-        (client,) = director.service.front.clients
+        (client,) = director.service.listener.clients
         ended = []
         ender = threading.Thread(target=lambda: ended.append(client.end_idle()))
         ender.start()
@@ -668,8 +688,8 @@
     with Running() as director:
         caller = director.caller()
         caller.send()
-        assert wait_for(lambda: director.service.front.clients)
-        (client,) = director.service.front.clients
+        assert wait_for(lambda: director.service.listener.clients)
+        (client,) = director.service.listener.clients
         assert wait_for(client._unread)
         client.end_idle()
         reading.set()
@@ -681,12 +701,12 @@
     # begin.
     go = held_back(monkeypatch, ClientListener, "_call")
     with Running() as director:
-        caller, table = director.caller(), director.service.front
+        caller, table = director.caller(), director.service.listener
         caller.send()
         caller.send(entity="00000000000000cd")
         assert wait_for(lambda: any(client.calls for client in table.clients))
         (client,) = table.clients
-        assert table.owes() and not client.end_idle()
+        assert table.has_pending_writes() and not client.end_idle()
         director.service.stop()
         go.set()
         assert {caller.answer()[:2] for _ in range(2)} == {(1, 0), (2, 0)}
@@ -699,9 +719,9 @@
         caller = director.caller()
         caller.socket.sendall(WELL)
         assert caller.answer()[1] == 0
-        (client,) = director.service.front.clients
+        (client,) = director.service.listener.clients
         client.end_idle()
-        assert wait_for(lambda: not director.service.front.clients)
+        assert wait_for(lambda: not director.service.listener.clients)
 
 
 def test_a_call_of_which_a_part_has_come_is_waited_for_at_the_end_of_a_drain():
@@ -712,10 +732,10 @@
         )
         for half in (caller, bad):
             half.socket.sendall(whole[:20])
-        clients = director.service.front.clients
+        clients = director.service.listener.clients
         assert wait_for(lambda: [client.halfway > 0.0 for client in clients] == [True] * 2)
         director.service.stop()
-        assert wait_for(lambda: director.service.front.listener is None)
+        assert wait_for(lambda: director.service.listener.listener is None)
         caller.socket.sendall(whole[20:])
         assert caller.answer()[:2] == (7, 0)
         caller.close()
@@ -727,7 +747,7 @@
     with Running(None) as director:
         caller = director.caller()
         caller.send(patience="2000")
-        assert wait_for(lambda: director.service.front.clients)
+        assert wait_for(lambda: director.service.listener.clients)
         time.sleep(0.3)
         go.set()
         attempt = waiting(director)
@@ -746,7 +766,7 @@
         with pytest.raises(EOFError):
             bad.answer()
         assert good.answer()[:2] == (1, 0) and director.sink.events.count("bad frame") == 1
-        assert wait_for(lambda: len(director.service.front.clients) == 1)
+        assert wait_for(lambda: len(director.service.listener.clients) == 1)
 
 
 def test_who_asks_and_does_not_read_is_ended():
@@ -758,7 +778,7 @@
         with pytest.raises(OSError):
             for _ in range(10_000):
                 bad.socket.sendall(WELL * 1000)
-        assert wait_for(lambda: len(director.service.front.clients) == 1)
+        assert wait_for(lambda: len(director.service.listener.clients) == 1)
         good.send()
         assert good.answer()[:2] == (1, 0)
 
@@ -826,8 +846,8 @@
     stand = Trickles([OK, event(2, BAN), None])
     stand.said = said
     with Running(bus=stand) as director:
-        assert wait_for(lambda: director.service.bus.last == 2)
-        assert director.service.facade.purges_binding() == 1
+        assert wait_for(lambda: director.service.event_stream.last == 2)
+        assert director.service.coordinator.active_purge_count() == 1
 
 
 def test_a_drain_is_heard_though_three_connections_in_a_row_say_nothing(monkeypatch):
@@ -835,12 +855,12 @@
     for name in ("SILENCE", "FIRST_WORD", "WHOLE_LINE"):
         monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with Running(bus=StandBus([OK, None], [None], [None])) as director:
-        director.service.bus.pace.ended = lambda *_: 0.01
+        director.service.event_stream.pace.ended = lambda *_: 0.01
         director.bus.scripts.append(
             [OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None]
         )
         begun = time.monotonic()
-        assert wait_for(lambda: director.service.bus.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last == 2)
         assert time.monotonic() - begun < 0.7
         for number in range(12):
             director.caller().send(entity=f"{number:016x}")
@@ -857,9 +877,9 @@
             lambda: director.bus.asked
         )  # a connection that is opened now would take a script
         director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
-        director.service.bus.move(director.service.bus.address)
-        assert wait_for(lambda: director.service.bus.last == number + 1)
-        caches = {name for name, _, _ in director.service.facade.ready_caches()}
+        director.service.event_stream.reconnect_to(director.service.event_stream.address)
+        assert wait_for(lambda: director.service.event_stream.last == number + 1)
+        caches = {name for name, _, _ in director.service.coordinator.ready_caches()}
         assert caches == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
 
 
@@ -876,20 +896,20 @@
             super().talk(connection)
 
     with Running(bus=Gap()) as director:
-        facade = director.service.facade
+        facade = director.service.coordinator
         assert wait_for(lambda: director.bus.asked)
         full = behind == "whole list"
         leaving = rows(director, "DRAINING", "s-01", full=full)
         leaving["topology"]["servers"] += rows(director, "SERVING", "s-03")["topology"]["servers"]
         held = [event(3, BAN if behind == "purge" else leaving), event(4, BAN)]
         director.bus.scripts += [[OK, b"".join(held)], [OK, event(2, BAN), *held, None]]
-        director.service.bus.move(director.service.bus.address)
+        director.service.event_stream.reconnect_to(director.service.event_stream.address)
         assert asked.wait(5.0)
-        assert director.service.bus.last == 1 and facade.purges_binding() == 1
+        assert director.service.event_stream.last == 1 and facade.active_purge_count() == 1
         if behind != "purge":
             assert "s-01" not in {name for name, _, _ in facade.ready_caches()}
         go.set()
-        assert wait_for(lambda: director.service.bus.last == 4)
+        assert wait_for(lambda: director.service.event_stream.last == 4)
 
 
 @pytest.mark.parametrize(
@@ -900,12 +920,12 @@
     # Guards against drains that a director was told of by its file; an old or unnumbered list is
     # not new, and one behind a gap is heeded, while the stream is asked for what is missing.
     with Running(bus=StandBus([OK, None], [OK, None])) as director:
-        stream, facade = director.service.bus, director.service.facade
+        stream, facade = director.service.event_stream, director.service.coordinator
         told = [
             rows(director, "DRAINING", "s-01") | ({} if number is None else {"offset": number})
             for number in numbers
         ]
-        director.service.renew(replace(director.service.start_settings, events=told))
+        director.service.reload(replace(director.service.config, known_events=told))
         assert wait_for(lambda: len(director.bus.asked) == 2)
         assert director.bus.asked[1] == stream.last == last
         assert ("s-01" not in {name for name, _, _ in facade.ready_caches()}) is drained
@@ -913,16 +933,16 @@
 
 def test_a_drain_of_which_only_the_name_is_told_is_kept():
     with Running(bus=StandBus()) as director:
-        facade = director.service.facade
+        facade = director.service.coordinator
         assert wait_for(lambda: director.bus.asked)
         named = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
         director.bus.scripts.append([OK, event(2, named), None])
-        director.service.bus.move(director.service.bus.address)
-        assert wait_for(lambda: director.service.bus.last == 2)
+        director.service.event_stream.reconnect_to(director.service.event_stream.address)
+        assert wait_for(lambda: director.service.event_stream.last == 2)
         assert {name for name, _, _ in facade.ready_caches()} == {"s-02", "s-03"}
         assert (
-            facade.entries["s-01"].state == EndpointState.DRAINING
-            and facade.entries["s-01"].address[1]
+            facade.endpoint_updates["s-01"].state == EndpointState.DRAINING
+            and facade.endpoint_updates["s-01"].address[1]
         )
 
 
@@ -933,24 +953,26 @@
     up = held_back(monkeypatch, socket, "create_connection", lambda address, **_: address != moved)
     with Running() as director:
         drain = rows(director, "DRAINING", "s-01") | {"offset": 2}
-        director.service.renew(replace(director.service.start_settings, bus=moved, events=[drain]))
+        director.service.reload(
+            replace(director.service.config, event_stream_address=moved, known_events=[drain])
+        )
         # Though the stream's thread waits: a grace may run from now on.
-        assert director.service.facade.entries["s-01"].state == EndpointState.DRAINING
+        assert director.service.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
         up.set()
-        assert wait_for(lambda: director.service.bus.last == 3)
+        assert wait_for(lambda: director.service.event_stream.last == 3)
     assert new.asked == [2]
     new.close()
 
 
 def test_a_file_that_cannot_be_looked_at_ends_no_stream():
     with Running(bus=StandBus()) as director:
-        stream = director.service.bus
-        stream.look_again = lambda: 1 / 0
+        stream = director.service.event_stream
+        stream.read_configured_address = lambda: 1 / 0
         stream.pace.astray = lambda now: True
         director.bus.scripts += [
             [OK, event(2, BAN), None]
         ] * 9  # a connection that the move ends takes one
-        stream.move(stream.address)
+        stream.reconnect_to(stream.address)
         assert wait_for(lambda: stream.last == 2 and "fault" in director.sink.events)
 
 
@@ -969,7 +991,7 @@
 
     stand.talk = held
     director = Running(bus=stand)
-    begun, asked = ClientListener.begin, []
+    begun, asked = ClientListener.config, []
 
     def begin(front):
         begun(front)
@@ -978,11 +1000,11 @@
             asked.append(b"\x02\x00\x00\x01" in client.recv(4096))  # `good`
         late.set()
 
-    monkeypatch.setattr(ClientListener, "begin", begin)
+    monkeypatch.setattr(ClientListener, "start", begin)
     with director:
         assert asked == [False]
-        assert director.service.front.well
-        assert director.service.facade.entries["s-01"].state == EndpointState.DRAINING
+        assert director.service.listener.well
+        assert director.service.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("script", ["refused", "closed", "silent"])
@@ -993,4 +1015,4 @@
     if script == "refused":
         stand.close()
     with Running(bus=stand) as director:
-        assert director.service.front.well
+        assert director.service.listener.well
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,7 +5,14 @@
 from helpers import Sink, Stage, settings
 
 from mulleinrelay import wire
-from mulleinrelay.coordinator import CancelAttempt, ClientGone, Failed, Order, Rejected, Served
+from mulleinrelay.coordinator import (
+    CancelAttempt,
+    ClientGone,
+    Failed,
+    Rejected,
+    SendAttempt,
+    Served,
+)
 from mulleinrelay.net import resp
 from mulleinrelay.policy.model import CacheStatus, EndpointState, EndpointUpdate, Outcome
 from mulleinrelay.wirehost import Instance
@@ -14,16 +21,18 @@
 def test_a_request_is_served_once_and_later_word_is_dropped():
     stage = Stage()
     request = stage.take()
-    order = stage.facade.pick(request)
+    order = stage.facade.next_step(request)
     assert (
-        isinstance(order, Order) and order.place.name.startswith("s-") and not order.attempt.outcome
+        isinstance(order, SendAttempt)
+        and order.address.name.startswith("s-")
+        and not order.attempt.outcome
     )
-    stage.facade.report(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
-    stage.facade.report(order.attempt, Outcome.ERROR)
-    stage.facade.forget(request)
-    verdict = stage.facade.pick(request)
+    stage.facade.report_outcome(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
+    stage.facade.report_outcome(order.attempt, Outcome.ERROR)
+    stage.facade.client_left(request)
+    verdict = stage.facade.next_step(request)
     assert isinstance(verdict, Served) and verdict.answer == "bytes"
-    assert order.attempt.outcome == Outcome.SERVED and not stage.facade.open_requests()
+    assert order.attempt.outcome == Outcome.SERVED and not stage.facade.pending_count()
 
 
 @pytest.mark.parametrize(
@@ -42,19 +51,19 @@
 def test_whoever_comes_second_finds_the_request_ended(first, second, verdict):
     stage = Stage()
     request = stage.take()
-    attempt = stage.facade.pick(request).attempt
+    attempt = stage.facade.next_step(request).attempt
     deeds = {
-        "forget": lambda: stage.facade.forget(request),
-        "wind_up": stage.facade.wind_up,
-        "report": lambda: stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT),
+        "forget": lambda: stage.facade.client_left(request),
+        "wind_up": stage.facade.finish_pending_requests,
+        "report": lambda: stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT),
         "time": lambda: stage.pass_time(7000.0),
     }
     deeds[first]()
     deeds[second]()
-    steps = [stage.facade.pick(request)]
+    steps = [stage.facade.next_step(request)]
     while isinstance(steps[-1], CancelAttempt):
-        steps.append(stage.facade.pick(request))
-    assert isinstance(steps[-1], verdict) and not stage.facade.open_requests()
+        steps.append(stage.facade.next_step(request))
+    assert isinstance(steps[-1], verdict) and not stage.facade.pending_count()
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
@@ -73,20 +82,20 @@
     stage = Stage()
     request = stage.take(request_class)
     if sent:
-        attempt = stage.facade.pick(request).attempt
+        attempt = stage.facade.next_step(request).attempt
         if outcome is not None:
-            stage.facade.report(attempt, outcome)
+            stage.facade.report_outcome(attempt, outcome)
     else:
-        request.attempts[0].outcome = Outcome.MOOT
-    stage.facade.wind_up()
+        request.attempts[0].outcome = Outcome.NOT_SENT
+    stage.facade.finish_pending_requests()
     assert isinstance(stage.until_verdict(request), verdict)
 
 
 def test_a_attempt_that_was_called_off_before_it_was_picked_is_never_sent():
     stage = Stage()
     request = stage.take()
-    stage.facade.forget(request)
-    assert isinstance(stage.facade.pick(request), ClientGone)
+    stage.facade.client_left(request)
+    assert isinstance(stage.facade.next_step(request), ClientGone)
     assert request.attempts[0].outcome == Outcome.CANCELLED
 
 
@@ -95,7 +104,7 @@
         allowed={"cancel": False}
     )  # the module calls nothing off: the caller keeps the time
     request = stage.take()
-    attempt = stage.facade.pick(request).attempt
+    attempt = stage.facade.next_step(request).attempt
     stage.pass_time(6001.0)
     assert attempt.outcome == Outcome.TIMEOUT
     assert isinstance(stage.until_verdict(request), Rejected)
@@ -105,22 +114,24 @@
     # Guards against a verdict that one thread carries out while another still sends an attempt.
     stage, found = Stage(), []
     request = stage.take()
-    attempt = stage.facade.pick(request).attempt
+    attempt = stage.facade.next_step(request).attempt
 
     def pick_elsewhere():
-        other = threading.Thread(target=lambda: found.append(stage.facade.pick(request)))
+        other = threading.Thread(target=lambda: found.append(stage.facade.next_step(request)))
         other.start()
         other.join()
 
-    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, answer=1)
+    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=1)
     pick_elsewhere()
     assert found == [None]
-    assert stage.facade.pick(request).answer == 1 and stage.facade.pick(request) is None
+    assert stage.facade.next_step(request).answer == 1 and stage.facade.next_step(request) is None
 
     request = stage.take()
-    attempt = stage.facade.pick(request).attempt
-    assert stage.facade.pick(request) is None  # nothing left to do: whoever brings more may pick
-    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
+    attempt = stage.facade.next_step(request).attempt
+    assert (
+        stage.facade.next_step(request) is None
+    )  # nothing left to do: whoever brings more may pick
+    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
 
@@ -128,27 +139,29 @@
 def test_a_request_without_room_is_rejected_unsent():
     stage = Stage()
     request = stage.take(room=False)
-    verdict = stage.facade.pick(request)
-    assert isinstance(verdict, Rejected) and verdict.come_back > 0.0 and not request.attempts
+    verdict = stage.facade.next_step(request)
+    assert isinstance(verdict, Rejected) and verdict.retry_after_ms > 0.0 and not request.attempts
 
 
 def test_tick_runs_what_is_due_and_says_when_next():
     stage = Stage()
     request = stage.take(left=300.0)
-    due, *_ = stage.facade.tick()
-    assert stage.now < due <= request.until
-    while not request.ended:
+    due, *_ = stage.facade.run_due_timers()
+    assert stage.now < due <= request.deadline
+    while not request.is_complete:
         stage.now = due
-        due, _, moved = stage.facade.tick()
+        due, _, moved = stage.facade.run_due_timers()
     assert moved == [request]
-    assert stage.now < request.until
+    assert stage.now < request.deadline
 
 
 def test_rest_ends_early_for_an_earlier_timer():
     stage = Stage()
     stage.now_is_real()
     done = threading.Event()
-    waiter = threading.Thread(target=lambda: (stage.facade.rest(stage.now + 60_000.0), done.set()))
+    waiter = threading.Thread(
+        target=lambda: (stage.facade.wait_until(stage.now + 60_000.0), done.set())
+    )
     waiter.start()
     assert not done.wait(0.05)
     stage.take()
@@ -159,44 +172,46 @@
 def test_a_module_that_fails_still_owes_one_answer(broken):
     # Guards against a client that waits in vain for a request on which the module broke.
     stage, sink = Stage(), Sink()
-    stage.facade.log_to = sink
-    setattr(stage.facade.director, broken, lambda *_: 1 / 0)
+    stage.facade.log_events = sink
+    setattr(stage.facade.router, broken, lambda *_: 1 / 0)
     request = stage.take()
     if broken == "answered":
-        stage.facade.report(stage.facade.pick(request).attempt, Outcome.MISS)
-    assert isinstance(stage.facade.pick(request), Failed) and sink.events == ["fault"]
+        stage.facade.report_outcome(stage.facade.next_step(request).attempt, Outcome.MISS)
+    assert isinstance(stage.facade.next_step(request), Failed) and sink.events == ["fault"]
 
 
 def test_a_request_without_a_verdict_is_failed_by_the_clock():
     stage = Stage()
     request = stage.take(left=200.0)
-    stage.facade.pick(request)
-    stage.facade.director.woken = stage.facade.director.answered = lambda *_: None
+    stage.facade.next_step(request)
+    stage.facade.router.woken = stage.facade.router.answered = lambda *_: None
     stage.pass_time(209.0)
     assert isinstance(stage.until_verdict(request), Failed)
 
 
 @pytest.mark.parametrize(
     "change, kept",
-    [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started": 5.0}, False)],
+    [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
 def test_a_machine_that_starts_again_gets_a_new_place(change, kept):
     # Guards against attempts on the connections of the machine that had the address before.
     stage = Stage()
     entry = stage.entries[0]
-    member = stage.facade.nodes[entry.name]
-    before = stage.facade.places[member]
+    member = stage.facade.endpoints[entry.name]
+    before = stage.facade.addresses[member]
     for name, value in change.items():
         setattr(entry, name, value)
-    stage.facade.listed([entry], False)
-    assert (stage.facade.places[member] is before) == kept and before.gone != kept
+    stage.facade.update_endpoints([entry], False)
+    assert (stage.facade.addresses[member] is before) == kept and before.is_removed != kept
 
 
 def test_a_node_that_a_whole_list_leaves_out_is_gone():
     stage = Stage()
-    before = stage.facade.places[stage.facade.nodes["s-01"]]
-    stage.facade.listed(stage.entries[1:], True)
-    assert before.gone and not any(place.gone for place in stage.facade.places.values())
+    before = stage.facade.addresses[stage.facade.endpoints["s-01"]]
+    stage.facade.update_endpoints(stage.entries[1:], True)
+    assert before.is_removed and not any(
+        place.is_removed for place in stage.facade.addresses.values()
+    )
 
 
 def test_nothing_is_kept_of_nodes_that_have_gone():
@@ -212,12 +227,12 @@
         )
         if gone is not None:
             gone.state = EndpointState.GONE
-        stage.facade.listed([entry] + ([gone] if gone else []), False)
+        stage.facade.update_endpoints([entry] + ([gone] if gone else []), False)
         stage.until_verdict(stage.take(left=0.0))
     assert (
-        len(stage.facade.nodes)
-        == len(stage.facade.places)
-        == len(stage.facade.director.members)
+        len(stage.facade.endpoints)
+        == len(stage.facade.addresses)
+        == len(stage.facade.router.members)
         == 7
     )
 
@@ -259,11 +274,11 @@
 def test_sockets_and_simulator_call_the_module_alike(word, status, note):
     stage = Stage()
     request = stage.take()
-    attempt = stage.facade.pick(request).attempt
-    ours = stage.facade.director = Calls(stage.facade.terms)
+    attempt = stage.facade.next_step(request).attempt
+    ours = stage.facade.router = Calls(stage.facade.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
     told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
-    stage.facade.report(attempt, told.outcome, told.note, told.waited, told.load, told)
+    stage.facade.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
 
     theirs = Instance(1)
     theirs.take(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
@@ -283,15 +298,15 @@
     while not probes:  # reports are earned by requests
         stage.now += 100.0
         stage.take()
-        _, probes, _ = stage.facade.tick()
+        _, probes, _ = stage.facade.run_due_timers()
     ((node, place),) = probes
-    assert place is stage.facade.places[node]
-    stage.facade.told(node, {"crowding": 2.5})
-    assert stage.facade.director.link == 2.5
+    assert place is stage.facade.addresses[node]
+    stage.facade.report_health_check(node, {"crowding": 2.5})
+    assert stage.facade.router.link == 2.5
 
 
 def test_a_report_in_an_answer_reaches_the_module():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
-    attempt = stage.facade.pick(stage.take()).attempt
-    stage.facade.report(attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5})
-    assert stage.facade.director.link == 3.5
+    attempt = stage.facade.next_step(stage.take()).attempt
+    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5})
+    assert stage.facade.router.link == 3.5
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,11 +15,11 @@
 from mulleinrelay.policy import router
 from mulleinrelay.policy.model import EndpointState, Outcome, SendAttempt
 
-NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNCONNECTED, Outcome.MOOT, Outcome.MISS)
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS)
 ANSWERS = {
     "served": Outcome.SERVED,
     "miss": Outcome.MISS,
-    "full": Outcome.TURNED_AWAY,
+    "full": Outcome.REJECTED,
     "reset": Outcome.RESET,
     "error": Outcome.ERROR,
 }
@@ -49,7 +49,7 @@
         self.see_through()
 
     def see_through(self):
-        while (step := self.facade.pick(self.request)) is not None:
+        while (step := self.facade.next_step(self.request)) is not None:
             if isinstance(step, SendAttempt):
                 assert not self.verdicts
                 self.held.append(step)
@@ -65,11 +65,13 @@
 
     def write(self, order):
         attempt = order.attempt
-        if not self.facade.may_begin(attempt):
-            self.ended[attempt] = Outcome.MOOT
-            return self.facade.report(attempt, Outcome.MOOT)
+        if not self.facade.can_begin(attempt):
+            self.ended[attempt] = Outcome.NOT_SENT
+            return self.facade.report_outcome(attempt, Outcome.NOT_SENT)
         assert not self.verdicts and not self.left, "begun for a request that is over"
-        assert not {order.place.name, order.source} & self.draining, "sent to one that drains"
+        assert not {order.address.name, order.fill_source} & self.draining, (
+            "sent to one that drains"
+        )
         doubtful = [held for held in self.begun if self.ended.get(held) not in NEVER_RAN]
         assert self.request_class != "pay" or not doubtful, "an effect may happen twice"
         self.begun.append(attempt)
@@ -81,25 +83,25 @@
         if event in ANSWERS and self.out():
             attempt = self.out()[0]
             self.ended[attempt] = ANSWERS[event]
-            self.facade.report(attempt, ANSWERS[event], answer=attempt)
+            self.facade.report_outcome(attempt, ANSWERS[event], answer=attempt)
         elif event == "second answer" and self.ended:
             attempt = next(iter(self.ended))
-            self.facade.report(attempt, Outcome.SERVED, answer=attempt)
+            self.facade.report_outcome(attempt, Outcome.SERVED, answer=attempt)
         elif event == "drains" and self.request.attempts:
-            name = self.facade.places[self.request.attempts[-1].node].name
+            name = self.facade.addresses[self.request.attempts[-1].endpoint].name
             self.draining.add(name)
-            self.facade.listed(
-                [replace(self.facade.entries[name], state=EndpointState.DRAINING)], False
+            self.facade.update_endpoints(
+                [replace(self.facade.endpoint_updates[name], state=EndpointState.DRAINING)], False
             )
         elif event == "purged":
-            self.facade.purged(0xABC, 0, self.stage.now)
+            self.facade.apply_purge(0xABC, 0, self.stage.now)
         elif event == "leaves":
             self.left = True
-            self.facade.forget(self.request)
+            self.facade.client_left(self.request)
         elif event == "overdue":
             self.stage.pass_time(700.0)
         elif event == "winds up":
-            self.facade.wind_up()
+            self.facade.finish_pending_requests()
         elif event in ("waits", "is written"):
             self.waits = event == "waits"
             self.write_on()
@@ -109,8 +111,8 @@
         self.happen("is written")
         self.stage.pass_time(2500.0)
         self.see_through()
-        assert len(self.verdicts) == 1 and self.facade.pick(self.request) is None
-        assert not self.facade.lives and not [
+        assert len(self.verdicts) == 1 and self.facade.next_step(self.request) is None
+        assert not self.facade.pending_requests and not [
             attempt for attempt in self.out() if attempt.outcome is None
         ]
         if isinstance(self.verdicts[0], Rejected) and self.request_class == "pay":
@@ -142,7 +144,7 @@
 @pytest.mark.parametrize(
     "request_class, where, name, planted, told",
     [
-        ("pages", RequestCoordinator, "may_begin", lambda facade, attempt: True, "drains"),
+        ("pages", RequestCoordinator, "can_begin", lambda facade, attempt: True, "drains"),
         ("pay", router, "may_have_run", lambda request: [], "twice"),
         (
             "pay",
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -18,9 +18,9 @@
         (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
         (KEYED, "all", Outcome.ERROR, 2, None),
         (KEYED, "zone", Outcome.ERROR, 1, "fail"),
-        (KEYED, "zone", Outcome.TURNED_AWAY, 2, None),
+        (KEYED, "zone", Outcome.REJECTED, 2, None),
         (UNSAFE, "all", Outcome.RESET, 1, "fail"),
-        (UNSAFE, "all", Outcome.UNCONNECTED, 2, None),
+        (UNSAFE, "all", Outcome.CONNECT_FAILED, 2, None),
     ],
 )
 def test_further_attempts_go_only_as_far_as_their_class_permits(
@@ -28,7 +28,7 @@
 ):
     fleet = Fleet(repeat, group)
     request = fleet.ask()
-    fleet.answer(request.attempts[0], outcome, CacheStatus.NONE, after=20)
+    fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN, after=20)
     assert len(request.attempts) == attempts
     assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final] * bool(
         final
@@ -38,8 +38,8 @@
 def test_a_keyed_request_is_not_sent_again_past_its_memory_span():
     fleet = Fleet(KEYED)
     request = fleet.ask()
-    fleet.answer(request.attempts[0], Outcome.ERROR, CacheStatus.NONE, after=5000)
-    assert len(request.attempts) == 1 and request.ended
+    fleet.answer(request.attempts[0], Outcome.ERROR, CacheStatus.UNKNOWN, after=5000)
+    assert len(request.attempts) == 1 and request.is_complete
 
 
 @pytest.mark.parametrize(
@@ -58,8 +58,8 @@
 def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(
     outcome, after, final
 ):
-    fleet = Fleet(KEYED, attempts_most=1, advice_most=200.0)
-    fleet.answer(fleet.ask().attempts[0], outcome, CacheStatus.NONE, after=after)
+    fleet = Fleet(KEYED, max_attempts=1, max_retry_after=200.0)
+    fleet.answer(fleet.ask().attempts[0], outcome, CacheStatus.UNKNOWN, after=after)
     assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final]
 
 
@@ -69,7 +69,7 @@
     delay = max(delay for delay, about in fleet.out.take("wake") if about is request)
     assert delay < 900.0
     fleet.call("woken", request, after=delay)
-    fleet.answer(request.attempts[0], Outcome.CANCELLED, CacheStatus.NONE, after=1)
+    fleet.answer(request.attempts[0], Outcome.CANCELLED, CacheStatus.UNKNOWN, after=1)
     fleet.call("end", request, after=100)
     assert len(fleet.out.take("reject")) == 1 and not fleet.out.take("fail")
     assert len(request.attempts) == 1
@@ -91,7 +91,7 @@
         )
     for _ in range(60):
         attempt = fleet.ask().attempts[0]
-        assert attempt.node is fleet.caches[0] and attempt.source is not fleet.parents[1]
+        assert attempt.endpoint is fleet.caches[0] and attempt.fill_source is not fleet.parents[1]
         fleet.answer(attempt)
 
 
@@ -101,16 +101,16 @@
     sent = {member: 0.0 for member in [fleet.caches[0], *fleet.parents]}
     for _ in range(300):
         attempt = fleet.ask(size=500.0, after=5).attempts[0]
-        for member in {attempt.node, attempt.source} & set(sent):
+        for member in {attempt.endpoint, attempt.fill_source} & set(sent):
             sent[member] += 50.0
         fleet.answer(attempt, note=CacheStatus.FILLED, first_byte=30.0)
     member, rule = (
-        (fleet.caches[0], fleet.terms.cold_cache)
+        (fleet.caches[0], fleet.terms.cache_slow_start)
         if caches_cold
-        else (fleet.parents[0], fleet.terms.cold_parent)
+        else (fleet.parents[0], fleet.terms.parent_slow_start)
     )
     sharers, multiple = (1, 2.5) if caches_cold else (3, 2.0)
-    assert sent[member] <= multiple * 6.0 * rule.starts_at * 1500.0 / sharers * 1.2
+    assert sent[member] <= multiple * 6.0 * rule.initial_fraction * 1500.0 / sharers * 1.2
 
 
 @pytest.mark.parametrize("caches_cold", [True, False])
@@ -120,23 +120,30 @@
     """
     fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
-    rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
+    rule, sharers = (
+        (fleet.terms.cache_slow_start, 1) if caches_cold else (fleet.terms.parent_slow_start, 3)
+    )
     for number in range(40):  # before it starts: the mean is known
         fleet.ask(size=9100.0 if number % 10 == 0 else 100.0, after=2.0)
     sent = {member: [] for member in cold}
     for number in range(600):
         attempt = fleet.ask(size=9100.0 if number % 10 == 0 else 100.0, after=5.0).attempts
-        for member in {held for each in attempt for held in (each.node, each.source)} & set(sent):
+        for member in {
+            held for each in attempt for held in (each.endpoint, each.fill_source)
+        } & set(sent):
             sent[member].append(fleet.now)
         for each in attempt:
             fleet.answer(each, note=CacheStatus.FILLED, first_byte=30.0)
     mean = 100.0
     for times in sent.values():
         for now in times:
-            warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_100.0) / rule.warm_in
-            number = rule.multiple * 6.0 * warmth * rule.span / mean / sharers
+            warmth = (
+                rule.initial_fraction
+                + (1.0 - rule.initial_fraction) * (now - 100_100.0) / rule.duration
+            )
+            number = rule.overload_factor * 6.0 * warmth * rule.overload_window / mean / sharers
             assert (
-                sum(now - rule.span <= at <= now for at in times)
+                sum(now - rule.overload_window <= at <= now for at in times)
                 <= number + 2.0 * number**0.5 + 2.0
             )
 
@@ -166,35 +173,38 @@
         for _ in range(5):
             parent.recent.add(fleet.now, delay)
             parent.usual.add(fleet.now, delay)
-    sources = {fleet.ask(left=left).attempts[0].source for _ in range(20)} - {fleet.origin}
+    sources = {fleet.ask(left=left).attempts[0].fill_source for _ in range(20)} - {fleet.origin}
     assert sources == ({fleet.parents[1]} if near else set(fleet.parents))
 
 
 def test_a_believed_sibling_is_the_source_and_asked_only_for_what_it_holds():
     fleet = Fleet()
     first = fleet.ask(key=5)
-    owner = first.attempts[0].node
-    fleet.answer(first.attempts[0], Outcome.TURNED_AWAY, CacheStatus.NO_PLACE)
+    owner = first.attempts[0].endpoint
+    fleet.answer(first.attempts[0], Outcome.REJECTED, CacheStatus.NOT_STORED)
     fleet.answer(first.attempts[1], note=CacheStatus.FILLED, first_byte=20.0)
     fleet.out.take("send")
     again = fleet.ask(key=5)
-    assert again.attempts[0].node is owner and again.attempts[0].source is first.attempts[1].node
+    assert (
+        again.attempts[0].endpoint is owner
+        and again.attempts[0].fill_source is first.attempts[1].endpoint
+    )
     assert fleet.out.take("send")[0][4] is True
 
 
 def test_a_silent_cache_is_left_at_the_first_sign_and_shunned_when_signs_add_up():
     fleet = Fleet()
-    silent = fleet.ask(key=5).attempts[0].node
+    silent = fleet.ask(key=5).attempts[0].endpoint
     for _ in range(40):
         attempt = fleet.ask(after=60).attempts[0]
-        if attempt.node is not silent:
+        if attempt.endpoint is not silent:
             fleet.answer(attempt)
         for delay, about in fleet.out.take("wake"):
-            if about is attempt and attempt.node is silent:
+            if about is attempt and attempt.endpoint is silent:
                 fleet.call("woken", attempt, after=delay)
                 assert (
                     len(attempt.request.attempts) == 2
-                    and attempt.request.attempts[1].node is not silent
+                    and attempt.request.attempts[1].endpoint is not silent
                 )
         if silent.shunned:
             break
@@ -205,7 +215,7 @@
     "outcome, another, weight",
     [
         (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
-        (Outcome.UNCONNECTED, None, 6.0),
+        (Outcome.CONNECT_FAILED, None, 6.0),
         (Outcome.ERROR, None, 0.0),
         (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
         (Outcome.ERROR, Outcome.SERVED, 3.0),
@@ -218,17 +228,17 @@
     requests = []
     while len(requests) < 3:
         request = fleet.ask()
-        if request.attempts[0].node is cache:
+        if request.attempts[0].endpoint is cache:
             requests.append(request)
         else:
             fleet.answer(request.attempts[0])
     for request in requests:
-        request.attempts[0].bag = True  # a hit was due, so that no source shares the blame
-        fleet.answer(request.attempts[0], outcome, CacheStatus.NONE)
+        request.attempts[0].expects_hit = True  # a hit was due, so that no source shares the blame
+        fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if another is not None:
             fleet.answer(request.attempts[1], another)
     assert cache.health.bad == weight
-    assert all(request.ended for request in requests) or another is None
+    assert all(request.is_complete for request in requests) or another is None
 
 
 @pytest.mark.parametrize("broken, well", [("parents", "caches"), ("caches", "parents")])
@@ -241,10 +251,14 @@
     for _ in range(150):
         request = fleet.ask(after=20)
         attempt = request.attempts[0]
-        bad = sick in (attempt.node, attempt.source)
+        bad = sick in (attempt.endpoint, attempt.fill_source)
         fleet.answer(
             attempt,
-            *((Outcome.ERROR, CacheStatus.NONE) if bad else (Outcome.SERVED, CacheStatus.FILLED)),
+            *(
+                (Outcome.ERROR, CacheStatus.UNKNOWN)
+                if bad
+                else (Outcome.SERVED, CacheStatus.FILLED)
+            ),
         )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt, note=CacheStatus.FILLED)
@@ -255,8 +269,8 @@
     """Without the bound a burst slows every transfer past its latency goal."""
     fleet = Fleet()
     requests = [fleet.ask(size=4000.0, after=0.0) for _ in range(200)]
-    assert 10 < len([request for request in requests if not request.ended]) < 100
-    assert requests[-1].ended and not requests[-1].attempts
+    assert 10 < len([request for request in requests if not request.is_complete]) < 100
+    assert requests[-1].is_complete and not requests[-1].attempts
     small = fleet.ask(size=500.0, after=0.0)
     assert small.attempts
 
@@ -271,10 +285,10 @@
     fleet = Fleet()
     fleet.answer(fleet.ask().attempts[0], load={"crowding": crowding})
     request = fleet.ask(after=age)
-    assert (request.attempts[0].source is not request.attempts[0].node) is filled
+    assert (request.attempts[0].fill_source is not request.attempts[0].endpoint) is filled
     if not filled:
-        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.NONE)
-        assert request.ended and len(request.attempts) == 1
+        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.UNKNOWN)
+        assert request.is_complete and len(request.attempts) == 1
 
 
 def test_a_slow_member_that_answers_in_between_is_not_shunned():
@@ -286,7 +300,7 @@
         attempt = fleet.ask(after=400).attempts[0]
         fleet.call("woken", attempt, after=900)
         fleet.answer(attempt, after=10)
-        assert not attempt.node.shunned or attempt.node.quiet >= 2.0
+        assert not attempt.endpoint.shunned or attempt.endpoint.quiet >= 2.0
     assert not any(member.shunned for member in fleet.caches)
 
 
@@ -304,10 +318,13 @@
         fleet.answer(fleet.ask().attempts[0], note=note, first_byte=delay)
     fleet.out.take("send")
     request = fleet.ask()
-    assert fleet.out.take("send")[0][4] is held_only and request.attempts[0].source in fleet.parents
+    assert (
+        fleet.out.take("send")[0][4] is held_only
+        and request.attempts[0].fill_source in fleet.parents
+    )
     if held_only:
-        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.SOURCE_LACKS)
-        assert request.ended and len(request.attempts) == 1
+        fleet.answer(request.attempts[0], Outcome.MISS, CacheStatus.SOURCE_MISS)
+        assert request.is_complete and len(request.attempts) == 1
 
 
 def test_a_slow_parent_gets_no_more_fills_but_trials():
@@ -319,7 +336,7 @@
     filled = 0
     for _ in range(50):
         attempt = fleet.ask(after=20).attempts[0]
-        filled += attempt.source in fleet.parents
+        filled += attempt.fill_source in fleet.parents
         fleet.answer(attempt)
     assert 0 < filled <= 6
 
@@ -327,10 +344,10 @@
 @pytest.mark.parametrize(
     "outcome, after, least, most",
     [
-        (Outcome.TURNED_AWAY, 50.0, 5, 13),
-        (Outcome.TURNED_AWAY, 1.0, 5, 13),
-        (Outcome.MOOT, 50.0, 5, 13),
-        (Outcome.MOOT, 1.0, 30, 30),
+        (Outcome.REJECTED, 50.0, 5, 13),
+        (Outcome.REJECTED, 1.0, 5, 13),
+        (Outcome.NOT_SENT, 50.0, 5, 13),
+        (Outcome.NOT_SENT, 1.0, 30, 30),
     ],
 )
 def test_further_attempts_keep_to_their_budget_and_cost_little_where_little_was_lost(
@@ -342,7 +359,7 @@
     fleet, further = Fleet(), 0
     for _ in range(30):
         request = fleet.ask()
-        fleet.answer(request.attempts[0], outcome, CacheStatus.NO_PLACE, after=after)
+        fleet.answer(request.attempts[0], outcome, CacheStatus.NOT_STORED, after=after)
         further += len(request.attempts) - 1
         for attempt in request.attempts[1:]:
             fleet.answer(attempt)
@@ -361,19 +378,19 @@
     """With twenty directors, two attempts out of one's own rejected the third request at idle
     caches.
     """
-    fleet = Fleet(directors_here=20)
+    fleet = Fleet(local_director_count=20)
     for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
         fleet.call("answered", attempt, Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None)
     for cache in fleet.caches:
         cache.late.add(fleet.now, wait - 100.0)
-    assert any(fleet.ask(after=0.0).ended for _ in range(4)) is not taken
+    assert any(fleet.ask(after=0.0).is_complete for _ in range(4)) is not taken
 
 
 @pytest.mark.parametrize("here", [1, 30])
 def test_a_large_object_passes_at_caches_that_are_not_crowded(here):
     """Its own sending time takes more than the part of the goal, so a quiet day rejected it."""
-    request = Fleet(directors_here=here).ask(size=9000.0)
-    assert request.attempts and not request.ended
+    request = Fleet(local_director_count=here).ask(size=9000.0)
+    assert request.attempts and not request.is_complete
 
 
 @pytest.mark.parametrize("requests, most", [(40, 3), (400, 22)])
@@ -384,7 +401,7 @@
     tried = 0
     for _ in range(requests):
         attempt = fleet.ask(after=600).attempts[0]
-        tried += attempt.source is fleet.parents[0]
+        tried += attempt.fill_source is fleet.parents[0]
         fleet.answer(attempt)
     assert 0 < tried <= most
 
@@ -394,9 +411,9 @@
     fleet = Fleet()
     for _ in range(12):
         request = fleet.ask(after=4000)
-        bad = request.attempts[0].source is fleet.parents[0]
+        bad = request.attempts[0].fill_source is fleet.parents[0]
         fleet.answer(
-            request.attempts[0], *((Outcome.TURNED_AWAY, CacheStatus.SOURCE_LOST) if bad else ())
+            request.attempts[0], *((Outcome.REJECTED, CacheStatus.SOURCE_FAILED) if bad else ())
         )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt)
@@ -431,7 +448,7 @@
     for _ in range(30):
         request = fleet.ask(after=30)
         for attempt in request.attempts:
-            fleet.answer(attempt, Outcome.TURNED_AWAY, CacheStatus.SOURCE_REFUSED)
+            fleet.answer(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
     assert not any(parent.shunned for parent in fleet.parents)
 
 
@@ -446,14 +463,14 @@
 @pytest.mark.parametrize(
     "outcome, well, taken_back",
     [
-        (Outcome.UNCONNECTED, True, True),
-        (Outcome.UNCONNECTED, False, False),
+        (Outcome.CONNECT_FAILED, True, True),
+        (Outcome.CONNECT_FAILED, False, False),
         (Outcome.ERROR, True, False),  # it was reached all the while
     ],
 )
 def test_an_echo_disproves_that_a_cache_is_not_reached_and_nothing_else(outcome, well, taken_back):
-    fleet = Fleet(may_probe=True)
-    sick = fleet.ask(key=77).attempts[0].node
+    fleet = Fleet(allows_health_checks=True)
+    sick = fleet.ask(key=77).attempts[0].endpoint
     while not sick.shunned:
         fleet.director.mark(sick, 2.0, outcome.name.lower())
     probed = []
@@ -461,7 +478,7 @@
         fleet.ask()
         probed += fleet.out.take("probe")
         fleet.now += 50.0
-    assert ((sick,) in probed) is (outcome is Outcome.UNCONNECTED)
+    assert ((sick,) in probed) is (outcome is Outcome.CONNECT_FAILED)
     fleet.call("told", sick, None, well)
     assert sick.shunned is not taken_back
 
@@ -473,7 +490,7 @@
     """An attempt that was out at one that left broke afterwards: nobody knew its place, the module
     failed.
     """
-    fleet = Fleet(may_probe=True)
+    fleet = Fleet(allows_health_checks=True)
     sick = fleet.caches[0] if whose == CACHE else fleet.parents[0]
     row = fleet.row(sick, whose, 1 if whose == CACHE else 0, state=state)
     if first == "leaves":
@@ -491,10 +508,10 @@
     """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent
     shunned.
     """
-    fleet = Fleet(flow=0.0)
+    fleet = Fleet(transfer_rate=0.0)
     for _ in range(8):
         attempt = fleet.ask(size=0.0).attempts[0]
-        fleet.call("answered", attempt, Outcome.SERVED, took, True, CacheStatus.NONE, 0.0, None)
+        fleet.call("answered", attempt, Outcome.SERVED, took, True, CacheStatus.UNKNOWN, 0.0, None)
     request = fleet.ask(size=0.0)
     fleet.call("woken", request.attempts[0], after=450.0)
     assert (len(request.attempts) == 1) is none_overdue
@@ -504,23 +521,30 @@
 def test_where_no_size_is_told_a_cold_member_is_sent_no_more_than_where_sizes_are(caches_cold):
     """A quarter of the goal stood in for the sending time, which was three times as long."""
     fleet = Fleet(
-        started=100_000.0 * caches_cold, hub_started=100_000.0 * (not caches_cold), flow=0.0
+        started=100_000.0 * caches_cold,
+        hub_started=100_000.0 * (not caches_cold),
+        transfer_rate=0.0,
     )
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
-    rule, sharers = (fleet.terms.cold_cache, 1) if caches_cold else (fleet.terms.cold_parent, 3)
+    rule, sharers = (
+        (fleet.terms.cache_slow_start, 1) if caches_cold else (fleet.terms.parent_slow_start, 3)
+    )
     sent, sending = {member: [] for member in cold}, 400.0
     for _ in range(1500):
         for attempt in fleet.ask(size=0.0, after=2.0).attempts:
-            for member in {attempt.node, attempt.source} & set(sent):
+            for member in {attempt.endpoint, attempt.fill_source} & set(sent):
                 sent[member].append(fleet.now)
             fleet.call(
-                "answered", attempt, Outcome.SERVED, sending, True, CacheStatus.NONE, 0.0, None
+                "answered", attempt, Outcome.SERVED, sending, True, CacheStatus.UNKNOWN, 0.0, None
             )
     for times in sent.values():
         for now in times:
-            warmth = rule.starts_at + (1.0 - rule.starts_at) * (now - 100_000.0) / rule.warm_in
-            number = rule.multiple * 6.0 * warmth * rule.span / sending / sharers
-            assert sum(now - rule.span <= at <= now for at in times) <= max(1.0, number)
+            warmth = (
+                rule.initial_fraction
+                + (1.0 - rule.initial_fraction) * (now - 100_000.0) / rule.duration
+            )
+            number = rule.overload_factor * 6.0 * warmth * rule.overload_window / sending / sharers
+            assert sum(now - rule.overload_window <= at <= now for at in times) <= max(1.0, number)
     assert sum(map(len, sent.values()))
 
 
@@ -532,7 +556,7 @@
         for _ in range(30):
             request = fleet.ask(key=77)
             fleet.answer(request.attempts[0], after=100.0)
-        firsts.add(request.attempts[0].node.key)
+        firsts.add(request.attempts[0].endpoint.hash_key)
     assert len(firsts) == 3
 
 
@@ -540,13 +564,13 @@
 def test_one_answer_that_a_pause_held_up_keeps_no_cache_from_its_share_for_long(wait, seconds):
     fleet = Fleet()
     request = fleet.ask(key=77)
-    node = request.attempts[0].node
+    node = request.attempts[0].endpoint
     fleet.now += wait
     fleet.call(
         "answered", request.attempts[0], Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None
     )
     back = next(
-        step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].node is node
+        step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].endpoint is node
     )
     assert 0.25 * back <= seconds
 
@@ -558,18 +582,18 @@
 def test_where_no_cache_is_reached_parents_are_asked_until_an_echo_comes(
     may_probe, may_pass_by, whose
 ):
-    fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
+    fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
     for cache in fleet.caches:
         fleet.director.mark(cache, 4.0, "reset")
-    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
+    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
     fleet.call("told", fleet.caches[1], None, True)
-    assert {fleet.ask().attempts[0].node for _ in range(8)} == {fleet.caches[1]}
+    assert {fleet.ask().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
 
 
 def test_a_hit_that_a_cut_held_up_tells_nothing_of_crowding():
     fleet = Fleet()
     request = fleet.ask(key=77)
-    node = request.attempts[0].node
+    node = request.attempts[0].endpoint
     fleet.director.mark(node, 4.0, "reset")
     fleet.now += 5000.0
     fleet.call(
@@ -599,11 +623,11 @@
     """Guards against storms in which nodes work for requests that were rejected meanwhile."""
     fleet = Fleet()
     request = fleet.ask()
-    fleet.director.purse.again, request.attempts[0].node.unreached = purse, not reached
+    fleet.director.purse.tokens, request.attempts[0].endpoint.unreached = purse, not reached
     overdue(fleet, request)
-    assert (len(request.attempts), request.ended) == (attempts, given_up)
+    assert (len(request.attempts), request.is_complete) == (attempts, given_up)
     fleet.call("woken", request, after=5545.0)  # its time is over
-    assert request.ended and len(fleet.out.take("reject")) == 1
+    assert request.is_complete and len(fleet.out.take("reject")) == 1
 
 
 @pytest.mark.parametrize(
@@ -613,22 +637,22 @@
 def test_two_caches_that_fail_in_a_row_tell_a_cut_and_requests_pass_by(
     may_probe, may_pass_by, whose
 ):
-    fleet = Fleet(may_probe=may_probe, may_pass_by=may_pass_by)
+    fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
     for cache in fleet.caches[:2]:
         fleet.director.learn(
             Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET),
             1.0,
-            CacheStatus.NONE,
+            CacheStatus.UNKNOWN,
             0.0,
         )
-    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {whose}
+    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
     assert not any(cache.shunned for cache in fleet.caches)  # no judgement of each for itself
     fleet.call("told", fleet.caches[2], None, True, after=300.0)
-    assert {fleet.ask().attempts[0].node.kind for _ in range(8)} == {CACHE}
+    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
 
 def test_what_a_cut_had_shunned_comes_back_at_the_first_word_of_any_cache():
-    fleet = Fleet(may_probe=True)
+    fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.director.mark(cache, 4.0, "reset")
     assert fleet.director.reach.cut and all(cache.unreached for cache in fleet.caches[:2])
@@ -642,7 +666,7 @@
 
 
 def test_an_echo_of_a_parent_ends_no_cut():
-    fleet = Fleet(may_probe=True)
+    fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.director.mark(cache, 4.0, "reset")
     fleet.call("told", fleet.parents[0], None, True)
@@ -653,14 +677,19 @@
     """Guards against a director that was stopped and goes on with what has been given to another
     since.
     """
-    fleet = Fleet(started=100_000.0, directors_here=4)
+    fleet = Fleet(started=100_000.0, local_director_count=4)
     cold, share = fleet.caches[0], fleet.director.cold_here
-    share.part, share.until, share.least, share.watched = 1.0, 101_000.0, 0.0, True
+    share.fraction, share.expires_at, share.fallback_fraction, share.is_tracked = (
+        1.0,
+        101_000.0,
+        0.0,
+        True,
+    )
     room = [fleet.director.has_room(cold, 100.0)]
-    assert share.used > 0.0 and share.refused == 0.0
+    assert share.peak_used > 0.0 and share.peak_rejected == 0.0
     fleet.director.now = 105_000.0
     room.append(fleet.director.has_room(cold, 100.0))
-    assert room == [True, False] and share.refused > 0.0
+    assert room == [True, False] and share.peak_rejected > 0.0
     assert all(fleet.director.has_room(cache, 100.0) for cache in fleet.caches[1:])  # warm ones
 
 
@@ -672,10 +701,10 @@
         (IDEMPOTENT, Outcome.ERROR, 5995.0, False),
         (KEYED, Outcome.ERROR, 4900.0, True),
         (KEYED, Outcome.ERROR, 4960.0, False),
-        (KEYED, Outcome.TURNED_AWAY, 4960.0, True),
+        (KEYED, Outcome.REJECTED, 4960.0, True),
         (KEYED, None, 4960.0, True),
         (UNSAFE, None, 4960.0, True),
-        (UNSAFE, Outcome.TURNED_AWAY, 4960.0, True),
+        (UNSAFE, Outcome.REJECTED, 4960.0, True),
     ],
 )
 def test_a_attempt_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
@@ -695,7 +724,7 @@
 
 @pytest.mark.parametrize("two_attempts", [True, False])
 def test_a_attempt_begins_beside_another_only_where_two_may_be_out(two_attempts):
-    fleet = Fleet(two_attempts=two_attempts)
+    fleet = Fleet(allows_hedging=two_attempts)
     request = fleet.ask()
     first = request.attempts[0]
     fleet.director.send(request, fleet.caches[1], None, False)
@@ -720,12 +749,12 @@
     """A write whose repeats only its own zone knows was called off, and then failed for having
     begun.
     """
-    fleet = Fleet(repeat, group, two_attempts=False, attempts_most=most)
+    fleet = Fleet(repeat, group, allows_hedging=False, max_attempts=most)
     request = fleet.ask()
-    fleet.director.purse.again = again
+    fleet.director.purse.tokens = again
     fleet.out.take("abandon")
     fleet.call("woken", request.attempts[0], after=900.0)
-    assert bool(fleet.out.take("abandon")) is called_off and not request.ended
+    assert bool(fleet.out.take("abandon")) is called_off and not request.is_complete
 
 
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
@@ -734,7 +763,7 @@
     """The largest tenth of a class is answered as the rest is while caches are as slow as noise has
     it.
     """
-    fleet = Fleet(directors_here=directors_here)
+    fleet = Fleet(local_director_count=directors_here)
     for _ in range(30):
         fleet.answer(fleet.ask(size=1000.0).attempts[0], after=20.0)
     request = fleet.ask(size=1000.0 * times)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -140,11 +140,11 @@
     # not read.
     with Running((b"DONE", b"why=HIT", bytes(240_000))) as director:
         stalled, other = director.caller(), director.caller()
-        front = director.service.front
-        front.start.memory_mb = 10
+        front = director.service.listener
+        front.config.memory_mb = 10
         for _ in range(30):
             stalled.send()
-        assert wait_for(lambda: not director.service.facade.open_requests())
+        assert wait_for(lambda: not director.service.coordinator.pending_count())
         other.send()
         assert other.answer()[:2] == (1, 0)
         assert (
@@ -208,7 +208,10 @@
 def test_a_attempt_that_could_not_be_written_is_taken_back_in_time():
     # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
     with Running() as director:
-        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
         attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         reported = []
         caches._report = lambda *word: reported.append(word)
@@ -219,14 +222,17 @@
             caches.links[place] = [link]
             link.outlet.put(None, [bytes(4_000_000)])
         caches._put(place, "9b", attempt, [b"never"])
-        assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.UNCONNECTED)]
+        assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.CONNECT_FAILED)]
         theirs.close()
         ours.close()
 
 
 def test_a_reset_proves_that_nothing_ran_only_where_nothing_was_written():
     with Running() as director:
-        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
         attempts = [
             Attempt(None, number, Endpoint(1), None, director.service.clock(), 6000.0)
             for number in range(2)
@@ -242,7 +248,7 @@
             link.outlet.put("9c", [b"never"])
         theirs.close()
         caches._end(link, ours, Outcome.RESET, "")
-        assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.UNCONNECTED)]
+        assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.CONNECT_FAILED)]
 
 
 def test_threads_that_cannot_be_had_give_a_plain_outcome(monkeypatch):
@@ -262,7 +268,7 @@
         assert caller.answer()[:2] == (1, 1) and not director.heard()
         with pytest.raises((EOFError, ConnectionError)):
             director.caller().answer()
-        assert len(director.service.front.clients) == 1
+        assert len(director.service.listener.clients) == 1
         monkeypatch.undo()
         caller.send("pay")
         assert caller.answer()[:2] == (2, 0)
@@ -304,7 +310,7 @@
         )
         other.close()
         assert wait_for(lambda: len(director.heard("KILL")) == 2)
-        assert director.service.facade.open_requests() == 0
+        assert director.service.coordinator.pending_count() == 0
         caller.send(entity="00000000000000cd")
         assert caller.answer()[:2] == (2, 0)
 
@@ -368,18 +374,18 @@
 
 def test_a_fault_in_a_thread_is_logged_and_its_request_answered(monkeypatch):
     with Running() as director:
-        monkeypatch.setattr(director.service.caches, "send", lambda *_: 1 / 0)
+        monkeypatch.setattr(director.service.upstream, "send", lambda *_: 1 / 0)
         caller = director.caller()
         caller.send()
         assert caller.answer()[:2] == (1, 2) and "fault" in director.sink.events
         assert (
-            director.service.facade.open_requests() == 0
+            director.service.coordinator.pending_count() == 0
         )  # guards against lives that nobody picks for
 
 
 def test_bounds_give_a_plain_outcome(monkeypatch):
     with Running(None) as director:
-        director.service.front.requests_most, director.service.front.clients_most = 2, 2
+        director.service.listener.requests_most, director.service.listener.clients_most = 2, 2
         caller, idle = director.caller(), director.caller()
         for _ in range(3):
             caller.send(patience="500")
@@ -396,14 +402,14 @@
 
 def test_orders_find_a_place_where_pages_have_taken_all_that_are_theirs():
     with Running(None) as director:
-        director.service.front.requests_most = 8
+        director.service.listener.requests_most = 8
         pages, orders = director.caller(), director.caller()
         for _ in range(20):
             pages.send(patience="3000")
         assert [pages.answer()[1] for _ in range(13)] == [1] * 13  # rejected at once
-        assert director.service.facade.open_requests() == 7
+        assert director.service.coordinator.pending_count() == 7
         orders.send("order", patience="3000")
-        assert wait_for(lambda: director.service.facade.open_requests() == 8)
+        assert wait_for(lambda: director.service.coordinator.pending_count() == 8)
         assert wait_for(
             lambda: any(b"order" in bytes(str(heard), "ascii") for heard in director.heard())
         )
@@ -413,7 +419,7 @@
     # Guards against a table that one ended connection opens to many, past all descriptors.
     monkeypatch.setattr(client_connection, "FIRST_CALL", 0.5)
     with Running() as director:
-        table, most = director.service.front, 0
+        table, most = director.service.listener, 0
         table.clients_most = 8
         held, good = [], director.caller()
         for number in range(60):
@@ -507,12 +513,12 @@
     # Guards against a director at its bound of links whose links are all held for what may come,
     # elsewhere.
     with Running(HIT) as director:
-        director.service.caches.links_most = 3
+        director.service.upstream.links_most = 3
         caller = director.caller()
         for number in range(40):
             caller.send(entity=f"{number:016x}")
             caller.answer()
-        assert director.service.caches.count >= 2  # to caches
+        assert director.service.upstream.count >= 2  # to caches
         for _ in range(4):
             caller.send("order")
             if caller.answer()[1] == 0:
@@ -525,7 +531,7 @@
 @pytest.mark.parametrize("late, pages", [(0.0, 0), (5000.0, 1)])
 def test_a_director_that_is_late_itself_takes_in_what_has_an_effect(late, pages):
     with Running(HIT) as director:
-        caller, facade = director.caller(), director.service.facade
+        caller, facade = director.caller(), director.service.coordinator
         facade.lateness.note(facade.clock() + (60_000.0 if late else 0.0), late)
         caller.send()
         assert caller.answer()[1] == pages
@@ -537,7 +543,10 @@
     # Guards against the late answer to an attempt given up being taken for that of the next one
     # under its id.
     with Running(lambda fields: None) as director:
-        caches, place = director.service.caches, next(iter(director.service.facade.places.values()))
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
         attempts = [Attempt(None, number, Endpoint(1), None, 0.0, 1000.0) for number in range(3)]
         reported = []
         caches._report = lambda attempt, *rest: reported.append(attempt)
@@ -547,7 +556,7 @@
         first = links[0]
         assert len(set(links)) == 2
         assert wait_for(lambda: not any(link.outlet.unbegun("9b") for link in links))
-        caches.give_up(attempts[0])
+        caches.cancel(attempts[0])
         caches._put(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
         assert caches.of_attempt[attempts[2]][0] is not first
 
@@ -556,8 +565,8 @@
     with Running(allowed={"connIdle": 100.0}) as director:
         caller = director.caller()
         caller.send()
-        assert caller.answer()[:2] == (1, 0) and director.service.caches.count == 1
-        assert wait_for(lambda: director.service.caches.count == 0)
+        assert caller.answer()[:2] == (1, 0) and director.service.upstream.count == 1
+        assert wait_for(lambda: director.service.upstream.count == 0)
         caller.send()
         assert caller.answer()[:2] == (2, 0) and "link down" not in director.sink.events
 
@@ -669,7 +678,7 @@
             lambda: len(stand.asked) > len(asked)
         )  # asked again after the script's silence
         assert stand.asked[: len(asked)] == asked
-        assert stand.asked[len(asked)] == director.service.bus.last
+        assert stand.asked[len(asked)] == director.service.event_stream.last
         seen_events = sum(method in ("listed", "purged") for method in seen)
         assert seen_events == 1 + applied and director.sink.events.count("bad event") == logged
 
@@ -677,7 +686,7 @@
 def test_a_purge_bounds_the_age_of_copies():
     ban = {"ban": {"tag": 17, "ts": time.time() * 1000 - 500}}
     with Running(bus=StandBus([OK, event(2, ban), None])) as director:
-        assert wait_for(lambda: director.service.bus.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last == 2)
         caller = director.caller()
         caller.send()
         caller.send(batch="18", entity="00000000000000cd")
@@ -698,13 +707,16 @@
         assert wait_for(lambda: len(director.heard()) == 2)
         director.service.stop()
         begun = time.monotonic()
-        assert wait_for(lambda: director.service.phase == director.Phase.DRAINING)
+        assert wait_for(lambda: director.service.phase == director_module.Phase.DRAINING)
         late = director.caller()
         late.socket.sendall(WELL)
-        assert late.answer()[:2] == (1, 0) and not director.service.front.well
+        assert late.answer()[:2] == (1, 0) and not director.service.listener.well
         assert sorted(caller.answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
         assert 0.25 < time.monotonic() - begun < 1.5
-        assert director.service.ended.wait(5.0) and director.service.phase == director.Phase.STOPPED
+        assert (
+            director.service.ended.wait(5.0)
+            and director.service.phase == director_module.Phase.STOPPED
+        )
 
 
 def test_the_program_serves_until_it_is_told_to_end(tmp_path):
@@ -807,7 +819,7 @@
             file.write_text(json.dumps(configuration()))
 
     monkeypatch.setattr(time, "sleep", pass_time)
-    sink.renew = lambda start: sink.event("renewed", bus=start.bus)
+    sink.reload = lambda start: sink.event("renewed", bus=start.event_stream_address)
     process.renew(sink, sink, str(file))
     assert sink.events == [outcome]
 
@@ -822,7 +834,7 @@
 
 def test_a_clock_that_fails_goes_on(monkeypatch):
     with Running() as director:
-        tick, failed = director.service.facade.tick, []
+        tick, failed = director.service.coordinator.run_due_timers, []
 
         def fail_once():
             if not failed:
@@ -830,7 +842,7 @@
                 raise KeyError("tick")
             return tick()
 
-        monkeypatch.setattr(director.service.facade, "tick", fail_once)
+        monkeypatch.setattr(director.service.coordinator, "tick", fail_once)
         caller = director.caller()
         assert wait_for(lambda: "fault" in director.sink.events)
         caller.send()
