--- /dev/null
+++ b/tests/stored_data.py
@@ -0,0 +1,289 @@
+"""What the present program reads out of stored data, in terms of the outside: keys of files, keys
+of JSON, YANG names, fields on the wire. The only place that names modules and attributes of the
+program for `test_stored_data.py`: a rename edits this file, never the test or the data."""
+
+import os
+from typing import Any
+
+from click.testing import CliRunner
+
+from mulleinrelay.budgets.exchange import Exchange
+from mulleinrelay.cells.own import load_own as load_cells_file
+from mulleinrelay.cells.reading import read as read_assignment
+from mulleinrelay.cells.reading import write as write_assignment
+from mulleinrelay.cli import main
+from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.scenario import read_scenario
+from mulleinrelay.management.intent import wants
+from mulleinrelay.management.keep import Keeper
+from mulleinrelay.management.mapping import charter_from, charter_tree
+from mulleinrelay.management.model import Model
+from mulleinrelay.management.own import load_own as load_management_file
+from mulleinrelay.membership.messages import Codec, Kind, State
+from mulleinrelay.membership.own import load_own as load_fleet_file
+
+# INI keys with the attributes that hold them, where these differ
+CELLS_KEYS = "enabled tenant_field read_every_ms=read_every"
+DIRECTOR_KEYS = "open_most rate come_back_most_ms=come_back_most"
+MANAGEMENT_KEYS = "enabled listen"
+MANAGEMENT_PATHS = ("state_dir", "certificate", "key", "clients_ca")
+MANAGEMENT_LIMITS = "subscribers=subscribers_most queue=queue_most message_kb calls=calls_most"
+FLEET_KEYS = "enabled name=fleet location members_most"
+LAB_KEYS = "seconds directors seed cells management"
+LAB_FLEET_KEYS = """caches parents capacity fill_cost hit_ms=hit_delay fill_ms=fill_delay
+    origin_ms=origin_delay origin_capacity cold_from cold_ms=cold_for falls parent_holds"""
+LAB_LOAD_KEYS = "rate objects orders skew patience_ms=patience tries connections"
+BURST_KEYS = ("burst_at", "burst_until", "burst_rate")
+FLEET_LAB = {
+    "fleet lab": "name seconds warm_s=warm seed client_processes=clients relay_processes=relays",
+    "directors": """count=directors one_seed talk share uneven least_rate=least memory_mb sockets
+        probes""",
+    "nodes": """locations caches large_share=mixed hubs parents capacity fill_cost parent_ms hub_ms
+        origin_ms parent_capacity origin_capacity holds parent_holds cold_from cold_ms
+        parent_cold_ms falls""",
+    "load": """rate objects skew shared orders effects patience_ms goal_ms tries late_ms
+        front_ms""",
+}
+FAULT_KEYS = """what at for=span share location paths way by jitter_ms=jitter over seen_by nodes
+    other"""
+
+KINDS = {
+    "ping": Kind.PING,
+    "ack": Kind.ACK,
+    "ask": Kind.ASK,
+    "none-heard": Kind.NONE_HEARD,
+    "sync": Kind.SYNC,
+    "page": Kind.PAGE,
+    "part": Kind.PART,
+}
+STATES = {
+    "alive": State.ALIVE,
+    "suspect": State.SUSPECT,
+    "dead": State.DEAD,
+    "left": State.LEFT,
+}
+
+
+def named(held: Any, keys: str) -> dict[str, Any]:
+    """Values of an object by the keys of its file: `key` or `key=attribute` each."""
+    pairs = [word.partition("=") for word in keys.split()]
+    return {key: plain(getattr(held, attribute or key)) for key, _, attribute in pairs}
+
+
+def plain(value: Any) -> Any:
+    """As JSON has it."""
+    return [plain(one) for one in value] if isinstance(value, list | tuple) else value
+
+
+def paths_in(held: Any, keys: tuple[str, ...], folder: str) -> dict[str, str]:
+    """Paths as the file in that folder words them."""
+    paths = {key: getattr(held, key) for key in keys}
+    return {key: os.path.relpath(path, folder) if path else "" for key, path in paths.items()}
+
+
+def host_and_port(address: tuple[str, int]) -> str:
+    """As files word it."""
+    return f"{address[0]}:{address[1]}"
+
+
+# Commands
+
+
+def command(*arguments: str) -> tuple[int, str]:
+    """The exit code of a command of the program, and what it writes to standard output."""
+    ours = [name for name in os.environ if name.startswith(("MULLEINRELAY_", "LB_"))]
+    done = CliRunner().invoke(main, list(arguments), env=dict.fromkeys(ours))
+    return done.exit_code, done.stdout
+
+
+# The datastore of management
+
+
+def datastore(folder: str) -> dict[str, Any]:
+    """The versions and the change that wants its confirmation, as a folder of states holds them."""
+    held = Keeper(folder).load()
+    waiting = held.unconfirmed
+    return {
+        "versions": [
+            {
+                "version": one.number,
+                "at": one.at,
+                "by": one.by,
+                "why": one.why,
+                "marks": one.marks,
+                "tree": one.tree,
+            }
+            for one in held.versions
+        ],
+        "unconfirmed": None if waiting is None else {
+            "name": waiting.name,
+            "until": waiting.until,
+            "tree": waiting.back_to,
+        },
+    }
+
+
+def datastore_written(folder: str, new_folder: str) -> None:
+    """What a folder of states holds, written into another."""
+    Keeper(new_folder).save(Keeper(folder).load())
+
+
+def accepted(tree: dict[str, Any]) -> dict[str, Any]:
+    """A tree as the YANG model lets it pass."""
+    return Model().check(tree)
+
+
+def drains(tree: dict[str, Any]) -> dict[str, dict[str, Any]]:
+    """The drains that a tree asks for, by box."""
+    return {
+        box: {"scope": "every-life" if want.every_life else "this-life", "forced": want.forced}
+        for box, want in wants(tree).items()
+    }
+
+
+def assignment_of(tree: dict[str, Any], version: int, written: float) -> str:
+    """The text of the assignment file that a tree's `assignment` stands for."""
+    return write_assignment(charter_from(tree["fleet"]["assignment"], version, written))
+
+
+# Assignment files
+
+
+def assignment(text: str) -> dict[str, Any]:
+    """Version and time by their keys in the file, the rest by its names in the YANG model."""
+    held = read_assignment(text)
+    return {"version": held.version, "written": held.written, "assignment": charter_tree(held)}
+
+
+def assignment_written(text: str) -> str:
+    """The text that the program writes for what it has read."""
+    return write_assignment(read_assignment(text))
+
+
+# Datagrams
+
+
+def kind_number(name: str) -> int:
+    """Of a kind of datagram, as the program means it."""
+    return int(KINDS[name])
+
+
+def state_number(name: str) -> int:
+    """Of a state of a director, as the program means it."""
+    return int(STATES[name])
+
+
+def datagram(fleet: str, key: bytes, data: bytes) -> list[Any]:
+    """The fields on the wire in their order: version, fleet, kind, number, sender, about, words,
+    part; each word: name, host, port, location, life, count, state."""
+    held = Codec(fleet, key).decode(data)
+
+    def word(one: Any) -> list[Any]:
+        return [one.name, one.host, one.port, one.location, one.life, one.count, int(one.state)]
+
+    return [
+        held.version,
+        held.fleet,
+        int(held.kind),
+        held.number,
+        word(held.sender),
+        word(held.about) if held.about is not None else None,
+        [word(one) for one in held.words],
+        held.part.hex(),
+    ]
+
+
+def datagram_written(fleet: str, key: bytes, data: bytes) -> bytes:
+    """The datagram that the program makes of what it has read."""
+    codec = Codec(fleet, key)
+    held = codec.decode(data)
+    return codec.encode(held.kind, held.number, held.sender, held.about, held.words, held.part)
+
+
+def _exchange() -> Exchange:
+    return Exchange(0.0, None, 1)
+
+
+def leases(data: bytes) -> list[list[Any]]:
+    """Each word on a limit, its fields in order: limit, kind, life, number, grains, renews."""
+    return [
+        [one.limit, one.kind, one.life, one.number, one.grains, one.renews]
+        for one in _exchange().decoder.decode(data)
+    ]
+
+
+def leases_written(data: bytes) -> bytes:
+    """The bytes that the program makes of the words that it has read."""
+    exchange = _exchange()
+    return exchange.encoder.encode(exchange.decoder.decode(data))
+
+
+# INI files
+
+
+def cells_file(path: str) -> dict[str, Any]:
+    """As `serve` and `check` read it."""
+    held = load_cells_file(path)
+    paths = paths_in(held, ("assignment", "records"), os.path.dirname(path))
+    return {"cells": named(held, CELLS_KEYS) | paths, "director": named(held, DIRECTOR_KEYS)}
+
+
+def management_file(path: str) -> dict[str, Any]:
+    """As `serve` and `check` read it."""
+    held = load_management_file(path)
+    paths = paths_in(held, MANAGEMENT_PATHS, os.path.dirname(path))
+    roles = {name: role.name.lower() for name, role in held.rights.by_name.items()}
+    return {
+        "management": named(held, MANAGEMENT_KEYS) | paths,
+        "unnamed callers may": held.rights.unnamed.name.lower(),
+        "roles": roles,
+        "limits": named(held, MANAGEMENT_LIMITS),
+    }
+
+
+def fleet_file(path: str) -> dict[str, Any]:
+    """As `serve` and `check` read it."""
+    held = load_fleet_file(path)
+    others = {
+        "key": held.key.decode(),
+        "listen": host_and_port(held.listen),
+        "announce": host_and_port(held.announce),
+        "seeds": [host_and_port(seed) for seed in held.seeds],
+    }
+    paths = paths_in(held, ("records",), os.path.dirname(path))
+    return {
+        "fleet": named(held, FLEET_KEYS) | others | paths,
+        "budgets": {"cold": held.share_cold},
+    }
+
+
+def lab_file(path: str) -> dict[str, Any]:
+    """A scenario of tenants, as `lab` reads it."""
+    with open(path, encoding="utf-8") as file:
+        held = read_scenario(file.read())
+    return {
+        "lab": named(held, LAB_KEYS),
+        "fleet": named(held, LAB_FLEET_KEYS),
+        "director": named(held, "open_most rate"),
+        "assignment": charter_tree(held.charter),
+        "load": {one.tenant: lab_load(one) for one in held.demands},
+        "deeds": [one.name for one in held.deeds],
+    }
+
+
+def lab_load(held: Any) -> dict[str, Any]:
+    """One section `load NAME`."""
+    found = named(held, LAB_LOAD_KEYS)
+    for burst in held.bursts:
+        found |= dict(zip(BURST_KEYS, burst, strict=True))
+    return found
+
+
+def fleet_lab_file(path: str) -> dict[str, Any]:
+    """A scenario of a fleet, as `lab` reads it."""
+    with open(path, encoding="utf-8") as file:
+        held = read_fleet(file.read())
+    found = {title: named(held, keys) for title, keys in FLEET_LAB.items()}
+    found["nodes"]["notice_from_ms"], found["nodes"]["notice_to_ms"] = held.notice_ms
+    found["faults"] = {one.name: named(one, FAULT_KEYS) for one in held.faults}
+    return found
