--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -7,24 +7,25 @@
 
 from click.testing import CliRunner
 
-from mulleinrelay.budgets.exchange import Exchange
-from mulleinrelay.cells.own import load_own as load_cells_file
-from mulleinrelay.cells.reading import read as read_assignment
-from mulleinrelay.cells.reading import write as write_assignment
+from mulleinrelay.budgets.quota_exchange import QuotaExchange
+from mulleinrelay.cells.config import load_cells_config
+from mulleinrelay.cells.parser import read as read_assignment
+from mulleinrelay.cells.parser import write as write_assignment
 from mulleinrelay.cli import main
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.management.intent import wants
-from mulleinrelay.management.keep import Keeper
-from mulleinrelay.management.mapping import charter_from, charter_tree
-from mulleinrelay.management.model import Model
-from mulleinrelay.management.own import load_own as load_management_file
+from mulleinrelay.management.assignment_mapping import charter_from, charter_tree
+from mulleinrelay.management.config import load_management_config
+from mulleinrelay.management.datastore_file import DatastoreFile
+from mulleinrelay.management.drain_intent import wants
+from mulleinrelay.management.yang_model import Model
+from mulleinrelay.membership.config import load_fleet_config
 from mulleinrelay.membership.messages import Codec, Kind, State
-from mulleinrelay.membership.own import load_own as load_fleet_file
 
 # INI keys with the attributes that hold them, where these differ
-CELLS_KEYS = "enabled tenant_field read_every_ms=read_every"
-DIRECTOR_KEYS = "open_most rate come_back_most_ms=come_back_most"
+CELLS_KEYS = "enabled tenant_field read_every_ms=poll_interval"
+DIRECTOR_KEYS = "open_most=max_open_requests rate come_back_most_ms=max_retry_after"
+CELLS_PATHS = {"assignment": "assignment_file", "records": "records_folder"}
 MANAGEMENT_KEYS = "enabled listen"
 MANAGEMENT_PATHS = ("state_dir", "certificate", "key", "clients_ca")
 MANAGEMENT_LIMITS = "subscribers=subscribers_most queue=queue_most message_kb calls=calls_most"
@@ -75,9 +76,13 @@
     return [plain(one) for one in value] if isinstance(value, list | tuple) else value
 
 
-def paths_in(held: Any, keys: tuple[str, ...], folder: str) -> dict[str, str]:
-    """Paths as the file in that folder words them."""
-    paths = {key: getattr(held, key) for key in keys}
+def paths_in(
+    held: Any, keys: tuple[str, ...], folder: str, attributes: dict[str, str] | None = None
+) -> dict[str, str]:
+    """Paths as the file in that folder words them; `attributes`: that hold them, where these
+    differ from the keys.
+    """
+    paths = {key: getattr(held, (attributes or {}).get(key, key)) for key in keys}
     return {key: os.path.relpath(path, folder) if path else "" for key, path in paths.items()}
 
 
@@ -101,7 +106,7 @@
 
 def datastore(folder: str) -> dict[str, Any]:
     """The versions and the change that wants its confirmation, as a folder of states holds them."""
-    held = Keeper(folder).load()
+    held = DatastoreFile(folder).load()
     waiting = held.unconfirmed
     return {
         "versions": [
@@ -115,7 +120,9 @@
             }
             for one in held.versions
         ],
-        "unconfirmed": None if waiting is None else {
+        "unconfirmed": None
+        if waiting is None
+        else {
             "name": waiting.name,
             "until": waiting.until,
             "tree": waiting.back_to,
@@ -125,7 +132,7 @@
 
 def datastore_written(folder: str, new_folder: str) -> None:
     """What a folder of states holds, written into another."""
-    Keeper(new_folder).save(Keeper(folder).load())
+    DatastoreFile(new_folder).save(DatastoreFile(folder).load())
 
 
 def accepted(tree: dict[str, Any]) -> dict[str, Any]:
@@ -152,7 +159,7 @@
 def assignment(text: str) -> dict[str, Any]:
     """Version and time by their keys in the file, the rest by its names in the YANG model."""
     held = read_assignment(text)
-    return {"version": held.version, "written": held.written, "assignment": charter_tree(held)}
+    return {"version": held.version, "written": held.written_at, "assignment": charter_tree(held)}
 
 
 def assignment_written(text: str) -> str:
@@ -200,8 +207,8 @@
     return codec.encode(held.kind, held.number, held.sender, held.about, held.words, held.part)
 
 
-def _exchange() -> Exchange:
-    return Exchange(0.0, None, 1)
+def _exchange() -> QuotaExchange:
+    return QuotaExchange(0.0, None, 1)
 
 
 def leases(data: bytes) -> list[list[Any]]:
@@ -223,14 +230,15 @@
 
 def cells_file(path: str) -> dict[str, Any]:
     """As `serve` and `check` read it."""
-    held = load_cells_file(path)
-    paths = paths_in(held, ("assignment", "records"), os.path.dirname(path))
+    held = load_cells_config(path)
+    folder = os.path.dirname(path)
+    paths = paths_in(held, ("assignment", "records"), folder, CELLS_PATHS)
     return {"cells": named(held, CELLS_KEYS) | paths, "director": named(held, DIRECTOR_KEYS)}
 
 
 def management_file(path: str) -> dict[str, Any]:
     """As `serve` and `check` read it."""
-    held = load_management_file(path)
+    held = load_management_config(path)
     paths = paths_in(held, MANAGEMENT_PATHS, os.path.dirname(path))
     roles = {name: role.name.lower() for name, role in held.rights.by_name.items()}
     return {
@@ -243,7 +251,7 @@
 
 def fleet_file(path: str) -> dict[str, Any]:
     """As `serve` and `check` read it."""
-    held = load_fleet_file(path)
+    held = load_fleet_config(path)
     others = {
         "key": held.key.decode(),
         "listen": host_and_port(held.listen),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -14,8 +14,19 @@
 DATA = Path(__file__).parent / "data" / "stored-by-0.3"
 EXPECTED = json.loads((DATA / "expected.json").read_text(encoding="utf-8"))
 ASSIGNMENTS = ["by-management", "moves-and-release", "table"]
-DATAGRAMS = ["ack", "ask", "none-heard", "page", "part", "ping", "sync", "word-of-one-alive",
-             "word-of-one-dead", "word-of-one-left", "word-of-one-suspect"]
+DATAGRAMS = [
+    "ack",
+    "ask",
+    "none-heard",
+    "page",
+    "part",
+    "ping",
+    "sync",
+    "word-of-one-alive",
+    "word-of-one-dead",
+    "word-of-one-left",
+    "word-of-one-suspect",
+]
 DATASTORES = ["history", "wants-confirmation"]
 LEASES = ["ask", "ask-again", "back", "lend", "several"]
 CHECKED = ["cells", "fleet", "management"]
