--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -9,6 +9,7 @@
 from . import migrations
 from .hashing import digest, drawn, homes
 from .model import Assignment, Limits, Migration, Rollout, Tenant
+from .parser import LIMIT_FIELDS
 
 
 class RefusalError(Exception):
@@ -265,4 +266,5 @@
 
 
 def limits_worded(limits: Limits) -> dict[str, float]:
-    return {name: value for name in Limits.__dataclass_fields__ if (value := getattr(limits, name))}
+    """The limits that are set, by their keys in the assignment file."""
+    return {key: value for key, field in LIMIT_FIELDS.items() if (value := getattr(limits, field))}
