--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -65,8 +65,8 @@
 
 def told(director, name, **changes):
     """The list says so of a node."""
-    facade = director.service.facade
-    facade.listed([replace(facade.entries[name], **changes)], False)
+    facade = director.service.coordinator
+    facade.update_endpoints([replace(facade.endpoint_updates[name], **changes)], False)
 
 
 def waiting(director):
@@ -85,17 +85,23 @@
         d, attempt.addresses[0][1].name, state=EndpointState.DRAINING
     ),
     "its cache is gone": lambda d, attempt: told(
-        d, attempt.ways[0][1].name, state=EndpointState.GONE
+        d, attempt.addresses[0][1].name, state=EndpointState.GONE
+    ),
+    "another machine is there": lambda d, attempt: told(
+        d, attempt.addresses[0][1].name, started_at=5.0
     ),
-    "another machine is there": lambda d, attempt: told(d, attempt.ways[0][1].name, started=5.0),
     "its source drains": lambda d, attempt: told(
-        d, attempt.ways[1][1].name, state=EndpointState.DRAINING
+        d, attempt.addresses[1][1].name, state=EndpointState.DRAINING
     ),
     "its source is gone": lambda d, attempt: told(
-        d, attempt.ways[1][1].name, state=EndpointState.GONE
+        d, attempt.addresses[1][1].name, state=EndpointState.GONE
+    ),
+    "its object is purged": lambda d, attempt: d.service.coordinator.apply_purge(
+        0xAB, 0, d.service.clock()
+    ),
+    "its group is purged": lambda d, attempt: d.service.coordinator.apply_purge(
+        0, 17, d.service.clock()
     ),
-    "its object is purged": lambda d, attempt: d.service.facade.purged(0xAB, 0, d.service.clock()),
-    "its group is purged": lambda d, attempt: d.service.facade.purged(0, 17, d.service.clock()),
 }
 
 
@@ -127,7 +133,7 @@
             named = [
                 name for (name, _, _), node in zip(SPOTS, director.nodes, strict=True) if node.heard
             ]
-            assert attempt.ways["source" in between][1].name not in [
+            assert attempt.addresses["source" in between][1].name not in [
                 *named,
                 heard[0][2].get("miss"),
             ]
@@ -144,7 +150,7 @@
             caller.socket.sendall(forget(number))
         else:
             caller.close()
-        assert wait_for(lambda: attempt.request.ended)
+        assert wait_for(lambda: attempt.request.is_complete)
         gate.set()
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (1, 0)
@@ -286,9 +292,9 @@
         caller.send(patience="6000")
         assert wait_for(director.heard)
         attempt = waiting(director)
-        told(director, attempt.ways[0][1].name, state=state)
+        told(director, attempt.addresses[0][1].name, state=state)
         link = caches.of_attempt[attempt][0]
-        link.heard, attempt.sent = 0.0, 1.0
+        link.heard, attempt.sent_at = 0.0, 1.0
         caches.ping_quiet_connections()
         assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == EndpointState.READY)
 
@@ -545,7 +551,8 @@
         request = take(facade, *arguments, **named)
         other = threading.Thread(
             target=lambda: [
-                director.service.listener.run_request(still) for still in facade.wind_up()
+                director.service.listener.run_request(still)
+                for still in facade.finish_pending_requests()
             ]
         )
         other.start()
@@ -751,7 +758,7 @@
         time.sleep(0.3)
         go.set()
         attempt = waiting(director)
-        assert attempt.request.until - attempt.request.arrived < 1750.0
+        assert attempt.request.deadline - attempt.request.arrived_at < 1750.0
 
 
 def test_who_floods_with_bad_calls_is_ended_and_told_why(reading):
@@ -991,7 +998,7 @@
 
     stand.talk = held
     director = Running(bus=stand)
-    begun, asked = ClientListener.config, []
+    begun, asked = ClientListener.start, []
 
     def begin(front):
         begun(front)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -842,7 +842,7 @@
                 raise KeyError("tick")
             return tick()
 
-        monkeypatch.setattr(director.service.coordinator, "tick", fail_once)
+        monkeypatch.setattr(director.service.coordinator, "run_due_timers", fail_once)
         caller = director.caller()
         assert wait_for(lambda: "fault" in director.sink.events)
         caller.send()
