--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,9 +1,11 @@
-"""Drives the front and the module of one director in this process, without nodes: CPU of a request.
-Run as a script with a folder that holds some version of the package, so that versions can be set
-side by side: it plays as many requests as each line of its input says, and answers with the CPU
-they took.
+"""Measures the CPU of a request in one director: client listener and policy, without endpoints.
+
+Run as a script with a folder that holds some version of the package (0.3 or later), so that
+versions can be compared: it plays as many requests as each line of its input says, and prints the
+CPU seconds that they took.
 """
 
+import importlib
 import itertools
 import json
 import socket
@@ -11,11 +13,15 @@
 import sys
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, cast
 
-OBJECTS = 300
+OBJECTS = 300  # objects that the requests ask for in turn
+BATCH = 100  # requests between two reads of the answers: so many fit into the socket's buffer
 
 
 def configuration() -> dict:
+    """Returns the platform's configuration of the director, as LB_CONFIG would have it."""
     case = {
         "idempotency": "safe",
         "slo": 400.0,
@@ -88,6 +94,7 @@
 
 
 def frame(number: int) -> memoryview:
+    """Returns the Thrift message of one request, without the length before it."""
     fields = {
         "route": "pages",
         "trace": f"{number:016x}",
@@ -114,69 +121,156 @@
     )
 
 
-def drive(cells: str) -> Callable[[int], float]:
-    """Gives what plays so many requests and tells the CPU they took."""
-    from mulleinrelay import director
-    from mulleinrelay.config.platform import parse_config
-    from mulleinrelay.net import client_listener, resp
-    from mulleinrelay.policy.model import CacheStatus, Outcome
+class Quiet:
+    """A log that writes nothing, under the names of 0.3 and of today."""
+
+    def event(self, *_, **__):
+        """Logs nothing."""
+
+    exception = fault = event
+
 
-    class Quiet:
-        def event(self, *_, **__):
-            """Nothing is logged."""
+@dataclass
+class Parts:
+    """The parts of a director that the benchmark touches, whatever their names in that version."""
 
-        exception = event
+    director: Any
+    listener: Any
+    upstream_field: str  # of the listener
+    report_outcome: Callable[..., None]
+    run_due_timers: Callable[[], Any]
+    served_from_cache: tuple[Any, Any]  # outcome and cache status
+    client_type: type
+    thrift: Any
+    resp: Any
 
-    start = parse_config(json.dumps(configuration()))
+
+def current_parts(cells: str) -> Parts:
+    """Starts a director of a version whose modules have today's names."""
+    from mulleinrelay.config.platform import parse_config
+    from mulleinrelay.director import Director
+    from mulleinrelay.net import resp, thrift
+    from mulleinrelay.net.client_connection import ClientConnection
+    from mulleinrelay.policy.model import CacheStatus, Outcome
+
+    config = parse_config(json.dumps(configuration()))
+    cells_config = None
     if cells:
         from mulleinrelay.cells.config import load_cells_config
 
-        made = director.Director(start, Quiet(), load_cells_config(cells))
-    else:
-        made = director.Director(start, Quiet())
-    for number, event in enumerate(start.known_events, 1):
-        made.event_stream.apply(number, event)
+        cells_config = load_cells_config(cells)
+    director: Any = Director(config, cast(Any, Quiet()), cells_config)
+    for number, event in enumerate(config.known_events, 1):
+        director.event_stream.apply(number, event)
     if cells:
-        made.cell_service._step()
+        director.cell_service._step()
+    return Parts(
+        director,
+        director.listener,
+        "upstream",
+        director.coordinator.report_outcome,
+        director.coordinator.run_due_timers,
+        (Outcome.SERVED, CacheStatus.HIT),
+        ClientConnection,
+        thrift,
+        resp,
+    )
 
-    class Nodes:
-        """Answers each attempt at once, as a cache that holds the object."""
 
-        def send(self, order, asked):
-            resp.pull(asked, order, 1000.0)
-            made.coordinator.report_outcome(
-                order.attempt, Outcome.SERVED, CacheStatus.HIT, answer=held
-            )
+def parts_of_0_3(cells: str) -> Parts:
+    """Starts a director of 0.3, whose modules have other names."""
 
-        def give_up(self, attempt):
-            """Never called off here."""
+    def module(name: str) -> Any:  # by name, as a type check of today's version knows none of them
+        return importlib.import_module(f"mulleinrelay.{name}")
 
-    held = type("Told", (), {"kept": False, "body": bytes(400)})()
-    made.listener.upstream = Nodes()
-    ours, theirs = socket.socketpair()
-    client = client_listener.ClientConnection(ours)
+    config = module("configuration").decode(json.dumps(configuration()))
+    own = module("cells.own").load_own(cells) if cells else None
+    director = module("net.service").Service(config, Quiet(), own)
+    for number, event in enumerate(config.events, 1):
+        director.bus.apply(number, event)
+    if cells:
+        director.warden._step()
+    return Parts(
+        director,
+        director.front,
+        "caches",
+        director.facade.report,
+        director.facade.tick,
+        (module("interface").Outcome.SERVED, module("interface").Note.HIT),
+        module("net.client").Client,
+        module("net.thrift"),
+        module("net.resp"),
+    )
+
+
+class AnsweringUpstream:
+    """Answers each attempt at once, as a cache that holds the object."""
+
+    def __init__(self, parts: Parts) -> None:
+        self.parts = parts
+        self.answer = type("Answer", (), {"kept": False, "is_current": False, "body": bytes(400)})()
+
+    def send(self, step: Any, request: Any) -> None:
+        """Encodes the attempt and reports its answer."""
+        self.parts.resp.pull(request, step, 1000.0)
+        outcome, status = self.parts.served_from_cache
+        self.parts.report_outcome(step.attempt, outcome, status, answer=self.answer)
+
+    def cancel(self, attempt: Any) -> None:
+        """Nothing is cancelled here."""
+
+    give_up = cancel
 
+    def fullness(self) -> float:
+        """Returns that no connection is in use."""
+        return 0.0
+
+
+def drive(cells: str) -> Callable[[int], float]:
+    """Returns a function that plays so many requests and returns the CPU seconds they took."""
+    try:
+        parts = current_parts(cells)
+    except ModuleNotFoundError as error:
+        if error.name != "mulleinrelay.config":
+            raise
+        parts = parts_of_0_3(cells)
+    setattr(parts.listener, parts.upstream_field, AnsweringUpstream(parts))
+    ours, theirs = socket.socketpair()
+    client = parts.client_type(ours)
     theirs.setblocking(False)
     numbers = itertools.count(1)
 
-    def chunk(requests: int) -> float:
-        """Seconds of this thread's CPU; the other end is read between chunks, which fit into its
-        buffer.
-        """
+    def play_batch(requests: int) -> float:
         frames = [frame(next(numbers)) for _ in range(requests)]
         begun = time.thread_time()
         for each in frames:
-            made.listener._call(client, each)
-        made.coordinator.run_due_timers()
-        used = time.thread_time() - begun
+            call = parts.thrift.read_call(each)
+            call.read_at = time.monotonic()
+            parts.listener._call(client, call)
+        parts.run_due_timers()
+        return time.thread_time() - begun
+
+    def count_answers() -> int:
+        """Reads the answers: each holds the one body of 400 bytes and the name of its method."""
+        received = b""
         try:
-            while theirs.recv(1 << 20):
-                continue
+            while piece := theirs.recv(1 << 20):
+                received += piece
         except BlockingIOError:
             pass
+        return received.count(b"serve")
+
+    def play(requests: int) -> float:
+        used = 0.0
+        while requests > 0:
+            batch = min(requests, BATCH)
+            used += play_batch(batch)
+            if (answers := count_answers()) != batch:
+                raise RuntimeError(f"{answers} of {batch} requests were answered")
+            requests -= batch
         return used
 
-    return chunk
+    return play
 
 
 if __name__ == "__main__":
