--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -229,13 +229,13 @@
         key, _, word = text.partition(" ")
         if (name := names.get(key)) is None:
             continue
-        if first <= at < last and word.startswith("shunned"):
+        if first <= at < last and word.startswith("ejected"):
             found.setdefault((director, name), at - first)
-        elif at >= last and word.startswith("taken back") and (director, name) in found:
+        elif at >= last and word.startswith("reinstated") and (director, name) in found:
             returned.setdefault((director, name), at - last)
     able = {spot for spot, count in met.items() if count >= MEETINGS} | set(found)
     wrong = sum(
-        first <= at < last and "shunned (error)" in text and text.split()[0] not in names
+        first <= at < last and "ejected (error)" in text and text.split()[0] not in names
         for at, _, text in told
     )
     goal = scenario.goal_ms
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -9,6 +9,13 @@
 import tracemalloc
 from collections import deque
 
+from mulleinrelay.policy.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointsUpdated,
+    RequestReceived,
+)
+from mulleinrelay.policy.latency import TrackedEndpoint
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
     CachePool,
@@ -21,7 +28,7 @@
     ServiceSettings,
     SlowStartPolicy,
 )
-from mulleinrelay.policy.router import Router, TrackedEndpoint
+from mulleinrelay.policy.router import Router
 
 CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
 SPAN = 10_000.0  # ms that the requests take
@@ -34,7 +41,7 @@
     def __init__(self) -> None:
         self.attempts = []
 
-    def send(self, attempt, *_):
+    def send_attempt(self, attempt, *_):
         self.attempts.append(attempt)
 
     def __getattr__(self, name):
@@ -74,11 +81,12 @@
     caches: list[TrackedEndpoint], outside: list[tuple[TrackedEndpoint, int, float]]
 ) -> Router:
     made = Router(0.0, 7, terms())
-    rows = [(cache, EndpointState.READY, 4.0, CACHE, 1, 0, 0.0) for cache in caches]
+    rows = [EndpointEntry(cache, EndpointState.READY, 4.0, CACHE, 1, 0, 0.0) for cache in caches]
     rows += [
-        (member, EndpointState.READY, 4.0, kind, 0, 0, started) for member, kind, started in outside
+        EndpointEntry(member, EndpointState.READY, 4.0, kind, 0, 0, started)
+        for member, kind, started in outside
     ]
-    made.round(0.0, [("listed", (rows, True, False))], Out())
+    made.handle(0.0, [EndpointsUpdated(rows, True)], Out())
     return made
 
 
@@ -112,7 +120,7 @@
     held = set()
     confined = [CachePool(dict.fromkeys(own), {}, {}, RetryBudget(8.0)) for own in pools]
     cold = {
-        id(one): next(member for member in one.members if member.hash_key == 10)
+        id(one): next(member for member in one.endpoints.known if member.hash_key == 10)
         for one in directors
     }
     readings, to_cold, peak, begun = 0, deque(), 0.0, time.process_time()
@@ -121,7 +129,7 @@
         one = directors[cell]
         request = Request(
             number,
-            one.terms.request_classes[0],
+            one.settings.request_classes[0],
             chance.randrange(OBJECTS),
             0,
             0,
@@ -130,12 +138,14 @@
             now + 3_000.0,
             pool=None if split else confined[cell],
         )
-        one.round(now, [("requested", (request,))], out)
+        one.handle(now, [RequestReceived(request)], out)
         for attempt in out.attempts:
-            hit = (attempt.node.key, request.object_id) in held
-            held.add((attempt.node.key, request.object_id))
-            readings += not hit and attempt.source is not None and attempt.source.kind == PARENT
-            if not hit and attempt.source is cold[id(one)]:
+            hit = (attempt.endpoint.hash_key, request.object_id) in held
+            held.add((attempt.endpoint.hash_key, request.object_id))
+            readings += (
+                not hit and attempt.fill_source is not None and attempt.fill_source.kind == PARENT
+            )
+            if not hit and attempt.fill_source is cold[id(one)]:
                 to_cold.append(now)
                 while to_cold[0] < now - 1_500.0:
                     to_cold.popleft()
@@ -144,16 +154,9 @@
                 )  # a third of it is this director's part
                 peak = max(peak, 40.0 * len(to_cold) / (4.0 * warmth * 1_500.0 / 3.0))
             note = CacheStatus.HIT if hit else CacheStatus.FILLED
-            one.round(
-                now + 5.0,
-                [
-                    (
-                        "answered",
-                        (attempt, Outcome.SERVED, 5.0 if hit else 40.0, True, note, 30.0, None),
-                    )
-                ],
-                out,
-            )
+            elapsed = 5.0 if hit else 40.0
+            finished = AttemptFinished(attempt, Outcome.SERVED, elapsed, True, note, 30.0, None)
+            one.handle(now + 5.0, [finished], out)
         out.attempts.clear()
     if traced:
         memory = tracemalloc.get_traced_memory()[1]
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -1,23 +1,38 @@
-"""The decision module for the network code: pick, report, tick.
-
-The only code that knows the module's calls and its Writer. One lock guards the module and the state
-of every request; nothing here touches a socket. A request has one life: it is taken, picked for
-until its verdict, and whoever comes second (a late answer, the client's leaving, a timer) finds it
-ended. The thread whose call moved a request picks for it until there is nothing to do; only one
-thread does at a time, so that all that is done for a request is done in order and its verdict comes
-last.
+"""Pending requests between the threads of the network code and the router.
+
+One lock guards the router and the state of every request; nothing here touches a socket. A request
+is accepted, its steps are carried out until its result, and whoever comes second (a late answer,
+the client's leaving, a timer) finds it complete. The thread whose call changed a request carries
+out its steps until there are none; only one thread does at a time, so that they are carried out in
+order and the result comes last.
 """
 
-import heapq
 import threading
-from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, replace
-from typing import Any, Protocol
-
+from typing import Any
+
+from .endpoint_registry import EndpointOverrides, EndpointRegistry
+from .pending_requests import (
+    CancelAttempt,
+    ClientGone,
+    Failed,
+    PendingRequest,
+    Rejected,
+    RequestResult,
+    Served,
+)
 from .policy.admission import SchedulingDelay
+from .policy.events import (
+    AttemptFinished,
+    ClientLeft,
+    Event,
+    HealthCheckFinished,
+    PurgeReceived,
+    RequestReceived,
+    TimerFired,
+)
+from .policy.latency import TrackedEndpoint
 from .policy.model import (
-    UNKNOWN_ADDRESS,
     Attempt,
     CachePool,
     CacheStatus,
@@ -30,139 +45,129 @@
     SendAttempt,
     ServiceSettings,
 )
-from .policy.router import Router, TrackedEndpoint
+from .policy.router import Router
+from .router_actions import PendingActions
 from .structured_log import StructuredLog
+from .timers import TimerKind
 
-ANSWER_SLACK = (
-    8.0  # a request without a verdict so long after its client's time is failed by the caller
-)
-
-
-class EndpointOverrides(Protocol):
-    """What staff want of nodes, over the list. Called under the lock."""
-
-    def update_endpoints(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None: ...
-    def effective_state(self, entry: EndpointUpdate) -> EndpointState: ...
-
-
-@dataclass(slots=True, eq=False)
-class CancelAttempt:
-    """Call this attempt off."""
-
-    attempt: Attempt
-
-
-@dataclass(slots=True, eq=False)
-class Served:
-    answer: Any  # what the caller reported with the attempt
+__all__ = [
+    "CancelAttempt",
+    "ClientGone",
+    "Failed",
+    "Rejected",
+    "RequestCoordinator",
+    "RequestResult",
+    "SendAttempt",
+    "Served",
+]
 
+# A request without a result so long after its client's deadline is failed by the coordinator.
+RESULT_SLACK = 8.0  # ms
+IDLE_WAIT = 1000.0  # ms until the next call where no timer is set
 
-@dataclass(slots=True, eq=False)
-class Rejected:
-    retry_after_ms: float
 
+class RequestCoordinator:
+    """The network code's view of the router.
 
-@dataclass(slots=True, eq=False)
-class Failed:
-    pass
-
-
-@dataclass(slots=True, eq=False)
-class ClientGone:
-    """The client is gone; no answer is owed."""
-
-
-RequestResult = Served | Rejected | Failed | ClientGone
-
-
-class PendingRequest:
-    """A request that is not over: what is to be done for it, and its verdict."""
-
-    __slots__ = ("next_steps", "result", "owner_thread")
-
-    def __init__(self, holder: int) -> None:
-        self.next_steps: deque[SendAttempt | CancelAttempt] = deque()
-        self.result: RequestResult | None = None
-        self.owner_thread = holder  # the thread that picks for it; 0: none
-
-    def complete(self, verdict: RequestResult) -> None:
-        if self.result is None:
-            self.result = verdict
-
+    Thread-safe. `lock` guards the router with all its objects, the endpoint registry, and the
+    actions with pending requests, timers and health checks. Methods with an underscore are called
+    under the lock.
+    """
 
-class RequestCoordinator:
     def __init__(
-        self, clock: Callable[[], float], seed: int, terms: ServiceSettings, log: StructuredLog
+        self, clock: Callable[[], float], seed: int, settings: ServiceSettings, log: StructuredLog
     ) -> None:
-        self.clock, self.settings, self.log_events = clock, terms, log
+        """`clock` gives ms; the same seed and calls give the same decisions."""
+        self.clock = clock
+        self.settings = settings
+        self.log_events = log
         self.lock = threading.Lock()
-        self.timer_changed = threading.Condition(
-            self.lock
-        )  # rung when the next timer has moved forward
-        self.pending_requests: dict[Request, PendingRequest] = {}
-        self.endpoints: dict[str, TrackedEndpoint] = {}
-        self.addresses: dict[TrackedEndpoint, EndpointAddress] = {}
-        self.endpoint_updates: dict[
-            str, EndpointUpdate
-        ] = {}  # as the list told them last, those that have gone left out
-        self.overrides: EndpointOverrides | None = None  # what staff want over the list
-        self.timers: list[tuple[float, int, str, Request | Attempt]] = []
-        self.timer_count, self.resting_until = 0, 0.0
+        # Guarded by `lock`:
+        self.registry = EndpointRegistry()
         self.lateness = SchedulingDelay()
-        self.probes: list[tuple[TrackedEndpoint, EndpointAddress]] = []
-        self.called_off: list[Attempt] = []
-        self.calls: list[tuple[str, tuple[Any, ...]]] = []
-        self.router = Router(clock(), seed, terms)
+        self.router = Router(clock(), seed, settings)
+        self._actions = PendingActions(self.registry, self._now, self._log_mode, self._wake)
+        self._timer_changed = threading.Condition(self.lock)  # an earlier timer or a health check
+        self._waiting_until = 0.0  # when the thread in `wait_until` wakes by itself; 0: none waits
 
-    # For the network code: requests
+    @property
+    def pending_requests(self) -> dict[Request, PendingRequest]:
+        """The requests whose result has not been taken; read under the lock."""
+        return self._actions.requests
+
+    # Requests
 
     def accept(
         self,
         request_class: RequestClass,
-        key: int,
+        object_id: int,
         part: int,
         group: int,
-        size: float,
-        left: float,
-        repeated: bool,
-        ticket: Any = None,
+        size_kb: float,
+        remaining_time: float,
+        is_retry: bool,
+        context: Any = None,
         room: bool = True,
         pool: CachePool | None = None,
     ) -> Request:
-        """A request has come; the caller now picks for it, and until then nobody else does. Where
-        there is no room to see it through, the module ends it at once. With a pool it is confined
-        to that.
+        """Takes a request; the calling thread carries out its steps, and until then nobody else.
+
+        Args:
+            request_class: Its class.
+            object_id: The object's number.
+            part: The part of the object.
+            group: The group that the object is purged with.
+            size_kb: Its size in KB; 0 where not known.
+            remaining_time: ms until its client's deadline.
+            is_retry: Whether the client has sent it before.
+            context: The caller's own, kept with the request.
+            room: Whether there is capacity to see it through; without, the router ends it at once.
+            pool: The caches that it is confined to; None: all of the zone.
         """
         now = self.clock()
         with self.lock:
             request = Request(
-                ticket, request_class, key, part, group, size, now, now + left, repeated, pool=pool
+                context,
+                request_class,
+                object_id,
+                part,
+                group,
+                size_kb,
+                now,
+                now + remaining_time,
+                is_retry,
+                pool=pool,
             )
             self.pending_requests[request] = PendingRequest(threading.get_ident())
-            self._set_timer(left + ANSWER_SLACK, "overdue", request)
-            self._play("requested" if room else "woken", request)
+            self._actions.set_timer(
+                remaining_time + RESULT_SLACK, TimerKind.RESULT_OVERDUE, request
+            )
+            self._handle(RequestReceived(request) if room else TimerFired(request))
         return request
 
     def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
-        """What is to be done next for the request; a verdict comes last, and once. None where
-        nothing is to be done, or where another thread is at it, which picks what has come
-        meanwhile.
+        """What is to be done next for the request; its result comes last, and once.
+
+        Returns:
+            None where nothing is to be done, or where another thread carries out the steps, which
+            then takes those that have come meanwhile.
         """
         with self.lock:
-            life, here = self.pending_requests.get(request), threading.get_ident()
-            if life is None or life.owner_thread not in (0, here):
+            pending = self.pending_requests.get(request)
+            thread = threading.get_ident()
+            if pending is None or pending.owner_thread not in (0, thread):
                 return None
-            life.owner_thread = here
-            while life.next_steps:
-                step = life.next_steps.popleft()
+            pending.owner_thread = thread
+            while pending.next_steps:
+                step = pending.next_steps.popleft()
                 if isinstance(step, CancelAttempt) or (
-                    life.result is None and step.attempt.outcome is None
+                    pending.result is None and step.attempt.outcome is None
                 ):
                     return step
-            life.owner_thread = 0
-            if life.result is not None:
+            pending.owner_thread = 0
+            if pending.result is not None:
                 del self.pending_requests[request]
-            return life.result
+            return pending.result
 
     def report_outcome(
         self,
@@ -173,395 +178,317 @@
         load: dict[str, float] | None = None,
         answer: Any = None,
     ) -> None:
-        """How an attempt went. What comes for an attempt that is over is dropped."""
+        """Reports how an attempt ended. What comes for one that has ended is dropped.
+
+        Args:
+            attempt: The attempt.
+            outcome: How it ended.
+            note: What the endpoint reported of the answer's way.
+            waited: The fill source's delay in ms, as reported; 0 where it was not.
+            load: The load report that came with it.
+            answer: What the client gets where it was served.
+        """
         with self.lock:
-            self._ended(attempt, outcome, note, waited, load, answer)
+            self._finish_attempt(attempt, outcome, note, waited, load, answer)
 
     def can_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt that was decided may still go out: asked when its first byte is to be
-        written, which may be long after. What came between (a drain, another machine at the
-        address, a purge, the client's leaving, another answer) holds; an attempt that may not is
-        reported as moot, and what is to be done instead is decided anew.
+        """Whether an attempt that was decided may still go out.
+
+        Asked when its first byte is to be written, which may be long after. What came between (a
+        drain, another machine at the address, a purge, the client's leaving, another answer) may
+        forbid it; it is then reported as not sent, and the router decides anew.
         """
         with self.lock:
-            life = self.pending_requests.get(attempt.request)
-            if life is None or life.result is not None or attempt.outcome is not None:
+            pending = self.pending_requests.get(attempt.request)
+            if pending is None or pending.result is not None or attempt.outcome is not None:
                 return False
-            here = all(
-                self.addresses.get(node) is place and not place.is_removed
-                for node, place in attempt.addresses
+            has_same_addresses = all(
+                self.registry.is_current(endpoint, address)
+                for endpoint, address in attempt.addresses
             )
-            return here and self.router.may_begin(self.clock(), attempt)
+            return has_same_addresses and self.router.can_begin(self.clock(), attempt)
 
-    def can_health_check(self, node: TrackedEndpoint, place: EndpointAddress) -> bool:
-        """Whether a node may be asked for an echo or a report there, when the first byte is to be
-        written.
-        """
+    def can_health_check(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
+        """Whether an endpoint may get a health check there, when its first byte is to be written."""
         with self.lock:
-            return (
-                self.addresses.get(node) is place
-                and not place.is_removed
-                and self.router.may_ask(node)
+            return self.registry.is_current(endpoint, address) and self.router.can_check_health(
+                endpoint
             )
 
     def client_left(self, request: Request) -> None:
         """The client has left."""
         with self.lock:
-            life = self.pending_requests.get(request)
-            if life is not None and life.result is None:
-                life.complete(ClientGone())
-                self._play("end", request)
+            pending = self.pending_requests.get(request)
+            if pending is not None and pending.result is None:
+                pending.complete(ClientGone())
+                self._handle(ClientLeft(request))
 
     def discard(self, request: Request) -> None:
-        """Nobody will pick for this request any more; who holds the links of its attempts gives
-        them up.
+        """Nobody carries out this request's steps any more.
+
+        Whoever holds the connections of its attempts gives these up.
         """
         self.client_left(request)
         with self.lock:
             self.pending_requests.pop(request, None)
 
     def finish_pending_requests(self) -> list[Request]:
-        """The final answer at once for all that is open; to be picked for."""
+        """Gives all pending requests their result; returns those whose steps are to be done."""
         with self.lock:
-            still = [
-                request for request, life in self.pending_requests.items() if life.result is None
+            unfinished = [
+                request
+                for request, pending in self.pending_requests.items()
+                if pending.result is None
             ]
-            for request in still:
-                self._play("woken", request)
-        return still
+            for request in unfinished:
+                self._handle(TimerFired(request))
+        return unfinished
 
     def pending_count(self) -> int:
+        """The number of requests whose result has not been taken."""
         return len(self.pending_requests)
 
     def cpu_pressure(self) -> float:
-        """0 where timers come when they are due, near 1 where this director is itself
-        what is late.
-        """
+        """0 where timers run when they are due, near 1 where this director itself is late."""
         return self.lateness.fullness(self.clock())
 
+    # Endpoints
+
+    @property
+    def endpoints(self) -> dict[str, TrackedEndpoint]:
+        """The endpoints by name; read under the lock."""
+        return self.registry.endpoints
+
+    @property
+    def addresses(self) -> dict[TrackedEndpoint, EndpointAddress]:
+        """Where each endpoint is found; read under the lock."""
+        return self.registry.addresses
+
+    @property
+    def endpoint_updates(self) -> dict[str, EndpointUpdate]:
+        """What the list said last of each endpoint, by name; read under the lock."""
+        return self.registry.updates
+
+    @property
+    def overrides(self) -> EndpointOverrides | None:
+        """What operators want over the list; set under the lock."""
+        return self.registry.overrides
+
+    @overrides.setter
+    def overrides(self, overrides: EndpointOverrides | None) -> None:
+        self.registry.overrides = overrides
+
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
-        """Those of this location by name, each with the share of its capacity that it has at the
-        least.
-        """
+        """The ready caches of this zone by name, each with the fraction of its capacity it has."""
         with self.lock:
-            now, director = self.clock(), self.router
-            director.now = max(director.now, now)
-            return sorted(
-                (
-                    (self.addresses[member].name, member, director.warmth(member))
-                    for member in director.caches
-                ),
-                key=lambda entry: entry[0],
-            )
-
-    # For the network code: nodes, events and time
+            now = self.clock()
+            available_fraction = self.router.slow_start.available_fraction
+            caches = [
+                (self.addresses[cache].name, cache, available_fraction(cache, now))
+                for cache in self.router.endpoints.caches
+            ]
+            return sorted(caches, key=lambda entry: entry[0])
 
     def update_endpoints(self, entries: list[EndpointUpdate], whole: bool) -> None:
+        """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
         with self.lock:
-            entries = [held for entry in entries if (held := self._as_known(entry)) is not None]
-            self.endpoint_updates = {} if whole else self.endpoint_updates
-            for entry in entries:
-                if entry.state == EndpointState.GONE:
-                    self.endpoint_updates.pop(entry.name, None)
-                else:
-                    self.endpoint_updates[entry.name] = entry
-            if self.overrides is not None:
-                self.overrides.update_endpoints(self.clock(), entries, whole)
-            self._list(entries, whole)
-
-    def _as_known(self, entry: EndpointUpdate) -> EndpointUpdate | None:
-        """What was left out of a row is as it was; None where that is not known."""
-        known = self.endpoint_updates.get(entry.name)
-        if known is None:
-            return (
-                entry
-                if entry.address != UNKNOWN_ADDRESS or entry.state == EndpointState.GONE
-                else None
-            )
-        partial = entry.address == UNKNOWN_ADDRESS or entry.state == EndpointState.GONE
-        return replace(known, state=entry.state) if partial else entry
+            self._handle(self.registry.accept(self.clock(), entries, whole))
+            self.registry.drop_removed(self.router.endpoints.known)
 
-    def change_overrides(self, make: Callable[["EndpointOverrides"], list[str]]) -> None:
-        """What staff want has changed: `make` changes the intent and gives the nodes that it
-        touches.
-        """
+    def change_overrides(self, make: Callable[[EndpointOverrides], list[str]]) -> None:
+        """Operators' wishes change: `make` changes them and returns the names concerned."""
         with self.lock:
-            touched = [
-                self.endpoint_updates[name]
-                for name in make(self.overrides)
-                if name in self.endpoint_updates
-            ]
-            if touched:
-                self._list(touched, False)
+            event = self.registry.reapply(make)
+            if event is not None:
+                self._handle(event)
+                self.registry.drop_removed(self.router.endpoints.known)
 
     def endpoint_states(
         self,
     ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
-        """For staff, by name: as the list tells a node, the state that this director goes by, what
-        it believes, the smoothed delay (ms; None: not measured) and its warmth.
+        """For operators, by name: what is listed, what this director goes by, and what it measured.
+
+        Returns:
+            A tuple for each endpoint: its entry, effective state, statistics, smoothed delay in ms
+            (None: not measured) and the fraction of its capacity that it has at the least.
         """
         with self.lock:
-            now, director = self.clock(), self.router
-            director.now = max(director.now, now)
+            now = self.clock()
             return [
                 (
                     entry,
-                    self._state(entry),
-                    member,
-                    member.recent.mean(now),
-                    director.warmth(member),
+                    self.registry.effective_state(entry),
+                    endpoint,
+                    endpoint.recent_delay.mean(now),
+                    self.router.slow_start.available_fraction(endpoint, now),
                 )
                 for name, entry in sorted(self.endpoint_updates.items())
-                if (member := self.endpoints.get(name))
+                if (endpoint := self.endpoints.get(name))
             ]
 
-    def active_purge_count(self) -> int:
-        return len(self.router.purges)
+    def report_health_check(
+        self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True
+    ) -> None:
+        """Reports a health check's result: the load report, and whether it was answered."""
+        with self.lock:
+            self._handle(HealthCheckFinished(node, load, well))
 
-    def _state(self, entry: EndpointUpdate) -> EndpointState:
-        return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
-
-    def _list(self, entries: list[EndpointUpdate], whole: bool) -> None:
-        """Tells the module, under the lock."""
-        rows, named = [], set()
-        for entry in entries:
-            member = self.endpoints.get(entry.name)
-            if member is None:
-                member = self.endpoints[entry.name] = TrackedEndpoint(_key(entry.name))
-            named.add(entry.name)
-            place = self.addresses.get(member)
-            if (
-                place is None
-                or place.address != entry.address
-                or member.started_at != entry.started_at
-            ):
-                if place is not None:
-                    place.is_removed = True
-                place = self.addresses[member] = EndpointAddress(entry.name, entry.address)
-            place.is_removed = entry.state == EndpointState.GONE
-            rows.append(
-                (
-                    member,
-                    self._state(entry),
-                    entry.weight,
-                    entry.kind,
-                    entry.zone,
-                    entry.advertised_cell,
-                    entry.started_at,
-                )
-            )
-        if whole:
-            for name, member in self.endpoints.items():
-                self.addresses[member].is_removed |= name not in named
-        self._play("listed", rows, whole, False)
-        for name, member in list(
-            self.endpoints.items()
-        ):  # those that have gone would add up with time
-            if self.addresses[member].is_removed and member not in self.router.members:
-                del self.endpoints[name], self.addresses[member]
+    # Purges
 
     def apply_purge(self, key: int, group: int, at: float) -> None:
+        """An object (or with `key` 0 a group) was purged at that time."""
         with self.lock:
-            self._play("purged", key, group, self.clock() - at)
+            self._handle(PurgeReceived(key, group, self.clock() - at))
 
-    def report_health_check(
-        self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True
-    ) -> None:
-        """What a probe brought."""
-        with self.lock:
-            self._play("told", node, load, well)
+    def active_purge_count(self) -> int:
+        """The number of purges that are remembered."""
+        return len(self.router.purges)
+
+    # Time
 
     def run_due_timers(
         self,
     ) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
-        """Runs the timers that are due; gives when to call again, the nodes to be probed, and the
-        requests to be picked for.
+        """Runs the timers that are due.
+
+        Returns:
+            When to call again, the health checks to be sent, and the requests whose steps are to
+            be carried out.
         """
         with self.lock:
-            now, moved = self.clock(), {}
-            if self.timers and self.timers[0][0] <= now:
-                self.lateness.note(now, now - self.timers[0][0])
-            while self.timers and self.timers[0][0] <= now:
-                _, _, what, about = heapq.heappop(self.timers)
-                request = about if isinstance(about, Request) else about.request
-                if (life := self.pending_requests.get(request)) is None:
+            now = self.clock()
+            first_due = self._actions.timers.next_due()
+            if first_due is not None and first_due <= now:
+                self.lateness.note(now, now - first_due)
+            changed: dict[Request, None] = {}
+            while (timer := self._actions.timers.pop_due(now)) is not None:
+                kind, subject = timer
+                request = subject if isinstance(subject, Request) else subject.request
+                pending = self.pending_requests.get(request)
+                if pending is None:
                     continue
-                if what == "timeout":
-                    if about.outcome is None:
-                        self._call_off(about)
-                        self._ended(about, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0.0, None, None)
-                elif what == "overdue":
-                    if (
-                        life.result is None
-                    ):  # the module gave none; its client must not wait in vain
-                        self.log_events.event("overdue", attempts=len(request.attempts))
-                        life.complete(Failed())
-                        self._play("end", request)
-                elif not (about.is_complete if request is about else about.outcome is not None):
-                    self._play("woken", about)
-                if life.next_steps or life.result is not None:
-                    moved[request] = None
-            probes, self.probes = self.probes, []
-            return self.timers[0][0] if self.timers else now + 1000.0, probes, list(moved)
+                self._run_timer(kind, subject, pending)
+                if pending.has_work():
+                    changed[request] = None
+            next_due = self._actions.timers.next_due()
+            return (
+                now + IDLE_WAIT if next_due is None else next_due,
+                self._actions.take_health_checks(),
+                list(changed),
+            )
 
     def wait_until(self, until: float) -> None:
-        """Blocks until then, or until an earlier timer or a probe is wanted."""
+        """Blocks until that time, or until an earlier timer or a health check is wanted."""
         with self.lock:
-            self.resting_until = until
-            left = until - self.clock()
-            if left > 0.0 and not self.probes and (not self.timers or self.timers[0][0] >= until):
-                self.timer_changed.wait(left / 1000.0)
-            self.resting_until = 0.0
+            self._waiting_until = until
+            remaining = until - self.clock()
+            next_due = self._actions.timers.next_due()
+            if (
+                remaining > 0.0
+                and not self._actions.has_health_checks()
+                and (next_due is None or next_due >= until)
+            ):
+                self._timer_changed.wait(remaining / 1000.0)
+            self._waiting_until = 0.0
 
     # Inside, under the lock
 
-    def _play(self, method: str, *arguments: Any) -> None:
-        """One round of the module, and further ones for the attempts that it called off."""
-        calls = [(method, arguments)]
-        while calls:
+    def _run_timer(
+        self, kind: TimerKind, subject: Request | Attempt, pending: PendingRequest
+    ) -> None:
+        if kind == TimerKind.RESULT_OVERDUE:
+            self._fail_overdue(subject, pending)  # type: ignore[arg-type]
+        elif isinstance(subject, Request):
+            if not subject.is_complete:
+                self._handle(TimerFired(subject))
+        elif subject.outcome is None:
+            if kind == TimerKind.ATTEMPT_TIMEOUT:
+                pending.cancel(subject)
+                self._finish_attempt(subject, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0.0, None, None)
+            else:
+                self._handle(TimerFired(subject))
+
+    def _fail_overdue(self, request: Request, pending: PendingRequest) -> None:
+        """The router gave no result; the client must not wait in vain."""
+        if pending.result is None:
+            self.log_events.event("overdue", attempts=len(request.attempts))
+            pending.complete(Failed())
+            self._handle(ClientLeft(request))
+
+    def _handle(self, event: Event) -> None:
+        """Has the router handle an event, and then the attempts that it cancelled."""
+        events: list[Event] = [event]
+        while events:
             try:
-                self.router.round(self.clock(), calls, self)
-            except Exception as broken:
-                self.log_events.exception(f"module, {method}", broken)
-                if arguments and isinstance(arguments[0], Request | Attempt):
-                    about = (
-                        arguments[0] if isinstance(arguments[0], Request) else arguments[0].request
-                    )
-                    about.is_complete = True
-                    if (life := self.pending_requests.get(about)) is not None:
-                        life.complete(Failed())
-            called_off, self.called_off = self.called_off, []
+                self.router.handle(self.clock(), events, self._actions)
+            except Exception as error:  # the request fails; the director and its others go on
+                self.log_events.exception(f"router, {type(event).__name__}", error)
+                self._fail_request_of(event)
+            cancelled = self._actions.take_cancelled()
             now = self.clock()
-            calls = [
-                (
-                    "answered",
-                    (
-                        attempt,
-                        Outcome.CANCELLED,
-                        now - attempt.sent_at,
-                        attempt.request.is_complete,
-                        CacheStatus.UNKNOWN,
-                        0.0,
-                        None,
-                    ),
+            events = [
+                AttemptFinished(
+                    attempt,
+                    Outcome.CANCELLED,
+                    now - attempt.sent_at,
+                    attempt.request.is_complete,
+                    CacheStatus.UNKNOWN,
+                    0.0,
+                    None,
                 )
-                for attempt in called_off
+                for attempt in cancelled
                 if attempt.outcome is None
             ]
 
-    def _ended(
+    def _fail_request_of(self, event: Event) -> None:
+        match event:
+            case RequestReceived(request) | ClientLeft(request):
+                pass
+            case AttemptFinished(attempt=attempt):
+                request = attempt.request
+            case TimerFired(subject):
+                request = subject if isinstance(subject, Request) else subject.request
+            case _:
+                return
+        request.is_complete = True
+        if (pending := self.pending_requests.get(request)) is not None:
+            pending.complete(Failed())
+
+    def _finish_attempt(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: CacheStatus,
-        waited: float,
+        cache_status: CacheStatus,
+        first_byte_delay: float,
         load: dict[str, float] | None,
         answer: Any,
     ) -> None:
         if attempt.outcome is not None:
             return
         request = attempt.request
-        life = self.pending_requests.get(request)
-        if outcome == Outcome.SERVED and not request.is_complete and life is not None:
-            life.complete(Served(answer))
-        closed = request.is_complete or outcome == Outcome.SERVED
-        self._play(
-            "answered", attempt, outcome, self.clock() - attempt.sent_at, closed, note, waited, load
-        )
-
-    def _call_off(self, attempt: Attempt) -> None:
-        life = self.pending_requests.get(attempt.request)
-        if life is not None:
-            waiting = next(
-                (
-                    step
-                    for step in life.next_steps
-                    if isinstance(step, SendAttempt) and step.attempt is attempt
-                ),
-                None,
-            )
-            if waiting is not None:  # never sent
-                life.next_steps.remove(waiting)
-            else:
-                life.next_steps.append(CancelAttempt(attempt))
-
-    def _set_timer(self, delay: float, what: str, about: Request | Attempt) -> None:
-        due = self.clock() + delay
-        self.timer_count += 1
-        heapq.heappush(self.timers, (due, self.timer_count, what, about))
-        if due < self.resting_until:
-            self.timer_changed.notify_all()
-
-    # The module's Writer
-
-    def send(
-        self,
-        attempt: Attempt,
-        max_age: float,
-        rank: int,
-        join: bool,
-        held_only: bool,
-        parent_keeps: bool,
-        renew: bool,
-    ) -> None:
-        source = (
-            attempt.fill_source
-            if attempt.fill_source is not None and attempt.fill_source is not attempt.endpoint
-            else None
-        )
-        life = self.pending_requests.get(attempt.request)
-        if life is None:
-            return
-        attempt.addresses = tuple(
-            (node, self.addresses[node]) for node in (attempt.endpoint, source) if node is not None
-        )
-        named = self.addresses[source].name if source else ""
-        life.next_steps.append(
-            SendAttempt(
+        is_served = outcome == Outcome.SERVED
+        pending = self.pending_requests.get(request)
+        if is_served and not request.is_complete and pending is not None:
+            pending.complete(Served(answer))
+        self._handle(
+            AttemptFinished(
                 attempt,
-                self.addresses[attempt.endpoint],
-                named,
-                max_age,
-                rank,
-                join,
-                held_only,
-                parent_keeps,
-                renew,
+                outcome,
+                self.clock() - attempt.sent_at,
+                request.is_complete or is_served,
+                cache_status,
+                first_byte_delay,
+                load,
             )
         )
-        self._set_timer(attempt.timeout, "timeout", attempt)
 
-    def abandon(self, attempt: Attempt) -> None:
-        if attempt.outcome is None:
-            self._call_off(attempt)
-            self.called_off.append(attempt)
+    def _now(self) -> float:
+        return self.clock()
 
-    def reject(self, request: Request, come_back: float) -> None:
-        if (life := self.pending_requests.get(request)) is not None:
-            life.complete(Rejected(come_back))
+    def _wake(self, due: float) -> None:
+        """Wakes the thread in `wait_until` where something is due before it wakes by itself."""
+        if due < self._waiting_until:
+            self._timer_changed.notify_all()
 
-    def fail(self, request: Request) -> None:
-        if (life := self.pending_requests.get(request)) is not None:
-            life.complete(Failed())
-
-    def wake(self, delay: float, about: Request | Attempt) -> None:
-        self._set_timer(delay, "wake", about)
-
-    def probe(self, node: TrackedEndpoint) -> None:
-        self.probes.append((node, self.addresses[node]))
-        self.timer_changed.notify_all()
-
-    def subscribe(self) -> None:
-        """The event stream is always read."""
-
-    def log(self, text: str) -> None:
+    def _log_mode(self, text: str) -> None:
         self.log_events.event("mode", text=text)
-
-
-def _key(name: str) -> int:
-    """The same number at every director, for the hash."""
-    digits = name.rpartition("-")[2]
-    try:
-        return int(digits, 16)
-    except ValueError:
-        return int.from_bytes(name.encode(), "big")
--- /dev/null
+++ b/mulleinrelay/endpoint_registry.py
@@ -0,0 +1,137 @@
+"""The endpoint list as this director received it: names, addresses and overrides by operators.
+
+Not thread-safe; the coordinator guards it with its lock.
+"""
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Protocol
+
+from .policy.events import EndpointEntry, EndpointsUpdated
+from .policy.latency import TrackedEndpoint
+from .policy.model import UNKNOWN_ADDRESS, EndpointAddress, EndpointState, EndpointUpdate
+
+
+class EndpointOverrides(Protocol):
+    """What operators want of endpoints, over the list. Called under the coordinator's lock."""
+
+    def update_endpoints(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None:
+        """The list has changed; with a full snapshot, what has no entry is gone."""
+
+    def effective_state(self, entry: EndpointUpdate) -> EndpointState:
+        """The state that this director goes by."""
+
+
+class EndpointRegistry:
+    """The endpoints by name, and where each is found.
+
+    Owns the fields below. `accept` and `reapply` change them, and `drop_removed` forgets endpoints.
+
+    Attributes:
+        endpoints: What the router knows each endpoint by, by name.
+        addresses: Where each is found; one that starts again gets a new address object.
+        updates: What the list said last of each endpoint; those gone are left out.
+        overrides: What operators want over the list; None without management.
+    """
+
+    def __init__(self) -> None:
+        self.endpoints: dict[str, TrackedEndpoint] = {}
+        self.addresses: dict[TrackedEndpoint, EndpointAddress] = {}
+        self.updates: dict[str, EndpointUpdate] = {}
+        self.overrides: EndpointOverrides | None = None
+
+    def accept(
+        self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
+    ) -> EndpointsUpdated:
+        """Takes over an update of the list; returns it as the router is to see it."""
+        complete = [known for entry in entries if (known := self._completed(entry)) is not None]
+        if is_full_snapshot:
+            self.updates = {}
+        for entry in complete:
+            if entry.state == EndpointState.GONE:
+                self.updates.pop(entry.name, None)
+            else:
+                self.updates[entry.name] = entry
+        if self.overrides is not None:
+            self.overrides.update_endpoints(now, complete, is_full_snapshot)
+        return self._router_update(complete, is_full_snapshot)
+
+    def reapply(self, change: Callable[[EndpointOverrides], list[str]]) -> EndpointsUpdated | None:
+        """Changes the overrides; returns the endpoints concerned as the router is to see them.
+
+        Args:
+            change: Changes the overrides and returns the names of the endpoints concerned.
+
+        Returns:
+            None where no listed endpoint is concerned.
+        """
+        names = change(self.overrides)  # type: ignore[arg-type]  # set by the only caller
+        touched = [self.updates[name] for name in names if name in self.updates]
+        return self._router_update(touched, False) if touched else None
+
+    def effective_state(self, entry: EndpointUpdate) -> EndpointState:
+        """The state that this director goes by."""
+        return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
+
+    def is_current(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
+        """Whether the endpoint is still listed at that address and has not started again."""
+        return self.addresses.get(endpoint) is address and not address.is_removed
+
+    def drop_removed(self, still_known: dict[TrackedEndpoint, None]) -> None:
+        """Forgets those gone that the router has forgotten: they would add up with time."""
+        for name, endpoint in list(self.endpoints.items()):
+            if self.addresses[endpoint].is_removed and endpoint not in still_known:
+                del self.endpoints[name]
+                del self.addresses[endpoint]
+
+    def _completed(self, entry: EndpointUpdate) -> EndpointUpdate | None:
+        """The entry with what it left out, as it was before; None where that is not known."""
+        known = self.updates.get(entry.name)
+        is_gone = entry.state == EndpointState.GONE
+        has_address = entry.address != UNKNOWN_ADDRESS
+        if known is None:
+            return entry if has_address or is_gone else None
+        return entry if has_address and not is_gone else replace(known, state=entry.state)
+
+    def _router_update(
+        self, entries: list[EndpointUpdate], is_full_snapshot: bool
+    ) -> EndpointsUpdated:
+        router_entries = [self._router_entry(entry) for entry in entries]
+        if is_full_snapshot:
+            listed = {entry.name for entry in entries}
+            for name, endpoint in self.endpoints.items():
+                self.addresses[endpoint].is_removed |= name not in listed
+        return EndpointsUpdated(router_entries, is_full_snapshot)
+
+    def _router_entry(self, entry: EndpointUpdate) -> EndpointEntry:
+        endpoint = self.endpoints.get(entry.name)
+        if endpoint is None:
+            endpoint = self.endpoints[entry.name] = TrackedEndpoint(hash_key(entry.name))
+        address = self.addresses.get(endpoint)
+        if (
+            address is None
+            or address.address != entry.address
+            or endpoint.started_at != entry.started_at
+        ):
+            if address is not None:
+                address.is_removed = True
+            address = self.addresses[endpoint] = EndpointAddress(entry.name, entry.address)
+        address.is_removed = entry.state == EndpointState.GONE
+        return EndpointEntry(
+            endpoint,
+            self.effective_state(entry),
+            entry.weight,
+            entry.kind,
+            entry.zone,
+            entry.advertised_cell,
+            entry.started_at,
+        )
+
+
+def hash_key(name: str) -> int:
+    """The number of an endpoint in the rendezvous hash, the same at every director."""
+    digits = name.rpartition("-")[2]
+    try:
+        return int(digits, 16)
+    except ValueError:
+        return int.from_bytes(name.encode(), "big")
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ...policy.router import mix
+from ...policy.rendezvous_hash import mix
 
 HOT_SHARE, HOT_SPAN, HOT_OF = (
     0.02,
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -204,7 +204,7 @@
     def _boxes(self) -> tuple[list[dict[str, Any]], dict[str, int]]:
         found, out = [], {}
         for entry, state, member, delay, warmth in self.facade.endpoint_states():
-            out[entry.name] = len(member.out)
+            out[entry.name] = len(member.attempts_in_flight)
             found.append(
                 {
                     "name": entry.name,
@@ -214,9 +214,9 @@
                     "listed-state": NAMES[entry.state],
                     "state": NAMES[state],
                     "started": str(int(entry.started_at)),
-                    "shunned": member.shunned,
+                    "shunned": member.is_ejected,
                     "warmth": decimal(warmth),
-                    "attempts-out": len(member.out),
+                    "attempts-out": len(member.attempts_in_flight),
                 }
                 | ({"delay": decimal(delay)} if delay is not None else {})
             )
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -39,7 +39,7 @@
         f"cold caches of {own.location}",
         terms.local_director_count,
         terms.cache_slow_start.overload_window,
-        director.cold_here,
+        director.cache_slow_start_quota,
         own.location,
     )
     exchange.add(
@@ -47,7 +47,7 @@
         "cold parents",
         terms.director_count,
         terms.parent_slow_start.overload_window,
-        director.cold_parents,
+        director.parent_slow_start_quota,
         "",
     )
     return exchange
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -1,105 +1,88 @@
-"""One director of the model: the decision module, and what carries its decisions out."""
+"""One director of the model: the router, and what carries its actions out."""
 
 from collections import deque
 from typing import Any
 
 from ..net.resp import ENDS, NOTES
+from ..policy.actions import SendOptions
+from ..policy.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointsUpdated,
+    Event,
+    HealthCheckFinished,
+    PurgeReceived,
+    RequestReceived,
+    TimerFired,
+)
+from ..policy.latency import TrackedEndpoint
 from ..policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request, ServiceSettings
-from ..policy.router import Router, TrackedEndpoint
+from ..policy.router import Router
 
 STATES = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
+GROUP_MASK = 0xFF  # of an object's number: the group that it is purged with
 
 
 class Modelled:
-    """The module's Writer. `world` brings attempts to nodes and verdicts to clients."""
+    """One director and its router's `ActionSink`.
+
+    Owns its endpoints by name and its open requests. `world` brings attempts to endpoints and
+    results to clients; `gone` is set by it.
+    """
 
     def __init__(
         self,
         world: Any,
         number: int,
-        terms: ServiceSettings,
+        settings: ServiceSettings,
         zone_of: dict[str, int],
         kinds: dict[str, int],
         seed: int,
     ) -> None:
-        self.world, self.number, self.terms = world, number, terms
-        self.zone_of, self.kinds = zone_of, kinds
-        self.director = Router(world.clock(), seed, terms)
-        self.members: dict[str, TrackedEndpoint] = {}
+        """`zone_of` and `kinds` give the numbers of the names in the endpoint list."""
+        self.world = world
+        self.number = number
+        self.settings = settings
+        self.zone_of = zone_of
+        self.kinds = kinds
+        self.router = Router(world.clock(), seed, settings)
+        self.endpoints: dict[str, TrackedEndpoint] = {}
         self.names: dict[TrackedEndpoint, str] = {}
         self.open: dict[Request, Any] = {}
-        self.called_off: deque[Attempt] = deque()
         self.gone = False  # killed; a new one stands in its place
+        self._cancelled: deque[Attempt] = deque()
 
-    def play(self, method: str, *arguments: Any) -> None:
-        """One round, and further ones for the attempts that it called off."""
-        calls = deque([(method, arguments)])
-        while calls:
-            now = self.world.clock()
-            self.director.round(now, [calls.popleft()], self)
-            while self.called_off:
-                attempt = self.called_off.popleft()
-                if attempt.outcome is None:
-                    calls.append(
-                        (
-                            "answered",
-                            (
-                                attempt,
-                                Outcome.CANCELLED,
-                                now - attempt.sent_at,
-                                attempt.request.is_complete,
-                                CacheStatus.UNKNOWN,
-                                0.0,
-                                None,
-                            ),
-                        )
-                    )
-
-    def list(self, rows: list[dict], whole: bool = False) -> None:
-        told = []
-        for row in rows:
-            member = self.members.get(row["id"])
-            if member is None:
-                member = self.members[row["id"]] = TrackedEndpoint(
-                    int(row["id"].rpartition("-")[2], 16)
-                )
-                self.names[member] = row["id"]
-            told.append(
-                (
-                    member,
-                    STATES[row["state"]],
-                    float(row["weight"]),
-                    self.kinds[row["kind"]],
-                    self.zone_of[row["zone"]],
-                    0,
-                    float(row["started_ms"]),
-                )
-            )
-        self.play("listed", told, whole, False)
+    # Called by the world
+
+    def list(self, rows: list[dict[str, Any]], whole: bool = False) -> None:
+        """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
+        self._handle(EndpointsUpdated([self._entry(row) for row in rows], whole))
 
     def ask(self, pending: Any, left: float) -> None:
-        now, wanted = self.world.clock(), pending.wanted
-        case = self.terms.request_classes[self.world.case_places[wanted.request_class]]
+        """A client sends a request and waits so many ms."""
+        now = self.world.clock()
+        wanted = pending.wanted
+        number = self.world.case_places[wanted.request_class]
         request = Request(
             pending,
-            case,
+            self.settings.request_classes[number],
             wanted.key,
             0,
-            wanted.key & 0xFF,
+            wanted.key & GROUP_MASK,
             wanted.size,
             now,
             now + left,
             pending.tries > 1,
         )
         self.open[request] = pending
-        self.play("requested", request)
+        self._handle(RequestReceived(request))
 
     def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
-        """What a node said."""
+        """An endpoint has answered an attempt."""
         if not self.gone and attempt.outcome is None:
             self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.UNKNOWN), waited)
 
@@ -110,93 +93,157 @@
         note: CacheStatus = CacheStatus.UNKNOWN,
         waited: float = 0.0,
     ) -> None:
+        """An attempt has ended; `waited` is the fill source's delay in ms, as reported."""
         if self.gone or attempt.outcome is not None:
             return
-        request, now = attempt.request, self.world.clock()
-        good = outcome == Outcome.SERVED
-        if good and not request.is_complete:
-            self._settle(request, "served", 0.0)
-        self.play(
-            "answered",
-            attempt,
-            outcome,
-            now - attempt.sent_at,
-            request.is_complete or good,
-            note,
-            waited,
-            None,
+        request = attempt.request
+        is_served = outcome == Outcome.SERVED
+        elapsed = self.world.clock() - attempt.sent_at
+        if is_served and not request.is_complete:
+            self._complete(request, "served", 0.0)
+        self._handle(
+            AttemptFinished(
+                attempt,
+                outcome,
+                elapsed,
+                request.is_complete or is_served,
+                note,
+                waited,
+                None,
+            )
         )
 
-    def timed_out(self, attempt: Attempt) -> None:
+    def health_check_answered(self, name: str) -> None:
+        """An endpoint has answered a health check."""
+        self._handle(HealthCheckFinished(self.endpoints[name], {}))
+
+    def purged(self, object_id: int, age: float) -> None:
+        """An object was purged `age` ms ago."""
+        self._handle(PurgeReceived(object_id, 0, age))
+
+    def finish(self, request: Request) -> None:
+        """The director shuts down: the request gets its final answer."""
+        self._handle(TimerFired(request))
+
+    # Inside
+
+    def _handle(self, event: Event) -> None:
+        """Has the router handle an event, and then each attempt that it cancelled."""
+        events: deque[Event] = deque([event])
+        while events:
+            now = self.world.clock()
+            self.router.handle(now, [events.popleft()], self)
+            while self._cancelled:
+                attempt = self._cancelled.popleft()
+                if attempt.outcome is None:
+                    events.append(_cancelled(attempt, now))
+
+    def _entry(self, row: dict[str, Any]) -> EndpointEntry:
+        name = row["id"]
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
+            endpoint = TrackedEndpoint(int(name.rpartition("-")[2], 16))
+            self.endpoints[name] = endpoint
+            self.names[endpoint] = name
+        return EndpointEntry(
+            endpoint,
+            STATES[row["state"]],
+            float(row["weight"]),
+            self.kinds[row["kind"]],
+            self.zone_of[row["zone"]],
+            0,
+            float(row["started_ms"]),
+        )
+
+    def _time_out(self, attempt: Attempt) -> None:
         if attempt.outcome is None:
             self.ended(attempt, Outcome.TIMEOUT)
 
-    def woken(self, about: Request | Attempt) -> None:
-        over = about.is_complete if isinstance(about, Request) else about.outcome is not None
-        if not self.gone and not over:
-            self.play("woken", about)
+    def _fire_timer(self, subject: Request | Attempt) -> None:
+        is_over = (
+            subject.is_complete if isinstance(subject, Request) else subject.outcome is not None
+        )
+        if not self.gone and not is_over:
+            self._handle(TimerFired(subject))
 
-    def _settle(self, request: Request, what: str, pause: float) -> None:
+    def _complete(self, request: Request, result: str, retry_after: float) -> None:
         pending = self.open.pop(request, None)
         if pending is not None:
-            self.world.answered(self, pending, what, pause)
+            self.world.answered(self, pending, result, retry_after)
 
-    # The module's Writer
+    # ActionSink
 
-    def send(
-        self,
-        attempt: Attempt,
-        max_age: float,
-        rank: int,
-        join: bool,
-        held_only: bool,
-        parent_keeps: bool,
-        renew: bool,
-    ) -> None:
-        filled = attempt.fill_source is not None and attempt.fill_source is not attempt.endpoint
-        source = self.names[attempt.fill_source] if filled else ""
-        hows = [
-            word
-            for word, on in (
-                ("collapse", join),
-                ("only-if-cached", held_only),
-                ("no-store-up", not parent_keeps),
-            )
-            if on
-        ]
-        fields = {
-            "lane": attempt.request.context.wanted.request_class,
-            "name": f"{attempt.request.object_id:016x}",
-            "piece": "0",
-            "miss": source,
-            "prio": str(rank),
-            "f": "+".join(hows),
-            "dedupe": attempt.request.context.wanted.idempotency_key
-            or f"mark-{attempt.request.context.number}-{attempt.request.context.tries}",
-        }
-        if max_age > 0.0:
-            fields["within"] = f"{max(1.0, max_age):.0f}"
+    def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
+        """Sends the attempt through the model's network, and sets its timeout."""
+        clock = self.world.clock
+        fields = _fields(attempt, options, self._source_name(attempt))
         self.world.send(self, attempt, self.names[attempt.endpoint], fields)
-        self.world.clock.at(self.world.clock() + attempt.timeout, lambda: self.timed_out(attempt))
+        clock.at(clock() + attempt.timeout, lambda: self._time_out(attempt))
+
+    def _source_name(self, attempt: Attempt) -> str:
+        source = attempt.fill_source
+        return "" if source is None or source is attempt.endpoint else self.names[source]
 
-    def abandon(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Has the attempt reported back as cancelled."""
         if attempt.outcome is None:
-            self.called_off.append(attempt)
+            self._cancelled.append(attempt)
 
-    def reject(self, request: Request, come_back: float) -> None:
-        self._settle(request, "rejected", come_back)
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Answers the client."""
+        self._complete(request, "rejected", retry_after)
 
-    def fail(self, request: Request) -> None:
-        self._settle(request, "failed", 0.0)
+    def fail_request(self, request: Request) -> None:
+        """Answers the client."""
+        self._complete(request, "failed", 0.0)
 
-    def wake(self, delay: float, about: Any) -> None:
-        self.world.clock.at(self.world.clock() + delay, lambda: self.woken(about))
+    def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
+        """Sets a timer of the model's clock."""
+        clock = self.world.clock
+        clock.at(clock() + delay, lambda: self._fire_timer(subject))
 
-    def probe(self, node: TrackedEndpoint) -> None:
-        self.world.probe(self, self.names[node])
+    def check_health(self, endpoint: TrackedEndpoint) -> None:
+        """Sends a health check through the model's network."""
+        self.world.probe(self, self.names[endpoint])
 
-    def subscribe(self) -> None:
-        """The stream is always read."""
+    def subscribe_to_endpoints(self) -> None:
+        """The endpoint list is always read."""
 
     def log(self, text: str) -> None:
         """The model writes no log."""
+
+
+def _cancelled(attempt: Attempt, now: float) -> AttemptFinished:
+    return AttemptFinished(
+        attempt,
+        Outcome.CANCELLED,
+        now - attempt.sent_at,
+        attempt.request.is_complete,
+        CacheStatus.UNKNOWN,
+        0.0,
+        None,
+    )
+
+
+def _fields(attempt: Attempt, options: SendOptions, source_name: str) -> dict[str, str]:
+    """The attempt's fields as the stand-in endpoints read them."""
+    request = attempt.request
+    wanted = request.context.wanted
+    flags = {
+        "collapse": options.allow_coalescing,
+        "only-if-cached": options.only_if_cached,
+        "no-store-up": not options.store_at_parent,
+    }
+    fields = {
+        "lane": wanted.request_class,
+        "name": f"{request.object_id:016x}",
+        "piece": "0",
+        "miss": source_name,
+        "prio": str(options.retention_rank),
+        "f": "+".join(flag for flag, is_set in flags.items() if is_set),
+        "dedupe": wanted.idempotency_key
+        or f"mark-{request.context.number}-{request.context.tries}",
+    }
+    if options.max_age > 0.0:
+        fields["within"] = f"{max(1.0, options.max_age):.0f}"
+    return fields
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -308,9 +308,7 @@
         if node.alive and not node.silent:
             self.clock.at(
                 self.clock() + 2.0 * NODE_MS,
-                lambda: (
-                    None if director.gone else director.play("told", director.members[name], {})
-                ),
+                lambda: None if director.gone else director.health_check_answered(name),
             )
 
     # Faults
@@ -410,7 +408,7 @@
             def hear(number: int = number, director: Modelled = director) -> None:
                 if not director.gone:
                     self.told[number, key] = self.clock()
-                    director.play("purged", int(key, 16), 0, self.clock() - now)
+                    director.purged(int(key, 16), self.clock() - now)
 
             self.clock.at(now + self.random.uniform(*self.scenario.notice_ms) / 3.0, hear)
 
@@ -457,7 +455,7 @@
         elif begins and what == "restart":  # its open requests end, then it stands there anew
             self.heard.others["term"].append((self.since(), number))
             for request in list(director.open):
-                director.play("woken", request)
+                director.finish(request)
             director.gone = True
             self.directors[number] = self.make(number)
 
--- /dev/null
+++ b/mulleinrelay/policy/endpoint_table.py
@@ -0,0 +1,78 @@
+"""The endpoints that are listed, sorted by what they are to this director; pure."""
+
+from .events import EndpointEntry
+from .latency import TrackedEndpoint
+from .model import EndpointState, ServiceSettings
+
+
+class EndpointTable:
+    """The endpoint list as this director uses it.
+
+    Owns the fields below and the listed fields of each endpoint; changed only by `apply`.
+
+    Attributes:
+        known: All that are listed, and those gone that still have attempts in flight.
+        caches: The ready caches of this director's zone.
+        parents: The ready parents.
+        origin: The origin; None where it is not ready.
+    """
+
+    def __init__(self, settings: ServiceSettings) -> None:
+        self._settings = settings
+        self.known: dict[TrackedEndpoint, None] = {}
+        self.caches: list[TrackedEndpoint] = []
+        self.parents: list[TrackedEndpoint] = []
+        self.origin: TrackedEndpoint | None = None
+
+    def ready(self) -> list[TrackedEndpoint]:
+        """All endpoints that may be sent new work."""
+        return [endpoint for endpoint in self.known if endpoint.is_ready]
+
+    def apply(self, entries: list[EndpointEntry], is_full_snapshot: bool) -> bool:
+        """Takes over an update of the list.
+
+        Returns:
+            Whether an endpoint of this zone is new or has started again.
+        """
+        if is_full_snapshot:
+            for endpoint in self.known:
+                endpoint.state = EndpointState.GONE
+        has_local_start = False
+        for entry in entries:
+            endpoint = entry.endpoint
+            if entry.started_at != endpoint.started_at or endpoint not in self.known:
+                endpoint.reset()
+                has_local_start |= entry.zone == self._settings.zone
+            self._take_over(entry)
+            self.known[endpoint] = None
+        self.known = {
+            endpoint: None
+            for endpoint in self.known
+            if endpoint.state != EndpointState.GONE or endpoint.attempts_in_flight
+        }
+        self._sort()
+        return has_local_start
+
+    @staticmethod
+    def _take_over(entry: EndpointEntry) -> None:
+        endpoint = entry.endpoint
+        endpoint.state = entry.state
+        endpoint.weight = entry.weight
+        endpoint.kind = entry.kind
+        endpoint.zone = entry.zone
+        endpoint.advertised_cell = entry.advertised_cell
+        endpoint.started_at = entry.started_at
+
+    def _sort(self) -> None:
+        settings = self._settings
+        upstream_kinds = (settings.parent_kind, settings.origin_kind)
+        ready = self.ready()
+        self.caches = [
+            endpoint
+            for endpoint in ready
+            if endpoint.kind not in upstream_kinds and endpoint.zone == settings.zone
+        ]
+        self.parents = [endpoint for endpoint in ready if endpoint.kind == settings.parent_kind]
+        self.origin = next(
+            (endpoint for endpoint in ready if endpoint.kind == settings.origin_kind), None
+        )
--- /dev/null
+++ b/mulleinrelay/policy/idempotency.py
@@ -0,0 +1,55 @@
+"""Whether another attempt, or a retry by the client, may follow those that there were.
+
+An idempotent request may run any number of times. A request with an idempotency key may be sent
+again as long as every endpoint remembers its key. Any other may be sent again only where all
+earlier attempts provably never ran. Pure functions, times in ms.
+"""
+
+from .deadlines import has_time_left
+from .model import IDEMPOTENT, KEYED, Attempt, Request
+
+KEY_RETENTION_MARGIN = 50.0  # ms; a retry goes out so long before its key may be forgotten
+
+
+def may_have_run(request: Request) -> list[Attempt]:
+    """The attempts that may have had an effect, in the order sent."""
+    return [
+        attempt
+        for attempt in request.attempts
+        if attempt.outcome is None or not attempt.outcome.is_never_executed
+    ]
+
+
+def can_send(request: Request, now: float, starting: Attempt | None = None) -> bool:
+    """Whether an attempt may be sent now.
+
+    Args:
+        request: The request.
+        now: The time.
+        starting: The attempt that is about to be written and has not run; None for a new one.
+    """
+    if not has_time_left(request, now):
+        return False
+    possibly_run = [attempt for attempt in may_have_run(request) if attempt is not starting]
+    if not possibly_run or request.request_class.idempotency == IDEMPOTENT:
+        return True
+    return _is_key_remembered(request, possibly_run, now)
+
+
+def can_client_retry(request: Request, at: float) -> bool:
+    """Whether the client may be told that sending the request again at that time is safe."""
+    if request.request_class.idempotency == IDEMPOTENT:
+        return True
+    possibly_run = may_have_run(request)
+    return not possibly_run or _is_key_remembered(request, possibly_run, at)
+
+
+def _is_key_remembered(request: Request, possibly_run: list[Attempt], at: float) -> bool:
+    """Whether every endpoint still remembers the request's idempotency key at that time."""
+    request_class = request.request_class
+    forgotten_at = possibly_run[0].sent_at + request_class.key_retention - KEY_RETENTION_MARGIN
+    return (
+        request_class.idempotency == KEYED
+        and request_class.key_scope == "all"
+        and at < forgotten_at
+    )
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -10,7 +10,10 @@
 import math
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from .latency import TrackedEndpoint
 
 IDEMPOTENT, KEYED, UNSAFE = "idempotent", "keyed", "unsafe"
 UNKNOWN_ADDRESS = ("", 0)  # the address of a node of which only the name and the state are told
@@ -123,20 +126,25 @@
     state: EndpointState = EndpointState.GONE
     started_at: float = 0.0
 
+    @property
+    def is_ready(self) -> bool:
+        """Whether it may be sent new work; one that is draining may not."""
+        return self.state == EndpointState.READY
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     request: "Request"
     number: int
-    endpoint: Endpoint
-    fill_source: Endpoint | None
+    endpoint: "TrackedEndpoint"
+    fill_source: "TrackedEndpoint | None"
     sent_at: float
     timeout: float
     outcome: Outcome | None = None
     expects_hit: Any = None  # the module's own notes on it
     purged_at: float = 0.0  # the purge that bounds the age of its copy; 0: none does
     addresses: tuple[
-        tuple[Endpoint, "EndpointAddress"], ...
+        tuple["TrackedEndpoint", "EndpointAddress"], ...
     ] = ()  # the caller's: where node and source were when decided
     entity_tag: str = ""  # the caller's: of the client's copy, as the node was told
 
@@ -253,25 +261,3 @@
     only_if_cached: bool
     store_at_parent: bool
     revalidate: bool
-
-
-class ActionSink(Protocol):
-    """Where decisions go, one method an action."""
-
-    def send(
-        self,
-        attempt: Attempt,
-        max_age: float,
-        rank: int,
-        join: bool,
-        held_only: bool,
-        parent_keeps: bool,
-        renew: bool,
-    ) -> None: ...
-    def abandon(self, attempt: Attempt) -> None: ...
-    def reject(self, request: Request, come_back: float) -> None: ...
-    def fail(self, request: Request) -> None: ...
-    def wake(self, delay: float, about: Any) -> None: ...
-    def probe(self, node: Endpoint) -> None: ...
-    def subscribe(self) -> None: ...
-    def log(self, text: str) -> None: ...
--- /dev/null
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -0,0 +1,42 @@
+"""Weighted rendezvous hashing, which all directors compute alike; pure.
+
+Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998); the weights by the
+logarithmic method of Schindelhauer and Schomaker (2005). An endpoint that is lost moves only its own
+objects.
+"""
+
+import math
+from collections.abc import Iterable
+
+from .endpoint_capacity import SlowStartAdmission
+from .latency import TrackedEndpoint
+
+MIN_WEIGHT = 1e-3  # an endpoint of no weight comes last, and its score stays finite
+MASK_64 = 0xFFFFFFFFFFFFFFFF
+
+
+def mix(*parts: int) -> int:
+    """A 64-bit hash of integers that is the same at every director."""
+    state = 0x9E3779B97F4A7C15
+    for part in parts:
+        state = (state ^ part) * 0xBF58476D1CE4E5B9 & MASK_64
+        state = (state ^ state >> 29) * 0x94D049BB133111EB & MASK_64
+        state ^= state >> 32
+    return state
+
+
+def rendezvous_order(
+    endpoints: Iterable[TrackedEndpoint],
+    object_id: int,
+    part: int,
+    slow_start: SlowStartAdmission,
+    now: float,
+) -> list[TrackedEndpoint]:
+    """The endpoints in the object's order, weighted by size and by how warm each is."""
+
+    def score(endpoint: TrackedEndpoint) -> float:
+        weight = endpoint.weight * slow_start.available_fraction(endpoint, now)
+        uniform = (mix(object_id, part, endpoint.hash_key) + 1) / 2.0**64
+        return -math.log(uniform) / max(weight, MIN_WEIGHT)
+
+    return sorted(endpoints, key=score)
--- /dev/null
+++ b/mulleinrelay/router_actions.py
@@ -0,0 +1,125 @@
+"""What the router wants done: steps of pending requests, timers and health checks."""
+
+from collections.abc import Callable
+
+from .endpoint_registry import EndpointRegistry
+from .pending_requests import Failed, PendingRequest, Rejected, RequestResult
+from .policy.actions import SendOptions
+from .policy.latency import TrackedEndpoint
+from .policy.model import Attempt, EndpointAddress, Request, SendAttempt
+from .timers import TimerKind, TimerQueue
+
+
+class PendingActions:
+    """The router's `ActionSink`: keeps its actions until the network code carries them out.
+
+    Not thread-safe; the coordinator guards it with its lock.
+
+    Attributes:
+        requests: The pending requests; the coordinator adds and removes them.
+        timers: The timers, of the router's and the coordinator's own.
+    """
+
+    def __init__(
+        self,
+        registry: EndpointRegistry,
+        clock: Callable[[], float],
+        log: Callable[[str], None],
+        wake: Callable[[float], None],
+    ) -> None:
+        """`log` writes a line; `wake` gets the time of each new timer or health check, and wakes who waits for it."""
+        self._registry = registry
+        self._clock = clock
+        self._log = log
+        self._wake = wake
+        self.requests: dict[Request, PendingRequest] = {}
+        self.timers = TimerQueue()
+        self._health_checks: list[tuple[TrackedEndpoint, EndpointAddress]] = []
+        self._cancelled: list[Attempt] = []
+
+    def set_timer(self, delay: float, kind: TimerKind, subject: Request | Attempt) -> None:
+        """Sets a timer that is due in so many ms."""
+        due = self._clock() + delay
+        self.timers.add(due, kind, subject)
+        self._wake(due)
+
+    def has_health_checks(self) -> bool:
+        """Whether health checks wait to be sent."""
+        return bool(self._health_checks)
+
+    def take_health_checks(self) -> list[tuple[TrackedEndpoint, EndpointAddress]]:
+        """Removes and returns the health checks that wait to be sent."""
+        health_checks = self._health_checks
+        self._health_checks = []
+        return health_checks
+
+    def take_cancelled(self) -> list[Attempt]:
+        """Removes and returns the attempts that the router cancelled, to be reported back to it."""
+        cancelled = self._cancelled
+        self._cancelled = []
+        return cancelled
+
+    # ActionSink
+
+    def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
+        """Adds a step that sends the attempt, and sets its timeout."""
+        pending = self.requests.get(attempt.request)
+        if pending is None:
+            return
+        endpoint = attempt.endpoint
+        source = attempt.fill_source if attempt.fill_source is not endpoint else None
+        addresses = self._registry.addresses
+        attempt.addresses = tuple(
+            (each, addresses[each]) for each in (endpoint, source) if each is not None
+        )
+        pending.next_steps.append(
+            SendAttempt(
+                attempt,
+                addresses[endpoint],
+                addresses[source].name if source else "",
+                options.max_age,
+                options.retention_rank,
+                options.allow_coalescing,
+                options.only_if_cached,
+                options.store_at_parent,
+                options.revalidate,
+            )
+        )
+        self.set_timer(attempt.timeout, TimerKind.ATTEMPT_TIMEOUT, attempt)
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Adds a step that cancels the attempt, and reports it back."""
+        if attempt.outcome is None:
+            pending = self.requests.get(attempt.request)
+            if pending is not None:
+                pending.cancel(attempt)
+            self._cancelled.append(attempt)
+
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Sets the request's result."""
+        self._complete(request, Rejected(retry_after))
+
+    def fail_request(self, request: Request) -> None:
+        """Sets the request's result."""
+        self._complete(request, Failed())
+
+    def _complete(self, request: Request, result: RequestResult) -> None:
+        pending = self.requests.get(request)
+        if pending is not None:
+            pending.complete(result)
+
+    def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
+        """Sets a timer that calls the router."""
+        self.set_timer(delay, TimerKind.ROUTER, subject)
+
+    def check_health(self, endpoint: TrackedEndpoint) -> None:
+        """Has the thread that runs timers send a health check."""
+        self._health_checks.append((endpoint, self._registry.addresses[endpoint]))
+        self._wake(0.0)
+
+    def subscribe_to_endpoints(self) -> None:
+        """The event stream is always read."""
+
+    def log(self, text: str) -> None:
+        """Writes a line about a change of the router's mode."""
+        self._log(text)
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -1,6 +1,4 @@
-"""The loop on the simulator's wire: it hosts instances and turns records into calls on
-the module.
-"""
+"""The simulator's adapter: hosts directors, and turns wire records into events and actions back."""
 
 import gc
 import sys
@@ -9,9 +7,26 @@
 from . import wire
 from .config.platform import parse_service_settings_text
 from .errors import ConfigError
-from .policy.model import Attempt, CacheStatus, Endpoint, EndpointState, Outcome, Request
-from .policy.router import Router, TrackedEndpoint
+from .policy.actions import SendOptions
+from .policy.events import (
+    AttemptFinished,
+    ClientLeft,
+    ConnectionOpened,
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointsUpdated,
+    Event,
+    HealthCheckFinished,
+    LoadReport,
+    PurgeReceived,
+    RequestReceived,
+    TimerFired,
+)
+from .policy.latency import TrackedEndpoint
+from .policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request
+from .policy.router import Router
 
+# Status codes of the wire
 OUTCOMES = {
     0: Outcome.SERVED,
     5: Outcome.ERROR,
@@ -23,229 +38,315 @@
     114: Outcome.NOT_SENT,
     2: Outcome.MISS,
 }
-NOTES = {int(note): note for note in CacheStatus}
-FAILED_LIST, DELTA = 3, 2
-JOIN, HELD_ONLY, PARENT_DROPS, RENEW = 1, 2, 4, 8
+CACHE_STATUSES = {int(status): status for status in CacheStatus}
+HEALTHY = 0  # status of a health check that was answered
+DELTA_LIST = 2  # how a membership record is meant; any other is a full snapshot
+FAILED_LIST = 3
+RETRY_FLAG = 2  # of a new request
+# Flags of an attempt
+COALESCE = 1
+ONLY_IF_CACHED = 2
+NO_STORE_AT_PARENT = 4
+REVALIDATE = 8
+ADDRESS_SIZE = 6  # bytes
+
+Fields = tuple[Any, ...]  # of one record, as unpacked
+EndpointRows = list[Any]  # of one endpoint list, as unpacked
 
 
 class Instance:
-    """One director with the ids of its requests, nodes and timers; the Writer of its module."""
+    """One director of the simulator and the router's `ActionSink`.
+
+    Owns the numbers of its requests, endpoints and timers, and the events of the present batch.
+    """
 
     def __init__(self, number: int) -> None:
+        """An instance that has not begun: it has no router yet."""
         self.number = number
         self.reply = wire.Reply()
+        self.router: Router | None = None
         self.requests: dict[int, Request] = {}
-        self.nodes: dict[bytes, TrackedEndpoint] = {}
-        self.timers: dict[int, Any] = {}
-        self.timer_count = 0
-        self.inbox: list[tuple[str, tuple[Any, ...]]] = []
-        self.touched: list[Request] = []
-        self.director: Router | None = None
-
-    def node(self, address: bytes) -> TrackedEndpoint:
-        found = self.nodes.get(address)
-        if found is None:
-            found = self.nodes[address] = TrackedEndpoint(int.from_bytes(address, "big"))
-        return found
-
-    def load(self, count: int, values: tuple[float, ...]) -> dict[str, float] | None:
-        assert self.director is not None
-        return (
-            dict(zip(self.director.terms.load_report_fields, values[:count], strict=False))
-            if count
-            else None
-        )
+        self._endpoints: dict[bytes, TrackedEndpoint] = {}
+        self._timers: dict[int, Request | Attempt] = {}
+        self._timer_count = 0
+        self._events: list[Event] = []
+        self._touched: list[Request] = []  # requests that may be over with this batch
+        self._readers = {
+            wire.NEW_REQUEST: self._read_request,
+            wire.ANSWER: self._read_answer,
+            wire.FIRED: self._read_timer,
+            wire.VANISHED: self._read_client_left,
+            wire.PONG: self._read_health_check,
+            wire.STRUCK_OUT: self._read_purge,
+            wire.OPENED: self._read_connection,
+        }
+
+    def begin(self, now: float, fields: Fields) -> None:
+        """Starts the router with the settings that the record brings.
 
-    def take(
-        self, now: float, code: int, fields: tuple[Any, ...], banks: dict[int, list[Any]]
+        Raises:
+            wire.WireError: The settings cannot be used.
+        """
+        try:
+            settings = parse_service_settings_text(fields[1])
+        except ConfigError as error:
+            raise wire.WireError(f"bootInfo: {error}") from None
+        self.router = Router(now, fields[0], settings)
+
+    def read(
+        self, now: float, code: int, fields: Fields, endpoint_lists: dict[int, EndpointRows]
     ) -> None:
-        call = self.inbox.append
+        """Takes one record as an event of this batch. Before the instance has begun, drops it."""
         if code == wire.BEGIN:
-            try:
-                self.director = Router(now, fields[0], parse_service_settings_text(fields[1]))
-            except ConfigError as wrong:
-                raise wire.WireError(f"bootInfo: {wrong}") from None
-        elif self.director is None:
+            self.begin(now, fields)
+        elif self.router is None:
             return
-        elif code == wire.NEW_REQUEST:
-            ticket, case, _, key, left, size, group, part, bits = fields
-            request_class = self.director.terms.request_classes[case]
-            request = Request(
-                ticket,
-                request_class,
-                key,
-                int(part),
-                int(group),
-                size,
-                now,
-                now + left,
-                bool(bits & 2),
+        elif code == wire.MEMBERSHIP:
+            self._read_endpoint_list(fields, endpoint_lists)
+        elif (reader := self._readers.get(code)) is not None:
+            reader(self.router, now, fields)
+
+    def handle(self, now: float) -> None:
+        """Has the router handle the events of this batch."""
+        if self.router is not None:
+            self.router.handle(now, self._events, self)
+        self._events = []
+        self._drop_finished()
+
+    # Records
+
+    def _read_request(self, router: Router, now: float, fields: Fields) -> None:
+        number, case, _, object_id, remaining_time, size_kb, group, part, flags = fields
+        request = Request(
+            number,
+            router.settings.request_classes[case],
+            object_id,
+            int(part),
+            int(group),
+            size_kb,
+            now,
+            now + remaining_time,
+            bool(flags & RETRY_FLAG),
+        )
+        self.requests[number] = request
+        self._events.append(RequestReceived(request))
+
+    def _read_answer(self, router: Router, now: float, fields: Fields) -> None:
+        number, attempt_number, _, status, elapsed, is_complete, cache_status, *rest = fields
+        first_byte_delay, value_count, *values = rest
+        request = self.requests[number]
+        self._touched.append(request)
+        self._events.append(
+            AttemptFinished(
+                request.attempts[attempt_number],
+                OUTCOMES.get(status, Outcome.ERROR),
+                elapsed,
+                bool(is_complete),
+                CACHE_STATUSES.get(cache_status, CacheStatus.UNKNOWN),
+                first_byte_delay,
+                _load_report(router, value_count, values),
             )
-            self.requests[ticket] = request
-            call(("requested", (request,)))
-        elif code == wire.ANSWER:
-            ticket, number, _, status, wait, closed, note, first_byte, count, *values = fields
-            request = self.requests[ticket]
-            attempt = request.attempts[number]
-            self.touched.append(request)
-            outcome = OUTCOMES.get(status, Outcome.ERROR)
-            call(
-                (
-                    "answered",
-                    (
-                        attempt,
-                        outcome,
-                        wait,
-                        bool(closed),
-                        NOTES.get(note, CacheStatus.UNKNOWN),
-                        first_byte,
-                        self.load(count, tuple(values)),
-                    ),
-                )
+        )
+
+    def _read_timer(self, router: Router, now: float, fields: Fields) -> None:
+        self._events.append(TimerFired(self._timers.pop(fields[0])))
+
+    def _read_client_left(self, router: Router, now: float, fields: Fields) -> None:
+        request = self.requests.get(fields[0])
+        if request is not None:
+            self._touched.append(request)
+            self._events.append(ClientLeft(request))
+
+    def _read_health_check(self, router: Router, now: float, fields: Fields) -> None:
+        address, status, _, value_count, *values = fields
+        self._events.append(
+            HealthCheckFinished(
+                self._endpoint(address),
+                _load_report(router, value_count, values),
+                status == HEALTHY,
             )
-        elif code == wire.FIRED:
-            call(("woken", (self.timers.pop(fields[0]),)))
-        elif code == wire.VANISHED:
-            request = self.requests.get(fields[0])
-            if request is not None:
-                self.touched.append(request)
-                call(("end", (request,)))
-        elif code == wire.MEMBERSHIP:
-            bank, how, _ = fields
-            rows = (
-                []
-                if how == FAILED_LIST
-                else [
-                    (self.node(address), EndpointState(state), share, kind, zone, cell, started)
-                    for cell, kind, share, address, state, started, zone in banks[bank]
-                ]
+        )
+
+    def _read_purge(self, router: Router, now: float, fields: Fields) -> None:
+        object_id, group, age = fields
+        self._events.append(PurgeReceived(object_id, group, age))
+
+    def _read_connection(self, router: Router, now: float, fields: Fields) -> None:
+        number, _, attempt_number, _ = fields
+        attempt = self.requests[number].attempts[attempt_number]
+        self._events.append(ConnectionOpened(attempt.endpoint))
+
+    def _read_endpoint_list(self, fields: Fields, endpoint_lists: dict[int, EndpointRows]) -> None:
+        list_number, kind_of_update, _ = fields
+        if kind_of_update == FAILED_LIST:
+            self._events.append(EndpointListFailed())
+            return
+        entries = [
+            EndpointEntry(
+                self._endpoint(address),
+                EndpointState(state),
+                weight,
+                kind,
+                zone,
+                cell,
+                started_at,
             )
-            call(("listed", (rows, how != DELTA, how == FAILED_LIST)))
-        elif code == wire.PONG:
-            address, status, _, count, *values = fields
-            call(("told", (self.node(address), self.load(count, tuple(values)), status == 0)))
-        elif code == wire.STRUCK_OUT:
-            call(("purged", (fields[0], fields[1], fields[2])))
-        elif code == wire.OPENED:
-            call(("sign_of_life", (self.requests[fields[0]].attempts[fields[2]].node,)))
-
-    def play(self, now: float) -> None:
-        if self.director is not None:
-            self.director.round(now, self.inbox, self)
-        self.inbox = []
-        self.forget()
-
-    def forget(self) -> None:
-        """Drops the tickets whose requests are over and have no attempt out."""
-        for request in self.touched:
+            for cell, kind, weight, address, state, started_at, zone in endpoint_lists[list_number]
+        ]
+        self._events.append(EndpointsUpdated(entries, kind_of_update != DELTA_LIST))
+
+    def _endpoint(self, address: bytes) -> TrackedEndpoint:
+        endpoint = self._endpoints.get(address)
+        if endpoint is None:
+            endpoint = self._endpoints[address] = TrackedEndpoint(int.from_bytes(address, "big"))
+        return endpoint
+
+    def _drop_finished(self) -> None:
+        """Forgets requests that are complete and have no attempt in flight."""
+        for request in self._touched:
             if request.is_complete and all(
                 attempt.outcome is not None for attempt in request.attempts
             ):
                 self.requests.pop(request.context, None)
-        self.touched = []
-
-    def send(
-        self,
-        attempt: Attempt,
-        max_age: float,
-        rank: int,
-        join: bool,
-        held_only: bool,
-        parent_keeps: bool,
-        renew: bool,
-    ) -> None:
-        opts = (
-            JOIN * join + HELD_ONLY * held_only + PARENT_DROPS * (not parent_keeps) + RENEW * renew
+        self._touched = []
+
+    # ActionSink
+
+    def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
+        """Writes the attempt."""
+        flags = (
+            COALESCE * options.allow_coalescing
+            + ONLY_IF_CACHED * options.only_if_cached
+            + NO_STORE_AT_PARENT * (not options.store_at_parent)
+            + REVALIDATE * options.revalidate
         )
-        source = attempt.fill_source or attempt.endpoint
-        node = attempt.endpoint.hash_key.to_bytes(6, "big")
         self.reply.add(
             wire.DELIVER_VIA,
             attempt.request.context,
-            max_age,
-            node,
-            opts,
-            source.hash_key.to_bytes(6, "big"),
+            options.max_age,
+            _address(attempt.endpoint),
+            flags,
+            _address(attempt.fill_source or attempt.endpoint),
             attempt.timeout,
-            rank,
+            options.retention_rank,
         )
 
-    def abandon(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Writes the attempt's cancellation."""
         self.reply.add(wire.ABANDON, attempt.request.context, attempt.number)
 
-    def reject(self, request: Request, come_back: float) -> None:
-        self.touched.append(request)
-        self.reply.add(wire.REFUSE, request.context, come_back)
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Writes the request's rejection."""
+        self._touched.append(request)
+        self.reply.add(wire.REFUSE, request.context, retry_after)
 
-    def fail(self, request: Request) -> None:
-        self.touched.append(request)
+    def fail_request(self, request: Request) -> None:
+        """Writes the request's failure."""
+        self._touched.append(request)
         self.reply.add(wire.SURRENDER, request.context)
 
-    def wake(self, delay: float, about: Any) -> None:
-        self.timer_count += 1
-        self.timers[self.timer_count] = about
-        self.reply.add(wire.SET_TIMER, self.timer_count, delay)
+    def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
+        """Writes a timer."""
+        self._timer_count += 1
+        self._timers[self._timer_count] = subject
+        self.reply.add(wire.SET_TIMER, self._timer_count, delay)
 
-    def probe(self, node: Endpoint) -> None:
-        self.reply.add(wire.ASK_LOAD, node.hash_key.to_bytes(6, "big"))
+    def check_health(self, endpoint: TrackedEndpoint) -> None:
+        """Writes a health check."""
+        self.reply.add(wire.ASK_LOAD, _address(endpoint))
 
-    def subscribe(self) -> None:
+    def subscribe_to_endpoints(self) -> None:
+        """Writes the subscription to the endpoint list."""
         self.reply.add(wire.KEEP_INFORMED, 1)
 
     def log(self, text: str) -> None:
+        """Writes a log line."""
         self.reply.add_bytes(wire.NOTE_DOWN, text.encode())
 
 
+def _address(endpoint: TrackedEndpoint) -> bytes:
+    return endpoint.hash_key.to_bytes(ADDRESS_SIZE, "big")
+
+
+def _load_report(router: Router, count: int, values: list[float]) -> LoadReport | None:
+    if not count:
+        return None
+    return dict(zip(router.settings.load_report_fields, values[:count], strict=False))
+
+
 def answer_batch(
     now: float,
-    events: list[tuple[int, tuple[Any, ...]]],
+    records: list[tuple[int, Fields]],
     instances: dict[int, Instance],
-    banks: dict[int, list[Any]],
+    endpoint_lists: dict[int, EndpointRows],
 ) -> wire.Reply:
-    """Plays one batch: every instance with an event gets one round, in the order of
-    first mention.
+    """Plays one batch: each instance with a record handles its events, in the order of mention.
+
+    Args:
+        now: The batch's time in ms.
+        records: Code and fields of each record.
+        instances: The instances by number; those that are new are added.
+        endpoint_lists: The endpoint lists by number; those that the batch brings are added.
+
+    Raises:
+        wire.WireError: A record stands before any select, or settings cannot be used.
     """
-    reply, touched, current = wire.Reply(), {}, None
-    for code, fields in events:
+    reply = wire.Reply()
+    selected: dict[int, Instance] = {}
+    current: Instance | None = None
+    for code, fields in records:
         if code == wire.SELECT:
-            current = instances.setdefault(fields[0], Instance(fields[0]))
-            touched[current.number] = current
-        elif code == wire.LEDGER:
-            banks[fields[0]] = fields[1]
-        elif current is None:
+            current = instances.get(fields[0])
+            if current is None:
+                current = instances[fields[0]] = Instance(fields[0])
+            selected[current.number] = current
+            continue
+        if code == wire.LEDGER:
+            endpoint_lists[fields[0]] = fields[1]
+            continue
+        if current is None:
             raise wire.WireError(f"a record of code {code} stands before any select")
-        elif code == wire.HALT or (code == wire.BEGIN and current.director is not None):
-            current = touched[current.number] = instances[current.number] = Instance(current.number)
-            if code == wire.BEGIN:
-                current.take(now, code, fields, banks)
-        else:
-            current.take(now, code, fields, banks)
-    for instance in touched.values():
-        instance.reply = reply
-        reply.add(wire.INSTANCE, instance.number)
-        try:
-            instance.play(now)
-        except Exception as broken:  # the module's own failure is the wire's `fault`
-            text = " ".join(f"{type(broken).__name__}: {broken}".split())
-            reply.add_bytes(wire.FAULT, text.encode())
+        if code == wire.HALT or (code == wire.BEGIN and current.router is not None):
+            current = Instance(current.number)
+            instances[current.number] = selected[current.number] = current
+        if code != wire.HALT:
+            current.read(now, code, fields, endpoint_lists)
+    for instance in selected.values():
+        _handle(instance, now, reply)
     return reply
 
 
+def _handle(instance: Instance, now: float, reply: wire.Reply) -> None:
+    instance.reply = reply
+    reply.add(wire.INSTANCE, instance.number)
+    try:
+        instance.handle(now)
+    except Exception as error:  # the router's failure is the wire's `fault`; other instances go on
+        text = " ".join(f"{type(error).__name__}: {error}".split())
+        reply.add_bytes(wire.FAULT, text.encode())
+
+
 def serve(stream: BinaryIO, out: BinaryIO) -> None:
+    """Answers batches until the input ends.
+
+    Raises:
+        wire.WireError: The input does not follow the wire's format.
+    """
     instances: dict[int, Instance] = {}
-    banks: dict[int, list[Any]] = {}
+    endpoint_lists: dict[int, EndpointRows] = {}
     while (batch := wire.read_frame(stream)) is not None:
-        now, number, events = batch
-        out.write(answer_batch(now, events, instances, banks).frame(number))
+        now, number, records = batch
+        out.write(answer_batch(now, records, instances, endpoint_lists).frame(number))
         out.flush()
 
 
 def main() -> int:
+    """Serves on standard input and output; 2 where the input was malformed."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as wrong:
-        print(f"wirehost: {wrong}", file=sys.stderr)
+    except wire.WireError as error:
+        print(f"wirehost: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -11,8 +11,10 @@
 from stage import Cell, Ruled, charter, move
 
 from mulleinrelay.coordinator import CancelAttempt, SendAttempt
+from mulleinrelay.policy.endpoint_capacity import SlowStartAdmission
+from mulleinrelay.policy.endpoint_table import EndpointTable
+from mulleinrelay.policy.freshness import PurgeHistory
 from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
-from mulleinrelay.policy.router import Router
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
@@ -43,7 +45,7 @@
             self.stage.facade.settings.local_director_count
         ) = 2
         director = self.stage.facade.router
-        director.cold_here.fraction = director.cold_parents.fraction = (
+        director.cache_slow_start_quota.fraction = director.parent_slow_start_quota.fraction = (
             0.5  # as such terms at its start would have it
         )
         self.ruled = Ruled(version)
@@ -139,20 +141,35 @@
         (
             3,
             (
-                "listed",
-                lambda whole: (
-                    lambda self, rows, *rest: whole(
-                        self, [(row[0], EndpointState.READY, *row[2:]) for row in rows], *rest
+                EndpointTable,
+                "apply",
+                lambda apply: (
+                    lambda self, entries, *rest: apply(
+                        self,
+                        [replace(entry, state=EndpointState.READY) for entry in entries],
+                        *rest,
                     )
                 ),
             ),
             [("drain", "s-01")],
         ),
-        (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
-        (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
+        (
+            4,
+            (
+                SlowStartAdmission,
+                "try_admit",
+                lambda try_admit: lambda self, endpoint, work, now: True,
+            ),
+            [("cold", "s-01")],
+        ),
+        (
+            5,
+            (PurgeHistory, "max_age", lambda max_age: lambda self, request, now: 0.0),
+            [("purge", "")],
+        ),
     ],
 )
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
-    name, make = fault
-    monkeypatch.setattr(Router, name, make(getattr(Router, name)))
+    owner, name, make = fault
+    monkeypatch.setattr(owner, name, make(getattr(owner, name)))
     assert rule in search(troubles)[0]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,6 +16,13 @@
 from mulleinrelay.coordinator import CancelAttempt, RequestCoordinator
 from mulleinrelay.director import Director
 from mulleinrelay.net import resp, thrift
+from mulleinrelay.policy.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointsUpdated,
+    RequestReceived,
+)
+from mulleinrelay.policy.latency import TrackedEndpoint
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
     Attempt,
@@ -29,7 +36,7 @@
     ServiceSettings,
     SlowStartPolicy,
 )
-from mulleinrelay.policy.router import Router, TrackedEndpoint
+from mulleinrelay.policy.router import Router
 
 CACHE, PARENT, ORIGIN = 0, 2, 3
 HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
@@ -66,7 +73,7 @@
         **changes,
     ):
         case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
-        terms = dict(
+        settings = dict(
             request_classes=[case],
             zone=1,
             director_count=3,
@@ -91,9 +98,9 @@
             parent_slow_start=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
             purge_propagation=6000.0,
         )
-        self.terms = ServiceSettings(**(terms | changes))
+        self.settings = ServiceSettings(**(settings | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
-        self.director = Router(self.now, 7, self.terms)
+        self.router = Router(self.now, 7, self.settings)
         self.caches = [TrackedEndpoint(key) for key in (11, 12, 13)]
         self.parents = [TrackedEndpoint(key) for key in (21, 22)]
         self.origin = TrackedEndpoint(31)
@@ -103,21 +110,22 @@
             for cache in self.caches
         ]
         rows += [self.row(parent, PARENT, 0, hub_started) for parent in self.parents]
-        self.call("listed", rows + [self.row(self.origin, ORIGIN, 0, None)], True, False)
+        rows.append(self.row(self.origin, ORIGIN, 0, None))
+        self.handle(EndpointsUpdated(rows, True))
 
-    def row(self, member, kind, zone, started=None, state=EndpointState.READY):
-        return (member, state, 6.0, kind, zone, 0, started or 0.0)
+    def row(self, endpoint, kind, zone, started=None, state=EndpointState.READY):
+        return EndpointEntry(endpoint, state, 6.0, kind, zone, 0, started or 0.0)
 
-    def call(self, method, *arguments, after=0.0):
+    def handle(self, event, after=0.0):
         self.now += after
-        self.director.round(self.now, [(method, arguments)], self.out)
+        self.router.handle(self.now, [event], self.out)
 
     def ask(self, key=None, size=1000.0, left=6000.0, after=1.0) -> Request:
         self.now += after
         self.count += 1
         key = key or 1000 + self.count
         request = Request(self.count, self.case, key, 0, 1, size, self.now, self.now + left)
-        self.call("requested", request)
+        self.handle(RequestReceived(request))
         return request
 
     def answer(
@@ -129,8 +137,10 @@
         after=0.0,
         load=None,
     ):
-        closed = outcome == Outcome.SERVED
-        self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
+        is_complete = outcome == Outcome.SERVED
+        self.handle(
+            AttemptFinished(attempt, outcome, 100.0, is_complete, note, first_byte, load), after
+        )
 
 
 def settings(**changes):
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks import recovery
-from mulleinrelay.policy import overload, router
+from mulleinrelay.policy import attempt_results, overload
 
 FEW, MANY = (
     [("slow", 8), ("burst", 3), ("cut", 4)],
@@ -41,7 +41,7 @@
     monkeypatch.setattr(overload, "EARNED", 6.0)
     monkeypatch.setattr(overload, "NONE_AT", 1e9)
     monkeypatch.setattr(overload, "cost", lambda *_: 0.05)
-    monkeypatch.setattr(router, "FULL", 0.0)
+    monkeypatch.setattr(attempt_results, "REJECTED_LATENESS", 0.0)
     wild = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
     tame = studies("slow, 8 s")
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from mulleinrelay.policy.router import COLD_MOST, COLD_PART
+from mulleinrelay.policy.endpoint_capacity import MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION
 from mulleinrelay.policy.slow_start import FILL, SlowStartBudget
 
 SPAN = 1500.0
@@ -85,7 +85,7 @@
     and each director starts again once in a minute.
     """
     part, number = (
-        min(COLD_MOST, COLD_PART * multiple) * capacity,
+        min(MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION * multiple) * capacity,
         multiple * capacity * SPAN / 100.0,
     )
     for seed in range(3):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -6,7 +6,7 @@
 from mulleinrelay.net import resp, sse, thrift
 from mulleinrelay.net.receive_buffer import ReceiveBuffer
 from mulleinrelay.policy.model import CacheStatus, ClientRequest, Outcome, SendAttempt
-from mulleinrelay.wirehost import NOTES, OUTCOMES
+from mulleinrelay.wirehost import CACHE_STATUSES, OUTCOMES
 
 FIELDS = {
     "route": "pages",
@@ -282,7 +282,7 @@
 def test_notes_stand_in_the_simulators_order():
     assert (
         list(resp.NOTES.values())
-        == [NOTES[number] for number in range(1, 11)]
+        == [CACHE_STATUSES[number] for number in range(1, 11)]
         == list(CacheStatus)[1:]
     )
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -266,7 +266,7 @@
     # quiet link would be asked.
     with Running(None) as director:
         caches, facade = director.service.upstream, director.service.coordinator
-        nodes = list(facade.router.caches)
+        nodes = list(facade.router.endpoints.caches)
         for node in nodes:
             caches.check_health(node, facade.addresses[node])
         leaves = facade.addresses[nodes[0]]
@@ -308,8 +308,10 @@
             caller = director.caller()
             caller.send()
             assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
-        members = director.service.coordinator.router.members
-        assert members and not any(member.shunned or member.health.bad for member in members)
+        members = director.service.coordinator.router.endpoints.known
+        assert members and not any(
+            member.is_ejected or member.outlier_detector.bad for member in members
+        )
         caller.send()
         assert caller.answer()[:2] == (2, 0)
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -14,6 +14,12 @@
     Served,
 )
 from mulleinrelay.net import resp
+from mulleinrelay.policy.events import (
+    AttemptFinished,
+    HealthCheckFinished,
+    RequestReceived,
+    TimerFired,
+)
 from mulleinrelay.policy.model import CacheStatus, EndpointState, EndpointUpdate, Outcome
 from mulleinrelay.wirehost import Instance
 
@@ -168,14 +174,14 @@
     assert done.wait(5.0)
 
 
-@pytest.mark.parametrize("broken", ["requested", "answered"])
+@pytest.mark.parametrize("broken", [RequestReceived, AttemptFinished])
 def test_a_module_that_fails_still_owes_one_answer(broken):
     # Guards against a client that waits in vain for a request on which the module broke.
     stage, sink = Stage(), Sink()
     stage.facade.log_events = sink
-    setattr(stage.facade.router, broken, lambda *_: 1 / 0)
+    stage.facade.router.handlers[broken] = lambda *_: 1 / 0
     request = stage.take()
-    if broken == "answered":
+    if broken is AttemptFinished:
         stage.facade.report_outcome(stage.facade.next_step(request).attempt, Outcome.MISS)
     assert isinstance(stage.facade.next_step(request), Failed) and sink.events == ["fault"]
 
@@ -184,7 +190,8 @@
     stage = Stage()
     request = stage.take(left=200.0)
     stage.facade.next_step(request)
-    stage.facade.router.woken = stage.facade.router.answered = lambda *_: None
+    for event in (TimerFired, AttemptFinished):
+        stage.facade.router.handlers[event] = lambda *_: None
     stage.pass_time(209.0)
     assert isinstance(stage.until_verdict(request), Failed)
 
@@ -232,7 +239,7 @@
     assert (
         len(stage.facade.endpoints)
         == len(stage.facade.addresses)
-        == len(stage.facade.router.members)
+        == len(stage.facade.router.endpoints.known)
         == 7
     )
 
@@ -240,16 +247,23 @@
 class Calls:
     """Stands for the module and keeps what it is called with."""
 
-    def __init__(self, terms):
-        self.terms, self.seen = terms, []
-
-    def round(self, now, inbox, out):
-        for method, arguments in inbox:
-            if method == "answered":
-                attempt, outcome, _, closed, note, waited, load = arguments
-                self.seen.append((outcome, closed, note, waited, load))
-            elif method == "told":
-                self.seen.append(arguments[1])
+    def __init__(self, settings):
+        self.settings, self.seen = settings, []
+
+    def handle(self, now, events, sink):
+        for event in events:
+            if isinstance(event, AttemptFinished):
+                self.seen.append(
+                    (
+                        event.outcome,
+                        event.is_request_complete,
+                        event.cache_status,
+                        event.first_byte_delay,
+                        event.load,
+                    )
+                )
+            elif isinstance(event, HealthCheckFinished):
+                self.seen.append(event.load)
 
 
 NAMES = list(resp.NOTES)
@@ -281,15 +295,15 @@
     stage.facade.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
 
     theirs = Instance(1)
-    theirs.take(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
-    theirs.director = Calls(theirs.director.terms)
+    theirs.read(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
+    theirs.router = Calls(theirs.router.settings)
     theirs.requests[1] = stage.again(request)
     closed = int(status == 0)
-    theirs.take(
+    theirs.read(
         5.0, wire.ANSWER, (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0), {}
     )
-    theirs.play(5.0)
-    assert ours.seen == theirs.director.seen and len(ours.seen) == 1
+    theirs.handle(5.0)
+    assert ours.seen == theirs.router.seen and len(ours.seen) == 1
 
 
 def test_a_probe_is_handed_out_and_its_report_handed_in():
@@ -302,11 +316,11 @@
     ((node, place),) = probes
     assert place is stage.facade.addresses[node]
     stage.facade.report_health_check(node, {"crowding": 2.5})
-    assert stage.facade.router.link == 2.5
+    assert stage.facade.router.link.congestion == 2.5
 
 
 def test_a_report_in_an_answer_reaches_the_module():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
     attempt = stage.facade.next_step(stage.take()).attempt
     stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5})
-    assert stage.facade.router.link == 3.5
+    assert stage.facade.router.link.congestion == 3.5
--- a/tests/test_judging.py
+++ b/tests/test_judging.py
@@ -5,27 +5,25 @@
 import pytest
 from helpers import Fleet
 
+from mulleinrelay.policy.endpoint_health import EjectionReason
+from mulleinrelay.policy.latency import TrackedEndpoint
 from mulleinrelay.policy.outlier_detection import OutlierDetector
-from mulleinrelay.policy.router import TrackedEndpoint
 
 
 class Judged:
     """One member at one director; outcomes come at random, `rate` a second."""
 
     def __init__(self, rate, seed):
-        self.director, self.draw, self.rate, self.now = Fleet().director, Random(seed), rate, 1e6
+        self.health, self.draw, self.rate, self.now = Fleet().router.health, Random(seed), rate, 1e6
         self.member = TrackedEndpoint(5)
         self.member.reset()
-        self.director.out = self
-
-    def log(self, text):
-        """Changes are counted by what the member shows."""
+        self.health.log = lambda text: None  # changes are counted by what the endpoint shows
 
     def outcome(self, bad):
         self.now += 1000.0 * self.draw.expovariate(self.rate)
-        self.director.now = self.now
-        self.director.mark(self.member, float(bad), "error" if bad else "")
-        return self.member.shunned
+        reason = EjectionReason.ERROR if bad else None
+        self.health.record_result(self.member, float(bad), reason, self.now)
+        return self.member.is_ejected
 
     def until(self, wanted, errs, most=400):
         """After how many outcomes it is shunned, or is not any more."""
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,7 +12,7 @@
 
 from mulleinrelay.coordinator import CancelAttempt, Rejected, RequestCoordinator, Served
 from mulleinrelay.net.client_connection import ClientConnection
-from mulleinrelay.policy import router
+from mulleinrelay.policy import idempotency
 from mulleinrelay.policy.model import EndpointState, Outcome, SendAttempt
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS)
@@ -145,10 +145,10 @@
     "request_class, where, name, planted, told",
     [
         ("pages", RequestCoordinator, "can_begin", lambda facade, attempt: True, "drains"),
-        ("pay", router, "may_have_run", lambda request: [], "twice"),
+        ("pay", idempotency, "may_have_run", lambda request: [], "twice"),
         (
             "pay",
-            router,
+            idempotency,
             "may_have_run",
             lambda request: [attempt for attempt in request.attempts if attempt.outcome is None],
             "twice",
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,6 +1,15 @@
 import pytest
 from helpers import CACHE, PARENT, Fleet
 
+from mulleinrelay.policy.endpoint_health import EjectionReason
+from mulleinrelay.policy.events import (
+    AttemptFinished,
+    ClientLeft,
+    EndpointsUpdated,
+    HealthCheckFinished,
+    PurgeReceived,
+    TimerFired,
+)
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
     KEYED,
@@ -10,6 +19,8 @@
     EndpointState,
     Outcome,
 )
+from mulleinrelay.policy.rendezvous_hash import rendezvous_order
+from mulleinrelay.policy.router import Route
 
 
 @pytest.mark.parametrize(
@@ -17,9 +28,9 @@
     [
         (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
         (KEYED, "all", Outcome.ERROR, 2, None),
-        (KEYED, "zone", Outcome.ERROR, 1, "fail"),
+        (KEYED, "zone", Outcome.ERROR, 1, "fail_request"),
         (KEYED, "zone", Outcome.REJECTED, 2, None),
-        (UNSAFE, "all", Outcome.RESET, 1, "fail"),
+        (UNSAFE, "all", Outcome.RESET, 1, "fail_request"),
         (UNSAFE, "all", Outcome.CONNECT_FAILED, 2, None),
     ],
 )
@@ -30,9 +41,9 @@
     request = fleet.ask()
     fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN, after=20)
     assert len(request.attempts) == attempts
-    assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final] * bool(
-        final
-    )
+    assert [
+        name for name, _ in fleet.out.actions if name in ("reject_request", "fail_request")
+    ] == [final] * bool(final)
 
 
 def test_a_keyed_request_is_not_sent_again_past_its_memory_span():
@@ -48,11 +59,11 @@
         (
             Outcome.ERROR,
             4000,
-            "reject",
+            "reject_request",
         ),  # the client comes again while the idempotency key is remembered
-        (Outcome.ERROR, 4900, "fail"),  # told to come back behind its end
-        (Outcome.ERROR, 5500, "fail"),
-        (Outcome.MISS, 5500, "reject"),  # never ran
+        (Outcome.ERROR, 4900, "fail_request"),  # told to come back behind its end
+        (Outcome.ERROR, 5500, "fail_request"),
+        (Outcome.MISS, 5500, "reject_request"),  # never ran
     ],
 )
 def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(
@@ -60,18 +71,20 @@
 ):
     fleet = Fleet(KEYED, max_attempts=1, max_retry_after=200.0)
     fleet.answer(fleet.ask().attempts[0], outcome, CacheStatus.UNKNOWN, after=after)
-    assert [name for name, _ in fleet.out.actions if name in ("reject", "fail")] == [final]
+    assert [
+        name for name, _ in fleet.out.actions if name in ("reject_request", "fail_request")
+    ] == [final]
 
 
 def test_one_final_answer_before_the_client_stops_waiting():
     fleet = Fleet()
     request = fleet.ask(left=900.0)
-    delay = max(delay for delay, about in fleet.out.take("wake") if about is request)
+    delay = max(delay for delay, about in fleet.out.take("schedule_timer") if about is request)
     assert delay < 900.0
-    fleet.call("woken", request, after=delay)
+    fleet.handle(TimerFired(request), after=delay)
     fleet.answer(request.attempts[0], Outcome.CANCELLED, CacheStatus.UNKNOWN, after=1)
-    fleet.call("end", request, after=100)
-    assert len(fleet.out.take("reject")) == 1 and not fleet.out.take("fail")
+    fleet.handle(ClientLeft(request), after=100)
+    assert len(fleet.out.take("reject_request")) == 1 and not fleet.out.take("fail_request")
     assert len(request.attempts) == 1
 
 
@@ -80,14 +93,14 @@
     fleet = Fleet()
     if change is None:
         kept = [fleet.row(fleet.caches[0], CACHE, 1), fleet.row(fleet.parents[0], PARENT, 0)]
-        fleet.call("listed", kept, True, False)
+        fleet.handle(EndpointsUpdated(kept, True))
     else:
-        fleet.call(
-            "listed",
-            [fleet.row(m, CACHE, 1, state=change) for m in fleet.caches[1:]]
-            + [fleet.row(fleet.parents[1], PARENT, 0, state=change)],
-            False,
-            False,
+        fleet.handle(
+            EndpointsUpdated(
+                [fleet.row(m, CACHE, 1, state=change) for m in fleet.caches[1:]]
+                + [fleet.row(fleet.parents[1], PARENT, 0, state=change)],
+                False,
+            )
         )
     for _ in range(60):
         attempt = fleet.ask().attempts[0]
@@ -105,9 +118,9 @@
             sent[member] += 50.0
         fleet.answer(attempt, note=CacheStatus.FILLED, first_byte=30.0)
     member, rule = (
-        (fleet.caches[0], fleet.terms.cache_slow_start)
+        (fleet.caches[0], fleet.settings.cache_slow_start)
         if caches_cold
-        else (fleet.parents[0], fleet.terms.parent_slow_start)
+        else (fleet.parents[0], fleet.settings.parent_slow_start)
     )
     sharers, multiple = (1, 2.5) if caches_cold else (3, 2.0)
     assert sent[member] <= multiple * 6.0 * rule.initial_fraction * 1500.0 / sharers * 1.2
@@ -121,7 +134,9 @@
     fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
     rule, sharers = (
-        (fleet.terms.cache_slow_start, 1) if caches_cold else (fleet.terms.parent_slow_start, 3)
+        (fleet.settings.cache_slow_start, 1)
+        if caches_cold
+        else (fleet.settings.parent_slow_start, 3)
     )
     for number in range(40):  # before it starts: the mean is known
         fleet.ask(size=9100.0 if number % 10 == 0 else 100.0, after=2.0)
@@ -151,7 +166,7 @@
 @pytest.mark.parametrize("key, group", [(77, 1), (0, 1)])
 def test_a_purge_bounds_the_copy_and_zero_is_never_sent_for_it(key, group):
     fleet = Fleet()
-    fleet.call("purged", key, group, 40.0)
+    fleet.handle(PurgeReceived(key, group, 40.0))
     for after in (
         0.0,
         0.5,
@@ -161,7 +176,7 @@
         20_000.0,
     ):  # a late fill may bring an old copy after all
         fleet.ask(key=77, after=after)
-        age = fleet.out.take("send")[-1][1]
+        age = fleet.out.take("send_attempt")[-1][1].max_age
         assert 0.0 < age <= fleet.now - 100000.0 + 40.0
 
 
@@ -171,8 +186,8 @@
     fleet = Fleet()
     for parent, delay in zip(fleet.parents, (60.0, 30.0), strict=True):
         for _ in range(5):
-            parent.recent.add(fleet.now, delay)
-            parent.usual.add(fleet.now, delay)
+            parent.recent_delay.add(fleet.now, delay)
+            parent.usual_delay.add(fleet.now, delay)
     sources = {fleet.ask(left=left).attempts[0].fill_source for _ in range(20)} - {fleet.origin}
     assert sources == ({fleet.parents[1]} if near else set(fleet.parents))
 
@@ -183,13 +198,13 @@
     owner = first.attempts[0].endpoint
     fleet.answer(first.attempts[0], Outcome.REJECTED, CacheStatus.NOT_STORED)
     fleet.answer(first.attempts[1], note=CacheStatus.FILLED, first_byte=20.0)
-    fleet.out.take("send")
+    fleet.out.take("send_attempt")
     again = fleet.ask(key=5)
     assert (
         again.attempts[0].endpoint is owner
         and again.attempts[0].fill_source is first.attempts[1].endpoint
     )
-    assert fleet.out.take("send")[0][4] is True
+    assert fleet.out.take("send_attempt")[0][1].only_if_cached is True
 
 
 def test_a_silent_cache_is_left_at_the_first_sign_and_shunned_when_signs_add_up():
@@ -199,16 +214,16 @@
         attempt = fleet.ask(after=60).attempts[0]
         if attempt.endpoint is not silent:
             fleet.answer(attempt)
-        for delay, about in fleet.out.take("wake"):
+        for delay, about in fleet.out.take("schedule_timer"):
             if about is attempt and attempt.endpoint is silent:
-                fleet.call("woken", attempt, after=delay)
+                fleet.handle(TimerFired(attempt), after=delay)
                 assert (
                     len(attempt.request.attempts) == 2
                     and attempt.request.attempts[1].endpoint is not silent
                 )
-        if silent.shunned:
+        if silent.is_ejected:
             break
-    assert silent.shunned
+    assert silent.is_ejected
 
 
 @pytest.mark.parametrize(
@@ -237,7 +252,7 @@
         fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if another is not None:
             fleet.answer(request.attempts[1], another)
-    assert cache.health.bad == weight
+    assert cache.outlier_detector.bad == weight
     assert all(request.is_complete for request in requests) or another is None
 
 
@@ -262,7 +277,7 @@
         )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt, note=CacheStatus.FILLED)
-    assert sick.shunned and not any(member.shunned for member in getattr(fleet, well))
+    assert sick.is_ejected and not any(member.is_ejected for member in getattr(fleet, well))
 
 
 def test_a_request_that_no_cache_can_serve_in_time_is_rejected_at_once():
@@ -298,10 +313,10 @@
     fleet = Fleet()
     for _ in range(30):
         attempt = fleet.ask(after=400).attempts[0]
-        fleet.call("woken", attempt, after=900)
+        fleet.handle(TimerFired(attempt), after=900)
         fleet.answer(attempt, after=10)
-        assert not attempt.endpoint.shunned or attempt.endpoint.quiet >= 2.0
-    assert not any(member.shunned for member in fleet.caches)
+        assert not attempt.endpoint.is_ejected or attempt.endpoint.silence >= 2.0
+    assert not any(member.is_ejected for member in fleet.caches)
 
 
 @pytest.mark.parametrize("first_byte, held_only", [(100.0, False), (3000.0, True)])
@@ -316,10 +331,10 @@
             (CacheStatus.FILLED_BY_ORIGIN, first_byte) if by_origin else (CacheStatus.FILLED, 12.0)
         )
         fleet.answer(fleet.ask().attempts[0], note=note, first_byte=delay)
-    fleet.out.take("send")
+    fleet.out.take("send_attempt")
     request = fleet.ask()
     assert (
-        fleet.out.take("send")[0][4] is held_only
+        fleet.out.take("send_attempt")[0][1].only_if_cached is held_only
         and request.attempts[0].fill_source in fleet.parents
     )
     if held_only:
@@ -330,7 +345,7 @@
 def test_a_slow_parent_gets_no_more_fills_but_trials():
     """Without the bound, fills waited at slow parents and held the places of hits at the caches."""
     fleet = Fleet()
-    fleet.director.random.random = lambda: 1.0
+    fleet.router.random.random = lambda: 1.0
     for _ in range(20):
         fleet.answer(fleet.ask().attempts[0], note=CacheStatus.FILLED, first_byte=3000.0)
     filled = 0
@@ -380,9 +395,11 @@
     """
     fleet = Fleet(local_director_count=20)
     for attempt in [fleet.ask(after=20).attempts[0] for _ in range(6)]:
-        fleet.call("answered", attempt, Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None)
+        fleet.handle(
+            AttemptFinished(attempt, Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None)
+        )
     for cache in fleet.caches:
-        cache.late.add(fleet.now, wait - 100.0)
+        cache.hit_lateness.add(fleet.now, wait - 100.0)
     assert any(fleet.ask(after=0.0).is_complete for _ in range(4)) is not taken
 
 
@@ -397,7 +414,7 @@
 def test_trials_are_earned_by_own_requests(requests, most):
     """At one in half a second each, hundreds of directors sent a dead parent nothing but trials."""
     fleet = Fleet()
-    fleet.parents[0].shunned = True
+    fleet.parents[0].is_ejected = True
     tried = 0
     for _ in range(requests):
         attempt = fleet.ask(after=600).attempts[0]
@@ -417,7 +434,7 @@
         )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt)
-    assert fleet.parents[0].shunned
+    assert fleet.parents[0].is_ejected
 
 
 @pytest.mark.parametrize("slow, kept", [((0,), False), ((0, 1), True)])
@@ -429,11 +446,14 @@
     warm_up(fleet)
     for at in slow:
         for _ in range(60):
-            fleet.parents[at].recent.add(fleet.now, 700.0)
-    fleet.director.random.random, fleet.director.trials = lambda: 1.0, 0.0
-    orders = [fleet.director.by_hash(fleet.parents, key, 0) for key in range(5000, 5040)]
+            fleet.parents[at].recent_delay.add(fleet.now, 700.0)
+    fleet.router.random.random, fleet.router.endpoint_filter.trial_tokens = lambda: 1.0, 0.0
+    orders = [
+        rendezvous_order(fleet.parents, key, 0, fleet.router.slow_start, fleet.now)
+        for key in range(5000, 5040)
+    ]
     sources = [
-        fleet.director.choose_outside(iter(order))
+        fleet.router.fill_sources.choose_upstream(iter(order), fleet.now)
         for order in orders
         if order[0] is fleet.parents[0]
     ]
@@ -449,15 +469,17 @@
         request = fleet.ask(after=30)
         for attempt in request.attempts:
             fleet.answer(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
-    assert not any(parent.shunned for parent in fleet.parents)
+    assert not any(parent.is_ejected for parent in fleet.parents)
 
 
 def test_fills_by_way_of_the_origin_do_not_make_the_parent_slow():
     fleet = Fleet()
     warm_up(fleet, 40)
-    before = [fleet.director.delay(parent) for parent in fleet.parents]
+    before = [fleet.router.fill_sources.delay(parent, fleet.now) for parent in fleet.parents]
     warm_up(fleet, 40, CacheStatus.FILLED_BY_ORIGIN, 900.0)
-    assert [fleet.director.delay(parent) for parent in fleet.parents] == before
+    assert [
+        fleet.router.fill_sources.delay(parent, fleet.now) for parent in fleet.parents
+    ] == before
 
 
 @pytest.mark.parametrize(
@@ -471,16 +493,18 @@
 def test_an_echo_disproves_that_a_cache_is_not_reached_and_nothing_else(outcome, well, taken_back):
     fleet = Fleet(allows_health_checks=True)
     sick = fleet.ask(key=77).attempts[0].endpoint
-    while not sick.shunned:
-        fleet.director.mark(sick, 2.0, outcome.name.lower())
+    while not sick.is_ejected:
+        fleet.router.health.record_result(
+            sick, 2.0, EjectionReason(outcome.name.lower()), fleet.now
+        )
     probed = []
     for _ in range(40):  # any round asks whom it is time to ask
         fleet.ask()
-        probed += fleet.out.take("probe")
+        probed += fleet.out.take("check_health")
         fleet.now += 50.0
     assert ((sick,) in probed) is (outcome is Outcome.CONNECT_FAILED)
-    fleet.call("told", sick, None, well)
-    assert sick.shunned is not taken_back
+    fleet.handle(HealthCheckFinished(sick, None, well))
+    assert sick.is_ejected is not taken_back
 
 
 @pytest.mark.parametrize("whose", [CACHE, PARENT])
@@ -494,13 +518,13 @@
     sick = fleet.caches[0] if whose == CACHE else fleet.parents[0]
     row = fleet.row(sick, whose, 1 if whose == CACHE else 0, state=state)
     if first == "leaves":
-        fleet.call("listed", [row], False, False)
-    fleet.director.mark(sick, 4.0, "reset")
+        fleet.handle(EndpointsUpdated([row], False))
+    fleet.router.health.record_result(sick, 4.0, EjectionReason.RESET, fleet.now)
     if first == "breaks":
-        fleet.call("listed", [row], False, False)
+        fleet.handle(EndpointsUpdated([row], False))
     for _ in range(40):
         fleet.ask(after=50.0)
-    assert fleet.out.take("probe") == []
+    assert fleet.out.take("check_health") == []
 
 
 @pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
@@ -511,9 +535,11 @@
     fleet = Fleet(transfer_rate=0.0)
     for _ in range(8):
         attempt = fleet.ask(size=0.0).attempts[0]
-        fleet.call("answered", attempt, Outcome.SERVED, took, True, CacheStatus.UNKNOWN, 0.0, None)
+        fleet.handle(
+            AttemptFinished(attempt, Outcome.SERVED, took, True, CacheStatus.UNKNOWN, 0.0, None)
+        )
     request = fleet.ask(size=0.0)
-    fleet.call("woken", request.attempts[0], after=450.0)
+    fleet.handle(TimerFired(request.attempts[0]), after=450.0)
     assert (len(request.attempts) == 1) is none_overdue
 
 
@@ -527,15 +553,19 @@
     )
     cold = [fleet.caches[0]] if caches_cold else fleet.parents
     rule, sharers = (
-        (fleet.terms.cache_slow_start, 1) if caches_cold else (fleet.terms.parent_slow_start, 3)
+        (fleet.settings.cache_slow_start, 1)
+        if caches_cold
+        else (fleet.settings.parent_slow_start, 3)
     )
     sent, sending = {member: [] for member in cold}, 400.0
     for _ in range(1500):
         for attempt in fleet.ask(size=0.0, after=2.0).attempts:
             for member in {attempt.endpoint, attempt.fill_source} & set(sent):
                 sent[member].append(fleet.now)
-            fleet.call(
-                "answered", attempt, Outcome.SERVED, sending, True, CacheStatus.UNKNOWN, 0.0, None
+            fleet.handle(
+                AttemptFinished(
+                    attempt, Outcome.SERVED, sending, True, CacheStatus.UNKNOWN, 0.0, None
+                )
             )
     for times in sent.values():
         for now in times:
@@ -552,7 +582,7 @@
     firsts = set()
     for seed in range(12):
         fleet = Fleet()
-        fleet.director.random.seed(seed)
+        fleet.router.random.seed(seed)
         for _ in range(30):
             request = fleet.ask(key=77)
             fleet.answer(request.attempts[0], after=100.0)
@@ -566,8 +596,8 @@
     request = fleet.ask(key=77)
     node = request.attempts[0].endpoint
     fleet.now += wait
-    fleet.call(
-        "answered", request.attempts[0], Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None
+    fleet.handle(
+        AttemptFinished(request.attempts[0], Outcome.SERVED, wait, True, CacheStatus.HIT, 0.0, None)
     )
     back = next(
         step for step in range(100) if fleet.ask(key=77, after=250.0).attempts[0].endpoint is node
@@ -584,9 +614,9 @@
 ):
     fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
     for cache in fleet.caches:
-        fleet.director.mark(cache, 4.0, "reset")
+        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
     assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
-    fleet.call("told", fleet.caches[1], None, True)
+    fleet.handle(HealthCheckFinished(fleet.caches[1], None, True))
     assert {fleet.ask().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
 
 
@@ -594,18 +624,20 @@
     fleet = Fleet()
     request = fleet.ask(key=77)
     node = request.attempts[0].endpoint
-    fleet.director.mark(node, 4.0, "reset")
+    fleet.router.health.record_result(node, 4.0, EjectionReason.RESET, fleet.now)
     fleet.now += 5000.0
-    fleet.call(
-        "answered", request.attempts[0], Outcome.SERVED, 5000.0, True, CacheStatus.HIT, 0.0, None
+    fleet.handle(
+        AttemptFinished(
+            request.attempts[0], Outcome.SERVED, 5000.0, True, CacheStatus.HIT, 0.0, None
+        )
     )
-    assert fleet.director.crowd(node) == 1.0
+    assert fleet.router.caches.slowdown(node, fleet.now) == 1.0
 
 
 def overdue(fleet, request):
     """The last attempt is long out; its node has said nothing."""
     attempt = request.attempts[-1]
-    fleet.call("woken", attempt, after=450.0)
+    fleet.handle(TimerFired(attempt), after=450.0)
     return attempt
 
 
@@ -623,11 +655,14 @@
     """Guards against storms in which nodes work for requests that were rejected meanwhile."""
     fleet = Fleet()
     request = fleet.ask()
-    fleet.director.purse.tokens, request.attempts[0].endpoint.unreached = purse, not reached
+    fleet.router.retry_policy.local_budget.tokens, request.attempts[0].endpoint.is_unreachable = (
+        purse,
+        not reached,
+    )
     overdue(fleet, request)
     assert (len(request.attempts), request.is_complete) == (attempts, given_up)
-    fleet.call("woken", request, after=5545.0)  # its time is over
-    assert request.is_complete and len(fleet.out.take("reject")) == 1
+    fleet.handle(TimerFired(request), after=5545.0)  # its time is over
+    assert request.is_complete and len(fleet.out.take("reject_request")) == 1
 
 
 @pytest.mark.parametrize(
@@ -639,38 +674,37 @@
 ):
     fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
     for cache in fleet.caches[:2]:
-        fleet.director.learn(
-            Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET),
-            1.0,
-            CacheStatus.UNKNOWN,
-            0.0,
+        attempt = Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET)
+        fleet.router.recorder.record(
+            AttemptFinished(attempt, Outcome.RESET, 1.0, False, CacheStatus.UNKNOWN, 0.0, None),
+            fleet.now,
         )
     assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
-    assert not any(cache.shunned for cache in fleet.caches)  # no judgement of each for itself
-    fleet.call("told", fleet.caches[2], None, True, after=300.0)
+    assert not any(cache.is_ejected for cache in fleet.caches)  # no judgement of each for itself
+    fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
     assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
 
 def test_what_a_cut_had_shunned_comes_back_at_the_first_word_of_any_cache():
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
-        fleet.director.mark(cache, 4.0, "reset")
-    assert fleet.director.reach.cut and all(cache.unreached for cache in fleet.caches[:2])
+        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
+    assert fleet.router.health.zone.cut and all(cache.is_unreachable for cache in fleet.caches[:2])
     asked = []
     for _ in range(20):
         fleet.ask(after=50.0)
-        asked += fleet.out.take("probe")
+        asked += fleet.out.take("check_health")
     assert len(asked) >= 2  # a few are asked soon
-    fleet.call("told", fleet.caches[2], None, True, after=300.0)
-    assert not any(cache.shunned for cache in fleet.caches)
+    fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
+    assert not any(cache.is_ejected for cache in fleet.caches)
 
 
 def test_an_echo_of_a_parent_ends_no_cut():
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
-        fleet.director.mark(cache, 4.0, "reset")
-    fleet.call("told", fleet.parents[0], None, True)
-    assert fleet.director.reach.cut
+        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
+    fleet.handle(HealthCheckFinished(fleet.parents[0], None, True))
+    assert fleet.router.health.zone.cut
 
 
 def test_a_part_of_a_cold_limit_that_was_borrowed_ends_by_itself():
@@ -678,19 +712,20 @@
     since.
     """
     fleet = Fleet(started=100_000.0, local_director_count=4)
-    cold, share = fleet.caches[0], fleet.director.cold_here
+    cold, share = fleet.caches[0], fleet.router.cache_slow_start_quota
     share.fraction, share.expires_at, share.fallback_fraction, share.is_tracked = (
         1.0,
         101_000.0,
         0.0,
         True,
     )
-    room = [fleet.director.has_room(cold, 100.0)]
+    try_admit = fleet.router.slow_start.try_admit
+    room = [try_admit(cold, 100.0, fleet.now)]
     assert share.peak_used > 0.0 and share.peak_rejected == 0.0
-    fleet.director.now = 105_000.0
-    room.append(fleet.director.has_room(cold, 100.0))
+    fleet.now = 105_000.0
+    room.append(try_admit(cold, 100.0, fleet.now))
     assert room == [True, False] and share.peak_rejected > 0.0
-    assert all(fleet.director.has_room(cache, 100.0) for cache in fleet.caches[1:])  # warm ones
+    assert all(try_admit(cache, 100.0, fleet.now) for cache in fleet.caches[1:])  # warm ones
 
 
 @pytest.mark.parametrize(
@@ -716,10 +751,10 @@
     if first is not None:
         fleet.answer(request.attempts[0], first)
     attempt = request.attempts[-1]
-    assert len(request.attempts) == 1 + (first is not None) and fleet.director.may_begin(
+    assert len(request.attempts) == 1 + (first is not None) and fleet.router.can_begin(
         fleet.now, attempt
     )
-    assert fleet.director.may_begin(fleet.now + after, attempt) == may
+    assert fleet.router.can_begin(fleet.now + after, attempt) == may
 
 
 @pytest.mark.parametrize("two_attempts", [True, False])
@@ -727,10 +762,10 @@
     fleet = Fleet(allows_hedging=two_attempts)
     request = fleet.ask()
     first = request.attempts[0]
-    fleet.director.send(request, fleet.caches[1], None, False)
-    assert fleet.director.may_begin(fleet.now, request.attempts[1]) == two_attempts
+    fleet.router.send(request, Route(fleet.caches[1], None, False))
+    assert fleet.router.can_begin(fleet.now, request.attempts[1]) == two_attempts
     first.outcome = Outcome.CANCELLED
-    assert fleet.director.may_begin(fleet.now, request.attempts[1])
+    assert fleet.router.can_begin(fleet.now, request.attempts[1])
 
 
 @pytest.mark.parametrize(
@@ -751,10 +786,10 @@
     """
     fleet = Fleet(repeat, group, allows_hedging=False, max_attempts=most)
     request = fleet.ask()
-    fleet.director.purse.tokens = again
-    fleet.out.take("abandon")
-    fleet.call("woken", request.attempts[0], after=900.0)
-    assert bool(fleet.out.take("abandon")) is called_off and not request.is_complete
+    fleet.router.retry_policy.local_budget.tokens = again
+    fleet.out.take("cancel_attempt")
+    fleet.handle(TimerFired(request.attempts[0]), after=900.0)
+    assert bool(fleet.out.take("cancel_attempt")) is called_off and not request.is_complete
 
 
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
@@ -767,4 +802,4 @@
     for _ in range(30):
         fleet.answer(fleet.ask(size=1000.0).attempts[0], after=20.0)
     request = fleet.ask(size=1000.0 * times)
-    assert request.attempts and fleet.director.bearable(request) >= 1.2
+    assert request.attempts and fleet.router.work.max_slowdown(request, fleet.now) >= 1.2
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -35,6 +35,7 @@
 from mulleinrelay.net.upstream_connections import UpstreamConnection
 from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy import connection_reuse
+from mulleinrelay.policy.events import EndpointsUpdated, PurgeReceived
 from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
 from mulleinrelay.structured_log import StructuredLog
 
@@ -667,11 +668,11 @@
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
     monkeypatch.setattr(event_stream, "SILENCE", 0.3)
-    stand, seen, play = StandBus(*scripts), [], RequestCoordinator._play
+    stand, seen, handle = StandBus(*scripts), [], RequestCoordinator._handle
     monkeypatch.setattr(
         RequestCoordinator,
-        "_play",
-        lambda facade, *call: (seen.append(call[0]), play(facade, *call)),
+        "_handle",
+        lambda coordinator, event: (seen.append(type(event)), handle(coordinator, event)),
     )
     with Running(bus=stand) as director:
         assert wait_for(
@@ -679,7 +680,7 @@
         )  # asked again after the script's silence
         assert stand.asked[: len(asked)] == asked
         assert stand.asked[len(asked)] == director.service.event_stream.last
-        seen_events = sum(method in ("listed", "purged") for method in seen)
+        seen_events = sum(kind in (EndpointsUpdated, PurgeReceived) for kind in seen)
         assert seen_events == 1 + applied and director.sink.events.count("bad event") == logged
 
 
