--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -23,10 +23,9 @@
 )
 from .policy.admission import SchedulingDelay
 from .policy.events import (
-    AttemptFinished,
     ClientLeft,
-    Event,
     HealthCheckFinished,
+    LoadReport,
     PurgeReceived,
     RequestReceived,
     TimerFired,
@@ -47,6 +46,7 @@
 )
 from .policy.router import Router
 from .router_actions import PendingActions
+from .router_driver import RouterDriver
 from .structured_log import StructuredLog
 from .timers import TimerKind
 
@@ -80,16 +80,21 @@
         """`clock` gives ms; the same seed and calls give the same decisions."""
         self.clock = clock
         self.settings = settings
-        self.log_events = log
         self.lock = threading.Lock()
         # Guarded by `lock`:
         self.registry = EndpointRegistry()
         self.lateness = SchedulingDelay()
-        self.router = Router(clock(), seed, settings)
-        self._actions = PendingActions(self.registry, self._now, self._log_mode, self._wake)
+        router = Router(clock(), seed, settings)
+        self._actions = PendingActions(self.registry, self._now, log, self._wake)
+        self._driver = RouterDriver(router, self._actions, self._now, log)
         self._timer_changed = threading.Condition(self.lock)  # an earlier timer or a health check
         self._waiting_until = 0.0  # when the thread in `wait_until` wakes by itself; 0: none waits
 
+    @property
+    def router(self) -> Router:
+        """The router; used under the lock."""
+        return self._driver.router
+
     @property
     def pending_requests(self) -> dict[Request, PendingRequest]:
         """The requests whose result has not been taken; read under the lock."""
@@ -142,7 +147,7 @@
             self._actions.set_timer(
                 remaining_time + RESULT_SLACK, TimerKind.RESULT_OVERDUE, request
             )
-            self._handle(RequestReceived(request) if room else TimerFired(request))
+            self._driver.handle(RequestReceived(request) if room else TimerFired(request))
         return request
 
     def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
@@ -158,12 +163,9 @@
             if pending is None or pending.owner_thread not in (0, thread):
                 return None
             pending.owner_thread = thread
-            while pending.next_steps:
-                step = pending.next_steps.popleft()
-                if isinstance(step, CancelAttempt) or (
-                    pending.result is None and step.attempt.outcome is None
-                ):
-                    return step
+            step = pending.take_step()
+            if step is not None:
+                return step
             pending.owner_thread = 0
             if pending.result is not None:
                 del self.pending_requests[request]
@@ -175,7 +177,7 @@
         outcome: Outcome,
         note: CacheStatus = CacheStatus.UNKNOWN,
         waited: float = 0.0,
-        load: dict[str, float] | None = None,
+        load: LoadReport | None = None,
         answer: Any = None,
     ) -> None:
         """Reports how an attempt ended. What comes for one that has ended is dropped.
@@ -189,7 +191,7 @@
             answer: What the client gets where it was served.
         """
         with self.lock:
-            self._finish_attempt(attempt, outcome, note, waited, load, answer)
+            self._driver.finish_attempt(attempt, outcome, note, waited, load, answer)
 
     def can_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt that was decided may still go out.
@@ -209,11 +211,9 @@
             return has_same_addresses and self.router.can_begin(self.clock(), attempt)
 
     def can_health_check(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
-        """Whether an endpoint may get a health check there, when its first byte is to be written."""
+        """Whether an endpoint may get a health check there, when it is to be written."""
         with self.lock:
-            return self.registry.is_current(endpoint, address) and self.router.can_check_health(
-                endpoint
-            )
+            return self.registry.is_current(endpoint, address) and endpoint.is_ready
 
     def client_left(self, request: Request) -> None:
         """The client has left."""
@@ -221,7 +221,7 @@
             pending = self.pending_requests.get(request)
             if pending is not None and pending.result is None:
                 pending.complete(ClientGone())
-                self._handle(ClientLeft(request))
+                self._driver.handle(ClientLeft(request))
 
     def discard(self, request: Request) -> None:
         """Nobody carries out this request's steps any more.
@@ -241,7 +241,7 @@
                 if pending.result is None
             ]
             for request in unfinished:
-                self._handle(TimerFired(request))
+                self._driver.handle(TimerFired(request))
         return unfinished
 
     def pending_count(self) -> int:
@@ -281,18 +281,14 @@
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
         """The ready caches of this zone by name, each with the fraction of its capacity it has."""
         with self.lock:
-            now = self.clock()
-            available_fraction = self.router.slow_start.available_fraction
-            caches = [
-                (self.addresses[cache].name, cache, available_fraction(cache, now))
-                for cache in self.router.endpoints.caches
-            ]
-            return sorted(caches, key=lambda entry: entry[0])
+            return self.registry.fractions_by_name(
+                self.router.endpoints.caches, self.router.slow_start, self.clock()
+            )
 
     def update_endpoints(self, entries: list[EndpointUpdate], whole: bool) -> None:
         """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
         with self.lock:
-            self._handle(self.registry.accept(self.clock(), entries, whole))
+            self._driver.handle(self.registry.accept(self.clock(), entries, whole))
             self.registry.drop_removed(self.router.endpoints.known)
 
     def change_overrides(self, make: Callable[[EndpointOverrides], list[str]]) -> None:
@@ -300,7 +296,7 @@
         with self.lock:
             event = self.registry.reapply(make)
             if event is not None:
-                self._handle(event)
+                self._driver.handle(event)
                 self.registry.drop_removed(self.router.endpoints.known)
 
     def endpoint_states(
@@ -313,32 +309,21 @@
             (None: not measured) and the fraction of its capacity that it has at the least.
         """
         with self.lock:
-            now = self.clock()
-            return [
-                (
-                    entry,
-                    self.registry.effective_state(entry),
-                    endpoint,
-                    endpoint.recent_delay.mean(now),
-                    self.router.slow_start.available_fraction(endpoint, now),
-                )
-                for name, entry in sorted(self.endpoint_updates.items())
-                if (endpoint := self.endpoints.get(name))
-            ]
+            return self.registry.states(self.router.slow_start, self.clock())
 
     def report_health_check(
-        self, node: TrackedEndpoint, load: dict[str, float] | None, well: bool = True
+        self, node: TrackedEndpoint, load: LoadReport | None, well: bool = True
     ) -> None:
         """Reports a health check's result: the load report, and whether it was answered."""
         with self.lock:
-            self._handle(HealthCheckFinished(node, load, well))
+            self._driver.handle(HealthCheckFinished(node, load, well))
 
     # Purges
 
     def apply_purge(self, key: int, group: int, at: float) -> None:
         """An object (or with `key` 0 a group) was purged at that time."""
         with self.lock:
-            self._handle(PurgeReceived(key, group, self.clock() - at))
+            self._driver.handle(PurgeReceived(key, group, self.clock() - at))
 
     def active_purge_count(self) -> int:
         """The number of purges that are remembered."""
@@ -367,7 +352,7 @@
                 pending = self.pending_requests.get(request)
                 if pending is None:
                     continue
-                self._run_timer(kind, subject, pending)
+                self._driver.run_timer(kind, subject, pending)
                 if pending.has_work():
                     changed[request] = None
             next_due = self._actions.timers.next_due()
@@ -393,95 +378,6 @@
 
     # Inside, under the lock
 
-    def _run_timer(
-        self, kind: TimerKind, subject: Request | Attempt, pending: PendingRequest
-    ) -> None:
-        if kind == TimerKind.RESULT_OVERDUE:
-            self._fail_overdue(subject, pending)  # type: ignore[arg-type]
-        elif isinstance(subject, Request):
-            if not subject.is_complete:
-                self._handle(TimerFired(subject))
-        elif subject.outcome is None:
-            if kind == TimerKind.ATTEMPT_TIMEOUT:
-                pending.cancel(subject)
-                self._finish_attempt(subject, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0.0, None, None)
-            else:
-                self._handle(TimerFired(subject))
-
-    def _fail_overdue(self, request: Request, pending: PendingRequest) -> None:
-        """The router gave no result; the client must not wait in vain."""
-        if pending.result is None:
-            self.log_events.event("overdue", attempts=len(request.attempts))
-            pending.complete(Failed())
-            self._handle(ClientLeft(request))
-
-    def _handle(self, event: Event) -> None:
-        """Has the router handle an event, and then the attempts that it cancelled."""
-        events: list[Event] = [event]
-        while events:
-            try:
-                self.router.handle(self.clock(), events, self._actions)
-            except Exception as error:  # the request fails; the director and its others go on
-                self.log_events.exception(f"router, {type(event).__name__}", error)
-                self._fail_request_of(event)
-            cancelled = self._actions.take_cancelled()
-            now = self.clock()
-            events = [
-                AttemptFinished(
-                    attempt,
-                    Outcome.CANCELLED,
-                    now - attempt.sent_at,
-                    attempt.request.is_complete,
-                    CacheStatus.UNKNOWN,
-                    0.0,
-                    None,
-                )
-                for attempt in cancelled
-                if attempt.outcome is None
-            ]
-
-    def _fail_request_of(self, event: Event) -> None:
-        match event:
-            case RequestReceived(request) | ClientLeft(request):
-                pass
-            case AttemptFinished(attempt=attempt):
-                request = attempt.request
-            case TimerFired(subject):
-                request = subject if isinstance(subject, Request) else subject.request
-            case _:
-                return
-        request.is_complete = True
-        if (pending := self.pending_requests.get(request)) is not None:
-            pending.complete(Failed())
-
-    def _finish_attempt(
-        self,
-        attempt: Attempt,
-        outcome: Outcome,
-        cache_status: CacheStatus,
-        first_byte_delay: float,
-        load: dict[str, float] | None,
-        answer: Any,
-    ) -> None:
-        if attempt.outcome is not None:
-            return
-        request = attempt.request
-        is_served = outcome == Outcome.SERVED
-        pending = self.pending_requests.get(request)
-        if is_served and not request.is_complete and pending is not None:
-            pending.complete(Served(answer))
-        self._handle(
-            AttemptFinished(
-                attempt,
-                outcome,
-                self.clock() - attempt.sent_at,
-                request.is_complete or is_served,
-                cache_status,
-                first_byte_delay,
-                load,
-            )
-        )
-
     def _now(self) -> float:
         return self.clock()
 
@@ -489,6 +385,3 @@
         """Wakes the thread in `wait_until` where something is due before it wakes by itself."""
         if due < self._waiting_until:
             self._timer_changed.notify_all()
-
-    def _log_mode(self, text: str) -> None:
-        self.log_events.event("mode", text=text)
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 from typing import Protocol
 
+from .policy.endpoint_capacity import SlowStartAdmission
 from .policy.events import EndpointEntry, EndpointsUpdated
 from .policy.latency import TrackedEndpoint
 from .policy.model import UNKNOWN_ADDRESS, EndpointAddress, EndpointState, EndpointUpdate
@@ -84,6 +85,36 @@
                 del self.endpoints[name]
                 del self.addresses[endpoint]
 
+    def fractions_by_name(
+        self, endpoints: list[TrackedEndpoint], slow_start: SlowStartAdmission, now: float
+    ) -> list[tuple[str, TrackedEndpoint, float]]:
+        """The endpoints by name, each with the fraction of its capacity that it has."""
+        named = [
+            (
+                self.addresses[endpoint].name,
+                endpoint,
+                slow_start.available_fraction(endpoint, now),
+            )
+            for endpoint in endpoints
+        ]
+        return sorted(named, key=lambda entry: entry[0])
+
+    def states(
+        self, slow_start: SlowStartAdmission, now: float
+    ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
+        """By name: entry, effective state, statistics, smoothed delay, fraction of capacity."""
+        return [
+            (
+                entry,
+                self.effective_state(entry),
+                endpoint,
+                endpoint.recent_delay.mean(now),
+                slow_start.available_fraction(endpoint, now),
+            )
+            for name, entry in sorted(self.updates.items())
+            if (endpoint := self.endpoints.get(name))
+        ]
+
     def _completed(self, entry: EndpointUpdate) -> EndpointUpdate | None:
         """The entry with what it left out, as it was before; None where that is not known."""
         known = self.updates.get(entry.name)
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -136,7 +136,7 @@
             while self._cancelled:
                 attempt = self._cancelled.popleft()
                 if attempt.outcome is None:
-                    events.append(_cancelled(attempt, now))
+                    events.append(AttemptFinished.cancelled(attempt, now))
 
     def _entry(self, row: dict[str, Any]) -> EndpointEntry:
         name = row["id"]
@@ -213,18 +213,6 @@
         """The model writes no log."""
 
 
-def _cancelled(attempt: Attempt, now: float) -> AttemptFinished:
-    return AttemptFinished(
-        attempt,
-        Outcome.CANCELLED,
-        now - attempt.sent_at,
-        attempt.request.is_complete,
-        CacheStatus.UNKNOWN,
-        0.0,
-        None,
-    )
-
-
 def _fields(attempt: Attempt, options: SendOptions, source_name: str) -> dict[str, str]:
     """The attempt's fields as the stand-in endpoints read them."""
     request = attempt.request
--- a/mulleinrelay/pending_requests.py
+++ b/mulleinrelay/pending_requests.py
@@ -68,6 +68,16 @@
         """Whether somebody is to carry out its steps or take its result."""
         return bool(self.next_steps) or self.result is not None
 
+    def take_step(self) -> SendAttempt | CancelAttempt | None:
+        """Removes and returns the next step; sendings that are of no use any more are skipped."""
+        while self.next_steps:
+            step = self.next_steps.popleft()
+            if isinstance(step, CancelAttempt) or (
+                self.result is None and step.attempt.outcome is None
+            ):
+                return step
+        return None
+
     def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt: takes its sending back, or adds a step that cancels it."""
         for step in self.next_steps:
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -1,4 +1,7 @@
-"""Which cache serves a request: rendezvous hash, bounded load, more caches for hot objects; pure."""
+"""Which cache serves a request: rendezvous hash, bounded load, more caches for hot objects.
+
+Pure; times in ms.
+"""
 
 import math
 from collections.abc import Sequence
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -41,6 +41,19 @@
     first_byte_delay: float
     load: LoadReport | None
 
+    @classmethod
+    def cancelled(cls, attempt: Attempt, now: float) -> "AttemptFinished":
+        """The event of an attempt that was cancelled."""
+        return cls(
+            attempt,
+            Outcome.CANCELLED,
+            now - attempt.sent_at,
+            attempt.request.is_complete,
+            CacheStatus.UNKNOWN,
+            0.0,
+            None,
+        )
+
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
@@ -118,3 +131,15 @@
     | ClientLeft
     | ConnectionOpened
 )
+
+
+def request_of(event: Event) -> Request | None:
+    """The request that an event is about; None for events about endpoints or purges."""
+    match event:
+        case RequestReceived(request) | ClientLeft(request):
+            return request
+        case AttemptFinished(attempt=attempt):
+            return attempt.request
+        case TimerFired(subject):
+            return subject if isinstance(subject, Request) else subject.request
+    return None
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -1,10 +1,8 @@
-"""The types that the decision module and its callers share. No decision and no tuned value stands
-here.
+"""The types that the router and its callers share. No decision and no tuned value stands here.
 
-A caller makes one `policy.Director(now, seed, terms)` for each director and calls
-`director.round(now, inbox, out)` with all that came in since the last call. `inbox` holds plain
-tuples (name of a Director method, arguments) in arrival order; `out` is a Writer. Times are
-milliseconds.
+A caller makes one `Router(now, seed, settings)` for each director and calls
+`router.handle(now, events, sink)` with what came in since the last call (see `events`, `actions`).
+Times are milliseconds, sizes KB.
 """
 
 import math
@@ -16,10 +14,12 @@
     from .latency import TrackedEndpoint
 
 IDEMPOTENT, KEYED, UNSAFE = "idempotent", "keyed", "unsafe"
-UNKNOWN_ADDRESS = ("", 0)  # the address of a node of which only the name and the state are told
+UNKNOWN_ADDRESS = ("", 0)  # of an endpoint of which an update has only the name and the state
 
 
 class EndpointState(IntEnum):
+    """The state of an endpoint in the endpoint list."""
+
     READY = 0
     GONE = 1
     DRAINING = 2
@@ -40,11 +40,12 @@
 
     @property
     def is_never_executed(self) -> bool:
+        """Whether the attempt provably had no effect."""
         return self >= Outcome.REJECTED
 
 
 class CacheStatus(IntEnum):
-    """What a cache tells of an answer's way, where it tells."""
+    """How a cache came by its answer, where it reports it."""
 
     UNKNOWN = 0
     HIT = 1
@@ -61,67 +62,67 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
+    """What the requests of one class need and may do."""
+
     idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
     latency_objective: float
-    objective_stretch: float  # the goal grows by this multiple of the answer's own sending time
+    objective_stretch: float  # the objective grows by this multiple of the answer's sending time
     client_timeout: float
-    key_retention: float  # how long a keyed repeat is known
-    key_scope: str  # which nodes know it: "all", "zone" or "cell"
+    key_retention: float  # how long an idempotency key is remembered
+    key_scope: str  # which endpoints remember it: "all", "zone" or "cell"
     freshness_lifetime: float
-    is_uncacheable: bool  # runs at the origin
+    is_uncacheable: bool  # it runs at the origin
     priority_weight: float = 1.0  # of a request served in time
 
 
 @dataclass(slots=True)
 class SlowStartPolicy:
-    """What a node that has just started can take."""
+    """What an endpoint that has just started can take."""
 
-    initial_fraction: float  # share of its capacity at the start
+    initial_fraction: float  # of its capacity, at the start
     duration: float
     overload_window: float
-    overload_factor: (
-        float  # of what it can do then; sent more for the span, by all together, it falls
-    )
+    overload_factor: float  # it fails when sent this multiple of its capacity over the window
 
 
 @dataclass(slots=True, eq=False)
 class ServiceSettings:
-    """What a director is told at its start about the service it stands in."""
+    """What a director gets at its start about the service that it is part of."""
 
     request_classes: list[RequestClass]
     zone: int
     director_count: int
-    local_director_count: int  # in this director's own location
+    local_director_count: int  # in this director's zone
     parent_kind: int
     origin_kind: int
-    advertises_weights: bool  # the list tells sizes of nodes
-    transfer_rate: float  # KB a millisecond of one transfer; 0 where not told
+    advertises_weights: bool  # the endpoint list has their sizes
+    transfer_rate: float  # KB a millisecond of one transfer; 0 where not known
     max_attempts: int
-    allows_hedging: bool  # an idempotent request may have two attempts out at once
+    allows_hedging: bool  # a request may have two attempts in flight
     allows_cancel: bool
     allows_health_checks: bool
-    allows_retry_after: bool  # clients are told when to come back
+    allows_retry_after: bool  # a rejection says when to retry
     max_retry_after: float
     allows_cache_bypass: bool
     allows_coalescing: bool
     allows_sibling_fills: bool
     requires_subscription: bool
     load_report_fields: list[str]  # names of a load report's values
-    polls_load_reports: bool  # they come to probes only
+    polls_load_reports: bool  # they come with health checks only
     cache_slow_start: SlowStartPolicy
     parent_slow_start: SlowStartPolicy
     purge_propagation: float
-    health_check_cost: float = 0.0  # of one probe a request, in credit; 0 where not told
+    health_check_cost: float = 0.0  # of one check a request, in priority weight; 0: not known
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A cache, a parent or the origin, as the list tells of it."""
+    """A cache, a parent or the origin, as the endpoint list has it."""
 
     hash_key: int
     zone: int = -1
     kind: int = -1
-    advertised_cell: int = -1  # the list's own word; what a tenant is confined to is a Pool
+    advertised_cell: int = -1  # by the list; what a tenant is confined to is a CachePool
     weight: float = 1.0
     state: EndpointState = EndpointState.GONE
     started_at: float = 0.0
@@ -134,6 +135,22 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One sending of a request to an endpoint.
+
+    Attributes:
+        request: The request.
+        number: Its place among the request's attempts, from 0.
+        endpoint: Where it is sent.
+        fill_source: Where a miss is filled from; the endpoint itself where it is not.
+        sent_at: When it was decided.
+        timeout: How long after that it is given up.
+        outcome: How it ended; None while it is in flight.
+        expects_hit: Whether the router believed that the endpoint holds the object.
+        purged_at: The object's last purge when it was decided; 0: none.
+        addresses: The caller's: where endpoint and source were found when it was decided.
+        entity_tag: The caller's: of the client's copy, as sent to the endpoint.
+    """
+
     request: "Request"
     number: int
     endpoint: "TrackedEndpoint"
@@ -141,26 +158,30 @@
     sent_at: float
     timeout: float
     outcome: Outcome | None = None
-    expects_hit: Any = None  # the module's own notes on it
-    purged_at: float = 0.0  # the purge that bounds the age of its copy; 0: none does
-    addresses: tuple[
-        tuple["TrackedEndpoint", "EndpointAddress"], ...
-    ] = ()  # the caller's: where node and source were when decided
-    entity_tag: str = ""  # the caller's: of the client's copy, as the node was told
+    expects_hit: bool = False
+    purged_at: float = 0.0
+    addresses: tuple[tuple["TrackedEndpoint", "EndpointAddress"], ...] = ()
+    entity_tag: str = ""
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Further attempts that may go now, for all requests that share it."""
+    """Retries that may go now, for all requests that share the budget."""
 
     tokens: float
 
 
 @dataclass(slots=True, eq=False)
 class QuotaShare:
-    """This director's part of a limit that directors have in common: `part` until then, and after
-    that, however long it was stopped meanwhile, only `least`. Where it is `watched`, the largest
-    parts that it used and that it was refused since somebody last looked.
+    """This director's share of a limit that directors have in common.
+
+    Attributes:
+        fraction: The share until `expires_at`.
+        expires_at: When a borrowed share ends, however long the director was stopped meanwhile.
+        fallback_fraction: The share after that.
+        is_tracked: Whether the peaks are recorded.
+        peak_used: The largest share used since the peaks were last read.
+        peak_rejected: The largest share that was asked for in vain since then.
     """
 
     fraction: float
@@ -171,14 +192,19 @@
     peak_rejected: float = 0.0
 
     def fraction_at(self, now: float) -> float:
+        """The share at that time."""
         return self.fraction if now < self.expires_at else self.fallback_fraction
 
 
 @dataclass(slots=True, eq=False)
 class CachePool:
-    """What a request is confined to: the caches it may go to, those that are taken where none of
-    these may be sent to, those that may fill it as siblings besides, and further attempts that it
-    shares with others.
+    """What a request is confined to.
+
+    Attributes:
+        caches: The caches that it may go to.
+        failover_caches: Those that are taken where none of `caches` may be sent to.
+        migration_sources: Further caches that may fill it, since they served it before.
+        retry_budget: What pays for its retries, shared with other requests.
     """
 
     caches: dict[Endpoint, None]
@@ -189,12 +215,14 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    context: Any  # the caller's own, for the way back
+    """A client's request."""
+
+    context: Any  # the caller's own
     request_class: RequestClass
     object_id: int
     part: int
     group: int
-    size_kb: float  # KB; 0 where not told
+    size_kb: float  # KB; 0 where not known
     arrived_at: float
     deadline: float  # when the client stops waiting
     is_retry: bool = False
@@ -205,29 +233,28 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request as its client worded it; the texts and the body go on with each
-    attempt, unchanged.
+    """A request as its client sent it.
+
+    Texts and body are forwarded with each attempt unchanged; the body is not copied.
     """
 
     request_class: str
     request_id: str
     object: str
     part: str
-    idempotency_key: str  # by which a repeat is known; empty: none
-    entity_tag: str  # of the copy that the client holds; empty: none
+    idempotency_key: str  # empty: none
+    entity_tag: str  # of the client's copy; empty: none
     body: memoryview
     remaining_time: float  # ms that the client waits
     group: int
     size_kb: float
     is_retry: bool
-    tenant: str = ""  # as the client names it, in a field of our own
+    tenant: str = ""  # as the client names it
 
 
 @dataclass(slots=True, eq=False)
 class EndpointAddress:
-    """Where a node is found: its name and address on the wire. A machine that starts again gets a
-    new one.
-    """
+    """Where an endpoint is found; one that starts again gets a new object."""
 
     name: str
     address: tuple[str, int]
@@ -236,7 +263,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointUpdate:
-    """One node as the list tells of it."""
+    """One endpoint in an update of the endpoint list."""
 
     name: str
     address: tuple[str, int]
@@ -250,11 +277,11 @@
 
 @dataclass(slots=True, eq=False)
 class SendAttempt:
-    """Send this attempt."""
+    """A step for the network code: send this attempt."""
 
     attempt: Attempt
     address: EndpointAddress
-    fill_source: str  # the name of the node that a miss is filled from; empty: no fill
+    fill_source: str  # name of the endpoint that a miss is filled from; empty: no fill
     max_age: float
     retention_rank: int
     allow_coalescing: bool
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -1,8 +1,8 @@
 """Weighted rendezvous hashing, which all directors compute alike; pure.
 
 Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998); the weights by the
-logarithmic method of Schindelhauer and Schomaker (2005). An endpoint that is lost moves only its own
-objects.
+logarithmic method of Schindelhauer and Schomaker (2005). An endpoint that is lost moves only its
+own objects.
 """
 
 import math
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -42,17 +42,12 @@
 from .latency import TrackedEndpoint
 from .model import UNSAFE, Attempt, Outcome, QuotaShare, Request, ServiceSettings
 from .object_locations import ObjectLocations
+from .overdue_attempts import OverdueDetector
 from .overload import OverloadDetector
 from .popularity import Popularity
 from .retry_policy import RetryPolicy
 from .work_estimates import WorkEstimator
 
-# Sign of silence (0.5: twice the time it was due to take) at which an attempt goes elsewhere.
-OVERDUE_SIGN = 0.5
-MIN_CHECK_DELAY = 150.0  # ms to an attempt's first check: less than the delays of a far source
-CHECK_MARGIN = 50.0  # ms; an attempt is checked so long before its last chance to go elsewhere
-RETRY_WORK_FACTOR = 1.2  # multiple of its sending time that a retry needs
-
 
 class Route(NamedTuple):
     """Where an attempt goes: its endpoint, and where a miss there is filled from."""
@@ -90,8 +85,7 @@
             self.cache_slow_start_quota,
             self.parent_slow_start_quota,
         )
-        # The scheduler draws at random first, then the trial tokens: the order is part of a seed's
-        # decisions.
+        # First the scheduler draws at random, then the trial tokens: a seed's decisions need it so.
         checks = HealthCheckScheduler(
             now, self.random, settings.polls_load_reports, settings.health_check_cost
         )
@@ -99,8 +93,25 @@
         self.health = EndpointHealthMonitor(
             settings, self.endpoints, checks, self.random, self._log
         )
-        self.caches = CacheSelector(
-            settings,
+        self.caches = self._make_cache_selector(now)
+        self.fill_sources = self._make_fill_source_selector()
+        self.recorder = AttemptRecorder(
+            self.endpoints,
+            self.health,
+            self.work,
+            self.caches,
+            self.fill_sources,
+            self.locations,
+        )
+        self.overdue = OverdueDetector(self.work, self.caches, self.fill_sources, self.health)
+        self.handlers = self._make_handlers()
+        self._now = now
+        self._is_subscribed = not settings.requires_subscription
+        self._sink: ActionSink
+
+    def _make_cache_selector(self, now: float) -> CacheSelector:
+        return CacheSelector(
+            self.settings,
             self.endpoints,
             self.slow_start,
             self.endpoint_filter,
@@ -108,8 +119,10 @@
             Popularity(now),
             self.random,
         )
-        self.fill_sources = FillSourceSelector(
-            settings,
+
+    def _make_fill_source_selector(self) -> FillSourceSelector:
+        return FillSourceSelector(
+            self.settings,
             self.endpoints,
             self.slow_start,
             self.endpoint_filter,
@@ -119,15 +132,10 @@
             self.link,
             self.random,
         )
-        self.recorder = AttemptRecorder(
-            self.endpoints,
-            self.health,
-            self.work,
-            self.caches,
-            self.fill_sources,
-            self.locations,
-        )
-        self.handlers: dict[type, Callable[[Any], None]] = {
+
+    def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """The method that handles each type of event."""
+        return {
             RequestReceived: self._on_request,
             AttemptFinished: self._on_attempt_finished,
             TimerFired: self._on_timer,
@@ -138,9 +146,6 @@
             ClientLeft: self._on_client_left,
             ConnectionOpened: self._on_connection_opened,
         }
-        self._now = now
-        self._is_subscribed = not settings.requires_subscription
-        self._sink: ActionSink
 
     # Calls from outside
 
@@ -178,10 +183,6 @@
         is_fresh = self.purges.last_purge(request) <= attempt.purged_at
         return is_fresh and can_send(request, self._now, attempt)
 
-    def can_check_health(self, endpoint: TrackedEndpoint) -> bool:
-        """Whether an endpoint may get a health check: one that is draining gets nothing new."""
-        return endpoint.is_ready
-
     # Events
 
     def _on_request(self, event: RequestReceived) -> None:
@@ -276,29 +277,22 @@
         else:
             source, only_if_cached = self.fill_sources.choose(request, cache, self._now)
         if cache is not None:
-            is_same_as_before = self._gives_only_cached(
-                cache, source, only_if_cached
-            ) and self._has_missed_cached(request)
-            return None if is_same_as_before else Route(cache, source, only_if_cached)
+            route = Route(cache, source, only_if_cached)
+            return None if self._has_missed_like(request, route) else route
         has_caches = self.endpoints.caches and not is_write and not is_zone_lost
         if source is None or not allows_bypass or has_caches:
             return None
         return Route(source, source, False)
 
-    def _gives_only_cached(
-        self, cache: TrackedEndpoint, source: TrackedEndpoint | None, only_if_cached: bool
-    ) -> bool:
-        """Whether the cache, and parents behind it, are asked only for what they have cached."""
-        return source is cache or (only_if_cached and source not in self.endpoints.caches)
-
-    def _has_missed_cached(self, request: Request) -> bool:
-        """Whether an attempt that asked only for what is cached has missed before."""
-        return any(
+    def _has_missed_like(self, request: Request, route: Route) -> bool:
+        """Whether a route gives only what is cached, and such an attempt has missed before."""
+        caches = self.endpoints.caches
+        is_filled = route.fill_source is not route.endpoint and (
+            not route.only_if_cached or route.fill_source in caches
+        )
+        return not is_filled and any(
             attempt.outcome == Outcome.MISS
-            and (
-                attempt.fill_source is attempt.endpoint
-                or attempt.fill_source not in self.endpoints.caches
-            )
+            and (attempt.fill_source is attempt.endpoint or attempt.fill_source not in caches)
             for attempt in request.attempts
         )
 
@@ -317,12 +311,7 @@
             if involved is not None and self.slow_start.available_fraction(involved, now) < 1.0:
                 self.slow_start.record_sent(involved, self.work.slow_start_work(request, now), now)
         self._sink.send_attempt(attempt, self._send_options(request, route))
-        check_delay = (
-            self.work.objective_left(request, now)
-            - RETRY_WORK_FACTOR * self.work.transfer_time(request, now)
-            - CHECK_MARGIN
-        )
-        self._sink.schedule_timer(max(check_delay, MIN_CHECK_DELAY), attempt)
+        self._sink.schedule_timer(self.overdue.first_check_delay(request, now), attempt)
 
     def _send_options(self, request: Request, route: Route) -> SendOptions:
         is_cache = route.endpoint in self.endpoints.caches
@@ -338,41 +327,10 @@
         )
 
     def _check_overdue(self, attempt: Attempt) -> None:
-        """Looks at an attempt that should have ended, and again later.
-
-        Where nothing was heard of its endpoint or source since it was sent, these are suspect, and
-        its request goes elsewhere.
-        """
-        now = self._now
-        silent, expected = self._silent_endpoints(attempt)
-        late = now - attempt.sent_at
-        self._sink.schedule_timer(0.5 * late, attempt)
-        sign = min(1.0, 0.5 * (late / expected - 1.0))
-        if sign <= 0.0 or not silent:
-            return
-        for endpoint in silent:
-            self.health.record_silence(endpoint, sign / len(silent), now)
-        if sign < OVERDUE_SIGN:
-            return
-        if silent == [attempt.endpoint]:
-            self.health.record_unreachable(attempt.endpoint, now)
-        self._replace_overdue(attempt)
-
-    def _silent_endpoints(self, attempt: Attempt) -> tuple[list[TrackedEndpoint], float]:
-        """Those of an attempt that said nothing since it was sent, and how long it was to take."""
-        request = attempt.request
-        endpoint = attempt.endpoint
-        source = attempt.fill_source
-        now = self._now
-        expected = self.work.transfer_time(request, now) * self.caches.slowdown(endpoint, now)
-        silent = [] if endpoint.last_heard_at >= attempt.sent_at else [endpoint]
-        if not attempt.expects_hit and source is not None and source is not endpoint:
-            expected += self.fill_sources.delay(source, now) + self.work.transfer_time(
-                request, now
-            ) * (self.link.slowdown(now) - 1.0)
-            if source.last_heard_at < attempt.sent_at:
-                silent.append(source)
-        return silent, expected
+        """Looks at an attempt that should have ended, and again later."""
+        self._sink.schedule_timer(0.5 * (self._now - attempt.sent_at), attempt)
+        if self.overdue.check(attempt, self._now):
+            self._replace_overdue(attempt)
 
     def _replace_overdue(self, attempt: Attempt) -> None:
         """Hedges the last attempt, or cancels it where only one may be in flight."""
--- a/mulleinrelay/router_actions.py
+++ b/mulleinrelay/router_actions.py
@@ -7,6 +7,7 @@
 from .policy.actions import SendOptions
 from .policy.latency import TrackedEndpoint
 from .policy.model import Attempt, EndpointAddress, Request, SendAttempt
+from .structured_log import StructuredLog
 from .timers import TimerKind, TimerQueue
 
 
@@ -24,10 +25,10 @@
         self,
         registry: EndpointRegistry,
         clock: Callable[[], float],
-        log: Callable[[str], None],
+        log: StructuredLog,
         wake: Callable[[float], None],
     ) -> None:
-        """`log` writes a line; `wake` gets the time of each new timer or health check, and wakes who waits for it."""
+        """`wake` gets the time of each timer or health check, and wakes who waits for it."""
         self._registry = registry
         self._clock = clock
         self._log = log
@@ -122,4 +123,4 @@
 
     def log(self, text: str) -> None:
         """Writes a line about a change of the router's mode."""
-        self._log(text)
+        self._log.event("mode", text=text)
--- /dev/null
+++ b/mulleinrelay/router_driver.py
@@ -0,0 +1,116 @@
+"""Drives the router: hands it events, and what follows from its own actions."""
+
+from collections.abc import Callable
+from typing import Any
+
+from .pending_requests import Failed, PendingRequest, Served
+from .policy.events import (
+    AttemptFinished,
+    ClientLeft,
+    Event,
+    LoadReport,
+    TimerFired,
+    request_of,
+)
+from .policy.model import Attempt, CacheStatus, Outcome, Request
+from .policy.router import Router
+from .router_actions import PendingActions
+from .structured_log import StructuredLog
+from .timers import TimerKind
+
+
+class RouterDriver:
+    """The router with what keeps its actions.
+
+    Not thread-safe; the coordinator guards it with its lock.
+
+    Attributes:
+        router: The router.
+        actions: Its actions that wait to be carried out.
+    """
+
+    def __init__(
+        self,
+        router: Router,
+        actions: PendingActions,
+        clock: Callable[[], float],
+        log: StructuredLog,
+    ) -> None:
+        self.router = router
+        self.actions = actions
+        self._clock = clock
+        self._log = log
+
+    def handle(self, event: Event) -> None:
+        """Has the router handle an event, and then the attempts that it cancelled."""
+        events: list[Event] = [event]
+        while events:
+            try:
+                self.router.handle(self._clock(), events, self.actions)
+            except Exception as error:  # the request fails; the director and its others go on
+                self._log.exception(f"router, {type(event).__name__}", error)
+                self._fail_request_of(event)
+            cancelled = self.actions.take_cancelled()
+            now = self._clock()
+            events = [
+                AttemptFinished.cancelled(attempt, now)
+                for attempt in cancelled
+                if attempt.outcome is None
+            ]
+
+    def finish_attempt(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        cache_status: CacheStatus = CacheStatus.UNKNOWN,
+        first_byte_delay: float = 0.0,
+        load: LoadReport | None = None,
+        answer: Any = None,
+    ) -> None:
+        """Ends an attempt, unless it has ended; a first served one brings the request's result."""
+        if attempt.outcome is not None:
+            return
+        request = attempt.request
+        is_served = outcome == Outcome.SERVED
+        pending = self.actions.requests.get(request)
+        if is_served and not request.is_complete and pending is not None:
+            pending.complete(Served(answer))
+        is_complete = request.is_complete or is_served
+        elapsed = self._clock() - attempt.sent_at
+        self.handle(
+            AttemptFinished(
+                attempt, outcome, elapsed, is_complete, cache_status, first_byte_delay, load
+            )
+        )
+
+    def run_timer(
+        self, kind: TimerKind, subject: Request | Attempt, pending: PendingRequest
+    ) -> None:
+        """Does what a timer that is due was set for, unless its subject has ended."""
+        if isinstance(subject, Request):
+            if kind == TimerKind.RESULT_OVERDUE:
+                self._fail_overdue(subject, pending)
+            elif not subject.is_complete:
+                self.handle(TimerFired(subject))
+        elif subject.outcome is None:
+            if kind == TimerKind.ATTEMPT_TIMEOUT:
+                pending.cancel(subject)
+                self.finish_attempt(subject, Outcome.TIMEOUT)
+            else:
+                self.handle(TimerFired(subject))
+
+    def _fail_overdue(self, request: Request, pending: PendingRequest) -> None:
+        """The router gave no result; the client must not wait in vain."""
+        if pending.result is None:
+            self._log.event("overdue", attempts=len(request.attempts))
+            pending.complete(Failed())
+            self.handle(ClientLeft(request))
+
+    def _fail_request_of(self, event: Event) -> None:
+        request = request_of(event)
+        if request is None:
+            return
+        request.is_complete = True
+        pending = self.actions.requests.get(request)
+        if pending is not None:
+            pending.complete(Failed())
--- a/mulleinrelay/timers.py
+++ b/mulleinrelay/timers.py
@@ -1,4 +1,4 @@
-"""The timers of pending requests: a heap by due time. Not thread-safe; the coordinator guards it."""
+"""The timers of pending requests, by due time."""
 
 import heapq
 from enum import Enum
@@ -18,6 +18,7 @@
     """Timers by due time; those due at the same time run in the order they were set.
 
     Owns the heap. Timers are not removed when their subject ends; whoever runs one checks that.
+    Not thread-safe; the coordinator guards it with its lock.
     """
 
     def __init__(self) -> None:
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -35,9 +35,9 @@
     "listed[int(now / 500.0) % len(listed)]",
 )
 ONE_CLOCK = (
-    "policy.py",
-    "(mix(*what, member.key) + 1)",
-    "(mix(int(self.now / 3000.0), member.key) + 1)",
+    "policy/rendezvous_hash.py",
+    "(mix(object_id, part, endpoint.hash_key) + 1)",
+    "(mix(int(now / 3000.0), endpoint.hash_key) + 1)",
 )
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -2,7 +2,7 @@
 import threading
 
 import pytest
-from helpers import Sink, Stage, settings
+from helpers import Stage, settings
 
 from mulleinrelay import wire
 from mulleinrelay.coordinator import (
@@ -177,13 +177,13 @@
 @pytest.mark.parametrize("broken", [RequestReceived, AttemptFinished])
 def test_a_module_that_fails_still_owes_one_answer(broken):
     # Guards against a client that waits in vain for a request on which the module broke.
-    stage, sink = Stage(), Sink()
-    stage.facade.log_events = sink
+    stage = Stage()
+    stage.sink.events.clear()
     stage.facade.router.handlers[broken] = lambda *_: 1 / 0
     request = stage.take()
     if broken is AttemptFinished:
         stage.facade.report_outcome(stage.facade.next_step(request).attempt, Outcome.MISS)
-    assert isinstance(stage.facade.next_step(request), Failed) and sink.events == ["fault"]
+    assert isinstance(stage.facade.next_step(request), Failed) and stage.sink.events == ["fault"]
 
 
 def test_a_request_without_a_verdict_is_failed_by_the_clock():
@@ -289,7 +289,7 @@
     stage = Stage()
     request = stage.take()
     attempt = stage.facade.next_step(request).attempt
-    ours = stage.facade.router = Calls(stage.facade.settings)
+    ours = stage.facade._driver.router = Calls(stage.facade.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
     told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
     stage.facade.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -30,13 +30,13 @@
 
 from mulleinrelay import director as director_module
 from mulleinrelay import process
-from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection, event_stream
 from mulleinrelay.net.upstream_connections import UpstreamConnection
 from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy import connection_reuse
 from mulleinrelay.policy.events import EndpointsUpdated, PurgeReceived
 from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
+from mulleinrelay.router_driver import RouterDriver
 from mulleinrelay.structured_log import StructuredLog
 
 
@@ -668,11 +668,11 @@
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
     monkeypatch.setattr(event_stream, "SILENCE", 0.3)
-    stand, seen, handle = StandBus(*scripts), [], RequestCoordinator._handle
+    stand, seen, handle = StandBus(*scripts), [], RouterDriver.handle
     monkeypatch.setattr(
-        RequestCoordinator,
-        "_handle",
-        lambda coordinator, event: (seen.append(type(event)), handle(coordinator, event)),
+        RouterDriver,
+        "handle",
+        lambda driver, event: (seen.append(type(event)), handle(driver, event)),
     )
     with Running(bus=stand) as director:
         assert wait_for(
