--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -1,118 +1,180 @@
-"""Frame codec of the simulator's wire: bytes to plain tuples and back. The wire's own words end
-here.
+"""Frame codec of the simulator's wire: bytes to records and back.
+
+The wire's own words end here; the names of the codes are the terms of `policy/events.py` and
+`policy/actions.py`. A batch is a header, records of one size and a tail that holds what is longer.
 """
 
 import struct
 from collections.abc import Iterator
-from typing import Any, BinaryIO
-
-HEADER = struct.Struct("<IIdI")
-HEADER_REST = 12  # the bytes of the header that the length field counts
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 56, 40, 23
-ENTRY = struct.Struct("<HBf6sBdB")
-
-SELECT, BEGIN, MEMBERSHIP, NEW_REQUEST, OPENED, ANSWER = 130, 10, 20, 30, 40, 50
-VANISHED, FIRED, PONG, PEER_DATA, HALT, STRUCK_OUT, LEDGER = 60, 70, 80, 90, 100, 110, 120
+from typing import Any, BinaryIO, NamedTuple
+
+from .errors import ProtocolError
+
+HEADER = struct.Struct("<IIdI")  # number of records, length, clock in ms, number of the batch
+HEADER_REST = 12  # bytes of the header that the length counts
+REPLY_HEADER = struct.Struct("<III")
+REPLY_HEADER_REST = 4
+EVENT_SIZE = 56  # bytes of a record that comes in
+ACTION_SIZE = 40  # bytes of a record that goes out
+ENDPOINT_ROW = struct.Struct("<HBf6sBdB")
+
+# Codes of records that come in
+SELECT_INSTANCE = 130  # the records that follow are for this instance
+BEGIN = 10
+ENDPOINT_LIST = 20
+NEW_REQUEST = 30
+CONNECTION_OPENED = 40
+ATTEMPT_FINISHED = 50
+CLIENT_LEFT = 60
+TIMER_FIRED = 70
+HEALTH_CHECK_FINISHED = 80
+PEER_DATA = 90
+HALT = 100
+PURGE = 110
+ENDPOINT_ROWS = 120  # the rows that an endpoint list refers to
 
 EVENTS = {
-    SELECT: struct.Struct("<xI"),
+    SELECT_INSTANCE: struct.Struct("<xI"),
     BEGIN: struct.Struct("<xQII"),
-    MEMBERSHIP: struct.Struct("<xHBQ"),
+    ENDPOINT_LIST: struct.Struct("<xHBQ"),
     NEW_REQUEST: struct.Struct("<xQHIQdfffH"),
-    OPENED: struct.Struct("<xQ6sHd"),
-    ANSWER: struct.Struct("<xQH6sBdBIdB4f"),
-    VANISHED: struct.Struct("<xQ"),
-    FIRED: struct.Struct("<xQ"),
-    PONG: struct.Struct("<x6sBdB4f"),
+    CONNECTION_OPENED: struct.Struct("<xQ6sHd"),
+    ATTEMPT_FINISHED: struct.Struct("<xQH6sBdBIdB4f"),
+    CLIENT_LEFT: struct.Struct("<xQ"),
+    TIMER_FIRED: struct.Struct("<xQ"),
+    HEALTH_CHECK_FINISHED: struct.Struct("<x6sBdB4f"),
     PEER_DATA: struct.Struct("<xIII"),
     HALT: struct.Struct("<x"),
-    STRUCK_OUT: struct.Struct("<xQHd"),
-    LEDGER: struct.Struct("<xHII"),
+    PURGE: struct.Struct("<xQHd"),
+    ENDPOINT_ROWS: struct.Struct("<xHII"),
 }
-TAIL_FIELDS = {BEGIN: 1, PEER_DATA: 1, LEDGER: 1}  # place of the offset; the length follows it
-
-INSTANCE, DELIVER_VIA, PASS_ON, ABANDON, REFUSE, SURRENDER = 60, 10, 30, 130, 120, 100
-SET_TIMER, ASK_LOAD, POST, NOTE_DOWN, FAULT, KEEP_INFORMED = 50, 40, 80, 70, 110, 90
+# Index of the field with the offset in the tail; the field after it has the length.
+TAIL_FIELDS = {BEGIN: 1, PEER_DATA: 1, ENDPOINT_ROWS: 1}
+
+# Codes of records that go out
+FOR_INSTANCE = 60  # the records that follow are of this instance
+SEND_ATTEMPT = 10
+FORWARD = 30
+CANCEL_ATTEMPT = 130
+REJECT_REQUEST = 120
+FAIL_REQUEST = 100
+SCHEDULE_TIMER = 50
+CHECK_HEALTH = 40
+SEND_PEER_DATA = 80
+LOG = 70
+FAULT = 110
+SUBSCRIBE = 90
 
 ACTIONS = {
-    INSTANCE: struct.Struct("<BI"),
-    DELIVER_VIA: struct.Struct("<BQd6sB6sdB"),
-    PASS_ON: struct.Struct("<BQ6sd"),
-    ABANDON: struct.Struct("<BQH"),
-    REFUSE: struct.Struct("<BQd"),
-    SURRENDER: struct.Struct("<BQ"),
-    SET_TIMER: struct.Struct("<BQd"),
-    ASK_LOAD: struct.Struct("<B6s"),
-    POST: struct.Struct("<BIII"),
-    NOTE_DOWN: struct.Struct("<BII"),
+    FOR_INSTANCE: struct.Struct("<BI"),
+    SEND_ATTEMPT: struct.Struct("<BQd6sB6sdB"),
+    FORWARD: struct.Struct("<BQ6sd"),
+    CANCEL_ATTEMPT: struct.Struct("<BQH"),
+    REJECT_REQUEST: struct.Struct("<BQd"),
+    FAIL_REQUEST: struct.Struct("<BQ"),
+    SCHEDULE_TIMER: struct.Struct("<BQd"),
+    CHECK_HEALTH: struct.Struct("<B6s"),
+    SEND_PEER_DATA: struct.Struct("<BIII"),
+    LOG: struct.Struct("<BII"),
     FAULT: struct.Struct("<BII"),
-    KEEP_INFORMED: struct.Struct("<BB"),
+    SUBSCRIBE: struct.Struct("<BB"),
 }
 
+Fields = tuple[Any, ...]  # of one record, as its struct unpacks them
+
+
+class Record(NamedTuple):
+    """One record that came in; a field that refers to the tail holds what stands there."""
+
+    code: int
+    fields: Fields
 
-class WireError(Exception):
+
+class Batch(NamedTuple):
+    """One batch that came in; the clock in ms."""
+
+    clock: float
+    number: int
+    records: list[Record]
+
+
+class WireError(ProtocolError):
     """A frame that does not follow the wire page; the text says what was wrong and where."""
 
 
-def _exactly(stream: BinaryIO, size: int, what: str, may_end: bool = False) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int, what: str, allow_end: bool = False) -> bytes:
     data = b""
     while len(data) < size:
         more = stream.read(size - len(data))
         if not more:
-            if may_end and not data:
+            if allow_end and not data:
                 return b""
             raise WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
         data += more
     return data
 
 
-def read_frame(stream: BinaryIO) -> tuple[float, int, list[tuple[int, tuple[Any, ...]]]] | None:
-    """One batch as (clock, number, [(code, fields)]); None when the input ended between frames."""
-    head = _exactly(stream, HEADER.size, "a frame header", may_end=True)
-    if not head:
+def read_frame(stream: BinaryIO) -> Batch | None:
+    """Reads one batch.
+
+    Returns:
+        None when the input ended between batches.
+
+    Raises:
+        WireError: The input ended inside a batch, or a record is malformed.
+    """
+    header = _read_exactly(stream, HEADER.size, "a frame header", allow_end=True)
+    if not header:
         return None
-    count, length, clock, number = HEADER.unpack(head)
+    count, length, clock, number = HEADER.unpack(header)
     size = length - HEADER_REST
     if size < count * EVENT_SIZE:
         raise WireError(f"batch {number}: length {length} is too short for {count} records")
-    return clock, number, list(_records(_exactly(stream, size, f"batch {number}"), count, number))
+    body = _read_exactly(stream, size, f"batch {number}")
+    return Batch(clock, number, list(_records(body, count, number)))
 
 
-def _records(body: bytes, count: int, number: int) -> Iterator[tuple[int, tuple[Any, ...]]]:
+def _records(body: bytes, count: int, batch: int) -> Iterator[Record]:
     tail_at = count * EVENT_SIZE
-    for place in range(count):
-        code = body[place * EVENT_SIZE]
-        form = EVENTS.get(code)
-        if form is None:
-            raise WireError(f"batch {number}, record {place}: unknown code {code}")
-        fields = form.unpack_from(body, place * EVENT_SIZE)
-        spot = TAIL_FIELDS.get(code)
-        if spot is not None:
-            start, size = tail_at + fields[spot], fields[spot + 1]
-            size *= ENTRY_SIZE if code == LEDGER else 1
+    for index in range(count):
+        code = body[index * EVENT_SIZE]
+        layout = EVENTS.get(code)
+        if layout is None:
+            raise WireError(f"batch {batch}, record {index}: unknown code {code}")
+        fields = layout.unpack_from(body, index * EVENT_SIZE)
+        offset_field = TAIL_FIELDS.get(code)
+        if offset_field is not None:
+            start = tail_at + fields[offset_field]
+            size = fields[offset_field + 1]
+            if code == ENDPOINT_ROWS:
+                size *= ENDPOINT_ROW.size
             if start + size > len(body):
-                raise WireError(f"batch {number}, record {place}: its entry lies outside the tail")
-            held: Any = body[start : start + size]
-            if code == LEDGER:
-                held = list(ENTRY.iter_unpack(held))
-            fields = (*fields[:spot], held)
-        yield code, fields
+                raise WireError(f"batch {batch}, record {index}: its entry lies outside the tail")
+            entry: Any = body[start : start + size]
+            if code == ENDPOINT_ROWS:
+                entry = list(ENDPOINT_ROW.iter_unpack(entry))
+            fields = (*fields[:offset_field], entry)
+        yield Record(code, fields)
 
 
 class Reply:
-    """The actions of one reply, in the order written."""
+    """The actions of one reply, in the order written. Owns the records and the tail."""
 
     def __init__(self) -> None:
-        self.records: list[bytes] = []
-        self.tail = b""
+        self._records: list[bytes] = []
+        self._tail = b""
 
     def add(self, code: int, *fields: Any) -> None:
-        self.records.append(ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
+        """Adds a record."""
+        self._records.append(ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
 
-    def add_bytes(self, code: int, held: bytes, *fields: Any) -> None:
-        self.add(code, *fields, len(self.tail), len(held))
-        self.tail += held
+    def add_bytes(self, code: int, entry: bytes, *fields: Any) -> None:
+        """Adds a record that ends with a reference to bytes in the tail."""
+        self.add(code, *fields, len(self._tail), len(entry))
+        self._tail += entry
 
     def frame(self, number: int) -> bytes:
-        body = b"".join(self.records) + self.tail
-        return struct.pack("<III", len(self.records), 4 + len(body), number) + body
+        """The reply to the batch with that number."""
+        body = b"".join(self._records) + self._tail
+        header = REPLY_HEADER.pack(len(self._records), REPLY_HEADER_REST + len(body), number)
+        return header + body
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -50,7 +50,7 @@
 REVALIDATE = 8
 ADDRESS_SIZE = 6  # bytes
 
-Fields = tuple[Any, ...]  # of one record, as unpacked
+
 EndpointRows = list[Any]  # of one endpoint list, as unpacked
 
 
@@ -73,15 +73,15 @@
         self._touched: list[Request] = []  # requests that may be over with this batch
         self._readers = {
             wire.NEW_REQUEST: self._read_request,
-            wire.ANSWER: self._read_answer,
-            wire.FIRED: self._read_timer,
-            wire.VANISHED: self._read_client_left,
-            wire.PONG: self._read_health_check,
-            wire.STRUCK_OUT: self._read_purge,
-            wire.OPENED: self._read_connection,
+            wire.ATTEMPT_FINISHED: self._read_answer,
+            wire.TIMER_FIRED: self._read_timer,
+            wire.CLIENT_LEFT: self._read_client_left,
+            wire.HEALTH_CHECK_FINISHED: self._read_health_check,
+            wire.PURGE: self._read_purge,
+            wire.CONNECTION_OPENED: self._read_connection,
         }
 
-    def begin(self, now: float, fields: Fields) -> None:
+    def begin(self, now: float, fields: wire.Fields) -> None:
         """Starts the router with the settings that the record brings.
 
         Raises:
@@ -94,14 +94,14 @@
         self.router = Router(now, fields[0], settings)
 
     def read(
-        self, now: float, code: int, fields: Fields, endpoint_lists: dict[int, EndpointRows]
+        self, now: float, code: int, fields: wire.Fields, endpoint_lists: dict[int, EndpointRows]
     ) -> None:
         """Takes one record as an event of this batch. Before the instance has begun, drops it."""
         if code == wire.BEGIN:
             self.begin(now, fields)
         elif self.router is None:
             return
-        elif code == wire.MEMBERSHIP:
+        elif code == wire.ENDPOINT_LIST:
             self._read_endpoint_list(fields, endpoint_lists)
         elif (reader := self._readers.get(code)) is not None:
             reader(self.router, now, fields)
@@ -115,7 +115,7 @@
 
     # Records
 
-    def _read_request(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_request(self, router: Router, now: float, fields: wire.Fields) -> None:
         number, case, _, object_id, remaining_time, size_kb, group, part, flags = fields
         request = Request(
             number,
@@ -131,7 +131,7 @@
         self.requests[number] = request
         self._events.append(RequestReceived(request))
 
-    def _read_answer(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_answer(self, router: Router, now: float, fields: wire.Fields) -> None:
         number, attempt_number, _, status, elapsed, is_complete, cache_status, *rest = fields
         first_byte_delay, value_count, *values = rest
         request = self.requests[number]
@@ -148,16 +148,16 @@
             )
         )
 
-    def _read_timer(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_timer(self, router: Router, now: float, fields: wire.Fields) -> None:
         self._events.append(TimerFired(self._timers.pop(fields[0])))
 
-    def _read_client_left(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_client_left(self, router: Router, now: float, fields: wire.Fields) -> None:
         request = self.requests.get(fields[0])
         if request is not None:
             self._touched.append(request)
             self._events.append(ClientLeft(request))
 
-    def _read_health_check(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_health_check(self, router: Router, now: float, fields: wire.Fields) -> None:
         address, status, _, value_count, *values = fields
         self._events.append(
             HealthCheckFinished(
@@ -167,16 +167,18 @@
             )
         )
 
-    def _read_purge(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_purge(self, router: Router, now: float, fields: wire.Fields) -> None:
         object_id, group, age = fields
         self._events.append(PurgeReceived(object_id, group, age))
 
-    def _read_connection(self, router: Router, now: float, fields: Fields) -> None:
+    def _read_connection(self, router: Router, now: float, fields: wire.Fields) -> None:
         number, _, attempt_number, _ = fields
         attempt = self.requests[number].attempts[attempt_number]
         self._events.append(ConnectionOpened(attempt.endpoint))
 
-    def _read_endpoint_list(self, fields: Fields, endpoint_lists: dict[int, EndpointRows]) -> None:
+    def _read_endpoint_list(
+        self, fields: wire.Fields, endpoint_lists: dict[int, EndpointRows]
+    ) -> None:
         list_number, kind_of_update, _ = fields
         if kind_of_update == FAILED_LIST:
             self._events.append(EndpointListFailed())
@@ -221,7 +223,7 @@
             + REVALIDATE * options.revalidate
         )
         self.reply.add(
-            wire.DELIVER_VIA,
+            wire.SEND_ATTEMPT,
             attempt.request.context,
             options.max_age,
             _address(attempt.endpoint),
@@ -233,35 +235,35 @@
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Writes the attempt's cancellation."""
-        self.reply.add(wire.ABANDON, attempt.request.context, attempt.number)
+        self.reply.add(wire.CANCEL_ATTEMPT, attempt.request.context, attempt.number)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
         """Writes the request's rejection."""
         self._touched.append(request)
-        self.reply.add(wire.REFUSE, request.context, retry_after)
+        self.reply.add(wire.REJECT_REQUEST, request.context, retry_after)
 
     def fail_request(self, request: Request) -> None:
         """Writes the request's failure."""
         self._touched.append(request)
-        self.reply.add(wire.SURRENDER, request.context)
+        self.reply.add(wire.FAIL_REQUEST, request.context)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
         """Writes a timer."""
         self._timer_count += 1
         self._timers[self._timer_count] = subject
-        self.reply.add(wire.SET_TIMER, self._timer_count, delay)
+        self.reply.add(wire.SCHEDULE_TIMER, self._timer_count, delay)
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
         """Writes a health check."""
-        self.reply.add(wire.ASK_LOAD, _address(endpoint))
+        self.reply.add(wire.CHECK_HEALTH, _address(endpoint))
 
     def subscribe_to_endpoints(self) -> None:
         """Writes the subscription to the endpoint list."""
-        self.reply.add(wire.KEEP_INFORMED, 1)
+        self.reply.add(wire.SUBSCRIBE, 1)
 
     def log(self, text: str) -> None:
         """Writes a log line."""
-        self.reply.add_bytes(wire.NOTE_DOWN, text.encode())
+        self.reply.add_bytes(wire.LOG, text.encode())
 
 
 def _address(endpoint: TrackedEndpoint) -> bytes:
@@ -276,7 +278,7 @@
 
 def answer_batch(
     now: float,
-    records: list[tuple[int, Fields]],
+    records: list[wire.Record],
     instances: dict[int, Instance],
     endpoint_lists: dict[int, EndpointRows],
 ) -> wire.Reply:
@@ -295,13 +297,13 @@
     selected: dict[int, Instance] = {}
     current: Instance | None = None
     for code, fields in records:
-        if code == wire.SELECT:
+        if code == wire.SELECT_INSTANCE:
             current = instances.get(fields[0])
             if current is None:
                 current = instances[fields[0]] = Instance(fields[0])
             selected[current.number] = current
             continue
-        if code == wire.LEDGER:
+        if code == wire.ENDPOINT_ROWS:
             endpoint_lists[fields[0]] = fields[1]
             continue
         if current is None:
@@ -318,7 +320,7 @@
 
 def _handle(instance: Instance, now: float, reply: wire.Reply) -> None:
     instance.reply = reply
-    reply.add(wire.INSTANCE, instance.number)
+    reply.add(wire.FOR_INSTANCE, instance.number)
     try:
         instance.handle(now)
     except Exception as error:  # the router's failure is the wire's `fault`; other instances go on
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -300,7 +300,10 @@
     theirs.requests[1] = stage.again(request)
     closed = int(status == 0)
     theirs.read(
-        5.0, wire.ANSWER, (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0), {}
+        5.0,
+        wire.ATTEMPT_FINISHED,
+        (1, 0, bytes(6), status, 3.0, closed, note, 12.5, 0, 0, 0, 0, 0),
+        {},
     )
     theirs.handle(5.0)
     assert ours.seen == theirs.router.seen and len(ours.seen) == 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -41,8 +41,8 @@
 
 def test_a_reply_as_on_the_wire():
     reply = wire.Reply()
-    reply.add(wire.INSTANCE, 5)
-    reply.add_bytes(wire.NOTE_DOWN, b"two servers known")
+    reply.add(wire.FOR_INSTANCE, 5)
+    reply.add_bytes(wire.LOG, b"two servers known")
     frame = reply.frame(12)
     assert frame[:12] == struct.pack("<III", 2, 4 + 80 + 17, 12)
     assert frame[52:61] == bytes.fromhex("460000000011000000") and frame.endswith(
@@ -74,4 +74,4 @@
 )
 def test_start_settings_that_cannot_be_used_are_named(text, told):
     with pytest.raises(wire.WireError, match=told):
-        answer_batch(0.0, [(wire.SELECT, (1,)), (wire.BEGIN, (1, text))], {}, {})
+        answer_batch(0.0, [(wire.SELECT_INSTANCE, (1,)), (wire.BEGIN, (1, text))], {}, {})
