--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -117,17 +117,8 @@
     ) -> Request:
         """Takes a request; the calling thread carries out its steps, and until then nobody else.
 
-        Args:
-            request_class: Its class.
-            object_id: The object's number.
-            part: The part of the object.
-            group: The group that the object is purged with.
-            size_kb: Its size in KB; 0 where not known.
-            remaining_time: ms until its client's deadline.
-            is_retry: Whether the client has sent it before.
-            context: The caller's own, kept with the request.
-            room: Whether there is capacity to see it through; without, the router ends it at once.
-            pool: The caches that it is confined to; None: all of the zone.
+        `remaining_time` is ms until the client's deadline. Without `room` to see the request
+        through, the router ends it at once. With a pool it is confined to that.
         """
         now = self.clock()
         with self.lock:
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -1,7 +1,7 @@
 """One director of the model: the router, and what carries its actions out."""
 
 from collections import deque
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..net.resp import ENDS, NOTES
 from ..policy.actions import SendOptions
@@ -19,6 +19,9 @@
 from ..policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request, ServiceSettings
 from ..policy.router import Router
 
+if TYPE_CHECKING:
+    from .world import Pending, World
+
 STATES = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
@@ -36,7 +39,7 @@
 
     def __init__(
         self,
-        world: Any,
+        world: "World",
         number: int,
         settings: ServiceSettings,
         zone_of: dict[str, int],
@@ -52,7 +55,7 @@
         self.router = Router(world.clock(), seed, settings)
         self.endpoints: dict[str, TrackedEndpoint] = {}
         self.names: dict[TrackedEndpoint, str] = {}
-        self.open: dict[Request, Any] = {}
+        self.open: dict[Request, Pending] = {}
         self.gone = False  # killed; a new one stands in its place
         self._cancelled: deque[Attempt] = deque()
 
@@ -62,7 +65,7 @@
         """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
         self._handle(EndpointsUpdated([self._entry(row) for row in rows], whole))
 
-    def ask(self, pending: Any, left: float) -> None:
+    def ask(self, pending: "Pending", left: float) -> None:
         """A client sends a request and waits so many ms."""
         now = self.world.clock()
         wanted = pending.wanted
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -39,7 +39,7 @@
     endpoints: EndpointTable
     health: EndpointHealthMonitor
     work: WorkEstimator
-    caches: CacheSelector
+    cache_selector: CacheSelector
     fill_sources: FillSourceSelector
     locations: ObjectLocations
 
@@ -80,7 +80,7 @@
             lateness = 100.0 * (event.elapsed - work) / max(work, MIN_WORK_FOR_LATENESS)
             endpoint.hit_lateness.add(now, min(lateness, MAX_LATENESS))
         if endpoint in self.endpoints.caches and (
-            self.caches.retention_rank(request, now) or status == CacheStatus.HIT
+            self.cache_selector.retention_rank(request, now) or status == CacheStatus.HIT
         ):
             self.locations.record(endpoint, request, now)
         source = attempt.fill_source
@@ -91,7 +91,9 @@
         self, event: AttemptFinished, source: TrackedEndpoint, work: float, now: float
     ) -> None:
         endpoint = event.attempt.endpoint
-        slowdown = max(self.caches.slowdown(endpoint, now), self.fill_sources.link.slowdown(now))
+        slowdown = max(
+            self.cache_selector.slowdown(endpoint, now), self.fill_sources.link.slowdown(now)
+        )
         delay = max(event.first_byte_delay, event.elapsed - work * slowdown)
         is_origin = source is self.endpoints.origin
         came_by_origin = event.cache_status == CacheStatus.FILLED_BY_ORIGIN
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -13,7 +13,11 @@
 if TYPE_CHECKING:
     from .latency import TrackedEndpoint
 
-IDEMPOTENT, KEYED, UNSAFE = "idempotent", "keyed", "unsafe"
+
+# Values of `RequestClass.idempotency`
+IDEMPOTENT = "idempotent"  # may run any number of times
+KEYED = "keyed"  # runs once as long as its idempotency key is remembered
+UNSAFE = "unsafe"  # must not be sent again once it may have run
 UNKNOWN_ADDRESS = ("", 0)  # of an endpoint of which an update has only the name and the state
 
 
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -21,7 +21,7 @@
     """Finds attempts that should have ended. Owns nothing; silence is recorded by `health`."""
 
     work: WorkEstimator
-    caches: CacheSelector
+    cache_selector: CacheSelector
     fill_sources: FillSourceSelector
     health: EndpointHealthMonitor
 
@@ -65,7 +65,7 @@
     def _expected_time(self, attempt: Attempt, now: float) -> float:
         """How long the attempt was to take."""
         work = self.work.transfer_time(attempt.request, now)
-        expected = work * self.caches.slowdown(attempt.endpoint, now)
+        expected = work * self.cache_selector.slowdown(attempt.endpoint, now)
         source = self._source_in_use(attempt)
         if source is not None:
             link_slowdown = self.fill_sources.link.slowdown(now)
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -34,9 +34,9 @@
 ) -> list[TrackedEndpoint]:
     """The endpoints in the object's order, weighted by size and by how warm each is."""
 
-    def score(endpoint: TrackedEndpoint) -> float:
+    def _score(endpoint: TrackedEndpoint) -> float:
         weight = endpoint.weight * slow_start.available_fraction(endpoint, now)
         uniform = (mix(object_id, part, endpoint.hash_key) + 1) / 2.0**64
         return -math.log(uniform) / max(weight, MIN_WEIGHT)
 
-    return sorted(endpoints, key=score)
+    return sorted(endpoints, key=_score)
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -35,7 +35,7 @@
     RequestReceived,
     TimerFired,
 )
-from .fill_source import FillSourceSelector, LinkCongestion
+from .fill_source import FillChoice, FillSourceSelector, LinkCongestion
 from .freshness import PurgeHistory
 from .health_checks import HealthCheckScheduler
 from .idempotency import can_client_retry, can_send
@@ -78,13 +78,7 @@
         self.locations = ObjectLocations()
         self.link = LinkCongestion()
         self.retry_policy = RetryPolicy(settings, self.work, self.overload)
-        self.slow_start = SlowStartAdmission(
-            settings,
-            self.endpoints,
-            self.random,
-            self.cache_slow_start_quota,
-            self.parent_slow_start_quota,
-        )
+        self.slow_start = self._make_slow_start()
         # First the scheduler draws at random, then the trial tokens: a seed's decisions need it so.
         checks = HealthCheckScheduler(
             now, self.random, settings.polls_load_reports, settings.health_check_cost
@@ -93,22 +87,33 @@
         self.health = EndpointHealthMonitor(
             settings, self.endpoints, checks, self.random, self._log
         )
-        self.caches = self._make_cache_selector(now)
+        self.cache_selector = self._make_cache_selector(now)
         self.fill_sources = self._make_fill_source_selector()
         self.recorder = AttemptRecorder(
             self.endpoints,
             self.health,
             self.work,
-            self.caches,
+            self.cache_selector,
             self.fill_sources,
             self.locations,
         )
-        self.overdue = OverdueDetector(self.work, self.caches, self.fill_sources, self.health)
+        self.overdue = OverdueDetector(
+            self.work, self.cache_selector, self.fill_sources, self.health
+        )
         self.handlers = self._make_handlers()
         self._now = now
         self._is_subscribed = not settings.requires_subscription
         self._sink: ActionSink
 
+    def _make_slow_start(self) -> SlowStartAdmission:
+        return SlowStartAdmission(
+            self.settings,
+            self.endpoints,
+            self.random,
+            self.cache_slow_start_quota,
+            self.parent_slow_start_quota,
+        )
+
     def _make_cache_selector(self, now: float) -> CacheSelector:
         return CacheSelector(
             self.settings,
@@ -188,7 +193,7 @@
     def _on_request(self, event: RequestReceived) -> None:
         request = event.request
         now = self._now
-        if self.caches.record_request(request, now):
+        if self.cache_selector.record_request(request, now):
             self.locations.drop_expired(now)
             self.purges.drop_expired(now)
         self.health.checks.requested()
@@ -271,18 +276,18 @@
         is_zone_lost = self.health.is_zone_lost()
         cache = None
         if not ((is_write or is_zone_lost) and allows_bypass):
-            cache = self.caches.choose(request, self._now)
+            cache = self.cache_selector.choose(request, self._now)
         if is_write:
-            source, only_if_cached = self.endpoints.origin, False
+            fill = FillChoice(self.endpoints.origin, False)
         else:
-            source, only_if_cached = self.fill_sources.choose(request, cache, self._now)
+            fill = self.fill_sources.choose(request, cache, self._now)
         if cache is not None:
-            route = Route(cache, source, only_if_cached)
+            route = Route(cache, fill.source, fill.only_if_cached)
             return None if self._has_missed_like(request, route) else route
         has_caches = self.endpoints.caches and not is_write and not is_zone_lost
-        if source is None or not allows_bypass or has_caches:
+        if fill.source is None or not allows_bypass or has_caches:
             return None
-        return Route(source, source, False)
+        return Route(fill.source, fill.source, False)
 
     def _has_missed_like(self, request: Request, route: Route) -> bool:
         """Whether a route gives only what is cached, and such an attempt has missed before."""
@@ -315,7 +320,7 @@
 
     def _send_options(self, request: Request, route: Route) -> SendOptions:
         is_cache = route.endpoint in self.endpoints.caches
-        rank = self.caches.retention_rank(request, self._now) if is_cache else 0
+        rank = self.cache_selector.retention_rank(request, self._now) if is_cache else 0
         has_timed_out = any(attempt.outcome == Outcome.TIMEOUT for attempt in request.attempts)
         return SendOptions(
             self.purges.max_age(request, self._now),
@@ -379,11 +384,10 @@
     def _complete(self, request: Request) -> None:
         """No answer is owed any more: cancels what is in flight."""
         request.is_complete = True
-        if not self.settings.allows_cancel:
-            return
-        for attempt in request.attempts:
-            if attempt.outcome is None:
-                self._sink.cancel_attempt(attempt)
+        if self.settings.allows_cancel:
+            for attempt in request.attempts:
+                if attempt.outcome is None:
+                    self._sink.cancel_attempt(attempt)
 
     def _log_overload(self) -> None:
         detector = self.overload
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -631,7 +631,7 @@
             request.attempts[0], Outcome.SERVED, 5000.0, True, CacheStatus.HIT, 0.0, None
         )
     )
-    assert fleet.router.caches.slowdown(node, fleet.now) == 1.0
+    assert fleet.router.cache_selector.slowdown(node, fleet.now) == 1.0
 
 
 def overdue(fleet, request):
