--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -152,8 +152,6 @@
             ConnectionOpened: self._on_connection_opened,
         }
 
-    # Calls from outside
-
     def handle(self, now: float, events: Iterable[Event], sink: ActionSink) -> None:
         """Handles the events in order; decisions go to the sink at once."""
         self._now = now
@@ -176,9 +174,8 @@
         self._now = max(self._now, now)
         request = attempt.request
         source = attempt.fill_source
-        if request.is_complete or not attempt.endpoint.is_ready:
-            return False
-        if source is not None and not source.is_ready:
+        is_ready = attempt.endpoint.is_ready and (source is None or source.is_ready)
+        if request.is_complete or not is_ready:
             return False
         has_other_in_flight = any(
             other.outcome is None for other in request.attempts if other is not attempt
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -41,10 +41,10 @@
 
     def __init__(self, version):
         self.stage = Stage()
-        self.stage.facade.settings.director_count = (
-            self.stage.facade.settings.local_director_count
+        self.stage.coordinator.settings.director_count = (
+            self.stage.coordinator.settings.local_director_count
         ) = 2
-        director = self.stage.facade.router
+        director = self.stage.coordinator.router
         director.cache_slow_start_quota.fraction = director.parent_slow_start_quota.fraction = (
             0.5  # as such terms at its start would have it
         )
@@ -55,7 +55,7 @@
         self.stage.now = now
         if what == "purge":
             self.told["purge"] = now
-            return self.stage.facade.apply_purge(0xABC, 0, now)
+            return self.stage.coordinator.apply_purge(0xABC, 0, now)
         row = next(entry for entry in self.stage.entries if entry.name == box)
         state = {
             "drain": EndpointState.DRAINING,
@@ -64,24 +64,24 @@
         }[what]
         self.told[what, box] = now
         changed = replace(row, state=state, started_at=now if what == "cold" else row.started_at)
-        self.stage.facade.update_endpoints([changed], False)
+        self.stage.coordinator.update_endpoints([changed], False)
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
         self.stage.now = self.ruled.now = now
-        facade, governor = self.stage.facade, self.ruled.governor
-        caches = facade.ready_caches()
+        coordinator, governor = self.stage.coordinator, self.ruled.governor
+        caches = coordinator.ready_caches()
         governor.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
             grant = self.ruled.ask(key=key)
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.request_classes[0]
-            request = facade.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
-            while (step := facade.next_step(request)) is not None:
+            request = coordinator.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
+            while (step := coordinator.next_step(request)) is not None:
                 if isinstance(step, SendAttempt):
                     yield step
-                    facade.report_outcome(
+                    coordinator.report_outcome(
                         step.attempt,
                         Outcome.SERVED,
                         CacheStatus.FILLED if step.fill_source else CacheStatus.HIT,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,5 @@
 """Small stand-ins for the tables of cases: a writer that records, a director with a small fleet, a
-facade with a clock of its own, and on loopback a node, an event bus and a client.
+coordinator with a clock of its own, and on loopback a node, an event bus and a client.
 """
 
 import itertools
@@ -61,7 +61,7 @@
 
 
 class Fleet:
-    """A director before three caches, two parents and an origin; the clock moves with each call."""
+    """A router in front of three caches, two parents and an origin; the clock moves with each call."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         group="all",
         never_kept=False,
         started=None,
-        hub_started=0.0,
+        parents_started=0.0,
         **changes,
     ):
         case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
@@ -109,7 +109,7 @@
             self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
             for cache in self.caches
         ]
-        rows += [self.row(parent, PARENT, 0, hub_started) for parent in self.parents]
+        rows += [self.row(parent, PARENT, 0, parents_started) for parent in self.parents]
         rows.append(self.row(self.origin, ORIGIN, 0, None))
         self.handle(EndpointsUpdated(rows, True))
 
@@ -250,7 +250,7 @@
 
 
 class Stage:
-    """A facade before three caches, two parents and an origin, with a clock that stands until
+    """A coordinator in front of three caches, two parents and an origin, with a clock that stands until
     moved.
     """
 
@@ -258,7 +258,7 @@
         self.now = 100_000.0
         self.terms = parse_service_settings(JsonSection(settings(**changes), ""))
         self.sink = Sink()
-        self.facade = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
+        self.coordinator = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
         self.entries = [
             EndpointUpdate(
                 name,
@@ -272,15 +272,15 @@
             )
             for place, (name, zone, kind) in enumerate(SPOTS)
         ]
-        self.facade.update_endpoints(self.entries, True)
+        self.coordinator.update_endpoints(self.entries, True)
 
     def now_is_real(self):
-        self.facade.clock = lambda: time.monotonic() * 1000.0
-        self.now = self.facade.clock()
+        self.coordinator.clock = lambda: time.monotonic() * 1000.0
+        self.now = self.coordinator.clock()
 
     def take(self, request_class="pages", left=6000.0, room=True) -> Request:
         case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
-        return self.facade.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
+        return self.coordinator.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
 
     def again(self, request):
         """The same request with its first attempt out, for another host of the module."""
@@ -290,14 +290,14 @@
         return twin
 
     def until_verdict(self, request):
-        while isinstance(step := self.facade.next_step(request), SendAttempt | CancelAttempt):
+        while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
     def pass_time(self, span):
         """Runs the timers of a span, each at its time."""
         end = self.now + span
-        while (due := self.facade.run_due_timers()[0]) <= end:
+        while (due := self.coordinator.run_due_timers()[0]) <= end:
             self.now = max(self.now, due)
         self.now = end
 
--- a/tests/test_policy.py
+++ b/tests/policy/test_router.py
@@ -34,9 +34,7 @@
         (UNSAFE, "all", Outcome.CONNECT_FAILED, 2, None),
     ],
 )
-def test_further_attempts_go_only_as_far_as_their_class_permits(
-    repeat, group, outcome, attempts, final
-):
+def test_retries_follow_only_as_idempotency_permits(repeat, group, outcome, attempts, final):
     fleet = Fleet(repeat, group)
     request = fleet.ask()
     fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN, after=20)
@@ -46,7 +44,7 @@
     ] == [final] * bool(final)
 
 
-def test_a_keyed_request_is_not_sent_again_past_its_memory_span():
+def test_a_keyed_request_is_not_retried_after_its_key_retention():
     fleet = Fleet(KEYED)
     request = fleet.ask()
     fleet.answer(request.attempts[0], Outcome.ERROR, CacheStatus.UNKNOWN, after=5000)
@@ -66,7 +64,7 @@
         (Outcome.MISS, 5500, "reject_request"),  # never ran
     ],
 )
-def test_a_keyed_request_is_called_harmless_to_repeat_while_its_idempotency_key_lasts(
+def test_a_keyed_request_is_rejected_as_retryable_only_while_its_key_is_remembered(
     outcome, after, final
 ):
     fleet = Fleet(KEYED, max_attempts=1, max_retry_after=200.0)
@@ -76,7 +74,7 @@
     ] == [final]
 
 
-def test_one_final_answer_before_the_client_stops_waiting():
+def test_one_final_response_is_sent_before_the_client_deadline():
     fleet = Fleet()
     request = fleet.ask(left=900.0)
     delay = max(delay for delay, about in fleet.out.take("schedule_timer") if about is request)
@@ -89,7 +87,7 @@
 
 
 @pytest.mark.parametrize("change", [EndpointState.DRAINING, EndpointState.GONE, None])
-def test_nothing_goes_to_a_drained_or_removed_node(change):
+def test_no_attempt_is_sent_to_a_draining_or_removed_endpoint(change):
     fleet = Fleet()
     if change is None:
         kept = [fleet.row(fleet.caches[0], CACHE, 1), fleet.row(fleet.parents[0], PARENT, 0)]
@@ -108,9 +106,9 @@
         fleet.answer(attempt)
 
 
-@pytest.mark.parametrize("caches_cold, hubs_cold", [(True, False), (False, True)])
-def test_a_cold_member_gets_less_than_it_can_bear(caches_cold, hubs_cold):
-    fleet = Fleet(started=100000.0 * caches_cold, hub_started=100000.0 * hubs_cold)
+@pytest.mark.parametrize("caches_start, parents_start", [(True, False), (False, True)])
+def test_an_endpoint_in_slow_start_gets_less_than_would_overload_it(caches_start, parents_start):
+    fleet = Fleet(started=100000.0 * caches_start, parents_started=100000.0 * parents_start)
     sent = {member: 0.0 for member in [fleet.caches[0], *fleet.parents]}
     for _ in range(300):
         attempt = fleet.ask(size=500.0, after=5).attempts[0]
@@ -119,23 +117,23 @@
         fleet.answer(attempt, note=CacheStatus.FILLED, first_byte=30.0)
     member, rule = (
         (fleet.caches[0], fleet.settings.cache_slow_start)
-        if caches_cold
+        if caches_start
         else (fleet.parents[0], fleet.settings.parent_slow_start)
     )
-    sharers, multiple = (1, 2.5) if caches_cold else (3, 2.0)
+    sharers, multiple = (1, 2.5) if caches_start else (3, 2.0)
     assert sent[member] <= multiple * 6.0 * rule.initial_fraction * 1500.0 / sharers * 1.2
 
 
-@pytest.mark.parametrize("caches_cold", [True, False])
-def test_small_requests_count_as_the_mean_of_their_request_class_at_a_cold_member(caches_cold):
+@pytest.mark.parametrize("caches_start", [True, False])
+def test_small_requests_count_as_their_class_mean_during_slow_start(caches_start):
     """Nine of ten took a tenth of the mean and went by that: together several times what fells the
     member.
     """
-    fleet = Fleet(started=100_100.0 * caches_cold, hub_started=100_100.0 * (not caches_cold))
-    cold = [fleet.caches[0]] if caches_cold else fleet.parents
+    fleet = Fleet(started=100_100.0 * caches_start, parents_started=100_100.0 * (not caches_start))
+    cold = [fleet.caches[0]] if caches_start else fleet.parents
     rule, sharers = (
         (fleet.settings.cache_slow_start, 1)
-        if caches_cold
+        if caches_start
         else (fleet.settings.parent_slow_start, 3)
     )
     for number in range(40):  # before it starts: the mean is known
@@ -164,7 +162,7 @@
 
 
 @pytest.mark.parametrize("key, group", [(77, 1), (0, 1)])
-def test_a_purge_bounds_the_copy_and_zero_is_never_sent_for_it(key, group):
+def test_a_purge_bounds_max_age_above_zero(key, group):
     fleet = Fleet()
     fleet.handle(PurgeReceived(key, group, 40.0))
     for after in (
@@ -181,7 +179,7 @@
 
 
 @pytest.mark.parametrize("left, near", [(6000.0, False), (200.0, True)])
-def test_a_client_that_waits_less_than_its_goal_gets_the_nearest_parent(left, near):
+def test_a_client_with_less_time_than_its_objective_gets_the_nearest_parent(left, near):
     """Clients with little time were rejected at the end of it, their fills on the way from afar."""
     fleet = Fleet()
     for parent, delay in zip(fleet.parents, (60.0, 30.0), strict=True):
@@ -192,7 +190,7 @@
     assert sources == ({fleet.parents[1]} if near else set(fleet.parents))
 
 
-def test_a_believed_sibling_is_the_source_and_asked_only_for_what_it_holds():
+def test_a_believed_holder_is_the_fill_source_and_asked_only_if_cached():
     fleet = Fleet()
     first = fleet.ask(key=5)
     owner = first.attempts[0].endpoint
@@ -207,7 +205,7 @@
     assert fleet.out.take("send_attempt")[0][1].only_if_cached is True
 
 
-def test_a_silent_cache_is_left_at_the_first_sign_and_shunned_when_signs_add_up():
+def test_a_silent_cache_is_hedged_at_once_and_ejected_when_signs_add_up():
     fleet = Fleet()
     silent = fleet.ask(key=5).attempts[0].endpoint
     for _ in range(40):
@@ -236,7 +234,7 @@
         (Outcome.ERROR, Outcome.SERVED, 3.0),
     ],
 )
-def test_bad_outcomes_weigh_by_what_they_tell_of_the_node(outcome, another, weight):
+def test_failures_are_weighted_by_what_they_show_of_the_endpoint(outcome, another, weight):
     """Clients that ask for what no node knows, and spoilt answers, had healthy caches shunned."""
     fleet = Fleet()
     cache = fleet.caches[0]
@@ -257,16 +255,16 @@
 
 
 @pytest.mark.parametrize("broken, well", [("parents", "caches"), ("caches", "parents")])
-def test_the_member_that_all_bad_attempts_share_is_shunned_and_the_others_are_not(broken, well):
+def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(broken, well):
     """A failing parent shows as errors at every cache; without split blame the caches were shunned
     for it.
     """
     fleet = Fleet()
-    sick = getattr(fleet, broken)[0]
+    outlier = getattr(fleet, broken)[0]
     for _ in range(150):
         request = fleet.ask(after=20)
         attempt = request.attempts[0]
-        bad = sick in (attempt.endpoint, attempt.fill_source)
+        bad = outlier in (attempt.endpoint, attempt.fill_source)
         fleet.answer(
             attempt,
             *(
@@ -277,10 +275,10 @@
         )
         for attempt in request.attempts[1:]:
             fleet.answer(attempt, note=CacheStatus.FILLED)
-    assert sick.is_ejected and not any(member.is_ejected for member in getattr(fleet, well))
+    assert outlier.is_ejected and not any(member.is_ejected for member in getattr(fleet, well))
 
 
-def test_a_request_that_no_cache_can_serve_in_time_is_rejected_at_once():
+def test_a_request_that_no_cache_can_serve_in_time_is_rejected_immediately():
     """Without the bound a burst slows every transfer past its latency goal."""
     fleet = Fleet()
     requests = [fleet.ask(size=4000.0, after=0.0) for _ in range(200)]
@@ -293,7 +291,7 @@
 @pytest.mark.parametrize(
     "crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)]
 )
-def test_a_jammed_link_brings_in_no_fills_and_a_miss_is_rejected_at_once(crowding, age, filled):
+def test_a_congested_link_stops_fills_and_a_miss_is_rejected_immediately(crowding, age, filled):
     """Without the bound, fills whose clients left kept a jammed link jammed for the rest of the
     day.
     """
@@ -306,7 +304,7 @@
         assert request.is_complete and len(request.attempts) == 1
 
 
-def test_a_slow_member_that_answers_in_between_is_not_shunned():
+def test_a_slow_endpoint_that_answers_in_between_is_not_ejected():
     """A fixed cut took crowded members for silent ones, and the count outlived the answer that
     refuted it.
     """
@@ -320,7 +318,9 @@
 
 
 @pytest.mark.parametrize("first_byte, held_only", [(100.0, False), (3000.0, True)])
-def test_a_crowded_origin_gets_no_more_fills_and_parents_give_what_they_hold(first_byte, held_only):
+def test_a_slow_origin_gets_no_more_fills_and_parents_serve_only_what_is_cached(
+    first_byte, held_only
+):
     """Without the bound a crowded origin was held crowded by fills that came too late
     for anyone.
     """
@@ -342,7 +342,7 @@
         assert request.is_complete and len(request.attempts) == 1
 
 
-def test_a_slow_parent_gets_no_more_fills_but_trials():
+def test_a_slow_parent_gets_only_trial_fills():
     """Without the bound, fills waited at slow parents and held the places of hits at the caches."""
     fleet = Fleet()
     fleet.router.random.random = lambda: 1.0
@@ -365,7 +365,7 @@
         (Outcome.NOT_SENT, 1.0, 30, 30),
     ],
 )
-def test_further_attempts_keep_to_their_budget_and_cost_little_where_little_was_lost(
+def test_retries_keep_to_the_budget_and_cost_little_after_a_quick_failure(
     outcome, after, least, most
 ):
     """Without the budget, attempts turned away came back as three or four more; a full node wastes
@@ -387,9 +387,7 @@
 
 
 @pytest.mark.parametrize("wait, taken", [(100.0, True), (900.0, False)])
-def test_crowding_is_read_from_how_late_hits_come_and_not_from_attempts_times_directors(
-    wait, taken
-):
+def test_slowdown_is_measured_by_late_hits_and_not_by_attempts_times_directors(wait, taken):
     """With twenty directors, two attempts out of one's own rejected the third request at idle
     caches.
     """
@@ -404,14 +402,14 @@
 
 
 @pytest.mark.parametrize("here", [1, 30])
-def test_a_large_object_passes_at_caches_that_are_not_crowded(here):
+def test_a_large_object_is_served_by_idle_caches(here):
     """Its own sending time takes more than the part of the goal, so a quiet day rejected it."""
     request = Fleet(local_director_count=here).ask(size=9000.0)
     assert request.attempts and not request.is_complete
 
 
 @pytest.mark.parametrize("requests, most", [(40, 3), (400, 22)])
-def test_trials_are_earned_by_own_requests(requests, most):
+def test_trial_requests_are_earned_by_requests(requests, most):
     """At one in half a second each, hundreds of directors sent a dead parent nothing but trials."""
     fleet = Fleet()
     fleet.parents[0].is_ejected = True
@@ -423,7 +421,7 @@
     assert 0 < tried <= most
 
 
-def test_a_parent_that_fails_rare_fills_is_shunned_too():
+def test_a_parent_that_fails_rare_fills_is_ejected():
     """Outcomes four seconds apart were forgotten before two of them could count."""
     fleet = Fleet()
     for _ in range(12):
@@ -438,7 +436,7 @@
 
 
 @pytest.mark.parametrize("slow, kept", [((0,), False), ((0, 1), True)])
-def test_a_parent_is_passed_over_only_where_the_others_did_not_rise_alike(slow, kept):
+def test_a_slow_parent_is_passed_over_only_if_the_others_are_not_slow_too(slow, kept):
     """All slow alike sent directors on to parents that lacked the objects, and the origin was asked
     more.
     """
@@ -460,7 +458,7 @@
     assert all(source is fleet.parents[0] for source in sources) is kept
 
 
-def test_a_source_that_refuses_is_not_shunned_for_it():
+def test_a_fill_source_that_rejects_is_not_ejected():
     """The crowded parents that were left were shunned like the dead ones, and the dead ones named
     again.
     """
@@ -472,7 +470,7 @@
     assert not any(parent.is_ejected for parent in fleet.parents)
 
 
-def test_fills_by_way_of_the_origin_do_not_make_the_parent_slow():
+def test_fills_by_way_of_the_origin_do_not_raise_the_parents_delay():
     fleet = Fleet()
     warm_up(fleet, 40)
     before = [fleet.router.fill_sources.delay(parent, fleet.now) for parent in fleet.parents]
@@ -483,43 +481,45 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, well, taken_back",
+    "outcome, well, is_reinstated",
     [
         (Outcome.CONNECT_FAILED, True, True),
         (Outcome.CONNECT_FAILED, False, False),
         (Outcome.ERROR, True, False),  # it was reached all the while
     ],
 )
-def test_an_echo_disproves_that_a_cache_is_not_reached_and_nothing_else(outcome, well, taken_back):
+def test_an_answered_health_check_reinstates_only_an_unreachable_cache(
+    outcome, well, is_reinstated
+):
     fleet = Fleet(allows_health_checks=True)
-    sick = fleet.ask(key=77).attempts[0].endpoint
-    while not sick.is_ejected:
+    outlier = fleet.ask(key=77).attempts[0].endpoint
+    while not outlier.is_ejected:
         fleet.router.health.record_result(
-            sick, 2.0, EjectionReason(outcome.name.lower()), fleet.now
+            outlier, 2.0, EjectionReason(outcome.name.lower()), fleet.now
         )
     probed = []
     for _ in range(40):  # any round asks whom it is time to ask
         fleet.ask()
         probed += fleet.out.take("check_health")
         fleet.now += 50.0
-    assert ((sick,) in probed) is (outcome is Outcome.CONNECT_FAILED)
-    fleet.handle(HealthCheckFinished(sick, None, well))
-    assert sick.is_ejected is not taken_back
+    assert ((outlier,) in probed) is (outcome is Outcome.CONNECT_FAILED)
+    fleet.handle(HealthCheckFinished(outlier, None, well))
+    assert outlier.is_ejected is not is_reinstated
 
 
 @pytest.mark.parametrize("whose", [CACHE, PARENT])
 @pytest.mark.parametrize("state", [EndpointState.GONE, EndpointState.DRAINING])
 @pytest.mark.parametrize("first", ["breaks", "leaves"])
-def test_who_has_gone_or_starts_anew_is_asked_for_no_echo(first, state, whose):
+def test_an_endpoint_that_left_gets_no_health_check(first, state, whose):
     """An attempt that was out at one that left broke afterwards: nobody knew its place, the module
     failed.
     """
     fleet = Fleet(allows_health_checks=True)
-    sick = fleet.caches[0] if whose == CACHE else fleet.parents[0]
-    row = fleet.row(sick, whose, 1 if whose == CACHE else 0, state=state)
+    outlier = fleet.caches[0] if whose == CACHE else fleet.parents[0]
+    row = fleet.row(outlier, whose, 1 if whose == CACHE else 0, state=state)
     if first == "leaves":
         fleet.handle(EndpointsUpdated([row], False))
-    fleet.router.health.record_result(sick, 4.0, EjectionReason.RESET, fleet.now)
+    fleet.router.health.record_result(outlier, 4.0, EjectionReason.RESET, fleet.now)
     if first == "breaks":
         fleet.handle(EndpointsUpdated([row], False))
     for _ in range(40):
@@ -528,7 +528,7 @@
 
 
 @pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
-def test_where_no_size_is_told_a_attempt_is_overdue_by_what_answers_took(took, none_overdue):
+def test_without_sizes_an_attempt_is_overdue_by_past_response_times(took, none_overdue):
     """Each was overdue after twice a quarter of its goal: asked once more elsewhere, its parent
     shunned.
     """
@@ -543,18 +543,18 @@
     assert (len(request.attempts) == 1) is none_overdue
 
 
-@pytest.mark.parametrize("caches_cold", [True, False])
-def test_where_no_size_is_told_a_cold_member_is_sent_no_more_than_where_sizes_are(caches_cold):
+@pytest.mark.parametrize("caches_start", [True, False])
+def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
     """A quarter of the goal stood in for the sending time, which was three times as long."""
     fleet = Fleet(
-        started=100_000.0 * caches_cold,
-        hub_started=100_000.0 * (not caches_cold),
+        started=100_000.0 * caches_start,
+        parents_started=100_000.0 * (not caches_start),
         transfer_rate=0.0,
     )
-    cold = [fleet.caches[0]] if caches_cold else fleet.parents
+    cold = [fleet.caches[0]] if caches_start else fleet.parents
     rule, sharers = (
         (fleet.settings.cache_slow_start, 1)
-        if caches_cold
+        if caches_start
         else (fleet.settings.parent_slow_start, 3)
     )
     sent, sending = {member: [] for member in cold}, 400.0
@@ -578,7 +578,7 @@
     assert sum(map(len, sent.values()))
 
 
-def test_a_hot_object_goes_to_other_caches_first_at_other_directors():
+def test_a_hot_object_goes_to_different_caches_at_different_directors():
     firsts = set()
     for seed in range(12):
         fleet = Fleet()
@@ -591,7 +591,7 @@
 
 
 @pytest.mark.parametrize("wait, seconds", [(60_000.0, 6.0), (100.0, 0.0)])
-def test_one_answer_that_a_pause_held_up_keeps_no_cache_from_its_share_for_long(wait, seconds):
+def test_one_late_answer_does_not_keep_a_cache_from_traffic_for_long(wait, seconds):
     fleet = Fleet()
     request = fleet.ask(key=77)
     node = request.attempts[0].endpoint
@@ -606,13 +606,13 @@
 
 
 @pytest.mark.parametrize(
-    "may_probe, may_pass_by, whose",
+    "health_checks, bypass, whose",
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
-def test_where_no_cache_is_reached_parents_are_asked_until_an_echo_comes(
-    may_probe, may_pass_by, whose
+def test_unreachable_caches_are_bypassed_until_a_health_check_is_answered(
+    health_checks, bypass, whose
 ):
-    fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
+    fleet = Fleet(allows_health_checks=health_checks, allows_cache_bypass=bypass)
     for cache in fleet.caches:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
     assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
@@ -620,7 +620,7 @@
     assert {fleet.ask().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
 
 
-def test_a_hit_that_a_cut_held_up_tells_nothing_of_crowding():
+def test_a_hit_delayed_by_an_outage_does_not_count_as_slowdown():
     fleet = Fleet()
     request = fleet.ask(key=77)
     node = request.attempts[0].endpoint
@@ -642,37 +642,37 @@
 
 
 @pytest.mark.parametrize(
-    "purse, reached, attempts, given_up",
+    "budget, reached, attempts, is_given_up",
     [
         (8.0, True, 2, False),
         (0.0, True, 1, False),  # its node lives and is slow: what is out there is about to come
         (0.0, False, 1, True),
     ],
 )
-def test_an_overdue_request_whose_further_attempt_is_not_earned_waits_for_a_node_that_lives(
-    purse, reached, attempts, given_up
+def test_an_overdue_request_without_retry_budget_waits_for_a_reachable_endpoint(
+    budget, reached, attempts, is_given_up
 ):
     """Guards against storms in which nodes work for requests that were rejected meanwhile."""
     fleet = Fleet()
     request = fleet.ask()
     fleet.router.retry_policy.local_budget.tokens, request.attempts[0].endpoint.is_unreachable = (
-        purse,
+        budget,
         not reached,
     )
     overdue(fleet, request)
-    assert (len(request.attempts), request.is_complete) == (attempts, given_up)
+    assert (len(request.attempts), request.is_complete) == (attempts, is_given_up)
     fleet.handle(TimerFired(request), after=5545.0)  # its time is over
     assert request.is_complete and len(fleet.out.take("reject_request")) == 1
 
 
 @pytest.mark.parametrize(
-    "may_probe, may_pass_by, whose",
+    "health_checks, bypass, whose",
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
-def test_two_caches_that_fail_in_a_row_tell_a_cut_and_requests_pass_by(
-    may_probe, may_pass_by, whose
+def test_two_failures_in_a_row_mark_the_zone_unreachable_and_requests_bypass_it(
+    health_checks, bypass, whose
 ):
-    fleet = Fleet(allows_health_checks=may_probe, allows_cache_bypass=may_pass_by)
+    fleet = Fleet(allows_health_checks=health_checks, allows_cache_bypass=bypass)
     for cache in fleet.caches[:2]:
         attempt = Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET)
         fleet.router.recorder.record(
@@ -685,7 +685,7 @@
     assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
 
-def test_what_a_cut_had_shunned_comes_back_at_the_first_word_of_any_cache():
+def test_caches_ejected_in_an_outage_are_reinstated_by_the_first_response_of_any():
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
@@ -699,7 +699,7 @@
     assert not any(cache.is_ejected for cache in fleet.caches)
 
 
-def test_an_echo_of_a_parent_ends_no_cut():
+def test_a_health_check_of_a_parent_does_not_end_a_zone_outage():
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
@@ -707,7 +707,7 @@
     assert fleet.router.health.zone.cut
 
 
-def test_a_part_of_a_cold_limit_that_was_borrowed_ends_by_itself():
+def test_a_borrowed_slow_start_quota_expires():
     """Guards against a director that was stopped and goes on with what has been given to another
     since.
     """
@@ -742,7 +742,9 @@
         (UNSAFE, Outcome.REJECTED, 4960.0, True),
     ],
 )
-def test_a_attempt_that_waited_to_be_written_goes_only_within_its_time(repeat, first, after, may):
+def test_an_attempt_that_waited_to_be_written_is_sent_only_within_its_time(
+    repeat, first, after, may
+):
     """A repeat that waited for its connection reached a node that no longer knew its idempotency
     key.
     """
@@ -758,7 +760,7 @@
 
 
 @pytest.mark.parametrize("two_attempts", [True, False])
-def test_a_attempt_begins_beside_another_only_where_two_may_be_out(two_attempts):
+def test_an_attempt_begins_beside_another_only_where_hedging_is_allowed(two_attempts):
     fleet = Fleet(allows_hedging=two_attempts)
     request = fleet.ask()
     first = request.attempts[0]
@@ -769,7 +771,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, group, again, most, called_off",
+    "repeat, group, again, most, is_cancelled",
     [
         (IDEMPOTENT, "all", 8.0, 6, True),
         (IDEMPOTENT, "all", 0.5, 6, False),
@@ -778,8 +780,8 @@
         (KEYED, "zone", 8.0, 6, False),
     ],
 )
-def test_an_overdue_attempt_is_called_off_only_where_another_may_follow(
-    repeat, group, again, most, called_off
+def test_an_overdue_attempt_is_cancelled_only_if_a_retry_may_follow(
+    repeat, group, again, most, is_cancelled
 ):
     """A write whose repeats only its own zone knows was called off, and then failed for having
     begun.
@@ -789,12 +791,12 @@
     fleet.router.retry_policy.local_budget.tokens = again
     fleet.out.take("cancel_attempt")
     fleet.handle(TimerFired(request.attempts[0]), after=900.0)
-    assert bool(fleet.out.take("cancel_attempt")) is called_off and not request.is_complete
+    assert bool(fleet.out.take("cancel_attempt")) is is_cancelled and not request.is_complete
 
 
 @pytest.mark.parametrize("directors_here", [1, 4, 200])
 @pytest.mark.parametrize("times", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
-def test_on_a_quiet_day_no_size_is_turned_down_for_what_is_noise(times, directors_here):
+def test_noise_at_idle_caches_rejects_no_object_size(times, directors_here):
     """The largest tenth of a class is answered as the rest is while caches are as slow as noise has
     it.
     """
--- a/tests/test_facade.py
+++ b/tests/test_coordinator.py
@@ -24,21 +24,21 @@
 from mulleinrelay.wirehost import Instance
 
 
-def test_a_request_is_served_once_and_later_word_is_dropped():
+def test_a_request_is_served_once_and_later_reports_are_dropped():
     stage = Stage()
     request = stage.take()
-    order = stage.facade.next_step(request)
+    order = stage.coordinator.next_step(request)
     assert (
         isinstance(order, SendAttempt)
         and order.address.name.startswith("s-")
         and not order.attempt.outcome
     )
-    stage.facade.report_outcome(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
-    stage.facade.report_outcome(order.attempt, Outcome.ERROR)
-    stage.facade.client_left(request)
-    verdict = stage.facade.next_step(request)
+    stage.coordinator.report_outcome(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
+    stage.coordinator.report_outcome(order.attempt, Outcome.ERROR)
+    stage.coordinator.client_left(request)
+    verdict = stage.coordinator.next_step(request)
     assert isinstance(verdict, Served) and verdict.answer == "bytes"
-    assert order.attempt.outcome == Outcome.SERVED and not stage.facade.pending_count()
+    assert order.attempt.outcome == Outcome.SERVED and not stage.coordinator.pending_count()
 
 
 @pytest.mark.parametrize(
@@ -54,22 +54,24 @@
         ("report", "time", Served),
     ],
 )
-def test_whoever_comes_second_finds_the_request_ended(first, second, verdict):
+def test_the_first_event_decides_the_result_of_a_request(first, second, verdict):
     stage = Stage()
     request = stage.take()
-    attempt = stage.facade.next_step(request).attempt
+    attempt = stage.coordinator.next_step(request).attempt
     deeds = {
-        "forget": lambda: stage.facade.client_left(request),
-        "wind_up": stage.facade.finish_pending_requests,
-        "report": lambda: stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT),
+        "forget": lambda: stage.coordinator.client_left(request),
+        "wind_up": stage.coordinator.finish_pending_requests,
+        "report": lambda: stage.coordinator.report_outcome(
+            attempt, Outcome.SERVED, CacheStatus.HIT
+        ),
         "time": lambda: stage.pass_time(7000.0),
     }
     deeds[first]()
     deeds[second]()
-    steps = [stage.facade.next_step(request)]
+    steps = [stage.coordinator.next_step(request)]
     while isinstance(steps[-1], CancelAttempt):
-        steps.append(stage.facade.next_step(request))
-    assert isinstance(steps[-1], verdict) and not stage.facade.pending_count()
+        steps.append(stage.coordinator.next_step(request))
+    assert isinstance(steps[-1], verdict) and not stage.coordinator.pending_count()
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
@@ -83,90 +85,95 @@
         ("pay", True, Outcome.RESET, Failed),
     ],
 )
-def test_the_last_answers_of_a_drain_are_true(request_class, sent, outcome, verdict):
+def test_results_at_shutdown_reject_only_what_is_safe_to_retry(
+    request_class, sent, outcome, verdict
+):
     # Guards against a drain that calls harmless what may have run.
     stage = Stage()
     request = stage.take(request_class)
     if sent:
-        attempt = stage.facade.next_step(request).attempt
+        attempt = stage.coordinator.next_step(request).attempt
         if outcome is not None:
-            stage.facade.report_outcome(attempt, outcome)
+            stage.coordinator.report_outcome(attempt, outcome)
     else:
         request.attempts[0].outcome = Outcome.NOT_SENT
-    stage.facade.finish_pending_requests()
+    stage.coordinator.finish_pending_requests()
     assert isinstance(stage.until_verdict(request), verdict)
 
 
-def test_a_attempt_that_was_called_off_before_it_was_picked_is_never_sent():
+def test_an_attempt_cancelled_before_its_step_was_taken_is_never_sent():
     stage = Stage()
     request = stage.take()
-    stage.facade.client_left(request)
-    assert isinstance(stage.facade.next_step(request), ClientGone)
+    stage.coordinator.client_left(request)
+    assert isinstance(stage.coordinator.next_step(request), ClientGone)
     assert request.attempts[0].outcome == Outcome.CANCELLED
 
 
-def test_a_attempt_over_its_time_is_given_up_and_reported():
+def test_an_attempt_past_its_timeout_is_cancelled_and_reported():
     stage = Stage(
         allowed={"cancel": False}
     )  # the module calls nothing off: the caller keeps the time
     request = stage.take()
-    attempt = stage.facade.next_step(request).attempt
+    attempt = stage.coordinator.next_step(request).attempt
     stage.pass_time(6001.0)
     assert attempt.outcome == Outcome.TIMEOUT
     assert isinstance(stage.until_verdict(request), Rejected)
 
 
-def test_one_thread_at_a_time_picks_for_a_request():
+def test_one_thread_at_a_time_takes_the_steps_of_a_request():
     # Guards against a verdict that one thread carries out while another still sends an attempt.
     stage, found = Stage(), []
     request = stage.take()
-    attempt = stage.facade.next_step(request).attempt
+    attempt = stage.coordinator.next_step(request).attempt
 
     def pick_elsewhere():
-        other = threading.Thread(target=lambda: found.append(stage.facade.next_step(request)))
+        other = threading.Thread(target=lambda: found.append(stage.coordinator.next_step(request)))
         other.start()
         other.join()
 
-    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=1)
+    stage.coordinator.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=1)
     pick_elsewhere()
     assert found == [None]
-    assert stage.facade.next_step(request).answer == 1 and stage.facade.next_step(request) is None
+    assert (
+        stage.coordinator.next_step(request).answer == 1
+        and stage.coordinator.next_step(request) is None
+    )
 
     request = stage.take()
-    attempt = stage.facade.next_step(request).attempt
+    attempt = stage.coordinator.next_step(request).attempt
     assert (
-        stage.facade.next_step(request) is None
+        stage.coordinator.next_step(request) is None
     )  # nothing left to do: whoever brings more may pick
-    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
+    stage.coordinator.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
 
 
-def test_a_request_without_room_is_rejected_unsent():
+def test_a_request_without_capacity_is_rejected_without_an_attempt():
     stage = Stage()
     request = stage.take(room=False)
-    verdict = stage.facade.next_step(request)
+    verdict = stage.coordinator.next_step(request)
     assert isinstance(verdict, Rejected) and verdict.retry_after_ms > 0.0 and not request.attempts
 
 
-def test_tick_runs_what_is_due_and_says_when_next():
+def test_run_due_timers_runs_what_is_due_and_returns_when_to_call_again():
     stage = Stage()
     request = stage.take(left=300.0)
-    due, *_ = stage.facade.run_due_timers()
+    due, *_ = stage.coordinator.run_due_timers()
     assert stage.now < due <= request.deadline
     while not request.is_complete:
         stage.now = due
-        due, _, moved = stage.facade.run_due_timers()
+        due, _, moved = stage.coordinator.run_due_timers()
     assert moved == [request]
     assert stage.now < request.deadline
 
 
-def test_rest_ends_early_for_an_earlier_timer():
+def test_wait_until_ends_early_for_an_earlier_timer():
     stage = Stage()
     stage.now_is_real()
     done = threading.Event()
     waiter = threading.Thread(
-        target=lambda: (stage.facade.wait_until(stage.now + 60_000.0), done.set())
+        target=lambda: (stage.coordinator.wait_until(stage.now + 60_000.0), done.set())
     )
     waiter.start()
     assert not done.wait(0.05)
@@ -175,23 +182,25 @@
 
 
 @pytest.mark.parametrize("broken", [RequestReceived, AttemptFinished])
-def test_a_module_that_fails_still_owes_one_answer(broken):
+def test_a_failing_router_still_gives_one_result(broken):
     # Guards against a client that waits in vain for a request on which the module broke.
     stage = Stage()
     stage.sink.events.clear()
-    stage.facade.router.handlers[broken] = lambda *_: 1 / 0
+    stage.coordinator.router.handlers[broken] = lambda *_: 1 / 0
     request = stage.take()
     if broken is AttemptFinished:
-        stage.facade.report_outcome(stage.facade.next_step(request).attempt, Outcome.MISS)
-    assert isinstance(stage.facade.next_step(request), Failed) and stage.sink.events == ["fault"]
+        stage.coordinator.report_outcome(stage.coordinator.next_step(request).attempt, Outcome.MISS)
+    assert isinstance(stage.coordinator.next_step(request), Failed) and stage.sink.events == [
+        "fault"
+    ]
 
 
-def test_a_request_without_a_verdict_is_failed_by_the_clock():
+def test_a_request_without_a_result_is_failed_after_its_deadline():
     stage = Stage()
     request = stage.take(left=200.0)
-    stage.facade.next_step(request)
+    stage.coordinator.next_step(request)
     for event in (TimerFired, AttemptFinished):
-        stage.facade.router.handlers[event] = lambda *_: None
+        stage.coordinator.router.handlers[event] = lambda *_: None
     stage.pass_time(209.0)
     assert isinstance(stage.until_verdict(request), Failed)
 
@@ -200,30 +209,30 @@
     "change, kept",
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
-def test_a_machine_that_starts_again_gets_a_new_place(change, kept):
+def test_an_endpoint_that_restarts_gets_a_new_address_object(change, kept):
     # Guards against attempts on the connections of the machine that had the address before.
     stage = Stage()
     entry = stage.entries[0]
-    member = stage.facade.endpoints[entry.name]
-    before = stage.facade.addresses[member]
+    member = stage.coordinator.endpoints[entry.name]
+    before = stage.coordinator.addresses[member]
     for name, value in change.items():
         setattr(entry, name, value)
-    stage.facade.update_endpoints([entry], False)
-    assert (stage.facade.addresses[member] is before) == kept and before.is_removed != kept
+    stage.coordinator.update_endpoints([entry], False)
+    assert (stage.coordinator.addresses[member] is before) == kept and before.is_removed != kept
 
 
-def test_a_node_that_a_whole_list_leaves_out_is_gone():
+def test_an_endpoint_missing_from_a_full_snapshot_is_removed():
     stage = Stage()
-    before = stage.facade.addresses[stage.facade.endpoints["s-01"]]
-    stage.facade.update_endpoints(stage.entries[1:], True)
+    before = stage.coordinator.addresses[stage.coordinator.endpoints["s-01"]]
+    stage.coordinator.update_endpoints(stage.entries[1:], True)
     assert before.is_removed and not any(
-        place.is_removed for place in stage.facade.addresses.values()
+        place.is_removed for place in stage.coordinator.addresses.values()
     )
 
 
-def test_nothing_is_kept_of_nodes_that_have_gone():
-    # Guards against memory that grows with every node that is replaced, in the facade and in the
-    # module.
+def test_removed_endpoints_are_forgotten():
+    # Guards against memory that grows with every node that is replaced, in the coordinator and
+    # in the router.
     stage, entry = Stage(), None
     for number in range(50):
         gone, entry = (
@@ -234,12 +243,12 @@
         )
         if gone is not None:
             gone.state = EndpointState.GONE
-        stage.facade.update_endpoints([entry] + ([gone] if gone else []), False)
+        stage.coordinator.update_endpoints([entry] + ([gone] if gone else []), False)
         stage.until_verdict(stage.take(left=0.0))
     assert (
-        len(stage.facade.endpoints)
-        == len(stage.facade.addresses)
-        == len(stage.facade.router.endpoints.known)
+        len(stage.coordinator.endpoints)
+        == len(stage.coordinator.addresses)
+        == len(stage.coordinator.router.endpoints.known)
         == 7
     )
 
@@ -285,14 +294,14 @@
         (b"PAST", 114, 0),
     ],
 )
-def test_sockets_and_simulator_call_the_module_alike(word, status, note):
+def test_the_network_code_and_the_simulator_report_the_same_events(word, status, note):
     stage = Stage()
     request = stage.take()
-    attempt = stage.facade.next_step(request).attempt
-    ours = stage.facade._driver.router = Calls(stage.facade.settings)
+    attempt = stage.coordinator.next_step(request).attempt
+    ours = stage.coordinator._driver.router = Calls(stage.coordinator.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
     told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
-    stage.facade.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
+    stage.coordinator.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
 
     theirs = Instance(1)
     theirs.read(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
@@ -309,21 +318,23 @@
     assert ours.seen == theirs.router.seen and len(ours.seen) == 1
 
 
-def test_a_probe_is_handed_out_and_its_report_handed_in():
+def test_a_health_check_is_handed_out_and_its_load_report_reaches_the_router():
     stage = Stage(report={"how": "probe", "columns": ["x1"]})
     probes = []
     while not probes:  # reports are earned by requests
         stage.now += 100.0
         stage.take()
-        _, probes, _ = stage.facade.run_due_timers()
+        _, probes, _ = stage.coordinator.run_due_timers()
     ((node, place),) = probes
-    assert place is stage.facade.addresses[node]
-    stage.facade.report_health_check(node, {"crowding": 2.5})
-    assert stage.facade.router.link.congestion == 2.5
+    assert place is stage.coordinator.addresses[node]
+    stage.coordinator.report_health_check(node, {"crowding": 2.5})
+    assert stage.coordinator.router.link.congestion == 2.5
 
 
-def test_a_report_in_an_answer_reaches_the_module():
+def test_a_load_report_in_an_answer_reaches_the_router():
     stage = Stage(report={"how": "answers", "columns": ["x1"]})
-    attempt = stage.facade.next_step(stage.take()).attempt
-    stage.facade.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5})
-    assert stage.facade.router.link.congestion == 3.5
+    attempt = stage.coordinator.next_step(stage.take()).attempt
+    stage.coordinator.report_outcome(
+        attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5}
+    )
+    assert stage.coordinator.router.link.congestion == 3.5
--- a/tests/test_orders.py
+++ b/tests/test_event_orders.py
@@ -42,14 +42,14 @@
     def __init__(self, request_class, waits):
         """`waits`: what is picked is not written at once, as its link is not up."""
         self.stage, self.request_class, self.waits = Stage(), request_class, waits
-        self.facade = self.stage.facade
+        self.coordinator = self.stage.coordinator
         self.begun, self.ended, self.verdicts, self.draining, self.left = [], {}, [], set(), False
         self.held = []  # orders that were picked and are not yet written
         self.request = self.stage.take(request_class, left=2000.0)
         self.see_through()
 
     def see_through(self):
-        while (step := self.facade.next_step(self.request)) is not None:
+        while (step := self.coordinator.next_step(self.request)) is not None:
             if isinstance(step, SendAttempt):
                 assert not self.verdicts
                 self.held.append(step)
@@ -65,9 +65,9 @@
 
     def write(self, order):
         attempt = order.attempt
-        if not self.facade.can_begin(attempt):
+        if not self.coordinator.can_begin(attempt):
             self.ended[attempt] = Outcome.NOT_SENT
-            return self.facade.report_outcome(attempt, Outcome.NOT_SENT)
+            return self.coordinator.report_outcome(attempt, Outcome.NOT_SENT)
         assert not self.verdicts and not self.left, "begun for a request that is over"
         assert not {order.address.name, order.fill_source} & self.draining, (
             "sent to one that drains"
@@ -83,25 +83,26 @@
         if event in ANSWERS and self.out():
             attempt = self.out()[0]
             self.ended[attempt] = ANSWERS[event]
-            self.facade.report_outcome(attempt, ANSWERS[event], answer=attempt)
+            self.coordinator.report_outcome(attempt, ANSWERS[event], answer=attempt)
         elif event == "second answer" and self.ended:
             attempt = next(iter(self.ended))
-            self.facade.report_outcome(attempt, Outcome.SERVED, answer=attempt)
+            self.coordinator.report_outcome(attempt, Outcome.SERVED, answer=attempt)
         elif event == "drains" and self.request.attempts:
-            name = self.facade.addresses[self.request.attempts[-1].endpoint].name
+            name = self.coordinator.addresses[self.request.attempts[-1].endpoint].name
             self.draining.add(name)
-            self.facade.update_endpoints(
-                [replace(self.facade.endpoint_updates[name], state=EndpointState.DRAINING)], False
+            self.coordinator.update_endpoints(
+                [replace(self.coordinator.endpoint_updates[name], state=EndpointState.DRAINING)],
+                False,
             )
         elif event == "purged":
-            self.facade.apply_purge(0xABC, 0, self.stage.now)
+            self.coordinator.apply_purge(0xABC, 0, self.stage.now)
         elif event == "leaves":
             self.left = True
-            self.facade.client_left(self.request)
+            self.coordinator.client_left(self.request)
         elif event == "overdue":
             self.stage.pass_time(700.0)
         elif event == "winds up":
-            self.facade.finish_pending_requests()
+            self.coordinator.finish_pending_requests()
         elif event in ("waits", "is written"):
             self.waits = event == "waits"
             self.write_on()
@@ -111,8 +112,8 @@
         self.happen("is written")
         self.stage.pass_time(2500.0)
         self.see_through()
-        assert len(self.verdicts) == 1 and self.facade.next_step(self.request) is None
-        assert not self.facade.pending_requests and not [
+        assert len(self.verdicts) == 1 and self.coordinator.next_step(self.request) is None
+        assert not self.coordinator.pending_requests and not [
             attempt for attempt in self.out() if attempt.outcome is None
         ]
         if isinstance(self.verdicts[0], Rejected) and self.request_class == "pay":
@@ -144,7 +145,7 @@
 @pytest.mark.parametrize(
     "request_class, where, name, planted, told",
     [
-        ("pages", RequestCoordinator, "can_begin", lambda facade, attempt: True, "drains"),
+        ("pages", RequestCoordinator, "can_begin", lambda coordinator, attempt: True, "drains"),
         ("pay", idempotency, "may_have_run", lambda request: [], "twice"),
         (
             "pay",
