--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -11,8 +11,10 @@
 from stage import Cell, Ruled, charter, move
 
 from mulleinrelay.coordinator import CancelAttempt, SendAttempt
+from mulleinrelay.policy.endpoint_capacity import SlowStartAdmission
+from mulleinrelay.policy.endpoint_table import EndpointTable
+from mulleinrelay.policy.freshness import PurgeHistory
 from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
-from mulleinrelay.policy.router import Router
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
@@ -39,11 +41,11 @@
 
     def __init__(self, version):
         self.stage = Stage()
-        self.stage.facade.settings.director_count = (
-            self.stage.facade.settings.local_director_count
+        self.stage.coordinator.settings.director_count = (
+            self.stage.coordinator.settings.local_director_count
         ) = 2
-        director = self.stage.facade.router
-        director.cold_here.fraction = director.cold_parents.fraction = (
+        director = self.stage.coordinator.router
+        director.cache_slow_start_quota.fraction = director.parent_slow_start_quota.fraction = (
             0.5  # as such terms at its start would have it
         )
         self.ruled = Ruled(version)
@@ -53,7 +55,7 @@
         self.stage.now = now
         if what == "purge":
             self.told["purge"] = now
-            return self.stage.facade.apply_purge(0xABC, 0, now)
+            return self.stage.coordinator.apply_purge(0xABC, 0, now)
         row = next(entry for entry in self.stage.entries if entry.name == box)
         state = {
             "drain": EndpointState.DRAINING,
@@ -62,24 +64,24 @@
         }[what]
         self.told[what, box] = now
         changed = replace(row, state=state, started_at=now if what == "cold" else row.started_at)
-        self.stage.facade.update_endpoints([changed], False)
+        self.stage.coordinator.update_endpoints([changed], False)
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
         self.stage.now = self.ruled.now = now
-        facade, governor = self.stage.facade, self.ruled.governor
-        caches = facade.ready_caches()
+        coordinator, governor = self.stage.coordinator, self.ruled.governor
+        caches = coordinator.ready_caches()
         governor.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
             grant = self.ruled.ask(key=key)
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.request_classes[0]
-            request = facade.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
-            while (step := facade.next_step(request)) is not None:
+            request = coordinator.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
+            while (step := coordinator.next_step(request)) is not None:
                 if isinstance(step, SendAttempt):
                     yield step
-                    facade.report_outcome(
+                    coordinator.report_outcome(
                         step.attempt,
                         Outcome.SERVED,
                         CacheStatus.FILLED if step.fill_source else CacheStatus.HIT,
@@ -139,20 +141,35 @@
         (
             3,
             (
-                "listed",
-                lambda whole: (
-                    lambda self, rows, *rest: whole(
-                        self, [(row[0], EndpointState.READY, *row[2:]) for row in rows], *rest
+                EndpointTable,
+                "apply",
+                lambda apply: (
+                    lambda self, entries, *rest: apply(
+                        self,
+                        [replace(entry, state=EndpointState.READY) for entry in entries],
+                        *rest,
                     )
                 ),
             ),
             [("drain", "s-01")],
         ),
-        (4, ("has_room", lambda whole: lambda self, member, work: True), [("cold", "s-01")]),
-        (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
+        (
+            4,
+            (
+                SlowStartAdmission,
+                "try_admit",
+                lambda try_admit: lambda self, endpoint, work, now: True,
+            ),
+            [("cold", "s-01")],
+        ),
+        (
+            5,
+            (PurgeHistory, "max_age", lambda max_age: lambda self, request, now: 0.0),
+            [("purge", "")],
+        ),
     ],
 )
 def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
-    name, make = fault
-    monkeypatch.setattr(Router, name, make(getattr(Router, name)))
+    owner, name, make = fault
+    monkeypatch.setattr(owner, name, make(getattr(owner, name)))
     assert rule in search(troubles)[0]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,5 @@
 """Small stand-ins for the tables of cases: a writer that records, a director with a small fleet, a
-facade with a clock of its own, and on loopback a node, an event bus and a client.
+coordinator with a clock of its own, and on loopback a node, an event bus and a client.
 """
 
 import itertools
@@ -16,6 +16,13 @@
 from mulleinrelay.coordinator import CancelAttempt, RequestCoordinator
 from mulleinrelay.director import Director
 from mulleinrelay.net import resp, thrift
+from mulleinrelay.policy.events import (
+    AttemptFinished,
+    EndpointEntry,
+    EndpointsUpdated,
+    RequestReceived,
+)
+from mulleinrelay.policy.latency import TrackedEndpoint
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
     Attempt,
@@ -29,7 +36,7 @@
     ServiceSettings,
     SlowStartPolicy,
 )
-from mulleinrelay.policy.router import Router, TrackedEndpoint
+from mulleinrelay.policy.router import Router
 
 CACHE, PARENT, ORIGIN = 0, 2, 3
 HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
@@ -54,7 +61,7 @@
 
 
 class Fleet:
-    """A director before three caches, two parents and an origin; the clock moves with each call."""
+    """A router in front of three caches, two parents and an origin; the clock moves with each call."""
 
     def __init__(
         self,
@@ -62,11 +69,11 @@
         group="all",
         never_kept=False,
         started=None,
-        hub_started=0.0,
+        parents_started=0.0,
         **changes,
     ):
         case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
-        terms = dict(
+        settings = dict(
             request_classes=[case],
             zone=1,
             director_count=3,
@@ -91,9 +98,9 @@
             parent_slow_start=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
             purge_propagation=6000.0,
         )
-        self.terms = ServiceSettings(**(terms | changes))
+        self.settings = ServiceSettings(**(settings | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
-        self.director = Router(self.now, 7, self.terms)
+        self.router = Router(self.now, 7, self.settings)
         self.caches = [TrackedEndpoint(key) for key in (11, 12, 13)]
         self.parents = [TrackedEndpoint(key) for key in (21, 22)]
         self.origin = TrackedEndpoint(31)
@@ -102,22 +109,23 @@
             self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
             for cache in self.caches
         ]
-        rows += [self.row(parent, PARENT, 0, hub_started) for parent in self.parents]
-        self.call("listed", rows + [self.row(self.origin, ORIGIN, 0, None)], True, False)
+        rows += [self.row(parent, PARENT, 0, parents_started) for parent in self.parents]
+        rows.append(self.row(self.origin, ORIGIN, 0, None))
+        self.handle(EndpointsUpdated(rows, True))
 
-    def row(self, member, kind, zone, started=None, state=EndpointState.READY):
-        return (member, state, 6.0, kind, zone, 0, started or 0.0)
+    def row(self, endpoint, kind, zone, started=None, state=EndpointState.READY):
+        return EndpointEntry(endpoint, state, 6.0, kind, zone, 0, started or 0.0)
 
-    def call(self, method, *arguments, after=0.0):
+    def handle(self, event, after=0.0):
         self.now += after
-        self.director.round(self.now, [(method, arguments)], self.out)
+        self.router.handle(self.now, [event], self.out)
 
     def ask(self, key=None, size=1000.0, left=6000.0, after=1.0) -> Request:
         self.now += after
         self.count += 1
         key = key or 1000 + self.count
         request = Request(self.count, self.case, key, 0, 1, size, self.now, self.now + left)
-        self.call("requested", request)
+        self.handle(RequestReceived(request))
         return request
 
     def answer(
@@ -129,8 +137,10 @@
         after=0.0,
         load=None,
     ):
-        closed = outcome == Outcome.SERVED
-        self.call("answered", attempt, outcome, 100.0, closed, note, first_byte, load, after=after)
+        is_complete = outcome == Outcome.SERVED
+        self.handle(
+            AttemptFinished(attempt, outcome, 100.0, is_complete, note, first_byte, load), after
+        )
 
 
 def settings(**changes):
@@ -240,7 +250,7 @@
 
 
 class Stage:
-    """A facade before three caches, two parents and an origin, with a clock that stands until
+    """A coordinator in front of three caches, two parents and an origin, with a clock that stands until
     moved.
     """
 
@@ -248,7 +258,7 @@
         self.now = 100_000.0
         self.terms = parse_service_settings(JsonSection(settings(**changes), ""))
         self.sink = Sink()
-        self.facade = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
+        self.coordinator = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
         self.entries = [
             EndpointUpdate(
                 name,
@@ -262,15 +272,15 @@
             )
             for place, (name, zone, kind) in enumerate(SPOTS)
         ]
-        self.facade.update_endpoints(self.entries, True)
+        self.coordinator.update_endpoints(self.entries, True)
 
     def now_is_real(self):
-        self.facade.clock = lambda: time.monotonic() * 1000.0
-        self.now = self.facade.clock()
+        self.coordinator.clock = lambda: time.monotonic() * 1000.0
+        self.now = self.coordinator.clock()
 
     def take(self, request_class="pages", left=6000.0, room=True) -> Request:
         case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
-        return self.facade.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
+        return self.coordinator.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
 
     def again(self, request):
         """The same request with its first attempt out, for another host of the module."""
@@ -280,14 +290,14 @@
         return twin
 
     def until_verdict(self, request):
-        while isinstance(step := self.facade.next_step(request), SendAttempt | CancelAttempt):
+        while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
     def pass_time(self, span):
         """Runs the timers of a span, each at its time."""
         end = self.now + span
-        while (due := self.facade.run_due_timers()[0]) <= end:
+        while (due := self.coordinator.run_due_timers()[0]) <= end:
             self.now = max(self.now, due)
         self.now = end
 
