--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,13 @@
 from mulleinrelay.lab.fleet.evenness import percentile
 from mulleinrelay.lab.fleet.plan import Scenario, read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
-from mulleinrelay.membership.messages import Codec, Kind, State, UnusableError, Word
+from mulleinrelay.membership.messages import (
+    DatagramCodec,
+    InvalidDatagramError,
+    MemberState,
+    MemberUpdate,
+    MessageKind,
+)
 from mulleinrelay.records import read_states
 
 from .versions import ROOT
@@ -183,9 +189,9 @@
     """Datagrams with some bits turned, cut short or made up: how many of so many are taken."""
     import random
 
-    draw, codec, taken = random.Random(f"{seed}-fuzz"), Codec("lab", b"a key of ours"), 0
-    me = Word("n1", "127.0.0.1", 7001, "north", 17, 0, State.ALIVE)
-    good = [codec.encode(Kind(kind), kind, me, me, [me] * (2 * kind)) for kind in range(6)]
+    draw, codec, taken = random.Random(f"{seed}-fuzz"), DatagramCodec("lab", b"a key of ours"), 0
+    me = MemberUpdate("n1", "127.0.0.1", 7001, "north", 17, 0, MemberState.ALIVE)
+    good = [codec.encode(MessageKind(kind), kind, me, me, [me] * (2 * kind)) for kind in range(6)]
     for number in range(count):
         data = bytearray(draw.choice(good))
         how = number % 3
@@ -201,7 +207,7 @@
         try:
             codec.decode(bytes(data))
             taken += 1
-        except UnusableError:
+        except InvalidDatagramError:
             pass
     return taken
 
@@ -217,7 +223,7 @@
     words = [core.view.own for core in net.cores.values()]
     for core in net.cores.values():
         for word in words:
-            core.view.merge(0.0, word, word.who)
+            core.view.merge(0.0, word, word.member_id)
         core.view.telling.clear()
         core.view.events.clear()
     net.run(2.0)
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -29,7 +29,7 @@
 Who = tuple[str, str, int]
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class LeaseMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One word on one limit: `kind` a(sk), l(end) or b(ack); `life`: of the borrower."""
 
     limit: str
@@ -72,7 +72,10 @@
         self.random, self.life, self.due = random, life, now
         self.offset, self.guard = offset, guard or nullcontext()
         self.limits: dict[str, Limit] = {}
-        self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(list[Said])
+        self.encoder, self.decoder = (
+            msgspec.msgpack.Encoder(),
+            msgspec.msgpack.Decoder(list[LeaseMessage]),
+        )
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
 
     def add(
@@ -128,7 +131,7 @@
         )
         share.fraction = ledger.usable(now) / GRAINS
 
-    def _heard(self, now: float, who: Who, limit: Limit, one: Said) -> Said | None:
+    def _heard(self, now: float, who: Who, limit: Limit, one: LeaseMessage) -> LeaseMessage | None:
         ledger = limit.ledger
         if one.kind == "a":
             self._look(now, limit)
@@ -139,7 +142,7 @@
             if lend is None:
                 return None
             self.counts["lent"] += not one.renews
-            return Said(limit.name, "l", one.life, lend.number, lend.grains)
+            return LeaseMessage(limit.name, "l", one.life, lend.number, lend.grains)
         if one.kind == "l":
             self.counts["borrowed"] += ledger.answered(
                 now, who, one.life, Lend(one.number, one.grains)
@@ -165,7 +168,7 @@
         """Grains that this director has used of late, or is about to want."""
         return math.ceil(GRAINS * max(*limit.used, limit.wanted))
 
-    def _renew(self, now: float, limit: Limit, out: dict[Who, list[Said]]) -> None:
+    def _renew(self, now: float, limit: Limit, out: dict[Who, list[LeaseMessage]]) -> None:
         ledger, wanted = limit.ledger, math.ceil(GRAINS * limit.wanted)
         ledger.age(now)
         over = ledger.usable(now) - wanted
@@ -175,15 +178,21 @@
                 over -= held.grains
                 ledger.give_back(number)
                 self.counts["given back"] += 1
-                out.setdefault(held.lender, []).append(Said(limit.name, "b", ledger.life, number))
+                out.setdefault(held.lender, []).append(
+                    LeaseMessage(limit.name, "b", ledger.life, number)
+                )
             elif now > held.until - RENEW_AT * LEASE and number not in asking:
                 ask = ledger.ask(now, held.lender, held.grains, number)
                 out.setdefault(held.lender, []).append(
-                    Said(limit.name, "a", ledger.life, ask.number, ask.grains, ask.renews)
+                    LeaseMessage(limit.name, "a", ledger.life, ask.number, ask.grains, ask.renews)
                 )
 
     def _fetch(
-        self, now: float, limit: Limit, out: dict[Who, list[Said]], others: list[tuple[Who, str]]
+        self,
+        now: float,
+        limit: Limit,
+        out: dict[Who, list[LeaseMessage]],
+        others: list[tuple[Who, str]],
     ) -> None:
         """Before it is needed: up to what is wanted, from some others at a time."""
         ledger = limit.ledger
@@ -202,7 +211,7 @@
             ask = ledger.ask(now, who, missing)
             self.counts["asked"] += 1
             out.setdefault(who, []).append(
-                Said(limit.name, "a", ledger.life, ask.number, ask.grains)
+                LeaseMessage(limit.name, "a", ledger.life, ask.number, ask.grains)
             )
 
     def status(self, now: float) -> dict:
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -148,7 +148,7 @@
             with self.lock:
                 status = self.controller.status(now)
             told, self.told = self.told, []
-            if word := self.records.keep(status, told):
+            if word := self.records.write(status, told):
                 self._say([word])
 
     def _changed(self, caches: list[tuple[str, Any, float]]) -> bool:
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -31,12 +31,12 @@
     except ConfigError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(WRONG_FILE)
-    if not own.records or not os.path.isdir(own.records):
+    if not own.records_folder or not os.path.isdir(own.records_folder):
         click.echo(
             f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True
         )
         sys.exit(FAILED)
-    return own.records
+    return own.records_folder
 
 
 @fleet.command()
--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -20,9 +20,9 @@
     announce: Address  # where others find this one
     location: str
     seeds: list[Address]
-    members_most: int
-    records: str  # folder; empty: none are kept
-    share_cold: bool = (
+    max_members: int
+    records_folder: str  # folder; empty: none are kept
+    shares_slow_start_quota: bool = (
         False  # parts of what cold caches and parents may be sent are lent among directors
     )
 
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from .messages import State, Word
+from .messages import MemberState, MemberUpdate
 
 Who = tuple[str, str, int]
 TOLD = 2.0  # times a word is passed on, by log2 of the fleet
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class MemberRecord:
-    word: Word
+    word: MemberUpdate
     since: float  # of this state
     doubters: set[Who] = field(default_factory=set)  # who said so, of a suspicion
     heard: float = 0.0  # last datagram of its own
@@ -34,13 +34,13 @@
     """
 
     what: str
-    word: Word
+    word: MemberUpdate
 
 
 class MemberTable:
     """All records but the own, at most `most`."""
 
-    def __init__(self, own: Word, most: int, random: Random) -> None:
+    def __init__(self, own: MemberUpdate, most: int, random: Random) -> None:
         self.own, self.most, self.random = own, most, random
         self.records: dict[Who, MemberRecord] = {}
         self.telling: dict[Who, list[float]] = {}  # words still to be passed on: how often each was
@@ -49,39 +49,44 @@
 
     def size(self) -> int:
         """Of the fleet as far as it counts: alive or suspected, this one included."""
-        return 1 + sum(record.word.state <= State.SUSPECT for record in self.records.values())
+        return 1 + sum(record.word.state <= MemberState.SUSPECT for record in self.records.values())
 
-    def present(self) -> list[Word]:
+    def present(self) -> list[MemberUpdate]:
         return [
-            record.word for record in self.records.values() if record.word.state <= State.SUSPECT
+            record.word
+            for record in self.records.values()
+            if record.word.state <= MemberState.SUSPECT
         ]
 
-    def merge(self, now: float, word: Word, by: Who) -> bool:
+    def merge(self, now: float, word: MemberUpdate, by: Who) -> bool:
         """Whether it is news. `by`: who says so."""
-        if word.who == self.own.who:
+        if word.member_id == self.own.member_id:
             return self._of_self(word)
-        record = self.records.get(word.who)
+        record = self.records.get(word.member_id)
         if record is None:
             return self._new(now, word, by)
         before = record.word
-        if word.weight < before.weight:
+        if word.precedence < before.precedence:
             return False
-        if word.weight == before.weight:
-            if word.state == State.SUSPECT and by not in record.doubters:
+        if word.precedence == before.precedence:
+            if word.state == MemberState.SUSPECT and by not in record.doubters:
                 record.doubters.add(by)  # one more who says so: it counts as dead the sooner
-                self.tell(word.who)
+                self.tell(word.member_id)
                 return True
             return False
         record.word = word
-        if word.state != before.state or word.life != before.life:
+        if word.state != before.state or word.incarnation != before.incarnation:
             record.checks = 0
-            record.since, record.doubters = now, {by} if word.state == State.SUSPECT else set()
+            record.since, record.doubters = (
+                now,
+                {by} if word.state == MemberState.SUSPECT else set(),
+            )
             self._say(before, word)
-        self.tell(word.who)
+        self.tell(word.member_id)
         return True
 
-    def _new(self, now: float, word: Word, by: Who) -> bool:
-        if word.state >= State.DEAD:  # never heard of, and gone already
+    def _new(self, now: float, word: MemberUpdate, by: Who) -> bool:
+        if word.state >= MemberState.DEAD:  # never heard of, and gone already
             return False
         if len(self.records) >= self.most and not self._make_room():
             self.refused += 1
@@ -89,65 +94,83 @@
         same = [
             other
             for other in self.records.values()
-            if other.word.name == word.name and other.word.state <= State.SUSPECT
+            if other.word.name == word.name and other.word.state <= MemberState.SUSPECT
         ]
-        self.records[word.who] = MemberRecord(
-            word, now, {by} if word.state == State.SUSPECT else set()
+        self.records[word.member_id] = MemberRecord(
+            word, now, {by} if word.state == MemberState.SUSPECT else set()
         )
         self.events.append(Event("joined", word))
         if same or word.name == self.own.name:
             self.events.append(Event("two of one name", word))
-        self.tell(word.who)
+        self.tell(word.member_id)
         return True
 
     def _make_room(self) -> bool:
-        gone = [who for who, record in self.records.items() if record.word.state >= State.DEAD]
+        gone = [
+            who for who, record in self.records.items() if record.word.state >= MemberState.DEAD
+        ]
         if gone:
             self.forget(min(gone, key=lambda who: self.records[who].since))
         return bool(gone)
 
-    def _of_self(self, word: Word) -> bool:
+    def _of_self(self, word: MemberUpdate) -> bool:
         """What others say of this director: a doubt is denied; a greater life is outlived, as it is
         one of its own from before a restart with a clock that was ahead.
         """
         own = self.own
-        if word.life > own.life:
-            self.own = Word(own.name, own.host, own.port, own.location, word.life + 1, 0, own.state)
+        if word.incarnation > own.incarnation:
+            self.own = MemberUpdate(
+                own.name, own.host, own.port, own.location, word.incarnation + 1, 0, own.state
+            )
         elif (
-            word.life == own.life
-            and word.state > State.ALIVE
-            and own.state == State.ALIVE
-            and word.count >= own.count
+            word.incarnation == own.incarnation
+            and word.state > MemberState.ALIVE
+            and own.state == MemberState.ALIVE
+            and word.refutation_count >= own.refutation_count
         ):
-            self.own = Word(
-                own.name, own.host, own.port, own.location, own.life, word.count + 1, own.state
+            self.own = MemberUpdate(
+                own.name,
+                own.host,
+                own.port,
+                own.location,
+                own.incarnation,
+                word.refutation_count + 1,
+                own.state,
             )
             self.events.append(Event("denied", self.own))
         else:
             return False
-        self.tell(self.own.who)
+        self.tell(self.own.member_id)
         return True
 
-    def _say(self, before: Word, word: Word) -> None:
-        if word.life != before.life and word.state <= State.SUSPECT:
+    def _say(self, before: MemberUpdate, word: MemberUpdate) -> None:
+        if word.incarnation != before.incarnation and word.state <= MemberState.SUSPECT:
             what = "started again"
         else:
             what = {
-                State.ALIVE: "alive again",
-                State.SUSPECT: "suspected",
-                State.DEAD: "died",
-                State.LEFT: "left",
+                MemberState.ALIVE: "alive again",
+                MemberState.SUSPECT: "suspected",
+                MemberState.DEAD: "died",
+                MemberState.LEFT: "left",
             }[word.state]
-        if not (what == "alive again" and before.state == State.ALIVE):
+        if not (what == "alive again" and before.state == MemberState.ALIVE):
             self.events.append(Event(what, word))
 
-    def judge(self, now: float, who: Who, state: State) -> None:
+    def judge(self, now: float, who: Who, state: MemberState) -> None:
         """This director's own word on another of the same life and count."""
         held = self.records[who].word
         self.merge(
             now,
-            Word(held.name, held.host, held.port, held.location, held.life, held.count, state),
-            self.own.who,
+            MemberUpdate(
+                held.name,
+                held.host,
+                held.port,
+                held.location,
+                held.incarnation,
+                held.refutation_count,
+                state,
+            ),
+            self.own.member_id,
         )
 
     def forget(self, who: Who) -> None:
@@ -157,7 +180,7 @@
     def age(self, now: float) -> None:
         """What has long gone is forgotten."""
         for who, record in list(self.records.items()):
-            if record.word.state >= State.DEAD and now > record.since + REMEMBERED:
+            if record.word.state >= MemberState.DEAD and now > record.since + REMEMBERED:
                 self.events.append(Event("forgotten", record.word))
                 self.forget(who)
 
@@ -166,13 +189,13 @@
     def tell(self, who: Who) -> None:
         self.telling[who] = [0.0]
 
-    def word_of(self, who: Who) -> Word | None:
-        if who == self.own.who:
+    def word_of(self, who: Who) -> MemberUpdate | None:
+        if who == self.own.member_id:
             return self.own
         record = self.records.get(who)
         return record.word if record else None
 
-    def to_tell(self, count: int, first: Iterable[Who] = ()) -> list[Word]:
+    def to_tell(self, count: int, first: Iterable[Who] = ()) -> list[MemberUpdate]:
         """So many words, those of `first` before others, then what was told least. Each is told
         some log2 of the fleet times.
         """
@@ -189,7 +212,7 @@
                     del self.telling[who]
         return found
 
-    def page(self, count: int) -> list[Word]:
+    def page(self, count: int) -> list[MemberUpdate]:
         """So many of all that is known, drawn at random."""
         known = list(self.records.values())
         return [record.word for record in self.random.sample(known, min(count, len(known)))]
@@ -202,13 +225,13 @@
             *(
                 record.word
                 for record in self.records.values()
-                if record.word.state <= State.SUSPECT
+                if record.word.state <= MemberState.SUSPECT
             ),
         ]:
             total ^= hash_of(word)
         return total
 
 
-def hash_of(word: Word) -> int:
-    text = f"{word.name}|{word.host}|{word.port}|{word.life}|{word.count}|{int(word.state)}"
+def hash_of(word: MemberUpdate) -> int:
+    text = f"{word.name}|{word.host}|{word.port}|{word.incarnation}|{word.refutation_count}|{int(word.state)}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=6).digest(), "big")
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -14,8 +14,8 @@
 from ..records import DirectorRecords
 from ..structured_log import StructuredLog
 from .config import FleetConfig
-from .messages import LENGTH_MOST, Codec, State, Word
-from .swim import Membership
+from .messages import MAX_DATAGRAM_BYTES, DatagramCodec, MemberState, MemberUpdate
+from .swim import SwimProtocol
 
 if TYPE_CHECKING:
     from ..budgets.quota_exchange import QuotaExchange
@@ -67,21 +67,21 @@
         another.
         """
         self.config, self.name, self.log = own, name, log
-        word = Word(
-            name, own.announce[0], own.announce[1], own.location, int(clock()), 0, State.ALIVE
+        word = MemberUpdate(
+            name, own.announce[0], own.announce[1], own.location, int(clock()), 0, MemberState.ALIVE
         )
         self.lock = threading.Lock()
-        self.core = Membership(
+        self.core = SwimProtocol(
             _now(),
             word,
-            Codec(own.fleet, own.key),
+            DatagramCodec(own.fleet, own.key),
             own.seeds,
             Random(f"{seed}-membership"),
-            own.members_most,
+            own.max_members,
         )
-        if own.share_cold and facade is not None:
-            self.core.companion = share_cold(own, facade, seed, word.life, clock() - _now())
-        self.records = DirectorRecords(own.records, name) if own.records else None
+        if own.shares_slow_start_quota and facade is not None:
+            self.core.companion = share_cold(own, facade, seed, word.incarnation, clock() - _now())
+        self.records = DirectorRecords(own.records_folder, name) if own.records_folder else None
         self.records_due, self.told, self.last = 0.0, [], []
         self.bytes_out = self.bytes_in = 0
         self.ended = threading.Event()
@@ -113,7 +113,7 @@
         self.thread.join(2.0 * LONGEST)
         self.socket.close()
 
-    def present(self) -> list[Word]:
+    def present_members(self) -> list[MemberUpdate]:
         """This director and all others that are alive, or suspected."""
         with self.lock:
             return self.core.present()
@@ -136,7 +136,7 @@
         self.socket.settimeout(min(LONGEST, max(0.002, wait)))
         for _ in range(TOGETHER):
             try:
-                data, address = self.socket.recvfrom(LENGTH_MOST + 1)
+                data, address = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (TimeoutError, BlockingIOError):
                 return
             except OSError as broken:  # an answer that a port refused comes back as an error here
@@ -168,14 +168,14 @@
                 "fleet",
                 text=text,
                 address=f"{event.word.host}:{event.word.port}",
-                life=event.word.life,
+                life=event.word.incarnation,
             )
             self.told.append(text)
             self.last = [*self.last, {"at": round(time.time(), 3), "text": text}][-EVENTS_KEPT:]
         if self.records is not None and (now >= due or due == math.inf):
             self.records_due = now + RECORDS_EVERY
             told, self.told = self.told[-EVENTS_KEPT:], []
-            if word := self.records.keep(self.status(now), told):
+            if word := self.records.write(self.status(now), told):
                 self.log.event("fleet", text=word)
 
     def status(self, now: float) -> dict:
@@ -187,8 +187,8 @@
                     "name": word.name,
                     "address": f"{word.host}:{word.port}",
                     "location": word.location,
-                    "life": word.life,
-                    "denials": word.count,
+                    "life": word.incarnation,
+                    "denials": word.refutation_count,
                     "state": word.state.name.lower(),
                     "for_s": round((now - record.since) / 1000.0, 1),
                     "heard_s": round((now - record.heard) / 1000.0, 1) if record.heard else None,
@@ -202,8 +202,8 @@
                 "name": own.name,
                 "address": f"{own.host}:{own.port}",
                 "location": own.location,
-                "life": own.life,
-                "denials": own.count,
+                "life": own.incarnation,
+                "denials": own.refutation_count,
                 "state": own.state.name.lower(),
                 "unwell": self.core.health,
                 "size": view.size(),
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -14,7 +14,14 @@
 from typing import Protocol
 
 from .member_table import Event, MemberRecord, MemberTable, Who
-from .messages import Codec, Kind, Message, State, UnusableError, Word
+from .messages import (
+    DatagramCodec,
+    InvalidDatagramError,
+    MemberState,
+    MemberUpdate,
+    Message,
+    MessageKind,
+)
 
 PERIOD = 500.0  # of one ping
 ANSWER_WITHIN = 150.0  # until others are asked to ping it
@@ -66,14 +73,14 @@
     weight: tuple[int, int, int] = (0, 0, 0)  # of the word that it would put in doubt
 
 
-class Membership:
+class SwimProtocol:
     """`receive` and `tick` give (address, datagram) pairs; events gather in `view.events`."""
 
     def __init__(
         self,
         now: float,
-        own: Word,
-        codec: Codec,
+        own: MemberUpdate,
+        codec: DatagramCodec,
         seeds: list[Address],
         random: Random,
         most: int = 4000,
@@ -95,7 +102,7 @@
 
     # What others and staff ask
 
-    def present(self) -> list[Word]:
+    def present(self) -> list[MemberUpdate]:
         """This director and all that are alive or only suspected."""
         return [self.view.own, *self.view.present()]
 
@@ -107,7 +114,7 @@
         """When `tick` is wanted, at the latest."""
         due = [self.ping_due, self.sync_due, self.knock_due]
         due += [ping.sent + self._patience() for ping in self.pings.values() if not ping.asked]
-        if any(record.word.state == State.SUSPECT for record in self.view.records.values()):
+        if any(record.word.state == MemberState.SUSPECT for record in self.view.records.values()):
             due.append(self.called + 0.2 * PERIOD)
         return min(due) if self.companion is None else min(*due, self.companion.wake())
 
@@ -121,9 +128,9 @@
             return self._drop("too many") if not self.left else []
         try:
             message = self.codec.decode(data)
-        except UnusableError as wrong:
+        except InvalidDatagramError as wrong:
             return self._drop(str(wrong))
-        if message.sender.who == self.view.own.who:
+        if message.sender.member_id == self.view.own.member_id:
             return self._drop("own")
         return self._heard(now, address, message)
 
@@ -132,68 +139,79 @@
         return []
 
     def _heard(self, now: float, address: Address, message: Message) -> list[tuple[Address, bytes]]:
-        view, by = self.view, message.sender.who
+        view, by = self.view, message.sender.member_id
         view.merge(now, message.sender, by)
         record = view.records.get(by)
-        current = record is not None and record.word.weight[:2] == message.sender.weight[:2]
+        current = record is not None and record.word.precedence[:2] == message.sender.precedence[:2]
         if current:
             record.heard = now
         # One who counts as dead is told so and may deny it; what it says of others may be long
         # past, or come of its hearing nothing
-        trusted = current and record.word.state <= State.SUSPECT
+        trusted = current and record.word.state <= MemberState.SUSPECT
         out: list[tuple[Address, bytes]] = []
-        count, news = (view.own.count, view.own.life), 0
-        for word in message.words:
-            if trusted or word.who == view.own.who:
+        count, news = (view.own.refutation_count, view.own.incarnation), 0
+        for word in message.updates:
+            if trusted or word.member_id == view.own.member_id:
                 if view.merge(now, word, by):
                     news += 1
-                    out += self._warn(word) if word.state == State.SUSPECT else []
-        if message.kind == Kind.PAGE and message.number != view.digest() & 0xFFFFFFFF:
+                    out += self._warn(word) if word.state == MemberState.SUSPECT else []
+        if message.kind == MessageKind.SYNC_PAGE and message.number != view.digest() & 0xFFFFFFFF:
             self.more = MORE_AFTER if news else min(SYNC_EVERY, 1.2 * self.more)
             self.sync_due = min(self.sync_due, now + self.more)
-        if count != (view.own.count, view.own.life):
+        if count != (view.own.refutation_count, view.own.incarnation):
             out += self._deny()
-        if message.kind == Kind.PING:
-            out.append((address, self._datagram(Kind.ACK, message.number, None, by)))
-        elif message.kind == Kind.ACK:
+        if message.kind == MessageKind.PING:
+            out.append((address, self._datagram(MessageKind.ACK, message.number, None, by)))
+        elif message.kind == MessageKind.ACK:
             out += self._answered(message)
-        elif message.kind == Kind.ASK and message.about is not None and trusted:
+        elif message.kind == MessageKind.INDIRECT_PING and message.target is not None and trusted:
             self.number += 1
-            whom = message.about.who
+            whom = message.target.member_id
             self.pings[self.number] = Ping(whom, self.number, now, True, 0, message.number, address)
             out.append(
-                (_address(message.about), self._datagram(Kind.PING, self.number, None, whom))
+                (
+                    _address(message.target),
+                    self._datagram(MessageKind.PING, self.number, None, whom),
+                )
             )
-        elif message.kind == Kind.NONE_HEARD:
+        elif message.kind == MessageKind.NACK:
             if ping := self.pings.get(message.number):
                 ping.none_heard += 1
-        elif message.kind == Kind.PART:
+        elif message.kind == MessageKind.USER_MESSAGE:
             if self.companion is not None and trusted:
-                out += self._along(self.companion.receive(now, by, message.part))
-        elif message.kind == Kind.SYNC:
+                out += self._along(self.companion.receive(now, by, message.payload))
+        elif message.kind == MessageKind.SYNC_REQUEST:
             if message.number != view.digest() & 0xFFFFFFFF:
                 out += self._pages(address, by)
         return out
 
-    def _warn(self, word: Word) -> list[tuple[Address, bytes]]:
+    def _warn(self, word: MemberUpdate) -> list[tuple[Address, bytes]]:
         """Some of those who hear of a doubt tell the doubted one, which may have little time to
         deny it.
         """
-        if word.who == self.view.own.who or self.random.random() * self.view.size() >= TELL_DOUBTED:
+        if (
+            word.member_id == self.view.own.member_id
+            or self.random.random() * self.view.size() >= TELL_DOUBTED
+        ):
             return []
         self.number += 1
-        return [(_address(word), self._datagram(Kind.PING, self.number, None, word.who))]
+        return [
+            (_address(word), self._datagram(MessageKind.PING, self.number, None, word.member_id))
+        ]
 
     def _deny(self) -> list[tuple[Address, bytes]]:
         others = self.view.present()
         return [
-            (_address(word), self._datagram(Kind.ACK, 0, None, word.who))
+            (_address(word), self._datagram(MessageKind.ACK, 0, None, word.member_id))
             for word in self.random.sample(others, min(TELL_DENIAL, len(others)))
         ]
 
     def _along(self, said: list[tuple[Who, bytes]]) -> list[tuple[Address, bytes]]:
         return [
-            ((who[1], who[2]), self.codec.encode(Kind.PART, 0, self.view.own, None, [], part))
+            (
+                (who[1], who[2]),
+                self.codec.encode(MessageKind.USER_MESSAGE, 0, self.view.own, None, [], part),
+            )
             for who, part in said
         ]
 
@@ -202,17 +220,21 @@
         if ping is None:
             return []
         if ping.for_address is not None:  # it was pinged for another, who is told
-            return [(ping.for_address, self._datagram(Kind.ACK, ping.for_number, None, None))]
+            return [
+                (ping.for_address, self._datagram(MessageKind.ACK, ping.for_number, None, None))
+            ]
         self.health = max(0, self.health - 1)
         return []
 
-    def _datagram(self, kind: Kind, number: int, about: Word | None, to: Who | None) -> bytes:
+    def _datagram(
+        self, kind: MessageKind, number: int, about: MemberUpdate | None, to: Who | None
+    ) -> bytes:
         """With the words that are to be passed on; whoever is doubted is told so first."""
         first = []
         if (
             to is not None
             and (record := self.view.records.get(to))
-            and record.word.state > State.ALIVE
+            and record.word.state > MemberState.ALIVE
         ):
             first = [to]
         return self.codec.encode(
@@ -230,11 +252,13 @@
             if known > WORDS * PAGES
             else _split(self.view.page(known), WORDS)
         )
-        if (record := self.view.records.get(to)) is not None and record.word.state > State.ALIVE:
+        if (
+            record := self.view.records.get(to)
+        ) is not None and record.word.state > MemberState.ALIVE:
             pages[0] = [record.word, *pages[0]]
         digest = self.view.digest() & 0xFFFFFFFF
         return [
-            (address, self.codec.encode(Kind.PAGE, digest, self.view.own, None, page))
+            (address, self.codec.encode(MessageKind.SYNC_PAGE, digest, self.view.own, None, page))
             for page in pages
         ]
 
@@ -254,11 +278,11 @@
             out += self._ping(now)
         if self.companion is not None:
             others = [
-                (word.who, word.location)
+                (word.member_id, word.location)
                 for word in self.view.present()
-                if word.state == State.ALIVE
+                if word.state == MemberState.ALIVE
             ]
-            out += self._along(self.companion.step(now, self.view.own.life, others))
+            out += self._along(self.companion.step(now, self.view.own.incarnation, others))
         if now >= self.sync_due:
             out += self._sync(now)
         if now >= self.knock_due:
@@ -274,7 +298,7 @@
         self.health = min(HEALTH_MOST, self.health + 2)
         self.sync_due = now
         for record in self.view.records.values():
-            if record.word.state == State.SUSPECT:
+            if record.word.state == MemberState.SUSPECT:
                 record.since = now
         self.view.events.append(Event("late", self.view.own))
 
@@ -285,18 +309,18 @@
         while self.ring:
             who = self.ring.pop()
             record = self.view.records.get(who)
-            if record is not None and record.word.state <= State.SUSPECT:
+            if record is not None and record.word.state <= MemberState.SUSPECT:
                 break
         else:  # all in turn, in another order each time: nobody waits longer than two rounds
-            self.ring = [word.who for word in self.view.present()]
+            self.ring = [word.member_id for word in self.view.present()]
             self.random.shuffle(self.ring)
             if not self.ring:
                 return []
             who = self.ring.pop()
             record = self.view.records[who]
         self.number += 1
-        self.pings[self.number] = Ping(who, self.number, now, weight=record.word.weight)
-        return [(_address(record.word), self._datagram(Kind.PING, self.number, None, who))]
+        self.pings[self.number] = Ping(who, self.number, now, weight=record.word.precedence)
+        return [(_address(record.word), self._datagram(MessageKind.PING, self.number, None, who))]
 
     def _look_after(self, now: float) -> list[tuple[Address, bytes]]:
         """Pings that brought no answer: others are asked, then it is doubted."""
@@ -306,9 +330,9 @@
             if ping.for_address is not None:
                 if now > ping.sent + PERIOD:
                     del self.pings[number]
-                    told = self._datagram(Kind.NONE_HEARD, ping.for_number, None, None)
+                    told = self._datagram(MessageKind.NACK, ping.for_number, None, None)
                     out.append((ping.for_address, told))
-            elif record is None or record.word.state >= State.DEAD:
+            elif record is None or record.word.state >= MemberState.DEAD:
                 del self.pings[number]
             elif not ping.asked and now > ping.sent + self._patience():
                 ping.asked = True
@@ -318,15 +342,18 @@
                 out += self._doubt(now, ping, record)
         return out
 
-    def _ask(self, ping: Ping, word: Word) -> list[tuple[Address, bytes]]:
+    def _ask(self, ping: Ping, word: MemberUpdate) -> list[tuple[Address, bytes]]:
         others = [
             other
             for other in self.view.present()
-            if other.who != ping.who and other.state == State.ALIVE
+            if other.member_id != ping.who and other.state == MemberState.ALIVE
         ]
-        again = [(_address(word), self._datagram(Kind.PING, ping.number, None, ping.who))]
+        again = [(_address(word), self._datagram(MessageKind.PING, ping.number, None, ping.who))]
         return again + [
-            (_address(other), self._datagram(Kind.ASK, ping.number, word, other.who))
+            (
+                _address(other),
+                self._datagram(MessageKind.INDIRECT_PING, ping.number, word, other.member_id),
+            )
             for other in self.random.sample(others, min(ASKED, len(others)))
         ]
 
@@ -336,29 +363,34 @@
             others > 0 and not ping.none_heard
         ):  # those who were asked said no word either: it may be this one
             self.health = min(HEALTH_MOST, self.health + 1)
-        if record.word.weight == ping.weight and record.word.state == State.ALIVE:
-            self.view.judge(now, ping.who, State.SUSPECT)
-        elif record.word.state == State.SUSPECT:
-            self.view.merge(now, record.word, self.view.own.who)
+        if record.word.precedence == ping.weight and record.word.state == MemberState.ALIVE:
+            self.view.judge(now, ping.who, MemberState.SUSPECT)
+        elif record.word.state == MemberState.SUSPECT:
+            self.view.merge(now, record.word, self.view.own.member_id)
         self.number += 1
-        return [(_address(record.word), self._datagram(Kind.PING, self.number, None, ping.who))]
+        return [
+            (_address(record.word), self._datagram(MessageKind.PING, self.number, None, ping.who))
+        ]
 
     def _bury(self, now: float) -> list[tuple[Address, bytes]]:
         """Doubted ones are asked a last time; those that have not denied it in time have died."""
         least, out = DOUBT_LEAST * max(1.0, math.log10(self.view.size())) * PERIOD, []
         for who, record in list(self.view.records.items()):
-            if record.word.state != State.SUSPECT:
+            if record.word.state != MemberState.SUSPECT:
                 continue
             others = max(1, min(SAY_SO, self.view.size() - 2))
             says = math.log(min(len(record.doubters), others + 1)) / math.log(others + 1)
             due = least * (DOUBT_MOST - (DOUBT_MOST - 1.0) * says) * (1 + self.health)
             if now > record.since + due:
-                self.view.judge(now, who, State.DEAD)
+                self.view.judge(now, who, MemberState.DEAD)
             elif record.checks < len(CHECKS) and now > record.since + CHECKS[record.checks] * due:
                 record.checks += 1
                 self.number += 1
                 out.append(
-                    (_address(record.word), self._datagram(Kind.PING, self.number, None, who))
+                    (
+                        _address(record.word),
+                        self._datagram(MessageKind.PING, self.number, None, who),
+                    )
                 )
         return out
 
@@ -371,7 +403,10 @@
         digest = self.view.digest() & 0xFFFFFFFF
         words = self.view.page(WORDS)
         return [
-            (address, self.codec.encode(Kind.SYNC, digest, self.view.own, None, words))
+            (
+                address,
+                self.codec.encode(MessageKind.SYNC_REQUEST, digest, self.view.own, None, words),
+            )
             for address in to
         ]
 
@@ -384,7 +419,9 @@
         the other gone, and nobody would ask again.
         """
         dead = [
-            record.word for record in self.view.records.values() if record.word.state == State.DEAD
+            record.word
+            for record in self.view.records.values()
+            if record.word.state == MemberState.DEAD
         ]
         known = {_address(word) for word in self.view.present()}
         strange = [seed for seed in self._seeds() if seed not in known]
@@ -396,7 +433,11 @@
                 (
                     _address(word),
                     self.codec.encode(
-                        Kind.SYNC, digest, self.view.own, None, [word, *self.view.page(WORDS - 1)]
+                        MessageKind.SYNC_REQUEST,
+                        digest,
+                        self.view.own,
+                        None,
+                        [word, *self.view.page(WORDS - 1)],
                     ),
                 )
             )
@@ -405,7 +446,7 @@
                 (
                     self.random.choice(strange),
                     self.codec.encode(
-                        Kind.SYNC, digest, self.view.own, None, self.view.page(WORDS)
+                        MessageKind.SYNC_REQUEST, digest, self.view.own, None, self.view.page(WORDS)
                     ),
                 )
             )
@@ -414,20 +455,29 @@
     def leave(self, now: float) -> list[tuple[Address, bytes]]:
         """This director ends: some are told at once, and pass it on."""
         own = self.view.own
-        self.view.own = Word(
-            own.name, own.host, own.port, own.location, own.life, own.count, State.LEFT
+        self.view.own = MemberUpdate(
+            own.name,
+            own.host,
+            own.port,
+            own.location,
+            own.incarnation,
+            own.refutation_count,
+            MemberState.LEFT,
         )
         present = self.view.present()
         self.left = True
         return [
-            (_address(word), self.codec.encode(Kind.ACK, 0, self.view.own, None, [self.view.own]))
+            (
+                _address(word),
+                self.codec.encode(MessageKind.ACK, 0, self.view.own, None, [self.view.own]),
+            )
             for word in self.random.sample(present, min(LEAVES, len(present)))
         ]
 
 
-def _address(word: Word) -> Address:
+def _address(word: MemberUpdate) -> Address:
     return (word.host, word.port)
 
 
-def _split(words: list[Word], length: int) -> list[list[Word]]:
+def _split(words: list[MemberUpdate], length: int) -> list[list[MemberUpdate]]:
     return [words[first : first + length] for first in range(0, len(words), length)] or [[]]
--- a/mulleinrelay/records.py
+++ b/mulleinrelay/records.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-LOG_BYTES = 1_000_000  # then the log begins anew, and the one before is kept
+MAX_LOG_BYTES = 1_000_000  # then the log begins anew, and the one before is kept
 
 
 class DirectorRecords:
@@ -20,7 +20,7 @@
         )
         self.folder, self.wrong = folder, ""
 
-    def keep(self, status: dict, words: list[str]) -> str:
+    def write(self, status: dict, words: list[str]) -> str:
         """Gives a word where writing has just begun to go wrong, or goes well again."""
         before = self.wrong
         try:
@@ -43,7 +43,7 @@
 
     def _append(self, words: list[str]) -> None:
         try:
-            if os.stat(self.log).st_size > LOG_BYTES:
+            if os.stat(self.log).st_size > MAX_LOG_BYTES:
                 os.replace(self.log, f"{self.log}.1")
         except FileNotFoundError:
             pass
--- a/tests/budgets/test_exchange.py
+++ b/tests/budgets/test_exchange.py
@@ -30,7 +30,7 @@
         core, now = self.cores[number], self.clock(number)
         self.shares[number], self.own[number] = QuotaShare(1.0 / len(self.demand)), []
         core.companion = QuotaExchange(
-            now, Random(f"{number}-{self.starts}-rights"), core.view.own.life
+            now, Random(f"{number}-{self.starts}-rights"), core.view.own.incarnation
         )
         core.companion.add(now, "cold", len(self.demand), SPAN, self.shares[number], "")
 
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -125,7 +125,7 @@
     for name in ("n1", "n2"):
         kept = records.DirectorRecords(folder, name)
         assert (
-            kept.keep(
+            kept.write(
                 ruled.governor.status(1.0) | {"version": 1 if name == "n1" else 9},
                 ["cell north lost"],
             )
@@ -145,16 +145,16 @@
 def test_records_that_cannot_be_written_are_told_of_once(tmp_path):
     (tmp_path / "records").write_text("a file")
     kept = records.DirectorRecords(str(tmp_path / "records"), "n1")
-    assert kept.keep({}, []).startswith("records cannot be written") and kept.keep({}, []) == ""
+    assert kept.write({}, []).startswith("records cannot be written") and kept.write({}, []) == ""
     (tmp_path / "records").unlink()
-    assert kept.keep({}, []) == "records are written again"
+    assert kept.write({}, []) == "records are written again"
 
 
 def test_a_log_begins_anew_when_it_is_long(tmp_path, monkeypatch):
-    monkeypatch.setattr(records, "LOG_BYTES", 200)
+    monkeypatch.setattr(records, "MAX_LOG_BYTES", 200)
     kept = records.DirectorRecords(str(tmp_path), "n1")
     for number in range(20):
-        kept.keep({}, [f"word {number}"])
+        kept.write({}, [f"word {number}"])
     lines = records.read_logs(str(tmp_path))
     assert lines[-1]["text"] == "word 19" and len(lines) < 20
 
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -6,8 +6,8 @@
 import itertools
 from random import Random
 
-from mulleinrelay.membership.messages import Codec, State, Word
-from mulleinrelay.membership.swim import Membership
+from mulleinrelay.membership.messages import DatagramCodec, MemberState, MemberUpdate
+from mulleinrelay.membership.swim import SwimProtocol
 
 
 class Net:
@@ -27,12 +27,14 @@
     def start(self, number, life=None):
         self.starts += 1
         life = life or int(1000 + self.now)
-        own = Word(f"n{number}", "10.0.0.1", 7001 + number, "north", life, 0, State.ALIVE)
+        own = MemberUpdate(
+            f"n{number}", "10.0.0.1", 7001 + number, "north", life, 0, MemberState.ALIVE
+        )
         self.killed.discard(number)
-        self.cores[number] = Membership(
+        self.cores[number] = SwimProtocol(
             self.clock(number),
             own,
-            Codec("lab", b"key"),
+            DatagramCodec("lab", b"key"),
             self.seeds,
             Random(f"{number}-{self.starts}"),
         )
@@ -114,7 +116,7 @@
 
     # What they believe
 
-    def sees(self, number, states=(State.ALIVE,)):
+    def sees(self, number, states=(MemberState.ALIVE,)):
         """Whom one takes for one of these."""
         return {
             int(record.word.name[1:])
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -3,7 +3,7 @@
 import pytest
 from net import Net
 
-from mulleinrelay.membership.messages import State
+from mulleinrelay.membership.messages import MemberState
 
 
 def test_all_know_all_from_two_seeds_within_seconds():
@@ -16,7 +16,7 @@
     """How many each of 30 takes for alive at the end, and how often one was called dead."""
     net = Net(30, 3, loss, doubled, jitter)
     net.run(120)
-    there = (State.ALIVE, State.SUSPECT)  # at any moment somebody is doubted
+    there = (MemberState.ALIVE, MemberState.SUSPECT)  # at any moment somebody is doubted
     return [len(net.sees(one, there)) for one in range(30)], len(net.said("died"))
 
 
@@ -78,7 +78,7 @@
     net.run(12)
     net.start(7, life=5)
     net.run(12)
-    assert net.agree() and net.cores[7].view.own.life > 1000
+    assert net.agree() and net.cores[7].view.own.incarnation > 1000
 
 
 def test_one_that_was_stopped_judges_nobody_by_its_old_view():
@@ -86,7 +86,7 @@
     net.run(10)
     net.stop(4)
     net.run(9)
-    assert all(4 in net.sees(one, (State.DEAD,)) for one in range(20) if one != 4)
+    assert all(4 in net.sees(one, (MemberState.DEAD,)) for one in range(20) if one != 4)
     died = len(net.said("died"))
     net.go_on(4)
     net.run(10)
@@ -138,7 +138,10 @@
     twin = net.cores[5].view.own
     net.cores[5].view.own = type(twin)(
         "n4",
-        *[getattr(twin, key) for key in ("host", "port", "location", "life", "count", "state")],
+        *[
+            getattr(twin, key)
+            for key in ("host", "port", "location", "incarnation", "refutation_count", "state")
+        ],
     )
     net.run(8)
     assert len({number for _, number, _ in net.said("two of one name")}) == 6
@@ -181,7 +184,7 @@
     words = [core.view.own for core in net.cores.values()]
     for core in net.cores.values():  # a fleet that has long been there
         for word in words:
-            core.view.merge(0.0, word, word.who)
+            core.view.merge(0.0, word, word.member_id)
         core.view.telling.clear()
     net.run(1)
     net.start(150)
--- a/tests/membership/test_own.py
+++ b/tests/membership/test_own.py
@@ -11,7 +11,7 @@
 
 def test_the_deployed_file_is_off_and_holds_every_key():
     own = load_fleet_config(DEPLOY)
-    assert not own.enabled and not own.share_cold and own.seeds
+    assert not own.enabled and not own.shares_slow_start_quota and own.seeds
 
 
 @pytest.mark.parametrize(
@@ -37,4 +37,8 @@
     own = parse_fleet_config(
         ON + "records = kept\nlisten = 10.0.0.1:5\n[budgets]\ncold = yes\n", "/var/fleet"
     )
-    assert own.records == "/var/fleet/kept" and own.announce == ("10.0.0.1", 5) and own.share_cold
+    assert (
+        own.records_folder == "/var/fleet/kept"
+        and own.announce == ("10.0.0.1", 5)
+        and own.shares_slow_start_quota
+    )
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from mulleinrelay.membership.member_table import REMEMBERED, MemberTable
-from mulleinrelay.membership.messages import State, Word
+from mulleinrelay.membership.messages import MemberState, MemberUpdate
 
-ME = Word("me", "h", 1, "here", 5, 0, State.ALIVE)
+ME = MemberUpdate("me", "h", 1, "here", 5, 0, MemberState.ALIVE)
 BY = ("by", "h", 9)
 
 
@@ -17,12 +17,12 @@
     return MemberTable(ME, most, Random(1))
 
 
-def word(number=2, life=5, count=0, state=State.ALIVE, name=None):
-    return Word(name or f"n{number}", "h", number, "here", life, count, state)
+def word(number=2, life=5, count=0, state=MemberState.ALIVE, name=None):
+    return MemberUpdate(name or f"n{number}", "h", number, "here", life, count, state)
 
 
 WORDS = st.builds(
-    word, st.integers(2, 4), st.integers(1, 3), st.integers(0, 2), st.sampled_from(State)
+    word, st.integers(2, 4), st.integers(1, 3), st.integers(0, 2), st.sampled_from(MemberState)
 )
 
 
@@ -42,52 +42,58 @@
         draw.shuffle(words)
     assert found[0] == found[1]
     for who, one in found[0].items():
-        assert one.weight == max(other.weight for other in known + words if other.who == who)
+        assert one.precedence == max(
+            other.precedence for other in known + words if other.member_id == who
+        )
 
 
 @pytest.mark.parametrize(
     "said, life, count",
     [
-        (dict(state=State.SUSPECT), 5, 1),
-        (dict(state=State.DEAD), 5, 1),
-        (dict(state=State.SUSPECT, count=7), 5, 8),
+        (dict(state=MemberState.SUSPECT), 5, 1),
+        (dict(state=MemberState.DEAD), 5, 1),
+        (dict(state=MemberState.SUSPECT, refutation_count=7), 5, 8),
         (dict(), 5, 0),
-        (dict(life=3, state=State.DEAD), 5, 0),  # of an earlier life
-        (dict(life=9), 10, 0),
+        (dict(incarnation=3, state=MemberState.DEAD), 5, 0),  # of an earlier life
+        (dict(incarnation=9), 10, 0),
     ],
 )  # from before a restart with a clock that was ahead
 def test_what_is_said_of_oneself_is_denied_or_outlived(said, life, count):
     held = view()
     held.merge(
         0.0,
-        Word(
+        MemberUpdate(
             **(
                 {
                     "name": "me",
                     "host": "h",
                     "port": 1,
                     "location": "here",
-                    "life": 5,
-                    "count": 0,
-                    "state": State.ALIVE,
+                    "incarnation": 5,
+                    "refutation_count": 0,
+                    "state": MemberState.ALIVE,
                 }
                 | said
             )
         ),
         BY,
     )
-    assert (held.own.life, held.own.count, held.own.state) == (life, count, State.ALIVE)
+    assert (held.own.incarnation, held.own.refutation_count, held.own.state) == (
+        life,
+        count,
+        MemberState.ALIVE,
+    )
 
 
 def test_what_has_gone_is_not_brought_back_by_an_old_word_and_is_forgotten_in_the_end():
     held = view()
     held.merge(0.0, word(), BY)
-    held.merge(1.0, word(state=State.DEAD), BY)
+    held.merge(1.0, word(state=MemberState.DEAD), BY)
     assert not held.merge(2.0, word(), BY) and held.size() == 1
     held.age(REMEMBERED)
     assert held.records
     held.age(REMEMBERED + 2.0)
-    assert not held.records and not held.merge(0.0, word(state=State.LEFT), BY)
+    assert not held.records and not held.merge(0.0, word(state=MemberState.LEFT), BY)
 
 
 def test_there_is_a_bound_to_whom_is_kept_track_of():
@@ -95,7 +101,7 @@
     for number in range(2, 40):
         held.merge(0.0, word(number), BY)
     assert len(held.records) == 5 and held.refused == 33
-    held.merge(1.0, word(2, state=State.DEAD), BY)
+    held.merge(1.0, word(2, state=MemberState.DEAD), BY)
     assert held.merge(2.0, word(90), BY) and len(held.records) == 5  # what has gone makes room
 
 
@@ -111,12 +117,12 @@
     held = view()
     for number in range(2, 12):
         held.merge(0.0, word(number), BY)
-    told = [one.who for _ in range(40) for one in held.to_tell(4)]
+    told = [one.member_id for _ in range(40) for one in held.to_tell(4)]
     assert {told.count(who) for who in held.records} == {
         8
     } and not held.telling  # 2 log2(12), rounded up
-    held.merge(1.0, word(5, state=State.SUSPECT), BY)
-    assert held.to_tell(3) == [word(5, state=State.SUSPECT)]
+    held.merge(1.0, word(5, state=MemberState.SUSPECT), BY)
+    assert held.to_tell(3) == [word(5, state=MemberState.SUSPECT)]
 
 
 def test_the_digest_is_of_the_knowledge_alone():
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -20,7 +20,7 @@
 from mulleinrelay.management.drain_intent import wants
 from mulleinrelay.management.yang_model import Model
 from mulleinrelay.membership.config import load_fleet_config
-from mulleinrelay.membership.messages import Codec, Kind, State
+from mulleinrelay.membership.messages import DatagramCodec, MemberState, MessageKind
 
 # INI keys with the attributes that hold them, where these differ
 CELLS_KEYS = "enabled tenant_field read_every_ms=poll_interval"
@@ -29,7 +29,8 @@
 MANAGEMENT_KEYS = "enabled listen"
 MANAGEMENT_PATHS = ("state_dir", "certificate", "key", "clients_ca")
 MANAGEMENT_LIMITS = "subscribers=subscribers_most queue=queue_most message_kb calls=calls_most"
-FLEET_KEYS = "enabled name=fleet location members_most"
+FLEET_KEYS = "enabled name=fleet location members_most=max_members"
+FLEET_PATHS = {"records": "records_folder"}
 LAB_KEYS = "seconds directors seed cells management"
 LAB_FLEET_KEYS = """caches parents capacity fill_cost hit_ms=hit_delay fill_ms=fill_delay
     origin_ms=origin_delay origin_capacity cold_from cold_ms=cold_for falls parent_holds"""
@@ -49,19 +50,19 @@
     other"""
 
 KINDS = {
-    "ping": Kind.PING,
-    "ack": Kind.ACK,
-    "ask": Kind.ASK,
-    "none-heard": Kind.NONE_HEARD,
-    "sync": Kind.SYNC,
-    "page": Kind.PAGE,
-    "part": Kind.PART,
+    "ping": MessageKind.PING,
+    "ack": MessageKind.ACK,
+    "ask": MessageKind.INDIRECT_PING,
+    "none-heard": MessageKind.NACK,
+    "sync": MessageKind.SYNC_REQUEST,
+    "page": MessageKind.SYNC_PAGE,
+    "part": MessageKind.USER_MESSAGE,
 }
 STATES = {
-    "alive": State.ALIVE,
-    "suspect": State.SUSPECT,
-    "dead": State.DEAD,
-    "left": State.LEFT,
+    "alive": MemberState.ALIVE,
+    "suspect": MemberState.SUSPECT,
+    "dead": MemberState.DEAD,
+    "left": MemberState.LEFT,
 }
 
 
@@ -183,10 +184,18 @@
 def datagram(fleet: str, key: bytes, data: bytes) -> list[Any]:
     """The fields on the wire in their order: version, fleet, kind, number, sender, about, words,
     part; each word: name, host, port, location, life, count, state."""
-    held = Codec(fleet, key).decode(data)
+    held = DatagramCodec(fleet, key).decode(data)
 
     def word(one: Any) -> list[Any]:
-        return [one.name, one.host, one.port, one.location, one.life, one.count, int(one.state)]
+        return [
+            one.name,
+            one.host,
+            one.port,
+            one.location,
+            one.incarnation,
+            one.refutation_count,
+            int(one.state),
+        ]
 
     return [
         held.version,
@@ -194,17 +203,19 @@
         int(held.kind),
         held.number,
         word(held.sender),
-        word(held.about) if held.about is not None else None,
-        [word(one) for one in held.words],
-        held.part.hex(),
+        word(held.target) if held.target is not None else None,
+        [word(one) for one in held.updates],
+        held.payload.hex(),
     ]
 
 
 def datagram_written(fleet: str, key: bytes, data: bytes) -> bytes:
     """The datagram that the program makes of what it has read."""
-    codec = Codec(fleet, key)
+    codec = DatagramCodec(fleet, key)
     held = codec.decode(data)
-    return codec.encode(held.kind, held.number, held.sender, held.about, held.words, held.part)
+    return codec.encode(
+        held.kind, held.number, held.sender, held.target, held.updates, held.payload
+    )
 
 
 def _exchange() -> QuotaExchange:
@@ -258,10 +269,10 @@
         "announce": host_and_port(held.announce),
         "seeds": [host_and_port(seed) for seed in held.seeds],
     }
-    paths = paths_in(held, ("records",), os.path.dirname(path))
+    paths = paths_in(held, ("records",), os.path.dirname(path), FLEET_PATHS)
     return {
         "fleet": named(held, FLEET_KEYS) | others | paths,
-        "budgets": {"cold": held.share_cold},
+        "budgets": {"cold": held.shares_slow_start_quota},
     }
 
 
