--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -1,78 +1,117 @@
-"""Our own file for talk among directors: where this one is heard, whom it asks first. Pure but for
-`load_own`."""
+"""The INI file of a director's membership: its address, its seeds, its records (`--fleet FILE`).
+
+Sections `[fleet]` and `[budgets]`; deploy/fleet.ini explains each key.
+"""
 
 import os
 from dataclasses import dataclass
 
-from ..config.ini import NAME_PATTERN, IniSection, load_ini, parse_sections
-from ..errors import ConfigError
+from ..config.ini import (
+    NAME_PATTERN,
+    Address,
+    IniSection,
+    load_ini,
+    parse_sections,
+    reject_unknown_sections,
+)
 
-Address = tuple[str, int]
-KEY_LEAST = 8  # characters
+SECTIONS = ("fleet", "budgets")
+MIN_KEY_CHARS = 8
+DEFAULT_MAX_MEMBERS = 4_000
+MAX_MEMBERS_LIMIT = 100_000
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # addresses to listen at, at which nobody can be reached
 
 
 @dataclass(slots=True, frozen=True)
 class FleetConfig:
+    """Configuration of one director's membership.
+
+    Attributes:
+        enabled: Whether the director takes part in membership at all.
+        fleet: Name of the fleet; datagrams of others are dropped.
+        key: Secret that all directors of the fleet share.
+        listen: Address at which datagrams are received.
+        announce: Address at which other directors reach this one.
+        location: Location (zone) of this director.
+        seeds: Directors that are asked first, while no other is known.
+        max_members: Bound on the members that are remembered.
+        records_folder: Folder of the records for operators' commands; empty: none are written.
+        shares_slow_start_quota: Whether the limits on caches and parents that are warming up are
+            lent among directors.
+    """
+
     enabled: bool
     fleet: str
     key: bytes
     listen: Address
-    announce: Address  # where others find this one
+    announce: Address
     location: str
     seeds: list[Address]
     max_members: int
-    records_folder: str  # folder; empty: none are kept
-    shares_slow_start_quota: bool = (
-        False  # parts of what cold caches and parents may be sent are lent among directors
-    )
+    records_folder: str
+    shares_slow_start_quota: bool = False
 
 
-def address(keys: IniSection, key: str, text: str) -> Address:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise keys.error(key, f"host:port is wanted, not {text!r}")
-    return host, int(port)
+def parse_fleet_config(text: str, folder: str) -> FleetConfig:
+    """Parses the text of the file.
 
+    Args:
+        text: The text.
+        folder: Folder from which relative paths are taken.
 
-def parse_fleet_config(text: str, folder: str) -> FleetConfig:
-    """Paths are taken from `folder`. Raises ConfigError."""
-    found = parse_sections(text)
-    for title in found:
-        if title not in ("fleet", "budgets"):
-            raise ConfigError(f"[{title}]: an unknown section; known are fleet, budgets")
-    keys, budgets = (
-        IniSection("fleet", found.get("fleet", {})),
-        IniSection("budgets", found.get("budgets", {})),
+    Raises:
+        ConfigError: If the text cannot be used.
+    """
+    sections = parse_sections(text)
+    reject_unknown_sections(sections, SECTIONS)
+    fleet = IniSection("fleet", sections.get("fleet", {}))
+    budgets = IniSection("budgets", sections.get("budgets", {}))
+    enabled = fleet.flag("enabled", False)
+    listen = fleet.address("listen", fleet.text("listen", "127.0.0.1:7946"))
+    name = _parse_name(fleet, "name", "fleet")
+    location = _parse_name(fleet, "location", "here")
+    records = fleet.text("records", "")
+    key = _parse_key(fleet, enabled)
+    announce = fleet.address("announce", fleet.text("announce", f"{listen[0]}:{listen[1]}"))
+    if enabled and announce[0] in WILDCARD_HOSTS:
+        reason = "an address at which others find this director is wanted"
+        raise fleet.error("announce", reason)
+    config = FleetConfig(
+        enabled=enabled,
+        fleet=name,
+        key=key,
+        listen=listen,
+        announce=announce,
+        location=location,
+        seeds=[fleet.address("seeds", seed) for seed in fleet.text("seeds", "").split()],
+        max_members=fleet.integer("members_most", DEFAULT_MAX_MEMBERS, MAX_MEMBERS_LIMIT) or 1,
+        records_folder=os.path.join(folder, records) if records else "",
+        shares_slow_start_quota=budgets.flag("cold", False),
     )
-    enabled = keys.flag("enabled", False)
-    listen = address(keys, "listen", keys.text("listen", "127.0.0.1:7946"))
-    name, location = keys.text("name", "fleet"), keys.text("location", "here")
-    for key, value in (("name", name), ("location", location)):
-        if not NAME_PATTERN.fullmatch(value):
-            raise keys.error(key, f"{value!r} is no name")
-    secret, records = keys.text("key", ""), keys.text("records", "")
-    if enabled and len(secret) < KEY_LEAST:
-        raise keys.error("key", f"{KEY_LEAST} characters or more are wanted where enabled = yes")
-    announce = address(keys, "announce", keys.text("announce", f"{listen[0]}:{listen[1]}"))
-    if enabled and announce[0] in ("0.0.0.0", "::"):
-        raise keys.error("announce", "an address at which others find this director is wanted")
-    own = FleetConfig(
-        enabled,
-        name,
-        secret.encode(),
-        listen,
-        announce,
-        location,
-        [address(keys, "seeds", seed) for seed in keys.text("seeds", "").split()],
-        keys.integer("members_most", 4_000, 100_000) or 1,
-        os.path.join(folder, records) if records else "",
-        budgets.flag("cold", False),
-    )
-    keys.reject_unknown_keys()
+    fleet.reject_unknown_keys()
     budgets.reject_unknown_keys()
-    return own
+    return config
+
+
+def _parse_name(section: IniSection, key: str, default: str) -> str:
+    name = section.text(key, default)
+    if not NAME_PATTERN.fullmatch(name):
+        raise section.error(key, f"{name!r} is no name")
+    return name
+
+
+def _parse_key(section: IniSection, enabled: bool) -> bytes:
+    key = section.text("key", "")
+    if enabled and len(key) < MIN_KEY_CHARS:
+        reason = f"{MIN_KEY_CHARS} characters or more are wanted where enabled = yes"
+        raise section.error("key", reason)
+    return key.encode()
 
 
 def load_fleet_config(path: str) -> FleetConfig:
-    """Raises ConfigError."""
+    """Reads and parses the file.
+
+    Raises:
+        ConfigError: If the file cannot be read or used.
+    """
     return load_ini(path, parse_fleet_config)
