--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -217,19 +217,19 @@
     time.
     """
     sys.path.insert(0, os.path.join(ROOT, "tests", "membership"))
-    from net import Net
+    from simulated_fleet import SimulatedFleet
 
-    net = Net(count)
-    words = [core.view.own for core in net.cores.values()]
-    for core in net.cores.values():
-        for word in words:
-            core.view.merge(0.0, word, word.member_id)
-        core.view.telling.clear()
-        core.view.events.clear()
-    net.run(2.0)
-    before = net.sent_bytes
-    net.run(seconds)
-    return round((net.sent_bytes - before) / count / seconds)
+    fleet = SimulatedFleet(count)
+    updates = [core.table.local for core in fleet.cores.values()]
+    for core in fleet.cores.values():
+        for update in updates:
+            core.table.merge(0.0, update, update.member_id)
+        core.table.broadcasts.clear()
+        core.table.events.clear()
+    fleet.run(2.0)
+    before = fleet.sent_bytes
+    fleet.run(seconds)
+    return round((fleet.sent_bytes - before) / count / seconds)
 
 
 @click.command()
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -1,246 +1,367 @@
-"""When a director asks others for rights, whom, and for how much; and when it gives them back.
-Pure, times in ms. One `Share` for each limit is what the decision module reads and writes: its
-part, and what it wanted.
+"""When a director borrows quota units, from whom and how many, and when it releases them.
+
+Pure, times in ms. For each limit there is one `QuotaShare`, through which the decision module
+learns its fraction and reports what it used and had to reject.
 """
 
 import math
-from collections import Counter
+from collections import Counter, defaultdict
+from collections.abc import Sequence
 from contextlib import AbstractContextManager, nullcontext
 from dataclasses import dataclass, field
 from random import Random
 
-import msgspec
-
+from ..errors import ProtocolError
 from ..policy.model import QuotaShare
-from .lease_ledger import GRAINS, LEASE, Ask, Back, LeaseLedger, Lend
+from .lease_ledger import (
+    LEASE_DURATION,
+    UNITS_PER_LIMIT,
+    LeaseGrant,
+    LeaseLedger,
+    LeaseRelease,
+    LeaseRequest,
+    MemberId,
+)
+from .lease_messages import LeaseCodec, LeaseMessage, LeaseMessageKind
 
-STEP = 100.0  # between two looks at what is wanted
-ASKS = 3  # others that are asked in one step, for one limit
-LEASES_MOST = 64  # borrowed at one time, for one limit
-# times what was wanted that is held, so that nothing has to be fetched on a request's path
-AHEAD = 1.25
-REFUSED = 2.0  # and where requests found no room
-RENEW_AT = 0.5  # of a lease
-FORGETS = 400.0  # halving of what was wanted: rights don't swing with each request
-QUARTERS = 4  # of a span, in which its use is remembered
-LEAST = 0.05  # of an owner's grains: less is not worth a datagram
-BY_ONE_MOST = 3  # leases of one lender at a time: what it could spare first may have been little
+TICK_INTERVAL = 100.0
+REQUEST_TIMEOUT = 2.0 * TICK_INTERVAL  # after which the same director may be asked again
+MAX_REQUESTS_PER_TICK = 3  # for one limit
+MAX_BORROWED_LEASES = 64  # at one time, for one limit
+MAX_LEASES_PER_LENDER = 3  # several, as what it could lend first may have been little
+MAX_MESSAGES_PER_PAYLOAD = 2 * MAX_BORROWED_LEASES  # more are ignored
+# Borrowed ahead of use, so that no request has to wait for units
+USED_HEADROOM = 1.25  # factor on the fraction that was used
+REJECTED_HEADROOM = 2.0  # factor on the fraction at which requests were rejected
+RENEW_AT = 0.5  # fraction of a lease that is left when it is renewed
+DEMAND_HALF_LIFE = 400.0  # units do not move with each request
+PEAKS_PER_WINDOW = 4  # into which the use of the last window is divided
+MIN_LEASE_FRACTION = 0.05  # of an owner's units: fewer are not worth a datagram
+REQUEST_NUMBER_LIMIT = 1 << 40  # request numbers start below it, at random
+THOUSANDTHS = 1000.0  # unit of the status, of the complete limit
 
-Who = tuple[str, str, int]
 
+@dataclass(slots=True, frozen=True)
+class QuotaSource:
+    """A limit that directors have in common.
 
-class LeaseMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One word on one limit: `kind` a(sk), l(end) or b(ack); `life`: of the borrower."""
+    Attributes:
+        name: Its name, the same at all directors.
+        owners: Directors that own it in equal parts.
+        window: Milliseconds over which use is counted.
+        share: What the decision module reads and writes.
+        location: Location of the directors that share it; empty: all of the fleet.
+    """
 
-    limit: str
-    kind: str
-    life: int
-    number: int
-    grains: int = 0
-    renews: int = 0
+    name: str
+    owners: int
+    window: float
+    share: QuotaShare
+    location: str = ""
 
 
 @dataclass(slots=True)
-class Limit:
-    """One limit at one director. `location`: those who share it; empty: all."""
+class SharedLimit:
+    """One limit at one director.
 
-    name: str
+    Attributes:
+        source: What it is.
+        ledger: Its units.
+        demand: Fraction of the limit that this director wants, fading.
+        peaks: The largest fraction used in each quarter of the last window, the newest first.
+        peak_started_at: When the newest quarter started.
+    """
+
+    source: QuotaSource
     ledger: LeaseLedger
-    share: QuotaShare
-    location: str
-    wanted: float = 0.0  # parts of the whole, fading
-    used: list[float] = field(
-        default_factory=lambda: [0.0]
-    )  # the most in each quarter of a span, of late
-    turned: float = 0.0
+    demand: float = 0.0
+    peaks: list[float] = field(default_factory=lambda: [0.0])
+    peak_started_at: float = 0.0
+
+    def record_use(self, now: float) -> None:
+        """Takes over what the decision module has noted since the last call."""
+        share = self.source.share
+        quarter = self.ledger.window / PEAKS_PER_WINDOW
+        while now >= self.peak_started_at + quarter:
+            self.peak_started_at = max(self.peak_started_at + quarter, now - self.ledger.window)
+            self.peaks = [0.0, *self.peaks[:PEAKS_PER_WINDOW]]
+        self.peaks[0] = max(self.peaks[0], share.peak_used)
+        wanted = max(share.peak_used * USED_HEADROOM, share.peak_rejected * REJECTED_HEADROOM)
+        self.demand = max(wanted, self.demand * 0.5 ** (TICK_INTERVAL / DEMAND_HALF_LIFE))
+        share.peak_used = 0.0
+        share.peak_rejected = 0.0
+
+    def units_in_use(self) -> int:
+        """Returns the units that were used of late or are about to be wanted."""
+        return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
+
+    def lenders_asked(self, now: float) -> set[MemberId]:
+        """Returns the directors whose answer may still come."""
+        return {
+            request.lender
+            for request in self.ledger.pending.values()
+            if now < request.sent_at + REQUEST_TIMEOUT
+        }
+
+    def leases_being_renewed(self, now: float) -> set[int]:
+        """Returns the numbers of the leases whose renewal may still be answered."""
+        return {
+            request.renews
+            for request in self.ledger.pending.values()
+            if now < request.sent_at + REQUEST_TIMEOUT
+        }
+
+
+Outbox = defaultdict[MemberId, list[LeaseMessage]]
 
 
 class QuotaExchange:
-    """All limits that a director shares."""
+    """All limits that one director shares; the `Delegate` of its membership.
+
+    Not thread-safe but for `guard`: the membership's thread calls it, while the decision module
+    uses the shares in others.
+    """
 
     def __init__(
         self,
         now: float,
         random: Random,
-        life: int,
-        offset: float = 0.0,
+        incarnation: int,
+        time_offset: float = 0.0,
         guard: AbstractContextManager | None = None,
     ) -> None:
-        """`offset`: of the decision module's time over this one. `guard`: held while rights change,
-        so that none are lent that a request is just being decided by.
+        """Makes an exchange without limits.
+
+        Args:
+            now: Time in ms.
+            random: Draws lenders and first request numbers.
+            incarnation: Of this director.
+            time_offset: Milliseconds that the decision module's clock is ahead of this one's.
+            guard: Lock that is held while shares change, so that no units are lent by which a
+                request is just being decided.
         """
-        self.random, self.life, self.due = random, life, now
-        self.offset, self.guard = offset, guard or nullcontext()
-        self.limits: dict[str, Limit] = {}
-        self.encoder, self.decoder = (
-            msgspec.msgpack.Encoder(),
-            msgspec.msgpack.Decoder(list[LeaseMessage]),
-        )
+        self.limits: dict[str, SharedLimit] = {}
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
+        self._random = random
+        self._incarnation = incarnation
+        self._next_tick_at = now
+        self._time_offset = time_offset
+        self._guard = guard or nullcontext()
+        self._codec = LeaseCodec()
 
-    def add(
-        self, now: float, name: str, owners: int, span: float, share: QuotaShare, location: str
-    ) -> None:
-        """A limit that `owners` directors own in equal parts."""
-        ledger = LeaseLedger(GRAINS // max(1, owners), span, now, self.life)
-        ledger.number = self.random.randrange(1 << 40)  # an old life's numbers are not met again
-        self.limits[name] = Limit(name, ledger, share, location)
-        share.is_tracked, share.fraction = True, 0.0
-
-    def wake(self) -> float:
-        return self.due
-
-    def step(self, now: float, life: int, others: list[tuple[Who, str]]) -> list[tuple[Who, bytes]]:
-        """`others`: who is there, and where. What is to be said to whom."""
-        if now < self.due:
+    def add(self, now: float, source: QuotaSource) -> None:
+        """Adds a limit, of which nothing may be used at first."""
+        units = UNITS_PER_LIMIT // max(1, source.owners)
+        ledger = LeaseLedger(units, source.window, now, self._incarnation)
+        # Answers to an earlier incarnation's requests should not fit
+        ledger.last_number = self._random.randrange(REQUEST_NUMBER_LIMIT)
+        self.limits[source.name] = SharedLimit(source, ledger)
+        source.share.is_tracked = True
+        source.share.fraction = 0.0
+
+    # As the delegate of membership
+
+    def next_wake_at(self) -> float:
+        """Returns when the next tick does something."""
+        return self._next_tick_at
+
+    def tick(
+        self, now: float, incarnation: int, members: list[tuple[MemberId, str]]
+    ) -> list[tuple[MemberId, bytes]]:
+        """Renews, releases and requests leases once an interval.
+
+        Args:
+            now: Time in ms.
+            incarnation: Of this director, as membership has it now.
+            members: Alive members with their locations.
+
+        Returns:
+            Payloads and their recipients.
+        """
+        if now < self._next_tick_at:
             return []
-        self.due, out = now + STEP, {}
-        with self.guard:
+        self._next_tick_at = now + TICK_INTERVAL
+        outbox: Outbox = defaultdict(list)
+        with self._guard:
             for limit in self.limits.values():
-                limit.ledger.life = life
-                self._look(now, limit)
-                self._renew(now, limit, out)
-                self._fetch(now, limit, out, others)
-                self._tell(now, limit)
-        return [(who, self.encoder.encode(said)) for who, said in out.items()]
-
-    def receive(self, now: float, who: Who, part: bytes) -> list[tuple[Who, bytes]]:
+                limit.ledger.incarnation = incarnation
+                limit.record_use(now)
+                self._renew_or_release(now, limit, outbox)
+                self._request_missing(now, limit, outbox, members)
+                self._update_share(now, limit)
+        return [(member_id, self._codec.encode(messages)) for member_id, messages in outbox.items()]
+
+    def receive(
+        self, now: float, member_id: MemberId, payload: bytes
+    ) -> list[tuple[MemberId, bytes]]:
+        """Handles the messages of one payload; returns answers and their recipients."""
         try:
-            said = self.decoder.decode(part)
-        except msgspec.MsgspecError:
+            messages = self._codec.decode(payload)
+        except ProtocolError:
             self.counts["unusable"] += 1
             return []
-        back = []
-        for one in said[: 2 * LEASES_MOST]:
-            limit = self.limits.get(one.limit)
-            if limit is None or one.number < 0 or one.grains < 0:
+        answers = []
+        for message in messages[:MAX_MESSAGES_PER_PAYLOAD]:
+            limit = self.limits.get(message.limit)
+            if limit is None or message.number < 0 or message.units < 0:
                 self.counts["unusable"] += 1
                 continue
-            with self.guard:
-                if (answer := self._heard(now, who, limit, one)) is not None:
-                    back.append(answer)
-                self._tell(now, limit)
-        return [(who, self.encoder.encode(back))] if back else []
-
-    def _tell(self, now: float, limit: Limit) -> None:
-        """The decision module's part, and when it ends should this not be called again."""
-        share, ledger = limit.share, limit.ledger
-        share.fallback_fraction = ledger.at_home(now) / GRAINS
-        share.expires_at = self.offset + min(
-            (held.until for held in ledger.borrowed.values()), default=math.inf
+            with self._guard:
+                answer = self._handle(now, member_id, limit, message)
+                self._update_share(now, limit)
+            if answer is not None:
+                answers.append(answer)
+        return [(member_id, self._codec.encode(answers))] if answers else []
+
+    def _update_share(self, now: float, limit: SharedLimit) -> None:
+        """Sets the decision module's fraction, and when it ends should nothing follow."""
+        share = limit.source.share
+        ledger = limit.ledger
+        first_expiry = min(
+            (lease.expires_at for lease in ledger.borrowed.values()), default=math.inf
         )
-        share.fraction = ledger.usable(now) / GRAINS
+        share.fallback_fraction = ledger.usable_owned(now) / UNITS_PER_LIMIT
+        share.expires_at = self._time_offset + first_expiry
+        share.fraction = ledger.usable(now) / UNITS_PER_LIMIT
 
-    def _heard(self, now: float, who: Who, limit: Limit, one: LeaseMessage) -> LeaseMessage | None:
+    def _handle(
+        self, now: float, member_id: MemberId, limit: SharedLimit, message: LeaseMessage
+    ) -> LeaseMessage | None:
+        """Handles one message; returns the answer, if there is one."""
         ledger = limit.ledger
-        if one.kind == "a":
-            self._look(now, limit)
-            ask = Ask(one.number, one.grains, one.renews)
-            if not ask.renews and ledger.spare(now, self._busy(limit)) < LEAST * ledger.own:
-                return None
-            lend = ledger.asked(now, who, one.life, ask, self._busy(limit))
-            if lend is None:
-                return None
-            self.counts["lent"] += not one.renews
-            return LeaseMessage(limit.name, "l", one.life, lend.number, lend.grains)
-        if one.kind == "l":
-            self.counts["borrowed"] += ledger.answered(
-                now, who, one.life, Lend(one.number, one.grains)
+        if message.kind == LeaseMessageKind.REQUEST:
+            return self._handle_request(now, member_id, limit, message)
+        if message.kind == LeaseMessageKind.GRANT:
+            grant = LeaseGrant(message.number, message.units)
+            self.counts["borrowed"] += ledger.accept_grant(
+                now, member_id, message.incarnation, grant
             )
-        elif one.kind == "b":
-            ledger.returned(now, who, one.life, Back(one.number))
+        elif message.kind == LeaseMessageKind.RELEASE:
+            release = LeaseRelease(message.number)
+            ledger.accept_release(now, member_id, message.incarnation, release)
         return None
 
-    # What is wanted
-
-    def _look(self, now: float, limit: Limit) -> None:
-        """Takes over what the decision module has noted since."""
-        share, span = limit.share, limit.ledger.span
-        while now >= limit.turned + span / QUARTERS:
-            limit.turned = max(limit.turned + span / QUARTERS, now - span)
-            limit.used = [0.0, *limit.used[:QUARTERS]]
-        limit.used[0] = max(limit.used[0], share.peak_used)
-        wanted = max(share.peak_used * AHEAD, share.peak_rejected * REFUSED)
-        limit.wanted = max(wanted, limit.wanted * 0.5 ** (STEP / FORGETS))
-        share.peak_used = share.peak_rejected = 0.0
-
-    def _busy(self, limit: Limit) -> int:
-        """Grains that this director has used of late, or is about to want."""
-        return math.ceil(GRAINS * max(*limit.used, limit.wanted))
-
-    def _renew(self, now: float, limit: Limit, out: dict[Who, list[LeaseMessage]]) -> None:
-        ledger, wanted = limit.ledger, math.ceil(GRAINS * limit.wanted)
-        ledger.age(now)
-        over = ledger.usable(now) - wanted
-        asking = {sent.renews for sent in ledger.asks.values() if now < sent.at + 2.0 * STEP}
-        for number, held in sorted(ledger.borrowed.items()):
-            if held.grains <= over:  # not needed any more: its owner may be
-                over -= held.grains
-                ledger.give_back(number)
+    def _handle_request(
+        self, now: float, member_id: MemberId, limit: SharedLimit, message: LeaseMessage
+    ) -> LeaseMessage | None:
+        ledger = limit.ledger
+        limit.record_use(now)
+        used = limit.units_in_use()
+        request = LeaseRequest(message.number, message.units, message.renews)
+        if not request.renews and ledger.lendable(now, used) < MIN_LEASE_FRACTION * ledger.owned:
+            return None
+        grant = ledger.grant(now, member_id, message.incarnation, request, used)
+        if grant is None:
+            return None
+        self.counts["lent"] += not request.renews
+        return LeaseMessage(
+            limit.source.name,
+            LeaseMessageKind.GRANT,
+            message.incarnation,
+            grant.number,
+            grant.units,
+        )
+
+    # As the borrower
+
+    def _renew_or_release(self, now: float, limit: SharedLimit, outbox: Outbox) -> None:
+        """Releases leases that are not needed any more, and renews those that end soon."""
+        ledger = limit.ledger
+        wanted = math.ceil(UNITS_PER_LIMIT * limit.demand)
+        ledger.remove_expired(now)
+        surplus = ledger.usable(now) - wanted
+        being_renewed = limit.leases_being_renewed(now)
+        for number, lease in sorted(ledger.borrowed.items()):
+            if lease.units <= surplus:
+                surplus -= lease.units
+                ledger.release(number)
                 self.counts["given back"] += 1
-                out.setdefault(held.lender, []).append(
-                    LeaseMessage(limit.name, "b", ledger.life, number)
-                )
-            elif now > held.until - RENEW_AT * LEASE and number not in asking:
-                ask = ledger.ask(now, held.lender, held.grains, number)
-                out.setdefault(held.lender, []).append(
-                    LeaseMessage(limit.name, "a", ledger.life, ask.number, ask.grains, ask.renews)
+                release = LeaseMessage(
+                    limit.source.name, LeaseMessageKind.RELEASE, ledger.incarnation, number
                 )
+                outbox[lease.lender].append(release)
+            elif now > lease.expires_at - RENEW_AT * LEASE_DURATION and number not in being_renewed:
+                request = ledger.request(now, lease.lender, lease.units, number)
+                outbox[lease.lender].append(_request_message(limit, request))
 
-    def _fetch(
+    def _request_missing(
         self,
         now: float,
-        limit: Limit,
-        out: dict[Who, list[LeaseMessage]],
-        others: list[tuple[Who, str]],
+        limit: SharedLimit,
+        outbox: Outbox,
+        members: Sequence[tuple[MemberId, str]],
     ) -> None:
-        """Before it is needed: up to what is wanted, from some others at a time."""
+        """Requests what is missing of the demand, from a few random members at a time."""
         ledger = limit.ledger
-        missing = math.ceil(GRAINS * min(1.0, limit.wanted)) - ledger.usable(now)
-        lenders = Counter(held.lender for held in ledger.borrowed.values())
-        waiting = {sent.lender for sent in ledger.asks.values() if now < sent.at + 2.0 * STEP}
-        room = LEASES_MOST - len(ledger.borrowed)
-        able = [
-            who
-            for who, place in others
-            if limit.location in ("", place) and who not in waiting and lenders[who] < BY_ONE_MOST
+        wanted = math.ceil(UNITS_PER_LIMIT * min(1.0, limit.demand))
+        missing = wanted - ledger.usable(now)
+        capacity = MAX_BORROWED_LEASES - len(ledger.borrowed)
+        leases_by_lender = Counter(lease.lender for lease in ledger.borrowed.values())
+        asked = limit.lenders_asked(now)
+        candidates = [
+            member_id
+            for member_id, location in members
+            if limit.source.location in ("", location)
+            and member_id not in asked
+            and leases_by_lender[member_id] < MAX_LEASES_PER_LENDER
         ]
-        if missing < LEAST * ledger.own or room <= 0 or not able:
+        if missing < MIN_LEASE_FRACTION * ledger.owned or capacity <= 0 or not candidates:
             return
-        for who in self.random.sample(able, min(ASKS, room, len(able))):
-            ask = ledger.ask(now, who, missing)
+        count = min(MAX_REQUESTS_PER_TICK, capacity, len(candidates))
+        for member_id in self._random.sample(candidates, count):
+            request = ledger.request(now, member_id, missing)
             self.counts["asked"] += 1
-            out.setdefault(who, []).append(
-                LeaseMessage(limit.name, "a", ledger.life, ask.number, ask.grains)
-            )
+            outbox[member_id].append(_request_message(limit, request))
 
-    def status(self, now: float) -> dict:
-        """For staff: parts in thousandths of the whole."""
+    # For operators
 
-        def part(grains: float) -> float:
-            return round(1000.0 * grains / GRAINS, 2)
+    def status(self, now: float) -> dict[str, object]:
+        """Returns all limits as JSON objects; parts are thousandths of the complete limit.
 
+        The keys are those of records and of `--json` output, which keep their form.
+        """
         return {
             "counts": dict(self.counts),
-            "limits": {
-                limit.name: {
-                    "own": part(limit.ledger.own),
-                    "at_home": part(limit.ledger.at_home(now)),
-                    "usable": part(limit.ledger.usable(now)),
-                    "wanted": round(1000.0 * limit.wanted, 2),
-                    "lent": [
-                        {"to": who[0], "part": part(held.grains), "for_ms": round(held.until - now)}
-                        for (who, _, _), held in limit.ledger.lent.items()
-                    ],
-                    "borrowed": [
-                        {
-                            "from": held.lender[0],
-                            "part": part(held.grains),
-                            "for_ms": round(held.until - now),
-                        }
-                        for held in limit.ledger.borrowed.values()
-                    ],
-                }
-                for limit in self.limits.values()
-            },
+            "limits": {name: _limit_status(limit, now) for name, limit in self.limits.items()},
         }
+
+
+def _request_message(limit: SharedLimit, request: LeaseRequest) -> LeaseMessage:
+    return LeaseMessage(
+        limit.source.name,
+        LeaseMessageKind.REQUEST,
+        limit.ledger.incarnation,
+        request.number,
+        request.units,
+        request.renews,
+    )
+
+
+def _limit_status(limit: SharedLimit, now: float) -> dict[str, object]:
+    ledger = limit.ledger
+    return {
+        "own": _thousandths(ledger.owned),
+        "at_home": _thousandths(ledger.usable_owned(now)),
+        "usable": _thousandths(ledger.usable(now)),
+        "wanted": round(THOUSANDTHS * limit.demand, 2),
+        "lent": [
+            {
+                "to": borrower[0],
+                "part": _thousandths(lease.units),
+                "for_ms": round(lease.locked_until - now),
+            }
+            for (borrower, _, _), lease in ledger.granted.items()
+        ],
+        "borrowed": [
+            {
+                "from": lease.lender[0],
+                "part": _thousandths(lease.units),
+                "for_ms": round(lease.expires_at - now),
+            }
+            for lease in ledger.borrowed.values()
+        ],
+    }
+
+
+def _thousandths(units: int) -> float:
+    return round(THOUSANDTHS * units / UNITS_PER_LIMIT, 2)
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -1,18 +1,26 @@
-"""`mulleinrelay fleet`: what directors believe of each other, from the records that they keep."""
+"""`mulleinrelay fleet`: what directors know of each other, from the records that they write."""
 
 import os
 import sys
 import time
+from collections.abc import Iterable
 
 import click
 import orjson
 
 from ..errors import ConfigError
-from ..records import read_logs, read_states
+from ..records import Record, read_logs, read_states
 from .config import load_fleet_config
 
-FAILED, WRONG_FILE = 1, 2
-OLD = 5.0  # s: a director that is there writes its records each second
+EXIT_FAILED = 1
+EXIT_WRONG_FILE = 2
+MAX_RECORD_AGE_S = 5.0  # a director that is running writes its records each second
+
+MEMBERS_HELP = """Each member with how many directors take it for alive, suspected, dead or left;
+where they disagree, the part of the fleet that hears nothing shows. Exit code 1 where no director
+keeps fresh records."""
+BUDGETS_HELP = """Each limit that directors share: who may use which part of it (thousandths of the
+whole), and what is lent to whom. Exit code 1 where no director keeps fresh records."""
 
 
 @click.group()
@@ -25,103 +33,53 @@
 FROM = click.option("--from", "witness", metavar="NAME", help="As this director sees it.")
 
 
-def folder_of(path: str) -> str:
-    try:
-        own = load_fleet_config(path)
-    except ConfigError as wrong:
-        click.echo(f"mulleinrelay: {wrong}", err=True)
-        sys.exit(WRONG_FILE)
-    if not own.records_folder or not os.path.isdir(own.records_folder):
-        click.echo(
-            f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True
-        )
-        sys.exit(FAILED)
-    return own.records_folder
-
-
-@fleet.command()
+@fleet.command(help=MEMBERS_HELP)
 @FILE
 @FROM
 @JSON
 def members(path: str, witness: str | None, as_json: bool) -> None:
-    """Each member with how many directors take it for alive, suspected, dead or left; where they
-    disagree, the part of the fleet that hears nothing shows. Exit code 1 where no director keeps
-    fresh records.
-    """
+    """Shows all members and how many directors see each of them in which state."""
     now = time.time()
-    states = [held for held in read_states(folder_of(path)) if witness in (None, held["director"])]
-    fresh = [
-        held
-        for held in states
-        if now - held.get("written", 0.0) <= OLD and held.get("state") != "left"
+    states = [
+        state
+        for state in read_states(_records_folder(path))
+        if witness in (None, state["director"])
     ]
-    found: dict[tuple[str, str], dict] = {}
-    for held in fresh:
-        for one in (held, *held["members"]):
-            spot = found.setdefault(
-                (one["name"], one["address"]),
-                {
-                    "name": one["name"],
-                    "address": one["address"],
-                    "location": one["location"],
-                    "life": 0,
-                    "seen_by": {},
-                },
-            )
-            spot["life"] = max(spot["life"], one["life"])
-            word = "itself" if one is held else one["state"]
-            spot["seen_by"][word] = spot["seen_by"].get(word, 0) + 1
-    silent = sorted(held["director"] for held in states if held not in fresh)
-    told = {
-        "witnesses": len(fresh),
-        "silent": silent,
-        "members": [found[spot] for spot in sorted(found)],
-    }
+    fresh = [state for state in states if _is_fresh(state, now)]
+    silent = sorted(state["director"] for state in states if not _is_fresh(state, now))
+    summaries = _summarize_members(fresh)
     if as_json:
-        click.echo(orjson.dumps(told))
+        output = {"witnesses": len(fresh), "silent": silent, "members": summaries}
+        click.echo(orjson.dumps(output))
     else:
-        for one in told["members"]:
-            seen = ", ".join(f"{word} {count}" for word, count in sorted(one["seen_by"].items()))
-            click.echo(f"{one['name']:<16} {one['address']:<22} {one['location']:<12} {seen}")
-        if told["silent"]:
-            click.echo(f"no fresh records: {', '.join(told['silent'])}")
+        for member in summaries:
+            seen = ", ".join(
+                f"{state} {count}" for state, count in sorted(member["seen_by"].items())
+            )
+            click.echo(
+                f"{member['name']:<16} {member['address']:<22} {member['location']:<12} {seen}"
+            )
+        if silent:
+            click.echo(f"no fresh records: {', '.join(silent)}")
     if not fresh:
-        sys.exit(FAILED)
+        sys.exit(EXIT_FAILED)
 
 
-@fleet.command()
+@fleet.command(help=BUDGETS_HELP)
 @FILE
 @JSON
 def budgets(path: str, as_json: bool) -> None:
-    """Each limit that directors share: who may use which part of it (thousandths of the whole), and
-    what is lent to whom. Exit code 1 where no director keeps fresh records.
-    """
-    now, told = time.time(), {}
-    for held in read_states(folder_of(path)):
-        if (
-            now - held.get("written", 0.0) > OLD
-            or held.get("state") == "left"
-            or not held.get("budgets")
-        ):
-            continue
-        for name, limit in held["budgets"]["limits"].items():
-            told.setdefault(name, {})[held["director"]] = limit
+    """Shows all shared limits and each director's part of them."""
+    now = time.time()
+    fresh = [state for state in read_states(_records_folder(path)) if _is_fresh(state, now)]
+    limits = _limits_by_director(fresh)
     if as_json:
-        click.echo(orjson.dumps(told))
+        click.echo(orjson.dumps(limits))
     else:
-        for name, by in sorted(told.items()):
-            may = sum(limit["usable"] for limit in by.values())
-            click.echo(f"{name}: {may:.0f} of 1000 may be used, by {len(by)}")
-            for director, limit in sorted(by.items(), key=lambda one: -one[1]["usable"]):
-                lent, held = (
-                    sum(one["part"] for one in limit[way]) for way in ("lent", "borrowed")
-                )
-                click.echo(
-                    f"  {director:<16} may use {limit['usable']:7.2f}  wants {limit['wanted']:7.2f}  "
-                    f"owns {limit['own']:7.2f}  lent {lent:7.2f}  borrowed {held:7.2f}"
-                )
-    if not told:
-        sys.exit(FAILED)
+        for name, by_director in sorted(limits.items()):
+            _echo_limit(name, by_director)
+    if not limits:
+        sys.exit(EXIT_FAILED)
 
 
 @fleet.command()
@@ -131,28 +89,18 @@
 def explain(path: str, limit: str, as_json: bool) -> None:
     """Why each director may use what it may of LIMIT: what it owns, has out, and has from whom."""
     found = {}
-    for held in read_states(folder_of(path)):
-        if held.get("budgets") and limit in held["budgets"]["limits"]:
-            age = round(time.time() - held.get("written", 0.0), 1)
-            found[held["director"]] = held["budgets"]["limits"][limit] | {"written_s_ago": age}
+    for state in read_states(_records_folder(path)):
+        if state.get("budgets") and limit in state["budgets"]["limits"]:
+            age_s = round(time.time() - state.get("written", 0.0), 1)
+            found[state["director"]] = state["budgets"]["limits"][limit] | {"written_s_ago": age_s}
     if not found:
         click.echo(f"mulleinrelay: no director has written of a limit {limit!r}", err=True)
-        sys.exit(FAILED)
+        sys.exit(EXIT_FAILED)
     if as_json:
-        return click.echo(orjson.dumps(found))
-    for director, held in sorted(found.items()):
-        click.echo(
-            f"{director}: may use {held['usable']} = {held['at_home']} of its own {held['own']}"
-            + "".join(
-                f" + {one['part']} from {one['from']} for {one['for_ms']} ms"
-                for one in held["borrowed"]
-            )
-            + "".join(
-                f"; {one['part']} lent to {one['to']} for {one['for_ms']} ms more"
-                for one in held["lent"]
-            )
-            + f" (written {held['written_s_ago']} s ago)"
-        )
+        click.echo(orjson.dumps(found))
+        return
+    for director, part in sorted(found.items()):
+        click.echo(f"{director}: {_explanation(part)}")
 
 
 @fleet.command()
@@ -163,9 +111,90 @@
 @JSON
 def log(path: str, last: int, as_json: bool) -> None:
     """What directors have seen of each other, of all of them by time."""
-    for line in read_logs(folder_of(path))[-last:]:
+    for line in read_logs(_records_folder(path))[-last:]:
         if as_json:
             click.echo(orjson.dumps(line))
         else:
             at = time.strftime("%H:%M:%S", time.gmtime(line.get("at", 0.0)))
             click.echo(f"{at}  {line['director']:<12} {line.get('text', '')}")
+
+
+def _records_folder(path: str) -> str:
+    """Returns the folder that a configuration names; ends the program where there is none."""
+    try:
+        config = load_fleet_config(path)
+    except ConfigError as error:
+        click.echo(f"mulleinrelay: {error}", err=True)
+        sys.exit(EXIT_WRONG_FILE)
+    if not config.records_folder or not os.path.isdir(config.records_folder):
+        click.echo(
+            f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True
+        )
+        sys.exit(EXIT_FAILED)
+    return config.records_folder
+
+
+def _is_fresh(state: Record, now: float) -> bool:
+    """Whether a record was written by a director that is still running."""
+    is_old = now - state.get("written", 0.0) > MAX_RECORD_AGE_S
+    return not is_old and state.get("state") != "left"
+
+
+def _summarize_members(states: Iterable[Record]) -> list[Record]:
+    """Returns all members by name and address, with the number of directors by state seen."""
+    found: dict[tuple[str, str], Record] = {}
+    for state in states:
+        _count_member(found, state, "itself")
+        for member in state["members"]:
+            _count_member(found, member, member["state"])
+    return [found[key] for key in sorted(found)]
+
+
+def _count_member(found: dict[tuple[str, str], Record], member: Record, seen_as: str) -> None:
+    new: Record = {
+        "name": member["name"],
+        "address": member["address"],
+        "location": member["location"],
+        "life": 0,
+        "seen_by": {},
+    }
+    summary = found.setdefault((member["name"], member["address"]), new)
+    summary["life"] = max(summary["life"], member["life"])
+    summary["seen_by"][seen_as] = summary["seen_by"].get(seen_as, 0) + 1
+
+
+def _limits_by_director(states: Iterable[Record]) -> dict[str, Record]:
+    limits: dict[str, Record] = {}
+    for state in states:
+        if not state.get("budgets"):
+            continue
+        for name, part in state["budgets"]["limits"].items():
+            limits.setdefault(name, {})[state["director"]] = part
+    return limits
+
+
+def _echo_limit(name: str, by_director: Record) -> None:
+    usable = sum(part["usable"] for part in by_director.values())
+    click.echo(f"{name}: {usable:.0f} of 1000 may be used, by {len(by_director)}")
+    for director, part in sorted(by_director.items(), key=lambda item: -item[1]["usable"]):
+        lent = sum(lease["part"] for lease in part["lent"])
+        borrowed = sum(lease["part"] for lease in part["borrowed"])
+        click.echo(
+            f"  {director:<16} may use {part['usable']:7.2f}  wants {part['wanted']:7.2f}  "
+            f"owns {part['own']:7.2f}  lent {lent:7.2f}  borrowed {borrowed:7.2f}"
+        )
+
+
+def _explanation(part: Record) -> str:
+    borrowed = "".join(
+        f" + {lease['part']} from {lease['from']} for {lease['for_ms']} ms"
+        for lease in part["borrowed"]
+    )
+    lent = "".join(
+        f"; {lease['part']} lent to {lease['to']} for {lease['for_ms']} ms more"
+        for lease in part["lent"]
+    )
+    return (
+        f"may use {part['usable']} = {part['at_home']} of its own {part['own']}{borrowed}{lent}"
+        f" (written {part['written_s_ago']} s ago)"
+    )
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -1,12 +1,12 @@
-"""The thread that talks to other directors: a datagram socket, the pure core, log lines and
-records. No request ever waits for it.
+"""The thread of membership: a UDP socket, the protocol, log lines and records.
+
+No request ever waits for it.
 """
 
-import math
 import socket
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from random import Random
 from typing import TYPE_CHECKING
 
@@ -14,211 +14,244 @@
 from ..records import DirectorRecords
 from ..structured_log import StructuredLog
 from .config import FleetConfig
+from .datagrams import OutgoingDatagram
+from .member_table import MemberEvent, MemberTable
 from .messages import MAX_DATAGRAM_BYTES, DatagramCodec, MemberState, MemberUpdate
+from .status import MS_PER_S, ServiceFigures, director_status
 from .swim import SwimProtocol
 
 if TYPE_CHECKING:
     from ..budgets.quota_exchange import QuotaExchange
 
-RECORDS_EVERY = 1_000.0  # ms
-EVENTS_KEPT = 200  # changes that a director remembers for staff
-LONGEST = 0.5  # s that the socket is waited for: after that the time is looked at in any case
-TOGETHER = 64  # datagrams read before the time is looked at again
+RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
+MAX_EVENTS = 200  # events that the record shows, and that wait for the records' log
+MAX_RECEIVE_WAIT_S = 0.5  # of one wait for a datagram: a stop is noticed within it
+MIN_RECEIVE_WAIT_S = 0.002  # keeps the thread from spinning while a tick is due
+MAX_DATAGRAMS_PER_STEP = 64  # read before the next tick
+ERROR_PAUSE_S = 0.1  # after an unexpected error, so that its repetition does not load the machine
+LOG_EVENT = "fleet"  # `event` of the log lines
 
 
-def share_cold(
-    own: FleetConfig, facade: RequestCoordinator, seed: int, life: int, offset: float
+def build_quota_exchange(
+    config: FleetConfig,
+    coordinator: RequestCoordinator,
+    seed: int,
+    incarnation: int,
+    time_offset: float,
 ) -> "QuotaExchange":
-    """The limits on cold caches of this location, and on cold parents, as rights that are lent."""
-    from ..budgets.quota_exchange import QuotaExchange
+    """Returns the exchange of the limits on warming-up caches of this location, and parents.
+
+    Args:
+        config: The membership's configuration.
+        coordinator: Owner of the limits and of the lock that guards them.
+        seed: Of the random numbers.
+        incarnation: Of this director.
+        time_offset: Milliseconds that the coordinator's clock is ahead of the exchange's.
+    """
+    # Needed only where limits are shared
+    from ..budgets.quota_exchange import QuotaExchange, QuotaSource
 
-    director, terms, now = facade.router, facade.settings, _now()
-    exchange = QuotaExchange(now, Random(f"{seed}-rights"), life, offset, facade.lock)
-    exchange.add(
-        now,
-        f"cold caches of {own.location}",
-        terms.local_director_count,
-        terms.cache_slow_start.overload_window,
-        director.cold_here,
-        own.location,
+    router = coordinator.router
+    settings = coordinator.settings
+    now = _now()
+    exchange = QuotaExchange(
+        now, Random(f"{seed}-rights"), incarnation, time_offset, coordinator.lock
     )
-    exchange.add(
-        now,
-        "cold parents",
-        terms.director_count,
-        terms.parent_slow_start.overload_window,
-        director.cold_parents,
-        "",
+    caches = QuotaSource(
+        name=f"cold caches of {config.location}",
+        owners=settings.local_director_count,
+        window=settings.cache_slow_start.overload_window,
+        share=router.cold_here,
+        location=config.location,
     )
+    parents = QuotaSource(
+        name="cold parents",
+        owners=settings.director_count,
+        window=settings.parent_slow_start.overload_window,
+        share=router.cold_parents,
+    )
+    exchange.add(now, caches)
+    exchange.add(now, parents)
     return exchange
 
 
 class MembershipService:
+    """Takes part in the fleet's membership.
+
+    Threads: `start` and `stop` are called by the director's thread, all else runs in the service's
+    own. The protocol may be used under `protocol_lock` only.
+    """
+
     def __init__(
         self,
-        own: FleetConfig,
+        config: FleetConfig,
         name: str,
         seed: int,
         clock: Callable[[], float],
         log: StructuredLog,
-        facade: RequestCoordinator | None = None,
+        coordinator: RequestCoordinator | None = None,
     ) -> None:
-        """`clock`: Unix milliseconds, read once for the number of this life; the rest goes by
-        another.
+        """Builds the service; `start` opens its socket.
+
+        Args:
+            config: Configuration of membership.
+            name: Name of this director.
+            seed: Of the random numbers.
+            clock: Unix milliseconds, read once for the incarnation; all else goes by a steady one.
+            log: Where events are logged.
+            coordinator: Whose limits are lent; None: none are.
         """
-        self.config, self.name, self.log = own, name, log
-        word = MemberUpdate(
-            name, own.announce[0], own.announce[1], own.location, int(clock()), 0, MemberState.ALIVE
+        self.config = config
+        self.name = name
+        self.log = log
+        local = MemberUpdate(
+            name, *config.announce, config.location, int(clock()), 0, MemberState.ALIVE
+        )
+        # Guards `protocol`, with its table, detector and delegate
+        self.protocol_lock = threading.Lock()
+        now = _now()
+        random = Random(f"{seed}-membership")
+        self.protocol = SwimProtocol(
+            now,
+            MemberTable(local, config.max_members, random),
+            DatagramCodec(config.fleet, config.key),
+            config.seeds,
+            random,
         )
-        self.lock = threading.Lock()
-        self.core = SwimProtocol(
-            _now(),
-            word,
-            DatagramCodec(own.fleet, own.key),
-            own.seeds,
-            Random(f"{seed}-membership"),
-            own.max_members,
+        if config.shares_slow_start_quota and coordinator is not None:
+            self.protocol.delegate = build_quota_exchange(
+                config, coordinator, seed, local.incarnation, clock() - _now()
+            )
+        self.records = (
+            DirectorRecords(config.records_folder, name) if config.records_folder else None
         )
-        if own.shares_slow_start_quota and facade is not None:
-            self.core.companion = share_cold(own, facade, seed, word.incarnation, clock() - _now())
-        self.records = DirectorRecords(own.records_folder, name) if own.records_folder else None
-        self.records_due, self.told, self.last = 0.0, [], []
-        self.bytes_out = self.bytes_in = 0
-        self.ended = threading.Event()
-        self.thread: threading.Thread | None = None
-        self.socket: socket.socket | None = None
+        self._next_records_at = 0.0
+        self._unrecorded_events: list[str] = []
+        self._last_events: list[dict[str, object]] = []
+        self._bytes_out = 0
+        self._bytes_in = 0
+        self._stopping = threading.Event()
+        self._thread: threading.Thread | None = None
+        self._socket: socket.socket | None = None
 
     def start(self) -> None:
-        """Raises OSError where it can't listen."""
-        made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        """Opens the socket and starts the thread.
+
+        Raises:
+            OSError: If the address cannot be bound; its `filename` names the address.
+        """
+        listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            made.bind(self.config.listen)
-        except OSError as wrong:
-            made.close()
-            wrong.filename = f"{self.config.listen[0]}:{self.config.listen[1]} for datagrams"
+            listener.bind(self.config.listen)
+        except OSError as error:
+            listener.close()
+            host, port = self.config.listen
+            error.filename = f"{host}:{port} for datagrams"
             raise
-        self.socket = made
-        self.thread = threading.Thread(target=self._run, name="fleet", daemon=True)
-        self.thread.start()
+        self._socket = listener
+        self._thread = threading.Thread(target=self._run, name="fleet", daemon=True)
+        self._thread.start()
 
     def stop(self) -> None:
-        """Tells some of the others that this one leaves, and ends."""
-        if self.ended.is_set() or self.socket is None:
+        """Notifies some members that this director leaves, and ends the thread."""
+        if self._stopping.is_set() or self._socket is None or self._thread is None:
             return
-        self.ended.set()
-        with self.lock:
-            out = self.core.leave(_now())
-        self._send(out)
-        self._keep(_now(), math.inf)
-        self.thread.join(2.0 * LONGEST)
-        self.socket.close()
-
-    def present_members(self) -> list[MemberUpdate]:
-        """This director and all others that are alive, or suspected."""
-        with self.lock:
-            return self.core.present()
+        self._stopping.set()
+        with self.protocol_lock:
+            out = self.protocol.leave()
+        self._send(self._socket, out)
+        now = _now()
+        self._log_events()
+        self._write_records(now)
+        self._thread.join(2.0 * MAX_RECEIVE_WAIT_S)
+        self._socket.close()
 
-    # In a thread of its own
+    # In the service's thread
 
     def _run(self) -> None:
-        while not self.ended.is_set():
+        assert self._socket is not None
+        while not self._stopping.is_set():
             try:
-                self._step()
-            except Exception as broken:
-                self.log.exception("fleet", broken)
-                self.ended.wait(0.1)
-
-    def _step(self) -> None:
-        with self.lock:
-            self._send(self.core.tick(now := _now()))
-            wait = (self.core.wake() - now) / 1000.0
-        self._keep(now, self.records_due)
-        self.socket.settimeout(min(LONGEST, max(0.002, wait)))
-        for _ in range(TOGETHER):
+                self._step(self._socket)
+            except Exception as error:
+                # The top of the thread: a fault in one step is logged with its trace, and
+                # membership goes on with the next one.
+                self.log.exception(LOG_EVENT, error)
+                self._stopping.wait(ERROR_PAUSE_S)
+
+    def _step(self, endpoint: socket.socket) -> None:
+        """One tick, and then datagrams until the next one is due."""
+        with self.protocol_lock:
+            now = _now()
+            self._send(endpoint, self.protocol.tick(now))
+            wait_s = (self.protocol.next_wake_at() - now) / MS_PER_S
+        self._log_events()
+        if now >= self._next_records_at:
+            self._write_records(now)
+        endpoint.settimeout(min(MAX_RECEIVE_WAIT_S, max(MIN_RECEIVE_WAIT_S, wait_s)))
+        for _ in range(MAX_DATAGRAMS_PER_STEP):
             try:
-                data, address = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
+                data, address = endpoint.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (TimeoutError, BlockingIOError):
                 return
-            except OSError as broken:  # an answer that a port refused comes back as an error here
-                if self.ended.is_set():
+            except ConnectionError:
+                # ICMP "port unreachable" for a datagram that was sent: the next may be readable
+                if self._stopping.is_set():
                     return
-                if not isinstance(broken, ConnectionError):
-                    raise
                 continue
-            self.bytes_in += len(data)
-            with self.lock:
-                self._send(self.core.receive(_now(), address, data))
-            self.socket.settimeout(0.0)
+            except OSError:
+                if self._stopping.is_set():  # closed by `stop`
+                    return
+                raise
+            self._bytes_in += len(data)
+            with self.protocol_lock:
+                self._send(endpoint, self.protocol.receive(_now(), address, data))
+            endpoint.settimeout(0.0)
 
-    def _send(self, out: list[tuple[tuple[str, int], bytes]]) -> None:
+    def _send(self, endpoint: socket.socket, out: Iterable[OutgoingDatagram]) -> None:
         for address, data in out:
             try:
-                self.socket.sendto(data, address)
-                self.bytes_out += len(data)
-            except OSError:  # no way there, or the system is short of buffers: as if it were lost
-                pass
-
-    def _keep(self, now: float, due: float) -> None:
-        """Log lines of what has changed, and now and then the records."""
-        with self.lock:
-            events = self.core.take_events()
+                endpoint.sendto(data, address)
+            except OSError:  # no route, or no buffer: the protocol expects losses
+                continue
+            self._bytes_out += len(data)
+
+    # For operators
+
+    def _log_events(self) -> None:
+        with self.protocol_lock:
+            events = self.protocol.take_events()
         for event in events:
-            text = f"{event.word.name} {event.what}"
-            self.log.event(
-                "fleet",
-                text=text,
-                address=f"{event.word.host}:{event.word.port}",
-                life=event.word.incarnation,
-            )
-            self.told.append(text)
-            self.last = [*self.last, {"at": round(time.time(), 3), "text": text}][-EVENTS_KEPT:]
-        if self.records is not None and (now >= due or due == math.inf):
-            self.records_due = now + RECORDS_EVERY
-            told, self.told = self.told[-EVENTS_KEPT:], []
-            if word := self.records.write(self.status(now), told):
-                self.log.event("fleet", text=word)
+            self._log_event(event)
+
+    def _log_event(self, event: MemberEvent) -> None:
+        update = event.update
+        text = f"{update.name} {event.kind.value}"
+        self.log.event(
+            LOG_EVENT, text=text, address=f"{update.host}:{update.port}", life=update.incarnation
+        )
+        self._unrecorded_events.append(text)
+        self._last_events = [*self._last_events, {"at": round(time.time(), 3), "text": text}]
+        self._last_events = self._last_events[-MAX_EVENTS:]
+
+    def _write_records(self, now: float) -> None:
+        if self.records is None:
+            return
+        self._next_records_at = now + RECORDS_INTERVAL
+        events = self._unrecorded_events[-MAX_EVENTS:]
+        self._unrecorded_events = []
+        if notice := self.records.write(self.status(now), events):
+            self.log.event(LOG_EVENT, text=notice)
 
     def status(self, now: float) -> dict:
-        """What this director believes of the others."""
-        with self.lock:
-            view = self.core.view
-            members = [
-                {
-                    "name": word.name,
-                    "address": f"{word.host}:{word.port}",
-                    "location": word.location,
-                    "life": word.incarnation,
-                    "denials": word.refutation_count,
-                    "state": word.state.name.lower(),
-                    "for_s": round((now - record.since) / 1000.0, 1),
-                    "heard_s": round((now - record.heard) / 1000.0, 1) if record.heard else None,
-                }
-                for record in view.records.values()
-                for word in [record.word]
-            ]
-            own = view.own
-            return {
-                "fleet": self.config.fleet,
-                "name": own.name,
-                "address": f"{own.host}:{own.port}",
-                "location": own.location,
-                "life": own.incarnation,
-                "denials": own.refutation_count,
-                "state": own.state.name.lower(),
-                "unwell": self.core.health,
-                "size": view.size(),
-                "members": sorted(members, key=lambda held: (held["name"], held["address"])),
-                "dropped": dict(sorted(self.core.dropped.items())),
-                "refused": view.refused,
-                "budgets": self.core.companion.status(now)
-                if self.core.companion is not None
-                else None,
-                "bytes_out": self.bytes_out,
-                "bytes_in": self.bytes_in,
-                "events": self.last,
-                "written": round(time.time(), 3),
-            }
+        """Returns the record for operators; `now` is in ms of the protocol's clock."""
+        with self.protocol_lock:
+            figures = ServiceFigures(
+                self.config.fleet, self._bytes_out, self._bytes_in, self._last_events, time.time()
+            )
+            return director_status(self.protocol, now, figures)
 
 
 def _now() -> float:
-    return time.monotonic() * 1000.0
+    """The steady clock of membership, in ms."""
+    return time.monotonic() * MS_PER_S
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -1,483 +1,281 @@
-"""Who is alive: a core that is given the time and datagrams, and gives datagrams, events and when
-it wants to be called again. Pure: no socket, clock or thread.
-
-After SWIM (Das, Gupta, Motivala 2002) with the suspicion and local health of Lifeguard (Dadgar,
-Phillips, Currey 2017): each director pings one other a period, asks some to ping it for itself
-where no answer comes, and doubts it where they hear nothing either; a doubted one that lives denies
-it; one that doesn't, within a time that shrinks as more say so, counts as dead. A director that is
-itself slow, or that hears nothing, gives the others more time. Words travel on these datagrams.
+"""The membership protocol of one director: what it does with datagrams and as time passes. Pure.
+
+SWIM (Das, Gupta, Motivala 2002) with parts of Lifeguard (Dadgar, Phillips, Currey 2017), in the
+terms of hashicorp/memberlist; `failure_detector.py` has what is followed. Member updates spread as
+gossip that is piggybacked on the datagrams of failure detection (`broadcast_queue.py`), and by
+push/pull (`state_sync.py`).
 """
 
-import math
-from dataclasses import dataclass
 from random import Random
 from typing import Protocol
 
-from .member_table import Event, MemberRecord, MemberTable, Who
+import msgspec
+
+from .datagrams import NO_NUMBER, DatagramFactory, OutgoingDatagram
+from .failure_detector import PING_INTERVAL, FailureDetector, PingRequester
+from .member_table import MemberEvent, MemberEventKind, MemberTable
 from .messages import (
+    Address,
     DatagramCodec,
+    DropReason,
     InvalidDatagramError,
+    MemberId,
     MemberState,
     MemberUpdate,
     Message,
     MessageKind,
 )
+from .state_sync import StateSync
 
-PERIOD = 500.0  # of one ping
-ANSWER_WITHIN = 150.0  # until others are asked to ping it
-ASKED = 3  # of them
-DOUBT_LEAST, DOUBT_MOST = 1.5, 3.0  # periods by log10 of the fleet; times that where few say so
-SAY_SO = 3  # others who say so too, for the least time
-HEALTH_MOST = 8  # times longer that one who is itself unwell waits, less one
-AWAY = 4.0  # periods between two calls, after which this director itself was stopped
-SYNC_EVERY, SYNC_SOON = 10_000.0, 1_000.0  # comparing all that is known; where hardly anybody is
-MORE_AFTER = (
-    250.0  # a comparison that left a difference is followed by another, ever later without news
-)
-KNOCK_EVERY = 3_000.0  # at one who has died, or at a seed: a cut may be over
-WORDS, PAGES = 14, 6  # words on a datagram; pages that answer a comparison
-CHECKS = (
-    0.3,
-    0.5,
-    0.7,
-)  # of the time after which it counts as dead: a doubted one is asked once more
-TELL_DOUBTED = 3  # directors of all that hear of a doubt tell the doubted one at once
-TELL_DENIAL = 4  # others that it tells at once when it denies it
-LEAVES = 6  # are told of this one's leaving at once
-DATAGRAMS_A_SECOND = 400  # that are read; more are dropped unread
+SUSPENSION_THRESHOLD = (
+    4.0 * PING_INTERVAL
+)  # between two ticks: longer, and this director was stopped
+SUSPECT_NOTIFICATIONS = 3  # directors, of all that hear of a suspicion, that notify the suspect
+REFUTATION_FANOUT = 4  # members that a refutation is sent to at once
+LEAVE_FANOUT = 6  # members that are notified at once when this director leaves
+MAX_DATAGRAMS_PER_WINDOW = 400  # that are read; more are dropped unread
+RATE_WINDOW = 1000.0  # ms
 
-Address = tuple[str, int]
 
+class Delegate(Protocol):
+    """What exchanges messages of its own between members (`Delegate` of memberlist).
 
-class Companion(Protocol):
-    """What travels along with the membership: pure as it is, called with the same time."""
+    It is as pure as the protocol and is called with the same time, under the same lock.
+    """
 
-    def wake(self) -> float: ...
-    def step(
-        self, now: float, life: int, others: list[tuple[Who, str]]
-    ) -> list[tuple[Who, bytes]]: ...
-    def receive(self, now: float, who: Who, part: bytes) -> list[tuple[Who, bytes]]: ...
+    def next_wake_at(self) -> float:
+        """Returns when a tick is wanted at the latest."""
 
+    def tick(
+        self, now: float, incarnation: int, members: list[tuple[MemberId, str]]
+    ) -> list[tuple[MemberId, bytes]]:
+        """Takes the alive members with their locations; returns payloads and their recipients."""
 
-@dataclass(slots=True)
-class Ping:
-    """One that is out: at whom, since when, and for whom where another asked."""
+    def receive(
+        self, now: float, member_id: MemberId, payload: bytes
+    ) -> list[tuple[MemberId, bytes]]:
+        """Takes a payload of a member that is trusted; returns payloads and their recipients."""
 
-    who: Who
-    number: int
-    sent: float
-    asked: bool = False  # others are pinging it too
-    none_heard: int = 0
-    for_number: int = 0
-    for_address: Address | None = None
-    weight: tuple[int, int, int] = (0, 0, 0)  # of the word that it would put in doubt
+    def status(self, now: float) -> dict[str, object]:
+        """Returns what is shown to operators, as JSON objects."""
 
 
 class SwimProtocol:
-    """`receive` and `tick` give (address, datagram) pairs; events gather in `view.events`."""
+    """The protocol: `receive` and `tick` return datagrams to send, events gather in the table.
+
+    Not thread-safe: the owner calls it under a lock.
+
+    Attributes:
+        table: The members.
+        detector: Failure detection.
+        delegate: Receiver of user messages; None: they are ignored.
+        dropped_datagrams: Number of datagrams dropped so far, by reason.
+    """
 
     def __init__(
         self,
         now: float,
-        own: MemberUpdate,
+        table: MemberTable,
         codec: DatagramCodec,
         seeds: list[Address],
         random: Random,
-        most: int = 4000,
     ) -> None:
-        self.codec, self.random, self.seeds = codec, random, seeds
-        self.view = MemberTable(own, most, random)
-        self.health = 0  # 0: well
-        self.number = random.randrange(1 << 30)
-        self.pings: dict[int, Ping] = {}
-        self.ring: list[Who] = []
-        self.called = now
-        self.ping_due = now + PERIOD * random.random()
-        self.sync_due = now + 100.0 * random.random()
-        self.knock_due = now + KNOCK_EVERY * random.random()
-        self.dropped: dict[str, int] = {}
-        self.second, self.read = 0.0, 0
-        self.left, self.more = False, MORE_AFTER
-        self.companion: Companion | None = None
-
-    # What others and staff ask
-
-    def present(self) -> list[MemberUpdate]:
-        """This director and all that are alive or only suspected."""
-        return [self.view.own, *self.view.present()]
-
-    def take_events(self) -> list[Event]:
-        found, self.view.events = self.view.events, []
-        return found
-
-    def wake(self) -> float:
-        """When `tick` is wanted, at the latest."""
-        due = [self.ping_due, self.sync_due, self.knock_due]
-        due += [ping.sent + self._patience() for ping in self.pings.values() if not ping.asked]
-        if any(record.word.state == MemberState.SUSPECT for record in self.view.records.values()):
-            due.append(self.called + 0.2 * PERIOD)
-        return min(due) if self.companion is None else min(*due, self.companion.wake())
+        self.table = table
+        self.delegate: Delegate | None = None
+        self.dropped_datagrams: dict[DropReason, int] = {}
+        self._codec = codec
+        self._random = random
+        self._datagrams = DatagramFactory(codec, table)
+        # The order of these two is the order of their random draws
+        self.detector = FailureDetector(now, table, self._datagrams, random)
+        self._sync = StateSync(now, table, self._datagrams, seeds, random)
+        self._last_tick_at = now
+        self._rate_window_start = 0.0
+        self._datagrams_in_window = 0
+        self._has_left = False
+
+    def take_events(self) -> list[MemberEvent]:
+        """Returns the events since the last call, and forgets them."""
+        events = self.table.events
+        self.table.events = []
+        return events
+
+    def next_wake_at(self) -> float:
+        """Returns when `tick` is wanted at the latest."""
+        due = min(self.detector.next_wake_at(self._last_tick_at), self._sync.next_wake_at())
+        return due if self.delegate is None else min(due, self.delegate.next_wake_at())
 
     # Datagrams
 
-    def receive(self, now: float, address: Address, data: bytes) -> list[tuple[Address, bytes]]:
-        if now >= self.second + 1000.0:
-            self.second, self.read = now, 0
-        self.read += 1
-        if self.left or self.read > DATAGRAMS_A_SECOND:
-            return self._drop("too many") if not self.left else []
-        try:
-            message = self.codec.decode(data)
-        except InvalidDatagramError as wrong:
-            return self._drop(str(wrong))
-        if message.sender.member_id == self.view.own.member_id:
-            return self._drop("own")
-        return self._heard(now, address, message)
-
-    def _drop(self, why: str) -> list[tuple[Address, bytes]]:
-        self.dropped[why] = self.dropped.get(why, 0) + 1
-        return []
+    def receive(self, now: float, address: Address, data: bytes) -> list[OutgoingDatagram]:
+        """Handles one datagram.
 
-    def _heard(self, now: float, address: Address, message: Message) -> list[tuple[Address, bytes]]:
-        view, by = self.view, message.sender.member_id
-        view.merge(now, message.sender, by)
-        record = view.records.get(by)
-        current = record is not None and record.word.precedence[:2] == message.sender.precedence[:2]
-        if current:
-            record.heard = now
-        # One who counts as dead is told so and may deny it; what it says of others may be long
-        # past, or come of its hearing nothing
-        trusted = current and record.word.state <= MemberState.SUSPECT
-        out: list[tuple[Address, bytes]] = []
-        count, news = (view.own.refutation_count, view.own.incarnation), 0
-        for word in message.updates:
-            if trusted or word.member_id == view.own.member_id:
-                if view.merge(now, word, by):
-                    news += 1
-                    out += self._warn(word) if word.state == MemberState.SUSPECT else []
-        if message.kind == MessageKind.SYNC_PAGE and message.number != view.digest() & 0xFFFFFFFF:
-            self.more = MORE_AFTER if news else min(SYNC_EVERY, 1.2 * self.more)
-            self.sync_due = min(self.sync_due, now + self.more)
-        if count != (view.own.refutation_count, view.own.incarnation):
-            out += self._deny()
-        if message.kind == MessageKind.PING:
-            out.append((address, self._datagram(MessageKind.ACK, message.number, None, by)))
-        elif message.kind == MessageKind.ACK:
-            out += self._answered(message)
-        elif message.kind == MessageKind.INDIRECT_PING and message.target is not None and trusted:
-            self.number += 1
-            whom = message.target.member_id
-            self.pings[self.number] = Ping(whom, self.number, now, True, 0, message.number, address)
-            out.append(
-                (
-                    _address(message.target),
-                    self._datagram(MessageKind.PING, self.number, None, whom),
-                )
-            )
-        elif message.kind == MessageKind.NACK:
-            if ping := self.pings.get(message.number):
-                ping.none_heard += 1
-        elif message.kind == MessageKind.USER_MESSAGE:
-            if self.companion is not None and trusted:
-                out += self._along(self.companion.receive(now, by, message.payload))
-        elif message.kind == MessageKind.SYNC_REQUEST:
-            if message.number != view.digest() & 0xFFFFFFFF:
-                out += self._pages(address, by)
-        return out
+        Args:
+            now: Time in ms.
+            address: Where it comes from.
+            data: Its bytes, of which nothing is assumed.
 
-    def _warn(self, word: MemberUpdate) -> list[tuple[Address, bytes]]:
-        """Some of those who hear of a doubt tell the doubted one, which may have little time to
-        deny it.
+        Returns:
+            Datagrams to send.
         """
-        if (
-            word.member_id == self.view.own.member_id
-            or self.random.random() * self.view.size() >= TELL_DOUBTED
-        ):
+        if now >= self._rate_window_start + RATE_WINDOW:
+            self._rate_window_start = now
+            self._datagrams_in_window = 0
+        self._datagrams_in_window += 1
+        if self._has_left:
             return []
-        self.number += 1
-        return [
-            (_address(word), self._datagram(MessageKind.PING, self.number, None, word.member_id))
-        ]
-
-    def _deny(self) -> list[tuple[Address, bytes]]:
-        others = self.view.present()
-        return [
-            (_address(word), self._datagram(MessageKind.ACK, 0, None, word.member_id))
-            for word in self.random.sample(others, min(TELL_DENIAL, len(others)))
-        ]
+        if self._datagrams_in_window > MAX_DATAGRAMS_PER_WINDOW:
+            self._count_drop(DropReason.RATE)
+            return []
+        try:
+            message = self._codec.decode(data)
+        except InvalidDatagramError as error:
+            self._count_drop(error.reason)
+            return []
+        if message.sender.member_id == self.table.local.member_id:
+            self._count_drop(DropReason.SELF)
+            return []
+        return self._handle(now, address, message)
+
+    def _count_drop(self, reason: DropReason) -> None:
+        self.dropped_datagrams[reason] = self.dropped_datagrams.get(reason, 0) + 1
+
+    def _handle(self, now: float, address: Address, message: Message) -> list[OutgoingDatagram]:
+        sender = message.sender
+        self.table.merge(now, sender, sender.member_id)
+        entry = self.table.entries.get(sender.member_id)
+        is_trusted = False
+        if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
+            entry.last_received_at = now
+            # A sender that counts as dead learns so and may refute it; what it says of others may
+            # be long out of date, or come of its receiving nothing.
+            is_trusted = entry.is_active
+        out: list[OutgoingDatagram] = []
+        before = self.table.local
+        has_news = self._merge_updates(now, message, is_trusted, out)
+        if message.kind == MessageKind.SYNC_PAGE:
+            self._sync.handle_page(now, message.number, has_news)
+        if before.precedence != self.table.local.precedence:
+            out += self._announce_refutation()
+        out += self._answer(now, address, message, is_trusted)
+        return out
 
-    def _along(self, said: list[tuple[Who, bytes]]) -> list[tuple[Address, bytes]]:
-        return [
-            (
-                (who[1], who[2]),
-                self.codec.encode(MessageKind.USER_MESSAGE, 0, self.view.own, None, [], part),
-            )
-            for who, part in said
-        ]
+    def _merge_updates(
+        self, now: float, message: Message, is_trusted: bool, out: list[OutgoingDatagram]
+    ) -> bool:
+        """Merges the updates that came along, and notifies suspects.
 
-    def _answered(self, message: Message) -> list[tuple[Address, bytes]]:
-        ping = self.pings.pop(message.number, None)
-        if ping is None:
-            return []
-        if ping.for_address is not None:  # it was pinged for another, who is told
-            return [
-                (ping.for_address, self._datagram(MessageKind.ACK, ping.for_number, None, None))
-            ]
-        self.health = max(0, self.health - 1)
-        return []
+        Args:
+            now: Time in ms.
+            message: The message.
+            is_trusted: Whether its sender is believed on others than this director.
+            out: Datagrams to send are appended here.
 
-    def _datagram(
-        self, kind: MessageKind, number: int, about: MemberUpdate | None, to: Who | None
-    ) -> bytes:
-        """With the words that are to be passed on; whoever is doubted is told so first."""
-        first = []
-        if (
-            to is not None
-            and (record := self.view.records.get(to))
-            and record.word.state > MemberState.ALIVE
-        ):
-            first = [to]
-        return self.codec.encode(
-            kind, number, self.view.own, about, self.view.to_tell(WORDS, first)
-        )
-
-    def _pages(self, address: Address, to: Who) -> list[tuple[Address, bytes]]:
-        """All that is known, in pages; of a large fleet some, drawn at random: further ones follow.
-        Whoever asks is told first what is believed of it, to deny it.
+        Returns:
+            Whether any update has changed anything.
         """
-        known = max(1, len(self.view.records))
-        count = min(PAGES, math.ceil(known / WORDS))
-        pages = (
-            [self.view.page(WORDS) for _ in range(count)]
-            if known > WORDS * PAGES
-            else _split(self.view.page(known), WORDS)
-        )
-        if (
-            record := self.view.records.get(to)
-        ) is not None and record.word.state > MemberState.ALIVE:
-            pages[0] = [record.word, *pages[0]]
-        digest = self.view.digest() & 0xFFFFFFFF
-        return [
-            (address, self.codec.encode(MessageKind.SYNC_PAGE, digest, self.view.own, None, page))
-            for page in pages
-        ]
-
-    # Time
+        has_news = False
+        local_id = self.table.local.member_id
+        for update in message.updates:
+            if not is_trusted and update.member_id != local_id:
+                continue
+            if self.table.merge(now, update, message.sender.member_id):
+                has_news = True
+                if update.state == MemberState.SUSPECT:
+                    out += self._notify_suspect(update)
+        return has_news
+
+    def _answer(
+        self, now: float, address: Address, message: Message, is_trusted: bool
+    ) -> list[OutgoingDatagram]:
+        sender_id = message.sender.member_id
+        match message.kind:
+            case MessageKind.PING:
+                return [
+                    self._datagrams.with_broadcasts(
+                        address, MessageKind.ACK, message.number, recipient=sender_id
+                    )
+                ]
+            case MessageKind.ACK:
+                return self.detector.handle_ack(message)
+            case MessageKind.INDIRECT_PING if message.target is not None and is_trusted:
+                requester = PingRequester(address, message.number)
+                return self.detector.handle_indirect_ping(now, requester, message.target)
+            case MessageKind.NACK:
+                self.detector.handle_nack(message)
+            case MessageKind.USER_MESSAGE if self.delegate is not None and is_trusted:
+                return self._wrap(self.delegate.receive(now, sender_id, message.payload))
+            case MessageKind.SYNC_REQUEST:
+                return self._sync.handle_request(address, sender_id, message.number)
+        return []
 
-    def tick(self, now: float) -> list[tuple[Address, bytes]]:
-        if self.left:
-            return []
-        if now > self.called + AWAY * PERIOD:
-            self._was_away(now)
-        self.called = now
-        out = self._look_after(now)
-        out += self._bury(now)
-        if now >= self.ping_due:
-            self.ping_due = now + PERIOD * (0.9 + 0.2 * self.random.random())
-            self.view.age(now)
-            out += self._ping(now)
-        if self.companion is not None:
-            others = [
-                (word.member_id, word.location)
-                for word in self.view.present()
-                if word.state == MemberState.ALIVE
-            ]
-            out += self._along(self.companion.step(now, self.view.own.incarnation, others))
-        if now >= self.sync_due:
-            out += self._sync(now)
-        if now >= self.knock_due:
-            self.knock_due = now + KNOCK_EVERY * (0.75 + 0.5 * self.random.random())
-            out += self._knock()
-        return out
+    def _notify_suspect(self, update: MemberUpdate) -> list[OutgoingDatagram]:
+        """Pings a suspect with the odds by which some of all that hear of it do so.
 
-    def _was_away(self, now: float) -> None:
-        """This director was stopped: pings that are out prove nothing, and what it
-        believes is old.
+        The suspect may have little time left to refute.
         """
-        self.pings.clear()
-        self.health = min(HEALTH_MOST, self.health + 2)
-        self.sync_due = now
-        for record in self.view.records.values():
-            if record.word.state == MemberState.SUSPECT:
-                record.since = now
-        self.view.events.append(Event("late", self.view.own))
-
-    def _patience(self) -> float:
-        return ANSWER_WITHIN * (1 + self.health)
-
-    def _ping(self, now: float) -> list[tuple[Address, bytes]]:
-        while self.ring:
-            who = self.ring.pop()
-            record = self.view.records.get(who)
-            if record is not None and record.word.state <= MemberState.SUSPECT:
-                break
-        else:  # all in turn, in another order each time: nobody waits longer than two rounds
-            self.ring = [word.member_id for word in self.view.present()]
-            self.random.shuffle(self.ring)
-            if not self.ring:
-                return []
-            who = self.ring.pop()
-            record = self.view.records[who]
-        self.number += 1
-        self.pings[self.number] = Ping(who, self.number, now, weight=record.word.precedence)
-        return [(_address(record.word), self._datagram(MessageKind.PING, self.number, None, who))]
-
-    def _look_after(self, now: float) -> list[tuple[Address, bytes]]:
-        """Pings that brought no answer: others are asked, then it is doubted."""
-        out = []
-        for number, ping in list(self.pings.items()):
-            record = self.view.records.get(ping.who)
-            if ping.for_address is not None:
-                if now > ping.sent + PERIOD:
-                    del self.pings[number]
-                    told = self._datagram(MessageKind.NACK, ping.for_number, None, None)
-                    out.append((ping.for_address, told))
-            elif record is None or record.word.state >= MemberState.DEAD:
-                del self.pings[number]
-            elif not ping.asked and now > ping.sent + self._patience():
-                ping.asked = True
-                out += self._ask(ping, record.word)
-            elif now > ping.sent + PERIOD * (1 + self.health) + self._patience():
-                del self.pings[number]
-                out += self._doubt(now, ping, record)
-        return out
+        if update.member_id == self.table.local.member_id:
+            return []
+        if self._random.random() * self.table.cluster_size() >= SUSPECT_NOTIFICATIONS:
+            return []
+        return self.detector.notify_suspect(update)
 
-    def _ask(self, ping: Ping, word: MemberUpdate) -> list[tuple[Address, bytes]]:
-        others = [
-            other
-            for other in self.view.present()
-            if other.member_id != ping.who and other.state == MemberState.ALIVE
-        ]
-        again = [(_address(word), self._datagram(MessageKind.PING, ping.number, None, ping.who))]
-        return again + [
-            (
-                _address(other),
-                self._datagram(MessageKind.INDIRECT_PING, ping.number, word, other.member_id),
+    def _announce_refutation(self) -> list[OutgoingDatagram]:
+        members = self.table.active_members()
+        return [
+            self._datagrams.with_broadcasts(
+                update.address, MessageKind.ACK, NO_NUMBER, recipient=update.member_id
             )
-            for other in self.random.sample(others, min(ASKED, len(others)))
+            for update in self._random.sample(members, min(REFUTATION_FANOUT, len(members)))
         ]
 
-    def _doubt(self, now: float, ping: Ping, record: MemberRecord) -> list[tuple[Address, bytes]]:
-        others = self.view.size() - 2
-        if (
-            others > 0 and not ping.none_heard
-        ):  # those who were asked said no word either: it may be this one
-            self.health = min(HEALTH_MOST, self.health + 1)
-        if record.word.precedence == ping.weight and record.word.state == MemberState.ALIVE:
-            self.view.judge(now, ping.who, MemberState.SUSPECT)
-        elif record.word.state == MemberState.SUSPECT:
-            self.view.merge(now, record.word, self.view.own.member_id)
-        self.number += 1
+    def _wrap(self, payloads: list[tuple[MemberId, bytes]]) -> list[OutgoingDatagram]:
         return [
-            (_address(record.word), self._datagram(MessageKind.PING, self.number, None, ping.who))
+            self._datagrams.with_payload((host, port), payload)
+            for (_, host, port), payload in payloads
         ]
 
-    def _bury(self, now: float) -> list[tuple[Address, bytes]]:
-        """Doubted ones are asked a last time; those that have not denied it in time have died."""
-        least, out = DOUBT_LEAST * max(1.0, math.log10(self.view.size())) * PERIOD, []
-        for who, record in list(self.view.records.items()):
-            if record.word.state != MemberState.SUSPECT:
-                continue
-            others = max(1, min(SAY_SO, self.view.size() - 2))
-            says = math.log(min(len(record.doubters), others + 1)) / math.log(others + 1)
-            due = least * (DOUBT_MOST - (DOUBT_MOST - 1.0) * says) * (1 + self.health)
-            if now > record.since + due:
-                self.view.judge(now, who, MemberState.DEAD)
-            elif record.checks < len(CHECKS) and now > record.since + CHECKS[record.checks] * due:
-                record.checks += 1
-                self.number += 1
-                out.append(
-                    (
-                        _address(record.word),
-                        self._datagram(MessageKind.PING, self.number, None, who),
-                    )
-                )
-        return out
-
-    def _sync(self, now: float) -> list[tuple[Address, bytes]]:
-        """Compares with one other, or with a seed where nobody is known."""
-        present = self.view.present()
-        every = SYNC_SOON if len(present) < 2 else SYNC_EVERY
-        self.sync_due = now + every * (0.75 + 0.5 * self.random.random())
-        to = [_address(self.random.choice(present))] if present else self._seeds()
-        digest = self.view.digest() & 0xFFFFFFFF
-        words = self.view.page(WORDS)
-        return [
-            (
-                address,
-                self.codec.encode(MessageKind.SYNC_REQUEST, digest, self.view.own, None, words),
-            )
-            for address in to
-        ]
-
-    def _seeds(self) -> list[Address]:
-        own = _address(self.view.own)
-        return [seed for seed in self.seeds if seed != own][:3]
+    # Time
 
-    def _knock(self) -> list[tuple[Address, bytes]]:
-        """At one who counts as dead, or at a seed that is not known: after a cut both sides think
-        the other gone, and nobody would ask again.
-        """
-        dead = [
-            record.word
-            for record in self.view.records.values()
-            if record.word.state == MemberState.DEAD
-        ]
-        known = {_address(word) for word in self.view.present()}
-        strange = [seed for seed in self._seeds() if seed not in known]
-        digest = self.view.digest() & 0xFFFFFFFF
-        out = []
-        if dead:
-            word = self.random.choice(dead)
-            out.append(
-                (
-                    _address(word),
-                    self.codec.encode(
-                        MessageKind.SYNC_REQUEST,
-                        digest,
-                        self.view.own,
-                        None,
-                        [word, *self.view.page(WORDS - 1)],
-                    ),
-                )
-            )
-        if strange:
-            out.append(
-                (
-                    self.random.choice(strange),
-                    self.codec.encode(
-                        MessageKind.SYNC_REQUEST, digest, self.view.own, None, self.view.page(WORDS)
-                    ),
-                )
-            )
+    def tick(self, now: float) -> list[OutgoingDatagram]:
+        """Does what is due and returns datagrams to send."""
+        if self._has_left:
+            return []
+        if now > self._last_tick_at + SUSPENSION_THRESHOLD:
+            self._handle_suspension(now)
+        self._last_tick_at = now
+        out = self.detector.check_pending_pings(now)
+        out += self.detector.check_suspects(now)
+        out += self.detector.ping_if_due(now)
+        out += self._tick_delegate(now)
+        out += self._sync.sync_if_due(now)
+        out += self._sync.reconnect_if_due(now)
         return out
 
-    def leave(self, now: float) -> list[tuple[Address, bytes]]:
-        """This director ends: some are told at once, and pass it on."""
-        own = self.view.own
-        self.view.own = MemberUpdate(
-            own.name,
-            own.host,
-            own.port,
-            own.location,
-            own.incarnation,
-            own.refutation_count,
-            MemberState.LEFT,
-        )
-        present = self.view.present()
-        self.left = True
+    def _tick_delegate(self, now: float) -> list[OutgoingDatagram]:
+        if self.delegate is None:
+            return []
+        members = [
+            (update.member_id, update.location)
+            for update in self.table.active_members()
+            if update.state == MemberState.ALIVE
+        ]
+        return self._wrap(self.delegate.tick(now, self.table.local.incarnation, members))
+
+    def _handle_suspension(self, now: float) -> None:
+        """This director was stopped, so that what it believes of others is out of date."""
+        self.detector.handle_suspension(now)
+        self._sync.sync_soon(now)
+        self.table.events.append(MemberEvent(MemberEventKind.SUSPENDED, self.table.local))
+
+    def leave(self) -> list[OutgoingDatagram]:
+        """Leaves the fleet; returns datagrams to some members, which pass it on."""
+        self.table.local = msgspec.structs.replace(self.table.local, state=MemberState.LEFT)
+        self._has_left = True
+        members = self.table.active_members()
         return [
-            (
-                _address(word),
-                self.codec.encode(MessageKind.ACK, 0, self.view.own, None, [self.view.own]),
+            self._datagrams.with_updates(
+                update.address, MessageKind.ACK, NO_NUMBER, [self.table.local]
             )
-            for word in self.random.sample(present, min(LEAVES, len(present)))
+            for update in self._random.sample(members, min(LEAVE_FANOUT, len(members)))
         ]
-
-
-def _address(word: MemberUpdate) -> Address:
-    return (word.host, word.port)
-
-
-def _split(words: list[MemberUpdate], length: int) -> list[list[MemberUpdate]]:
-    return [words[first : first + length] for first in range(0, len(words), length)] or [[]]
--- /dev/null
+++ b/tests/budgets/lease_model.py
@@ -0,0 +1,172 @@
+"""All states that two or three ledgers can come to over a network that loses, duplicates, delays
+and reorders, with restarts, in small numbers: breadth first, so that the trace to a fault that is
+found is the shortest.
+"""
+
+import copy
+from collections import deque
+
+from mulleinrelay.budgets.lease_ledger import LeaseLedger
+
+LEASE_DURATION = 3.0
+WINDOW = 1.0
+CLOCK_DRIFT = 0.0
+RESERVED_FRACTION = 0.5
+MAX_STATES = 60_000
+MAX_IN_TRANSIT = 3  # messages
+
+
+def new_ledger(owned, now, incarnation, make=LeaseLedger):
+    return make(owned, WINDOW, now, incarnation, LEASE_DURATION, CLOCK_DRIFT, RESERVED_FRACTION)
+
+
+class World:
+    """The state: ledgers, messages in transit, the time, and what the adversary may still do."""
+
+    def __init__(self, count, owned, restarts, requests, make=LeaseLedger):
+        self.owned = owned
+        self.make = make
+        self.now = 0.0
+        self.ledgers = [new_ledger(owned, -10.0 * LEASE_DURATION, 1, make) for _ in range(count)]
+        self.in_transit = []  # (kind, sender, recipient, borrower's incarnation, message)
+        self.restarts = restarts
+        self.requests = requests
+        self.releases = 1
+
+    def key(self):
+        """The same for states that cannot be told apart later on: times count from now."""
+
+        def since_now(at):
+            return max(-LEASE_DURATION - WINDOW - 1.0, at - self.now)
+
+        def ledger_key(ledger):
+            granted = sorted(
+                (borrower, lease.units, since_now(lease.locked_until))
+                for borrower, lease in ledger.granted.items()
+            )
+            borrowed = sorted(
+                (number, lease.lender, lease.units, since_now(lease.expires_at))
+                for number, lease in ledger.borrowed.items()
+            )
+            pending = sorted(
+                (number, request.lender, since_now(request.sent_at), request.renews)
+                for number, request in ledger.pending.items()
+            )
+            return (
+                ledger.incarnation,
+                ledger.last_number,
+                since_now(ledger.started_at),
+                tuple(granted),
+                tuple(borrowed),
+                tuple(pending),
+            )
+
+        return (
+            tuple(ledger_key(ledger) for ledger in self.ledgers),
+            tuple(sorted(map(repr, self.in_transit))),
+            self.restarts,
+            self.requests,
+            self.releases,
+        )
+
+    def in_use(self):
+        return sum(ledger.usable(self.now) for ledger in self.ledgers)
+
+    def steps(self):
+        """What may come next: (description, function of a world)."""
+        found = [("a tick", lambda world: world.tick())]
+        for borrower in range(len(self.ledgers)):
+            found += self._steps_of(borrower)
+        for index, (kind, sender, recipient, _, _) in enumerate(self.in_transit):
+            text = f"{kind} from {sender} to {recipient}"
+            found.append((f"{text} arrives", lambda world, i=index: world.arrive(i, True)))
+            found.append(
+                (f"{text} arrives and will again", lambda world, i=index: world.arrive(i, False))
+            )
+        return found
+
+    def _steps_of(self, borrower):
+        found = []
+        leases = self.ledgers[borrower].borrowed
+        for lender in range(len(self.ledgers)):
+            if lender == borrower or not self.requests:
+                continue
+            numbers = [number for number, lease in leases.items() if lease.lender == lender]
+            for renewed in [0, *numbers]:
+                found.append(
+                    (
+                        f"{borrower} requests {f'{renewed} again' if renewed else '1'} of {lender}",
+                        lambda world, to=lender, n=renewed: world.request(borrower, to, n),
+                    )
+                )
+        for number in leases if self.releases else ():
+            found.append(
+                (
+                    f"{borrower} releases {number}",
+                    lambda world, n=number: world.release(borrower, n),
+                )
+            )
+        if self.restarts:
+            found.append(
+                (f"{borrower} is killed and restarts", lambda world: world.restart(borrower))
+            )
+        return found
+
+    def tick(self):
+        self.now += 1.0
+        for ledger in self.ledgers:
+            ledger.remove_expired(self.now)
+
+    def request(self, borrower, lender, renews):
+        self.requests -= 1
+        ledger = self.ledgers[borrower]
+        message = ledger.request(self.now, lender, 1, renews)
+        self.in_transit.append(("request", borrower, lender, ledger.incarnation, message))
+
+    def release(self, borrower, number):
+        self.releases -= 1
+        ledger = self.ledgers[borrower]
+        lender = ledger.borrowed[number].lender
+        message = ledger.release(number)
+        self.in_transit.append(("release", borrower, lender, ledger.incarnation, message))
+
+    def restart(self, number):
+        self.restarts -= 1
+        incarnation = self.ledgers[number].incarnation + 1
+        self.ledgers[number] = new_ledger(self.owned, self.now, incarnation, self.make)
+
+    def arrive(self, index, is_last):
+        """A message arrives; unless it `is_last`, a duplicate stays in transit."""
+        kind, sender, recipient, incarnation, message = (
+            self.in_transit.pop(index) if is_last else self.in_transit[index]
+        )
+        ledger = self.ledgers[recipient]
+        if kind == "request":
+            grant = ledger.grant(self.now, sender, incarnation, message, 0)
+            if grant is not None and len(self.in_transit) < MAX_IN_TRANSIT:
+                self.in_transit.append(("grant", recipient, sender, incarnation, grant))
+        elif kind == "grant":
+            ledger.accept_grant(self.now, sender, incarnation, message)
+        else:
+            ledger.accept_release(self.now, sender, incarnation, message)
+
+
+def search(world, max_states=MAX_STATES):
+    """(states seen, None), or with the trace to the first state in which more is in use than there
+    is.
+    """
+    limit = len(world.ledgers) * world.owned
+    seen = {world.key()}
+    queue = deque([(world, ())])
+    while queue and len(seen) < max_states:
+        state, trace = queue.popleft()
+        for text, apply in state.steps():
+            successor = copy.deepcopy(state)
+            apply(successor)
+            path = (*trace, text)
+            if successor.in_use() > limit:
+                return len(seen), path
+            if (key := successor.key()) not in seen:
+                seen.add(key)
+                queue.append((successor, path))
+    return len(seen), None
--- /dev/null
+++ b/tests/membership/simulated_fleet.py
@@ -0,0 +1,158 @@
+"""A fleet of membership protocols in simulated time, with losses, duplicates, delays, partitions,
+suspended and killed directors. The same seed plays the same.
+"""
+
+import heapq
+import itertools
+from random import Random
+
+from mulleinrelay.membership.member_table import MemberTable
+from mulleinrelay.membership.messages import DatagramCodec, MemberState, MemberUpdate
+from mulleinrelay.membership.swim import SwimProtocol
+
+HOST = "10.0.0.1"
+FIRST_PORT = 7001
+MAX_MEMBERS = 4000
+CLOCK_OFFSET = 1000.0  # ms between the clocks of two neighbours
+
+
+class SimulatedFleet:
+    """Director `number` is named n0, n1, ...; times of the simulation are ms in `now`."""
+
+    def __init__(self, count, seed=1, loss=0.0, doubled=0.0, jitter=20.0, seeds=2, drift=0.0):
+        self.now = 0.0
+        self.random = Random(seed)
+        self.loss = loss
+        self.doubled = doubled
+        self.jitter = jitter
+        self.drift = drift
+        self.queue = []  # (time, order, kind, director, arguments)
+        self.order = itertools.count()
+        self.sent = 0
+        self.sent_bytes = 0
+        self.cores = {}
+        self.suspended = set()
+        self.killed = set()
+        self.partitions = []
+        self.events = []
+        self.starts = 0
+        self.seeds = [(HOST, FIRST_PORT + number) for number in range(seeds)]
+        for number in range(count):
+            self.start(number)
+
+    def start(self, number, incarnation=None):
+        """Starts a director, or starts it again after a kill."""
+        self.starts += 1
+        incarnation = incarnation or int(1000 + self.now)
+        local = MemberUpdate(
+            f"n{number}", HOST, FIRST_PORT + number, "north", incarnation, 0, MemberState.ALIVE
+        )
+        self.killed.discard(number)
+        random = Random(f"{number}-{self.starts}")
+        self.cores[number] = SwimProtocol(
+            self.clock(number),
+            MemberTable(local, MAX_MEMBERS, random),
+            DatagramCodec("lab", b"key"),
+            self.seeds,
+            random,
+        )
+        self._tick(number)
+
+    def _clock_rate(self, number):
+        return 1.0 + self.drift * ((number % 3) - 1)
+
+    def clock(self, number):
+        """Each director has its own clock, up to `drift` fast or slow."""
+        return self.now * self._clock_rate(number) + CLOCK_OFFSET * number
+
+    def cut(self, senders, receivers):
+        """Nothing passes from these to those."""
+        self.partitions.append((frozenset(senders), frozenset(receivers)))
+
+    def heal(self):
+        self.partitions.clear()
+
+    def kill(self, number):
+        self.killed.add(number)
+
+    def suspend(self, number):
+        self.suspended.add(number)
+
+    def resume(self, number):
+        self.suspended.discard(number)
+        queue = self.queue
+        self.queue = []
+        for at, order, kind, to, arguments in queue:  # what came meanwhile is read at once
+            heapq.heappush(self.queue, (max(self.now, at), order, kind, to, arguments))
+        self._tick(number)
+
+    def leave(self, number):
+        self._send(number, self.cores[number].leave())
+
+    def run(self, seconds):
+        end = self.now + 1000.0 * seconds
+        while self.queue and self.queue[0][0] <= end:
+            at, _, kind, to, arguments = heapq.heappop(self.queue)
+            self.now = max(self.now, at)
+            if to in self.killed or to not in self.cores:
+                continue
+            if to in self.suspended:
+                heapq.heappush(self.queue, (end + 1.0, next(self.order), kind, to, arguments))
+                if self.queue[0][0] > end:
+                    break
+                continue
+            if kind == "datagram":
+                self._send(to, self.cores[to].receive(self.clock(to), *arguments))
+            elif arguments[0] is self.cores[to]:
+                self._tick(to)
+            self._collect_events(to)
+        self.now = end
+
+    def _collect_events(self, number):
+        self.events += [(self.now, number, event) for event in self.cores[number].take_events()]
+
+    def _tick(self, number):
+        core = self.cores[number]
+        self._send(number, core.tick(self.clock(number)))
+        wake_at = (core.next_wake_at() - CLOCK_OFFSET * number) / self._clock_rate(number)
+        due = max(self.now + 1.0, wake_at)
+        heapq.heappush(self.queue, (due, next(self.order), "tick", number, (core,)))
+
+    def _send(self, number, datagrams):
+        for address, data in datagrams:
+            to = address[1] - FIRST_PORT
+            self.sent += 1
+            self.sent_bytes += len(data)
+            if any(number in senders and to in receivers for senders, receivers in self.partitions):
+                continue
+            if self.random.random() < self.loss:
+                copies = 0
+            else:
+                copies = 1 + (self.random.random() < self.doubled)
+            for _ in range(copies):
+                at = self.now + 0.5 + self.random.random() * self.jitter
+                arguments = ((HOST, FIRST_PORT + number), data)
+                heapq.heappush(self.queue, (at, next(self.order), "datagram", to, arguments))
+
+    # What they believe
+
+    def seen_by(self, number, states=(MemberState.ALIVE,)):
+        """Returns the directors that one takes to be in one of these states."""
+        return {
+            int(entry.update.name[1:])
+            for entry in self.cores[number].table.entries.values()
+            if entry.update.state in states
+        }
+
+    def agree(self, among=None):
+        """Whether all running directors, or these, take one another for alive and nobody else."""
+        running = set(among if among is not None else self.cores) - self.killed - self.suspended
+        return all(self.seen_by(number) == running - {number} for number in running)
+
+    def events_of(self, kind):
+        """Returns (time, observer's number, member's name) of each event of that kind."""
+        return [
+            (at, number, event.update.name)
+            for at, number, event in self.events
+            if event.kind == kind
+        ]
--- /dev/null
+++ b/tests/membership/test_swim.py
@@ -0,0 +1,209 @@
+"""Fleets of protocols in simulated time. The same seed plays the same."""
+
+import msgspec
+import pytest
+from simulated_fleet import SimulatedFleet
+
+from mulleinrelay.membership.messages import MemberState
+
+
+def test_all_members_know_each_other_from_two_seeds_within_seconds():
+    fleet = SimulatedFleet(40)
+    fleet.run(8)
+    assert fleet.agree() and not fleet.events_of("died")
+
+
+def two_minutes(loss, doubled, jitter):
+    """Members that each of 30 takes for active at the end, and how often one was found dead."""
+    fleet = SimulatedFleet(30, 3, loss, doubled, jitter)
+    fleet.run(120)
+    active = (MemberState.ALIVE, MemberState.SUSPECT)  # at any moment some member is suspect
+    seen = [len(fleet.seen_by(number, active)) for number in range(30)]
+    return seen, len(fleet.events_of("died"))
+
+
+def bytes_sent_by_each(count):
+    """Bytes a second."""
+    fleet = SimulatedFleet(count)
+    fleet.run(40)
+    before = fleet.sent_bytes
+    fleet.run(20)
+    return (fleet.sent_bytes - before) / count / 20.0
+
+
+NETWORKS = [
+    (0.0, 0.0, 1.0, 0),
+    (0.2, 0.2, 60.0, 0),
+    (0.3, 0.3, 80.0, 2),
+]  # 2 of 870 pairs in two minutes
+STUDIES = {f"members, {network}": (two_minutes, *network) for *network, _ in NETWORKS}
+STUDIES |= {f"{count} members": (bytes_sent_by_each, count) for count in (16, 96)}
+
+
+@pytest.mark.parametrize("loss, doubled, jitter, died", NETWORKS)
+def test_no_running_member_is_found_dead_despite_loss_duplicates_and_reordering(
+    loss, doubled, jitter, died, studies
+):
+    seen, found_dead = studies(f"members, {[loss, doubled, jitter]}")
+    assert seen == [29] * 30 and found_dead <= died
+
+
+@pytest.mark.parametrize("count, killed", [(12, 1), (60, 6), (60, 42)])
+def test_killed_members_are_found_dead_within_seconds(count, killed):
+    fleet = SimulatedFleet(count, 5)
+    fleet.run(15)
+    for number in range(count - killed, count):
+        fleet.kill(number)
+    killed_at = fleet.now
+    fleet.run(12)
+    assert fleet.agree()
+    delays = {}
+    for at, number, name in fleet.events_of("died"):
+        delays[number, name] = at - killed_at
+    limit = 5000.0 if killed < 10 else 9000.0
+    assert sorted(delays.values())[int(0.99 * len(delays))] <= limit
+
+
+def test_restarted_member_is_recognized_and_old_updates_do_not_harm_it():
+    fleet = SimulatedFleet(12)
+    fleet.run(10)
+    fleet.kill(7)
+    fleet.run(1)
+    fleet.start(7)
+    fleet.run(10)
+    assert fleet.agree()
+    assert {name for _, _, name in fleet.events_of("started again")} == {"n7"}
+
+
+def test_member_restarted_with_its_clock_set_back_exceeds_its_old_incarnation():
+    fleet = SimulatedFleet(8)
+    fleet.run(10)
+    fleet.kill(7)
+    fleet.run(12)
+    fleet.start(7, incarnation=5)
+    fleet.run(12)
+    assert fleet.agree() and fleet.cores[7].table.local.incarnation > 1000
+
+
+def test_resumed_member_does_not_judge_others_by_its_old_view():
+    fleet = SimulatedFleet(20)
+    fleet.run(10)
+    fleet.suspend(4)
+    fleet.run(9)
+    others = [number for number in range(20) if number != 4]
+    assert all(4 in fleet.seen_by(number, (MemberState.DEAD,)) for number in others)
+    died = len(fleet.events_of("died"))
+    fleet.resume(4)
+    fleet.run(10)
+    assert fleet.agree() and len(fleet.events_of("died")) == died
+    assert [number for _, number, _ in fleet.events_of("late")] == [4]
+
+
+def test_both_sides_of_a_partition_find_each_other_again():
+    fleet = SimulatedFleet(24)
+    fleet.run(10)
+    small_side = range(8)
+    large_side = range(8, 24)
+    fleet.cut(small_side, large_side)
+    fleet.cut(large_side, small_side)
+    fleet.run(25)
+    assert fleet.agree(small_side) and fleet.agree(large_side)
+    fleet.heal()
+    fleet.run(15)
+    assert fleet.agree()
+
+
+@pytest.mark.parametrize("is_deaf", [True, False])
+def test_member_with_a_one_way_link_does_not_harm_the_others(is_deaf):
+    """A member whose link is broken must not get all others declared dead."""
+    fleet = SimulatedFleet(20)
+    fleet.run(10)
+    others = [number for number in range(20) if number != 6]
+    fleet.cut(others if is_deaf else [6], [6] if is_deaf else others)
+    fleet.run(40)
+    assert fleet.agree(others)
+    assert not [died for died in fleet.events_of("died") if died[1] != 6 and died[2] != "n6"]
+    fleet.heal()
+    fleet.run(20)
+    assert fleet.agree()
+
+
+def test_leaving_member_is_not_found_dead():
+    fleet = SimulatedFleet(20)
+    fleet.run(10)
+    fleet.leave(3)
+    fleet.kill(3)
+    fleet.run(6)
+    assert fleet.agree()
+    assert {name for _, _, name in fleet.events_of("left")} == {"n3"}
+    assert not fleet.events_of("died")
+
+
+def test_two_members_of_one_name_are_reported_and_both_known():
+    fleet = SimulatedFleet(6)
+    table = fleet.cores[5].table
+    table.local = msgspec.structs.replace(table.local, name="n4")
+    fleet.run(8)
+    assert len({number for _, number, _ in fleet.events_of("two of one name")}) == 6
+    assert all(core.table.cluster_size() == 6 for core in fleet.cores.values())
+
+
+def test_drifting_clocks_do_not_matter():
+    fleet = SimulatedFleet(20, 3, 0.1, 0.1, 40.0, drift=0.01)
+    fleet.run(60)
+    assert fleet.agree() and not fleet.events_of("died")
+
+
+def test_flapping_member_is_known_again_each_time():
+    fleet = SimulatedFleet(16)
+    fleet.run(8)
+    for _ in range(4):
+        fleet.suspend(2)
+        fleet.run(6)
+        fleet.resume(2)
+        fleet.run(8)
+    assert fleet.agree()
+
+
+def test_members_agree_while_the_fleet_grows_and_shrinks():
+    fleet = SimulatedFleet(10)
+    fleet.run(8)
+    for number in range(10, 30):
+        fleet.start(number)
+    fleet.run(10)
+    assert fleet.agree()
+    for number in range(12, 30):
+        fleet.leave(number)
+        fleet.kill(number)
+    fleet.run(10)
+    assert fleet.agree()
+
+
+def test_new_member_learns_a_fleet_larger_than_one_sync_within_seconds():
+    fleet = SimulatedFleet(150)
+    updates = [core.table.local for core in fleet.cores.values()]
+    for core in fleet.cores.values():  # a fleet that has been running for long
+        for update in updates:
+            core.table.merge(0.0, update, update.member_id)
+        core.table.broadcasts.clear()
+    fleet.run(1)
+    fleet.start(150)
+    fleet.run(9)
+    assert len(fleet.seen_by(150)) == 150
+    assert sum(150 in fleet.seen_by(number) for number in range(150)) == 150
+
+
+def test_bytes_sent_by_each_member_do_not_grow_with_the_fleet(studies):
+    rates = [studies(f"{count} members") for count in (16, 96)]
+    assert rates[1] < 2.0 * rates[0] and rates[1] < 3000.0
+
+
+def test_same_seed_gives_the_same_events():
+    traces = []
+    for _ in range(2):
+        fleet = SimulatedFleet(12, 9, 0.3, 0.2, 60.0)
+        fleet.run(20)
+        fleet.kill(3)
+        fleet.run(10)
+        traces.append([(round(at, 6), number, event) for at, number, event in fleet.events])
+    assert traces[0] == traces[1] and traces[0]
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -7,7 +7,7 @@
 
 from click.testing import CliRunner
 
-from mulleinrelay.budgets.quota_exchange import QuotaExchange
+from mulleinrelay.budgets.lease_messages import LeaseCodec
 from mulleinrelay.cells.config import load_cells_config
 from mulleinrelay.cells.parser import read as read_assignment
 from mulleinrelay.cells.parser import write as write_assignment
@@ -218,22 +218,18 @@
     )
 
 
-def _exchange() -> QuotaExchange:
-    return QuotaExchange(0.0, None, 1)
-
-
 def leases(data: bytes) -> list[list[Any]]:
     """Each word on a limit, its fields in order: limit, kind, life, number, grains, renews."""
     return [
-        [one.limit, one.kind, one.life, one.number, one.grains, one.renews]
-        for one in _exchange().decoder.decode(data)
+        [one.limit, one.kind, one.incarnation, one.number, one.units, one.renews]
+        for one in LeaseCodec().decode(data)
     ]
 
 
 def leases_written(data: bytes) -> bytes:
     """The bytes that the program makes of the words that it has read."""
-    exchange = _exchange()
-    return exchange.encoder.encode(exchange.decoder.decode(data))
+    codec = LeaseCodec()
+    return codec.encode(codec.decode(data))
 
 
 # INI files
