--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -75,11 +75,31 @@
     return exchange
 
 
+def build_protocol(
+    config: FleetConfig, name: str, incarnation: int, seed: int, now: float
+) -> SwimProtocol:
+    """Returns the protocol of one director, without a delegate.
+
+    Args:
+        config: Configuration of membership.
+        name: Name of the director.
+        incarnation: Unix milliseconds of its start.
+        seed: Of the random numbers.
+        now: Time in ms.
+    """
+    host, port = config.announce
+    local = MemberUpdate(name, host, port, config.location, incarnation, 0, MemberState.ALIVE)
+    random = Random(f"{seed}-membership")
+    table = MemberTable(local, config.max_members, random)
+    codec = DatagramCodec(config.fleet, config.key)
+    return SwimProtocol(now, table, codec, config.seeds, random)
+
+
 class MembershipService:
     """Takes part in the fleet's membership.
 
-    Threads: `start` and `stop` are called by the director's thread, all else runs in the service's
-    own. The protocol may be used under `protocol_lock` only.
+    Threads: `start` and `stop` are called by the director's thread. All else runs in the service's
+    own, but for the last log lines and records, which `stop` writes.
     """
 
     def __init__(
@@ -104,27 +124,16 @@
         self.config = config
         self.name = name
         self.log = log
-        local = MemberUpdate(
-            name, *config.announce, config.location, int(clock()), 0, MemberState.ALIVE
-        )
+        incarnation = int(clock())
         # Guards `protocol`, with its table, detector and delegate
         self.protocol_lock = threading.Lock()
-        now = _now()
-        random = Random(f"{seed}-membership")
-        self.protocol = SwimProtocol(
-            now,
-            MemberTable(local, config.max_members, random),
-            DatagramCodec(config.fleet, config.key),
-            config.seeds,
-            random,
-        )
+        self.protocol = build_protocol(config, name, incarnation, seed, _now())
         if config.shares_slow_start_quota and coordinator is not None:
             self.protocol.delegate = build_quota_exchange(
-                config, coordinator, seed, local.incarnation, clock() - _now()
+                config, coordinator, seed, incarnation, clock() - _now()
             )
-        self.records = (
-            DirectorRecords(config.records_folder, name) if config.records_folder else None
-        )
+        folder = config.records_folder
+        self.records = DirectorRecords(folder, name) if folder else None
         self._next_records_at = 0.0
         self._unrecorded_events: list[str] = []
         self._last_events: list[dict[str, object]] = []
@@ -149,7 +158,9 @@
             error.filename = f"{host}:{port} for datagrams"
             raise
         self._socket = listener
-        self._thread = threading.Thread(target=self._run, name="fleet", daemon=True)
+        self._thread = threading.Thread(
+            target=self._run, args=(listener,), name="fleet", daemon=True
+        )
         self._thread.start()
 
     def stop(self) -> None:
@@ -168,19 +179,19 @@
 
     # In the service's thread
 
-    def _run(self) -> None:
-        assert self._socket is not None
+    def _run(self, endpoint: socket.socket) -> None:
         while not self._stopping.is_set():
             try:
-                self._step(self._socket)
+                self._tick(endpoint)
+                self._receive(endpoint)
             except Exception as error:
                 # The top of the thread: a fault in one step is logged with its trace, and
                 # membership goes on with the next one.
                 self.log.exception(LOG_EVENT, error)
                 self._stopping.wait(ERROR_PAUSE_S)
 
-    def _step(self, endpoint: socket.socket) -> None:
-        """One tick, and then datagrams until the next one is due."""
+    def _tick(self, endpoint: socket.socket) -> None:
+        """Does what is due, and sets how long the socket may wait for the first datagram."""
         with self.protocol_lock:
             now = _now()
             self._send(endpoint, self.protocol.tick(now))
@@ -189,20 +200,20 @@
         if now >= self._next_records_at:
             self._write_records(now)
         endpoint.settimeout(min(MAX_RECEIVE_WAIT_S, max(MIN_RECEIVE_WAIT_S, wait_s)))
+
+    def _receive(self, endpoint: socket.socket) -> None:
+        """Handles datagrams until none is waiting; waits for the first one only."""
         for _ in range(MAX_DATAGRAMS_PER_STEP):
             try:
                 data, address = endpoint.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (TimeoutError, BlockingIOError):
                 return
-            except ConnectionError:
-                # ICMP "port unreachable" for a datagram that was sent: the next may be readable
-                if self._stopping.is_set():
-                    return
-                continue
-            except OSError:
-                if self._stopping.is_set():  # closed by `stop`
+            except OSError as error:
+                if self._stopping.is_set():  # `stop` may have closed the socket
                     return
-                raise
+                if not isinstance(error, ConnectionError):
+                    raise
+                continue  # ICMP "port unreachable" after a datagram that was sent
             self._bytes_in += len(data)
             with self.protocol_lock:
                 self._send(endpoint, self.protocol.receive(_now(), address, data))
--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -79,9 +79,9 @@
             found += self._steps_of(borrower)
         for index, (kind, sender, recipient, _, _) in enumerate(self.in_transit):
             text = f"{kind} from {sender} to {recipient}"
-            found.append((f"{text} arrives", lambda world, i=index: world.arrive(i, True)))
+            found.append((f"{text} arrives", lambda world, at=index: world.arrive(at, True)))
             found.append(
-                (f"{text} arrives and will again", lambda world, i=index: world.arrive(i, False))
+                (f"{text} arrives and will again", lambda world, at=index: world.arrive(at, False))
             )
         return found
 
@@ -96,14 +96,14 @@
                 found.append(
                     (
                         f"{borrower} requests {f'{renewed} again' if renewed else '1'} of {lender}",
-                        lambda world, to=lender, n=renewed: world.request(borrower, to, n),
+                        lambda world, to=lender, lease=renewed: world.request(borrower, to, lease),
                     )
                 )
         for number in leases if self.releases else ():
             found.append(
                 (
                     f"{borrower} releases {number}",
-                    lambda world, n=number: world.release(borrower, n),
+                    lambda world, lease=number: world.release(borrower, lease),
                 )
             )
         if self.restarts:
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -62,7 +62,7 @@
 STUDIES |= {planted.__name__: (searched, MAX_STATES, 2, 2, 1, 2, planted) for planted, _ in PLANTED}
 
 
-@pytest.mark.parametrize("planted, max_steps", PLANTED)
+@pytest.mark.parametrize(("planted", "max_steps"), PLANTED)
 def test_planted_fault_is_found_with_a_trace(planted, max_steps, studies):
     _, trace = studies(planted.__name__)
     assert trace is not None and len(trace) <= max_steps, trace
@@ -94,25 +94,27 @@
 
 
 def test_released_unit_is_not_used_by_its_owner_for_a_window():
+    lender_id = ("one", "h", 1)
+    borrower_id = ("two", "h", 2)
     lender = LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1)
     borrower = LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1)
-    request = borrower.request(0.0, "one", 50)
-    grant = lender.grant(10.0, "two", 1, request, 30)
-    assert grant.units == 50 and borrower.accept_grant(20.0, "one", 1, grant)
+    request = borrower.request(0.0, lender_id, 50)
+    grant = lender.grant(10.0, borrower_id, 1, request, 30)
+    assert grant.units == 50 and borrower.accept_grant(20.0, lender_id, 1, grant)
     assert (lender.usable(20.0), borrower.usable(20.0)) == (50, 150)
     release = borrower.release(request.number)
-    lender.accept_release(40.0, "two", 1, release)
+    lender.accept_release(40.0, borrower_id, 1, release)
     assert (lender.usable(40.0), borrower.usable(40.0)) == (50, 100)
     assert (lender.usable(1539.0), lender.usable(1541.0)) == (50, 100)
 
 
-@pytest.mark.parametrize("used, lendable", [(0, 95), (5, 95), (50, 50), (100, 0), (500, 0)])
+@pytest.mark.parametrize(("used", "lendable"), [(0, 95), (5, 95), (50, 50), (100, 0), (500, 0)])
 def test_units_used_of_late_and_reserved_units_are_not_lent(used, lendable):
     assert LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1).lendable(0.0, used) == lendable
 
 
 @pytest.mark.parametrize(
-    "age, usable", [(0.0, 0), (1400.0, 0), (1600.0, 5), (3500.0, 5), (3700.0, 100)]
+    ("age", "usable"), [(0.0, 0), (1400.0, 0), (1600.0, 5), (3500.0, 5), (3700.0, 100)]
 )
 def test_restarted_director_waits_for_leases_of_an_earlier_incarnation(age, usable):
     assert LeaseLedger(100, 1500.0, 0.0, 2).usable(age) == usable
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -219,7 +219,7 @@
     ledger = fleet.cores[0].delegate.limits[LIMIT].ledger
     numbers = itertools.count(1)
     grants = [
-        ledger.grant(fleet.clock(0), "thief", 1, LeaseRequest(next(numbers), 1 << 20), 0)
+        ledger.grant(fleet.clock(0), ("greedy", "h", 1), 1, LeaseRequest(next(numbers), 1 << 20), 0)
         for _ in range(50)
     ]
     assert sum(grant.units for grant in grants if grant) == ledger.owned - ledger.reserved
--- a/tests/membership/test_fleet_config.py
+++ b/tests/membership/test_fleet_config.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ("[fleet]\nenabled = yes\n", r"\[fleet\] key"),
         ("[fleet]\nenabled = maybe\n", r"\[fleet\] enabled"),
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, incarnation, refutation_count",
+    ("changes", "incarnation", "refutation_count"),
     [
         ({"state": MemberState.SUSPECT}, 5, 1),
         ({"state": MemberState.DEAD}, 5, 1),
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,3 +1,4 @@
+import contextlib
 from random import Random
 
 import pytest
@@ -32,7 +33,7 @@
     return codec.encode(MessageKind.PING, 1, sender, None, list(piggybacked))
 
 
-@pytest.mark.parametrize("count, fitting", [(0, 0), (1, 1), (14, 14)])
+@pytest.mark.parametrize(("count", "fitting"), [(0, 0), (1, 1), (14, 14)])
 def test_decoding_returns_what_was_encoded(count, fitting):
     message = CODEC.decode(CODEC.encode(MessageKind.PING, 9, LOCAL, LOCAL, updates(count)))
     assert (message.kind, message.number, message.sender, message.target) == (
@@ -51,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, reason",
+    ("change", "reason"),
     [
         (lambda data: data[:5], "length"),
         (lambda data: data + bytes(MAX_DATAGRAM_BYTES), "length"),
@@ -77,10 +78,8 @@
 
 @given(st.binary(max_size=200))
 def test_any_body_with_a_valid_checksum_is_decoded_or_rejected(body):
-    try:
+    with contextlib.suppress(InvalidDatagramError):
         CODEC.decode(with_checksum(body))
-    except InvalidDatagramError:
-        pass
 
 
 def test_no_damaged_datagram_is_accepted():
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,5 +1,5 @@
-"""Fourteen directors as processes that talk through a relay which cuts, loses and holds up what
-they say; judged by what each has written down at the end and on the way.
+"""Fourteen directors as processes whose datagrams pass a relay that drops, delays and partitions;
+judged by the records that each has written at the end and on the way.
 """
 
 import json
@@ -14,11 +14,14 @@
 from mulleinrelay.lab.fleet.audit import Audit, read
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.membership.config import parse_fleet_config
+from mulleinrelay.membership.service import MembershipService
 from mulleinrelay.records import read_logs, read_states
+from mulleinrelay.structured_log import StructuredLog
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 COUNT = 14
-TROUBLED = """
+SCENARIO = """
 [fleet lab]
 seconds = 46
 warm_s = 4
@@ -90,34 +93,32 @@
 
 
 def play(folder):
-    """The audit, the folder, and what directors believed in the middle of the cut and
-    at the end.
-    """
-    lab, middle = FleetLab(read_fleet(TROUBLED), TROUBLED, folder), {}
-
-    middle["parts"] = []  # (s, director, limit, may use, owns)
+    """The audit, the folder, and the records in the middle of the partition and at the end."""
+    lab = FleetLab(read_fleet(SCENARIO), SCENARIO, folder)
+    observed = {"budgets in time": []}  # (s, director, limit, usable, owned)
 
-    def look(since, *_):
-        if middle["parts"] and since < middle["parts"][-1][0] + 0.5:
+    def observe(since, *_):
+        budgets = observed["budgets in time"]
+        if budgets and since < budgets[-1][0] + 0.5:
             return
         states = read_states(os.path.join(folder, "fleet"))
-        if since > 17.0 and len(middle) == 1:
-            middle.update({held["name"]: held for held in states})
-        middle["parts"] += [
-            (since, held["name"], name, limit["usable"], limit["own"])
-            for held in states
-            if held.get("budgets")
-            for name, limit in held["budgets"]["limits"].items()
+        if since > 17.0 and "partition" not in observed:
+            observed["partition"] = {state["name"]: state for state in states}
+        budgets += [
+            (since, state["name"], name, limit["usable"], limit["own"])
+            for state in states
+            if state.get("budgets")
+            for name, limit in state["budgets"]["limits"].items()
         ]
 
-    def look_last(since, *_):
-        look(since)
-        if since > 44.5 and "last" not in middle:
-            middle["last"] = command(folder, "members")
-            middle["budgets"] = command(folder, "budgets")
+    def observe_to_the_end(since, *_):
+        observe(since)
+        if since > 44.5 and "members" not in observed:
+            observed["members"] = run_command(folder, "members")
+            observed["budgets"] = run_command(folder, "budgets")
 
-    lab.run(look_last)
-    return Audit(read_fleet(TROUBLED), read(folder)), folder, middle
+    lab.run(observe_to_the_end)
+    return Audit(read_fleet(SCENARIO), read(folder)), folder, observed
 
 
 PLAYS = {"membership": play}
@@ -128,8 +129,8 @@
     return plays("membership")
 
 
-def command(folder, *words):
-    whole = [
+def run_command(folder, *words):
+    command = [
         sys.executable,
         "-m",
         "mulleinrelay",
@@ -138,21 +139,22 @@
         os.path.join(folder, "n0.ini"),
         "--json",
     ]
-    ran = subprocess.run(whole, capture_output=True, text=True, cwd=ROOT, timeout=30)
-    return ran.returncode, ran.stdout
+    finished = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=30)
+    return finished.returncode, finished.stdout
 
 
-def met(audit, name):
+def directors_hit(audit, name):
     return {f"n{number}" for number in next(held[4] for held in audit.faults if held[1] == name)}
 
 
-def at(audit, name, begins=True):
+def time_of(audit, name, begins=True):
     return next(held[0] for held in audit.faults if held[1] == name and held[3] == begins)
 
 
-def said(audit, folder, first, last):
-    """(director, member, what) between two times of the play."""
-    began, lines = audit.heard.began / 1000.0, read_logs(os.path.join(folder, "fleet"))
+def logged_events(audit, folder, first, last):
+    """(director, member, event) between two times of the play."""
+    began = audit.heard.began / 1000.0
+    lines = read_logs(os.path.join(folder, "fleet"))
     return [
         (line["director"], *line["text"].split(" ", 1))
         for line in lines
@@ -160,140 +162,140 @@
     ]
 
 
-def test_no_rule_is_broken_and_no_request_waits_for_talk(played):
+def test_no_rule_is_broken_and_no_request_waits_for_membership(played):
     assert {rule: found for rule, found in played[0].rules().items() if found} == {}
     assert all(not held[7] for held in played[0].faults)
 
 
-def test_each_side_of_a_cut_sees_its_own_side_and_takes_the_other_for_dead(played):
-    audit, _, middle = played
-    north = met(audit, "parted")
-    south = {f"n{number}" for number in range(COUNT)} - north - met(audit, "stopped")
-    for side, other in ((north, south), (south, north)):
+def test_each_side_of_a_partition_sees_its_own_side_and_takes_the_other_for_dead(played):
+    audit, _, observed = played
+    north = directors_hit(audit, "parted")
+    south = {f"n{number}" for number in range(COUNT)} - north - directors_hit(audit, "stopped")
+    for side, other_side in ((north, south), (south, north)):
         for name in side:
-            seen = {one["name"]: one["state"] for one in middle[name]["members"]}
-            assert all(seen[one] in ("alive", "suspect") for one in side - {name})
-            assert sum(seen[one] == "dead" for one in other) >= 0.6 * len(other)
-
-
-def test_after_all_troubles_each_takes_each_for_alive(played):
-    code, told = played[2]["last"]
-    members = json.loads(told)["members"]
-    assert code == 0 and len(members) == COUNT and json.loads(told)["witnesses"] == COUNT
-    alive = sum(one["seen_by"].get("alive", 0) for one in members)
+            seen = {
+                member["name"]: member["state"] for member in observed["partition"][name]["members"]
+            }
+            assert all(seen[other] in ("alive", "suspect") for other in side - {name})
+            dead = sum(seen[other] == "dead" for other in other_side)
+            assert dead >= 0.6 * len(other_side)
+
+
+def test_all_members_see_each_other_alive_after_all_faults(played):
+    code, output = played[2]["members"]
+    members = json.loads(output)["members"]
+    assert code == 0 and len(members) == COUNT and json.loads(output)["witnesses"] == COUNT
+    alive = sum(member["seen_by"].get("alive", 0) for member in members)
     assert alive >= 0.97 * COUNT * (COUNT - 1)
 
 
-def test_the_killed_are_found_dead_and_their_new_lives_are_told_from_the_old(played):
+def test_killed_members_are_found_dead_and_their_restart_is_recognized(played):
     audit, folder, _ = played
-    killed, first = met(audit, "killed"), at(audit, "killed")
+    killed = directors_hit(audit, "killed")
+    killed_at = time_of(audit, "killed")
     died = {
-        (who, member)
-        for who, member, what in said(audit, folder, first, first + 8.0)
-        if what == "died"
+        (director, member)
+        for director, member, event in logged_events(audit, folder, killed_at, killed_at + 8.0)
+        if event == "died"
     }
-    witnesses = {f"n{number}" for number in range(COUNT)} - killed - met(audit, "deaf")
+    witnesses = {f"n{number}" for number in range(COUNT)} - killed - directors_hit(audit, "deaf")
     assert all(
-        sum((who, member) in died for who in witnesses) >= 0.8 * len(witnesses) for member in killed
+        sum((director, member) in died for director in witnesses) >= 0.8 * len(witnesses)
+        for member in killed
     )
-    later = {
-        member for _, member, what in said(audit, folder, first, 46.0) if what == "started again"
+    restarted = {
+        member
+        for _, member, event in logged_events(audit, folder, killed_at, 46.0)
+        if event == "started again"
     }
-    assert killed <= later
+    assert killed <= restarted
 
 
-def test_one_that_hears_nothing_has_nobody_else_called_dead(played):
+def test_deaf_member_does_not_get_others_found_dead(played):
     audit, folder, _ = played
-    deaf, killed = met(audit, "deaf"), met(audit, "killed")
-    first, last = at(audit, "deaf"), at(audit, "deaf", False)
+    deaf = directors_hit(audit, "deaf")
+    down = deaf | directors_hit(audit, "killed") | directors_hit(audit, "ended")
+    first = time_of(audit, "deaf")
+    last = time_of(audit, "deaf", False)
     wrong = {
-        (who, member)
-        for who, member, what in said(audit, folder, first, last)
-        if what == "died" and who not in deaf and member not in deaf | killed | met(audit, "ended")
+        (director, member)
+        for director, member, event in logged_events(audit, folder, first, last)
+        if event == "died" and director not in deaf and member not in down
     }
     assert len(wrong) <= 1 and deaf
 
 
-def test_one_that_ends_leaves_and_is_not_called_dead(played):
+def test_member_that_stops_leaves_and_is_not_found_dead(played):
     audit, folder, _ = played
-    ended, first = met(audit, "ended"), at(audit, "ended")
-    words = [
-        what
-        for who, member, what in said(audit, folder, first, 46.0)
-        if member in ended and who not in ended | met(audit, "deaf")
+    ended = directors_hit(audit, "ended")
+    unreliable = ended | directors_hit(audit, "deaf")
+    events = [
+        event
+        for director, member, event in logged_events(audit, folder, time_of(audit, "ended"), 46.0)
+        if member in ended and director not in unreliable
     ]
-    # Its new life may be heard of before its leaving
+    # Its next incarnation may be known before its leaving
     assert (
-        words.count("left") >= 3
-        and words.count("left") + words.count("started again") >= 0.8 * COUNT
+        events.count("left") >= 3
+        and events.count("left") + events.count("started again") >= 0.8 * COUNT
     )
-    assert words.count("died") <= 1
+    assert events.count("died") <= 1
 
 
-def test_parts_of_cold_caches_go_to_the_busy_and_none_falls_through_cut_loss_and_kill(played):
-    """Counted at the caches: what was sent while three in four were cold, the fleet was parted and
-    directors that held parts were stopped and killed.
+def test_quota_of_cold_caches_goes_to_busy_directors_and_no_cache_is_overloaded(played):
+    """Counted at the caches: what was sent while three in four were warming up, the fleet was
+    partitioned and directors that held leases were suspended and killed.
     """
-    audit, _, middle = played
-    first, cold = (
-        at(audit, "cold", False),
-        set(next(held[5] for held in audit.faults if held[1] == "cold")),
-    )
+    audit, _, observed = played
+    first = time_of(audit, "cold", False)
+    cold = set(next(held[5] for held in audit.faults if held[1] == "cold"))
     sent = [
         attempt
         for attempt in audit.heard.attempts
         if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0
     ]
     assert not audit.heard.others["fell"] and len(sent) > 40
-    while_cold = [
-        (name, usable / own)
-        for since, name, limit, usable, own in middle["parts"]
+    usable_by_owned = [
+        usable / owned
+        for since, _, limit, usable, owned in observed["budgets in time"]
         if "caches" in limit and first < since < first + 14.0
     ]
-    assert max(part for _, part in while_cold) > 1.5
-    assert min(part for _, part in while_cold) < 0.9  # some lend
+    assert max(usable_by_owned) > 1.5
+    assert min(usable_by_owned) < 0.9  # some lend
 
 
-def test_each_has_all_of_its_own_part_again_in_the_end(played):
-    code, told = played[2]["budgets"]
-    limits = json.loads(told)
-    assert code == 0 and sum(len(by) for by in limits.values()) == 2 * COUNT and len(limits) == 3
+def test_each_director_has_all_its_own_quota_again_in_the_end(played):
+    code, output = played[2]["budgets"]
+    limits = json.loads(output)
+    assert code == 0 and sum(len(parts) for parts in limits.values()) == 2 * COUNT
+    assert len(limits) == 3
     assert all(
-        limit["usable"] > 0.98 * limit["own"] for by in limits.values() for limit in by.values()
+        part["usable"] > 0.98 * part["own"] for parts in limits.values() for part in parts.values()
     )
 
 
-def test_a_file_that_is_wrong_is_named_by_key(tmp_path):
+def test_invalid_file_is_reported_by_key(tmp_path):
     path = tmp_path / "fleet.ini"
     path.write_text("[fleet]\nenabled = yes\nkey = short\n")
-    ran = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "mulleinrelay", "check", "--fleet", str(path)],
         capture_output=True,
         text=True,
         cwd=ROOT,
         timeout=30,
     )
-    assert ran.returncode == 2 and "[fleet] key" in ran.stderr
-    code, _ = command(str(tmp_path), "members")
+    assert finished.returncode == 2 and "[fleet] key" in finished.stderr
+    code, _ = run_command(str(tmp_path), "members")
     assert code == 2
 
 
-def test_threads_of_talk_end(tmp_path):
-    """Guards against a director that does not stop because its talk waits."""
-    from mulleinrelay.membership.config import parse_fleet_config
-    from mulleinrelay.membership.service import MembershipService
-    from mulleinrelay.structured_log import StructuredLog
-
-    own = parse_fleet_config(
+def test_stopped_service_leaves_no_thread(tmp_path):
+    """A director must be able to stop while its membership waits for datagrams."""
+    config = parse_fleet_config(
         "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
     )
-    talk = MembershipService(
-        own,
-        "n1",
-        1,
-        lambda: 1000.0 * time.time(),
-        StructuredLog("n1", os.open(os.devnull, os.O_WRONLY)),
-    )
-    talk.start()
-    talk.stop()
+    log = StructuredLog("n1", os.open(os.devnull, os.O_WRONLY))
+    service = MembershipService(config, "n1", 1, lambda: 1000.0 * time.time(), log)
+    service.start()
+    service.stop()
     assert not [thread for thread in threading.enumerate() if thread.name == "fleet"]
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -40,7 +40,7 @@
 STUDIES |= {f"{count} members": (bytes_sent_by_each, count) for count in (16, 96)}
 
 
-@pytest.mark.parametrize("loss, doubled, jitter, died", NETWORKS)
+@pytest.mark.parametrize(("loss", "doubled", "jitter", "died"), NETWORKS)
 def test_no_running_member_is_found_dead_despite_loss_duplicates_and_reordering(
     loss, doubled, jitter, died, studies
 ):
@@ -48,7 +48,7 @@
     assert seen == [29] * 30 and found_dead <= died
 
 
-@pytest.mark.parametrize("count, killed", [(12, 1), (60, 6), (60, 42)])
+@pytest.mark.parametrize(("count", "killed"), [(12, 1), (60, 6), (60, 42)])
 def test_killed_members_are_found_dead_within_seconds(count, killed):
     fleet = SimulatedFleet(count, 5)
     fleet.run(15)
