--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -95,7 +95,7 @@
         """Returns the units that were used of late or are about to be wanted."""
         return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
 
-    def lenders_asked(self, now: float) -> set[MemberId]:
+    def lenders_with_pending_request(self, now: float) -> set[MemberId]:
         """Returns the directors whose answer may still come."""
         return {
             request.lender
@@ -297,12 +297,12 @@
         missing = wanted - ledger.usable(now)
         capacity = MAX_BORROWED_LEASES - len(ledger.borrowed)
         leases_by_lender = Counter(lease.lender for lease in ledger.borrowed.values())
-        asked = limit.lenders_asked(now)
+        waiting_for = limit.lenders_with_pending_request(now)
         candidates = [
             member_id
             for member_id, location in members
             if limit.source.location in ("", location)
-            and member_id not in asked
+            and member_id not in waiting_for
             and leases_by_lender[member_id] < MAX_LEASES_PER_LENDER
         ]
         if missing < MIN_LEASE_FRACTION * ledger.owned or capacity <= 0 or not candidates:
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -46,10 +46,12 @@
         if witness in (None, state["director"])
     ]
     fresh = [state for state in states if _is_fresh(state, now)]
-    silent = sorted(state["director"] for state in states if not _is_fresh(state, now))
+    without_fresh_records = sorted(
+        state["director"] for state in states if not _is_fresh(state, now)
+    )
     summaries = _summarize_members(fresh)
     if as_json:
-        output = {"witnesses": len(fresh), "silent": silent, "members": summaries}
+        output = {"witnesses": len(fresh), "silent": without_fresh_records, "members": summaries}
         click.echo(orjson.dumps(output))
     else:
         for member in summaries:
@@ -59,8 +61,8 @@
             click.echo(
                 f"{member['name']:<16} {member['address']:<22} {member['location']:<12} {seen}"
             )
-        if silent:
-            click.echo(f"no fresh records: {', '.join(silent)}")
+        if without_fresh_records:
+            click.echo(f"no fresh records: {', '.join(without_fresh_records)}")
     if not fresh:
         sys.exit(EXIT_FAILED)
 
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -100,11 +100,14 @@
 
     def cluster_size(self) -> int:
         """Returns the number of active members, this director included."""
-        return 1 + sum(entry.is_active for entry in self.entries.values())
+        # Compared in place, here and below: each datagram does this for each member
+        suspect = MemberState.SUSPECT
+        return 1 + sum(entry.update.state <= suspect for entry in self.entries.values())
 
     def active_members(self) -> list[MemberUpdate]:
         """Returns the other members that are alive or suspect."""
-        return [entry.update for entry in self.entries.values() if entry.is_active]
+        suspect = MemberState.SUSPECT
+        return [entry.update for entry in self.entries.values() if entry.update.state <= suspect]
 
     def sample(self, count: int) -> list[MemberUpdate]:
         """Returns up to `count` entries, also departed ones, drawn at random."""
@@ -274,13 +277,8 @@
 
 
 def _hash_update(update: MemberUpdate) -> int:
-    fields = (
-        update.name,
-        update.host,
-        update.port,
-        update.incarnation,
-        update.refutation_count,
-        int(update.state),
+    text = (
+        f"{update.name}|{update.host}|{update.port}"
+        f"|{update.incarnation}|{update.refutation_count}|{int(update.state)}"
     )
-    text = "|".join(str(value) for value in fields)
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -80,14 +80,15 @@
         Of a large table the pages are drawn at random: further syncs bring the rest. Where the
         sender is not believed alive, that comes first, so that it can refute it.
         """
-        if digest == self._digest():
+        local_digest = self._digest()
+        if digest == local_digest:
             return []
         pages = self._pages()
         entry = self._table.entries.get(sender)
         if entry is not None and entry.update.state > MemberState.ALIVE:
             pages[0] = [entry.update, *pages[0]]
         return [
-            self._datagrams.with_updates(address, MessageKind.SYNC_PAGE, self._digest(), page)
+            self._datagrams.with_updates(address, MessageKind.SYNC_PAGE, local_digest, page)
             for page in pages
         ]
 
--- a/mulleinrelay/membership/status.py
+++ b/mulleinrelay/membership/status.py
@@ -73,11 +73,11 @@
 
 
 def _entry_status(entry: MemberEntry, now: float) -> dict:
-    silent_for_s = None
+    since_last_datagram_s = None
     if entry.last_received_at:
-        silent_for_s = round((now - entry.last_received_at) / MS_PER_S, 1)
+        since_last_datagram_s = round((now - entry.last_received_at) / MS_PER_S, 1)
     return {
         **_update_status(entry.update),
         "for_s": round((now - entry.state_since) / MS_PER_S, 1),
-        "heard_s": silent_for_s,
+        "heard_s": since_last_datagram_s,
     }
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -42,8 +42,8 @@
         updates = updates + random.sample(updates, len(updates) // 2)
         random.shuffle(updates)
     assert found[0] == found[1]
-    for member_id, kept in found[0].items():
-        assert kept.precedence == max(
+    for member_id, remaining in found[0].items():
+        assert remaining.precedence == max(
             merged.precedence for merged in known + updates if merged.member_id == member_id
         )
 
@@ -90,7 +90,7 @@
     assert table.merge(2.0, update(90), REPORTER) and len(table.entries) == 5
 
 
-def test_two_members_of_one_name_are_both_kept_and_reported():
+def test_two_members_of_one_name_are_both_known_and_reported():
     table = empty_table()
     table.merge(0.0, update(2, name="twin"), REPORTER)
     table.merge(0.0, update(3, name="twin"), REPORTER)
--- /dev/null
+++ b/tests/membership/test_membership_status.py
@@ -0,0 +1,61 @@
+"""The record for operators: its keys are read by scripts and keep their form."""
+
+from simulated_fleet import SimulatedFleet
+
+from mulleinrelay.membership.status import ServiceFigures, director_status
+
+RECORD_KEYS = [
+    "fleet",
+    "name",
+    "address",
+    "location",
+    "life",
+    "denials",
+    "state",
+    "unwell",
+    "size",
+    "members",
+    "dropped",
+    "refused",
+    "budgets",
+    "bytes_out",
+    "bytes_in",
+    "events",
+    "written",
+]
+MEMBER_KEYS = ["name", "address", "location", "life", "denials", "state", "for_s", "heard_s"]
+EVENTS = [{"at": 1.0, "text": "n1 joined"}]
+
+
+def status_after(seconds):
+    fleet = SimulatedFleet(3)
+    fleet.run(seconds)
+    core = fleet.cores[0]
+    core.receive(fleet.clock(0), ("10.0.0.1", 7002), b"no datagram of ours")
+    return director_status(core, fleet.clock(0), ServiceFigures("lab", 20, 10, EVENTS, 7.12345))
+
+
+def test_record_has_the_keys_that_scripts_read():
+    status = status_after(5)
+    assert list(status) == RECORD_KEYS
+    assert all(list(member) == MEMBER_KEYS for member in status["members"])
+
+
+def test_record_describes_this_director_and_its_members():
+    status = status_after(5)
+    assert (status["name"], status["address"], status["state"]) == ("n0", "10.0.0.1:7001", "alive")
+    assert (status["life"], status["denials"], status["size"]) == (1000, 0, 3)
+    assert [member["name"] for member in status["members"]] == ["n1", "n2"]
+    assert status["dropped"] == {"checksum": 1}
+    assert (status["bytes_out"], status["bytes_in"], status["written"]) == (20, 10, 7.123)
+    assert status["events"] == EVENTS and status["budgets"] is None
+
+
+def test_member_that_was_never_received_from_has_no_time_of_last_datagram():
+    fleet = SimulatedFleet(2)
+    table = fleet.cores[0].table
+    unseen = fleet.cores[1].table.local
+    table.merge(fleet.clock(0), unseen, ("n9", "10.0.0.1", 7009))
+    figures = ServiceFigures("lab", 0, 0, [], 0.0)
+    members = director_status(fleet.cores[0], fleet.clock(0), figures)["members"]
+    assert [member["heard_s"] for member in members] == [None]
