--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -7,6 +7,7 @@
 import threading
 import time
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
 from random import Random
 from typing import TYPE_CHECKING
 
@@ -21,7 +22,7 @@
 from .swim import SwimProtocol
 
 if TYPE_CHECKING:
-    from ..budgets.quota_exchange import QuotaExchange
+    from ..budgets.quota_exchange import QuotaExchange, QuotaSource
 
 RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
 MAX_EVENTS = 200  # events that the record shows, and that wait for the records' log
@@ -32,6 +33,30 @@
 LOG_EVENT = "fleet"  # `event` of the log lines
 
 
+@dataclass(slots=True)
+class EventHistory:
+    """Texts of the events of late.
+
+    Attributes:
+        last: The last `MAX_EVENTS`, each with `at` (Unix seconds) and `text`.
+        unrecorded: Texts that the records' log does not have yet.
+    """
+
+    last: list[dict[str, object]] = field(default_factory=list)
+    unrecorded: list[str] = field(default_factory=list)
+
+    def add(self, at_s: float, text: str) -> None:
+        """Adds an event."""
+        self.unrecorded.append(text)
+        self.last = [*self.last, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
+
+    def take_unrecorded(self) -> list[str]:
+        """Returns the last texts that are still to be recorded, and forgets them."""
+        texts = self.unrecorded[-MAX_EVENTS:]
+        self.unrecorded = []
+        return texts
+
+
 def build_quota_exchange(
     config: FleetConfig,
     coordinator: RequestCoordinator,
@@ -48,21 +73,27 @@
         incarnation: Of this director.
         time_offset: Milliseconds that the coordinator's clock is ahead of the exchange's.
     """
-    # Needed only where limits are shared
-    from ..budgets.quota_exchange import QuotaExchange, QuotaSource
+    from ..budgets.quota_exchange import QuotaExchange  # needed only where limits are shared
+
+    now = _now()
+    random = Random(f"{seed}-rights")
+    exchange = QuotaExchange(now, random, incarnation, time_offset, coordinator.lock)
+    for source in _quota_sources(coordinator, config.location):
+        exchange.add(now, source)
+    return exchange
+
+
+def _quota_sources(coordinator: RequestCoordinator, location: str) -> list["QuotaSource"]:
+    from ..budgets.quota_exchange import QuotaSource
 
     router = coordinator.router
     settings = coordinator.settings
-    now = _now()
-    exchange = QuotaExchange(
-        now, Random(f"{seed}-rights"), incarnation, time_offset, coordinator.lock
-    )
     caches = QuotaSource(
-        name=f"cold caches of {config.location}",
+        name=f"cold caches of {location}",
         owners=settings.local_director_count,
         window=settings.cache_slow_start.overload_window,
         share=router.cold_here,
-        location=config.location,
+        location=location,
     )
     parents = QuotaSource(
         name="cold parents",
@@ -70,9 +101,7 @@
         window=settings.parent_slow_start.overload_window,
         share=router.cold_parents,
     )
-    exchange.add(now, caches)
-    exchange.add(now, parents)
-    return exchange
+    return [caches, parents]
 
 
 def build_protocol(
@@ -122,7 +151,6 @@
             coordinator: Whose limits are lent; None: none are.
         """
         self.config = config
-        self.name = name
         self.log = log
         incarnation = int(clock())
         # Guards `protocol`, with its table, detector and delegate
@@ -135,8 +163,7 @@
         folder = config.records_folder
         self.records = DirectorRecords(folder, name) if folder else None
         self._next_records_at = 0.0
-        self._unrecorded_events: list[str] = []
-        self._last_events: list[dict[str, object]] = []
+        self._events = EventHistory()
         self._bytes_out = 0
         self._bytes_in = 0
         self._stopping = threading.Event()
@@ -241,24 +268,21 @@
         self.log.event(
             LOG_EVENT, text=text, address=f"{update.host}:{update.port}", life=update.incarnation
         )
-        self._unrecorded_events.append(text)
-        self._last_events = [*self._last_events, {"at": round(time.time(), 3), "text": text}]
-        self._last_events = self._last_events[-MAX_EVENTS:]
+        self._events.add(time.time(), text)
 
     def _write_records(self, now: float) -> None:
         if self.records is None:
             return
         self._next_records_at = now + RECORDS_INTERVAL
-        events = self._unrecorded_events[-MAX_EVENTS:]
-        self._unrecorded_events = []
-        if notice := self.records.write(self.status(now), events):
+        texts = self._events.take_unrecorded()
+        if notice := self.records.write(self.status(now), texts):
             self.log.event(LOG_EVENT, text=notice)
 
     def status(self, now: float) -> dict:
         """Returns the record for operators; `now` is in ms of the protocol's clock."""
         with self.protocol_lock:
             figures = ServiceFigures(
-                self.config.fleet, self._bytes_out, self._bytes_in, self._last_events, time.time()
+                self.config.fleet, self._bytes_out, self._bytes_in, self._events.last, time.time()
             )
             return director_status(self.protocol, now, figures)
 
