--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,13 @@
 from mulleinrelay.lab.fleet.evenness import percentile
 from mulleinrelay.lab.fleet.plan import Scenario, read_fleet
 from mulleinrelay.lab.fleet.play import FleetLab
-from mulleinrelay.membership.messages import Codec, Kind, State, UnusableError, Word
+from mulleinrelay.membership.messages import (
+    DatagramCodec,
+    InvalidDatagramError,
+    MemberState,
+    MemberUpdate,
+    MessageKind,
+)
 from mulleinrelay.records import read_states
 
 from .versions import ROOT
@@ -183,9 +189,9 @@
     """Datagrams with some bits turned, cut short or made up: how many of so many are taken."""
     import random
 
-    draw, codec, taken = random.Random(f"{seed}-fuzz"), Codec("lab", b"a key of ours"), 0
-    me = Word("n1", "127.0.0.1", 7001, "north", 17, 0, State.ALIVE)
-    good = [codec.encode(Kind(kind), kind, me, me, [me] * (2 * kind)) for kind in range(6)]
+    draw, codec, taken = random.Random(f"{seed}-fuzz"), DatagramCodec("lab", b"a key of ours"), 0
+    me = MemberUpdate("n1", "127.0.0.1", 7001, "north", 17, 0, MemberState.ALIVE)
+    good = [codec.encode(MessageKind(kind), kind, me, me, [me] * (2 * kind)) for kind in range(6)]
     for number in range(count):
         data = bytearray(draw.choice(good))
         how = number % 3
@@ -201,7 +207,7 @@
         try:
             codec.decode(bytes(data))
             taken += 1
-        except UnusableError:
+        except InvalidDatagramError:
             pass
     return taken
 
@@ -211,19 +217,19 @@
     time.
     """
     sys.path.insert(0, os.path.join(ROOT, "tests", "membership"))
-    from net import Net
+    from simulated_fleet import SimulatedFleet
 
-    net = Net(count)
-    words = [core.view.own for core in net.cores.values()]
-    for core in net.cores.values():
-        for word in words:
-            core.view.merge(0.0, word, word.who)
-        core.view.telling.clear()
-        core.view.events.clear()
-    net.run(2.0)
-    before = net.sent_bytes
-    net.run(seconds)
-    return round((net.sent_bytes - before) / count / seconds)
+    fleet = SimulatedFleet(count)
+    updates = [core.table.local for core in fleet.cores.values()]
+    for core in fleet.cores.values():
+        for update in updates:
+            core.table.merge(0.0, update, update.member_id)
+        core.table.broadcasts.clear()
+        core.table.events.clear()
+    fleet.run(2.0)
+    before = fleet.sent_bytes
+    fleet.run(seconds)
+    return round((fleet.sent_bytes - before) / count / seconds)
 
 
 @click.command()
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,86 +1,94 @@
+import contextlib
 from random import Random
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.membership.messages import LENGTH_MOST, Codec, Kind, State, UnusableError, Word
+from mulleinrelay.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    DatagramCodec,
+    InvalidDatagramError,
+    MemberState,
+    MemberUpdate,
+    MessageKind,
+)
 
-OURS = Codec("lab", b"a key of ours")
-ME = Word("n1", "127.0.0.1", 7001, "north", 17, 0, State.ALIVE)
+CODEC = DatagramCodec("lab", b"a key of ours")
+LOCAL = MemberUpdate("n1", "127.0.0.1", 7001, "north", 17, 0, MemberState.ALIVE)
 
 
-def words(count):
+def updates(count):
     return [
-        Word(f"n{number}", "127.0.0.1", 7001 + number, "north", 5, 2, State.SUSPECT)
+        MemberUpdate(f"n{number}", "127.0.0.1", 7001 + number, "north", 5, 2, MemberState.SUSPECT)
         for number in range(count)
     ]
 
 
-@pytest.mark.parametrize("count, fit", [(0, 0), (1, 1), (14, 14)])
-def test_what_is_said_is_read(count, fit):
-    told = OURS.decode(OURS.encode(Kind.PING, 9, ME, ME, words(count)))
-    assert (told.kind, told.number, told.sender, told.about) == (Kind.PING, 9, ME, ME)
-    assert told.words == words(count)[:fit]
+def with_checksum(body):
+    return CODEC.checksum(body) + body
+
+
+def ping(codec=CODEC, sender=LOCAL, piggybacked=()):
+    return codec.encode(MessageKind.PING, 1, sender, None, list(piggybacked))
+
 
+@pytest.mark.parametrize(("count", "fitting"), [(0, 0), (1, 1), (14, 14)])
+def test_decoding_returns_what_was_encoded(count, fitting):
+    message = CODEC.decode(CODEC.encode(MessageKind.PING, 9, LOCAL, LOCAL, updates(count)))
+    assert (message.kind, message.number, message.sender, message.target) == (
+        MessageKind.PING,
+        9,
+        LOCAL,
+        LOCAL,
+    )
+    assert message.updates == updates(count)[:fitting]
 
-def test_no_datagram_is_longer_than_a_path_carries():
-    data = OURS.encode(Kind.PAGE, 0, ME, None, words(500))
-    assert len(data) <= LENGTH_MOST
-    assert 10 <= len(OURS.decode(data).words) < 60
+
+def test_updates_that_would_exceed_the_datagram_are_left_out():
+    data = CODEC.encode(MessageKind.SYNC_PAGE, 0, LOCAL, None, updates(500))
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    assert 10 <= len(CODEC.decode(data).updates) < 60
 
 
 @pytest.mark.parametrize(
-    "change, reason",
+    ("change", "reason"),
     [
         (lambda data: data[:5], "length"),
-        (lambda data: data + bytes(LENGTH_MOST), "length"),
+        (lambda data: data + bytes(MAX_DATAGRAM_BYTES), "length"),
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "checksum"),
-        (lambda _: Codec("lab", b"another key").encode(Kind.PING, 1, ME, None, []), "checksum"),
-        (lambda _: Codec("other", b"a key of ours").encode(Kind.PING, 1, ME, None, []), "fleet"),
-        (lambda _: sealed(b"\x93\x01\x02\x03"), "form"),
-        (lambda _: sealed(b""), "length"),
-        (
-            lambda _: OURS.encode(Kind.PING, 1, Word("", "h", 1, "l", 1, 0, State.ALIVE), None, []),
-            "word",
-        ),
+        (lambda _: ping(DatagramCodec("lab", b"another key")), "checksum"),
+        (lambda _: ping(DatagramCodec("other", b"a key of ours")), "fleet"),
+        (lambda _: with_checksum(b"\x93\x01\x02\x03"), "form"),
+        (lambda _: with_checksum(b""), "length"),
+        (lambda _: ping(sender=MemberUpdate("", "h", 1, "l", 1, 0, MemberState.ALIVE)), "word"),
+        (lambda _: ping(sender=MemberUpdate("n", "h", 0, "l", 1, 0, MemberState.ALIVE)), "word"),
         (
-            lambda _: OURS.encode(
-                Kind.PING, 1, Word("n", "h", 0, "l", 1, 0, State.ALIVE), None, []
-            ),
-            "word",
-        ),
-        (
-            lambda _: OURS.encode(
-                Kind.PING, 1, ME, None, [Word("n" * 65, "h", 1, "l", 1, 0, State.ALIVE)]
+            lambda _: ping(
+                piggybacked=[MemberUpdate("n" * 65, "h", 1, "l", 1, 0, MemberState.ALIVE)]
             ),
             "word",
         ),
     ],
 )
-def test_what_cannot_be_used_is_named_and_dropped(change, reason):
-    with pytest.raises(UnusableError, match=f"^{reason}$"):
-        OURS.decode(change(OURS.encode(Kind.PING, 9, ME, None, words(2))))
-
-
-def sealed(body):
-    return OURS._seal(body) + body
+def test_invalid_datagram_is_rejected_with_its_reason(change, reason):
+    with pytest.raises(InvalidDatagramError, match=f"^{reason}$"):
+        CODEC.decode(change(CODEC.encode(MessageKind.PING, 9, LOCAL, None, updates(2))))
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_under_a_right_checksum_are_read_or_dropped(body):
-    try:
-        OURS.decode(sealed(body))
-    except UnusableError:
-        pass
+def test_any_body_with_a_valid_checksum_is_decoded_or_rejected(body):
+    with contextlib.suppress(InvalidDatagramError):
+        CODEC.decode(with_checksum(body))
 
 
-def test_of_many_spoilt_datagrams_none_is_taken():
-    draw, data = Random(3), OURS.encode(Kind.PING, 9, ME, None, words(6))
+def test_no_damaged_datagram_is_accepted():
+    random = Random(3)
+    data = CODEC.encode(MessageKind.PING, 9, LOCAL, None, updates(6))
     for _ in range(20_000):
-        spoilt = bytearray(data)
-        for _ in range(draw.randrange(1, 5)):
-            spoilt[draw.randrange(len(spoilt))] ^= 1 << draw.randrange(8)
-        if bytes(spoilt) != data:
-            with pytest.raises(UnusableError):
-                OURS.decode(bytes(spoilt))
+        damaged = bytearray(data)
+        for _ in range(random.randrange(1, 5)):
+            damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)
+        if bytes(damaged) != data:
+            with pytest.raises(InvalidDatagramError):
+                CODEC.decode(bytes(damaged))
