--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -17,9 +17,9 @@
 import click
 
 from mulleinrelay.cells import migrations
-from mulleinrelay.cells.hashing import bounded
+from mulleinrelay.cells.hashing import assign_with_load_bound
 from mulleinrelay.cells.model import Limits
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
 
@@ -207,7 +207,7 @@
             )
         }
         with open(os.path.join(folder, f"{name}-assignment.ini"), "w", encoding="utf-8") as file:
-            file.write(write(replace(scenario.charter, tenants=tenants, cells=cells)))
+            file.write(format_assignment(replace(scenario.charter, tenants=tenants, cells=cells)))
         files[name] = os.path.join(folder, f"{name}.ini")
         with open(files[name], "w", encoding="utf-8") as file:
             file.write(f"[cells]\nenabled = yes\nassignment = {name}-assignment.ini\n")
@@ -232,10 +232,10 @@
         {f"c{n}": 1.0 for n in range(100)},
     )
     begun = time.perf_counter()
-    first = bounded(items, bins, 1.25)
+    first = assign_with_load_bound(items, bins, 1.25)
     took = time.perf_counter() - begun
     del bins["c17"]
-    second = bounded(items, bins, 1.25)
+    second = assign_with_load_bound(items, bins, 1.25)
     return {
         "assign_100k_tenants_moved_share": round(
             sum(first[name] != cell for name, cell in second.items()) / len(items), 5
@@ -281,10 +281,10 @@
         }
     if only in (None, "move"):
         say("a move, and a cut-over at once")
-        demand = migrations.Demand(
-            rate=80.0, load=20.0, capacity=300.0, fill_cost=4.0, hit_share=0.97, objects=500.0
+        demand = migrations.MigrationDemand(
+            rate=80.0, load=20.0, capacity=300.0, fill_cost=4.0, hit_ratio=0.97, object_count=500.0
         )
-        shift = round(migrations.shift_time(demand))
+        shift = round(migrations.min_shift_duration(demand))
         spans = f"warm_ms = 2000\nshift_ms = {shift}\ndrain_ms = 2000"
         seconds = 8 + 1 + 2 + shift / 1000.0 + 3
         moved, cut = move("move", seconds, spans, 8.0), move("cut", seconds, "", 8.0)
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -134,7 +134,7 @@
                 data = file.read()
             with open(os.path.join(held.folder, "n0.log"), "rb") as file:
                 lines = sum(b'"management"' in line for line in file)
-            return [config, state, data, store.load(held.assignment), lines]
+            return [config, state, data, store.load_assignment(held.assignment), lines]
 
         time.sleep(0.6)  # the line on that drain is written by then
         before, refused = shot(), 0
@@ -201,7 +201,7 @@
             reason = next(
                 (one.get("reason") for one in held.get("drains", {}).get("drain", ())), None
             )
-            file = store.load(lab.assignment).tenants["acme"].weight
+            file = store.load_assignment(lab.assignment).tenants["acme"].weight
             seen += reason is not None
             half += reason is not None and not float(reason) + 1.0 == weight == file
             after.close()
--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -12,9 +12,18 @@
 from ..policy.model import IDEMPOTENT, KEYED, CachePool, RequestClass
 from . import migrations, rollouts
 from .failover import FailoverQuota
-from .limits import FairPace, Lane, Pace, Retries, Share, Shares, Width, advice
+from .limits import (
+    BucketShare,
+    ClientRetryBudget,
+    ConcurrencyLimit,
+    ConcurrencyShare,
+    FairShares,
+    FairTokenBucket,
+    TokenBucket,
+    bounded_retry_after,
+)
 from .model import Assignment, Cell, Limits
-from .placement import Placement, Unplaced, settled_homes
+from .placement import Placement, PlacementFailure, settled_homes
 from .tenant_resolution import TenantResolver
 
 ACCOUNTS_MOST = 20_000
@@ -29,23 +38,23 @@
 class DirectorCapacity:
     """What the director itself has."""
 
-    open_most: float  # requests open
+    max_open_requests: float  # requests open
     rate: float = 0.0  # requests a second that it can bear; 0: not bounded here
-    come_back_most: float = 5_000.0
+    max_retry_after: float = 5_000.0
 
 
 @dataclass(slots=True, eq=False)
-class Asking:
+class AdmissionRequest:
     """What tells whose request it is and how it may be repeated."""
 
-    told: str
+    tenant_name: str
     address: str
     group: int
     key: int | str  # the object; as hex digits it is read only where it is wanted
     request_class: RequestClass
     idempotency_key: str = ""
-    repeated: bool = False
-    body: int = 0  # bytes
+    is_retry: bool = False
+    body_bytes: int = 0  # bytes
 
 
 @dataclass(slots=True, eq=False)
@@ -60,16 +69,33 @@
 class TenantState:
     """One tenant at this director."""
 
-    __slots__ = ("limits", "pace", "retries", "body", "denied", "granted", "used", "seats")
+    __slots__ = (
+        "limits",
+        "token_bucket",
+        "retry_budget",
+        "open_body_kb",
+        "rejected_count",
+        "admitted_count",
+        "last_used_at",
+        "cell_limits",
+    )
 
     def __init__(self, limits: Limits) -> None:
-        self.renew(limits)
-        self.body, self.denied, self.granted, self.used = 0.0, 0, 0, 0.0
+        self.set_limits(limits)
+        self.open_body_kb, self.rejected_count, self.admitted_count, self.last_used_at = (
+            0.0,
+            0,
+            0,
+            0.0,
+        )
 
-    def renew(self, limits: Limits) -> None:
+    def set_limits(self, limits: Limits) -> None:
         self.limits = limits
-        self.pace, self.retries = Pace(limits.rate, limits.burst), Retries(limits.retry_ratio)
-        self.seats: dict[str, TenantCellLimits] = {}  # by cell
+        self.token_bucket, self.retry_budget = (
+            TokenBucket(limits.rate, limits.burst),
+            ClientRetryBudget(limits.retry_ratio),
+        )
+        self.cell_limits: dict[str, TenantCellLimits] = {}  # by cell
 
 
 @dataclass(slots=True, eq=False)
@@ -77,9 +103,9 @@
     """A tenant's place in one cell: looked up once, as long as its shares are in use."""
 
     cell: Cell
-    room: "CellState"
-    share: Share
-    cell_share: Share
+    cell_state: "CellState"
+    share: ConcurrencyShare
+    cell_share: ConcurrencyShare
     weight: float
 
 
@@ -87,14 +113,14 @@
     """One cell at this director: its width, its tenants' shares of that, and its rate."""
 
     def __init__(self, board: DirectorCapacity, limits: Limits) -> None:
-        self.rates = FairPace(limits.rate)
+        self.token_bucket = FairTokenBucket(limits.rate)
         self.limits = limits
-        most = min(board.open_most, limits.max_open_requests or board.open_most)
-        self.width = Width(min(WIDTH_LEAST, most), most)
-        self.shares = Shares(most)
-        self.guests: dict[str, FailoverQuota] = {}
-        self.good, self.total, self.denied = 0, 0, 0
-        self.rated_at = -1e12
+        most = min(board.max_open_requests, limits.max_open_requests or board.max_open_requests)
+        self.concurrency_limit = ConcurrencyLimit(min(WIDTH_LEAST, most), most)
+        self.shares = FairShares(most)
+        self.failover_quotas: dict[str, FailoverQuota] = {}
+        self.served_count, self.completed_count, self.rejected_count = 0, 0, 0
+        self.rate_updated_at = -1e12
 
 
 @dataclass(slots=True, eq=False)
@@ -104,14 +130,14 @@
     tenant: str
     cell: str
     pool: CachePool
-    amount: float
-    body: float
-    account: TenantState
-    room: CellState
-    share: Share
-    cell_share: Share
-    guests: FailoverQuota | None
-    settled: bool = field(default=False)
+    slots: float
+    body_kb: float
+    tenant_state: TenantState
+    cell_state: CellState
+    share: ConcurrencyShare
+    cell_share: ConcurrencyShare
+    failover_quota: FailoverQuota | None
+    is_completed: bool = field(default=False)
 
 
 @dataclass(slots=True, eq=False)
@@ -119,7 +145,7 @@
     """A charter with what is reckoned from it alone, so that taking it over holds no request up."""
 
     assignment: Assignment
-    naming: TenantResolver
+    tenant_resolver: TenantResolver
     homes: dict[str, str]
 
 
@@ -132,16 +158,16 @@
     def __init__(
         self, now: float, charter: Assignment, board: DirectorCapacity, may_pass_by: bool
     ) -> None:
-        self.board = board
-        self.accounts: dict[str, TenantState] = {}
-        self.rooms: dict[str, CellState] = {}
-        self.cells = Shares(board.open_most)
-        self.rates = FairPace(board.rate)
-        self.courses: dict[str, rollouts.Course] = {}
+        self.capacity = board
+        self.tenant_states: dict[str, TenantState] = {}
+        self.cell_states: dict[str, CellState] = {}
+        self.cell_shares = FairShares(board.max_open_requests)
+        self.cell_rates = FairTokenBucket(board.rate)
+        self.rollout_states: dict[str, rollouts.RolloutState] = {}
         ready = prepare_assignment(charter)
         self.placement = Placement(charter, may_pass_by, ready.homes)
-        self.unknown = TenantState(charter.limits)  # whose requests name no tenant of ours
-        self.stages: dict[str, migrations.MigrationStage] = {}
+        self.unknown_tenant = TenantState(charter.limits)  # whose requests name no tenant of ours
+        self.migration_stages: dict[str, migrations.MigrationStage] = {}
         self.step_due = 0.0
         self._take_over(now, ready)
 
@@ -153,7 +179,7 @@
         """
         ready = ready if isinstance(ready, PreparedAssignment) else prepare_assignment(ready)
         charter = ready.assignment
-        words = self.placement.renew(now, charter, ready.homes)
+        words = self.placement.replace_assignment(now, charter, ready.homes)
         self._take_over(now, ready)
         first = (
             f"version {charter.version}: {len(charter.cells)} cells, {len(charter.tenants)} tenants"
@@ -162,160 +188,177 @@
 
     def _take_over(self, now: float, ready: "PreparedAssignment") -> None:
         charter = ready.assignment
-        self.assignment, self.naming = charter, ready.naming
-        self.courses = {
-            name: self.courses.get(name) or rollouts.Course(release)
+        self.assignment, self.tenant_resolver = charter, ready.tenant_resolver
+        self.rollout_states = {
+            name: self.rollout_states.get(name) or rollouts.RolloutState(release)
             for name, release in charter.rollouts.items()
         }
-        for name, course in self.courses.items():
-            course.release = charter.rollouts[name]
+        for name, course in self.rollout_states.items():
+            course.rollout = charter.rollouts[name]
         for name, cell in charter.cells.items():
-            room = self.rooms.get(name)
+            room = self.cell_states.get(name)
             if room is None or room.limits != cell.limits:
-                self.rooms[name] = self._renewed(room, cell.limits)
-        self.rooms = {name: self.rooms[name] for name in charter.cells}
+                self.cell_states[name] = self._renewed(room, cell.limits)
+        self.cell_states = {name: self.cell_states[name] for name in charter.cells}
         self._renew_accounts()
-        self.placement.reshuffle(rollouts.shuffles(self.courses))
-        self.stages = {
-            name: self.stages.get(name, migrations.MigrationStage.PLANNED)
+        self.placement.set_shuffle_shards(rollouts.shuffle_shards_by_cell(self.rollout_states))
+        self.migration_stages = {
+            name: self.migration_stages.get(name, migrations.MigrationStage.PLANNED)
             for name in charter.migrations
         }
 
     def _renewed(self, old: CellState | None, limits: Limits) -> CellState:
-        room = CellState(self.board, limits)
+        room = CellState(self.capacity, limits)
         if old is not None:  # what is open stays counted where it was taken
-            old.rates.renew(limits.rate)
-            old.limits, old.width = limits, room.width
-            old.shares.width = room.shares.width
+            old.token_bucket.set_rate(limits.rate)
+            old.limits, old.concurrency_limit = limits, room.concurrency_limit
+            old.shares.capacity = room.shares.capacity
             return old
         return room
 
     def _renew_accounts(self) -> None:
-        for name, account in self.accounts.items():
+        for name, account in self.tenant_states.items():
             limits = self._limits(name)
-            account.seats.clear()
+            account.cell_limits.clear()
             if limits != account.limits:
-                account.renew(limits)
+                account.set_limits(limits)
 
     def _limits(self, tenant: str) -> Limits:
         known = self.assignment.tenants.get(tenant)
         own = known.limits if known is not None else self.assignment.limits
-        return rollouts.in_force(self.courses, self.placement.homes.get(tenant, ""), own)
+        return rollouts.limits_in_force(
+            self.rollout_states, self.placement.homes.get(tenant, ""), own
+        )
 
     def update_caches(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
         """The ready caches of this location have changed: name, node, warmth."""
-        return self.placement.listed(now, caches)
+        return self.placement.update_caches(now, caches)
 
     def step(self, now: float) -> list[str]:
         """Releases and moves go on by the clock; gives words for the log. To be called some times a
         second."""
         words = []
         for name, move in self.assignment.migrations.items():
-            if (stage := migrations.stage(move, now)) != self.stages[name]:
-                self.stages[name] = stage
-                share = migrations.shifted(move, now)
+            if (stage := migrations.stage_at(move, now)) != self.migration_stages[name]:
+                self.migration_stages[name] = stage
+                share = migrations.migrated_fraction(move, now)
                 words.append(
                     f"move {name} {stage.value}: {share:.2f} of {move.source} in {move.target}"
                 )
-        for name, course in self.courses.items():
-            if word := course.step(now):
+        for name, course in self.rollout_states.items():
+            if word := course.advance(now):
                 words.append(
-                    f"release {name} {word}, wave {course.wave} of {len(course.release.waves)}"
+                    f"release {name} {word}, wave {course.wave} of {len(course.rollout.waves)}"
                 )
                 self._renew_accounts()
-                self.placement.reshuffle(rollouts.shuffles(self.courses))
+                self.placement.set_shuffle_shards(
+                    rollouts.shuffle_shards_by_cell(self.rollout_states)
+                )
         return words
 
     # One request
 
     def can_admit_connection(self, address: str, held: int) -> bool:
         """Whether one more connection from an address may come, where its tenant holds so many."""
-        tenant = self.naming.of_address(address)
+        tenant = self.tenant_resolver.tenant_of_address(address)
         most = self._limits(tenant).max_connections if tenant else 0
         return not most or held < most
 
-    def admit_request(self, now: float, asking: Asking) -> AdmissionGrant | AdmissionRejection:
-        tenant = self.naming.tenant(asking.told, asking.address, asking.group)
+    def admit_request(
+        self, now: float, asking: AdmissionRequest
+    ) -> AdmissionGrant | AdmissionRejection:
+        tenant = self.tenant_resolver.resolve(asking.tenant_name, asking.address, asking.group)
         if tenant is None:
-            self.unknown.denied += 1
+            self.unknown_tenant.rejected_count += 1
             return self._denied(asking, "unknown tenant", LOST_WAIT)
-        account = self.accounts.get(tenant) or self._open_account(tenant)
-        account.used = now
-        retry = asking.repeated and asking.request_class.idempotency == IDEMPOTENT
-        if wait := account.pace.wait(now):
+        account = self.tenant_states.get(tenant) or self._open_account(tenant)
+        account.last_used_at = now
+        retry = asking.is_retry and asking.request_class.idempotency == IDEMPOTENT
+        if wait := account.token_bucket.wait_time(now):
             return self._deny(account, asking, "rate of the tenant", wait)
-        if retry and not account.retries.may():
+        if retry and not account.retry_budget.can_retry():
             return self._deny(account, asking, "retries of the tenant", LOST_WAIT)
         spot = (
-            self.placement.steady.get(tenant)
+            self.placement.stable_placements.get(tenant)
             if asking.request_class.idempotency == IDEMPOTENT
             else None
         )
         if spot is None:
             key = int(asking.key, 16) if isinstance(asking.key, str) else asking.key
-            spot = self.placement.spot(
-                now, tenant, key, asking.request_class, asking.idempotency_key, asking.repeated
+            spot = self.placement.place(
+                now, tenant, key, asking.request_class, asking.idempotency_key, asking.is_retry
             )
-        if isinstance(spot, Unplaced):
-            account.denied += 1
-            harmless = spot != Unplaced.UNPROVEN and self._harmless(asking)
+        if isinstance(spot, PlacementFailure):
+            account.rejected_count += 1
+            harmless = spot != PlacementFailure.MAY_HAVE_RUN and self._harmless(asking)
             return AdmissionRejection(
-                spot.value, advice(LOST_WAIT, self.board.come_back_most), harmless
+                spot.value, bounded_retry_after(LOST_WAIT, self.capacity.max_retry_after), harmless
             )
-        seat = account.seats.get(spot.cell)
+        seat = account.cell_limits.get(spot.cell)
         if (
             seat is None
-            or now > seat.share.asked + SEAT_KEPT
-            or now > seat.cell_share.asked + SEAT_KEPT
+            or now > seat.share.last_requested_at + SEAT_KEPT
+            or now > seat.cell_share.last_requested_at + SEAT_KEPT
         ):
             seat = self._take_seat(account, tenant, spot.cell)
-        room, share, cell_share = seat.room, seat.share, seat.cell_share
-        body = asking.body / 1024.0
+        room, share, cell_share = seat.cell_state, seat.share, seat.cell_share
+        body = asking.body_bytes / 1024.0
         amount = 1.0 + body / BODY_SLOT
         lanes = None
-        if self.rates.rate or room.limits.rate:
-            lane = self.rates.lane(spot.cell, seat.cell.weight)
+        if self.cell_rates.rate or room.limits.rate:
+            lane = self.cell_rates.share_for(spot.cell, seat.cell.weight)
             lanes = lane, self._lane(now, room, lane, tenant, seat.weight)
-            if wait := self.rates.wait(lane, now) or room.rates.wait(lanes[1], now):
+            if wait := self.cell_rates.wait_time(lane, now) or room.token_bucket.wait_time(
+                lanes[1], now
+            ):
                 return self._deny(account, asking, "rate of the cell", wait, room)
-        if account.limits.max_body_kb and account.body + body > account.limits.max_body_kb:
+        if account.limits.max_body_kb and account.open_body_kb + body > account.limits.max_body_kb:
             return self._deny(account, asking, "bodies of the tenant", LOST_WAIT, room)
-        room.width.used(room.shares.open + amount)
-        if room.shares.open + amount > 0.5 * room.shares.width:
+        room.concurrency_limit.record_open(room.shares.open + amount)
+        if room.shares.open + amount > 0.5 * room.shares.capacity:
             # So much less is lent inside the cell that a lender's return still fits into what it
             # may have
-            reach = self.cells.reach(cell_share, now)
-            room.shares.width = min(room.width.now_most, reach) / (1.0 + Shares.HEAD_ROOM)
-        if not room.shares.may(share, now, amount):
+            reach = self.cell_shares.reachable(cell_share, now)
+            room.shares.capacity = min(room.concurrency_limit.current, reach) / (
+                1.0 + FairShares.OVERCOMMIT
+            )
+        if not room.shares.request(share, now, amount):
             return self._deny(account, asking, "share of the tenant", 0.0, room)
-        if not self.cells.may(cell_share, now, amount):
+        if not self.cell_shares.request(cell_share, now, amount):
             return self._deny(account, asking, "share of the cell", 0.0, room)
         guests = None
-        if spot.guest_of:
-            guests = room.guests.setdefault(spot.guest_of, FailoverQuota())
-            home, host = self.assignment.cells[spot.guest_of], self.placement.standings[spot.cell]
-            rate = room.rates.rate or (self.rates.part(lanes[0]) if lanes else 0.0)
-            if wait := guests.wait(
-                now, home.failover_quota, host.warmth(), room.width.now_most, rate
+        if spot.failed_over_from:
+            guests = room.failover_quotas.setdefault(spot.failed_over_from, FailoverQuota())
+            home, host = (
+                self.assignment.cells[spot.failed_over_from],
+                self.placement.availability[spot.cell],
+            )
+            rate = room.token_bucket.rate or (
+                self.cell_rates.guaranteed_rate(lanes[0]) if lanes else 0.0
+            )
+            if wait := guests.wait_time(
+                now, home.failover_quota, host.mean_warmth(), room.concurrency_limit.current, rate
             ):
                 return self._deny(account, asking, "reserve of the neighbour", wait, room)
-            guests.take(now)
-        account.pace.take(now)
-        account.granted += 1
+            guests.acquire(now)
+        account.token_bucket.consume(now)
+        account.admitted_count += 1
         if retry:
-            account.retries.take()
+            account.retry_budget.consume()
         else:
-            account.retries.first()
+            account.retry_budget.record_first_attempt()
         if lanes:
-            self.rates.take(lanes[0], now)
-            room.rates.take(lanes[1], now)
+            self.cell_rates.consume(lanes[0], now)
+            room.token_bucket.consume(lanes[1], now)
         share.open += amount
         room.shares.open += amount
         cell_share.open += amount
-        self.cells.open += amount
-        account.body += body
+        self.cell_shares.open += amount
+        account.open_body_kb += body
         if asking.idempotency_key:
-            self.placement.note(now, tenant, asking.idempotency_key, asking.request_class, spot)
+            self.placement.record_admission(
+                now, tenant, asking.idempotency_key, asking.request_class, spot
+            )
         return AdmissionGrant(
             tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests
         )
@@ -326,118 +369,124 @@
         """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its
         sending time aside. Gives a word where the cell's width has shrunk.
         """
-        if grant.settled:
+        if grant.is_completed:
             return ""
-        grant.settled = True
-        room, amount = grant.room, grant.amount
-        room.shares.give(grant.share, amount)
-        self.cells.give(grant.cell_share, amount)
-        if grant.body:
-            grant.account.body = max(0.0, grant.account.body - grant.body)
-        if grant.guests is not None:
-            grant.guests.give()
+        grant.is_completed = True
+        room, amount = grant.cell_state, grant.slots
+        room.shares.release(grant.share, amount)
+        self.cell_shares.release(grant.cell_share, amount)
+        if grant.body_kb:
+            grant.tenant_state.open_body_kb = max(
+                0.0, grant.tenant_state.open_body_kb - grant.body_kb
+            )
+        if grant.failover_quota is not None:
+            grant.failover_quota.release()
         if owed:
-            room.total += 1
-            room.good += good
-            if self.courses:
-                for course in self.courses.values():
-                    course.saw(now, grant.cell, good, delay)
-        if good and room.width.saw(now, delay):
-            return f"cell {grant.cell} narrowed to {room.width.now_most:.0f} requests open"
+            room.completed_count += 1
+            room.served_count += good
+            if self.rollout_states:
+                for course in self.rollout_states.values():
+                    course.record(now, grant.cell, good, delay)
+        if good and room.concurrency_limit.record_completion(now, delay):
+            return (
+                f"cell {grant.cell} narrowed to {room.concurrency_limit.current:.0f} requests open"
+            )
         return ""
 
-    def _lane(self, now: float, room: CellState, lane: Lane, tenant: str, weight: float) -> Lane:
-        own = room.rates.lane(tenant, weight)
+    def _lane(
+        self, now: float, room: CellState, lane: BucketShare, tenant: str, weight: float
+    ) -> BucketShare:
+        own = room.token_bucket.share_for(tenant, weight)
         if (
             not room.limits.rate
-            and self.rates.rate
-            and now >= room.rated_at + FairPace.RECKONED_FOR
+            and self.cell_rates.rate
+            and now >= room.rate_updated_at + FairTokenBucket.RECOMPUTE_INTERVAL
         ):
-            room.rated_at = (
+            room.rate_updated_at = (
                 now  # what the cell may reach of the director's rate is shared by its tenants
             )
-            room.rates.renew(self.rates.free_for(lane))
+            room.token_bucket.set_rate(self.cell_rates.reachable_rate(lane))
         return own
 
     def _take_seat(self, account: TenantState, tenant: str, cell: str) -> TenantCellLimits:
-        room, weight = self.rooms[cell], self.assignment.tenants[tenant].weight
+        room, weight = self.cell_states[cell], self.assignment.tenants[tenant].weight
         held = self.assignment.cells[cell]
-        seat = account.seats[cell] = TenantCellLimits(
+        seat = account.cell_limits[cell] = TenantCellLimits(
             held,
             room,
-            room.shares.party(tenant, weight, account.limits.max_open_requests),
-            self.cells.party(cell, held.weight),
+            room.shares.share_for(tenant, weight, account.limits.max_open_requests),
+            self.cell_shares.share_for(cell, held.weight),
             weight,
         )
         return seat
 
     def _open_account(self, tenant: str) -> TenantState:
         # the least lately used half goes; what is open is in the grants
-        if len(self.accounts) >= ACCOUNTS_MOST:
-            kept = sorted(self.accounts.items(), key=lambda held: held[1].used)[
+        if len(self.tenant_states) >= ACCOUNTS_MOST:
+            kept = sorted(self.tenant_states.items(), key=lambda held: held[1].last_used_at)[
                 ACCOUNTS_MOST // 2 :
             ]
-            self.accounts = dict(kept)
-        account = self.accounts[tenant] = TenantState(self._limits(tenant))
+            self.tenant_states = dict(kept)
+        account = self.tenant_states[tenant] = TenantState(self._limits(tenant))
         return account
 
     def _deny(
         self,
         account: TenantState,
-        asking: Asking,
+        asking: AdmissionRequest,
         why: str,
         wait: float,
         room: CellState | None = None,
     ) -> AdmissionRejection:
-        account.denied += 1
+        account.rejected_count += 1
         if room is not None:
-            room.denied += 1
+            room.rejected_count += 1
         return self._denied(asking, why, wait)
 
-    def _denied(self, asking: Asking, why: str, wait: float) -> AdmissionRejection:
+    def _denied(self, asking: AdmissionRequest, why: str, wait: float) -> AdmissionRejection:
         return AdmissionRejection(
-            why, advice(wait, self.board.come_back_most), self._harmless(asking)
+            why, bounded_retry_after(wait, self.capacity.max_retry_after), self._harmless(asking)
         )
 
-    def _harmless(self, asking: Asking) -> bool:
+    def _harmless(self, asking: AdmissionRequest) -> bool:
         """Whether a client that is rejected may come again: no attempt of this request has gone
         out, but what it repeats may have run.
         """
         case = asking.request_class
         everywhere = case.idempotency == KEYED and case.key_scope == "all"
-        return not asking.repeated or case.idempotency == IDEMPOTENT or everywhere
+        return not asking.is_retry or case.idempotency == IDEMPOTENT or everywhere
 
     # For staff
 
     def status(self, now: float) -> dict[str, Any]:
         """Cells, moves and releases as this director has them; plain figures."""
         held = self.placement
-        most = sorted(self.accounts.items(), key=lambda one: (-one[1].denied, one[0]))
+        most = sorted(self.tenant_states.items(), key=lambda one: (-one[1].rejected_count, one[0]))
         return {
             "version": self.assignment.version,
             "at": round(now),
-            "open": self.cells.open,
-            "unknown_denied": self.unknown.denied,
+            "open": self.cell_shares.open,
+            "unknown_denied": self.unknown_tenant.rejected_count,
             "cells": {
                 name: {
-                    "caches": held.by_cell[name],
-                    "lost": held.standings[name].lost,
-                    "home_share": round(held.standings[name].home_share(now), 3),
-                    "warmth": round(held.standings[name].warmth(), 3),
+                    "caches": held.caches_by_cell[name],
+                    "lost": held.availability[name].is_lost,
+                    "home_share": round(held.availability[name].home_fraction(now), 3),
+                    "warmth": round(held.availability[name].mean_warmth(), 3),
                     "open": room.shares.open,
-                    "width": round(room.width.now_most, 1),
-                    "served": room.good,
-                    "settled": room.total,
-                    "denied": room.denied,
+                    "width": round(room.concurrency_limit.current, 1),
+                    "served": room.served_count,
+                    "settled": room.completed_count,
+                    "denied": room.rejected_count,
                 }
-                for name, room in self.rooms.items()
+                for name, room in self.cell_states.items()
             },
             "moves": {
                 name: {
-                    "stage": migrations.stage(move, now).value,
+                    "stage": migrations.stage_at(move, now).value,
                     "from": move.source,
                     "to": move.target,
-                    "share": round(migrations.shifted(move, now), 4),
+                    "share": round(migrations.migrated_fraction(move, now), 4),
                 }
                 for name, move in self.assignment.migrations.items()
             },
@@ -445,16 +494,16 @@
                 name: {
                     "phase": course.phase().value,
                     "wave": course.wave,
-                    "why": course.taken_back,
-                    "cells": sorted(course.since),
+                    "why": course.rollback_reason,
+                    "cells": sorted(course.reached_at),
                 }
-                for name, course in self.courses.items()
+                for name, course in self.rollout_states.items()
             },
             "tenants": {
                 name: {
                     "home": held.homes.get(name, ""),
-                    "granted": account.granted,
-                    "denied": account.denied,
+                    "granted": account.admitted_count,
+                    "denied": account.rejected_count,
                 }
                 for name, account in most[:TENANTS_TOLD]
             },
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -15,8 +15,8 @@
 from ..errors import ConfigError
 from ..records import read_logs, read_states
 from . import edits, migrations, store
-from .hashing import homes
-from .migrations import Demand
+from .hashing import home_cells
+from .migrations import MigrationDemand
 from .model import Assignment, Limits, Rollout
 
 BAD_FILE, REFUSED = 2, 3
@@ -50,7 +50,7 @@
     except ConfigError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(BAD_FILE)
-    except edits.RefusalError as why:
+    except edits.EditRejectedError as why:
         click.echo(f"mulleinrelay: refused: {why}", err=True)
         sys.exit(REFUSED)
     except OSError as wrong:
@@ -89,9 +89,9 @@
 ) -> Assignment:
     """Writes the next version and notes who did what in the log; raises ConfigError,
     changes.RefusalError."""
-    with store.sole_writer(path):
-        old = store.load(path)
-        new = store.save(path, make(old), round(now_ms()), old.version)
+    with store.exclusive_writer(path):
+        old = store.load_assignment(path)
+        new = store.save_assignment(path, make(old), round(now_ms()), old.version)
     audit(path).info(what, version=new.version, by=os.environ.get("USER", ""), **figures)
     return new
 
@@ -103,8 +103,8 @@
 def show(path: str, records: str | None, as_json: bool) -> None:
     """Cells, tenants, moves and releases; with --records, what each director makes of them."""
     with faults():
-        charter, now = store.load(path), now_ms()
-        at, states = homes(charter), read_states(records) if records else []
+        charter, now = store.load_assignment(path), now_ms()
+        at, states = home_cells(charter), read_states(records) if records else []
     held = {
         name: sorted(tenant for tenant, home in at.items() if home == name)
         for name in charter.cells
@@ -114,8 +114,8 @@
             "from": move.source,
             "to": move.target,
             "tenants": list(move.tenants),
-            "stage": migrations.stage(move, now).value,
-            "share": round(migrations.shifted(move, now), 4),
+            "stage": migrations.stage_at(move, now).value,
+            "share": round(migrations.migrated_fraction(move, now), 4),
         }
         for name, move in charter.migrations.items()
     }
@@ -166,7 +166,7 @@
 def explain(what: str, path: str, tenant: str | None, as_json: bool) -> None:
     """Why TENANT, or an OBJECT (16 hex digits) of --tenant, stands in its cell."""
     with faults():
-        charter, now = store.load(path), now_ms()
+        charter, now = store.load_assignment(path), now_ms()
         if tenant is None:
             found = edits.explain_tenant(charter, what, now)
         else:
@@ -219,23 +219,25 @@
     fill_cost: float,
     hit_share: float,
     objects: float | None,
-) -> Demand | None:
+) -> MigrationDemand | None:
     told = [one is not None for one in (rate, capacity, objects)]
     if not any(told):
         return None
     if not all(told):
         raise click.UsageError("--rate, --capacity and --objects go together")
-    return Demand(rate, load, capacity, fill_cost, hit_share, objects)
+    return MigrationDemand(rate, load, capacity, fill_cost, hit_share, objects)
 
 
-def spans_for(demand: Demand | None, warm: float, shift: float | None, drain: float) -> edits.Spans:
+def spans_for(
+    demand: MigrationDemand | None, warm: float, shift: float | None, drain: float
+) -> edits.StageDurations:
     if shift is not None:
-        return edits.Spans(warm, shift, drain)
+        return edits.StageDurations(warm, shift, drain)
     if demand is None:
         raise click.UsageError(
             "either --shift-ms, or --rate, --capacity and --objects, from which it is reckoned"
         )
-    return edits.reckoned(demand, warm, drain)
+    return edits.durations_for_demand(demand, warm, drain)
 
 
 @cells.command()
@@ -256,13 +258,13 @@
 ) -> None:
     """What a move would look like; nothing is changed."""
     with faults():
-        charter, now = store.load(path), now_ms()
+        charter, now = store.load_assignment(path), now_ms()
         demand = demand_from(**demand_told)
         spans = spans_for(demand, warm_ms, shift_ms, drain_ms)
-        move = edits.start_move(charter, "planned", tenants, target, now, spans).migrations[
+        move = edits.start_migration(charter, "planned", tenants, target, now, spans).migrations[
             "planned"
         ]
-    course = migrations.loads(move, demand or Demand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
+    course = migrations.project_load(move, demand or MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
     peak = max(load for _, _, load in course) if demand else None
     told = [
         {
@@ -277,12 +279,12 @@
         "to": target,
         "tenants": list(tenants),
         "shift_ms": spans.shift,
-        "lasts_ms": migrations.done_at(move) - move.starts_at,
+        "lasts_ms": migrations.completes_at(move) - move.starts_at,
         "peak_load": peak,
         "course": told,
     }
     lines = [
-        f"{' '.join(tenants)}: {move.source} -> {target}, warm {spans.warm:.0f} ms, shift {spans.shift:.0f} "
+        f"{' '.join(tenants)}: {move.source} -> {target}, warm {spans.warm_up:.0f} ms, shift {spans.shift:.0f} "
         f"ms, drain {spans.drain:.0f} ms"
     ]
     lines += [
@@ -325,7 +327,7 @@
         new = change(
             path,
             "move",
-            lambda old: edits.start_move(old, name, tenants, target, now_ms(), spans),
+            lambda old: edits.start_migration(old, name, tenants, target, now_ms(), spans),
             move=name,
             tenants=list(tenants),
             to=target,
@@ -336,7 +338,7 @@
         {"version": new.version, "move": name, "starts": made.starts_at, "shift_ms": spans.shift},
         [
             f"version {new.version}: move {name} starts in {(made.starts_at - now_ms()) / 1000.0:.1f} s, takes "
-            f"{(migrations.done_at(made) - made.starts_at) / 1000.0:.0f} s; stop it with `cells abort {name}`"
+            f"{(migrations.completes_at(made) - made.starts_at) / 1000.0:.0f} s; stop it with `cells abort {name}`"
         ],
     )
 
@@ -356,18 +358,18 @@
         )
 
 
-_simple("hold", "Stop a move where it is.", edits.hold)
-_simple("resume", "Let a held move go on.", edits.resume)
-_simple("abort", "Stop a move and let all go back.", edits.abort)
+_simple("hold", "Stop a move where it is.", edits.pause_migration)
+_simple("resume", "Let a held move go on.", edits.resume_migration)
+_simple("abort", "Stop a move and let all go back.", edits.abort_migration)
 _simple(
     "take-back",
     "Take a release back everywhere.",
-    lambda old, name, _: edits.take_back(old, name),
+    lambda old, name, _: edits.roll_back(old, name),
 )
 _simple(
     "keep",
     "Make a release's limits those of its tenants.",
-    lambda old, name, _: edits.keep_release(old, name),
+    lambda old, name, _: edits.adopt_rollout(old, name),
 )
 
 
@@ -377,11 +379,11 @@
 def end(path: str, as_json: bool) -> None:
     """Leave out moves that are over; their tenants stand in the table then."""
     with faults():
-        done = edits.end_moves(store.load(path), now_ms())[1]
-        version = store.load(path).version
+        done = edits.end_migrations(store.load_assignment(path), now_ms())[1]
+        version = store.load_assignment(path).version
         if done:
             version = change(
-                path, "end", lambda old: edits.end_moves(old, now_ms())[0], moves=done
+                path, "end", lambda old: edits.end_migrations(old, now_ms())[0], moves=done
             ).version
     tell(as_json, {"version": version, "ended": done}, [f"ended: {' '.join(done) or 'none'}"])
 
@@ -418,7 +420,7 @@
         new = change(
             path,
             "release",
-            lambda old: edits.start_release(
+            lambda old: edits.start_rollout(
                 old,
                 Rollout(
                     name,
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -9,11 +9,11 @@
 
 from dataclasses import dataclass
 
-from .hashing import SCALE, mixed
-from .limits import Pace
+from .hashing import HASH_RANGE, combine_hashes
+from .limits import TokenBucket
 from .model import Cell
 
-SALT = 0x72657475726E
+RECOVERY_SALT = 0x72657475726E
 
 
 @dataclass(slots=True, eq=False)
@@ -21,51 +21,53 @@
     """One cell at this director."""
 
     cell: Cell
-    ready: int = 0  # caches here
-    warm: float = 0.0  # their warmth together; as many as `ready` when all are warm
-    lost: bool = False
-    back_since: float = 0.0  # 0: it has not been lost, or all have returned
-    was_ready: bool = False
+    ready_caches: int = 0  # caches here
+    total_warmth: float = 0.0  # their warmth together; as many as `ready` when all are warm
+    is_lost: bool = False
+    recovering_since: float = 0.0  # 0: it has not been lost, or all have returned
+    has_been_ready: bool = False
 
-    def told(self, now: float, ready: int, warm: float) -> str:
+    def update_caches(self, now: float, ready: int, warm: float) -> str:
         """The list has changed; gives a word where the cell's mode has, else an empty one."""
-        self.ready, self.warm = ready, warm
+        self.ready_caches, self.total_warmth = ready, warm
         if ready:
-            came, self.lost = self.lost, False
-            first, self.was_ready = not self.was_ready, True
+            came, self.is_lost = self.is_lost, False
+            first, self.has_been_ready = not self.has_been_ready, True
             if came and not first:
-                self.back_since = now
+                self.recovering_since = now
                 return "back"
             return ""
-        went, self.lost, self.back_since = not self.lost, True, 0.0
+        went, self.is_lost, self.recovering_since = not self.is_lost, True, 0.0
         return "lost" if went else ""
 
-    def home_share(self, now: float) -> float:
+    def home_fraction(self, now: float) -> float:
         """The share of its objects that are looked up at home."""
-        if self.lost:
+        if self.is_lost:
             return 0.0
-        if not self.back_since:
+        if not self.recovering_since:
             return 1.0
-        share = (now - self.back_since) / max(self.cell.return_duration, 1.0)
+        share = (now - self.recovering_since) / max(self.cell.return_duration, 1.0)
         if share >= 1.0:
-            self.back_since = 0.0
+            self.recovering_since = 0.0
         return min(share, 1.0)
 
-    def warmth(self) -> float:
-        return self.warm / self.ready if self.ready else 0.0
+    def mean_warmth(self) -> float:
+        return self.total_warmth / self.ready_caches if self.ready_caches else 0.0
 
 
-def at_home(key: int, share: float) -> bool:
-    return share >= 1.0 or (share > 0.0 and mixed(key, SALT) / SCALE < share)
+def is_served_at_home(key: int, share: float) -> bool:
+    return share >= 1.0 or (share > 0.0 and combine_hashes(key, RECOVERY_SALT) / HASH_RANGE < share)
 
 
-def host(standings: dict[str, CellAvailability], cell: Cell) -> CellAvailability | None:
+def find_failover_host(
+    standings: dict[str, CellAvailability], cell: Cell
+) -> CellAvailability | None:
     """The neighbour that takes in a cell's tenants now; None: nobody, they are rejected. A
     neighbour that is coming back itself takes nobody in: its own tenants are still elsewhere.
     """
     for name in cell.failover_cells:
         found = standings.get(name)
-        if found is not None and not found.lost and not found.back_since:
+        if found is not None and not found.is_lost and not found.recovering_since:
             return found
     return None
 
@@ -75,9 +77,11 @@
 
     def __init__(self) -> None:
         self.open = 0
-        self.pace, self.rate = Pace(0.0, 0.0), 0.0
+        self.token_bucket, self.rate = TokenBucket(0.0, 0.0), 0.0
 
-    def wait(self, now: float, reserve: float, warmth: float, width: float, rate: float) -> float:
+    def wait_time(
+        self, now: float, reserve: float, warmth: float, width: float, rate: float
+    ) -> float:
         """0: one more may come; else when to ask again, ms."""
         part = reserve * warmth
         if part <= 0.0:
@@ -86,15 +90,15 @@
             return 200.0
         if rate:
             if abs(part * rate - self.rate) > 0.01 * self.rate:  # a new rate keeps what was used up
-                whole_at, self.rate = self.pace.whole_at, part * rate
-                self.pace = Pace(self.rate, 0.0)
-                self.pace.whole_at = whole_at
-            return self.pace.wait(now)
+                whole_at, self.rate = self.token_bucket.full_at, part * rate
+                self.token_bucket = TokenBucket(self.rate, 0.0)
+                self.token_bucket.full_at = whole_at
+            return self.token_bucket.wait_time(now)
         return 0.0
 
-    def take(self, now: float) -> None:
+    def acquire(self, now: float) -> None:
         self.open += 1
-        self.pace.take(now)
+        self.token_bucket.consume(now)
 
-    def give(self) -> None:
+    def release(self) -> None:
         self.open = max(0, self.open - 1)
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -14,29 +14,31 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from .hashing import SCALE, mixed
+from .hashing import HASH_RANGE, combine_hashes
 from .model import Migration
 
-SALT = 0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
-HEAD_ROOM = (
+MIGRATION_SALT = (
+    0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
+)
+TARGET_UTILIZATION = (
     0.65  # part of the receiving caches' capacity that a move may fill: chance and an uneven hash
 )
 # bring some of them half as much again for a second
-SHIFT_LEAST = 2_000.0
+MIN_SHIFT_DURATION = 2_000.0
 
 
 class MigrationStage(StrEnum):
     PLANNED = "planned"
-    WARM = "warm"
+    WARM_UP = "warm"
     SHIFT = "shift"
     DRAIN = "drain"
     DONE = "done"
-    BACK = "back"
+    ROLLING_BACK = "back"
     ABORTED = "aborted"
 
 
 @dataclass(slots=True, frozen=True)
-class Demand:
+class MigrationDemand:
     """What the receiving caches see of a move: requests a second, their present load and capacity
     together in the same unit, what a fill costs beside a hit (1), the share of hits once warm, and
     the objects asked for.
@@ -46,8 +48,8 @@
     load: float
     capacity: float
     fill_cost: float
-    hit_share: float
-    objects: float
+    hit_ratio: float
+    object_count: float
 
 
 def _rises(move: Migration, now: float) -> float:
@@ -79,7 +81,7 @@
     return max(move.shift_duration, 1.0)
 
 
-def shifted(move: Migration, now: float) -> float:
+def migrated_fraction(move: Migration, now: float) -> float:
     """The share of objects that stand in the new cell, 0 to 1."""
     if not move.aborted_at or now < move.aborted_at:
         return _rises(move, _frozen(move, now))
@@ -87,7 +89,7 @@
     return max(0.0, reached - (now - move.aborted_at) / _back_for(move))
 
 
-def done_at(move: Migration) -> float:
+def completes_at(move: Migration) -> float:
     """When it is done, by its own clock."""
     return move.starts_at + move.warm_up_duration + move.shift_duration + move.drain_duration
 
@@ -95,13 +97,13 @@
 def ended_at(move: Migration) -> float | None:
     """When it is done or all has gone back; None: held."""
     if move.aborted_at:
-        return move.aborted_at + shifted(move, move.aborted_at) * _back_for(move)
-    if not move.paused_at or done_at(move) <= move.paused_at:
-        return done_at(move)
-    return done_at(move) + move.resumed_at - move.paused_at if move.resumed_at else None
+        return move.aborted_at + migrated_fraction(move, move.aborted_at) * _back_for(move)
+    if not move.paused_at or completes_at(move) <= move.paused_at:
+        return completes_at(move)
+    return completes_at(move) + move.resumed_at - move.paused_at if move.resumed_at else None
 
 
-def same_course(one: Migration, other: Migration, now: float) -> bool:
+def is_same_course(one: Migration, other: Migration, now: float) -> bool:
     """Whether both are the same move, at the same point now; what is still to come may differ."""
     alike = (
         "tenants",
@@ -114,21 +116,25 @@
     )
     return (
         all(getattr(one, name) == getattr(other, name) for name in alike)
-        and abs(shifted(one, now) - shifted(other, now)) < 1e-9
+        and abs(migrated_fraction(one, now) - migrated_fraction(other, now)) < 1e-9
     )
 
 
-def stage(move: Migration, now: float) -> MigrationStage:
+def stage_at(move: Migration, now: float) -> MigrationStage:
     if move.aborted_at and now >= move.aborted_at:
-        if _frozen(move, move.aborted_at) >= done_at(move):
+        if _frozen(move, move.aborted_at) >= completes_at(move):
             return (
                 MigrationStage.DONE
             )  # too late to go back by an abort; a new move takes them back
-        return MigrationStage.BACK if shifted(move, now) > 0.0 else MigrationStage.ABORTED
+        return (
+            MigrationStage.ROLLING_BACK
+            if migrated_fraction(move, now) > 0.0
+            else MigrationStage.ABORTED
+        )
     at = _frozen(move, now) - move.starts_at
     for name, span in (
         (MigrationStage.PLANNED, 0.0),
-        (MigrationStage.WARM, move.warm_up_duration),
+        (MigrationStage.WARM_UP, move.warm_up_duration),
         (MigrationStage.SHIFT, move.shift_duration),
         (MigrationStage.DRAIN, move.drain_duration),
     ):
@@ -138,26 +144,26 @@
     return MigrationStage.DONE
 
 
-def over(move: Migration, key: int, share: float) -> bool:
+def is_migrated(move: Migration, key: int, share: float) -> bool:
     """Whether an object stands in the new cell when that share has gone over."""
-    return mixed(key, SALT) / SCALE < share
+    return combine_hashes(key, MIGRATION_SALT) / HASH_RANGE < share
 
 
-def under_way(move: Migration, now: float) -> bool:
+def is_in_progress(move: Migration, now: float) -> bool:
     """Whether both cells still have a part in it."""
-    return stage(move, now) not in (
+    return stage_at(move, now) not in (
         MigrationStage.PLANNED,
         MigrationStage.DONE,
         MigrationStage.ABORTED,
     )
 
 
-def reach(move: Migration, now: float) -> float:
+def max_published_fraction(move: Migration, now: float) -> float:
     """The largest share that any version of the move has had up to now."""
     return _rises(move, now)
 
 
-def loads(move: Migration, demand: Demand) -> list[tuple[float, float, float]]:
+def project_load(move: Migration, demand: MigrationDemand) -> list[tuple[float, float, float]]:
     """(ms from the start, share over, load on the receiving caches over their capacity) along the
     course. An object is filled when it is first looked up in its new place, so those that came at
     once are filled as fast as requests find them; of what is there, the usual share is.
@@ -166,11 +172,11 @@
     step = max(1.0, span / 2_000.0)
     found, lacking, before, at = [], 0.0, 0.0, 0.0
     while at <= span:
-        share = shifted(move, move.starts_at + at)
-        lacking += max(0.0, share - before) * demand.objects
-        rate, part = demand.rate * share, lacking / max(share * demand.objects, 1e-9)
+        share = migrated_fraction(move, move.starts_at + at)
+        lacking += max(0.0, share - before) * demand.object_count
+        rate, part = demand.rate * share, lacking / max(share * demand.object_count, 1e-9)
         first = rate * min(1.0, part)
-        fills = first + (rate - first) * (1.0 - demand.hit_share)
+        fills = first + (rate - first) * (1.0 - demand.hit_ratio)
         load = demand.load + rate + fills * (demand.fill_cost - 1.0)
         found.append((at, share, load / demand.capacity))
         lacking = max(0.0, lacking - first * step / 1_000.0)
@@ -178,12 +184,12 @@
     return found
 
 
-def shift_time(demand: Demand) -> float | None:
+def min_shift_duration(demand: MigrationDemand) -> float | None:
     """The shortest shift (ms) that keeps the receiving caches under HEAD_ROOM; None: they can't
     bear the tenants even when warm. At the end all requests come and the last objects are new.
     """
-    room = HEAD_ROOM * demand.capacity - demand.load - demand.rate
-    fills = room / max(demand.fill_cost - 1.0, 1e-9) - demand.rate * (1.0 - demand.hit_share)
+    room = TARGET_UTILIZATION * demand.capacity - demand.load - demand.rate
+    fills = room / max(demand.fill_cost - 1.0, 1e-9) - demand.rate * (1.0 - demand.hit_ratio)
     if fills <= 0.0:
         return None
-    return max(SHIFT_LEAST, 1000.0 * demand.objects / fills)
+    return max(MIN_SHIFT_DURATION, 1000.0 * demand.object_count / fills)
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-FORM = 1  # of the file; a newer one is not read
+FILE_FORMAT_VERSION = 1  # of the file; a newer one is not read
 TABLE, RENDEZVOUS = "table", "rendezvous"
 TO_DEFAULT, REJECT = "default_tenant", "reject"
 
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -9,7 +9,7 @@
 from ..config.ini import NAME_PATTERN, NUMBER_LIMIT, IniSection, parse_sections
 from ..errors import ConfigError
 from .model import (
-    FORM,
+    FILE_FORMAT_VERSION,
     REJECT,
     RENDEZVOUS,
     TABLE,
@@ -22,19 +22,21 @@
     Tenant,
 )
 
-RANGE = re.compile(r"(\d{1,3})(?:-(\d{1,3}))?", re.ASCII)
-GROUP_MOST = 255
+GROUP_RANGE_PATTERN = re.compile(r"(\d{1,3})(?:-(\d{1,3}))?", re.ASCII)
+MAX_GROUP = 255
 
 
-def read(text: str) -> Assignment:
+def parse_assignment(text: str) -> Assignment:
     """Raises ConfigError; the charter is whole and agrees in itself."""
     found = parse_sections(text)
     if "assignment" not in found:
         raise ConfigError("[assignment]: the section is missing")
     head = IniSection("assignment", found.pop("assignment"))
     form = head.integer("form")
-    if form != FORM:
-        raise head.error("form", f"this program reads form {FORM}, the file has {form}")
+    if form != FILE_FORMAT_VERSION:
+        raise head.error(
+            "form", f"this program reads form {FILE_FORMAT_VERSION}, the file has {form}"
+        )
     limits = _limits(IniSection("limits", found.pop("limits", {})), Limits())
     kinds: dict[str, dict[str, object]] = {"cell": {}, "tenant": {}, "move": {}, "release": {}}
     readers = {"cell": _cell, "tenant": _tenant, "move": _move, "release": _release}
@@ -68,12 +70,12 @@
         retry_horizon=head.number("horizon_ms", 12_000.0),
     )
     head.reject_unknown_keys()
-    agree(charter)
+    validate_assignment(charter)
     return charter
 
 
 # Keys of limits in the file, and the fields of `Limits` that hold them, in the order of both.
-LIMIT_FIELDS = {
+LIMIT_FIELDS_BY_KEY = {
     "rate": "rate",
     "burst": "burst",
     "open_most": "max_open_requests",
@@ -90,7 +92,7 @@
             keys.integer(key, getattr(default, field))
             if key == "connections"
             else keys.number(key, float(getattr(default, field)))
-            for key, field in LIMIT_FIELDS.items()
+            for key, field in LIMIT_FIELDS_BY_KEY.items()
         )
     )
     if whole:
@@ -120,11 +122,11 @@
             raise keys.error("addresses", str(wrong)) from None
     groups = []
     for part in keys.text("groups", "").replace(",", " ").split():
-        form = RANGE.fullmatch(part)
+        form = GROUP_RANGE_PATTERN.fullmatch(part)
         first, last = (int(form[1]), int(form[2] or form[1])) if form else (1, 0)
-        if not first <= last <= GROUP_MOST:
+        if not first <= last <= MAX_GROUP:
             raise keys.error(
-                "groups", f"{part!r} is no group or range of groups from 0 to {GROUP_MOST}"
+                "groups", f"{part!r} is no group or range of groups from 0 to {MAX_GROUP}"
             )
         groups.append((first, last))
     return Tenant(
@@ -174,7 +176,7 @@
     )
 
 
-def agree(charter: Assignment) -> None:
+def validate_assignment(charter: Assignment) -> None:
     """Whether the parts of a charter fit together; raises ConfigError."""
     cells, tenants = charter.cells, charter.tenants
 
@@ -247,7 +249,7 @@
                 raise ConfigError(f"[{title}] {key}: before the move starts or was held")
 
 
-def write(charter: Assignment) -> str:
+def format_assignment(charter: Assignment) -> str:
     """The text of a charter; `read` gives an equal one."""
     out = [
         "; written by `mulleinrelay cells`; changed by hand only with a higher version",
@@ -255,7 +257,7 @@
     ]
     out += _lines(
         {
-            "form": FORM,
+            "form": FILE_FORMAT_VERSION,
             "version": charter.version,
             "written": charter.written_at,
             "how": charter.placement_method,
@@ -343,7 +345,7 @@
 
 
 def _of_limits(limits: Limits) -> dict[str, object]:
-    return {key: getattr(limits, field) for key, field in LIMIT_FIELDS.items()}
+    return {key: getattr(limits, field) for key, field in LIMIT_FIELDS_BY_KEY.items()}
 
 
 def _lines(held: dict[str, object]) -> list[str]:
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -18,13 +18,13 @@
     AdmissionController,
     AdmissionGrant,
     AdmissionRejection,
-    Asking,
+    AdmissionRequest,
     DirectorCapacity,
     PreparedAssignment,
     prepare_assignment,
 )
 from .config import CellsConfig
-from .edits import refusal
+from .edits import rejection_reason
 
 STEP_EVERY = 100.0  # ms
 RECORDS_EVERY = 1_000.0
@@ -48,8 +48,8 @@
         self.config, self.coordinator, self.clock, self.log = own, facade, clock, log
         self.tenant_field, self.flow = own.tenant_field, start.settings.transfer_rate
         self.lock = threading.Lock()
-        self.stamp = store.stamp(own.assignment_file)
-        charter = store.load(own.assignment_file)
+        self.stamp = store.file_identity(own.assignment_file)
+        charter = store.load_assignment(own.assignment_file)
         board = DirectorCapacity(
             min(own.max_open_requests or requests_most, requests_most),
             own.rate,
@@ -82,7 +82,7 @@
         None where that holds as many as it may.
         """
         with self.lock:
-            tenant = self.controller.naming.of_address(address)
+            tenant = self.controller.tenant_resolver.tenant_of_address(address)
             if not self.controller.can_admit_connection(address, self.connections[tenant]):
                 return None
             self.connections[tenant] += 1
@@ -97,7 +97,7 @@
     def admit_request(
         self, asked: ClientRequest, request_class: RequestClass, address: str
     ) -> AdmissionGrant | AdmissionRejection:
-        asking = Asking(
+        asking = AdmissionRequest(
             asked.tenant,
             address,
             asked.group,
@@ -163,15 +163,17 @@
         )
 
     def _read(self, now: float) -> list[str]:
-        stamp = store.stamp(self.config.assignment_file)
+        stamp = store.file_identity(self.config.assignment_file)
         if stamp == self.stamp:
             return []
         self.stamp = stamp
         try:
-            charter = store.load(self.config.assignment_file)
+            charter = store.load_assignment(self.config.assignment_file)
             if charter == self.controller.assignment:  # what `take` has written
                 return []
-            if fault := refusal(self.controller.assignment, charter):  # only this thread changes it
+            if fault := rejection_reason(
+                self.controller.assignment, charter
+            ):  # only this thread changes it
                 return [fault]
             ready = prepare_assignment(charter)
             with self.lock:
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -8,21 +8,21 @@
 
 from ..errors import ConfigError
 from .model import Assignment
-from .parser import read, write
+from .parser import format_assignment, parse_assignment
 
 
-def load(path: str) -> Assignment:
+def load_assignment(path: str) -> Assignment:
     """Raises ConfigError, also where the file can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
-            return read(file.read())
+            return parse_assignment(file.read())
     except OSError as wrong:
         raise ConfigError(f"{path}: {wrong.strerror}") from None
     except UnicodeDecodeError:
         raise ConfigError(f"{path}: not UTF-8") from None
 
 
-def stamp(path: str) -> tuple[int, int, int] | None:
+def file_identity(path: str) -> tuple[int, int, int] | None:
     """What changes when the file is replaced; None: there is none."""
     try:
         held = os.stat(path)
@@ -32,7 +32,7 @@
 
 
 @contextmanager
-def sole_writer(path: str) -> Iterator[None]:
+def exclusive_writer(path: str) -> Iterator[None]:
     """Holds the file's lock, so that two commands don't overwrite one another; raises ConfigError
     where another holds it.
     """
@@ -50,19 +50,19 @@
         os.close(lock)
 
 
-def save(path: str, charter: Assignment, now: float, built_on: int) -> Assignment:
+def save_assignment(path: str, charter: Assignment, now: float, built_on: int) -> Assignment:
     """Writes the next version, if the file still holds version `built_on` (0: there is no file
     yet); raises ConfigError. A power cut leaves the old file or the new one. To be called by the
     sole writer.
     """
-    held = load(path).version if os.path.exists(path) else 0
+    held = load_assignment(path).version if os.path.exists(path) else 0
     if held != built_on:
         raise ConfigError(
             f"{path}: holds version {held}, this change was built on {built_on}; do it again"
         )
     new = replace(charter, version=held + 1, written_at=now)
-    text = write(new)
-    if read(text) != new:
+    text = format_assignment(new)
+    if parse_assignment(text) != new:
         raise ConfigError(f"{path}: what would be written does not read back; nothing was changed")
     temporary, folder = f"{path}.new", os.path.dirname(os.path.abspath(path))
     try:
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -12,7 +12,7 @@
 from .model import TO_DEFAULT, Assignment
 
 
-class Ranges:
+class RangeIndex:
     """Numbers to names by ranges that may hold one another, but never cross: the smallest that
     holds it wins.
     """
@@ -47,7 +47,7 @@
         end, _ = stack.pop()
         self._begin(end + 1, stack[-1][1] if stack else "")
 
-    def name(self, number: int) -> str:
+    def find(self, number: int) -> str:
         place = bisect_right(self.starts, number) - 1
         return self.names[place] if place >= 0 else ""
 
@@ -55,7 +55,7 @@
 class TenantResolver:
     def __init__(self, charter: Assignment) -> None:
         """Raises ConfigError where ranges of two tenants cross."""
-        self.charter, self.addresses_kept = charter, 4096
+        self.assignment, self.addresses_kept = charter, 4096
         by_version: dict[int, list[tuple[int, int, str]]] = {4: [], 6: []}
         groups = []
         for tenant in charter.tenants.values():
@@ -66,19 +66,19 @@
                 )
             groups += [(first, last, tenant.name) for first, last in tenant.groups]
         self.by_address = {
-            version: Ranges(held, "addresses") for version, held in by_version.items()
+            version: RangeIndex(held, "addresses") for version, held in by_version.items()
         }
-        self.by_group = Ranges(groups, "groups")
+        self.by_group = RangeIndex(groups, "groups")
         self.seen: dict[str, str] = {}
 
-    def of_address(self, address: str) -> str:
+    def tenant_of_address(self, address: str) -> str:
         """The tenant whose ranges hold the address; empty: none does, or it is none."""
         if not address:
             return ""
         if (known := self.seen.get(address)) is None:
             try:
                 parsed = ipaddress.ip_address(address)
-                known = self.by_address[parsed.version].name(int(parsed))
+                known = self.by_address[parsed.version].find(int(parsed))
             except ValueError:
                 known = ""
             if len(self.seen) >= self.addresses_kept:
@@ -86,16 +86,16 @@
             self.seen[address] = known
         return known
 
-    def tenant(self, told: str, address: str, group: int) -> str | None:
+    def resolve(self, told: str, address: str, group: int) -> str | None:
         """The tenant of a request; None: it is to be rejected. A told name that is in no table is
         unknown whatever else would fit: a typing fault must not land on another's account.
         """
-        tenants = self.charter.tenants
+        tenants = self.assignment.tenants
         if told:
             if told in tenants:
                 return told
-        elif found := self.of_address(address) or self.by_group.name(group):
+        elif found := self.tenant_of_address(address) or self.by_group.find(group):
             return found
-        if self.charter.unknown_tenant_policy == TO_DEFAULT and self.charter.default_tenant:
-            return self.charter.default_tenant
+        if self.assignment.unknown_tenant_policy == TO_DEFAULT and self.assignment.default_tenant:
+            return self.assignment.default_tenant
         return None
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -119,10 +119,10 @@
         )
     if cells is not None:
         from .cells.config import load_cells_config
-        from .cells.store import load
+        from .cells.store import load_assignment
 
         own = held_in(load_cells_config, cells)
-        charter = held_in(load, own.assignment_file) if own.assignment_file else None
+        charter = held_in(load_assignment, own.assignment_file) if own.assignment_file else None
         held = (
             f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
             f"{len(charter.migrations)} moves"
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -15,7 +15,7 @@
 
 from ..cells import edits, store
 from ..cells.model import Assignment, Tenant
-from ..cells.parser import write
+from ..cells.parser import format_assignment
 from ..standins.clients import Terminals
 from ..standins.fleet import BOX, ORIGIN, PARENT, Fleet, Node, Spec, now_ms
 from ..standins.servers import World
@@ -189,7 +189,7 @@
         scenario, own = self.scenario, None
         if scenario.cells:
             with open(self.assignment, "w", encoding="utf-8") as file:
-                file.write(write(scenario.charter))
+                file.write(format_assignment(scenario.charter))
             own = os.path.join(self.folder, "cells.ini")
             with open(own, "w", encoding="utf-8") as file:
                 file.write(
@@ -266,23 +266,23 @@
 
     def _deed(self, deed: Deed) -> None:
         if deed.what == "move":
-            spans = edits.Spans(deed.warm, deed.shift, deed.drain)
+            spans = edits.StageDurations(deed.warm, deed.shift, deed.drain)
             self.change(
-                lambda old: edits.start_move(
+                lambda old: edits.start_migration(
                     old, deed.name, deed.tenants, deed.target, now_ms(), spans
                 )
             )
         elif deed.what == "abort":
-            self.change(lambda old: edits.abort(old, deed.target, now_ms()))
+            self.change(lambda old: edits.abort_migration(old, deed.target, now_ms()))
         elif deed.what == "cut":
             self.change(lambda old: cut_over(old, deed.tenants, deed.target))
         else:
             self.world.strike(deed.what, deed.node)
 
     def change(self, make: Callable[[Assignment], Assignment]) -> Assignment:
-        with store.sole_writer(self.assignment):
-            old = store.load(self.assignment)
-            return store.save(self.assignment, make(old), round(now_ms()), old.version)
+        with store.exclusive_writer(self.assignment):
+            old = store.load_assignment(self.assignment)
+            return store.save_assignment(self.assignment, make(old), round(now_ms()), old.version)
 
     # What it came to
 
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from ..cells.model import Assignment
-from ..cells.parser import read
+from ..cells.parser import parse_assignment
 from ..config.ini import IniSection, parse_sections
 from ..errors import ConfigError
 from ..standins.clients import Demand
@@ -80,7 +80,7 @@
         "skew_ms": "200",
         "horizon_ms": "4000",
     } | ours["assignment"]
-    charter = read(
+    charter = parse_assignment(
         "\n".join(
             f"[{title}]\n" + "\n".join(f"{key} = {value}" for key, value in held.items())
             for title, held in ours.items()
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
-from ..cells.parser import LIMIT_FIELDS, RANGE, agree
+from ..cells.parser import GROUP_RANGE_PATTERN, LIMIT_FIELDS_BY_KEY, validate_assignment
 from ..errors import ConfigError
 
 ATTRIBUTES = {
@@ -75,7 +75,7 @@
 def _limits_tree(limits: Limits) -> dict[str, Any]:
     return {
         key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, field))
-        for key, field in LIMIT_FIELDS.items()
+        for key, field in LIMIT_FIELDS_BY_KEY.items()
     }
 
 
@@ -86,7 +86,7 @@
             int(held.get(key, default.max_connections))
             if key == "connections"
             else float(held.get(key.replace("_", "-"), getattr(default, field)))
-            for key, field in LIMIT_FIELDS.items()
+            for key, field in LIMIT_FIELDS_BY_KEY.items()
         )
     )
 
@@ -220,7 +220,7 @@
             if name in tree
         },
     )
-    agree(charter)
+    validate_assignment(charter)
     return charter
 
 
@@ -233,7 +233,7 @@
 
 
 def _group(tenant: str, text: str) -> tuple[int, int]:
-    form = RANGE.fullmatch(text)
+    form = GROUP_RANGE_PATTERN.fullmatch(text)
     if form is None or not int(form[1]) <= int(form[2] or form[1]) <= 255:
         raise ConfigError(
             f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to 255"
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -501,13 +501,13 @@
     log: StructuredLog,
 ) -> GnmiServer:
     """All of management for one director; raises KeepError, OSError."""
-    from ..cells.hashing import caches_of
+    from ..cells.hashing import caches_by_cell
     from .datastore_file import DatastoreFile
     from .participants import AssignmentParticipant, DrainParticipant, StateView
     from .yang_model import Model
 
     def cells(caches: list[str]) -> dict[str, list[str]]:
-        return caches_of(warden.controller.assignment, caches) if warden is not None else {}
+        return caches_by_cell(warden.controller.assignment, caches) if warden is not None else {}
 
     drains, assignment = DrainParticipant(facade, cells), AssignmentParticipant(warden, clock)
     manager = ManagementService(
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -139,8 +139,8 @@
 
     def _take(self, ready: admission_controller.PreparedAssignment, built_on: int) -> None:
         try:
-            with store.sole_writer(self.warden.config.assignment_file):
-                store.save(
+            with store.exclusive_writer(self.warden.config.assignment_file):
+                store.save_assignment(
                     self.warden.config.assignment_file,
                     ready.assignment,
                     ready.assignment.written_at,
@@ -249,8 +249,10 @@
             one
             | {
                 "state": {
-                    "stage": migrations.stage(charter.migrations[one["name"]], now).value,
-                    "share": decimal(migrations.shifted(charter.migrations[one["name"]], now)),
+                    "stage": migrations.stage_at(charter.migrations[one["name"]], now).value,
+                    "share": decimal(
+                        migrations.migrated_fraction(charter.migrations[one["name"]], now)
+                    ),
                 }
             }
             if one["name"] in charter.migrations
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -4,10 +4,14 @@
 
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
-from mulleinrelay.cells.admission_controller import AdmissionController, Asking, DirectorCapacity
+from mulleinrelay.cells.admission_controller import (
+    AdmissionController,
+    AdmissionRequest,
+    DirectorCapacity,
+)
 from mulleinrelay.cells.config import CellsConfig
 from mulleinrelay.cells.model import Assignment, Cell, Limits, Migration, Tenant
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.config.platform import parse_config
 from mulleinrelay.director import Director
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
@@ -101,7 +105,9 @@
     ):
         return self.governor.admit_request(
             self.now,
-            Asking(told, address, group, key, request_class, idempotency_key, repeated, body),
+            AdmissionRequest(
+                told, address, group, key, request_class, idempotency_key, repeated, body
+            ),
         )
 
     def done(self, grant, good=True, delay=5.0, owed=True):
@@ -113,7 +119,7 @@
 
     def __init__(self, folder, held, plan=HIT, directors=1, open_most=0, rate=0.0, **changes):
         self.path = folder / "assignment.ini"
-        self.path.write_text(write(held))
+        self.path.write_text(format_assignment(held))
         plans = plan if isinstance(plan, list) else [plan] * len(SPOTS)
         self.nodes = [StandNode(each) for each in plans]
         self.bus, self.sinks, self.callers = StandBus(), [], []
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_assignment.py
@@ -7,7 +7,12 @@
 from hypothesis import strategies as st
 from stage import Cell, Tenant, charter
 
-from mulleinrelay.cells.hashing import bounded, caches_of, homes, shuffled
+from mulleinrelay.cells.hashing import (
+    assign_with_load_bound,
+    caches_by_cell,
+    home_cells,
+    shuffle_shard,
+)
 from mulleinrelay.cells.tenant_resolution import TenantResolver
 from mulleinrelay.errors import ConfigError
 
@@ -26,22 +31,25 @@
         dict.fromkeys(names, 1.0),
         {cell: 1.0 + place % 3 for place, cell in enumerate(cells)},
     )
-    found = bounded(items, bins, bound)
+    found = assign_with_load_bound(items, bins, bound)
     for cell, weight in bins.items():
         held = [name for name, at in found.items() if at == cell]
         assert len(held) < bound * len(items) * weight / sum(bins.values()) + 1.0
     mixed = list(items)
     chance.shuffle(mixed)
-    assert bounded(dict.fromkeys(mixed, 1.0), dict(reversed(bins.items())), bound) == found
+    assert (
+        assign_with_load_bound(dict.fromkeys(mixed, 1.0), dict(reversed(bins.items())), bound)
+        == found
+    )
 
 
 @settings(max_examples=60, deadline=None)
 @given(NAMES, CELLS)
 def test_without_a_bound_a_cell_that_goes_moves_its_own_alone(names, cells):
     items, bins = dict.fromkeys(names, 1.0), dict.fromkeys(cells, 1.0)
-    before = bounded(items, bins, 1e9)
+    before = assign_with_load_bound(items, bins, 1e9)
     gone = cells[0]
-    after = bounded(items, {cell: 1.0 for cell in cells[1:]}, 1e9)
+    after = assign_with_load_bound(items, {cell: 1.0 for cell in cells[1:]}, 1e9)
     assert all(after[name] == at for name, at in before.items() if at != gone)
 
 
@@ -49,9 +57,9 @@
 def test_with_a_bound_a_cell_that_goes_moves_little_more_than_its_own(cells, tenants):
     items = {f"tenant-{number}": 1.0 for number in range(tenants)}
     bins = {f"cell-{number}": 1.0 for number in range(cells)}
-    before = bounded(items, bins, 1.25)
+    before = assign_with_load_bound(items, bins, 1.25)
     del bins["cell-3"]
-    after = bounded(items, bins, 1.25)
+    after = assign_with_load_bound(items, bins, 1.25)
     moved = sum(before[name] != at for name, at in after.items())
     assert moved / tenants <= 1.25 / cells + 0.01
 
@@ -60,7 +68,7 @@
 @given(st.integers(0, 12), st.integers(1, 4))
 def test_each_cell_gets_a_cache_where_there_are_enough(caches, cells):
     held = charter([Cell(f"c{number}") for number in range(cells)], ("shared",))
-    found = caches_of(held, [f"s-{number}" for number in range(caches)])
+    found = caches_by_cell(held, [f"s-{number}" for number in range(caches)])
     given_out = list(itertools.chain(*found.values()))
     assert len(given_out) == len(set(given_out)) == caches
     assert caches < cells or all(found.values())
@@ -68,7 +76,7 @@
 
 def test_named_caches_are_their_cells_own():
     held = charter((Cell("north", caches=("s-1", "s-9")), Cell("south"), Cell("east")))
-    found = caches_of(held, ["s-1", "s-2", "s-3", "s-4"])
+    found = caches_by_cell(held, ["s-1", "s-2", "s-3", "s-4"])
     assert found["north"] == ["s-1"] and sorted(found["south"] + found["east"]) == [
         "s-2",
         "s-3",
@@ -78,11 +86,11 @@
 
 def test_two_tenants_seldom_share_all_their_caches():
     caches = [f"s-{number}" for number in range(8)]
-    pools = [tuple(shuffled(f"tenant-{number}", caches, 2)) for number in range(300)]
+    pools = [tuple(shuffle_shard(f"tenant-{number}", caches, 2)) for number in range(300)]
     assert all(len(pool) == 2 for pool in pools) and len(set(pools)) == 28  # 8 over 2
     same = sum(one == other for one, other in itertools.combinations(pools, 2)) / (300 * 299 / 2)
     assert same < 1.5 / 28
-    assert shuffled("acme", caches, 0) == caches == shuffled("acme", caches, 9)
+    assert shuffle_shard("acme", caches, 0) == caches == shuffle_shard("acme", caches, 9)
 
 
 @pytest.mark.parametrize(
@@ -109,10 +117,10 @@
         Tenant("gamma", "south", addresses=("fd00::/8",), groups=((0, 9),)),
     )
     naming = TenantResolver(charter(tenants=people))
-    assert naming.tenant(told, address, group) == tenant
+    assert naming.resolve(told, address, group) == tenant
     if tenant == "shared":
         assert (
-            TenantResolver(charter(tenants=people, unknown_tenant_policy="reject")).tenant(
+            TenantResolver(charter(tenants=people, unknown_tenant_policy="reject")).resolve(
                 told, address, group
             )
             is None
@@ -151,7 +159,7 @@
         if int(text.split(".")[3].split("/")[0]) >> (32 - int(text.rpartition("/")[2]))
         == last >> (32 - int(text.rpartition("/")[2]))
     ]
-    assert naming.of_address(f"10.0.0.{last}") == (max(holds)[1] if holds else "")
+    assert naming.tenant_of_address(f"10.0.0.{last}") == (max(holds)[1] if holds else "")
 
 
 def test_a_table_leaves_those_without_an_entry_nowhere():
@@ -160,4 +168,4 @@
         placement_method="table",
         unknown_tenant_policy="reject",
     )
-    assert homes(held) == {"acme": "south"}
+    assert home_cells(held) == {"acme": "south"}
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -8,14 +8,14 @@
 
 from mulleinrelay import records
 from mulleinrelay.cells import store
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.cli import main
 
 
 @pytest.fixture
 def path(tmp_path):
     file = tmp_path / "assignment.ini"
-    file.write_text(write(charter(("north", Cell("south", failover_cells=("north",))))))
+    file.write_text(format_assignment(charter(("north", Cell("south", failover_cells=("north",))))))
     return str(file)
 
 
@@ -96,7 +96,7 @@
 def test_what_a_command_says_and_exits_with(path, arguments, code, told):
     found = call(path, *arguments)
     assert found[0] == code and told in found[1]
-    assert store.load(path).version == 1
+    assert store.load_assignment(path).version == 1
 
 
 def test_the_way_of_a_move_by_hand(path):
@@ -112,7 +112,7 @@
     )
     assert call(path, "release", "r1", "--canary", "north")[0] == 3
     assert call(path, "keep", "r1")[0] == 0
-    held = store.load(path)
+    held = store.load_assignment(path)
     assert held.version == 7 and held.tenants["beta"].limits.rate == 9.0 and not held.rollouts
     told = [line.split()[2] for line in call(path, "log")[1].splitlines()]
     lines = json.loads(call(path, "log", "--json")[1])["lines"]
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -94,8 +94,11 @@
         slow = ruled.ask(key=turn)
         words.append(ruled.done(slow, delay=5.0 if turn < 100 else 300.0))
         ruled.done(ruled.ask("beta", key=turn), delay=5.0)
-    rooms = ruled.governor.rooms
-    assert rooms["north"].width.now_most < 30.0 and rooms["south"].width.now_most == 100.0
+    rooms = ruled.governor.cell_states
+    assert (
+        rooms["north"].concurrency_limit.current < 30.0
+        and rooms["south"].concurrency_limit.current == 100.0
+    )
     assert any("north narrowed" in word for word in words)
 
 
@@ -220,8 +223,8 @@
         for cell in ("north", "south", "east"):
             share, delay = (north if cell == "north" else others)(now)
             for turn in range(10):
-                course.saw(now, cell, turn < 10 * share, delay)
-        if word := course.step(now):
+                course.record(now, cell, turn < 10 * share, delay)
+        if word := course.advance(now):
             words.append((now, word))
         now += 100.0
     return words
@@ -255,10 +258,10 @@
     ],
 )
 def test_a_release_goes_on_halts_or_is_taken_back(north, others, ends):
-    course = rollouts.Course(RELEASE)
+    course = rollouts.RolloutState(RELEASE)
     words = play(course, 90_000.0, north, others)
     assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
-    assert course.has("east") == (ends == "everywhere")
+    assert course.is_in_force("east") == (ends == "everywhere")
 
 
 def test_a_release_is_in_force_where_it_has_arrived():
@@ -277,7 +280,7 @@
     )
     ruled.governor.replace_assignment(ruled.now, taken_back)
     assert "taken back (by staff)" in ruled.governor.step(ruled.now)[0]
-    assert ruled.governor.accounts["acme"].limits.rate == 0.0
+    assert ruled.governor.tenant_states["acme"].limits.rate == 0.0
 
 
 def test_a_release_lays_tenants_over_fewer_caches_and_the_others_fill_them():
@@ -289,7 +292,7 @@
     ruled.governor.step(ruled.now)
     pool = ruled.ask().pool
     assert len(pool.caches) == 1 and set(pool.migration_sources) == {"s-01", "s-02", "s-03"}
-    kept = edits.keep_release(ruled.governor.assignment, "r1")
+    kept = edits.adopt_rollout(ruled.governor.assignment, "r1")
     assert kept.cells["north"].shuffle_shards == 1 and kept.cells["south"].shuffle_shards == 0
     ruled.governor.replace_assignment(ruled.now, replace(kept, version=2))
     assert set(ruled.ask().pool.caches) == set(pool.caches)
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -8,7 +8,7 @@
 from stage import Cell, Housed, charter, move
 
 from mulleinrelay import director as director_module
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.cells.service import CellService
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
@@ -91,7 +91,7 @@
                 assert caller.answer()[1] == SERVED
         assert len(housed.heard()["s-01"]) == 80
         housed.path.write_text(
-            write(dataclasses.replace(charter(TWO, moves=(halfway(),)), version=2))
+            format_assignment(dataclasses.replace(charter(TWO, moves=(halfway(),)), version=2))
         )
         assert wait_for(
             lambda: all(
@@ -126,12 +126,12 @@
         for one in housed.services:
             one.config.request_classes["order"].key_scope = "cell"
             one.config.request_classes["order"].is_uncacheable = False
-            one.cell_service.controller.placement.unproven_until = 0.0
+            one.cell_service.controller.placement.uncertain_until = 0.0
         first = housed.caller()
         first.send("order", tenant="acme", nonce="n1", patience="2900")
         assert wait_for(lambda: housed.heard()["s-01"])
         housed.path.write_text(
-            write(dataclasses.replace(charter(TWO, moves=(halfway(1.0),)), version=2))
+            format_assignment(dataclasses.replace(charter(TWO, moves=(halfway(1.0),)), version=2))
         )
         assert wait_for(
             lambda: all(
--- a/tests/cells/test_limits.py
+++ b/tests/cells/test_limits.py
@@ -5,36 +5,43 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mulleinrelay.cells.limits import FairPace, Pace, Retries, Shares, Width, advice
+from mulleinrelay.cells.limits import (
+    ClientRetryBudget,
+    ConcurrencyLimit,
+    FairShares,
+    FairTokenBucket,
+    TokenBucket,
+    bounded_retry_after,
+)
 
 
 @pytest.mark.parametrize(
     "rate, burst, came, let", [(10.0, 1, 100, 10), (10.0, 5, 100, 15), (0.0, 0, 100, 100)]
 )
 def test_a_pace_lets_its_rate_and_its_burst(rate, burst, came, let):
-    pace, count = Pace(rate, burst), 0
+    pace, count = TokenBucket(rate, burst), 0
     for number in range(came):
         now = number * 1000.0 / (came - 1)
-        if not pace.wait(now):
-            pace.take(now)
+        if not pace.wait_time(now):
+            pace.consume(now)
             count += 1
     assert count == let
 
 
 def test_a_pace_tells_when_to_come_back():
-    pace = Pace(10.0, 1)
-    pace.take(0.0)
-    wait = pace.wait(30.0)
-    assert wait == pytest.approx(70.0) and pace.wait(30.0 + wait) == 0.0
+    pace = TokenBucket(10.0, 1)
+    pace.consume(0.0)
+    wait = pace.wait_time(30.0)
+    assert wait == pytest.approx(70.0) and pace.wait_time(30.0 + wait) == 0.0
 
 
 def test_retries_are_a_part_of_first_tries():
-    retries = Retries(0.2, most=2.0)
+    retries = ClientRetryBudget(0.2, most=2.0)
     taken = 0
     for _ in range(100):
-        retries.first()
-        while retries.may():
-            retries.take()
+        retries.record_first_attempt()
+        while retries.can_retry():
+            retries.consume()
             taken += 1
     assert taken == 21
 
@@ -43,19 +50,19 @@
     "delays, narrower", [([10.0] * 400, False), ([10.0] * 200 + [80.0] * 200, True)]
 )
 def test_a_width_follows_the_delay(delays, narrower):
-    width, now = Width(4.0, 100.0), 0.0
+    width, now = ConcurrencyLimit(4.0, 100.0), 0.0
     for delay in delays:
         now += 10.0
-        width.used(90.0)
-        width.saw(now, delay)
-    assert (width.now_most < 60.0) == narrower
+        width.record_open(90.0)
+        width.record_completion(now, delay)
+    assert (width.current < 60.0) == narrower
     for _ in range(
         8000
     ):  # what is slow for good is usual after a while, and the cell is let up again
         now += 10.0
-        width.used(width.now_most)
-        width.saw(now, delays[-1])
-    assert width.now_most == 100.0
+        width.record_open(width.current)
+        width.record_completion(now, delays[-1])
+    assert width.current == 100.0
 
 
 def flood(shares, asks, rounds=400):
@@ -65,13 +72,13 @@
     held, open_until = dict.fromkeys(asks, 0.0), []
     for now in range(rounds):
         for until, share in [entry for entry in open_until if entry[0] <= now]:
-            shares.give(share)
+            shares.release(share)
             open_until.remove((until, share))
         for name, (weight, count) in asks.items():
-            share = shares.party(name, weight)
+            share = shares.share_for(name, weight)
             for _ in range(count):
-                if shares.may(share, float(now)):
-                    shares.take(share)
+                if shares.request(share, float(now)):
+                    shares.acquire(share)
                     open_until.append((now + 50, share))
             held[name] += share.open / rounds
     return held
@@ -87,26 +94,26 @@
     ],
 )
 def test_shares_are_fair_and_what_is_not_used_is_lent(asks, least, most):
-    held = flood(Shares(100.0), asks)
+    held = flood(FairShares(100.0), asks)
     assert all(held[name] >= bound for name, bound in least.items())
     assert all(held[name] <= bound for name, bound in most.items())
 
 
 def test_a_lender_that_comes_back_is_let_in_at_once():
-    shares = Shares(100.0)
-    beta, acme = shares.party("beta", 1.0), shares.party("acme", 1.0)
-    assert shares.may(beta, 0.0)
+    shares = FairShares(100.0)
+    beta, acme = shares.share_for("beta", 1.0), shares.share_for("acme", 1.0)
+    assert shares.request(beta, 0.0)
     now = 5_000.0
     for _ in range(200):
-        if shares.may(acme, now):
-            shares.take(acme)
+        if shares.request(acme, now):
+            shares.acquire(acme)
     assert acme.open == 100.0
     got = 0
     for _ in range(25):
-        if shares.may(beta, now + 1.0):
-            shares.take(beta)
+        if shares.request(beta, now + 1.0):
+            shares.acquire(beta)
             got += 1
-    assert got == 25 and not shares.may(acme, now + 1.0)
+    assert got == 25 and not shares.request(acme, now + 1.0)
 
 
 class SharesMachine(RuleBasedStateMachine):
@@ -114,7 +121,7 @@
 
     def __init__(self):
         super().__init__()
-        self.shares, self.now, self.held = Shares(10.0), 0.0, []
+        self.shares, self.now, self.held = FairShares(10.0), 0.0, []
 
     @rule(
         name=st.sampled_from("abcd"),
@@ -122,15 +129,15 @@
         amount=st.sampled_from([1.0, 3.0]),
     )
     def ask(self, name, weight, amount):
-        share = self.shares.party(name, weight)
-        if self.shares.may(share, self.now, amount):
-            self.shares.take(share, amount)
+        share = self.shares.share_for(name, weight)
+        if self.shares.request(share, self.now, amount):
+            self.shares.acquire(share, amount)
             self.held.append((share, amount))
 
     @rule(place=st.integers(0, 50))
     def give(self, place):
         if self.held:
-            self.shares.give(*self.held.pop(place % len(self.held)))
+            self.shares.release(*self.held.pop(place % len(self.held)))
 
     @rule(step=st.sampled_from([1.0, 30.0, 500.0, 3_000.0, 90_000.0]))
     def pass_time(self, step):
@@ -145,7 +152,7 @@
 
     @invariant()
     def nobody_is_forgotten_with_requests_open(self):
-        assert all(share in self.shares.parties.values() for share, _ in self.held)
+        assert all(share in self.shares.shares.values() for share, _ in self.held)
 
 
 TestSharesMachine = SharesMachine.TestCase
@@ -162,20 +169,20 @@
     ],
 )
 def test_a_rate_is_shared_by_weight_and_lent(asks, least):
-    pace, got = FairPace(1000.0), dict.fromkeys(asks, 0)
+    pace, got = FairTokenBucket(1000.0), dict.fromkeys(asks, 0)
     due = dict.fromkeys(asks, 0.0)
     for now in range(2000):
         for name, (weight, each) in asks.items():
             due[name] += each
-            lane = pace.lane(name, weight)
+            lane = pace.share_for(name, weight)
             while due[name] >= 1.0:
                 due[name] -= 1.0
-                if not pace.wait(lane, float(now)):
-                    pace.take(lane, float(now))
+                if not pace.wait_time(lane, float(now)):
+                    pace.consume(lane, float(now))
                     got[name] += now >= 1000  # the first second settles
     assert all(got[name] >= bound for name, bound in least.items()) and sum(got.values()) <= 1150
 
 
 @pytest.mark.parametrize("wait, told", [(0.0, 100.0), (250.0, 250.0), (1e9, 5000.0)])
 def test_advice_is_bounded(wait, told):
-    assert advice(wait) == told
+    assert bounded_retry_after(wait) == told
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -9,13 +9,13 @@
 from stage import ORDER, ORDER_ALL, PAGES, Cell, Ruled, charter, move
 
 from mulleinrelay.cells import edits, migrations, sticky_routing
-from mulleinrelay.cells.hashing import SCALE, mixed
-from mulleinrelay.cells.migrations import Demand, MigrationStage
-from mulleinrelay.cells.placement import Placement, Unplaced
+from mulleinrelay.cells.hashing import HASH_RANGE, combine_hashes
+from mulleinrelay.cells.migrations import MigrationDemand, MigrationStage
+from mulleinrelay.cells.placement import Placement, PlacementFailure
 
 STAGES = [
     (9_999.0, MigrationStage.PLANNED, 0.0),
-    (10_500.0, MigrationStage.WARM, 0.025),
+    (10_500.0, MigrationStage.WARM_UP, 0.025),
     (11_000.0, MigrationStage.SHIFT, 0.05),
     (13_000.0, MigrationStage.SHIFT, 0.525),
     (15_000.0, MigrationStage.DRAIN, 1.0),
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("now, stage, share", STAGES)
 def test_the_course_follows_the_clock(now, stage, share):
-    assert migrations.stage(move(), now) == stage and migrations.shifted(
+    assert migrations.stage_at(move(), now) == stage and migrations.migrated_fraction(
         move(), now
     ) == pytest.approx(share)
 
@@ -33,21 +33,26 @@
 @pytest.mark.parametrize(
     "turn, now, stage, share",
     [
-        ({"aborted_at": 13_000.0}, 13_000.0, MigrationStage.BACK, 0.525),
-        ({"aborted_at": 13_000.0}, 14_000.0, MigrationStage.BACK, 0.275),
+        ({"aborted_at": 13_000.0}, 13_000.0, MigrationStage.ROLLING_BACK, 0.525),
+        ({"aborted_at": 13_000.0}, 14_000.0, MigrationStage.ROLLING_BACK, 0.275),
         ({"aborted_at": 13_000.0}, 16_000.0, MigrationStage.ABORTED, 0.0),
         ({"aborted_at": 10_500.0}, 11_000.0, MigrationStage.ABORTED, 0.0),
         ({"aborted_at": 18_000.0}, 19_000.0, MigrationStage.DONE, 0.75),
         ({"paused_at": 13_000.0}, 99_000.0, MigrationStage.SHIFT, 0.525),
         ({"paused_at": 13_000.0, "resumed_at": 20_000.0}, 19_000.0, MigrationStage.SHIFT, 0.525),
         ({"paused_at": 13_000.0, "resumed_at": 20_000.0}, 22_000.0, MigrationStage.DRAIN, 1.0),
-        ({"paused_at": 13_000.0, "aborted_at": 50_000.0}, 51_000.0, MigrationStage.BACK, 0.275),
+        (
+            {"paused_at": 13_000.0, "aborted_at": 50_000.0},
+            51_000.0,
+            MigrationStage.ROLLING_BACK,
+            0.275,
+        ),
     ],
 )
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
-    assert migrations.stage(move(**turn), now) == stage
+    assert migrations.stage_at(move(**turn), now) == stage
     if stage != MigrationStage.DONE:
-        assert migrations.shifted(move(**turn), now) == pytest.approx(share)
+        assert migrations.migrated_fraction(move(**turn), now) == pytest.approx(share)
 
 
 @settings(max_examples=200, deadline=None)
@@ -67,26 +72,36 @@
         aborted_at=aborted_at or 0.0,
     )
     step = 10.0
-    before, after = migrations.shifted(held, now), migrations.shifted(held, now + step)
+    before, after = (
+        migrations.migrated_fraction(held, now),
+        migrations.migrated_fraction(held, now + step),
+    )
     steepest = max(1.0 / shift, held.warm_up_fraction / warm if warm else 0.0) * step
     assert abs(after - before) <= steepest + (held.warm_up_fraction if not warm else 0.0) + 1e-9
     if not aborted_at:  # what has gone over stays over
-        assert not migrations.over(held, key, before) or migrations.over(held, key, after)
+        assert not migrations.is_migrated(held, key, before) or migrations.is_migrated(
+            held, key, after
+        )
 
 
 @pytest.mark.parametrize("capacity, bears", [(300.0, True), (130.0, False)])
 def test_the_shift_is_as_long_as_the_receiving_caches_want(capacity, bears):
-    demand = Demand(
-        rate=100.0, load=20.0, capacity=capacity, fill_cost=4.0, hit_share=0.95, objects=2_000.0
+    demand = MigrationDemand(
+        rate=100.0,
+        load=20.0,
+        capacity=capacity,
+        fill_cost=4.0,
+        hit_ratio=0.95,
+        object_count=2_000.0,
     )
-    found = migrations.shift_time(demand)
+    found = migrations.min_shift_duration(demand)
     assert (found is not None) == bears
     if bears:
         held = move(shift_duration=found)
-        peak = max(load for _, _, load in migrations.loads(held, demand))
-        assert 0.5 < peak <= migrations.HEAD_ROOM + 0.01
+        peak = max(load for _, _, load in migrations.project_load(held, demand))
+        assert 0.5 < peak <= migrations.TARGET_UTILIZATION + 0.01
         cut = move(warm_up_duration=0.0, shift_duration=1.0)  # all at once
-        assert max(load for _, _, load in migrations.loads(cut, demand)) > 1.0
+        assert max(load for _, _, load in migrations.project_load(cut, demand)) > 1.0
 
 
 # A client's try at one director and its retry at another, which go by different versions and clocks
@@ -96,7 +111,9 @@
     next(
         key
         for key in itertools.count(place * 100_000)
-        if place / 5.0 <= mixed(key, migrations.SALT) / SCALE < place / 5.0 + 0.1
+        if place / 5.0
+        <= combine_hashes(key, migrations.MIGRATION_SALT) / HASH_RANGE
+        < place / 5.0 + 0.1
     )
     for place in range(5)
 ]
@@ -115,15 +132,17 @@
             written_at=0.0,
         )
     )
-    spans = edits.Spans(200.0, 800.0, 200.0)
-    begun = replace(edits.start_move(base, "m1", ("acme",), "south", 0.0, spans), version=2)
+    spans = edits.StageDurations(200.0, 800.0, 200.0)
+    begun = replace(edits.start_migration(base, "m1", ("acme",), "south", 0.0, spans), version=2)
     yield "plain", [(0.0, begun)]
     for at in (300.0, 800.0, 1_100.0):
-        aborted = replace(edits.abort(begun, "m1", at), version=3, written_at=at)
+        aborted = replace(edits.abort_migration(begun, "m1", at), version=3, written_at=at)
         yield f"aborted {at}", [(0.0, begun), (at, aborted)]
-        held = replace(edits.hold(begun, "m1", at), version=3, written_at=at)
+        held = replace(edits.pause_migration(begun, "m1", at), version=3, written_at=at)
         yield f"held {at}", [(0.0, begun), (at, held)]
-        resumed = replace(edits.resume(held, "m1", at + 900.0), version=4, written_at=at + 900.0)
+        resumed = replace(
+            edits.resume_migration(held, "m1", at + 900.0), version=4, written_at=at + 900.0
+        )
         yield f"resumed {at}", [(0.0, begun), (at, held), (at + 900.0, resumed)]
 
 
@@ -148,9 +167,11 @@
         placement = self.placements.get(version.version)
         if placement is None:
             placement = self.placements[version.version] = Placement(version, True)
-            placement.listed(0.0, [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")])
-            placement.unproven_until = 0.0  # what a restart leaves unproven is another matter
-        return placement.spot(now + self.skew, "acme", key, request_class, "r", repeated)
+            placement.update_caches(
+                0.0, [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
+            )
+            placement.uncertain_until = 0.0  # what a restart leaves unproven is another matter
+        return placement.place(now + self.skew, "acme", key, request_class, "r", repeated)
 
 
 def search(request_class, histories_=histories):
@@ -175,14 +196,16 @@
             for first in range(400, 3_000, 200):
                 for key in KEYS:
                     ran = one.spot(float(first), key, request_class, False)
-                    assert not isinstance(ran, Unplaced)  # a first try always has a place
+                    assert not isinstance(ran, PlacementFailure)  # a first try always has a place
                     for later in (1.0, 300.0, HORIZON):
                         tried += 1
                         again = other.spot(first + later, key, request_class, True)
-                        if isinstance(again, Unplaced):
+                        if isinstance(again, PlacementFailure):
                             held, off = history[0][1].migrations["m1"], off + 1
-                            assert migrations.over(
-                                held, key, migrations.reach(held, first + later + 2.0 * SKEW)
+                            assert migrations.is_migrated(
+                                held,
+                                key,
+                                migrations.max_published_fraction(held, first + later + 2.0 * SKEW),
                             )
                         elif again.cell != ran.cell:
                             broken.append((name, first, later, ran.cell, again.cell))
@@ -203,14 +226,14 @@
     "fault",
     [
         lambda held, key, repeated, *rest: (
-            sticky_routing.Way.NEW
-            if migrations.over(held, key, migrations.shifted(held, rest[2]))
-            else sticky_routing.Way.OLD
+            sticky_routing.MigrationSide.TARGET
+            if migrations.is_migrated(held, key, migrations.migrated_fraction(held, rest[2]))
+            else sticky_routing.MigrationSide.SOURCE
         ),  # a retry goes by the share of the moment, as a first try does
     ],
 )
 def test_the_search_finds_a_fault(fault, monkeypatch):
-    monkeypatch.setattr("mulleinrelay.cells.placement.way", fault)
+    monkeypatch.setattr("mulleinrelay.cells.placement.choose_side", fault)
     assert search(ORDER, lambda: itertools.islice(histories(), 2))[0]
 
 
@@ -247,7 +270,7 @@
     ruled = Ruled(charter(moves=(move(),)))
     ruled.now = now
     pool = ruled.ask(key=KEYS[0]).pool
-    old = ruled.governor.placement.by_cell["north"]
+    old = ruled.governor.placement.caches_by_cell["north"]
     assert ruled.ask(key=KEYS[0]).cell == cell
     assert (set(pool.failover_caches) == set(old)) == spare and (
         set(pool.migration_sources) == set(old)
@@ -268,7 +291,7 @@
 def test_a_receiving_cell_that_dies_gives_back_and_returns_without_a_jump():
     two = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
     ruled = Ruled(charter(two, moves=(move(drain_duration=60_000.0),)))
-    south = ruled.governor.placement.by_cell["south"]
+    south = ruled.governor.placement.caches_by_cell["south"]
     ruled.now = 16_000.0
     assert cells_of(ruled, 200) == {"south"}
     words = ruled.listed([name for name in ("s-01", "s-02", "s-03", "s-04") if name not in south])
@@ -305,39 +328,46 @@
 
 # What staff may do
 
-SPANS = edits.Spans(1_000.0, 2_000.0, 1_000.0)
+SPANS = edits.StageDurations(1_000.0, 2_000.0, 1_000.0)
 
 
 @pytest.mark.parametrize(
     "deed, why",
     [
-        (lambda held: edits.start_move(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
+        (lambda held: edits.start_migration(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
         (
-            lambda held: edits.start_move(held, "m2", ("acme",), "south", 0.0, SPANS),
+            lambda held: edits.start_migration(held, "m2", ("acme",), "south", 0.0, SPANS),
             "moved by m1",
         ),
         (
-            lambda held: edits.start_move(held, "m2", ("shared", "beta"), "south", 0.0, SPANS),
+            lambda held: edits.start_migration(held, "m2", ("shared", "beta"), "south", 0.0, SPANS),
             "one cell",
         ),
-        (lambda held: edits.start_move(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
+        (lambda held: edits.start_migration(held, "m2", ("beta",), "south", 0.0, SPANS), "already"),
         (
-            lambda held: edits.start_move(held, "m2", ("nobody",), "south", 0.0, SPANS),
+            lambda held: edits.start_migration(held, "m2", ("nobody",), "south", 0.0, SPANS),
             "no tenant",
         ),
-        (lambda held: edits.hold(held, "m9", 0.0), "no move"),
-        (lambda held: edits.resume(held, "m1", 0.0), "not held"),
-        (lambda held: edits.hold(held, "m1", 99_000.0), "done"),
-        (lambda held: edits.abort(held, "m1", 99_000.0), "done"),
-        (lambda held: edits.hold(edits.hold(held, "m1", 10_500.0), "m1", 10_600.0), "already"),
+        (lambda held: edits.pause_migration(held, "m9", 0.0), "no move"),
+        (lambda held: edits.resume_migration(held, "m1", 0.0), "not held"),
+        (lambda held: edits.pause_migration(held, "m1", 99_000.0), "done"),
+        (lambda held: edits.abort_migration(held, "m1", 99_000.0), "done"),
+        (
+            lambda held: edits.pause_migration(
+                edits.pause_migration(held, "m1", 10_500.0), "m1", 10_600.0
+            ),
+            "already",
+        ),
         (
-            lambda held: edits.abort(edits.abort(held, "m1", 10_500.0), "m1", 10_600.0),
+            lambda held: edits.abort_migration(
+                edits.abort_migration(held, "m1", 10_500.0), "m1", 10_600.0
+            ),
             "already",
         ),
     ],
 )
 def test_what_would_break_a_move_is_refused_in_words(deed, why):
-    with pytest.raises(edits.RefusalError, match=why):
+    with pytest.raises(edits.EditRejectedError, match=why):
         deed(
             replace(
                 charter(moves=(move(drain_duration=9_000.0),)),
@@ -349,9 +379,9 @@
 
 def test_a_move_that_is_over_leaves_its_tenants_where_they_ended():
     held = charter(moves=(move(),))
-    assert edits.end_moves(held, 17_000.0)[1] == []  # a client may still try again
-    after, names = edits.end_moves(held, 99_000.0)
+    assert edits.end_migrations(held, 17_000.0)[1] == []  # a client may still try again
+    after, names = edits.end_migrations(held, 99_000.0)
     assert names == ["m1"] and after.tenants["acme"].cell == "south" and not after.migrations
-    back, _ = edits.end_moves(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
+    back, _ = edits.end_migrations(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
     assert back.tenants["acme"].cell == "north"
-    assert edits.abort(held, "m1", 1_000.0).migrations == {}  # nobody has begun
+    assert edits.abort_migration(held, "m1", 1_000.0).migrations == {}  # nobody has begun
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -7,7 +7,7 @@
 from stage import Cell, Housed, Limits, Tenant, charter
 
 from mulleinrelay import director as director_module
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 
 REJECTED, FAILED = 1, 2
 TWO = (
@@ -102,9 +102,9 @@
 )
 def test_a_file_that_cannot_be_used_changes_nothing(text, told, tmp_path):
     with Housed(tmp_path, charter(TWO, version=3)) as housed:
-        whole = write(charter(TWO, version=2)) if text == "version = 0" else text
+        whole = format_assignment(charter(TWO, version=2)) if text == "version = 0" else text
         housed.path.write_text(whole)
         assert wait_for(lambda: any(told in str(figures) for figures in housed.sinks[0].figures))
         assert housed.services[0].cell_service.controller.assignment.version == 3
-        housed.path.write_text(write(dataclasses.replace(charter(TWO), version=4)))
+        housed.path.write_text(format_assignment(dataclasses.replace(charter(TWO), version=4)))
         assert wait_for(lambda: housed.services[0].cell_service.controller.assignment.version == 4)
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_reading.py
@@ -11,7 +11,7 @@
 from mulleinrelay.cells import store
 from mulleinrelay.cells.config import load_cells_config, parse_cells_config
 from mulleinrelay.cells.model import Rollout
-from mulleinrelay.cells.parser import read, write
+from mulleinrelay.cells.parser import format_assignment, parse_assignment
 from mulleinrelay.errors import ConfigError
 
 HEAD = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
@@ -84,7 +84,7 @@
 )
 def test_a_fault_names_its_key(text, told):
     with pytest.raises(ConfigError) as fault:
-        read(text)
+        parse_assignment(text)
     assert str(fault.value).startswith(told)
 
 
@@ -119,7 +119,7 @@
         limits=limits,
     )
     held = replace(held, written_at=written)
-    assert read(write(held)) == held
+    assert parse_assignment(format_assignment(held)) == held
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,9 @@
 
 def test_the_examples_can_be_used():
     own = load_cells_config("deploy/cells.ini")
-    assert not own.enabled and store.load(own.assignment_file).tenants["acme"].groups == (
+    assert not own.enabled and store.load_assignment(own.assignment_file).tenants[
+        "acme"
+    ].groups == (
         (0, 15),
         (40, 40),
     )
@@ -150,29 +152,29 @@
 
 def test_a_change_built_on_an_old_version_is_refused(tmp_path):
     path = str(tmp_path / "assignment.ini")
-    with store.sole_writer(path):
-        assert store.save(path, charter(), 1.0, 0).version == 1
-        assert store.save(path, charter(), 2.0, 1).version == 2
+    with store.exclusive_writer(path):
+        assert store.save_assignment(path, charter(), 1.0, 0).version == 1
+        assert store.save_assignment(path, charter(), 2.0, 1).version == 2
         with pytest.raises(ConfigError, match="holds version 2"):
-            store.save(path, charter(), 3.0, 1)
-        with pytest.raises(ConfigError, match="another command"), store.sole_writer(path):
+            store.save_assignment(path, charter(), 3.0, 1)
+        with pytest.raises(ConfigError, match="another command"), store.exclusive_writer(path):
             pass
-    assert store.load(path).version == 2
+    assert store.load_assignment(path).version == 2
 
 
 @pytest.mark.parametrize("step", ["fsync", "replace"])
 def test_what_fails_on_the_way_leaves_the_old_file(step, tmp_path, monkeypatch):
     path = str(tmp_path / "assignment.ini")
-    store.save(path, charter(), 1.0, 0)
+    store.save_assignment(path, charter(), 1.0, 0)
 
     def fail(*_):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, step, fail)
     with pytest.raises(ConfigError, match="the old version stands"):
-        store.save(path, charter(), 2.0, 1)
+        store.save_assignment(path, charter(), 2.0, 1)
     monkeypatch.undo()
-    assert store.load(path).version == 1
+    assert store.load_assignment(path).version == 1
     assert (
-        store.save(path, charter(), 3.0, 1).version == 2
+        store.save_assignment(path, charter(), 3.0, 1).version == 2
     )  # what was left lying about is in nobody's way
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -8,10 +8,10 @@
 from stage import PAGES, charter
 
 from mulleinrelay.cells import edits, migrations
-from mulleinrelay.cells.parser import read, write
+from mulleinrelay.cells.parser import format_assignment, parse_assignment
 from mulleinrelay.cells.placement import Placement
 
-SPANS = edits.Spans(500.0, 2_000.0, 500.0)
+SPANS = edits.StageDurations(500.0, 2_000.0, 500.0)
 CACHES = [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
 KEYS = range(0, 4_000, 40)
 
@@ -26,23 +26,23 @@
             charter(), propagation_time=300.0, clock_skew=50.0, retry_horizon=400.0, written_at=0.0
         )
         self.placement = Placement(self.held, True)
-        self.placement.listed(self.now, CACHES)
+        self.placement.update_caches(self.now, CACHES)
         self.cells = self.look()
         self.looked = self.now
 
     def look(self):
-        return [self.placement.spot(self.now, "acme", key, PAGES, "", False).cell for key in KEYS]
+        return [self.placement.place(self.now, "acme", key, PAGES, "", False).cell for key in KEYS]
 
     def change(self, make):
         try:
             new = make(self.held)
-        except edits.RefusalError:
+        except edits.EditRejectedError:
             return
         if new != self.held:
             new = replace(new, version=self.held.version + 1, written_at=self.now)
-            assert read(write(new)) == new
+            assert parse_assignment(format_assignment(new)) == new
             self.held = new
-            self.placement.renew(
+            self.placement.replace_assignment(
                 self.now, new, {name: one.cell for name, one in new.tenants.items()}
             )
 
@@ -50,23 +50,31 @@
     def start(self, cell):
         self.count += 1
         name = f"m{self.count}"
-        self.change(lambda held: edits.start_move(held, name, ("acme",), cell, self.now, SPANS))
+        self.change(
+            lambda held: edits.start_migration(held, name, ("acme",), cell, self.now, SPANS)
+        )
 
     @rule()
     def hold(self):
-        self.change(lambda held: edits.hold(held, next(iter(held.migrations), "none"), self.now))
+        self.change(
+            lambda held: edits.pause_migration(held, next(iter(held.migrations), "none"), self.now)
+        )
 
     @rule()
     def resume(self):
-        self.change(lambda held: edits.resume(held, next(iter(held.migrations), "none"), self.now))
+        self.change(
+            lambda held: edits.resume_migration(held, next(iter(held.migrations), "none"), self.now)
+        )
 
     @rule()
     def abort(self):
-        self.change(lambda held: edits.abort(held, next(iter(held.migrations), "none"), self.now))
+        self.change(
+            lambda held: edits.abort_migration(held, next(iter(held.migrations), "none"), self.now)
+        )
 
     @rule()
     def end(self):
-        self.change(lambda held: edits.end_moves(held, self.now)[0])
+        self.change(lambda held: edits.end_migrations(held, self.now)[0])
 
     @rule(span=st.sampled_from([10.0, 100.0, 100.0, 400.0, 1_500.0]))
     def pass_time(self, span):
@@ -83,10 +91,10 @@
     @invariant()
     def what_is_over_is_told_by_the_clock(self):
         for held in self.held.migrations.values():
-            share = migrations.shifted(held, self.now)
+            share = migrations.migrated_fraction(held, self.now)
             found = sum(cell == held.target for cell in self.look()) / len(KEYS)
             assert abs(found - share) < 0.2
-            if migrations.stage(held, self.now) in (
+            if migrations.stage_at(held, self.now) in (
                 migrations.MigrationStage.PLANNED,
                 migrations.MigrationStage.ABORTED,
             ):
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -6,7 +6,7 @@
 
 from mulleinrelay.cells.config import CellsConfig as CellsFile
 from mulleinrelay.cells.model import Assignment, Cell, Tenant
-from mulleinrelay.cells.parser import write
+from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.config.platform import parse_config
 from mulleinrelay.director import Director
 from mulleinrelay.management.config import parse_management_config
@@ -38,7 +38,7 @@
         held = None
         if cells:
             if not self.path.exists():
-                self.path.write_text(write(charter()))
+                self.path.write_text(format_assignment(charter()))
             held = CellsFile(True, str(self.path), "tenant", 50.0, "", 0, 0.0, 5_000.0)
         self.start = parse_config(
             json.dumps(configuration([node.address for node in self.nodes], self.bus.address))
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -248,7 +248,7 @@
                 )
             ]
         )
-        assert store.load(str(director.path)).tenants["acme"].limits.rate == 0.01
+        assert store.load_assignment(str(director.path)).tenants["acme"].limits.rate == 0.01
         caller = director.caller()
         for _ in range(5):
             caller.send(tenant="acme")
@@ -276,7 +276,7 @@
         ((_, held),) = target.get(parse("/fleet/assignment/move[name=m1]"))
         assert held["state"]["stage"] == "planned"
         number = target.set(deletes=[parse("/fleet/assignment/move[name=m1]")])
-        assert store.load(str(director.path)).migrations == {} and target.get(
+        assert store.load_assignment(str(director.path)).migrations == {} and target.get(
             parse("/fleet/datastore/version")
         )[0][1] == str(number)
 
@@ -304,7 +304,10 @@
     assert before[:2] == after[:2] and before[3] == after[3] and before[5] == after[5]
     assert after[4].tenants == before[4].tenants  # under a higher version of the file
     assert wait_for(
-        lambda: running.service.cell_service.controller.assignment == store.load(str(running.path))
+        lambda: (
+            running.service.cell_service.controller.assignment
+            == store.load_assignment(str(running.path))
+        )
     )
 
 
@@ -321,7 +324,7 @@
         )
     director.path.write_bytes(taken)  # as if killed between the datastore and the assignment file
     with Managed(tmp_path, cells=True) as again:
-        assert store.load(str(again.path)).tenants["acme"].weight == 3.0
+        assert store.load_assignment(str(again.path)).tenants["acme"].weight == 3.0
         assert "s-9" in again.manager.drains.intent.drains
         assert any("brought to its end" in str(figures) for figures in again.sink.figures)
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -9,8 +9,8 @@
 
 from mulleinrelay.budgets.quota_exchange import QuotaExchange
 from mulleinrelay.cells.config import load_cells_config
-from mulleinrelay.cells.parser import read as read_assignment
-from mulleinrelay.cells.parser import write as write_assignment
+from mulleinrelay.cells.parser import format_assignment as write_assignment
+from mulleinrelay.cells.parser import parse_assignment as read_assignment
 from mulleinrelay.cli import main
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.lab.scenario import read_scenario
