--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -11,20 +11,14 @@
 
 from ..policy.model import IDEMPOTENT, KEYED, CachePool, RequestClass
 from . import migrations, rollouts
+from .concurrency_limit import ConcurrencyLimit
 from .failover import FailoverQuota
-from .limits import (
-    BucketShare,
-    ClientRetryBudget,
-    ConcurrencyLimit,
-    ConcurrencyShare,
-    FairShares,
-    FairTokenBucket,
-    TokenBucket,
-    bounded_retry_after,
-)
+from .fair_share import ConcurrencyShare, FairShares
 from .model import Assignment, Cell, Limits
 from .placement import Placement, PlacementFailure, settled_homes
+from .retry_budget import ClientRetryBudget
 from .tenant_resolution import TenantResolver
+from .token_bucket import BucketShare, FairTokenBucket, TokenBucket, bounded_retry_after
 
 ACCOUNTS_MOST = 20_000
 BODY_SLOT = 16.0  # KB of a body that count as one more open request
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from .hashing import HASH_RANGE, combine_hashes
-from .limits import TokenBucket
 from .model import Cell
+from .token_bucket import TokenBucket
 
 RECOVERY_SALT = 0x72657475726E
 
--- /dev/null
+++ b/tests/cells/test_fair_share.py
@@ -0,0 +1,102 @@
+"""Weighted fair shares of open requests."""
+
+import pytest
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
+from mulleinrelay.cells.fair_share import FairShares
+
+
+def flood(shares, asks, rounds=400):
+    """Each party asks for so many each ms; what it got stays open for 50 ms. Gives the mean that
+    each held.
+    """
+    mean_open, open_requests = dict.fromkeys(asks, 0.0), []
+    for now in range(rounds):
+        for ends_at, share in [entry for entry in open_requests if entry[0] <= now]:
+            shares.release(share)
+            open_requests.remove((ends_at, share))
+        for name, (weight, count) in asks.items():
+            share = shares.share_for(name, weight)
+            for _ in range(count):
+                if shares.request(share, float(now)):
+                    shares.acquire(share)
+                    open_requests.append((now + 50, share))
+            mean_open[name] += share.open / rounds
+    return mean_open
+
+
+@pytest.mark.parametrize(
+    "asks, minimums, maximums",
+    [
+        ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),  # alone it may have all
+        ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
+        ({"acme": (1.0, 20), "beta": (3.0, 20)}, {"beta": 70.0}, {"acme": 45.0}),
+        ({"acme": (1.0, 20), "beta": (1.0, 0)}, {"acme": 80.0}, {"beta": 0.0}),
+    ],
+)
+def test_shares_are_fair_and_unused_shares_are_lent(asks, minimums, maximums):
+    mean_open = flood(FairShares(100.0), asks)
+    assert all(mean_open[name] >= bound for name, bound in minimums.items())
+    assert all(mean_open[name] <= bound for name, bound in maximums.items())
+
+
+def test_a_lender_that_comes_back_is_admitted_at_once():
+    shares = FairShares(100.0)
+    beta, acme = shares.share_for("beta", 1.0), shares.share_for("acme", 1.0)
+    assert shares.request(beta, 0.0)
+    now = 5_000.0
+    for _ in range(200):
+        if shares.request(acme, now):
+            shares.acquire(acme)
+    assert acme.open == 100.0
+    admitted = 0
+    for _ in range(25):
+        if shares.request(beta, now + 1.0):
+            shares.acquire(beta)
+            admitted += 1
+    assert admitted == 25 and not shares.request(acme, now + 1.0)
+
+
+class FairSharesMachine(RuleBasedStateMachine):
+    """Sums stay true, and no more is open than the capacity and its overcommitment."""
+
+    def __init__(self):
+        super().__init__()
+        self.shares, self.now, self.open_requests = FairShares(10.0), 0.0, []
+
+    @rule(
+        name=st.sampled_from("abcd"),
+        weight=st.sampled_from([1.0, 2.0, 5.0]),
+        amount=st.sampled_from([1.0, 3.0]),
+    )
+    def ask(self, name, weight, amount):
+        share = self.shares.share_for(name, weight)
+        if self.shares.request(share, self.now, amount):
+            self.shares.acquire(share, amount)
+            self.open_requests.append((share, amount))
+
+    @rule(index=st.integers(0, 50))
+    def give(self, index):
+        if self.open_requests:
+            self.shares.release(*self.open_requests.pop(index % len(self.open_requests)))
+
+    @rule(step=st.sampled_from([1.0, 30.0, 500.0, 3_000.0, 90_000.0]))
+    def pass_time(self, step):
+        self.now += step
+
+    @invariant()
+    def sums_are_true(self):
+        assert self.shares.open == pytest.approx(sum(amount for _, amount in self.open_requests))
+        assert (
+            self.shares.open <= 10.0 * 1.25 + 4 * 3.0
+        )  # one request of each party besides, at the most
+
+    @invariant()
+    def nobody_is_forgotten_with_requests_open(self):
+        assert all(share in self.shares.shares.values() for share, _ in self.open_requests)
+
+
+TestFairSharesMachine = FairSharesMachine.TestCase
+TestFairSharesMachine.settings = settings(max_examples=40, stateful_step_count=40, deadline=None)
