--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -17,9 +17,9 @@
 import click
 
 from mulleinrelay.cells import migrations
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.hashing import assign_with_load_bound
 from mulleinrelay.cells.model import Limits
-from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
 
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -1,55 +1,109 @@
-"""What an assignment file says, as plain data. No decision stands here.
+"""The content of an assignment file as plain data; nothing is decided here.
 
-Times are Unix milliseconds, spans milliseconds, rates requests a second. Names are compared as
-written.
+Points in time are Unix milliseconds, durations milliseconds, rates requests a second. Names are
+compared as written.
 """
 
 from dataclasses import dataclass, field
 
-FILE_FORMAT_VERSION = 1  # of the file; a newer one is not read
-TABLE, RENDEZVOUS = "table", "rendezvous"
-TO_DEFAULT, REJECT = "default_tenant", "reject"
+FILE_FORMAT_VERSION = 1  # files with another one are rejected
+
+# Ways to place the tenants that name no cell (key `how`).
+TABLE = "table"
+RENDEZVOUS = "rendezvous"
+
+# What happens to requests of unknown tenants (key `unknown`).
+TO_DEFAULT = "default_tenant"
+REJECT = "reject"
+
+KEEP_SHUFFLE_SHARDS = -1  # in a rollout: the cell's own number of caches for each tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Bounds at each director; 0 stands for no bound of its own."""
+    """A tenant's or a cell's quota at each director; 0 stands for no bound of its own.
+
+    Attributes:
+        rate: Requests a second.
+        burst: Requests that may come at once beyond the rate; 0: what the rate brings in 100 ms.
+        max_open_requests: Requests open at one time.
+        max_body_kb: KB of bodies that open requests brought.
+        retry_ratio: Clients' retries for each first attempt.
+        max_connections: Connections from the tenant's address ranges.
+    """
 
-    rate: float = 0.0  # requests a second
-    burst: float = (
-        0.0  # requests that may come at once beyond the rate; 0: what the rate brings in 100 ms
-    )
-    max_open_requests: float = 0.0  # requests open at one time
-    max_body_kb: float = 0.0  # KB of bodies that open requests brought
-    retry_ratio: float = 0.2  # clients' retries for each first try
-    max_connections: int = 0  # of the tenant's address ranges
+    rate: float = 0.0
+    burst: float = 0.0
+    max_open_requests: float = 0.0
+    max_body_kb: float = 0.0
+    retry_ratio: float = 0.2
+    max_connections: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Cell:
+    """A part of the fleet that some tenants are confined to.
+
+    Attributes:
+        name: Its name.
+        weight: Tenants and caches are placed in proportion to it; 0: none by hash.
+        caches: Its caches by name; none: by hash, from those that no cell names.
+        shuffle_shards: Caches of each tenant, by the tenant's own hash; 0: all of the cell's.
+        failover_cells: Where its tenants go when it is lost, in this order of preference.
+        failover_quota: Fraction of such a cell's limits that they may take there together.
+        return_duration: Its objects come back over this time.
+        limits: Its own limits.
+    """
+
     name: str
     weight: float = 1.0
-    caches: tuple[str, ...] = ()  # by name; none: by hash, from those that no cell names
-    shuffle_shards: int = 0  # caches of each tenant, by its own hash; 0: all of the cell's
-    failover_cells: tuple[str, ...] = ()  # where its tenants go when it is lost, in this order
-    failover_quota: float = 0.0  # part of each neighbour's bounds that they may take together
-    return_duration: float = 10_000.0  # over so long they come back
+    caches: tuple[str, ...] = ()
+    shuffle_shards: int = 0
+    failover_cells: tuple[str, ...] = ()
+    failover_quota: float = 0.0
+    return_duration: float = 10_000.0
     limits: Limits = field(default_factory=Limits)
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """A customer whose requests share one quota.
+
+    Attributes:
+        name: Its name.
+        cell: Its home cell; empty: by hash.
+        weight: Its load, for the placement, and its weight among the tenants of its cell.
+        addresses: CIDR ranges of its clients.
+        groups: Ranges of its object groups, both ends included.
+        limits: Its quota.
+    """
+
     name: str
-    cell: str = ""  # empty: by hash
+    cell: str = ""
     weight: float = 1.0
-    addresses: tuple[str, ...] = ()  # CIDR ranges
-    groups: tuple[tuple[int, int], ...] = ()  # of objects, both ends included
+    addresses: tuple[str, ...] = ()
+    groups: tuple[tuple[int, int], ...] = ()
     limits: Limits = field(default_factory=Limits)
 
 
 @dataclass(slots=True, frozen=True)
 class Migration:
-    """Tenants on their way from one cell to another."""
+    """Tenants on their way from one cell to another.
+
+    Attributes:
+        name: Its name.
+        tenants: Names of the tenants.
+        source: Name of the cell that they leave.
+        target: Name of the cell that they go to.
+        starts_at: When it starts.
+        warm_up_duration: The first few objects migrate over this time.
+        shift_duration: The other objects migrate over this time.
+        drain_duration: The old cell's caches fill misses for this time after.
+        warm_up_fraction: Fraction of the objects that migrate in the warm-up.
+        paused_at: When it is paused; 0: not paused.
+        resumed_at: When it goes on; 0: not resumed.
+        aborted_at: When it turns back; 0: not aborted.
+    """
 
     name: str
     tenants: tuple[str, ...]
@@ -60,15 +114,26 @@
     shift_duration: float
     drain_duration: float
     warm_up_fraction: float = 0.05
-    paused_at: float = 0.0  # 0: not held
-    resumed_at: float = 0.0  # 0: held for good
-    aborted_at: float = 0.0  # 0: not aborted
+    paused_at: float = 0.0
+    resumed_at: float = 0.0
+    aborted_at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Rollout:
-    """Limits, and how tenants lie over a cell's caches, that go to one cell first, then on by
-    waves.
+    """Limits and shuffle shards that reach one cell first, then others wave by wave.
+
+    Attributes:
+        name: Its name.
+        canary: Name of the first cell.
+        waves: Names of the cells of each wave after the canary.
+        starts_at: When the canary gets it.
+        wave_duration: The least time between two waves.
+        limits: The new limits of the cells' tenants.
+        max_success_drop: Drop of the success rate, beyond that of the other cells, that is borne.
+        max_slowdown: Growth of the delay, beyond that of the other cells, that is borne; a factor.
+        is_rolled_back: Whether operators have rolled it back.
+        shuffle_shards: Caches of each tenant; `KEEP_SHUFFLE_SHARDS`: as the cell has it.
     """
 
     name: str
@@ -77,15 +142,32 @@
     starts_at: float
     wave_duration: float
     limits: Limits
-    max_success_drop: float = 0.03  # of the served share, beyond what the other cells lose
-    max_slowdown: float = 1.5  # times its own past, beyond the same of the other cells
-    is_rolled_back: bool = False  # by staff
-    shuffle_shards: int = -1  # caches of each tenant; -1: as the cell has it
+    max_success_drop: float = 0.03
+    max_slowdown: float = 1.5
+    is_rolled_back: bool = False
+    shuffle_shards: int = KEEP_SHUFFLE_SHARDS
 
 
 @dataclass(slots=True, frozen=True)
 class Assignment:
-    """One version of the assignment."""
+    """One version of the cell assignment.
+
+    Attributes:
+        version: Its number; each change has a higher one.
+        written_at: When it was written.
+        cells: All cells by name.
+        tenants: All tenants by name.
+        migrations: Migrations by name, also those that are over until operators end them.
+        rollouts: Rollouts by name, the oldest first.
+        limits: Limits of tenants that set none.
+        placement_method: `TABLE` or `RENDEZVOUS`.
+        load_bound: A cell gets no more than this multiple of its share of the tenants' load.
+        default_tenant: Whose quota requests of unknown tenants use; empty: there is none.
+        unknown_tenant_policy: `TO_DEFAULT` or `REJECT`.
+        propagation_time: Every director has read a version so long after it was written.
+        clock_skew: The clocks of directors and of operators' machines differ by no more.
+        retry_horizon: A client's last retry comes no later than this after its first attempt.
+    """
 
     version: int
     written_at: float
@@ -93,15 +175,11 @@
     tenants: dict[str, Tenant]
     migrations: dict[str, Migration] = field(default_factory=dict)
     rollouts: dict[str, Rollout] = field(default_factory=dict)
-    limits: Limits = field(default_factory=Limits)  # of tenants that set none
+    limits: Limits = field(default_factory=Limits)
     placement_method: str = RENDEZVOUS
     load_bound: float = 1.25
     default_tenant: str = ""
     unknown_tenant_policy: str = TO_DEFAULT
-    propagation_time: float = (
-        5_000.0  # within so long of its writing every director has read a version
-    )
-    clock_skew: float = 500.0  # by which clocks of directors and of who writes may differ
-    retry_horizon: float = (
-        12_000.0  # a client's last retry comes so long after its first try at the latest
-    )
+    propagation_time: float = 5_000.0
+    clock_skew: float = 500.0
+    retry_horizon: float = 12_000.0
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,15 +1,20 @@
-"""An assignment file as text, to a charter and back; pure. A fault is a ConfigError whose text
-names the key, as in `[tenant acme] rate: a number of 0 or more is wanted`.
+"""The text of an assignment file, read to an `Assignment`; pure.
+
+An error is a ConfigError that names section and key, as in `[tenant acme] rate: a number of 0 or
+more is wanted`. The words of the file (`move`, `release`, `reserve`, ...) are older than the terms
+of the code; this module and `formatter` are where the two meet.
 """
 
 import ipaddress
 import re
-from collections.abc import Iterable
+from collections.abc import Mapping
+from dataclasses import dataclass, field
 
-from ..config.ini import NAME_PATTERN, NUMBER_LIMIT, IniSection, parse_sections
+from ..config.ini import NAME_PATTERN, IniSection, parse_sections
 from ..errors import ConfigError
 from .model import (
     FILE_FORMAT_VERSION,
+    KEEP_SHUFFLE_SHARDS,
     REJECT,
     RENDEZVOUS,
     TABLE,
@@ -21,48 +26,113 @@
     Rollout,
     Tenant,
 )
+from .validation import validate_assignment
 
 GROUP_RANGE_PATTERN = re.compile(r"(\d{1,3})(?:-(\d{1,3}))?", re.ASCII)
-MAX_GROUP = 255
+MAX_GROUP = 255  # groups of objects are numbered by one byte
+MAX_WEIGHT = 1e6
+MIN_TENANT_WEIGHT = 1e-6
+MAX_SHUFFLE_SHARDS = 10_000
+MAX_FACTOR = 100.0  # of the load bound and of a rollout's slowdown
+
+# Keys of limits in the file, and the fields of `Limits` that hold them, in the order of both.
+LIMIT_FIELDS_BY_KEY = {
+    "rate": "rate",
+    "burst": "burst",
+    "open_most": "max_open_requests",
+    "body_kb": "max_body_kb",
+    "retries": "retry_ratio",
+    "connections": "max_connections",
+}
+
+
+@dataclass(slots=True, eq=False)
+class _NamedSections:
+    """What the sections `cell NAME`, `tenant NAME`, `move NAME` and `release NAME` hold."""
+
+    cells: dict[str, Cell] = field(default_factory=dict)
+    tenants: dict[str, Tenant] = field(default_factory=dict)
+    migrations: dict[str, Migration] = field(default_factory=dict)
+    rollouts: dict[str, Rollout] = field(default_factory=dict)
+
+    def parse(self, kind: str, name: str, section: IniSection, default_limits: Limits) -> bool:
+        """Adds one section; returns False, and adds nothing, where the kind is not known."""
+        match kind:
+            case "cell":
+                _reject_second(self.cells, name, section)
+                self.cells[name] = _parse_cell(section, name)
+            case "tenant":
+                _reject_second(self.tenants, name, section)
+                self.tenants[name] = _parse_tenant(section, name, default_limits)
+            case "move":
+                _reject_second(self.migrations, name, section)
+                self.migrations[name] = _parse_migration(section, name)
+            case "release":
+                _reject_second(self.rollouts, name, section)
+                self.rollouts[name] = _parse_rollout(section, name, default_limits)
+            case _:
+                return False
+        return True
 
 
 def parse_assignment(text: str) -> Assignment:
-    """Raises ConfigError; the charter is whole and agrees in itself."""
-    found = parse_sections(text)
-    if "assignment" not in found:
-        raise ConfigError("[assignment]: the section is missing")
-    head = IniSection("assignment", found.pop("assignment"))
-    form = head.integer("form")
-    if form != FILE_FORMAT_VERSION:
+    """Reads the text of an assignment file.
+
+    Raises:
+        ConfigError: If the text cannot be read or its parts do not fit together.
+    """
+    texts = parse_sections(text)
+    if "assignment" not in texts:
+        raise ConfigError("the section is missing", section="assignment")
+    head = IniSection("assignment", texts.pop("assignment"))
+    file_format = head.integer("form")
+    if file_format != FILE_FORMAT_VERSION:
         raise head.error(
-            "form", f"this program reads form {FILE_FORMAT_VERSION}, the file has {form}"
+            "form",
+            f"this program reads form {FILE_FORMAT_VERSION}, the file has {file_format}",
+        )
+    limits_section = IniSection("limits", texts.pop("limits", {}))
+    limits = _parse_limits(limits_section, Limits())
+    limits_section.reject_unknown_keys()
+    sections = _NamedSections()
+    for title, values in texts.items():
+        _parse_named_section(sections, IniSection(title, values), limits)
+    assignment = _parse_head(head, limits, sections)
+    validate_assignment(assignment)
+    return assignment
+
+
+def _parse_named_section(
+    sections: _NamedSections, section: IniSection, default_limits: Limits
+) -> None:
+    kind, _, name = section.title.partition(" ")
+    name = name.strip()
+    if not NAME_PATTERN.fullmatch(name) or not sections.parse(kind, name, section, default_limits):
+        raise ConfigError(
+            "an unknown section; known are assignment, limits, cell NAME, "
+            "tenant NAME, move NAME, release NAME",
+            section=section.title,
         )
-    limits = _limits(IniSection("limits", found.pop("limits", {})), Limits())
-    kinds: dict[str, dict[str, object]] = {"cell": {}, "tenant": {}, "move": {}, "release": {}}
-    readers = {"cell": _cell, "tenant": _tenant, "move": _move, "release": _release}
-    for title, held in found.items():
-        kind, _, name = title.partition(" ")
-        name = name.strip()
-        if kind not in kinds or not NAME_PATTERN.fullmatch(name):
-            raise ConfigError(
-                f"[{title}]: an unknown section; known are assignment, limits, cell NAME, "
-                "tenant NAME, move NAME, release NAME"
-            )
-        if name in kinds[kind]:
-            raise ConfigError(f"[{title}]: stands there twice")
-        keys = IniSection(title, held)
-        kinds[kind][name] = readers[kind](keys, name, limits)
-        keys.reject_unknown_keys()
-    charter = Assignment(
+    section.reject_unknown_keys()
+
+
+def _reject_second(known: Mapping[str, object], name: str, section: IniSection) -> None:
+    """Raises ConfigError for `[cell  a]` after `[cell a]`, which are two titles of one name."""
+    if name in known:
+        raise ConfigError("stands there twice", section=section.title)
+
+
+def _parse_head(head: IniSection, limits: Limits, sections: _NamedSections) -> Assignment:
+    assignment = Assignment(
         version=head.integer("version"),
         written_at=head.number("written"),
         limits=limits,
-        cells=kinds["cell"],
-        tenants=kinds["tenant"],
-        migrations=kinds["move"],
-        rollouts=kinds["release"],
+        cells=sections.cells,
+        tenants=sections.tenants,
+        migrations=sections.migrations,
+        rollouts=sections.rollouts,
         placement_method=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
-        load_bound=head.number("load_bound", 1.25, 100.0, 1.0),
+        load_bound=head.number("load_bound", 1.25, MAX_FACTOR, 1.0),
         default_tenant=head.text("default_tenant", ""),
         unknown_tenant_policy=head.choice("unknown", (TO_DEFAULT, REJECT), TO_DEFAULT),
         propagation_time=head.number("spread_ms", 5_000.0),
@@ -70,291 +140,96 @@
         retry_horizon=head.number("horizon_ms", 12_000.0),
     )
     head.reject_unknown_keys()
-    validate_assignment(charter)
-    return charter
+    return assignment
 
 
-# Keys of limits in the file, and the fields of `Limits` that hold them, in the order of both.
-LIMIT_FIELDS_BY_KEY = {
-    "rate": "rate",
-    "burst": "burst",
-    "open_most": "max_open_requests",
-    "body_kb": "max_body_kb",
-    "retries": "retry_ratio",
-    "connections": "max_connections",
-}
-
-
-def _limits(keys: IniSection, default: Limits, whole: bool = True) -> Limits:
-    """`whole`: nothing else stands in this section."""
-    found = Limits(
-        *(
-            keys.integer(key, getattr(default, field))
-            if key == "connections"
-            else keys.number(key, float(getattr(default, field)))
-            for key, field in LIMIT_FIELDS_BY_KEY.items()
-        )
+def _parse_limits(section: IniSection, default: Limits) -> Limits:
+    return Limits(
+        rate=section.number("rate", float(default.rate)),
+        burst=section.number("burst", float(default.burst)),
+        max_open_requests=section.number("open_most", float(default.max_open_requests)),
+        max_body_kb=section.number("body_kb", float(default.max_body_kb)),
+        retry_ratio=section.number("retries", float(default.retry_ratio)),
+        max_connections=section.integer("connections", default.max_connections),
     )
-    if whole:
-        keys.reject_unknown_keys()
-    return found
 
 
-def _cell(keys: IniSection, name: str, limits: Limits) -> Cell:
+def _parse_cell(section: IniSection, name: str) -> Cell:
     return Cell(
         name,
-        keys.number("weight", 1.0, 1e6),
-        keys.names("caches"),
-        keys.integer("shuffle", 0, 10_000),
-        keys.names("neighbours"),
-        keys.number("reserve", 0.0, 1.0),
-        keys.number("return_ms", 10_000.0),
-        _limits(keys, Limits(), False),
+        weight=section.number("weight", 1.0, MAX_WEIGHT),
+        caches=section.names("caches"),
+        shuffle_shards=section.integer("shuffle", 0, MAX_SHUFFLE_SHARDS),
+        failover_cells=section.names("neighbours"),
+        failover_quota=section.number("reserve", 0.0, 1.0),
+        return_duration=section.number("return_ms", 10_000.0),
+        limits=_parse_limits(section, Limits()),
     )
 
 
-def _tenant(keys: IniSection, name: str, limits: Limits) -> Tenant:
-    addresses = tuple(keys.text("addresses", "").replace(",", " ").split())
+def _parse_tenant(section: IniSection, name: str, default_limits: Limits) -> Tenant:
+    addresses = _words(section.text("addresses", ""))
     for address in addresses:
         try:
             ipaddress.ip_network(address)
-        except ValueError as wrong:
-            raise keys.error("addresses", str(wrong)) from None
-    groups = []
-    for part in keys.text("groups", "").replace(",", " ").split():
-        form = GROUP_RANGE_PATTERN.fullmatch(part)
-        first, last = (int(form[1]), int(form[2] or form[1])) if form else (1, 0)
-        if not first <= last <= MAX_GROUP:
-            raise keys.error(
-                "groups", f"{part!r} is no group or range of groups from 0 to {MAX_GROUP}"
-            )
-        groups.append((first, last))
+        except ValueError as error:
+            raise section.error("addresses", str(error)) from error
+    groups = tuple(_parse_groups(section, word) for word in _words(section.text("groups", "")))
     return Tenant(
         name,
-        keys.text("cell", ""),
-        keys.number("weight", 1.0, 1e6, 1e-6),
-        addresses,
-        tuple(groups),
-        _limits(keys, limits, False),
+        cell=section.text("cell", ""),
+        weight=section.number("weight", 1.0, MAX_WEIGHT, MIN_TENANT_WEIGHT),
+        addresses=addresses,
+        groups=groups,
+        limits=_parse_limits(section, default_limits),
     )
 
 
-def _move(keys: IniSection, name: str, _: Limits) -> Migration:
+def _parse_groups(section: IniSection, text: str) -> tuple[int, int]:
+    """Reads `7` or `7-9`, both ends included."""
+    parts = GROUP_RANGE_PATTERN.fullmatch(text)
+    if parts is not None:
+        first = int(parts[1])
+        last = int(parts[2] or parts[1])
+        if first <= last <= MAX_GROUP:
+            return first, last
+    raise section.error("groups", f"{text!r} is no group or range of groups from 0 to {MAX_GROUP}")
+
+
+def _parse_migration(section: IniSection, name: str) -> Migration:
     return Migration(
         name,
-        keys.names("tenants"),
-        keys.text("from"),
-        keys.text("to"),
-        keys.number("starts"),
-        keys.number("warm_ms"),
-        keys.number("shift_ms"),
-        keys.number("drain_ms"),
-        keys.number("warm_share", 0.05, 1.0),
-        keys.number("held_at", 0.0),
-        keys.number("resumed_at", 0.0),
-        keys.number("aborted_at", 0.0),
+        tenants=section.names("tenants"),
+        source=section.text("from"),
+        target=section.text("to"),
+        starts_at=section.number("starts"),
+        warm_up_duration=section.number("warm_ms"),
+        shift_duration=section.number("shift_ms"),
+        drain_duration=section.number("drain_ms"),
+        warm_up_fraction=section.number("warm_share", 0.05, 1.0),
+        paused_at=section.number("held_at", 0.0),
+        resumed_at=section.number("resumed_at", 0.0),
+        aborted_at=section.number("aborted_at", 0.0),
     )
 
 
-def _release(keys: IniSection, name: str, limits: Limits) -> Rollout:
-    waves = tuple(
-        tuple(wave.replace(",", " ").split())
-        for wave in keys.text("waves", "").split(";")
-        if wave.strip()
-    )
+def _parse_rollout(section: IniSection, name: str, default_limits: Limits) -> Rollout:
+    waves = tuple(_words(wave) for wave in section.text("waves", "").split(";") if wave.strip())
+    keep = float(KEEP_SHUFFLE_SHARDS)
     return Rollout(
         name,
-        keys.text("canary"),
-        waves,
-        keys.number("starts"),
-        keys.number("wave_ms"),
-        _limits(keys, limits, False),
-        keys.number("drop_most", 0.03, 1.0),
-        keys.number("slower_most", 1.5, 100.0, 1.0),
-        keys.flag("taken_back", False),
-        int(keys.number("shuffle", -1.0, 10_000, -1.0)),
+        canary=section.text("canary"),
+        waves=waves,
+        starts_at=section.number("starts"),
+        wave_duration=section.number("wave_ms"),
+        limits=_parse_limits(section, default_limits),
+        max_success_drop=section.number("drop_most", 0.03, 1.0),
+        max_slowdown=section.number("slower_most", 1.5, MAX_FACTOR, 1.0),
+        is_rolled_back=section.flag("taken_back", False),
+        shuffle_shards=int(section.number("shuffle", keep, MAX_SHUFFLE_SHARDS, keep)),
     )
 
 
-def validate_assignment(charter: Assignment) -> None:
-    """Whether the parts of a charter fit together; raises ConfigError."""
-    cells, tenants = charter.cells, charter.tenants
-
-    def known(title: str, key: str, name: str, among: Iterable[str], what: str) -> None:
-        if name not in among:
-            raise ConfigError(f"[{title}] {key}: no {what} {name!r}")
-
-    if not cells:
-        raise ConfigError("[cell NAME]: one cell at the least is wanted")
-    if not any(cell.weight for cell in cells.values()):
-        raise ConfigError("[cell NAME] weight: one cell at the least must have more than 0")
-    if charter.default_tenant:
-        known("assignment", "default_tenant", charter.default_tenant, tenants, "tenant")
-    elif charter.unknown_tenant_policy == TO_DEFAULT:
-        raise ConfigError("[assignment] default_tenant: wanted where unknown = default_tenant")
-    holder: dict[str, str] = {}
-    for name, cell in cells.items():
-        for other in cell.failover_cells:
-            known(f"cell {name}", "neighbours", other, cells, "cell")
-            if other == name:
-                raise ConfigError(f"[cell {name}] neighbours: a cell is no neighbour of its own")
-        for cache in cell.caches:
-            if cache in holder:
-                raise ConfigError(
-                    f"[cell {name}] caches: {cache} stands in cell {holder[cache]} already"
-                )
-            holder[cache] = name
-    for name, tenant in tenants.items():
-        if tenant.cell:
-            known(f"tenant {name}", "cell", tenant.cell, cells, "cell")
-        elif charter.placement_method == TABLE:
-            raise ConfigError(f"[tenant {name}] cell: wanted where how = {TABLE}")
-    _agree_moves(charter, known)
-    for name, release in charter.rollouts.items():
-        seen: set[str] = set()
-        for key, names in (
-            ("canary", (release.canary,)),
-            *(("waves", wave) for wave in release.waves),
-        ):
-            for cell in names:
-                known(f"release {name}", key, cell, cells, "cell")
-                if cell in seen:
-                    raise ConfigError(f"[release {name}] {key}: {cell} stands there twice")
-                seen.add(cell)
-
-
-def _agree_moves(charter: Assignment, known) -> None:
-    moving: dict[str, str] = {}
-    for name, move in charter.migrations.items():
-        title = f"move {name}"
-        known(title, "from", move.source, charter.cells, "cell")
-        known(title, "to", move.target, charter.cells, "cell")
-        if move.source == move.target:
-            raise ConfigError(f"[{title}] to: the same cell as from")
-        if not move.tenants:
-            raise ConfigError(f"[{title}] tenants: one at the least is wanted")
-        for tenant in move.tenants:
-            known(title, "tenants", tenant, charter.tenants, "tenant")
-            if tenant in moving:
-                raise ConfigError(
-                    f"[{title}] tenants: {tenant} is moved by {moving[tenant]} already"
-                )
-            moving[tenant] = name
-        for key, at, least in (
-            ("held_at", move.paused_at, move.starts_at),
-            ("aborted_at", move.aborted_at, move.starts_at),
-            ("resumed_at", move.resumed_at, move.paused_at or NUMBER_LIMIT),
-        ):
-            if at and at < least:
-                raise ConfigError(f"[{title}] {key}: before the move starts or was held")
-
-
-def format_assignment(charter: Assignment) -> str:
-    """The text of a charter; `read` gives an equal one."""
-    out = [
-        "; written by `mulleinrelay cells`; changed by hand only with a higher version",
-        "[assignment]",
-    ]
-    out += _lines(
-        {
-            "form": FILE_FORMAT_VERSION,
-            "version": charter.version,
-            "written": charter.written_at,
-            "how": charter.placement_method,
-            "load_bound": charter.load_bound,
-            "default_tenant": charter.default_tenant,
-            "unknown": charter.unknown_tenant_policy,
-            "spread_ms": charter.propagation_time,
-            "skew_ms": charter.clock_skew,
-            "horizon_ms": charter.retry_horizon,
-        }
-    )
-    out += ["", "[limits]", *_lines(_of_limits(charter.limits))]
-    for name, cell in charter.cells.items():
-        out += [
-            "",
-            f"[cell {name}]",
-            *_lines(
-                {
-                    "weight": cell.weight,
-                    "caches": cell.caches,
-                    "shuffle": cell.shuffle_shards,
-                    "neighbours": cell.failover_cells,
-                    "reserve": cell.failover_quota,
-                    "return_ms": cell.return_duration,
-                }
-                | _of_limits(cell.limits)
-            ),
-        ]
-    for name, tenant in charter.tenants.items():
-        groups = tuple(
-            f"{first}-{last}" if first != last else str(first) for first, last in tenant.groups
-        )
-        out += [
-            "",
-            f"[tenant {name}]",
-            *_lines(
-                {
-                    "cell": tenant.cell,
-                    "weight": tenant.weight,
-                    "addresses": tenant.addresses,
-                    "groups": groups,
-                }
-                | _of_limits(tenant.limits)
-            ),
-        ]
-    for name, move in charter.migrations.items():
-        out += [
-            "",
-            f"[move {name}]",
-            *_lines(
-                {
-                    "tenants": move.tenants,
-                    "from": move.source,
-                    "to": move.target,
-                    "starts": move.starts_at,
-                    "warm_ms": move.warm_up_duration,
-                    "shift_ms": move.shift_duration,
-                    "drain_ms": move.drain_duration,
-                    "warm_share": move.warm_up_fraction,
-                    "held_at": move.paused_at,
-                    "resumed_at": move.resumed_at,
-                    "aborted_at": move.aborted_at,
-                }
-            ),
-        ]
-    for name, release in charter.rollouts.items():
-        out += [
-            "",
-            f"[release {name}]",
-            *_lines(
-                {
-                    "canary": release.canary,
-                    "waves": "; ".join(" ".join(wave) for wave in release.waves),
-                    "starts": release.starts_at,
-                    "wave_ms": release.wave_duration,
-                    "drop_most": release.max_success_drop,
-                    "slower_most": release.max_slowdown,
-                    "taken_back": "yes" if release.is_rolled_back else "no",
-                    "shuffle": release.shuffle_shards,
-                }
-                | _of_limits(release.limits)
-            ),
-        ]
-    return "\n".join(out) + "\n"
-
-
-def _of_limits(limits: Limits) -> dict[str, object]:
-    return {key: getattr(limits, field) for key, field in LIMIT_FIELDS_BY_KEY.items()}
-
-
-def _lines(held: dict[str, object]) -> list[str]:
-    return [
-        f"{key} = {_worded(value)}" for key, value in held.items() if value != "" and value != ()
-    ]
-
-
-def _worded(value: object) -> str:
-    if isinstance(value, tuple):
-        return " ".join(value)
-    return repr(int(value)) if isinstance(value, float) and value == int(value) else str(value)
+def _words(text: str) -> tuple[str, ...]:
+    """Returns words that are separated by blanks or commas."""
+    return tuple(text.replace(",", " ").split())
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -7,8 +7,9 @@
 from dataclasses import replace
 
 from ..errors import ConfigError
+from .formatter import format_assignment
 from .model import Assignment
-from .parser import format_assignment, parse_assignment
+from .parser import parse_assignment
 
 
 def load_assignment(path: str) -> Assignment:
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..cells import edits, store
+from ..cells.formatter import format_assignment
 from ..cells.model import Assignment, Tenant
-from ..cells.parser import format_assignment
 from ..standins.clients import Terminals
 from ..standins.fleet import BOX, ORIGIN, PARENT, Fleet, Node, Spec, now_ms
 from ..standins.servers import World
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
-from ..cells.parser import GROUP_RANGE_PATTERN, LIMIT_FIELDS_BY_KEY, validate_assignment
+from ..cells.parser import GROUP_RANGE_PATTERN, LIMIT_FIELDS_BY_KEY
+from ..cells.validation import validate_assignment
 from ..errors import ConfigError
 
 ATTRIBUTES = {
--- a/tests/cells/stage.py
+++ b/tests/cells/stage.py
@@ -10,8 +10,8 @@
     DirectorCapacity,
 )
 from mulleinrelay.cells.config import CellsConfig
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.model import Assignment, Cell, Limits, Migration, Tenant
-from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.config.platform import parse_config
 from mulleinrelay.director import Director
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_commands.py
@@ -8,7 +8,7 @@
 
 from mulleinrelay import records
 from mulleinrelay.cells import store
-from mulleinrelay.cells.parser import format_assignment
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cli import main
 
 
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -8,7 +8,7 @@
 from stage import Cell, Housed, charter, move
 
 from mulleinrelay import director as director_module
-from mulleinrelay.cells.parser import format_assignment
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.service import CellService
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -7,7 +7,7 @@
 from stage import Cell, Housed, Limits, Tenant, charter
 
 from mulleinrelay import director as director_module
-from mulleinrelay.cells.parser import format_assignment
+from mulleinrelay.cells.formatter import format_assignment
 
 REJECTED, FAILED = 1, 2
 TWO = (
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_reading.py
@@ -10,8 +10,9 @@
 
 from mulleinrelay.cells import store
 from mulleinrelay.cells.config import load_cells_config, parse_cells_config
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.model import Rollout
-from mulleinrelay.cells.parser import format_assignment, parse_assignment
+from mulleinrelay.cells.parser import parse_assignment
 from mulleinrelay.errors import ConfigError
 
 HEAD = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -8,7 +8,8 @@
 from stage import PAGES, charter
 
 from mulleinrelay.cells import edits, migrations
-from mulleinrelay.cells.parser import format_assignment, parse_assignment
+from mulleinrelay.cells.formatter import format_assignment
+from mulleinrelay.cells.parser import parse_assignment
 from mulleinrelay.cells.placement import Placement
 
 SPANS = edits.StageDurations(500.0, 2_000.0, 500.0)
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -5,8 +5,8 @@
 from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
 
 from mulleinrelay.cells.config import CellsConfig as CellsFile
+from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.model import Assignment, Cell, Tenant
-from mulleinrelay.cells.parser import format_assignment
 from mulleinrelay.config.platform import parse_config
 from mulleinrelay.director import Director
 from mulleinrelay.management.config import parse_management_config
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -9,7 +9,7 @@
 
 from mulleinrelay.budgets.quota_exchange import QuotaExchange
 from mulleinrelay.cells.config import load_cells_config
-from mulleinrelay.cells.parser import format_assignment as write_assignment
+from mulleinrelay.cells.formatter import format_assignment as write_assignment
 from mulleinrelay.cells.parser import parse_assignment as read_assignment
 from mulleinrelay.cli import main
 from mulleinrelay.lab.fleet.plan import read_fleet
