--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -265,14 +265,14 @@
             "planned"
         ]
     course = migrations.project_load(move, demand or MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
-    peak = max(load for _, _, load in course) if demand else None
+    peak = max(point.utilization for point in course) if demand else None
     told = [
         {
-            "after_ms": round(at),
-            "share": round(share, 3),
-            "load": round(load, 3) if demand else None,
+            "after_ms": round(point.elapsed),
+            "share": round(point.fraction, 3),
+            "load": round(point.utilization, 3) if demand else None,
         }
-        for at, share, load in course[:: max(1, len(course) // 10)]
+        for point in course[:: max(1, len(course) // 10)]
     ]
     whole = {
         "from": move.source,
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -1,57 +1,88 @@
-"""Our own file beside the platform's: whether cells are on here, and what this director has. Pure
-but for `load`.
-"""
+"""The file `cells.ini` beside the platform's configuration; pure but for `load_cells_config`."""
 
 import os
 from dataclasses import dataclass
 
-from ..config.ini import NAME_PATTERN, IniSection, load_ini, parse_sections
-from ..errors import ConfigError
+from ..config.ini import (
+    NAME_PATTERN,
+    IniSection,
+    load_ini,
+    parse_sections,
+    reject_unknown_sections,
+)
+
+SECTIONS = ("cells", "director")
 
 
 @dataclass(slots=True, frozen=True)
 class CellsConfig:
+    """Whether cells are on here, and what this director has.
+
+    Attributes:
+        enabled: Whether tenants are confined to cells.
+        assignment_file: Path of the assignment file; empty: none.
+        tenant_field: Key of the clients' map that names the tenant; empty: none.
+        poll_interval: Milliseconds between two looks at the assignment file.
+        records_folder: Folder for this director's records; empty: none are kept.
+        max_open_requests: Requests that may be open here; 0: as many as memory allows.
+        rate: Requests a second that this director can serve; 0: no bound.
+        max_retry_after: The longest Retry-After of a rejected request, ms.
+    """
+
     enabled: bool
-    assignment_file: str  # path
-    tenant_field: str  # of the clients' map; empty: none
-    poll_interval: float  # ms
-    records_folder: str  # folder; empty: none are kept
-    max_open_requests: int  # 0: by the memory
-    rate: float  # requests a second that this director can bear; 0: not bounded
-    max_retry_after: float  # ms
+    assignment_file: str
+    tenant_field: str
+    poll_interval: float
+    records_folder: str
+    max_open_requests: int
+    rate: float
+    max_retry_after: float
 
 
 def parse_cells_config(text: str, folder: str) -> CellsConfig:
-    """Paths are taken from `folder`. Raises ConfigError."""
-    found = parse_sections(text)
-    for title in found:
-        if title not in ("cells", "director"):
-            raise ConfigError(f"[{title}]: an unknown section; known are cells, director")
-    cells, director = (
-        IniSection("cells", found.get("cells", {})),
-        IniSection("director", found.get("director", {})),
-    )
+    """Reads the text of the file.
+
+    Args:
+        text: The text.
+        folder: Relative paths are taken from here.
+
+    Raises:
+        ConfigError: If the text cannot be used.
+    """
+    texts = parse_sections(text)
+    reject_unknown_sections(texts, SECTIONS)
+    cells = IniSection("cells", texts.get("cells", {}))
+    director = IniSection("director", texts.get("director", {}))
     enabled = cells.flag("enabled", False)
-    assignment, records = cells.text("assignment", ""), cells.text("records", "")
-    if enabled and not assignment:
+    assignment_file = cells.text("assignment", "")
+    records_folder = cells.text("records", "")
+    if enabled and not assignment_file:
         raise cells.error("assignment", "a path is wanted where enabled = yes")
-    own = CellsConfig(
-        enabled,
-        os.path.join(folder, assignment) if assignment else "",
-        cells.text("tenant_field", "tenant"),
-        cells.number("read_every_ms", 1_000.0, 60_000.0, 50.0),
-        os.path.join(folder, records) if records else "",
-        director.integer("open_most", 0, 1_000_000),
-        director.number("rate", 0.0),
-        director.number("come_back_most_ms", 5_000.0, 600_000.0),
+    config = CellsConfig(
+        enabled=enabled,
+        assignment_file=_path_in(folder, assignment_file),
+        tenant_field=cells.text("tenant_field", "tenant"),
+        poll_interval=cells.number("read_every_ms", 1_000.0, 60_000.0, 50.0),
+        records_folder=_path_in(folder, records_folder),
+        max_open_requests=director.integer("open_most", 0, 1_000_000),
+        rate=director.number("rate", 0.0),
+        max_retry_after=director.number("come_back_most_ms", 5_000.0, 600_000.0),
     )
-    if own.tenant_field and not NAME_PATTERN.fullmatch(own.tenant_field):
-        raise cells.error("tenant_field", f"{own.tenant_field!r} is no name")
+    if config.tenant_field and not NAME_PATTERN.fullmatch(config.tenant_field):
+        raise cells.error("tenant_field", f"{config.tenant_field!r} is no name")
     cells.reject_unknown_keys()
     director.reject_unknown_keys()
-    return own
+    return config
+
+
+def _path_in(folder: str, path: str) -> str:
+    return os.path.join(folder, path) if path else ""
 
 
 def load_cells_config(path: str) -> CellsConfig:
-    """Raises ConfigError."""
+    """Reads the file.
+
+    Raises:
+        ConfigError: If it cannot be read or used.
+    """
     return load_ini(path, parse_cells_config)
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -1,14 +1,13 @@
-"""The course of a move: what share of its tenants' objects has gone over, from the file and the
-clock alone.
+"""The course of a migration, from the assignment and the clock alone; pure.
 
-    planned -> warm -> shift -> drain -> done          abort from warm, shift or drain: back ->
-    aborted
+    planned -> warm -> shift -> drain -> done
+    warm, shift or drain, once aborted: back -> aborted
 
-In `warm` the share rises slowly to `warm_share`, in `shift` to 1. Objects go one by one in the
-order of their hash, so that directors whose clocks differ by a little differ in a few objects only,
-and what has gone over stays over. The old cell's caches fill misses as siblings until `done`, and
-take what the new ones may not be sent. On the way back the share falls as fast as it rose in
-`shift`, as the old caches may have dropped what they held.
+In the warm-up the migrated fraction rises slowly to `warm_up_fraction`, in the shift to 1. Objects
+migrate one by one in the order of their hash, so that directors whose clocks differ a little differ
+in a few objects only, and a migrated object stays migrated. Until the migration is done the old
+cell's caches fill misses as siblings, and serve what the new ones may not be sent. After an abort
+the fraction falls as fast as it rose in the shift, as old caches may have dropped their objects.
 """
 
 from dataclasses import dataclass
@@ -17,17 +16,21 @@
 from .hashing import HASH_RANGE, combine_hashes
 from .model import Migration
 
-MIGRATION_SALT = (
-    0x6D6F7665  # so that the objects that go first are not those that a cache ranks first
-)
-TARGET_UTILIZATION = (
-    0.65  # part of the receiving caches' capacity that a move may fill: chance and an uneven hash
-)
-# bring some of them half as much again for a second
-MIN_SHIFT_DURATION = 2_000.0
+# Without it the first objects to migrate would be those that a cache ranks first by hash.
+MIGRATION_SALT = 0x6D6F7665
+# Fraction of the receiving caches' capacity that a migration may use: chance and an uneven hash
+# bring some of them half as much again for a second.
+TARGET_UTILIZATION = 0.65
+MIN_SHIFT_DURATION = 2_000.0  # ms
+PROJECTION_STEPS = 2_000  # points in time at which a load is projected
+PROJECTION_MARGIN = 1_000.0  # ms after the shift that are projected too
+MIN_DIVISOR = 1e-9  # in place of 0
+SAME_FRACTION = 1e-9  # migrated fractions that differ by less are equal
 
 
 class MigrationStage(StrEnum):
+    """Where a migration is; the values are words of the assignment file and of `--json`."""
+
     PLANNED = "planned"
     WARM_UP = "warm"
     SHIFT = "shift"
@@ -39,9 +42,15 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationDemand:
-    """What the receiving caches see of a move: requests a second, their present load and capacity
-    together in the same unit, what a fill costs beside a hit (1), the share of hits once warm, and
-    the objects asked for.
+    """What a migration demands of the receiving caches.
+
+    Attributes:
+        rate: Requests a second of the tenants.
+        load: What the caches do already, in hits a second.
+        capacity: What they can do together, in hits a second.
+        fill_cost: Cost of a fill in hits.
+        hit_ratio: Fraction of hits once the caches are warm.
+        object_count: Objects that the tenants ask for.
     """
 
     rate: float
@@ -52,144 +61,175 @@
     object_count: float
 
 
-def _rises(move: Migration, now: float) -> float:
-    """The share while nothing holds or aborts it."""
-    since = now - move.starts_at
-    if since <= 0.0:
-        return 0.0
-    if since < move.warm_up_duration:
-        return move.warm_up_fraction * since / move.warm_up_duration
-    warmed = move.warm_up_fraction if move.warm_up_duration > 0.0 else 0.0
-    since -= move.warm_up_duration
-    return (
-        warmed + (1.0 - warmed) * since / move.shift_duration
-        if since < move.shift_duration
-        else 1.0
-    )
+@dataclass(slots=True, frozen=True)
+class ProjectedLoad:
+    """The load of the receiving caches at one time of a migration.
 
+    Attributes:
+        elapsed: Milliseconds since the start.
+        fraction: The migrated fraction.
+        utilization: The load over the capacity.
+    """
+
+    elapsed: float
+    fraction: float
+    utilization: float
 
-def _frozen(move: Migration, now: float) -> float:
-    """The time by the move's own clock, which stands while it is held."""
-    if not move.paused_at or now < move.paused_at:
+
+def _planned_fraction(migration: Migration, now: float) -> float:
+    """Returns the migrated fraction as if nothing paused or aborted the migration."""
+    elapsed = now - migration.starts_at
+    if elapsed <= 0.0:
+        return 0.0
+    if elapsed < migration.warm_up_duration:
+        return migration.warm_up_fraction * elapsed / migration.warm_up_duration
+    warm_fraction = migration.warm_up_fraction if migration.warm_up_duration > 0.0 else 0.0
+    elapsed -= migration.warm_up_duration
+    if elapsed >= migration.shift_duration:
+        return 1.0
+    return warm_fraction + (1.0 - warm_fraction) * elapsed / migration.shift_duration
+
+
+def _without_pause(migration: Migration, now: float) -> float:
+    """Returns the time by the migration's own clock, which stands still in a pause."""
+    if not migration.paused_at or now < migration.paused_at:
         return now
-    if not move.resumed_at or now < move.resumed_at:
-        return move.paused_at
-    return now - (move.resumed_at - move.paused_at)
+    if not migration.resumed_at or now < migration.resumed_at:
+        return migration.paused_at
+    return now - (migration.resumed_at - migration.paused_at)
 
 
-def _back_for(move: Migration) -> float:
-    return max(move.shift_duration, 1.0)
+def _rollback_duration(migration: Migration) -> float:
+    return max(migration.shift_duration, 1.0)
 
 
-def migrated_fraction(move: Migration, now: float) -> float:
-    """The share of objects that stand in the new cell, 0 to 1."""
-    if not move.aborted_at or now < move.aborted_at:
-        return _rises(move, _frozen(move, now))
-    reached = _rises(move, _frozen(move, move.aborted_at))
-    return max(0.0, reached - (now - move.aborted_at) / _back_for(move))
+def migrated_fraction(migration: Migration, now: float) -> float:
+    """Returns the fraction of objects that belong to the new cell, 0 to 1."""
+    if not migration.aborted_at or now < migration.aborted_at:
+        return _planned_fraction(migration, _without_pause(migration, now))
+    reached = _planned_fraction(migration, _without_pause(migration, migration.aborted_at))
+    return max(0.0, reached - (now - migration.aborted_at) / _rollback_duration(migration))
 
 
-def completes_at(move: Migration) -> float:
-    """When it is done, by its own clock."""
-    return move.starts_at + move.warm_up_duration + move.shift_duration + move.drain_duration
+def completes_at(migration: Migration) -> float:
+    """Returns when the migration is done, by its own clock."""
+    return (
+        migration.starts_at
+        + migration.warm_up_duration
+        + migration.shift_duration
+        + migration.drain_duration
+    )
 
 
-def ended_at(move: Migration) -> float | None:
-    """When it is done or all has gone back; None: held."""
-    if move.aborted_at:
-        return move.aborted_at + migrated_fraction(move, move.aborted_at) * _back_for(move)
-    if not move.paused_at or completes_at(move) <= move.paused_at:
-        return completes_at(move)
-    return completes_at(move) + move.resumed_at - move.paused_at if move.resumed_at else None
+def ended_at(migration: Migration) -> float | None:
+    """Returns when all is done or has gone back; None while it is paused."""
+    if migration.aborted_at:
+        reached = migrated_fraction(migration, migration.aborted_at)
+        return migration.aborted_at + reached * _rollback_duration(migration)
+    if not migration.paused_at or completes_at(migration) <= migration.paused_at:
+        return completes_at(migration)
+    if not migration.resumed_at:
+        return None
+    return completes_at(migration) + migration.resumed_at - migration.paused_at
 
 
-def is_same_course(one: Migration, other: Migration, now: float) -> bool:
-    """Whether both are the same move, at the same point now; what is still to come may differ."""
-    alike = (
-        "tenants",
-        "source",
-        "target",
-        "warm_up_duration",
-        "shift_duration",
-        "drain_duration",
-        "warm_up_fraction",
-    )
+def is_same_course(first: Migration, second: Migration, now: float) -> bool:
+    """Returns whether both are one migration at one point now; its future may differ."""
     return (
-        all(getattr(one, name) == getattr(other, name) for name in alike)
-        and abs(migrated_fraction(one, now) - migrated_fraction(other, now)) < 1e-9
+        first.tenants == second.tenants
+        and first.source == second.source
+        and first.target == second.target
+        and first.warm_up_duration == second.warm_up_duration
+        and first.shift_duration == second.shift_duration
+        and first.drain_duration == second.drain_duration
+        and first.warm_up_fraction == second.warm_up_fraction
+        and abs(migrated_fraction(first, now) - migrated_fraction(second, now)) < SAME_FRACTION
     )
 
 
-def stage_at(move: Migration, now: float) -> MigrationStage:
-    if move.aborted_at and now >= move.aborted_at:
-        if _frozen(move, move.aborted_at) >= completes_at(move):
-            return (
-                MigrationStage.DONE
-            )  # too late to go back by an abort; a new move takes them back
-        return (
-            MigrationStage.ROLLING_BACK
-            if migrated_fraction(move, now) > 0.0
-            else MigrationStage.ABORTED
-        )
-    at = _frozen(move, now) - move.starts_at
-    for name, span in (
+def stage_at(migration: Migration, now: float) -> MigrationStage:
+    """Returns the stage at a time."""
+    if migration.aborted_at and now >= migration.aborted_at:
+        if _without_pause(migration, migration.aborted_at) >= completes_at(migration):
+            # Too late for an abort; another migration takes the tenants back.
+            return MigrationStage.DONE
+        if migrated_fraction(migration, now) > 0.0:
+            return MigrationStage.ROLLING_BACK
+        return MigrationStage.ABORTED
+    remaining = _without_pause(migration, now) - migration.starts_at
+    for stage, duration in (
         (MigrationStage.PLANNED, 0.0),
-        (MigrationStage.WARM_UP, move.warm_up_duration),
-        (MigrationStage.SHIFT, move.shift_duration),
-        (MigrationStage.DRAIN, move.drain_duration),
+        (MigrationStage.WARM_UP, migration.warm_up_duration),
+        (MigrationStage.SHIFT, migration.shift_duration),
+        (MigrationStage.DRAIN, migration.drain_duration),
     ):
-        at -= span
-        if at < 0.0:
-            return name
+        remaining -= duration
+        if remaining < 0.0:
+            return stage
     return MigrationStage.DONE
 
 
-def is_migrated(move: Migration, key: int, share: float) -> bool:
-    """Whether an object stands in the new cell when that share has gone over."""
-    return combine_hashes(key, MIGRATION_SALT) / HASH_RANGE < share
+def is_migrated(migration: Migration, key: int, fraction: float) -> bool:
+    """Returns whether an object belongs to the new cell at a migrated fraction.
+
+    Args:
+        migration: Every one has the same order of objects.
+        key: The object.
+        fraction: The migrated fraction.
+    """
+    return combine_hashes(key, MIGRATION_SALT) / HASH_RANGE < fraction
 
 
-def is_in_progress(move: Migration, now: float) -> bool:
-    """Whether both cells still have a part in it."""
-    return stage_at(move, now) not in (
+def is_in_progress(migration: Migration, now: float) -> bool:
+    """Returns whether both cells take part in it."""
+    return stage_at(migration, now) not in (
         MigrationStage.PLANNED,
         MigrationStage.DONE,
         MigrationStage.ABORTED,
     )
 
 
-def max_published_fraction(move: Migration, now: float) -> float:
-    """The largest share that any version of the move has had up to now."""
-    return _rises(move, now)
+def max_published_fraction(migration: Migration, now: float) -> float:
+    """Returns the largest migrated fraction that any version of the file has had up to now."""
+    return _planned_fraction(migration, now)
 
 
-def project_load(move: Migration, demand: MigrationDemand) -> list[tuple[float, float, float]]:
-    """(ms from the start, share over, load on the receiving caches over their capacity) along the
-    course. An object is filled when it is first looked up in its new place, so those that came at
-    once are filled as fast as requests find them; of what is there, the usual share is.
+def project_load(migration: Migration, demand: MigrationDemand) -> list[ProjectedLoad]:
+    """Returns the load of the receiving caches along the course of a migration.
+
+    An object is filled when it is first requested in its new cell, so objects that migrated at once
+    are filled as fast as requests find them; the others have the usual hit ratio.
     """
-    span = move.warm_up_duration + move.shift_duration + 1_000.0
-    step = max(1.0, span / 2_000.0)
-    found, lacking, before, at = [], 0.0, 0.0, 0.0
-    while at <= span:
-        share = migrated_fraction(move, move.starts_at + at)
-        lacking += max(0.0, share - before) * demand.object_count
-        rate, part = demand.rate * share, lacking / max(share * demand.object_count, 1e-9)
-        first = rate * min(1.0, part)
-        fills = first + (rate - first) * (1.0 - demand.hit_ratio)
+    duration = migration.warm_up_duration + migration.shift_duration + PROJECTION_MARGIN
+    step = max(1.0, duration / PROJECTION_STEPS)
+    projected: list[ProjectedLoad] = []
+    missing_objects = 0.0
+    previous_fraction = 0.0
+    elapsed = 0.0
+    while elapsed <= duration:
+        fraction = migrated_fraction(migration, migration.starts_at + elapsed)
+        missing_objects += max(0.0, fraction - previous_fraction) * demand.object_count
+        rate = demand.rate * fraction
+        migrated_objects = max(fraction * demand.object_count, MIN_DIVISOR)
+        first_requests = rate * min(1.0, missing_objects / migrated_objects)
+        fills = first_requests + (rate - first_requests) * (1.0 - demand.hit_ratio)
         load = demand.load + rate + fills * (demand.fill_cost - 1.0)
-        found.append((at, share, load / demand.capacity))
-        lacking = max(0.0, lacking - first * step / 1_000.0)
-        before, at = share, at + step
-    return found
+        projected.append(ProjectedLoad(elapsed, fraction, load / demand.capacity))
+        missing_objects = max(0.0, missing_objects - first_requests * step / 1_000.0)
+        previous_fraction = fraction
+        elapsed += step
+    return projected
 
 
 def min_shift_duration(demand: MigrationDemand) -> float | None:
-    """The shortest shift (ms) that keeps the receiving caches under HEAD_ROOM; None: they can't
-    bear the tenants even when warm. At the end all requests come and the last objects are new.
+    """Returns the shortest shift (ms) that keeps the receiving caches under their target.
+
+    At its end all requests come and the last objects are new. None: the caches cannot serve the
+    tenants even when they are warm.
     """
-    room = TARGET_UTILIZATION * demand.capacity - demand.load - demand.rate
-    fills = room / max(demand.fill_cost - 1.0, 1e-9) - demand.rate * (1.0 - demand.hit_ratio)
+    spare = TARGET_UTILIZATION * demand.capacity - demand.load - demand.rate
+    usual_fills = demand.rate * (1.0 - demand.hit_ratio)
+    fills = spare / max(demand.fill_cost - 1.0, MIN_DIVISOR) - usual_fills
     if fills <= 0.0:
         return None
     return max(MIN_SHIFT_DURATION, 1000.0 * demand.object_count / fills)
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -1,100 +1,148 @@
-"""Whose request it is: by the client's own word, else its address, else the object's group, else
-the default.
+"""Whose request it is: by the client's own word, its address or the object's group; pure.
 
-Addresses and groups are looked up by bisection, so that a table of many thousand tenants costs a
-request little.
+Addresses and groups are found by bisection, so that a request costs little also with many thousand
+tenants. Not thread-safe: the admission controller's lock guards the cache of addresses.
 """
 
 import ipaddress
 from bisect import bisect_right
+from dataclasses import dataclass
 
 from ..errors import ConfigError
 from .model import TO_DEFAULT, Assignment
 
+MAX_CACHED_ADDRESSES = 4096  # clients' addresses whose tenant is kept
+
+
+@dataclass(slots=True, frozen=True)
+class NamedRange:
+    """A range of numbers, both ends included, that belongs to a tenant."""
+
+    first: int
+    last: int
+    tenant: str
+
 
 class RangeIndex:
-    """Numbers to names by ranges that may hold one another, but never cross: the smallest that
-    holds it wins.
+    """Finds the tenant of a number by ranges that may contain one another, but never cross.
+
+    The smallest range that contains a number wins.
     """
 
-    def __init__(self, ranges: list[tuple[int, int, str]], what: str) -> None:
-        self.starts: list[int] = []
-        self.names: list[str] = []
-        stack: list[
-            tuple[int, str]
-        ] = []  # ends and names of the ranges that hold the present place
-        for first, last, name in sorted(ranges, key=lambda held: (held[0], -held[1])):
-            while stack and stack[-1][0] < first:
-                self._after(stack)
-            if stack and (
-                last > stack[-1][0]
-                or (self.starts[-1:] == [first] and last == stack[-1][0] and name != stack[-1][1])
-            ):
-                raise ConfigError(f"[tenant {name}] {what}: crosses that of tenant {stack[-1][1]}")
-            self._begin(first, name)
-            stack.append((last, name))
-        while stack:
-            self._after(stack)
-
-    def _begin(self, place: int, name: str) -> None:
-        if self.starts and self.starts[-1] == place:
-            self.names[-1] = name
-        else:
-            self.starts.append(place)
-            self.names.append(name)
+    def __init__(self, ranges: list[NamedRange], key: str) -> None:
+        """Builds the index.
 
-    def _after(self, stack: list[tuple[int, str]]) -> None:
-        end, _ = stack.pop()
-        self._begin(end + 1, stack[-1][1] if stack else "")
+        Args:
+            ranges: The ranges of all tenants, in any order.
+            key: Key of the assignment file that they come from, for messages.
+
+        Raises:
+            ConfigError: If two ranges cross, or two tenants have the same.
+        """
+        # From _starts[i] on, up to the next start, numbers belong to _tenants[i].
+        self._starts: list[int] = []
+        self._tenants: list[str] = []
+        enclosing: list[NamedRange] = []  # those that contain the present number, outermost first
+        for entry in sorted(ranges, key=lambda entry: (entry.first, -entry.last)):
+            while enclosing and enclosing[-1].last < entry.first:
+                self._end_innermost(enclosing)
+            if enclosing and self._crosses(entry, enclosing[-1]):
+                raise ConfigError(
+                    f"crosses that of tenant {enclosing[-1].tenant}",
+                    section=f"tenant {entry.tenant}",
+                    key=key,
+                )
+            self._begin(entry.first, entry.tenant)
+            enclosing.append(entry)
+        while enclosing:
+            self._end_innermost(enclosing)
 
     def find(self, number: int) -> str:
-        place = bisect_right(self.starts, number) - 1
-        return self.names[place] if place >= 0 else ""
+        """Returns the tenant of a number; empty if no range contains it."""
+        index = bisect_right(self._starts, number) - 1
+        return self._tenants[index] if index >= 0 else ""
+
+    def _crosses(self, entry: NamedRange, enclosing: NamedRange) -> bool:
+        if entry.last > enclosing.last:
+            return True
+        has_same_start = self._starts[-1:] == [entry.first]
+        is_same_range = has_same_start and entry.last == enclosing.last
+        return is_same_range and entry.tenant != enclosing.tenant
+
+    def _begin(self, number: int, tenant: str) -> None:
+        """Numbers from this one on belong to the tenant."""
+        if self._starts and self._starts[-1] == number:
+            self._tenants[-1] = tenant
+        else:
+            self._starts.append(number)
+            self._tenants.append(tenant)
+
+    def _end_innermost(self, enclosing: list[NamedRange]) -> None:
+        ended = enclosing.pop()
+        self._begin(ended.last + 1, enclosing[-1].tenant if enclosing else "")
 
 
 class TenantResolver:
-    def __init__(self, charter: Assignment) -> None:
-        """Raises ConfigError where ranges of two tenants cross."""
-        self.assignment, self.addresses_kept = charter, 4096
-        by_version: dict[int, list[tuple[int, int, str]]] = {4: [], 6: []}
-        groups = []
-        for tenant in charter.tenants.values():
+    """Finds the tenant of a request by one version of the assignment."""
+
+    def __init__(self, assignment: Assignment) -> None:
+        """Builds the indexes.
+
+        Raises:
+            ConfigError: If ranges of two tenants cross.
+        """
+        self.assignment = assignment
+        networks: dict[int, list[NamedRange]] = {4: [], 6: []}  # by version of IP
+        groups: list[NamedRange] = []
+        for tenant in assignment.tenants.values():
             for text in tenant.addresses:
                 network = ipaddress.ip_network(text)
-                by_version[network.version].append(
-                    (int(network.network_address), int(network.broadcast_address), tenant.name)
-                )
-            groups += [(first, last, tenant.name) for first, last in tenant.groups]
-        self.by_address = {
-            version: RangeIndex(held, "addresses") for version, held in by_version.items()
+                first = int(network.network_address)
+                last = int(network.broadcast_address)
+                networks[network.version].append(NamedRange(first, last, tenant.name))
+            groups += [NamedRange(first, last, tenant.name) for first, last in tenant.groups]
+        self._by_address = {
+            version: RangeIndex(ranges, "addresses") for version, ranges in networks.items()
         }
-        self.by_group = RangeIndex(groups, "groups")
-        self.seen: dict[str, str] = {}
+        self._by_group = RangeIndex(groups, "groups")
+        self._cached_addresses: dict[str, str] = {}
 
     def tenant_of_address(self, address: str) -> str:
-        """The tenant whose ranges hold the address; empty: none does, or it is none."""
+        """Returns the tenant whose ranges contain an address; empty if there is none.
+
+        A text that is no address has no tenant. Answers are kept for the next request.
+        """
         if not address:
             return ""
-        if (known := self.seen.get(address)) is None:
-            try:
-                parsed = ipaddress.ip_address(address)
-                known = self.by_address[parsed.version].find(int(parsed))
-            except ValueError:
-                known = ""
-            if len(self.seen) >= self.addresses_kept:
-                self.seen.clear()
-            self.seen[address] = known
-        return known
-
-    def resolve(self, told: str, address: str, group: int) -> str | None:
-        """The tenant of a request; None: it is to be rejected. A told name that is in no table is
-        unknown whatever else would fit: a typing fault must not land on another's account.
+        tenant = self._cached_addresses.get(address)
+        if tenant is None:
+            tenant = self._find_address(address)
+            if len(self._cached_addresses) >= MAX_CACHED_ADDRESSES:
+                self._cached_addresses.clear()
+            self._cached_addresses[address] = tenant
+        return tenant
+
+    def _find_address(self, address: str) -> str:
+        try:
+            parsed = ipaddress.ip_address(address)
+        except ValueError:
+            return ""
+        return self._by_address[parsed.version].find(int(parsed))
+
+    def resolve(self, tenant_name: str, address: str, group: int) -> str | None:
+        """Returns the tenant of a request; None: the request is to be rejected.
+
+        Args:
+            tenant_name: As the client gave it; empty: it gave none. A name that is in no table is
+                unknown whatever else would fit: a typing error must not use another's quota.
+            address: Of the client.
+            group: Of the object.
         """
         tenants = self.assignment.tenants
-        if told:
-            if told in tenants:
-                return told
-        elif found := self.tenant_of_address(address) or self.by_group.find(group):
+        if tenant_name:
+            if tenant_name in tenants:
+                return tenant_name
+        elif found := self.tenant_of_address(address) or self._by_group.find(group):
             return found
         if self.assignment.unknown_tenant_policy == TO_DEFAULT and self.assignment.default_tenant:
             return self.assignment.default_tenant
--- a/tests/cells/test_governor.py
+++ b/tests/cells/test_governor.py
@@ -94,12 +94,12 @@
         slow = ruled.ask(key=turn)
         words.append(ruled.done(slow, delay=5.0 if turn < 100 else 300.0))
         ruled.done(ruled.ask("beta", key=turn), delay=5.0)
-    rooms = ruled.governor.cell_states
+    rooms = ruled.governor.cell_quotas.cell_states
     assert (
         rooms["north"].concurrency_limit.current < 30.0
         and rooms["south"].concurrency_limit.current == 100.0
     )
-    assert any("north narrowed" in word for word in words)
+    assert any(word.startswith("cell north: concurrency limit reduced to ") for word in words)
 
 
 # A lost cell
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -11,7 +11,8 @@
 from mulleinrelay.cells import edits, migrations, sticky_routing
 from mulleinrelay.cells.hashing import HASH_RANGE, combine_hashes
 from mulleinrelay.cells.migrations import MigrationDemand, MigrationStage
-from mulleinrelay.cells.placement import Placement, PlacementFailure
+from mulleinrelay.cells.placement import Placement
+from mulleinrelay.cells.placement_types import PlacementFailure, PlacementRequest
 
 STAGES = [
     (9_999.0, MigrationStage.PLANNED, 0.0),
@@ -98,10 +99,10 @@
     assert (found is not None) == bears
     if bears:
         held = move(shift_duration=found)
-        peak = max(load for _, _, load in migrations.project_load(held, demand))
+        peak = max(point.utilization for point in migrations.project_load(held, demand))
         assert 0.5 < peak <= migrations.TARGET_UTILIZATION + 0.01
         cut = move(warm_up_duration=0.0, shift_duration=1.0)  # all at once
-        assert max(load for _, _, load in migrations.project_load(cut, demand)) > 1.0
+        assert max(point.utilization for point in migrations.project_load(cut, demand)) > 1.0
 
 
 # A client's try at one director and its retry at another, which go by different versions and clocks
@@ -171,7 +172,9 @@
                 0.0, [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
             )
             placement.uncertain_until = 0.0  # what a restart leaves unproven is another matter
-        return placement.place(now + self.skew, "acme", key, request_class, "r", repeated)
+        return placement.place(
+            now + self.skew, PlacementRequest("acme", key, request_class, "r", repeated)
+        )
 
 
 def search(request_class, histories_=histories):
@@ -225,9 +228,9 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        lambda held, key, repeated, *rest: (
+        lambda held, key, history, now, clock_skew: (
             sticky_routing.MigrationSide.TARGET
-            if migrations.is_migrated(held, key, migrations.migrated_fraction(held, rest[2]))
+            if migrations.is_migrated(held, key, migrations.migrated_fraction(held, now))
             else sticky_routing.MigrationSide.SOURCE
         ),  # a retry goes by the share of the moment, as a first try does
     ],
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_staff.py
@@ -11,6 +11,7 @@
 from mulleinrelay.cells.formatter import format_assignment
 from mulleinrelay.cells.parser import parse_assignment
 from mulleinrelay.cells.placement import Placement
+from mulleinrelay.cells.placement_types import PlacementRequest
 
 SPANS = edits.StageDurations(500.0, 2_000.0, 500.0)
 CACHES = [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
@@ -32,7 +33,8 @@
         self.looked = self.now
 
     def look(self):
-        return [self.placement.place(self.now, "acme", key, PAGES, "", False).cell for key in KEYS]
+        requests = [PlacementRequest("acme", key, PAGES, "", False) for key in KEYS]
+        return [self.placement.place(self.now, request).cell for request in requests]
 
     def change(self, make):
         try:
