--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -296,11 +296,11 @@
     ) -> Candidate:
         body_kb = request.body_bytes / 1024.0
         candidate = Candidate(
-            tenant=tenant,
-            tenant_weight=self.assignment.tenants[tenant].weight,
-            tenant_state=state,
-            cell=self.assignment.cells[placement.cell],
-            body_kb=body_kb,
+            tenant,
+            self.assignment.tenants[tenant].weight,
+            state,
+            self.assignment.cells[placement.cell],
+            body_kb,
             slots=1.0 + body_kb / BODY_KB_PER_SLOT,
         )
         if placement.failed_over_from:
@@ -341,11 +341,11 @@
 
 def _placement_request(tenant: str, request: AdmissionRequest) -> PlacementRequest:
     return PlacementRequest(
-        tenant=tenant,
-        key=request.key_number(),
-        request_class=request.request_class,
-        idempotency_key=request.idempotency_key,
-        is_retry=request.is_retry,
+        tenant,
+        request.key_number(),
+        request.request_class,
+        request.idempotency_key,
+        request.is_retry,
     )
 
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -154,16 +154,16 @@
         self.cell_shares.acquire(limits.cell_share, candidate.slots)
         state.open_body_kb += candidate.body_kb
         return AdmissionGrant(
-            tenant=candidate.tenant,
-            cell=candidate.cell.name,
-            pool=pool,
-            slots=candidate.slots,
-            body_kb=candidate.body_kb,
-            tenant_state=state,
-            cell_state=cell_state,
-            share=limits.share,
-            cell_share=limits.cell_share,
-            failover_quota=candidate.failover_quota,
+            candidate.tenant,
+            candidate.cell.name,
+            pool,
+            candidate.slots,
+            candidate.body_kb,
+            state,
+            cell_state,
+            limits.share,
+            limits.cell_share,
+            candidate.failover_quota,
         )
 
     def release(self, grant: AdmissionGrant) -> None:
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -1,11 +1,12 @@
-"""`mulleinrelay cells`: for staff, on the assignment file and on what directors tell of
-themselves.
+"""`mulleinrelay cells`: operators' commands on the assignment file and directors' records.
+
+Docstrings of commands are their help texts. What commands print is in `presentation`.
 """
 
 import os
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from typing import Any
 
@@ -14,23 +15,24 @@
 
 from ..errors import ConfigError
 from ..records import read_logs, read_states
-from . import edits, migrations, store
-from .hashing import home_cells
+from . import edits, explanations, migrations, presentation, store
+from .command_options import (
+    FILE,
+    JSON,
+    RECORDS,
+    MigrationOptions,
+    RolloutOptions,
+    migration_options,
+)
 from .migrations import MigrationDemand
-from .model import Assignment, Limits, Rollout
+from .model import Assignment
+from .presentation import Report
 
-BAD_FILE, REFUSED = 2, 3
+# Exit codes
+UNUSABLE_FILE = 2
+REJECTED = 3
 
-FILE = click.option(
-    "--file",
-    "path",
-    metavar="FILE",
-    envvar="MULLEINRELAY_ASSIGNMENT",
-    required=True,
-    help="The assignment file (default: $MULLEINRELAY_ASSIGNMENT).",
-)
-RECORDS = click.option("--records", metavar="FOLDER", help="Where directors keep their records.")
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
+PLANNED_NAME = "planned"  # of the migration that `plan` makes up
 
 
 @click.group()
@@ -43,352 +45,225 @@
 
 
 @contextmanager
-def faults():
-    """Ends the command with its exit code where a file or a change is no good."""
+def exit_on_errors() -> Iterator[None]:
+    """Ends the command with its exit code where a file or a change cannot be used."""
     try:
         yield
-    except ConfigError as wrong:
-        click.echo(f"mulleinrelay: {wrong}", err=True)
-        sys.exit(BAD_FILE)
-    except edits.EditRejectedError as why:
-        click.echo(f"mulleinrelay: refused: {why}", err=True)
-        sys.exit(REFUSED)
-    except OSError as wrong:
-        click.echo(f"mulleinrelay: {wrong.filename}: {wrong.strerror}", err=True)
-        sys.exit(BAD_FILE)
+    except ConfigError as error:
+        click.echo(f"mulleinrelay: {error}", err=True)
+        sys.exit(UNUSABLE_FILE)
+    except edits.EditRejectedError as error:
+        click.echo(f"mulleinrelay: refused: {error}", err=True)
+        sys.exit(REJECTED)
+    except OSError as error:
+        click.echo(f"mulleinrelay: {error.filename}: {error.strerror}", err=True)
+        sys.exit(UNUSABLE_FILE)
 
 
 def now_ms() -> float:
+    """Returns Unix milliseconds."""
     return time.time() * 1000.0
 
 
-def tell(as_json: bool, whole: dict[str, Any], lines: list[str]) -> None:
+def print_report(as_json: bool, report: Report) -> None:
+    """Prints the output of a command."""
     if as_json:
-        click.echo(orjson.dumps(whole))
+        click.echo(orjson.dumps(report.data))
     else:
-        for line in lines:
+        for line in report.lines:
             click.echo(line)
 
 
-def audit(path: str) -> Any:
-    """The log of what staff changed, beside the file: one JSON line a change."""
-    import structlog
+def record_change(path: str, event: str, figures: dict[str, Any]) -> None:
+    """Appends one JSON line to the log of operators' changes beside the file."""
+    import structlog  # here, as most commands change nothing and start faster without it
 
-    file = open(f"{path}.log", "ab")  # closed with the process
-    return structlog.wrap_logger(
-        structlog.BytesLogger(file),
-        processors=[
-            structlog.processors.TimeStamper(key="at"),
-            structlog.processors.JSONRenderer(serializer=orjson.dumps),
-        ],
-    )
+    with open(f"{path}.log", "ab") as file:
+        log = structlog.wrap_logger(
+            structlog.BytesLogger(file),
+            processors=[
+                structlog.processors.TimeStamper(key="at"),
+                structlog.processors.JSONRenderer(serializer=orjson.dumps),
+            ],
+        )
+        log.info(event, **figures)
 
 
-def change(
-    path: str, what: str, make: Callable[[Assignment], Assignment], **figures: Any
+def change_assignment(
+    path: str, event: str, edit: Callable[[Assignment], Assignment], **figures: Any
 ) -> Assignment:
-    """Writes the next version and notes who did what in the log; raises ConfigError,
-    changes.RefusalError."""
+    """Writes the next version and records who made it.
+
+    Args:
+        path: The assignment file.
+        event: What is recorded as the change's kind.
+        edit: Makes the next version of the present one.
+        figures: What else is recorded.
+
+    Returns:
+        The version that was written.
+
+    Raises:
+        ConfigError: If the file cannot be used or written.
+        EditRejectedError: If the change breaks a rule.
+    """
     with store.exclusive_writer(path):
         old = store.load_assignment(path)
-        new = store.save_assignment(path, make(old), round(now_ms()), old.version)
-    audit(path).info(what, version=new.version, by=os.environ.get("USER", ""), **figures)
+        new = store.save_assignment(path, edit(old), round(now_ms()), old.version)
+    author = {"version": new.version, "by": os.environ.get("USER", "")}
+    record_change(path, event, author | figures)
     return new
 
 
-@cells.command()
+@cells.command("show")
 @FILE
 @RECORDS
 @JSON
 def show(path: str, records: str | None, as_json: bool) -> None:
     """Cells, tenants, moves and releases; with --records, what each director makes of them."""
-    with faults():
-        charter, now = store.load_assignment(path), now_ms()
-        at, states = home_cells(charter), read_states(records) if records else []
-    held = {
-        name: sorted(tenant for tenant, home in at.items() if home == name)
-        for name in charter.cells
-    }
-    going = {
-        name: {
-            "from": move.source,
-            "to": move.target,
-            "tenants": list(move.tenants),
-            "stage": migrations.stage_at(move, now).value,
-            "share": round(migrations.migrated_fraction(move, now), 4),
-        }
-        for name, move in charter.migrations.items()
-    }
-    whole = {
-        "version": charter.version,
-        "cells": held,
-        "moves": going,
-        "releases": {
-            name: {"canary": one.canary, "taken_back": one.is_rolled_back}
-            for name, one in charter.rollouts.items()
-        },
-        "directors": states,
-    }
-    lines = [f"version {charter.version}, {len(at)} tenants in {len(charter.cells)} cells"]
-    for name, tenants in held.items():
-        few = " ".join(tenants[:8]) + (" ..." if len(tenants) > 8 else "")
-        lines.append(f"  cell {name}: {len(tenants)} tenants: {few}")
-    lines += [
-        f"  move {name}: {one['stage']}, {one['share']:.2f} of {' '.join(one['tenants'])} from "
-        f"{one['from']} in {one['to']}"
-        for name, one in going.items()
-    ]
-    lines += [
-        f"  release {name}: canary {one.canary}{', taken back' if one.is_rolled_back else ''}"
-        for name, one in charter.rollouts.items()
-    ]
-    for state in states:
-        behind = "" if state.get("version") == charter.version else " (NOT the file's version)"
-        old = now - state.get("at", 0.0)
-        lines.append(
-            f"  director {state['director']}: version {state.get('version')}{behind}, told "
-            f"{old / 1000.0:.0f} s ago, {state.get('open', 0):.0f} open"
-        )
-        for name, cell in state.get("cells", {}).items():
-            lines.append(
-                f"    {name}: {'LOST' if cell['lost'] else str(len(cell['caches'])) + ' caches'}, open "
-                f"{cell['open']:.0f} of {cell['width']:.0f}, served {cell['served']} of "
-                f"{cell['settled']}, turned away {cell['denied']}"
-            )
-    tell(as_json, whole, lines)
+    with exit_on_errors():
+        assignment = store.load_assignment(path)
+        now = now_ms()
+        states = read_states(records) if records else []
+    print_report(as_json, presentation.overview(assignment, states, now))
 
 
-@cells.command()
+@cells.command("explain")
 @click.argument("what")
 @FILE
 @click.option("--tenant", metavar="TENANT", help="Whose object it is, where WHAT is an object.")
 @JSON
 def explain(what: str, path: str, tenant: str | None, as_json: bool) -> None:
     """Why TENANT, or an OBJECT (16 hex digits) of --tenant, stands in its cell."""
-    with faults():
-        charter, now = store.load_assignment(path), now_ms()
+    with exit_on_errors():
+        assignment = store.load_assignment(path)
+        now = now_ms()
         if tenant is None:
-            found = edits.explain_tenant(charter, what, now)
+            found = explanations.explain_tenant(assignment, what, now)
         else:
-            try:
-                key = int(what, 16)
-            except ValueError:
-                raise click.UsageError(f"{what!r} is no object: 16 hex digits are wanted") from None
-            found = edits.explain_object(charter, tenant, key, now)
-    tell(as_json, found, [f"{key}: {_worded(value)}" for key, value in found.items()])
-
-
-def _worded(value: Any) -> str:
-    if isinstance(value, list):
-        return " ".join(str(one) for one in value) or "none"
-    if isinstance(value, dict):
-        return ", ".join(f"{key} {one}" for key, one in value.items()) or "none"
-    return str(value)
-
-
-def move_options(command: Any) -> Any:
-    """What the receiving caches are to bear, at each location, and how long the stages are."""
-    for name, default, text in (
-        ("--drain-ms", 30_000.0, "The old caches still fill so long."),
-        ("--shift-ms", None, "Reckoned from the demand where left out."),
-        ("--warm-ms", 10_000.0, "The first few objects go over so long."),
-    ):
-        command = click.option(
-            name, type=float, default=default, show_default=default is not None, help=text
-        )(command)
-    for name, default, text in reversed(
-        (
-            ("--rate", None, "Requests a second of the tenants, at the peak."),
-            ("--capacity", None, "What the receiving caches can do, in hits a second."),
-            ("--load", 0.0, "What they do already."),
-            ("--fill-cost", 4.0, "What a fill costs beside a hit."),
-            ("--hit-share", 0.9, "Share of hits once warm."),
-            ("--objects", None, "Objects of the tenants that are asked for in some minutes."),
-        )
-    ):
-        command = click.option(
-            name, type=float, default=default, show_default=default is not None, help=text
-        )(command)
-    return command
-
-
-def demand_from(
-    rate: float | None,
-    capacity: float | None,
-    load: float,
-    fill_cost: float,
-    hit_share: float,
-    objects: float | None,
-) -> MigrationDemand | None:
-    told = [one is not None for one in (rate, capacity, objects)]
-    if not any(told):
-        return None
-    if not all(told):
-        raise click.UsageError("--rate, --capacity and --objects go together")
-    return MigrationDemand(rate, load, capacity, fill_cost, hit_share, objects)
-
-
-def spans_for(
-    demand: MigrationDemand | None, warm: float, shift: float | None, drain: float
-) -> edits.StageDurations:
-    if shift is not None:
-        return edits.StageDurations(warm, shift, drain)
-    if demand is None:
-        raise click.UsageError(
-            "either --shift-ms, or --rate, --capacity and --objects, from which it is reckoned"
-        )
-    return edits.durations_for_demand(demand, warm, drain)
+            found = explanations.explain_object(assignment, tenant, _object_key(what), now)
+    print_report(as_json, presentation.explanation(found))
+
+
+def _object_key(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise click.UsageError(f"{text!r} is no object: 16 hex digits are wanted") from error
 
 
-@cells.command()
+@cells.command("plan")
 @click.argument("tenants", nargs=-1, required=True)
 @click.option("--to", "target", required=True, metavar="CELL")
 @FILE
-@move_options
+@migration_options
 @JSON
-def plan(
-    tenants: tuple[str, ...],
-    target: str,
-    path: str,
-    warm_ms: float,
-    shift_ms: float | None,
-    drain_ms: float,
-    as_json: bool,
-    **demand_told: Any,
-) -> None:
+def plan(tenants: tuple[str, ...], target: str, path: str, as_json: bool, **given: Any) -> None:
     """What a move would look like; nothing is changed."""
-    with faults():
-        charter, now = store.load_assignment(path), now_ms()
-        demand = demand_from(**demand_told)
-        spans = spans_for(demand, warm_ms, shift_ms, drain_ms)
-        move = edits.start_migration(charter, "planned", tenants, target, now, spans).migrations[
-            "planned"
-        ]
-    course = migrations.project_load(move, demand or MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0))
-    peak = max(point.utilization for point in course) if demand else None
-    told = [
-        {
-            "after_ms": round(point.elapsed),
-            "share": round(point.fraction, 3),
-            "load": round(point.utilization, 3) if demand else None,
-        }
-        for point in course[:: max(1, len(course) // 10)]
-    ]
-    whole = {
-        "from": move.source,
-        "to": target,
-        "tenants": list(tenants),
-        "shift_ms": spans.shift,
-        "lasts_ms": migrations.completes_at(move) - move.starts_at,
-        "peak_load": peak,
-        "course": told,
-    }
-    lines = [
-        f"{' '.join(tenants)}: {move.source} -> {target}, warm {spans.warm_up:.0f} ms, shift {spans.shift:.0f} "
-        f"ms, drain {spans.drain:.0f} ms"
-    ]
-    lines += [
-        f"  +{one['after_ms']:>8} ms  {one['share']:.3f} over"
-        + (f", receiving caches at {one['load']:.2f}" if demand else "")
-        for one in told
-    ]
-    lines += [f"  peak {peak:.2f} of what they may take"] if demand else []
-    tell(as_json, whole, lines)
-    if peak is not None and peak >= 1.0:
+    options = MigrationOptions(**given)
+    with exit_on_errors():
+        assignment = store.load_assignment(path)
+        now = now_ms()
+        demand = options.demand()
+        durations = options.durations(demand)
+        changed = edits.start_migration(assignment, PLANNED_NAME, tenants, target, now, durations)
+    migration = changed.migrations[PLANNED_NAME]
+    any_demand = MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0)  # the fractions are the same for all
+    course = migrations.project_load(migration, demand or any_demand)
+    peak_load = max(point.utilization for point in course) if demand else None
+    print_report(as_json, presentation.migration_plan(migration, durations, course, peak_load))
+    if peak_load is not None and peak_load >= 1.0:
         click.echo(
-            "mulleinrelay: refused: the peak is over what the receiving caches may take; a longer shift",
+            "mulleinrelay: refused: the peak is over what the receiving caches may take; "
+            "a longer shift",
             err=True,
         )
-        sys.exit(REFUSED)
+        sys.exit(REJECTED)
 
 
-@cells.command()
+@cells.command("move")
 @click.argument("tenants", nargs=-1, required=True)
 @click.option("--to", "target", required=True, metavar="CELL")
 @click.option("--name", metavar="NAME", help="Of the move; made up where left out.")
 @FILE
-@move_options
+@migration_options
 @JSON
 def move(
-    tenants: tuple[str, ...],
-    target: str,
-    name: str | None,
-    path: str,
-    warm_ms: float,
-    shift_ms: float | None,
-    drain_ms: float,
-    as_json: bool,
-    **demand_told: Any,
+    tenants: tuple[str, ...], target: str, name: str | None, path: str, as_json: bool, **given: Any
 ) -> None:
     """Move TENANTS to another cell, in service."""
-    with faults():
-        spans = spans_for(demand_from(**demand_told), warm_ms, shift_ms, drain_ms)
+    options = MigrationOptions(**given)
+    with exit_on_errors():
+        durations = options.durations(options.demand())
         name = name or f"m{round(now_ms())}"
-        new = change(
+        new = change_assignment(
             path,
             "move",
-            lambda old: edits.start_migration(old, name, tenants, target, now_ms(), spans),
+            lambda old: edits.start_migration(old, name, tenants, target, now_ms(), durations),
             move=name,
             tenants=list(tenants),
             to=target,
         )
-    made = new.migrations[name]
-    tell(
-        as_json,
-        {"version": new.version, "move": name, "starts": made.starts_at, "shift_ms": spans.shift},
-        [
-            f"version {new.version}: move {name} starts in {(made.starts_at - now_ms()) / 1000.0:.1f} s, takes "
-            f"{(migrations.completes_at(made) - made.starts_at) / 1000.0:.0f} s; stop it with `cells abort {name}`"
-        ],
-    )
+    migration = new.migrations[name]
+    report = presentation.started_migration(new.version, migration, durations, now_ms())
+    print_report(as_json, report)
+
 
+def _add_edit_command(
+    verb: str, help_text: str, edit: Callable[[Assignment, str, float], Assignment]
+) -> None:
+    """Adds a command that changes the migration or rollout NAME."""
 
-def _simple(verb: str, says: str, make: Callable[[Assignment, str, float], Assignment]) -> None:
-    @cells.command(name=verb, help=says)
+    @cells.command(name=verb, help=help_text)
     @click.argument("name")
     @FILE
     @JSON
     def run(name: str, path: str, as_json: bool) -> None:
-        with faults():
-            new = change(path, verb, lambda old: make(old, name, now_ms()), name=name)
-        tell(
-            as_json,
-            {"version": new.version, "name": name},
-            [f"version {new.version}: {verb} {name}"],
+        with exit_on_errors():
+            new = change_assignment(path, verb, lambda old: edit(old, name, now_ms()), name=name)
+        report = Report(
+            {"version": new.version, "name": name}, [f"version {new.version}: {verb} {name}"]
         )
+        print_report(as_json, report)
 
 
-_simple("hold", "Stop a move where it is.", edits.pause_migration)
-_simple("resume", "Let a held move go on.", edits.resume_migration)
-_simple("abort", "Stop a move and let all go back.", edits.abort_migration)
-_simple(
+_add_edit_command("hold", "Stop a move where it is.", edits.pause_migration)
+_add_edit_command("resume", "Let a held move go on.", edits.resume_migration)
+_add_edit_command("abort", "Stop a move and let all go back.", edits.abort_migration)
+_add_edit_command(
     "take-back",
     "Take a release back everywhere.",
     lambda old, name, _: edits.roll_back(old, name),
 )
-_simple(
+_add_edit_command(
     "keep",
     "Make a release's limits those of its tenants.",
     lambda old, name, _: edits.adopt_rollout(old, name),
 )
 
 
-@cells.command()
+@cells.command("end")
 @FILE
 @JSON
 def end(path: str, as_json: bool) -> None:
     """Leave out moves that are over; their tenants stand in the table then."""
-    with faults():
-        done = edits.end_migrations(store.load_assignment(path), now_ms())[1]
+    with exit_on_errors():
+        ended = edits.end_migrations(store.load_assignment(path), now_ms())[1]
         version = store.load_assignment(path).version
-        if done:
-            version = change(
-                path, "end", lambda old: edits.end_migrations(old, now_ms())[0], moves=done
-            ).version
-    tell(as_json, {"version": version, "ended": done}, [f"ended: {' '.join(done) or 'none'}"])
+        if ended:
+            new = change_assignment(
+                path, "end", lambda old: edits.end_migrations(old, now_ms())[0], moves=ended
+            )
+            version = new.version
+    report = Report({"version": version, "ended": ended}, [f"ended: {' '.join(ended) or 'none'}"])
+    print_report(as_json, report)
 
 
-@cells.command()
+@cells.command(
+    "release",
+    help="New limits or layout for tenants, one cell first; each director halts or takes back what "
+    "harms that cell.",
+)
 @click.argument("name")
 @click.option("--canary", required=True, metavar="CELL")
 @click.option(
@@ -401,78 +276,55 @@
 @click.option("--shuffle", type=click.IntRange(0, 10_000), help="Caches of each tenant; 0: all.")
 @FILE
 @JSON
-def release(
-    name: str,
-    canary: str,
-    waves: tuple[str, ...],
-    wave_ms: float,
-    rate: float,
-    open_most: float,
-    retries: float,
-    shuffle: int | None,
-    path: str,
-    as_json: bool,
-) -> None:
-    """New limits or layout for tenants, one cell first; each director halts or takes back what
-    harms that cell.
-    """
-    with faults():
-        new = change(
+def release(name: str, canary: str, path: str, as_json: bool, **given: Any) -> None:
+    """Starts a rollout."""
+    options = RolloutOptions(**given)
+    with exit_on_errors():
+        new = change_assignment(
             path,
             "release",
-            lambda old: edits.start_rollout(
-                old,
-                Rollout(
-                    name,
-                    canary,
-                    tuple(tuple(wave.replace(",", " ").split()) for wave in waves),
-                    now_ms() + old.propagation_time + old.clock_skew,
-                    wave_ms,
-                    Limits(rate=rate, max_open_requests=open_most, retry_ratio=retries),
-                    shuffle_shards=-1 if shuffle is None else shuffle,
-                ),
-            ),
+            lambda old: edits.start_rollout(old, options.rollout(old, name, canary, now_ms())),
             name=name,
             canary=canary,
         )
-    tell(
-        as_json,
+    report = Report(
         {"version": new.version, "release": name},
         [f"version {new.version}: release {name} goes to {canary} first"],
     )
+    print_report(as_json, report)
 
 
-@cells.command()
+@cells.command("log")
 @FILE
 @RECORDS
 @click.option("--last", type=click.IntRange(1, 100_000), default=50, show_default=True)
 @JSON
 def log(path: str, records: str | None, last: int, as_json: bool) -> None:
     """What staff changed and, with --records, how directors followed, in order of time."""
-    with faults():
+    with exit_on_errors():
         lines = read_logs(records) if records else []
+    lines += _operators_changes(path)
+    lines = sorted(lines, key=lambda line: line["at"])[-last:]
+    print_report(as_json, presentation.history(lines))
+
+
+def _operators_changes(path: str) -> list[dict[str, Any]]:
+    """Returns the changes that `record_change` recorded; lines that cannot be read are skipped."""
     try:
         with open(f"{path}.log", "rb") as file:
-            for line in file:
-                try:
-                    held = orjson.loads(line)
-                except ValueError:
-                    continue
-                what = " ".join(
-                    f"{key} {_worded(value)}"
-                    for key, value in held.items()
-                    if key not in ("at", "by")
-                )
-                lines.append({"director": "staff", "at": held.get("at", 0.0), "text": what})
+            texts = list(file)
     except FileNotFoundError:
-        pass
-    lines = sorted(lines, key=lambda line: line["at"])[-last:]
-    tell(
-        as_json,
-        {"lines": lines},
-        [
-            f"{time.strftime('%H:%M:%S', time.gmtime(line['at']))}.{int(line['at'] % 1 * 1000):03d} "
-            f"{line['director']:<12} {line['text']}"
-            for line in lines
-        ],
-    )
+        return []
+    changes = []
+    for text in texts:
+        try:
+            figures = orjson.loads(text)
+        except ValueError:  # cut off by a power cut
+            continue
+        words = [
+            f"{key} {presentation.format_value(value)}"
+            for key, value in figures.items()
+            if key not in ("at", "by")
+        ]
+        changes.append({"director": "staff", "at": figures.get("at", 0.0), "text": " ".join(words)})
+    return changes
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -1,24 +1,25 @@
-"""What staff may change of an assignment, as pure functions from one charter to the next. A change
-that would break a rule is a RefusalError that says why; `saying` what is done is the caller's.
+"""What operators may change of an assignment, as pure functions from one version to the next.
 
-What is to happen at all directors alike is set `spread` ahead, when each of them has read the file.
+A change that would break a rule is an `EditRejectedError`; the caller writes and logs the result.
+What is to happen at all directors at one time is set ahead by the propagation time, when each of
+them has read the file.
 """
 
 from dataclasses import dataclass, replace
 
+from ..errors import MulleinrelayError
 from . import migrations
-from .hashing import hash_name, home_cells, rendezvous_order
-from .model import Assignment, Limits, Migration, Rollout, Tenant
-from .parser import LIMIT_FIELDS_BY_KEY
+from .hashing import home_cells
+from .model import Assignment, Migration, Rollout, Tenant
 
 
-class EditRejectedError(Exception):
+class EditRejectedError(MulleinrelayError):
     """The change can be understood and is not made; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class StageDurations:
-    """Of a move, ms."""
+    """How long the stages of a migration take, ms."""
 
     warm_up: float
     shift: float
@@ -26,62 +27,101 @@
 
 
 def start_migration(
-    charter: Assignment,
+    assignment: Assignment,
     name: str,
     tenants: tuple[str, ...],
     target: str,
     now: float,
-    spans: StageDurations,
+    durations: StageDurations,
     starts_in: float = 0.0,
 ) -> Assignment:
-    if name in charter.migrations:
+    """Adds a migration.
+
+    Args:
+        assignment: The version that is changed.
+        name: Of the migration.
+        tenants: Names of the tenants that migrate.
+        target: Name of the cell that they go to.
+        now: The time.
+        durations: Of its stages.
+        starts_in: It starts after so many ms; no sooner than every director has read of it.
+
+    Raises:
+        EditRejectedError: If the tenants cannot migrate together or are migrating.
+    """
+    if name in assignment.migrations:
         raise EditRejectedError(f"there is a move {name} already")
-    if target not in charter.cells:
+    if target not in assignment.cells:
         raise EditRejectedError(f"there is no cell {target}")
-    at = home_cells(charter)
-    sources = {}
+    source = _common_home(assignment, tenants)
+    if source == target:
+        raise EditRejectedError(f"they stand in {target} already")
+    starts_at = now + max(starts_in, assignment.propagation_time + assignment.clock_skew)
+    migration = Migration(
+        name,
+        tenants,
+        source,
+        target,
+        starts_at,
+        warm_up_duration=durations.warm_up,
+        shift_duration=durations.shift,
+        drain_duration=durations.drain,
+    )
+    changed = _with_migration(assignment, migration)
+    return _with_cell(changed, tenants, source)  # so that no hash places them elsewhere
+
+
+def _common_home(assignment: Assignment, tenants: tuple[str, ...]) -> str:
+    """Returns the cell of all of the tenants, none of which may be migrating."""
+    homes = home_cells(assignment)
     for tenant in tenants:
-        if tenant not in charter.tenants:
+        if tenant not in assignment.tenants:
             raise EditRejectedError(f"there is no tenant {tenant}")
-        if (busy := migration_of(charter, tenant)) is not None:
+        if (migration := migration_of(assignment, tenant)) is not None:
             raise EditRejectedError(
-                f"tenant {tenant} is moved by {busy.name}; abort or end that first"
+                f"tenant {tenant} is moved by {migration.name}; abort or end that first"
             )
-        sources[at[tenant]] = tenant
+    sources = {homes[tenant] for tenant in tenants}
     if len(sources) != 1:
         raise EditRejectedError(
             "the tenants of one move must stand in one cell, not in " + ", ".join(sorted(sources))
         )
-    source = next(iter(sources))
-    if source == target:
-        raise EditRejectedError(f"they stand in {target} already")
-    starts = now + max(starts_in, charter.propagation_time + charter.clock_skew)
-    move = Migration(name, tenants, source, target, starts, spans.warm_up, spans.shift, spans.drain)
-    # no hash moves them
-    people = {tenant: replace(charter.tenants[tenant], cell=source) for tenant in tenants}
-    return replace(
-        charter, migrations=charter.migrations | {name: move}, tenants=charter.tenants | people
-    )
+    return sources.pop()
+
+
+def _with_migration(assignment: Assignment, migration: Migration) -> Assignment:
+    return replace(assignment, migrations=assignment.migrations | {migration.name: migration})
+
+
+def _with_cell(assignment: Assignment, tenants: tuple[str, ...], cell: str) -> Assignment:
+    changed = {name: replace(assignment.tenants[name], cell=cell) for name in tenants}
+    return replace(assignment, tenants=assignment.tenants | changed)
 
 
 def durations_for_demand(
-    demand: migrations.MigrationDemand, warm: float, drain: float
+    demand: migrations.MigrationDemand, warm_up: float, drain: float
 ) -> StageDurations:
-    """The spans of a move that the receiving caches can bear; raises RefusalError where
-    they can't.
+    """Returns the shortest migration that the receiving caches can serve.
+
+    Raises:
+        EditRejectedError: If they cannot serve the tenants at all.
     """
-    found = migrations.min_shift_duration(demand)
-    if found is None:
+    shift = migrations.min_shift_duration(demand)
+    if shift is None:
+        load = demand.load + demand.rate
+        capacity = migrations.TARGET_UTILIZATION * demand.capacity
         raise EditRejectedError(
-            f"the receiving caches can't bear these tenants even when warm: {demand.load + demand.rate:.0f} "
-            f"of {migrations.TARGET_UTILIZATION * demand.capacity:.0f} hits a second, and the misses beside"
+            f"the receiving caches can't bear these tenants even when warm: {load:.0f} "
+            f"of {capacity:.0f} hits a second, and the misses beside"
         )
-    return StageDurations(warm, float(round(found)), drain)
+    return StageDurations(warm_up, float(round(shift)), drain)
 
 
 def rejection_reason(old: Assignment, new: Assignment) -> str:
-    """Why a file that can be read is not taken all the same; empty: it is."""
-    if new.version < old.version or (new.version == old.version and new != old):
+    """Returns why a file that can be read is not put in force; empty: it is."""
+    is_older = new.version < old.version
+    is_same_version_changed = new.version == old.version and new != old
+    if is_older or is_same_version_changed:
         return (
             f"assignment kept at version {old.version}: the file holds version {new.version}, "
             "which is no later one"
@@ -89,194 +129,167 @@
     return ""
 
 
-def migration_of(charter: Assignment, tenant: str) -> Migration | None:
-    return next((move for move in charter.migrations.values() if tenant in move.tenants), None)
+def migration_of(assignment: Assignment, tenant: str) -> Migration | None:
+    """Returns the migration of a tenant; None: it has none."""
+    for migration in assignment.migrations.values():
+        if tenant in migration.tenants:
+            return migration
+    return None
 
 
-def _move(charter: Assignment, name: str) -> Migration:
-    if name not in charter.migrations:
+def _required_migration(assignment: Assignment, name: str) -> Migration:
+    if name not in assignment.migrations:
         raise EditRejectedError(
-            f"there is no move {name}; there are {', '.join(charter.migrations) or 'none'}"
+            f"there is no move {name}; there are {', '.join(assignment.migrations) or 'none'}"
         )
-    return charter.migrations[name]
+    return assignment.migrations[name]
 
 
-def _soon(charter: Assignment, move: Migration, now: float) -> float:
-    return max(move.starts_at, now + charter.propagation_time + charter.clock_skew)
+def _effective_at(assignment: Assignment, migration: Migration, now: float) -> float:
+    """Returns when all directors have read what is written now, no sooner than the start."""
+    return max(migration.starts_at, now + assignment.propagation_time + assignment.clock_skew)
 
 
-def pause_migration(charter: Assignment, name: str, now: float) -> Assignment:
-    """The share stays where it is until it is resumed."""
-    move = _move(charter, name)
-    at = _soon(charter, move, now)
-    if move.aborted_at:
+def pause_migration(assignment: Assignment, name: str, now: float) -> Assignment:
+    """Keeps the migrated fraction where it is, until the migration is resumed.
+
+    Raises:
+        EditRejectedError: If it cannot be paused.
+    """
+    migration = _required_migration(assignment, name)
+    pauses_at = _effective_at(assignment, migration, now)
+    if migration.aborted_at:
         raise EditRejectedError(f"move {name} is aborted")
-    if move.paused_at and not move.resumed_at:
+    if migration.paused_at and not migration.resumed_at:
         raise EditRejectedError(f"move {name} is held already")
-    if move.paused_at and now < move.resumed_at:
-        raise EditRejectedError(
-            f"move {name} is just being resumed; wait {move.resumed_at - now:.0f} ms"
-        )
-    if move.paused_at:  # the pause that is over becomes part of the start
-        move = replace(
-            move, starts_at=move.starts_at + move.resumed_at - move.paused_at, resumed_at=0.0
-        )
-    if migrations.stage_at(replace(move, paused_at=0.0), at) == migrations.MigrationStage.DONE:
+    if migration.paused_at and now < migration.resumed_at:
+        wait = migration.resumed_at - now
+        raise EditRejectedError(f"move {name} is just being resumed; wait {wait:.0f} ms")
+    if migration.paused_at:  # the pause that is over becomes part of the start
+        starts_at = migration.starts_at + migration.resumed_at - migration.paused_at
+        migration = replace(migration, starts_at=starts_at, resumed_at=0.0)
+    running = replace(migration, paused_at=0.0)
+    if migrations.stage_at(running, pauses_at) == migrations.MigrationStage.DONE:
         raise EditRejectedError(f"move {name} is done by then")
-    return replace(charter, migrations=charter.migrations | {name: replace(move, paused_at=at)})
+    return _with_migration(assignment, replace(migration, paused_at=pauses_at))
+
 
+def resume_migration(assignment: Assignment, name: str, now: float) -> Assignment:
+    """Lets a paused migration go on.
 
-def resume_migration(charter: Assignment, name: str, now: float) -> Assignment:
-    move = _move(charter, name)
-    if not move.paused_at or move.resumed_at or move.aborted_at:
+    Raises:
+        EditRejectedError: If it is not paused.
+    """
+    migration = _required_migration(assignment, name)
+    if not migration.paused_at or migration.resumed_at or migration.aborted_at:
         raise EditRejectedError(f"move {name} is not held")
-    at = max(move.paused_at, _soon(charter, move, now))
-    return replace(charter, migrations=charter.migrations | {name: replace(move, resumed_at=at)})
+    resumes_at = max(migration.paused_at, _effective_at(assignment, migration, now))
+    return _with_migration(assignment, replace(migration, resumed_at=resumes_at))
+
 
+def abort_migration(assignment: Assignment, name: str, now: float) -> Assignment:
+    """Lets all objects go back; a migration that has not begun anywhere is removed at once.
 
-def abort_migration(charter: Assignment, name: str, now: float) -> Assignment:
-    """All goes back, as fast as it came. A move that has not begun anywhere is left out at once."""
-    move = _move(charter, name)
-    if move.aborted_at:
+    Raises:
+        EditRejectedError: If it is aborted or done.
+    """
+    migration = _required_migration(assignment, name)
+    if migration.aborted_at:
         raise EditRejectedError(f"move {name} is aborted already")
-    if now + charter.propagation_time + charter.clock_skew < move.starts_at:
-        return replace(
-            charter,
-            migrations={other: held for other, held in charter.migrations.items() if other != name},
-        )
-    at = _soon(charter, move, now)
-    if migrations.stage_at(move, at) == migrations.MigrationStage.DONE:
+    if now + assignment.propagation_time + assignment.clock_skew < migration.starts_at:
+        others = {key: other for key, other in assignment.migrations.items() if key != name}
+        return replace(assignment, migrations=others)
+    aborts_at = _effective_at(assignment, migration, now)
+    if migrations.stage_at(migration, aborts_at) == migrations.MigrationStage.DONE:
         raise EditRejectedError(
-            f"move {name} is done by then; move the tenants back to {move.source}"
+            f"move {name} is done by then; move the tenants back to {migration.source}"
         )
-    return replace(charter, migrations=charter.migrations | {name: replace(move, aborted_at=at)})
+    return _with_migration(assignment, replace(migration, aborted_at=aborts_at))
+
 
+def end_migrations(assignment: Assignment, now: float) -> tuple[Assignment, list[str]]:
+    """Removes migrations that are over, once no client's retry can depend on them.
 
-def end_migrations(charter: Assignment, now: float) -> tuple[Assignment, list[str]]:
-    """Leaves out moves that are over, once no client's retry can ask for what was: their tenants
-    then stand in the table where they ended. Gives the names of those.
+    Their tenants then have the cell where they ended as their own.
+
+    Returns:
+        The new version, and the names of the migrations that were removed.
     """
-    ended, people, left = [], dict(charter.tenants), {}
-    for name, move in charter.migrations.items():
-        over = migrations.ended_at(move)
-        if (
-            over is None
-            or now < over + charter.retry_horizon + charter.propagation_time + charter.clock_skew
-        ):
-            left[name] = move
+    grace = assignment.retry_horizon + assignment.propagation_time + assignment.clock_skew
+    ended: list[str] = []
+    remaining: dict[str, Migration] = {}
+    changed = assignment
+    for name, migration in assignment.migrations.items():
+        ended_at = migrations.ended_at(migration)
+        if ended_at is None or now < ended_at + grace:
+            remaining[name] = migration
             continue
         ended.append(name)
-        cell = move.source if move.aborted_at else move.target
-        people |= {tenant: replace(people[tenant], cell=cell) for tenant in move.tenants}
-    return replace(charter, migrations=left, tenants=people), ended
+        cell = migration.source if migration.aborted_at else migration.target
+        changed = _with_cell(changed, migration.tenants, cell)
+    return replace(changed, migrations=remaining), ended
+
 
+def put_tenant(assignment: Assignment, tenant: Tenant) -> Assignment:
+    """Adds a tenant, or replaces all of it but its cell, which only a migration changes.
 
-def put_tenant(charter: Assignment, tenant: Tenant) -> Assignment:
-    """Adds a tenant, or changes all of it but its cell, which only a move changes."""
-    if (old := charter.tenants.get(tenant.name)) is not None and old.cell != tenant.cell:
+    Raises:
+        EditRejectedError: If its cell differs.
+    """
+    old = assignment.tenants.get(tenant.name)
+    if old is not None and old.cell != tenant.cell:
         raise EditRejectedError(
             f"tenant {tenant.name} stands in {old.cell or 'a cell by hash'}; move it"
         )
-    return replace(charter, tenants=charter.tenants | {tenant.name: tenant})
+    return replace(assignment, tenants=assignment.tenants | {tenant.name: tenant})
 
 
-def start_rollout(charter: Assignment, release: Rollout) -> Assignment:
-    if release.name in charter.rollouts:
-        raise EditRejectedError(f"there is a release {release.name} already")
-    return replace(charter, rollouts=charter.rollouts | {release.name: release})
+def start_rollout(assignment: Assignment, rollout: Rollout) -> Assignment:
+    """Adds a rollout.
 
+    Raises:
+        EditRejectedError: If there is one of this name.
+    """
+    if rollout.name in assignment.rollouts:
+        raise EditRejectedError(f"there is a release {rollout.name} already")
+    return replace(assignment, rollouts=assignment.rollouts | {rollout.name: rollout})
+
+
+def roll_back(assignment: Assignment, name: str) -> Assignment:
+    """Takes a rollout back everywhere.
 
-def roll_back(charter: Assignment, name: str) -> Assignment:
-    if name not in charter.rollouts:
+    Raises:
+        EditRejectedError: If there is none of this name.
+    """
+    if name not in assignment.rollouts:
         raise EditRejectedError(
-            f"there is no release {name}; there are {', '.join(charter.rollouts) or 'none'}"
+            f"there is no release {name}; there are {', '.join(assignment.rollouts) or 'none'}"
         )
-    return replace(
-        charter,
-        rollouts=charter.rollouts | {name: replace(charter.rollouts[name], is_rolled_back=True)},
-    )
+    rolled_back = replace(assignment.rollouts[name], is_rolled_back=True)
+    return replace(assignment, rollouts=assignment.rollouts | {name: rolled_back})
 
 
-def adopt_rollout(charter: Assignment, name: str) -> Assignment:
-    """A release that has proven itself becomes the limits of all tenants of its cells, and is left
-    out.
+def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
+    """Makes a rollout's limits those of all tenants of its cells, and removes it.
+
+    Raises:
+        EditRejectedError: If there is none of this name in force.
     """
-    if name not in charter.rollouts or charter.rollouts[name].is_rolled_back:
+    if name not in assignment.rollouts or assignment.rollouts[name].is_rolled_back:
         raise EditRejectedError(f"there is no release {name} in force")
-    release, at = charter.rollouts[name], home_cells(charter)
-    cells = {release.canary, *(cell for wave in release.waves for cell in wave)}
-    people = {
-        key: replace(tenant, limits=release.limits) if at.get(key) in cells else tenant
-        for key, tenant in charter.tenants.items()
-    }
-    left = {other: held for other, held in charter.rollouts.items() if other != name}
-    rooms = charter.cells
-    if release.shuffle_shards >= 0:
-        rooms = {
-            key: replace(cell, shuffle_shards=release.shuffle_shards) if key in cells else cell
-            for key, cell in rooms.items()
-        }
-    return replace(charter, rollouts=left, tenants=people, cells=rooms)
-
-
-def explain_tenant(charter: Assignment, tenant: str, now: float) -> dict[str, object]:
-    """Why a tenant stands where it does."""
-    if tenant not in charter.tenants:
-        raise EditRejectedError(
-            f"there is no tenant {tenant}; its requests are "
-            + (
-                f"{charter.default_tenant}'s"
-                if charter.unknown_tenant_policy != "reject"
-                else "rejected"
-            )
-        )
-    held, home, move = (
-        charter.tenants[tenant],
-        home_cells(charter).get(tenant, ""),
-        migration_of(charter, tenant),
-    )
-    marks = [
-        (cell.name, hash_name(cell.name), cell.weight)
-        for cell in charter.cells.values()
-        if cell.weight
-    ]
-    found: dict[str, object] = {
-        "tenant": tenant,
-        "cell": home,
-        "why": "its own entry" if held.cell else "by hash, within the load bound",
-        "order_by_hash": rendezvous_order(hash_name(tenant), marks),
-        "addresses": list(held.addresses),
-        "groups": [f"{first}-{last}" for first, last in held.groups],
-        "limits": limits_by_key(held.limits),
+    rollout = assignment.rollouts[name]
+    homes = home_cells(assignment)
+    reached = {rollout.canary, *(cell for wave in rollout.waves for cell in wave)}
+    tenants = {
+        key: replace(tenant, limits=rollout.limits) if homes.get(key) in reached else tenant
+        for key, tenant in assignment.tenants.items()
     }
-    if move is not None:
-        found["move"] = {
-            "name": move.name,
-            "to": move.target,
-            "stage": migrations.stage_at(move, now).value,
-            "share_over": round(migrations.migrated_fraction(move, now), 4),
-            "ended_at": migrations.ended_at(move),
+    cells = assignment.cells
+    if rollout.shuffle_shards >= 0:
+        shards = rollout.shuffle_shards
+        cells = {
+            key: replace(cell, shuffle_shards=shards) if key in reached else cell
+            for key, cell in cells.items()
         }
-    if home:
-        found["neighbours"] = list(charter.cells[home].failover_cells)
-    return found
-
-
-def explain_object(charter: Assignment, tenant: str, key: int, now: float) -> dict[str, object]:
-    """In which cell a tenant's object stands now."""
-    found = explain_tenant(charter, tenant, now)
-    move = migration_of(charter, tenant)
-    if move is not None and migrations.is_migrated(
-        move, key, migrations.migrated_fraction(move, now)
-    ):
-        found["cell"], found["why"] = move.target, f"gone over with move {move.name}"
-    return {"object": f"{key:016x}"} | found
-
-
-def limits_by_key(limits: Limits) -> dict[str, float]:
-    """The limits that are set, by their keys in the assignment file."""
-    return {
-        key: value
-        for key, field in LIMIT_FIELDS_BY_KEY.items()
-        if (value := getattr(limits, field))
-    }
+    others = {key: other for key, other in assignment.rollouts.items() if key != name}
+    return replace(assignment, rollouts=others, tenants=tenants, cells=cells)
--- /dev/null
+++ b/mulleinrelay/cells/explanations.py
@@ -0,0 +1,79 @@
+"""Why a tenant or an object belongs to its cell, for operators; pure.
+
+The keys are those of `mulleinrelay cells explain --json` and stay.
+"""
+
+from . import migrations
+from .edits import EditRejectedError, migration_of
+from .hashing import hash_name, home_cells, rendezvous_order
+from .model import REJECT, Assignment, Limits, Migration
+from .parser import LIMIT_FIELDS_BY_KEY
+
+
+def explain_tenant(assignment: Assignment, tenant: str, now: float) -> dict[str, object]:
+    """Returns why a tenant belongs to its cell.
+
+    Raises:
+        EditRejectedError: If there is no such tenant.
+    """
+    if tenant not in assignment.tenants:
+        is_rejected = assignment.unknown_tenant_policy == REJECT
+        treatment = "rejected" if is_rejected else f"{assignment.default_tenant}'s"
+        raise EditRejectedError(f"there is no tenant {tenant}; its requests are {treatment}")
+    entry = assignment.tenants[tenant]
+    home = home_cells(assignment).get(tenant, "")
+    candidates = [
+        (cell.name, hash_name(cell.name), cell.weight)
+        for cell in assignment.cells.values()
+        if cell.weight
+    ]
+    found: dict[str, object] = {
+        "tenant": tenant,
+        "cell": home,
+        "why": "its own entry" if entry.cell else "by hash, within the load bound",
+        "order_by_hash": rendezvous_order(hash_name(tenant), candidates),
+        "addresses": list(entry.addresses),
+        "groups": [f"{first}-{last}" for first, last in entry.groups],
+        "limits": limits_by_key(entry.limits),
+    }
+    migration = migration_of(assignment, tenant)
+    if migration is not None:
+        found["move"] = _explain_migration(migration, now)
+    if home:
+        found["neighbours"] = list(assignment.cells[home].failover_cells)
+    return found
+
+
+def _explain_migration(migration: Migration, now: float) -> dict[str, object]:
+    return {
+        "name": migration.name,
+        "to": migration.target,
+        "stage": migrations.stage_at(migration, now).value,
+        "share_over": round(migrations.migrated_fraction(migration, now), 4),
+        "ended_at": migrations.ended_at(migration),
+    }
+
+
+def explain_object(assignment: Assignment, tenant: str, key: int, now: float) -> dict[str, object]:
+    """Returns why a tenant's object belongs to its cell now.
+
+    Raises:
+        EditRejectedError: If there is no such tenant.
+    """
+    found = explain_tenant(assignment, tenant, now)
+    migration = migration_of(assignment, tenant)
+    if migration is not None:
+        fraction = migrations.migrated_fraction(migration, now)
+        if migrations.is_migrated(migration, key, fraction):
+            found["cell"] = migration.target
+            found["why"] = f"gone over with move {migration.name}"
+    return {"object": f"{key:016x}"} | found
+
+
+def limits_by_key(limits: Limits) -> dict[str, float]:
+    """Returns the limits that are set, by their keys in the assignment file."""
+    return {
+        key: value
+        for key, field in LIMIT_FIELDS_BY_KEY.items()
+        if (value := getattr(limits, field))
+    }
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -23,7 +23,7 @@
 MAX_IDEMPOTENCY_KEYS = 20_000
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True, eq=False)  # not frozen: it is made for each request, which costs less
 class _Route:
     """The cell of an object, and the other side of its migration; empty: it has no part in it."""
 
--- /dev/null
+++ b/mulleinrelay/cells/presentation.py
@@ -0,0 +1,217 @@
+"""What the commands of `mulleinrelay cells` print, as text and as JSON; pure.
+
+The texts and keys are the interface of people and scripts; they are older than the terms of the
+code and stay.
+"""
+
+import time
+from dataclasses import dataclass
+from typing import Any
+
+from . import migrations
+from .edits import StageDurations
+from .hashing import home_cells
+from .migrations import ProjectedLoad
+from .model import Assignment, Migration
+
+MAX_LISTED_TENANTS = 8  # of a cell, in the text
+PLAN_POINTS = 10  # of a migration's course that are shown
+
+
+@dataclass(slots=True, frozen=True)
+class Report:
+    """The output of a command.
+
+    Attributes:
+        data: One JSON object.
+        lines: The same as text.
+    """
+
+    data: dict[str, Any]
+    lines: list[str]
+
+
+# show
+
+
+def overview(assignment: Assignment, states: list[dict[str, Any]], now: float) -> Report:
+    """Returns the output of `show`.
+
+    Args:
+        assignment: The content of the file.
+        states: What directors recorded of themselves.
+        now: The time.
+    """
+    homes = home_cells(assignment)
+    tenants_by_cell = {
+        name: sorted(tenant for tenant, home in homes.items() if home == name)
+        for name in assignment.cells
+    }
+    moves = {
+        name: _migration_data(migration, now) for name, migration in assignment.migrations.items()
+    }
+    releases = {
+        name: {"canary": rollout.canary, "taken_back": rollout.is_rolled_back}
+        for name, rollout in assignment.rollouts.items()
+    }
+    data = {
+        "version": assignment.version,
+        "cells": tenants_by_cell,
+        "moves": moves,
+        "releases": releases,
+        "directors": states,
+    }
+    lines = [
+        f"version {assignment.version}, {len(homes)} tenants in {len(assignment.cells)} cells",
+        *(_cell_line(name, tenants) for name, tenants in tenants_by_cell.items()),
+        *(_migration_line(name, move) for name, move in moves.items()),
+        *(_rollout_line(name, release) for name, release in releases.items()),
+    ]
+    for state in states:
+        lines += _director_lines(state, assignment.version, now)
+    return Report(data, lines)
+
+
+def _migration_data(migration: Migration, now: float) -> dict[str, Any]:
+    return {
+        "from": migration.source,
+        "to": migration.target,
+        "tenants": list(migration.tenants),
+        "stage": migrations.stage_at(migration, now).value,
+        "share": round(migrations.migrated_fraction(migration, now), 4),
+    }
+
+
+def _cell_line(name: str, tenants: list[str]) -> str:
+    listed = " ".join(tenants[:MAX_LISTED_TENANTS])
+    ending = " ..." if len(tenants) > MAX_LISTED_TENANTS else ""
+    return f"  cell {name}: {len(tenants)} tenants: {listed}{ending}"
+
+
+def _migration_line(name: str, move: dict[str, Any]) -> str:
+    tenants = " ".join(move["tenants"])
+    return (
+        f"  move {name}: {move['stage']}, {move['share']:.2f} of {tenants} from "
+        f"{move['from']} in {move['to']}"
+    )
+
+
+def _rollout_line(name: str, release: dict[str, Any]) -> str:
+    ending = ", taken back" if release["taken_back"] else ""
+    return f"  release {name}: canary {release['canary']}{ending}"
+
+
+def _director_lines(state: dict[str, Any], version: int, now: float) -> list[str]:
+    is_behind = state.get("version") != version
+    note = " (NOT the file's version)" if is_behind else ""
+    age_s = (now - state.get("at", 0.0)) / 1000.0
+    lines = [
+        f"  director {state['director']}: version {state.get('version')}{note}, told "
+        f"{age_s:.0f} s ago, {state.get('open', 0):.0f} open"
+    ]
+    for name, cell in state.get("cells", {}).items():
+        caches = "LOST" if cell["lost"] else f"{len(cell['caches'])} caches"
+        lines.append(
+            f"    {name}: {caches}, open {cell['open']:.0f} of {cell['width']:.0f}, "
+            f"served {cell['served']} of {cell['settled']}, turned away {cell['denied']}"
+        )
+    return lines
+
+
+# explain
+
+
+def explanation(found: dict[str, object]) -> Report:
+    """Returns the output of `explain`."""
+    return Report(found, [f"{key}: {format_value(value)}" for key, value in found.items()])
+
+
+def format_value(value: object) -> str:
+    """Returns a value as words: names of a list, or keys and values of a dict."""
+    if isinstance(value, list):
+        return " ".join(str(item) for item in value) or "none"
+    if isinstance(value, dict):
+        return ", ".join(f"{key} {item}" for key, item in value.items()) or "none"
+    return str(value)
+
+
+# plan and move
+
+
+def migration_plan(
+    migration: Migration,
+    durations: StageDurations,
+    course: list[ProjectedLoad],
+    peak_load: float | None,
+) -> Report:
+    """Returns the output of `plan`.
+
+    Args:
+        migration: As it would be.
+        durations: Of its stages.
+        course: Its load over time.
+        peak_load: The highest load; None: the demand is not known, so neither is a load.
+    """
+    points = [
+        {
+            "after_ms": round(point.elapsed),
+            "share": round(point.fraction, 3),
+            "load": round(point.utilization, 3) if peak_load is not None else None,
+        }
+        for point in course[:: max(1, len(course) // PLAN_POINTS)]
+    ]
+    data = {
+        "from": migration.source,
+        "to": migration.target,
+        "tenants": list(migration.tenants),
+        "shift_ms": durations.shift,
+        "lasts_ms": migrations.completes_at(migration) - migration.starts_at,
+        "peak_load": peak_load,
+        "course": points,
+    }
+    lines = [
+        f"{' '.join(migration.tenants)}: {migration.source} -> {migration.target}, "
+        f"warm {durations.warm_up:.0f} ms, shift {durations.shift:.0f} ms, "
+        f"drain {durations.drain:.0f} ms"
+    ]
+    for point in points:
+        load = f", receiving caches at {point['load']:.2f}" if peak_load is not None else ""
+        lines.append(f"  +{point['after_ms']:>8} ms  {point['share']:.3f} over{load}")
+    if peak_load is not None:
+        lines.append(f"  peak {peak_load:.2f} of what they may take")
+    return Report(data, lines)
+
+
+def started_migration(
+    version: int, migration: Migration, durations: StageDurations, now: float
+) -> Report:
+    """Returns the output of `move`."""
+    starts_in_s = (migration.starts_at - now) / 1000.0
+    duration_s = (migrations.completes_at(migration) - migration.starts_at) / 1000.0
+    name = migration.name
+    return Report(
+        {
+            "version": version,
+            "move": name,
+            "starts": migration.starts_at,
+            "shift_ms": durations.shift,
+        },
+        [
+            f"version {version}: move {name} starts in {starts_in_s:.1f} s, takes "
+            f"{duration_s:.0f} s; stop it with `cells abort {name}`"
+        ],
+    )
+
+
+# log
+
+
+def history(lines: list[dict[str, Any]]) -> Report:
+    """Returns the output of `log`; each line has a time (seconds), a director and a text."""
+    return Report({"lines": lines}, [_history_line(line) for line in lines])
+
+
+def _history_line(line: dict[str, Any]) -> str:
+    time_of_day = time.strftime("%H:%M:%S", time.gmtime(line["at"]))
+    milliseconds = int(line["at"] % 1 * 1000)
+    return f"{time_of_day}.{milliseconds:03d} {line['director']:<12} {line['text']}"
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -1,10 +1,10 @@
 """New limits that reach one canary cell first, then others wave by wave; pure.
 
 Each director judges by its own requests and halts a rollout, or rolls it back, where cells suffer
-by it. A cell that the rollout has reached is compared with its own past, and that difference with the
-same difference of the cells without it: what affects both is no fault of the rollout, and halts it
-without rolling it back. So does a drop in the last wave, when no cell is left to compare with: then
-operators decide.
+by it. A cell that the rollout has reached is compared with its own past, and that difference with
+the same difference of the cells without it: what affects both is no fault of the rollout, and halts
+it without rolling it back. So does a drop in the last wave, when no cell is left to compare with:
+then operators decide.
 
 Not thread-safe: the admission controller's lock guards the state.
 """
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -1,11 +1,13 @@
-"""Cells at a running director: one lock round the governor, the assignment file followed, words to
-the log.
+"""Cells at a running director: the lock round the admission controller, and its clock.
+
+A thread follows the assignment file and the list of ready caches, advances migrations and rollouts,
+and keeps this director's records. Client threads call the four methods of `AdmissionControl` (see
+`net.client_listener`).
 """
 
 import threading
 from collections import Counter
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Sequence
 
 from ..config.platform import DirectorConfig
 from ..coordinator import RequestCoordinator
@@ -25,61 +27,94 @@
 )
 from .config import CellsConfig
 from .edits import rejection_reason
+from .placement_types import ReadyCache
 
-STEP_EVERY = 100.0  # ms
-RECORDS_EVERY = 1_000.0
+STEP_INTERVAL = 100.0  # ms between two steps of the thread
+RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
+MIN_WARMTH_CHANGE = 0.05  # a cache's warmth is taken over when it changed by more
+MAX_PENDING_TEXTS = 1_000  # log texts that wait for the next writing of the records
 
 
 class CellService:
-    """For the front: `enter` and `leave` for connections, `admit` and `settle` for requests."""
+    """Admission control by cells; safe to call from any thread.
+
+    Attributes:
+        config: The file `cells.ini`.
+        tenant_field: Key of the clients' map that names the tenant; empty: none.
+        lock: Guards `controller` and all that it holds, and `connections`. Only the thread and
+            `apply_prepared` replace the assignment.
+        controller: Decides about requests.
+        connections: Open connections by tenant; the empty name stands for addresses of no tenant.
+    """
 
     def __init__(
         self,
-        own: CellsConfig,
-        start: DirectorConfig,
-        facade: RequestCoordinator,
+        config: CellsConfig,
+        director_config: DirectorConfig,
+        coordinator: RequestCoordinator,
         clock: Callable[[], float],
         log: StructuredLog,
-        requests_most: int,
+        max_open_requests: int,
     ) -> None:
-        """Raises ConfigError where the assignment file can't be used: there is no older version
-        yet.
+        """Reads the assignment file.
+
+        Args:
+            config: The file `cells.ini`.
+            director_config: The platform's configuration of this director.
+            coordinator: Tells which caches are ready.
+            clock: Unix milliseconds.
+            log: Takes events `cells`.
+            max_open_requests: What the director's memory allows.
+
+        Raises:
+            ConfigError: If the file cannot be used: there is no older version yet.
         """
-        self.config, self.coordinator, self.clock, self.log = own, facade, clock, log
-        self.tenant_field, self.flow = own.tenant_field, start.settings.transfer_rate
+        self.config = config
+        self.tenant_field = config.tenant_field
+        self._coordinator = coordinator
+        self._clock = clock
+        self._log = log
+        self._transfer_rate = director_config.settings.transfer_rate  # KB/ms; 0: not known
         self.lock = threading.Lock()
-        self.stamp = store.file_identity(own.assignment_file)
-        charter = store.load_assignment(own.assignment_file)
-        board = DirectorCapacity(
-            min(own.max_open_requests or requests_most, requests_most),
-            own.rate,
-            own.max_retry_after,
+        # The identity comes first: a file that is replaced meanwhile is read once more.
+        self._file_identity = store.file_identity(config.assignment_file)
+        assignment = store.load_assignment(config.assignment_file)
+        capacity = DirectorCapacity(
+            max_open_requests=min(config.max_open_requests or max_open_requests, max_open_requests),
+            rate=config.rate,
+            max_retry_after=config.max_retry_after,
         )
         self.controller = AdmissionController(
-            clock(), charter, board, start.settings.allows_cache_bypass
+            clock(), assignment, capacity, director_config.settings.allows_cache_bypass
         )
         self.connections: Counter[str] = Counter()
-        self.caches: list[tuple[str, Any, float]] = []
-        self.records = (
-            DirectorRecords(own.records_folder, start.name) if own.records_folder else None
-        )
-        self.read_due = self.records_due = 0.0
-        self.told: list[str] = []
-        self.ended = threading.Event()
+        self._caches: Sequence[ReadyCache] = []
+        self._records: DirectorRecords | None = None
+        if config.records_folder:
+            self._records = DirectorRecords(config.records_folder, director_config.name)
+        self._next_poll_at = 0.0
+        self._next_records_at = 0.0
+        self._pending_texts: list[str] = []  # for the records
+        self._is_stopped = threading.Event()
+        self._thread = threading.Thread(target=self._run, name="cells", daemon=True)
 
     def start(self) -> None:
-        self._say([f"version {self.controller.assignment.version}"])
+        """Takes over the ready caches and starts the thread."""
+        self._log_texts([f"version {self.controller.assignment.version}"])
         self._step()
-        threading.Thread(target=self._go_on, name="cells", daemon=True).start()
+        self._thread.start()
 
     def stop(self) -> None:
-        self.ended.set()
+        """Ends the thread after its present step, without waiting for it."""
+        self._is_stopped.set()
 
-    # For the front
+    # For the client listener
 
     def admit_connection(self, address: str) -> str | None:
-        """One more connection from there; gives its tenant, empty where the address tells none,
-        None where that holds as many as it may.
+        """Counts one more connection.
+
+        Returns:
+            Its tenant, empty where the address has none; None: the tenant has as many as it may.
         """
         with self.lock:
             tenant = self.controller.tenant_resolver.tenant_of_address(address)
@@ -89,6 +124,7 @@
             return tenant
 
     def release_connection(self, entry: str) -> None:
+        """Counts a connection as closed; `entry` is what `admit_connection` returned."""
         with self.lock:
             self.connections[entry] -= 1
             if not self.connections[entry]:
@@ -97,7 +133,8 @@
     def admit_request(
         self, asked: ClientRequest, request_class: RequestClass, address: str
     ) -> AdmissionGrant | AdmissionRejection:
-        asking = AdmissionRequest(
+        """Admits or rejects a client's request."""
+        request = AdmissionRequest(
             asked.tenant,
             address,
             asked.group,
@@ -108,88 +145,115 @@
             len(asked.body),
         )
         with self.lock:
-            return self.controller.admit_request(self.clock(), asking)
+            return self.controller.admit_request(self._clock(), request)
 
     def complete_request(
         self, grant: AdmissionGrant, request: Request, good: bool, owed: bool
     ) -> None:
-        now = self.clock()
-        sending = request.size_kb / self.flow if self.flow else 0.0
+        """Releases what an admitted request used.
+
+        Args:
+            grant: What `admit_request` returned.
+            request: The request at the policy.
+            good: Whether it was served.
+            owed: Whether its client still waited.
+        """
+        now = self._clock()
+        sending_time = request.size_kb / self._transfer_rate if self._transfer_rate else 0.0
+        delay = max(0.0, now - request.arrived_at - sending_time)
+        with self.lock:
+            text = self.controller.complete_request(now, grant, good, owed, delay)
+        if text:
+            self._log_texts([text])
+
+    # For management
+
+    def apply_prepared(self, ready: PreparedAssignment) -> None:
+        """Puts a version in force that the caller has written to the file.
+
+        Raises:
+            ConfigError: If it cannot be used.
+        """
         with self.lock:
-            word = self.controller.complete_request(
-                now, grant, good, owed, max(0.0, now - request.arrived_at - sending)
-            )
-        if word:
-            self._say([word])
+            texts = self.controller.replace_assignment(self._clock(), ready)
+        self._log_texts(texts)
 
-    # In a thread of its own
+    # In the service's thread
 
-    def _go_on(self) -> None:
-        while not self.ended.wait(STEP_EVERY / 1000.0):
+    def _run(self) -> None:
+        while not self._is_stopped.wait(STEP_INTERVAL / 1000.0):
             try:
                 self._step()
-            except Exception as broken:
-                self.log.exception("cells", broken)
+            except Exception as error:
+                # The thread's top: the version in force goes on, and the next step tries again.
+                self._log.exception("cells", error)
 
     def _step(self) -> None:
-        now, words = self.clock(), []
-        caches = self.coordinator.ready_caches()
+        now = self._clock()
+        caches = self._coordinator.ready_caches()
+        texts: list[str] = []
         with self.lock:
-            if self._changed(caches):
-                self.caches = caches
-                words += self.controller.update_caches(now, caches)
-            words += self.controller.step(now)
-        if now >= self.read_due:
-            self.read_due = now + self.config.poll_interval
-            words += self._read(now)
-        self._say(words)
-        if self.records is not None and now >= self.records_due:
-            self.records_due = now + RECORDS_EVERY
-            with self.lock:
-                status = self.controller.status(now)
-            told, self.told = self.told, []
-            if word := self.records.keep(status, told):
-                self._say([word])
-
-    def _changed(self, caches: list[tuple[str, Any, float]]) -> bool:
-        """Whether a cache came or went, or warmed by a twentieth."""
-        before = self.caches
-        return len(caches) != len(before) or any(
-            one[0] != other[0]
-            or one[1] is not other[1]
-            or abs(one[2] - other[2]) > 0.05
-            or (one[2] == 1.0) != (other[2] == 1.0)
-            for one, other in zip(caches, before, strict=True)
+            if self._have_changed(caches):
+                self._caches = caches
+                texts += self.controller.update_caches(now, caches)
+            texts += self.controller.step(now)
+        if now >= self._next_poll_at:
+            self._next_poll_at = now + self.config.poll_interval
+            texts += self._poll_file(now)
+        self._log_texts(texts)
+        if self._records is not None and now >= self._next_records_at:
+            self._next_records_at = now + RECORDS_INTERVAL
+            self._write_records(now, self._records)
+
+    def _have_changed(self, caches: Sequence[ReadyCache]) -> bool:
+        """Returns whether a cache was added, removed or replaced, or its warmth changed."""
+        if len(caches) != len(self._caches):
+            return True
+        return any(
+            _has_changed(cache, previous)
+            for cache, previous in zip(caches, self._caches, strict=True)
         )
 
-    def _read(self, now: float) -> list[str]:
-        stamp = store.file_identity(self.config.assignment_file)
-        if stamp == self.stamp:
+    def _poll_file(self, now: float) -> list[str]:
+        """Puts a new version of the file in force; returns texts for the log."""
+        identity = store.file_identity(self.config.assignment_file)
+        if identity == self._file_identity:
             return []
-        self.stamp = stamp
+        self._file_identity = identity
         try:
-            charter = store.load_assignment(self.config.assignment_file)
-            if charter == self.controller.assignment:  # what `take` has written
+            assignment = store.load_assignment(self.config.assignment_file)
+            if assignment == self.controller.assignment:  # written by `apply_prepared`'s caller
                 return []
-            if fault := rejection_reason(
-                self.controller.assignment, charter
-            ):  # only this thread changes it
-                return [fault]
-            ready = prepare_assignment(charter)
+            if reason := rejection_reason(self.controller.assignment, assignment):
+                return [reason]
+            prepared = prepare_assignment(assignment)  # seconds for a large one, so without lock
             with self.lock:
-                return self.controller.replace_assignment(now, ready)
-        except ConfigError as wrong:
-            return [f"assignment kept at version {self.controller.assignment.version}: {wrong}"]
+                return self.controller.replace_assignment(now, prepared)
+        except ConfigError as error:
+            version = self.controller.assignment.version
+            return [f"assignment kept at version {version}: {error}"]
 
-    def apply_prepared(self, ready: PreparedAssignment) -> None:
-        """A version that another part of the program has made, and has written to the file. Raises
-        ConfigError."""
+    def _write_records(self, now: float, records: DirectorRecords) -> None:
         with self.lock:
-            words = self.controller.replace_assignment(self.clock(), ready)
-        self._say(words)
-
-    def _say(self, words: list[str]) -> None:
-        for word in words:
-            self.log.event("cells", text=word)
-        if self.records is not None:
-            self.told = [*self.told, *words][-1000:]
+            status = self.controller.status(now)
+        texts = self._pending_texts
+        self._pending_texts = []
+        if change := records.keep(status, texts):
+            self._log_texts([change])
+
+    def _log_texts(self, texts: list[str]) -> None:
+        for text in texts:
+            self._log.event("cells", text=text)
+        if self._records is not None:
+            self._pending_texts = [*self._pending_texts, *texts][-MAX_PENDING_TEXTS:]
+
+
+def _has_changed(cache: ReadyCache, previous: ReadyCache) -> bool:
+    name, endpoint, warmth = cache
+    previous_name, previous_endpoint, previous_warmth = previous
+    return (
+        name != previous_name
+        or endpoint is not previous_endpoint
+        or abs(warmth - previous_warmth) > MIN_WARMTH_CHANGE
+        or (warmth == 1.0) != (previous_warmth == 1.0)
+    )
--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -66,7 +66,7 @@
         self.entries.move_to_end((tenant, idempotency_key))
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True, eq=False)  # not frozen: it is made for each request, which costs less
 class RequestHistory:
     """What is known of a request's earlier attempts.
 
