--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -152,9 +152,9 @@
 
     def _limits_of(self, tenant: str) -> Limits:
         known = self.assignment.tenants.get(tenant)
-        own_limits = known.limits if known is not None else self.assignment.limits
+        tenant_limits = known.limits if known is not None else self.assignment.limits
         home = self.placement.homes.get(tenant, "")
-        return rollouts.limits_in_force(self.rollout_states, home, own_limits)
+        return rollouts.limits_in_force(self.rollout_states, home, tenant_limits)
 
     def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
         """Takes over the ready caches of this location; returns texts for the log."""
@@ -308,7 +308,9 @@
             candidate.failover = FailoverTerms(
                 lost_cell=lost_cell.name,
                 quota=lost_cell.failover_quota,
-                host_warmth=self.placement.availability[placement.cell].mean_warmth(),
+                host_capacity_fraction=self.placement.availability[
+                    placement.cell
+                ].capacity_fraction(),
             )
         return candidate
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -39,12 +39,12 @@
     Attributes:
         lost_cell: Name of the lost cell.
         quota: Fraction of the failover cell's limits.
-        host_warmth: Mean warmth of the failover cell's caches, 0 to 1.
+        host_capacity_fraction: Of the failover cell's caches while they warm up, 0 to 1.
     """
 
     lost_cell: str
     quota: float
-    host_warmth: float
+    host_capacity_fraction: float
 
 
 @dataclass(slots=True, eq=False)
@@ -238,7 +238,7 @@
         if not rate and candidate.bucket_shares is not None:
             rate = self.cell_rates.guaranteed_rate(candidate.bucket_shares.cell)
         concurrency = cell_state.concurrency_limit.current
-        host = HostLimits(terms.host_warmth, concurrency, rate)
+        host = HostLimits(terms.host_capacity_fraction, concurrency, rate)
         quota = cell_state.failover_quota(terms.lost_cell)
         if wait := quota.wait_time(now, terms.quota, host):
             return Shortage("reserve of the neighbour", wait)
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -59,8 +59,8 @@
 
     @staticmethod
     def _max_open_requests(capacity: DirectorCapacity, limits: Limits) -> float:
-        own_maximum = limits.max_open_requests or capacity.max_open_requests
-        return min(capacity.max_open_requests, own_maximum)
+        cell_maximum = limits.max_open_requests or capacity.max_open_requests
+        return min(capacity.max_open_requests, cell_maximum)
 
     def set_limits(self, capacity: DirectorCapacity, limits: Limits) -> None:
         """Takes over new limits; open requests stay counted where they were admitted."""
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -169,9 +169,9 @@
         changed = edits.start_migration(assignment, PLANNED_NAME, tenants, target, now, durations)
     migration = changed.migrations[PLANNED_NAME]
     any_demand = MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0)  # the fractions are the same for all
-    course = migrations.project_load(migration, demand or any_demand)
-    peak_load = max(point.utilization for point in course) if demand else None
-    print_report(as_json, presentation.migration_plan(migration, durations, course, peak_load))
+    projection = migrations.project_load(migration, demand or any_demand)
+    peak_load = max(point.utilization for point in projection) if demand else None
+    print_report(as_json, presentation.migration_plan(migration, durations, projection, peak_load))
     if peak_load is not None and peak_load >= 1.0:
         click.echo(
             "mulleinrelay: refused: the peak is over what the receiving caches may take; "
@@ -219,6 +219,7 @@
     @FILE
     @JSON
     def run(name: str, path: str, as_json: bool) -> None:
+        """Runs the edit."""
         with exit_on_errors():
             new = change_assignment(path, verb, lambda old: edit(old, name, now_ms()), name=name)
         report = Report(
@@ -321,10 +322,10 @@
             figures = orjson.loads(text)
         except ValueError:  # cut off by a power cut
             continue
-        words = [
+        parts = [
             f"{key} {presentation.format_value(value)}"
             for key, value in figures.items()
             if key not in ("at", "by")
         ]
-        changes.append({"director": "staff", "at": figures.get("at", 0.0), "text": " ".join(words)})
+        changes.append({"director": "staff", "at": figures.get("at", 0.0), "text": " ".join(parts)})
     return changes
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -57,16 +57,8 @@
     if source == target:
         raise EditRejectedError(f"they stand in {target} already")
     starts_at = now + max(starts_in, assignment.propagation_time + assignment.clock_skew)
-    migration = Migration(
-        name,
-        tenants,
-        source,
-        target,
-        starts_at,
-        warm_up_duration=durations.warm_up,
-        shift_duration=durations.shift,
-        drain_duration=durations.drain,
-    )
+    stages = (durations.warm_up, durations.shift, durations.drain)
+    migration = Migration(name, tenants, source, target, starts_at, *stages)
     changed = _with_migration(assignment, migration)
     return _with_cell(changed, tenants, source)  # so that no hash places them elsewhere
 
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -2,8 +2,9 @@
 
 A cell is lost at this director while none of its caches here is ready. Its tenants go to the first
 failover cell that is available, within the failover quota: a fraction of what that cell may have
-open and take a second, scaled by how warm its caches are. When the cell is back its tenants'
-objects return one by one over `return_duration`, so that neither cell sees a jump.
+open and take a second, scaled by the capacity that its caches have while they warm up. When the
+cell is back its tenants' objects return one by one over `return_duration`, so that neither cell
+sees a jump.
 
 Not thread-safe: the admission controller's lock guards the state.
 """
@@ -16,7 +17,7 @@
 
 # Without it the first objects to return would be those that a cache ranks first by hash.
 RECOVERY_SALT = 0x72657475726E
-WAIT_WITHOUT_QUOTA = 1_000.0  # ms: nothing may come while the caches are cold
+WAIT_WITHOUT_QUOTA = 1_000.0  # ms: nothing may come while the caches have no capacity yet
 WAIT_FOR_OPEN_REQUEST = 200.0  # ms: about the time in which an open request ends
 RATE_TOLERANCE = 0.01  # a rate that changed by a smaller fraction is not set anew
 
@@ -28,7 +29,7 @@
     Attributes:
         cell: The cell.
         ready_caches: How many of its caches here are ready.
-        total_warmth: Sum of their warmth; equal to `ready_caches` when all are warm.
+        total_capacity: Sum of their capacity fractions; `ready_caches` when none is warming up.
         is_lost: Whether none is ready.
         recovering_since: When it came back; 0: it has not been lost, or all objects have returned.
         has_been_ready: Whether a cache was ever ready; the first ones are no recovery.
@@ -36,15 +37,15 @@
 
     cell: Cell
     ready_caches: int = 0
-    total_warmth: float = 0.0
+    total_capacity: float = 0.0
     is_lost: bool = False
     recovering_since: float = 0.0
     has_been_ready: bool = False
 
-    def update_caches(self, now: float, ready_caches: int, total_warmth: float) -> str:
+    def update_caches(self, now: float, ready_caches: int, total_capacity: float) -> str:
         """Takes over a new endpoint list; returns `lost` or `back` on that change, else nothing."""
         self.ready_caches = ready_caches
-        self.total_warmth = total_warmth
+        self.total_capacity = total_capacity
         was_lost = self.is_lost
         self.is_lost = not ready_caches
         if self.is_lost:
@@ -68,9 +69,9 @@
             self.recovering_since = 0.0
         return min(fraction, 1.0)
 
-    def mean_warmth(self) -> float:
-        """Returns the mean warmth of its ready caches, 0 to 1."""
-        return self.total_warmth / self.ready_caches if self.ready_caches else 0.0
+    def capacity_fraction(self) -> float:
+        """Returns the mean capacity fraction of its ready caches, 0 to 1."""
+        return self.total_capacity / self.ready_caches if self.ready_caches else 0.0
 
 
 def is_served_at_home(key: int, home_fraction: float) -> bool:
@@ -99,12 +100,12 @@
     """What a failover cell has for all its requests, its own tenants' included.
 
     Attributes:
-        warmth: Mean warmth of its caches, 0 to 1.
+        capacity_fraction: Of its caches while they warm up, 0 to 1.
         concurrency: Requests that it may have open.
         rate: Requests a second that it may take; 0: no bound.
     """
 
-    warmth: float
+    capacity_fraction: float
     concurrency: float
     rate: float
 
@@ -126,7 +127,7 @@
             quota: The failover quota of the lost cell.
             host: The limits of the failover cell; a new rate is taken over.
         """
-        fraction = quota * host.warmth
+        fraction = quota * host.capacity_fraction
         if fraction <= 0.0:
             return WAIT_WITHOUT_QUOTA
         if self.open + 1 > max(1.0, fraction * host.concurrency):
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -70,7 +70,7 @@
     DEMAND_WINDOW = 1_000.0  # ms: a party is active so long after a request; demand is a peak of 2
     OVERCOMMIT = 0.25  # fraction of the capacity by which a returning lender may exceed it
     RECOMPUTE_INTERVAL = 50.0  # ms: between two sums over all parties
-    FORGET_AFTER = 60.0 * DEMAND_WINDOW  # ms: an idle party is dropped then
+    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms: an idle party is dropped then
 
     def __init__(self, capacity: float) -> None:
         """Starts without any party."""
@@ -153,7 +153,7 @@
         for name, share in list(self.shares.items()):
             if now < share.last_requested_at + self.DEMAND_WINDOW or share.open > 0.0:
                 self.active_weight += share.weight
-            elif now >= share.last_requested_at + self.FORGET_AFTER:
+            elif now >= share.last_requested_at + self.IDLE_TIMEOUT:
                 del self.shares[name]
         self.reserved = 0.0
         for share in self.shares.values():
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -109,6 +109,7 @@
     ]
 
     def preferred_bin(item_hash: int) -> str:
+        """Returns the bin with the highest hash."""
         best_name = ""
         best_hash = -1
         for name, salt in salted:
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -133,7 +133,7 @@
     return completes_at(migration) + migration.resumed_at - migration.paused_at
 
 
-def is_same_course(first: Migration, second: Migration, now: float) -> bool:
+def is_equivalent(first: Migration, second: Migration, now: float) -> bool:
     """Returns whether both are one migration at one point now; its future may differ."""
     return (
         first.tenants == second.tenants
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -168,13 +168,13 @@
 
 
 def _parse_tenant(section: IniSection, name: str, default_limits: Limits) -> Tenant:
-    addresses = _words(section.text("addresses", ""))
+    addresses = _split(section.text("addresses", ""))
     for address in addresses:
         try:
             ipaddress.ip_network(address)
         except ValueError as error:
             raise section.error("addresses", str(error)) from error
-    groups = tuple(_parse_groups(section, word) for word in _words(section.text("groups", "")))
+    groups = tuple(_parse_groups(section, text) for text in _split(section.text("groups", "")))
     return Tenant(
         name,
         cell=section.text("cell", ""),
@@ -214,8 +214,8 @@
 
 
 def _parse_rollout(section: IniSection, name: str, default_limits: Limits) -> Rollout:
-    waves = tuple(_words(wave) for wave in section.text("waves", "").split(";") if wave.strip())
-    keep = float(KEEP_SHUFFLE_SHARDS)
+    waves = tuple(_split(wave) for wave in section.text("waves", "").split(";") if wave.strip())
+    cell_default = float(KEEP_SHUFFLE_SHARDS)
     return Rollout(
         name,
         canary=section.text("canary"),
@@ -226,10 +226,12 @@
         max_success_drop=section.number("drop_most", 0.03, 1.0),
         max_slowdown=section.number("slower_most", 1.5, MAX_FACTOR, 1.0),
         is_rolled_back=section.flag("taken_back", False),
-        shuffle_shards=int(section.number("shuffle", keep, MAX_SHUFFLE_SHARDS, keep)),
+        shuffle_shards=int(
+            section.number("shuffle", cell_default, MAX_SHUFFLE_SHARDS, cell_default)
+        ),
     )
 
 
-def _words(text: str) -> tuple[str, ...]:
+def _split(text: str) -> tuple[str, ...]:
     """Returns words that are separated by blanks or commas."""
     return tuple(text.replace(",", " ").split())
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,7 +1,7 @@
 """Which cell and which caches a tenant's request goes to now; pure.
 
 Home cells, migrations, lost cells and idempotency keys are taken together here. A director's caches
-are opaque: a name, an endpoint and its warmth (0 to 1).
+are opaque: a name, an endpoint and its capacity fraction (0 to 1).
 
 Not thread-safe: the admission controller's lock guards the state.
 """
@@ -19,7 +19,7 @@
 from .sticky_routing import IdempotencyKeyCache, MigrationSide, RequestHistory, choose_side
 
 INITIAL_RETRY_TOKENS = 2.0  # retries of a tenant that has just come; its requests earn more
-MAX_TENANTS_KEPT = 20_000  # with a pool or a retry budget; beyond, all are made anew when needed
+MAX_CACHED_TENANTS = 20_000  # with a pool or a retry budget; beyond, all are made anew when needed
 MAX_IDEMPOTENCY_KEYS = 20_000
 
 
@@ -159,7 +159,7 @@
         """Returns whether objects may change cells other than by the course of a migration."""
         old = old_migrations.get(tenant)
         new = self.migrations_by_tenant.get(tenant)
-        if old is not None and new is not None and migrations.is_same_course(old, new, now):
+        if old is not None and new is not None and migrations.is_equivalent(old, new, now):
             return False
         old_cell = _only_cell(now, old_homes[tenant], old)
         return old_cell is None or old_cell != _only_cell(now, self.homes[tenant], new)
@@ -196,13 +196,13 @@
         names = [name for name, _, _ in self.caches]
         self.caches_by_cell = caches_by_cell(self.assignment, names)
         self._endpoints = {name: endpoint for name, endpoint, _ in self.caches}
-        warmth = {name: cache_warmth for name, _, cache_warmth in self.caches}
+        fractions = {name: fraction for name, _, fraction in self.caches}
         self._drop_placements()
         texts = []
         for name, availability in self.availability.items():
             cell_caches = self.caches_by_cell[name]
-            total_warmth = sum(warmth[cache] for cache in cell_caches)
-            if change := availability.update_caches(now, len(cell_caches), total_warmth):
+            total_capacity = sum(fractions[cache] for cache in cell_caches)
+            if change := availability.update_caches(now, len(cell_caches), total_capacity):
                 texts.append(f"cell {name} {change}")
         return texts
 
@@ -233,7 +233,7 @@
             route = self._route_in_migration(now, migration, request.key, side, history)
         placement = self._place_on_route(now, request, route, history)
         if migration is None and isinstance(placement, CellPlacement):
-            self._keep_if_stable(request, home, placement)
+            self._cache_if_stable(request, home, placement)
         return placement
 
     def record_admission(
@@ -271,7 +271,7 @@
             return False
         return now < self.uncertain_until or now < self.unsettled_until.get(tenant, 0.0)
 
-    def _keep_if_stable(
+    def _cache_if_stable(
         self, request: PlacementRequest, home: str, placement: CellPlacement
     ) -> None:
         availability = self.availability[home]
@@ -295,11 +295,12 @@
                 # The receiving cell was lost: the old one serves its tenants as before.
                 side = MigrationSide.SOURCE
         if side == MigrationSide.TARGET:
-            cell, other = migration.target, migration.source
+            route = _Route(migration.target, migration.source)
         else:
-            cell, other = migration.source, migration.target
-        has_other = is_in_progress and bool(self.caches_by_cell[other])
-        return _Route(cell, other if has_other else "")
+            route = _Route(migration.source, migration.target)
+        if not is_in_progress or not self.caches_by_cell[route.other_cell]:
+            route.other_cell = ""
+        return route
 
     def _place_on_route(
         self, now: float, request: PlacementRequest, route: _Route, history: RequestHistory
@@ -327,7 +328,7 @@
         """Returns the placement in the route's cell, made once for each list and assignment."""
         placement = self._placements.get((tenant, route.cell, route.other_cell))
         if placement is None:
-            if len(self._placements) >= MAX_TENANTS_KEPT:
+            if len(self._placements) >= MAX_CACHED_TENANTS:
                 self._drop_placements()
             placement = CellPlacement(route.cell, self._pool(tenant, route))
             self._placements[tenant, route.cell, route.other_cell] = placement
@@ -363,7 +364,7 @@
         """Returns the budget of the director's retries for a tenant, making it where needed."""
         budget = self.retry_budgets.get(tenant)
         if budget is None:
-            if len(self.retry_budgets) >= MAX_TENANTS_KEPT:
+            if len(self.retry_budgets) >= MAX_CACHED_TENANTS:
                 self.retry_budgets.clear()
                 self._drop_placements()
             budget = RetryBudget(INITIAL_RETRY_TOKENS)
--- a/mulleinrelay/cells/placement_types.py
+++ b/mulleinrelay/cells/placement_types.py
@@ -5,7 +5,8 @@
 
 from ..policy.model import CachePool, Endpoint, RequestClass
 
-# A cache of this location: name, endpoint, warmth.
+# A cache of this location: name, endpoint, and the fraction of its capacity that it has
+# while it warms up (1 when it is warm).
 ReadyCache = tuple[str, Endpoint, float]
 
 
--- a/mulleinrelay/cells/presentation.py
+++ b/mulleinrelay/cells/presentation.py
@@ -102,8 +102,8 @@
 
 
 def _director_lines(state: dict[str, Any], version: int, now: float) -> list[str]:
-    is_behind = state.get("version") != version
-    note = " (NOT the file's version)" if is_behind else ""
+    is_outdated = state.get("version") != version
+    note = " (NOT the file's version)" if is_outdated else ""
     age_s = (now - state.get("at", 0.0)) / 1000.0
     lines = [
         f"  director {state['director']}: version {state.get('version')}{note}, told "
@@ -141,7 +141,7 @@
 def migration_plan(
     migration: Migration,
     durations: StageDurations,
-    course: list[ProjectedLoad],
+    projection: list[ProjectedLoad],
     peak_load: float | None,
 ) -> Report:
     """Returns the output of `plan`.
@@ -149,17 +149,11 @@
     Args:
         migration: As it would be.
         durations: Of its stages.
-        course: Its load over time.
+        projection: Its load over time.
         peak_load: The highest load; None: the demand is not known, so neither is a load.
     """
-    points = [
-        {
-            "after_ms": round(point.elapsed),
-            "share": round(point.fraction, 3),
-            "load": round(point.utilization, 3) if peak_load is not None else None,
-        }
-        for point in course[:: max(1, len(course) // PLAN_POINTS)]
-    ]
+    has_load = peak_load is not None
+    points = _plan_points(projection, has_load)
     data = {
         "from": migration.source,
         "to": migration.target,
@@ -175,13 +169,25 @@
         f"drain {durations.drain:.0f} ms"
     ]
     for point in points:
-        load = f", receiving caches at {point['load']:.2f}" if peak_load is not None else ""
+        load = f", receiving caches at {point['load']:.2f}" if has_load else ""
         lines.append(f"  +{point['after_ms']:>8} ms  {point['share']:.3f} over{load}")
     if peak_load is not None:
         lines.append(f"  peak {peak_load:.2f} of what they may take")
     return Report(data, lines)
 
 
+def _plan_points(projection: list[ProjectedLoad], has_load: bool) -> list[dict[str, Any]]:
+    step = max(1, len(projection) // PLAN_POINTS)
+    return [
+        {
+            "after_ms": round(point.elapsed),
+            "share": round(point.fraction, 3),
+            "load": round(point.utilization, 3) if has_load else None,
+        }
+        for point in projection[::step]
+    ]
+
+
 def started_migration(
     version: int, migration: Migration, durations: StageDurations, now: float
 ) -> Report:
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -39,7 +39,7 @@
     ROLLED_BACK = "taken back"
 
 
-class Verdict(Enum):
+class ComparisonResult(Enum):
     """What a comparison of cells with and without the rollout says."""
 
     UNCLEAR = "too few requests"
@@ -203,14 +203,14 @@
         if self._is_last_wave() and is_wave_over:
             self.is_halted = False  # it has proven itself everywhere; what comes is not its doing
             return
-        verdict = self._compare()
-        if verdict == Verdict.WORSE:
+        result = self._compare()
+        if result == ComparisonResult.WORSE:
             self.rollback_reason = "worse than its past and than the cells without it"
-        self.is_halted = verdict == Verdict.BOTH_WORSE
-        if verdict == Verdict.GOOD and is_wave_over and not self._is_last_wave():
+        self.is_halted = result == ComparisonResult.BOTH_WORSE
+        if result == ComparisonResult.GOOD and is_wave_over and not self._is_last_wave():
             self._begin_wave(now, self.wave + 1)
 
-    def _compare(self) -> Verdict:
+    def _compare(self) -> ComparisonResult:
         reached = self.reached_cells()
         others = [cell for cell in self.baseline if cell not in reached]
         with_rollout = _sum_of(self.current, reached)
@@ -218,7 +218,7 @@
         without_rollout = _sum_of(self.current, others)
         others_before = _sum_of(self.baseline, others)
         if with_rollout.total < MIN_REQUESTS or before.total < MIN_REQUESTS:
-            return Verdict.UNCLEAR
+            return ComparisonResult.UNCLEAR
         change = _change(before, with_rollout)
         if without_rollout.total >= MIN_REQUESTS and others_before.total >= MIN_REQUESTS:
             others_change = _change(others_before, without_rollout)
@@ -228,10 +228,10 @@
         drop_beyond_others = change.drop - max(0.0, others_change.drop)
         slowdown_beyond_others = change.slowdown / max(1.0, others_change.slowdown)
         if drop_beyond_others > max_drop or slowdown_beyond_others > self.rollout.max_slowdown:
-            return Verdict.WORSE
+            return ComparisonResult.WORSE
         if change.drop > max_drop or change.slowdown > self.rollout.max_slowdown:
-            return Verdict.BOTH_WORSE
-        return Verdict.GOOD
+            return ComparisonResult.BOTH_WORSE
+        return ComparisonResult.GOOD
 
 
 def _sum_of(statistics: dict[str, CellStatistics], cells: Iterable[str]) -> CellStatistics:
@@ -272,9 +272,9 @@
     }
 
 
-def limits_in_force(states: dict[str, RolloutState], cell: str, own_limits: Limits) -> Limits:
+def limits_in_force(states: dict[str, RolloutState], cell: str, tenant_limits: Limits) -> Limits:
     """Returns the limits of a cell's tenants: of the newest rollout there, else their own."""
-    limits = own_limits
+    limits = tenant_limits
     for state in states.values():
         if state.is_in_force(cell):
             limits = state.rollout.limits
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -31,7 +31,7 @@
 
 STEP_INTERVAL = 100.0  # ms between two steps of the thread
 RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
-MIN_WARMTH_CHANGE = 0.05  # a cache's warmth is taken over when it changed by more
+MIN_CAPACITY_CHANGE = 0.05  # a capacity fraction is taken over when it changed by more
 MAX_PENDING_TEXTS = 1_000  # log texts that wait for the next writing of the records
 
 
@@ -79,19 +79,15 @@
         # The identity comes first: a file that is replaced meanwhile is read once more.
         self._file_identity = store.file_identity(config.assignment_file)
         assignment = store.load_assignment(config.assignment_file)
-        capacity = DirectorCapacity(
-            max_open_requests=min(config.max_open_requests or max_open_requests, max_open_requests),
-            rate=config.rate,
-            max_retry_after=config.max_retry_after,
-        )
         self.controller = AdmissionController(
-            clock(), assignment, capacity, director_config.settings.allows_cache_bypass
+            clock(),
+            assignment,
+            _director_capacity(config, max_open_requests),
+            director_config.settings.allows_cache_bypass,
         )
         self.connections: Counter[str] = Counter()
         self._caches: Sequence[ReadyCache] = []
-        self._records: DirectorRecords | None = None
-        if config.records_folder:
-            self._records = DirectorRecords(config.records_folder, director_config.name)
+        self._records = _director_records(config, director_config.name)
         self._next_poll_at = 0.0
         self._next_records_at = 0.0
         self._pending_texts: list[str] = []  # for the records
@@ -206,7 +202,7 @@
             self._write_records(now, self._records)
 
     def _have_changed(self, caches: Sequence[ReadyCache]) -> bool:
-        """Returns whether a cache was added, removed or replaced, or its warmth changed."""
+        """Returns whether a cache was added, removed or replaced, or its fraction changed."""
         if len(caches) != len(self._caches):
             return True
         return any(
@@ -248,12 +244,24 @@
             self._pending_texts = [*self._pending_texts, *texts][-MAX_PENDING_TEXTS:]
 
 
+def _director_capacity(config: CellsConfig, max_open_requests: int) -> DirectorCapacity:
+    return DirectorCapacity(
+        max_open_requests=min(config.max_open_requests or max_open_requests, max_open_requests),
+        rate=config.rate,
+        max_retry_after=config.max_retry_after,
+    )
+
+
+def _director_records(config: CellsConfig, name: str) -> DirectorRecords | None:
+    return DirectorRecords(config.records_folder, name) if config.records_folder else None
+
+
 def _has_changed(cache: ReadyCache, previous: ReadyCache) -> bool:
-    name, endpoint, warmth = cache
-    previous_name, previous_endpoint, previous_warmth = previous
+    name, endpoint, fraction = cache
+    previous_name, previous_endpoint, previous_fraction = previous
     return (
         name != previous_name
         or endpoint is not previous_endpoint
-        or abs(warmth - previous_warmth) > MIN_WARMTH_CHANGE
-        or (warmth == 1.0) != (previous_warmth == 1.0)
+        or abs(fraction - previous_fraction) > MIN_CAPACITY_CHANGE
+        or (fraction == 1.0) != (previous_fraction == 1.0)
     )
--- a/mulleinrelay/cells/tenant_state.py
+++ b/mulleinrelay/cells/tenant_state.py
@@ -13,7 +13,7 @@
 
 # ms for which looked-up shares are used after their last request. It is less than the time after
 # which `FairShares` drops an idle share, so that no dropped one is used.
-SHARES_KEPT_FOR = 30_000.0
+SHARES_REUSED_FOR = 30_000.0
 
 
 @dataclass(slots=True, eq=False)
@@ -33,8 +33,8 @@
     def is_stale(self, now: float) -> bool:
         """Returns whether a share may have been dropped and is to be looked up again."""
         return (
-            now > self.share.last_requested_at + SHARES_KEPT_FOR
-            or now > self.cell_share.last_requested_at + SHARES_KEPT_FOR
+            now > self.share.last_requested_at + SHARES_REUSED_FOR
+            or now > self.cell_share.last_requested_at + SHARES_REUSED_FOR
         )
 
 
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -83,7 +83,7 @@
 
     ACTIVE_WINDOW = 1_000.0  # ms: a party that asked within this time is active
     RECOMPUTE_INTERVAL = 100.0  # ms: between two sums over all parties
-    FORGET_AFTER = 60.0 * ACTIVE_WINDOW  # ms: an idle party is dropped then
+    IDLE_TIMEOUT = 60.0 * ACTIVE_WINDOW  # ms: an idle party is dropped then
     BURST_S = 0.1  # seconds of a rate that may come at once
     # Requests a second for each token that was taken a millisecond, halved by the smoothing.
     SMOOTHED_PER_S = 500.0
@@ -127,8 +127,12 @@
         share.last_requested_at = now
         if was_idle or now >= self.computed_at + self.RECOMPUTE_INTERVAL:
             self._recompute(now)
-        own_wait = share.bucket.wait_time(now)
-        return 0.0 if own_wait == 0.0 else min(own_wait, self.total_bucket.wait_time(now))
+        guaranteed_wait = share.bucket.wait_time(now)
+        return (
+            0.0
+            if guaranteed_wait == 0.0
+            else min(guaranteed_wait, self.total_bucket.wait_time(now))
+        )
 
     def consume(self, share: BucketShare, now: float) -> None:
         """Takes the token of one request, from the party's own rate while that has some."""
@@ -161,7 +165,7 @@
         self.shares = {
             name: share
             for name, share in self.shares.items()
-            if now < share.last_requested_at + self.FORGET_AFTER
+            if now < share.last_requested_at + self.IDLE_TIMEOUT
         }
         active = [
             share
