--- a/tests/cells/stage.py
+++ b/tests/cells/cells_fixtures.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of cells."""
+"""Fixtures of the tests of cells."""
 
 import json
 
@@ -22,7 +22,7 @@
 PAY = RequestClass(UNSAFE, 500.0, 2.0, 6000.0, 6000.0, "cell", 0.0, False)
 
 
-def charter(
+def make_assignment(
     cells=("north", "south"),
     tenants=("acme", "beta", "shared"),
     moves=(),
@@ -31,32 +31,27 @@
     tenant_limits=None,
     **changes,
 ) -> Assignment:
-    """A charter of two cells whose tenants stand in the first, save `beta` in the second."""
-    held = {
-        one if isinstance(one, str) else one.name: Cell(one) if isinstance(one, str) else one
-        for one in cells
-    }
-    first, last = next(iter(held)), list(held)[-1]
-    people = {}
-    for one in tenants:
-        tenant = (
-            one
-            if isinstance(one, Tenant)
-            else Tenant(one, last if one == "beta" else first, limits=tenant_limits or Limits())
-        )
-        people[tenant.name] = tenant
+    """Makes an assignment of two cells; tenants are in the first, but `beta` in the last."""
+    cells = [Cell(cell) if isinstance(cell, str) else cell for cell in cells]
+    cells_by_name = {cell.name: cell for cell in cells}
+    tenants_by_name = {}
+    for tenant in tenants:
+        if isinstance(tenant, str):
+            home = cells[-1] if tenant == "beta" else cells[0]
+            tenant = Tenant(tenant, home.name, limits=tenant_limits or Limits())
+        tenants_by_name[tenant.name] = tenant
     return Assignment(
         version,
         1000.0,
-        held,
-        people,
+        cells_by_name,
+        tenants_by_name,
         {move.name: move for move in moves},
         {release.name: release for release in releases},
         **({"default_tenant": "shared"} | changes),
     )
 
 
-def move(starts_at=10_000.0, **changes) -> Migration:
+def make_migration(starts_at=10_000.0, **changes) -> Migration:
     return Migration(
         **(
             {
@@ -74,48 +69,57 @@
     )
 
 
-class Ruled:
-    """A governor with named caches, and a clock that stands until moved."""
+class ControllerFixture:
+    """A controller with named caches, and a clock that stands until moved."""
 
     def __init__(
-        self, held=None, caches=("s-01", "s-02", "s-03", "s-04"), board=None, by_pass=True
+        self,
+        assignment=None,
+        caches=("s-01", "s-02", "s-03", "s-04"),
+        capacity=None,
+        can_bypass=True,
     ):
         self.now = 1_000.0
-        self.governor = AdmissionController(
-            self.now, held or charter(), board or DirectorCapacity(100.0), by_pass
+        self.controller = AdmissionController(
+            self.now,
+            assignment or make_assignment(),
+            capacity or DirectorCapacity(100.0),
+            can_bypass,
         )
-        self.words = self.listed(caches)
+        self.texts = self.update_caches(caches)
 
-    def listed(self, caches, warmth=None):
-        warmth = warmth or {}
-        return self.governor.update_caches(
-            self.now, [(name, name, warmth.get(name, 1.0)) for name in caches]
+    def update_caches(self, caches, fractions=None):
+        fractions = fractions or {}
+        return self.controller.update_caches(
+            self.now, [(name, name, fractions.get(name, 1.0)) for name in caches]
         )
 
-    def ask(
+    def admit(
         self,
-        told="acme",
+        tenant_name="acme",
         request_class=PAGES,
         key=7,
         idempotency_key="",
-        repeated=False,
+        is_retry=False,
         body=0,
         address="",
         group=99,
     ):
-        return self.governor.admit_request(
+        return self.controller.admit_request(
             self.now,
             AdmissionRequest(
-                told, address, group, key, request_class, idempotency_key, repeated, body
+                tenant_name, address, group, key, request_class, idempotency_key, is_retry, body
             ),
         )
 
-    def done(self, grant, good=True, delay=5.0, owed=True):
-        return self.governor.complete_request(self.now, grant, good, owed, delay)
+    def complete(self, grant, is_served=True, delay=5.0, is_client_waiting=True):
+        return self.controller.complete_request(
+            self.now, grant, is_served, is_client_waiting, delay
+        )
 
 
-class Housed:
-    """Whole directors with one assignment file, before the same stand-ins, ended with the block."""
+class DirectorsFixture:
+    """Whole directors with one assignment file, before the same stand-ins, stopped with the block."""
 
     def __init__(self, folder, held, plan=HIT, directors=1, open_most=0, rate=0.0, **changes):
         self.path = folder / "assignment.ini"
@@ -142,7 +146,7 @@
             start = parse_config(json.dumps(whole | {"name": f"n{number}"}))
             self.services.append(Director(start, self.sinks[-1], own))
 
-    def __enter__(self) -> "Housed":
+    def __enter__(self) -> "DirectorsFixture":
         for service in self.services:
             service.start()
         return self
--- a/tests/cells/test_reading.py
+++ b/tests/cells/test_assignment_file.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 import pytest
+from cells_fixtures import Cell, Limits, Tenant, make_assignment, make_migration
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import Cell, Limits, Tenant, charter, move
 
 from mulleinrelay.cells import store
 from mulleinrelay.cells.config import load_cells_config, parse_cells_config
@@ -111,10 +111,10 @@
     FIGURE,
 )
 def test_what_is_written_reads_back(people, limits, version, written):
-    held = charter(
+    held = make_assignment(
         (Cell("north", 2.5, ("s-1",), 1, ("south",), 0.25, 500.0, limits), "south"),
         (*people, Tenant("shared", "south")),
-        (move(tenants=("shared",), source="south", target="north"),),
+        (make_migration(tenants=("shared",), source="south", target="north"),),
         version,
         (Rollout("r1", "north", (("south",),), 5.0, 9.0, limits),),
         limits=limits,
@@ -154,10 +154,10 @@
 def test_a_change_built_on_an_old_version_is_refused(tmp_path):
     path = str(tmp_path / "assignment.ini")
     with store.exclusive_writer(path):
-        assert store.save_assignment(path, charter(), 1.0, 0).version == 1
-        assert store.save_assignment(path, charter(), 2.0, 1).version == 2
+        assert store.save_assignment(path, make_assignment(), 1.0, 0).version == 1
+        assert store.save_assignment(path, make_assignment(), 2.0, 1).version == 2
         with pytest.raises(ConfigError, match="holds version 2"):
-            store.save_assignment(path, charter(), 3.0, 1)
+            store.save_assignment(path, make_assignment(), 3.0, 1)
         with pytest.raises(ConfigError, match="another command"), store.exclusive_writer(path):
             pass
     assert store.load_assignment(path).version == 2
@@ -166,16 +166,16 @@
 @pytest.mark.parametrize("step", ["fsync", "replace"])
 def test_what_fails_on_the_way_leaves_the_old_file(step, tmp_path, monkeypatch):
     path = str(tmp_path / "assignment.ini")
-    store.save_assignment(path, charter(), 1.0, 0)
+    store.save_assignment(path, make_assignment(), 1.0, 0)
 
     def fail(*_):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, step, fail)
     with pytest.raises(ConfigError, match="the old version stands"):
-        store.save_assignment(path, charter(), 2.0, 1)
+        store.save_assignment(path, make_assignment(), 2.0, 1)
     monkeypatch.undo()
     assert store.load_assignment(path).version == 1
     assert (
-        store.save_assignment(path, charter(), 3.0, 1).version == 2
+        store.save_assignment(path, make_assignment(), 3.0, 1).version == 2
     )  # what was left lying about is in nobody's way
--- a/tests/cells/test_assignment.py
+++ b/tests/cells/test_cell_hashing.py
@@ -3,9 +3,9 @@
 import itertools
 
 import pytest
+from cells_fixtures import Cell, Tenant, make_assignment
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import Cell, Tenant, charter
 
 from mulleinrelay.cells.hashing import (
     assign_with_load_bound,
@@ -67,7 +67,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 12), st.integers(1, 4))
 def test_each_cell_gets_a_cache_where_there_are_enough(caches, cells):
-    held = charter([Cell(f"c{number}") for number in range(cells)], ("shared",))
+    held = make_assignment([Cell(f"c{number}") for number in range(cells)], ("shared",))
     found = caches_by_cell(held, [f"s-{number}" for number in range(caches)])
     given_out = list(itertools.chain(*found.values()))
     assert len(given_out) == len(set(given_out)) == caches
@@ -75,7 +75,7 @@
 
 
 def test_named_caches_are_their_cells_own():
-    held = charter((Cell("north", caches=("s-1", "s-9")), Cell("south"), Cell("east")))
+    held = make_assignment((Cell("north", caches=("s-1", "s-9")), Cell("south"), Cell("east")))
     found = caches_by_cell(held, ["s-1", "s-2", "s-3", "s-4"])
     assert found["north"] == ["s-1"] and sorted(found["south"] + found["east"]) == [
         "s-2",
@@ -116,11 +116,11 @@
         Tenant("beta", "north", addresses=("10.1.2.0/24",), groups=((40, 40),)),
         Tenant("gamma", "south", addresses=("fd00::/8",), groups=((0, 9),)),
     )
-    naming = TenantResolver(charter(tenants=people))
+    naming = TenantResolver(make_assignment(tenants=people))
     assert naming.resolve(told, address, group) == tenant
     if tenant == "shared":
         assert (
-            TenantResolver(charter(tenants=people, unknown_tenant_policy="reject")).resolve(
+            TenantResolver(make_assignment(tenants=people, unknown_tenant_policy="reject")).resolve(
                 told, address, group
             )
             is None
@@ -138,7 +138,9 @@
 def test_ranges_that_cross_are_refused(one, other):
     with pytest.raises(ConfigError, match="crosses"):
         TenantResolver(
-            charter(tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other)))
+            make_assignment(
+                tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other))
+            )
         )
 
 
@@ -152,7 +154,7 @@
     for size, place in networks:
         text = f"10.0.0.{(place * 16) & (0xFF << size) & 0xFF}/{32 - size}"
         tenants.setdefault(text, Tenant(f"t{len(tenants)}", "north", addresses=(text,)))
-    naming = TenantResolver(charter(tenants=(*tenants.values(), "shared")))
+    naming = TenantResolver(make_assignment(tenants=(*tenants.values(), "shared")))
     holds = [
         (int(text.rpartition("/")[2]), tenant.name)
         for text, tenant in tenants.items()
@@ -163,7 +165,7 @@
 
 
 def test_a_table_leaves_those_without_an_entry_nowhere():
-    held = charter(
+    held = make_assignment(
         tenants=(Tenant("acme", "south"), Tenant("beta")),
         placement_method="table",
         unknown_tenant_policy="reject",
--- a/tests/cells/test_commands.py
+++ b/tests/cells/test_cells_commands.py
@@ -3,8 +3,8 @@
 import json
 
 import pytest
+from cells_fixtures import Cell, ControllerFixture, make_assignment
 from click.testing import CliRunner
-from stage import Cell, Ruled, charter
 
 from mulleinrelay import records
 from mulleinrelay.cells import store
@@ -15,7 +15,9 @@
 @pytest.fixture
 def path(tmp_path):
     file = tmp_path / "assignment.ini"
-    file.write_text(format_assignment(charter(("north", Cell("south", failover_cells=("north",))))))
+    file.write_text(
+        format_assignment(make_assignment(("north", Cell("south", failover_cells=("north",)))))
+    )
     return str(file)
 
 
@@ -121,12 +123,12 @@
 
 def test_what_directors_tell_is_shown_beside_the_file(path, tmp_path):
     folder = str(tmp_path / "records")
-    ruled = Ruled()
+    fixture = ControllerFixture()
     for name in ("n1", "n2"):
         kept = records.DirectorRecords(folder, name)
         assert (
             kept.keep(
-                ruled.governor.status(1.0) | {"version": 1 if name == "n1" else 9},
+                fixture.controller.status(1.0) | {"version": 1 if name == "n1" else 9},
                 ["cell north lost"],
             )
             == ""
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -4,8 +4,8 @@
 import threading
 
 import pytest
+from cells_fixtures import Cell, DirectorsFixture, make_assignment, make_migration
 from helpers import HIT, rows, wait_for
-from stage import Cell, Housed, charter, move
 
 from mulleinrelay import director as director_module
 from mulleinrelay.cells.formatter import format_assignment
@@ -28,7 +28,7 @@
 
 def halfway(share=0.5, **changes):
     """A move that has long begun and is held when that share has gone over."""
-    return move(
+    return make_migration(
         starts_at=1_000.0,
         warm_up_duration=0.0,
         shift_duration=1_000.0,
@@ -54,21 +54,21 @@
         settle(warden, grant, request, *how)
 
     monkeypatch.setattr(CellService, "complete_request", noted)
-    with Housed(tmp_path, charter(TWO), plan=silent, open_most=64) as housed:
-        others = housed.caller()
+    with DirectorsFixture(tmp_path, make_assignment(TWO), plan=silent, open_most=64) as running:
+        others = running.caller()
         others.send(tenant="beta")
         assert others.answer()[1] == SERVED
-        callers = [housed.caller() for _ in range(8)]
+        callers = [running.caller() for _ in range(8)]
         for number in range(30):
             for caller in callers:
                 caller.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.answer()[1] == SERVED
-        held = [entry for entry in housed.heard()["s-01"] if entry[2]["name"].startswith("f")]
+        held = [entry for entry in running.heard()["s-01"] if entry[2]["name"].startswith("f")]
         assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
         assert (
-            sum(len(sent) for name, sent in housed.heard().items() if name in ("s-02", "s-03"))
+            sum(len(sent) for name, sent in running.heard().items() if name in ("s-02", "s-03"))
             == 41
         )
         for (
@@ -83,29 +83,31 @@
 
     plans = [HIT, FILLED, FILLED, FILLED, FILLED, FILLED]
     objects = [f"{number:016x}" for number in range(40)]
-    with Housed(tmp_path, charter(TWO), plan=plans, directors=2) as housed:
+    with DirectorsFixture(tmp_path, make_assignment(TWO), plan=plans, directors=2) as running:
         for number in (0, 1):
-            caller = housed.caller(number)
+            caller = running.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
                 assert caller.answer()[1] == SERVED
-        assert len(housed.heard()["s-01"]) == 80
-        housed.path.write_text(
-            format_assignment(dataclasses.replace(charter(TWO, moves=(halfway(),)), version=2))
+        assert len(running.heard()["s-01"]) == 80
+        running.path.write_text(
+            format_assignment(
+                dataclasses.replace(make_assignment(TWO, moves=(halfway(),)), version=2)
+            )
         )
         assert wait_for(
             lambda: all(
-                one.cell_service.controller.assignment.version == 2 for one in housed.services
+                one.cell_service.controller.assignment.version == 2 for one in running.services
             )
         )
         went = []
         for number in (0, 1):
-            before = {name: len(attempts) for name, attempts in housed.heard().items()}
-            caller = housed.caller(number)
+            before = {name: len(attempts) for name, attempts in running.heard().items()}
+            caller = running.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
                 assert caller.answer()[1] == SERVED
-            new = {name: attempts[before[name] :] for name, attempts in housed.heard().items()}
+            new = {name: attempts[before[name] :] for name, attempts in running.heard().items()}
             went.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
             sources = {entry[2]["miss"] for name in ("s-02", "s-03") for entry in new[name]}
             assert sources == {"s-01"}
@@ -120,25 +122,27 @@
         answered.wait(10.0)
         return HIT
 
-    with Housed(
-        tmp_path, charter(TWO), plan=[held, HIT, HIT, HIT, HIT, HIT], directors=2
-    ) as housed:
-        for one in housed.services:
+    with DirectorsFixture(
+        tmp_path, make_assignment(TWO), plan=[held, HIT, HIT, HIT, HIT, HIT], directors=2
+    ) as running:
+        for one in running.services:
             one.config.request_classes["order"].key_scope = "cell"
             one.config.request_classes["order"].is_uncacheable = False
             one.cell_service.controller.placement.uncertain_until = 0.0
-        first = housed.caller()
+        first = running.caller()
         first.send("order", tenant="acme", nonce="n1", patience="2900")
-        assert wait_for(lambda: housed.heard()["s-01"])
-        housed.path.write_text(
-            format_assignment(dataclasses.replace(charter(TWO, moves=(halfway(1.0),)), version=2))
+        assert wait_for(lambda: running.heard()["s-01"])
+        running.path.write_text(
+            format_assignment(
+                dataclasses.replace(make_assignment(TWO, moves=(halfway(1.0),)), version=2)
+            )
         )
         assert wait_for(
             lambda: all(
-                one.cell_service.controller.assignment.version == 2 for one in housed.services
+                one.cell_service.controller.assignment.version == 2 for one in running.services
             )
         )
-        again = housed.caller(where)
+        again = running.caller(where)
         again.send("order", tenant="acme", nonce="n1", redo="1", patience="2900")
         if where == 1:
             assert again.answer()[1] == answer
@@ -146,48 +150,48 @@
         assert first.answer()[1] == SERVED
         if where == 0:
             assert again.answer()[1] == answer
-        fresh = housed.caller(where)
+        fresh = running.caller(where)
         fresh.send("order", tenant="acme", nonce="n2")
         assert fresh.answer()[1] == SERVED
         ran = {
             name
-            for name, sent in housed.heard().items()
+            for name, sent in running.heard().items()
             for entry in sent
             if entry[2].get("dedupe") == "n1"
         }
         assert ran == {"s-01"}
         assert [
-            entry[2]["dedupe"] for name in ("s-02", "s-03") for entry in housed.heard()[name]
+            entry[2]["dedupe"] for name in ("s-02", "s-03") for entry in running.heard()[name]
         ] == ["n2"]
 
 
 def test_a_drain_told_in_the_middle_of_a_move_holds_for_both_cells(tmp_path):
-    with Housed(tmp_path, charter(TWO, moves=(halfway(),))) as housed:
-        director = housed.services[0]
-        director.event_stream.apply(2, rows(housed, "DRAINING", "s-01", "s-02"))
+    with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(),))) as running:
+        director = running.services[0]
+        director.event_stream.apply(2, rows(running, "DRAINING", "s-01", "s-02"))
         assert wait_for(lambda: len(director.coordinator.ready_caches()) == 1)
-        caller = housed.caller()
+        caller = running.caller()
         for number in range(40):
             caller.send(tenant="acme", entity=f"{number:016x}")
             caller.answer()
-        heard = housed.heard()
+        heard = running.heard()
         assert not heard["s-01"] and not heard["s-02"] and heard["s-03"]
         assert not {entry[2].get("miss") for entry in heard["s-03"]} & {"s-01", "s-02"}
 
 
 def test_a_purge_told_in_the_middle_of_a_move_binds_the_old_cell_s_copies(tmp_path):
-    with Housed(tmp_path, charter(TWO, moves=(halfway(1.0),))) as housed:
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(1.0),))) as running:
+        caller = running.caller()
         caller.send(tenant="acme", entity="00000000000000ab")
         assert caller.answer()[1] == SERVED
-        director = housed.services[0]
+        director = running.services[0]
         director.event_stream.apply(
             2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}}
         )
         caller.send(tenant="acme", entity="00000000000000ab")
         assert caller.answer()[1] == SERVED
         last = [
-            sent[-1] for name, sent in housed.heard().items() if name in ("s-02", "s-03") and sent
+            sent[-1] for name, sent in running.heard().items() if name in ("s-02", "s-03") and sent
         ][-1]
         assert 0.0 < float(last[2]["within"]) < 5_000.0 and last[2].get("miss") != "s-01"
 
@@ -258,6 +262,6 @@
 
 def test_a_director_does_not_start_on_a_faulty_assignment(tmp_path):
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
-    with Housed(tmp_path, charter(TWO)) as housed:
+    with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
         with pytest.raises(ConfigError, match="none.ini"):
-            make(housed.services[0].config, housed.sinks[0], str(tmp_path / "cells.ini"))
+            make(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_cells_on_directors.py
@@ -3,8 +3,8 @@
 import dataclasses
 
 import pytest
+from cells_fixtures import Cell, DirectorsFixture, Limits, Tenant, make_assignment
 from helpers import rows, wait_for
-from stage import Cell, Housed, Limits, Tenant, charter
 
 from mulleinrelay import director as director_module
 from mulleinrelay.cells.formatter import format_assignment
@@ -21,34 +21,34 @@
     monkeypatch.setattr(director_module, "COMING", 0.0)
 
 
-def edge_caches(housed):
+def edge_caches(running):
     return {
-        name for name, sent in housed.heard().items() if sent and name in ("s-01", "s-02", "s-03")
+        name for name, sent in running.heard().items() if sent and name in ("s-01", "s-02", "s-03")
     }
 
 
 @pytest.mark.parametrize("tenant, caches", [("acme", {"s-01"}), ("beta", {"s-02", "s-03"})])
 def test_a_tenant_stays_in_its_cell(tenant, caches, tmp_path):
-    with Housed(tmp_path, charter(TWO)) as housed:
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
+        caller = running.caller()
         for number in range(40):
             caller.send(entity=f"{number:016x}", tenant=tenant)
             assert caller.answer()[1] == 0
-        assert edge_caches(housed) == caches
+        assert edge_caches(running) == caches
 
 
 def test_what_is_over_its_rate_is_rejected_at_once_and_reaches_no_node(tmp_path):
-    held = charter(
+    held = make_assignment(
         TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=3)), "beta", "shared")
     )
-    with Housed(tmp_path, held) as housed:
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, held) as running:
+        caller = running.caller()
         for _ in range(10):
             caller.send(tenant="acme")
         answers = [caller.answer()[:3] for _ in range(10)]
         assert sorted(what for _, what, _ in answers) == [0] * 3 + [REJECTED] * 7
         assert {fields.get("pause") for _, what, fields in answers if what == REJECTED} == {"5000"}
-        assert sum(len(attempts) for attempts in housed.heard().values()) == 3
+        assert sum(len(attempts) for attempts in running.heard().values()) == 3
         caller.send(tenant="beta")
         assert caller.answer()[1] == 0
 
@@ -58,8 +58,8 @@
     [("reject", "nobody", REJECTED), ("default_tenant", "nobody", 0), ("reject", "acme", 0)],
 )
 def test_an_unknown_tenant_gets_what_the_file_says(unknown, told, what, tmp_path):
-    with Housed(tmp_path, charter(TWO, unknown_tenant_policy=unknown)) as housed:
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, make_assignment(TWO, unknown_tenant_policy=unknown)) as running:
+        caller = running.caller()
         caller.send(tenant=told)
         assert caller.answer()[1] == what
 
@@ -67,12 +67,12 @@
 def test_a_repeat_that_is_over_its_bounds_is_failed(tmp_path):
     # Guards against telling a client that trying again is harmless where its first try may have
     # run.
-    held = charter(
+    held = make_assignment(
         TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=1)), "beta", "shared")
     )
-    with Housed(tmp_path, held) as housed:
-        housed.services[0].config.request_classes["order"].key_scope = "cell"
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, held) as running:
+        running.services[0].config.request_classes["order"].key_scope = "cell"
+        caller = running.caller()
         caller.send("order", tenant="acme", redo="1")
         assert caller.answer()[1] == 0
         caller.send("order", tenant="acme", redo="1")
@@ -80,20 +80,20 @@
 
 
 def test_a_lost_cell_is_taken_in_by_its_neighbour(tmp_path):
-    with Housed(tmp_path, charter(TWO)) as housed:
-        caller = housed.caller()
+    with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
+        caller = running.caller()
         caller.send(tenant="acme")
         assert caller.answer()[1] == 0
-        director = housed.services[0]
-        director.event_stream.apply(2, rows(housed, "DRAINING", "s-01"))
+        director = running.services[0]
+        director.event_stream.apply(2, rows(running, "DRAINING", "s-01"))
         assert wait_for(
-            lambda: any("north lost" in str(figures) for figures in housed.sinks[0].figures)
+            lambda: any("north lost" in str(figures) for figures in running.sinks[0].figures)
         )
-        before = len(housed.heard()["s-01"])
+        before = len(running.heard()["s-01"])
         for number in range(10):
             caller.send(tenant="acme", entity=f"{number:016x}")
             assert caller.answer()[1] == 0
-        assert len(housed.heard()["s-01"]) == before
+        assert len(running.heard()["s-01"]) == before
 
 
 @pytest.mark.parametrize(
@@ -101,10 +101,14 @@
     [("version = 0", "no later one"), ("nonsense", "the file"), ("[assignment]\nform = 9", "form")],
 )
 def test_a_file_that_cannot_be_used_changes_nothing(text, told, tmp_path):
-    with Housed(tmp_path, charter(TWO, version=3)) as housed:
-        whole = format_assignment(charter(TWO, version=2)) if text == "version = 0" else text
-        housed.path.write_text(whole)
-        assert wait_for(lambda: any(told in str(figures) for figures in housed.sinks[0].figures))
-        assert housed.services[0].cell_service.controller.assignment.version == 3
-        housed.path.write_text(format_assignment(dataclasses.replace(charter(TWO), version=4)))
-        assert wait_for(lambda: housed.services[0].cell_service.controller.assignment.version == 4)
+    with DirectorsFixture(tmp_path, make_assignment(TWO, version=3)) as running:
+        whole = (
+            format_assignment(make_assignment(TWO, version=2)) if text == "version = 0" else text
+        )
+        running.path.write_text(whole)
+        assert wait_for(lambda: any(told in str(figures) for figures in running.sinks[0].figures))
+        assert running.services[0].cell_service.controller.assignment.version == 3
+        running.path.write_text(
+            format_assignment(dataclasses.replace(make_assignment(TWO), version=4))
+        )
+        assert wait_for(lambda: running.services[0].cell_service.controller.assignment.version == 4)
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_migration_search.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 import pytest
+from cells_fixtures import Cell, ControllerFixture, make_assignment, make_migration
 from helpers import Stage
-from stage import Cell, Ruled, charter, move
 
 from mulleinrelay.coordinator import CancelAttempt, SendAttempt
 from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
@@ -16,14 +16,14 @@
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
-MOVE = move(
+MOVE = make_migration(
     starts_at=101_000.0, warm_up_duration=500.0, shift_duration=2_000.0, drain_duration=1_500.0
 )
 ABORTED = replace(MOVE, aborted_at=102_500.0)
 VERSIONS = [
-    charter(TWO),
-    charter(TWO, moves=(MOVE,), version=2),
-    charter(TWO, moves=(ABORTED,), version=3),
+    make_assignment(TWO),
+    make_assignment(TWO, moves=(MOVE,), version=2),
+    make_assignment(TWO, moves=(ABORTED,), version=3),
 ]
 BOXES = [(what, box) for what in ("drain", "cold", "gone") for box in CACHES]
 TROUBLES = [*BOXES, ("purge", "")]
@@ -33,7 +33,7 @@
 
 
 class Side:
-    """One director with its governor, on a clock that stands until moved; attempts are answered at
+    """One director with its controller, on a clock that stands until moved; attempts are answered at
     once.
     """
 
@@ -46,7 +46,7 @@
         director.cold_here.fraction = director.cold_parents.fraction = (
             0.5  # as such terms at its start would have it
         )
-        self.ruled = Ruled(version)
+        self.fixture = ControllerFixture(version)
         self.told = {}
 
     def strike(self, now, what, box):
@@ -66,12 +66,12 @@
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
-        self.stage.now = self.ruled.now = now
-        facade, governor = self.stage.facade, self.ruled.governor
+        self.stage.now = self.fixture.now = now
+        facade, controller = self.stage.facade, self.fixture.controller
         caches = facade.ready_caches()
-        governor.update_caches(now, caches)
+        controller.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
-            grant = self.ruled.ask(key=key)
+            grant = self.fixture.admit(key=key)
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.request_classes[0]
@@ -86,7 +86,7 @@
                     )
                 elif not isinstance(step, CancelAttempt):
                     break
-            self.ruled.done(grant)
+            self.fixture.complete(grant)
 
 
 def play(versions, what, box, when):
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_migrations.py
@@ -4,9 +4,17 @@
 from dataclasses import replace
 
 import pytest
+from cells_fixtures import (
+    ORDER,
+    ORDER_ALL,
+    PAGES,
+    Cell,
+    ControllerFixture,
+    make_assignment,
+    make_migration,
+)
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import ORDER, ORDER_ALL, PAGES, Cell, Ruled, charter, move
 
 from mulleinrelay.cells import edits, migrations, sticky_routing
 from mulleinrelay.cells.hashing import HASH_RANGE, combine_hashes
@@ -26,8 +34,8 @@
 
 @pytest.mark.parametrize("now, stage, share", STAGES)
 def test_the_course_follows_the_clock(now, stage, share):
-    assert migrations.stage_at(move(), now) == stage and migrations.migrated_fraction(
-        move(), now
+    assert migrations.stage_at(make_migration(), now) == stage and migrations.migrated_fraction(
+        make_migration(), now
     ) == pytest.approx(share)
 
 
@@ -51,9 +59,9 @@
     ],
 )
 def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
-    assert migrations.stage_at(move(**turn), now) == stage
+    assert migrations.stage_at(make_migration(**turn), now) == stage
     if stage != MigrationStage.DONE:
-        assert migrations.migrated_fraction(move(**turn), now) == pytest.approx(share)
+        assert migrations.migrated_fraction(make_migration(**turn), now) == pytest.approx(share)
 
 
 @settings(max_examples=200, deadline=None)
@@ -66,7 +74,7 @@
     st.integers(0, 2**64 - 1),
 )
 def test_the_share_never_jumps(warm, shift, drain, aborted_at, now, key):
-    held = move(
+    held = make_migration(
         warm_up_duration=warm,
         shift_duration=shift,
         drain_duration=drain,
@@ -98,10 +106,10 @@
     found = migrations.min_shift_duration(demand)
     assert (found is not None) == bears
     if bears:
-        held = move(shift_duration=found)
+        held = make_migration(shift_duration=found)
         peak = max(point.utilization for point in migrations.project_load(held, demand))
         assert 0.5 < peak <= migrations.TARGET_UTILIZATION + 0.01
-        cut = move(warm_up_duration=0.0, shift_duration=1.0)  # all at once
+        cut = make_migration(warm_up_duration=0.0, shift_duration=1.0)  # all at once
         assert max(point.utilization for point in migrations.project_load(cut, demand)) > 1.0
 
 
@@ -123,10 +131,12 @@
 def histories():
     """Versions of the file, (written at, charter) each, as staff's commands write them."""
     base = (
-        charter(propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=None)
+        make_assignment(
+            propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=None
+        )
         if False
         else replace(
-            charter(),
+            make_assignment(),
             propagation_time=SPREAD,
             clock_skew=SKEW,
             retry_horizon=HORIZON,
@@ -184,7 +194,11 @@
     """
     broken, tried, off = [], 0, 0
     base = replace(
-        charter(), propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=-1e6
+        make_assignment(),
+        propagation_time=SPREAD,
+        clock_skew=SKEW,
+        retry_horizon=HORIZON,
+        written_at=-1e6,
     )
     for name, history in histories_():
         readers = [
@@ -241,22 +255,25 @@
 
 
 def test_a_retry_at_the_same_director_stays_with_the_cell_that_ran_it():
-    held = replace(charter(moves=(move(),)), written_at=-1e6)
-    ruled = Ruled(held)
-    ruled.now = 10_100.0
+    held = replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
+    fixture = ControllerFixture(held)
+    fixture.now = 10_100.0
     first = {
-        key: ruled.ask(key=key, request_class=ORDER, idempotency_key=f"r{key}").cell for key in KEYS
+        key: fixture.admit(key=key, request_class=ORDER, idempotency_key=f"r{key}").cell
+        for key in KEYS
     }
     assert set(first.values()) == {"north"}
-    ruled.now = 14_900.0
+    fixture.now = 14_900.0
     assert {
-        ruled.ask(key=key, request_class=ORDER, idempotency_key=f"r{key}", repeated=True).cell
+        fixture.admit(key=key, request_class=ORDER, idempotency_key=f"r{key}", is_retry=True).cell
         for key in KEYS
     } == {"north"}
     assert "south" in {
-        ruled.ask(key=key, request_class=ORDER, idempotency_key=f"n{key}").cell for key in KEYS
+        fixture.admit(key=key, request_class=ORDER, idempotency_key=f"n{key}").cell for key in KEYS
     }
-    strange = ruled.ask(key=KEYS[0], request_class=ORDER, idempotency_key="other", repeated=True)
+    strange = fixture.admit(
+        key=KEYS[0], request_class=ORDER, idempotency_key="other", is_retry=True
+    )
     assert not strange.is_never_executed  # failed: another director may have run it
 
 
@@ -270,41 +287,45 @@
     ],
 )
 def test_the_old_caches_fill_and_stand_in_until_it_is_done(now, cell, spare, helpers):
-    ruled = Ruled(charter(moves=(move(),)))
-    ruled.now = now
-    pool = ruled.ask(key=KEYS[0]).pool
-    old = ruled.governor.placement.caches_by_cell["north"]
-    assert ruled.ask(key=KEYS[0]).cell == cell
+    fixture = ControllerFixture(make_assignment(moves=(make_migration(),)))
+    fixture.now = now
+    pool = fixture.admit(key=KEYS[0]).pool
+    old = fixture.controller.placement.caches_by_cell["north"]
+    assert fixture.admit(key=KEYS[0]).cell == cell
     assert (set(pool.failover_caches) == set(old)) == spare and (
         set(pool.migration_sources) == set(old)
     ) == helpers
 
 
-def every_cell(ruled, count):
+def every_cell(fixture, count):
     for key in range(count):
-        grant = ruled.ask(key=key)
-        ruled.done(grant)
+        grant = fixture.admit(key=key)
+        fixture.complete(grant)
         yield grant.cell
 
 
-def cells_of(ruled, count):
-    return set(every_cell(ruled, count))
+def cells_of(fixture, count):
+    return set(every_cell(fixture, count))
 
 
 def test_a_receiving_cell_that_dies_gives_back_and_returns_without_a_jump():
     two = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
-    ruled = Ruled(charter(two, moves=(move(drain_duration=60_000.0),)))
-    south = ruled.governor.placement.caches_by_cell["south"]
-    ruled.now = 16_000.0
-    assert cells_of(ruled, 200) == {"south"}
-    words = ruled.listed([name for name in ("s-01", "s-02", "s-03", "s-04") if name not in south])
+    fixture = ControllerFixture(
+        make_assignment(two, moves=(make_migration(drain_duration=60_000.0),))
+    )
+    south = fixture.controller.placement.caches_by_cell["south"]
+    fixture.now = 16_000.0
+    assert cells_of(fixture, 200) == {"south"}
+    words = fixture.update_caches(
+        [name for name in ("s-01", "s-02", "s-03", "s-04") if name not in south]
+    )
     assert "cell south lost" in words
     shares = []
-    assert cells_of(ruled, 200) == {"north"}
-    ruled.listed(["s-01", "s-02", "s-03", "s-04"])
+    assert cells_of(fixture, 200) == {"north"}
+    fixture.update_caches(["s-01", "s-02", "s-03", "s-04"])
     for _ in range(5):
-        shares.append(sum(cell == "south" for cell in every_cell(ruled, 300)) / 300)
-        ruled.now += 2_500.0
+        shares.append(sum(cell == "south" for cell in every_cell(fixture, 300)) / 300)
+        fixture.now += 2_500.0
     assert (
         shares == sorted(shares)
         and shares[0] < 0.05
@@ -315,18 +336,22 @@
 
 
 def test_a_changed_file_in_the_middle_of_a_move_proves_nothing():
-    ruled = Ruled(replace(charter(moves=(move(),)), written_at=-1e6))
-    ruled.now = 13_000.0
+    fixture = ControllerFixture(
+        replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
+    )
+    fixture.now = 13_000.0
     other = replace(
-        charter(moves=(move(name="m2", starts_at=12_900.0),)), version=2, written_at=-1e6
+        make_assignment(moves=(make_migration(name="m2", starts_at=12_900.0),)),
+        version=2,
+        written_at=-1e6,
     )
-    words = ruled.governor.replace_assignment(ruled.now, other)
+    words = fixture.controller.replace_assignment(fixture.now, other)
     assert any("without a move" in word for word in words)
-    assert not ruled.ask(
-        key=KEYS[4], request_class=ORDER, idempotency_key="x", repeated=True
+    assert not fixture.admit(
+        key=KEYS[4], request_class=ORDER, idempotency_key="x", is_retry=True
     ).is_never_executed
-    ruled.now += 1.0
-    assert ruled.ask(key=KEYS[4], request_class=PAGES).cell == "north"
+    fixture.now += 1.0
+    assert fixture.admit(key=KEYS[4], request_class=PAGES).cell == "north"
 
 
 # What staff may do
@@ -373,7 +398,7 @@
     with pytest.raises(edits.EditRejectedError, match=why):
         deed(
             replace(
-                charter(moves=(move(drain_duration=9_000.0),)),
+                make_assignment(moves=(make_migration(drain_duration=9_000.0),)),
                 propagation_time=100.0,
                 clock_skew=10.0,
             )
@@ -381,10 +406,12 @@
 
 
 def test_a_move_that_is_over_leaves_its_tenants_where_they_ended():
-    held = charter(moves=(move(),))
+    held = make_assignment(moves=(make_migration(),))
     assert edits.end_migrations(held, 17_000.0)[1] == []  # a client may still try again
     after, names = edits.end_migrations(held, 99_000.0)
     assert names == ["m1"] and after.tenants["acme"].cell == "south" and not after.migrations
-    back, _ = edits.end_migrations(charter(moves=(move(aborted_at=12_000.0),)), 99_000.0)
+    back, _ = edits.end_migrations(
+        make_assignment(moves=(make_migration(aborted_at=12_000.0),)), 99_000.0
+    )
     assert back.tenants["acme"].cell == "north"
     assert edits.abort_migration(held, "m1", 1_000.0).migrations == {}  # nobody has begun
--- a/tests/cells/test_staff.py
+++ b/tests/cells/test_operator_edits.py
@@ -2,10 +2,10 @@
 
 from dataclasses import replace
 
+from cells_fixtures import PAGES, make_assignment
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from stage import PAGES, charter
 
 from mulleinrelay.cells import edits, migrations
 from mulleinrelay.cells.formatter import format_assignment
@@ -25,7 +25,11 @@
     def begin(self):
         self.now, self.count = 100_000.0, 0
         self.held = replace(
-            charter(), propagation_time=300.0, clock_skew=50.0, retry_horizon=400.0, written_at=0.0
+            make_assignment(),
+            propagation_time=300.0,
+            clock_skew=50.0,
+            retry_horizon=400.0,
+            written_at=0.0,
         )
         self.placement = Placement(self.held, True)
         self.placement.update_caches(self.now, CACHES)
