--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""Cells at one director: room, lost cells, releases."""
+"""Admission at one director: quotas, lost cells, rollouts."""
 
 from dataclasses import replace
 
@@ -31,12 +31,14 @@
 ALL = ("s-01", "s-02", "s-03", "s-04")
 
 
-def count_admitted(fixture, count, **how):
-    """How many of so many are let in and stay open."""
-    return sum(isinstance(fixture.admit(key=key, **how), AdmissionGrant) for key in range(count))
+def count_admitted(fixture, count, **request):
+    """Returns how many of `count` requests are admitted; they stay open."""
+    return sum(
+        isinstance(fixture.admit(key=key, **request), AdmissionGrant) for key in range(count)
+    )
 
 
-def test_a_flooding_tenant_leaves_the_other_cell_its_part():
+def test_flooding_tenant_leaves_the_other_cell_its_share():
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.complete(fixture.admit("beta"))  # has asked lately
     fixture.now += 100.0
@@ -44,7 +46,7 @@
     assert count_admitted(fixture, 25, tenant_name="beta") == 25
 
 
-def test_a_flooding_tenant_leaves_its_own_cell_s_others_their_part():
+def test_flooding_tenant_leaves_tenants_of_its_cell_their_share():
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.complete(fixture.admit("shared"))
     fixture.now += 100.0
@@ -53,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    "limits, how, let",
+    "limits, asked, admitted",
     [
         (Limits(rate=10.0, burst=5), {}, 5),
         (Limits(max_open_requests=7), {}, 7),
@@ -62,12 +64,12 @@
         (Limits(), {"body": 48_000}, 20),
     ],
 )  # a body counts as further requests: 80 / (1 + 46.9 / 16)
-def test_a_tenant_s_own_bounds(limits, how, let):
+def test_quota_of_a_tenant_is_enforced(limits, asked, admitted):
     fixture = ControllerFixture(make_assignment(TWO, tenant_limits=limits))
-    assert count_admitted(fixture, 50, **how) == let
+    assert count_admitted(fixture, 50, **asked) == admitted
 
 
-def test_what_is_settled_makes_room_once():
+def test_completing_a_request_twice_releases_it_once():
     fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(max_open_requests=1)))
     grant = fixture.admit()
     assert isinstance(fixture.admit(), AdmissionRejection)
@@ -90,16 +92,16 @@
         (PAY, True, False),
     ],
 )
-def test_what_may_have_run_is_never_called_is_never_executed(
+def test_rejected_retry_that_may_have_run_is_not_never_executed(
     request_class, is_retry, is_never_executed
 ):
     fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
     fixture.admit()
-    denied = fixture.admit(request_class=request_class, is_retry=is_retry)
-    assert denied.is_never_executed == is_never_executed and denied.retry_after_ms > 0.0
+    rejection = fixture.admit(request_class=request_class, is_retry=is_retry)
+    assert rejection.is_never_executed == is_never_executed and rejection.retry_after_ms > 0.0
 
 
-def test_a_slow_cell_narrows_and_the_other_keeps_its_width():
+def test_concurrency_limit_of_a_slow_cell_falls_and_the_others_stays():
     fixture = ControllerFixture(make_assignment(TWO))
     words = []
     for turn in range(600):
@@ -107,10 +109,10 @@
         slow = fixture.admit(key=turn)
         words.append(fixture.complete(slow, delay=5.0 if turn < 100 else 300.0))
         fixture.complete(fixture.admit("beta", key=turn), delay=5.0)
-    rooms = fixture.controller.cell_quotas.cell_states
+    cell_states = fixture.controller.cell_quotas.cell_states
     assert (
-        rooms["north"].concurrency_limit.current < 30.0
-        and rooms["south"].concurrency_limit.current == 100.0
+        cell_states["north"].concurrency_limit.current < 30.0
+        and cell_states["south"].concurrency_limit.current == 100.0
     )
     assert any(word.startswith("cell north: concurrency limit reduced to ") for word in words)
 
@@ -118,7 +120,7 @@
 # A lost cell
 
 
-def test_a_lost_cell_gets_its_neighbour_s_reserve_and_no_more():
+def test_lost_cell_uses_the_failover_quota_and_no_more():
     fixture = ControllerFixture(make_assignment(TWO))
     assert "cell north lost" in fixture.update_caches(("s-03", "s-04"))
     grants = [
@@ -129,11 +131,11 @@
     assert count_admitted(fixture, 50, tenant_name="beta") == 50
 
 
-@pytest.mark.parametrize("warmth, let", [(1.0, 20), (0.5, 10), (0.0, 0)])
-def test_a_cold_neighbour_takes_in_less(warmth, let):
+@pytest.mark.parametrize("capacity_fraction, admitted", [(1.0, 20), (0.5, 10), (0.0, 0)])
+def test_failover_cell_that_warms_up_admits_less(capacity_fraction, admitted):
     fixture = ControllerFixture(make_assignment(TWO))
-    fixture.update_caches(("s-03", "s-04"), {"s-03": warmth, "s-04": warmth})
-    assert count_admitted(fixture, 100) == let
+    fixture.update_caches(("s-03", "s-04"), {"s-03": capacity_fraction, "s-04": capacity_fraction})
+    assert count_admitted(fixture, 100) == admitted
 
 
 @pytest.mark.parametrize(
@@ -143,18 +145,18 @@
         ((replace(TWO[0], failover_cells=()), TWO[1]), "lost"),
     ],
 )
-def test_where_nobody_takes_them_in_they_are_rejected(cells, why):
+def test_requests_without_a_failover_cell_are_rejected(cells, why):
     fixture = ControllerFixture(make_assignment(cells))
     fixture.update_caches(() if cells[0].failover_cells else ("s-03",))
-    denied = fixture.admit()
-    assert why in denied.reason and denied.is_never_executed
+    rejection = fixture.admit()
+    assert why in rejection.reason and rejection.is_never_executed
 
 
 @pytest.mark.parametrize(
     "request_class, is_retry, kind",
     [(ORDER, False, True), (ORDER, True, False), (PAY, False, None), (ORDER_ALL, False, None)],
 )
-def test_an_order_that_one_cell_s_nodes_must_know_is_nobody_s_guest(request_class, is_retry, kind):
+def test_requests_sticky_to_a_lost_cell_do_not_fail_over(request_class, is_retry, kind):
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.update_caches(("s-03", "s-04"))
     fixture.now = 1e6
@@ -162,13 +164,13 @@
     assert (found.is_never_executed if isinstance(found, AdmissionRejection) else None) == kind
 
 
-def test_an_order_that_passes_the_caches_by_needs_none():
+def test_request_that_bypasses_caches_needs_none():
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.update_caches(())
     assert isinstance(fixture.admit(request_class=ORDER_ALL, idempotency_key="r"), AdmissionGrant)
 
 
-def test_its_tenants_return_one_object_after_the_other():
+def test_objects_return_one_by_one_when_a_cell_recovers():
     fixture = ControllerFixture(
         make_assignment(TWO, tenants=(Tenant("acme", "north"), "beta", "shared")),
         capacity=DirectorCapacity(1e6),
@@ -183,17 +185,17 @@
     assert max(after - before for before, after in zip(shares, shares[1:], strict=False)) < 0.3
 
 
-def test_a_purse_of_further_attempts_is_the_tenant_s_own():
+def test_each_tenant_has_its_own_retry_budget():
     fixture = ControllerFixture(make_assignment(TWO))
-    purses = [
+    budgets = [
         fixture.admit(told, key=key).pool.retry_budget
         for told in ("acme", "shared")
         for key in (1, 2)
     ]
-    assert purses[0] is purses[1] and purses[2] is purses[3] and purses[0] is not purses[2]
+    assert budgets[0] is budgets[1] and budgets[2] is budgets[3] and budgets[0] is not budgets[2]
 
 
-def test_a_faulty_file_changes_nothing():
+def test_unusable_assignment_changes_nothing():
     fixture = ControllerFixture(make_assignment(TWO))
     crossing = make_assignment(
         TWO,
@@ -211,24 +213,18 @@
     )
 
 
-@pytest.mark.parametrize("held, may", [(0, True), (2, True), (3, False)])
-def test_connections_by_address(held, may):
-    people = (
+@pytest.mark.parametrize("open_connections, can_admit", [(0, True), (2, True), (3, False)])
+def test_connections_are_limited_by_address(open_connections, can_admit):
+    tenants = (
         Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(max_connections=3)),
         "shared",
     )
-    assert (
-        ControllerFixture(make_assignment(TWO, people)).controller.can_admit_connection(
-            "10.2.3.4", held
-        )
-        == may
-    )
-    assert ControllerFixture(make_assignment(TWO, people)).controller.can_admit_connection(
-        "11.2.3.4", 1000
-    )
+    controller = ControllerFixture(make_assignment(TWO, tenants)).controller
+    assert controller.can_admit_connection("10.2.3.4", open_connections) == can_admit
+    assert controller.can_admit_connection("11.2.3.4", 1000)
 
 
-# Releases
+# Rollouts
 
 THREE = (
     Cell("north", caches=("s-01",)),
@@ -281,14 +277,14 @@
         ),
     ],
 )
-def test_a_release_goes_on_halts_or_is_taken_back(north, others, ends):
+def test_rollout_proceeds_halts_or_is_rolled_back(north, others, ends):
     course = rollouts.RolloutState(RELEASE)
     words = play(course, 90_000.0, north, others)
     assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
     assert course.is_in_force("east") == (ends == "everywhere")
 
 
-def test_a_release_is_in_force_where_it_has_arrived():
+def test_rollout_is_in_force_in_cells_it_has_reached():
     fixture = ControllerFixture(
         make_assignment(
             THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)
@@ -313,7 +309,7 @@
     assert fixture.controller.tenant_states["acme"].limits.rate == 0.0
 
 
-def test_a_release_lays_tenants_over_fewer_caches_and_the_others_fill_them():
+def test_rollout_of_shuffle_shards_fills_from_the_other_caches():
     one = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
     release = replace(RELEASE, shuffle_shards=1, limits=Limits(), waves=())
     fixture = ControllerFixture(make_assignment(one, releases=(release,)))
@@ -328,7 +324,7 @@
     assert set(fixture.admit().pool.caches) == set(pool.caches)
 
 
-def test_a_director_restarted_in_a_move_goes_by_the_clock_and_proves_nothing():
+def test_director_restarted_in_a_migration_follows_the_clock_and_fails_uncertain_retries():
     held = replace(
         make_assignment(TWO, moves=(make_migration(starts_at=100_000.0),)), written_at=90_000.0
     )
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -1,4 +1,4 @@
-"""Assignment files: what they may say, and that they are written whole."""
+"""Assignment files: what is accepted, and that they are written completely or not at all."""
 
 import os
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         ("", "[assignment]: the section is missing"),
         ("nonsense", "the file: "),
@@ -83,16 +83,16 @@
         ),
     ],
 )
-def test_a_fault_names_its_key(text, told):
+def test_error_names_its_key(text, message):
     with pytest.raises(ConfigError) as fault:
         parse_assignment(text)
-    assert str(fault.value).startswith(told)
+    assert str(fault.value).startswith(message)
 
 
 NAME = st.text("abcz019_.:-", min_size=1, max_size=12)
 FIGURE = st.floats(0, 1e6).map(lambda value: round(value, 3))
 LIMITS = st.builds(Limits, FIGURE, FIGURE, FIGURE, FIGURE, FIGURE, st.integers(0, 1000))
-PEOPLE = st.builds(
+TENANTS = st.builds(
     Tenant,
     NAME,
     st.sampled_from(["", "north", "south"]),
@@ -105,15 +105,15 @@
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.lists(PEOPLE, max_size=6, unique_by=lambda tenant: tenant.name),
+    st.lists(TENANTS, max_size=6, unique_by=lambda tenant: tenant.name),
     LIMITS,
     st.integers(0, 10**9),
     FIGURE,
 )
-def test_what_is_written_reads_back(people, limits, version, written):
+def test_formatted_assignment_reads_back(tenants, limits, version, written):
     held = make_assignment(
         (Cell("north", 2.5, ("s-1",), 1, ("south",), 0.25, 500.0, limits), "south"),
-        (*people, Tenant("shared", "south")),
+        (*tenants, Tenant("shared", "south")),
         (make_migration(tenants=("shared",), source="south", target="north"),),
         version,
         (Rollout("r1", "north", (("south",),), 5.0, 9.0, limits),),
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         ("[cells]\nenabled = maybe", "[cells] enabled: yes or no"),
         ("[cells]\nenabled = yes", "[cells] assignment"),
@@ -135,13 +135,13 @@
         ("[director]\nspeed = 1", "[director] speed: an unknown key"),
     ],
 )
-def test_our_own_file(text, told):
+def test_error_in_the_cells_file_names_its_key(text, message):
     with pytest.raises(ConfigError) as fault:
         parse_cells_config(text, "/somewhere")
-    assert str(fault.value).startswith(told)
+    assert str(fault.value).startswith(message)
 
 
-def test_the_examples_can_be_used():
+def test_example_files_can_be_used():
     own = load_cells_config("deploy/cells.ini")
     assert not own.enabled and store.load_assignment(own.assignment_file).tenants[
         "acme"
@@ -151,7 +151,7 @@
     )
 
 
-def test_a_change_built_on_an_old_version_is_refused(tmp_path):
+def test_change_built_on_an_old_version_is_rejected(tmp_path):
     path = str(tmp_path / "assignment.ini")
     with store.exclusive_writer(path):
         assert store.save_assignment(path, make_assignment(), 1.0, 0).version == 1
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("step", ["fsync", "replace"])
-def test_what_fails_on_the_way_leaves_the_old_file(step, tmp_path, monkeypatch):
+def test_failed_write_leaves_the_old_file(step, tmp_path, monkeypatch):
     path = str(tmp_path / "assignment.ini")
     store.save_assignment(path, make_assignment(), 1.0, 0)
 
--- a/tests/cells/test_cell_hashing.py
+++ b/tests/cells/test_cell_hashing.py
@@ -1,4 +1,4 @@
-"""Who stands in which cell, and whose a request is."""
+"""Which cell a tenant and a cache belong to, and whose a request is."""
 
 import itertools
 
@@ -26,7 +26,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(NAMES, CELLS, st.floats(1.0, 3.0), st.randoms(use_true_random=False))
-def test_no_cell_takes_more_than_its_bound_and_order_is_of_no_matter(names, cells, bound, chance):
+def test_load_bound_is_kept_whatever_the_order(names, cells, bound, chance):
     items, bins = (
         dict.fromkeys(names, 1.0),
         {cell: 1.0 + place % 3 for place, cell in enumerate(cells)},
@@ -45,7 +45,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(NAMES, CELLS)
-def test_without_a_bound_a_cell_that_goes_moves_its_own_alone(names, cells):
+def test_without_a_bound_removing_a_cell_moves_only_its_own_items(names, cells):
     items, bins = dict.fromkeys(names, 1.0), dict.fromkeys(cells, 1.0)
     before = assign_with_load_bound(items, bins, 1e9)
     gone = cells[0]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("cells, tenants", [(10, 4000), (40, 4000)])
-def test_with_a_bound_a_cell_that_goes_moves_little_more_than_its_own(cells, tenants):
+def test_with_a_bound_removing_a_cell_moves_few_other_items(cells, tenants):
     items = {f"tenant-{number}": 1.0 for number in range(tenants)}
     bins = {f"cell-{number}": 1.0 for number in range(cells)}
     before = assign_with_load_bound(items, bins, 1.25)
@@ -66,7 +66,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 12), st.integers(1, 4))
-def test_each_cell_gets_a_cache_where_there_are_enough(caches, cells):
+def test_each_cell_gets_a_cache_if_there_are_enough(caches, cells):
     held = make_assignment([Cell(f"c{number}") for number in range(cells)], ("shared",))
     found = caches_by_cell(held, [f"s-{number}" for number in range(caches)])
     given_out = list(itertools.chain(*found.values()))
@@ -74,7 +74,7 @@
     assert caches < cells or all(found.values())
 
 
-def test_named_caches_are_their_cells_own():
+def test_named_caches_belong_to_the_cell_that_names_them():
     held = make_assignment((Cell("north", caches=("s-1", "s-9")), Cell("south"), Cell("east")))
     found = caches_by_cell(held, ["s-1", "s-2", "s-3", "s-4"])
     assert found["north"] == ["s-1"] and sorted(found["south"] + found["east"]) == [
@@ -84,7 +84,7 @@
     ]
 
 
-def test_two_tenants_seldom_share_all_their_caches():
+def test_shuffle_shards_seldom_coincide():
     caches = [f"s-{number}" for number in range(8)]
     pools = [tuple(shuffle_shard(f"tenant-{number}", caches, 2)) for number in range(300)]
     assert all(len(pool) == 2 for pool in pools) and len(set(pools)) == 28  # 8 over 2
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, address, group, tenant",
+    "tenant_name, address, group, tenant",
     [
         ("acme", "10.0.0.1", 3, "acme"),
         ("nobody", "10.0.0.1", 3, "shared"),
@@ -109,20 +109,20 @@
         ("", "11.0.0.0", 41, "shared"),
     ],
 )
-def test_whose_request_it_is(told, address, group, tenant):
-    people = (
+def test_resolves_the_tenant_of_a_request(tenant_name, address, group, tenant):
+    tenants = (
         Tenant("acme", "north", addresses=("10.1.0.0/16",)),
         Tenant("shared", "north"),
         Tenant("beta", "north", addresses=("10.1.2.0/24",), groups=((40, 40),)),
         Tenant("gamma", "south", addresses=("fd00::/8",), groups=((0, 9),)),
     )
-    naming = TenantResolver(make_assignment(tenants=people))
-    assert naming.resolve(told, address, group) == tenant
+    resolver = TenantResolver(make_assignment(tenants=tenants))
+    assert resolver.resolve(tenant_name, address, group) == tenant
     if tenant == "shared":
         assert (
-            TenantResolver(make_assignment(tenants=people, unknown_tenant_policy="reject")).resolve(
-                told, address, group
-            )
+            TenantResolver(
+                make_assignment(tenants=tenants, unknown_tenant_policy="reject")
+            ).resolve(tenant_name, address, group)
             is None
         )
 
@@ -135,7 +135,7 @@
         ({"addresses": ("10.0.0.0/8",)}, {"addresses": ("10.0.0.0/8",)}),
     ],
 )
-def test_ranges_that_cross_are_refused(one, other):
+def test_crossing_ranges_are_rejected(one, other):
     with pytest.raises(ConfigError, match="crosses"):
         TenantResolver(
             make_assignment(
@@ -149,22 +149,22 @@
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 15)), min_size=1, max_size=12),
     st.integers(0, 255),
 )
-def test_the_smallest_network_wins(networks, last):
+def test_smallest_network_wins(networks, last):
     tenants = {}
     for size, place in networks:
         text = f"10.0.0.{(place * 16) & (0xFF << size) & 0xFF}/{32 - size}"
         tenants.setdefault(text, Tenant(f"t{len(tenants)}", "north", addresses=(text,)))
-    naming = TenantResolver(make_assignment(tenants=(*tenants.values(), "shared")))
+    resolver = TenantResolver(make_assignment(tenants=(*tenants.values(), "shared")))
     holds = [
         (int(text.rpartition("/")[2]), tenant.name)
         for text, tenant in tenants.items()
         if int(text.split(".")[3].split("/")[0]) >> (32 - int(text.rpartition("/")[2]))
         == last >> (32 - int(text.rpartition("/")[2]))
     ]
-    assert naming.tenant_of_address(f"10.0.0.{last}") == (max(holds)[1] if holds else "")
+    assert resolver.tenant_of_address(f"10.0.0.{last}") == (max(holds)[1] if holds else "")
 
 
-def test_a_table_leaves_those_without_an_entry_nowhere():
+def test_table_placement_leaves_other_tenants_without_a_cell():
     held = make_assignment(
         tenants=(Tenant("acme", "south"), Tenant("beta")),
         placement_method="table",
--- a/tests/cells/test_cells_commands.py
+++ b/tests/cells/test_cells_commands.py
@@ -95,13 +95,13 @@
         (("show", "--bad"), 2, "No such option"),
     ],
 )
-def test_what_a_command_says_and_exits_with(path, arguments, code, told):
+def test_output_and_exit_code_of_a_command(path, arguments, code, told):
     found = call(path, *arguments)
     assert found[0] == code and told in found[1]
     assert store.load_assignment(path).version == 1
 
 
-def test_the_way_of_a_move_by_hand(path):
+def test_a_migration_and_a_rollout_by_commands(path):
     assert call(path, "move", "acme", "--to", "south", "--name", "m1", "--shift-ms", "3000")[0] == 0
     assert call(path, "move", "acme", "--to", "south", "--shift-ms", "3000")[0] == 3
     shown = json.loads(call(path, "show", "--json")[1])
@@ -121,7 +121,7 @@
     assert len(told) == len(lines) == 6 and [line["director"] for line in lines] == ["staff"] * 6
 
 
-def test_what_directors_tell_is_shown_beside_the_file(path, tmp_path):
+def test_show_and_log_include_directors_records(path, tmp_path):
     folder = str(tmp_path / "records")
     fixture = ControllerFixture()
     for name in ("n1", "n2"):
@@ -144,7 +144,7 @@
     assert call(path, "show", "--records", str(tmp_path / "none"))[0] == 2
 
 
-def test_records_that_cannot_be_written_are_told_of_once(tmp_path):
+def test_unwritable_records_are_reported_once(tmp_path):
     (tmp_path / "records").write_text("a file")
     kept = records.DirectorRecords(str(tmp_path / "records"), "n1")
     assert kept.keep({}, []).startswith("records cannot be written") and kept.keep({}, []) == ""
@@ -152,7 +152,7 @@
     assert kept.keep({}, []) == "records are written again"
 
 
-def test_a_log_begins_anew_when_it_is_long(tmp_path, monkeypatch):
+def test_records_log_is_rotated(tmp_path, monkeypatch):
     monkeypatch.setattr(records, "LOG_BYTES", 200)
     kept = records.DirectorRecords(str(tmp_path), "n1")
     for number in range(20):
@@ -170,7 +170,7 @@
         ("[cells]\nspeed = 1", 2, "[cells] speed"),
     ],
 )
-def test_check_reads_our_own_file(path, tmp_path, text, code, told):
+def test_check_reads_the_cells_file(path, tmp_path, text, code, told):
     (tmp_path / "cells.ini").write_text(text)
     done = CliRunner().invoke(
         main, ["check", "--cells", str(tmp_path / "cells.ini")], env={"LB_CONFIG": ""}
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize(
     "name, code, told", [("none.ini", 2, "No such file"), ("bad.ini", 2, "[fleet] caches")]
 )
-def test_lab_says_what_is_wrong(tmp_path, name, code, told):
+def test_lab_reports_a_faulty_scenario_file(tmp_path, name, code, told):
     (tmp_path / "bad.ini").write_text("[assignment]\ndefault_tenant = a\n[cell c]\n[tenant a]\n")
     done = CliRunner().invoke(main, ["lab", str(tmp_path / name)])
     assert done.exit_code == code and told in done.output
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -39,7 +39,7 @@
     )
 
 
-def test_a_flood_is_kept_to_its_cell_and_turned_away_at_once(tmp_path, monkeypatch):
+def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
     # The flooder's requests are never answered by its cache, so all that it may have open stays
     # open; where the machine is so slow that some of them are given up meanwhile, as many may
     # follow, and no more.
@@ -77,7 +77,7 @@
             assert [caller.answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
-def test_two_directors_move_the_same_objects_and_the_old_cache_fills(tmp_path):
+def test_two_directors_migrate_the_same_objects_and_the_old_cache_fills(tmp_path):
     # South lacks everything at first and tells so; what north has answered lately, it is to give as
     # a sibling.
 
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("where, answer", [(0, SERVED), (1, FAILED)])
-def test_an_order_in_flight_at_the_move_runs_in_one_cell_alone(where, answer, tmp_path):
+def test_request_in_flight_at_a_migration_runs_in_one_cell_only(where, answer, tmp_path):
     answered = threading.Event()
 
     def held(fields):
@@ -165,7 +165,7 @@
         ] == ["n2"]
 
 
-def test_a_drain_told_in_the_middle_of_a_move_holds_for_both_cells(tmp_path):
+def test_drain_during_a_migration_holds_for_both_cells(tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(),))) as running:
         director = running.services[0]
         director.event_stream.apply(2, rows(running, "DRAINING", "s-01", "s-02"))
@@ -179,7 +179,7 @@
         assert not {entry[2].get("miss") for entry in heard["s-03"]} & {"s-01", "s-02"}
 
 
-def test_a_purge_told_in_the_middle_of_a_move_binds_the_old_cell_s_copies(tmp_path):
+def test_purge_during_a_migration_holds_for_the_old_cells_copies(tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(1.0),))) as running:
         caller = running.caller()
         caller.send(tenant="acme", entity="00000000000000ab")
@@ -233,7 +233,7 @@
 """
 
 
-def test_a_small_lab_counts_each_answer_once():
+def test_small_lab_counts_each_answer_once():
     found = Lab(read_scenario(LAB)).run()
     assert [deed["wrong"] for deed in found["deeds"]] == ["", ""]
     assert (
@@ -254,13 +254,13 @@
         (("[fleet]", "[fleet]\nspeed = 1"), "[fleet] speed"),
     ],
 )
-def test_a_faulty_scenario_names_its_key(change, told):
+def test_error_in_a_scenario_names_its_key(change, told):
     with pytest.raises(ConfigError) as fault:
         read_scenario(LAB.replace(*change, 1))
     assert str(fault.value).startswith(told)
 
 
-def test_a_director_does_not_start_on_a_faulty_assignment(tmp_path):
+def test_director_does_not_start_with_an_unusable_assignment(tmp_path):
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
     with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
         with pytest.raises(ConfigError, match="none.ini"):
--- a/tests/cells/test_cells_on_directors.py
+++ b/tests/cells/test_cells_on_directors.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("tenant, caches", [("acme", {"s-01"}), ("beta", {"s-02", "s-03"})])
-def test_a_tenant_stays_in_its_cell(tenant, caches, tmp_path):
+def test_tenant_is_confined_to_its_cell(tenant, caches, tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
         caller = running.caller()
         for number in range(40):
@@ -37,7 +37,7 @@
         assert edge_caches(running) == caches
 
 
-def test_what_is_over_its_rate_is_rejected_at_once_and_reaches_no_node(tmp_path):
+def test_requests_over_the_rate_are_rejected_and_reach_no_node(tmp_path):
     held = make_assignment(
         TWO, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=3)), "beta", "shared")
     )
@@ -57,14 +57,14 @@
     "unknown, told, what",
     [("reject", "nobody", REJECTED), ("default_tenant", "nobody", 0), ("reject", "acme", 0)],
 )
-def test_an_unknown_tenant_gets_what_the_file_says(unknown, told, what, tmp_path):
+def test_unknown_tenant_is_treated_as_the_assignment_says(unknown, told, what, tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO, unknown_tenant_policy=unknown)) as running:
         caller = running.caller()
         caller.send(tenant=told)
         assert caller.answer()[1] == what
 
 
-def test_a_repeat_that_is_over_its_bounds_is_failed(tmp_path):
+def test_retry_over_its_quota_fails(tmp_path):
     # Guards against telling a client that trying again is harmless where its first try may have
     # run.
     held = make_assignment(
@@ -79,7 +79,7 @@
         assert caller.answer()[1] == FAILED
 
 
-def test_a_lost_cell_is_taken_in_by_its_neighbour(tmp_path):
+def test_lost_cell_fails_over(tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
         caller = running.caller()
         caller.send(tenant="acme")
@@ -100,7 +100,7 @@
     "text, told",
     [("version = 0", "no later one"), ("nonsense", "the file"), ("[assignment]\nform = 9", "form")],
 )
-def test_a_file_that_cannot_be_used_changes_nothing(text, told, tmp_path):
+def test_unusable_file_changes_nothing(text, told, tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO, version=3)) as running:
         whole = (
             format_assignment(make_assignment(TWO, version=2)) if text == "version = 0" else text
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -128,7 +128,7 @@
 STUDIES = {"moves": (search,)}
 
 
-def test_no_rule_is_broken_in_a_move_whatever_strikes(studies):
+def test_no_rule_is_broken_in_a_migration_whatever_fails(studies):
     found, played = studies("moves")
     assert played == 270 and not found
 
@@ -152,7 +152,7 @@
         (5, ("max_age", lambda whole: lambda self, request: 0.0), [("purge", "")]),
     ],
 )
-def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
+def test_search_finds_an_injected_fault(rule, fault, troubles, monkeypatch):
     name, make = fault
     monkeypatch.setattr(Router, name, make(getattr(Router, name)))
     assert rule in search(troubles)[0]
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -1,4 +1,4 @@
-"""The course of a move, and a search over directors that go by different versions of it."""
+"""The course of a migration, and a search over directors that use different versions of it."""
 
 import itertools
 from dataclasses import replace
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("now, stage, share", STAGES)
-def test_the_course_follows_the_clock(now, stage, share):
+def test_migration_follows_the_clock(now, stage, share):
     assert migrations.stage_at(make_migration(), now) == stage and migrations.migrated_fraction(
         make_migration(), now
     ) == pytest.approx(share)
@@ -58,7 +58,7 @@
         ),
     ],
 )
-def test_it_can_be_held_resumed_and_aborted_from_each_stage(turn, now, stage, share):
+def test_migration_can_be_paused_resumed_and_aborted(turn, now, stage, share):
     assert migrations.stage_at(make_migration(**turn), now) == stage
     if stage != MigrationStage.DONE:
         assert migrations.migrated_fraction(make_migration(**turn), now) == pytest.approx(share)
@@ -73,7 +73,7 @@
     st.floats(9_000, 25_000),
     st.integers(0, 2**64 - 1),
 )
-def test_the_share_never_jumps(warm, shift, drain, aborted_at, now, key):
+def test_migrated_fraction_never_jumps(warm, shift, drain, aborted_at, now, key):
     held = make_migration(
         warm_up_duration=warm,
         shift_duration=shift,
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("capacity, bears", [(300.0, True), (130.0, False)])
-def test_the_shift_is_as_long_as_the_receiving_caches_want(capacity, bears):
+def test_shift_is_as_long_as_the_receiving_caches_need(capacity, bears):
     demand = MigrationDemand(
         rate=100.0,
         load=20.0,
@@ -229,13 +229,13 @@
     return broken, tried, off
 
 
-def test_no_order_runs_in_two_cells_whatever_version_directors_go_by():
+def test_no_sticky_request_runs_in_two_cells_whatever_versions_directors_use():
     broken, tried, off = search(ORDER)
     assert tried > 50_000 and not broken
     assert 0 < off < tried  # only what may have gone over fails
 
 
-def test_orders_that_every_node_knows_are_never_failed():
+def test_keys_known_to_every_node_are_never_failed():
     assert search(ORDER_ALL)[2] == 0
 
 
@@ -249,12 +249,12 @@
         ),  # a retry goes by the share of the moment, as a first try does
     ],
 )
-def test_the_search_finds_a_fault(fault, monkeypatch):
+def test_search_finds_an_injected_fault(fault, monkeypatch):
     monkeypatch.setattr("mulleinrelay.cells.placement.choose_side", fault)
     assert search(ORDER, lambda: itertools.islice(histories(), 2))[0]
 
 
-def test_a_retry_at_the_same_director_stays_with_the_cell_that_ran_it():
+def test_retry_at_the_same_director_goes_to_the_cell_that_ran_it():
     held = replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
     fixture = ControllerFixture(held)
     fixture.now = 10_100.0
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    "now, cell, spare, helpers",
+    "now, cell, takes_over, fills",
     [
         (9_000.0, "north", False, False),
         (14_999.0, "south", True, True),
@@ -286,15 +286,15 @@
         (17_500.0, "south", False, False),
     ],
 )
-def test_the_old_caches_fill_and_stand_in_until_it_is_done(now, cell, spare, helpers):
+def test_old_caches_fill_and_take_over_until_the_migration_is_done(now, cell, takes_over, fills):
     fixture = ControllerFixture(make_assignment(moves=(make_migration(),)))
     fixture.now = now
     pool = fixture.admit(key=KEYS[0]).pool
     old = fixture.controller.placement.caches_by_cell["north"]
     assert fixture.admit(key=KEYS[0]).cell == cell
-    assert (set(pool.failover_caches) == set(old)) == spare and (
+    assert (set(pool.failover_caches) == set(old)) == takes_over and (
         set(pool.migration_sources) == set(old)
-    ) == helpers
+    ) == fills
 
 
 def every_cell(fixture, count):
@@ -308,7 +308,7 @@
     return set(every_cell(fixture, count))
 
 
-def test_a_receiving_cell_that_dies_gives_back_and_returns_without_a_jump():
+def test_lost_target_cell_falls_back_to_the_source_and_recovers_gradually():
     two = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
     fixture = ControllerFixture(
         make_assignment(two, moves=(make_migration(drain_duration=60_000.0),))
@@ -335,7 +335,7 @@
     assert max(after - before for before, after in itertools.pairwise(shares)) < 0.35
 
 
-def test_a_changed_file_in_the_middle_of_a_move_proves_nothing():
+def test_retries_are_uncertain_after_a_change_during_a_migration():
     fixture = ControllerFixture(
         replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
     )
@@ -354,13 +354,13 @@
     assert fixture.admit(key=KEYS[4], request_class=PAGES).cell == "north"
 
 
-# What staff may do
+# Edits
 
 SPANS = edits.StageDurations(1_000.0, 2_000.0, 1_000.0)
 
 
 @pytest.mark.parametrize(
-    "deed, why",
+    "edit, why",
     [
         (lambda held: edits.start_migration(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
         (
@@ -394,9 +394,9 @@
         ),
     ],
 )
-def test_what_would_break_a_move_is_refused_in_words(deed, why):
+def test_edit_that_would_break_a_migration_is_rejected(edit, why):
     with pytest.raises(edits.EditRejectedError, match=why):
-        deed(
+        edit(
             replace(
                 make_assignment(moves=(make_migration(drain_duration=9_000.0),)),
                 propagation_time=100.0,
@@ -405,7 +405,7 @@
         )
 
 
-def test_a_move_that_is_over_leaves_its_tenants_where_they_ended():
+def test_ended_migration_leaves_tenants_in_their_last_cell():
     held = make_assignment(moves=(make_migration(),))
     assert edits.end_migrations(held, 17_000.0)[1] == []  # a client may still try again
     after, names = edits.end_migrations(held, 99_000.0)
--- a/tests/cells/test_operator_edits.py
+++ b/tests/cells/test_operator_edits.py
@@ -1,4 +1,4 @@
-"""Staff at work on a move, in any order: what they write is whole, and objects never jump."""
+"""Operators' edits of a migration in any order: files read back, and few objects move at once."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 KEYS = range(0, 4_000, 40)
 
 
-class StaffMachine(RuleBasedStateMachine):
+class OperatorMachine(RuleBasedStateMachine):
     """One file, and one director that reads each version at once and looks up all the time."""
 
     @initialize()
@@ -88,7 +88,7 @@
         self.now += span
 
     @invariant()
-    def few_objects_change_cells_in_a_short_time(self):
+    def few_objects_change_cells_at_once(self):
         cells, span = self.look(), self.now - self.looked
         changed = sum(one != other for one, other in zip(cells, self.cells, strict=True))
         mean = len(KEYS) * span / SPANS.shift  # warm is slower
@@ -96,7 +96,7 @@
         self.cells, self.looked = cells, self.now
 
     @invariant()
-    def what_is_over_is_told_by_the_clock(self):
+    def migrated_objects_follow_the_clock(self):
         for held in self.held.migrations.values():
             share = migrations.migrated_fraction(held, self.now)
             found = sum(cell == held.target for cell in self.look()) / len(KEYS)
@@ -108,5 +108,5 @@
                 assert found == 0.0
 
 
-TestStaffMachine = StaffMachine.TestCase
-TestStaffMachine.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestOperatorMachine = OperatorMachine.TestCase
+TestOperatorMachine.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
