--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -1,461 +1,365 @@
-"""All that cells decide at one director: whose request, which cell and pool, and whether there is
-room.
+"""Admission of requests by tenant and cell: whose request it is, where it goes, whether it may.
 
-Pure: time is passed in, nodes are opaque. The decision module still picks the node, of the pool
-given here. What is turned away here has cost no round of the module.
+The controller owns everything that cells decide at one director. The routing policy still picks the
+endpoint, out of the pool that is given here. A request that is rejected here never reaches it.
+
+Pure: the time (ms) is passed in and endpoints are opaque. Not thread-safe: `CellService` holds its
+lock round each call.
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 
-from ..policy.model import IDEMPOTENT, KEYED, CachePool, RequestClass
+from ..policy.model import IDEMPOTENT, KEYED
 from . import migrations, rollouts
-from .failover import FailoverQuota
-from .limits import FairPace, Lane, Pace, Retries, Share, Shares, Width, advice
-from .model import Assignment, Cell, Limits
-from .placement import Placement, Unplaced, settled_homes
+from .admission_types import AdmissionGrant, AdmissionRejection, AdmissionRequest
+from .cell_quotas import Candidate, CellQuotas, FailoverTerms
+from .cell_state import DirectorCapacity
+from .model import Assignment, Limits
+from .placement import Placement, checked_home_cells
+from .placement_types import CellPlacement, PlacementFailure, PlacementRequest, ReadyCache
+from .status import status_report
 from .tenant_resolution import TenantResolver
+from .tenant_state import TenantState
+from .token_bucket import bounded_retry_after
 
-ACCOUNTS_MOST = 20_000
-BODY_SLOT = 16.0  # KB of a body that count as one more open request
-WIDTH_LEAST = 4.0
-SEAT_KEPT = 30_000.0  # ms, less than shares remember a party
-LOST_WAIT = 1_000.0
-TENANTS_TOLD = 50  # of those that were turned away most
-
-
-@dataclass(slots=True, frozen=True)
-class DirectorCapacity:
-    """What the director itself has."""
+__all__ = [
+    "AdmissionController",
+    "AdmissionGrant",
+    "AdmissionRejection",
+    "AdmissionRequest",
+    "DirectorCapacity",
+    "PreparedAssignment",
+    "prepare_assignment",
+]
 
-    open_most: float  # requests open
-    rate: float = 0.0  # requests a second that it can bear; 0: not bounded here
-    come_back_most: float = 5_000.0
-
-
-@dataclass(slots=True, eq=False)
-class Asking:
-    """What tells whose request it is and how it may be repeated."""
-
-    told: str
-    address: str
-    group: int
-    key: int | str  # the object; as hex digits it is read only where it is wanted
-    request_class: RequestClass
-    idempotency_key: str = ""
-    repeated: bool = False
-    body: int = 0  # bytes
-
-
-@dataclass(slots=True, eq=False)
-class AdmissionRejection:
-    """Turned away. `harmless`: nothing of it can have run, so it is rejected; else it fails."""
-
-    reason: str
-    retry_after_ms: float
-    is_never_executed: bool
-
-
-class TenantState:
-    """One tenant at this director."""
-
-    __slots__ = ("limits", "pace", "retries", "body", "denied", "granted", "used", "seats")
-
-    def __init__(self, limits: Limits) -> None:
-        self.renew(limits)
-        self.body, self.denied, self.granted, self.used = 0.0, 0, 0, 0.0
-
-    def renew(self, limits: Limits) -> None:
-        self.limits = limits
-        self.pace, self.retries = Pace(limits.rate, limits.burst), Retries(limits.retry_ratio)
-        self.seats: dict[str, TenantCellLimits] = {}  # by cell
-
-
-@dataclass(slots=True, eq=False)
-class TenantCellLimits:
-    """A tenant's place in one cell: looked up once, as long as its shares are in use."""
-
-    cell: Cell
-    room: "CellState"
-    share: Share
-    cell_share: Share
-    weight: float
-
-
-class CellState:
-    """One cell at this director: its width, its tenants' shares of that, and its rate."""
-
-    def __init__(self, board: DirectorCapacity, limits: Limits) -> None:
-        self.rates = FairPace(limits.rate)
-        self.limits = limits
-        most = min(board.open_most, limits.max_open_requests or board.open_most)
-        self.width = Width(min(WIDTH_LEAST, most), most)
-        self.shares = Shares(most)
-        self.guests: dict[str, FailoverQuota] = {}
-        self.good, self.total, self.denied = 0, 0, 0
-        self.rated_at = -1e12
-
-
-@dataclass(slots=True, eq=False)
-class AdmissionGrant:
-    """Room for one request, to be settled once."""
-
-    tenant: str
-    cell: str
-    pool: CachePool
-    amount: float
-    body: float
-    account: TenantState
-    room: CellState
-    share: Share
-    cell_share: Share
-    guests: FailoverQuota | None
-    settled: bool = field(default=False)
+MAX_TENANT_STATES = 20_000  # beyond, the half that was used longest ago is dropped
+BODY_KB_PER_SLOT = 16.0  # KB of a body that count as one more open request
+DEFAULT_WAIT = 1_000.0  # ms: Retry-After where nothing tells when the request may come
 
 
 @dataclass(slots=True, eq=False)
 class PreparedAssignment:
-    """A charter with what is reckoned from it alone, so that taking it over holds no request up."""
+    """An assignment with what is computed from it alone, so that taking it over is quick.
+
+    Attributes:
+        assignment: The assignment.
+        tenant_resolver: Finds the tenant of a request.
+        homes: Home cell by tenant.
+    """
 
     assignment: Assignment
-    naming: TenantResolver
+    tenant_resolver: TenantResolver
     homes: dict[str, str]
 
 
-def prepare_assignment(charter: Assignment) -> PreparedAssignment:
-    """Raises ConfigError where the charter can't be used."""
-    return PreparedAssignment(charter, TenantResolver(charter), settled_homes(charter))
+def prepare_assignment(assignment: Assignment) -> PreparedAssignment:
+    """Computes what is needed to use an assignment; it takes seconds for a large one.
+
+    Raises:
+        ConfigError: If the assignment cannot be used.
+    """
+    return PreparedAssignment(
+        assignment, TenantResolver(assignment), checked_home_cells(assignment)
+    )
 
 
 class AdmissionController:
+    """Admits or rejects requests by the assignment in force.
+
+    Attributes:
+        assignment: The version in force.
+        tenant_resolver: Finds the tenant of a request.
+        placement: Finds the cell and the caches of a request.
+        capacity: What this director has.
+        tenant_states: By tenant.
+        unknown_tenant: Of requests whose tenant is unknown.
+        cell_quotas: What cells use of this director.
+        rollout_states: By rollout.
+        migration_stages: By migration, as last logged.
+    """
+
     def __init__(
-        self, now: float, charter: Assignment, board: DirectorCapacity, may_pass_by: bool
+        self,
+        now: float,
+        assignment: Assignment,
+        capacity: DirectorCapacity,
+        can_bypass_caches: bool,
     ) -> None:
-        self.board = board
-        self.accounts: dict[str, TenantState] = {}
-        self.rooms: dict[str, CellState] = {}
-        self.cells = Shares(board.open_most)
-        self.rates = FairPace(board.rate)
-        self.courses: dict[str, rollouts.Course] = {}
-        ready = prepare_assignment(charter)
-        self.placement = Placement(charter, may_pass_by, ready.homes)
-        self.unknown = TenantState(charter.limits)  # whose requests name no tenant of ours
-        self.stages: dict[str, migrations.MigrationStage] = {}
-        self.step_due = 0.0
-        self._take_over(now, ready)
-
-    # What changes
-
-    def replace_assignment(self, now: float, ready: "Assignment | PreparedAssignment") -> list[str]:
-        """A new version of the file is in force; gives words for the log. Raises ConfigError, and
-        then the old one stays. Accounts, widths and idempotency keys are kept.
+        """Starts without any cache.
+
+        Raises:
+            ConfigError: If the assignment cannot be used.
         """
-        ready = ready if isinstance(ready, PreparedAssignment) else prepare_assignment(ready)
-        charter = ready.assignment
-        words = self.placement.renew(now, charter, ready.homes)
-        self._take_over(now, ready)
-        first = (
-            f"version {charter.version}: {len(charter.cells)} cells, {len(charter.tenants)} tenants"
-        )
-        return [first, *words]
-
-    def _take_over(self, now: float, ready: "PreparedAssignment") -> None:
-        charter = ready.assignment
-        self.assignment, self.naming = charter, ready.naming
-        self.courses = {
-            name: self.courses.get(name) or rollouts.Course(release)
-            for name, release in charter.rollouts.items()
+        self.capacity = capacity
+        self.tenant_states: dict[str, TenantState] = {}
+        self.cell_quotas = CellQuotas(capacity)
+        self.rollout_states: dict[str, rollouts.RolloutState] = {}
+        prepared = prepare_assignment(assignment)
+        self.placement = Placement(assignment, can_bypass_caches, prepared.homes)
+        self.unknown_tenant = TenantState(assignment.limits)
+        self.migration_stages: dict[str, migrations.MigrationStage] = {}
+        self._use_assignment(prepared)
+
+    # Changes of the assignment, the endpoint list and the time
+
+    def replace_assignment(
+        self, now: float, assignment: Assignment | PreparedAssignment
+    ) -> list[str]:
+        """Takes over a new version; what tenants and cells use, and idempotency keys, are kept.
+
+        Returns:
+            Texts for the log.
+
+        Raises:
+            ConfigError: If it cannot be used; then the old one stays in force.
+        """
+        if isinstance(assignment, PreparedAssignment):
+            prepared = assignment
+        else:
+            prepared = prepare_assignment(assignment)
+        new = prepared.assignment
+        texts = self.placement.replace_assignment(now, new, prepared.homes)
+        self._use_assignment(prepared)
+        first = f"version {new.version}: {len(new.cells)} cells, {len(new.tenants)} tenants"
+        return [first, *texts]
+
+    def _use_assignment(self, prepared: PreparedAssignment) -> None:
+        assignment = prepared.assignment
+        self.assignment = assignment
+        self.tenant_resolver = prepared.tenant_resolver
+        self.rollout_states = {
+            name: self.rollout_states.get(name) or rollouts.RolloutState(rollout)
+            for name, rollout in assignment.rollouts.items()
         }
-        for name, course in self.courses.items():
-            course.release = charter.rollouts[name]
-        for name, cell in charter.cells.items():
-            room = self.rooms.get(name)
-            if room is None or room.limits != cell.limits:
-                self.rooms[name] = self._renewed(room, cell.limits)
-        self.rooms = {name: self.rooms[name] for name in charter.cells}
-        self._renew_accounts()
-        self.placement.reshuffle(rollouts.shuffles(self.courses))
-        self.stages = {
-            name: self.stages.get(name, migrations.MigrationStage.PLANNED)
-            for name in charter.migrations
+        for name, state in self.rollout_states.items():
+            state.rollout = assignment.rollouts[name]
+        self.cell_quotas.set_cells(assignment.cells)
+        self._update_tenant_limits()
+        self.placement.set_shuffle_shards(rollouts.shuffle_shards_by_cell(self.rollout_states))
+        self.migration_stages = {
+            name: self.migration_stages.get(name, migrations.MigrationStage.PLANNED)
+            for name in assignment.migrations
         }
 
-    def _renewed(self, old: CellState | None, limits: Limits) -> CellState:
-        room = CellState(self.board, limits)
-        if old is not None:  # what is open stays counted where it was taken
-            old.rates.renew(limits.rate)
-            old.limits, old.width = limits, room.width
-            old.shares.width = room.shares.width
-            return old
-        return room
-
-    def _renew_accounts(self) -> None:
-        for name, account in self.accounts.items():
-            limits = self._limits(name)
-            account.seats.clear()
-            if limits != account.limits:
-                account.renew(limits)
-
-    def _limits(self, tenant: str) -> Limits:
+    def _update_tenant_limits(self) -> None:
+        for name, state in self.tenant_states.items():
+            limits = self._limits_of(name)
+            state.cell_limits.clear()
+            if limits != state.limits:
+                state.set_limits(limits)
+
+    def _limits_of(self, tenant: str) -> Limits:
         known = self.assignment.tenants.get(tenant)
-        own = known.limits if known is not None else self.assignment.limits
-        return rollouts.in_force(self.courses, self.placement.homes.get(tenant, ""), own)
+        tenant_limits = known.limits if known is not None else self.assignment.limits
+        home = self.placement.homes.get(tenant, "")
+        return rollouts.limits_in_force(self.rollout_states, home, tenant_limits)
 
-    def update_caches(self, now: float, caches: Iterable[tuple[str, Any, float]]) -> list[str]:
-        """The ready caches of this location have changed: name, node, warmth."""
-        return self.placement.listed(now, caches)
+    def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
+        """Takes over the ready caches of this location; returns texts for the log."""
+        return self.placement.update_caches(now, caches)
 
     def step(self, now: float) -> list[str]:
-        """Releases and moves go on by the clock; gives words for the log. To be called some times a
-        second."""
-        words = []
-        for name, move in self.assignment.migrations.items():
-            if (stage := migrations.stage(move, now)) != self.stages[name]:
-                self.stages[name] = stage
-                share = migrations.shifted(move, now)
-                words.append(
-                    f"move {name} {stage.value}: {share:.2f} of {move.source} in {move.target}"
-                )
-        for name, course in self.courses.items():
-            if word := course.step(now):
-                words.append(
-                    f"release {name} {word}, wave {course.wave} of {len(course.release.waves)}"
-                )
-                self._renew_accounts()
-                self.placement.reshuffle(rollouts.shuffles(self.courses))
-        return words
+        """Advances migrations and rollouts; to be called some times a second.
 
-    # One request
+        Returns:
+            Texts for the log.
+        """
+        return self._log_migrations(now) + self._advance_rollouts(now)
+
+    def _log_migrations(self, now: float) -> list[str]:
+        texts = []
+        for name, migration in self.assignment.migrations.items():
+            stage = migrations.stage_at(migration, now)
+            if stage != self.migration_stages[name]:
+                self.migration_stages[name] = stage
+                fraction = migrations.migrated_fraction(migration, now)
+                texts.append(
+                    f"move {name} {stage.value}: "
+                    f"{fraction:.2f} of {migration.source} in {migration.target}"
+                )
+        return texts
+
+    def _advance_rollouts(self, now: float) -> list[str]:
+        texts = []
+        for name, state in self.rollout_states.items():
+            if change := state.advance(now):
+                wave_count = len(state.rollout.waves)
+                texts.append(f"release {name} {change}, wave {state.wave} of {wave_count}")
+                self._update_tenant_limits()
+                shuffle_shards = rollouts.shuffle_shards_by_cell(self.rollout_states)
+                self.placement.set_shuffle_shards(shuffle_shards)
+        return texts
+
+    # Connections and requests
+
+    def can_admit_connection(self, address: str, open_connections: int) -> bool:
+        """Returns whether one more connection may come from an address.
+
+        Args:
+            address: Of the client.
+            open_connections: Connections that its tenant has.
+        """
+        tenant = self.tenant_resolver.tenant_of_address(address)
+        limit = self._limits_of(tenant).max_connections if tenant else 0
+        return not limit or open_connections < limit
 
-    def can_admit_connection(self, address: str, held: int) -> bool:
-        """Whether one more connection from an address may come, where its tenant holds so many."""
-        tenant = self.naming.of_address(address)
-        most = self._limits(tenant).max_connections if tenant else 0
-        return not most or held < most
+    def admit_request(
+        self, now: float, request: AdmissionRequest
+    ) -> AdmissionGrant | AdmissionRejection:
+        """Admits a request, which is completed later, or rejects it.
 
-    def admit_request(self, now: float, asking: Asking) -> AdmissionGrant | AdmissionRejection:
-        tenant = self.naming.tenant(asking.told, asking.address, asking.group)
+        Demand is noted also of requests that are rejected; limits are used up by admitted ones.
+        """
+        tenant = self.tenant_resolver.resolve(request.tenant_name, request.address, request.group)
         if tenant is None:
-            self.unknown.denied += 1
-            return self._denied(asking, "unknown tenant", LOST_WAIT)
-        account = self.accounts.get(tenant) or self._open_account(tenant)
-        account.used = now
-        retry = asking.repeated and asking.request_class.idempotency == IDEMPOTENT
-        if wait := account.pace.wait(now):
-            return self._deny(account, asking, "rate of the tenant", wait)
-        if retry and not account.retries.may():
-            return self._deny(account, asking, "retries of the tenant", LOST_WAIT)
-        spot = (
-            self.placement.steady.get(tenant)
-            if asking.request_class.idempotency == IDEMPOTENT
-            else None
-        )
-        if spot is None:
-            key = int(asking.key, 16) if isinstance(asking.key, str) else asking.key
-            spot = self.placement.spot(
-                now, tenant, key, asking.request_class, asking.idempotency_key, asking.repeated
-            )
-        if isinstance(spot, Unplaced):
-            account.denied += 1
-            harmless = spot != Unplaced.UNPROVEN and self._harmless(asking)
-            return AdmissionRejection(
-                spot.value, advice(LOST_WAIT, self.board.come_back_most), harmless
-            )
-        seat = account.seats.get(spot.cell)
-        if (
-            seat is None
-            or now > seat.share.asked + SEAT_KEPT
-            or now > seat.cell_share.asked + SEAT_KEPT
-        ):
-            seat = self._take_seat(account, tenant, spot.cell)
-        room, share, cell_share = seat.room, seat.share, seat.cell_share
-        body = asking.body / 1024.0
-        amount = 1.0 + body / BODY_SLOT
-        lanes = None
-        if self.rates.rate or room.limits.rate:
-            lane = self.rates.lane(spot.cell, seat.cell.weight)
-            lanes = lane, self._lane(now, room, lane, tenant, seat.weight)
-            if wait := self.rates.wait(lane, now) or room.rates.wait(lanes[1], now):
-                return self._deny(account, asking, "rate of the cell", wait, room)
-        if account.limits.max_body_kb and account.body + body > account.limits.max_body_kb:
-            return self._deny(account, asking, "bodies of the tenant", LOST_WAIT, room)
-        room.width.used(room.shares.open + amount)
-        if room.shares.open + amount > 0.5 * room.shares.width:
-            # So much less is lent inside the cell that a lender's return still fits into what it
-            # may have
-            reach = self.cells.reach(cell_share, now)
-            room.shares.width = min(room.width.now_most, reach) / (1.0 + Shares.HEAD_ROOM)
-        if not room.shares.may(share, now, amount):
-            return self._deny(account, asking, "share of the tenant", 0.0, room)
-        if not self.cells.may(cell_share, now, amount):
-            return self._deny(account, asking, "share of the cell", 0.0, room)
-        guests = None
-        if spot.guest_of:
-            guests = room.guests.setdefault(spot.guest_of, FailoverQuota())
-            home, host = self.assignment.cells[spot.guest_of], self.placement.standings[spot.cell]
-            rate = room.rates.rate or (self.rates.part(lanes[0]) if lanes else 0.0)
-            if wait := guests.wait(
-                now, home.failover_quota, host.warmth(), room.width.now_most, rate
-            ):
-                return self._deny(account, asking, "reserve of the neighbour", wait, room)
-            guests.take(now)
-        account.pace.take(now)
-        account.granted += 1
-        if retry:
-            account.retries.take()
+            return self._reject(self.unknown_tenant, request, "unknown tenant", DEFAULT_WAIT)
+        state = self.tenant_states.get(tenant) or self._add_tenant_state(tenant)
+        state.last_used_at = now
+        if rejection := self._check_tenant(now, request, state):
+            return rejection
+        placement = None
+        placement_request = None
+        if request.request_class.idempotency == IDEMPOTENT:
+            placement = self.placement.stable_placements.get(tenant)
+        if placement is None:
+            placement_request = _placement_request(tenant, request)
+            found = self.placement.place(now, placement_request)
+            if isinstance(found, PlacementFailure):
+                return self._reject_unplaced(state, request, found)
+            placement = found
+        candidate = self._candidate(request, tenant, state, placement)
+        if shortage := self.cell_quotas.check(now, candidate):
+            return self._reject(state, request, shortage.reason, shortage.wait)
+        if placement_request is not None:  # without it: idempotent, so any cell may run it again
+            self.placement.record_admission(now, placement_request, placement)
+        if _uses_retry_budget(request):
+            state.retry_budget.consume()
         else:
-            account.retries.first()
-        if lanes:
-            self.rates.take(lanes[0], now)
-            room.rates.take(lanes[1], now)
-        share.open += amount
-        room.shares.open += amount
-        cell_share.open += amount
-        self.cells.open += amount
-        account.body += body
-        if asking.idempotency_key:
-            self.placement.note(now, tenant, asking.idempotency_key, asking.request_class, spot)
-        return AdmissionGrant(
-            tenant, spot.cell, spot.pool, amount, body, account, room, share, cell_share, guests
-        )
+            state.retry_budget.record_first_attempt()
+        return self.cell_quotas.acquire(now, candidate, placement.pool)
 
     def complete_request(
-        self, now: float, grant: AdmissionGrant, good: bool, owed: bool, delay: float
+        self,
+        now: float,
+        grant: AdmissionGrant,
+        is_served: bool,
+        is_client_waiting: bool,
+        delay: float,
     ) -> str:
-        """The request is over; `good`: served, `owed`: its client still waited, `delay`: ms, its
-        sending time aside. Gives a word where the cell's width has shrunk.
+        """Releases what a request used; a second call does nothing.
+
+        Args:
+            now: The time.
+            grant: The admitted request.
+            is_served: Whether it was served.
+            is_client_waiting: Whether its client still waited.
+            delay: How long it took, ms, the time of sending its answer aside.
+
+        Returns:
+            A text for the log where the cell's concurrency limit was reduced, else nothing.
         """
-        if grant.settled:
+        if grant.is_completed:
             return ""
-        grant.settled = True
-        room, amount = grant.room, grant.amount
-        room.shares.give(grant.share, amount)
-        self.cells.give(grant.cell_share, amount)
-        if grant.body:
-            grant.account.body = max(0.0, grant.account.body - grant.body)
-        if grant.guests is not None:
-            grant.guests.give()
-        if owed:
-            room.total += 1
-            room.good += good
-            if self.courses:
-                for course in self.courses.values():
-                    course.saw(now, grant.cell, good, delay)
-        if good and room.width.saw(now, delay):
-            return f"cell {grant.cell} narrowed to {room.width.now_most:.0f} requests open"
+        grant.is_completed = True
+        self.cell_quotas.release(grant)
+        cell_state = grant.cell_state
+        if is_client_waiting:
+            cell_state.completed_count += 1
+            cell_state.served_count += is_served
+            for state in self.rollout_states.values():
+                state.record(now, grant.cell, is_served, delay)
+        concurrency_limit = cell_state.concurrency_limit
+        if is_served and concurrency_limit.record_completion(now, delay):
+            limit = concurrency_limit.current
+            return f"cell {grant.cell}: concurrency limit reduced to {limit:.0f} open requests"
         return ""
 
-    def _lane(self, now: float, room: CellState, lane: Lane, tenant: str, weight: float) -> Lane:
-        own = room.rates.lane(tenant, weight)
-        if (
-            not room.limits.rate
-            and self.rates.rate
-            and now >= room.rated_at + FairPace.RECKONED_FOR
-        ):
-            room.rated_at = (
-                now  # what the cell may reach of the director's rate is shared by its tenants
-            )
-            room.rates.renew(self.rates.free_for(lane))
-        return own
-
-    def _take_seat(self, account: TenantState, tenant: str, cell: str) -> TenantCellLimits:
-        room, weight = self.rooms[cell], self.assignment.tenants[tenant].weight
-        held = self.assignment.cells[cell]
-        seat = account.seats[cell] = TenantCellLimits(
-            held,
-            room,
-            room.shares.party(tenant, weight, account.limits.max_open_requests),
-            self.cells.party(cell, held.weight),
-            weight,
+    def status(self, now: float) -> dict[str, Any]:
+        """Returns the state of cells, migrations and rollouts here, as `status_report` has it."""
+        return status_report(self, now)
+
+    # Steps of an admission, in their order
+
+    def _check_tenant(
+        self, now: float, request: AdmissionRequest, state: TenantState
+    ) -> AdmissionRejection | None:
+        if wait := state.token_bucket.wait_time(now):
+            return self._reject(state, request, "rate of the tenant", wait)
+        if _uses_retry_budget(request) and not state.retry_budget.can_retry():
+            return self._reject(state, request, "retries of the tenant", DEFAULT_WAIT)
+        return None
+
+    def _candidate(
+        self, request: AdmissionRequest, tenant: str, state: TenantState, placement: CellPlacement
+    ) -> Candidate:
+        body_kb = request.body_bytes / 1024.0
+        candidate = Candidate(
+            tenant,
+            self.assignment.tenants[tenant].weight,
+            state,
+            self.assignment.cells[placement.cell],
+            body_kb,
+            slots=1.0 + body_kb / BODY_KB_PER_SLOT,
         )
-        return seat
-
-    def _open_account(self, tenant: str) -> TenantState:
-        # the least lately used half goes; what is open is in the grants
-        if len(self.accounts) >= ACCOUNTS_MOST:
-            kept = sorted(self.accounts.items(), key=lambda held: held[1].used)[
-                ACCOUNTS_MOST // 2 :
-            ]
-            self.accounts = dict(kept)
-        account = self.accounts[tenant] = TenantState(self._limits(tenant))
-        return account
-
-    def _deny(
-        self,
-        account: TenantState,
-        asking: Asking,
-        why: str,
-        wait: float,
-        room: CellState | None = None,
+        if placement.failed_over_from:
+            lost_cell = self.assignment.cells[placement.failed_over_from]
+            candidate.failover = FailoverTerms(
+                lost_cell=lost_cell.name,
+                quota=lost_cell.failover_quota,
+                host_capacity_fraction=self.placement.availability[
+                    placement.cell
+                ].capacity_fraction(),
+            )
+        return candidate
+
+    def _add_tenant_state(self, tenant: str) -> TenantState:
+        if len(self.tenant_states) >= MAX_TENANT_STATES:
+            # What is open is in the grants, so a state that is dropped loses none of it.
+            by_use = sorted(self.tenant_states.items(), key=lambda item: item[1].last_used_at)
+            self.tenant_states = dict(by_use[MAX_TENANT_STATES // 2 :])
+        state = TenantState(self._limits_of(tenant))
+        self.tenant_states[tenant] = state
+        return state
+
+    # Rejections
+
+    def _reject_unplaced(
+        self, state: TenantState, request: AdmissionRequest, failure: PlacementFailure
     ) -> AdmissionRejection:
-        account.denied += 1
-        if room is not None:
-            room.denied += 1
-        return self._denied(asking, why, wait)
-
-    def _denied(self, asking: Asking, why: str, wait: float) -> AdmissionRejection:
-        return AdmissionRejection(
-            why, advice(wait, self.board.come_back_most), self._harmless(asking)
-        )
+        rejection = self._reject(state, request, failure.value, DEFAULT_WAIT)
+        if failure == PlacementFailure.MAY_HAVE_RUN:
+            rejection.is_never_executed = False
+        return rejection
 
-    def _harmless(self, asking: Asking) -> bool:
-        """Whether a client that is rejected may come again: no attempt of this request has gone
-        out, but what it repeats may have run.
-        """
-        case = asking.request_class
-        everywhere = case.idempotency == KEYED and case.key_scope == "all"
-        return not asking.repeated or case.idempotency == IDEMPOTENT or everywhere
+    def _reject(
+        self, state: TenantState, request: AdmissionRequest, reason: str, wait: float
+    ) -> AdmissionRejection:
+        state.rejected_count += 1
+        retry_after = bounded_retry_after(wait, self.capacity.max_retry_after)
+        return AdmissionRejection(reason, retry_after, _is_never_executed(request))
 
-    # For staff
 
-    def status(self, now: float) -> dict[str, Any]:
-        """Cells, moves and releases as this director has them; plain figures."""
-        held = self.placement
-        most = sorted(self.accounts.items(), key=lambda one: (-one[1].denied, one[0]))
-        return {
-            "version": self.assignment.version,
-            "at": round(now),
-            "open": self.cells.open,
-            "unknown_denied": self.unknown.denied,
-            "cells": {
-                name: {
-                    "caches": held.by_cell[name],
-                    "lost": held.standings[name].lost,
-                    "home_share": round(held.standings[name].home_share(now), 3),
-                    "warmth": round(held.standings[name].warmth(), 3),
-                    "open": room.shares.open,
-                    "width": round(room.width.now_most, 1),
-                    "served": room.good,
-                    "settled": room.total,
-                    "denied": room.denied,
-                }
-                for name, room in self.rooms.items()
-            },
-            "moves": {
-                name: {
-                    "stage": migrations.stage(move, now).value,
-                    "from": move.source,
-                    "to": move.target,
-                    "share": round(migrations.shifted(move, now), 4),
-                }
-                for name, move in self.assignment.migrations.items()
-            },
-            "releases": {
-                name: {
-                    "phase": course.phase().value,
-                    "wave": course.wave,
-                    "why": course.taken_back,
-                    "cells": sorted(course.since),
-                }
-                for name, course in self.courses.items()
-            },
-            "tenants": {
-                name: {
-                    "home": held.homes.get(name, ""),
-                    "granted": account.granted,
-                    "denied": account.denied,
-                }
-                for name, account in most[:TENANTS_TOLD]
-            },
-        }
+def _placement_request(tenant: str, request: AdmissionRequest) -> PlacementRequest:
+    return PlacementRequest(
+        tenant,
+        request.key_number(),
+        request.request_class,
+        request.idempotency_key,
+        request.is_retry,
+    )
+
+
+def _uses_retry_budget(request: AdmissionRequest) -> bool:
+    return request.is_retry and request.request_class.idempotency == IDEMPOTENT
+
+
+def _is_never_executed(request: AdmissionRequest) -> bool:
+    """Returns whether a client that is rejected may come again.
+
+    No attempt of this request has gone out, but the one that it repeats may have run.
+    """
+    request_class = request.request_class
+    is_known_everywhere = request_class.idempotency == KEYED and request_class.key_scope == "all"
+    return not request.is_retry or request_class.idempotency == IDEMPOTENT or is_known_everywhere
--- /dev/null
+++ b/tests/cells/test_admission_controller.py
@@ -0,0 +1,337 @@
+"""Admission at one director: quotas, lost cells, rollouts."""
+
+from dataclasses import replace
+
+import pytest
+from cells_fixtures import (
+    ORDER,
+    ORDER_ALL,
+    PAGES,
+    PAY,
+    Cell,
+    ControllerFixture,
+    Limits,
+    Tenant,
+    make_assignment,
+    make_migration,
+)
+
+from mulleinrelay.cells import edits, rollouts
+from mulleinrelay.cells.admission_controller import (
+    AdmissionGrant,
+    AdmissionRejection,
+    DirectorCapacity,
+)
+from mulleinrelay.cells.model import Rollout
+
+TWO = (
+    Cell("north", caches=("s-01", "s-02"), failover_cells=("south",), failover_quota=0.2),
+    Cell("south", caches=("s-03", "s-04")),
+)
+ALL = ("s-01", "s-02", "s-03", "s-04")
+
+
+def count_admitted(fixture, count, **request):
+    """Returns how many of `count` requests are admitted; they stay open."""
+    return sum(
+        isinstance(fixture.admit(key=key, **request), AdmissionGrant) for key in range(count)
+    )
+
+
+def test_flooding_tenant_leaves_the_other_cell_its_share():
+    fixture = ControllerFixture(make_assignment(TWO))
+    fixture.complete(fixture.admit("beta"))  # has asked lately
+    fixture.now += 100.0
+    assert count_admitted(fixture, 1000) <= 100
+    assert count_admitted(fixture, 25, tenant_name="beta") == 25
+
+
+def test_flooding_tenant_leaves_tenants_of_its_cell_their_share():
+    fixture = ControllerFixture(make_assignment(TWO))
+    fixture.complete(fixture.admit("shared"))
+    fixture.now += 100.0
+    count_admitted(fixture, 1000)
+    assert count_admitted(fixture, 20, tenant_name="shared") == 20
+
+
+@pytest.mark.parametrize(
+    "limits, asked, admitted",
+    [
+        (Limits(rate=10.0, burst=5), {}, 5),
+        (Limits(max_open_requests=7), {}, 7),
+        (Limits(max_body_kb=100.0), {"body": 48_000}, 2),
+        (Limits(retry_ratio=0.0), {"is_retry": True}, 10),
+        (Limits(), {"body": 48_000}, 20),
+    ],
+)  # a body counts as further requests: 80 / (1 + 46.9 / 16)
+def test_quota_of_a_tenant_is_enforced(limits, asked, admitted):
+    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=limits))
+    assert count_admitted(fixture, 50, **asked) == admitted
+
+
+def test_completing_a_request_twice_releases_it_once():
+    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(max_open_requests=1)))
+    grant = fixture.admit()
+    assert isinstance(fixture.admit(), AdmissionRejection)
+    fixture.complete(grant)
+    fixture.complete(grant)
+    assert isinstance(fixture.admit(), AdmissionGrant) and isinstance(
+        fixture.admit(), AdmissionRejection
+    )
+
+
+@pytest.mark.parametrize(
+    "request_class, is_retry, is_never_executed",
+    [
+        (PAGES, True, True),
+        (PAGES, False, True),
+        (ORDER, False, True),
+        (ORDER, True, False),
+        (ORDER_ALL, True, True),
+        (PAY, False, True),
+        (PAY, True, False),
+    ],
+)
+def test_rejected_retry_that_may_have_run_is_not_never_executed(
+    request_class, is_retry, is_never_executed
+):
+    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
+    fixture.admit()
+    rejection = fixture.admit(request_class=request_class, is_retry=is_retry)
+    assert rejection.is_never_executed == is_never_executed and rejection.retry_after_ms > 0.0
+
+
+def test_concurrency_limit_of_a_slow_cell_falls_and_the_others_stays():
+    fixture = ControllerFixture(make_assignment(TWO))
+    words = []
+    for turn in range(600):
+        fixture.now += 10.0
+        slow = fixture.admit(key=turn)
+        words.append(fixture.complete(slow, delay=5.0 if turn < 100 else 300.0))
+        fixture.complete(fixture.admit("beta", key=turn), delay=5.0)
+    cell_states = fixture.controller.cell_quotas.cell_states
+    assert (
+        cell_states["north"].concurrency_limit.current < 30.0
+        and cell_states["south"].concurrency_limit.current == 100.0
+    )
+    assert any(word.startswith("cell north: concurrency limit reduced to ") for word in words)
+
+
+# A lost cell
+
+
+def test_lost_cell_uses_the_failover_quota_and_no_more():
+    fixture = ControllerFixture(make_assignment(TWO))
+    assert "cell north lost" in fixture.update_caches(("s-03", "s-04"))
+    grants = [
+        grant for key in range(100) if isinstance(grant := fixture.admit(key=key), AdmissionGrant)
+    ]
+    assert len(grants) == 20 and {grant.cell for grant in grants} == {"south"}
+    assert set(grants[0].pool.caches) == {"s-03", "s-04"}
+    assert count_admitted(fixture, 50, tenant_name="beta") == 50
+
+
+@pytest.mark.parametrize("capacity_fraction, admitted", [(1.0, 20), (0.5, 10), (0.0, 0)])
+def test_failover_cell_that_warms_up_admits_less(capacity_fraction, admitted):
+    fixture = ControllerFixture(make_assignment(TWO))
+    fixture.update_caches(("s-03", "s-04"), {"s-03": capacity_fraction, "s-04": capacity_fraction})
+    assert count_admitted(fixture, 100) == admitted
+
+
+@pytest.mark.parametrize(
+    "cells, why",
+    [
+        ((TWO[0], replace(TWO[1], failover_cells=("north",))), "lost"),
+        ((replace(TWO[0], failover_cells=()), TWO[1]), "lost"),
+    ],
+)
+def test_requests_without_a_failover_cell_are_rejected(cells, why):
+    fixture = ControllerFixture(make_assignment(cells))
+    fixture.update_caches(() if cells[0].failover_cells else ("s-03",))
+    rejection = fixture.admit()
+    assert why in rejection.reason and rejection.is_never_executed
+
+
+@pytest.mark.parametrize(
+    "request_class, is_retry, kind",
+    [(ORDER, False, True), (ORDER, True, False), (PAY, False, None), (ORDER_ALL, False, None)],
+)
+def test_requests_sticky_to_a_lost_cell_do_not_fail_over(request_class, is_retry, kind):
+    fixture = ControllerFixture(make_assignment(TWO))
+    fixture.update_caches(("s-03", "s-04"))
+    fixture.now = 1e6
+    found = fixture.admit(request_class=request_class, idempotency_key="r", is_retry=is_retry)
+    assert (found.is_never_executed if isinstance(found, AdmissionRejection) else None) == kind
+
+
+def test_request_that_bypasses_caches_needs_none():
+    fixture = ControllerFixture(make_assignment(TWO))
+    fixture.update_caches(())
+    assert isinstance(fixture.admit(request_class=ORDER_ALL, idempotency_key="r"), AdmissionGrant)
+
+
+def test_objects_return_one_by_one_when_a_cell_recovers():
+    fixture = ControllerFixture(
+        make_assignment(TWO, tenants=(Tenant("acme", "north"), "beta", "shared")),
+        capacity=DirectorCapacity(1e6),
+    )
+    fixture.update_caches(("s-03", "s-04"))
+    assert "cell north back" in fixture.update_caches(ALL)
+    shares = []
+    for _ in range(6):
+        shares.append(sum(fixture.admit(key=key).cell == "north" for key in range(500)) / 500)
+        fixture.now += 2_000.0
+    assert shares[0] == 0.0 and shares[-1] == 1.0 and shares == sorted(shares)
+    assert max(after - before for before, after in zip(shares, shares[1:], strict=False)) < 0.3
+
+
+def test_each_tenant_has_its_own_retry_budget():
+    fixture = ControllerFixture(make_assignment(TWO))
+    budgets = [
+        fixture.admit(told, key=key).pool.retry_budget
+        for told in ("acme", "shared")
+        for key in (1, 2)
+    ]
+    assert budgets[0] is budgets[1] and budgets[2] is budgets[3] and budgets[0] is not budgets[2]
+
+
+def test_unusable_assignment_changes_nothing():
+    fixture = ControllerFixture(make_assignment(TWO))
+    crossing = make_assignment(
+        TWO,
+        (
+            Tenant("acme", "north", groups=((0, 5),)),
+            Tenant("beta", "south", groups=((3, 9),)),
+            "shared",
+        ),
+        version=2,
+    )
+    with pytest.raises(Exception, match="crosses"):
+        fixture.controller.replace_assignment(fixture.now, crossing)
+    assert (
+        fixture.controller.assignment.version == 1 and fixture.admit("", group=3).tenant == "shared"
+    )
+
+
+@pytest.mark.parametrize("open_connections, can_admit", [(0, True), (2, True), (3, False)])
+def test_connections_are_limited_by_address(open_connections, can_admit):
+    tenants = (
+        Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(max_connections=3)),
+        "shared",
+    )
+    controller = ControllerFixture(make_assignment(TWO, tenants)).controller
+    assert controller.can_admit_connection("10.2.3.4", open_connections) == can_admit
+    assert controller.can_admit_connection("11.2.3.4", 1000)
+
+
+# Rollouts
+
+THREE = (
+    Cell("north", caches=("s-01",)),
+    Cell("south", caches=("s-02",)),
+    Cell("east", caches=("s-03",)),
+)
+RELEASE = Rollout("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
+
+
+def play(course, until, north, others, now=0.0):
+    """So many requests a cell each 100 ms, with the share and delay that `north` and `others` give
+    at that time.
+    """
+    words = []
+    while now < until:
+        for cell in ("north", "south", "east"):
+            share, delay = (north if cell == "north" else others)(now)
+            for turn in range(10):
+                course.record(now, cell, turn < 10 * share, delay)
+        if word := course.advance(now):
+            words.append((now, word))
+        now += 100.0
+    return words
+
+
+WELL = lambda now: (1.0, 20.0)  # noqa: E731
+
+
+@pytest.mark.parametrize(
+    "north, others, ends",
+    [
+        (WELL, WELL, "everywhere"),
+        (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
+        (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), WELL, "taken back"),
+        (
+            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
+            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
+            "halted",
+        ),
+        (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),  # it was no better before
+        (
+            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
+            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
+            "halted",
+        ),
+        (
+            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
+            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
+            "everywhere",
+        ),
+    ],
+)
+def test_rollout_proceeds_halts_or_is_rolled_back(north, others, ends):
+    course = rollouts.RolloutState(RELEASE)
+    words = play(course, 90_000.0, north, others)
+    assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
+    assert course.is_in_force("east") == (ends == "everywhere")
+
+
+def test_rollout_is_in_force_in_cells_it_has_reached():
+    fixture = ControllerFixture(
+        make_assignment(
+            THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)
+        ),
+        capacity=DirectorCapacity(1000.0),
+    )
+    fixture.now = 20_000.0
+    assert count_admitted(fixture, 90) == 90
+    assert fixture.controller.step(fixture.now) == ["release r1 canary, wave 0 of 2"]
+    assert (
+        count_admitted(fixture, 90, tenant_name="acme")
+        < 10
+        < count_admitted(fixture, 20, tenant_name="beta") + 1
+    )
+    taken_back = replace(
+        fixture.controller.assignment,
+        version=2,
+        rollouts={"r1": replace(RELEASE, is_rolled_back=True)},
+    )
+    fixture.controller.replace_assignment(fixture.now, taken_back)
+    assert "taken back (by staff)" in fixture.controller.step(fixture.now)[0]
+    assert fixture.controller.tenant_states["acme"].limits.rate == 0.0
+
+
+def test_rollout_of_shuffle_shards_fills_from_the_other_caches():
+    one = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
+    release = replace(RELEASE, shuffle_shards=1, limits=Limits(), waves=())
+    fixture = ControllerFixture(make_assignment(one, releases=(release,)))
+    assert len(fixture.admit().pool.caches) == 3
+    fixture.now = 20_000.0
+    fixture.controller.step(fixture.now)
+    pool = fixture.admit().pool
+    assert len(pool.caches) == 1 and set(pool.migration_sources) == {"s-01", "s-02", "s-03"}
+    kept = edits.adopt_rollout(fixture.controller.assignment, "r1")
+    assert kept.cells["north"].shuffle_shards == 1 and kept.cells["south"].shuffle_shards == 0
+    fixture.controller.replace_assignment(fixture.now, replace(kept, version=2))
+    assert set(fixture.admit().pool.caches) == set(pool.caches)
+
+
+def test_director_restarted_in_a_migration_follows_the_clock_and_fails_uncertain_retries():
+    held = replace(
+        make_assignment(TWO, moves=(make_migration(starts_at=100_000.0),)), written_at=90_000.0
+    )
+    before, after = ControllerFixture(held), ControllerFixture(held)
+    before.now = after.now = 103_000.0
+    cells = [[one.admit(key=key).cell for key in range(50)] for one in (before, after)]
+    assert cells[0] == cells[1] and len(set(cells[0])) == 2
+    assert not after.admit(
+        request_class=ORDER, idempotency_key="r", is_retry=True
+    ).is_never_executed
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_migration_search.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 import pytest
+from cells_fixtures import Cell, ControllerFixture, make_assignment, make_migration
 from helpers import Stage
-from stage import Cell, Ruled, charter, move
 
 from mulleinrelay.coordinator import CancelAttempt, SendAttempt
 from mulleinrelay.policy.endpoint_capacity import SlowStartAdmission
@@ -18,14 +18,14 @@
 
 CACHES = ("s-01", "s-02", "s-03")
 TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
-MOVE = move(
+MOVE = make_migration(
     starts_at=101_000.0, warm_up_duration=500.0, shift_duration=2_000.0, drain_duration=1_500.0
 )
 ABORTED = replace(MOVE, aborted_at=102_500.0)
 VERSIONS = [
-    charter(TWO),
-    charter(TWO, moves=(MOVE,), version=2),
-    charter(TWO, moves=(ABORTED,), version=3),
+    make_assignment(TWO),
+    make_assignment(TWO, moves=(MOVE,), version=2),
+    make_assignment(TWO, moves=(ABORTED,), version=3),
 ]
 BOXES = [(what, box) for what in ("drain", "cold", "gone") for box in CACHES]
 TROUBLES = [*BOXES, ("purge", "")]
@@ -35,7 +35,7 @@
 
 
 class Side:
-    """One director with its governor, on a clock that stands until moved; attempts are answered at
+    """One director with its controller, on a clock that stands until moved; attempts are answered at
     once.
     """
 
@@ -48,7 +48,7 @@
         director.cache_slow_start_quota.fraction = director.parent_slow_start_quota.fraction = (
             0.5  # as such terms at its start would have it
         )
-        self.ruled = Ruled(version)
+        self.fixture = ControllerFixture(version)
         self.told = {}
 
     def strike(self, now, what, box):
@@ -68,12 +68,12 @@
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
-        self.stage.now = self.ruled.now = now
-        coordinator, governor = self.stage.coordinator, self.ruled.governor
+        self.stage.now = self.fixture.now = now
+        coordinator, controller = self.stage.coordinator, self.fixture.controller
         caches = coordinator.ready_caches()
-        governor.update_caches(now, caches)
+        controller.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
-            grant = self.ruled.ask(key=key)
+            grant = self.fixture.admit(key=key)
             if not hasattr(grant, "pool"):
                 continue
             case = self.stage.terms.request_classes[0]
@@ -88,7 +88,7 @@
                     )
                 elif not isinstance(step, CancelAttempt):
                     break
-            self.ruled.done(grant)
+            self.fixture.complete(grant)
 
 
 def play(versions, what, box, when):
@@ -130,7 +130,7 @@
 STUDIES = {"moves": (search,)}
 
 
-def test_no_rule_is_broken_in_a_move_whatever_strikes(studies):
+def test_no_rule_is_broken_in_a_migration_whatever_fails(studies):
     found, played = studies("moves")
     assert played == 270 and not found
 
@@ -169,7 +169,7 @@
         ),
     ],
 )
-def test_the_search_finds_a_fault(rule, fault, troubles, monkeypatch):
+def test_search_finds_an_injected_fault(rule, fault, troubles, monkeypatch):
     owner, name, make = fault
     monkeypatch.setattr(owner, name, make(getattr(owner, name)))
     assert rule in search(troubles)[0]
