--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -18,8 +18,8 @@
 from mulleinrelay.cells import store
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.management.gnmi_client import Access, CallError, GnmiTarget
-from mulleinrelay.management.paths import parse
+from mulleinrelay.management.gnmi_client import ConnectionOptions, GnmiCallError, GnmiTarget
+from mulleinrelay.management.paths import parse_path
 from mulleinrelay.standins.fleet import now_ms
 
 SCENARIO = """
@@ -71,7 +71,7 @@
 
 
 def targets(lab: Lab) -> list[GnmiTarget]:
-    return [GnmiTarget(director.managed, Access()) for director in lab.directors]
+    return [GnmiTarget(director.managed, ConnectionOptions()) for director in lab.directors]
 
 
 def drains(count: int = 50, directors: int = 3) -> dict:
@@ -90,7 +90,7 @@
             time.sleep(1.0)
             for _ in range(count):
                 box = chance.choice([name for name in held.fleet.nodes if name.startswith("s-")])
-                path = parse(f"{DRAIN}[box={box}]")
+                path = parse_path(f"{DRAIN}[box={box}]")
                 sent = now_ms()
                 for target in at:
                     target.set(updates=[(path, {})])
@@ -125,11 +125,11 @@
 
     def work(held: Lab) -> None:
         target = targets(held)[0]
-        target.set(updates=[(parse(f"{DRAIN}[box=s-6]"), {"reason": "before"})])
+        target.set(updates=[(parse_path(f"{DRAIN}[box=s-6]"), {"reason": "before"})])
 
         def shot() -> list:
-            config = target.get(parse("/"), 1)
-            state = target.get(parse("/fleet/datastore"))
+            config = target.get(parse_path("/"), 1)
+            state = target.get(parse_path("/fleet/datastore"))
             with open(os.path.join(held.folder, "state-n0", "datastore"), "rb") as file:
                 data = file.read()
             with open(os.path.join(held.folder, "n0.log"), "rb") as file:
@@ -141,15 +141,17 @@
         for number in range(count):
             path, value = REFUSALS[number % len(REFUSALS)]
             try:
-                target.set(updates=[(parse(f"{DRAIN}[box=s-5]"), {}), (parse(path), value)])
-            except CallError:
+                target.set(
+                    updates=[(parse_path(f"{DRAIN}[box=s-5]"), {}), (parse_path(path), value)]
+                )
+            except GnmiCallError:
                 refused += 1
         told.update(
             refused=refused, refused_traces=sum(a != b for a, b in zip(before, shot(), strict=True))
         )
         begun = time.perf_counter()
         for number in range(100):
-            target.set(updates=[(parse(f"{DRAIN}[box=s-5]/reason"), str(number))])
+            target.set(updates=[(parse_path(f"{DRAIN}[box=s-5]/reason"), str(number))])
         told["set_per_s"] = round(100 / (time.perf_counter() - begun), 1)
 
     lab.run(before=work)
@@ -168,21 +170,21 @@
         lab._start_directors()
         for turn in range(count):
             director = lab.directors[-1]
-            target, number = GnmiTarget(director.managed, Access()), turn * 100
+            target, number = GnmiTarget(director.managed, ConnectionOptions()), turn * 100
 
             def write(target: GnmiTarget = target, number: int = number) -> None:
                 try:
                     for step in range(100):
                         target.set(
                             updates=[
-                                (parse(f"{DRAIN}[box=zz]/reason"), str(number + step)),
+                                (parse_path(f"{DRAIN}[box=zz]/reason"), str(number + step)),
                                 (
-                                    parse("/fleet/assignment/tenant[name=acme]/weight"),
+                                    parse_path("/fleet/assignment/tenant[name=acme]/weight"),
                                     f"{number + step + 1}.0",
                                 ),
                             ]
                         )
-                except CallError:
+                except GnmiCallError:
                     pass
 
             writer = threading.Thread(target=write)
@@ -193,8 +195,8 @@
             writer.join(10.0)
             target.close()
             lab.again(director)
-            after = GnmiTarget(director.managed, Access())
-            held = dict(after.get(parse("/fleet"), 1))[parse("/fleet")]
+            after = GnmiTarget(director.managed, ConnectionOptions())
+            held = dict(after.get(parse_path("/fleet"), 1))[parse_path("/fleet")]
             weight = float(
                 next(one for one in held["assignment"]["tenant"] if one["name"] == "acme")["weight"]
             )
@@ -242,7 +244,7 @@
         ]
         lab._start_directors()
         lab.world.stream.tell({"topology": {"version": 9, "full": False, "servers": rows}})
-        target, took = GnmiTarget(lab.directors[0].managed, Access(seconds=60.0)), []
+        target, took = GnmiTarget(lab.directors[0].managed, ConnectionOptions(timeout_s=60.0)), []
         time.sleep(1.0)
         for _ in range(5):
             begun = time.perf_counter()
@@ -263,19 +265,19 @@
         def stream() -> None:
             target = targets(held)[0]
             try:
-                for _ in target.watch([parse("/fleet")]):
+                for _ in target.watch([parse_path("/fleet")]):
                     if ended.is_set():
                         break
-            except CallError:
+            except GnmiCallError:
                 pass
 
         def gets() -> None:
             target = targets(held)[0]
             try:
                 while not ended.is_set():
-                    target.get(parse("/fleet/boxes"))
+                    target.get(parse_path("/fleet/boxes"))
                     time.sleep(0.01)
-            except CallError:
+            except GnmiCallError:
                 pass
 
         for _ in range(streams):
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -136,7 +136,7 @@
         managed = held_in(load_management_config, management)
         click.echo(
             f"management: {'on' if managed.enabled else 'off'}, {managed.listen}, "
-            f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles"
+            f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.authorization.roles_by_name)} roles"
         )
     if fleet is not None:
         from .membership.config import load_fleet_config
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -104,9 +104,9 @@
             self.cell_service.start()
         threading.Thread(target=self._keep_time, name="clock", daemon=True).start()
         if self.management_config is not None:
-            from .management.gnmi_server import build
+            from .management.builder import build_gnmi_server
 
-            self.gnmi_server = build(
+            self.gnmi_server = build_gnmi_server(
                 self.management_config,
                 self.config,
                 self.coordinator,
@@ -115,7 +115,7 @@
                 self.log,
             )
             self.gnmi_server.start()
-            self.gnmi_server.manager.start()
+            self.gnmi_server.management.start()
         if self.membership is not None:
             self.membership.start()
         self.listener.start()
--- a/mulleinrelay/management/__init__.py
+++ b/mulleinrelay/management/__init__.py
@@ -1,5 +1,7 @@
-"""Management over gNMI: a YANG-modelled datastore on a running director.
+"""Management over gNMI: a YANG-modelled configuration datastore on a running director.
 
-Pure: paths, datastore, intent, mapping, rights. With I/O: model (yangson), keep (files), server and
-messages (grpcio), part (the running director), ctl (the command line's client).
+Pure: errors, paths, schema, tree, datastore, drain_intent, assignment_mapping, authorization,
+gnmi_conversion, gnmi_extensions. With files, threads or sockets: datastore_file, yang_model
+(yangson), participants, state_view, subscribers, service, gnmi_server and its parts (grpcio),
+gnmi_client and commands (`mulleinrelay ctl`). `builder` puts a director's management together.
 """
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -1,23 +1,28 @@
-"""Between the model's tree (RFC 7951 JSON) and what the program holds. Pure.
+"""Conversion between the cell assignment and the `assignment` container of the YANG model. Pure.
 
-decimal64 and 64-bit integers are strings in that JSON.
+The leaf names below are the model's and known to clients; beside each stands the field that it
+goes to. In the tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings.
 """
 
 import ipaddress
+from collections.abc import Iterable
 from typing import Any
 
 from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
 from ..cells.parser import LIMIT_FIELDS, RANGE, agree
 from ..errors import ConfigError
+from .tree import Tree
 
-ATTRIBUTES = {
-    "how": "placement_method",
+MAX_GROUP = 255  # groups of objects are one byte
+
+PLACEMENT_METHOD_LEAF = "how"
+ASSIGNMENT_NUMBERS = {
     "load-bound": "load_bound",
     "spread": "propagation_time",
     "skew": "clock_skew",
     "horizon": "retry_horizon",
 }
-MOVE = {
+MIGRATION_NUMBERS = {
     "starts": "starts_at",
     "warm-for": "warm_up_duration",
     "shift-for": "shift_duration",
@@ -27,13 +32,14 @@
     "resumed-at": "resumed_at",
     "aborted-at": "aborted_at",
 }
-RELEASE = {
+ROLLOUT_NUMBERS = {
     "starts": "starts_at",
     "wave-for": "wave_duration",
     "drop-most": "max_success_drop",
     "slower-most": "max_slowdown",
 }
-DECIMAL = {
+CONNECTIONS_LEAF = "connections"  # the one limit that is an integer
+DECIMAL64_LEAVES = {
     "weight",
     "reserve",
     "load-bound",
@@ -46,8 +52,8 @@
     "body-kb",
     "retries",
 }
-LONG = {"starts", "held-at", "resumed-at", "aborted-at"}
-ABSENT = {
+UINT64_LEAVES = {"starts", "held-at", "resumed-at", "aborted-at"}
+DEFAULT_NUMBERS = {  # of leaves that a tree leaves out, as the YANG module has them
     "warm-for": 10_000.0,
     "drain-for": 30_000.0,
     "warm-share": 0.05,
@@ -60,186 +66,230 @@
 }
 
 
-def decimal(value: float) -> str:
-    """A decimal64 of six digits in its canonical form."""
+def format_decimal64(value: float) -> str:
+    """Returns a decimal64 of six fraction digits in canonical form (RFC 7950, section 9.3.2)."""
     text = f"{value:.6f}".rstrip("0")
     return text + "0" if text.endswith(".") else text
 
 
-def _told(name: str, value: float) -> Any:
-    if name in DECIMAL:
-        return decimal(value)
-    return str(int(value)) if name in LONG else int(value)
+# From the assignment to the tree
 
 
-def _limits_tree(limits: Limits) -> dict[str, Any]:
-    return {
-        key.replace("_", "-"): _told(key.replace("_", "-"), getattr(limits, field))
-        for key, field in LIMIT_FIELDS.items()
-    }
+def assignment_to_tree(assignment: Assignment) -> Tree:
+    """Returns the content of the `assignment` container; empty lists are left out."""
+    tree: Tree = {PLACEMENT_METHOD_LEAF: assignment.placement_method}
+    tree |= _numbers_to_tree(assignment, ASSIGNMENT_NUMBERS)
+    rejects_unknown = assignment.unknown_tenant_policy == REJECT
+    tree["unknown"] = "reject" if rejects_unknown else "default-tenant"
+    if assignment.default_tenant:
+        tree["default-tenant"] = assignment.default_tenant
+    tree["limits"] = _limits_to_tree(assignment.limits)
+    tree["cell"] = [_cell_to_tree(cell) for cell in assignment.cells.values()]
+    tree["tenant"] = [_tenant_to_tree(tenant) for tenant in assignment.tenants.values()]
+    tree["move"] = [_migration_to_tree(one) for one in assignment.migrations.values()]
+    tree["release"] = [_rollout_to_tree(rollout) for rollout in assignment.rollouts.values()]
+    return {name: value for name, value in tree.items() if value != []}
 
 
-def _limits(tree: dict[str, Any], default: Limits) -> Limits:
-    held = tree.get("limits", {})
-    return Limits(
-        *(
-            int(held.get(key, default.max_connections))
-            if key == "connections"
-            else float(held.get(key.replace("_", "-"), getattr(default, field)))
-            for key, field in LIMIT_FIELDS.items()
-        )
+def _cell_to_tree(cell: Cell) -> Tree:
+    tree: Tree = {
+        "name": cell.name,
+        "weight": format_decimal64(cell.weight),
+        "shuffle": cell.shuffle_shards,
+        "reserve": format_decimal64(cell.failover_quota),
+        "return-for": int(cell.return_duration),
+        "limits": _limits_to_tree(cell.limits),
+    }
+    return (
+        tree | _list_if_any("cache", cell.caches) | _list_if_any("neighbour", cell.failover_cells)
     )
 
 
-def charter_tree(charter: Assignment) -> dict[str, Any]:
-    """The `assignment` of a charter."""
-    found: dict[str, Any] = {
-        name: _told(name, getattr(charter, key)) if name != "how" else charter.placement_method
-        for name, key in ATTRIBUTES.items()
+def _tenant_to_tree(tenant: Tenant) -> Tree:
+    tree: Tree = {
+        "name": tenant.name,
+        "weight": format_decimal64(tenant.weight),
+        "limits": _limits_to_tree(tenant.limits),
     }
-    found["unknown"] = "reject" if charter.unknown_tenant_policy == REJECT else "default-tenant"
-    if charter.default_tenant:
-        found["default-tenant"] = charter.default_tenant
-    found["limits"] = _limits_tree(charter.limits)
-    found["cell"] = [
-        {
-            "name": cell.name,
-            "weight": decimal(cell.weight),
-            "shuffle": cell.shuffle_shards,
-            "reserve": decimal(cell.failover_quota),
-            "return-for": int(cell.return_duration),
-            "limits": _limits_tree(cell.limits),
-        }
-        | _some("cache", cell.caches)
-        | _some("neighbour", cell.failover_cells)
-        for cell in charter.cells.values()
-    ]
-    found["tenant"] = [
-        {"name": one.name, "weight": decimal(one.weight), "limits": _limits_tree(one.limits)}
-        | ({"cell": one.cell} if one.cell else {})
-        | _some("address", one.addresses)
-        | _some(
-            "group",
-            [f"{first}-{last}" if first != last else str(first) for first, last in one.groups],
-        )
-        for one in charter.tenants.values()
-    ]
-    found["move"] = [
-        {"name": one.name, "tenant": list(one.tenants), "from": one.source, "to": one.target}
-        | {name: _told(name, getattr(one, key)) for name, key in MOVE.items()}
-        for one in charter.migrations.values()
-    ]
-    found["release"] = [
-        {
-            "name": one.name,
-            "canary": one.canary,
-            "taken-back": one.is_rolled_back,
-            "shuffle": one.shuffle_shards,
-            "limits": _limits_tree(one.limits),
-        }
-        | _some(
-            "wave", [{"number": place, "cell": list(wave)} for place, wave in enumerate(one.waves)]
-        )
-        | {name: _told(name, getattr(one, key)) for name, key in RELEASE.items()}
-        for one in charter.rollouts.values()
-    ]
-    return {name: held for name, held in found.items() if held != []}
-
-
-def _some(name: str, held: Any) -> dict[str, list[Any]]:
-    return {name: list(held)} if held else {}
-
-
-def charter_from(tree: dict[str, Any], version: int, written: float) -> Assignment:
-    """Of an `assignment` that the model has let pass; raises ConfigError for what only the program
-    knows.
-    """
-    limits = _limits(tree, Limits())
-    cells = {
-        one["name"]: Cell(
-            one["name"],
-            float(one.get("weight", 1.0)),
-            tuple(one.get("cache", ())),
-            int(one.get("shuffle", 0)),
-            tuple(one.get("neighbour", ())),
-            float(one.get("reserve", 0.0)),
-            float(one.get("return-for", 10_000)),
-            _limits(one, Limits()),
-        )
-        for one in tree.get("cell", ())
+    if tenant.cell:
+        tree["cell"] = tenant.cell
+    groups = [f"{first}-{last}" if first != last else str(first) for first, last in tenant.groups]
+    return tree | _list_if_any("address", tenant.addresses) | _list_if_any("group", groups)
+
+
+def _migration_to_tree(migration: Migration) -> Tree:
+    tree: Tree = {
+        "name": migration.name,
+        "tenant": list(migration.tenants),
+        "from": migration.source,
+        "to": migration.target,
     }
-    tenants = {
-        one["name"]: Tenant(
-            one["name"],
-            one.get("cell", ""),
-            float(one.get("weight", 1.0)),
-            tuple(_address(one["name"], text) for text in one.get("address", ())),
-            tuple(_group(one["name"], text) for text in one.get("group", ())),
-            _limits(one, limits),
-        )
-        for one in tree.get("tenant", ())
+    return tree | _numbers_to_tree(migration, MIGRATION_NUMBERS)
+
+
+def _rollout_to_tree(rollout: Rollout) -> Tree:
+    tree: Tree = {
+        "name": rollout.name,
+        "canary": rollout.canary,
+        "taken-back": rollout.is_rolled_back,
+        "shuffle": rollout.shuffle_shards,
+        "limits": _limits_to_tree(rollout.limits),
     }
-    moves = {
-        one["name"]: Migration(
-            name=one["name"],
-            tenants=tuple(one["tenant"]),
-            source=one["from"],
-            target=one["to"],
-            **_figures(one, MOVE),
-        )
-        for one in tree.get("move", ())
+    waves = [{"number": number, "cell": list(cells)} for number, cells in enumerate(rollout.waves)]
+    return tree | _list_if_any("wave", waves) | _numbers_to_tree(rollout, ROLLOUT_NUMBERS)
+
+
+def _limits_to_tree(limits: Limits) -> Tree:
+    return _numbers_to_tree(limits, _limit_leaves())
+
+
+def _limit_leaves() -> dict[str, str]:
+    """Returns the fields of limits by their leaves, which are the INI keys with hyphens."""
+    return {key.replace("_", "-"): field for key, field in LIMIT_FIELDS.items()}
+
+
+def _numbers_to_tree(source: object, fields_by_leaf: dict[str, str]) -> Tree:
+    return {
+        leaf: _encode_number(leaf, getattr(source, field)) for leaf, field in fields_by_leaf.items()
     }
-    releases = {
-        one["name"]: Rollout(
-            name=one["name"],
-            canary=one["canary"],
-            limits=_limits(one, limits),
-            waves=tuple(
-                tuple(wave["cell"])
-                for wave in sorted(one.get("wave", ()), key=lambda wave: wave["number"])
-            ),
-            is_rolled_back=bool(one.get("taken-back", False)),
-            shuffle_shards=int(one.get("shuffle", -1)),
-            **_figures(one, RELEASE),
-        )
-        for one in tree.get("release", ())
+
+
+def _encode_number(leaf: str, value: float) -> str | int:
+    if leaf in DECIMAL64_LEAVES:
+        return format_decimal64(value)
+    return str(int(value)) if leaf in UINT64_LEAVES else int(value)
+
+
+def _list_if_any(name: str, values: Iterable[Any]) -> Tree:
+    items = list(values)
+    return {name: items} if items else {}
+
+
+# From the tree to the assignment
+
+
+def assignment_from_tree(tree: Tree, version: int, written_at: float) -> Assignment:
+    """Builds the assignment from a container that the YANG model has found valid.
+
+    Args:
+        tree: Content of the `assignment` container.
+        version: Number of the new version.
+        written_at: Unix milliseconds.
+
+    Raises:
+        ConfigError: If parts of it do not fit together, or are of a form that the model cannot
+            check.
+    """
+    limits = _limits_from_tree(tree, Limits())
+    numbers: dict[str, Any] = {
+        field: float(tree[leaf]) for leaf, field in ASSIGNMENT_NUMBERS.items() if leaf in tree
     }
-    charter = Assignment(
-        version,
-        written,
-        cells,
-        tenants,
-        moves,
-        releases,
-        limits,
+    if PLACEMENT_METHOD_LEAF in tree:
+        numbers["placement_method"] = tree[PLACEMENT_METHOD_LEAF]
+    assignment = Assignment(
+        version=version,
+        written_at=written_at,
+        cells={entry["name"]: _cell_from_tree(entry) for entry in tree.get("cell", ())},
+        tenants={
+            entry["name"]: _tenant_from_tree(entry, limits) for entry in tree.get("tenant", ())
+        },
+        migrations={entry["name"]: _migration_from_tree(entry) for entry in tree.get("move", ())},
+        rollouts={
+            entry["name"]: _rollout_from_tree(entry, limits) for entry in tree.get("release", ())
+        },
+        limits=limits,
         default_tenant=tree.get("default-tenant", ""),
         unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
-        **{
-            key: tree[name] if name == "how" else float(tree[name])
-            for name, key in ATTRIBUTES.items()
-            if name in tree
-        },
+        **numbers,
+    )
+    agree(assignment)
+    return assignment
+
+
+def _cell_from_tree(entry: Tree) -> Cell:
+    return Cell(
+        name=entry["name"],
+        weight=float(entry.get("weight", 1.0)),
+        caches=tuple(entry.get("cache", ())),
+        shuffle_shards=int(entry.get("shuffle", 0)),
+        failover_cells=tuple(entry.get("neighbour", ())),
+        failover_quota=float(entry.get("reserve", 0.0)),
+        return_duration=int(entry.get("return-for", 10_000)),
+        limits=_limits_from_tree(entry, Limits()),
+    )
+
+
+def _tenant_from_tree(entry: Tree, default_limits: Limits) -> Tenant:
+    name = entry["name"]
+    return Tenant(
+        name=name,
+        cell=entry.get("cell", ""),
+        weight=float(entry.get("weight", 1.0)),
+        addresses=tuple(_checked_network(name, text) for text in entry.get("address", ())),
+        groups=tuple(_parse_group_range(name, text) for text in entry.get("group", ())),
+        limits=_limits_from_tree(entry, default_limits),
+    )
+
+
+def _migration_from_tree(entry: Tree) -> Migration:
+    return Migration(
+        name=entry["name"],
+        tenants=tuple(entry["tenant"]),
+        source=entry["from"],
+        target=entry["to"],
+        **_numbers_from_tree(entry, MIGRATION_NUMBERS),
     )
-    agree(charter)
-    return charter
 
 
-def _address(tenant: str, text: str) -> str:
+def _rollout_from_tree(entry: Tree, default_limits: Limits) -> Rollout:
+    waves = sorted(entry.get("wave", ()), key=lambda wave: wave["number"])
+    numbers: dict[str, Any] = _numbers_from_tree(entry, ROLLOUT_NUMBERS)
+    return Rollout(
+        name=entry["name"],
+        canary=entry["canary"],
+        limits=_limits_from_tree(entry, default_limits),
+        waves=tuple(tuple(wave["cell"]) for wave in waves),
+        is_rolled_back=bool(entry.get("taken-back", False)),
+        shuffle_shards=int(entry.get("shuffle", -1)),
+        **numbers,
+    )
+
+
+def _limits_from_tree(entry: Tree, default: Limits) -> Limits:
+    leaves = entry.get("limits", {})
+    values: dict[str, Any] = {
+        field: float(leaves.get(leaf, getattr(default, field)))
+        for leaf, field in _limit_leaves().items()
+        if leaf != CONNECTIONS_LEAF
+    }
+    values["max_connections"] = int(leaves.get(CONNECTIONS_LEAF, default.max_connections))
+    return Limits(**values)
+
+
+def _numbers_from_tree(entry: Tree, fields_by_leaf: dict[str, str]) -> dict[str, float]:
+    return {
+        field: float(entry.get(leaf, DEFAULT_NUMBERS.get(leaf, 0.0)))
+        for leaf, field in fields_by_leaf.items()
+    }
+
+
+def _checked_network(tenant: str, text: str) -> str:
+    """Returns the text of an address range unchanged; raises ConfigError if it is none."""
     try:
         ipaddress.ip_network(text)
-    except ValueError as wrong:
-        raise ConfigError(f"tenant {tenant}: address {wrong}") from None
+    except ValueError as error:
+        raise ConfigError(f"tenant {tenant}: address {error}") from error
     return text
 
 
-def _group(tenant: str, text: str) -> tuple[int, int]:
-    form = RANGE.fullmatch(text)
-    if form is None or not int(form[1]) <= int(form[2] or form[1]) <= 255:
-        raise ConfigError(
-            f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to 255"
-        )
-    return int(form[1]), int(form[2] or form[1])
-
-
-def _figures(one: dict[str, Any], names: dict[str, str]) -> dict[str, float]:
-    return {key: float(one.get(name, ABSENT.get(name, 0.0))) for name, key in names.items()}
+def _parse_group_range(tenant: str, text: str) -> tuple[int, int]:
+    """Parses `3` or `3-9`; returns the first and the last group."""
+    match = RANGE.fullmatch(text)
+    if match is not None:
+        first = int(match[1])
+        last = int(match[2] or match[1])
+        if first <= last <= MAX_GROUP:
+            return first, last
+    raise ConfigError(
+        f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to {MAX_GROUP}"
+    )
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -1,5 +1,6 @@
-"""Who may do what: roles by the names in client certificates. Pure."""
+"""Which caller may do what: roles by the names in client certificates. Pure."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
 
@@ -7,7 +8,7 @@
 
 
 class Role(IntEnum):
-    """Each may do what those before it may."""
+    """What a caller may do; each role includes those below it."""
 
     NONE = 0
     READ = 1
@@ -15,25 +16,34 @@
     CONFIGURE = 3
 
 
-ROLES = {"read": Role.READ, "drain": Role.DRAIN, "configure": Role.CONFIGURE}
-DRAINS = "drains"
+ROLES_BY_NAME = {"read": Role.READ, "drain": Role.DRAIN, "configure": Role.CONFIGURE}
 
 
 @dataclass(slots=True, frozen=True)
-class Rights:
-    by_name: dict[str, Role]
-    unnamed: Role = Role.NONE  # of callers without a certificate, on loopback only
+class AuthorizationPolicy:
+    """Roles of callers.
 
-    def role(self, names: list[str]) -> Role:
-        """Of a caller with these names (common name, alternative names); the highest counts."""
+    Attributes:
+        roles_by_name: Roles by common name or subject alternative name.
+        anonymous_role: Role of callers without a certificate, who can only come over loopback.
+    """
+
+    roles_by_name: dict[str, Role]
+    anonymous_role: Role = Role.NONE
+
+    def role_of(self, names: Sequence[str]) -> Role:
+        """Returns the highest role of a caller whose certificate has these names."""
         if not names:
-            return self.unnamed
-        return max((self.by_name.get(name, Role.NONE) for name in names), default=Role.NONE)
+            return self.anonymous_role
+        return max((self.roles_by_name.get(name, Role.NONE) for name in names), default=Role.NONE)
+
+
+def required_role(paths: Sequence[Path]) -> Role:
+    """Returns the role that a change of these paths requires."""
+    if paths and all(_is_drain(path) for path in paths):
+        return Role.DRAIN
+    return Role.CONFIGURE
 
 
-def wanted(paths: list[Path]) -> Role:
-    """What a change of these paths asks for."""
-    drains = all(
-        len(path) >= 2 and path[0][0] == "fleet" and path[1][0] == DRAINS for path in paths
-    )
-    return Role.DRAIN if drains and paths else Role.CONFIGURE
+def _is_drain(path: Path) -> bool:
+    return len(path) >= 2 and path[0].name == "fleet" and path[1].name == "drains"
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -2,18 +2,32 @@
 
 import json
 import sys
+import threading
 import time
-from collections.abc import Callable
-from typing import Any
+from typing import Any, TextIO
 
 import click
 
-from .gnmi_client import Access, CallError, GnmiTarget
-from .paths import PathError, copied, differences, parse, worded
+from . import gnmi_messages as gnmi
+from .command_output import (
+    CommandSettings,
+    exit_code_of,
+    format_value,
+    run_on_each,
+    show_table,
+    show_version,
+)
+from .drain_intent import DrainScope
+from .errors import PathError
+from .gnmi_client import ConnectionOptions, GnmiCallError, GnmiTarget, WatchEventKind
+from .paths import Path, PathElement, format_path, parse_path
+from .tree import PathValue, Tree, diff_trees, strip_module_names
 
-DONE, UNREACHED, MISUSED, REFUSED = 0, 1, 2, 3
-UNREACHABLE = ("UNAVAILABLE", "DEADLINE_EXCEEDED", "CANCELLED", "UNKNOWN")
-DRAIN = "/fleet/drains/drain"
+DATA_TYPES = {"all": gnmi.ALL, "config": gnmi.CONFIG, "state": gnmi.STATE}
+DRAINS = parse_path("/fleet/drains")
+DATASTORE = parse_path("/fleet/datastore")
+DEFAULT_WATCHED_PATHS = ("/fleet/boxes", "/fleet/drains")
+END_TOLERANCE_S = 0.05  # an error this little before the end of `watch` comes from the end itself
 
 
 @click.group()
@@ -61,63 +75,8 @@
     """
     if any((ca, cert, key)) and not all((ca, cert, key)):
         raise click.UsageError("--ca, --cert and --key go together")
-    context.obj = {
-        "targets": targets,
-        "json": as_json,
-        "access": Access(ca, cert, key, name, timeout),
-    }
-
-
-def at_each(
-    context: click.Context, do: Callable[[GnmiTarget], Any], show: Callable[[str, Any], None]
-) -> None:
-    """Does it at each director, tells each result, and exits."""
-    code, results = DONE, {}
-    for address in context.obj["targets"]:
-        try:
-            target = GnmiTarget(address, context.obj["access"])
-        except OSError as wrong:
-            click.echo(f"mulleinrelay: {wrong.filename}: {wrong.strerror}", err=True)
-            sys.exit(MISUSED)
-        try:
-            results[address] = {"ok": True, "result": do(target)}
-        except CallError as wrong:
-            reached = wrong.code not in UNREACHABLE
-            results[address] = {"ok": False, "code": wrong.code, "error": str(wrong)}
-            code = max(code, REFUSED if reached else UNREACHED)
-        finally:
-            target.close()
-    if context.obj["json"]:
-        click.echo(json.dumps(results))
-    else:
-        for address, one in results.items():
-            if one["ok"]:
-                show(address, one["result"])
-            else:
-                click.echo(f"{address}: {one['code']}: {one['error']}", err=True)
-    sys.exit(code)
-
-
-def path_from(text: str) -> Any:
-    try:
-        return parse(text)
-    except PathError as wrong:
-        raise click.UsageError(str(wrong)) from None
-
-
-def table(title: str, rows: list[dict[str, Any]]) -> None:
-    from rich.console import Console
-    from rich.table import Table
-
-    columns = list(dict.fromkeys(name for row in rows for name in row))
-    made = Table(*columns, title=title, title_justify="left", box=None, pad_edge=False)
-    for row in rows:
-        made.add_row(*(_short(row.get(name, "")) for name in columns))
-    Console(soft_wrap=True, highlight=False).print(made)
-
-
-def _short(value: Any) -> str:
-    return value if isinstance(value, str) else json.dumps(value)
+    options = ConnectionOptions(ca, cert, key, name, timeout)
+    context.obj = CommandSettings(targets, as_json, options)
 
 
 @ctl.command()
@@ -125,44 +84,27 @@
 @click.option(
     "--type",
     "kind",
-    type=click.Choice(["all", "config", "state"]),
+    type=click.Choice(list(DATA_TYPES)),
     default="all",
     show_default=True,
 )
-@click.pass_context
-def get(context: click.Context, path: str, kind: str) -> None:
+@click.pass_obj
+def get(settings: CommandSettings, path: str, kind: str) -> None:
     """What stands at PATH, as /fleet/boxes/box[name=s-1]/state; wildcards are * and ..."""
-    wanted = path_from(path)
+    wanted = _path_argument(path)
 
-    def show(address: str, found: list[list[Any]]) -> None:
-        if found and all(isinstance(value, dict) for _, value in found) and len(found) > 1:
-            return table(address, [value for _, value in found])
-        for where, value in found:
-            click.echo(f"{address}: {where}: {json.dumps(value, indent=2)}")
-
-    at_each(
-        context,
-        lambda target: [
-            [worded(where), value]
-            for where, value in target.get(wanted, ("all", "config", "state").index(kind))
-        ],
-        show,
-    )
-
-
-def value_from(text: str) -> Any:
-    try:
-        return json.loads(text)
-    except ValueError:
-        return text
-
-
-def said(address: str, version: int) -> None:
-    click.echo(f"{address}: version {version} runs")
+    def read(target: GnmiTarget) -> list[list[Any]]:
+        found = target.get(wanted, DATA_TYPES[kind])
+        return [[format_path(node.path), node.value] for node in found]
 
+    def show(address: str, found: list[list[Any]]) -> None:
+        if len(found) > 1 and all(isinstance(value, dict) for _, value in found):
+            show_table(address, [value for _, value in found])
+            return
+        for node_path, value in found:
+            click.echo(f"{address}: {node_path}: {json.dumps(value, indent=2)}")
 
-def extras(built_on: int | None, why: str) -> dict[str, Any]:
-    return ({"built_on": built_on} if built_on is not None else {}) | ({"why": why} if why else {})
+    run_on_each(settings, read, show)
 
 
 @ctl.command(name="set")
@@ -177,9 +119,9 @@
 @click.option("--id", "name", default="", help="Of the confirmation (with --within).")
 @click.option("--built-on", type=int, metavar="VERSION", help="Refused where another version runs.")
 @click.option("--why", default="", help="For the history.")
-@click.pass_context
+@click.pass_obj
 def set_(
-    context: click.Context,
+    settings: CommandSettings,
     changes: tuple[str, ...],
     replace: bool,
     within: float | None,
@@ -187,38 +129,28 @@
     built_on: int | None,
     why: str,
 ) -> None:
-    """Change what staff want: all of it, or nothing. A path after - is deleted (put -- before the
-    first).
+    """Change what staff want: all of it, or nothing.
+
+    A path after - is deleted (put -- before the first).
     """
-    deletes, updates = [], []
-    for text in changes:
-        if text.startswith("-"):
-            deletes.append(path_from(text[1:]))
-            continue
-        depth, equals = 0, -1
-        for place, letter in enumerate(text):
-            depth += (letter == "[") - (letter == "]")
-            if letter == "=" and depth == 0:
-                equals = place
-                break
-        if equals < 0:
-            raise click.UsageError(f"{text!r}: PATH=VALUE is wanted")
-        updates.append((path_from(text[:equals]), value_from(text[equals + 1 :])))
-    name = name or (f"ctl-{int(time.time())}" if within is not None else "")
+    deletes = [_path_argument(text[1:]) for text in changes if text.startswith("-")]
+    values = [_assignment_argument(text) for text in changes if not text.startswith("-")]
+    commit_id = name
     if within is not None:
-        click.echo(f"confirm with: mulleinrelay ctl confirm {name}", err=True)
-    at_each(
-        context,
-        lambda target: target.set(
-            deletes,
-            [] if replace else updates,
-            updates if replace else [],
-            within,
-            name,
-            extras(built_on, why),
-        ),
-        said,
-    )
+        commit_id = name or f"ctl-{int(time.time())}"
+        click.echo(f"confirm with: mulleinrelay ctl confirm {commit_id}", err=True)
+
+    def commit(target: GnmiTarget) -> int:
+        return target.set(
+            deletes=deletes,
+            updates=[] if replace else values,
+            replaces=values if replace else [],
+            within=within,
+            name=commit_id,
+            extra=_extension(built_on, why),
+        )
+
+    run_on_each(settings, commit, show_version)
 
 
 @ctl.command()
@@ -226,157 +158,206 @@
 @click.option("--every-life", is_flag=True, help="Also when the box has started again.")
 @click.option("--force", is_flag=True, help="Also where a location or cell is left without caches.")
 @click.option("--reason", default="", help="For other staff.")
-@click.pass_context
-def drain(context: click.Context, box: str, every_life: bool, force: bool, reason: str) -> None:
-    """Nothing new goes to BOX, as cache or fill source, within 2 s; what is under way
-    there ends.
-    """
-    value = {"box": box, "scope": "every-life" if every_life else "this-life", "forced": force}
-    value |= {"reason": reason} if reason else {}
-    path = parse(DRAIN)[:-1] + (("drain", (("box", box),)),)
-
-    def do(target: GnmiTarget) -> dict[str, Any]:
-        version = target.set(replaces=[(path, value)], extra=extras(None, f"drain {box}"))
-        found = target.get((*path, ("state", ())))
-        return {"version": version, "state": found[0][1]}
+@click.pass_obj
+def drain(settings: CommandSettings, box: str, every_life: bool, force: bool, reason: str) -> None:
+    """Send nothing new to BOX, as cache or fill source, within 2 s; requests under way finish."""
+    scope = DrainScope.EVERY_INCARNATION if every_life else DrainScope.CURRENT_INCARNATION
+    value: Tree = {"box": box, "scope": scope.value, "forced": force}
+    if reason:
+        value["reason"] = reason
+    path = _drain_path(box)
+
+    def commit(target: GnmiTarget) -> Tree:
+        version = target.set(replaces=[(path, value)], extra=_extension(None, f"drain {box}"))
+        found = target.get((*path, PathElement("state")))
+        return {"version": version, "state": found[0].value}
+
+    def show(address: str, result: Tree) -> None:
+        state = result["state"]
+        click.echo(
+            f"{address}: version {result['version']}: {box} {state.get('phase')}, "
+            f"{state.get('attempts-out', 0)} attempts out"
+        )
 
-    at_each(
-        context,
-        do,
-        lambda address, one: click.echo(
-            f"{address}: version {one['version']}: {box} {one['state'].get('phase')}, "
-            f"{one['state'].get('attempts-out', 0)} attempts out"
-        ),
-    )
+    run_on_each(settings, commit, show)
 
 
 @ctl.command()
 @click.argument("box")
-@click.pass_context
-def undrain(context: click.Context, box: str) -> None:
+@click.pass_obj
+def undrain(settings: CommandSettings, box: str) -> None:
     """Take a drain of BOX back."""
-    path = parse(DRAIN)[:-1] + (("drain", (("box", box),)),)
-    at_each(
-        context,
-        lambda target: target.set(deletes=[path], extra=extras(None, f"undrain {box}")),
-        said,
-    )
+
+    def commit(target: GnmiTarget) -> int:
+        return target.set(deletes=[_drain_path(box)], extra=_extension(None, f"undrain {box}"))
+
+    run_on_each(settings, commit, show_version)
 
 
 @ctl.command()
 @click.argument("file", type=click.File("r"))
-@click.pass_context
-def diff(context: click.Context, file: Any) -> None:
-    """What differs between FILE (JSON, as `get / --type config` gives it with --json) and each
-    director.
+@click.pass_obj
+def diff(settings: CommandSettings, file: TextIO) -> None:
+    """What differs between FILE and each director.
+
+    FILE is JSON, as `get / --type config` gives it with --json.
     """
     try:
         wanted = json.load(file)
-    except ValueError as wrong:
-        raise click.UsageError(f"{file.name}: no JSON: {wrong}") from None
-    from .paths import bare
-    from .yang_model import Model
+    except ValueError as error:
+        raise click.UsageError(f"{file.name}: no JSON: {error}") from error
+    from .yang_model import YangModel  # takes some tenths of a second, which other commands save
 
-    shape = Model().shape
+    schema = YangModel().schema
 
-    def do(target: GnmiTarget) -> dict[str, Any]:
-        found = target.get((), 1)
-        changed, gone = differences(shape, copied(found[0][1]) if found else {}, bare(wanted))
+    def compare(target: GnmiTarget) -> Tree:
+        found = target.get((), gnmi.CONFIG)
+        running = found[0].value if found else {}
+        difference = diff_trees(schema, running, strip_module_names(wanted))
         return {
-            "other": [[worded(path), value] for path, value in changed],
-            "gone": [worded(path) for path in gone],
+            "other": [[format_path(path), value] for path, value in difference.changed],
+            "gone": [format_path(path) for path in difference.deleted],
         }
 
-    def show(address: str, one: dict[str, Any]) -> None:
-        click.echo(f"{address}: {len(one['other'])} others, {len(one['gone'])} not in the file")
-        for path, value in one["other"]:
+    def show(address: str, result: Tree) -> None:
+        changed = result["other"]
+        deleted = result["gone"]
+        click.echo(f"{address}: {len(changed)} others, {len(deleted)} not in the file")
+        for path, value in changed:
             click.echo(f"  + {path} = {json.dumps(value)}")
-        for path in one["gone"]:
+        for path in deleted:
             click.echo(f"  - {path}")
 
-    at_each(context, do, show)
+    run_on_each(settings, compare, show)
 
 
 @ctl.command()
 @click.argument("paths_", nargs=-1, metavar="[PATH]...")
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400.0), help="Ends after so long.")
 @click.option("--only-changes", is_flag=True, help="Not what is there already.")
-@click.pass_context
+@click.pass_obj
 def watch(
-    context: click.Context, paths_: tuple[str, ...], seconds: float | None, only_changes: bool
+    settings: CommandSettings, paths_: tuple[str, ...], seconds: float | None, only_changes: bool
 ) -> None:
     """Lines as things change, of the first director given."""
-    wanted = [path_from(text) for text in paths_ or ("/fleet/boxes", "/fleet/drains")]
-    target = GnmiTarget(context.obj["targets"][0], context.obj["access"])
-    end = time.monotonic() + seconds if seconds else None
-    if end is not None:
-        import threading
-
+    paths = [_path_argument(text) for text in paths_ or DEFAULT_WATCHED_PATHS]
+    target = GnmiTarget(settings.addresses[0], settings.options)
+    end_at = None
+    if seconds:
+        end_at = time.monotonic() + seconds
         timer = threading.Timer(seconds, target.close)
         timer.daemon = True
         timer.start()
     try:
-        for what, path, value in target.watch(wanted, only_changes):
-            if what == "sync":
-                continue
-            if context.obj["json"]:
-                click.echo(json.dumps({"path": worded(path), "what": what, "value": value}))
-            else:
-                held = "" if value is None else _short(value)
-                click.echo(f"{'-' if what == 'delete' else ' '} {worded(path)} {held}")
-            sys.stdout.flush()
-    except (CallError, ValueError) as wrong:
-        if end is None or time.monotonic() < end - 0.05:
-            click.echo(f"{target.address}: {wrong}", err=True)
-            sys.exit(UNREACHED if getattr(wrong, "code", "") in UNREACHABLE else REFUSED)
+        for kind, path, value in target.watch(paths, only_changes):
+            if path is not None:
+                _show_event(settings, kind, path, value)
+    except (GnmiCallError, ValueError) as error:
+        # ValueError is what grpc raises on a channel that the timer has closed
+        if end_at is None or time.monotonic() < end_at - END_TOLERANCE_S:
+            click.echo(f"{target.address}: {error}", err=True)
+            sys.exit(exit_code_of(error))
+
+
+def _show_event(settings: CommandSettings, kind: WatchEventKind, path: Path, value: Any) -> None:
+    if settings.as_json:
+        click.echo(json.dumps({"path": format_path(path), "what": kind, "value": value}))
+    else:
+        mark = "-" if kind == WatchEventKind.DELETE else " "
+        text = "" if value is None else format_value(value)
+        click.echo(f"{mark} {format_path(path)} {text}")
+    sys.stdout.flush()
 
 
 @ctl.command()
-@click.pass_context
-def history(context: click.Context) -> None:
+@click.pass_obj
+def history(settings: CommandSettings) -> None:
     """The last versions: when, by whom, what."""
 
-    def do(target: GnmiTarget) -> dict[str, Any]:
-        return target.get(parse("/fleet/datastore"))[0][1]
-
-    def show(address: str, held: dict[str, Any]) -> None:
-        rows = [
-            {
-                "version": one["version"],
-                "at": time.strftime("%F %T", time.gmtime(int(one["at"]) / 1000)),
-                "by": one["by"],
-                "why": one["why"],
-            }
-            for one in held.get("commit", ())
-        ]
-        table(
-            f"{address}: version {held['version']}"
-            + (
-                f", to be confirmed within {held['unconfirmed-for']} ms"
-                if held.get("unconfirmed-for")
-                else ""
-            ),
-            rows,
-        )
+    def read(target: GnmiTarget) -> Tree:
+        datastore: Tree = target.get(DATASTORE)[0].value
+        return datastore
+
+    def show(address: str, datastore: Tree) -> None:
+        title = f"{address}: version {datastore['version']}"
+        if remaining := datastore.get("unconfirmed-for"):
+            title += f", to be confirmed within {remaining} ms"
+        show_table(title, [_history_row(entry) for entry in datastore.get("commit", ())])
 
-    at_each(context, do, show)
+    run_on_each(settings, read, show)
+
+
+def _history_row(entry: Tree) -> dict[str, Any]:
+    return {
+        "version": entry["version"],
+        "at": time.strftime("%F %T", time.gmtime(int(entry["at"]) / 1000)),
+        "by": entry["by"],
+        "why": entry["why"],
+    }
 
 
 @ctl.command()
 @click.argument("version", type=int)
 @click.option("--built-on", type=int, metavar="VERSION", help="Refused where another version runs.")
-@click.pass_context
-def rollback(context: click.Context, version: int, built_on: int | None) -> None:
+@click.pass_obj
+def rollback(settings: CommandSettings, version: int, built_on: int | None) -> None:
     """Make an older VERSION the running one, as a new version."""
-    at_each(
-        context, lambda target: target.set(extra=extras(built_on, "") | {"rollback": version}), said
-    )
+    extension = _extension(built_on, "") | {"rollback": version}
+    run_on_each(settings, lambda target: target.set(extra=extension), show_version)
 
 
 @ctl.command()
 @click.argument("name")
 @click.option("--cancel", is_flag=True, help="Go back at once instead.")
-@click.pass_context
-def confirm(context: click.Context, name: str, cancel: bool) -> None:
+@click.pass_obj
+def confirm(settings: CommandSettings, name: str, cancel: bool) -> None:
     """Keep a change that was set --within."""
-    at_each(context, lambda target: target.finish(name, not cancel), said)
+
+    def finish(target: GnmiTarget) -> int:
+        return target.cancel(name) if cancel else target.confirm(name)
+
+    run_on_each(settings, finish, show_version)
+
+
+def _path_argument(text: str) -> Path:
+    """Parses a path that a user has typed."""
+    try:
+        return parse_path(text)
+    except PathError as error:
+        raise click.UsageError(str(error)) from error
+
+
+def _assignment_argument(text: str) -> PathValue:
+    """Parses PATH=VALUE; the `=` of keys in brackets do not count."""
+    depth = 0
+    for position, letter in enumerate(text):
+        if letter == "[":
+            depth += 1
+        elif letter == "]":
+            depth -= 1
+        elif letter == "=" and depth == 0:
+            path = _path_argument(text[:position])
+            return PathValue(path, _value_argument(text[position + 1 :]))
+    raise click.UsageError(f"{text!r}: PATH=VALUE is wanted")
+
+
+def _value_argument(text: str) -> Any:
+    """Returns the JSON value that a user has typed; what is no JSON is a string."""
+    try:
+        return json.loads(text)
+    except ValueError:
+        return text
+
+
+def _drain_path(box: str) -> Path:
+    return (*DRAINS, PathElement("drain", (("box", box),)))
+
+
+def _extension(built_on: int | None, comment: str) -> dict[str, Any]:
+    """Returns the object of the server's own extension, without what is not given."""
+    values: dict[str, Any] = {}
+    if built_on is not None:
+        values["built_on"] = built_on
+    if comment:
+        values["why"] = comment
+    return values
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -1,5 +1,9 @@
-"""The datastore on disk: one file with a form, a checksum and a length, replaced whole. Killed at
-any point of a write, the old or the new one stands.
+"""The datastore on disk: one file with a format version, a length and a checksum.
+
+The file is replaced as a whole: if the program is killed at any point of a write, either the old
+or the new content stands. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`, the rest
+a JSON object whose `trees` are referred to by index, so that trees that several versions share
+are stored once.
 """
 
 import os
@@ -8,111 +12,169 @@
 
 import orjson
 
-from .datastore import DatastoreState, RefusedError, Unconfirmed, Version
-
-MAGIC, FORM = b"mulleinrelay-datastore", 1
-BYTES_MOST = 256_000_000
-
+from ..errors import StoreError
+from .datastore import DatastoreState, PendingConfirmation, Version
+from .errors import CommitRejectedError, ErrorCode
+from .tree import Tree
 
-class KeepError(RuntimeError):
-    """A file that can't be used; the text says why and what to do."""
+MAGIC = b"mulleinrelay-datastore"
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 256_000_000  # 50 versions of a table of ten thousand tenants are far below
 
 
-def encoded(held: DatastoreState) -> bytes:
-    """Trees that several versions share stand once."""
-    trees: list[Any] = []
-    places: dict[int, int] = {}
+class DatastoreFileError(StoreError):
+    """A datastore file that cannot be used; the text says why and what to do."""
 
-    def place(tree: Any) -> int:
-        if id(tree) not in places:
-            places[id(tree)] = len(trees)
-            trees.append(tree)
-        return places[id(tree)]
 
+def encode_state(state: DatastoreState) -> bytes:
+    """Returns the content of the file."""
+    table = _TreeTable()
     versions = [
-        [one.number, place(one.tree), one.at, one.by, one.why, one.marks] for one in held.versions
+        [
+            version.number,
+            table.index_of(version.tree),
+            version.committed_at,
+            version.author,
+            version.comment,
+            version.participant_versions,
+        ]
+        for version in state.versions
     ]
-    open_ = held.unconfirmed
-    unconfirmed = [open_.name, open_.until, place(open_.back_to)] if open_ is not None else None
-    body = orjson.dumps({"versions": versions, "unconfirmed": unconfirmed, "trees": trees})
-    return b"%s %d %d %08x\n" % (MAGIC, FORM, len(body), zlib.crc32(body)) + body
-
-
-def decoded(data: bytes) -> DatastoreState:
-    """Raises KeepError."""
-    head, _, body = data.partition(b"\n")
-    words = head.split(b" ")
-    if len(words) != 4 or words[0] != MAGIC:
-        raise KeepError("is no datastore of this program")
-    try:
-        form, length, checksum = int(words[1]), int(words[2]), int(words[3], 16)
-    except ValueError:
-        raise KeepError("its head can't be read") from None
-    if form > FORM:
-        raise KeepError(f"has form {form}; this program reads up to {FORM}: use a newer one")
-    if len(body) != length or zlib.crc32(body) != checksum:
-        raise KeepError("is damaged (its checksum differs)")
+    unconfirmed: list[Any] | None = None
+    if (pending := state.pending_confirmation) is not None:
+        tree_index = table.index_of(pending.rollback_tree)
+        unconfirmed = [pending.commit_id, pending.deadline, tree_index]
+    content = {"versions": versions, "unconfirmed": unconfirmed, "trees": table.trees}
+    body = orjson.dumps(content)
+    return b"%s %d %d %08x\n" % (MAGIC, FORMAT_VERSION, len(body), zlib.crc32(body)) + body
+
+
+class _TreeTable:
+    """Distinct trees in the order of their first use."""
+
+    def __init__(self) -> None:
+        self.trees: list[Tree] = []
+        self._indexes: dict[int, int] = {}  # by id() of the tree
+
+    def index_of(self, tree: Tree) -> int:
+        """Returns the tree's index, and adds the tree if it is not in the table yet."""
+        if id(tree) not in self._indexes:
+            self._indexes[id(tree)] = len(self.trees)
+            self.trees.append(tree)
+        return self._indexes[id(tree)]
+
+
+def decode_state(data: bytes) -> DatastoreState:
+    """Returns the state that is stored in the content of a file.
+
+    Raises:
+        DatastoreFileError: If it is no datastore, damaged, or of a newer format.
+    """
+    body = _checked_body(data)
     try:
-        whole = orjson.loads(body)
-        trees = whole["trees"]
+        content = orjson.loads(body)
+        trees = content["trees"]
         versions = [
-            Version(number, trees[place], at, by, why, marks)
-            for number, place, at, by, why, marks in whole["versions"]
+            Version(number, trees[tree_index], committed_at, author, comment, participant_versions)
+            for (
+                number,
+                tree_index,
+                committed_at,
+                author,
+                comment,
+                participant_versions,
+            ) in content["versions"]
         ]
-        open_ = whole["unconfirmed"]
-        unconfirmed = Unconfirmed(open_[0], open_[1], trees[open_[2]]) if open_ else None
-    except (ValueError, KeyError, TypeError, IndexError) as wrong:
-        raise KeepError(f"holds something else than a datastore: {wrong}") from None
+        pending = None
+        if unconfirmed := content["unconfirmed"]:
+            commit_id, deadline, tree_index = unconfirmed[0], unconfirmed[1], unconfirmed[2]
+            pending = PendingConfirmation(commit_id, deadline, trees[tree_index])
+    except (ValueError, KeyError, TypeError, IndexError) as error:
+        raise DatastoreFileError(f"holds something else than a datastore: {error}") from error
     if not versions:
-        raise KeepError("holds no version")
-    return DatastoreState(versions, unconfirmed)
+        raise DatastoreFileError("holds no version")
+    return DatastoreState(versions, pending)
+
+
+def _checked_body(data: bytes) -> bytes:
+    """Checks the first line and returns what follows it."""
+    header, _, body = data.partition(b"\n")
+    fields = header.split(b" ")
+    if len(fields) != 4 or fields[0] != MAGIC:
+        raise DatastoreFileError("is no datastore of this program")
+    try:
+        format_version = int(fields[1])
+        length = int(fields[2])
+        checksum = int(fields[3], 16)
+    except ValueError as error:
+        raise DatastoreFileError("its head can't be read") from error
+    if format_version > FORMAT_VERSION:
+        raise DatastoreFileError(
+            f"has form {format_version}; this program reads up to {FORMAT_VERSION}: use a newer one"
+        )
+    if len(body) != length or zlib.crc32(body) != checksum:
+        raise DatastoreFileError("is damaged (its checksum differs)")
+    return body
 
 
 class DatastoreFile:
-    """Writes one folder; without one nothing lasts."""
+    """The file `datastore` in a folder; without a folder nothing is stored."""
 
     def __init__(self, folder: str) -> None:
+        """Takes the folder, which is made with the first write; empty: nothing is stored."""
         self.path = os.path.join(folder, "datastore") if folder else ""
 
     def load(self) -> DatastoreState | None:
-        """None: there is none yet. Raises KeepError."""
+        """Returns the stored state; None if there is none yet.
+
+        Raises:
+            DatastoreFileError: If the file cannot be read or used.
+        """
         if not self.path:
             return None
         try:
-            if os.path.getsize(self.path) > BYTES_MOST:
-                raise KeepError(f"{self.path}: over {BYTES_MOST // 1_000_000} MB")
+            if os.path.getsize(self.path) > MAX_FILE_BYTES:
+                raise DatastoreFileError(f"{self.path}: over {MAX_FILE_BYTES // 1_000_000} MB")
             with open(self.path, "rb") as file:
-                return decoded(file.read())
+                return decode_state(file.read())
         except FileNotFoundError:
             return None
-        except OSError as wrong:
-            raise KeepError(f"{self.path}: {wrong.strerror}") from None
-        except KeepError as wrong:
-            raise KeepError(f"{self.path}: {wrong}") from None
+        except OSError as error:
+            raise DatastoreFileError(f"{self.path}: {error.strerror}") from error
+        except DatastoreFileError as error:
+            raise DatastoreFileError(f"{self.path}: {error}") from error
+
+    def save(self, state: DatastoreState) -> None:
+        """Replaces the stored state.
 
-    def save(self, held: DatastoreState) -> None:
-        """Raises RefusedError: what can't be kept isn't taken over."""
+        Raises:
+            CommitRejectedError: If it cannot be written; what cannot be stored is not committed.
+        """
         if not self.path:
             return
         folder = os.path.dirname(self.path)
         try:
             os.makedirs(folder, exist_ok=True)
             with open(f"{self.path}.new", "wb") as file:
-                file.write(encoded(held))
+                file.write(encode_state(state))
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(f"{self.path}.new", self.path)
-        except OSError as wrong:
-            raise RefusedError(
-                f"{self.path}: {wrong.strerror}; nothing was changed", "failed"
-            ) from None
+        except OSError as error:
+            raise CommitRejectedError(
+                f"{self.path}: {error.strerror}; nothing was changed", ErrorCode.FAILED
+            ) from error
+        _sync_folder(folder)
+
+
+def _sync_folder(folder: str) -> None:
+    """Makes the replacement of the file outlive a power cut, where the file system lets it."""
+    try:
+        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-            try:
-                os.fsync(descriptor)
-            finally:
-                os.close(descriptor)
-        except (
-            OSError
-        ):  # the new file stands; only a power cut in the next moments could still undo that
-            pass
+            os.fsync(descriptor)
+        finally:
+            os.close(descriptor)
+    except OSError:
+        # The new file stands; only a power cut in the next moments could still undo that
+        pass
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -1,175 +1,241 @@
-"""What staff want of boxes, set over the list: which are drained now, and what has become of each
-drain. Pure.
+"""Drains that operators ask for, laid over the endpoint list. Pure.
 
-A drain names a box. It binds the life of the box that it first meets (or every life, as asked), and
-a life is the box's address and start together: one that restarted, or that the list tells at
-another address, has a new one. Another box at the same address has another name and is never meant.
+A drain names an endpoint. Once it meets the endpoint in the list it applies to that incarnation, or
+to every one if asked so. An incarnation is the address and the start time together: an endpoint
+that restarted, or that the list gives at another address, has a new one. Another endpoint at the
+same address has another name and is never affected.
+
+Nothing here locks: `RequestCoordinator` calls it under its own lock. Times are Unix milliseconds.
 """
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
-from typing import Any
 
 from ..policy.model import EndpointState, EndpointUpdate
+from .tree import Tree
+
+# ms that the list may say ready for a drained endpoint before that is worth a log line
+CONTRADICTION_GRACE_PERIOD = 10_000.0
+
+
+class DrainScope(StrEnum):
+    """Which incarnations of an endpoint a drain applies to, by their names in the YANG model."""
 
-DISAGREES = 10_000.0  # ms for which list and intent may differ before that is worth a line
+    CURRENT_INCARNATION = "this-life"
+    EVERY_INCARNATION = "every-life"
 
 
-class Phase(StrEnum):
+class DrainPhase(StrEnum):
+    """What has become of a drain, by the names in the YANG model."""
+
     WAITING = "waiting"
-    BINDING = "binding"
-    OVER = "over"
+    """The list has not had the endpoint yet."""
+    ACTIVE = "binding"
+    """The endpoint gets no new requests."""
+    ENDED = "over"
+    """The incarnation that the drain applied to is gone."""
 
 
 @dataclass(slots=True, frozen=True)
-class Want:
-    """One drain as staff have it."""
+class DrainRequest:
+    """One drain as operators have configured it.
+
+    Attributes:
+        endpoint: Name of the endpoint.
+        scope: Which incarnations it applies to.
+        forced: Whether it may leave a zone or cell without caches.
+    """
 
-    box: str
-    every_life: bool = False
+    endpoint: str
+    scope: DrainScope = DrainScope.CURRENT_INCARNATION
     forced: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Life:
+class EndpointIncarnation:
+    """One run of an endpoint: its address and its start in Unix milliseconds."""
+
     address: tuple[str, int]
-    started: float
+    started_at: float
 
 
 @dataclass(slots=True)
-class Drain:
-    """One drain and what has become of it."""
+class DrainStatus:
+    """One drain and what has become of it.
+
+    Attributes:
+        request: The drain as it is configured.
+        phase: What has become of it.
+        phase_since: When the phase began.
+        incarnation: That it was first met in; None: it has not been met yet.
+        contradicted_since: Since when the list says ready meanwhile; 0: it does not.
+        is_contradiction_reported: Whether `take_contradicted` has given the drain already.
+    """
 
-    want: Want
-    phase: Phase = Phase.WAITING
-    since: float = 0.0
-    life: Life | None = None  # which it was first met in
-    ready_since: float = 0.0  # since when the list has said ready meanwhile; 0: it doesn't
-    told: bool = False
+    request: DrainRequest
+    phase: DrainPhase = DrainPhase.WAITING
+    phase_since: float = 0.0
+    incarnation: EndpointIncarnation | None = None
+    contradicted_since: float = 0.0
+    is_contradiction_reported: bool = False
 
 
-def wants(tree: Mapping[str, Any]) -> dict[str, Want]:
-    """Of a datastore's tree."""
-    found = tree.get("fleet", {}).get("drains", {}).get("drain", [])
+def requested_drains(tree: Tree) -> dict[str, DrainRequest]:
+    """Returns the drains that a configuration asks for, by endpoint."""
+    entries = tree.get("fleet", {}).get("drains", {}).get("drain", [])
     return {
-        one["box"]: Want(
-            one["box"], one.get("scope") == "every-life", bool(one.get("forced", False))
+        entry["box"]: DrainRequest(
+            entry["box"],
+            DrainScope.EVERY_INCARNATION
+            if entry.get("scope") == DrainScope.EVERY_INCARNATION
+            else DrainScope.CURRENT_INCARNATION,
+            bool(entry.get("forced", False)),
         )
-        for one in found
+        for entry in entries
     }
 
 
 @dataclass(slots=True)
 class DrainIntent:
-    """All drains, over the list as it was told last."""
+    """All drains, and the endpoint list as it was received last; both by endpoint's name."""
 
-    drains: dict[str, Drain] = field(default_factory=dict)
-    listed: dict[str, EndpointUpdate] = field(default_factory=dict)
+    drains: dict[str, DrainStatus] = field(default_factory=dict)
+    endpoint_updates: dict[str, EndpointUpdate] = field(default_factory=dict)
 
     def copy(self) -> "DrainIntent":
+        """Returns a copy that later changes of this one do not reach."""
         return DrainIntent(
-            {name: replace(drain) for name, drain in self.drains.items()}, dict(self.listed)
+            {name: replace(status) for name, status in self.drains.items()},
+            dict(self.endpoint_updates),
         )
 
-    def want(self, now: float, wanted: Mapping[str, Want]) -> list[str]:
-        """Staff's drains have changed; gives the boxes whose effective state may have."""
-        touched = [name for name in self.drains if name not in wanted]
-        for name in touched:
+    def set_requests(self, now: float, requests: Mapping[str, DrainRequest]) -> list[str]:
+        """Replaces the configured drains.
+
+        Returns:
+            The endpoints whose effective state may have changed.
+        """
+        affected = [name for name in self.drains if name not in requests]
+        for name in affected:
             del self.drains[name]
-        for name, want in wanted.items():
-            drain = self.drains.get(name)
-            if drain is None or drain.want != want:
-                anew = drain is None or drain.phase == Phase.OVER
-                self.drains[name] = Drain(want, since=now) if anew else replace(drain, want=want)
-                touched.append(name)
-        for name in touched:
-            self._meet(now, name)
-        return touched
-
-    def update_endpoints(self, now: float, entries: Iterable[EndpointUpdate], whole: bool) -> None:
-        """What the list tells."""
-        if whole:
-            self.listed = {}
+        for name, request in requests.items():
+            status = self.drains.get(name)
+            if status is not None and status.request == request:
+                continue
+            if status is None or status.phase == DrainPhase.ENDED:
+                self.drains[name] = DrainStatus(request, phase_since=now)
+            else:
+                self.drains[name] = replace(status, request=request)
+            affected.append(name)
+        for name in affected:
+            self._apply_endpoint(now, name)
+        return affected
+
+    def update_endpoints(
+        self, now: float, entries: Iterable[EndpointUpdate], is_full: bool
+    ) -> None:
+        """Takes over an update of the endpoint list.
+
+        Args:
+            now: Present time.
+            entries: New or changed entries.
+            is_full: Whether `entries` is the complete list.
+        """
+        if is_full:
+            self.endpoint_updates = {}
         for entry in entries:
             if entry.state == EndpointState.GONE:
-                self.listed.pop(entry.name, None)
+                self.endpoint_updates.pop(entry.name, None)
             else:
-                self.listed[entry.name] = entry
-            self._meet(now, entry.name)
-        if whole:
+                self.endpoint_updates[entry.name] = entry
+            self._apply_endpoint(now, entry.name)
+        if is_full:
             for name in self.drains:
-                self._meet(now, name)
+                self._apply_endpoint(now, name)
 
-    def _meet(self, now: float, name: str) -> None:
-        drain, entry = self.drains.get(name), self.listed.get(name)
-        if drain is None or drain.phase == Phase.OVER:
+    def _apply_endpoint(self, now: float, name: str) -> None:
+        """Brings the status of an endpoint's drain up to what the list says."""
+        status = self.drains.get(name)
+        if status is None or status.phase == DrainPhase.ENDED:
             return
+        entry = self.endpoint_updates.get(name)
         if entry is None:
-            drain.ready_since = 0.0
-            if drain.life is None:
-                return
-            # Gone for now: its life may go on, as a list that breaks off tells it again
+            # The incarnation may still run: a list that was interrupted names it again
+            status.contradicted_since = 0.0
             return
-        life = Life(entry.address, entry.started_at)
-        if drain.life is None:
-            drain.life = life
-        if drain.life != life and not drain.want.every_life:
-            drain.phase, drain.since, drain.ready_since = Phase.OVER, now, 0.0
+        incarnation = EndpointIncarnation(entry.address, entry.started_at)
+        is_restarted = status.incarnation is not None and status.incarnation != incarnation
+        if is_restarted and status.request.scope != DrainScope.EVERY_INCARNATION:
+            status.phase = DrainPhase.ENDED
+            status.phase_since = now
+            status.contradicted_since = 0.0
             return
-        drain.life = life
-        if drain.phase != Phase.BINDING:
-            drain.phase, drain.since = Phase.BINDING, now
+        status.incarnation = incarnation
+        if status.phase != DrainPhase.ACTIVE:
+            status.phase = DrainPhase.ACTIVE
+            status.phase_since = now
         if entry.state != EndpointState.READY:
-            drain.ready_since = 0.0
-        elif not drain.ready_since:
-            drain.ready_since = now
+            status.contradicted_since = 0.0
+        elif not status.contradicted_since:
+            status.contradicted_since = now
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """The state that this director goes by."""
-        drain = self.drains.get(entry.name)
-        if drain is None or drain.phase != Phase.BINDING or entry.state != EndpointState.READY:
-            return entry.state
-        return EndpointState.DRAINING
-
-    def disagreeing(self, now: float) -> list[Drain]:
-        """Drains that the list has contradicted for long, once each."""
+        """Returns the state of an endpoint that this director goes by."""
+        status = self.drains.get(entry.name)
+        is_active = status is not None and status.phase == DrainPhase.ACTIVE
+        if is_active and entry.state == EndpointState.READY:
+            return EndpointState.DRAINING
+        return entry.state
+
+    def take_contradicted(self, now: float) -> list[DrainStatus]:
+        """Returns drains that the list has contradicted for long, each of them only once."""
         found = [
-            drain
-            for drain in self.drains.values()
-            if drain.ready_since and now > drain.ready_since + DISAGREES and not drain.told
+            status
+            for status in self.drains.values()
+            if status.contradicted_since
+            and now > status.contradicted_since + CONTRADICTION_GRACE_PERIOD
+            and not status.is_contradiction_reported
         ]
-        for drain in found:
-            drain.told = True
+        for status in found:
+            status.is_contradiction_reported = True
         return found
 
 
-def left_without(
-    listed: Mapping[str, EndpointUpdate],
-    before: Iterable[str],
-    wanted: Mapping[str, Want],
-    is_cache: Any,
-    cells: Mapping[str, Iterable[str]],
+def drain_rejection_reason(
+    endpoints: Mapping[str, EndpointUpdate],
+    active_drains: Iterable[str],
+    requests: Mapping[str, DrainRequest],
+    is_cache: Callable[[EndpointUpdate], bool],
+    caches_by_cell: Mapping[str, Iterable[str]],
 ) -> str:
-    """Why new drains may not be: a location or cell that has ready caches now would have none.
-    Empty: they may. `before`: boxes drained already; `cells`: caches by cell; forced drains are let
-    through.
+    """Returns why new drains are rejected; empty if they are not.
+
+    They are if a zone or cell that has ready caches now would have none. Forced drains are always
+    let through.
+
+    Args:
+        endpoints: The endpoint list, by name.
+        active_drains: Endpoints that are drained already.
+        requests: The drains that are asked for, old and new, by endpoint.
+        is_cache: Whether an endpoint is a cache that this director sends requests to.
+        caches_by_cell: Names of caches by cell.
     """
-    new = {name for name, want in wanted.items() if name not in set(before) and not want.forced}
+    active = set(active_drains)
+    new = {name for name, request in requests.items() if name not in active and not request.forced}
     if not new:
         return ""
-    drained = set(wanted) | set(before)
-    zones: dict[int, list[str]] = {}
-    for name, entry in listed.items():
-        if is_cache(entry) and entry.state == EndpointState.READY:
-            zones.setdefault(entry.zone, []).append(name)
-    for zone, names in sorted(zones.items()):
-        if new & set(names) and set(names) <= drained:
-            return f"location {zone} would be left without caches: {', '.join(sorted(names))}"
-    for cell, names in sorted(cells.items()):
-        ready = {
-            name for name in names if name in listed and listed[name].state == EndpointState.READY
-        }
-        if new & ready and ready <= drained:
-            return f"cell {cell} would be left without caches: {', '.join(sorted(ready))}"
+    drained = set(requests) | active
+    ready = {name for name, entry in endpoints.items() if entry.state == EndpointState.READY}
+    caches_by_zone: dict[int, set[str]] = {}
+    for name in ready:
+        if is_cache(endpoints[name]):
+            caches_by_zone.setdefault(endpoints[name].zone, set()).add(name)
+    for zone, caches in sorted(caches_by_zone.items()):
+        if new & caches and caches <= drained:
+            return f"location {zone} would be left without caches: {', '.join(sorted(caches))}"
+    for cell, names in sorted(caches_by_cell.items()):
+        caches = ready.intersection(names)
+        if new & caches and caches <= drained:
+            return f"cell {cell} would be left without caches: {', '.join(sorted(caches))}"
     return ""
--- a/mulleinrelay/management/gnmi_messages.py
+++ b/mulleinrelay/management/gnmi_messages.py
@@ -1,12 +1,18 @@
-"""The messages of gNMI, made at import from the published field numbers (gnmi.proto 0.10 and
-gnmi_ext.proto) in a descriptor pool of our own, so that no generated code is kept and no other
-package's classes are in the way.
+"""The messages of gNMI, made at import from the published field numbers.
+
+The sources are gnmi.proto 0.10 and gnmi_ext.proto. The classes live in a descriptor pool of their
+own, so that no generated code is kept and no other package's classes are in the way. They have no
+static types.
 """
 
+from typing import Any
+
 from google.protobuf import any_pb2, descriptor_pb2, descriptor_pool, duration_pb2, message_factory
 
 VERSION = "0.10.0"
-KINDS = {
+
+# Numbers of descriptor.proto's FieldDescriptorProto.Type and .Label
+SCALAR_TYPES = {
     "double": 1,
     "float": 2,
     "int64": 3,
@@ -16,10 +22,13 @@
     "bytes": 12,
     "uint32": 13,
 }
-MESSAGE, ENUM, REPEATED, OPTIONAL = 11, 14, 3, 1
+TYPE_MESSAGE = 11
+TYPE_ENUM = 14
+LABEL_OPTIONAL = 1
+LABEL_REPEATED = 3
 
-# A message's fields as `name=number type`, `*` before a repeated type, `name/oneof=...` in a oneof
-EXT = {
+# Fields of messages as `name=number type`, `*` before a repeated type, `name/oneof=...` in a oneof
+EXTENSION_MESSAGES = {
     "Extension": "registered_ext/ext=1 RegisteredExtension, commit/ext=4 Commit",
     "RegisteredExtension": "id=1 ExtensionID, msg=2 bytes",
     "Commit": "id=1 string, commit/action=2 CommitRequest, confirm/action=3 CommitConfirm, "
@@ -28,10 +37,11 @@
     "CommitConfirm": "",
     "CommitCancel": "",
 }
-EXT_ENUMS = {"ExtensionID": {"EID_UNSET": 0, "EID_EXPERIMENTAL": 999}}
-X = ".gnmi_ext.Extension"
-GNMI = {
-    "Notification": "timestamp=1 int64, prefix=2 Path, update=4 *Update, delete=5 *Path, atomic=6 bool",
+EXTENSION_ENUMS = {"ExtensionID": {"EID_UNSET": 0, "EID_EXPERIMENTAL": 999}}
+EXTENSION = ".gnmi_ext.Extension"
+GNMI_MESSAGES = {
+    "Notification": "timestamp=1 int64, prefix=2 Path, update=4 *Update, delete=5 *Path, "
+    "atomic=6 bool",
     "Update": "path=1 Path, val=3 TypedValue, duplicates=4 uint32",
     "TypedValue": "string_val/value=1 string, int_val/value=2 int64, uint_val/value=3 uint64, "
     "bool_val/value=4 bool, bytes_val/value=5 bytes, float_val/value=6 float, "
@@ -43,30 +53,31 @@
     "Error": "code=1 uint32, message=2 string, data=3 .google.protobuf.Any",
     "ScalarArray": "element=1 *TypedValue",
     "Decimal64": "digits=1 int64, precision=2 uint32",
-    "SubscribeRequest": f"subscribe/request=1 SubscriptionList, poll/request=3 Poll, extension=5 *{X}",
+    "SubscribeRequest": "subscribe/request=1 SubscriptionList, poll/request=3 Poll, "
+    f"extension=5 *{EXTENSION}",
     "Poll": "",
     "SubscribeResponse": "update/response=1 Notification, sync_response/response=3 bool, "
     "error/response=4 Error, "
-    f"extension=5 *{X}",
-    "SubscriptionList": "prefix=1 Path, subscription=2 *Subscription, qos=4 QOSMarking, mode=5 Mode, "
-    "allow_aggregation=6 bool, use_models=7 *ModelData, encoding=8 Encoding, "
+    f"extension=5 *{EXTENSION}",
+    "SubscriptionList": "prefix=1 Path, subscription=2 *Subscription, qos=4 QOSMarking, "
+    "mode=5 Mode, allow_aggregation=6 bool, use_models=7 *ModelData, encoding=8 Encoding, "
     "updates_only=9 bool",
     "Subscription": "path=1 Path, mode=2 SubscriptionMode, sample_interval=3 uint64, "
     "suppress_redundant=4 bool, heartbeat_interval=5 uint64",
     "QOSMarking": "marking=1 uint32",
-    "SetRequest": f"prefix=1 Path, delete=2 *Path, replace=3 *Update, update=4 *Update, extension=5 *{X}, "
-    "union_replace=6 *Update",
+    "SetRequest": "prefix=1 Path, delete=2 *Path, replace=3 *Update, update=4 *Update, "
+    f"extension=5 *{EXTENSION}, union_replace=6 *Update",
     "SetResponse": "prefix=1 Path, response=2 *UpdateResult, message=3 Error, timestamp=4 int64, "
-    f"extension=5 *{X}",
+    f"extension=5 *{EXTENSION}",
     "UpdateResult": "timestamp=1 int64, path=2 Path, message=3 Error, op=4 Operation",
     "GetRequest": "prefix=1 Path, path=2 *Path, type=3 DataType, encoding=5 Encoding, "
     "use_models=6 *ModelData, "
-    f"extension=7 *{X}",
-    "GetResponse": f"notification=1 *Notification, error=2 Error, extension=3 *{X}",
-    "CapabilityRequest": f"extension=1 *{X}",
+    f"extension=7 *{EXTENSION}",
+    "GetResponse": f"notification=1 *Notification, error=2 Error, extension=3 *{EXTENSION}",
+    "CapabilityRequest": f"extension=1 *{EXTENSION}",
     "CapabilityResponse": "supported_models=1 *ModelData, supported_encodings=2 *Encoding, "
     "gNMI_version=3 string, "
-    f"extension=4 *{X}",
+    f"extension=4 *{EXTENSION}",
     "ModelData": "name=1 string, organization=2 string, version=3 string",
 }
 GNMI_ENUMS = {
@@ -78,88 +89,126 @@
 }
 
 
-def _file(
-    package: str, messages: dict[str, str], enums: dict[str, dict[str, int]], needs: list[str]
+def _file_descriptor(
+    package: str, messages: dict[str, str], enums: dict[str, dict[str, int]], imports: list[str]
 ) -> descriptor_pb2.FileDescriptorProto:
+    """Builds the descriptor of a .proto file from the tables above."""
     file = descriptor_pb2.FileDescriptorProto(
-        name=f"{package}.proto", package=package, syntax="proto3", dependency=needs
+        name=f"{package}.proto", package=package, syntax="proto3", dependency=imports
     )
     for name, values in enums.items():
         enum = file.enum_type.add(name=name)
         for value, number in values.items():
-            # Values of one package share their names, so each carries that of its enum
+            # Values of all enums of a package share one scope, so each has its enum's name
             enum.value.add(name=f"{name}_{value}", number=number)
     for name, fields in messages.items():
         message = file.message_type.add(name=name)
-        oneofs: dict[str, int] = {}
         for text in filter(None, (part.strip() for part in fields.split(", "))):
-            head, kind = text.split(" ")
-            named, number = head.split("=")
-            field, _, oneof = named.partition("/")
-            made = message.field.add(
-                name=field,
-                number=int(number),
-                json_name=field,
-                label=REPEATED if kind[0] == "*" else OPTIONAL,
-            )
-            kind = kind.lstrip("*")
-            if kind in KINDS:
-                made.type = KINDS[kind]
-            else:
-                made.type = ENUM if kind in enums else MESSAGE
-                made.type_name = kind if kind[0] == "." else f".{package}.{kind}"
-            if oneof:
-                if oneof not in oneofs:
-                    oneofs[oneof] = len(oneofs)
-                    message.oneof_decl.add(name=oneof)
-                made.oneof_index = oneofs[oneof]
+            _add_field(message, text, package, enums)
         if name == "PathElem":
-            entry = message.nested_type.add(name="KeyEntry")
-            entry.options.map_entry = True
-            for place, field in enumerate(("key", "value"), 1):
-                entry.field.add(name=field, number=place, type=KINDS["string"], label=OPTIONAL)
+            _add_key_map(message)
     return file
 
 
+def _add_field(message: Any, text: str, package: str, enums: dict[str, dict[str, int]]) -> None:
+    """Adds a field to a message's descriptor, and its oneof where that is new."""
+    declaration, type_name = text.split(" ")
+    full_name, number = declaration.split("=")
+    name, _, oneof = full_name.partition("/")
+    is_repeated = type_name.startswith("*")
+    type_name = type_name.lstrip("*")
+    field = message.field.add(
+        name=name,
+        number=int(number),
+        json_name=name,
+        label=LABEL_REPEATED if is_repeated else LABEL_OPTIONAL,
+    )
+    if type_name in SCALAR_TYPES:
+        field.type = SCALAR_TYPES[type_name]
+    else:
+        field.type = TYPE_ENUM if type_name in enums else TYPE_MESSAGE
+        is_qualified = type_name.startswith(".")
+        field.type_name = type_name if is_qualified else f".{package}.{type_name}"
+    if oneof:
+        oneofs = [declared.name for declared in message.oneof_decl]
+        if oneof not in oneofs:
+            message.oneof_decl.add(name=oneof)
+            oneofs.append(oneof)
+        field.oneof_index = oneofs.index(oneof)
+
+
+def _add_key_map(message: Any) -> None:
+    """Adds the entry type of `map<string, string> key` to PathElem."""
+    entry = message.nested_type.add(name="KeyEntry")
+    entry.options.map_entry = True
+    for number, name in enumerate(("key", "value"), 1):
+        entry.field.add(name=name, number=number, type=SCALAR_TYPES["string"], label=LABEL_OPTIONAL)
+
+
 POOL = descriptor_pool.DescriptorPool()
 for _known in (any_pb2, duration_pb2):
     POOL.AddSerializedFile(_known.DESCRIPTOR.serialized_pb)
-POOL.Add(_file("gnmi_ext", EXT, EXT_ENUMS, ["google/protobuf/duration.proto"]))
-POOL.Add(_file("gnmi", GNMI, GNMI_ENUMS, ["google/protobuf/any.proto", "gnmi_ext.proto"]))
+POOL.Add(
+    _file_descriptor(
+        "gnmi_ext", EXTENSION_MESSAGES, EXTENSION_ENUMS, ["google/protobuf/duration.proto"]
+    )
+)
+POOL.Add(
+    _file_descriptor(
+        "gnmi", GNMI_MESSAGES, GNMI_ENUMS, ["google/protobuf/any.proto", "gnmi_ext.proto"]
+    )
+)
 
 
-def _class(name: str):
+def _message_class(name: str) -> Any:
     return message_factory.GetMessageClass(POOL.FindMessageTypeByName(name))
 
 
-Notification, Update, TypedValue = (
-    _class("gnmi.Notification"),
-    _class("gnmi.Update"),
-    _class("gnmi.TypedValue"),
-)
-PathMessage, PathElem = _class("gnmi.Path"), _class("gnmi.PathElem")
-SubscribeRequest, SubscribeResponse = (
-    _class("gnmi.SubscribeRequest"),
-    _class("gnmi.SubscribeResponse"),
-)
-SubscriptionList, Subscription = _class("gnmi.SubscriptionList"), _class("gnmi.Subscription")
-SetRequest, SetResponse, UpdateResult = (
-    _class("gnmi.SetRequest"),
-    _class("gnmi.SetResponse"),
-    _class("gnmi.UpdateResult"),
-)
-GetRequest, GetResponse = _class("gnmi.GetRequest"), _class("gnmi.GetResponse")
-CapabilityRequest, CapabilityResponse = (
-    _class("gnmi.CapabilityRequest"),
-    _class("gnmi.CapabilityResponse"),
-)
-ModelData, Extension = _class("gnmi.ModelData"), _class("gnmi_ext.Extension")
-JSON, ASCII, JSON_IETF = 0, 3, 4
-STREAM, ONCE, POLL = 0, 1, 2
-TARGET_DEFINED, ON_CHANGE, SAMPLE = 0, 1, 2
-ALL, CONFIG, STATE, OPERATIONAL = 0, 1, 2, 3
-DELETE, REPLACE, UPDATE, UNION_REPLACE = 1, 2, 3, 4
-EXPERIMENTAL = 999
+Notification = _message_class("gnmi.Notification")
+Update = _message_class("gnmi.Update")
+TypedValue = _message_class("gnmi.TypedValue")
+PathMessage = _message_class("gnmi.Path")
+PathElem = _message_class("gnmi.PathElem")
+SubscribeRequest = _message_class("gnmi.SubscribeRequest")
+SubscribeResponse = _message_class("gnmi.SubscribeResponse")
+SubscriptionList = _message_class("gnmi.SubscriptionList")
+Subscription = _message_class("gnmi.Subscription")
+SetRequest = _message_class("gnmi.SetRequest")
+SetResponse = _message_class("gnmi.SetResponse")
+UpdateResult = _message_class("gnmi.UpdateResult")
+GetRequest = _message_class("gnmi.GetRequest")
+GetResponse = _message_class("gnmi.GetResponse")
+CapabilityRequest = _message_class("gnmi.CapabilityRequest")
+CapabilityResponse = _message_class("gnmi.CapabilityResponse")
+ModelData = _message_class("gnmi.ModelData")
+Extension = _message_class("gnmi_ext.Extension")
+
+# Numbers of the enums' values: Encoding
+JSON = 0
+ASCII = 3
+JSON_IETF = 4
+# SubscriptionList.Mode
+STREAM = 0
+ONCE = 1
+POLL = 2
+# SubscriptionMode
+TARGET_DEFINED = 0
+ON_CHANGE = 1
+SAMPLE = 2
+# GetRequest.DataType
+ALL = 0
+CONFIG = 1
+STATE = 2
+OPERATIONAL = 3
+# UpdateResult.Operation
+DELETE = 1
+REPLACE = 2
+UPDATE = 3
+UNION_REPLACE = 4
+# ExtensionID of registered extensions that are not registered with OpenConfig
+EXPERIMENTAL_EXTENSION_ID = 999
+
+# Classes of request and response by the name of the method
 METHODS = {
     "Capabilities": (CapabilityRequest, CapabilityResponse),
     "Get": (GetRequest, GetResponse),
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -1,277 +1,193 @@
-"""The running director as management reaches it: its state as a tree, and the parts that take a
-change over.
-"""
+"""The participants of commits at a running director: drains and the cell assignment."""
+
+from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
+from typing import TYPE_CHECKING
 
-from ..cells import admission_controller, migrations, store
+from ..cells import store
+from ..cells.admission_controller import PreparedAssignment, prepare_assignment
 from ..cells.model import Assignment
-from ..config.platform import DirectorConfig
-from ..coordinator import RequestCoordinator
+from ..coordinator import EndpointOverrides, RequestCoordinator
 from ..errors import ConfigError
-from ..policy.model import EndpointState, EndpointUpdate
-from . import drain_intent as wanting
-from .assignment_mapping import charter_from, charter_tree, decimal
-from .datastore import RefusedError
-from .drain_intent import DrainIntent, Want, left_without, wants
+from ..policy.model import EndpointUpdate
+from .assignment_mapping import assignment_from_tree, assignment_to_tree
+from .datastore import Undo
+from .drain_intent import (
+    DrainIntent,
+    DrainPhase,
+    DrainRequest,
+    drain_rejection_reason,
+    requested_drains,
+)
+from .errors import CommitRejectedError, ErrorCode
+from .tree import Tree
+
+if TYPE_CHECKING:
+    from ..cells.service import CellService
 
-NAMES = {
-    EndpointState.READY: "ready",
-    EndpointState.DRAINING: "draining",
-    EndpointState.GONE: "gone",
-}
+CachesByCell = Callable[[list[str]], dict[str, list[str]]]  # of the caches that are given by name
 
 
 class DrainParticipant:
-    """Staff's drains, over the list."""
+    """Applies operators' drains over the endpoint list.
+
+    Attributes:
+        intent: The drains; guarded by the coordinator's lock.
+    """
 
     name = "drains"
 
-    def __init__(
-        self, facade: RequestCoordinator, cells: Callable[[list[str]], dict[str, list[str]]]
-    ) -> None:
-        self.facade, self.cells, self.intent = facade, cells, DrainIntent()
-        with facade.lock:
-            facade.overrides = self.intent
+    def __init__(self, coordinator: RequestCoordinator, caches_by_cell: CachesByCell) -> None:
+        """Becomes the coordinator's overrides, with the endpoint list as it has it now.
+
+        Args:
+            coordinator: Whose endpoints are drained.
+            caches_by_cell: Returns which of the given caches each cell has; empty without cells.
+        """
+        self.coordinator = coordinator
+        self.caches_by_cell = caches_by_cell
+        self.intent = DrainIntent()
+        with coordinator.lock:
+            coordinator.overrides = self.intent
             self.intent.update_endpoints(
-                facade.clock(), list(facade.endpoint_updates.values()), True
+                coordinator.clock(), list(coordinator.endpoint_updates.values()), True
             )
 
-    def prepare(self, old: dict[str, Any], new: dict[str, Any]) -> dict[str, Want]:
-        wanted = wants(new)
-        with self.facade.lock:
-            before = [
+    def prepare(self, old: Tree, new: Tree) -> dict[str, DrainRequest]:
+        """Returns the drains that the new configuration asks for.
+
+        Raises:
+            CommitRejectedError: If a new one would leave a zone or cell without caches.
+        """
+        requests = requested_drains(new)
+        if requests == requested_drains(old):
+            return requests
+        if reason := self._rejection_reason(requests):
+            raise CommitRejectedError(f"{reason}; set forced to drain all the same")
+        return requests
+
+    def _rejection_reason(self, requests: dict[str, DrainRequest]) -> str:
+        with self.coordinator.lock:
+            active = [
                 name
-                for name, drain in self.intent.drains.items()
-                if drain.phase == wanting.Phase.BINDING
+                for name, status in self.intent.drains.items()
+                if status.phase == DrainPhase.ACTIVE
             ]
-            listed = dict(self.intent.listed)
-        if wanted != wants(old) and (
-            why := left_without(
-                listed,
-                before,
-                wanted,
-                self._is_cache,
-                self.cells([name for name, entry in listed.items() if self._is_cache(entry)]),
-            )
-        ):
-            raise RefusedError(f"{why}; set forced to drain all the same")
-        return wanted
-
-    def mark(self, ready: dict[str, Want]) -> int:
-        """Drains last in the datastore alone."""
+            endpoints = dict(self.intent.endpoint_updates)
+        caches = [name for name, entry in endpoints.items() if self._is_own_cache(entry)]
+        return drain_rejection_reason(
+            endpoints, active, requests, self._is_own_cache, self.caches_by_cell(caches)
+        )
+
+    def _is_own_cache(self, entry: EndpointUpdate) -> bool:
+        """Whether this director sends requests to it: a cache of its own zone."""
+        settings = self.coordinator.settings
+        is_cache = entry.kind not in (settings.parent_kind, settings.origin_kind)
+        return is_cache and entry.zone == settings.zone
+
+    def persisted_version(self, prepared: dict[str, DrainRequest]) -> int:
+        """Returns 0: drains are stored in the datastore alone."""
         return 0
 
-    def commit(self, ready: dict[str, Want]) -> Callable[[], None]:
+    def commit(self, prepared: dict[str, DrainRequest]) -> Undo:
+        """Applies the drains; returns what restores those from before."""
         before: list[DrainIntent] = []
 
-        def take(held: Any) -> list[str]:
+        def apply(_: EndpointOverrides) -> list[str]:
             before.append(self.intent.copy())
-            return self.intent.want(self.facade.clock(), ready)
+            return self.intent.set_requests(self.coordinator.clock(), prepared)
 
-        def put_back(held: Any) -> list[str]:
-            touched = set(self.intent.drains) | set(before[0].drains)
+        def restore(_: EndpointOverrides) -> list[str]:
+            affected = set(self.intent.drains) | set(before[0].drains)
             self.intent.drains = before[0].drains
-            return sorted(touched)
-
-        self.facade.change_overrides(take)
-        return lambda: self.facade.change_overrides(put_back)
+            return sorted(affected)
 
-    def _is_cache(self, entry: EndpointUpdate) -> bool:
-        terms = self.facade.settings
-        return entry.kind not in (terms.parent_kind, terms.origin_kind) and entry.zone == terms.zone
+        self.coordinator.change_overrides(apply)
+        return lambda: self.coordinator.change_overrides(restore)
 
 
 class AssignmentParticipant:
-    """The assignment, where cells are on. What is changed here goes into the assignment
-    file, too.
-    """
+    """Applies the cell assignment, where cells are on, and writes it to the assignment file."""
 
     name = "assignment"
 
-    def __init__(self, warden: Any, clock: Callable[[], float]) -> None:
-        self.warden, self.clock = warden, clock
+    def __init__(self, cell_service: CellService | None, clock: Callable[[], float]) -> None:
+        """Takes the running cells (None: cells are off) and the clock in Unix milliseconds."""
+        self.cell_service = cell_service
+        self.clock = clock
+
+    @property
+    def assignment(self) -> Assignment | None:
+        """The assignment that is in use; None without cells."""
+        return self.cell_service.controller.assignment if self.cell_service is not None else None
+
+    def tree(self) -> Tree:
+        """Returns the assignment in use as the model has it; empty without cells."""
+        assignment = self.assignment
+        return assignment_to_tree(assignment) if assignment is not None else {}
 
-    def tree(self) -> dict[str, Any]:
-        return charter_tree(self.charter()) if self.warden is not None else {}
+    def prepare(self, old: Tree, new: Tree) -> PreparedAssignment | None:
+        """Builds the assignment that the new configuration asks for.
 
-    def charter(self) -> Assignment:
-        return self.warden.controller.assignment
+        Returns:
+            The assignment, ready to be applied; None if it is the one in use.
 
-    def prepare(
-        self, old: dict[str, Any], new: dict[str, Any]
-    ) -> admission_controller.PreparedAssignment | None:
+        Raises:
+            CommitRejectedError: If it cannot be used.
+        """
         wanted = new.get("fleet", {}).get("assignment")
-        if self.warden is None:
+        present = self.assignment
+        if present is None:
             if wanted:
-                raise RefusedError("cells are off at this director (serve --cells)")
+                raise CommitRejectedError("cells are off at this director (serve --cells)")
             return None
         if wanted is None:
-            raise RefusedError("the assignment can't be taken out while cells are on")
-        now = self.charter()
+            raise CommitRejectedError("the assignment can't be taken out while cells are on")
         try:
-            charter = charter_from(wanted, now.version + 1, round(self.clock()))
-            if replace(charter, version=now.version, written_at=now.written_at) == now:
+            assignment = assignment_from_tree(wanted, present.version + 1, round(self.clock()))
+            comparable = replace(assignment, version=present.version, written_at=present.written_at)
+            if comparable == present:
                 return None
-            return admission_controller.prepare_assignment(charter)
-        except ConfigError as wrong:
-            raise RefusedError(str(wrong)) from None
-
-    def mark(self, ready: admission_controller.PreparedAssignment | None) -> int:
-        """The version of the assignment file."""
-        if self.warden is None:
-            return 0
-        return ready.assignment.version if ready is not None else self.charter().version
-
-    def commit(self, ready: admission_controller.PreparedAssignment | None) -> Callable[[], None]:
-        if ready is None:
+            return prepare_assignment(assignment)
+        except ConfigError as error:
+            raise CommitRejectedError(str(error)) from error
+
+    def persisted_version(self, prepared: PreparedAssignment | None) -> int:
+        """Returns the version that the assignment file has after the commit; 0 without cells."""
+        if prepared is not None:
+            return prepared.assignment.version
+        present = self.assignment
+        return present.version if present is not None else 0
+
+    def commit(self, prepared: PreparedAssignment | None) -> Undo:
+        """Writes and applies the assignment; returns what restores the one from before.
+
+        Raises:
+            CommitRejectedError: If the file cannot be written, or another has written it meanwhile.
+        """
+        before = self.assignment
+        if prepared is None or before is None:
             return lambda: None
-        before = self.charter()
-        self._take(ready, before.version)
+        applied_version = prepared.assignment.version
+        self._apply(prepared, before.version)
 
         def undo() -> None:
-            back = replace(before, version=ready.assignment.version + 1)
-            self._take(admission_controller.prepare_assignment(back), ready.assignment.version)
+            restored = replace(before, version=applied_version + 1)
+            self._apply(prepare_assignment(restored), applied_version)
 
         return undo
 
-    def _take(self, ready: admission_controller.PreparedAssignment, built_on: int) -> None:
+    def _apply(self, prepared: PreparedAssignment, built_on: int) -> None:
+        """Writes and applies an assignment, if the file still has the version `built_on`."""
+        if self.cell_service is None:
+            return
+        path = self.cell_service.config.assignment_file
+        assignment = prepared.assignment
         try:
-            with store.sole_writer(self.warden.config.assignment_file):
-                store.save(
-                    self.warden.config.assignment_file,
-                    ready.assignment,
-                    ready.assignment.written_at,
-                    built_on,
-                )
-            self.warden.apply_prepared(ready)
-        except ConfigError as wrong:
-            raise RefusedError(str(wrong), "failed") from None
-
-
-class StateView:
-    """What a director tells of itself, as the model's state."""
-
-    def __init__(
-        self,
-        start: DirectorConfig,
-        facade: RequestCoordinator,
-        warden: Any,
-        drains: DrainParticipant,
-    ) -> None:
-        self.start, self.facade, self.warden, self.drains = start, facade, warden, drains
-        self.zones = {place: name for name, place in start.zones.items()}
-        self.kinds = {place: name for name, place in start.kinds.items()}
-        self.request_classes = [
-            {
-                "name": name,
-                "repeat": case.idempotency,
-                "latency-goal": decimal(case.latency_objective),
-                "client-timeout": decimal(case.client_timeout),
-                "memory-span": decimal(case.key_retention),
-            }
-            for name, case in start.request_classes.items()
-        ]
-
-    def tree(
-        self, wanted: dict[str, Any], datastore: dict[str, Any], names: set[str] | None
-    ) -> dict[str, Any]:
-        """Config and state together, of the named children of /fleet or of all; `wanted` is not
-        changed.
-        """
-        now = self.facade.clock()
-        fleet = dict(wanted.get("fleet", {}))
-        boxes, out = self._boxes() if names is None or names & {"boxes", "drains"} else ([], {})
-        if drains := fleet.get("drains", {}).get("drain"):
-            fleet["drains"] = {
-                "drain": [one | {"state": self._drain(now, one["box"], out)} for one in drains]
-            }
-        if self.warden is not None and "assignment" in fleet:
-            fleet["assignment"] = self._assignment(now, fleet["assignment"])
-        state = {
-            "boxes": {"box": boxes},
-            "purges": {"binding": self.facade.active_purge_count()},
-            "request-classes": {"request-class": self.request_classes},
-            "datastore": datastore,
-        }
-        return {
-            "fleet": fleet
-            | {name: held for name, held in state.items() if names is None or name in names}
-        }
-
-    def _boxes(self) -> tuple[list[dict[str, Any]], dict[str, int]]:
-        found, out = [], {}
-        for entry, state, member, delay, warmth in self.facade.endpoint_states():
-            out[entry.name] = len(member.out)
-            found.append(
-                {
-                    "name": entry.name,
-                    "address": f"{entry.address[0]}:{entry.address[1]}",
-                    "zone": self.zones.get(entry.zone, ""),
-                    "kind": self.kinds.get(entry.kind, ""),
-                    "listed-state": NAMES[entry.state],
-                    "state": NAMES[state],
-                    "started": str(int(entry.started_at)),
-                    "shunned": member.shunned,
-                    "warmth": decimal(warmth),
-                    "attempts-out": len(member.out),
-                }
-                | ({"delay": decimal(delay)} if delay is not None else {})
-            )
-        return found, out
-
-    def _drain(self, now: float, box: str, out: dict[str, int]) -> dict[str, Any]:
-        drain = self.drains.intent.drains.get(box)
-        if drain is None:
-            return {"phase": "waiting"}
-        differs = int(max(0.0, now - drain.ready_since)) if drain.ready_since else 0
-        return {
-            "phase": drain.phase.value,
-            "since": str(int(drain.since)),
-            "disagrees-for": differs,
-            "attempts-out": out.get(box, 0),
-        }
-
-    def _assignment(self, now: float, tree: dict[str, Any]) -> dict[str, Any]:
-        with self.warden.lock:
-            status = self.warden.controller.status(now)
-            charter = self.warden.controller.assignment
-        found = dict(tree)
-        found["cell"] = [
-            one | {"state": _cell(status["cells"][one["name"]])}
-            if one["name"] in status["cells"]
-            else one
-            for one in tree.get("cell", ())
-        ]
-        found["move"] = [
-            one
-            | {
-                "state": {
-                    "stage": migrations.stage(charter.migrations[one["name"]], now).value,
-                    "share": decimal(migrations.shifted(charter.migrations[one["name"]], now)),
-                }
-            }
-            if one["name"] in charter.migrations
-            else one
-            for one in tree.get("move", ())
-        ]
-        found["release"] = [
-            one | {"state": {"phase": status["releases"][one["name"]]["phase"]}}
-            if one["name"] in status["releases"]
-            else one
-            for one in tree.get("release", ())
-        ]
-        return {name: held for name, held in found.items() if held != []}
-
-
-def _cell(told: dict[str, Any]) -> dict[str, Any]:
-    return {
-        "lost": told["lost"],
-        "open": decimal(told["open"]),
-        "width": decimal(told["width"]),
-        "served": str(told["served"]),
-        "settled": str(told["settled"]),
-        "turned-away": str(told["denied"]),
-    }
+            with store.sole_writer(path):
+                store.save(path, assignment, assignment.written_at, built_on)
+            self.cell_service.apply_prepared(prepared)
+        except ConfigError as error:
+            raise CommitRejectedError(str(error), ErrorCode.FAILED) from error
--- /dev/null
+++ b/mulleinrelay/management/schema.py
@@ -0,0 +1,78 @@
+"""The schema that trees and paths are checked against, without the YANG library. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .errors import ErrorCode, PathError
+from .paths import Keys, Path, format_path
+
+MODULE_NAME = "mulleinrelay-fleet"
+MODULE_REVISION = "2026-12-01"
+
+
+@dataclass(slots=True, frozen=True, eq=False)
+class SchemaNode:
+    """One node of the YANG model.
+
+    Attributes:
+        children: Data nodes below a container or list, by name.
+        keys: Names of a list's keys.
+        is_list: Whether it is a YANG list; in a tree a list of dicts.
+        is_leaf_list: Whether it is a leaf-list; in a tree a list of values.
+        is_state: Whether it is `config false`, which clients cannot set.
+        is_number_in_string: Whether its numbers are strings in JSON (RFC 7951: decimal64 and
+            64-bit integers).
+    """
+
+    children: dict[str, SchemaNode] = field(default_factory=dict)
+    keys: tuple[str, ...] = ()
+    is_list: bool = False
+    is_leaf_list: bool = False
+    is_state: bool = False
+    is_number_in_string: bool = False
+
+    def entry(self) -> SchemaNode:
+        """Returns the node of a single entry of this list."""
+        return SchemaNode(self.children)
+
+    def find(self, path: Path) -> SchemaNode:
+        """Returns the node at the end of a path without wildcards.
+
+        Raises:
+            PathError: If the model has no such node or the keys are not the list's.
+        """
+        node = self
+        for depth, (name, keys) in enumerate(path):
+            node = node._child(path[: depth + 1], name)
+            node._check_keys(path[: depth + 1], keys)
+        return node
+
+    def find_writable(self, path: Path) -> SchemaNode:
+        """Returns the node at the end of a path that a client wants to set.
+
+        Raises:
+            PathError: As `find`, and if the node is state or a list's keys are missing on the way.
+        """
+        node = self
+        for depth, (name, keys) in enumerate(path):
+            prefix = path[: depth + 1]
+            node = node._child(prefix, name)
+            if node.is_state:
+                raise PathError(f"{format_path(prefix)}: is state and can't be set")
+            node._check_keys(prefix, keys)
+            if node.is_list and not keys and depth < len(path) - 1:
+                names = ", ".join(node.keys)
+                raise PathError(f"{format_path(prefix)}: the key {names} is wanted")
+        return node
+
+    def _child(self, path: Path, name: str) -> SchemaNode:
+        if name not in self.children:
+            raise PathError(f"{format_path(path)}: the model has no such node", ErrorCode.NOT_FOUND)
+        return self.children[name]
+
+    def _check_keys(self, path: Path, keys: Keys) -> None:
+        given = {key for key, _ in keys}
+        if given and given != set(self.keys):
+            names = ", ".join(self.keys) or "none"
+            raise PathError(f"{format_path(path)}: the keys are {names}")
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -1,368 +1,412 @@
-"""Management at a running director: one lock round the datastore, its parts and its model; changes
-told to watchers.
+"""Management at a running director: one lock around the datastore, its participants and its model.
+
+A thread of its own rolls back commits that were not confirmed in time, follows the assignment
+file, and notifies subscribers of changes.
 """
 
 import threading
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from copy import deepcopy
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
-from ..coordinator import RequestCoordinator
 from ..structured_log import StructuredLog
-from . import paths
-from .datastore import Datastore, DatastoreState, RefusedError, Version
+from . import tree as trees
+from .datastore import ConfirmRequest, Datastore, DatastoreState, Version
 from .datastore_file import DatastoreFile
-from .participants import AssignmentParticipant, DrainParticipant, StateView
-from .paths import Path, PathError, Shape
+from .errors import CommitRejectedError, ErrorCode, PathError
+from .participants import AssignmentParticipant, DrainParticipant
+from .paths import Path, fleet_children, format_path
+from .state_view import StateView
+from .subscribers import PublishedTree, Subscriber
+from .tree import PathValue, Tree
+from .yang_model import YangModel
+
+STEP_INTERVAL = 250.0  # ms between steps of the thread: how late a rollback may come
+STATE_INTERVAL = 1_000.0  # ms between comparisons of state for subscribers
+MAX_EDITS = 10_000  # of one commit
+MAX_EDITS_IN_COMMENT = 3
+LOG_EVENT = "management"
+ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions that take over what it says
+
 
-STEP_EVERY = 250.0  # ms
-STATE_EVERY = 1_000.0  # ms: how often state is looked at for those that watch it
-EDITS_MOST = 10_000
+class EditOperation(StrEnum):
+    """The operations of a gNMI Set."""
+
+    DELETE = "delete"
+    REPLACE = "replace"
+    UPDATE = "update"
 
 
 @dataclass(slots=True)
 class Edit:
-    """One step of a change: `delete`, `replace` or `update`."""
+    """One operation of a commit; `value` is the JSON value, none for a delete."""
 
-    what: str
+    operation: EditOperation
     path: Path
     value: Any = None
 
 
-@dataclass(slots=True, eq=False)
-class Watcher:
-    """One who is told of changes, bounded: what it doesn't take in time is counted as lost."""
+class DataKind(StrEnum):
+    """Which nodes a read gives."""
 
-    names: set[str] | None  # children of /fleet that it wants; None: all
-    most: int
-    waiting: list[Any] = field(default_factory=list)
-    lost: int = 0
-    ended: bool = False
-    rung: threading.Condition = field(default_factory=threading.Condition)
+    ALL = "all"
+    CONFIG = "config"
+    STATE = "state"
 
-    def put(self, change: Any) -> None:
-        with self.rung:
-            if len(self.waiting) >= self.most:
-                self.lost += 1
-            else:
-                self.waiting.append(change)
-            self.rung.notify()
 
-    def take(self, seconds: float) -> list[Any]:
-        with self.rung:
-            if not self.waiting and not self.ended:
-                self.rung.wait(seconds)
-            found, self.waiting = self.waiting, []
-            return found
+@dataclass(slots=True, frozen=True)
+class ManagementParts:
+    """What the management of one director consists of."""
 
-    def end(self) -> None:
-        with self.rung:
-            self.ended = True
-            self.rung.notify()
+    datastore_file: DatastoreFile
+    model: YangModel
+    drains: DrainParticipant
+    assignment: AssignmentParticipant
+    state_view: StateView
 
 
 class ManagementService:
+    """Reads and changes the configuration of a running director. Thread-safe.
+
+    Attributes:
+        lock: Guards `datastore`, the model, `subscribers`, the published tree and the assignment
+            that the running version agrees with. It is taken before the locks of the coordinator
+            and the cells.
+    """
+
     def __init__(
-        self,
-        facade: RequestCoordinator,
-        log: StructuredLog,
-        keeper: DatastoreFile,
-        model: Any,
-        drains: DrainParticipant,
-        cells: AssignmentParticipant,
-        view: StateView,
-        clock: Callable[[], float],
+        self, parts: ManagementParts, clock: Callable[[], float], log: StructuredLog
     ) -> None:
-        """`model`: has a `shape` and `check(tree)`. Raises KeepError where what was kept can't be
-        used.
+        """Takes over what is stored and applies it.
+
+        Args:
+            parts: The parts; the service owns them from now on.
+            clock: Unix milliseconds.
+            log: Where commits and drains are logged.
+
+        Raises:
+            DatastoreFileError: If the stored datastore cannot be used.
+            CommitRejectedError: If what is stored cannot be applied.
         """
-        self.facade, self.log, self.model, self.view, self.clock = facade, log, model, view, clock
-        self.shape: Shape = model.shape
-        self.drains, self.cells = drains, cells
+        self.drains = parts.drains
+        self.assignment = parts.assignment
+        self.state_view = parts.state_view
+        self.model = parts.model
+        self.schema = parts.model.schema
+        self.clock = clock
+        self.log = log
         self.lock = threading.RLock()
-        self.store = Datastore(model.check, [cells, drains], keeper.save)
-        self.watchers: list[Watcher] = []
-        self.last: dict[str, Any] = {}
-        self.state_due = 0.0
-        self.phases: dict[str, str] = {}
-        self.followed: Any = None  # the charter that the running version agrees with
-        self.ended = threading.Event()
-        kept = keeper.load()
-        self._resume(kept if kept is not None else self.store.held)
-
-    def _resume(self, held: DatastoreState) -> None:
-        """Takes over what was kept; the assignment is that of its own file."""
-        self.store.held = held
-        last = held.versions[-1]
-        mark = last.marks.get("assignment", 0)
-        behind = self.cells.warden is not None and self.cells.charter().version < mark
-        if behind and "assignment" in last.tree.get(
-            "fleet", {}
-        ):  # killed before the file was written
-            self.cells.commit(self.cells.prepare({}, last.tree))
-            self.log.event(
-                "management", text=f"version {last.number} brought to its end after a kill"
-            )
-        tree = self._with_assignment(last.tree)
+        self.datastore = Datastore(
+            parts.model.validate, [parts.assignment, parts.drains], parts.datastore_file.save
+        )
+        self.subscribers: list[Subscriber] = []
+        self._published = PublishedTree(self.schema)
+        self._followed_assignment: object = None  # that the running version agrees with
+        self._state_due_at = 0.0
+        self._logged_phases: dict[str, str] = {}  # of drains, by endpoint
+        self._stopped = threading.Event()
+        stored = parts.datastore_file.load()
+        self._resume(stored if stored is not None else self.datastore.state)
+
+    def _resume(self, state: DatastoreState) -> None:
+        """Takes over the stored state; the assignment is that of its own file."""
+        self.datastore.state = state
+        last = state.versions[-1]
+        self._finish_interrupted_commit(last)
+        tree = self._with_assignment_in_use(last.tree)
         self.drains.commit(self.drains.prepare(tree, tree))
-        if tree != held.versions[-1].tree:
-            self.store.commit(self.clock(), tree, "", "the assignment file")
-
-    def _with_assignment(self, tree: dict[str, Any]) -> dict[str, Any]:
-        fleet = {name: held for name, held in tree.get("fleet", {}).items() if name != "assignment"}
-        if held := self.cells.tree():
-            fleet["assignment"] = held
-        return self.model.check({"fleet": fleet}) if fleet else {}
+        if tree != last.tree:
+            self.datastore.commit(self.clock(), tree, "", ASSIGNMENT_FILE_COMMENT)
+
+    def _finish_interrupted_commit(self, last: Version) -> None:
+        """Applies the last version's assignment if a crash came before its file was written."""
+        stored_version = last.participant_versions.get(self.assignment.name, 0)
+        in_use = self.assignment.assignment
+        if in_use is None or in_use.version >= stored_version:
+            return
+        if "assignment" not in last.tree.get("fleet", {}):
+            return
+        prepared = self.assignment.prepare({}, last.tree)
+        self.assignment.commit(prepared)
+        self.log.event(LOG_EVENT, text=f"version {last.number} brought to its end after a kill")
+
+    def _with_assignment_in_use(self, tree: Tree) -> Tree:
+        """Returns the tree, valid, with the assignment that the cells have now."""
+        fleet = {
+            name: child for name, child in tree.get("fleet", {}).items() if name != "assignment"
+        }
+        if assignment := self.assignment.tree():
+            fleet["assignment"] = assignment
+        return self.model.validate({"fleet": fleet}) if fleet else {}
 
     def start(self) -> None:
-        threading.Thread(target=self._go_on, name="management", daemon=True).start()
+        """Starts the thread."""
+        threading.Thread(target=self._run, name="management", daemon=True).start()
 
     def stop(self) -> None:
-        self.ended.set()
-        for watcher in list(self.watchers):
-            watcher.end()
+        """Ends the thread with its present step, without waiting for it, and all subscriptions."""
+        self._stopped.set()
+        for subscriber in list(self.subscribers):
+            subscriber.close()
 
     # Reading
 
-    def tree(self, names: set[str] | None = None, config_only: bool = False) -> dict[str, Any]:
-        """The whole, or the named children of /fleet."""
+    def tree(self, children: set[str] | None = None, config_only: bool = False) -> Tree:
+        """Returns configuration and state.
+
+        Args:
+            children: Children of /fleet that are wanted; None: all.
+            config_only: Whether to leave out the state.
+        """
         with self.lock:
-            running, open_ = self.store.running, self.store.held.unconfirmed
-            versions = list(self.store.held.versions)
-        wanted = running.tree.get("fleet", {})
-        wanted = {
-            "fleet": {name: held for name, held in wanted.items() if names is None or name in names}
+            running = self.datastore.running
+            pending = self.datastore.state.pending_confirmation
+            versions = list(self.datastore.state.versions)
+        fleet = running.tree.get("fleet", {})
+        configuration = {
+            "fleet": {
+                name: child for name, child in fleet.items() if children is None or name in children
+            }
         }
         if config_only:
-            return wanted
-        left = max(0, int(open_.until - self.clock())) if open_ is not None else 0
-        whole = self.view.tree(
-            wanted,
-            {
-                "version": str(running.number),
-                "unconfirmed-for": left,
-                "commit": [
-                    {
-                        "version": str(one.number),
-                        "at": str(int(one.at)),
-                        "by": one.by,
-                        "why": one.why,
-                    }
-                    for one in versions
-                ],
-            },
-            names,
-        )
-        return whole
+            return configuration
+        remaining = max(0, int(pending.deadline - self.clock())) if pending is not None else 0
+        datastore = {
+            "version": str(running.number),
+            "unconfirmed-for": remaining,
+            "commit": [_commit_entry(version) for version in versions],
+        }
+        return self.state_view.tree(configuration, datastore, children)
 
-    def get(self, wanted: list[Path], kind: str) -> list[tuple[Path, Any]]:
-        """`kind`: all, config, state. Raises PathError; `not found` where a path without wildcards
-        is empty.
+    def read(self, paths: list[Path], kind: DataKind) -> list[PathValue]:
+        """Returns the nodes that the paths match.
+
+        Raises:
+            PathError: If the model has no such node, or (`NOT_FOUND`) the tree has none for a path
+                without wildcards.
         """
-        found: list[tuple[Path, Any]] = []
         with self.lock:
-            self._follow()
-        tree = self.tree(children(wanted), kind == "config")
-        if kind == "state":
-            tree = state_only(self.shape, tree)
-        for path in wanted:
-            here = list(paths.read(self.shape, tree, path))
-            if (
-                not here
-                and path
-                and not any(
-                    name in ("*", "...") or any(value == "*" for _, value in keys)
-                    for name, keys in path
-                )
-            ):
-                self.shape.at(path)  # says what is wrong with it
-                raise PathError(f"{paths.worded(path)}: there is nothing", "not found")
-            found += here
+            self._follow_assignment_file()
+        tree = self.tree(fleet_children(paths), kind == DataKind.CONFIG)
+        if kind == DataKind.STATE:
+            tree = trees.select_state(self.schema, tree)
+        found: list[PathValue] = []
+        for path in paths:
+            matches = list(trees.read(self.schema, tree, path))
+            if not matches and path and not any(element.has_wildcard for element in path):
+                self.schema.find(path)  # raises a more exact error if the path itself is wrong
+                raise PathError(f"{format_path(path)}: there is nothing", ErrorCode.NOT_FOUND)
+            found += matches
         return found
 
     # Writing
 
-    def set(
+    def apply_edits(
         self,
         edits: list[Edit],
-        by: str,
+        author: str,
         built_on: int | None = None,
-        confirm: tuple[str, float] | None = None,
-        why: str = "",
+        confirm: ConfirmRequest | None = None,
+        comment: str = "",
     ) -> Version:
-        """All edits in their order, or none. Raises PathError, RefusedError."""
-        if len(edits) > EDITS_MOST:
-            raise RefusedError(f"{len(edits)} edits in one change; {EDITS_MOST} at most")
+        """Commits all edits in their order, or none.
+
+        Args:
+            edits: The edits.
+            author: Name of the client.
+            built_on: Number of the version that the client has seen; None: any.
+            confirm: Set if the client must confirm the commit.
+            comment: For the history; empty: the edits themselves.
+
+        Returns:
+            The version that is running now.
+
+        Raises:
+            PathError: If a path or value does not fit the model.
+            CommitRejectedError: If the commit is not made.
+        """
+        if len(edits) > MAX_EDITS:
+            raise CommitRejectedError(f"{len(edits)} edits in one change; {MAX_EDITS} at most")
         with self.lock:
-            self._follow()
-            tree = dict(self.store.running.tree)
-            names = children([edit.path for edit in edits])
-            tree["fleet"] = {  # only what the edits reach is copied
-                name: paths.copied(held) if names is None or name in names else held
-                for name, held in tree.get("fleet", {}).items()
-            }
+            self._follow_assignment_file()
+            tree = self._editable_copy(edits)
             for edit in edits:
-                if edit.what == "delete":
-                    paths.delete(self.shape, tree, edit.path)
-                elif edit.what == "replace":
-                    paths.replace(self.shape, tree, edit.path, edit.value)
-                else:
-                    paths.update(self.shape, tree, edit.path, edit.value)
-            why = why or ", ".join(
-                f"{edit.what} {paths.worded(edit.path)}" for edit in edits[:3]
-            ) + (f" and {len(edits) - 3} more" if len(edits) > 3 else "")
-            new = self.store.commit(self.clock(), tree, by, why, built_on, confirm)
-        self._told(new)
-        return new
-
-    def confirm(self, name: str) -> None:
+                self._apply_edit(tree, edit)
+            comment = comment or _describe_edits(edits)
+            version = self.datastore.commit(self.clock(), tree, author, comment, built_on, confirm)
+        self._report_commit(version)
+        return version
+
+    def _editable_copy(self, edits: list[Edit]) -> Tree:
+        """Returns the running tree, with copies of only those children that the edits reach."""
+        tree = dict(self.datastore.running.tree)
+        children = fleet_children([edit.path for edit in edits])
+        tree["fleet"] = {
+            name: deepcopy(child) if children is None or name in children else child
+            for name, child in tree.get("fleet", {}).items()
+        }
+        return tree
+
+    def _apply_edit(self, tree: Tree, edit: Edit) -> None:
+        match edit.operation:
+            case EditOperation.DELETE:
+                trees.delete(self.schema, tree, edit.path)
+            case EditOperation.REPLACE:
+                trees.replace(self.schema, tree, edit.path, edit.value)
+            case EditOperation.UPDATE:
+                trees.update(self.schema, tree, edit.path, edit.value)
+
+    def confirm(self, commit_id: str) -> None:
+        """Keeps a confirmed commit; raises CommitRejectedError if none of that name is pending."""
         with self.lock:
-            self.store.confirm(name)
-        self.log.event("management", text=f"change {name} confirmed")
+            self.datastore.confirm(commit_id)
+        self.log.event(LOG_EVENT, text=f"commit {commit_id} confirmed")
 
-    def cancel(self, name: str, by: str) -> Version:
+    def cancel(self, commit_id: str, author: str) -> Version:
+        """Rolls a confirmed commit back; raises CommitRejectedError if it cannot be."""
         with self.lock:
-            new = self.store.cancel(self.clock(), name, by)
-        self._told(new)
-        return new
+            version = self.datastore.cancel(self.clock(), commit_id, author)
+        self._report_commit(version)
+        return version
 
-    def rollback(self, number: int, by: str, built_on: int | None = None) -> Version:
+    def rollback(self, number: int, author: str, built_on: int | None = None) -> Version:
+        """Makes an older version's tree the running one, as a new version.
+
+        Raises:
+            CommitRejectedError: If the history has no such version, or the commit is not made.
+        """
         with self.lock:
-            self._follow()
-            if built_on is not None and built_on != self.store.running.number:
-                raise RefusedError(
-                    f"built on version {built_on}, but {self.store.running.number} is running",
-                    "stale",
+            self._follow_assignment_file()
+            running = self.datastore.running.number
+            if built_on is not None and built_on != running:
+                raise CommitRejectedError(
+                    f"built on version {built_on}, but {running} is running", ErrorCode.STALE
                 )
-            new = self.store.rollback(self.clock(), number, by)
-        self._told(new)
-        return new
+            version = self.datastore.rollback(self.clock(), number, author)
+        self._report_commit(version)
+        return version
 
-    def _told(self, new: Version) -> None:
-        self.log.event("management", text=f"version {new.number}: {new.why}", by=new.by)
+    def _report_commit(self, version: Version) -> None:
+        text = f"version {version.number}: {version.comment}"
+        self.log.event(LOG_EVENT, text=text, by=version.author)
         self._publish()
 
-    def _follow(self) -> None:
-        """The assignment file may have changed by another hand; what that says is
-        running already.
-        """
-        charter = self.cells.charter() if self.cells.warden is not None else None
-        if charter is self.followed:  # a large table is not gone through for nothing
+    def _follow_assignment_file(self) -> None:
+        """Makes a version of an assignment that others have written; the cells have it already."""
+        in_use = self.assignment.assignment
+        if in_use is self._followed_assignment:  # a large table is not compared for nothing
             return
-        running = self.store.running
-        tree = self._with_assignment(running.tree)
-        self.followed = charter
+        running = self.datastore.running
+        tree = self._with_assignment_in_use(running.tree)
+        self._followed_assignment = in_use
         if tree != running.tree:
-            self.store.commit(self.clock(), tree, "", "the assignment file")
+            self.datastore.commit(self.clock(), tree, "", ASSIGNMENT_FILE_COMMENT)
 
-    # By the clock, in a thread of its own
+    # In the thread
 
-    def _go_on(self) -> None:
-        while not self.ended.wait(STEP_EVERY / 1000.0):
+    def _run(self) -> None:
+        while not self._stopped.wait(STEP_INTERVAL / 1000.0):
             try:
                 self.step()
-            except Exception as broken:
-                self.log.exception("management", broken)
+            except Exception as error:
+                # The thread's top: the next step tries again, gNMI calls are served meanwhile
+                self.log.exception("management", error)
 
     def step(self) -> None:
+        """Rolls back what was not confirmed in time, follows the assignment file, publishes."""
         now = self.clock()
+        rolled_back = None
         with self.lock:
             try:
-                back = self.store.tick(now)
-                self._follow()
-            except RefusedError as wrong:
-                back = None
-                self.log.event("management", text=f"cannot go back: {wrong}")
-        if back is not None:
-            self._told(back)
-        for drain in self.drains.intent.disagreeing(now):
+                rolled_back = self.datastore.roll_back_expired(now)
+                self._follow_assignment_file()
+            except CommitRejectedError as error:
+                rolled_back = None
+                self.log.event(LOG_EVENT, text=f"cannot roll back: {error}")
+        if rolled_back is not None:
+            self._report_commit(rolled_back)
+        self._log_drains(now)
+        if now >= self._state_due_at:
+            self._state_due_at = now + STATE_INTERVAL
+            self._publish()
+
+    def _log_drains(self, now: float) -> None:
+        """Logs drains that the endpoint list contradicts or that have entered another phase."""
+        for status in self.drains.intent.take_contradicted(now):
+            seconds = (now - status.contradicted_since) / 1000.0
             self.log.event(
-                "management",
-                text=f"drain of {drain.want.box} binds, but the list has said ready for "
-                f"{(now - drain.ready_since) / 1000.0:.0f} s",
+                LOG_EVENT,
+                text=f"drain of {status.request.endpoint} is active, but the endpoint list has "
+                f"said ready for {seconds:.0f} s",
             )
-        for box, drain in list(self.drains.intent.drains.items()):
-            if self.phases.get(box) != drain.phase.value:
-                self.phases[box] = drain.phase.value
-                self.log.event("management", text=f"drain of {box} {drain.phase.value}")
-        if now >= self.state_due:
-            self.state_due = now + STATE_EVERY
-            self._publish()
+        for endpoint, status in list(self.drains.intent.drains.items()):
+            phase = status.phase.value
+            if self._logged_phases.get(endpoint) != phase:
+                self._logged_phases[endpoint] = phase
+                self.log.event(LOG_EVENT, text=f"drain of {endpoint} {phase}")
+
+    # Subscriptions
 
-    # Watching
+    def subscribe(self, paths: list[Path], capacity: int) -> Subscriber:
+        """Adds a subscriber to changes below these paths; `unsubscribe` removes it.
 
-    def watch(self, wanted: list[Path], most: int) -> Watcher:
-        watcher = Watcher(children(wanted), most)
+        Args:
+            paths: What it subscribes to; it may get changes of other nodes of the same children of
+                /fleet, too.
+            capacity: Updates that may wait for it.
+        """
+        subscriber = Subscriber(fleet_children(paths), capacity)
         with self.lock:
-            if not self.watchers:
-                self.last = self.tree()
-            self.watchers.append(watcher)
-        return watcher
+            if not self.subscribers:
+                self._published.reset(self.tree())
+            self.subscribers.append(subscriber)
+        return subscriber
 
-    def unwatch(self, watcher: Watcher) -> None:
+    def unsubscribe(self, subscriber: Subscriber) -> None:
+        """Removes a subscriber."""
         with self.lock:
-            if watcher in self.watchers:
-                self.watchers.remove(watcher)
+            if subscriber in self.subscribers:
+                self.subscribers.remove(subscriber)
 
     def _publish(self) -> None:
-        """Tells watchers of what differs from what they were told last."""
+        """Notifies all subscribers of what differs from what was published last."""
         with self.lock:
-            if not self.watchers:
+            subscribers = list(self.subscribers)
+            if not subscribers:
                 return
-            names: set[str] | None = set()
-            for watcher in self.watchers:
-                names = None if names is None or watcher.names is None else names | watcher.names
-            new = self.tree(names)
-            old = (
-                self.last
-                if names is None
-                else {
-                    "fleet": {
-                        name: held
-                        for name, held in self.last.get("fleet", {}).items()
-                        if name in names
-                    }
-                }
-            )
-            changed, gone = paths.differences(self.shape, old, new)
-            self.last = {"fleet": self.last.get("fleet", {}) | new.get("fleet", {})}
-            for name in [
-                name
-                for name in self.last["fleet"]
-                if name not in new.get("fleet", {}) and (names is None or name in names)
-            ]:
-                del self.last["fleet"][name]
-            watchers = list(self.watchers)
-        if changed or gone:
-            for watcher in watchers:
-                watcher.put((changed, gone))
-
-
-def children(wanted: list[Path]) -> set[str] | None:
-    """Which children of /fleet paths ask for; None: all of them."""
-    if any(len(path) < 2 or path[0][0] != "fleet" or path[1][0] in ("*", "...") for path in wanted):
-        return None
-    return {path[1][0] for path in wanted}
-
-
-def state_only(shape: Shape, tree: Any) -> Any:
-    """What is config false, with the keys that lead to it."""
-    if shape.state or not isinstance(tree, dict):
-        return tree
-    found: dict[str, Any] = {}
-    for name, held in tree.items():
-        inner = shape.children.get(name)
-        if inner is None:
-            continue
-        if inner.state:
-            found[name] = held
-        elif inner.is_list:
-            entries = [
-                {key: one[key] for key in inner.keys} | state_only(Shape(inner.children), one)
-                for one in held
-            ]
-            if kept := [one for one in entries if len(one) > len(inner.keys)]:
-                found[name] = kept
-        elif inner.children and (below := state_only(inner, held)):
-            found[name] = below
-    return found
+            children = _children_of_all(subscribers)
+            difference = self._published.advance(self.tree(children), children)
+        if difference.changed or difference.deleted:
+            for subscriber in subscribers:
+                subscriber.put(difference)
+
+
+def _children_of_all(subscribers: list[Subscriber]) -> set[str] | None:
+    """Returns the children of /fleet that any of the subscribers wants; None: all."""
+    children: set[str] = set()
+    for subscriber in subscribers:
+        if subscriber.fleet_children is None:
+            return None
+        children |= subscriber.fleet_children
+    return children
+
+
+def _commit_entry(version: Version) -> Tree:
+    """Returns the entry of the datastore's history, by its names in the YANG model."""
+    return {
+        "version": str(version.number),
+        "at": str(int(version.committed_at)),
+        "by": version.author,
+        "why": version.comment,
+    }
+
+
+def _describe_edits(edits: list[Edit]) -> str:
+    described = ", ".join(
+        f"{edit.operation} {format_path(edit.path)}" for edit in edits[:MAX_EDITS_IN_COMMENT]
+    )
+    if len(edits) > MAX_EDITS_IN_COMMENT:
+        described += f" and {len(edits) - MAX_EDITS_IN_COMMENT} more"
+    return described
--- /dev/null
+++ b/mulleinrelay/management/state_view.py
@@ -0,0 +1,169 @@
+"""The state of a running director as the YANG model's `config false` nodes."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from ..cells import migrations
+from ..cells.model import Migration
+from ..config.platform import DirectorConfig
+from ..coordinator import RequestCoordinator
+from ..policy.model import EndpointState
+from .assignment_mapping import format_decimal64
+from .participants import DrainParticipant
+from .tree import Tree
+
+if TYPE_CHECKING:
+    from ..cells.service import CellService
+
+STATE_NAMES = {
+    EndpointState.READY: "ready",
+    EndpointState.DRAINING: "draining",
+    EndpointState.GONE: "gone",
+}
+
+
+class StateView:
+    """Reads what a director knows of its endpoints, drains and cells."""
+
+    def __init__(
+        self,
+        config: DirectorConfig,
+        coordinator: RequestCoordinator,
+        cell_service: CellService | None,
+        drains: DrainParticipant,
+    ) -> None:
+        """Takes the parts that it reads; `cell_service` is None without cells."""
+        self.config = config
+        self.coordinator = coordinator
+        self.cell_service = cell_service
+        self.drains = drains
+        self._zone_names = {number: name for name, number in config.zones.items()}
+        self._kind_names = {number: name for name, number in config.kinds.items()}
+        self._request_classes = [
+            {
+                "name": name,
+                "repeat": request_class.idempotency,
+                "latency-goal": format_decimal64(request_class.latency_objective),
+                "client-timeout": format_decimal64(request_class.client_timeout),
+                "memory-span": format_decimal64(request_class.key_retention),
+            }
+            for name, request_class in config.request_classes.items()
+        ]
+
+    def tree(self, running: Tree, datastore: Tree, children: set[str] | None) -> Tree:
+        """Returns configuration and state together.
+
+        Args:
+            running: The running configuration, already reduced to `children`; it is not changed.
+            datastore: Content of the `datastore` container.
+            children: Children of /fleet that are wanted; None: all.
+        """
+        now = self.coordinator.clock()
+        fleet = dict(running.get("fleet", {}))
+        endpoints: list[Tree] = []
+        if children is None or children & {"boxes", "drains"}:
+            endpoints = self._endpoints()
+        if drains := fleet.get("drains", {}).get("drain"):
+            attempts = {entry["name"]: entry["attempts-out"] for entry in endpoints}
+            fleet["drains"] = {
+                "drain": [
+                    drain | {"state": self._drain(now, drain["box"], attempts)} for drain in drains
+                ]
+            }
+        if self.cell_service is not None and "assignment" in fleet:
+            fleet["assignment"] = self._assignment(self.cell_service, now, fleet["assignment"])
+        state: Tree = {
+            "boxes": {"box": endpoints},
+            "purges": {"binding": self.coordinator.active_purge_count()},
+            "request-classes": {"request-class": self._request_classes},
+            "datastore": datastore,
+        }
+        wanted = {name: child for name, child in state.items() if _is_wanted(name, children)}
+        return {"fleet": fleet | wanted}
+
+    def _endpoints(self) -> list[Tree]:
+        entries = []
+        for entry, state, endpoint, delay, warmth in self.coordinator.endpoint_states():
+            host, port = entry.address
+            tree: Tree = {
+                "name": entry.name,
+                "address": f"{host}:{port}",
+                "zone": self._zone_names.get(entry.zone, ""),
+                "kind": self._kind_names.get(entry.kind, ""),
+                "listed-state": STATE_NAMES[entry.state],
+                "state": STATE_NAMES[state],
+                "started": str(int(entry.started_at)),
+                "shunned": endpoint.shunned,
+                "warmth": format_decimal64(warmth),
+                "attempts-out": len(endpoint.out),
+            }
+            if delay is not None:
+                tree["delay"] = format_decimal64(delay)
+            entries.append(tree)
+        return entries
+
+    def _drain(self, now: float, endpoint: str, attempts: dict[str, int]) -> Tree:
+        """Returns the state of a drain; `attempts`: those in flight, by endpoint."""
+        status = self.drains.intent.drains.get(endpoint)
+        if status is None:
+            return {"phase": "waiting"}
+        contradicted_for = 0
+        if status.contradicted_since:
+            contradicted_for = int(max(0.0, now - status.contradicted_since))
+        return {
+            "phase": status.phase.value,
+            "since": str(int(status.phase_since)),
+            "disagrees-for": contradicted_for,
+            "attempts-out": attempts.get(endpoint, 0),
+        }
+
+    def _assignment(self, cell_service: CellService, now: float, tree: Tree) -> Tree:
+        """Returns the assignment with the state of its cells, migrations and rollouts."""
+        with cell_service.lock:
+            status = cell_service.controller.status(now)
+            assignment = cell_service.controller.assignment
+        states = {
+            "cell": {name: _cell_state(cell) for name, cell in status["cells"].items()},
+            "move": {
+                name: _migration_state(migration, now)
+                for name, migration in assignment.migrations.items()
+            },
+            "release": {
+                name: {"phase": rollout["phase"]} for name, rollout in status["releases"].items()
+            },
+        }
+        with_state = dict(tree)
+        for list_name, state_by_name in states.items():
+            if entries := tree.get(list_name):
+                with_state[list_name] = [_with_state(entry, state_by_name) for entry in entries]
+        return {name: value for name, value in with_state.items() if value != []}
+
+
+def _is_wanted(name: str, children: set[str] | None) -> bool:
+    return children is None or name in children
+
+
+def _with_state(entry: Tree, state_by_name: dict[str, Tree]) -> Tree:
+    """Adds the state to a list entry; one that the director does not have yet gets none."""
+    name = entry["name"]
+    return entry | {"state": state_by_name[name]} if name in state_by_name else entry
+
+
+def _migration_state(migration: Migration, now: float) -> Tree:
+    return {
+        "stage": migrations.stage(migration, now).value,
+        "share": format_decimal64(migrations.shifted(migration, now)),
+    }
+
+
+def _cell_state(status: dict[str, Any]) -> Tree:
+    """Returns the state of a cell from its part of the controller's status."""
+    return {
+        "lost": status["lost"],
+        "open": format_decimal64(status["open"]),
+        "width": format_decimal64(status["width"]),
+        "served": str(status["served"]),
+        "settled": str(status["settled"]),
+        "turned-away": str(status["denied"]),
+    }
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -1,4 +1,4 @@
-"""The YANG module, by yangson: what a tree may hold, and whether one is valid."""
+"""The YANG module, read and checked with the library yangson."""
 
 import json
 import os
@@ -10,90 +10,115 @@
 from yangson.exceptions import YangsonException
 from yangson.schemanode import DataNode, LeafListNode, LeafNode, ListNode
 
-from .datastore import RefusedError
-from .paths import Shape, bare
+from .errors import CommitRejectedError
+from .schema import MODULE_NAME, MODULE_REVISION, SchemaNode
+from .tree import Tree, strip_module_names
 
-NAME, REVISION, NAMESPACE = "mulleinrelay-fleet", "2026-12-01", "urn:mulleinrelay:fleet"
-FOLDER = os.path.join(os.path.dirname(os.path.abspath(__file__)), "yang")
-LIBRARY = {
+MODULE_NAMESPACE = "urn:mulleinrelay:fleet"
+MODULE_FOLDER = os.path.join(os.path.dirname(os.path.abspath(__file__)), "yang")
+YANG_LIBRARY = {
     "ietf-yang-library:modules-state": {
         "module-set-id": "1",
         "module": [
             {
-                "name": NAME,
-                "revision": REVISION,
-                "namespace": NAMESPACE,
+                "name": MODULE_NAME,
+                "revision": MODULE_REVISION,
+                "namespace": MODULE_NAMESPACE,
                 "conformance-type": "implement",
             }
         ],
     }
 }
-LONG = 500  # tenants
+NOTIFICATION_NAME = "drain-changed"  # stands among the data nodes in yangson, but holds no data
+MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's checks of references take seconds
+MAX_ERROR_LENGTH = 500  # characters
 
 
-class Model:
+class YangModel:
+    """The parsed YANG module. Not thread-safe: `ManagementService` serializes calls.
+
+    Attributes:
+        schema: The root of the model's data nodes.
+    """
+
     def __init__(self) -> None:
-        self.data = DataModel(json.dumps(LIBRARY), (FOLDER,))
-        self.known: dict[str, Any] = {}  # children of /fleet as they were accepted last
-        self.shape = _shape(self.data.schema, False)
-
-    def check(self, tree: dict[str, Any]) -> dict[str, Any]:
-        """The tree in its canonical form, state left out; raises RefusedError whose text says where
-        and why. Children of /fleet don't refer to one another, so one that is as it last was is not
-        gone through again: a drain costs the same beside a table of ten thousand tenants.
+        """Parses the module, which takes some tenths of a second."""
+        self._data_model = DataModel(json.dumps(YANG_LIBRARY), (MODULE_FOLDER,))
+        self._valid_children: Tree = {}  # children of /fleet as they were last found valid
+        self.schema = _schema_node(self._data_model.schema, False)
+
+    def validate(self, tree: Tree) -> Tree:
+        """Returns a configuration in canonical form, without state.
+
+        Children of /fleet do not refer to one another, so one that is as it last was is not checked
+        again: a drain costs the same beside a table of ten thousand tenants.
+
+        Raises:
+            CommitRejectedError: If it is not valid; the text says where and why.
         """
         if not tree:
             return tree
         fleet = tree.get("fleet") if len(tree) == 1 else None
         if not isinstance(fleet, dict):
-            return self._whole(tree)
-        found = {}
-        for name, held in fleet.items():
-            known = self.known.get(name)
-            if known is None or known != held:
-                known = self._whole({"fleet": {name: held}})["fleet"].get(name)
+            return self._validate_all(tree)
+        valid: Tree = {}
+        for name, child in fleet.items():
+            known = self._valid_children.get(name)
+            if known is None or known != child:
+                known = self._validate_all({"fleet": {name: child}})["fleet"].get(name)
             if known is not None:
-                found[name] = known
-        self.known = found
-        return {"fleet": found}
+                valid[name] = known
+        self._valid_children = valid
+        return {"fleet": valid}
 
-    def _whole(self, tree: dict[str, Any]) -> dict[str, Any]:
+    def _validate_all(self, tree: Tree) -> Tree:
         try:
-            root = self.data.from_raw({f"{NAME}:{name}": held for name, held in tree.items()})
-            # Steps upwards out of a long list cost its length each time; beyond some length what
-            # refers to something else is left to `charter.agree`, which checks the same
-            large = any(len(held.get("tenant", ())) > LONG for held in _assignments(tree))
-            root.validate(
-                ValidationScope.syntax if large else ValidationScope.all, ContentType.config
+            root = self._data_model.from_raw(
+                {f"{MODULE_NAME}:{name}": value for name, value in tree.items()}
             )
-        except YangsonException as wrong:
-            raise RefusedError(_worded(wrong)) from None
-        except (
-            TypeError,
-            ValueError,
-            AttributeError,
-            KeyError,
-        ) as wrong:  # of values of a strange form
-            raise RefusedError(f"a value can't be read: {wrong}") from None
-        return bare(root.raw_value())
+            # Each step upwards out of a long list costs its length. Beyond some length references
+            # are left to `cells.parser.agree`, which checks the same
+            is_large = _tenant_count(tree) > MAX_TENANTS_FOR_REFERENCES
+            scope = ValidationScope.syntax if is_large else ValidationScope.all
+            root.validate(scope, ContentType.config)
+        except YangsonException as error:
+            raise CommitRejectedError(_error_text(error)) from error
+        except (TypeError, ValueError, AttributeError, KeyError) as error:
+            # yangson raises these for values of a form that it does not expect
+            raise CommitRejectedError(f"a value can't be read: {error}") from error
+        valid: Tree = strip_module_names(root.raw_value())
+        return valid
 
 
-def _assignments(tree: dict[str, Any]) -> list[dict[str, Any]]:
-    held = tree["fleet"].get("assignment") if isinstance(tree.get("fleet"), dict) else None
-    return [held] if isinstance(held, dict) and isinstance(held.get("tenant", []), list) else []
+def _tenant_count(tree: Tree) -> int:
+    """Returns the number of tenants in a tree that has not been checked yet."""
+    fleet = tree["fleet"] if isinstance(tree.get("fleet"), dict) else {}
+    assignment = fleet.get("assignment")
+    if not isinstance(assignment, dict):
+        return 0
+    tenants = assignment.get("tenant", [])
+    return len(tenants) if isinstance(tenants, list) else 0
 
 
-def _worded(wrong: YangsonException) -> str:
-    return " ".join(str(wrong).split()).replace(f"{NAME}:", "")[:500]
+def _error_text(error: YangsonException) -> str:
+    return " ".join(str(error).split()).replace(f"{MODULE_NAME}:", "")[:MAX_ERROR_LENGTH]
 
 
-def _shape(node: Any, state: bool) -> Shape:
-    children = {}
-    for child in getattr(node, "children", ()):
-        if isinstance(child, DataNode) and child.name != "drain-changed":
-            children[child.name] = _shape(child, state or child.config is False)
-    keys = tuple(key[0] for key in node.keys) if isinstance(node, ListNode) else ()
+def _schema_node(node: Any, is_state: bool) -> SchemaNode:
+    """Converts a node of yangson's schema, and all below it."""
+    is_list = isinstance(node, ListNode)
     is_leaf = isinstance(node, LeafNode | LeafListNode)
-    text = is_leaf and isinstance(node.type, Decimal64Type | Int64Type | Uint64Type)
-    is_list, is_leaf_list = isinstance(node, ListNode), isinstance(node, LeafListNode)
-    return Shape({} if is_leaf else children, keys, is_list, is_leaf_list, state, text)
+    children = {}
+    if not is_leaf:
+        for child in getattr(node, "children", ()):
+            if isinstance(child, DataNode) and child.name != NOTIFICATION_NAME:
+                children[child.name] = _schema_node(child, is_state or child.config is False)
+    return SchemaNode(
+        children=children,
+        keys=tuple(key[0] for key in node.keys) if is_list else (),
+        is_list=is_list,
+        is_leaf_list=isinstance(node, LeafListNode),
+        is_state=is_state,
+        is_number_in_string=is_leaf
+        and isinstance(node.type, Decimal64Type | Int64Type | Uint64Type),
+    )
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -10,7 +10,7 @@
 
 from .config.platform import DirectorConfig, load_config
 from .director import Director
-from .errors import ConfigError
+from .errors import ConfigError, StoreError
 from .structured_log import StructuredLog
 
 STACK = 128 * 1024  # bytes for each thread; of these only what is touched counts
@@ -43,7 +43,10 @@
         at = wrong.filename or f"{start.listen[0]}:{start.listen[1]}"
         print(f"mulleinrelay: cannot listen on {at}: {why}", file=sys.stderr)
         return NOT_STARTED
-    except RuntimeError as wrong:  # what management kept can't be used, or its port is taken
+    except (
+        RuntimeError,
+        StoreError,
+    ) as wrong:  # management: its port is taken, its file unusable
         print(f"mulleinrelay: {wrong}", file=sys.stderr)
         return BAD_CONFIGURATION
     service.event_stream.read_configured_address = lambda: bus_named(config)
--- a/tests/management/manage.py
+++ b/tests/management/manage.py
@@ -10,7 +10,7 @@
 from mulleinrelay.config.platform import parse_config
 from mulleinrelay.director import Director
 from mulleinrelay.management.config import parse_management_config
-from mulleinrelay.management.gnmi_client import Access, GnmiTarget
+from mulleinrelay.management.gnmi_client import ConnectionOptions, GnmiTarget
 
 CLEAR = "[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = 127.0.0.1:0\nstate_dir = state\n"
 
@@ -50,11 +50,11 @@
     def __enter__(self) -> "Managed":
         self.service.start()
         self.address = f"127.0.0.1:{self.service.gnmi_server.port}"
-        self.manager = self.service.gnmi_server.manager
+        self.management = self.service.gnmi_server.management
         return self
 
     def target(self, **access):
-        self.targets.append(GnmiTarget(self.address, Access(**access)))
+        self.targets.append(GnmiTarget(self.address, ConnectionOptions(**access)))
         return self.targets[-1]
 
     def caller(self):
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -13,14 +13,19 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from mulleinrelay.management.datastore import (
-    HISTORY_MOST,
+    MAX_VERSIONS,
     Datastore,
     DatastoreState,
-    RefusedError,
-    Unconfirmed,
+    PendingConfirmation,
     Version,
 )
-from mulleinrelay.management.datastore_file import DatastoreFile, KeepError, decoded, encoded
+from mulleinrelay.management.datastore_file import (
+    DatastoreFile,
+    DatastoreFileError,
+    decode_state,
+    encode_state,
+)
+from mulleinrelay.management.errors import CommitRejectedError
 
 
 class Spy:
@@ -31,10 +36,10 @@
 
     def prepare(self, old, new):
         if self.refuses:
-            raise RefusedError(f"{self.name} won't")
+            raise CommitRejectedError(f"{self.name} won't")
         return new
 
-    def mark(self, ready):
+    def persisted_version(self, ready):
         return 0
 
     def commit(self, ready):
@@ -51,14 +56,14 @@
 def store(parts=(), keep=None, check=None):
     def accepted(tree):
         if tree.get("bad"):
-            raise RefusedError("bad is no good")
+            raise CommitRejectedError("bad is no good")
         return tree
 
     return Datastore(check or accepted, list(parts), keep or (lambda held: None))
 
 
 def fail(held):
-    raise RefusedError("disk full", "failed")
+    raise CommitRejectedError("disk full", "failed")
 
 
 @pytest.mark.parametrize(
@@ -72,16 +77,18 @@
 )
 def test_what_is_refused_anywhere_is_done_nowhere(parts, keep, tree, code):
     held = store(parts, keep)
-    before = held.held
-    with pytest.raises(RefusedError) as why:
+    before = held.state
+    with pytest.raises(CommitRejectedError) as why:
         held.commit(1.0, tree, "me", "why")
-    assert why.value.code == code and held.held is before and all(part.held == {} for part in parts)
+    assert (
+        why.value.code == code and held.state is before and all(part.held == {} for part in parts)
+    )
 
 
 def test_the_second_of_two_writers_is_told():
     held = store()
     held.commit(1.0, {"a": 1}, "one", "", built_on=0)
-    with pytest.raises(RefusedError, match="built on version 0, but version 1") as why:
+    with pytest.raises(CommitRejectedError, match="built on version 0, but version 1") as why:
         held.commit(2.0, {"a": 2}, "two", "", built_on=0)
     assert why.value.code == "stale" and held.running.tree == {"a": 1}
 
@@ -89,20 +96,20 @@
 @pytest.mark.parametrize(
     "deed, tree, number",
     [
-        (lambda held: held.tick(60_000.0), {"a": 1}, 3),
-        (lambda held: held.tick(50_000.0), {"a": 2}, 2),
-        (lambda held: (held.confirm("c"), held.tick(99_000.0)), {"a": 2}, 2),
+        (lambda held: held.roll_back_expired(60_000.0), {"a": 1}, 3),
+        (lambda held: held.roll_back_expired(50_000.0), {"a": 2}, 2),
+        (lambda held: (held.confirm("c"), held.roll_back_expired(99_000.0)), {"a": 2}, 2),
         (lambda held: held.cancel(5.0, "c", "me"), {"a": 1}, 3),
     ],
 )
 def test_a_change_that_wants_a_confirmation(deed, tree, number):
     held, part = store([Spy("one")]), None
-    part = held.parts[0]
+    part = held.participants[0]
     held.commit(1.0, {"a": 1}, "me", "")
     held.commit(2.0, {"a": 2}, "me", "", confirm=("c", 59_000.0))
-    with pytest.raises(RefusedError, match="still wants"):
+    with pytest.raises(CommitRejectedError, match="still wants"):
         held.commit(3.0, {"a": 3}, "me", "", confirm=("d", 1_000.0))
-    with pytest.raises(RefusedError, match="no change d"):
+    with pytest.raises(CommitRejectedError, match="no change d"):
         held.confirm("d")
     deed(held)
     assert (held.running.tree, held.running.number, part.held) == (tree, number, tree)
@@ -113,15 +120,15 @@
     held.commit(1.0, {"a": 1}, "me", "")
     held.commit(2.0, {"a": 2}, "me", "", confirm=("c", 1_000.0))
     held.commit(3.0, {"a": 2, "b": 1}, "other", "")
-    assert held.tick(5_000.0).tree == {"a": 1}
+    assert held.roll_back_expired(5_000.0).tree == {"a": 1}
 
 
 def test_history_is_bounded_and_leads_back():
     held = store()
     for number in range(80):
         held.commit(float(number), {"a": number}, "me", "")
-    assert len(held.held.versions) == HISTORY_MOST
-    with pytest.raises(RefusedError, match="there is no version 3; kept are 31 to 80"):
+    assert len(held.state.versions) == MAX_VERSIONS
+    with pytest.raises(CommitRejectedError, match="there is no version 3; kept are 31 to 80"):
         held.rollback(99.0, 3, "me")
     assert held.rollback(99.0, 40, "me").tree == {"a": 39} and held.running.number == 81
 
@@ -135,7 +142,7 @@
         self.store = store([self.part], self.keep)
 
     def keep(self, held):
-        self.kept = encoded(held)
+        self.kept = encode_state(held)
 
     @rule(
         value=st.integers(0, 3),
@@ -152,7 +159,7 @@
             self.store.commit(
                 self.now, tree, "me", "", 0 if stale else None, ("c", 100.0) if confirm else None
             )
-        except RefusedError:
+        except CommitRejectedError:
             pass
         self.part.refuses = self.part.fails = False
 
@@ -160,32 +167,32 @@
     def confirm(self, name):
         try:
             self.store.confirm(name)
-        except RefusedError:
+        except CommitRejectedError:
             pass
 
     @rule(span=st.sampled_from([1.0, 60.0, 500.0]))
     def pass_time(self, span):
         self.now += span
-        self.store.tick(self.now)
+        self.store.roll_back_expired(self.now)
 
     @rule()
     def restart(self):
         if self.kept:
             fresh = store([self.part], self.keep)
-            fresh.held = decoded(self.kept)
+            fresh.state = decode_state(self.kept)
             self.store = fresh
 
     @invariant()
     def the_part_holds_what_runs(self):
         assert self.part.held == self.store.running.tree
-        assert not self.kept or decoded(self.kept) == self.store.held
+        assert not self.kept or decode_state(self.kept) == self.store.state
 
 
 TestStoreMachine = StoreMachine.TestCase
 
 HELD = DatastoreState(
     [Version(1, {"a": 1}, 1.0, "me", "x"), Version(2, {"b": [1, "ü"]}, 2.0, "", "")],
-    Unconfirmed("c", 9.0, {"a": 1}),
+    PendingConfirmation("c", 9.0, {"a": 1}),
 )
 
 
@@ -198,7 +205,7 @@
 
 @given(st.integers(0, 2000), st.integers(0, 255), st.integers(0, 3))
 def test_a_damaged_file_is_told_and_never_read(place, byte, how):
-    data = encoded(HELD)
+    data = encode_state(HELD)
     place %= len(data)
     damaged = {
         0: data[:place],
@@ -208,9 +215,13 @@
     }[how]
     if damaged == data:
         return
-    with pytest.raises(KeepError):
-        found = decoded(damaged)
-        raise KeepError("the same after all") if found == HELD else AssertionError("read another")
+    with pytest.raises(DatastoreFileError):
+        found = decode_state(damaged)
+        raise (
+            DatastoreFileError("the same after all")
+            if found == HELD
+            else AssertionError("read another")
+        )
 
 
 @pytest.mark.parametrize(
@@ -224,19 +235,20 @@
 )
 def test_what_is_no_datastore_is_refused_in_words(data, why, tmp_path):
     (tmp_path / "datastore").write_bytes(data)
-    with pytest.raises(KeepError, match=why):
+    with pytest.raises(DatastoreFileError, match=why):
         DatastoreFile(str(tmp_path)).load()
 
 
 def test_a_folder_that_cannot_be_written_refuses_the_change(tmp_path):
     (tmp_path / "state").write_text("a file")
-    with pytest.raises(RefusedError, match="nothing was changed"):
+    with pytest.raises(CommitRejectedError, match="nothing was changed"):
         DatastoreFile(str(tmp_path / "state")).save(HELD)
 
 
 WRITER = """
 import sys
 from mulleinrelay.management.datastore import DatastoreState, Version
+from mulleinrelay.management.errors import CommitRejectedError
 from mulleinrelay.management.datastore_file import DatastoreFile
 keeper, number = DatastoreFile(sys.argv[1]), 0
 print("on", flush=True)
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -22,9 +22,9 @@
 from mulleinrelay.cells import store
 from mulleinrelay.cli import main
 from mulleinrelay.management import gnmi_messages as gnmi
-from mulleinrelay.management.gnmi_client import CallError
-from mulleinrelay.management.paths import parse
-from mulleinrelay.management.yang_model import FOLDER, Model
+from mulleinrelay.management.gnmi_client import GnmiCallError
+from mulleinrelay.management.paths import parse_path
+from mulleinrelay.management.yang_model import MODULE_FOLDER, YangModel
 
 DRAIN = "/fleet/drains/drain"
 
@@ -42,15 +42,15 @@
 
 
 def drain(target, box, **value):
-    return target.set(updates=[(parse(f"{DRAIN}[box={box}]"), value)])
+    return target.set(updates=[(parse_path(f"{DRAIN}[box={box}]"), value)])
 
 
 def shot(director):
     """What a refused change must leave alone."""
-    whole = director.manager.store
+    whole = director.management.datastore
     return (
         whole.running,
-        whole.held,
+        whole.state,
         director.path.read_bytes(),
         director.ready(),
         director.service.cell_service.controller.assignment,
@@ -87,7 +87,7 @@
         )
         drain(target, box, reason="smoke")
         before = len(director.heard()[box])
-        ((_, state),) = target.get(parse(f"{DRAIN}[box={box}]/state"))
+        ((_, state),) = target.get(parse_path(f"{DRAIN}[box={box}]/state"))
         assert state["phase"] == "binding" and state["attempts-out"] == 1
         for number in range(30):
             caller.send(entity=f"{number + 100:016x}")
@@ -98,8 +98,8 @@
         assert len(director.heard()[box]) == before
         named = {sent[2].get("miss") for held in director.heard().values() for sent in held[-5:]}
         assert box not in named
-        target.set(deletes=[parse(f"{DRAIN}[box={box}]")])
-        ((_, after),) = target.get(parse(f"/fleet/boxes/box[name={box}]/state"))
+        target.set(deletes=[parse_path(f"{DRAIN}[box={box}]")])
+        ((_, after),) = target.get(parse_path(f"/fleet/boxes/box[name={box}]/state"))
         assert after == "ready"
 
 
@@ -107,13 +107,13 @@
     with Managed(tmp_path) as director:
         drain(director.target(), "s-02")
         nodes = director.nodes
-        with pytest.raises(CallError, match="to be confirmed|still wants|version"):
+        with pytest.raises(GnmiCallError, match="to be confirmed|still wants|version"):
             director.target().set(
-                updates=[(parse(f"{DRAIN}[box=s-01]"), {})], extra={"built_on": 0}
+                updates=[(parse_path(f"{DRAIN}[box=s-01]"), {})], extra={"built_on": 0}
             )
         ports = [node.address for node in nodes]
     with Managed(tmp_path) as again:
-        assert ports and "s-02" in again.manager.drains.intent.drains
+        assert ports and "s-02" in again.management.drains.intent.drains
         assert again.ready() == ["s-01", "s-03"]
         again.tell(2, "s-02")  # the list says ready once more
         assert again.ready() == ["s-01", "s-03"]
@@ -123,36 +123,38 @@
 
 def test_a_confirmation_that_has_not_come_when_it_restarts_goes_back(tmp_path):
     with Managed(tmp_path) as director:
-        director.target().set(updates=[(parse(f"{DRAIN}[box=s-02]"), {})], within=0.4, name="c1")
+        director.target().set(
+            updates=[(parse_path(f"{DRAIN}[box=s-02]"), {})], within=0.4, name="c1"
+        )
         assert director.ready() == ["s-01", "s-03"]
-        director.manager.stop()  # as if killed before its time
+        director.management.stop()  # as if killed before its time
     time.sleep(0.4)
     with Managed(tmp_path) as again:
         assert wait_for(lambda: again.ready() == ["s-01", "s-02", "s-03"])
 
 
 PARTLY = [
-    {"updates": [(parse(f"{DRAIN}[box=s-01]"), {}), (parse(f"{DRAIN}[box=s 2]"), {})]},
+    {"updates": [(parse_path(f"{DRAIN}[box=s-01]"), {}), (parse_path(f"{DRAIN}[box=s 2]"), {})]},
     {
         "updates": [
-            (parse(f"{DRAIN}[box=s-02]"), {}),
-            (parse("/fleet/assignment/tenant[name=acme]/cell"), "west"),
+            (parse_path(f"{DRAIN}[box=s-02]"), {}),
+            (parse_path("/fleet/assignment/tenant[name=acme]/cell"), "west"),
         ]
     },
     {
         "updates": [
-            (parse("/fleet/assignment/tenant[name=acme]/limits/rate"), "9"),
-            (parse("/fleet/none"), 1),
+            (parse_path("/fleet/assignment/tenant[name=acme]/limits/rate"), "9"),
+            (parse_path("/fleet/none"), 1),
         ]
     },
-    {"updates": [(parse("/fleet/assignment/cell[name=north]/neighbour"), ["north"])]},
-    {"updates": [(parse("/fleet/assignment/cell[name=south]/cache"), ["s-01"])]},
-    {"updates": [(parse("/fleet/assignment/tenant[name=acme]/address"), ["10.0.0.1/8"])]},
-    {"updates": [(parse("/fleet/assignment/tenant[name=acme]/group"), ["9-2"])]},
+    {"updates": [(parse_path("/fleet/assignment/cell[name=north]/neighbour"), ["north"])]},
+    {"updates": [(parse_path("/fleet/assignment/cell[name=south]/cache"), ["s-01"])]},
+    {"updates": [(parse_path("/fleet/assignment/tenant[name=acme]/address"), ["10.0.0.1/8"])]},
+    {"updates": [(parse_path("/fleet/assignment/tenant[name=acme]/group"), ["9-2"])]},
     {
         "updates": [
             (
-                parse("/fleet/assignment/move[name=m]"),
+                parse_path("/fleet/assignment/move[name=m]"),
                 {"tenant": ["acme"], "from": "south", "to": "north", "starts": "9", "shift-for": 5},
             )
         ]
@@ -160,23 +162,23 @@
     {
         "updates": [
             (
-                parse("/fleet/assignment/move[name=m]"),
+                parse_path("/fleet/assignment/move[name=m]"),
                 {"tenant": ["acme"], "from": "north", "to": "north", "starts": "9", "shift-for": 5},
             )
         ]
     },
-    {"updates": [(parse(f"{DRAIN}[box=s-01]"), {})]},
-    {"updates": [(parse(f"{DRAIN}[box=s-02]/scope"), "never")]},
-    {"deletes": [parse("/fleet/assignment")]},
-    {"deletes": [parse("/fleet/assignment/default-tenant")]},
-    {"deletes": [parse("/fleet/assignment/cell[name=north]")]},
-    {"deletes": [parse("/fleet/boxes")]},
-    {"updates": [(parse("/fleet/assignment/load-bound"), "0.5")]},
-    {"updates": [(parse("/fleet"), {"drains": 3})]},
-    {"updates": [(parse("/fleet/assignment/cell[name=north]/weight"), "heavy")]},
-    {"updates": [(parse("/fleet/datastore/version"), "7")]},
-    {"replaces": [(parse("/"), {"fleet": {"x": 1}})]},
-    {"updates": [(parse(f"{DRAIN}[box=s-02]"), {})], "extra": {"built_on": 999}},
+    {"updates": [(parse_path(f"{DRAIN}[box=s-01]"), {})]},
+    {"updates": [(parse_path(f"{DRAIN}[box=s-02]/scope"), "never")]},
+    {"deletes": [parse_path("/fleet/assignment")]},
+    {"deletes": [parse_path("/fleet/assignment/default-tenant")]},
+    {"deletes": [parse_path("/fleet/assignment/cell[name=north]")]},
+    {"deletes": [parse_path("/fleet/boxes")]},
+    {"updates": [(parse_path("/fleet/assignment/load-bound"), "0.5")]},
+    {"updates": [(parse_path("/fleet"), {"drains": 3})]},
+    {"updates": [(parse_path("/fleet/assignment/cell[name=north]/weight"), "heavy")]},
+    {"updates": [(parse_path("/fleet/datastore/version"), "7")]},
+    {"replaces": [(parse_path("/"), {"fleet": {"x": 1}})]},
+    {"updates": [(parse_path(f"{DRAIN}[box=s-02]"), {})], "extra": {"built_on": 999}},
     {"updates": [], "extra": {"rollback": 999}},
     {"updates": [], "extra": {"rollback": "x"}},
 ]
@@ -186,9 +188,9 @@
 def test_a_change_that_is_refused_leaves_no_trace(running, change):
     target = running.target()
     if not (running.folder / "state" / "datastore").exists():
-        target.set(updates=[(parse("/fleet/assignment/tenant[name=beta]/weight"), "2.0")])
+        target.set(updates=[(parse_path("/fleet/assignment/tenant[name=beta]/weight"), "2.0")])
     before = shot(running)
-    with pytest.raises(CallError) as why:
+    with pytest.raises(GnmiCallError) as why:
         target.set(**change)
     assert str(why.value) and why.value.code in ("INVALID_ARGUMENT", "NOT_FOUND", "ABORTED")
     assert shot(running) == before
@@ -224,17 +226,17 @@
     JUNK,
 )
 def test_strange_values_are_refused_in_words_or_are_taken_whole(running, path, value):
-    target, before = running.target(), running.manager.store.running
+    target, before = running.target(), running.management.datastore.running
     try:
-        target.set(updates=[(parse(path), value)])
-    except CallError as wrong:
+        target.set(updates=[(parse_path(path), value)])
+    except GnmiCallError as wrong:
         assert wrong.code == "INVALID_ARGUMENT" or wrong.code == "NOT_FOUND", (
             wrong.code,
             str(wrong),
         )
-        assert running.manager.store.running is before
+        assert running.management.datastore.running is before
     else:
-        running.manager.rollback(before.number, "test")
+        running.management.rollback(before.number, "test")
 
 
 def test_what_is_set_of_cells_acts_and_lasts_in_their_file(tmp_path):
@@ -243,7 +245,7 @@
         target.set(
             updates=[
                 (
-                    parse("/fleet/assignment/tenant[name=acme]/limits"),
+                    parse_path("/fleet/assignment/tenant[name=acme]/limits"),
                     {"rate": "0.01", "burst": "2"},
                 )
             ]
@@ -273,29 +275,29 @@
         assert wait_for(
             lambda: "m1" in director.service.cell_service.controller.assignment.migrations
         )
-        ((_, held),) = target.get(parse("/fleet/assignment/move[name=m1]"))
+        ((_, held),) = target.get(parse_path("/fleet/assignment/move[name=m1]"))
         assert held["state"]["stage"] == "planned"
-        number = target.set(deletes=[parse("/fleet/assignment/move[name=m1]")])
+        number = target.set(deletes=[parse_path("/fleet/assignment/move[name=m1]")])
         assert store.load(str(director.path)).migrations == {} and target.get(
-            parse("/fleet/datastore/version")
+            parse_path("/fleet/datastore/version")
         )[0][1] == str(number)
 
 
 def test_a_part_that_fails_in_the_middle_leaves_all_as_it_was(running, monkeypatch):
     target = running.target()
     drain(target, "zz")
-    target.set(deletes=[parse(f"{DRAIN}[box=zz]")])
+    target.set(deletes=[parse_path(f"{DRAIN}[box=zz]")])
     before = shot(running)
 
     def fail(ready):
         raise OSError("no")
 
-    monkeypatch.setattr(running.manager.drains, "commit", fail)
-    with pytest.raises(CallError) as why:
+    monkeypatch.setattr(running.management.drains, "commit", fail)
+    with pytest.raises(GnmiCallError) as why:
         target.set(
             updates=[
-                (parse("/fleet/assignment/tenant[name=acme]/weight"), "7.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {}),
+                (parse_path("/fleet/assignment/tenant[name=acme]/weight"), "7.0"),
+                (parse_path(f"{DRAIN}[box=s-9]"), {}),
             ]
         )
     monkeypatch.undo()
@@ -311,18 +313,18 @@
 def test_a_commit_that_was_killed_halfway_is_brought_to_its_end(tmp_path, monkeypatch):
     with Managed(tmp_path, cells=True) as director:
         target = director.target()
-        target.set(updates=[(parse("/fleet/assignment/tenant[name=acme]/weight"), "2.0")])
+        target.set(updates=[(parse_path("/fleet/assignment/tenant[name=acme]/weight"), "2.0")])
         taken = director.path.read_bytes()
         target.set(
             updates=[
-                (parse("/fleet/assignment/tenant[name=acme]/weight"), "3.0"),
-                (parse(f"{DRAIN}[box=s-9]"), {}),
+                (parse_path("/fleet/assignment/tenant[name=acme]/weight"), "3.0"),
+                (parse_path(f"{DRAIN}[box=s-9]"), {}),
             ]
         )
     director.path.write_bytes(taken)  # as if killed between the datastore and the assignment file
     with Managed(tmp_path, cells=True) as again:
         assert store.load(str(again.path)).tenants["acme"].weight == 3.0
-        assert "s-9" in again.manager.drains.intent.drains
+        assert "s-9" in again.management.drains.intent.drains
         assert any("brought to its end" in str(figures) for figures in again.sink.figures)
 
 
@@ -334,11 +336,11 @@
 
     def read():
         try:
-            for one in target.watch([parse(text) for text in wanted]):
+            for one in target.watch([parse_path(text) for text in wanted]):
                 found.append(one)
                 if until(found):
                     break
-        except CallError as wrong:
+        except GnmiCallError as wrong:
             found.append(("error", wrong.code, str(wrong)))
         done.set()
 
@@ -358,17 +360,17 @@
     assert wait_for(
         lambda: any(one[2] == "r" for one in found) and any(one[2] == "draining" for one in found)
     )
-    running.target().set(deletes=[parse(f"{DRAIN}[box=s-02]")])
+    running.target().set(deletes=[parse_path(f"{DRAIN}[box=s-02]")])
     assert done.wait(5.0)
 
 
 def test_a_subscriber_that_reads_nothing_is_bounded_and_told(running):
-    watcher = running.manager.watch([parse("/fleet/drains")], 3)
+    subscriber = running.management.subscribe([parse_path("/fleet/drains")], 3)
     for number in range(6):
         drain(running.target(), "zz", reason=f"r{number}")
-    running.target().set(deletes=[parse(f"{DRAIN}[box=zz]")])
-    assert len(watcher.waiting) == 3 and watcher.lost >= 4
-    running.manager.unwatch(watcher)
+    running.target().set(deletes=[parse_path(f"{DRAIN}[box=zz]")])
+    assert len(subscriber.queue) == 3 and subscriber.dropped_count >= 4
+    running.management.unsubscribe(subscriber)
 
 
 def test_no_more_streams_than_allowed(tmp_path):
@@ -460,7 +462,7 @@
 
 def test_a_message_over_the_bound_is_refused(tmp_path):
     with Managed(tmp_path, CLEAR + "[limits]\nmessage_kb = 4\n") as director:
-        with pytest.raises(CallError) as why:
+        with pytest.raises(GnmiCallError) as why:
             drain(director.target(), "s-9", reason="x" * 9_000)
         assert why.value.code == "RESOURCE_EXHAUSTED"
 
@@ -547,9 +549,9 @@
         and ctl(running, "confirm", "k1")[0] == 3
     )
     file = tmp_path / "wanted.json"
-    file.write_text(json.dumps(running.manager.store.running.tree))
+    file.write_text(json.dumps(running.management.datastore.running.tree))
     assert "0 others, 0 not in the file" in ctl(running, "diff", str(file))[1]
-    number = running.manager.store.running.number
+    number = running.management.datastore.running.number
     assert ctl(running, "set", f"{DRAIN}[box=zz]/reason=x", "--built-on", "1")[0] == 3
     assert ctl(running, "set", f"{DRAIN}[box=zz]/reason=x")[0] == 0
     assert "+ /fleet" not in ctl(running, "diff", str(file))[1]
@@ -561,12 +563,17 @@
 
 
 def test_the_model_is_clean_and_its_lists_have_keys():
-    command = [os.path.join(os.path.dirname(sys.executable), "pyang"), "--lint", "-p", FOLDER]
+    command = [
+        os.path.join(os.path.dirname(sys.executable), "pyang"),
+        "--lint",
+        "-p",
+        MODULE_FOLDER,
+    ]
     done = subprocess.run(
-        [*command, f"{FOLDER}/mulleinrelay-fleet.yang"], capture_output=True, text=True
+        [*command, f"{MODULE_FOLDER}/mulleinrelay-fleet.yang"], capture_output=True, text=True
     )
     assert (done.returncode, done.stdout + done.stderr) == (0, "")
-    shape = Model().shape.children["fleet"]
-    assert shape.children["boxes"].state and shape.children["drains"].children["drain"].keys == (
+    shape = YangModel().schema.children["fleet"]
+    assert shape.children["boxes"].is_state and shape.children["drains"].children["drain"].keys == (
         "box",
     )
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -5,36 +5,48 @@
 from hypothesis import strategies as st
 
 from mulleinrelay.errors import ConfigError
-from mulleinrelay.management import paths
-from mulleinrelay.management.authorization import Rights, Role, wanted
+from mulleinrelay.management import tree as trees
+from mulleinrelay.management.authorization import AuthorizationPolicy, Role, required_role
 from mulleinrelay.management.config import parse_management_config
-from mulleinrelay.management.drain_intent import DISAGREES, DrainIntent, Phase, Want, left_without
-from mulleinrelay.management.gnmi_server import covers
-from mulleinrelay.management.paths import PathError, Shape, parse, worded
-from mulleinrelay.management.service import children, state_only
+from mulleinrelay.management.drain_intent import (
+    CONTRADICTION_GRACE_PERIOD,
+    DrainIntent,
+    DrainPhase,
+    DrainRequest,
+    DrainScope,
+    drain_rejection_reason,
+)
+from mulleinrelay.management.errors import PathError
+from mulleinrelay.management.paths import covers, fleet_children, format_path, parse_path
+from mulleinrelay.management.schema import SchemaNode
 from mulleinrelay.policy.model import EndpointState, EndpointUpdate
 
-LEAF, LEAVES = Shape(), Shape(is_leaf_list=True)
-SHAPE = Shape(
+LEAF, LEAVES = SchemaNode(), SchemaNode(is_leaf_list=True)
+SHAPE = SchemaNode(
     {
-        "fleet": Shape(
+        "fleet": SchemaNode(
             {
-                "drains": Shape(
+                "drains": SchemaNode(
                     {
-                        "drain": Shape(
-                            {"box": LEAF, "why": LEAF, "state": Shape({"phase": LEAF}, state=True)},
+                        "drain": SchemaNode(
+                            {
+                                "box": LEAF,
+                                "why": LEAF,
+                                "state": SchemaNode({"phase": LEAF}, is_state=True),
+                            },
                             ("box",),
                             True,
                         )
                     }
                 ),
-                "cell": Shape(
-                    {"name": LEAF, "cache": LEAVES, "limits": Shape({"rate": LEAF})},
+                "cell": SchemaNode(
+                    {"name": LEAF, "cache": LEAVES, "limits": SchemaNode({"rate": LEAF})},
                     ("name",),
                     True,
                 ),
-                "boxes": Shape(
-                    {"box": Shape({"name": LEAF}, ("name",), True, state=True)}, state=True
+                "boxes": SchemaNode(
+                    {"box": SchemaNode({"name": LEAF}, ("name",), True, is_state=True)},
+                    is_state=True,
                 ),
             }
         )
@@ -63,7 +75,7 @@
     ],
 )
 def test_a_path_is_read_and_worded(text, path):
-    assert parse(text) == path and parse(worded(path)) == path
+    assert parse_path(text) == path and parse_path(format_path(path)) == path
 
 
 @pytest.mark.parametrize(
@@ -71,13 +83,13 @@
 )
 def test_a_path_that_cannot_be_read(text):
     with pytest.raises(PathError):
-        parse(text)
+        parse_path(text)
 
 
 @given(st.text("/[]=\\ab*.: \n\0é", max_size=60))
 def test_any_text_is_a_path_or_a_fault(text):
     try:
-        assert parse(worded(parse(text))) == parse(text)
+        assert parse_path(format_path(parse_path(text))) == parse_path(text)
     except PathError as wrong:
         assert str(wrong)
 
@@ -94,13 +106,13 @@
     ],
 )
 def test_reading_with_wildcards(text, found):
-    assert [value for _, value in paths.read(SHAPE, tree(), parse(text))] == found
+    assert [value for _, value in trees.read(SHAPE, tree(), parse_path(text))] == found
 
 
 @pytest.mark.parametrize("text", ["/fleet/none", "/fleet/drains/drain[name=s-1]"])
 def test_reading_what_the_model_has_not(text):
     with pytest.raises(PathError):
-        list(paths.read(SHAPE, tree(), parse(text)))
+        list(trees.read(SHAPE, tree(), parse_path(text)))
 
 
 @pytest.mark.parametrize(
@@ -158,9 +170,9 @@
 def test_writing(what, text, value, after):
     held = tree()
     if what == "delete":
-        paths.delete(SHAPE, held, parse(text))
+        trees.delete(SHAPE, held, parse_path(text))
     else:
-        getattr(paths, what)(SHAPE, held, parse(text), value)
+        getattr(trees, what)(SHAPE, held, parse_path(text), value)
     assert after(held["fleet"])
 
 
@@ -183,18 +195,18 @@
 )
 def test_writing_what_may_not_be(text, value):
     with pytest.raises(PathError):
-        paths.update(SHAPE, tree(), parse(text), value)
+        trees.update(SHAPE, tree(), parse_path(text), value)
 
 
 def test_differences_name_leaves():
     new = tree()
     new["fleet"]["drains"]["drain"][0]["why"] = "y"
     del new["fleet"]["drains"]["drain"][1], new["fleet"]["cell"][0]["limits"]
-    changed, gone = paths.differences(SHAPE, tree(), new)
-    assert [(worded(path), value) for path, value in changed] == [
+    difference = trees.diff_trees(SHAPE, tree(), new)
+    assert [(format_path(path), value) for path, value in difference.changed] == [
         ("/fleet/drains/drain[box=s-1]/why", "y")
     ]
-    assert sorted(map(worded, gone)) == [
+    assert sorted(map(format_path, difference.deleted)) == [
         "/fleet/cell[name=n]/limits/rate",
         "/fleet/drains/drain[box=s-2]/box",
     ]
@@ -212,17 +224,23 @@
     ],
 )
 def test_which_paths_cover_which(one, other, holds):
-    assert covers(parse(one), parse(other)) == holds
+    assert covers(parse_path(one), parse_path(other)) == holds
 
 
 def test_state_is_told_with_its_keys_alone():
     held = tree()
     held["fleet"]["drains"]["drain"][0]["state"] = {"phase": "binding"}
-    assert state_only(SHAPE, held) == {
+    assert trees.select_state(SHAPE, held) == {
         "fleet": {"drains": {"drain": [{"box": "s-1", "state": {"phase": "binding"}}]}}
     }
-    assert children([parse("/fleet/cell/x"), parse("/fleet/boxes")]) == {"cell", "boxes"}
-    assert children([parse("/fleet")]) is None and children([parse("/fleet/*")]) is None
+    assert fleet_children([parse_path("/fleet/cell/x"), parse_path("/fleet/boxes")]) == {
+        "cell",
+        "boxes",
+    }
+    assert (
+        fleet_children([parse_path("/fleet")]) is None
+        and fleet_children([parse_path("/fleet/*")]) is None
+    )
 
 
 # Drains over the list
@@ -238,37 +256,50 @@
 def drained(every_life=False, listed=(BOX,)):
     intent = DrainIntent()
     intent.update_endpoints(0.0, listed, True)
-    intent.want(1.0, {"s-1": Want("s-1", every_life)})
+    intent.set_requests(
+        1.0,
+        {
+            "s-1": DrainRequest(
+                "s-1",
+                DrainScope.EVERY_INCARNATION if every_life else DrainScope.CURRENT_INCARNATION,
+            )
+        },
+    )
     return intent
 
 
 @pytest.mark.parametrize(
     "every_life, then, phase, state",
     [
-        (False, [entry()], Phase.BINDING, EndpointState.DRAINING),
-        (False, [entry(started=9.0)], Phase.OVER, EndpointState.READY),
-        (True, [entry(started=9.0)], Phase.BINDING, EndpointState.DRAINING),
-        (False, [entry(port=2)], Phase.OVER, EndpointState.READY),
-        (False, [entry(state=EndpointState.GONE), entry()], Phase.BINDING, EndpointState.DRAINING),
+        (False, [entry()], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (False, [entry(started=9.0)], DrainPhase.ENDED, EndpointState.READY),
+        (True, [entry(started=9.0)], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (False, [entry(port=2)], DrainPhase.ENDED, EndpointState.READY),
+        (
+            False,
+            [entry(state=EndpointState.GONE), entry()],
+            DrainPhase.ACTIVE,
+            EndpointState.DRAINING,
+        ),
         (
             False,
             [entry(state=EndpointState.GONE), entry(started=5.0)],
-            Phase.OVER,
+            DrainPhase.ENDED,
             EndpointState.READY,
         ),
         (
             True,
             [entry(state=EndpointState.GONE), entry(started=5.0)],
-            Phase.BINDING,
+            DrainPhase.ACTIVE,
             EndpointState.DRAINING,
         ),
         (
             False,
             [entry(state=EndpointState.DRAINING), entry()],
-            Phase.BINDING,
+            DrainPhase.ACTIVE,
             EndpointState.DRAINING,
         ),
-        (False, [entry(started=9.0), entry()], Phase.OVER, EndpointState.READY),
+        (False, [entry(started=9.0), entry()], DrainPhase.ENDED, EndpointState.READY),
     ],
 )
 def test_a_drain_binds_the_life_it_met(every_life, then, phase, state):
@@ -280,7 +311,7 @@
 
 def test_a_drain_of_a_box_that_is_not_listed_waits_for_it():
     intent = drained(listed=[entry("s-2")])
-    assert intent.drains["s-1"].phase == Phase.WAITING
+    assert intent.drains["s-1"].phase == DrainPhase.WAITING
     intent.update_endpoints(5.0, [entry()], False)
     assert intent.effective_state(entry()) == EndpointState.DRAINING
 
@@ -293,12 +324,15 @@
 
 def test_intent_and_list_that_disagree_are_told_of_once():
     intent = drained()
-    assert not intent.disagreeing(DISAGREES - 100.0)
-    assert [drain.want.box for drain in intent.disagreeing(DISAGREES + 100.0)] == ["s-1"]
-    assert not intent.disagreeing(9e9)
+    assert not intent.take_contradicted(CONTRADICTION_GRACE_PERIOD - 100.0)
+    assert [
+        drain.request.endpoint
+        for drain in intent.take_contradicted(CONTRADICTION_GRACE_PERIOD + 100.0)
+    ] == ["s-1"]
+    assert not intent.take_contradicted(9e9)
     agreed = drained()
     agreed.update_endpoints(5.0, [entry(state=EndpointState.DRAINING)], False)
-    assert not agreed.disagreeing(9e9)
+    assert not agreed.take_contradicted(9e9)
 
 
 @pytest.mark.parametrize(
@@ -315,10 +349,10 @@
 def test_a_drain_that_leaves_nothing_is_refused_unless_forced(wants, before, cells, why):
     listed = {one.name: one for one in (entry(), entry("s-2"), entry("p-1", zone=0, kind=1))}
     for forced in (False, True):
-        told = left_without(
+        told = drain_rejection_reason(
             listed,
             before,
-            {name: Want(name, forced=forced) for name in wants},
+            {name: DrainRequest(name, forced=forced) for name in wants},
             lambda one: one.kind == 0,
             cells,
         )
@@ -330,7 +364,10 @@
     [([], Role.READ), (["boss"], Role.CONFIGURE), (["x", "call"], Role.DRAIN), (["x"], Role.NONE)],
 )
 def test_roles_by_name(names, role):
-    assert Rights({"boss": Role.CONFIGURE, "call": Role.DRAIN}, Role.READ).role(names) == role
+    assert (
+        AuthorizationPolicy({"boss": Role.CONFIGURE, "call": Role.DRAIN}, Role.READ).role_of(names)
+        == role
+    )
 
 
 @pytest.mark.parametrize(
@@ -343,7 +380,7 @@
     ],
 )
 def test_what_a_change_asks_for(texts, role):
-    assert wanted([parse(text) for text in texts]) == role
+    assert required_role([parse_path(text) for text in texts]) == role
 
 
 @pytest.mark.parametrize(
--- a/tests/management/test_tls.py
+++ b/tests/management/test_tls.py
@@ -12,11 +12,11 @@
 from manage import Managed
 
 from mulleinrelay import director as director_module
-from mulleinrelay.management.gnmi_client import CallError
-from mulleinrelay.management.paths import parse
+from mulleinrelay.management.gnmi_client import GnmiCallError
+from mulleinrelay.management.paths import parse_path
 
-DRAIN = parse("/fleet/drains/drain[box=s-02]")
-LIMIT = parse("/fleet/assignment/tenant[name=acme]/limits/rate")
+DRAIN = parse_path("/fleet/drains/drain[box=s-02]")
+LIMIT = parse_path("/fleet/assignment/tenant[name=acme]/limits/rate")
 OWN = """
 [management]
 enabled = yes
@@ -77,8 +77,8 @@
         "ca": str(folder / f"{authority}.pem"),
         "certificate": str(folder / f"{name}.pem"),
         "key": str(folder / f"{name}.key"),
-        "name": "server",
-        "seconds": 5.0,
+        "server_name": "server",
+        "timeout_s": 5.0,
     }
 
 
@@ -96,7 +96,7 @@
     with Managed(tmp_path, OWN, cells=True) as director:
         target = director.target(**access(tmp_path, name))
         for may, deed in (
-            (reads, lambda: target.get(parse("/fleet/boxes"))),
+            (reads, lambda: target.get(parse_path("/fleet/boxes"))),
             (drains, lambda: target.set(updates=[(DRAIN, {})])),
             (configures, lambda: target.set(updates=[(LIMIT, "5")])),
             (configures, lambda: target.set(extra={"rollback": 1})),
@@ -104,18 +104,18 @@
             if may:
                 deed()
                 continue
-            with pytest.raises(CallError) as why:
+            with pytest.raises(GnmiCallError) as why:
                 deed()
             assert why.value.code == "PERMISSION_DENIED" and name in str(why.value)
-        with pytest.raises(CallError) as why:
-            director.target(seconds=2.0).get(parse("/fleet/boxes"))  # in the clear
+        with pytest.raises(GnmiCallError) as why:
+            director.target(timeout_s=2.0).get(parse_path("/fleet/boxes"))  # in the clear
         assert why.value.code in ("UNAVAILABLE", "DEADLINE_EXCEEDED")
 
 
 def test_certificates_are_read_again_without_a_restart(tmp_path):
     prepared(tmp_path)
     with Managed(tmp_path, OWN) as director:
-        director.target(**access(tmp_path, "reader")).get(parse("/fleet/boxes"))
+        director.target(**access(tmp_path, "reader")).get(parse_path("/fleet/boxes"))
         other = put(tmp_path, "other", certificate("other authority"))
         put(tmp_path, "new-reader", certificate("reader", other))
         (tmp_path / "ca.pem").write_bytes(b"no certificate")  # half of a renewal: the old ones hold
@@ -123,7 +123,7 @@
         put(tmp_path, "server", certificate("server", other))
         (tmp_path / "ca.pem").write_bytes((tmp_path / "other.pem").read_bytes())
         found = director.target(**access(tmp_path, "new-reader", "other")).get(
-            parse("/fleet/boxes")
+            parse_path("/fleet/boxes")
         )
         assert found and wait_for(
             lambda: any("read again" in str(one) for one in director.sink.figures)
@@ -141,18 +141,18 @@
         disturber = threading.Thread(target=hang_up)
         disturber.start()
         try:
-            hasty, target = director.target(seconds=0.004), director.target()
+            hasty, target = director.target(timeout_s=0.004), director.target()
             for number in range(1, 40):
                 both = [
-                    (parse("/fleet/drains/drain[box=zz]/reason"), str(number)),
+                    (parse_path("/fleet/drains/drain[box=zz]/reason"), str(number)),
                     (LIMIT, str(number)),
                 ]
                 try:
                     (hasty if number % 2 else target).set(updates=both)
-                except CallError as wrong:
+                except GnmiCallError as wrong:
                     assert wrong.code == "DEADLINE_EXCEEDED" and number % 2
-                with director.manager.lock:
-                    fleet = director.manager.store.running.tree["fleet"]
+                with director.management.lock:
+                    fleet = director.management.datastore.running.tree["fleet"]
                     drains = fleet.get("drains", {}).get("drain", [{"reason": "0"}])
                     acme = next(
                         one for one in fleet["assignment"]["tenant"] if one["name"] == "acme"
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -14,11 +14,11 @@
 from mulleinrelay.cli import main
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.management.assignment_mapping import charter_from, charter_tree
+from mulleinrelay.management.assignment_mapping import assignment_from_tree, assignment_to_tree
 from mulleinrelay.management.config import load_management_config
 from mulleinrelay.management.datastore_file import DatastoreFile
-from mulleinrelay.management.drain_intent import wants
-from mulleinrelay.management.yang_model import Model
+from mulleinrelay.management.drain_intent import requested_drains
+from mulleinrelay.management.yang_model import YangModel
 from mulleinrelay.membership.config import load_fleet_config
 from mulleinrelay.membership.messages import Codec, Kind, State
 
@@ -28,7 +28,10 @@
 CELLS_PATHS = {"assignment": "assignment_file", "records": "records_folder"}
 MANAGEMENT_KEYS = "enabled listen"
 MANAGEMENT_PATHS = ("state_dir", "certificate", "key", "clients_ca")
-MANAGEMENT_LIMITS = "subscribers=subscribers_most queue=queue_most message_kb calls=calls_most"
+MANAGEMENT_LIMITS = (
+    "subscribers=max_subscribers queue=max_queued_updates message_kb=max_message_kb "
+    "calls=max_concurrent_calls"
+)
 FLEET_KEYS = "enabled name=fleet location members_most"
 LAB_KEYS = "seconds directors seed cells management"
 LAB_FLEET_KEYS = """caches parents capacity fill_cost hit_ms=hit_delay fill_ms=fill_delay
@@ -107,15 +110,15 @@
 def datastore(folder: str) -> dict[str, Any]:
     """The versions and the change that wants its confirmation, as a folder of states holds them."""
     held = DatastoreFile(folder).load()
-    waiting = held.unconfirmed
+    waiting = held.pending_confirmation
     return {
         "versions": [
             {
                 "version": one.number,
-                "at": one.at,
-                "by": one.by,
-                "why": one.why,
-                "marks": one.marks,
+                "at": one.committed_at,
+                "by": one.author,
+                "why": one.comment,
+                "marks": one.participant_versions,
                 "tree": one.tree,
             }
             for one in held.versions
@@ -123,9 +126,9 @@
         "unconfirmed": None
         if waiting is None
         else {
-            "name": waiting.name,
-            "until": waiting.until,
-            "tree": waiting.back_to,
+            "name": waiting.commit_id,
+            "until": waiting.deadline,
+            "tree": waiting.rollback_tree,
         },
     }
 
@@ -137,20 +140,20 @@
 
 def accepted(tree: dict[str, Any]) -> dict[str, Any]:
     """A tree as the YANG model lets it pass."""
-    return Model().check(tree)
+    return YangModel().validate(tree)
 
 
 def drains(tree: dict[str, Any]) -> dict[str, dict[str, Any]]:
     """The drains that a tree asks for, by box."""
     return {
-        box: {"scope": "every-life" if want.every_life else "this-life", "forced": want.forced}
-        for box, want in wants(tree).items()
+        box: {"scope": want.scope.value, "forced": want.forced}
+        for box, want in requested_drains(tree).items()
     }
 
 
 def assignment_of(tree: dict[str, Any], version: int, written: float) -> str:
     """The text of the assignment file that a tree's `assignment` stands for."""
-    return write_assignment(charter_from(tree["fleet"]["assignment"], version, written))
+    return write_assignment(assignment_from_tree(tree["fleet"]["assignment"], version, written))
 
 
 # Assignment files
@@ -159,7 +162,11 @@
 def assignment(text: str) -> dict[str, Any]:
     """Version and time by their keys in the file, the rest by its names in the YANG model."""
     held = read_assignment(text)
-    return {"version": held.version, "written": held.written_at, "assignment": charter_tree(held)}
+    return {
+        "version": held.version,
+        "written": held.written_at,
+        "assignment": assignment_to_tree(held),
+    }
 
 
 def assignment_written(text: str) -> str:
@@ -240,10 +247,10 @@
     """As `serve` and `check` read it."""
     held = load_management_config(path)
     paths = paths_in(held, MANAGEMENT_PATHS, os.path.dirname(path))
-    roles = {name: role.name.lower() for name, role in held.rights.by_name.items()}
+    roles = {name: role.name.lower() for name, role in held.authorization.roles_by_name.items()}
     return {
         "management": named(held, MANAGEMENT_KEYS) | paths,
-        "unnamed callers may": held.rights.unnamed.name.lower(),
+        "unnamed callers may": held.authorization.anonymous_role.name.lower(),
         "roles": roles,
         "limits": named(held, MANAGEMENT_LIMITS),
     }
@@ -273,7 +280,7 @@
         "lab": named(held, LAB_KEYS),
         "fleet": named(held, LAB_FLEET_KEYS),
         "director": named(held, "open_most rate"),
-        "assignment": charter_tree(held.charter),
+        "assignment": assignment_to_tree(held.charter),
         "load": {one.tenant: lab_load(one) for one in held.demands},
         "deeds": [one.name for one in held.deeds],
     }
