--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -90,7 +90,7 @@
 )
 @click.pass_obj
 def get(settings: CommandSettings, path: str, kind: str) -> None:
-    """What stands at PATH, as /fleet/boxes/box[name=s-1]/state; wildcards are * and ..."""
+    """Show what is at PATH, as /fleet/boxes/box[name=s-1]/state; wildcards are * and ..."""
     wanted = _path_argument(path)
 
     def read(target: GnmiTarget) -> list[list[Any]]:
@@ -116,28 +116,27 @@
     metavar="S",
     help="Goes back unless confirmed so soon.",
 )
-@click.option("--id", "name", default="", help="Of the confirmation (with --within).")
+@click.option("--id", "commit_id", default="", help="Of the confirmation (with --within).")
 @click.option("--built-on", type=int, metavar="VERSION", help="Refused where another version runs.")
-@click.option("--why", default="", help="For the history.")
+@click.option("--why", "comment", default="", help="For the history.")
 @click.pass_obj
 def set_(
     settings: CommandSettings,
     changes: tuple[str, ...],
     replace: bool,
     within: float | None,
-    name: str,
+    commit_id: str,
     built_on: int | None,
-    why: str,
+    comment: str,
 ) -> None:
-    """Change what staff want: all of it, or nothing.
+    """Change the configuration: all of it, or nothing.
 
     A path after - is deleted (put -- before the first).
     """
     deletes = [_path_argument(text[1:]) for text in changes if text.startswith("-")]
     values = [_assignment_argument(text) for text in changes if not text.startswith("-")]
-    commit_id = name
     if within is not None:
-        commit_id = name or f"ctl-{int(time.time())}"
+        commit_id = commit_id or f"ctl-{int(time.time())}"
         click.echo(f"confirm with: mulleinrelay ctl confirm {commit_id}", err=True)
 
     def commit(target: GnmiTarget) -> int:
@@ -147,35 +146,51 @@
             replaces=values if replace else [],
             within=within,
             name=commit_id,
-            extra=_extension(built_on, why),
+            extra=_extension(built_on, comment),
         )
 
     run_on_each(settings, commit, show_version)
 
 
 @ctl.command()
-@click.argument("box")
-@click.option("--every-life", is_flag=True, help="Also when the box has started again.")
-@click.option("--force", is_flag=True, help="Also where a location or cell is left without caches.")
-@click.option("--reason", default="", help="For other staff.")
+@click.argument("endpoint", metavar="BOX")
+@click.option(
+    "--every-life",
+    "is_every_incarnation",
+    is_flag=True,
+    help="Also when the box has started again.",
+)
+@click.option(
+    "--force",
+    "is_forced",
+    is_flag=True,
+    help="Also where a location or cell is left without caches.",
+)
+@click.option("--reason", default="", help="For other operators.")
 @click.pass_obj
-def drain(settings: CommandSettings, box: str, every_life: bool, force: bool, reason: str) -> None:
+def drain(
+    settings: CommandSettings,
+    endpoint: str,
+    is_every_incarnation: bool,
+    is_forced: bool,
+    reason: str,
+) -> None:
     """Send nothing new to BOX, as cache or fill source, within 2 s; requests under way finish."""
-    scope = DrainScope.EVERY_INCARNATION if every_life else DrainScope.CURRENT_INCARNATION
-    value: Tree = {"box": box, "scope": scope.value, "forced": force}
+    scope = DrainScope.EVERY_INCARNATION if is_every_incarnation else DrainScope.CURRENT_INCARNATION
+    value: Tree = {"box": endpoint, "scope": scope.value, "forced": is_forced}
     if reason:
         value["reason"] = reason
-    path = _drain_path(box)
+    path = _drain_path(endpoint)
 
     def commit(target: GnmiTarget) -> Tree:
-        version = target.set(replaces=[(path, value)], extra=_extension(None, f"drain {box}"))
+        version = target.set(replaces=[(path, value)], extra=_extension(None, f"drain {endpoint}"))
         found = target.get((*path, PathElement("state")))
         return {"version": version, "state": found[0].value}
 
     def show(address: str, result: Tree) -> None:
         state = result["state"]
         click.echo(
-            f"{address}: version {result['version']}: {box} {state.get('phase')}, "
+            f"{address}: version {result['version']}: {endpoint} {state.get('phase')}, "
             f"{state.get('attempts-out', 0)} attempts out"
         )
 
@@ -183,13 +198,15 @@
 
 
 @ctl.command()
-@click.argument("box")
+@click.argument("endpoint", metavar="BOX")
 @click.pass_obj
-def undrain(settings: CommandSettings, box: str) -> None:
+def undrain(settings: CommandSettings, endpoint: str) -> None:
     """Take a drain of BOX back."""
 
     def commit(target: GnmiTarget) -> int:
-        return target.set(deletes=[_drain_path(box)], extra=_extension(None, f"undrain {box}"))
+        return target.set(
+            deletes=[_drain_path(endpoint)], extra=_extension(None, f"undrain {endpoint}")
+        )
 
     run_on_each(settings, commit, show_version)
 
@@ -198,7 +215,7 @@
 @click.argument("file", type=click.File("r"))
 @click.pass_obj
 def diff(settings: CommandSettings, file: TextIO) -> None:
-    """What differs between FILE and each director.
+    """Show what differs between FILE and each director.
 
     FILE is JSON, as `get / --type config` gives it with --json.
     """
@@ -232,15 +249,18 @@
 
 
 @ctl.command()
-@click.argument("paths_", nargs=-1, metavar="[PATH]...")
+@click.argument("path_texts", nargs=-1, metavar="[PATH]...")
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400.0), help="Ends after so long.")
 @click.option("--only-changes", is_flag=True, help="Not what is there already.")
 @click.pass_obj
 def watch(
-    settings: CommandSettings, paths_: tuple[str, ...], seconds: float | None, only_changes: bool
+    settings: CommandSettings,
+    path_texts: tuple[str, ...],
+    seconds: float | None,
+    only_changes: bool,
 ) -> None:
-    """Lines as things change, of the first director given."""
-    paths = [_path_argument(text) for text in paths_ or DEFAULT_WATCHED_PATHS]
+    """Print lines as things change, of the first director given."""
+    paths = [_path_argument(text) for text in path_texts or DEFAULT_WATCHED_PATHS]
     target = GnmiTarget(settings.addresses[0], settings.options)
     end_at = None
     if seconds:
@@ -263,16 +283,16 @@
     if settings.as_json:
         click.echo(json.dumps({"path": format_path(path), "what": kind, "value": value}))
     else:
-        mark = "-" if kind == WatchEventKind.DELETE else " "
+        prefix = "-" if kind == WatchEventKind.DELETE else " "
         text = "" if value is None else format_value(value)
-        click.echo(f"{mark} {format_path(path)} {text}")
+        click.echo(f"{prefix} {format_path(path)} {text}")
     sys.stdout.flush()
 
 
 @ctl.command()
 @click.pass_obj
 def history(settings: CommandSettings) -> None:
-    """The last versions: when, by whom, what."""
+    """Show the last versions: when, by whom, what."""
 
     def read(target: GnmiTarget) -> Tree:
         datastore: Tree = target.get(DATASTORE)[0].value
@@ -307,14 +327,14 @@
 
 
 @ctl.command()
-@click.argument("name")
-@click.option("--cancel", is_flag=True, help="Go back at once instead.")
+@click.argument("commit_id", metavar="NAME")
+@click.option("--cancel", "is_cancelled", is_flag=True, help="Go back at once instead.")
 @click.pass_obj
-def confirm(settings: CommandSettings, name: str, cancel: bool) -> None:
+def confirm(settings: CommandSettings, commit_id: str, is_cancelled: bool) -> None:
     """Keep a change that was set --within."""
 
     def finish(target: GnmiTarget) -> int:
-        return target.cancel(name) if cancel else target.confirm(name)
+        return target.cancel(commit_id) if is_cancelled else target.confirm(commit_id)
 
     run_on_each(settings, finish, show_version)
 
@@ -349,8 +369,8 @@
         return text
 
 
-def _drain_path(box: str) -> Path:
-    return (*DRAINS, PathElement("drain", (("box", box),)))
+def _drain_path(endpoint: str) -> Path:
+    return (*DRAINS, PathElement("drain", (("box", endpoint),)))
 
 
 def _extension(built_on: int | None, comment: str) -> dict[str, Any]:
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -76,6 +76,25 @@
     timeout: float
 
 
+@dataclass(slots=True, frozen=True)
+class CommitRequest:
+    """A commit as it is asked for.
+
+    Attributes:
+        tree: The new configuration.
+        author: Name of the client; empty for the director itself.
+        comment: For the history.
+        built_on: Number of the version that the client has seen; None: any.
+        confirm: Set if the client must confirm the commit.
+    """
+
+    tree: Tree
+    author: str
+    comment: str
+    built_on: int | None = None
+    confirm: ConfirmRequest | None = None
+
+
 @dataclass(slots=True, frozen=True)
 class PendingConfirmation:
     """A confirmed commit that its client has not confirmed yet.
@@ -124,27 +143,11 @@
         """The running configuration."""
         return self.state.versions[-1]
 
-    def commit(
-        self,
-        now: float,
-        tree: Tree,
-        author: str,
-        comment: str,
-        built_on: int | None = None,
-        confirm: ConfirmRequest | None = None,
-    ) -> Version:
+    def commit(self, now: float, request: CommitRequest) -> Version:
         """Makes a tree the running configuration.
 
         A tree that changes nothing makes no version, unless it is to be confirmed.
 
-        Args:
-            now: Present time.
-            tree: The new configuration.
-            author: Name of the client.
-            comment: For the history.
-            built_on: Number of the version that the client has seen; None: any.
-            confirm: Set if the client must confirm the commit.
-
         Returns:
             The version that is running now.
 
@@ -153,20 +156,20 @@
         """
         running = self.running
         pending = self.state.pending_confirmation
-        if built_on is not None and built_on != running.number:
+        if request.built_on is not None and request.built_on != running.number:
             raise CommitRejectedError(
-                f"built on version {built_on}, but version {running.number} is running",
+                f"built on version {request.built_on}, but version {running.number} is running",
                 ErrorCode.STALE,
             )
-        if confirm is not None:
-            self._check_confirm_request(confirm)
-        tree = self.validate(tree)
-        if tree == running.tree and confirm is None:
+        if request.confirm is not None:
+            self._check_confirm_request(request.confirm)
+        tree = self.validate(request.tree)
+        if tree == running.tree and request.confirm is None:
             return running
-        if confirm is not None:
-            commit_id, timeout = confirm
+        if request.confirm is not None:
+            commit_id, timeout = request.confirm
             pending = PendingConfirmation(commit_id, now + timeout, running.tree)
-        new = Version(running.number + 1, tree, now, author, comment)
+        new = Version(running.number + 1, tree, now, request.author, request.comment)
         return self._commit_version(new, pending)
 
     def _check_confirm_request(self, confirm: ConfirmRequest) -> None:
@@ -221,7 +224,8 @@
         """
         for version in self.state.versions:
             if version.number == number:
-                return self.commit(now, version.tree, author, f"back to version {number}")
+                request = CommitRequest(version.tree, author, f"back to version {number}")
+                return self.commit(now, request)
         first = self.state.versions[0].number
         raise CommitRejectedError(
             f"there is no version {number}; kept are {first} to {self.running.number}"
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -87,8 +87,11 @@
         ]
         pending = None
         if unconfirmed := content["unconfirmed"]:
-            commit_id, deadline, tree_index = unconfirmed[0], unconfirmed[1], unconfirmed[2]
-            pending = PendingConfirmation(commit_id, deadline, trees[tree_index])
+            pending = PendingConfirmation(
+                commit_id=unconfirmed[0],
+                deadline=unconfirmed[1],
+                rollback_tree=trees[unconfirmed[2]],
+            )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         raise DatastoreFileError(f"holds something else than a datastore: {error}") from error
     if not versions:
--- /dev/null
+++ b/mulleinrelay/management/edits.py
@@ -0,0 +1,54 @@
+"""The edits that a commit consists of. Pure."""
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+from . import tree as trees
+from .paths import Path, format_path
+from .schema import SchemaNode
+from .tree import Tree
+
+MAX_EDITS_IN_COMMENT = 3
+
+
+class EditOperation(StrEnum):
+    """The operations of a gNMI Set."""
+
+    DELETE = "delete"
+    REPLACE = "replace"
+    UPDATE = "update"
+
+
+@dataclass(slots=True)
+class Edit:
+    """One operation of a commit; `value` is the JSON value, none for a delete."""
+
+    operation: EditOperation
+    path: Path
+    value: Any = None
+
+
+def apply_edit(schema: SchemaNode, tree: Tree, edit: Edit) -> None:
+    """Applies an edit to a tree.
+
+    Raises:
+        PathError: If the edit does not fit the model; the tree may then be changed in part.
+    """
+    match edit.operation:
+        case EditOperation.DELETE:
+            trees.delete(schema, tree, edit.path)
+        case EditOperation.REPLACE:
+            trees.replace(schema, tree, edit.path, edit.value)
+        case EditOperation.UPDATE:
+            trees.update(schema, tree, edit.path, edit.value)
+
+
+def describe_edits(edits: list[Edit]) -> str:
+    """Returns what the edits do, for the history."""
+    described = ", ".join(
+        f"{edit.operation} {format_path(edit.path)}" for edit in edits[:MAX_EDITS_IN_COMMENT]
+    )
+    if len(edits) > MAX_EDITS_IN_COMMENT:
+        described += f" and {len(edits) - MAX_EDITS_IN_COMMENT} more"
+    return described
--- a/mulleinrelay/management/gnmi_conversion.py
+++ b/mulleinrelay/management/gnmi_conversion.py
@@ -35,14 +35,14 @@
         PathError: If its origin or form is not known, or an element has no usable name.
     """
     elements: list[PathElement] = []
-    for part in (prefix, message):
-        if part is None:
+    for source in (prefix, message):
+        if source is None:
             continue
-        if part.origin not in KNOWN_ORIGINS:
-            raise PathError(f"origin {part.origin!r}: only {MODULE_NAME} is known here")
-        if part.element:
+        if source.origin not in KNOWN_ORIGINS:
+            raise PathError(f"origin {source.origin!r}: only {MODULE_NAME} is known here")
+        if source.element:
             raise PathError("the field element is of an old form; elem is wanted")
-        elements += _elements_of(part)
+        elements += _elements_of(source)
     return normalize_path(tuple(elements))
 
 
--- a/mulleinrelay/management/gnmi_extensions.py
+++ b/mulleinrelay/management/gnmi_extensions.py
@@ -57,12 +57,12 @@
         kind = message.WhichOneof("ext")
         if kind == "commit":
             _read_commit(extensions, message.commit)
-        elif kind == "registered_ext" and _is_own(message.registered_ext):
+        elif kind == "registered_ext" and _is_experimental(message.registered_ext):
             _read_object(extensions, message.registered_ext.msg)
     return extensions
 
 
-def _is_own(message: Any) -> bool:
+def _is_experimental(message: Any) -> bool:
     return bool(message.id == gnmi.EXPERIMENTAL_EXTENSION_ID)
 
 
--- a/mulleinrelay/management/gnmi_messages.py
+++ b/mulleinrelay/management/gnmi_messages.py
@@ -103,7 +103,7 @@
             enum.value.add(name=f"{name}_{value}", number=number)
     for name, fields in messages.items():
         message = file.message_type.add(name=name)
-        for text in filter(None, (part.strip() for part in fields.split(", "))):
+        for text in fields.split(", ") if fields else ():
             _add_field(message, text, package, enums)
         if name == "PathElem":
             _add_key_map(message)
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -14,6 +14,7 @@
 from .authorization import Role, required_role
 from .certificates import ServerCertificates
 from .config import ManagementConfig
+from .edits import Edit, EditOperation
 from .errors import ErrorCode, PathError, RequestError
 from .gnmi_conversion import (
     SUPPORTED_ENCODINGS,
@@ -27,7 +28,7 @@
 from .gnmi_extensions import SetExtensions, parse_set_extensions
 from .gnmi_subscriptions import SubscribeCall
 from .schema import MODULE_NAME, MODULE_REVISION
-from .service import DataKind, Edit, EditOperation, ManagementService
+from .service import DataKind, ManagementService
 
 SERVICE_NAME = "gnmi.gNMI"
 STACK_BYTES = 1_048_576  # the model's checks nest deeper than what serves clients' requests
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -76,13 +76,13 @@
                 if status.phase == DrainPhase.ACTIVE
             ]
             endpoints = dict(self.intent.endpoint_updates)
-        caches = [name for name, entry in endpoints.items() if self._is_own_cache(entry)]
+        caches = [name for name, entry in endpoints.items() if self._is_cache_of_zone(entry)]
         return drain_rejection_reason(
-            endpoints, active, requests, self._is_own_cache, self.caches_by_cell(caches)
+            endpoints, active, requests, self._is_cache_of_zone, self.caches_by_cell(caches)
         )
 
-    def _is_own_cache(self, entry: EndpointUpdate) -> bool:
-        """Whether this director sends requests to it: a cache of its own zone."""
+    def _is_cache_of_zone(self, entry: EndpointUpdate) -> bool:
+        """Whether it is a cache in the zone of this director, which sends requests to no others."""
         settings = self.coordinator.settings
         is_cache = entry.kind not in (settings.parent_kind, settings.origin_kind)
         return is_cache and entry.zone == settings.zone
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -9,45 +9,27 @@
 from copy import deepcopy
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
 
 from ..structured_log import StructuredLog
 from . import tree as trees
-from .datastore import ConfirmRequest, Datastore, DatastoreState, Version
+from .datastore import CommitRequest, ConfirmRequest, Datastore, DatastoreState, Version
 from .datastore_file import DatastoreFile
+from .edits import Edit, apply_edit, describe_edits
 from .errors import CommitRejectedError, ErrorCode, PathError
 from .participants import AssignmentParticipant, DrainParticipant
 from .paths import Path, fleet_children, format_path
 from .state_view import StateView
-from .subscribers import PublishedTree, Subscriber
+from .subscribers import Publisher, Subscriber
 from .tree import PathValue, Tree
 from .yang_model import YangModel
 
 STEP_INTERVAL = 250.0  # ms between steps of the thread: how late a rollback may come
 STATE_INTERVAL = 1_000.0  # ms between comparisons of state for subscribers
 MAX_EDITS = 10_000  # of one commit
-MAX_EDITS_IN_COMMENT = 3
 LOG_EVENT = "management"
 ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions that take over what it says
 
 
-class EditOperation(StrEnum):
-    """The operations of a gNMI Set."""
-
-    DELETE = "delete"
-    REPLACE = "replace"
-    UPDATE = "update"
-
-
-@dataclass(slots=True)
-class Edit:
-    """One operation of a commit; `value` is the JSON value, none for a delete."""
-
-    operation: EditOperation
-    path: Path
-    value: Any = None
-
-
 class DataKind(StrEnum):
     """Which nodes a read gives."""
 
@@ -71,9 +53,9 @@
     """Reads and changes the configuration of a running director. Thread-safe.
 
     Attributes:
-        lock: Guards `datastore`, the model, `subscribers`, the published tree and the assignment
-            that the running version agrees with. It is taken before the locks of the coordinator
-            and the cells.
+        lock: Guards `datastore`, the model, the subscribers with what was published to them, and
+            the assignment that the running version agrees with. It is taken before the locks of
+            the coordinator and the cells.
     """
 
     def __init__(
@@ -101,8 +83,7 @@
         self.datastore = Datastore(
             parts.model.validate, [parts.assignment, parts.drains], parts.datastore_file.save
         )
-        self.subscribers: list[Subscriber] = []
-        self._published = PublishedTree(self.schema)
+        self._publisher = Publisher(self.schema)
         self._followed_assignment: object = None  # that the running version agrees with
         self._state_due_at = 0.0
         self._logged_phases: dict[str, str] = {}  # of drains, by endpoint
@@ -118,7 +99,7 @@
         tree = self._with_assignment_in_use(last.tree)
         self.drains.commit(self.drains.prepare(tree, tree))
         if tree != last.tree:
-            self.datastore.commit(self.clock(), tree, "", ASSIGNMENT_FILE_COMMENT)
+            self.datastore.commit(self.clock(), CommitRequest(tree, "", ASSIGNMENT_FILE_COMMENT))
 
     def _finish_interrupted_commit(self, last: Version) -> None:
         """Applies the last version's assignment if a crash came before its file was written."""
@@ -148,7 +129,7 @@
     def stop(self) -> None:
         """Ends the thread with its present step, without waiting for it, and all subscriptions."""
         self._stopped.set()
-        for subscriber in list(self.subscribers):
+        for subscriber in list(self._publisher.subscribers):
             subscriber.close()
 
     # Reading
@@ -233,9 +214,10 @@
             self._follow_assignment_file()
             tree = self._editable_copy(edits)
             for edit in edits:
-                self._apply_edit(tree, edit)
-            comment = comment or _describe_edits(edits)
-            version = self.datastore.commit(self.clock(), tree, author, comment, built_on, confirm)
+                apply_edit(self.schema, tree, edit)
+            comment = comment or describe_edits(edits)
+            request = CommitRequest(tree, author, comment, built_on, confirm)
+            version = self.datastore.commit(self.clock(), request)
         self._report_commit(version)
         return version
 
@@ -249,15 +231,6 @@
         }
         return tree
 
-    def _apply_edit(self, tree: Tree, edit: Edit) -> None:
-        match edit.operation:
-            case EditOperation.DELETE:
-                trees.delete(self.schema, tree, edit.path)
-            case EditOperation.REPLACE:
-                trees.replace(self.schema, tree, edit.path, edit.value)
-            case EditOperation.UPDATE:
-                trees.update(self.schema, tree, edit.path, edit.value)
-
     def confirm(self, commit_id: str) -> None:
         """Keeps a confirmed commit; raises CommitRejectedError if none of that name is pending."""
         with self.lock:
@@ -302,7 +275,7 @@
         tree = self._with_assignment_in_use(running.tree)
         self._followed_assignment = in_use
         if tree != running.tree:
-            self.datastore.commit(self.clock(), tree, "", ASSIGNMENT_FILE_COMMENT)
+            self.datastore.commit(self.clock(), CommitRequest(tree, "", ASSIGNMENT_FILE_COMMENT))
 
     # In the thread
 
@@ -353,46 +326,36 @@
         """Adds a subscriber to changes below these paths; `unsubscribe` removes it.
 
         Args:
-            paths: What it subscribes to; it may get changes of other nodes of the same children of
-                /fleet, too.
+            paths: What it subscribes to. It also gets changes of nodes beside them, from which
+                `SubscribeCall` selects.
             capacity: Updates that may wait for it.
         """
         subscriber = Subscriber(fleet_children(paths), capacity)
         with self.lock:
-            if not self.subscribers:
-                self._published.reset(self.tree())
-            self.subscribers.append(subscriber)
+            if not self._publisher.subscribers:
+                self._publisher.reset(self.tree())
+            self._publisher.subscribers.append(subscriber)
         return subscriber
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
         """Removes a subscriber."""
         with self.lock:
-            if subscriber in self.subscribers:
-                self.subscribers.remove(subscriber)
+            if subscriber in self._publisher.subscribers:
+                self._publisher.subscribers.remove(subscriber)
 
     def _publish(self) -> None:
         """Notifies all subscribers of what differs from what was published last."""
         with self.lock:
-            subscribers = list(self.subscribers)
+            subscribers = list(self._publisher.subscribers)
             if not subscribers:
                 return
-            children = _children_of_all(subscribers)
-            difference = self._published.advance(self.tree(children), children)
+            children = self._publisher.wanted_children()
+            difference = self._publisher.advance(self.tree(children), children)
         if difference.changed or difference.deleted:
             for subscriber in subscribers:
                 subscriber.put(difference)
 
 
-def _children_of_all(subscribers: list[Subscriber]) -> set[str] | None:
-    """Returns the children of /fleet that any of the subscribers wants; None: all."""
-    children: set[str] = set()
-    for subscriber in subscribers:
-        if subscriber.fleet_children is None:
-            return None
-        children |= subscriber.fleet_children
-    return children
-
-
 def _commit_entry(version: Version) -> Tree:
     """Returns the entry of the datastore's history, by its names in the YANG model."""
     return {
@@ -401,12 +364,3 @@
         "by": version.author,
         "why": version.comment,
     }
-
-
-def _describe_edits(edits: list[Edit]) -> str:
-    described = ", ".join(
-        f"{edit.operation} {format_path(edit.path)}" for edit in edits[:MAX_EDITS_IN_COMMENT]
-    )
-    if len(edits) > MAX_EDITS_IN_COMMENT:
-        described += f" and {len(edits) - MAX_EDITS_IN_COMMENT} more"
-    return described
--- a/mulleinrelay/management/state_view.py
+++ b/mulleinrelay/management/state_view.py
@@ -84,7 +84,7 @@
 
     def _endpoints(self) -> list[Tree]:
         entries = []
-        for entry, state, endpoint, delay, warmth in self.coordinator.endpoint_states():
+        for entry, state, endpoint, delay, warm_up_progress in self.coordinator.endpoint_states():
             host, port = entry.address
             tree: Tree = {
                 "name": entry.name,
@@ -95,7 +95,7 @@
                 "state": STATE_NAMES[state],
                 "started": str(int(entry.started_at)),
                 "shunned": endpoint.shunned,
-                "warmth": format_decimal64(warmth),
+                "warmth": format_decimal64(warm_up_progress),
                 "attempts-out": len(endpoint.out),
             }
             if delay is not None:
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -54,18 +54,32 @@
             self.condition.notify()
 
 
-class PublishedTree:
-    """The tree as subscribers have seen it last. Not thread-safe."""
+class Publisher:
+    """All subscribers, and the tree as they have seen it last. Not thread-safe.
+
+    Attributes:
+        subscribers: Those that are notified of changes.
+    """
 
     def __init__(self, schema: SchemaNode) -> None:
-        """Starts empty; `reset` gives it the tree that the first subscriber reads."""
+        """Starts without subscribers; `reset` gives it the tree that the first one reads."""
         self._schema = schema
+        self.subscribers: list[Subscriber] = []
         self._fleet: Tree = {}
 
     def reset(self, tree: Tree) -> None:
         """Takes over a complete tree."""
         self._fleet = dict(tree.get("fleet", {}))
 
+    def wanted_children(self) -> set[str] | None:
+        """Returns the children of /fleet that any of the subscribers wants; None: all."""
+        children: set[str] = set()
+        for subscriber in self.subscribers:
+            if subscriber.fleet_children is None:
+                return None
+            children |= subscriber.fleet_children
+        return children
+
     def advance(self, tree: Tree, children: set[str] | None) -> TreeDifference:
         """Takes over some children of /fleet and returns what differs from before.
 
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -14,6 +14,7 @@
 
 from mulleinrelay.management.datastore import (
     MAX_VERSIONS,
+    CommitRequest,
     Datastore,
     DatastoreState,
     PendingConfirmation,
@@ -79,7 +80,7 @@
     held = store(parts, keep)
     before = held.state
     with pytest.raises(CommitRejectedError) as why:
-        held.commit(1.0, tree, "me", "why")
+        held.commit(1.0, CommitRequest(tree, "me", "why"))
     assert (
         why.value.code == code and held.state is before and all(part.held == {} for part in parts)
     )
@@ -87,9 +88,9 @@
 
 def test_the_second_of_two_writers_is_told():
     held = store()
-    held.commit(1.0, {"a": 1}, "one", "", built_on=0)
+    held.commit(1.0, CommitRequest({"a": 1}, "one", "", built_on=0))
     with pytest.raises(CommitRejectedError, match="built on version 0, but version 1") as why:
-        held.commit(2.0, {"a": 2}, "two", "", built_on=0)
+        held.commit(2.0, CommitRequest({"a": 2}, "two", "", built_on=0))
     assert why.value.code == "stale" and held.running.tree == {"a": 1}
 
 
@@ -105,10 +106,10 @@
 def test_a_change_that_wants_a_confirmation(deed, tree, number):
     held, part = store([Spy("one")]), None
     part = held.participants[0]
-    held.commit(1.0, {"a": 1}, "me", "")
-    held.commit(2.0, {"a": 2}, "me", "", confirm=("c", 59_000.0))
+    held.commit(1.0, CommitRequest({"a": 1}, "me", ""))
+    held.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=("c", 59_000.0)))
     with pytest.raises(CommitRejectedError, match="still wants"):
-        held.commit(3.0, {"a": 3}, "me", "", confirm=("d", 1_000.0))
+        held.commit(3.0, CommitRequest({"a": 3}, "me", "", confirm=("d", 1_000.0)))
     with pytest.raises(CommitRejectedError, match="no change d"):
         held.confirm("d")
     deed(held)
@@ -117,16 +118,16 @@
 
 def test_a_change_on_top_of_an_unconfirmed_one_goes_back_with_it():
     held = store()
-    held.commit(1.0, {"a": 1}, "me", "")
-    held.commit(2.0, {"a": 2}, "me", "", confirm=("c", 1_000.0))
-    held.commit(3.0, {"a": 2, "b": 1}, "other", "")
+    held.commit(1.0, CommitRequest({"a": 1}, "me", ""))
+    held.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=("c", 1_000.0)))
+    held.commit(3.0, CommitRequest({"a": 2, "b": 1}, "other", ""))
     assert held.roll_back_expired(5_000.0).tree == {"a": 1}
 
 
 def test_history_is_bounded_and_leads_back():
     held = store()
     for number in range(80):
-        held.commit(float(number), {"a": number}, "me", "")
+        held.commit(float(number), CommitRequest({"a": number}, "me", ""))
     assert len(held.state.versions) == MAX_VERSIONS
     with pytest.raises(CommitRejectedError, match="there is no version 3; kept are 31 to 80"):
         held.rollback(99.0, 3, "me")
@@ -157,7 +158,10 @@
         tree = {"a": value} | ({"bad": 1} if bad else {})
         try:
             self.store.commit(
-                self.now, tree, "me", "", 0 if stale else None, ("c", 100.0) if confirm else None
+                self.now,
+                CommitRequest(
+                    tree, "me", "", 0 if stale else None, ("c", 100.0) if confirm else None
+                ),
             )
         except CommitRejectedError:
             pass
