--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -181,11 +181,6 @@
             check.
     """
     limits = _limits_from_tree(tree, Limits())
-    numbers: dict[str, Any] = {
-        field: float(tree[leaf]) for leaf, field in ASSIGNMENT_NUMBERS.items() if leaf in tree
-    }
-    if PLACEMENT_METHOD_LEAF in tree:
-        numbers["placement_method"] = tree[PLACEMENT_METHOD_LEAF]
     assignment = Assignment(
         version=version,
         written_at=written_at,
@@ -200,12 +195,22 @@
         limits=limits,
         default_tenant=tree.get("default-tenant", ""),
         unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
-        **numbers,
+        **_given_attributes(tree),
     )
     agree(assignment)
     return assignment
 
 
+def _given_attributes(tree: Tree) -> dict[str, Any]:
+    """Returns the attributes of the assignment itself that the tree has, by field."""
+    attributes: dict[str, Any] = {
+        field: float(tree[leaf]) for leaf, field in ASSIGNMENT_NUMBERS.items() if leaf in tree
+    }
+    if PLACEMENT_METHOD_LEAF in tree:
+        attributes["placement_method"] = tree[PLACEMENT_METHOD_LEAF]
+    return attributes
+
+
 def _cell_from_tree(entry: Tree) -> Cell:
     return Cell(
         name=entry["name"],
@@ -214,7 +219,7 @@
         shuffle_shards=int(entry.get("shuffle", 0)),
         failover_cells=tuple(entry.get("neighbour", ())),
         failover_quota=float(entry.get("reserve", 0.0)),
-        return_duration=int(entry.get("return-for", 10_000)),
+        return_duration=float(entry.get("return-for", 10_000)),
         limits=_limits_from_tree(entry, Limits()),
     )
 
@@ -243,7 +248,6 @@
 
 def _rollout_from_tree(entry: Tree, default_limits: Limits) -> Rollout:
     waves = sorted(entry.get("wave", ()), key=lambda wave: wave["number"])
-    numbers: dict[str, Any] = _numbers_from_tree(entry, ROLLOUT_NUMBERS)
     return Rollout(
         name=entry["name"],
         canary=entry["canary"],
@@ -251,7 +255,7 @@
         waves=tuple(tuple(wave["cell"]) for wave in waves),
         is_rolled_back=bool(entry.get("taken-back", False)),
         shuffle_shards=int(entry.get("shuffle", -1)),
-        **numbers,
+        **_numbers_from_tree(entry, ROLLOUT_NUMBERS),
     )
 
 
@@ -266,7 +270,7 @@
     return Limits(**values)
 
 
-def _numbers_from_tree(entry: Tree, fields_by_leaf: dict[str, str]) -> dict[str, float]:
+def _numbers_from_tree(entry: Tree, fields_by_leaf: dict[str, str]) -> dict[str, Any]:
     return {
         field: float(entry.get(leaf, DEFAULT_NUMBERS.get(leaf, 0.0)))
         for leaf, field in fields_by_leaf.items()
