--- /dev/null
+++ b/tests/management/managed_director.py
@@ -0,0 +1,123 @@
+"""A whole director with gNMI in front of stand-in endpoints, for the tests of management."""
+
+import json
+from unittest import mock
+
+from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
+
+from mulleinrelay import director as director_module
+from mulleinrelay.cells.config import CellsConfig
+from mulleinrelay.cells.model import Assignment, Cell, Tenant
+from mulleinrelay.cells.parser import write
+from mulleinrelay.config.platform import parse_config
+from mulleinrelay.director import Director
+from mulleinrelay.management.config import parse_management_config
+from mulleinrelay.management.gnmi_client import ConnectionOptions, GnmiTarget
+from mulleinrelay.management.paths import parse_path
+
+INSECURE_CONFIG = (
+    "[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = 127.0.0.1:0\n"
+    "state_dir = state\n"
+)
+
+
+def drain_path(endpoint):
+    return parse_path(f"/fleet/drains/drain[box={endpoint}]")
+
+
+def drain(target, endpoint, **leaves):
+    """Commits a drain; returns the version."""
+    return target.set(updates=[(drain_path(endpoint), leaves)])
+
+
+def assignment() -> Assignment:
+    return Assignment(
+        1,
+        1000.0,
+        {
+            "north": Cell("north", caches=("s-01",), failover_cells=("south",)),
+            "south": Cell("south", caches=("s-02", "s-03")),
+        },
+        {"acme": Tenant("acme", "north"), "beta": Tenant("beta", "south")},
+        default_tenant="beta",
+    )
+
+
+class ManagedDirector:
+    """One director on loopback with management, and cells if asked for; ended with the block."""
+
+    def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT):
+        self.folder = folder
+        self.endpoints = [StandNode(plan) for _ in SPOTS]
+        self.event_stream = StandBus()
+        self.log = Sink()
+        self.callers = []
+        self.targets = []
+        self.assignment_path = folder / "assignment.ini"
+        cells_config = None
+        if cells:
+            if not self.assignment_path.exists():
+                self.assignment_path.write_text(write(assignment()))
+            cells_config = CellsConfig(
+                True, str(self.assignment_path), "tenant", 50.0, "", 0, 0.0, 5_000.0
+            )
+        addresses = [endpoint.address for endpoint in self.endpoints]
+        self.config = parse_config(json.dumps(configuration(addresses, self.event_stream.address)))
+        self.director = Director(
+            self.config, self.log, cells_config, parse_management_config(config, str(folder))
+        )
+
+    def __enter__(self) -> "ManagedDirector":
+        self.director.start()
+        self.address = f"127.0.0.1:{self.director.gnmi_server.port}"
+        self.management = self.director.gnmi_server.management
+        return self
+
+    def target(self, **options):
+        """A new gNMI connection."""
+        self.targets.append(GnmiTarget(self.address, ConnectionOptions(**options)))
+        return self.targets[-1]
+
+    def caller(self):
+        """A new client that sends requests."""
+        self.callers.append(Caller(self.director.listener.listener.getsockname()))
+        return self.callers[-1]
+
+    def ready_caches(self):
+        return [name for name, _, _ in self.director.coordinator.ready_caches()]
+
+    def received_requests(self):
+        """What each endpoint has received."""
+        return heard(self.endpoints)
+
+    def assignment_in_use(self):
+        return self.director.cell_service.controller.assignment
+
+    def update_endpoint(self, number, name, state="SERVING", started=0, port=None):
+        """Sends an update of one endpoint, as the event stream would."""
+        index = next(index for index, row in enumerate(SPOTS) if row[0] == name)
+        row = {
+            "id": name,
+            "addr": f"127.0.0.1:{port}" if port else self.endpoints[index].address,
+            "zone": SPOTS[index][1],
+            "kind": SPOTS[index][2],
+            "cell": 0,
+            "state": state,
+            "weight": 4,
+            "started_ms": started,
+        }
+        self.director.event_stream.apply(
+            number, {"topology": {"version": number, "full": False, "servers": [row]}}
+        )
+
+    def __exit__(self, *_):
+        for target in self.targets:
+            target.close()
+        # Without the second in which clients of a stopping director may still come
+        with mock.patch.object(director_module, "COMING", 0.0):
+            self.director.stop()
+            for caller in self.callers:
+                caller.close()
+            self.director.wait()
+        for server in (*self.endpoints, self.event_stream):
+            server.close()
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -1,279 +1,199 @@
-"""Versions, confirmations, history, and the file they last in."""
+"""Versions, confirmed commits, rollback and history."""
 
-import os
-import signal
-import subprocess
-import sys
-import time
-import zlib
+import contextlib
 
 import pytest
-from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from mulleinrelay.management.datastore import (
     MAX_VERSIONS,
     CommitRequest,
+    ConfirmRequest,
     Datastore,
-    DatastoreState,
-    PendingConfirmation,
-    Version,
 )
-from mulleinrelay.management.datastore_file import (
-    DatastoreFile,
-    DatastoreFileError,
-    decode_state,
-    encode_state,
-)
-from mulleinrelay.management.errors import CommitRejectedError
+from mulleinrelay.management.datastore_file import decode_state, encode_state
+from mulleinrelay.management.errors import CommitRejectedError, ErrorCode
 
 
-class Spy:
-    """A part that holds what it was given, and refuses or fails as told."""
+class FakeParticipant:
+    """Keeps what it has committed; rejects a prepare or fails a commit if asked to."""
 
-    def __init__(self, name, prepare=None, commit=None):
-        self.name, self.held, self.refuses, self.fails = name, {}, prepare, commit
+    def __init__(self, name, rejects=False, fails=False):
+        self.name = name
+        self.committed = {}
+        self.rejects = rejects
+        self.fails = fails
 
     def prepare(self, old, new):
-        if self.refuses:
+        if self.rejects:
             raise CommitRejectedError(f"{self.name} won't")
         return new
 
-    def persisted_version(self, ready):
+    def persisted_version(self, prepared):
         return 0
 
-    def commit(self, ready):
+    def commit(self, prepared):
         if self.fails:
             raise ValueError(f"{self.name} broke")
-        before, self.held = self.held, ready
+        before = self.committed
+        self.committed = prepared
 
         def undo():
-            self.held = before
+            self.committed = before
 
         return undo
 
 
-def store(parts=(), keep=None, check=None):
-    def accepted(tree):
-        if tree.get("bad"):
-            raise CommitRejectedError("bad is no good")
-        return tree
+def accept_unless_bad(tree):
+    if tree.get("bad"):
+        raise CommitRejectedError("bad is no good")
+    return tree
+
 
-    return Datastore(check or accepted, list(parts), keep or (lambda held: None))
+def new_datastore(participants=(), persist=None):
+    return Datastore(accept_unless_bad, list(participants), persist or (lambda state: None))
 
 
-def fail(held):
-    raise CommitRejectedError("disk full", "failed")
+def fail_to_persist(state):
+    raise CommitRejectedError("disk full", ErrorCode.FAILED)
 
 
 @pytest.mark.parametrize(
-    "parts, keep, tree, code",
+    ("participants", "persist", "tree", "code"),
     [
-        ((Spy("one"), Spy("two", prepare=True)), None, {"a": 1}, "invalid"),
-        ((Spy("one"), Spy("two", commit=True)), None, {"a": 1}, "failed"),
-        ((Spy("one"), Spy("two")), fail, {"a": 1}, "failed"),
-        ((Spy("one"),), None, {"bad": 1}, "invalid"),
+        ((FakeParticipant("one"), FakeParticipant("two", rejects=True)), None, {"a": 1}, "invalid"),
+        ((FakeParticipant("one"), FakeParticipant("two", fails=True)), None, {"a": 1}, "failed"),
+        ((FakeParticipant("one"), FakeParticipant("two")), fail_to_persist, {"a": 1}, "failed"),
+        ((FakeParticipant("one"),), None, {"bad": 1}, "invalid"),
     ],
+    ids=["rejected prepare", "failed commit", "not persisted", "not valid"],
 )
-def test_what_is_refused_anywhere_is_done_nowhere(parts, keep, tree, code):
-    held = store(parts, keep)
-    before = held.state
-    with pytest.raises(CommitRejectedError) as why:
-        held.commit(1.0, CommitRequest(tree, "me", "why"))
-    assert (
-        why.value.code == code and held.state is before and all(part.held == {} for part in parts)
-    )
+def test_rejected_commit_changes_no_participant(participants, persist, tree, code):
+    datastore = new_datastore(participants, persist)
+    before = datastore.state
+    with pytest.raises(CommitRejectedError) as rejection:
+        datastore.commit(1.0, CommitRequest(tree, "me", "why"))
+    assert rejection.value.code == code
+    assert datastore.state is before
+    assert all(participant.committed == {} for participant in participants)
 
 
-def test_the_second_of_two_writers_is_told():
-    held = store()
-    held.commit(1.0, CommitRequest({"a": 1}, "one", "", built_on=0))
-    with pytest.raises(CommitRejectedError, match="built on version 0, but version 1") as why:
-        held.commit(2.0, CommitRequest({"a": 2}, "two", "", built_on=0))
-    assert why.value.code == "stale" and held.running.tree == {"a": 1}
+def test_commit_built_on_an_older_version_is_rejected():
+    datastore = new_datastore()
+    datastore.commit(1.0, CommitRequest({"a": 1}, "one", "", built_on=0))
+    with pytest.raises(CommitRejectedError, match="built on version 0, but version 1") as rejection:
+        datastore.commit(2.0, CommitRequest({"a": 2}, "two", "", built_on=0))
+    assert rejection.value.code == "stale"
+    assert datastore.running.tree == {"a": 1}
 
 
 @pytest.mark.parametrize(
-    "deed, tree, number",
+    ("act", "tree", "number"),
     [
-        (lambda held: held.roll_back_expired(60_000.0), {"a": 1}, 3),
-        (lambda held: held.roll_back_expired(50_000.0), {"a": 2}, 2),
-        (lambda held: (held.confirm("c"), held.roll_back_expired(99_000.0)), {"a": 2}, 2),
-        (lambda held: held.cancel(5.0, "c", "me"), {"a": 1}, 3),
+        (lambda datastore: datastore.roll_back_expired(60_000.0), {"a": 1}, 3),
+        (lambda datastore: datastore.roll_back_expired(50_000.0), {"a": 2}, 2),
+        (
+            lambda datastore: (datastore.confirm("c"), datastore.roll_back_expired(99_000.0)),
+            {"a": 2},
+            2,
+        ),
+        (lambda datastore: datastore.cancel(5.0, "c", "me"), {"a": 1}, 3),
     ],
+    ids=["expired", "not yet expired", "confirmed", "cancelled"],
 )
-def test_a_change_that_wants_a_confirmation(deed, tree, number):
-    held, part = store([Spy("one")]), None
-    part = held.participants[0]
-    held.commit(1.0, CommitRequest({"a": 1}, "me", ""))
-    held.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=("c", 59_000.0)))
+def test_confirmed_commit_is_kept_only_if_confirmed_in_time(act, tree, number):
+    participant = FakeParticipant("one")
+    datastore = new_datastore([participant])
+    datastore.commit(1.0, CommitRequest({"a": 1}, "me", ""))
+    datastore.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=ConfirmRequest("c", 59_000.0)))
     with pytest.raises(CommitRejectedError, match="still wants"):
-        held.commit(3.0, CommitRequest({"a": 3}, "me", "", confirm=("d", 1_000.0)))
+        datastore.commit(
+            3.0, CommitRequest({"a": 3}, "me", "", confirm=ConfirmRequest("d", 1_000.0))
+        )
     with pytest.raises(CommitRejectedError, match="no change d"):
-        held.confirm("d")
-    deed(held)
-    assert (held.running.tree, held.running.number, part.held) == (tree, number, tree)
+        datastore.confirm("d")
+    act(datastore)
+    running = datastore.running
+    assert (running.tree, running.number, participant.committed) == (tree, number, tree)
 
 
-def test_a_change_on_top_of_an_unconfirmed_one_goes_back_with_it():
-    held = store()
-    held.commit(1.0, CommitRequest({"a": 1}, "me", ""))
-    held.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=("c", 1_000.0)))
-    held.commit(3.0, CommitRequest({"a": 2, "b": 1}, "other", ""))
-    assert held.roll_back_expired(5_000.0).tree == {"a": 1}
+def test_commit_on_top_of_an_unconfirmed_one_is_rolled_back_with_it():
+    datastore = new_datastore()
+    datastore.commit(1.0, CommitRequest({"a": 1}, "me", ""))
+    datastore.commit(2.0, CommitRequest({"a": 2}, "me", "", confirm=ConfirmRequest("c", 1_000.0)))
+    datastore.commit(3.0, CommitRequest({"a": 2, "b": 1}, "other", ""))
+    assert datastore.roll_back_expired(5_000.0).tree == {"a": 1}
 
 
-def test_history_is_bounded_and_leads_back():
-    held = store()
+def test_history_is_bounded_and_its_versions_can_be_restored():
+    datastore = new_datastore()
     for number in range(80):
-        held.commit(float(number), CommitRequest({"a": number}, "me", ""))
-    assert len(held.state.versions) == MAX_VERSIONS
+        datastore.commit(float(number), CommitRequest({"a": number}, "me", ""))
+    assert len(datastore.state.versions) == MAX_VERSIONS
     with pytest.raises(CommitRejectedError, match="there is no version 3; kept are 31 to 80"):
-        held.rollback(99.0, 3, "me")
-    assert held.rollback(99.0, 40, "me").tree == {"a": 39} and held.running.number == 81
+        datastore.rollback(99.0, 3, "me")
+    assert datastore.rollback(99.0, 40, "me").tree == {"a": 39}
+    assert datastore.running.number == 81
 
 
-class StoreMachine(RuleBasedStateMachine):
-    """Whatever comes, the part holds what is running, and what is kept reads back to it."""
+class DatastoreMachine(RuleBasedStateMachine):
+    """In any order of calls, the participant has what is running, and so has the file."""
 
     def __init__(self):
         super().__init__()
-        self.part, self.kept, self.now = Spy("one"), b"", 0.0
-        self.store = store([self.part], self.keep)
+        self.participant = FakeParticipant("one")
+        self.file_content = b""
+        self.now = 0.0
+        self.datastore = new_datastore([self.participant], self.persist)
 
-    def keep(self, held):
-        self.kept = encode_state(held)
+    def persist(self, state):
+        self.file_content = encode_state(state)
 
     @rule(
         value=st.integers(0, 3),
         confirm=st.booleans(),
         stale=st.booleans(),
-        refuses=st.booleans(),
+        rejects=st.booleans(),
         fails=st.booleans(),
         bad=st.booleans(),
     )
-    def commit(self, value, confirm, stale, refuses, fails, bad):
-        self.part.refuses, self.part.fails = refuses, fails
-        tree = {"a": value} | ({"bad": 1} if bad else {})
-        try:
-            self.store.commit(
-                self.now,
-                CommitRequest(
-                    tree, "me", "", 0 if stale else None, ("c", 100.0) if confirm else None
-                ),
-            )
-        except CommitRejectedError:
-            pass
-        self.part.refuses = self.part.fails = False
+    def commit(self, value, confirm, stale, rejects, fails, bad):
+        self.participant.rejects = rejects
+        self.participant.fails = fails
+        request = CommitRequest(
+            {"a": value} | ({"bad": 1} if bad else {}),
+            "me",
+            "",
+            0 if stale else None,
+            ConfirmRequest("c", 100.0) if confirm else None,
+        )
+        with contextlib.suppress(CommitRejectedError):
+            self.datastore.commit(self.now, request)
+        self.participant.rejects = False
+        self.participant.fails = False
 
     @rule(name=st.sampled_from("cd"))
     def confirm(self, name):
-        try:
-            self.store.confirm(name)
-        except CommitRejectedError:
-            pass
+        with contextlib.suppress(CommitRejectedError):
+            self.datastore.confirm(name)
 
-    @rule(span=st.sampled_from([1.0, 60.0, 500.0]))
-    def pass_time(self, span):
-        self.now += span
-        self.store.roll_back_expired(self.now)
+    @rule(duration=st.sampled_from([1.0, 60.0, 500.0]))
+    def pass_time(self, duration):
+        self.now += duration
+        self.datastore.roll_back_expired(self.now)
 
     @rule()
     def restart(self):
-        if self.kept:
-            fresh = store([self.part], self.keep)
-            fresh.state = decode_state(self.kept)
-            self.store = fresh
+        if self.file_content:
+            restarted = new_datastore([self.participant], self.persist)
+            restarted.state = decode_state(self.file_content)
+            self.datastore = restarted
 
     @invariant()
-    def the_part_holds_what_runs(self):
-        assert self.part.held == self.store.running.tree
-        assert not self.kept or decode_state(self.kept) == self.store.state
-
-
-TestStoreMachine = StoreMachine.TestCase
-
-HELD = DatastoreState(
-    [Version(1, {"a": 1}, 1.0, "me", "x"), Version(2, {"b": [1, "ü"]}, 2.0, "", "")],
-    PendingConfirmation("c", 9.0, {"a": 1}),
-)
+    def participant_and_file_have_the_running_version(self):
+        assert self.participant.committed == self.datastore.running.tree
+        assert not self.file_content or decode_state(self.file_content) == self.datastore.state
 
 
-def test_what_is_kept_reads_back(tmp_path):
-    keeper = DatastoreFile(str(tmp_path / "state"))
-    assert keeper.load() is None
-    keeper.save(HELD)
-    assert keeper.load() == HELD
-
-
-@given(st.integers(0, 2000), st.integers(0, 255), st.integers(0, 3))
-def test_a_damaged_file_is_told_and_never_read(place, byte, how):
-    data = encode_state(HELD)
-    place %= len(data)
-    damaged = {
-        0: data[:place],
-        1: data[:place] + bytes([byte]) + data[place + 1 :],
-        2: data + bytes([byte]),
-        3: data[place:],
-    }[how]
-    if damaged == data:
-        return
-    with pytest.raises(DatastoreFileError):
-        found = decode_state(damaged)
-        raise (
-            DatastoreFileError("the same after all")
-            if found == HELD
-            else AssertionError("read another")
-        )
-
-
-@pytest.mark.parametrize(
-    "data, why",
-    [
-        (b"mulleinrelay-datastore 9 0 00000000\n", "use a newer one"),
-        (b"", "no datastore"),
-        (b"x y\n{}", "no datastore"),
-        (b"mulleinrelay-datastore 1 2 %08x\n{}" % zlib.crc32(b"{}"), "something else"),
-    ],
-)
-def test_what_is_no_datastore_is_refused_in_words(data, why, tmp_path):
-    (tmp_path / "datastore").write_bytes(data)
-    with pytest.raises(DatastoreFileError, match=why):
-        DatastoreFile(str(tmp_path)).load()
-
-
-def test_a_folder_that_cannot_be_written_refuses_the_change(tmp_path):
-    (tmp_path / "state").write_text("a file")
-    with pytest.raises(CommitRejectedError, match="nothing was changed"):
-        DatastoreFile(str(tmp_path / "state")).save(HELD)
-
-
-WRITER = """
-import sys
-from mulleinrelay.management.datastore import DatastoreState, Version
-from mulleinrelay.management.errors import CommitRejectedError
-from mulleinrelay.management.datastore_file import DatastoreFile
-keeper, number = DatastoreFile(sys.argv[1]), 0
-print("on", flush=True)
-while True:
-    number += 1
-    keeper.save(DatastoreState([Version(number, {"a": [number] * 20_000}, 1.0, "", "")]))
-"""
-
-
-def test_killed_at_any_point_the_old_or_the_new_one_stands(tmp_path):
-    here = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-    for turn in range(8):
-        program = subprocess.Popen(
-            [sys.executable, "-c", WRITER, str(tmp_path)], cwd=here, stdout=subprocess.PIPE
-        )
-        program.stdout.readline()
-        time.sleep(0.005 + 0.011 * turn)
-        program.send_signal(signal.SIGKILL)
-        program.wait()
-        program.stdout.close()
-        held = DatastoreFile(str(tmp_path)).load()
-        if held is not None:
-            version = held.versions[0]
-            assert version.tree == {"a": [version.number] * 20_000}
+TestDatastoreMachine = DatastoreMachine.TestCase
--- /dev/null
+++ b/tests/management/test_drain_intent.py
@@ -0,0 +1,114 @@
+"""Drains over the endpoint list."""
+
+import pytest
+
+from mulleinrelay.management.drain_intent import (
+    CONTRADICTION_GRACE_PERIOD,
+    DrainIntent,
+    DrainPhase,
+    DrainRequest,
+    DrainScope,
+    drain_rejection_reason,
+)
+from mulleinrelay.policy.model import EndpointState, EndpointUpdate
+
+
+def entry(name="s-1", state=EndpointState.READY, started=0.0, port=1, zone=1, kind=0):
+    return EndpointUpdate(name, ("127.0.0.1", port), state, 4.0, kind, zone, 0, started)
+
+
+GONE = entry(state=EndpointState.GONE)
+LISTED_DRAINING = entry(state=EndpointState.DRAINING)
+RESTARTED = entry(started=9.0)
+CURRENT = DrainScope.CURRENT_INCARNATION
+EVERY = DrainScope.EVERY_INCARNATION
+
+
+def drained(scope=CURRENT, listed=None):
+    """An intent with a drain of s-1, set after the list was received."""
+    intent = DrainIntent()
+    intent.update_endpoints(0.0, listed or [entry()], True)
+    intent.set_requests(1.0, {"s-1": DrainRequest("s-1", scope)})
+    return intent
+
+
+@pytest.mark.parametrize(
+    ("scope", "updates", "phase", "state"),
+    [
+        (CURRENT, [entry()], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (CURRENT, [RESTARTED], DrainPhase.ENDED, EndpointState.READY),
+        (EVERY, [RESTARTED], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (CURRENT, [entry(port=2)], DrainPhase.ENDED, EndpointState.READY),
+        (CURRENT, [GONE, entry()], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (CURRENT, [GONE, entry(started=5.0)], DrainPhase.ENDED, EndpointState.READY),
+        (EVERY, [GONE, entry(started=5.0)], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (CURRENT, [LISTED_DRAINING, entry()], DrainPhase.ACTIVE, EndpointState.DRAINING),
+        (CURRENT, [RESTARTED, entry()], DrainPhase.ENDED, EndpointState.READY),
+    ],
+    ids=[
+        "unchanged",
+        "restarted",
+        "restarted, every incarnation",
+        "another address",
+        "gone and back",
+        "gone and restarted",
+        "gone and restarted, every incarnation",
+        "listed as draining and back",
+        "restarted and back",
+    ],
+)
+def test_drain_applies_to_the_incarnation_it_met(scope, updates, phase, state):
+    intent = drained(scope)
+    for number, update in enumerate(updates):
+        intent.update_endpoints(10.0 + number, [update], False)
+    assert intent.drains["s-1"].phase == phase
+    assert intent.effective_state(updates[-1]) == state
+
+
+def test_drain_of_an_endpoint_that_is_not_listed_waits_for_it():
+    intent = drained(listed=[entry("s-2")])
+    assert intent.drains["s-1"].phase == DrainPhase.WAITING
+    intent.update_endpoints(5.0, [entry()], False)
+    assert intent.effective_state(entry()) == EndpointState.DRAINING
+
+
+def test_drain_does_not_apply_to_another_endpoint_at_the_same_address():
+    intent = drained(EVERY)
+    intent.update_endpoints(5.0, [GONE, entry("s-9")], False)
+    assert intent.effective_state(entry("s-9")) == EndpointState.READY
+
+
+def test_drain_that_the_list_contradicts_is_reported_once():
+    intent = drained()
+    assert not intent.take_contradicted(CONTRADICTION_GRACE_PERIOD - 100.0)
+    contradicted = intent.take_contradicted(CONTRADICTION_GRACE_PERIOD + 100.0)
+    assert [status.request.endpoint for status in contradicted] == ["s-1"]
+    assert not intent.take_contradicted(9e9)
+    agreed = drained()
+    agreed.update_endpoints(5.0, [LISTED_DRAINING], False)
+    assert not agreed.take_contradicted(9e9)
+
+
+@pytest.mark.parametrize(
+    ("names", "active", "cells", "reason"),
+    [
+        (["s-1"], [], {}, ""),
+        (["s-1", "s-2"], [], {}, "location 1"),
+        (["s-2"], ["s-1"], {}, "location 1"),
+        (["s-1"], [], {"north": ["s-1"]}, "cell north"),
+        (["s-9"], [], {"north": ["s-9"]}, ""),
+        (["p-1"], [], {}, ""),
+    ],
+)
+def test_drain_of_the_last_cache_is_rejected_unless_forced(names, active, cells, reason):
+    listed = (entry(), entry("s-2"), entry("p-1", zone=0, kind=1))
+    endpoints = {update.name: update for update in listed}
+    for forced in (False, True):
+        found = drain_rejection_reason(
+            endpoints,
+            active,
+            {name: DrainRequest(name, forced=forced) for name in names},
+            lambda update: update.kind == 0,
+            cells,
+        )
+        assert found.startswith(reason) if reason and not forced else found == ""
--- /dev/null
+++ b/tests/management/test_gnmi_server.py
@@ -0,0 +1,347 @@
+"""Changes over gNMI at a whole director."""
+
+import threading
+import time
+
+import pytest
+from click.testing import CliRunner
+from helpers import HIT, wait_for
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+from managed_director import ManagedDirector, drain, drain_path
+
+from mulleinrelay.cells import store
+from mulleinrelay.cli import main
+from mulleinrelay.management.gnmi_client import GnmiCallError
+from mulleinrelay.management.paths import PathElement, parse_path
+
+RATE_LIMIT = parse_path("/fleet/assignment/tenant[name=acme]/limits/rate")
+
+
+@pytest.fixture(scope="module")
+def running(tmp_path_factory):
+    """One director with cells for all tests here that leave it as it was."""
+    with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
+        yield director
+
+
+def snapshot(director):
+    """What a rejected change must leave as it is."""
+    datastore = director.management.datastore
+    return (
+        datastore.running,
+        datastore.state,
+        director.assignment_path.read_bytes(),
+        director.ready_caches(),
+        director.assignment_in_use(),
+        (director.folder / "state" / "datastore").read_bytes(),
+    )
+
+
+def test_drained_endpoint_gets_no_new_requests_and_finishes_its_own(tmp_path):
+    may_answer = threading.Event()
+
+    def answer_late(fields):
+        if fields["name"].endswith("ff"):
+            may_answer.wait(10.0)
+        return HIT
+
+    def has_late_request(attempts):
+        return any(attempt[2]["name"].endswith("ff") for attempt in attempts)
+
+    with ManagedDirector(tmp_path, plan=answer_late) as director:
+        caller = director.caller()
+        target = director.target()
+        for number in range(12):
+            caller.send(entity=f"{number:016x}")
+            assert caller.answer()[1] == 0
+        late_caller = director.caller()
+        late_caller.send(entity="00000000000000ff")
+        assert wait_for(lambda: any(map(has_late_request, director.received_requests().values())))
+        endpoint = next(
+            name
+            for name, attempts in director.received_requests().items()
+            if has_late_request(attempts)
+        )
+        drain(target, endpoint, reason="smoke")
+        before = len(director.received_requests()[endpoint])
+        ((_, state),) = target.get((*drain_path(endpoint), PathElement("state")))
+        assert state["phase"] == "binding"
+        assert state["attempts-out"] == 1
+        for number in range(30):
+            caller.send(entity=f"{number + 100:016x}")
+            if endpoint != "s-21":
+                assert caller.answer()[1] == 0
+        may_answer.set()
+        assert late_caller.answer()[1] == 0
+        received = director.received_requests()
+        assert len(received[endpoint]) == before
+        fill_sources = {
+            attempt[2].get("miss") for attempts in received.values() for attempt in attempts[-5:]
+        }
+        assert endpoint not in fill_sources
+        target.set(deletes=[drain_path(endpoint)])
+        ((_, state_after),) = target.get(parse_path(f"/fleet/boxes/box[name={endpoint}]/state"))
+        assert state_after == "ready"
+
+
+def test_drain_outlives_a_restart_and_updates_of_the_list(tmp_path):
+    with ManagedDirector(tmp_path) as director:
+        drain(director.target(), "s-02")
+        with pytest.raises(GnmiCallError, match=r"to be confirmed|still wants|version"):
+            director.target().set(updates=[(drain_path("s-01"), {})], extra={"built_on": 0})
+        addresses = [endpoint.address for endpoint in director.endpoints]
+    with ManagedDirector(tmp_path) as restarted:
+        assert addresses
+        assert "s-02" in restarted.management.drains.intent.drains
+        assert restarted.ready_caches() == ["s-01", "s-03"]
+        restarted.update_endpoint(2, "s-02")  # the list says ready once more
+        assert restarted.ready_caches() == ["s-01", "s-03"]
+        restarted.update_endpoint(3, "s-02", started=5)  # another incarnation
+        assert restarted.ready_caches() == ["s-01", "s-02", "s-03"]
+
+
+def test_unconfirmed_commit_is_rolled_back_after_a_restart(tmp_path):
+    with ManagedDirector(tmp_path) as director:
+        director.target().set(updates=[(drain_path("s-02"), {})], within=0.4, name="c1")
+        assert director.ready_caches() == ["s-01", "s-03"]
+        director.management.stop()  # as if killed before its time
+    time.sleep(0.4)
+    with ManagedDirector(tmp_path) as restarted:
+        assert wait_for(lambda: restarted.ready_caches() == ["s-01", "s-02", "s-03"])
+
+
+INVALID_CHANGES = [
+    {"updates": [(drain_path("s-01"), {}), (drain_path("s 2"), {})]},
+    {
+        "updates": [
+            (drain_path("s-02"), {}),
+            (parse_path("/fleet/assignment/tenant[name=acme]/cell"), "west"),
+        ]
+    },
+    {
+        "updates": [
+            (parse_path("/fleet/assignment/tenant[name=acme]/limits/rate"), "9"),
+            (parse_path("/fleet/none"), 1),
+        ]
+    },
+    {"updates": [(parse_path("/fleet/assignment/cell[name=north]/neighbour"), ["north"])]},
+    {"updates": [(parse_path("/fleet/assignment/cell[name=south]/cache"), ["s-01"])]},
+    {"updates": [(parse_path("/fleet/assignment/tenant[name=acme]/address"), ["10.0.0.1/8"])]},
+    {"updates": [(parse_path("/fleet/assignment/tenant[name=acme]/group"), ["9-2"])]},
+    {
+        "updates": [
+            (
+                parse_path("/fleet/assignment/move[name=m]"),
+                {"tenant": ["acme"], "from": "south", "to": "north", "starts": "9", "shift-for": 5},
+            )
+        ]
+    },
+    {
+        "updates": [
+            (
+                parse_path("/fleet/assignment/move[name=m]"),
+                {"tenant": ["acme"], "from": "north", "to": "north", "starts": "9", "shift-for": 5},
+            )
+        ]
+    },
+    {"updates": [(drain_path("s-01"), {})]},
+    {"updates": [(parse_path("/fleet/drains/drain[box=s-02]/scope"), "never")]},
+    {"deletes": [parse_path("/fleet/assignment")]},
+    {"deletes": [parse_path("/fleet/assignment/default-tenant")]},
+    {"deletes": [parse_path("/fleet/assignment/cell[name=north]")]},
+    {"deletes": [parse_path("/fleet/boxes")]},
+    {"updates": [(parse_path("/fleet/assignment/load-bound"), "0.5")]},
+    {"updates": [(parse_path("/fleet"), {"drains": 3})]},
+    {"updates": [(parse_path("/fleet/assignment/cell[name=north]/weight"), "heavy")]},
+    {"updates": [(parse_path("/fleet/datastore/version"), "7")]},
+    {"replaces": [(parse_path("/"), {"fleet": {"x": 1}})]},
+    {"updates": [(drain_path("s-02"), {})], "extra": {"built_on": 999}},
+    {"updates": [], "extra": {"rollback": 999}},
+    {"updates": [], "extra": {"rollback": "x"}},
+]
+
+
+@pytest.mark.parametrize("change", INVALID_CHANGES)
+def test_rejected_change_leaves_no_trace(running, change):
+    target = running.target()
+    if not (running.folder / "state" / "datastore").exists():
+        target.set(updates=[(parse_path("/fleet/assignment/tenant[name=beta]/weight"), "2.0")])
+    before = snapshot(running)
+    with pytest.raises(GnmiCallError) as error:
+        target.set(**change)
+    assert str(error.value)
+    assert error.value.code in ("INVALID_ARGUMENT", "NOT_FOUND", "ABORTED")
+    assert snapshot(running) == before
+
+
+ANY_JSON = st.recursive(
+    st.none() | st.booleans() | st.integers(-(10**20), 10**20) | st.floats() | st.text(max_size=8),
+    lambda inner: (
+        st.lists(inner, max_size=3)
+        | st.dictionaries(
+            st.sampled_from(
+                ["box", "drain", "drains", "cell", "name", "limits", "rate", "tenant", "é"]
+            ),
+            inner,
+            max_size=3,
+        )
+    ),
+)
+
+
+@settings(max_examples=60, suppress_health_check=list(HealthCheck))
+@given(
+    st.sampled_from(
+        [
+            "/",
+            "/fleet",
+            "/fleet/drains",
+            "/fleet/assignment/cell",
+            "/fleet/drains/drain[box=zz]",
+            "/fleet/assignment/tenant[name=acme]/weight",
+        ]
+    ),
+    ANY_JSON,
+)
+def test_any_value_is_rejected_with_a_reason_or_committed(running, path, value):
+    target = running.target()
+    before = running.management.datastore.running
+    rejection = None
+    try:
+        target.set(updates=[(parse_path(path), value)])
+    except GnmiCallError as error:
+        rejection = error
+    if rejection is None:
+        running.management.rollback(before.number, "test")
+        return
+    assert rejection.code in ("INVALID_ARGUMENT", "NOT_FOUND"), (rejection.code, str(rejection))
+    assert running.management.datastore.running is before
+
+
+def test_change_of_cells_takes_effect_and_is_written_to_their_file(tmp_path):
+    with ManagedDirector(tmp_path, cells=True) as director:
+        target = director.target()
+        target.set(
+            updates=[
+                (
+                    parse_path("/fleet/assignment/tenant[name=acme]/limits"),
+                    {"rate": "0.01", "burst": "2"},
+                )
+            ]
+        )
+        assert store.load(str(director.assignment_path)).tenants["acme"].limits.rate == 0.01
+        caller = director.caller()
+        for _ in range(5):
+            caller.send(tenant="acme")
+        assert sorted(caller.answer()[1] for _ in range(5)) == [0, 0, 1, 1, 1]
+        file = str(director.assignment_path)
+        arguments = f"cells move acme --to south --name m1 --shift-ms 900 --file {file}"
+        result = CliRunner().invoke(main, arguments.split())
+        assert result.exit_code == 0
+        assert wait_for(lambda: "m1" in director.assignment_in_use().migrations)
+        ((_, migration),) = target.get(parse_path("/fleet/assignment/move[name=m1]"))
+        assert migration["state"]["stage"] == "planned"
+        version = target.set(deletes=[parse_path("/fleet/assignment/move[name=m1]")])
+        assert store.load(file).migrations == {}
+        assert target.get(parse_path("/fleet/datastore/version"))[0].value == str(version)
+
+
+def test_participant_that_fails_to_commit_leaves_everything_as_it_was(running, monkeypatch):
+    target = running.target()
+    drain(target, "zz")
+    target.set(deletes=[drain_path("zz")])
+    before = snapshot(running)
+
+    def fail(prepared):
+        raise OSError("no")
+
+    monkeypatch.setattr(running.management.drains, "commit", fail)
+    with pytest.raises(GnmiCallError) as error:
+        target.set(
+            updates=[
+                (parse_path("/fleet/assignment/tenant[name=acme]/weight"), "7.0"),
+                (drain_path("s-9"), {}),
+            ]
+        )
+    monkeypatch.undo()
+    assert error.value.code == "INTERNAL"
+    after = snapshot(running)
+    assert before[:2] == after[:2]
+    assert before[3] == after[3]
+    assert before[5] == after[5]
+    assert after[4].tenants == before[4].tenants  # under a higher version of the file
+    assert wait_for(lambda: running.assignment_in_use() == store.load(str(running.assignment_path)))
+
+
+def test_commit_interrupted_by_a_kill_is_finished_at_the_next_start(tmp_path):
+    with ManagedDirector(tmp_path, cells=True) as director:
+        target = director.target()
+        target.set(updates=[(parse_path("/fleet/assignment/tenant[name=acme]/weight"), "2.0")])
+        first_file = director.assignment_path.read_bytes()
+        target.set(
+            updates=[
+                (parse_path("/fleet/assignment/tenant[name=acme]/weight"), "3.0"),
+                (drain_path("s-9"), {}),
+            ]
+        )
+    # As if killed between the datastore and the assignment file
+    director.assignment_path.write_bytes(first_file)
+    with ManagedDirector(tmp_path, cells=True) as restarted:
+        assert store.load(str(restarted.assignment_path)).tenants["acme"].weight == 3.0
+        assert "s-9" in restarted.management.drains.intent.drains
+        assert any("brought to its end" in str(figures) for figures in restarted.log.figures)
+
+
+def test_reloads_and_calls_that_time_out_leave_no_partial_change(tmp_path):
+    with ManagedDirector(tmp_path, cells=True) as director:
+        has_ended = threading.Event()
+
+        def reload_all_the_time():
+            while not has_ended.is_set():
+                director.director.reload(director.config)
+
+        reloader = threading.Thread(target=reload_all_the_time)
+        reloader.start()
+        try:
+            hasty_target = director.target(timeout_s=0.004)
+            patient_target = director.target()
+            for number in range(1, 40):
+                set_with_either(number, hasty_target, patient_target)
+                with director.management.lock:
+                    fleet = director.management.datastore.running.tree["fleet"]
+                drains = fleet.get("drains", {}).get("drain", [{"reason": "0"}])
+                tenants = {tenant["name"]: tenant for tenant in fleet["assignment"]["tenant"]}
+                assert float(drains[0]["reason"]) == float(tenants["acme"]["limits"]["rate"])
+        finally:
+            has_ended.set()
+            reloader.join()
+
+
+def set_with_either(number, hasty_target, patient_target):
+    """Sets a drain and a limit in one change; only odd numbers may time out."""
+    changes = [
+        (parse_path("/fleet/drains/drain[box=zz]/reason"), str(number)),
+        (RATE_LIMIT, str(number)),
+    ]
+    if not number % 2:
+        patient_target.set(updates=changes)
+        return
+    timeout = None
+    try:
+        hasty_target.set(updates=changes)
+    except GnmiCallError as error:
+        timeout = error
+    assert timeout is None or timeout.code == "DEADLINE_EXCEEDED"
+
+
+def test_late_endpoint_updates_do_not_undo_a_drain(tmp_path):
+    with ManagedDirector(tmp_path) as director:
+        director.target().set(updates=[(drain_path("s-02"), {})])
+        for number in (2, 3):  # what the list said before it knew
+            director.update_endpoint(number, "s-02")
+            assert director.ready_caches() == ["s-01", "s-03"]
+        director.update_endpoint(4, "s-02", state="DRAINING")
+        director.update_endpoint(5, "s-02", state="DELETED")
+        director.update_endpoint(6, "s-02", port=9)  # another machine under its name
+        assert director.ready_caches() == ["s-01", "s-02", "s-03"]
