--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from functools import cache
 from typing import Any, NamedTuple
 
 from .errors import ErrorCode, PathError
@@ -114,7 +115,7 @@
         return
     if not child.is_list:
         if not element.keys:
-            path = (*parent, PathElement(element.name))
+            path = (*parent, _container_element(element.name))
             yield from _read(child, tree[element.name], pattern, path)
         return
     for entry in tree[element.name]:
@@ -140,7 +141,9 @@
     elif schema.children and isinstance(tree, dict):
         for name, value in tree.items():
             if name in schema.children:
-                yield from iter_leaves(schema.children[name], value, (*parent, PathElement(name)))
+                yield from iter_leaves(
+                    schema.children[name], value, (*parent, _container_element(name))
+                )
     else:
         yield PathValue(parent, tree)
 
@@ -172,6 +175,16 @@
     return [entry for entry in selected if len(entry) > len(schema.keys)]
 
 
+@cache
+def _container_element(name: str) -> PathElement:
+    """Returns the element of a node without keys.
+
+    Only for names of the model, which are few: each stays cached. Building all of them anew made
+    comparing ten thousand tenants slower by half.
+    """
+    return PathElement(name)
+
+
 def find_entry(entries: list[Tree], keys: Keys) -> Tree | None:
     """Returns the first entry of a list that has these keys."""
     for entry in entries:
@@ -365,7 +378,7 @@
                     schema.children[name],
                     old_children.get(name),
                     new_children.get(name),
-                    (*path, PathElement(name)),
+                    (*path, _container_element(name)),
                     difference,
                 )
     elif new is None:
