--- a/mulleinrelay/management/command_output.py
+++ b/mulleinrelay/management/command_output.py
@@ -105,6 +105,7 @@
 
 def show_table(title: str, rows: list[dict[str, Any]]) -> None:
     """Prints rows as a table; its columns are all keys in the order of their first use."""
+    # Imported here, as other output does not need it
     from rich.console import Console
     from rich.table import Table
 
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -223,7 +223,7 @@
         wanted = json.load(file)
     except ValueError as error:
         raise click.UsageError(f"{file.name}: no JSON: {error}") from error
-    from .yang_model import YangModel  # takes some tenths of a second, which other commands save
+    from .yang_model import YangModel  # with yangson, which other commands do not need
 
     schema = YangModel().schema
 
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -19,7 +19,7 @@
 
 MAGIC = b"mulleinrelay-datastore"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 256_000_000  # 50 versions of a table of ten thousand tenants are far below
+MAX_FILE_BYTES = 256_000_000  # a wrong file of any size must not fill the memory
 
 
 class DatastoreFileError(StoreError):
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -250,7 +250,6 @@
     """The listening server.
 
     Attributes:
-        config: Its settings.
         management: The service that answers; stopped with the server.
         port: The port that it listens on.
     """
@@ -264,7 +263,6 @@
             RuntimeError: If it cannot listen there.
             OSError: If a certificate cannot be read.
         """
-        self.config = config
         self.management = management
         self._worker_count = config.max_subscribers + config.max_concurrent_calls
         self._pool = futures.ThreadPoolExecutor(self._worker_count, thread_name_prefix="gnmi")
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -2,7 +2,7 @@
 
 A path is a tuple of elements, each a name with the keys of a list entry. In reads, the name `*`
 matches any one element, `...` any number of elements, and the key value `*` any value (gNMI path
-conventions, section 2.4).
+conventions, wildcards in paths).
 """
 
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 from .errors import PathError
 
 MAX_PATH_LENGTH = 4096  # characters of a path as text; a deep path with keys has a few hundred
-MAX_PATH_ELEMENTS = 32  # the model's deepest node has eight
+MAX_PATH_ELEMENTS = 32  # the model's deepest node has five
 ANY_ELEMENT = "*"
 ANY_ELEMENTS = "..."
 ANY_VALUE = "*"
@@ -122,15 +122,20 @@
     """Returns whether a path lies at or below a pattern that may have wildcards."""
     if not pattern:
         return True
-    name, keys = pattern[0]
-    rest = pattern[1:]
-    if name == ANY_ELEMENTS:
-        return any(covers(rest, path[start:]) for start in range(len(path) + 1))
-    if not path or name not in (ANY_ELEMENT, path[0].name):
+    element = pattern[0]
+    if element.name == ANY_ELEMENTS:
+        return any(covers(pattern[1:], path[start:]) for start in range(len(path) + 1))
+    if not path or element.name not in (ANY_ELEMENT, path[0].name):
         return False
-    values = dict(path[0].keys)
-    has_keys = all(value == ANY_VALUE or values.get(key) == value for key, value in keys)
-    return has_keys and covers(rest, path[1:])
+    return has_keys(path[0].keys, element.keys) and covers(pattern[1:], path[1:])
+
+
+def has_keys(keys: Keys, pattern: Keys) -> bool:
+    """Returns whether an entry with these keys matches those of a pattern, which may be fewer."""
+    if not pattern:
+        return True
+    values = dict(keys)
+    return all(value == ANY_VALUE or values.get(key) == value for key, value in pattern)
 
 
 def fleet_children(paths: Sequence[Path]) -> set[str] | None:
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -53,9 +53,9 @@
     """Reads and changes the configuration of a running director. Thread-safe.
 
     Attributes:
-        lock: Guards `datastore`, the model, the subscribers with what was published to them, and
-            the assignment that the running version agrees with. It is taken before the locks of
-            the coordinator and the cells.
+        datastore_lock: Guards `datastore`, the model, the subscribers with what was published to
+            them, and the assignment that the running version agrees with. It is taken before the
+            locks of the coordinator and the cells.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.schema = parts.model.schema
         self.clock = clock
         self.log = log
-        self.lock = threading.RLock()
+        self.datastore_lock = threading.RLock()
         self.datastore = Datastore(
             parts.model.validate, [parts.assignment, parts.drains], parts.datastore_file.save
         )
@@ -141,7 +141,7 @@
             children: Children of /fleet that are wanted; None: all.
             config_only: Whether to leave out the state.
         """
-        with self.lock:
+        with self.datastore_lock:
             running = self.datastore.running
             pending = self.datastore.state.pending_confirmation
             versions = list(self.datastore.state.versions)
@@ -168,7 +168,7 @@
             PathError: If the model has no such node, or (`NOT_FOUND`) the tree has none for a path
                 without wildcards.
         """
-        with self.lock:
+        with self.datastore_lock:
             self._follow_assignment_file()
         tree = self.tree(fleet_children(paths), kind == DataKind.CONFIG)
         if kind == DataKind.STATE:
@@ -210,7 +210,7 @@
         """
         if len(edits) > MAX_EDITS:
             raise CommitRejectedError(f"{len(edits)} edits in one change; {MAX_EDITS} at most")
-        with self.lock:
+        with self.datastore_lock:
             self._follow_assignment_file()
             tree = self._editable_copy(edits)
             for edit in edits:
@@ -233,13 +233,13 @@
 
     def confirm(self, commit_id: str) -> None:
         """Keeps a confirmed commit; raises CommitRejectedError if none of that name is pending."""
-        with self.lock:
+        with self.datastore_lock:
             self.datastore.confirm(commit_id)
         self.log.event(LOG_EVENT, text=f"commit {commit_id} confirmed")
 
     def cancel(self, commit_id: str, author: str) -> Version:
         """Rolls a confirmed commit back; raises CommitRejectedError if it cannot be."""
-        with self.lock:
+        with self.datastore_lock:
             version = self.datastore.cancel(self.clock(), commit_id, author)
         self._report_commit(version)
         return version
@@ -250,7 +250,7 @@
         Raises:
             CommitRejectedError: If the history has no such version, or the commit is not made.
         """
-        with self.lock:
+        with self.datastore_lock:
             self._follow_assignment_file()
             running = self.datastore.running.number
             if built_on is not None and built_on != running:
@@ -291,7 +291,7 @@
         """Rolls back what was not confirmed in time, follows the assignment file, publishes."""
         now = self.clock()
         rolled_back = None
-        with self.lock:
+        with self.datastore_lock:
             try:
                 rolled_back = self.datastore.roll_back_expired(now)
                 self._follow_assignment_file()
@@ -331,7 +331,7 @@
             capacity: Updates that may wait for it.
         """
         subscriber = Subscriber(fleet_children(paths), capacity)
-        with self.lock:
+        with self.datastore_lock:
             if not self._publisher.subscribers:
                 self._publisher.reset(self.tree())
             self._publisher.subscribers.append(subscriber)
@@ -339,13 +339,13 @@
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
         """Removes a subscriber."""
-        with self.lock:
+        with self.datastore_lock:
             if subscriber in self._publisher.subscribers:
                 self._publisher.subscribers.remove(subscriber)
 
     def _publish(self) -> None:
         """Notifies all subscribers of what differs from what was published last."""
-        with self.lock:
+        with self.datastore_lock:
             subscribers = list(self._publisher.subscribers)
             if not subscribers:
                 return
--- a/mulleinrelay/management/state_view.py
+++ b/mulleinrelay/management/state_view.py
@@ -34,7 +34,6 @@
         drains: DrainParticipant,
     ) -> None:
         """Takes the parts that it reads; `cell_service` is None without cells."""
-        self.config = config
         self.coordinator = coordinator
         self.cell_service = cell_service
         self.drains = drains
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -13,15 +13,15 @@
 from .paths import (
     ANY_ELEMENT,
     ANY_ELEMENTS,
-    ANY_VALUE,
     Keys,
     Path,
     PathElement,
     format_path,
+    has_keys,
 )
 from .schema import SchemaNode
 
-MAX_TREE_DEPTH = 32  # levels; the model has about ten, deeper input would exhaust the stack
+MAX_TREE_DEPTH = 32  # levels; the model has five, much deeper input would exhaust the stack
 
 Tree = dict[str, Any]  # JSON object; its values are as the YANG model says
 
@@ -102,8 +102,9 @@
             f"{format_path((*parent, element))}: the model has no such node", ErrorCode.NOT_FOUND
         )
     known = schema.children[element.name].keys
-    if unknown := {key for key, _ in element.keys} - set(known):
-        raise PathError(f"{format_path((*parent, element))}: no key {sorted(unknown)[0]}")
+    unknown = sorted(key for key, _ in element.keys if key not in known)
+    if unknown:
+        raise PathError(f"{format_path((*parent, element))}: no key {unknown[0]}")
 
 
 def _read_child(
@@ -120,8 +121,7 @@
         return
     for entry in tree[element.name]:
         keys = _keys_of(child, entry)
-        values = dict(keys)
-        if all(value == ANY_VALUE or values.get(key) == value for key, value in element.keys):
+        if has_keys(keys, element.keys):
             path = (*parent, PathElement(element.name, keys))
             yield from _read(child, entry, pattern, path)
 
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -30,7 +30,7 @@
     }
 }
 NOTIFICATION_NAME = "drain-changed"  # stands among the data nodes in yangson, but holds no data
-MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's checks of references take seconds
+MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's checks of references are too slow
 MAX_ERROR_LENGTH = 500  # characters
 
 
@@ -42,7 +42,7 @@
     """
 
     def __init__(self) -> None:
-        """Parses the module, which takes some tenths of a second."""
+        """Parses the module."""
         self._data_model = DataModel(json.dumps(YANG_LIBRARY), (MODULE_FOLDER,))
         self._valid_children: Tree = {}  # children of /fleet as they were last found valid
         self.schema = _schema_node(self._data_model.schema, False)
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -308,7 +308,7 @@
             patient_target = director.target()
             for number in range(1, 40):
                 set_with_either(number, hasty_target, patient_target)
-                with director.management.lock:
+                with director.management.datastore_lock:
                     fleet = director.management.datastore.running.tree["fleet"]
                 drains = fleet.get("drains", {}).get("drain", [{"reason": "0"}])
                 tenants = {tenant["name"]: tenant for tenant in fleet["assignment"]["tenant"]}
