--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -157,7 +157,7 @@
             return MigrationStage.ROLLING_BACK
         return MigrationStage.ABORTED
     remaining = _without_pause(migration, now) - migration.starts_at
-    for stage, duration in (
+    for stage_at, duration in (
         (MigrationStage.PLANNED, 0.0),
         (MigrationStage.WARM_UP, migration.warm_up_duration),
         (MigrationStage.SHIFT, migration.shift_duration),
@@ -165,7 +165,7 @@
     ):
         remaining -= duration
         if remaining < 0.0:
-            return stage
+            return stage_at
     return MigrationStage.DONE
 
 
