--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -21,6 +21,8 @@
     Decay happens when it is read or added to, in whole half-lives. Not thread-safe.
     """
 
+    __slots__ = ("half_life", "next_decay_at", "weights")
+
     def __init__(self, half_life: float) -> None:
         """Starts empty; `half_life` in ms."""
         self.weights = [0.0] * BIN_COUNT
@@ -42,7 +44,8 @@
 
     def totals(self, now: float) -> tuple[float, float]:
         """The weighted sum of the measurements and the sum of their weights."""
-        self.decay(now)
+        if now >= self.next_decay_at:  # asked here too, as this is called several times a request
+            self.decay(now)
         return sum(map(mul, self.weights, BIN_MIDDLES)), sum(self.weights)
 
     def mean(self, now: float) -> float | None:
