--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -1,14 +1,18 @@
-"""Two ways to confine requests, set side by side in the module alone: one director instance a cell,
-or one with a pool for each request. `python -m benchmarks.ways`; no sockets, simulated fills, under
-a minute.
+"""Two ways to confine requests, compared in the router alone.
+
+One router for each cell, or one router with a pool for each request. Run by
+`python -m benchmarks.ways`; no sockets, simulated fills, under a minute.
 """
 
 import json
-import random
 import time
 import tracemalloc
 from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from random import Random
 
+from mulleinrelay.policy.actions import SendOptions
 from mulleinrelay.policy.events import (
     AttemptFinished,
     EndpointEntry,
@@ -18,6 +22,7 @@
 from mulleinrelay.policy.latency import TrackedEndpoint
 from mulleinrelay.policy.model import (
     IDEMPOTENT,
+    Attempt,
     CachePool,
     CacheStatus,
     EndpointState,
@@ -30,147 +35,190 @@
 )
 from mulleinrelay.policy.router import Router
 
-CELLS, CACHES, PARENTS, REQUESTS, OBJECTS = 10, 40, 4, 4_000, 3_000
-SPAN = 10_000.0  # ms that the requests take
-CACHE, PARENT, ORIGIN = 0, 1, 2
-
-
-class Out:
-    """Answers each attempt in the next round: a hit where the cache has the object, else a fill."""
+CELLS = 10
+CACHES = 40  # of all cells
+PARENTS = 4
+REQUESTS = 4_000
+OBJECTS = 3_000
+DURATION = 10_000.0  # ms that the requests take
+CLIENT_TIMEOUT = 3_000.0  # ms
+SIZE_KB = 400.0
+SEND_TIME = 40.0  # ms of one answer of that size
+HIT_TIME = 5.0  # ms
+WEIGHT = 4.0  # of each endpoint
+DIRECTORS = 3
+CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds
+PARENT_SLOW_START = SlowStartPolicy(0.06, 20_000.0, 1_500.0, 2.0)
+RESTARTED_PARENT = 10  # hash key of the parent that restarts just before the start
+RESTARTED_AT = 0.5
+
+
+class Sink:
+    """Keeps the attempts that are sent; all other actions are dropped."""
 
     def __init__(self) -> None:
-        self.attempts = []
+        self.attempts: list[Attempt] = []
 
-    def send_attempt(self, attempt, *_):
+    def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
         self.attempts.append(attempt)
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
-def terms() -> ServiceSettings:
-    case = RequestClass(IDEMPOTENT, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
+@dataclass
+class Figures:
+    """What is counted while the requests are played."""
+
+    fills_by_parents: int = 0
+    recent_on_restarted: deque[float] = field(default_factory=deque)  # times of fills there
+    peak_on_restarted: float = 0.0  # over this director's share of what it can do
+
+    def record_fill(self, now: float, attempt: Attempt) -> None:
+        """Counts a miss by its fill source."""
+        source = attempt.fill_source
+        if source is None or source.kind != PARENT:
+            return
+        self.fills_by_parents += 1
+        if source.hash_key != RESTARTED_PARENT:
+            return
+        policy = PARENT_SLOW_START
+        recent = self.recent_on_restarted
+        recent.append(now)
+        while recent[0] < now - policy.overload_window:
+            recent.popleft()
+        initial = policy.initial_fraction
+        fraction = min(1.0, initial + (1.0 - initial) * now / policy.duration)
+        capacity = WEIGHT * fraction * policy.overload_window / DIRECTORS
+        self.peak_on_restarted = max(self.peak_on_restarted, SEND_TIME * len(recent) / capacity)
+
+
+def settings() -> ServiceSettings:
+    request_class = RequestClass(IDEMPOTENT, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
     return ServiceSettings(
-        [case],
-        1,
-        3,
-        3,
-        PARENT,
-        ORIGIN,
-        True,
-        10.0,
-        6,
-        True,
-        True,
-        False,
-        True,
-        1_000.0,
-        True,
-        True,
-        True,
-        False,
-        ["crowding"],
-        False,
-        SlowStartPolicy(1.0, 1.0, 1_500.0, 2.5),
-        SlowStartPolicy(0.06, 20_000.0, 1_500.0, 2.0),
-        1_000.0,
+        request_classes=[request_class],
+        zone=1,
+        director_count=DIRECTORS,
+        local_director_count=DIRECTORS,
+        parent_kind=PARENT,
+        origin_kind=ORIGIN,
+        advertises_weights=True,
+        transfer_rate=10.0,
+        max_attempts=6,
+        allows_hedging=True,
+        allows_cancel=True,
+        allows_health_checks=False,
+        allows_retry_after=True,
+        max_retry_after=1_000.0,
+        allows_cache_bypass=True,
+        allows_coalescing=True,
+        allows_sibling_fills=True,
+        requires_subscription=False,
+        load_report_fields=["crowding"],
+        polls_load_reports=False,
+        cache_slow_start=SlowStartPolicy(1.0, 1.0, 1_500.0, 2.5),
+        parent_slow_start=PARENT_SLOW_START,
+        purge_propagation=1_000.0,
     )
 
 
-def director(
-    caches: list[TrackedEndpoint], outside: list[tuple[TrackedEndpoint, int, float]]
-) -> Router:
-    made = Router(0.0, 7, terms())
-    rows = [EndpointEntry(cache, EndpointState.READY, 4.0, CACHE, 1, 0, 0.0) for cache in caches]
-    rows += [
-        EndpointEntry(member, EndpointState.READY, 4.0, kind, 0, 0, started)
-        for member, kind, started in outside
+def make_router(caches: list[TrackedEndpoint]) -> Router:
+    """A router before these caches, and parents and an origin of its own."""
+    entries = [
+        EndpointEntry(cache, EndpointState.READY, WEIGHT, CACHE, 1, 0, 0.0) for cache in caches
     ]
-    made.handle(0.0, [EndpointsUpdated(rows, True)], Out())
-    return made
-
-
-def play(split: bool, traced: bool = False) -> dict:
-    """Figures of all cells together. A parent restarts cold just before the start."""
-    chance, out = random.Random(5), Out()
-    if traced:
-        tracemalloc.start()
-    pools, directors = [], []
-    for cell in range(CELLS):
-        own = [TrackedEndpoint(100 + cell * CACHES + place) for place in range(CACHES // CELLS)]
-        pools.append(own)
-        if split:
-            parents = [
-                (TrackedEndpoint(10 + place), PARENT, 0.5 if place == 0 else 0.0)
-                for place in range(PARENTS)
-            ]
-            directors.append(director(own, [*parents, (TrackedEndpoint(1), ORIGIN, 0.0)]))
-    if not split:
-        parents = [
-            (TrackedEndpoint(10 + place), PARENT, 0.5 if place == 0 else 0.0)
-            for place in range(PARENTS)
-        ]
-        directors = [
-            director(
-                [cache for own in pools for cache in own],
-                [*parents, (TrackedEndpoint(1), ORIGIN, 0.0)],
-            )
-        ]
-        directors *= CELLS
-    held = set()
-    confined = [CachePool(dict.fromkeys(own), {}, {}, RetryBudget(8.0)) for own in pools]
-    cold = {
-        id(one): next(member for member in one.endpoints.known if member.hash_key == 10)
-        for one in directors
-    }
-    readings, to_cold, peak, begun = 0, deque(), 0.0, time.process_time()
+    for number in range(PARENTS):
+        parent = TrackedEndpoint(RESTARTED_PARENT + number)
+        started_at = RESTARTED_AT if number == 0 else 0.0
+        entries.append(EndpointEntry(parent, EndpointState.READY, WEIGHT, PARENT, 0, 0, started_at))
+    origin = TrackedEndpoint(1)
+    entries.append(EndpointEntry(origin, EndpointState.READY, WEIGHT, ORIGIN, 0, 0, 0.0))
+    router = Router(0.0, 7, settings())
+    router.handle(0.0, [EndpointsUpdated(entries, True)], Sink())
+    return router
+
+
+def play_requests(routers: list[Router], pools: list[CachePool | None], random: Random) -> Figures:
+    """Plays the requests of all cells, one after the other; each attempt is answered at once.
+
+    An attempt is a hit where the cache was asked for the object before, else a fill.
+    """
+    figures = Figures()
+    sink = Sink()
+    cached: set[tuple[int, int]] = set()
     for number in range(REQUESTS):
-        now, cell = SPAN * number / REQUESTS, number % CELLS
-        one = directors[cell]
+        now = DURATION * number / REQUESTS
+        cell = number % CELLS
+        router = routers[cell]
         request = Request(
             number,
-            one.settings.request_classes[0],
-            chance.randrange(OBJECTS),
+            router.settings.request_classes[0],
+            random.randrange(OBJECTS),
             0,
             0,
-            400.0,
+            SIZE_KB,
             now,
-            now + 3_000.0,
-            pool=None if split else confined[cell],
+            now + CLIENT_TIMEOUT,
+            pool=pools[cell],
         )
-        one.handle(now, [RequestReceived(request)], out)
-        for attempt in out.attempts:
-            hit = (attempt.endpoint.hash_key, request.object_id) in held
-            held.add((attempt.endpoint.hash_key, request.object_id))
-            readings += (
-                not hit and attempt.fill_source is not None and attempt.fill_source.kind == PARENT
-            )
-            if not hit and attempt.fill_source is cold[id(one)]:
-                to_cold.append(now)
-                while to_cold[0] < now - 1_500.0:
-                    to_cold.popleft()
-                warmth = min(
-                    1.0, 0.06 + 0.94 * now / 20_000.0
-                )  # a third of it is this director's part
-                peak = max(peak, 40.0 * len(to_cold) / (4.0 * warmth * 1_500.0 / 3.0))
-            note = CacheStatus.HIT if hit else CacheStatus.FILLED
-            elapsed = 5.0 if hit else 40.0
-            finished = AttemptFinished(attempt, Outcome.SERVED, elapsed, True, note, 30.0, None)
-            one.handle(now + 5.0, [finished], out)
-        out.attempts.clear()
-    if traced:
-        memory = tracemalloc.get_traced_memory()[1]
-        tracemalloc.stop()
-        return {"memory_kb": round(memory / 1024)}
+        router.handle(now, [RequestReceived(request)], sink)
+        for attempt in sink.attempts:
+            copy = (attempt.endpoint.hash_key, request.object_id)
+            is_hit = copy in cached
+            cached.add(copy)
+            if not is_hit:
+                figures.record_fill(now, attempt)
+            router.handle(now + 5.0, [answer(attempt, is_hit)], sink)
+        sink.attempts.clear()
+    return figures
+
+
+def answer(attempt: Attempt, is_hit: bool) -> AttemptFinished:
+    elapsed = HIT_TIME if is_hit else SEND_TIME
+    status = CacheStatus.HIT if is_hit else CacheStatus.FILLED
+    return AttemptFinished(attempt, Outcome.SERVED, elapsed, True, status, 30.0, None)
+
+
+def set_up(split: bool) -> tuple[list[Router], list[CachePool | None]]:
+    """Router and pool of each cell; `split`: with routers of their own, else with pools."""
+    per_cell = CACHES // CELLS
+    caches = [
+        [TrackedEndpoint(100 + cell * CACHES + number) for number in range(per_cell)]
+        for cell in range(CELLS)
+    ]
+    pools: list[CachePool | None]
+    if split:
+        routers = [make_router(cell_caches) for cell_caches in caches]
+        pools = [None] * CELLS
+    else:
+        routers = [make_router([cache for cell_caches in caches for cache in cell_caches])] * CELLS
+        pools = [
+            CachePool(dict.fromkeys(cell_caches), {}, {}, RetryBudget(8.0))
+            for cell_caches in caches
+        ]
+    return routers, pools
+
+
+def measure(split: bool) -> dict[str, float]:
+    """Figures of all cells together; memory is measured in a second play, which it slows."""
+    routers, pools = set_up(split)
+    begun = time.process_time()
+    figures = play_requests(routers, pools, Random(5))
     used = time.process_time() - begun
+    tracemalloc.start()
+    play_requests(*set_up(split), Random(5))
+    memory = tracemalloc.get_traced_memory()[1]
+    tracemalloc.stop()
+    fills_per_parent = 1000.0 * figures.fills_by_parents / DURATION / PARENTS
     return {
         "cpu_us_a_request": round(1e6 * used / REQUESTS),
         "readings_of_a_parent_a_second_and_instance": round(
-            1000.0 * readings / SPAN / PARENTS / (CELLS if split else 1), 2
+            fills_per_parent / (CELLS if split else 1), 2
         ),
-        "peak_on_the_cold_parent_over_this_directors_part": round(peak, 2),
-    } | play(split, True)
+        "peak_on_the_cold_parent_over_this_directors_part": round(figures.peak_on_restarted, 2),
+        "memory_kb": round(memory / 1024),
+    }
 
 
 if __name__ == "__main__":
-    print(json.dumps({"instances": play(True), "pools": play(False)}))
+    print(json.dumps({"instances": measure(True), "pools": measure(False)}))
