--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -289,7 +289,7 @@
         twin.attempts.append(Attempt(twin, 0, first.endpoint, first.fill_source, 0.0, 6000.0))
         return twin
 
-    def until_verdict(self, request):
+    def until_result(self, request):
         while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -36,13 +36,13 @@
     stage.coordinator.report_outcome(order.attempt, Outcome.SERVED, CacheStatus.HIT, answer="bytes")
     stage.coordinator.report_outcome(order.attempt, Outcome.ERROR)
     stage.coordinator.client_left(request)
-    verdict = stage.coordinator.next_step(request)
-    assert isinstance(verdict, Served) and verdict.answer == "bytes"
+    result = stage.coordinator.next_step(request)
+    assert isinstance(result, Served) and result.answer == "bytes"
     assert order.attempt.outcome == Outcome.SERVED and not stage.coordinator.pending_count()
 
 
 @pytest.mark.parametrize(
-    "first, second, verdict",
+    "first, second, result",
     [
         ("forget", "report", ClientGone),
         ("report", "forget", Served),
@@ -54,11 +54,11 @@
         ("report", "time", Served),
     ],
 )
-def test_the_first_event_decides_the_result_of_a_request(first, second, verdict):
+def test_the_first_event_decides_the_result_of_a_request(first, second, result):
     stage = Stage()
     request = stage.take()
     attempt = stage.coordinator.next_step(request).attempt
-    deeds = {
+    events = {
         "forget": lambda: stage.coordinator.client_left(request),
         "wind_up": stage.coordinator.finish_pending_requests,
         "report": lambda: stage.coordinator.report_outcome(
@@ -66,17 +66,17 @@
         ),
         "time": lambda: stage.pass_time(7000.0),
     }
-    deeds[first]()
-    deeds[second]()
+    events[first]()
+    events[second]()
     steps = [stage.coordinator.next_step(request)]
     while isinstance(steps[-1], CancelAttempt):
         steps.append(stage.coordinator.next_step(request))
-    assert isinstance(steps[-1], verdict) and not stage.coordinator.pending_count()
+    assert isinstance(steps[-1], result) and not stage.coordinator.pending_count()
     assert [step.attempt for step in steps[:-1]] == ([] if first == "report" else request.attempts)
 
 
 @pytest.mark.parametrize(
-    "request_class, sent, outcome, verdict",
+    "request_class, sent, outcome, result",
     [
         ("pages", True, None, Rejected),
         ("order", True, None, Rejected),
@@ -86,9 +86,9 @@
     ],
 )
 def test_results_at_shutdown_reject_only_what_is_safe_to_retry(
-    request_class, sent, outcome, verdict
+    request_class, sent, outcome, result
 ):
-    # Guards against a drain that calls harmless what may have run.
+    # A shutdown must not call safe to retry what may have run.
     stage = Stage()
     request = stage.take(request_class)
     if sent:
@@ -98,7 +98,7 @@
     else:
         request.attempts[0].outcome = Outcome.NOT_SENT
     stage.coordinator.finish_pending_requests()
-    assert isinstance(stage.until_verdict(request), verdict)
+    assert isinstance(stage.until_result(request), result)
 
 
 def test_an_attempt_cancelled_before_its_step_was_taken_is_never_sent():
@@ -112,16 +112,16 @@
 def test_an_attempt_past_its_timeout_is_cancelled_and_reported():
     stage = Stage(
         allowed={"cancel": False}
-    )  # the module calls nothing off: the caller keeps the time
+    )  # the router cancels nothing: the coordinator keeps the time
     request = stage.take()
     attempt = stage.coordinator.next_step(request).attempt
     stage.pass_time(6001.0)
     assert attempt.outcome == Outcome.TIMEOUT
-    assert isinstance(stage.until_verdict(request), Rejected)
+    assert isinstance(stage.until_result(request), Rejected)
 
 
 def test_one_thread_at_a_time_takes_the_steps_of_a_request():
-    # Guards against a verdict that one thread carries out while another still sends an attempt.
+    # Else one thread carries out the result while another still sends an attempt.
     stage, found = Stage(), []
     request = stage.take()
     attempt = stage.coordinator.next_step(request).attempt
@@ -143,7 +143,7 @@
     attempt = stage.coordinator.next_step(request).attempt
     assert (
         stage.coordinator.next_step(request) is None
-    )  # nothing left to do: whoever brings more may pick
+    )  # nothing to do: whoever brings the next step takes it
     stage.coordinator.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     pick_elsewhere()
     assert found[1].answer == 2
@@ -152,8 +152,8 @@
 def test_a_request_without_capacity_is_rejected_without_an_attempt():
     stage = Stage()
     request = stage.take(room=False)
-    verdict = stage.coordinator.next_step(request)
-    assert isinstance(verdict, Rejected) and verdict.retry_after_ms > 0.0 and not request.attempts
+    result = stage.coordinator.next_step(request)
+    assert isinstance(result, Rejected) and result.retry_after_ms > 0.0 and not request.attempts
 
 
 def test_run_due_timers_runs_what_is_due_and_returns_when_to_call_again():
@@ -181,14 +181,14 @@
     assert done.wait(5.0)
 
 
-@pytest.mark.parametrize("broken", [RequestReceived, AttemptFinished])
-def test_a_failing_router_still_gives_one_result(broken):
-    # Guards against a client that waits in vain for a request on which the module broke.
+@pytest.mark.parametrize("failing", [RequestReceived, AttemptFinished])
+def test_a_failing_router_still_gives_one_result(failing):
+    # Else a client waits in vain for a request on which the router failed.
     stage = Stage()
     stage.sink.events.clear()
-    stage.coordinator.router.handlers[broken] = lambda *_: 1 / 0
+    stage.coordinator.router.handlers[failing] = lambda *_: 1 / 0
     request = stage.take()
-    if broken is AttemptFinished:
+    if failing is AttemptFinished:
         stage.coordinator.report_outcome(stage.coordinator.next_step(request).attempt, Outcome.MISS)
     assert isinstance(stage.coordinator.next_step(request), Failed) and stage.sink.events == [
         "fault"
@@ -202,7 +202,7 @@
     for event in (TimerFired, AttemptFinished):
         stage.coordinator.router.handlers[event] = lambda *_: None
     stage.pass_time(209.0)
-    assert isinstance(stage.until_verdict(request), Failed)
+    assert isinstance(stage.until_result(request), Failed)
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
 def test_an_endpoint_that_restarts_gets_a_new_address_object(change, kept):
-    # Guards against attempts on the connections of the machine that had the address before.
+    # Else attempts go out on connections of the machine that had the address before.
     stage = Stage()
     entry = stage.entries[0]
     member = stage.coordinator.endpoints[entry.name]
@@ -226,13 +226,12 @@
     before = stage.coordinator.addresses[stage.coordinator.endpoints["s-01"]]
     stage.coordinator.update_endpoints(stage.entries[1:], True)
     assert before.is_removed and not any(
-        place.is_removed for place in stage.coordinator.addresses.values()
+        address.is_removed for address in stage.coordinator.addresses.values()
     )
 
 
 def test_removed_endpoints_are_forgotten():
-    # Guards against memory that grows with every node that is replaced, in the coordinator and
-    # in the router.
+    # Else memory grows with every endpoint that is replaced, in coordinator and router.
     stage, entry = Stage(), None
     for number in range(50):
         gone, entry = (
@@ -244,7 +243,7 @@
         if gone is not None:
             gone.state = EndpointState.GONE
         stage.coordinator.update_endpoints([entry] + ([gone] if gone else []), False)
-        stage.until_verdict(stage.take(left=0.0))
+        stage.until_result(stage.take(left=0.0))
     assert (
         len(stage.coordinator.endpoints)
         == len(stage.coordinator.addresses)
@@ -253,8 +252,8 @@
     )
 
 
-class Calls:
-    """Stands for the module and keeps what it is called with."""
+class RecordingRouter:
+    """Stands for the router and keeps what it is called with."""
 
     def __init__(self, settings):
         self.settings, self.seen = settings, []
@@ -298,14 +297,16 @@
     stage = Stage()
     request = stage.take()
     attempt = stage.coordinator.next_step(request).attempt
-    ours = stage.coordinator._driver.router = Calls(stage.coordinator.settings)
+    ours = stage.coordinator._driver.router = RecordingRouter(stage.coordinator.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
-    told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
-    stage.coordinator.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
+    reply = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
+    stage.coordinator.report_outcome(
+        attempt, reply.outcome, reply.note, reply.waited, reply.load, reply
+    )
 
     theirs = Instance(1)
     theirs.read(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
-    theirs.router = Calls(theirs.router.settings)
+    theirs.router = RecordingRouter(theirs.router.settings)
     theirs.requests[1] = stage.again(request)
     closed = int(status == 0)
     theirs.read(
@@ -325,8 +326,8 @@
         stage.now += 100.0
         stage.take()
         _, probes, _ = stage.coordinator.run_due_timers()
-    ((node, place),) = probes
-    assert place is stage.coordinator.addresses[node]
+    ((node, address),) = probes
+    assert address is stage.coordinator.addresses[node]
     stage.coordinator.report_health_check(node, {"crowding": 2.5})
     assert stage.coordinator.router.link.congestion == 2.5
 
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -1,6 +1,6 @@
-"""One request through all orders of what may come to it, three events long, each kept to the rules
-by another account of what was begun; and one connection of a client likewise. Planted faults must
-be found.
+"""One request through all orders of its events, three events long, and one connection likewise.
+
+Each order is checked against a record of its own of what was begun. Planted faults must be found.
 """
 
 import itertools
@@ -30,50 +30,58 @@
     "purged",
     "leaves",
     "overdue",
-    "winds up",
+    "shuts down",
     "waits",
     "is written",
 ]
 
 
 class Play:
-    """Whoever sees a request through, and the account: what was begun and how it ended."""
+    """Carries out a request's steps, and records what was begun and how it ended."""
 
     def __init__(self, request_class, waits):
-        """`waits`: what is picked is not written at once, as its link is not up."""
-        self.stage, self.request_class, self.waits = Stage(), request_class, waits
+        """`waits`: steps are not written at once, as the connection is not up."""
+        self.stage = Stage()
+        self.request_class = request_class
+        self.waits = waits
         self.coordinator = self.stage.coordinator
-        self.begun, self.ended, self.verdicts, self.draining, self.left = [], {}, [], set(), False
-        self.held = []  # orders that were picked and are not yet written
+        self.begun = []
+        self.ended = {}
+        self.results = []
+        self.draining = set()
+        self.has_client_left = False
+        self.unwritten = []  # steps that were taken and are not yet written
         self.request = self.stage.take(request_class, left=2000.0)
-        self.see_through()
+        self.run_steps()
 
-    def see_through(self):
+    def run_steps(self):
         while (step := self.coordinator.next_step(self.request)) is not None:
             if isinstance(step, SendAttempt):
-                assert not self.verdicts
-                self.held.append(step)
+                assert not self.results
+                self.unwritten.append(step)
                 self.write_on()
             elif isinstance(step, CancelAttempt):
                 self.ended.setdefault(step.attempt, Outcome.CANCELLED)
             else:
-                self.verdicts.append(step)
+                self.results.append(step)
 
     def write_on(self):
-        while self.held and not self.waits:
-            self.write(self.held.pop(0))
+        while self.unwritten and not self.waits:
+            self.write(self.unwritten.pop(0))
 
     def write(self, order):
         attempt = order.attempt
         if not self.coordinator.can_begin(attempt):
             self.ended[attempt] = Outcome.NOT_SENT
             return self.coordinator.report_outcome(attempt, Outcome.NOT_SENT)
-        assert not self.verdicts and not self.left, "begun for a request that is over"
+        assert not self.results and not self.has_client_left, "begun for a request that is over"
         assert not {order.address.name, order.fill_source} & self.draining, (
             "sent to one that drains"
         )
-        doubtful = [held for held in self.begun if self.ended.get(held) not in NEVER_RAN]
-        assert self.request_class != "pay" or not doubtful, "an effect may happen twice"
+        possibly_run = [
+            attempt for attempt in self.begun if self.ended.get(attempt) not in NEVER_RAN
+        ]
+        assert self.request_class != "pay" or not possibly_run, "an effect may happen twice"
         self.begun.append(attempt)
 
     def out(self):
@@ -97,31 +105,31 @@
         elif event == "purged":
             self.coordinator.apply_purge(0xABC, 0, self.stage.now)
         elif event == "leaves":
-            self.left = True
+            self.has_client_left = True
             self.coordinator.client_left(self.request)
         elif event == "overdue":
             self.stage.pass_time(700.0)
-        elif event == "winds up":
+        elif event == "shuts down":
             self.coordinator.finish_pending_requests()
         elif event in ("waits", "is written"):
             self.waits = event == "waits"
             self.write_on()
-        self.see_through()
+        self.run_steps()
 
     def end(self):
         self.happen("is written")
         self.stage.pass_time(2500.0)
-        self.see_through()
-        assert len(self.verdicts) == 1 and self.coordinator.next_step(self.request) is None
+        self.run_steps()
+        assert len(self.results) == 1 and self.coordinator.next_step(self.request) is None
         assert not self.coordinator.pending_requests and not [
             attempt for attempt in self.out() if attempt.outcome is None
         ]
-        if isinstance(self.verdicts[0], Rejected) and self.request_class == "pay":
-            assert all(self.ended.get(held) in NEVER_RAN for held in self.begun), (
+        if isinstance(self.results[0], Rejected) and self.request_class == "pay":
+            assert all(self.ended.get(attempt) in NEVER_RAN for attempt in self.begun), (
                 "a retry might do it twice"
             )
-        if isinstance(self.verdicts[0], Served):
-            assert self.ended[self.verdicts[0].answer] == Outcome.SERVED
+        if isinstance(self.results[0], Served):
+            assert self.ended[self.results[0].answer] == Outcome.SERVED
 
 
 def search(request_class, length):
@@ -131,10 +139,10 @@
             for event in events:
                 play.happen(event)
             play.end()
-        except AssertionError as wrong:
+        except AssertionError as error:
             raise AssertionError(
-                f"{request_class}, waits {waits}, {', '.join(events)}: {wrong}"
-            ) from wrong
+                f"{request_class}, waits {waits}, {', '.join(events)}: {error}"
+            ) from error
 
 
 @pytest.mark.parametrize("request_class, length", [("pages", 3), ("order", 2), ("pay", 3)])
@@ -143,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, where, name, planted, told",
+    "request_class, where, name, planted, message",
     [
         ("pages", RequestCoordinator, "can_begin", lambda coordinator, attempt: True, "drains"),
         ("pay", idempotency, "may_have_run", lambda request: [], "twice"),
@@ -156,9 +164,9 @@
         ),
     ],
 )
-def test_a_planted_fault_is_found(request_class, where, name, planted, told, monkeypatch):
+def test_a_planted_fault_is_found(request_class, where, name, planted, message, monkeypatch):
     monkeypatch.setattr(where, name, planted)
-    with pytest.raises(AssertionError, match=told):
+    with pytest.raises(AssertionError, match=message):
         search(request_class, 3)
 
 
@@ -176,7 +184,7 @@
 
 
 def play_connection(called, moves):
-    """Holds one connection to an account of its own. `called`: it has brought a call before."""
+    """Checks one connection against a record of its own. `called`: it has brought a call before."""
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
     client, number, left, shut, owed = ClientConnection(ours), 0, False, False, []
@@ -207,7 +215,7 @@
                 calls = ours.recv(64, socket.MSG_DONTWAIT)
             except OSError:
                 calls = b""
-            for call in calls:  # as Front takes one
+            for call in calls:  # as the client listener takes one
                 with client.lock:
                     if not client.outlet.ended:
                         assert not client.half_closed, "begun after its connection was half-closed"
