--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -280,8 +280,8 @@
         while now < GOOD_HOURS * 3_600_000.0:
             now += 1000.0 * draw.expovariate(rate * GOOD_ERRS)
             for errs in (*[False] * 15, True, *(draw.random() < GOOD_ERRS for _ in range(60))):
-                health.mark(now, float(errs))
-                shunned, was = shunned + (health.is_bad() and not was), health.is_bad()
+                health.record(now, float(errs))
+                shunned, was = shunned + (health.is_outlier() and not was), health.is_outlier()
                 now += 1000.0 * draw.expovariate(rate)
     return shunned / GOOD_HOURS
 
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -237,7 +237,7 @@
         """0 where timers come when they are due, near 1 where this director is itself
         what is late.
         """
-        return self.lateness.fullness(self.clock())
+        return self.lateness.utilization(self.clock())
 
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
         """Those of this location by name, each with the share of its capacity that it has at the
@@ -380,7 +380,7 @@
         with self.lock:
             now, moved = self.clock(), {}
             if self.timers and self.timers[0][0] <= now:
-                self.lateness.note(now, now - self.timers[0][0])
+                self.lateness.record(now, now - self.timers[0][0])
             while self.timers and self.timers[0][0] <= now:
                 _, _, what, about = heapq.heappop(self.timers)
                 request = about if isinstance(about, Request) else about.request
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -19,7 +19,7 @@
 from ..lab.fleet.plan import ON_NODES, ON_PATHS, Scenario, Strike
 from ..lab.start import settings_at
 from ..net.upstream_connections import ECHO_WAIT
-from ..policy.connection_reuse import QUIET
+from ..policy.connection_reuse import SILENCE_BEFORE_PING
 from ..policy.model import Attempt, Outcome
 from ..standins.fleet import BOX, ORIGIN, PARENT
 from .clock import Clock
@@ -198,7 +198,8 @@
         if self.book.held(kind, director, name, way):
             self.held.append((director, name, way, do))
             return self.clock.at(
-                self.clock() + QUIET / 2.0 + ECHO_WAIT, lambda: self.quiet(director, name, way)
+                self.clock() + SILENCE_BEFORE_PING / 2.0 + ECHO_WAIT,
+                lambda: self.quiet(director, name, way),
             )
         due = self.clock() + NODE_MS
         if self.book.rules:
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -17,7 +17,7 @@
     RequestResult,
     Served,
 )
-from ..policy.admission import AdmissionThresholds, to_end_first
+from ..policy.admission import AdmissionThresholds, eviction_order
 from ..policy.model import KEYED, ClientRequest, Request, RequestClass, SendAttempt
 from ..structured_log import StructuredLog
 from . import thrift
@@ -215,7 +215,7 @@
         idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
         return sorted(
             idle,
-            key=lambda client: to_end_first(
+            key=lambda client: eviction_order(
                 client.called, client.asked, client.halfway > 0.0, client.used
             ),
         )
@@ -326,7 +326,7 @@
             self.coordinator.cpu_pressure(),
             self.upstream.fullness(),
         )
-        room = self.places.has_room(request_class, asked.is_retry, fullness)
+        room = self.places.can_admit(request_class, asked.is_retry, fullness)
         waited = 1000.0 * (time.monotonic() - call.read_at)  # behind others that came at once
         request = self.coordinator.accept(
             request_class,
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -150,12 +150,15 @@
             self.reached.set()
             self.left.set()
             now = time.monotonic()
-            wait = self.pace.ended(now, self.last > before, refused)
-            if self.pace.astray(now) and (found := self._looked_up()) not in (None, self.address):
+            wait = self.pace.record_end(now, self.last > before, refused)
+            if self.pace.begin_lookup_if_due(now) and (found := self._looked_up()) not in (
+                None,
+                self.address,
+            ):
                 self.address, wait, why = found, 0.0, "moved, by the configuration"
-                self.pace.moved()
+                self.pace.reset()
             elif self.moved.wait(wait):
-                self.pace.moved()
+                self.pace.reset()
                 why = "moved"
             if not self.stopped.is_set():
                 self.log.event("bus reconnects", last=self.last, why=why)
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -19,7 +19,7 @@
 from ..config.platform import LOAD_REPORT_FIELDS
 from ..coordinator import RequestCoordinator
 from ..policy import connection_reuse as held_links
-from ..policy.connection_reuse import PingBackoff, hold_for
+from ..policy.connection_reuse import PingBackoff, idle_timeout
 from ..policy.model import (
     Attempt,
     ClientRequest,
@@ -118,7 +118,7 @@
         self.connect_timeout, terms = connect_timeout, facade.settings
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {
-            far: hold_for(idle_for, sharers, far, links_priced)
+            far: idle_timeout(idle_for, sharers, far, links_priced)
             for far, sharers in ((False, terms.local_director_count), (True, terms.director_count))
         }
         self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
@@ -183,7 +183,7 @@
                 if link.asked and now > link.asked + ECHO_WAIT * (2.0 if link.unread() else 1.0):
                     link.outlet.end()
                     continue
-                quiet = now > link.quiet_since() + link.patience.wait(len(link.open))
+                quiet = now > link.quiet_since() + link.patience.silence_before_ping(len(link.open))
                 if quiet and not link.asked and self._may_ask(link):
                     link.asked = now
                     link.outlet.put(
@@ -228,21 +228,21 @@
     def fullness(self) -> float:
         """Of the links that there may be, the part that attempts are out on."""
         with self.lock:
-            if self.count < held_links.IDLE_MOST * self.links_most:  # spares the count
+            if self.count < held_links.EVICTION_THRESHOLD * self.links_most:  # spares the count
                 return 0.0
             busy = sum(bool(link.open) for links in self.links.values() for link in links)
-            return held_links.fullness(self.count, busy, self.links_most)
+            return held_links.connection_utilization(self.count, busy, self.links_most)
 
     def _make_room(self) -> None:
         """Under the lock."""
-        if self.count > held_links.IDLE_MOST * self.links_most:
+        if self.count > held_links.EVICTION_THRESHOLD * self.links_most:
             idle = [
                 (link.used, link)
                 for links in self.links.values()
                 for link in links
                 if not link.open
             ]
-            for link in held_links.to_end(idle, self.count, self.links_most):
+            for link in held_links.connections_to_evict(idle, self.count, self.links_most):
                 link.outlet.end()
 
     def stop(self) -> None:
@@ -369,7 +369,9 @@
                 self._read(link, connection)
         except OSError as broken:
             why = errno.errorcode.get(broken.errno or 0, type(broken).__name__)
-            if outcome == Outcome.CONNECT_FAILED and held_links.is_own_want(broken.errno):
+            if outcome == Outcome.CONNECT_FAILED and held_links.is_local_resource_shortage(
+                broken.errno
+            ):
                 outcome = Outcome.NOT_SENT
         except resp.RespError as broken:
             why, outcome = str(broken), Outcome.RESET
@@ -387,13 +389,13 @@
                     held = link.open.pop(told.about, None)
                     link.used = link.heard = self.clock()
                     if isinstance(held, Attempt):
-                        link.patience.answered()
+                        link.patience.record_response()
                         if (
                             told.outcome != Outcome.SERVED
                         ):  # a second answer must not meet the next one
                             link.over[told.about] = link.used
                     elif held is None and link.asked:
-                        link.patience.echoed()
+                        link.patience.record_ping_answer()
                     link.given_up = link.asked = 0.0
                     known = (
                         held is not None
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -12,13 +12,15 @@
 
 from .model import IDEMPOTENT, RequestClass
 
-LATE_FULL = 400.0  # of a timer, by which a director has no more time to spare than it has places
-LATE_HALVING, LATE_MOST = (
+SATURATION_DELAY = (
+    400.0  # of a timer, by which a director has no more time to spare than it has places
+)
+DELAY_HALF_LIFE, MAX_DELAY_UTILIZATION = (
     100.0,
     0.99,
 )  # of a reading; what has an effect comes in however late it is
-KEPT = 0.125  # of the places, at each step, for those above it
-STEPS_MOST = 4  # half of the places are open to all
+RESERVED_PER_STEP = 0.125  # of the places, at each step, for those above it
+MAX_RESERVED_STEPS = 4  # half of the places are open to all
 
 
 class SchedulingDelay:
@@ -27,20 +29,20 @@
     def __init__(self) -> None:
         self.level, self.at = 0.0, 0.0
 
-    def note(self, now: float, late: float) -> None:
+    def record(self, now: float, late: float) -> None:
         """A timer was due so long ago. One reading counts no longer than one that fills it: after a
         stop all is soon well again.
         """
-        self.level, self.at = max(min(late, LATE_FULL), self.left(now)), now
+        self.level, self.at = max(min(late, SATURATION_DELAY), self.remaining(now)), now
 
-    def left(self, now: float) -> float:
-        return self.level * 0.5 ** min(60.0, max(0.0, now - self.at) / LATE_HALVING)
+    def remaining(self, now: float) -> float:
+        return self.level * 0.5 ** min(60.0, max(0.0, now - self.at) / DELAY_HALF_LIFE)
 
-    def fullness(self, now: float) -> float:
-        return min(LATE_MOST, self.left(now) / LATE_FULL)
+    def utilization(self, now: float) -> float:
+        return min(MAX_DELAY_UTILIZATION, self.remaining(now) / SATURATION_DELAY)
 
 
-def to_end_first(
+def eviction_order(
     called: bool, asked: bool, calling: bool, used: float
 ) -> tuple[bool, bool, bool, float]:
     """Sorts connections that owe nothing: first to make room are those that have never called, then
@@ -68,7 +70,7 @@
             for case in cases
         }
 
-    def has_room(self, request_class: RequestClass, repeated: bool, fullness: float) -> bool:
+    def can_admit(self, request_class: RequestClass, repeated: bool, fullness: float) -> bool:
         """Whether a request may come in. `fullness`: of what the director is shortest of, 1 and
         above: none is left. `repeated`: its client has asked before, so that its goal has passed or
         is near; that counts as a step less where nothing depends on its running once.
@@ -76,4 +78,4 @@
         step = self.steps[request_class]
         if repeated and request_class.idempotency == IDEMPOTENT:
             step += 1
-        return fullness < 1.0 - KEPT * min(step, STEPS_MOST)
+        return fullness < 1.0 - RESERVED_PER_STEP * min(step, MAX_RESERVED_STEPS)
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -9,19 +9,24 @@
 import errno
 from typing import TypeVar
 
-Link = TypeVar("Link")
-QUIET, QUIET_LEAST = 1500.0, 100.0  # by 1 + attempts out: of many, one comes sooner
-DOUBLINGS_MOST = (
+Connection = TypeVar("Connection")
+SILENCE_BEFORE_PING, MIN_SILENCE_BEFORE_PING = (
+    1500.0,
+    100.0,
+)  # by 1 + attempts out: of many, one comes sooner
+MAX_BACKOFF_DOUBLINGS = (
     4.0  # each echo that comes back with attempts still out doubles the wait for the next
 )
-FORGIVEN = 0.2  # of a doubling for each answer to an attempt
-IDLE_SHARE = 0.5  # of the time after which the other side closes an idle connection, we do
-HELD_MOST, HELD_FAR = (
+BACKOFF_DECAY_PER_RESPONSE = 0.2  # of a doubling for each answer to an attempt
+IDLE_TIMEOUT_FRACTION = (
+    0.5  # of the time after which the other side closes an idle connection, we do
+)
+MAX_IDLE_TO_CACHE, MAX_IDLE_TO_PARENT_OR_ORIGIN = (
     12,
     48,
 )  # idle links to one cache, to one parent or the origin, over all directors
-PRICED = 8  # times as many where a new connection costs more than an open one
-HELD_SHORT = 50.0  # where there would be more, each is held for so long
+COSTLY_CONNECT_FACTOR = 8  # times as many where a new connection costs more than an open one
+SHORT_IDLE_TIMEOUT = 50.0  # where there would be more, each is held for so long
 
 
 class PingBackoff:
@@ -32,47 +37,51 @@
     def __init__(self) -> None:
         self.false = 0.0  # echoes with no answer to an attempt, less a part for each answer since
 
-    def wait(self, attempts: int) -> float:
-        return max(QUIET / (1 + attempts), QUIET_LEAST) * 2.0**self.false
+    def silence_before_ping(self, attempts: int) -> float:
+        return max(SILENCE_BEFORE_PING / (1 + attempts), MIN_SILENCE_BEFORE_PING) * 2.0**self.false
 
-    def echoed(self) -> None:
+    def record_ping_answer(self) -> None:
         """It was asked and lives: what is out there takes its time."""
-        self.false = min(DOUBLINGS_MOST, self.false + 1.0)
+        self.false = min(MAX_BACKOFF_DOUBLINGS, self.false + 1.0)
 
-    def answered(self) -> None:
-        self.false = max(0.0, self.false - FORGIVEN)
+    def record_response(self) -> None:
+        self.false = max(0.0, self.false - BACKOFF_DECAY_PER_RESPONSE)
 
 
-IDLE_MOST = 0.75  # of the links at the most; where there are more, idle ones make room
+EVICTION_THRESHOLD = 0.75  # of the links at the most; where there are more, idle ones make room
 
 
-def to_end(idle: list[tuple[float, Link]], count: int, most: int) -> list[Link]:
+def connections_to_evict(
+    idle: list[tuple[float, Connection]], count: int, most: int
+) -> list[Connection]:
     """Which idle links, given as (last use, link), make room where there are `count` of `most`:
     those idle for longest. Held for what may come, they would keep attempts to other nodes from any
     link at all.
     """
-    over = max(0, count - int(IDLE_MOST * most))
+    over = max(0, count - int(EVICTION_THRESHOLD * most))
     return [link for _, link in sorted(idle, key=lambda held: held[0])[:over]]
 
 
-def fullness(count: int, busy: int, most: int) -> float:
+def connection_utilization(count: int, busy: int, most: int) -> float:
     """Of the links that there may be the part that attempts are out on, where few are left."""
-    return busy / most if count >= IDLE_MOST * most else 0.0
+    return busy / most if count >= EVICTION_THRESHOLD * most else 0.0
 
 
-def hold_for(idle_for: float, sharers: int, far: bool, priced: bool) -> float:
+def idle_timeout(idle_for: float, sharers: int, far: bool, priced: bool) -> float:
     """How long an idle link to a node is held from its last use. `idle_for`: the node closes it
     then; `sharers`: directors that may hold one; `far`: a parent or the origin, which all share;
     `priced`: a new connection costs more than an open one. Where all together stay within the
     bound, for long; else for so short a time that the node has no more links than requests in that
     time and what they take, whatever the number of directors.
     """
-    bound = (HELD_FAR if far else HELD_MOST) * (PRICED if priced else 1)
-    longest = IDLE_SHARE * idle_for
-    return longest if sharers <= bound else min(longest, HELD_SHORT)
+    bound = (MAX_IDLE_TO_PARENT_OR_ORIGIN if far else MAX_IDLE_TO_CACHE) * (
+        COSTLY_CONNECT_FACTOR if priced else 1
+    )
+    longest = IDLE_TIMEOUT_FRACTION * idle_for
+    return longest if sharers <= bound else min(longest, SHORT_IDLE_TIMEOUT)
 
 
-def is_own_want(number: int | None) -> bool:
+def is_local_resource_shortage(number: int | None) -> bool:
     """Whether a connection that did not come up, by the system's number for why, tells of what this
     director lacks, and nothing of the node: descriptors, memory, ports.
     """
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -9,19 +9,19 @@
 from collections.abc import Collection, Hashable, Sequence
 from random import Random
 
-ECHO_LEAST, ECHO_EACH = (
+MIN_PING_INTERVAL, PING_INTERVAL_PER_DIRECTOR = (
     500.0,
     50.0,
 )  # a doubted node is asked so often, or once in so much for each sharer
-REPORT_EVERY = 500.0  # between two reports of one director at the least
-REPORT_EARNED, REPORTS_MOST = 0.2, 4.0  # reports that a request earns; that may be saved up
-USUAL_PRICE = 0.014  # of one probe a request, in credit, up to which it earns so many
-UNWATCHED = 30_000.0  # a director with hardly a request still asks once in so long
+MIN_POLL_INTERVAL = 500.0  # between two reports of one director at the least
+POLLS_PER_REQUEST, MAX_SAVED_POLLS = 0.2, 4.0  # reports that a request earns; that may be saved up
+REFERENCE_POLL_COST = 0.014  # of one probe a request, in credit, up to which it earns so many
+MAX_POLL_INTERVAL = 30_000.0  # a director with hardly a request still asks once in so long
 
 
-def pace(sharers: int) -> float:
+def ping_interval(sharers: int) -> float:
     """How often one director asks a doubted node that so many share."""
-    return max(ECHO_LEAST, ECHO_EACH * sharers)
+    return max(MIN_PING_INTERVAL, PING_INTERVAL_PER_DIRECTOR * sharers)
 
 
 class HealthCheckScheduler:
@@ -31,45 +31,49 @@
         """`price`: of one probe a request. What reports are worth falls as one over their rate, so
         that the best rate falls with the root of the price.
         """
-        self.earns = REPORT_EARNED * math.sqrt(USUAL_PRICE / max(price, USUAL_PRICE))
+        self.earns = POLLS_PER_REQUEST * math.sqrt(
+            REFERENCE_POLL_COST / max(price, REFERENCE_POLL_COST)
+        )
         self.random, self.reports = random, reports
         self.echoes: dict[
             Hashable, tuple[float, float]
         ] = {}  # doubted nodes: when each is asked, how often
-        self.earned = random.random()
+        self.saved_polls = random.random()
         self.report_due = (
-            now + REPORT_EVERY * random.random()
+            now + MIN_POLL_INTERVAL * random.random()
         )  # directors start together; they ask apart
-        self.watch_due = now + UNWATCHED * random.random()
+        self.watch_due = now + MAX_POLL_INTERVAL * random.random()
 
-    def requested(self) -> None:
-        self.earned = min(REPORTS_MOST, self.earned + self.earns)
+    def record_request(self) -> None:
+        self.saved_polls = min(MAX_SAVED_POLLS, self.saved_polls + self.earns)
 
-    def doubts(self, node: Hashable, now: float, sharers: int, within: float = math.inf) -> None:
+    def schedule_pings(
+        self, node: Hashable, now: float, sharers: int, within: float = math.inf
+    ) -> None:
         """It is not reached any more: it is asked for an echo until it answers, first `within` so
         long. `sharers`: directors that may ask it.
         """
-        every = pace(sharers)
+        every = ping_interval(sharers)
         first = min(within, every) * (0.25 + 0.75 * self.random.random())
         if node not in self.echoes or first < self.echoes[node][0] - now:
             self.echoes[node] = now + first, every
 
-    def heard(self, node: Hashable) -> None:
+    def cancel_pings(self, node: Hashable) -> None:
         self.echoes.pop(node, None)
 
-    def only(self, nodes: Collection[Hashable]) -> None:
+    def cancel_pings_except(self, nodes: Collection[Hashable]) -> None:
         """No others are asked any more."""
         self.echoes = {node: held for node, held in self.echoes.items() if node in nodes}
 
-    def due(self, now: float, listed: Sequence[Hashable]) -> list[Hashable]:
+    def take_due(self, now: float, listed: Sequence[Hashable]) -> list[Hashable]:
         """Whom to ask now: doubted nodes at their time, and one of `listed` for a report."""
         found = [node for node, (at, _) in self.echoes.items() if now >= at]
         for node in found:
             every = self.echoes[node][1]
             self.echoes[node] = now + every * (0.75 + 0.5 * self.random.random()), every
-        wanted = now >= self.report_due and (self.earned >= 1.0 or now >= self.watch_due)
+        wanted = now >= self.report_due and (self.saved_polls >= 1.0 or now >= self.watch_due)
         if self.reports and listed and wanted:
-            self.earned = max(0.0, self.earned - 1.0)
-            self.report_due, self.watch_due = now + REPORT_EVERY, now + UNWATCHED
+            self.saved_polls = max(0.0, self.saved_polls - 1.0)
+            self.report_due, self.watch_due = now + MIN_POLL_INTERVAL, now + MAX_POLL_INTERVAL
             found.append(self.random.choice(listed))
         return found
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -8,12 +8,19 @@
 that it ended at once says that the node is full, and its peers are about to be.
 """
 
-HALVING = 2000.0  # of what was counted
-SHARE = 0.1  # of rejections among requests that is logged as a mode; half of it ends the mode
-EARNED = 0.15  # further attempts that a request earns where none is rejected
-NONE_AT = 0.5  # share of rejections at which it earns none
-COME_BACK = 100.0  # mean advice to what is rejected: the goal runs on, a jam is seen again at once
-QUICK, QUICK_COST = 0.25, 0.3  # a further attempt after one that ended in that part of its work
+COUNT_HALF_LIFE = 2000.0  # of what was counted
+OVERLOAD_FRACTION = (
+    0.1  # of rejections among requests that is logged as a mode; half of it ends the mode
+)
+RETRIES_PER_REQUEST = 0.15  # further attempts that a request earns where none is rejected
+NO_RETRY_FRACTION = 0.5  # share of rejections at which it earns none
+MEAN_RETRY_AFTER = (
+    100.0  # mean advice to what is rejected: the goal runs on, a jam is seen again at once
+)
+QUICK_FAILURE_FRACTION, QUICK_FAILURE_COST = (
+    0.25,
+    0.3,
+)  # a further attempt after one that ended in that part of its work
 
 
 class OverloadDetector:
@@ -21,39 +28,43 @@
 
     def __init__(self) -> None:
         self.requests = self.rejected = self.due = 0.0
-        self.on = False
+        self.is_overloaded = False
 
-    def requested(self, now: float) -> bool:
+    def record_request(self, now: float) -> bool:
         """A request has come; whether the mode changed with it."""
         if now >= self.due:
-            kept = 0.5 ** min(30, 1 + int((now - self.due) / HALVING))
+            kept = 0.5 ** min(30, 1 + int((now - self.due) / COUNT_HALF_LIFE))
             self.requests, self.rejected, self.due = (
                 self.requests * kept,
                 self.rejected * kept,
-                now + HALVING,
+                now + COUNT_HALF_LIFE,
             )
         self.requests += 1.0
-        before, self.on = self.on, self.rejected > (SHARE / 2 if self.on else SHARE) * self.requests
-        return before != self.on
+        before, self.is_overloaded = (
+            self.is_overloaded,
+            self.rejected
+            > (OVERLOAD_FRACTION / 2 if self.is_overloaded else OVERLOAD_FRACTION) * self.requests,
+        )
+        return before != self.is_overloaded
 
-    def note_rejected(self) -> None:
+    def record_rejection(self) -> None:
         self.rejected += 1.0
 
-    def share(self) -> float:
+    def rejected_fraction(self) -> float:
         return min(1.0, self.rejected / max(1.0, self.requests))
 
-    def earned(self) -> float:
+    def retries_earned(self) -> float:
         """Further attempts that a request earns now."""
-        return EARNED * max(0.0, 1.0 - self.share() / NONE_AT)
+        return RETRIES_PER_REQUEST * max(0.0, 1.0 - self.rejected_fraction() / NO_RETRY_FRACTION)
 
 
-def come_back(chance: float, most: float) -> float:
+def retry_after(chance: float, most: float) -> float:
     """When a client is told to come back, so that those rejected together don't come
     back together.
     """
-    return min(COME_BACK * (0.5 + chance), most)
+    return min(MEAN_RETRY_AFTER * (0.5 + chance), most)
 
 
-def cost(turned_away: bool, took: float, work: float) -> float:
+def retry_cost(turned_away: bool, took: float, work: float) -> float:
     """Of a further attempt after one that took so long, `work` being what it was to take."""
-    return QUICK_COST if not turned_away and took < QUICK * work else 1.0
+    return QUICK_FAILURE_COST if not turned_away and took < QUICK_FAILURE_FRACTION * work else 1.0
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Hashable
 
-HOT_SHARE, HOT_LEAST = (
+HOT_FRACTION, MIN_HOT_COUNT = (
     0.02,
     4.0,
 )  # share of recent requests, and sightings, for an object at one more cache
-SPAN, SPANS_MOST = 10_000.0, 3  # counted over spans, the last one at half weight; a long one
+WINDOW, MAX_WINDOWS = 10_000.0, 3  # counted over spans, the last one at half weight; a long one
 
 
 class Popularity:
@@ -24,10 +24,10 @@
         self.older: dict[Hashable, int] = {}
         self.total, self.older_total, self.began = 0, 0, now
 
-    def seen(self, now: float, what: Hashable) -> bool:
+    def record(self, now: float, what: Hashable) -> bool:
         """It was asked for; whether a new span begins with it."""
-        tells = self.total >= HOT_LEAST / HOT_SHARE
-        if turned := now >= self.began + (SPAN if tells else SPANS_MOST * SPAN):
+        tells = self.total >= MIN_HOT_COUNT / HOT_FRACTION
+        if turned := now >= self.began + (WINDOW if tells else MAX_WINDOWS * WINDOW):
             self.older, self.counts, self.older_total, self.total = self.counts, {}, self.total, 0
             self.began = now
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -38,7 +38,7 @@
         """Sightings, older ones at half weight."""
         return self.counts.get(what, 0) + 0.5 * self.older.get(what, 0)
 
-    def caches(self, what: Hashable) -> int:
+    def cache_count(self, what: Hashable) -> int:
         """At how many caches it belongs: one more for each such share."""
-        hot = max(HOT_LEAST, HOT_SHARE * (self.total + 0.5 * self.older_total))
+        hot = max(MIN_HOT_COUNT, HOT_FRACTION * (self.total + 0.5 * self.older_total))
         return 1 + int(self.count(what) / hot)
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from . import overload
-from .health_checks import HealthCheckScheduler, pace
+from .health_checks import HealthCheckScheduler, ping_interval
 from .model import (
     IDEMPOTENT,
     KEYED,
@@ -222,7 +222,9 @@
             out.subscribe()
         for method, arguments in inbox:
             getattr(self, method)(*arguments)
-        for member in self.watch.due(now, self.caches) if self.terms.allows_health_checks else ():
+        for member in (
+            self.watch.take_due(now, self.caches) if self.terms.allows_health_checks else ()
+        ):
             out.probe(member)
 
     def listed(self, rows: list[tuple[Any, ...]], whole: bool, broken: bool) -> None:
@@ -256,18 +258,22 @@
         self.caches = [m for m in ready if m.kind not in kinds and m.zone == self.terms.zone]
         self.parents = [m for m in ready if m.kind == self.terms.parent_kind]
         self.origin = next((m for m in ready if m.kind == self.terms.origin_kind), None)
-        self.reach.listed(self.caches, anew)  # echoes: not of what has gone or starts anew
-        self.watch.only(
-            [m for m in ready if m.shunned or (self.reach.cut and m in self.reach.nodes)]
+        self.reach.update_caches(self.caches, anew)  # echoes: not of what has gone or starts anew
+        self.watch.cancel_pings_except(
+            [
+                m
+                for m in ready
+                if m.shunned or (self.reach.is_unreachable and m in self.reach.caches)
+            ]
         )
 
     def requested(self, request: Request) -> None:
-        if self.popular.seen(self.now, (request.object_id, request.part)):
+        if self.popular.record(self.now, (request.object_id, request.part)):
             self.forget_old()
-        self.watch.requested()
+        self.watch.record_request()
         purse = self.purse_of(request)
-        turned = self.storm.requested(self.now)
-        purse.tokens = min(AGAIN_MOST, purse.tokens + self.storm.earned())
+        turned = self.storm.record_request(self.now)
+        purse.tokens = min(AGAIN_MOST, purse.tokens + self.storm.retries_earned())
         self.trials = min(TRIALS_MOST, self.trials + TRIAL_EARNED)
         if turned:
             self.log_rejections()
@@ -311,11 +317,13 @@
     ) -> None:
         """What a probe brought; an answer disproves that the member is not reached."""
         self.note_load(member, load)
-        if well and (member.unreached or (self.reach.cut and member in self.reach.nodes)):
+        if well and (
+            member.unreached or (self.reach.is_unreachable and member in self.reach.caches)
+        ):
             self.take_back(member)
 
     def take_back(self, member: TrackedEndpoint) -> None:
-        member.health.forget_bad()
+        member.health.clear_failures()
         member.quiet = member.quiet or QUIET_MOST
         self.sign_of_life(member)
 
@@ -335,7 +343,9 @@
             return self.stuck(request)
         if request.attempts and request.attempts[-1].outcome != Outcome.MISS:
             last, work = request.attempts[-1], self.work(request)
-            cost = overload.cost(last.outcome == Outcome.REJECTED, self.now - last.sent_at, work)
+            cost = overload.retry_cost(
+                last.outcome == Outcome.REJECTED, self.now - last.sent_at, work
+            )
             purse = self.purse_of(request)
             if purse.tokens < cost:
                 return self.stuck(request)
@@ -343,7 +353,7 @@
         write, pass_by = request.request_class.is_uncacheable, self.terms.allows_cache_bypass
         # Seen before the list tells, if it ever does; echoes bring the caches back.
         lost = self.terms.allows_health_checks and (
-            self.reach.cut or all(cache.unreached for cache in self.caches)
+            self.reach.is_unreachable or all(cache.unreached for cache in self.caches)
         )
         cache = None if (write or lost) and pass_by else self.choose_cache(request)
         if cache is None:
@@ -455,19 +465,19 @@
             request.request_class.idempotency == IDEMPOTENT,
         )
         advice = (
-            overload.come_back(self.random.random(), terms.max_retry_after)
+            overload.retry_after(self.random.random(), terms.max_retry_after)
             if terms.allows_retry_after
             else 0.0
         )
         if pure or not doubtful or self.known(request, doubtful, self.now + advice):
-            self.storm.note_rejected()
+            self.storm.record_rejection()
             self.out.reject(request, advice)
         else:
             self.out.fail(request)
         self.end(request)
 
     def log_rejections(self) -> None:
-        word, seen = ("taking all again", "rejecting")[self.storm.on], self.storm
+        word, seen = ("taking all again", "rejecting")[self.storm.is_overloaded], self.storm
         self.out.log(
             f"{word}: {seen.rejected:.0f} of {seen.requests:.0f} requests, link {self.link:.1f}, "
             f"origin {self.behind.middle(self.now):.0f} ms"
@@ -547,7 +557,7 @@
             [cache for cache in caches if cache not in tried], request.object_id, request.part
         )
         fit = self.fit(ranked, self.counted(request))
-        first = list(islice(fit, self.popular.caches((request.object_id, request.part))))
+        first = list(islice(fit, self.popular.cache_count((request.object_id, request.part))))
         if len(first) > 1:  # among equals each director takes its own, or all would take the first
             self.random.shuffle(first)
             first.sort(key=self.crowd)
@@ -762,11 +772,11 @@
             return True
         share = self.cold_parents if member in self.parents else self.cold_here
         whole = member.weight * warmth * min(COLD_MOST, COLD_PART * rule.overload_factor)
-        fits = member.cold.fits(
+        fits = member.cold.try_admit(
             self.now, work, whole * share.fraction_at(self.now), rule.overload_window, self.random
         )
         if share.is_tracked:
-            member.cold.note(share, work, fits, whole * rule.overload_window)
+            member.cold.record_peaks(share, work, fits, whole * rule.overload_window)
         return fits
 
     def too_late(self, delays: DecayingHistogram, request: Request) -> bool:
@@ -924,42 +934,43 @@
         ):
             return self.mark(attempt.endpoint, 1.0, why)
         both = (attempt.endpoint, attempt.fill_source)
-        shares = [member.health.share() for member in both]
+        shares = [member.health.failure_fraction() for member in both]
         for member, share in zip(both, shares, strict=True):
             self.mark(member, share / sum(shares), why)
 
     def mark(self, member: TrackedEndpoint, bad: float, why: str) -> None:
-        member.health.mark(self.now, bad)
+        member.health.record(self.now, bad)
         self.judge(member, why)
 
     def not_reached(self, member: TrackedEndpoint) -> None:
         """One more of the location's caches says nothing: all may be cut off, and a few
         are asked.
         """
-        if self.terms.allows_health_checks and self.reach.fails(self.now, member):
+        if self.terms.allows_health_checks and self.reach.record_failure(self.now, member):
             here = self.terms.local_director_count
-            for node in self.reach.asked(pace(here), self.random):
-                self.watch.doubts(node, self.now, here, SOON)
+            for node in self.reach.sample_for_pings(ping_interval(here), self.random):
+                self.watch.schedule_pings(node, self.now, here, SOON)
             self.out.log(
-                f"location cut off: {len(self.reach.failed)} of {len(self.caches)} caches in a row"
+                f"location cut off: {len(self.reach.recent_failures)} of {len(self.caches)} "
+                "caches in a row"
             )
 
     def sign_of_life(self, member: TrackedEndpoint) -> None:
         member.heard = self.now
-        if (since := self.reach.heard(self.now, member)) is not None:
+        if (since := self.reach.record_response(self.now, member)) is not None:
             self.out.log(f"location reached again by {member.hash_key:x}")
             for cache in self.caches:
                 if cache.unreached and cache.shunned_at >= since:
                     self.take_back(cache)
                 elif not cache.unreached:
-                    self.watch.heard(cache)
+                    self.watch.cancel_pings(cache)
         if member.quiet:
             member.quiet = 0.0
             self.judge(member, "")
 
     def judge(self, member: TrackedEndpoint, why: str) -> None:
         """Shuns a member that fails too often or has been silent too long; trials bring it back."""
-        sick, health = member.quiet >= QUIET_MOST or member.health.is_bad(), member.health
+        sick, health = member.quiet >= QUIET_MOST or member.health.is_outlier(), member.health
         if sick != member.shunned:
             member.shunned, member.trial_due = sick, self.now + TRIAL_EVERY
             member.unreached, member.shunned_at = sick and why in UNREACHED, self.now
@@ -970,11 +981,11 @@
                     if member in self.parents
                     else self.terms.local_director_count
                 )
-                self.watch.doubts(member, self.now, sharers)
+                self.watch.schedule_pings(member, self.now, sharers)
             else:
-                self.watch.heard(member)
+                self.watch.cancel_pings(member)
             word = f"shunned ({why})" if sick else "taken back"
             self.out.log(
-                f"{member.hash_key:x} {word}: {health.bad:.1f} bad, {health.good:.1f} good, "
-                f"odds {health.sum:.1f}, silence {member.quiet:.1f}"
+                f"{member.hash_key:x} {word}: {health.failures:.1f} bad, "
+                f"{health.successes:.1f} good, odds {health.evidence:.1f}, silence {member.quiet:.1f}"
             )
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -17,9 +17,11 @@
 
 from .model import QuotaShare
 
-FILL = 0.8  # of the node's present capacity that all directors together go to where each has room
-TICKET_FILL = 0.4  # and where they draw: what comes by chance comes in clusters
-LAPSE = (
+SHARE_FRACTION = (
+    0.8  # of the node's present capacity that all directors together go to where each has room
+)
+GRANT_FRACTION = 0.4  # and where they draw: what comes by chance comes in clusters
+GRANT_LIFETIME = (
     1.0  # of the span, after which a ticket is of no more use: who asks rarely must find it in hand
 )
 
@@ -39,27 +41,27 @@
         self.spent.append((now, work))
         self.until = -math.inf
 
-    def note(self, share: QuotaShare, work: float, fits: bool, whole: float) -> None:
+    def record_peaks(self, share: QuotaShare, work: float, fits: bool, whole: float) -> None:
         """How large a part of the node's capacity over the span, `whole`, this would take."""
-        part = (sum(held for _, held in self.spent) + work) / (FILL * whole)
+        part = (sum(held for _, held in self.spent) + work) / (SHARE_FRACTION * whole)
         if fits:
             share.peak_used = max(share.peak_used, part)
         else:
             share.peak_rejected = max(share.peak_rejected, part)
 
-    def fits(self, now: float, work: float, part: float, span: float, random: Random) -> bool:
+    def try_admit(self, now: float, work: float, part: float, span: float, random: Random) -> bool:
         """Whether a request of `work` may go. `part`: of the node's present capacity, work a ms;
         the same for the same moment however often it is asked.
         """
         self.spent = [(at, spent) for at, spent in self.spent if at >= now - span]
         spent = sum(held for _, held in self.spent)
-        if spent + work <= FILL * part * span:
+        if spent + work <= SHARE_FRACTION * part * span:
             return True
         if now < self.until and work <= self.worth:
             return True
-        since, self.looked = min(now - self.looked, LAPSE * span), now
-        left = TICKET_FILL * part - spent / span
+        since, self.looked = min(now - self.looked, GRANT_LIFETIME * span), now
+        left = GRANT_FRACTION * part - spent / span
         if left <= 0.0 or random.random() >= 1.0 - math.exp(-left * since / max(work, 1.0)):
             return False
-        self.until, self.worth = now + LAPSE * span - since * random.random(), work
+        self.until, self.worth = now + GRANT_LIFETIME * span - since * random.random(), work
         return True
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -15,11 +15,16 @@
 from collections.abc import Collection, Hashable
 from random import Random
 
-PART, LEAST = 0.25, 2  # of the listed caches that must fail in a row, and how many at the least
-WITHIN = 5000.0  # failures longer ago don't count: what one director sends may be seconds apart
-ASKED_EVERY = 1000.0  # of those asked, one echo in so long, where each is asked at its own pace
-REAL = 1000.0  # a cut that lasted less was none, and what failed in it did so for itself
-DOUBLINGS_MOST, FORGIVEN = (
+MIN_FAILED_FRACTION, MIN_FAILED_CACHES = (
+    0.25,
+    2,
+)  # of the listed caches that must fail in a row, and how many at the least
+FAILURE_WINDOW = (
+    5000.0  # failures longer ago don't count: what one director sends may be seconds apart
+)
+PING_SPACING = 1000.0  # of those asked, one echo in so long, where each is asked at its own pace
+MIN_OUTAGE = 1000.0  # a cut that lasted less was none, and what failed in it did so for itself
+MAX_THRESHOLD_DOUBLINGS, FALSE_ALARM_LIFETIME = (
     3,
     30_000.0,
 )  # of how many must fail, for each that was none; one less in so long
@@ -29,8 +34,8 @@
     """One director's view of its location."""
 
     def __init__(self) -> None:
-        self.nodes: dict[Hashable, None] = {}
-        self.failed: dict[Hashable, float] = {}
+        self.caches: dict[Hashable, None] = {}
+        self.recent_failures: dict[Hashable, float] = {}
         self.since: float | None = None  # of the cut: its first failure
         self.began, self.false, self.forgives = (
             0.0,
@@ -39,48 +44,58 @@
         )  # the last cut; judgements that were wrong
 
     @property
-    def cut(self) -> bool:
+    def is_unreachable(self) -> bool:
         return self.since is not None
 
-    def listed(self, nodes: Collection[Hashable], anew: bool) -> None:
+    def update_caches(self, nodes: Collection[Hashable], anew: bool) -> None:
         """These are the location's caches now. `anew`: one has started since, and nothing is known
         of it.
         """
         if anew or not nodes:
-            self.failed, self.since = {}, None
-        self.nodes = dict.fromkeys(nodes)
-        self.failed = {node: at for node, at in self.failed.items() if node in self.nodes}
+            self.recent_failures, self.since = {}, None
+        self.caches = dict.fromkeys(nodes)
+        self.recent_failures = {
+            node: at for node, at in self.recent_failures.items() if node in self.caches
+        }
 
-    def fails(self, now: float, node: Hashable) -> bool:
+    def record_failure(self, now: float, node: Hashable) -> bool:
         """It is not reached, or an attempt there is overdue: whether the location counts as cut off
         now.
         """
-        if self.cut or node not in self.nodes:
+        if self.is_unreachable or node not in self.caches:
             return False
         if self.false and now > self.forgives:
-            self.false, self.forgives = self.false - 1, now + FORGIVEN
-        self.failed = {other: at for other, at in self.failed.items() if at > now - WITHIN} | {
-            node: now
-        }
-        wanted = max(LEAST, math.ceil(PART * len(self.nodes))) * 2**self.false
-        if len(self.nodes) < LEAST or len(self.failed) < min(wanted, len(self.nodes)):
+            self.false, self.forgives = self.false - 1, now + FALSE_ALARM_LIFETIME
+        self.recent_failures = {
+            other: at for other, at in self.recent_failures.items() if at > now - FAILURE_WINDOW
+        } | {node: now}
+        wanted = (
+            max(MIN_FAILED_CACHES, math.ceil(MIN_FAILED_FRACTION * len(self.caches)))
+            * 2**self.false
+        )
+        if len(self.caches) < MIN_FAILED_CACHES or len(self.recent_failures) < min(
+            wanted, len(self.caches)
+        ):
             return False
-        self.since, self.began = min(self.failed.values()), now
+        self.since, self.began = min(self.recent_failures.values()), now
         return True
 
-    def heard(self, now: float, node: Hashable) -> float | None:
+    def record_response(self, now: float, node: Hashable) -> float | None:
         """A word of this one; where a cut ends with it, since when it was one, else None. What was
         shunned for silence since then may come back. Infinite where it was too short to be one.
         """
-        if node not in self.nodes:
+        if node not in self.caches:
             return None
-        self.failed, since, self.since = {}, self.since, None
-        if since is None or now > self.began + REAL:
+        self.recent_failures, since, self.since = {}, self.since, None
+        if since is None or now > self.began + MIN_OUTAGE:
             return since
-        self.false, self.forgives = min(DOUBLINGS_MOST, self.false + 1), now + FORGIVEN
+        self.false, self.forgives = (
+            min(MAX_THRESHOLD_DOUBLINGS, self.false + 1),
+            now + FALSE_ALARM_LIFETIME,
+        )
         return math.inf
 
-    def asked(self, every: float, random: Random) -> list[Hashable]:
+    def sample_for_pings(self, every: float, random: Random) -> list[Hashable]:
         """Which are asked for echoes while it lasts, each once in `every`."""
-        count = max(LEAST, math.ceil(every / ASKED_EVERY))
-        return random.sample(list(self.nodes), min(count, len(self.nodes)))
+        count = max(MIN_FAILED_CACHES, math.ceil(every / PING_SPACING))
+        return random.sample(list(self.caches), min(count, len(self.caches)))
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -38,9 +38,9 @@
     """Directors that send on whatever was turned away, at no cost: the overload
     outlives its cause.
     """
-    monkeypatch.setattr(overload, "EARNED", 6.0)
-    monkeypatch.setattr(overload, "NONE_AT", 1e9)
-    monkeypatch.setattr(overload, "cost", lambda *_: 0.05)
+    monkeypatch.setattr(overload, "RETRIES_PER_REQUEST", 6.0)
+    monkeypatch.setattr(overload, "NO_RETRY_FRACTION", 1e9)
+    monkeypatch.setattr(overload, "retry_cost", lambda *_: 0.05)
     monkeypatch.setattr(router, "FULL", 0.0)
     wild = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
--- a/tests/spread/test_admission.py
+++ b/tests/spread/test_admission.py
@@ -1,10 +1,10 @@
 import pytest
 
 from mulleinrelay.policy.admission import (
-    LATE_FULL,
+    SATURATION_DELAY,
     AdmissionThresholds,
     SchedulingDelay,
-    to_end_first,
+    eviction_order,
 )
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
@@ -33,7 +33,7 @@
 )
 def test_the_last_places_are_kept_for_effects_and_then_by_credit(request_class, repeated, last):
     places = AdmissionThresholds(ALL)
-    room = [places.has_room(request_class, repeated, taken / 80) for taken in (last, last + 1)]
+    room = [places.can_admit(request_class, repeated, taken / 80) for taken in (last, last + 1)]
     assert room == [True, False]
 
 
@@ -41,14 +41,14 @@
 def test_equals_share_all_places(cases):
     places = AdmissionThresholds(cases)
     assert all(
-        places.has_room(held, False, 79 / 80) and not places.has_room(held, False, 1.0)
+        places.can_admit(held, False, 79 / 80) and not places.can_admit(held, False, 1.0)
         for held in cases
     )
 
 
 def test_half_of_the_places_are_open_to_all():
     cases = [case(credit=credit) for credit in range(1, 12)] + [ORDER]
-    assert all(AdmissionThresholds(cases).has_room(held, True, 39 / 80) for held in cases)
+    assert all(AdmissionThresholds(cases).can_admit(held, True, 39 / 80) for held in cases)
 
 
 def test_orders_find_room_in_a_flood_of_pages():
@@ -58,7 +58,7 @@
     places, taken, orders = AdmissionThresholds(ALL), 0, 0
     for number in range(800):
         request_class = ORDER if number % 100 == 99 else PAGES
-        if places.has_room(request_class, False, taken / 80):
+        if places.can_admit(request_class, False, taken / 80):
             taken += 1
             orders += request_class is ORDER
     assert orders == 8
@@ -68,10 +68,10 @@
     "late, after, pages, orders",
     [
         (0.0, 0.0, True, True),
-        (0.5 * LATE_FULL, 0.0, True, True),
-        (0.9 * LATE_FULL, 0.0, False, True),
-        (12.0 * LATE_FULL, 0.0, False, True),  # stopped for seconds
-        (12.0 * LATE_FULL, 100.0, True, True),
+        (0.5 * SATURATION_DELAY, 0.0, True, True),
+        (0.9 * SATURATION_DELAY, 0.0, False, True),
+        (12.0 * SATURATION_DELAY, 0.0, False, True),  # stopped for seconds
+        (12.0 * SATURATION_DELAY, 100.0, True, True),
     ],
 )
 def test_a_late_director_takes_in_effects_and_is_soon_itself_again(late, after, pages, orders):
@@ -79,10 +79,10 @@
     away.
     """
     lateness, places = SchedulingDelay(), AdmissionThresholds(ALL)
-    lateness.note(1000.0, late)
-    lateness.note(1001.0, 0.0)
-    full = lateness.fullness(1001.0 + after)
-    assert (places.has_room(PAGES, False, full), places.has_room(ORDER, False, full)) == (
+    lateness.record(1000.0, late)
+    lateness.record(1001.0, 0.0)
+    full = lateness.utilization(1001.0 + after)
+    assert (places.can_admit(PAGES, False, full), places.can_admit(ORDER, False, full)) == (
         pages,
         orders,
     )
@@ -105,4 +105,4 @@
     ],
 )
 def test_who_makes_room_first(clients, first):
-    assert min(clients, key=lambda client: to_end_first(*client)) == clients[first]
+    assert min(clients, key=lambda client: eviction_order(*client)) == clients[first]
--- a/tests/spread/test_cold.py
+++ b/tests/spread/test_cold.py
@@ -4,7 +4,7 @@
 import pytest
 
 from mulleinrelay.policy.router import COLD_MOST, COLD_PART
-from mulleinrelay.policy.slow_start import FILL, SlowStartBudget
+from mulleinrelay.policy.slow_start import SHARE_FRACTION, SlowStartBudget
 
 SPAN = 1500.0
 
@@ -34,7 +34,7 @@
             held[draw.randrange(directors)] = (SlowStartBudget(), Random(now))
         allowance, random = draw.choices(held, shares)[0]
         asked = work(draw)
-        if allowance.fits(now, asked, capacity / directors, SPAN, random):
+        if allowance.try_admit(now, asked, capacity / directors, SPAN, random):
             allowance.spend(now, asked)
             sent.append((now, asked))
     return sent
@@ -109,7 +109,7 @@
 
     sent = fleet(200, 4.0, 2.0, 3, work=work)
     large = sum(held for _, held in sent if held > 100.0)
-    assert 0.2 * 4.0 * 60_000.0 < sum(held for _, held in sent) < FILL * 4.0 * 60_000.0
+    assert 0.2 * 4.0 * 60_000.0 < sum(held for _, held in sent) < SHARE_FRACTION * 4.0 * 60_000.0
     assert 0.2 < large / sum(held for _, held in sent) < 0.9
 
 
@@ -118,9 +118,9 @@
     held = [(SlowStartBudget(), Random(number)) for number in range(200)]
     for allowance, random in held:  # each has looked at it now and then, and not used it
         for now in range(0, 10_000, 50):
-            allowance.fits(float(now), 100.0, capacity / 200, SPAN, random)
+            allowance.try_admit(float(now), 100.0, capacity / 200, SPAN, random)
     for allowance, random in held:
-        if allowance.fits(10_000.0, 100.0, capacity / 200, SPAN, random):
+        if allowance.try_admit(10_000.0, 100.0, capacity / 200, SPAN, random):
             sent.append(100.0)
     number = capacity * SPAN / 100.0
     assert 0 < len(sent) < number
@@ -129,5 +129,5 @@
 def test_an_answer_holds_for_its_moment():
     allowance, random = SlowStartBudget(), Random(5)
     for now in range(0, 30_000, 100):
-        asked = {allowance.fits(float(now), 100.0, 0.02, SPAN, random) for _ in range(5)}
+        asked = {allowance.try_admit(float(now), 100.0, 0.02, SPAN, random) for _ in range(5)}
         assert len(asked) == 1
--- a/tests/spread/test_pacing.py
+++ b/tests/spread/test_pacing.py
@@ -17,23 +17,23 @@
 def test_an_address_that_refuses_is_doubted(refusals, looks):
     pace, found = stream_reconnect.ReconnectBackoff(Random(1)), []
     for now in refusals:
-        pace.ended(now, False, True)
-        if pace.astray(now):
+        pace.record_end(now, False, True)
+        if pace.begin_lookup_if_due(now):
             found.append(now)
     assert found == looks
 
 
 def test_a_stream_that_was_up_is_not_doubted():
     pace = stream_reconnect.ReconnectBackoff(Random(1))
-    pace.ended(0.0, False, True)
-    pace.ended(1.0, True, False)
-    pace.ended(1.1, False, True)
-    assert not pace.astray(2.0) and pace.astray(2.7)
+    pace.record_end(0.0, False, True)
+    pace.record_end(1.0, True, False)
+    pace.record_end(1.1, False, True)
+    assert not pace.begin_lookup_if_due(2.0) and pace.begin_lookup_if_due(2.7)
 
 
 def test_directors_that_lose_their_stream_together_come_again_apart():
     waits = [
-        stream_reconnect.ReconnectBackoff(Random(seed)).ended(0.0, True, False)
+        stream_reconnect.ReconnectBackoff(Random(seed)).record_end(0.0, True, False)
         for seed in range(200)
     ]
     assert (
@@ -44,9 +44,9 @@
 
 def test_waits_grow_to_their_bound_and_begin_anew():
     pace = stream_reconnect.ReconnectBackoff(Random(3))
-    waits = [pace.ended(now, False, True) for now in range(10)]
-    assert waits[0] < 0.07 and 0.7 < waits[-1] <= 1.25 * stream_reconnect.WAIT_MOST
+    waits = [pace.record_end(now, False, True) for now in range(10)]
+    assert waits[0] < 0.07 and 0.7 < waits[-1] <= 1.25 * stream_reconnect.MAX_BACKOFF_S
     assert (
-        pace.ended(11.0, True, False) <= stream_reconnect.SPREAD
-        and pace.ended(12.0, False, False) < 0.07
+        pace.record_end(11.0, True, False) <= stream_reconnect.RECONNECT_JITTER_S
+        and pace.record_end(12.0, False, False) < 0.07
     )
--- a/tests/spread/test_popularity.py
+++ b/tests/spread/test_popularity.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mulleinrelay.policy.popularity import SPAN, SPANS_MOST, Popularity
+from mulleinrelay.policy.popularity import MAX_WINDOWS, WINDOW, Popularity
 
 
 def seen(rate, share, seconds, seed):
@@ -12,7 +12,7 @@
     popular, draw, now = Popularity(0.0), Random(seed), 0.0
     while now < 1000.0 * seconds:
         now += 1000.0 * draw.expovariate(rate)
-        popular.seen(now, 1 if draw.random() < share else 2 + draw.randrange(1000))
+        popular.record(now, 1 if draw.random() < share else 2 + draw.randrange(1000))
     return popular
 
 
@@ -30,22 +30,22 @@
     """Guards against objects that all ask for and each sees rarely, and against calling everything
     hot.
     """
-    found = [seen(rate, share, 28.0, seed).caches(1) for seed in range(100)]
+    found = [seen(rate, share, 28.0, seed).cache_count(1) for seed in range(100)]
     assert sum(one in caches for one in found) >= of_a_hundred
 
 
-@pytest.mark.parametrize("requests, turns_after", [(1, SPANS_MOST * SPAN), (300, SPAN)])
+@pytest.mark.parametrize("requests, turns_after", [(1, MAX_WINDOWS * WINDOW), (300, WINDOW)])
 def test_a_span_goes_on_until_its_requests_tell_a_share(requests, turns_after):
     popular = Popularity(0.0)
     for _ in range(requests):
-        popular.seen(1.0, 1)
-    assert not popular.seen(turns_after - 1.0, 2) and popular.seen(turns_after, 2)
+        popular.record(1.0, 1)
+    assert not popular.record(turns_after - 1.0, 2) and popular.record(turns_after, 2)
     assert popular.count(1) == 0.5 * requests and popular.count(2) == 1.5
 
 
 def test_what_nobody_asks_for_any_more_is_forgotten():
     popular = seen(100.0, 0.05, 9.0, 1)
-    for now in (SPAN, 2 * SPAN, 3 * SPAN):
+    for now in (WINDOW, 2 * WINDOW, 3 * WINDOW):
         for _ in range(200):
-            popular.seen(now, 2)
-    assert popular.count(1) == 0.0 and popular.caches(1) == 1
+            popular.record(now, 2)
+    assert popular.count(1) == 0.0 and popular.cache_count(1) == 1
--- a/tests/spread/test_reach.py
+++ b/tests/spread/test_reach.py
@@ -5,7 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.policy.zone_reachability import FORGIVEN, REAL, WITHIN, ZoneReachability
+from mulleinrelay.policy.zone_reachability import (
+    FAILURE_WINDOW,
+    FALSE_ALARM_LIFETIME,
+    MIN_OUTAGE,
+    ZoneReachability,
+)
 
 
 def view(count, failed=(), at=0.0):
@@ -13,9 +18,9 @@
     cut.
     """
     reach, told = ZoneReachability(), False
-    reach.listed(list(range(count)), True)
+    reach.update_caches(list(range(count)), True)
     for place, node in enumerate(failed):
-        told = reach.fails(at + 100.0 * place, node)
+        told = reach.record_failure(at + 100.0 * place, node)
     return reach, told
 
 
@@ -34,26 +39,26 @@
 )
 def test_how_many_must_fail_in_a_row(count, failed, cut):
     reach, told = view(count, failed)
-    assert reach.cut == told == cut
+    assert reach.is_unreachable == told == cut
 
 
 def test_a_word_of_any_cache_in_between_speaks_for_the_path():
     reach, _ = view(6, [1])
-    assert reach.heard(150.0, 5) is None
-    assert not reach.fails(200.0, 2) and reach.fails(300.0, 3)
+    assert reach.record_response(150.0, 5) is None
+    assert not reach.record_failure(200.0, 2) and reach.record_failure(300.0, 3)
 
 
 def test_failures_long_apart_are_no_cut():
     reach, _ = view(6, [1])
-    assert not reach.fails(WITHIN + 1.0, 2) and not reach.cut
+    assert not reach.record_failure(FAILURE_WINDOW + 1.0, 2) and not reach.is_unreachable
 
 
-@pytest.mark.parametrize("lasted, since", [(REAL + 1.0, 0.0), (REAL - 1.0, math.inf)])
+@pytest.mark.parametrize("lasted, since", [(MIN_OUTAGE + 1.0, 0.0), (MIN_OUTAGE - 1.0, math.inf)])
 def test_what_was_shunned_in_a_cut_comes_back_with_it_but_not_after_a_wrong_judgement(
     lasted, since
 ):
     reach, _ = view(6, [1, 2])
-    assert reach.heard(100.0 + lasted, 4) == since and not reach.cut
+    assert reach.record_response(100.0 + lasted, 4) == since and not reach.is_unreachable
 
 
 def test_slow_caches_that_were_taken_for_a_cut_need_more_the_next_time():
@@ -61,17 +66,21 @@
     only slow.
     """
     reach, _ = view(8, [1, 2])
-    assert reach.heard(150.0, 1) == math.inf
-    assert not reach.fails(200.0, 1) and not reach.fails(210.0, 2) and not reach.fails(220.0, 3)
-    assert reach.fails(230.0, 4)
-    reach.heard(240.0, 1)
-    assert not any(reach.fails(300.0 + node, node) for node in range(7)) and reach.fails(
-        310.0, 7
-    )  # all
-    reach.heard(10_000.0, 1)
-    for later in (FORGIVEN, 2.0 * FORGIVEN + 1.0):
-        assert not reach.fails(10_000.0 + later, 1)
-    assert reach.fails(10_000.0 + 2.0 * FORGIVEN + 2.0, 2)
+    assert reach.record_response(150.0, 1) == math.inf
+    assert (
+        not reach.record_failure(200.0, 1)
+        and not reach.record_failure(210.0, 2)
+        and not reach.record_failure(220.0, 3)
+    )
+    assert reach.record_failure(230.0, 4)
+    reach.record_response(240.0, 1)
+    assert not any(
+        reach.record_failure(300.0 + node, node) for node in range(7)
+    ) and reach.record_failure(310.0, 7)  # all
+    reach.record_response(10_000.0, 1)
+    for later in (FALSE_ALARM_LIFETIME, 2.0 * FALSE_ALARM_LIFETIME + 1.0):
+        assert not reach.record_failure(10_000.0 + later, 1)
+    assert reach.record_failure(10_000.0 + 2.0 * FALSE_ALARM_LIFETIME + 2.0, 2)
 
 
 @pytest.mark.parametrize(
@@ -80,27 +89,27 @@
 )
 def test_a_cache_that_starts_anew_or_an_empty_list_ends_the_judgement(anew, nodes, cut):
     reach, _ = view(6, [1, 2])
-    reach.listed(list(nodes), anew)
-    assert reach.cut == cut
+    reach.update_caches(list(nodes), anew)
+    assert reach.is_unreachable == cut
 
 
 @pytest.mark.parametrize("every, count", [(500.0, 2), (2000.0, 2), (5000.0, 5), (60_000.0, 9)])
 def test_so_many_are_asked_that_one_echo_goes_out_a_second(every, count):
     reach, _ = view(9, [1, 2, 3])
-    assert len(set(reach.asked(every, Random(1)))) == count
+    assert len(set(reach.sample_for_pings(every, Random(1)))) == count
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 4), st.floats(1.0, 3000.0)), max_size=60))
 def test_a_cut_is_only_ever_told_of_caches_none_of_which_was_heard_since(steps):
     reach, now, silent = ZoneReachability(), 0.0, {}
-    reach.listed(list(range(5)), True)
+    reach.update_caches(list(range(5)), True)
     for failing, node, after in steps:
         now += after
         if failing:
             silent[node] = now
-            if reach.fails(now, node):
-                assert len([one for one, at in silent.items() if at > now - WITHIN]) >= 2
+            if reach.record_failure(now, node):
+                assert len([one for one, at in silent.items() if at > now - FAILURE_WINDOW]) >= 2
         else:
-            reach.heard(now, node)
+            reach.record_response(now, node)
             silent = {}
-            assert not reach.cut
+            assert not reach.is_unreachable
--- a/tests/spread/test_watching.py
+++ b/tests/spread/test_watching.py
@@ -20,14 +20,14 @@
     found, owed = [], [0.0] * len(watches)
     for watch in watches:
         if doubted:
-            watch.doubts(doubted, 0.0, len(watches))
+            watch.schedule_pings(doubted, 0.0, len(watches))
     for now in range(0, int(until), int(step)):
         for place, watch in enumerate(watches):
             owed[place] += rate * step / 1000.0
             while owed[place] >= 1.0:
-                watch.requested()
+                watch.record_request()
                 owed[place] -= 1.0
-            found += [(now, node) for node in watch.due(float(now), NODES)]
+            found += [(now, node) for node in watch.take_due(float(now), NODES)]
     return found
 
 
@@ -46,11 +46,11 @@
 
 def test_one_that_answers_is_asked_no_more():
     (watch,) = watches(1)
-    watch.doubts("a", 0.0, 1)
-    watch.doubts("b", 0.0, 1)
-    watch.heard("a")
+    watch.schedule_pings("a", 0.0, 1)
+    watch.schedule_pings("b", 0.0, 1)
+    watch.cancel_pings("a")
     assert {node for _, node in asked([watch], 3_000.0)} == {"b"}
-    watch.only(["c"])
+    watch.cancel_pings_except(["c"])
     assert asked([watch], 3_000.0) == []
 
 
@@ -66,7 +66,8 @@
 
 def test_a_busy_director_asks_no_more_than_its_pace():
     assert (
-        len(asked(watches(1, True), 20_000.0, 200.0)) <= 20_000.0 / health_checks.REPORT_EVERY + 1
+        len(asked(watches(1, True), 20_000.0, 200.0))
+        <= 20_000.0 / health_checks.MIN_POLL_INTERVAL + 1
     )
 
 
@@ -85,6 +86,6 @@
 @pytest.mark.parametrize("price, rate", [(0.0, 0.2), (0.014, 0.2), (0.056, 0.1), (1.4, 0.02)])
 def test_dear_reports_are_asked_for_more_rarely(price, rate):
     watch = HealthCheckScheduler(0.0, Random(1), True, price)
-    watch.earned = 0.0
-    watch.requested()
-    assert watch.earned == pytest.approx(rate)
+    watch.saved_polls = 0.0
+    watch.record_request()
+    assert watch.saved_polls == pytest.approx(rate)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -309,7 +309,7 @@
             caller.send()
             assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
         members = director.service.coordinator.router.members
-        assert members and not any(member.shunned or member.health.bad for member in members)
+        assert members and not any(member.shunned or member.health.failures for member in members)
         caller.send()
         assert caller.answer()[:2] == (2, 0)
 
@@ -855,7 +855,7 @@
     for name in ("SILENCE", "FIRST_WORD", "WHOLE_LINE"):
         monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with Running(bus=StandBus([OK, None], [None], [None])) as director:
-        director.service.event_stream.pace.ended = lambda *_: 0.01
+        director.service.event_stream.pace.record_end = lambda *_: 0.01
         director.bus.scripts.append(
             [OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None]
         )
@@ -968,7 +968,7 @@
     with Running(bus=StandBus()) as director:
         stream = director.service.event_stream
         stream.read_configured_address = lambda: 1 / 0
-        stream.pace.astray = lambda now: True
+        stream.pace.begin_lookup_if_due = lambda now: True
         director.bus.scripts += [
             [OK, event(2, BAN), None]
         ] * 9  # a connection that the move ends takes one
--- a/tests/test_judging.py
+++ b/tests/test_judging.py
@@ -75,9 +75,9 @@
     """The sum of odds finds what a share of the last dozen does not."""
     health = OutlierDetector()
     for number in range(60):
-        health.mark(1000.0 * number, 0.0)
+        health.record(1000.0 * number, 0.0)
     for number in range(3):
-        health.mark(60_000.0 + 200.0 * number, 1.0)
-    assert health.is_bad()
-    health.called = False
-    assert not health.is_bad()
+        health.record(60_000.0 + 200.0 * number, 1.0)
+    assert health.is_outlier()
+    health.has_alarm = False
+    assert not health.is_outlier()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -237,7 +237,7 @@
         fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if another is not None:
             fleet.answer(request.attempts[1], another)
-    assert cache.health.bad == weight
+    assert cache.health.failures == weight
     assert all(request.is_complete for request in requests) or another is None
 
 
@@ -655,7 +655,9 @@
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.director.mark(cache, 4.0, "reset")
-    assert fleet.director.reach.cut and all(cache.unreached for cache in fleet.caches[:2])
+    assert fleet.director.reach.is_unreachable and all(
+        cache.unreached for cache in fleet.caches[:2]
+    )
     asked = []
     for _ in range(20):
         fleet.ask(after=50.0)
@@ -670,7 +672,7 @@
     for cache in fleet.caches[:2]:
         fleet.director.mark(cache, 4.0, "reset")
     fleet.call("told", fleet.parents[0], None, True)
-    assert fleet.director.reach.cut
+    assert fleet.director.reach.is_unreachable
 
 
 def test_a_part_of_a_cold_limit_that_was_borrowed_ends_by_itself():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -162,7 +162,9 @@
 ):
     # Guards against requests that wait out their time on a connection that stays open after a bad
     # answer.
-    monkeypatch.setattr(connection_reuse, "QUIET", 100.0)  # before the module's own timer
+    monkeypatch.setattr(
+        connection_reuse, "SILENCE_BEFORE_PING", 100.0
+    )  # before the module's own timer
     with Running() as director:
         caller, bad = director.caller(), director.nodes[:3]
         caller.send(entity="00000000000000cd")
@@ -532,7 +534,7 @@
 def test_a_director_that_is_late_itself_takes_in_what_has_an_effect(late, pages):
     with Running(HIT) as director:
         caller, facade = director.caller(), director.service.coordinator
-        facade.lateness.note(facade.clock() + (60_000.0 if late else 0.0), late)
+        facade.lateness.record(facade.clock() + (60_000.0 if late else 0.0), late)
         caller.send()
         assert caller.answer()[1] == pages
         caller.send("order")
