--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -1,88 +1,137 @@
-"""When a quiet link is doubted, and how long an idle one is held; pure, times in ms.
+"""Upstream connections: when a silent one is pinged, and how long an idle one is kept open.
 
-An echo costs the node work and has a price, an idle connection takes a place at the node: what one
-director does over a slow answer or out of habit, hundreds do at the same time. So a link that was
-asked in vain is asked more rarely while its answers take as long, and an idle one is held for long
-only where few directors share the node.
+A ping costs the endpoint work and has a price, and an open connection takes one of the endpoint's
+limited slots. What one director does because of a slow response, hundreds do at the same time. So:
+
+* Ping backoff (`PingBackoff`): a connection with attempts in flight that stays silent for a while
+  is pinged, since the endpoint may have failed. If the ping is answered, the response is merely
+  slow, and the time until the next ping doubles. Responses to attempts reduce it again.
+* Idle timeout (`idle_timeout`): an idle connection is kept for long only where few directors share
+  the endpoint.
+* Eviction (`connections_to_evict`): close to the director's own limit of connections the ones that
+  have been idle for longest are closed, so that they don't keep attempts to other endpoints from
+  getting any connection.
+
+Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
 
 import errno
 from typing import TypeVar
 
 Connection = TypeVar("Connection")
-SILENCE_BEFORE_PING, MIN_SILENCE_BEFORE_PING = (
-    1500.0,
-    100.0,
-)  # by 1 + attempts out: of many, one comes sooner
-MAX_BACKOFF_DOUBLINGS = (
-    4.0  # each echo that comes back with attempts still out doubles the wait for the next
-)
-BACKOFF_DECAY_PER_RESPONSE = 0.2  # of a doubling for each answer to an attempt
-IDLE_TIMEOUT_FRACTION = (
-    0.5  # of the time after which the other side closes an idle connection, we do
-)
-MAX_IDLE_TO_CACHE, MAX_IDLE_TO_PARENT_OR_ORIGIN = (
-    12,
-    48,
-)  # idle links to one cache, to one parent or the origin, over all directors
-COSTLY_CONNECT_FACTOR = 8  # times as many where a new connection costs more than an open one
-SHORT_IDLE_TIMEOUT = 50.0  # where there would be more, each is held for so long
+
+# A connection may be silent for this many ms, divided by 1 + attempts in flight, before a ping:
+# of many responses that are due one should arrive sooner.
+SILENCE_BEFORE_PING = 1500.0
+# But never less than this many ms.
+MIN_SILENCE_BEFORE_PING = 100.0
+# The silence before a ping doubles at most so often, to 16 times.
+MAX_BACKOFF_DOUBLINGS = 4.0
+# Doublings that each response to an attempt takes back.
+BACKOFF_DECAY_PER_RESPONSE = 0.2
+
+# We close an idle connection after this fraction of the endpoint's own idle timeout: it must not
+# close it just as we write an attempt.
+IDLE_TIMEOUT_FRACTION = 0.5
+# Idle connections, summed over all directors, that one cache may be left with.
+MAX_IDLE_TO_CACHE = 12
+# The same for a parent or the origin, which the directors of all locations share.
+MAX_IDLE_TO_PARENT_OR_ORIGIN = 48
+# So many times as many are allowed where opening a connection costs more than keeping it.
+COSTLY_CONNECT_FACTOR = 8
+# Where more directors than that share an endpoint, each keeps an idle connection for so many ms.
+SHORT_IDLE_TIMEOUT = 50.0
+
+# Fraction of the director's limit of connections above which idle ones are evicted.
+EVICTION_THRESHOLD = 0.75
 
 
 class PingBackoff:
-    """How long one link may say nothing while attempts are out on it, before it is asked for an
-    echo.
-    """
+    """How long one connection may be silent, with attempts in flight, before it is pinged."""
 
     def __init__(self) -> None:
-        self.false = 0.0  # echoes with no answer to an attempt, less a part for each answer since
+        self._doublings = 0.0
 
-    def silence_before_ping(self, attempts: int) -> float:
-        return max(SILENCE_BEFORE_PING / (1 + attempts), MIN_SILENCE_BEFORE_PING) * 2.0**self.false
+    def silence_before_ping(self, attempts_in_flight: int) -> float:
+        """How many ms of silence to wait for before the next ping."""
+        silence = max(SILENCE_BEFORE_PING / (1 + attempts_in_flight), MIN_SILENCE_BEFORE_PING)
+        return silence * 2.0**self._doublings
 
     def record_ping_answer(self) -> None:
-        """It was asked and lives: what is out there takes its time."""
-        self.false = min(MAX_BACKOFF_DOUBLINGS, self.false + 1.0)
+        """A ping was answered while attempts are in flight: the endpoint lives and is slow."""
+        self._doublings = min(MAX_BACKOFF_DOUBLINGS, self._doublings + 1.0)
 
     def record_response(self) -> None:
-        self.false = max(0.0, self.false - BACKOFF_DECAY_PER_RESPONSE)
-
-
-EVICTION_THRESHOLD = 0.75  # of the links at the most; where there are more, idle ones make room
+        """An attempt was answered."""
+        self._doublings = max(0.0, self._doublings - BACKOFF_DECAY_PER_RESPONSE)
 
 
 def connections_to_evict(
-    idle: list[tuple[float, Connection]], count: int, most: int
+    idle: list[tuple[float, Connection]], count: int, max_connections: int
 ) -> list[Connection]:
-    """Which idle links, given as (last use, link), make room where there are `count` of `most`:
-    those idle for longest. Held for what may come, they would keep attempts to other nodes from any
-    link at all.
-    """
-    over = max(0, count - int(EVICTION_THRESHOLD * most))
-    return [link for _, link in sorted(idle, key=lambda held: held[0])[:over]]
+    """Which idle connections to close, those idle for longest first.
 
+    Args:
+        idle: The idle connections, each as (last use in ms, connection).
+        count: All connections of this director, idle or not.
+        max_connections: The director's limit.
+    """
+    excess = max(0, count - int(EVICTION_THRESHOLD * max_connections))
+    longest_idle = sorted(idle, key=lambda entry: entry[0])[:excess]
+    return [connection for _, connection in longest_idle]
 
-def connection_utilization(count: int, busy: int, most: int) -> float:
-    """Of the links that there may be the part that attempts are out on, where few are left."""
-    return busy / most if count >= EVICTION_THRESHOLD * most else 0.0
 
+def connection_utilization(count: int, busy: int, max_connections: int) -> float:
+    """The fraction of the director's connections that have attempts in flight.
 
-def idle_timeout(idle_for: float, sharers: int, far: bool, priced: bool) -> float:
-    """How long an idle link to a node is held from its last use. `idle_for`: the node closes it
-    then; `sharers`: directors that may hold one; `far`: a parent or the origin, which all share;
-    `priced`: a new connection costs more than an open one. Where all together stay within the
-    bound, for long; else for so short a time that the node has no more links than requests in that
-    time and what they take, whatever the number of directors.
+    It is 0 below `EVICTION_THRESHOLD`: idle connections are no shortage while new ones may be
+    opened.
     """
-    bound = (MAX_IDLE_TO_PARENT_OR_ORIGIN if far else MAX_IDLE_TO_CACHE) * (
-        COSTLY_CONNECT_FACTOR if priced else 1
-    )
-    longest = IDLE_TIMEOUT_FRACTION * idle_for
-    return longest if sharers <= bound else min(longest, SHORT_IDLE_TIMEOUT)
+    if count < EVICTION_THRESHOLD * max_connections:
+        return 0.0
+    return busy / max_connections
+
+
+def idle_timeout(
+    endpoint_idle_timeout: float,
+    sharing_directors: int,
+    is_parent_or_origin: bool,
+    is_connect_costly: bool,
+) -> float:
+    """How many ms after its last use an idle connection to an endpoint is closed.
+
+    Where all directors together stay within the endpoint's bound of idle connections, each may keep
+    one for long. Otherwise the timeout is so short that the endpoint has no more connections than
+    requests arrive within it and are being served, whatever the number of directors.
+
+    Args:
+        endpoint_idle_timeout: After so many ms the endpoint closes an idle connection itself.
+        sharing_directors: Directors that may keep a connection to this endpoint.
+        is_parent_or_origin: The endpoint is shared by all locations, and is no cache.
+        is_connect_costly: Opening a connection costs more than keeping one open.
+    """
+    max_idle = MAX_IDLE_TO_PARENT_OR_ORIGIN if is_parent_or_origin else MAX_IDLE_TO_CACHE
+    if is_connect_costly:
+        max_idle *= COSTLY_CONNECT_FACTOR
+    longest = IDLE_TIMEOUT_FRACTION * endpoint_idle_timeout
+    if sharing_directors <= max_idle:
+        return longest
+    return min(longest, SHORT_IDLE_TIMEOUT)
 
 
-def is_local_resource_shortage(number: int | None) -> bool:
-    """Whether a connection that did not come up, by the system's number for why, tells of what this
-    director lacks, and nothing of the node: descriptors, memory, ports.
+def is_local_resource_shortage(error_number: int | None) -> bool:
+    """Whether a connection failed to open for want of a resource of this director.
+
+    Such a failure (descriptors, memory or ports) says nothing about the endpoint, and must not
+    count as one of its failures.
+
+    Args:
+        error_number: The `errno` of the failure; None where there is none.
     """
-    return number in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+    return error_number in (
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+    )
