--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -1,77 +1,122 @@
-"""Whether a member's outcomes call it bad: a sequential test beside a share of the last ones; pure,
-in ms.
-
-With hundreds of directors each meets a member every few seconds, and what it knows of it is a
-handful of outcomes. A share of the last dozen finds a member that always fails, but half-bad ones
-hide behind the good outcomes that are remembered with them. So a cumulative sum of the odds runs
-beside it: each outcome adds the logarithm of how much likelier it is of a member with `OUTLIER_FAILURE_RATE` of bad
-outcomes than of one with `GOOD`, and never below nought, so that good ones of long ago excuse
-nothing.
-
-Error rates, as tests show them: a member that fails once in a thousand is called bad less than once
-in a thousand hours by each director that meets it up to once a second; one that always fails is
-found within 4 outcomes, half of the time within 16, three times in ten within 40, each nineteen
-times in twenty.
+"""Outlier detection: whether the outcomes of an endpoint's attempts make it an outlier.
+
+An outlier is ejected from load balancing by the router, and reinstated once its outcomes are good
+again. Two tests run side by side, and either of them is enough:
+
+* Failure fraction: the failures among the most recent outcomes, at least `MIN_FAILURES` of them and
+  more than `MAX_FAILURE_FRACTION` of all. It finds an endpoint that always fails.
+* Sequential test: with hundreds of directors each of them sees an endpoint every few seconds and
+  knows a handful of outcomes. An endpoint that fails half of the time then hides behind the
+  successes that are counted with the failures. So a cumulative sum of log-likelihood ratios
+  (CUSUM; Page 1954, after Wald's sequential probability ratio test) is kept as well. Every outcome
+  adds the logarithm of how much likelier it is from an endpoint that fails at
+  `OUTLIER_FAILURE_RATE` than from one that fails at `HEALTHY_FAILURE_RATE`. The sum never falls
+  below zero, so that successes of long ago excuse nothing.
+
+Error rates, as measured by tests/test_judging.py: an endpoint that fails once in a thousand
+attempts is called an outlier less than once in a thousand hours by each director that sends it up
+to one attempt a second. One that always fails is found within 4 outcomes, one that fails half of
+the time within 16, and one that fails three times in ten within 40, each nineteen times in twenty.
+
+Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
 
 import math
 
-COUNT_HALF_LIFE, MAX_COUNT = 16_000.0, 12.0  # of the counts, and their sum at the most
-MIN_FAILURES, MAX_FAILURE_FRACTION = (
-    1.5,
-    0.4,
-)  # bad outcomes, and their share, that call a member bad at once
-HEALTHY_FAILURE_RATE, OUTLIER_FAILURE_RATE = (
-    0.01,
-    0.4,
-)  # shares of bad outcomes that the test tells apart
-FAILURE_EVIDENCE, SUCCESS_EVIDENCE = (
-    math.log(OUTLIER_FAILURE_RATE / HEALTHY_FAILURE_RATE),
-    math.log((1.0 - HEALTHY_FAILURE_RATE) / (1.0 - OUTLIER_FAILURE_RATE)),
-)
-ALARM_EVIDENCE = 10.0  # odds, as a logarithm, at which the sum calls it bad
-ALARM_HYSTERESIS = 3.0  # by so much the sum must have fallen again: six good outcomes in a row
-EVIDENCE_HALF_LIFE = 64_000.0  # halving of the sum
+# The counts of outcomes are halved once in so many ms, and when their sum exceeds the maximum.
+COUNT_HALF_LIFE = 16_000.0
+MAX_COUNT = 12.0
+# A longer time counts as so many halvings, which leave nothing: keeps the power in range.
+MAX_HALVINGS = 30
+# Failures, and their fraction of all outcomes, that make an endpoint an outlier at once.
+MIN_FAILURES = 1.5
+MAX_FAILURE_FRACTION = 0.4
+
+# The two failure rates that the sequential test tells apart.
+HEALTHY_FAILURE_RATE = 0.01
+OUTLIER_FAILURE_RATE = 0.4
+# What one failure adds to the evidence, and what one success takes off it (natural logarithms).
+FAILURE_EVIDENCE = math.log(OUTLIER_FAILURE_RATE / HEALTHY_FAILURE_RATE)
+SUCCESS_EVIDENCE = math.log((1.0 - HEALTHY_FAILURE_RATE) / (1.0 - OUTLIER_FAILURE_RATE))
+# The evidence at which the sequential test raises its alarm; it is capped there.
+ALARM_EVIDENCE = 10.0
+# The alarm ends once the evidence has fallen by this much: after six successes in a row.
+ALARM_HYSTERESIS = 3.0
+# The evidence is halved over so many ms.
+EVIDENCE_HALF_LIFE = 64_000.0
 
 
 class OutlierDetector:
-    """One member's outcomes at one director."""
+    """The outcomes of one endpoint, as seen by one director.
+
+    Attributes:
+        successes: Recent successes, older ones decayed.
+        failures: Recent failures, older ones decayed; one outcome may be a fraction of a failure.
+        evidence: The cumulative log-likelihood ratio of the sequential test, from 0 to
+            `ALARM_EVIDENCE`.
+        has_alarm: The sequential test has raised its alarm, and the evidence has not fallen by
+            `ALARM_HYSTERESIS` since.
+    """
 
     def __init__(self) -> None:
-        self.successes, self.failures, self.counted = 0.0, 0.0, 0.0
-        self.evidence, self.summed, self.has_alarm = 0.0, 0.0, False
-
-    def record(self, now: float, bad: float) -> None:
-        """An outcome; `bad`: 0, or how much of a bad one it is."""
-        if now >= self.counted:
-            kept = 0.5 ** min(30, 1 + int((now - self.counted) / COUNT_HALF_LIFE))
-            self.successes, self.failures, self.counted = (
-                self.successes * kept,
-                self.failures * kept,
-                now + COUNT_HALF_LIFE,
-            )
-        self.failures, self.successes = self.failures + bad, self.successes + (0.0 if bad else 1.0)
+        self.successes = 0.0
+        self.failures = 0.0
+        self.evidence = 0.0
+        self.has_alarm = False
+        self._next_halving_at = 0.0
+        self._evidence_at = 0.0
+
+    def record(self, now: float, failure: float) -> None:
+        """Records an outcome.
+
+        Args:
+            now: The current time in ms.
+            failure: 0 for a success, else the weight of the failure: 1 for a usual one.
+        """
+        self._decay_counts(now)
+        self.failures += failure
+        self.successes += 0.0 if failure else 1.0
         if self.successes + self.failures > MAX_COUNT:
-            self.successes, self.failures = 0.5 * self.successes, 0.5 * self.failures
-        faded = self.evidence * 0.5 ** min(30.0, (now - self.summed) / EVIDENCE_HALF_LIFE)
-        self.evidence, self.summed = (
-            min(ALARM_EVIDENCE, max(0.0, faded + (bad * FAILURE_EVIDENCE or -SUCCESS_EVIDENCE))),
-            now,
-        )
-        if self.has_alarm and self.evidence <= ALARM_EVIDENCE - ALARM_HYSTERESIS:
-            self.clear_failures()
-        self.has_alarm = self.has_alarm or self.evidence >= ALARM_EVIDENCE
+            self.successes *= 0.5
+            self.failures *= 0.5
+        self._update_evidence(now, failure)
 
     def clear_failures(self) -> None:
-        """What was bad is disproven."""
-        self.failures, self.evidence, self.has_alarm = 0.0, 0.0, False
+        """Forgets all failures, since the endpoint has been shown to work."""
+        self.failures = 0.0
+        self.evidence = 0.0
+        self.has_alarm = False
 
     def is_outlier(self) -> bool:
-        return self.has_alarm or (
-            self.failures >= MIN_FAILURES
-            and self.failures > MAX_FAILURE_FRACTION * (self.successes + self.failures)
-        )
+        """Whether either test finds that the endpoint fails too often."""
+        if self.has_alarm:
+            return True
+        outcomes = self.successes + self.failures
+        return self.failures >= MIN_FAILURES and self.failures > MAX_FAILURE_FRACTION * outcomes
 
     def failure_fraction(self) -> float:
-        """Of bad outcomes, with half of one put in."""
+        """The fraction of failures, from above 0 to below 1.
+
+        One more outcome is assumed that is half a failure, so that few outcomes say little.
+        """
         return (self.failures + 0.5) / (self.successes + self.failures + 1.0)
+
+    def _decay_counts(self, now: float) -> None:
+        if now < self._next_halving_at:
+            return
+        halvings = 1 + int((now - self._next_halving_at) / COUNT_HALF_LIFE)
+        remaining = 0.5 ** min(MAX_HALVINGS, halvings)
+        self.successes *= remaining
+        self.failures *= remaining
+        self._next_halving_at = now + COUNT_HALF_LIFE
+
+    def _update_evidence(self, now: float, failure: float) -> None:
+        halvings = min(float(MAX_HALVINGS), (now - self._evidence_at) / EVIDENCE_HALF_LIFE)
+        evidence = self.evidence * 0.5**halvings
+        evidence += failure * FAILURE_EVIDENCE if failure else -SUCCESS_EVIDENCE
+        self.evidence = min(ALARM_EVIDENCE, max(0.0, evidence))
+        self._evidence_at = now
+        if self.has_alarm and self.evidence <= ALARM_EVIDENCE - ALARM_HYSTERESIS:
+            self.clear_failures()
+        if self.evidence >= ALARM_EVIDENCE:
+            self.has_alarm = True
