--- a/mulleinrelay/policy/__init__.py
+++ b/mulleinrelay/policy/__init__.py
@@ -1,3 +1,5 @@
-"""What keeps hundreds of directors that don't talk to each other out of step: pure decisions, time
-and chance passed in.
+"""The routing decisions of a director, pure: time, randomness and events are passed in.
+
+Hundreds of directors decide without talking to each other. Much of this package keeps them from
+acting in step and bounds what all of them together send.
 """
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -1,67 +1,129 @@
-"""One director's part of what a cold node may be sent; pure, times and work in ms.
-
-All directors together keep a cold node within what it can do, and none knows what the others send.
-So each has an equal part of it, counted over the span in which the node would fall. With hundreds
-of directors that part is less than one request, and a rule that lets nothing through beyond the
-part leaves the node idle for as long as it is cold. Beyond the part a director draws tickets at
-random: each lets one request through, comes as often as the part pays for it, and lapses soon, so
-that a moment at which all want the same node finds few tickets in hand.
-
-With directors that draw independently, what all send in a span has a mean of at most FILL, or
-TICKET_FILL * (1 + LAPSE), of what the node can do, and spreads as a sum of independent requests
-does.
+"""Slow start: how much of the load of an endpoint that is warming up one director may send it.
+
+An endpoint that has just started can serve only a fraction of its capacity, and fails if it is sent
+much more over a certain window. All directors together must stay below that, and none of them knows
+what the others send. So each director has an equal share of the endpoint's present capacity, and
+counts the work that it has sent within the window:
+
+* Deterministic part: a request is admitted while the work within the window fits into
+  `SHARE_FRACTION` of the director's share.
+* Probabilistic part: with hundreds of directors the share is less than one request, and the
+  deterministic part alone would leave the endpoint idle for as long as it is warming up. Beyond it
+  a director therefore draws, at random, a *grant* for one request. Grants come as often as
+  `GRANT_FRACTION` of the share pays for them, as a Poisson process. An unused one expires soon, so
+  that at a moment at which all directors want the same endpoint only few of them have one.
+
+With directors that draw independently, the work that all of them send within a window has a mean of
+at most `SHARE_FRACTION` of what the endpoint can do, or `GRANT_FRACTION * (1 + GRANT_LIFETIME)` of
+it, and varies like a sum of independent requests.
+
+Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
+caller's clock; the work of a request is how many ms it takes to send its response. Not thread-safe.
 """
 
 import math
+from dataclasses import dataclass
 from random import Random
 
 from .model import QuotaShare
 
-SHARE_FRACTION = (
-    0.8  # of the node's present capacity that all directors together go to where each has room
-)
-GRANT_FRACTION = 0.4  # and where they draw: what comes by chance comes in clusters
-GRANT_LIFETIME = (
-    1.0  # of the span, after which a ticket is of no more use: who asks rarely must find it in hand
-)
+# Fraction of the endpoint's present capacity that all directors use together where each has room
+# for a request in its share.
+SHARE_FRACTION = 0.8
+# The same where they depend on grants: requests that come by chance come in clusters.
+GRANT_FRACTION = 0.4
+# Lifetime of a grant in windows. A director that rarely has a request must still have the grant
+# when the request comes.
+GRANT_LIFETIME = 1.0
+# Requests count as at least so much work (ms) when a grant is drawn: bounds the rate of grants.
+MIN_GRANT_WORK = 1.0
+
+
+@dataclass(slots=True)
+class SentWork:
+    """Work that this director has sent to the endpoint."""
+
+    sent_at: float
+    work: float
 
 
 class SlowStartBudget:
-    """What one director may send one cold node."""
+    """What one director may send to one endpoint that is warming up."""
 
     def __init__(self) -> None:
-        self.spent: list[tuple[float, float]] = []  # when, work
-        self.looked, self.until, self.worth = (
-            -math.inf,
-            -math.inf,
-            0.0,
-        )  # the last draw; the ticket in hand
+        self._sent: list[SentWork] = []
+        self._last_draw_at = -math.inf
+        self._grant_expires_at = -math.inf
+        self._granted_work = 0.0  # the size of the request that the last grant is for
 
     def spend(self, now: float, work: float) -> None:
-        self.spent.append((now, work))
-        self.until = -math.inf
-
-    def record_peaks(self, share: QuotaShare, work: float, fits: bool, whole: float) -> None:
-        """How large a part of the node's capacity over the span, `whole`, this would take."""
-        part = (sum(held for _, held in self.spent) + work) / (SHARE_FRACTION * whole)
-        if fits:
-            share.peak_used = max(share.peak_used, part)
+        """Records that an admitted request was sent; it uses up the grant, if there is one."""
+        self._sent.append(SentWork(now, work))
+        self._grant_expires_at = -math.inf
+
+    def record_peaks(
+        self, share: QuotaShare, work: float, is_admitted: bool, endpoint_work: float
+    ) -> None:
+        """Records for the quota exchange which fraction of the endpoint this director needs.
+
+        Args:
+            share: This director's share, whose peaks are raised.
+            work: Work of the request that was admitted or rejected.
+            is_admitted: What `try_admit` has answered for it.
+            endpoint_work: The work that the endpoint can do now over the window.
+        """
+        fraction = (self._sent_work() + work) / (SHARE_FRACTION * endpoint_work)
+        if is_admitted:
+            share.peak_used = max(share.peak_used, fraction)
         else:
-            share.peak_rejected = max(share.peak_rejected, part)
+            share.peak_rejected = max(share.peak_rejected, fraction)
+
+    def try_admit(
+        self, now: float, work: float, capacity_share: float, window: float, random: Random
+    ) -> bool:
+        """Whether a request may be sent now; draws a grant for it where one is needed.
 
-    def try_admit(self, now: float, work: float, part: float, span: float, random: Random) -> bool:
-        """Whether a request of `work` may go. `part`: of the node's present capacity, work a ms;
-        the same for the same moment however often it is asked.
+        The answer for one moment stays the same, however often it is asked for, until `spend`.
+
+        Args:
+            now: The current time in ms.
+            work: Work of the request.
+            capacity_share: This director's share of the endpoint's present capacity, work per ms.
+            window: The ms over which the endpoint must not be sent too much.
+            random: The director's source of randomness.
         """
-        self.spent = [(at, spent) for at, spent in self.spent if at >= now - span]
-        spent = sum(held for _, held in self.spent)
-        if spent + work <= SHARE_FRACTION * part * span:
+        self._sent = [sent for sent in self._sent if sent.sent_at >= now - window]
+        sent_work = self._sent_work()
+        if sent_work + work <= SHARE_FRACTION * capacity_share * window:
             return True
-        if now < self.until and work <= self.worth:
+        if now < self._grant_expires_at and work <= self._granted_work:
             return True
-        since, self.looked = min(now - self.looked, GRANT_LIFETIME * span), now
-        left = GRANT_FRACTION * part - spent / span
-        if left <= 0.0 or random.random() >= 1.0 - math.exp(-left * since / max(work, 1.0)):
+        spare_capacity = GRANT_FRACTION * capacity_share - sent_work / window
+        return self._draw_grant(now, work, spare_capacity, GRANT_LIFETIME * window, random)
+
+    def _sent_work(self) -> float:
+        return sum(sent.work for sent in self._sent)
+
+    def _draw_grant(
+        self, now: float, work: float, spare_capacity: float, lifetime: float, random: Random
+    ) -> bool:
+        """Draws whether a grant for `work` has come up since the last draw.
+
+        Args:
+            now: The current time in ms.
+            work: Work of the request.
+            spare_capacity: Work per ms that may be granted.
+            lifetime: How many ms a grant can be used.
+            random: The director's source of randomness.
+        """
+        elapsed = min(now - self._last_draw_at, lifetime)
+        self._last_draw_at = now
+        if spare_capacity <= 0.0:
+            return False
+        expected_grants = spare_capacity * elapsed / max(work, MIN_GRANT_WORK)
+        if random.random() >= 1.0 - math.exp(-expected_grants):
             return False
-        self.until, self.worth = now + GRANT_LIFETIME * span - since * random.random(), work
+        # It came up at a random moment since the last draw, and a part of its lifetime is over.
+        self._grant_expires_at = now + lifetime - elapsed * random.random()
+        self._granted_work = work
         return True
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -1,55 +1,77 @@
-"""When a director that lost its event stream asks for it again, and when it doubts the address;
-pure. Times are seconds of any one clock.
+"""Reconnecting the event stream: how long to wait, and when to look up its address again.
+
+The event stream brings the endpoint list. A stream that ends usually ends for all directors at
+once, so that each one waits a random time before it reconnects. While connections fail, the wait
+grows exponentially up to `MAX_BACKOFF_S`.
+
+An address that refuses connections for a while may be out of date: the configuration may name
+another one, and the signal to reload it may have been lost. The configuration is then read again,
+at a limited rate.
+
+Pure: no I/O, no clock; the source of randomness is passed in. Times are *seconds* of any one clock.
+Not thread-safe.
 """
 
 from random import Random
 
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = (
-    0.05,
-    1.0,
-)  # before a further connection after one that brought nothing
-RECONNECT_JITTER_S = (
-    0.1  # a stream that ends ends for all directors together: they come again over so long
-)
-REFUSED_BEFORE_LOOKUP_S, LOOKUP_INTERVAL_S = (
-    1.5,
-    2.0,
-)  # of refusals until the configuration is looked at; between two looks
+# Backoff after the first connection that brought no events, and the longest one.
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+# A backoff is changed at random by up to this fraction of it.
+BACKOFF_JITTER = 0.25
+# After a stream that brought events the directors reconnect spread over so long.
+RECONNECT_JITTER_S = 0.1
+# Refusals must have lasted so long before the address is looked up in the configuration.
+REFUSED_BEFORE_LOOKUP_S = 1.5
+# Time between two such look-ups; each costs a read of one small file.
+LOOKUP_INTERVAL_S = 2.0
 
 
 class ReconnectBackoff:
-    """One director's waits before its stream's next connection."""
+    """The waits of one director before it connects its event stream again."""
 
     def __init__(self, random: Random) -> None:
-        self.random, self.wait = random, 0.0
-        self.refused_since: float | None = None
-        self.look_due = 0.0
+        self._random = random
+        self._backoff_s = 0.0
+        self._refused_since: float | None = None
+        self._next_lookup_at = 0.0
+
+    def record_end(self, now: float, has_brought_events: bool, is_refused: bool) -> float:
+        """Records that a connection has ended, or could not be opened.
 
-    def record_end(self, now: float, brought: bool, refused: bool) -> float:
-        """A connection is over, or none came up: how long until the next. `brought`: events came on
-        it.
+        Args:
+            now: The current time in seconds.
+            has_brought_events: At least one event came on the connection.
+            is_refused: The address refused the connection.
+
+        Returns:
+            The seconds to wait before the next connection.
         """
-        if not refused:
-            self.refused_since = None
-        elif self.refused_since is None:
-            self.refused_since = now
-        if brought:
-            self.wait = 0.0
-            return RECONNECT_JITTER_S * self.random.random()
-        self.wait = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2.0 * self.wait))
-        return self.wait * (0.75 + 0.5 * self.random.random())
+        if not is_refused:
+            self._refused_since = None
+        elif self._refused_since is None:
+            self._refused_since = now
+        if has_brought_events:
+            self._backoff_s = 0.0
+            return RECONNECT_JITTER_S * self._random.random()
+        self._backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2.0 * self._backoff_s))
+        jitter = 1.0 - BACKOFF_JITTER + 2.0 * BACKOFF_JITTER * self._random.random()
+        return self._backoff_s * jitter
 
     def reset(self) -> None:
-        """The stream is read at another address."""
-        self.wait, self.refused_since = 0.0, None
+        """Begins anew, as the stream has moved to another address."""
+        self._backoff_s = 0.0
+        self._refused_since = None
 
     def begin_lookup_if_due(self, now: float) -> bool:
-        """Whether the address has refused for so long that the configuration may name another one,
-        though no signal told so. Guards against a signal that was lost; costs one small file read
-        each LOOKUP_INTERVAL_S.
+        """Whether the caller is to look up the address in the configuration now.
+
+        True at most once in `LOOKUP_INTERVAL_S`, while the address has refused all connections for
+        `REFUSED_BEFORE_LOOKUP_S`. Protects against a reload signal that was lost.
         """
-        since = self.refused_since
-        if since is None or now < max(since + REFUSED_BEFORE_LOOKUP_S, self.look_due):
+        if self._refused_since is None:
+            return False
+        if now < max(self._refused_since + REFUSED_BEFORE_LOOKUP_S, self._next_lookup_at):
             return False
-        self.look_due = now + LOOKUP_INTERVAL_S
+        self._next_lookup_at = now + LOOKUP_INTERVAL_S
         return True
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -1,101 +1,137 @@
-"""Whether a location's caches are reached at all: tells a cut, or the loss of the whole location,
-from caches that fail one by one; pure, times in ms.
-
-A director that meets each of its caches every few seconds would find them dead one after the other,
-a request or two lost for each, for as long as the cut lasts. But what it sends next to whichever
-cache fails alike, and no cache says a word: a few in a row that fail so, with nothing heard of any
-in between, tell that the whole location is not reached. No cache is judged for it. A few are asked
-for echoes, soon for the first time, since the judgement may be wrong; the first word of any ends
-it, and what was shunned for silence meanwhile is taken back with it. Each director hears at a
-moment of its own, so that they don't come back together. Where slow caches were taken for a cut,
-more must fail in a row the next time.
+"""Zone reachability: whether the caches of a zone can be reached at all.
+
+A network partition, or the loss of a whole zone, looks at first like caches that fail one by one. A
+director that sends each of its caches a request every few seconds would lose a request or two for
+each of them, for as long as the partition lasts.
+
+What is measured: the caches that failed to respond most recently, with no response of any cache in
+between. What is decided: once enough different caches have failed so, the zone counts as
+unreachable. No single cache is judged by it. A few caches are pinged, soon for the first time, as
+the decision may be wrong. The first response of any cache ends it, and the caches that were ejected
+for silence meanwhile are reinstated. Every director gets that response at a moment of its own, so
+that they don't return to the zone together.
+
+An outage that was over within `MIN_OUTAGE` was a false alarm: the caches were only slow. More of
+them must then fail in a row before the next one.
+
+Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
+caller's clock. Not thread-safe.
 """
 
 import math
 from collections.abc import Collection, Hashable
 from random import Random
 
-MIN_FAILED_FRACTION, MIN_FAILED_CACHES = (
-    0.25,
-    2,
-)  # of the listed caches that must fail in a row, and how many at the least
-FAILURE_WINDOW = (
-    5000.0  # failures longer ago don't count: what one director sends may be seconds apart
-)
-PING_SPACING = 1000.0  # of those asked, one echo in so long, where each is asked at its own pace
-MIN_OUTAGE = 1000.0  # a cut that lasted less was none, and what failed in it did so for itself
-MAX_THRESHOLD_DOUBLINGS, FALSE_ALARM_LIFETIME = (
-    3,
-    30_000.0,
-)  # of how many must fail, for each that was none; one less in so long
+# Fraction of the zone's caches that must fail in a row, and how many at the least.
+MIN_FAILED_FRACTION = 0.25
+MIN_FAILED_CACHES = 2
+# Failures count for so many ms: what one director sends may be seconds apart.
+FAILURE_WINDOW = 5000.0
+# While the zone is unreachable so many caches are pinged that one ping is sent about every so many
+# ms, as each of them has an interval of its own.
+PING_SPACING = 1000.0
+# An outage that ends after fewer ms was a false alarm.
+MIN_OUTAGE = 1000.0
+# Each false alarm doubles how many caches must fail, at most so often.
+MAX_THRESHOLD_DOUBLINGS = 3
+# One false alarm is forgotten in so many ms.
+FALSE_ALARM_LIFETIME = 30_000.0
 
 
 class ZoneReachability:
-    """One director's view of its location."""
+    """Whether one director can reach the caches of its zone.
+
+    Attributes:
+        caches: The zone's caches, each identified by any hashable key; the values are unused.
+        recent_failures: When each of them failed last, in ms, since any of them responded.
+    """
 
     def __init__(self) -> None:
         self.caches: dict[Hashable, None] = {}
         self.recent_failures: dict[Hashable, float] = {}
-        self.since: float | None = None  # of the cut: its first failure
-        self.began, self.false, self.forgives = (
-            0.0,
-            0,
-            0.0,
-        )  # the last cut; judgements that were wrong
+        self._unreachable_since: float | None = None  # the first failure of the present outage
+        self._detected_at = 0.0  # of the last outage
+        self._false_alarms = 0
+        self._forget_false_alarm_at = 0.0
 
     @property
     def is_unreachable(self) -> bool:
-        return self.since is not None
+        """Whether the zone counts as unreachable now."""
+        return self._unreachable_since is not None
+
+    def update_caches(self, caches: Collection[Hashable], has_restarted: bool) -> None:
+        """Sets the zone's caches.
 
-    def update_caches(self, nodes: Collection[Hashable], anew: bool) -> None:
-        """These are the location's caches now. `anew`: one has started since, and nothing is known
-        of it.
+        Args:
+            caches: All caches that are ready.
+            has_restarted: One of them has started since the last update. Nothing is known of it, so
+                that the zone counts as reachable again.
         """
-        if anew or not nodes:
-            self.recent_failures, self.since = {}, None
-        self.caches = dict.fromkeys(nodes)
+        if has_restarted or not caches:
+            self.recent_failures = {}
+            self._unreachable_since = None
+        self.caches = dict.fromkeys(caches)
         self.recent_failures = {
-            node: at for node, at in self.recent_failures.items() if node in self.caches
+            cache: failed_at
+            for cache, failed_at in self.recent_failures.items()
+            if cache in self.caches
         }
 
-    def record_failure(self, now: float, node: Hashable) -> bool:
-        """It is not reached, or an attempt there is overdue: whether the location counts as cut off
-        now.
+    def record_failure(self, now: float, cache: Hashable) -> bool:
+        """Records that a cache could not be reached, or that an attempt there is overdue.
+
+        Returns:
+            Whether the zone has become unreachable with it.
         """
-        if self.is_unreachable or node not in self.caches:
+        if self.is_unreachable or cache not in self.caches:
             return False
-        if self.false and now > self.forgives:
-            self.false, self.forgives = self.false - 1, now + FALSE_ALARM_LIFETIME
+        if self._false_alarms and now > self._forget_false_alarm_at:
+            self._false_alarms -= 1
+            self._forget_false_alarm_at = now + FALSE_ALARM_LIFETIME
         self.recent_failures = {
-            other: at for other, at in self.recent_failures.items() if at > now - FAILURE_WINDOW
-        } | {node: now}
-        wanted = (
-            max(MIN_FAILED_CACHES, math.ceil(MIN_FAILED_FRACTION * len(self.caches)))
-            * 2**self.false
-        )
-        if len(self.caches) < MIN_FAILED_CACHES or len(self.recent_failures) < min(
-            wanted, len(self.caches)
-        ):
+            other: failed_at
+            for other, failed_at in self.recent_failures.items()
+            if failed_at > now - FAILURE_WINDOW
+        }
+        self.recent_failures[cache] = now
+        if not self._have_enough_failed():
             return False
-        self.since, self.began = min(self.recent_failures.values()), now
+        self._unreachable_since = min(self.recent_failures.values())
+        self._detected_at = now
         return True
 
-    def record_response(self, now: float, node: Hashable) -> float | None:
-        """A word of this one; where a cut ends with it, since when it was one, else None. What was
-        shunned for silence since then may come back. Infinite where it was too short to be one.
+    def record_response(self, now: float, cache: Hashable) -> float | None:
+        """Records that a cache has responded; this ends an outage.
+
+        Returns:
+            None where no outage has ended with it. Else the ms from which on caches were ejected
+            because of the outage, and may be reinstated; infinite where it was a false alarm, as
+            each of these caches was then silent by itself.
         """
-        if node not in self.caches:
+        if cache not in self.caches:
             return None
-        self.recent_failures, since, self.since = {}, self.since, None
-        if since is None or now > self.began + MIN_OUTAGE:
-            return since
-        self.false, self.forgives = (
-            min(MAX_THRESHOLD_DOUBLINGS, self.false + 1),
-            now + FALSE_ALARM_LIFETIME,
-        )
+        unreachable_since = self._unreachable_since
+        self.recent_failures = {}
+        self._unreachable_since = None
+        if unreachable_since is None or now > self._detected_at + MIN_OUTAGE:
+            return unreachable_since
+        self._false_alarms = min(MAX_THRESHOLD_DOUBLINGS, self._false_alarms + 1)
+        self._forget_false_alarm_at = now + FALSE_ALARM_LIFETIME
         return math.inf
 
-    def sample_for_pings(self, every: float, random: Random) -> list[Hashable]:
-        """Which are asked for echoes while it lasts, each once in `every`."""
-        count = max(MIN_FAILED_CACHES, math.ceil(every / PING_SPACING))
+    def sample_for_pings(self, interval: float, random: Random) -> list[Hashable]:
+        """Picks at random the caches to ping while the zone is unreachable.
+
+        Args:
+            interval: Each of them is pinged once in so many ms.
+            random: The director's source of randomness.
+        """
+        count = max(MIN_FAILED_CACHES, math.ceil(interval / PING_SPACING))
         return random.sample(list(self.caches), min(count, len(self.caches)))
+
+    def _have_enough_failed(self) -> bool:
+        threshold = max(MIN_FAILED_CACHES, math.ceil(MIN_FAILED_FRACTION * len(self.caches)))
+        threshold *= 2**self._false_alarms
+        if len(self.caches) < MIN_FAILED_CACHES:
+            return False  # nothing to compare a single cache with
+        return len(self.recent_failures) >= min(threshold, len(self.caches))
