--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -13,10 +13,11 @@
   `OUTLIER_FAILURE_RATE` than from one that fails at `HEALTHY_FAILURE_RATE`. The sum never falls
   below zero, so that successes of long ago excuse nothing.
 
-Error rates, as measured by tests/test_judging.py: an endpoint that fails once in a thousand
-attempts is called an outlier less than once in a thousand hours by each director that sends it up
-to one attempt a second. One that always fails is found within 4 outcomes, one that fails half of
-the time within 16, and one that fails three times in ten within 40, each nineteen times in twenty.
+Error rates, as the tests of outlier detection measure them: an endpoint that fails once in a
+thousand attempts is called an outlier less than once in a thousand hours by each director that
+sends it up to one attempt a second. One that always fails is found within 4 outcomes, one that
+fails half of the time within 16, and one that fails three times in ten within 40, each nineteen
+times in twenty.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -52,7 +52,7 @@
         self._unreachable_since: float | None = None  # the first failure of the present outage
         self._detected_at = 0.0  # of the last outage
         self._false_alarms = 0
-        self._forget_false_alarm_at = 0.0
+        self._false_alarm_expires_at = 0.0
 
     @property
     def is_unreachable(self) -> bool:
@@ -85,9 +85,9 @@
         """
         if self.is_unreachable or cache not in self.caches:
             return False
-        if self._false_alarms and now > self._forget_false_alarm_at:
+        if self._false_alarms and now > self._false_alarm_expires_at:
             self._false_alarms -= 1
-            self._forget_false_alarm_at = now + FALSE_ALARM_LIFETIME
+            self._false_alarm_expires_at = now + FALSE_ALARM_LIFETIME
         self.recent_failures = {
             other: failed_at
             for other, failed_at in self.recent_failures.items()
@@ -116,7 +116,7 @@
         if unreachable_since is None or now > self._detected_at + MIN_OUTAGE:
             return unreachable_since
         self._false_alarms = min(MAX_THRESHOLD_DOUBLINGS, self._false_alarms + 1)
-        self._forget_false_alarm_at = now + FALSE_ALARM_LIFETIME
+        self._false_alarm_expires_at = now + FALSE_ALARM_LIFETIME
         return math.inf
 
     def sample_for_pings(self, interval: float, random: Random) -> list[Hashable]:
--- /dev/null
+++ b/tests/policy/test_popularity.py
@@ -0,0 +1,67 @@
+from random import Random
+
+import pytest
+
+from mulleinrelay.policy.popularity import MAX_WINDOWS, WINDOW, Popularity
+
+HOT, OTHER = 1, 2
+
+
+def popularity_after(rate, fraction, seconds, seed):
+    """The counts of a director with `rate` requests a second, `fraction` of them for one object and
+    the others for one of 1000 other objects.
+    """
+    popularity = Popularity(0.0)
+    random = Random(seed)
+    now = 0.0
+    while now < 1000.0 * seconds:
+        now += 1000.0 * random.expovariate(rate)
+        popularity.record(
+            now, HOT if random.random() < fraction else OTHER + random.randrange(1000)
+        )
+    return popularity
+
+
+@pytest.mark.parametrize(
+    ("rate", "fraction", "cache_counts", "times_in_100"),
+    [
+        # A request every three seconds at this director, but hot over the whole location.
+        pytest.param(4.0, 0.08, (2, 3, 4), 95, id="hot-over-the-location"),
+        pytest.param(4.0, 0.002, (1,), 95, id="requested-now-and-then"),
+        pytest.param(100.0, 0.05, (3,), 85, id="two-and-a-half-hot-fractions"),
+        pytest.param(100.0, 0.01, (1,), 100, id="below-the-hot-fraction"),
+        pytest.param(0.1, 0.05, (1,), 95, id="hardly-any-requests"),
+    ],
+)
+def test_cache_count_follows_the_fraction_of_requests(rate, fraction, cache_counts, times_in_100):
+    """Protects against objects that are hot over the location but rare at each director, and
+    against taking every object for hot.
+    """
+    found = [popularity_after(rate, fraction, 28.0, seed).cache_count(HOT) for seed in range(100)]
+    assert sum(count in cache_counts for count in found) >= times_in_100
+
+
+@pytest.mark.parametrize(
+    ("requests", "window"),
+    [
+        pytest.param(1, MAX_WINDOWS * WINDOW, id="few-requests"),
+        pytest.param(300, WINDOW, id="enough-requests"),
+    ],
+)
+def test_window_is_extended_until_it_has_enough_requests(requests, window):
+    popularity = Popularity(0.0)
+    for _ in range(requests):
+        popularity.record(1.0, HOT)
+    assert not popularity.record(window - 1.0, OTHER)
+    assert popularity.record(window, OTHER)
+    assert popularity.count(HOT) == 0.5 * requests
+    assert popularity.count(OTHER) == 1.5
+
+
+def test_object_that_is_no_longer_requested_is_forgotten():
+    popularity = popularity_after(100.0, 0.05, 9.0, 1)
+    for now in (WINDOW, 2 * WINDOW, 3 * WINDOW):
+        for _ in range(200):
+            popularity.record(now, OTHER)
+    assert popularity.count(HOT) == 0.0
+    assert popularity.cache_count(HOT) == 1
