--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -24,11 +24,11 @@
 
 import math
 
+from .decay import MAX_HALVINGS, StepwiseDecay
+
 # The counts of outcomes are halved once in so many ms, and when their sum exceeds the maximum.
 COUNT_HALF_LIFE = 16_000.0
 MAX_COUNT = 12.0
-# A longer time counts as so many halvings, which leave nothing: keeps the power in range.
-MAX_HALVINGS = 30
 # Failures, and their fraction of all outcomes, that make an endpoint an outlier at once.
 MIN_FAILURES = 1.5
 MAX_FAILURE_FRACTION = 0.4
@@ -64,7 +64,7 @@
         self.failures = 0.0
         self.evidence = 0.0
         self.has_alarm = False
-        self._next_halving_at = 0.0
+        self._count_decay = StepwiseDecay(COUNT_HALF_LIFE)
         self._evidence_at = 0.0
 
     def record(self, now: float, failure: float) -> None:
@@ -72,9 +72,12 @@
 
         Args:
             now: The current time in ms.
-            failure: 0 for a success, else the weight of the failure: 1 for a usual one.
+            failure: 0 for a success, else the weight of the failure: usually 1, more for a failure
+                that is clearer, a fraction where the blame is split between endpoints.
         """
-        self._decay_counts(now)
+        remaining = self._count_decay.take_factor(now)
+        self.successes *= remaining
+        self.failures *= remaining
         self.failures += failure
         self.successes += 0.0 if failure else 1.0
         if self.successes + self.failures > MAX_COUNT:
@@ -102,15 +105,6 @@
         """
         return (self.failures + 0.5) / (self.successes + self.failures + 1.0)
 
-    def _decay_counts(self, now: float) -> None:
-        if now < self._next_halving_at:
-            return
-        halvings = 1 + int((now - self._next_halving_at) / COUNT_HALF_LIFE)
-        remaining = 0.5 ** min(MAX_HALVINGS, halvings)
-        self.successes *= remaining
-        self.failures *= remaining
-        self._next_halving_at = now + COUNT_HALF_LIFE
-
     def _update_evidence(self, now: float, failure: float) -> None:
         halvings = min(float(MAX_HALVINGS), (now - self._evidence_at) / EVIDENCE_HALF_LIFE)
         evidence = self.evidence * 0.5**halvings
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -17,10 +17,10 @@
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
 
+from .decay import StepwiseDecay
+
 # The counts of requests and rejections are halved once in so many ms.
 COUNT_HALF_LIFE = 2000.0
-# A longer time counts as so many halvings, which leave nothing: keeps the power in range.
-MAX_HALVINGS = 30
 # Overload mode begins above this fraction of rejected requests, and ends below the half of it.
 OVERLOAD_FRACTION = 0.1
 # Further attempts that a request earns while none is rejected.
@@ -49,7 +49,7 @@
         self.requests = 0.0
         self.rejected = 0.0
         self.is_overloaded = False
-        self._next_halving_at = 0.0
+        self._decay = StepwiseDecay(COUNT_HALF_LIFE)
 
     def record_request(self, now: float) -> bool:
         """Counts a request that has arrived.
@@ -57,7 +57,9 @@
         Returns:
             Whether `is_overloaded` has changed with it.
         """
-        self._decay_counts(now)
+        remaining = self._decay.take_factor(now)
+        self.requests *= remaining
+        self.rejected *= remaining
         self.requests += 1.0
         was_overloaded = self.is_overloaded
         threshold = OVERLOAD_FRACTION / 2 if was_overloaded else OVERLOAD_FRACTION
@@ -76,15 +78,6 @@
         """How many further attempts a request adds to the retry budget now."""
         return RETRIES_PER_REQUEST * max(0.0, 1.0 - self.rejected_fraction() / NO_RETRY_FRACTION)
 
-    def _decay_counts(self, now: float) -> None:
-        if now < self._next_halving_at:
-            return
-        halvings = 1 + int((now - self._next_halving_at) / COUNT_HALF_LIFE)
-        remaining = 0.5 ** min(MAX_HALVINGS, halvings)
-        self.requests *= remaining
-        self.rejected *= remaining
-        self._next_halving_at = now + COUNT_HALF_LIFE
-
 
 def retry_after(random_fraction: float, max_retry_after: float) -> float:
     """The Retry-After in ms for a rejected client.
