--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -19,7 +19,7 @@
 from ..config.platform import LOAD_REPORT_FIELDS
 from ..coordinator import RequestCoordinator
 from ..policy import connection_reuse as held_links
-from ..policy.connection_reuse import PingBackoff, idle_timeout
+from ..policy.connection_reuse import PingBackoff, choose_idle_timeout
 from ..policy.model import (
     Attempt,
     ClientRequest,
@@ -118,7 +118,7 @@
         self.connect_timeout, terms = connect_timeout, facade.settings
         self.far = (terms.parent_kind, terms.origin_kind)
         self.held_for = {
-            far: idle_timeout(idle_for, sharers, far, links_priced)
+            far: choose_idle_timeout(idle_for, sharers, far, links_priced)
             for far, sharers in ((False, terms.local_director_count), (True, terms.director_count))
         }
         self.attempts_a_connection, self.links_most = attempts_a_connection, links_most
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -6,8 +6,8 @@
 * Ping backoff (`PingBackoff`): a connection with attempts in flight that stays silent for a while
   is pinged, since the endpoint may have failed. If the ping is answered, the response is merely
   slow, and the time until the next ping doubles. Responses to attempts reduce it again.
-* Idle timeout (`idle_timeout`): an idle connection is kept for long only where few directors share
-  the endpoint.
+* Idle timeout (`choose_idle_timeout`): an idle connection is kept for long only where few directors
+  share the endpoint.
 * Eviction (`connections_to_evict`): close to the director's own limit of connections the ones that
   have been idle for longest are closed, so that they don't keep attempts to other endpoints from
   getting any connection.
@@ -92,7 +92,7 @@
     return busy / max_connections
 
 
-def idle_timeout(
+def choose_idle_timeout(
     endpoint_idle_timeout: float,
     sharing_directors: int,
     is_parent_or_origin: bool,
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -9,9 +9,9 @@
     SHORT_IDLE_TIMEOUT,
     SILENCE_BEFORE_PING,
     PingBackoff,
+    choose_idle_timeout,
     connection_utilization,
     connections_to_evict,
-    idle_timeout,
 )
 
 
@@ -70,7 +70,7 @@
 def test_idle_timeout_is_long_only_where_all_directors_stay_within_the_bound(
     sharing_directors, is_parent_or_origin, is_connect_costly, timeout
 ):
-    found = idle_timeout(30_000.0, sharing_directors, is_parent_or_origin, is_connect_costly)
+    found = choose_idle_timeout(30_000.0, sharing_directors, is_parent_or_origin, is_connect_costly)
     assert found == timeout
 
 
@@ -80,7 +80,7 @@
     30 s.
     """
     random = Random(directors)
-    timeout = idle_timeout(30_000.0, directors, False, False)
+    timeout = choose_idle_timeout(30_000.0, directors, False, False)
     weights = [random.lognormvariate(0.0, 1.0) for _ in range(directors)]
     closes_at = [0.0] * directors
     most = 0
