--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -8,10 +8,10 @@
 shows as timers that fire late (`SchedulingDelay`). The caller passes in the largest of the three.
 
 What is decided: all request classes share the resource until it runs short. The last part of it is
-reserved, first for requests that are not idempotent, because they have an effect and their client
-cannot simply repeat them, and then by priority weight (`AdmissionThresholds`). A retry counts as
-less urgent than a first attempt, since its latency objective has passed or is near. So neither
-requests of little weight nor retries starve the others.
+reserved, first for requests that are not idempotent, because they have an effect, and then by
+priority weight (`AdmissionThresholds`). An idempotent retry counts as less urgent than a first
+attempt, since its latency objective has passed or is near. So neither requests of little weight nor
+retries starve the others.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
@@ -78,7 +78,8 @@
         has_called: A complete call of any kind has arrived on the connection.
         has_sent_request: One of these calls was a request.
         is_within_call: A part of a further call has arrived.
-        last_used_at: When the connection was last used, in ms.
+        last_used_at: When it was opened, or its last call or response was complete, by any one
+            clock.
     """
     return has_called, has_called and is_within_call, has_sent_request, last_used_at
 
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -72,7 +72,7 @@
     """Which idle connections to close, those idle for longest first.
 
     Args:
-        idle: The idle connections, each as (last use in ms, connection).
+        idle: The idle connections, each as (time of its last use, connection).
         count: All connections of this director, idle or not.
         max_connections: The director's limit.
     """
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -9,6 +9,9 @@
 * Load report polls: a director earns polls by its requests and spends them on a randomly chosen
   endpoint, at a limited rate. One with hardly any requests still polls now and then.
 
+To the caller both are the same action: it sends the endpoint a health check, and passes on what
+the answer brings.
+
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
 caller's clock. Not thread-safe.
 """
@@ -18,9 +21,10 @@
 from dataclasses import dataclass
 from random import Random
 
-# One director pings a suspected endpoint once in so many ms at the most ...
+# Mean interval in ms at which one director pings a suspected endpoint that few directors share ...
 MIN_PING_INTERVAL = 500.0
-# ... and once in so many ms for each director that shares it: some 20 pings a second of all.
+# ... and what each director that shares it adds, where this is more: all of them together send it
+# 20 pings a second.
 PING_INTERVAL_PER_DIRECTOR = 50.0
 # The first ping comes after a random part of the interval, of at least this fraction.
 MIN_FIRST_PING_FRACTION = 0.25
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -3,7 +3,7 @@
 Requests are counted per object in windows. An object belongs at one cache, and at one more for each
 `HOT_FRACTION` of recent requests that are for it.
 
-Such a fraction can't be measured with few requests: a director with four requests a second sees an
+Such a fraction cannot be measured with few requests: a director with four requests a second sees an
 object that the whole location requests often only once in ten seconds. So a window is extended, up
 to `MAX_WINDOWS` times, until it has enough requests to show the fraction. Objects that are hot over
 a whole location then spread to more caches at each of hundreds of directors, although each director
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -11,8 +11,8 @@
 for silence meanwhile are reinstated. Every director gets that response at a moment of its own, so
 that they don't return to the zone together.
 
-An outage that was over within `MIN_OUTAGE` was a false alarm: the caches were only slow. More of
-them must then fail in a row before the next one.
+An outage that is over within `MIN_OUTAGE` of its detection was a false alarm: the caches were only
+slow. More of them must then fail in a row before the next one.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
 caller's clock. Not thread-safe.
@@ -30,7 +30,7 @@
 # While the zone is unreachable so many caches are pinged that one ping is sent about every so many
 # ms, as each of them has an interval of its own.
 PING_SPACING = 1000.0
-# An outage that ends after fewer ms was a false alarm.
+# An outage that ends fewer ms after its detection was a false alarm.
 MIN_OUTAGE = 1000.0
 # Each false alarm doubles how many caches must fail, at most so often.
 MAX_THRESHOLD_DOUBLINGS = 3
