--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -241,7 +241,7 @@
 
     def cpu_pressure(self) -> float:
         """0 where timers run when they are due, near 1 where this director itself is late."""
-        return self.lateness.fullness(self.clock())
+        return self.lateness.utilization(self.clock())
 
     # Endpoints
 
@@ -335,7 +335,7 @@
             now = self.clock()
             first_due = self._actions.timers.next_due()
             if first_due is not None and first_due <= now:
-                self.lateness.note(now, now - first_due)
+                self.lateness.record(now, now - first_due)
             changed: dict[Request, None] = {}
             while (timer := self._actions.timers.pop_due(now)) is not None:
                 kind, subject = timer
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -39,7 +39,7 @@
 
     def record_request(self, request: Request, now: float) -> bool:
         """Counts the request's object; whether a new counting window begins with it."""
-        return self.popularity.seen(now, (request.object_id, request.part))
+        return self.popularity.record(now, (request.object_id, request.part))
 
     def choose(self, request: Request, now: float) -> TrackedEndpoint | None:
         """The cache of the request.
@@ -104,7 +104,7 @@
         eligible = self.endpoint_filter.eligible(
             ranked, self.work.slow_start_work(request, now), now
         )
-        replica_count = self.popularity.caches((request.object_id, request.part))
+        replica_count = self.popularity.cache_count((request.object_id, request.part))
         replicas = list(islice(eligible, replica_count))
         if len(replicas) > 1:
             # Among equals each director takes its own, or all would take the first.
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -58,11 +58,13 @@
             * fraction
             * min(MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION * policy.overload_factor)
         )
-        is_admitted = endpoint.slow_start.fits(
+        is_admitted = endpoint.slow_start.try_admit(
             now, work, capacity * quota.fraction_at(now), policy.overload_window, self.random
         )
         if quota.is_tracked:
-            endpoint.slow_start.note(quota, work, is_admitted, capacity * policy.overload_window)
+            endpoint.slow_start.record_peaks(
+                quota, work, is_admitted, capacity * policy.overload_window
+            )
         return is_admitted
 
     def record_sent(self, endpoint: TrackedEndpoint, work: float, now: float) -> None:
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -11,7 +11,7 @@
 
 from .endpoint_filter import TRIAL_INTERVAL
 from .endpoint_table import EndpointTable
-from .health_checks import HealthCheckScheduler, pace
+from .health_checks import HealthCheckScheduler, ping_interval
 from .latency import TrackedEndpoint
 from .model import Attempt, ServiceSettings
 from .outlier_detection import OutlierDetector
@@ -66,12 +66,13 @@
 
     def update_endpoints(self, has_local_start: bool) -> None:
         """The endpoint table has changed: who has gone or started again gets no more checks."""
-        self.zone.listed(self._endpoints.caches, has_local_start)
-        self.checks.only(
+        self.zone.update_caches(self._endpoints.caches, has_local_start)
+        self.checks.cancel_pings_except(
             [
                 endpoint
                 for endpoint in self._endpoints.ready()
-                if endpoint.is_ejected or (self.zone.cut and endpoint in self.zone.nodes)
+                if endpoint.is_ejected
+                or (self.zone.is_unreachable and endpoint in self.zone.caches)
             ]
         )
 
@@ -79,7 +80,7 @@
         self, endpoint: TrackedEndpoint, failure: float, reason: EjectionReason | None, now: float
     ) -> None:
         """An attempt's result: 0 for a success, or how much of a failure it is."""
-        endpoint.outlier_detector.mark(now, failure)
+        endpoint.outlier_detector.record(now, failure)
         self._judge(endpoint, reason, now)
 
     def record_error(self, attempt: Attempt, now: float) -> None:
@@ -93,8 +94,8 @@
         if attempt.expects_hit or source is None or source is cache:
             self.record_result(cache, 1.0, EjectionReason.ERROR, now)
             return
-        cache_fraction = cache.outlier_detector.share()
-        source_fraction = source.outlier_detector.share()
+        cache_fraction = cache.outlier_detector.failure_fraction()
+        source_fraction = source.outlier_detector.failure_fraction()
         total = cache_fraction + source_fraction
         self.record_result(cache, cache_fraction / total, EjectionReason.ERROR, now)
         self.record_result(source, source_fraction / total, EjectionReason.ERROR, now)
@@ -109,45 +110,45 @@
 
         Then a few of them get health checks soon.
         """
-        if not self._settings.allows_health_checks or not self.zone.fails(now, endpoint):
+        if not self._settings.allows_health_checks or not self.zone.record_failure(now, endpoint):
             return
         directors = self._settings.local_director_count
-        for cache in self.zone.asked(pace(directors), self._random):
-            self.checks.doubts(cache, now, directors, FIRST_ZONE_CHECK_DELAY)
+        for cache in self.zone.sample_for_pings(ping_interval(directors), self._random):
+            self.checks.schedule_pings(cache, now, directors, FIRST_ZONE_CHECK_DELAY)
         self.log(
-            f"zone unreachable: {len(self.zone.failed)} of {len(self._endpoints.caches)} "
+            f"zone unreachable: {len(self.zone.recent_failures)} of {len(self._endpoints.caches)} "
             "caches failed in a row"
         )
 
     def record_response(self, endpoint: TrackedEndpoint, now: float) -> None:
         """The endpoint said something. This ends its silence, and that of an unreachable zone."""
         endpoint.last_heard_at = now
-        unreachable_since = self.zone.heard(now, endpoint)
+        unreachable_since = self.zone.record_response(now, endpoint)
         if unreachable_since is not None:
             self.log(f"zone reachable again by {endpoint.hash_key:x}")
             for cache in self._endpoints.caches:
                 if cache.is_unreachable and cache.ejected_at >= unreachable_since:
                     self.reinstate(cache, now)
                 elif not cache.is_unreachable:
-                    self.checks.heard(cache)
+                    self.checks.cancel_pings(cache)
         if endpoint.silence:
             endpoint.silence = 0.0
             self._judge(endpoint, None, now)
 
     def record_health_check(self, endpoint: TrackedEndpoint, now: float) -> None:
         """A health check was answered, which disproves that the endpoint is not reached."""
-        if endpoint.is_unreachable or (self.zone.cut and endpoint in self.zone.nodes):
+        if endpoint.is_unreachable or (self.zone.is_unreachable and endpoint in self.zone.caches):
             self.reinstate(endpoint, now)
 
     def reinstate(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Forgets what spoke against the endpoint."""
-        endpoint.outlier_detector.forget_bad()
+        endpoint.outlier_detector.clear_failures()
         endpoint.silence = endpoint.silence or MAX_SILENCE
         self.record_response(endpoint, now)
 
     def take_due_checks(self, now: float) -> list[TrackedEndpoint]:
         """The endpoints that get a health check now; each is due again later."""
-        return cast(list[TrackedEndpoint], self.checks.due(now, self._endpoints.caches))
+        return cast(list[TrackedEndpoint], self.checks.take_due(now, self._endpoints.caches))
 
     def is_zone_lost(self) -> bool:
         """Whether none of the zone's caches is reached, as far as it shows.
@@ -156,13 +157,14 @@
         back.
         """
         return self._settings.allows_health_checks and (
-            self.zone.cut or all(cache.is_unreachable for cache in self._endpoints.caches)
+            self.zone.is_unreachable
+            or all(cache.is_unreachable for cache in self._endpoints.caches)
         )
 
     def _judge(self, endpoint: TrackedEndpoint, reason: EjectionReason | None, now: float) -> None:
         """Ejects an endpoint that fails too often or has been silent too long, or reinstates it."""
         detector: OutlierDetector = endpoint.outlier_detector
-        should_eject = endpoint.silence >= MAX_SILENCE or detector.is_bad()
+        should_eject = endpoint.silence >= MAX_SILENCE or detector.is_outlier()
         if should_eject == endpoint.is_ejected:
             return
         endpoint.is_ejected = should_eject
@@ -171,13 +173,13 @@
         endpoint.ejected_at = now
         if endpoint.is_unreachable and endpoint.is_ready:
             self.record_unreachable(endpoint, now)
-            self.checks.doubts(endpoint, now, self._sharing_directors(endpoint))
+            self.checks.schedule_pings(endpoint, now, self._sharing_directors(endpoint))
         else:
-            self.checks.heard(endpoint)
+            self.checks.cancel_pings(endpoint)
         change = f"ejected ({reason or ''})" if should_eject else "reinstated"
         self.log(
-            f"{endpoint.hash_key:x} {change}: {detector.bad:.1f} failures, "
-            f"{detector.good:.1f} successes, evidence {detector.sum:.1f}, "
+            f"{endpoint.hash_key:x} {change}: {detector.failures:.1f} failures, "
+            f"{detector.successes:.1f} successes, evidence {detector.evidence:.1f}, "
             f"silence {endpoint.silence:.1f}"
         )
 
--- a/mulleinrelay/policy/retry_policy.py
+++ b/mulleinrelay/policy/retry_policy.py
@@ -36,7 +36,7 @@
     def earn(self, request: Request) -> None:
         """A request has come and earns a part of a retry."""
         budget = self.budget_for(request)
-        budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + self._overload.earned())
+        budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + self._overload.retries_earned())
 
     def may_attempt(self, request: Request, now: float) -> bool:
         """Whether an attempt may follow those that there were, if the budget has it."""
@@ -58,7 +58,7 @@
             return True
         last = request.attempts[-1]
         work = self._work.transfer_time(request, now)
-        cost = overload.cost(last.outcome == Outcome.REJECTED, now - last.sent_at, work)
+        cost = overload.retry_cost(last.outcome == Outcome.REJECTED, now - last.sent_at, work)
         budget = self.budget_for(request)
         if budget.tokens < cost:
             return False
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -193,8 +193,8 @@
         if self.cache_selector.record_request(request, now):
             self.locations.drop_expired(now)
             self.purges.drop_expired(now)
-        self.health.checks.requested()
-        has_mode_changed = self.overload.requested(now)
+        self.health.checks.record_request()
+        has_mode_changed = self.overload.record_request(now)
         self.retry_policy.earn(request)
         self.endpoint_filter.earn_trial()
         if has_mode_changed:
@@ -367,12 +367,12 @@
         """The final answer, at once: a rejection, with Retry-After, where a retry is safe."""
         settings = self.settings
         retry_after = (
-            overload.come_back(self.random.random(), settings.max_retry_after)
+            overload.retry_after(self.random.random(), settings.max_retry_after)
             if settings.allows_retry_after
             else 0.0
         )
         if can_client_retry(request, self._now + retry_after):
-            self.overload.note_rejected()
+            self.overload.record_rejection()
             self._sink.reject_request(request, retry_after)
         else:
             self._sink.fail_request(request)
@@ -388,7 +388,7 @@
 
     def _log_overload(self) -> None:
         detector = self.overload
-        mode = "overloaded" if detector.on else "overload ended"
+        mode = "overloaded" if detector.is_overloaded else "overload ended"
         self._log(
             f"{mode}: {detector.rejected:.0f} of {detector.requests:.0f} requests rejected, "
             f"link congestion {self.link.congestion:.1f}, "
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -63,7 +63,7 @@
         fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if another is not None:
             fleet.answer(request.attempts[1], another)
-    assert cache.outlier_detector.bad == weight
+    assert cache.outlier_detector.failures == weight
     assert all(request.is_complete for request in requests) or another is None
 
 
@@ -235,7 +235,9 @@
     fleet = Fleet(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
-    assert fleet.router.health.zone.cut and all(cache.is_unreachable for cache in fleet.caches[:2])
+    assert fleet.router.health.zone.is_unreachable and all(
+        cache.is_unreachable for cache in fleet.caches[:2]
+    )
     asked = []
     for _ in range(20):
         fleet.ask(after=50.0)
@@ -250,4 +252,4 @@
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
     fleet.handle(HealthCheckFinished(fleet.parents[0], None, True))
-    assert fleet.router.health.zone.cut
+    assert fleet.router.health.zone.is_unreachable
