--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -217,12 +217,14 @@
             return self._reject(self.unknown_tenant, request, "unknown tenant", DEFAULT_WAIT)
         state = self.tenant_states.get(tenant) or self._add_tenant_state(tenant)
         state.last_used_at = now
-        if rejection := self._check_tenant(now, request, state):
-            return rejection
-        placement = None
+        is_idempotent = request.request_class.idempotency == IDEMPOTENT
+        uses_retry_budget = is_idempotent and request.is_retry
+        if wait := state.token_bucket.wait_time(now):
+            return self._reject(state, request, "rate of the tenant", wait)
+        if uses_retry_budget and not state.retry_budget.can_retry():
+            return self._reject(state, request, "retries of the tenant", DEFAULT_WAIT)
         placement_request = None
-        if request.request_class.idempotency == IDEMPOTENT:
-            placement = self.placement.stable_placements.get(tenant)
+        placement = self.placement.stable_placements.get(tenant) if is_idempotent else None
         if placement is None:
             placement_request = _placement_request(tenant, request)
             found = self.placement.place(now, placement_request)
@@ -234,7 +236,7 @@
             return self._reject(state, request, shortage.reason, shortage.wait)
         if placement_request is not None:  # without it: idempotent, so any cell may run it again
             self.placement.record_admission(now, placement_request, placement)
-        if _uses_retry_budget(request):
+        if uses_retry_budget:
             state.retry_budget.consume()
         else:
             state.retry_budget.record_first_attempt()
@@ -282,15 +284,6 @@
 
     # Steps of an admission, in their order
 
-    def _check_tenant(
-        self, now: float, request: AdmissionRequest, state: TenantState
-    ) -> AdmissionRejection | None:
-        if wait := state.token_bucket.wait_time(now):
-            return self._reject(state, request, "rate of the tenant", wait)
-        if _uses_retry_budget(request) and not state.retry_budget.can_retry():
-            return self._reject(state, request, "retries of the tenant", DEFAULT_WAIT)
-        return None
-
     def _candidate(
         self, request: AdmissionRequest, tenant: str, state: TenantState, placement: CellPlacement
     ) -> Candidate:
@@ -351,10 +344,6 @@
     )
 
 
-def _uses_retry_budget(request: AdmissionRequest) -> bool:
-    return request.is_retry and request.request_class.idempotency == IDEMPOTENT
-
-
 def _is_never_executed(request: AdmissionRequest) -> bool:
     """Returns whether a client that is rejected may come again.
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -120,12 +120,7 @@
         """
         limits = self._limits(now, candidate)
         candidate.limits = limits
-        shortage = (
-            self._check_rates(now, candidate, limits)
-            or _check_body(candidate)
-            or self._check_concurrency(now, candidate, limits)
-            or self._check_failover(now, candidate, limits)
-        )
+        shortage = self._find_shortage(now, candidate, limits)
         if shortage is not None:
             limits.cell_state.rejected_count += 1
         return shortage
@@ -192,12 +187,24 @@
             tenant_state.cell_limits[cell.name] = limits
         return limits
 
-    def _check_rates(
+    def _find_shortage(
         self, now: float, candidate: Candidate, limits: TenantCellLimits
     ) -> Shortage | None:
+        if wait := self._wait_for_rates(now, candidate, limits):
+            return Shortage("rate of the cell", wait)
+        if not candidate.tenant_state.has_space_for_body(candidate.body_kb):
+            return Shortage("bodies of the tenant", WAIT_FOR_BODIES)
+        if shortage := self._check_concurrency(now, candidate, limits):
+            return shortage
+        if candidate.failover is not None:
+            return self._check_failover(now, candidate, candidate.failover, limits)
+        return None
+
+    def _wait_for_rates(self, now: float, candidate: Candidate, limits: TenantCellLimits) -> float:
+        """Returns 0 if the rates allow the request now, else the milliseconds until they do."""
         cell_state = limits.cell_state
         if not self.cell_rates.rate and not cell_state.limits.rate:
-            return None
+            return 0.0
         cell_share = self.cell_rates.share_for(candidate.cell.name, candidate.cell.weight)
         tenant_bucket = cell_state.token_bucket
         tenant_share = tenant_bucket.share_for(candidate.tenant, candidate.tenant_weight)
@@ -206,7 +213,7 @@
         wait = self.cell_rates.wait_time(cell_share, now)
         if not wait:
             wait = tenant_bucket.wait_time(tenant_share, now)
-        return Shortage("rate of the cell", wait) if wait else None
+        return wait
 
     def _check_concurrency(
         self, now: float, candidate: Candidate, limits: TenantCellLimits
@@ -228,11 +235,8 @@
         return None
 
     def _check_failover(
-        self, now: float, candidate: Candidate, limits: TenantCellLimits
+        self, now: float, candidate: Candidate, terms: FailoverTerms, limits: TenantCellLimits
     ) -> Shortage | None:
-        terms = candidate.failover
-        if terms is None:
-            return None
         cell_state = limits.cell_state
         rate = cell_state.token_bucket.rate
         if not rate and candidate.bucket_shares is not None:
@@ -244,9 +248,3 @@
             return Shortage("reserve of the neighbour", wait)
         candidate.failover_quota = quota
         return None
-
-
-def _check_body(candidate: Candidate) -> Shortage | None:
-    if candidate.tenant_state.has_space_for_body(candidate.body_kb):
-        return None
-    return Shortage("bodies of the tenant", WAIT_FOR_BODIES)
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -110,15 +110,12 @@
         share.last_requested_at = now
         if not was_active or now >= self.computed_at + self.RECOMPUTE_INTERVAL:
             self._recompute(now)
-        return self._fits(share, now, amount)
-
-    def _fits(self, share: ConcurrencyShare, now: float, amount: float) -> bool:
-        if share.maximum and share.open + amount > share.maximum:
-            return False
         total = self.open + amount
+        if share.maximum and wanted > share.maximum:
+            return False
         if total + self.reserved <= self.capacity:
             return True
-        if share.open + amount <= self.guaranteed(share):
+        if wanted <= self.guaranteed(share):
             return total <= self.capacity * (1.0 + self.OVERCOMMIT) or share.open == 0.0
         return total + self._reserved_for_others(share, now) <= self.capacity
 
@@ -135,8 +132,10 @@
 
     def release(self, share: ConcurrencyShare, amount: float = 1.0) -> None:
         """Counts a request of this size as over."""
-        share.open = _without_rounding(share.open - amount)
-        self.open = _without_rounding(self.open - amount)
+        share_open = share.open - amount
+        total_open = self.open - amount
+        share.open = share_open if share_open > ROUNDING_REMAINDER else 0.0
+        self.open = total_open if total_open > ROUNDING_REMAINDER else 0.0
 
     def _unmet(self, share: ConcurrencyShare, now: float) -> float:
         """Returns what the party wants of its guaranteed share and does not have."""
@@ -159,7 +158,3 @@
         for share in self.shares.values():
             if now < share.last_requested_at + 2.0 * self.DEMAND_WINDOW:
                 self.reserved += self._unmet(share, now)
-
-
-def _without_rounding(amount: float) -> float:
-    return amount if amount > ROUNDING_REMAINDER else 0.0
