--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -6,6 +6,7 @@
 
 from mulleinrelay.cells.admission_controller import (
     AdmissionController,
+    AdmissionGrant,
     AdmissionRequest,
     DirectorCapacity,
 )
@@ -112,6 +113,11 @@
             ),
         )
 
+    def count_admitted(self, count, **request):
+        """Returns how many of `count` requests are admitted; they stay open."""
+        grants = [self.admit(key=key, **request) for key in range(count)]
+        return sum(isinstance(grant, AdmissionGrant) for grant in grants)
+
     def complete(self, grant, is_served=True, delay=5.0, is_client_waiting=True):
         return self.controller.complete_request(
             self.now, grant, is_served, is_client_waiting, delay
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -16,13 +16,11 @@
     make_migration,
 )
 
-from mulleinrelay.cells import edits, rollouts
 from mulleinrelay.cells.admission_controller import (
     AdmissionGrant,
     AdmissionRejection,
     DirectorCapacity,
 )
-from mulleinrelay.cells.model import Rollout
 
 TWO = (
     Cell("north", caches=("s-01", "s-02"), failover_cells=("south",), failover_quota=0.2),
@@ -31,27 +29,20 @@
 ALL = ("s-01", "s-02", "s-03", "s-04")
 
 
-def count_admitted(fixture, count, **request):
-    """Returns how many of `count` requests are admitted; they stay open."""
-    return sum(
-        isinstance(fixture.admit(key=key, **request), AdmissionGrant) for key in range(count)
-    )
-
-
 def test_flooding_tenant_leaves_the_other_cell_its_share():
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.complete(fixture.admit("beta"))  # has asked lately
     fixture.now += 100.0
-    assert count_admitted(fixture, 1000) <= 100
-    assert count_admitted(fixture, 25, tenant_name="beta") == 25
+    assert fixture.count_admitted(1000) <= 100
+    assert fixture.count_admitted(25, tenant_name="beta") == 25
 
 
 def test_flooding_tenant_leaves_tenants_of_its_cell_their_share():
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.complete(fixture.admit("shared"))
     fixture.now += 100.0
-    count_admitted(fixture, 1000)
-    assert count_admitted(fixture, 20, tenant_name="shared") == 20
+    fixture.count_admitted(1000)
+    assert fixture.count_admitted(20, tenant_name="shared") == 20
 
 
 @pytest.mark.parametrize(
@@ -66,7 +57,7 @@
 )  # a body counts as further requests: 80 / (1 + 46.9 / 16)
 def test_quota_of_a_tenant_is_enforced(limits, asked, admitted):
     fixture = ControllerFixture(make_assignment(TWO, tenant_limits=limits))
-    assert count_admitted(fixture, 50, **asked) == admitted
+    assert fixture.count_admitted(50, **asked) == admitted
 
 
 def test_completing_a_request_twice_releases_it_once():
@@ -128,14 +119,14 @@
     ]
     assert len(grants) == 20 and {grant.cell for grant in grants} == {"south"}
     assert set(grants[0].pool.caches) == {"s-03", "s-04"}
-    assert count_admitted(fixture, 50, tenant_name="beta") == 50
+    assert fixture.count_admitted(50, tenant_name="beta") == 50
 
 
 @pytest.mark.parametrize("capacity_fraction, admitted", [(1.0, 20), (0.5, 10), (0.0, 0)])
 def test_failover_cell_that_warms_up_admits_less(capacity_fraction, admitted):
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.update_caches(("s-03", "s-04"), {"s-03": capacity_fraction, "s-04": capacity_fraction})
-    assert count_admitted(fixture, 100) == admitted
+    assert fixture.count_admitted(100) == admitted
 
 
 @pytest.mark.parametrize(
@@ -224,106 +215,6 @@
     assert controller.can_admit_connection("11.2.3.4", 1000)
 
 
-# Rollouts
-
-THREE = (
-    Cell("north", caches=("s-01",)),
-    Cell("south", caches=("s-02",)),
-    Cell("east", caches=("s-03",)),
-)
-RELEASE = Rollout("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
-
-
-def play(course, until, north, others, now=0.0):
-    """So many requests a cell each 100 ms, with the share and delay that `north` and `others` give
-    at that time.
-    """
-    words = []
-    while now < until:
-        for cell in ("north", "south", "east"):
-            share, delay = (north if cell == "north" else others)(now)
-            for turn in range(10):
-                course.record(now, cell, turn < 10 * share, delay)
-        if word := course.advance(now):
-            words.append((now, word))
-        now += 100.0
-    return words
-
-
-WELL = lambda now: (1.0, 20.0)  # noqa: E731
-
-
-@pytest.mark.parametrize(
-    "north, others, ends",
-    [
-        (WELL, WELL, "everywhere"),
-        (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
-        (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), WELL, "taken back"),
-        (
-            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
-            lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
-            "halted",
-        ),
-        (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),  # it was no better before
-        (
-            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
-            lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
-            "halted",
-        ),
-        (
-            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
-            lambda now: (0.8 if 21_000 < now < 30_000 else 1.0, 20.0),
-            "everywhere",
-        ),
-    ],
-)
-def test_rollout_proceeds_halts_or_is_rolled_back(north, others, ends):
-    course = rollouts.RolloutState(RELEASE)
-    words = play(course, 90_000.0, north, others)
-    assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
-    assert course.is_in_force("east") == (ends == "everywhere")
-
-
-def test_rollout_is_in_force_in_cells_it_has_reached():
-    fixture = ControllerFixture(
-        make_assignment(
-            THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)
-        ),
-        capacity=DirectorCapacity(1000.0),
-    )
-    fixture.now = 20_000.0
-    assert count_admitted(fixture, 90) == 90
-    assert fixture.controller.step(fixture.now) == ["release r1 canary, wave 0 of 2"]
-    assert (
-        count_admitted(fixture, 90, tenant_name="acme")
-        < 10
-        < count_admitted(fixture, 20, tenant_name="beta") + 1
-    )
-    taken_back = replace(
-        fixture.controller.assignment,
-        version=2,
-        rollouts={"r1": replace(RELEASE, is_rolled_back=True)},
-    )
-    fixture.controller.replace_assignment(fixture.now, taken_back)
-    assert "taken back (by staff)" in fixture.controller.step(fixture.now)[0]
-    assert fixture.controller.tenant_states["acme"].limits.rate == 0.0
-
-
-def test_rollout_of_shuffle_shards_fills_from_the_other_caches():
-    one = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
-    release = replace(RELEASE, shuffle_shards=1, limits=Limits(), waves=())
-    fixture = ControllerFixture(make_assignment(one, releases=(release,)))
-    assert len(fixture.admit().pool.caches) == 3
-    fixture.now = 20_000.0
-    fixture.controller.step(fixture.now)
-    pool = fixture.admit().pool
-    assert len(pool.caches) == 1 and set(pool.migration_sources) == {"s-01", "s-02", "s-03"}
-    kept = edits.adopt_rollout(fixture.controller.assignment, "r1")
-    assert kept.cells["north"].shuffle_shards == 1 and kept.cells["south"].shuffle_shards == 0
-    fixture.controller.replace_assignment(fixture.now, replace(kept, version=2))
-    assert set(fixture.admit().pool.caches) == set(pool.caches)
-
-
 def test_director_restarted_in_a_migration_follows_the_clock_and_fails_uncertain_retries():
     held = replace(
         make_assignment(TWO, moves=(make_migration(starts_at=100_000.0),)), written_at=90_000.0
