--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -125,7 +125,7 @@
 
 
 class DirectorsFixture:
-    """Whole directors with one assignment file, before the same stand-ins, stopped with the block."""
+    """Whole directors with one assignment file, before the same stand-ins; the block stops them."""
 
     def __init__(self, folder, held, plan=HIT, directors=1, open_most=0, rate=0.0, **changes):
         self.path = folder / "assignment.ini"
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -1,5 +1,6 @@
 """Admission at one director: quotas, lost cells, rollouts."""
 
+import itertools
 from dataclasses import replace
 
 import pytest
@@ -46,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    "limits, asked, admitted",
+    ("limits", "asked", "admitted"),
     [
         (Limits(rate=10.0, burst=5), {}, 5),
         (Limits(max_open_requests=7), {}, 7),
@@ -72,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, is_retry, is_never_executed",
+    ("request_class", "is_retry", "is_never_executed"),
     [
         (PAGES, True, True),
         (PAGES, False, True),
@@ -122,7 +123,7 @@
     assert fixture.count_admitted(50, tenant_name="beta") == 50
 
 
-@pytest.mark.parametrize("capacity_fraction, admitted", [(1.0, 20), (0.5, 10), (0.0, 0)])
+@pytest.mark.parametrize(("capacity_fraction", "admitted"), [(1.0, 20), (0.5, 10), (0.0, 0)])
 def test_failover_cell_that_warms_up_admits_less(capacity_fraction, admitted):
     fixture = ControllerFixture(make_assignment(TWO))
     fixture.update_caches(("s-03", "s-04"), {"s-03": capacity_fraction, "s-04": capacity_fraction})
@@ -130,7 +131,7 @@
 
 
 @pytest.mark.parametrize(
-    "cells, why",
+    ("cells", "why"),
     [
         ((TWO[0], replace(TWO[1], failover_cells=("north",))), "lost"),
         ((replace(TWO[0], failover_cells=()), TWO[1]), "lost"),
@@ -144,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, is_retry, kind",
+    ("request_class", "is_retry", "kind"),
     [(ORDER, False, True), (ORDER, True, False), (PAY, False, None), (ORDER_ALL, False, None)],
 )
 def test_requests_sticky_to_a_lost_cell_do_not_fail_over(request_class, is_retry, kind):
@@ -173,7 +174,7 @@
         shares.append(sum(fixture.admit(key=key).cell == "north" for key in range(500)) / 500)
         fixture.now += 2_000.0
     assert shares[0] == 0.0 and shares[-1] == 1.0 and shares == sorted(shares)
-    assert max(after - before for before, after in zip(shares, shares[1:], strict=False)) < 0.3
+    assert max(after - before for before, after in itertools.pairwise(shares)) < 0.3
 
 
 def test_each_tenant_has_its_own_retry_budget():
@@ -204,7 +205,7 @@
     )
 
 
-@pytest.mark.parametrize("open_connections, can_admit", [(0, True), (2, True), (3, False)])
+@pytest.mark.parametrize(("open_connections", "can_admit"), [(0, True), (2, True), (3, False)])
 def test_connections_are_limited_by_address(open_connections, can_admit):
     tenants = (
         Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(max_connections=3)),
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ("", "[assignment]: the section is missing"),
         ("nonsense", "the file: "),
@@ -54,15 +54,13 @@
         (WHOLE + "[cell a]\ncaches = s-1 s-1", "[cell a] caches: a name stands there twice"),
         (WHOLE + "[cell a]\nreserve = 1.5", "[cell a] reserve: a number from 0 to 1"),
         (
-            WHOLE
-            + "[move m]\ntenants = acme\nfrom = north\nto = north\nstarts = 1\nwarm_ms = 1\nshift_ms = 1\n"
-            "drain_ms = 1",
+            WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = north\nstarts = 1\nwarm_ms = 1\n"
+            "shift_ms = 1\ndrain_ms = 1",
             "[move m] to: the same cell",
         ),
         (
-            WHOLE
-            + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9\nwarm_ms = 1\nshift_ms = 1\n"
-            "drain_ms = 1\naborted_at = 3",
+            WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9\nwarm_ms = 1\n"
+            "shift_ms = 1\ndrain_ms = 1\naborted_at = 3",
             "[move m] aborted_at: before",
         ),
         (
@@ -124,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ("[cells]\nenabled = maybe", "[cells] enabled: yes or no"),
         ("[cells]\nenabled = yes", "[cells] assignment"),
--- a/tests/cells/test_cell_hashing.py
+++ b/tests/cells/test_cell_hashing.py
@@ -47,11 +47,11 @@
     items, bins = dict.fromkeys(names, 1.0), dict.fromkeys(cells, 1.0)
     before = assign_with_load_bound(items, bins, 1e9)
     gone = cells[0]
-    after = assign_with_load_bound(items, {cell: 1.0 for cell in cells[1:]}, 1e9)
+    after = assign_with_load_bound(items, dict.fromkeys(cells[1:], 1.0), 1e9)
     assert all(after[name] == at for name, at in before.items() if at != gone)
 
 
-@pytest.mark.parametrize("cells, tenants", [(10, 4000), (40, 4000)])
+@pytest.mark.parametrize(("cells", "tenants"), [(10, 4000), (40, 4000)])
 def test_with_a_bound_removing_a_cell_moves_few_other_items(cells, tenants):
     items = {f"tenant-{number}": 1.0 for number in range(tenants)}
     bins = {f"cell-{number}": 1.0 for number in range(cells)}
--- a/tests/cells/test_cells_commands.py
+++ b/tests/cells/test_cells_commands.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, code, told",
+    ("arguments", "code", "told"),
     [
         (("show",), 0, "version 1, 3 tenants in 2 cells"),
         (("explain", "acme"), 0, "cell: north"),
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, code, told",
+    ("text", "code", "told"),
     [
         ("[cells]\n", 0, "cells: off, no assignment"),
         ("[cells]\nassignment = assignment.ini", 0, "2 cells"),
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, code, told", [("none.ini", 2, "No such file"), ("bad.ini", 2, "[fleet] caches")]
+    ("name", "code", "told"), [("none.ini", 2, "No such file"), ("bad.ini", 2, "[fleet] caches")]
 )
 def test_lab_reports_a_faulty_scenario_file(tmp_path, name, code, told):
     (tmp_path / "bad.ini").write_text("[assignment]\ndefault_tenant = a\n[cell c]\n[tenant a]\n")
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -114,7 +114,7 @@
         assert went[0] == went[1] and 5 < len(went[0]) < 35
 
 
-@pytest.mark.parametrize("where, answer", [(0, SERVED), (1, FAILED)])
+@pytest.mark.parametrize(("where", "answer"), [(0, SERVED), (1, FAILED)])
 def test_request_in_flight_at_a_migration_runs_in_one_cell_only(where, answer, tmp_path):
     answered = threading.Event()
 
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    ("change", "told"),
     [
         (("caches = s-1 s-2 s-3 s-4", ""), "[fleet] caches"),
         (("what = kill", "what = melt"), "[deed d1] what"),
@@ -262,6 +262,8 @@
 
 def test_director_does_not_start_with_an_unusable_assignment(tmp_path):
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
-    with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
-        with pytest.raises(ConfigError, match="none.ini"):
-            make(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
+    with (
+        DirectorsFixture(tmp_path, make_assignment(TWO)) as running,
+        pytest.raises(ConfigError, match=r"none\.ini"),
+    ):
+        make(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_cells_on_directors.py
+++ b/tests/cells/test_cells_on_directors.py
@@ -27,7 +27,7 @@
     }
 
 
-@pytest.mark.parametrize("tenant, caches", [("acme", {"s-01"}), ("beta", {"s-02", "s-03"})])
+@pytest.mark.parametrize(("tenant", "caches"), [("acme", {"s-01"}), ("beta", {"s-02", "s-03"})])
 def test_tenant_is_confined_to_its_cell(tenant, caches, tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO)) as running:
         caller = running.caller()
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    "unknown, told, what",
+    ("unknown", "told", "what"),
     [("reject", "nobody", REJECTED), ("default_tenant", "nobody", 0), ("reject", "acme", 0)],
 )
 def test_unknown_tenant_is_treated_as_the_assignment_says(unknown, told, what, tmp_path):
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    ("text", "told"),
     [("version = 0", "no later one"), ("nonsense", "the file"), ("[assignment]\nform = 9", "form")],
 )
 def test_unusable_file_changes_nothing(text, told, tmp_path):
--- a/tests/cells/test_concurrency_limit.py
+++ b/tests/cells/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    "delays, is_reduced", [([10.0] * 400, False), ([10.0] * 200 + [80.0] * 200, True)]
+    ("delays", "is_reduced"), [([10.0] * 400, False), ([10.0] * 200 + [80.0] * 200, True)]
 )
 def test_limit_follows_the_delay(delays, is_reduced):
     limit, now = ConcurrencyLimit(4.0, 100.0), 0.0
--- a/tests/cells/test_edits.py
+++ b/tests/cells/test_edits.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "edit, why",
+    ("edit", "why"),
     [
         (lambda held: edits.start_migration(held, "m1", ("acme",), "south", 0.0, SPANS), "already"),
         (
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "asks, minimums, maximums",
+    ("asks", "minimums", "maximums"),
     [
         ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),  # alone it may have all
         ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -33,8 +33,9 @@
 
 
 class Side:
-    """One director with its controller, on a clock that stands until moved; attempts are answered at
-    once.
+    """One director with its controller, on a clock that stands until it is set.
+
+    Attempts are answered at once.
     """
 
     def __init__(self, version):
@@ -63,6 +64,7 @@
         self.told[what, box] = now
         changed = replace(row, state=state, started_at=now if what == "cold" else row.started_at)
         self.stage.facade.update_endpoints([changed], False)
+        return None
 
     def requests(self, now):
         """One request of each of some objects; gives the orders that went out."""
@@ -89,6 +91,16 @@
             self.fixture.complete(grant)
 
 
+def exceeds_slow_start(spent, started_at):
+    """Whether both directors together sent a cache more, over any span, than it could serve."""
+    for at, _ in spent:
+        load = sum(work for other, work in spent if at - SPAN < other <= at)
+        fraction = COLD_FROM + (1.0 - COLD_FROM) * (at - started_at) / COLD_FOR
+        if load > 4.0 * fraction * SPAN:
+            return True
+    return False
+
+
 def play(versions, what, box, when):
     """Gives the rules that were broken."""
     sides, broken, spent = [Side(version) for version in versions], set(), []
@@ -104,15 +116,12 @@
                     broken.add(3)
                 if what == "cold" and when <= now and box in named:
                     spent.append((now, WORK))
-                if what == "purge" and when <= now and order.attempt.request.object_id == 0xABC:
-                    if not 0.0 < order.max_age <= now - when + 1.0:
-                        broken.add(5)
+                is_purged = what == "purge" and order.attempt.request.object_id == 0xABC
+                if is_purged and when <= now and not 0.0 < order.max_age <= now - when + 1.0:
+                    broken.add(5)
         now += STEP
-    for at, _ in spent:  # both directors together, over any span
-        load = sum(work for other, work in spent if at - SPAN < other <= at)
-        warmth = COLD_FROM + (1.0 - COLD_FROM) * (at - when) / COLD_FOR
-        if load > 4.0 * warmth * SPAN:
-            broken.add(4)
+    if exceeds_slow_start(spent, when):
+        broken.add(4)
     return broken
 
 
@@ -134,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, fault, troubles",
+    ("rule", "fault", "troubles"),
     [
         (
             3,
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -32,7 +32,7 @@
 ]
 
 
-@pytest.mark.parametrize("now, stage, share", STAGES)
+@pytest.mark.parametrize(("now", "stage", "share"), STAGES)
 def test_migration_follows_the_clock(now, stage, share):
     assert migrations.stage_at(make_migration(), now) == stage and migrations.migrated_fraction(
         make_migration(), now
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    "turn, now, stage, share",
+    ("turn", "now", "stage", "share"),
     [
         ({"aborted_at": 13_000.0}, 13_000.0, MigrationStage.ROLLING_BACK, 0.525),
         ({"aborted_at": 13_000.0}, 14_000.0, MigrationStage.ROLLING_BACK, 0.275),
@@ -93,7 +93,7 @@
         )
 
 
-@pytest.mark.parametrize("capacity, bears", [(300.0, True), (130.0, False)])
+@pytest.mark.parametrize(("capacity", "bears"), [(300.0, True), (130.0, False)])
 def test_shift_is_as_long_as_the_receiving_caches_need(capacity, bears):
     demand = MigrationDemand(
         rate=100.0,
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    "now, cell, takes_over, fills",
+    ("now", "cell", "takes_over", "fills"),
     [
         (9_000.0, "north", False, False),
         (14_999.0, "south", True, True),
--- a/tests/cells/test_rollouts.py
+++ b/tests/cells/test_rollouts.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "north, others, ends",
+    ("north", "others", "ends"),
     [
         (WELL, WELL, "everywhere"),
         (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
--- a/tests/cells/test_tenant_resolution.py
+++ b/tests/cells/test_tenant_resolution.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "tenant_name, address, group, tenant",
+    ("tenant_name", "address", "group", "tenant"),
     [
         ("acme", "10.0.0.1", 3, "acme"),
         ("nobody", "10.0.0.1", 3, "shared"),
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "one, other",
+    ("one", "other"),
     [
         ({"groups": ((0, 9),)}, {"groups": ((5, 12),)}),
         ({"groups": ((0, 9),)}, {"groups": ((0, 9),)}),
--- a/tests/cells/test_token_bucket.py
+++ b/tests/cells/test_token_bucket.py
@@ -6,7 +6,8 @@
 
 
 @pytest.mark.parametrize(
-    "rate, burst, requests, admitted", [(10.0, 1, 100, 10), (10.0, 5, 100, 15), (0.0, 0, 100, 100)]
+    ("rate", "burst", "requests", "admitted"),
+    [(10.0, 1, 100, 10), (10.0, 5, 100, 15), (0.0, 0, 100, 100)],
 )
 def test_admits_its_rate_and_its_burst(rate, burst, requests, admitted):
     bucket, count = TokenBucket(rate, burst), 0
@@ -26,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "asks, minimum",
+    ("asks", "minimum"),
     [
         ({"acme": (1.0, 4)}, {"acme": 950}),
         ({"acme": (1.0, 4), "beta": (1.0, 4)}, {"acme": 450, "beta": 450}),
@@ -52,6 +53,6 @@
     )
 
 
-@pytest.mark.parametrize("wait, retry_after", [(0.0, 100.0), (250.0, 250.0), (1e9, 5000.0)])
+@pytest.mark.parametrize(("wait", "retry_after"), [(0.0, 100.0), (250.0, 250.0), (1e9, 5000.0)])
 def test_retry_after_is_bounded(wait, retry_after):
     assert bounded_retry_after(wait) == retry_after
