--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -10,7 +10,7 @@
 from ..errors import MulleinrelayError
 from . import migrations
 from .hashing import home_cells
-from .model import Assignment, Migration, Rollout, Tenant
+from .model import Assignment, Migration, Rollout
 
 
 class EditRejectedError(MulleinrelayError):
@@ -222,20 +222,6 @@
     return replace(changed, migrations=remaining), ended
 
 
-def put_tenant(assignment: Assignment, tenant: Tenant) -> Assignment:
-    """Adds a tenant, or replaces all of it but its cell, which only a migration changes.
-
-    Raises:
-        EditRejectedError: If its cell differs.
-    """
-    old = assignment.tenants.get(tenant.name)
-    if old is not None and old.cell != tenant.cell:
-        raise EditRejectedError(
-            f"tenant {tenant.name} stands in {old.cell or 'a cell by hash'}; move it"
-        )
-    return replace(assignment, tenants=assignment.tenants | {tenant.name: tenant})
-
-
 def start_rollout(assignment: Assignment, rollout: Rollout) -> Assignment:
     """Adds a rollout.
 
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -61,9 +61,9 @@
         Args:
             config: The file `cells.ini`.
             director_config: The platform's configuration of this director.
-            coordinator: Tells which caches are ready.
+            coordinator: Says which caches are ready.
             clock: Unix milliseconds.
-            log: Takes events `cells`.
+            log: Gets events `cells`.
             max_open_requests: What the director's memory allows.
 
         Raises:
@@ -76,29 +76,23 @@
         self._log = log
         self._transfer_rate = director_config.settings.transfer_rate  # KB/ms; 0: not known
         self.lock = threading.Lock()
-        # The identity comes first: a file that is replaced meanwhile is read once more.
         self._file_identity = store.file_identity(config.assignment_file)
+        capacity = _director_capacity(config, max_open_requests)
         assignment = store.load_assignment(config.assignment_file)
-        self.controller = AdmissionController(
-            clock(),
-            assignment,
-            _director_capacity(config, max_open_requests),
-            director_config.settings.allows_cache_bypass,
-        )
+        can_bypass = director_config.settings.allows_cache_bypass
+        self.controller = AdmissionController(clock(), assignment, capacity, can_bypass)
         self.connections: Counter[str] = Counter()
         self._caches: Sequence[ReadyCache] = []
         self._records = _director_records(config, director_config.name)
-        self._next_poll_at = 0.0
-        self._next_records_at = 0.0
+        self._next_poll_at = self._next_records_at = 0.0
         self._pending_texts: list[str] = []  # for the records
         self._is_stopped = threading.Event()
-        self._thread = threading.Thread(target=self._run, name="cells", daemon=True)
 
     def start(self) -> None:
         """Takes over the ready caches and starts the thread."""
         self._log_texts([f"version {self.controller.assignment.version}"])
         self._step()
-        self._thread.start()
+        threading.Thread(target=self._run, name="cells", daemon=True).start()
 
     def stop(self) -> None:
         """Ends the thread after its present step, without waiting for it."""
@@ -211,7 +205,10 @@
         )
 
     def _poll_file(self, now: float) -> list[str]:
-        """Puts a new version of the file in force; returns texts for the log."""
+        """Puts a new version of the file in force; returns texts for the log.
+
+        The identity is always read before the file: one that is replaced meanwhile is read again.
+        """
         identity = store.file_identity(self.config.assignment_file)
         if identity == self._file_identity:
             return []
