--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -136,13 +136,14 @@
 
     director: Any
     listener: Any
+    handle_call: Callable[[Any, Any], None]
     upstream_field: str  # of the listener
     report_outcome: Callable[..., None]
     run_due_timers: Callable[[], Any]
     served_from_cache: tuple[Any, Any]  # outcome and cache status
     client_type: type
     thrift: Any
-    resp: Any
+    encode_attempt: Callable[..., Any]
 
 
 def current_parts(cells: str) -> Parts:
@@ -167,13 +168,14 @@
     return Parts(
         director,
         director.listener,
+        director.listener._handle_call,
         "upstream",
         director.coordinator.report_outcome,
         director.coordinator.run_due_timers,
         (Outcome.SERVED, CacheStatus.HIT),
         ClientConnection,
         thrift,
-        resp,
+        resp.attempt_command,
     )
 
 
@@ -193,13 +195,14 @@
     return Parts(
         director,
         director.front,
+        director.front._call,
         "caches",
         director.facade.report,
         director.facade.tick,
         (module("interface").Outcome.SERVED, module("interface").Note.HIT),
         module("net.client").Client,
         module("net.thrift"),
-        module("net.resp"),
+        module("net.resp").pull,
     )
 
 
@@ -208,11 +211,12 @@
 
     def __init__(self, parts: Parts) -> None:
         self.parts = parts
-        self.answer = type("Answer", (), {"kept": False, "is_current": False, "body": bytes(400)})()
+        fields = {"is_not_modified": False, "kept": False, "body": bytes(400)}
+        self.answer = type("Answer", (), fields)()
 
     def send(self, step: Any, request: Any) -> None:
         """Encodes the attempt and reports its answer."""
-        self.parts.resp.pull(request, step, 1000.0)
+        self.parts.encode_attempt(request, step, 1000.0)
         outcome, status = self.parts.served_from_cache
         self.parts.report_outcome(step.attempt, outcome, status, answer=self.answer)
 
@@ -246,7 +250,7 @@
         for each in frames:
             call = parts.thrift.read_call(each)
             call.read_at = time.monotonic()
-            parts.listener._call(client, call)
+            parts.handle_call(client, call)
         parts.run_due_timers()
         return time.thread_time() - begun
 
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -33,13 +33,13 @@
     def __init__(self, held: Any, path: str) -> None:
         if not isinstance(held, dict):
             raise ConfigError(f"{path or 'the configuration'}: an object is wanted")
-        self.held, self.path = held, path
+        self.values, self.path = held, path
 
     def at(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
     def read(self, key: str, forms: tuple[type, ...], wanted: str, default: Any = MISSING) -> Any:
-        value = self.held.get(key, default)
+        value = self.values.get(key, default)
         if value is MISSING:
             raise ConfigError(f"{self.at(key)}: the key is missing")
         if value is default:
@@ -51,7 +51,7 @@
     def number(self, key: str, default: Any = MISSING) -> float:
         return self.read(key, (int, float), "a number", default)
 
-    def whole(self, key: str, default: Any = MISSING) -> int:
+    def integer(self, key: str, default: Any = MISSING) -> int:
         return self.read(key, (int,), "a whole number", default)
 
     def flag(self, key: str, default: Any = MISSING) -> bool:
@@ -100,7 +100,7 @@
     """Prices by what they are for; none where they are not told."""
     return (
         settings.section("costs")
-        if "costs" in settings.held
+        if "costs" in settings.values
         else JsonSection({}, settings.at("costs"))
     )
 
@@ -127,17 +127,17 @@
         )
         for at, case in enumerate(boot.sections("classes"))
     ]
-    zone, overload_for = boot.whole("myZone"), rules.number("overloadFor")
+    zone, overload_for = boot.integer("myZone"), rules.number("overloadFor")
     return ServiceSettings(
         request_classes=request_classes,
         zone=zone,
-        director_count=boot.whole("balancers"),
+        director_count=boot.integer("balancers"),
         local_director_count=max(1, domain.each("countByZone", zone, *number)),
-        parent_kind=domain.whole("midKind"),
-        origin_kind=domain.whole("storeKind"),
+        parent_kind=domain.integer("midKind"),
+        origin_kind=domain.integer("storeKind"),
         advertises_weights=boot.text("weights") != "none",
         transfer_rate=domain.number("oneFlowKbPerS") / 1000.0,
-        max_attempts=allowed.whole("maxAttempts"),
+        max_attempts=allowed.integer("maxAttempts"),
         allows_hedging=allowed.flag("mayDuplicate"),
         allows_cancel=allowed.flag("cancel"),
         allows_health_checks=allowed.flag("mayProbe"),
@@ -206,13 +206,13 @@
         parse_service_settings(settings),
         whole.text("seed"),
     )
-    limits = whole.section("limits") if "limits" in whole.held else JsonSection({}, "limits")
+    limits = whole.section("limits") if "limits" in whole.values else JsonSection({}, "limits")
     costs = costs_of(settings)
     try:
         number = int(seed, 16)
     except ValueError:
         raise ConfigError("seed: hex digits are wanted") from None
-    sockets = limits.whole("sockets", DEFAULT_SOCKETS)
+    sockets = limits.integer("sockets", DEFAULT_SOCKETS)
     if sockets < SOCKETS_LEAST:
         raise ConfigError(f"limits.sockets: {SOCKETS_LEAST} or more is wanted")
     names = [case.text("name") for case in settings.sections("classes")]
@@ -223,7 +223,7 @@
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
         max_descriptors=sockets,
         event_stream_address=whole.address("bus"),
-        last_event_number=known.whole("offset"),
+        last_event_number=known.integer("offset"),
         known_events=known.items("batch"),
         settings=terms,
         request_classes=dict(zip(names, terms.request_classes, strict=True)),
@@ -231,7 +231,7 @@
         kinds={name: place for place, name in enumerate(settings.items("shapes"))},
         connect_timeout=allowed.number("connectTimeout"),
         idle_timeout=allowed.number("connIdle"),
-        max_attempts_per_connection=allowed.whole("maxStreams"),
+        max_attempts_per_connection=allowed.integer("maxStreams"),
         connections_are_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
     )
 
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -21,12 +21,12 @@
 
 CLIENTS_SHARE, LINKS_SHARE = 0.5, 0.4  # of the descriptors
 SWEEP_EVERY, ASK_EVERY = 250.0, 25.0
-COMING = 1.0  # s after the call to stop in which clients still come
+NEW_CALLS_S = 1.0  # s after the call to stop in which clients still come
 LONGEST_WAIT, SPARE = (
     3.0,
     0.7,
 )  # s: the platform waits for the longest client timeout or this, and for this
-LAST_ANSWERS, WRITTEN = (
+FINAL_ANSWERS_S, WRITTEN = (
     0.5,
     0.2,
 )  # s before the platform's end: all that is open gets its final answer; exit
@@ -54,10 +54,10 @@
         """
         self.config, self.log = start, log
         self.phase = Phase.STARTING
-        self.offset = (
+        self.clock_offset = (
             time.time() * 1000.0 - time.monotonic() * 1000.0
         )  # taken once: steps don't reach us
-        self.stopping, self.ended = threading.Event(), threading.Event()
+        self.stop_requested, self.stopped = threading.Event(), threading.Event()
         self.coordinator = RequestCoordinator(self.clock, start.seed, start.settings, log)
         self.upstream = UpstreamConnections(
             self.coordinator,
@@ -79,7 +79,7 @@
             from .cells.service import CellService
 
             self.cell_service = CellService(
-                cells, start, self.coordinator, self.clock, log, self.listener.requests_most
+                cells, start, self.coordinator, self.clock, log, self.listener.max_requests
             )
             self.listener.admission_control = self.cell_service
         self.management_config = (
@@ -96,7 +96,7 @@
 
     def clock(self) -> float:
         """Unix milliseconds."""
-        return self.offset + time.monotonic() * 1000.0
+        return self.clock_offset + time.monotonic() * 1000.0
 
     def start(self) -> None:
         self.event_stream.start()
@@ -120,7 +120,7 @@
             self.membership.start()
         self.listener.start()
         self.event_stream.wait_until_current()
-        self.listener.well = True
+        self.listener.is_healthy = True
         self._enter(Phase.READY)
 
     def reload(self, start: DirectorConfig) -> None:
@@ -135,25 +135,25 @@
 
     def stop(self) -> None:
         """Starts the drain; `wait` returns when it is over."""
-        self.stopping.set()
+        self.stop_requested.set()
 
     def wait(self) -> None:
-        self.stopping.wait()
+        self.stop_requested.wait()
         begun = time.monotonic()
         request_classes = self.config.request_classes.values()
         longest = max((case.client_timeout for case in request_classes), default=0.0) / 1000.0
         end = min(LONGEST_WAIT, longest) + SPARE
-        self.listener.well = False
+        self.listener.is_healthy = False
         self._enter(Phase.DRAINING)
         while (since := time.monotonic() - begun) < end - WRITTEN:
             if (
-                since >= COMING
+                since >= NEW_CALLS_S
                 and not self.coordinator.pending_count()
                 and not self.listener.has_pending_writes()
             ):
                 if self.listener.drain():  # else a call has crossed it, or an end has yet to arrive
                     break
-            if since >= end - LAST_ANSWERS:
+            if since >= end - FINAL_ANSWERS_S:
                 for request in self.coordinator.finish_pending_requests():
                     self.listener.run_request(request)
             time.sleep(0.02)
@@ -167,7 +167,7 @@
             self.cell_service.stop()
         self.upstream.stop()
         self._enter(Phase.STOPPED)
-        self.ended.set()
+        self.stopped.set()
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -175,7 +175,7 @@
 
     def _keep_time(self) -> None:
         sweep = ask = self.clock()
-        while not self.ended.is_set():
+        while not self.stopped.is_set():
             try:
                 due, probes, moved = self.coordinator.run_due_timers()
                 for request in moved:
@@ -187,9 +187,9 @@
                     ask = now + ASK_EVERY
                 if now >= sweep:
                     self.upstream.close_idle()
-                    self.listener.sweep()
+                    self.listener.close_idle()
                     sweep = now + SWEEP_EVERY
                 self.coordinator.wait_until(min(due, sweep, ask))
             except Exception as broken:
                 self.log.exception("clock", broken)
-                self.ended.wait(0.05)  # should it go on, the others still get the core
+                self.stopped.wait(0.05)  # should it go on, the others still get the core
--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -127,7 +127,7 @@
         say(deaf=self.node.spec.name)
 
     def _welcome(self, connection: socket.socket) -> None:
-        wire, arrays = Wire(self.hosts.loop, connection), resp.Arrays(4096)
+        wire, arrays = Wire(self.hosts.loop, connection), resp.ArrayDecoder(4096)
         over: set[bytes] = set()
         self.wires[wire] = (
             None  # else it would outlive the node, and a command on it count as its fall
@@ -140,11 +140,11 @@
         def heard(data: bytes) -> None:
             view = memoryview(data)
             while len(view) and not wire.closed:
-                room = arrays.room()
+                room = arrays.writable_view()
                 taken = min(len(room), len(view))
                 room[:taken] = view[:taken]
                 view = view[taken:]
-                for items in arrays.filled(taken):
+                for items in arrays.decode(taken):
                     self._told(wire, over, [bytes(item) for item in items])
                     if wire.closed:
                         return
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -43,7 +43,7 @@
         self.out: dict[int, tuple[Pending, float]] = {}
         self.late: dict[int, float] = {}  # asked and not answered in time
         self.number, self.used = 0, now_ms()
-        self.frames = thrift.Frames(most=300_000)
+        self.frames = thrift.FrameDecoder(most=300_000)
         self.wire: Wire = terminals.loop.connect((addresses.own(director), terminals.port))
         self.wire.heard, self.wire.over = self._heard, self._over
 
@@ -56,11 +56,11 @@
     def _heard(self, data: bytes) -> None:
         view = memoryview(data)
         while len(view):
-            room = self.frames.room()
+            room = self.frames.writable_view()
             taken = min(len(room), len(view))
             room[:taken] = view[:taken]
             view = view[taken:]
-            for frame in self.frames.filled(taken):
+            for frame in self.frames.decode(taken):
                 number, what, pause = read_answer(frame)
                 found = self.out.pop(number, None)
                 if found is None:
@@ -224,13 +224,13 @@
     def is_well(self, director: int) -> None:
         wire, frames = (
             self.loop.connect((addresses.own(director), self.port)),
-            thrift.Frames(most=4096),
+            thrift.FrameDecoder(most=4096),
         )
 
         def heard(data: bytes) -> None:
-            room = frames.room()
+            room = frames.writable_view()
             room[: len(data)] = data
-            for frame in frames.filled(len(data)):
+            for frame in frames.decode(len(data)):
                 good = bytes(frame[-5:]).find(b"\x01") >= 0
                 wire.close()
                 return told(good)
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Any
 
-from ..net.resp import ENDS, NOTES
+from ..net.resp import CACHE_STATUS_BY_WORD, OUTCOME_BY_WORD
 from ..policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request, ServiceSettings
 from ..policy.router import Router, TrackedEndpoint
 
@@ -101,7 +101,12 @@
     def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
         """What a node said."""
         if not self.gone and attempt.outcome is None:
-            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.UNKNOWN), waited)
+            self.ended(
+                attempt,
+                OUTCOME_BY_WORD[word.encode()],
+                CACHE_STATUS_BY_WORD.get(why, CacheStatus.UNKNOWN),
+                waited,
+            )
 
     def ended(
         self,
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -18,7 +18,7 @@
 from ..lab.fleet.paths import DOWN, UP, Book, Lane, rule_for
 from ..lab.fleet.plan import ON_NODES, ON_PATHS, Scenario, Strike
 from ..lab.start import settings_at
-from ..net.upstream_connections import ECHO_WAIT
+from ..net.upstream_connections import PING_TIMEOUT
 from ..policy.connection_reuse import QUIET
 from ..policy.model import Attempt, Outcome
 from ..standins.fleet import BOX, ORIGIN, PARENT
@@ -198,7 +198,7 @@
         if self.book.held(kind, director, name, way):
             self.held.append((director, name, way, do))
             return self.clock.at(
-                self.clock() + QUIET / 2.0 + ECHO_WAIT, lambda: self.quiet(director, name, way)
+                self.clock() + QUIET / 2.0 + PING_TIMEOUT, lambda: self.quiet(director, name, way)
             )
         due = self.clock() + NODE_MS
         if self.book.rules:
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -43,62 +43,68 @@
         self, connection: socket.socket | None, address: str = "", entry: str = ""
     ) -> None:
         """`entry`: what the gate gave for it and gets back."""
-        self.connection, self.address, self.entry = connection, address, entry
+        self.connection, self.address, self.admission_entry = connection, address, entry
         self.lock = threading.Lock()  # guards `open`, the outlet, and the reading of calls
-        self.outlet = WriteQueue(self.lock, WRITE_WAIT)
-        self.outlet.connection = connection
-        self.open: dict[int, Request | None] = {}  # None: not yet the module's
-        self.frames = thrift.Frames()
-        self.calls: deque[thrift.Call] = (
+        self.write_queue = WriteQueue(self.lock, WRITE_WAIT)
+        self.write_queue.connection = connection
+        self.open_requests: dict[int, Request | None] = {}  # None: not yet the module's
+        self.decoder = thrift.FrameDecoder()
+        self.pending_calls: deque[thrift.MethodCall] = (
             deque()
         )  # read and not begun; the first may be in the making
-        self.called = False  # a whole call has come
-        self.asked = False  # and one of them was a request
-        self.bad = 0  # calls that can't be used since the last that can
-        self.wrong = ""  # why what has come can't be read any further
-        self.used = time.monotonic()  # when it connected, or the last whole call or answer
-        self.looked = 0.0  # when all that had come was read last
-        self.halfway = 0.0  # when a call began of which the rest is to come
-        self.half_closed = 0.0  # when
+        self.has_called = False  # a whole call has come
+        self.has_requested = False  # and one of them was a request
+        self.bad_call_count = 0  # calls that can't be used since the last that can
+        self.framing_error = ""  # why what has come can't be read any further
+        self.last_used_at = time.monotonic()  # when it connected, or the last whole call or answer
+        self.last_read_at = 0.0  # when all that had come was read last
+        self.partial_call_since = 0.0  # when a call began of which the rest is to come
+        self.half_closed_at = 0.0  # when
 
-    def overstays(self, now: float) -> bool:
+    def is_overdue(self, now: float) -> bool:
         """Whether nothing is to be expected any more of one to whom nothing is owed."""
-        if not self.called:
-            late = now > self.used + FIRST_CALL
+        if not self.has_called:
+            late = now > self.last_used_at + FIRST_CALL
         else:
-            late = now > self.halfway + REST_OF_CALL if self.halfway else now > self.used + IDLE
-        return late and not self.owed()
+            late = (
+                now > self.partial_call_since + REST_OF_CALL
+                if self.partial_call_since
+                else now > self.last_used_at + IDLE
+            )
+        return late and not self.owes_answer()
 
-    def is_calling(self, now: float) -> bool:
+    def is_mid_call(self, now: float) -> bool:
         """Whether it is in the middle of a call of which the rest may come yet."""
-        return self.halfway > 0.0 and now < self.halfway + HALF_CALL
+        return self.partial_call_since > 0.0 and now < self.partial_call_since + HALF_CALL
 
     # Reading; in the connection's own thread
 
-    def hear(self) -> bool:
+    def read_calls(self) -> bool:
         """Reads what has come, and waits only where no call is there to be begun. False where the
         client has gone, or its connection has been half-closed and read out: what is not begun then
         never is. So none is begun for a client who left behind it, however many it had sent at
         once.
         """
-        while len(self.calls) < CALLS_MOST:
-            if not self.calls and (
-                self.wrong or not self.connection.recv(1, socket.MSG_PEEK)
+        while len(self.pending_calls) < CALLS_MOST:
+            if not self.pending_calls and (
+                self.framing_error or not self.connection.recv(1, socket.MSG_PEEK)
             ):  # waits
                 return False
             with self.lock:
                 try:
-                    length = self.connection.recv_into(self.frames.room(), 0, socket.MSG_DONTWAIT)
+                    length = self.connection.recv_into(
+                        self.decoder.writable_view(), 0, socket.MSG_DONTWAIT
+                    )
                 except BlockingIOError:
-                    self.looked = time.monotonic()
-                    if self.calls:
+                    self.last_read_at = time.monotonic()
+                    if self.pending_calls:
                         return True
                     continue
                 if not length:
                     return False
-                if not self.wrong:
-                    self._take(self.frames.filled(length))
-                elif self.calls:  # one look for its end; whoever floods is not read on
+                if not self.framing_error:
+                    self._take(self.decoder.decode(length))
+                elif self.pending_calls:  # one look for its end; whoever floods is not read on
                     return True
         return not self._closed_behind()
 
@@ -107,132 +113,150 @@
         call with the system or here, at every moment.
         """
         now = time.monotonic()
-        if self.outlet.ended:
-            self.calls.clear()
+        if self.write_queue.is_shut_down:
+            self.pending_calls.clear()
             return
         try:
             for frame in frames:
-                self.called, self.used, self.halfway = True, now, 0.0
+                self.has_called, self.last_used_at, self.partial_call_since = True, now, 0.0
                 self._queue(thrift.read_call(frame), now)
         except thrift.ThriftError as wrong:  # what came whole before it has been taken
-            self.wrong, self.halfway = str(wrong), 0.0
+            self.framing_error, self.partial_call_since = str(wrong), 0.0
             return
-        self.halfway = (self.halfway or now) if len(self.frames.intake) else 0.0
+        self.partial_call_since = (
+            (self.partial_call_since or now) if len(self.decoder.buffer) else 0.0
+        )
 
-    def read_out(self) -> None:
+    def discard_input(self) -> None:
         """After bytes that can't be read: what was taken before them is answered, and then the
         connection is ended. What comes meanwhile is left unused.
         """
-        while self.owed():
+        while self.owes_answer():
             with self.lock:
                 try:
-                    if not self.connection.recv_into(self.frames.room(), 0, socket.MSG_DONTWAIT):
+                    if not self.connection.recv_into(
+                        self.decoder.writable_view(), 0, socket.MSG_DONTWAIT
+                    ):
                         return
                 except BlockingIOError:
                     pass
             time.sleep(LOOK_AGAIN)
-        if self.called:
-            self.end_bad()
+        if self.has_called:
+            self.half_close()
             while self.connection.recv_into(
-                self.frames.room()
+                self.decoder.writable_view()
             ):  # until it closes, or lingers too long
                 time.sleep(LOOK_AGAIN)  # a flood takes no more of the core than that
 
-    def _queue(self, call: thrift.Call, now: float) -> None:
+    def _queue(self, call: thrift.MethodCall, now: float) -> None:
         """A cancellation goes before calls that wait, and takes the one that it is for along."""
         call.read_at = now
-        if call.method != "forget" or (number := thrift.forgotten(call)) is None:
-            return self.calls.append(call)
-        if not any(held.method == "serve" and held.number == number for held in self.calls):
-            return self.calls.appendleft(call)
-        self.calls = deque(
-            held for held in self.calls if held.method != "serve" or held.number != number
+        if call.method != "forget" or (number := thrift.peek_cancelled_number(call)) is None:
+            return self.pending_calls.append(call)
+        if not any(
+            held.method == "serve" and held.sequence_number == number for held in self.pending_calls
+        ):
+            return self.pending_calls.appendleft(call)
+        self.pending_calls = deque(
+            held
+            for held in self.pending_calls
+            if held.method != "serve" or held.sequence_number != number
         )
 
     # Answering; by any thread
 
-    def write(self, call: thrift.Call, pieces: list[Piece]) -> None:
+    def send_reply(self, call: thrift.MethodCall, pieces: list[Piece]) -> None:
         """The answer to a call other than a request; with it, nothing is owed for that call any
         more.
         """
         with self.lock:
-            self.drop(call)
-            self.outlet.put(None, pieces)
+            self.drop_call(call)
+            self.write_queue.write(None, pieces)
             self._bound()
 
-    def begun(self, call: thrift.Call) -> None:
+    def mark_begun(self, call: thrift.MethodCall) -> None:
         with self.lock:
-            self.drop(call)
+            self.drop_call(call)
 
-    def drop(self, call: thrift.Call) -> None:
+    def drop_call(self, call: thrift.MethodCall) -> None:
         """Under the lock. The call does not wait any more: it has its place in the table, or its
         answer.
         """
-        if self.calls and self.calls[0] is call:
-            self.calls.popleft()
+        if self.pending_calls and self.pending_calls[0] is call:
+            self.pending_calls.popleft()
 
-    def answer(self, number: int, pieces: list[Piece]) -> None:
+    def send_answer(self, number: int, pieces: list[Piece]) -> None:
         """The one answer of a request; nothing where none is owed any more."""
         with self.lock:
-            if self.open.pop(number, None) is not None:
-                self.outlet.put(number, pieces)
-                self.used = time.monotonic()
+            if self.open_requests.pop(number, None) is not None:
+                self.write_queue.write(number, pieces)
+                self.last_used_at = time.monotonic()
                 self._bound()
 
     def _bound(self) -> None:
         """Under the lock. Guards against a memory full of small answers that nobody reads."""
-        if len(self.outlet.waiting) > UNREAD_MOST:
-            self.outlet.end()
+        if len(self.write_queue.pending) > UNREAD_MOST:
+            self.write_queue.shut_down()
 
-    def owed(self) -> bool:
-        return bool(self.open or self.calls or self.outlet.queued) and not self.outlet.ended
+    def owes_answer(self) -> bool:
+        return (
+            bool(self.open_requests or self.pending_calls or self.write_queue.pending_bytes)
+            and not self.write_queue.is_shut_down
+        )
 
     # Ending
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """At once, whatever is open."""
         with self.lock:
-            self.outlet.end()
+            self.write_queue.shut_down()
 
-    def end_idle(self, lingers: bool = True) -> bool:
+    def close_if_idle(self, lingers: bool = True) -> bool:
         """Unless something is owed, or has come and is not read yet: that may be a call. One that
         has never called has no answer to lose and is shut at once.
         """
         with self.lock:
-            if idle := not self.owed() and not self.outlet.ended and not self._unread():
-                self.outlet.end(socket.SHUT_WR if self.called and lingers else socket.SHUT_RDWR)
-                self.half_closed = time.monotonic()
+            if (
+                idle := not self.owes_answer()
+                and not self.write_queue.is_shut_down
+                and not self._has_unread_bytes()
+            ):
+                self.write_queue.shut_down(
+                    socket.SHUT_WR if self.has_called and lingers else socket.SHUT_RDWR
+                )
+                self.half_closed_at = time.monotonic()
         return idle
 
-    def end_bad(self) -> None:
+    def half_close(self) -> None:
         """Whatever else it has sent; what it was answered may still reach it."""
         with self.lock:
-            self.outlet.end(socket.SHUT_WR)
-            self.half_closed = time.monotonic()
+            self.write_queue.shut_down(socket.SHUT_WR)
+            self.half_closed_at = time.monotonic()
 
-    def has_left(self, number: int, first: bool = False) -> bool:
+    def has_client_left(self, number: int, first: bool = False) -> bool:
         """Whether it has closed, or called this one off, though its thread may not have read so
         far. `first`: a call that is begun just now, behind a look at all that had come, unless
         something held it up.
         """
         with self.lock:
             if any(
-                call.method == "forget" and thrift.forgotten(call) == number for call in self.calls
+                call.method == "forget" and thrift.peek_cancelled_number(call) == number
+                for call in self.pending_calls
             ):
                 return True
-            if first and time.monotonic() < self.looked + AT_ONCE:
+            if first and time.monotonic() < self.last_read_at + AT_ONCE:
                 return False
-            if not (come := self._next()):
+            if not (come := self._peek()):
                 return come is not None
             if self._closed_behind():
                 return True
-            held = bytes(self.frames.intake.unread()) + (self._next(PEEK_MOST) or b"")
-            return not self.wrong and number in thrift.called_off(held)
+            held = bytes(self.decoder.buffer.unread()) + (self._peek(PEEK_MOST) or b"")
+            return not self.framing_error and number in thrift.cancelled_numbers(held)
 
-    def _unread(self) -> bool:
-        return bool(self._next())
+    def _has_unread_bytes(self) -> bool:
+        return bool(self._peek())
 
-    def _next(self, most: int = 1) -> bytes | None:
+    def _peek(self, most: int = 1) -> bytes | None:
         """What has come and is not read; nothing where that is its end, None where nothing has
         come.
         """
@@ -252,8 +276,8 @@
         except (OSError, ValueError):  # closed here
             return True
 
-    def end_lingering(self, now: float) -> bool:
+    def finish_lingering(self, now: float) -> bool:
         """Ends one that was half-closed long ago; whether it has been ended by us at all."""
-        if self.half_closed and now > self.half_closed + LINGER:
-            self.end()
-        return self.outlet.ended
+        if self.half_closed_at and now > self.half_closed_at + LINGER:
+            self.shut_down()
+        return self.write_queue.is_shut_down
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -40,8 +40,8 @@
     """Whose request it is, by which number, and as worded."""
 
     client: ClientConnection
-    number: int
-    asked: ClientRequest
+    sequence_number: int
+    request: ClientRequest
     grant: Any = None  # the gate's
 
 
@@ -78,16 +78,20 @@
         self.older: set[str] = set()
         self.marks_most, self.marks_since = int(MARKS_PER_MB * start.memory_mb), time.monotonic()
         self.config, self.coordinator, self.upstream, self.log = start, facade, caches, log
-        self.clients_most, self.requests_most = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
+        self.max_clients, self.max_requests = clients_most, int(LOOKUPS_PER_MB * start.memory_mb)
         self.places = AdmissionThresholds(start.request_classes.values())
-        self.well = False
+        self.is_healthy = False
         self.listener: socket.socket | None = None
         self.acceptor = threading.Thread(target=self._accept, name="accept", daemon=True)
         self.clients: dict[ClientConnection, None] = {}
         self.lock = threading.Lock()  # guards clients
         self.gone = threading.Condition(self.lock)
-        caches.see_through = self.run_request
-        caches.has_left = lambda ticket, first: ticket.client.has_left(ticket.number, first)
+        caches.run_request = self.run_request
+        caches.has_client_left = self._has_client_left
+
+    @staticmethod
+    def _has_client_left(context: RequestContext, is_first_attempt: bool) -> bool:
+        return context.client.has_client_left(context.sequence_number, is_first_attempt)
 
     def start(self) -> None:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -118,27 +122,27 @@
             listener.close()
         now = time.monotonic()
         for client in list(self.clients):
-            if not client.end_lingering(now) and not client.is_calling(now):
-                client.end_idle()
+            if not client.finish_lingering(now) and not client.is_mid_call(now):
+                client.close_if_idle()
         return not self.clients and not self.acceptor.is_alive()
 
     def stop(self) -> None:
         """Ends all, whatever is open."""
         self.drain()
         for client in list(self.clients):
-            client.end()
+            client.shut_down()
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Ends connections that say nothing, stop in the middle of a call or are held for nothing:
         they would fill the table, and their threads the memory.
         """
         now = time.monotonic()
         for client in list(self.clients):
-            if not client.end_lingering(now) and client.overstays(now):
-                client.end_idle()
+            if not client.finish_lingering(now) and client.is_overdue(now):
+                client.close_if_idle()
 
     def has_pending_writes(self) -> bool:
-        return any(client.owed() for client in list(self.clients))
+        return any(client.owes_answer() for client in list(self.clients))
 
     # Connections
 
@@ -156,12 +160,12 @@
 
     def _welcome(self, connection: socket.socket, address: tuple[str, int]) -> None:
         try:
-            self._let_in(connection, address[0])
+            self._admit(connection, address[0])
         except Exception as broken:  # no thread to be had, say: this client is lost, others are not
             self.log.exception("accept", broken)
             connection.close()
 
-    def _let_in(self, connection: socket.socket, address: str) -> None:
+    def _admit(self, connection: socket.socket, address: str) -> None:
         entry = (
             self.admission_control.admit_connection(address)
             if self.admission_control is not None
@@ -180,18 +184,18 @@
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(connection, address, entry)
         with self.lock:
-            most, spare = self.clients_most, max(1, self.clients_most // SPARE_SHARE)
+            most, spare = self.max_clients, max(1, self.max_clients // SPARE_SHARE)
             while (here := len(self.clients)) > most - spare:
-                ending = [other for other in self.clients if other.outlet.ended]
+                ending = [other for other in self.clients if other.write_queue.is_shut_down]
                 idle = (
                     self._idle() if here - len(ending) > most - spare else ()
                 )  # no more than make room
-                if any(other.end_idle(lingers=here < most) for other in idle):
+                if any(other.close_if_idle(lingers=here < most) for other in idle):
                     # the first that owes nothing; none lingers at the cost of who waits to be let
                     # in
                     pass
                 elif here >= most and ending:
-                    min(ending, key=lambda other: other.half_closed).end()
+                    min(ending, key=lambda other: other.half_closed_at).shut_down()
                 elif here >= most:
                     connection.close()
                     self.log.event("client turned away", clients=here)
@@ -203,7 +207,9 @@
                 )  # one that is ended holds its descriptor until its thread has seen it
             self.clients[client] = None
         try:
-            threading.Thread(target=self._read, args=(client,), name="client", daemon=True).start()
+            threading.Thread(
+                target=self._serve_connection, args=(client,), name="client", daemon=True
+            ).start()
         except RuntimeError:
             with self.lock:
                 del self.clients[client]
@@ -212,35 +218,46 @@
 
     def _idle(self) -> list[ClientConnection]:
         """The connections that may make room, in their order."""
-        idle = [client for client in self.clients if not client.owed() and not client.outlet.ended]
+        idle = [
+            client
+            for client in self.clients
+            if not client.owes_answer() and not client.write_queue.is_shut_down
+        ]
         return sorted(
             idle,
             key=lambda client: to_end_first(
-                client.called, client.asked, client.halfway > 0.0, client.used
+                client.has_called,
+                client.has_requested,
+                client.partial_call_since > 0.0,
+                client.last_used_at,
             ),
         )
 
-    def _read(self, client: ClientConnection) -> None:
+    def _serve_connection(self, client: ClientConnection) -> None:
         try:
-            while client.hear():
-                call = client.calls[0]
-                self._call(client, call)
-                client.begun(call)
-                if client.bad > BAD_MOST and not client.open and not client.outlet.ended:
-                    self.log.event("bad frame", why=f"{client.bad} bad calls in a row")
-                    client.end_bad()
-            if client.wrong:
-                self.log.event("bad frame", why=client.wrong)
-                client.read_out()
+            while client.read_calls():
+                call = client.pending_calls[0]
+                self._handle_call(client, call)
+                client.mark_begun(call)
+                if (
+                    client.bad_call_count > BAD_MOST
+                    and not client.open_requests
+                    and not client.write_queue.is_shut_down
+                ):
+                    self.log.event("bad frame", why=f"{client.bad_call_count} bad calls in a row")
+                    client.half_close()
+            if client.framing_error:
+                self.log.event("bad frame", why=client.framing_error)
+                client.discard_input()
         except OSError:
             pass
         except Exception as broken:
             self.log.exception("client", broken)
         finally:
-            client.end()
+            client.shut_down()
             with client.lock:
-                left, client.open = (
-                    [request for request in client.open.values() if request is not None],
+                left, client.open_requests = (
+                    [request for request in client.open_requests.values() if request is not None],
                     {},
                 )
             for request in left:
@@ -251,43 +268,45 @@
                 self.clients.pop(client, None)
                 self.gone.notify()
             if self.admission_control is not None:
-                self.admission_control.release_connection(client.entry)
+                self.admission_control.release_connection(client.admission_entry)
 
-    def _call(self, client: ClientConnection, call: thrift.Call) -> None:
+    def _handle_call(self, client: ClientConnection, call: thrift.MethodCall) -> None:
         try:
             if call.method == "serve":
                 self._serve(client, call)
             elif call.method == "forget":
-                number = thrift.read_forget(call.rest)
+                number = thrift.read_cancelled_number(call.arguments)
                 with client.lock:
-                    request = client.open.pop(number, None)
+                    request = client.open_requests.pop(number, None)
                 if request is not None:
                     self._forget(request)
             elif call.method == "isWell":
-                client.write(call, thrift.answer("isWell", call.number, b"", {}, self.well))
+                client.send_reply(
+                    call, thrift.reply("isWell", call.sequence_number, b"", {}, self.is_healthy)
+                )
             else:
-                client.write(
+                client.send_reply(
                     call,
                     thrift.application_exception(
-                        call.method, call.number, thrift.UNKNOWN_METHOD, "unknown method"
+                        call.method, call.sequence_number, thrift.UNKNOWN_METHOD, "unknown method"
                     ),
                 )
         except thrift.ThriftError as wrong:
-            client.bad += 1
+            client.bad_call_count += 1
             self.log.event("bad call", method=call.method, why=str(wrong))
             if call.kind == thrift.CALL:
-                client.write(
+                client.send_reply(
                     call,
                     thrift.application_exception(
-                        call.method, call.number, thrift.PROTOCOL_ERROR, str(wrong)
+                        call.method, call.sequence_number, thrift.PROTOCOL_ERROR, str(wrong)
                     ),
                 )
 
     # Requests
 
-    def _serve(self, client: ClientConnection, call: thrift.Call) -> None:
+    def _serve(self, client: ClientConnection, call: thrift.MethodCall) -> None:
         asked = thrift.read_serve(
-            call.rest,
+            call.arguments,
             self.admission_control.tenant_field if self.admission_control is not None else "",
         )
         request_class = self.config.request_classes.get(asked.request_class)
@@ -295,34 +314,36 @@
             raise thrift.ThriftError("an unknown request class")
         if request_class.idempotency == KEYED and not asked.idempotency_key:
             raise thrift.ThriftError("no idempotency key")
-        if call.number in client.open:  # only this thread adds to it
+        if call.sequence_number in client.open_requests:  # only this thread adds to it
             with client.lock:
-                first = client.open.pop(call.number, None)
+                first = client.open_requests.pop(call.sequence_number, None)
             if first is not None:  # one answer under one number: whose would it be?
                 self._forget(first)
-            raise thrift.ThriftError(f"the number {call.number} is open already")
-        if len(client.open) >= OPEN_MOST:
+            raise thrift.ThriftError(f"the number {call.sequence_number} is open already")
+        if len(client.open_requests) >= OPEN_MOST:
             raise thrift.ThriftError(f"more than {OPEN_MOST} requests are open")
         with client.lock:
-            if client.outlet.ended:  # not taken: the client sends it again on a new connection
+            if (
+                client.write_queue.is_shut_down
+            ):  # not taken: the client sends it again on a new connection
                 return
-            client.open[call.number] = None
-            client.asked = True
-            client.drop(call)
+            client.open_requests[call.sequence_number] = None
+            client.has_requested = True
+            client.drop_call(call)
         if not self._mark(asked.request_id):
             with client.lock:
-                del client.open[call.number]
+                del client.open_requests[call.sequence_number]
             raise thrift.ThriftError("the id was used before")
-        client.bad, pool, grant = 0, None, None
+        client.bad_call_count, pool, grant = 0, None, None
         if self.admission_control is not None:
             grant = self.admission_control.admit_request(asked, request_class, client.address)
             pool = getattr(grant, "pool", None)
             if pool is None:
                 return self._turn_away(
-                    client, call.number, grant.retry_after_ms, grant.is_never_executed
+                    client, call.sequence_number, grant.retry_after_ms, grant.is_never_executed
                 )
         fullness = max(
-            self.coordinator.pending_count() / self.requests_most,
+            self.coordinator.pending_count() / self.max_requests,
             self.coordinator.cpu_pressure(),
             self.upstream.fullness(),
         )
@@ -336,22 +357,24 @@
             asked.size_kb,
             min(asked.remaining_time, request_class.client_timeout) - waited,
             asked.is_retry,
-            RequestContext(client, call.number, asked, grant),
+            RequestContext(client, call.sequence_number, asked, grant),
             room=room,
             pool=pool,
         )
         with client.lock:
-            client.open[call.number] = request
+            client.open_requests[call.sequence_number] = request
         self.run_request(request)
 
     def _turn_away(
         self, client: ClientConnection, number: int, come_back: float, harmless: bool
     ) -> None:
         """The one answer of a request that the module has not heard of."""
-        pieces = thrift.rejected(number, come_back) if harmless else thrift.failed(number)
+        pieces = (
+            thrift.rejected_reply(number, come_back) if harmless else thrift.failed_reply(number)
+        )
         with client.lock:
-            if client.open.pop(number, self) is None:
-                client.outlet.put(number, pieces)
+            if client.open_requests.pop(number, self) is None:
+                client.write_queue.write(number, pieces)
 
     def _mark(self, mark: str) -> bool:
         """Whether an id is new. Guards against what comes again at full speed, and against nodes
@@ -392,34 +415,38 @@
             self.coordinator.discard(request)
             if ticket.grant is not None:
                 self.admission_control.complete_request(ticket.grant, request, False, True)
-            ticket.client.answer(ticket.number, thrift.failed(ticket.number))
+            ticket.client.send_answer(
+                ticket.sequence_number, thrift.failed_reply(ticket.sequence_number)
+            )
 
     def _do(
         self, step: SendAttempt | CancelAttempt | RequestResult, ticket: RequestContext
     ) -> None:
-        client, number = ticket.client, ticket.number
+        client, number = ticket.client, ticket.sequence_number
         if isinstance(step, SendAttempt):
-            self.upstream.send(step, ticket.asked)
+            self.upstream.send(step, ticket.request)
         elif isinstance(step, CancelAttempt):
             self.upstream.cancel(step.attempt)
         elif isinstance(step, Served):
             told = step.answer
-            fields = {"ok304": "1"} if told.kept else {}
-            body = b"" if told.kept else told.body
-            client.answer(number, thrift.answer("serve", number, body, fields, True))
-            if client.outlet.queued:
+            fields = {"ok304": "1"} if told.is_not_modified else {}
+            body = b"" if told.is_not_modified else told.body
+            client.send_answer(number, thrift.reply("serve", number, body, fields, True))
+            if client.write_queue.pending_bytes:
                 self._bound_unread(client)
         elif isinstance(step, Rejected):
-            client.answer(number, thrift.rejected(number, step.retry_after_ms))
+            client.send_answer(number, thrift.rejected_reply(number, step.retry_after_ms))
         elif isinstance(step, Failed):
-            client.answer(number, thrift.failed(number))
+            client.send_answer(number, thrift.failed_reply(number))
 
     def _bound_unread(self, client: ClientConnection) -> None:
         """Ends the connection of one who does not read, where too much of the memory waits for
         such.
         """
         with self.lock:
-            unread = sum(other.outlet.queued for other in self.clients)
+            unread = sum(other.write_queue.pending_bytes for other in self.clients)
         if unread > UNREAD_SHARE * self.config.memory_mb * 1e6:
-            self.log.event("client does not read", bytes=client.outlet.queued, all=unread)
-            client.end()
+            self.log.event(
+                "client does not read", bytes=client.write_queue.pending_bytes, all=unread
+            )
+            client.shut_down()
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -12,7 +12,7 @@
     def __len__(self) -> int:
         return self.end - self.start
 
-    def room(self, whole: int = 0) -> memoryview:
+    def writable_view(self, whole: int = 0) -> memoryview:
         """Where the next bytes go; `whole` is the length of a message whose start is unread, if
         known.
         """
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -11,7 +11,7 @@
 
 BULK_MOST = 262_144
 ITEMS_MOST, LINE_MOST = 8, 32
-ENDS = {
+OUTCOME_BY_WORD = {
     b"DONE": Outcome.SERVED,
     b"KEEP": Outcome.SERVED,
     b"LACK": Outcome.MISS,
@@ -25,7 +25,7 @@
     ("revalidate", "refresh"),
 )
 WELL = {b"FIT": True, b"UNFIT": False}
-NOTES = {
+CACHE_STATUS_BY_WORD = {
     word: CacheStatus(place + 1)
     for place, word in enumerate(
         (
@@ -48,13 +48,13 @@
     """Bytes that do not follow the protocol."""
 
 
-class Arrays:
+class ArrayDecoder:
     """Cuts what is received into arrays of bulk strings; the items are views of what
     was received.
     """
 
     def __init__(self, size: int = 65_536) -> None:
-        self.intake = ReceiveBuffer(size)
+        self.buffer = ReceiveBuffer(size)
         self.whole = 0
         self._begin()
 
@@ -63,14 +63,14 @@
         self.scanned = 0  # bytes of the array that are read, from the start of the unread
         self.spans: list[tuple[int, int]] = []
 
-    def room(self) -> memoryview:
-        return self.intake.room(self.whole)
+    def writable_view(self) -> memoryview:
+        return self.buffer.writable_view(self.whole)
 
-    def filled(self, length: int) -> Iterator[list[memoryview]]:
+    def decode(self, length: int) -> Iterator[list[memoryview]]:
         """Call with the number of bytes written to the room; gives the arrays that are whole now,
         and those before bytes that can't be read, before it raises.
         """
-        self.intake.end += length
+        self.buffer.end += length
         self.whole = 0
         while (array := self._array()) is not None:
             yield array
@@ -94,24 +94,24 @@
                 self.spans.append((self.scanned, self.scanned))
             else:
                 end = self.scanned + size + 2
-                if end > len(self.intake):
+                if end > len(self.buffer):
                     self.scanned, self.whole = before, end
                     return None
-                at = self.intake.start + end
-                if self.intake.view[at - 2 : at] != b"\r\n":
+                at = self.buffer.start + end
+                if self.buffer.view[at - 2 : at] != b"\r\n":
                     raise RespError("a bulk string without its end")
                 self.spans.append((self.scanned, self.scanned + size))
                 self.scanned = end
             self.left -= 1
-        array = self.intake.take(self.scanned)
+        array = self.buffer.take(self.scanned)
         items = [array[start:end] for start, end in self.spans]
         self._begin()
         return items
 
     def _line(self, mark: bytes) -> int | None:
         """The number on a head line, or None while the line is not whole."""
-        start = self.intake.start + self.scanned
-        head = bytes(self.intake.view[start : min(self.intake.end, start + LINE_MOST)])
+        start = self.buffer.start + self.scanned
+        head = bytes(self.buffer.view[start : min(self.buffer.end, start + LINE_MOST)])
         if head and head[:1] != mark:
             raise RespError(f"{mark.decode()} wanted, found {head[:8]!r}")
         end = head.find(b"\r\n")
@@ -130,29 +130,31 @@
 class NodeAnswer:
     """One answer of a node. `outcome` is None for that to a probe."""
 
-    about: str
+    request_id: str
     outcome: Outcome | None
     body: memoryview
-    kept: bool = False  # the client's own copy is the one
-    tag: str = ""  # of the copy that the answer is about
-    note: CacheStatus = CacheStatus.UNKNOWN
-    waited: float = 0.0
-    load: dict[str, float] | None = None
-    well: bool = True  # of a probe: whether the node calls itself fit
+    is_not_modified: bool = False  # the client's own copy is the one
+    entity_tag: str = ""  # of the copy that the answer is about
+    cache_status: CacheStatus = CacheStatus.UNKNOWN
+    delay: float = 0.0
+    load_report: dict[str, float] | None = None
+    is_healthy: bool = True  # of a probe: whether the node calls itself fit
 
     def outcome_for(self, tag: str) -> Outcome:
         """Of the attempt whose node was told that copy of the client's. A probe's word on it, or a
         copy that the client does not hold, is an error of the node.
         """
-        strange = self.outcome is None or (self.kept and not (tag and tag == self.tag))
+        strange = self.outcome is None or (
+            self.is_not_modified and not (tag and tag == self.entity_tag)
+        )
         return Outcome.ERROR if strange else self.outcome
 
 
-def read_told(items: list[memoryview], report_words: dict[str, str]) -> NodeAnswer:
+def parse_answer(items: list[memoryview], report_words: dict[str, str]) -> NodeAnswer:
     if not 3 <= len(items) <= 4:
         raise RespError(f"an answer of {len(items)} items")
     word = bytes(items[1])
-    outcome = ENDS.get(word)
+    outcome = OUTCOME_BY_WORD.get(word)
     if outcome is None and word not in WELL:
         raise RespError(f"an unknown word {word[:16]!r}")
     if word == b"DONE" and len(items) < 4:  # it would pass for an object without bytes
@@ -163,19 +165,19 @@
             outcome,
             items[3] if len(items) > 3 else items[2][:0],
             word == b"KEEP",
-            well=WELL.get(word, True),
+            is_healthy=WELL.get(word, True),
         )
         fields = str(items[2], "ascii")
         for pair in fields.split(",") if fields not in ("-", "") else ():
             name, _, value = pair.partition("=")
             if name == "why":
-                told.note = NOTES.get(value, CacheStatus.UNKNOWN)
+                told.cache_status = CACHE_STATUS_BY_WORD.get(value, CacheStatus.UNKNOWN)
             elif name == "entity":
-                told.tag = value
+                told.entity_tag = value
             elif name == "delay":
-                told.waited = _number(value)
+                told.delay = _number(value)
             elif name == "rep":
-                told.load = _load(value, report_words)
+                told.load_report = _load(value, report_words)
     except ValueError as wrong:
         raise RespError(f"an answer that cannot be read: {wrong}") from None
     return told
@@ -201,7 +203,9 @@
     )
 
 
-def pull(asked: ClientRequest, order: SendAttempt, left: float) -> list[memoryview | bytes]:
+def attempt_command(
+    asked: ClientRequest, order: SendAttempt, left: float
+) -> list[memoryview | bytes]:
     """An attempt, as pieces to be written one after the other."""
     fields = {
         "lane": asked.request_class,
@@ -231,9 +235,9 @@
     return [head + b"$%d\r\n" % len(asked.body), asked.body, b"\r\n"]
 
 
-def kill(about: str) -> bytes:
+def cancel_command(about: str) -> bytes:
     return command(b"KILL", about.encode())
 
 
-def probe(tag: str, with_report: bool) -> bytes:
+def health_check_command(tag: str, with_report: bool) -> bytes:
     return command(b"METER" if with_report else b"ECHO", tag.encode())
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -24,12 +24,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Event:
+class ServerSentEvent:
     number: int | None
     data: str
 
 
-def call(host: str, last: int) -> bytes:
+def stream_request(host: str, last: int) -> bytes:
     """The call that opens the stream after the event numbered `last`."""
     return (
         f"GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
@@ -37,7 +37,7 @@
     ).encode()
 
 
-class Stream:
+class SseDecoder:
     """Turns received bytes into events."""
 
     def __init__(self) -> None:
@@ -46,12 +46,12 @@
         self.returned = (
             False  # the last byte was a CR, which ends a line whether or not a LF follows
         )
-        self.over = False  # the last chunk has come
-        self.lines = 0  # whole ones so far; the head counts as one
+        self.is_finished = False  # the last chunk has come
+        self.line_count = 0  # whole ones so far; the head counts as one
         self.number: int | None = None
         self.data: list[str] = []
 
-    def feed(self, piece: bytes) -> list[Event]:
+    def feed(self, piece: bytes) -> list[ServerSentEvent]:
         if self.chunked is None:
             self.head += piece
             end = self.head.find(b"\r\n\r\n")
@@ -73,7 +73,7 @@
             for name, _, value in (line.partition(":") for line in lines)
         }
         self.chunked = named.get("transfer-encoding", "").endswith("chunked")
-        self.lines = 1
+        self.line_count = 1
 
     def _unchunk(self, piece: bytes) -> bytes:
         """`left` counts the bytes of a chunk still to come, its line end included."""
@@ -99,12 +99,12 @@
                 except ValueError:
                     raise SseError(f"a chunk of length {line[:16]!r}") from None
                 if length <= 0:
-                    self.over = True
+                    self.is_finished = True
                     break
                 self.left, self.raw = length + 2, rest
         return b"".join(out)
 
-    def _lines(self, piece: bytes) -> list[Event]:
+    def _lines(self, piece: bytes) -> list[ServerSentEvent]:
         if piece and self.returned:
             piece = piece.removeprefix(b"\n")
             self.returned = False
@@ -112,14 +112,14 @@
             self.returned = piece.endswith(b"\r")
         self.held += piece.replace(b"\r\n", b"\n").replace(b"\r", b"\n")
         *lines, self.held = self.held.split(b"\n")
-        self.lines += len(lines)
+        self.line_count += len(lines)
         if len(self.held) > LINE_MOST:
             raise SseError("a line without its end")
         return [event for line in lines if (event := self._line(line.decode("utf-8", "replace")))]
 
-    def _line(self, line: str) -> Event | None:
+    def _line(self, line: str) -> ServerSentEvent | None:
         if not line:
-            event = Event(self.number, "\n".join(self.data)) if self.data else None
+            event = ServerSentEvent(self.number, "\n".join(self.data)) if self.data else None
             self.number, self.data = None, []
             return event
         name, _, value = line.partition(":")
@@ -136,18 +136,18 @@
 @dataclass(slots=True, eq=False)
 class EndpointListEvent:
     entries: list[EndpointUpdate]
-    whole: bool
-    wrong: list[str]  # entries that can't be read, and why
+    is_full_snapshot: bool
+    errors: list[str]  # entries that can't be read, and why
 
 
 @dataclass(slots=True, eq=False)
 class PurgeEvent:
-    key: int  # 0: the whole group
+    object_id: int  # 0: the whole group
     group: int
-    at: float
+    issued_at: float
 
 
-def forbidding(event: EndpointListEvent | PurgeEvent) -> EndpointListEvent | PurgeEvent:
+def restrictive_part(event: EndpointListEvent | PurgeEvent) -> EndpointListEvent | PurgeEvent:
     """What of an event holds at once, though others before it are yet to come: all but who is
     ready.
     """
@@ -158,33 +158,33 @@
     )
 
 
-def number_of(held: Any, number: int | None) -> int | None:
+def event_number(held: Any, number: int | None) -> int | None:
     """The number that an event gives itself, else that of its line."""
-    return JsonSection(held, "event").whole("offset", number)
+    return JsonSection(held, "event").integer("offset", number)
 
 
 def _leaving(row: JsonSection) -> EndpointUpdate | None:
     """Of one that leaves the name is enough: what else is told of it may be left out or out of
     date.
     """
-    name, state = row.held.get("id"), row.held.get("state")
+    name, state = row.values.get("id"), row.values.get("state")
     if not isinstance(name, str) or state not in ("DELETED", "DRAINING"):
         return None
     return EndpointUpdate(name, UNKNOWN_ADDRESS, STATES[state], 1.0, -1, -1, 0, 0.0)
 
 
-def read_event(
+def parse_event(
     held: Any, zones: dict[str, int], kinds: dict[str, int]
 ) -> EndpointListEvent | PurgeEvent:
     """What an event says. Raises ConfigError or ValueError, with the key, where it can't be
     read.
     """
     event = JsonSection(held, "event")
-    if "ban" in event.held:
+    if "ban" in event.values:
         ban = event.section("ban")
-        if "url" in ban.held:
-            return PurgeEvent(int(ban.text("url"), 16), ban.whole("tag", 0), ban.number("ts"))
-        return PurgeEvent(0, ban.whole("tag"), ban.number("ts"))
+        if "url" in ban.values:
+            return PurgeEvent(int(ban.text("url"), 16), ban.integer("tag", 0), ban.number("ts"))
+        return PurgeEvent(0, ban.integer("tag"), ban.number("ts"))
     topology = event.section("topology")
     listed = EndpointListEvent([], topology.flag("full", False), [])
     for row in topology.sections("servers"):
@@ -197,13 +197,13 @@
                     row.number("weight", 1.0),
                     row.choice("kind", kinds),
                     row.choice("zone", zones),
-                    row.whole("cell", 0),
+                    row.integer("cell", 0),
                     float(row.number("started_ms", 0)),
                 )
             )
         except ConfigError as wrong:  # the others count
             if (leaving := _leaving(row)) is None:
-                listed.wrong.append(str(wrong))
+                listed.errors.append(str(wrong))
             else:
                 listed.entries.append(leaving)
     return listed
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -25,8 +25,8 @@
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7  # TApplicationException
 VERSION, DEPTH_MOST, FIELDS_MOST = 0x80010000, 16, 64
-BODY_MOST = 48_000  # a write brings no more
-FRAME_MOST = BODY_MOST + 16_384
+MAX_BODY_BYTES = 48_000  # a write brings no more
+MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 INT, UINT, SHORT = struct.Struct(">i"), struct.Struct(">I"), struct.Struct(">h")
 STOP = b"\0"
 TOKEN = re.compile(
@@ -42,21 +42,21 @@
     """Bytes that do not follow the protocol."""
 
 
-class Frames:
+class FrameDecoder:
     """Cuts what is received into frames."""
 
-    def __init__(self, size: int = 4096, most: int = FRAME_MOST) -> None:
-        self.intake, self.most = ReceiveBuffer(size), most
+    def __init__(self, size: int = 4096, most: int = MAX_FRAME_BYTES) -> None:
+        self.buffer, self.most = ReceiveBuffer(size), most
         self.whole = 0
 
-    def room(self) -> memoryview:
-        return self.intake.room(self.whole)
+    def writable_view(self) -> memoryview:
+        return self.buffer.writable_view(self.whole)
 
-    def filled(self, length: int) -> Iterator[memoryview]:
+    def decode(self, length: int) -> Iterator[memoryview]:
         """Call with the number of bytes written to the room; gives the frames that are whole now,
         and those before bytes that can't be read, before it raises.
         """
-        intake = self.intake
+        intake = self.buffer
         intake.end += length
         self.whole = 0
         while len(intake) >= 4:
@@ -69,111 +69,111 @@
             yield intake.take(4 + size)[4:]
 
 
-class Reader:
+class ValueReader:
     """Reads values off one frame."""
 
     def __init__(self, frame: memoryview) -> None:
-        self.frame, self.place = frame, 0
+        self.frame, self.offset = frame, 0
 
-    def bytes(self, length: int) -> memoryview:
-        end = self.place + length
+    def read_bytes(self, length: int) -> memoryview:
+        end = self.offset + length
         if length < 0 or end > len(self.frame):
-            raise ThriftError(f"{length} bytes wanted at {self.place} of {len(self.frame)}")
-        found, self.place = self.frame[self.place : end], end
+            raise ThriftError(f"{length} bytes wanted at {self.offset} of {len(self.frame)}")
+        found, self.offset = self.frame[self.offset : end], end
         return found
 
-    def byte(self) -> int:
-        return self.bytes(1)[0]
+    def read_byte(self) -> int:
+        return self.read_bytes(1)[0]
 
-    def short(self) -> int:
-        return SHORT.unpack(self.bytes(2))[0]
+    def read_i16(self) -> int:
+        return SHORT.unpack(self.read_bytes(2))[0]
 
-    def int(self) -> int:
-        return INT.unpack(self.bytes(4))[0]
+    def read_i32(self) -> int:
+        return INT.unpack(self.read_bytes(4))[0]
 
-    def binary(self) -> memoryview:
-        return self.bytes(self.int())
+    def read_binary(self) -> memoryview:
+        return self.read_bytes(self.read_i32())
 
-    def text(self) -> str:
+    def read_text(self) -> str:
         try:
-            return str(self.binary(), "utf-8")
+            return str(self.read_binary(), "utf-8")
         except UnicodeDecodeError:
             raise ThriftError("a string that is not UTF-8") from None
 
-    def count(self, most: int) -> int:
-        count = self.int()
+    def read_size(self, most: int) -> int:
+        count = self.read_i32()
         if not 0 <= count <= most:
             raise ThriftError(f"a collection of {count}")
         return count
 
-    def strings(self) -> dict[str, str]:
-        key, value = self.byte(), self.byte()
-        count = self.count(FIELDS_MOST)
+    def read_string_map(self) -> dict[str, str]:
+        key, value = self.read_byte(), self.read_byte()
+        count = self.read_size(FIELDS_MOST)
         if count and (key, value) != (STRING, STRING):
             raise ThriftError("a map that is not of strings")
-        return {self.text(): self.text() for _ in range(count)}
+        return {self.read_text(): self.read_text() for _ in range(count)}
 
-    def skip(self, kind: int, depth: int = 0) -> None:
+    def skip_value(self, kind: int, depth: int = 0) -> None:
         if depth > DEPTH_MOST:
             raise ThriftError("nested too deep")
         if kind in FIXED:
-            self.bytes(FIXED[kind])
+            self.read_bytes(FIXED[kind])
         elif kind == STRING:
-            self.binary()
+            self.read_binary()
         elif kind == STRUCT:
-            while (inner := self.byte()) != 0:
-                self.short()
-                self.skip(inner, depth + 1)
+            while (inner := self.read_byte()) != 0:
+                self.read_i16()
+                self.skip_value(inner, depth + 1)
         elif kind == MAP:
-            kinds = self.byte(), self.byte()
-            for _ in range(self.count(len(self.frame))):
-                self.skip(kinds[0], depth + 1)
-                self.skip(kinds[1], depth + 1)
+            kinds = self.read_byte(), self.read_byte()
+            for _ in range(self.read_size(len(self.frame))):
+                self.skip_value(kinds[0], depth + 1)
+                self.skip_value(kinds[1], depth + 1)
         elif kind in (SET, LIST):
-            inner = self.byte()
-            for _ in range(self.count(len(self.frame))):
-                self.skip(inner, depth + 1)
+            inner = self.read_byte()
+            for _ in range(self.read_size(len(self.frame))):
+                self.skip_value(inner, depth + 1)
         else:
             raise ThriftError(f"an unknown type {kind}")
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class MethodCall:
     """The head of a message; its arguments are read by the method's own function."""
 
     method: str
     kind: int
-    number: int
-    rest: Reader
+    sequence_number: int
+    arguments: ValueReader
     read_at: float = 0.0  # monotonic seconds
 
 
-def read_call(frame: memoryview) -> Call:
-    reader = Reader(frame)
-    word = UINT.unpack(reader.bytes(4))[0]
+def read_call(frame: memoryview) -> MethodCall:
+    reader = ValueReader(frame)
+    word = UINT.unpack(reader.read_bytes(4))[0]
     if word & 0xFFFFFF00 != VERSION:
         raise ThriftError("not a message of the strict binary protocol")
-    call = Call(reader.text(), word & 0xFF, reader.int(), reader)
+    call = MethodCall(reader.read_text(), word & 0xFF, reader.read_i32(), reader)
     if call.kind not in (CALL, ONEWAY):
         raise ThriftError(f"a message of type {call.kind}")
     return call
 
 
-def read_serve(reader: Reader, tenant_field: str = "") -> ClientRequest:
+def read_serve(reader: ValueReader, tenant_field: str = "") -> ClientRequest:
     """The arguments of `serve`, each field checked by its form. `tenant_field`: where our own
     installations' clients name their tenant; empty: nowhere.
     """
     fields, body = None, reader.frame[:0]
-    while (kind := reader.byte()) != 0:
-        number = reader.short()
+    while (kind := reader.read_byte()) != 0:
+        number = reader.read_i16()
         if (number, kind) == (1, MAP):
-            fields = reader.strings()
+            fields = reader.read_string_map()
         elif (number, kind) == (2, STRING):
-            body = reader.binary()
-            if len(body) > BODY_MOST:
+            body = reader.read_binary()
+            if len(body) > MAX_BODY_BYTES:
                 raise ThriftError(f"a body of {len(body)} bytes")
         else:
-            reader.skip(kind)
+            reader.skip_value(kind)
     if fields is None:
         raise ThriftError("no fields")
     return _asked(fields, body, tenant_field)
@@ -209,35 +209,35 @@
     )
 
 
-def read_forget(reader: Reader) -> int:
+def read_cancelled_number(reader: ValueReader) -> int:
     """The argument of `forget`: the number of the call that its client no longer waits for."""
     found = None
-    while (kind := reader.byte()) != 0:
-        if (reader.short(), kind) == (1, I32):
-            found = reader.int()
+    while (kind := reader.read_byte()) != 0:
+        if (reader.read_i16(), kind) == (1, I32):
+            found = reader.read_i32()
         else:
-            reader.skip(kind)
+            reader.skip_value(kind)
     if found is None:
         raise ThriftError("no sequence number")
     return found
 
 
-def forgotten(call: Call) -> int | None:
+def peek_cancelled_number(call: MethodCall) -> int | None:
     """The same, ahead of the call's turn; None where it can't be read."""
     try:
-        return read_forget(Reader(call.rest.frame[call.rest.place :]))
+        return read_cancelled_number(ValueReader(call.arguments.frame[call.arguments.offset :]))
     except ThriftError:
         return None
 
 
-def called_off(received: bytes) -> set[int]:
+def cancelled_numbers(received: bytes) -> set[int]:
     """The numbers that whole calls among what was received, and is not taken yet, call off."""
-    frames, found = Frames(len(received)), set()
-    frames.room()[:] = received
+    frames, found = FrameDecoder(len(received)), set()
+    frames.writable_view()[:] = received
     try:
-        for frame in frames.filled(len(received)):
+        for frame in frames.decode(len(received)):
             if (call := read_call(frame)).method == "forget":
-                found.add(forgotten(call))
+                found.add(peek_cancelled_number(call))
     except ThriftError:  # what comes behind it is never taken
         pass
     return found - {None}
@@ -270,7 +270,7 @@
     return [length + start, body, tail] if len(body) else [length + start + tail]
 
 
-def answer(
+def reply(
     method: str, number: int, body: memoryview | bytes, fields: dict[str, str], good: bool
 ) -> list[memoryview | bytes]:
     """A whole Answer, as pieces to be written one after the other."""
@@ -279,7 +279,7 @@
     return _message(REPLY, method, number, head, body, tail)
 
 
-def thrown(
+def declared_exception(
     method: str, number: int, place: int, fields: dict[str, str]
 ) -> list[memoryview | bytes]:
     """One of the exceptions that `serve` declares, by its place."""
@@ -287,12 +287,14 @@
     return _message(REPLY, method, number, _field(STRUCT, place) + held + STOP)
 
 
-def rejected(number: int, come_back: float) -> list[memoryview | bytes]:
-    return thrown("serve", number, 1, {"pause": str(round(come_back))} if come_back > 0 else {})
+def rejected_reply(number: int, come_back: float) -> list[memoryview | bytes]:
+    return declared_exception(
+        "serve", number, 1, {"pause": str(round(come_back))} if come_back > 0 else {}
+    )
 
 
-def failed(number: int) -> list[memoryview | bytes]:
-    return thrown("serve", number, 2, {})
+def failed_reply(number: int) -> list[memoryview | bytes]:
+    return declared_exception("serve", number, 2, {})
 
 
 def application_exception(
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 Piece = memoryview | bytes
-LOOK_AGAIN = 250  # ms between two looks at a connection that takes no bytes
+POLL_INTERVAL_MS = 250  # ms between two looks at a connection that takes no bytes
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class PendingPiece:
     owner: Hashable
     piece: Piece
     first: bool  # nothing of its message is written
@@ -33,51 +33,51 @@
         """`write_wait`: seconds after which a connection that takes no bytes is ended."""
         self.lock, self.write_wait = lock, write_wait
         self.connection: socket.socket | None = None  # while there is none, all waits
-        self.waiting: deque[Waiting] = deque()
-        self.queued = 0  # bytes that wait
-        self.busy = self.ended = False
+        self.pending: deque[PendingPiece] = deque()
+        self.pending_bytes = 0  # bytes that wait
+        self.is_writing = self.is_shut_down = False
         # Under the lock, at a first byte: what to tell of a message that must not go any more, else
         # None.
-        self.stale: Callable[[Hashable], Any] = lambda owner: None
-        self.withdrawn: Callable[[Any], None] = lambda what: (
+        self.find_stale: Callable[[Hashable], Any] = lambda owner: None
+        self.on_withdrawn: Callable[[Any], None] = lambda what: (
             None
         )  # without the lock: it has been withdrawn
 
-    def put(self, owner: Hashable, pieces: list[Piece]) -> None:
+    def write(self, owner: Hashable, pieces: list[Piece]) -> None:
         """Under the lock. Writes a message, or as much of it as goes at once."""
-        if self.ended:
+        if self.is_shut_down:
             return
         sent = 0
-        if self.connection is not None and not self.waiting and not self.busy:
+        if self.connection is not None and not self.pending and not self.is_writing:
             try:
                 sent = self.connection.sendmsg(pieces, [], socket.MSG_DONTWAIT)
             except BlockingIOError:
                 pass
             except OSError:
-                return self.end()
+                return self.shut_down()
         first = sent == 0
         for piece in pieces:
             if sent < len(piece):
-                self.waiting.append(
-                    Waiting(owner, memoryview(piece)[sent:] if sent else piece, first)
+                self.pending.append(
+                    PendingPiece(owner, memoryview(piece)[sent:] if sent else piece, first)
                 )
-                self.queued += len(piece) - sent
+                self.pending_bytes += len(piece) - sent
                 first, sent = False, 0
             else:
                 sent -= len(piece)
-        if self.waiting and self.connection is not None and not self.busy:
+        if self.pending and self.connection is not None and not self.is_writing:
             try:
                 threading.Thread(target=self._catch_up, name="catch-up", daemon=True).start()
             except RuntimeError:  # no thread to be had: what waits would wait for ever
-                return self.end()
-            self.busy = True
+                return self.shut_down()
+            self.is_writing = True
 
-    def open(self, connection: socket.socket) -> bool:
+    def attach(self, connection: socket.socket) -> bool:
         """The connection is up; writes what waits for it. False where it was ended meanwhile."""
         with self.lock:
-            if self.ended:
+            if self.is_shut_down:
                 return False
-            self.connection, self.busy = connection, True
+            self.connection, self.is_writing = connection, True
         self._catch_up()
         return True
 
@@ -85,21 +85,23 @@
         """Under the lock. Takes back a message of which nothing is written; False where that is too
         late.
         """
-        if not self.unbegun(owner):
+        if not self.is_unwritten(owner):
             return False
-        self.queued -= sum(len(entry.piece) for entry in self.waiting if entry.owner == owner)
-        self.waiting = deque(entry for entry in self.waiting if entry.owner != owner)
+        self.pending_bytes -= sum(
+            len(entry.piece) for entry in self.pending if entry.owner == owner
+        )
+        self.pending = deque(entry for entry in self.pending if entry.owner != owner)
         return True
 
-    def unbegun(self, owner: Hashable) -> bool:
+    def is_unwritten(self, owner: Hashable) -> bool:
         """Under the lock. Whether a message waits of which nothing is written."""
-        return any(entry.first and entry.owner == owner for entry in self.waiting)
+        return any(entry.first and entry.owner == owner for entry in self.pending)
 
-    def end(self, how: int = socket.SHUT_RDWR) -> None:
+    def shut_down(self, how: int = socket.SHUT_RDWR) -> None:
         """Under the lock. Nothing more is written; whoever writes to the connection is woken and,
         unless only writing is shut, who reads it.
         """
-        self.ended = True
+        self.is_shut_down = True
         if self.connection is not None:
             try:
                 self.connection.shutdown(how)
@@ -112,22 +114,22 @@
             dropped: list[Any] = []
             with self.lock:
                 while (
-                    self.waiting
-                    and not self.ended
-                    and self.waiting[0].first
-                    and (what := self.stale(self.waiting[0].owner)) is not None
+                    self.pending
+                    and not self.is_shut_down
+                    and self.pending[0].first
+                    and (what := self.find_stale(self.pending[0].owner)) is not None
                 ):
-                    self.withdraw(self.waiting[0].owner)
+                    self.withdraw(self.pending[0].owner)
                     dropped.append(what)
-                if more := bool(self.waiting) and not self.ended:
+                if more := bool(self.pending) and not self.is_shut_down:
                     stuck = not self._write_some()
                     went = went if stuck else time.monotonic()
                     if self.write_wait is not None and time.monotonic() > went + self.write_wait:
-                        self.end()
+                        self.shut_down()
                 else:
-                    self.busy = False
+                    self.is_writing = False
             for what in dropped:
-                self.withdrawn(what)
+                self.on_withdrawn(what)
             if not more:
                 return
             if stuck:
@@ -135,24 +137,24 @@
 
     def _write_some(self) -> bool:
         """Under the lock, without waiting. Whether any byte went."""
-        entry = self.waiting[0]
+        entry = self.pending[0]
         try:
             sent = self.connection.send(entry.piece, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
-            self.end()
+            self.shut_down()
             return True
-        self.queued -= sent
+        self.pending_bytes -= sent
         entry.piece, entry.first = memoryview(entry.piece)[sent:], entry.first and not sent
         if not entry.piece:
-            self.waiting.popleft()
+            self.pending.popleft()
         return True
 
     def _await_room(self) -> None:
         try:
             room = select.poll()
             room.register(self.connection, select.POLLOUT)
-            room.poll(LOOK_AGAIN)
+            room.poll(POLL_INTERVAL_MS)
         except (OSError, ValueError):  # closed meanwhile
             pass
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -32,7 +32,7 @@
         )
         threading.stack_size(STACK)
         log = StructuredLog(start.name)
-        service = make(start, log, cells, management, fleet)
+        service = build_director(start, log, cells, management, fleet)
     except ConfigError as wrong:
         print(f"mulleinrelay: {wrong}", file=sys.stderr)
         return BAD_CONFIGURATION
@@ -50,7 +50,7 @@
     gc.collect()
     gc.freeze()  # what stands at the start stays: the collector need not look at it again
     while os.read(told, 1)[0] == signal.SIGHUP:
-        renew(service, log, config)
+        reload_configuration(service, log, config)
     service.stop()
     service.wait()
     log.close()
@@ -74,7 +74,7 @@
     return told
 
 
-def make(
+def build_director(
     start: DirectorConfig,
     log: StructuredLog,
     cells: str | None,
@@ -119,7 +119,7 @@
         return None
 
 
-def renew(service: Director, log: StructuredLog, path: str | None) -> None:
+def reload_configuration(service: Director, log: StructuredLog, path: str | None) -> None:
     """Reads the configuration again; where it can't be used, a few times, as it may not be whole
     yet.
     """
--- a/mulleinrelay/standins/clients.py
+++ b/mulleinrelay/standins/clients.py
@@ -44,20 +44,20 @@
 
 def read_answer(frame: memoryview) -> tuple[int, str, float]:
     """(number, served | rejected | failed | bad, when to come back in ms)"""
-    reader = thrift.Reader(frame)
-    kind = struct.unpack(">I", reader.bytes(4))[0] & 0xFF
-    reader.binary()
-    number = reader.int()
+    reader = thrift.ValueReader(frame)
+    kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
+    reader.read_binary()
+    number = reader.read_i32()
     if kind == thrift.EXCEPTION:
         return number, "bad", 0.0
-    reader.byte()
-    what, pause = reader.short(), 0.0
-    while what == 1 and (held := reader.byte()) != 0:
-        reader.short()
+    reader.read_byte()
+    what, pause = reader.read_i16(), 0.0
+    while what == 1 and (held := reader.read_byte()) != 0:
+        reader.read_i16()
         if held == thrift.MAP:
-            pause = float(reader.strings().get("pause", "0"))
+            pause = float(reader.read_string_map().get("pause", "0"))
         else:
-            reader.skip(held)
+            reader.skip_value(held)
     return number, {0: "served", 1: "rejected", 2: "failed"}.get(what, "bad"), pause
 
 
@@ -139,10 +139,10 @@
             return True
 
     def _read(self, connection: socket.socket) -> None:
-        frames = thrift.Frames(most=300_000)
+        frames = thrift.FrameDecoder(most=300_000)
         try:
-            while (length := connection.recv_into(frames.room())) > 0:
-                for frame in frames.filled(length):
+            while (length := connection.recv_into(frames.writable_view())) > 0:
+                for frame in frames.decode(length):
                     number, what, pause = read_answer(frame)
                     with self.lock:
                         found = self.out.pop(number, None)
--- a/mulleinrelay/standins/servers.py
+++ b/mulleinrelay/standins/servers.py
@@ -83,15 +83,15 @@
         super().__init__()
 
     def talk(self, connection: socket.socket) -> None:
-        arrays, writing, over = resp.Arrays(), threading.Lock(), set[bytes]()
+        arrays, writing, over = resp.ArrayDecoder(), threading.Lock(), set[bytes]()
 
         def answer(about: bytes, words: tuple[bytes, ...]) -> None:
             if about not in over:
                 with writing:
                     connection.sendall(resp.command(about, *words))
 
-        while (length := connection.recv_into(arrays.room())) > 0:
-            for items in arrays.filled(length):
+        while (length := connection.recv_into(arrays.writable_view())) > 0:
+            for items in arrays.decode(length):
                 word, about, *rest = [bytes(item) for item in items]
                 if word == b"PULL":
                     reply = self.fleet.pull(self.node.spec.name, _fields(rest[0]))
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -13,7 +13,7 @@
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.process import make
+from mulleinrelay.process import build_director
 
 SERVED, REJECTED, FAILED = 0, 1, 2
 FILLED = (b"DONE", b"why=MISS,entity=aa,issued=1,delay=5", b"bytes")
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 def halfway(share=0.5, **changes):
@@ -260,4 +260,4 @@
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
     with Housed(tmp_path, charter(TWO)) as housed:
         with pytest.raises(ConfigError, match="none.ini"):
-            make(housed.services[0].config, housed.sinks[0], str(tmp_path / "cells.ini"))
+            build_director(housed.services[0].config, housed.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_on_sockets.py
+++ b/tests/cells/test_on_sockets.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 def edge_caches(housed):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,7 @@
     """Stand-ins of the event stream tell all with its head: their directors needn't wait for what
     follows.
     """
-    monkeypatch.setattr(event_stream, "MISSED", 0.0)
+    monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.0)
 
 
 def pytest_collection_modifyitems(items):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -394,9 +394,9 @@
         super().__init__()
 
     def talk(self, connection):
-        arrays = resp.Arrays()
-        while (length := connection.recv_into(arrays.room())) > 0:
-            for items in arrays.filled(length):
+        arrays = resp.ArrayDecoder()
+        while (length := connection.recv_into(arrays.writable_view())) > 0:
+            for items in arrays.decode(length):
                 word, about, *rest = [bytes(item) for item in items]
                 fields = (
                     dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
@@ -452,7 +452,7 @@
 
     def __init__(self, address):
         self.socket = socket.create_connection(address, timeout=10.0)
-        self.frames, self.ready, self.count = thrift.Frames(most=300_000), [], 0
+        self.frames, self.ready, self.count = thrift.FrameDecoder(most=300_000), [], 0
 
     def send(self, request_class="pages", entity="00000000000000ab", body=b"", **changes):
         self.count += 1
@@ -478,33 +478,33 @@
             if not length:
                 raise EOFError
             while length:
-                spot = self.frames.room()
+                spot = self.frames.writable_view()
                 part = min(len(spot), length)
                 spot[:part] = room[:part]
-                self.ready += self.frames.filled(part)
+                self.ready += self.frames.decode(part)
                 room, length = room[part:], length - part
         return self.ready.pop(0)
 
     def answer(self):
         """(number, what, fields, body); `what` is 0 for served, 1 rejected, 2 failed, or the text
         of an application exception."""
-        reader = thrift.Reader(self.frame())
-        kind = struct.unpack(">I", reader.bytes(4))[0] & 0xFF
-        reader.binary()
-        number = reader.int()
+        reader = thrift.ValueReader(self.frame())
+        kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
+        reader.read_binary()
+        number = reader.read_i32()
         if kind == thrift.EXCEPTION:
-            reader.bytes(3)
-            return number, reader.text(), {}, b""
-        reader.byte()
-        what, fields, body = reader.short(), {}, b""
-        while (held := reader.byte()) != 0:
-            reader.short()
+            reader.read_bytes(3)
+            return number, reader.read_text(), {}, b""
+        reader.read_byte()
+        what, fields, body = reader.read_i16(), {}, b""
+        while (held := reader.read_byte()) != 0:
+            reader.read_i16()
             if held == thrift.STRING:
-                body = bytes(reader.binary())
+                body = bytes(reader.read_binary())
             elif held == thrift.MAP:
-                fields = reader.strings()
+                fields = reader.read_string_map()
             else:
-                reader.skip(held)
+                reader.skip_value(held)
         return number, what, fields, body
 
     def close(self):
--- a/tests/management/test_gnmi.py
+++ b/tests/management/test_gnmi.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 @pytest.fixture(scope="module")
--- a/tests/management/test_tls.py
+++ b/tests/management/test_tls.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 def certificate(name, issuer=None):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -22,10 +22,10 @@
     """Receives the data in pieces of at most `step` bytes, as a link or a client's thread does."""
     found, data = [], memoryview(data)
     while len(data):
-        room = parser.room()
+        room = parser.writable_view()
         length = min(step, len(room), len(data))
         room[:length] = data[:length]
-        found += parser.filled(length)
+        found += parser.decode(length)
         data = data[length:]
     return found
 
@@ -36,11 +36,11 @@
 def test_a_view_handed_out_is_never_written_again():
     # Guards against an answer's bytes changing under a client that is still being written to.
     intake = ReceiveBuffer(8)
-    intake.room()[:6] = b"abcdef"
+    intake.writable_view()[:6] = b"abcdef"
     intake.end += 6
     taken = intake.take(4)
     for byte in b"ghijklmnop":
-        intake.room()[:1] = bytes((byte,))
+        intake.writable_view()[:1] = bytes((byte,))
         intake.end += 1
     assert bytes(taken) == b"abcd" and bytes(intake.unread()) == b"efghijklmnop"
 
@@ -54,11 +54,13 @@
         serve_frame(number, FIELDS | {"entity": f"{number:016x}"}, b"x" * size)
         for number, size in ((1, 0), (2, 9000), (3, 1))
     ]
-    found = [thrift.read_call(frame) for frame in feed(thrift.Frames(64), b"".join(calls), step)]
-    assert [(call.method, call.kind, call.number) for call in found] == [
+    found = [
+        thrift.read_call(frame) for frame in feed(thrift.FrameDecoder(64), b"".join(calls), step)
+    ]
+    assert [(call.method, call.kind, call.sequence_number) for call in found] == [
         ("serve", 1, n) for n in (1, 2, 3)
     ]
-    read = [thrift.read_serve(call.rest) for call in found]
+    read = [thrift.read_serve(call.arguments) for call in found]
     assert [(asked.object, len(asked.body)) for asked in read] == [
         ("0" * 15 + "1", 0),
         ("0" * 15 + "2", 9000),
@@ -66,10 +68,10 @@
     ]
 
 
-@pytest.mark.parametrize("size", [-1, 0, thrift.FRAME_MOST + 1, 2**31 - 1])
+@pytest.mark.parametrize("size", [-1, 0, thrift.MAX_FRAME_BYTES + 1, 2**31 - 1])
 def test_a_frame_of_a_wrong_length_is_turned_down_at_once(size):
     with pytest.raises(thrift.ThriftError):
-        feed(thrift.Frames(), struct.pack(">i", size), 4)
+        feed(thrift.FrameDecoder(), struct.pack(">i", size), 4)
 
 
 MAP = b"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x01a\x00\x00\x00\x01b"
@@ -89,9 +91,9 @@
 
 @pytest.mark.parametrize("unknown", UNKNOWN)
 def test_unknown_fields_are_skipped(unknown):
-    (frame,) = feed(thrift.Frames(), serve_frame(1, FIELDS | {"new": "1"}, b"xy"), 1000)
-    known = bytes(thrift.read_call(frame).rest.frame[17:-1])
-    asked = thrift.read_serve(thrift.Reader(memoryview(unknown + known + unknown + b"\x00")))
+    (frame,) = feed(thrift.FrameDecoder(), serve_frame(1, FIELDS | {"new": "1"}, b"xy"), 1000)
+    known = bytes(thrift.read_call(frame).arguments.frame[17:-1])
+    asked = thrift.read_serve(thrift.ValueReader(memoryview(unknown + known + unknown + b"\x00")))
     assert (asked.request_class, asked.remaining_time, bytes(asked.body)) == (
         "pages",
         1500.0,
@@ -121,7 +123,7 @@
 )
 def test_arguments_that_cannot_be_read(held, told):
     with pytest.raises(thrift.ThriftError, match=told):
-        thrift.read_serve(thrift.Reader(memoryview(held)))
+        thrift.read_serve(thrift.ValueReader(memoryview(held)))
 
 
 @pytest.mark.parametrize("head", [bytes(4), b"\x80\x02\x00\x01", b"\x80\x01\x00\x02", b"\x80"])
@@ -132,26 +134,30 @@
 
 def test_a_oneway_call_tells_its_number():
     (frame,) = feed(
-        thrift.Frames(), call_frame("forget", 9, b"\x08\x00\x01\x00\x00\x00\x07\x00", 4), 100
+        thrift.FrameDecoder(), call_frame("forget", 9, b"\x08\x00\x01\x00\x00\x00\x07\x00", 4), 100
     )
     call = thrift.read_call(frame)
-    assert (call.method, call.kind, thrift.read_forget(call.rest)) == ("forget", thrift.ONEWAY, 7)
+    assert (call.method, call.kind, thrift.read_cancelled_number(call.arguments)) == (
+        "forget",
+        thrift.ONEWAY,
+        7,
+    )
 
 
 @pytest.mark.parametrize(
     "pieces, wanted",
     [
         (
-            thrift.answer("isWell", 2, b"", {}, True),
+            thrift.reply("isWell", 2, b"", {}, True),
             "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 0d0002 0b0b 00000000 020003 010000",
         ),
         (
-            thrift.rejected(3, 99.6),
+            thrift.rejected_reply(3, 99.6),
             "80010002 00000005 7365727665 00000003 0c0001 0d0001 0b0b 00000001 00000005 7061757365"
             " 00000003 313030 00 00",
         ),
         (
-            thrift.failed(4),
+            thrift.failed_reply(4),
             "80010002 00000005 7365727665 00000004 0c0002 0d0001 0b0b 00000000 00 00",
         ),
         (
@@ -176,8 +182,10 @@
         + resp.command(b"a3", b"KEEP", b"-", b"")
         + b"*4\r\n$2\r\na4\r\n$4\r\nPAST\r\n$1\r\n-\r\n$-1\r\n"
     )
-    found = [resp.read_told(items, {}) for items in feed(resp.Arrays(64), stream, step)]
-    assert [(told.about, told.outcome, len(told.body), told.kept) for told in found] == [
+    found = [resp.parse_answer(items, {}) for items in feed(resp.ArrayDecoder(64), stream, step)]
+    assert [
+        (told.request_id, told.outcome, len(told.body), told.is_not_modified) for told in found
+    ] == [
         ("a1", Outcome.SERVED, 9006, False),
         ("a2", Outcome.MISS, 0, False),
         ("a3", Outcome.SERVED, 0, True),
@@ -189,18 +197,22 @@
     "parser, whole, wrong",
     [
         (
-            resp.Arrays,
+            resp.ArrayDecoder,
             [resp.command(b"9b", b"DONE", b"-", b"x"), resp.command(b"9c", b"LACK", b"-")],
             b"+OK\r\n",
         ),
-        (thrift.Frames, [serve_frame(1, FIELDS), serve_frame(2, FIELDS)], b"\xff\xff\xff\xff"),
+        (
+            thrift.FrameDecoder,
+            [serve_frame(1, FIELDS), serve_frame(2, FIELDS)],
+            b"\xff\xff\xff\xff",
+        ),
     ],
 )
 def test_what_is_whole_before_bytes_that_cannot_be_read_is_given(parser, whole, wrong):
     held, found, data = parser(), [], b"".join(whole) + wrong
-    held.room()[: len(data)] = data
+    held.writable_view()[: len(data)] = data
     with pytest.raises((resp.RespError, thrift.ThriftError)):
-        for one in held.filled(len(data)):
+        for one in held.decode(len(data)):
             found.append(one)
     assert len(found) == len(whole)
 
@@ -219,14 +231,14 @@
     ],
 )
 def test_calls_that_are_called_off_by_what_is_not_taken_yet(received, numbers):
-    assert thrift.called_off(received) == numbers
+    assert thrift.cancelled_numbers(received) == numbers
 
 
 def test_a_body_is_a_view_of_what_was_received():
     # Guards against copies of bodies: they pass through in the buffer that they came in.
-    arrays = resp.Arrays(4096)
+    arrays = resp.ArrayDecoder(4096)
     (items,) = feed(arrays, resp.command(b"1", b"DONE", b"-", b"z" * 2000), 4096)
-    assert resp.read_told(items, {}).body.obj is arrays.intake.view.obj
+    assert resp.parse_answer(items, {}).body.obj is arrays.buffer.view.obj
 
 
 @pytest.mark.parametrize(
@@ -247,7 +259,7 @@
 )
 def test_arrays_that_cannot_be_read(stream):
     with pytest.raises(resp.RespError):
-        feed(resp.Arrays(), stream, 5)
+        feed(resp.ArrayDecoder(), stream, 5)
 
 
 @pytest.mark.parametrize(
@@ -268,7 +280,7 @@
 )
 def test_answers_that_cannot_be_read(items):
     with pytest.raises(resp.RespError):
-        resp.read_told([memoryview(item) for item in items], {})
+        resp.parse_answer([memoryview(item) for item in items], {})
 
 
 @pytest.mark.parametrize(
@@ -276,19 +288,19 @@
     [(b"DONE", 0), (b"KEEP", 0), (b"LACK", 2), (b"WAIT", 11), (b"BROKE", 5), (b"PAST", 114)],
 )
 def test_words_mean_what_the_simulators_codes_mean(word, status):
-    assert resp.ENDS[word] == OUTCOMES[status]
+    assert resp.OUTCOME_BY_WORD[word] == OUTCOMES[status]
 
 
 def test_notes_stand_in_the_simulators_order():
     assert (
-        list(resp.NOTES.values())
+        list(resp.CACHE_STATUS_BY_WORD.values())
         == [NOTES[number] for number in range(1, 11)]
         == list(CacheStatus)[1:]
     )
 
 
 def test_fields_of_an_answer():
-    told = resp.read_told(
+    told = resp.parse_answer(
         [
             memoryview(item)
             for item in (
@@ -300,7 +312,7 @@
         ],
         {"x1": "crowding"},
     )
-    assert (told.note, told.waited, told.load) == (
+    assert (told.cache_status, told.delay, told.load_report) == (
         CacheStatus.SOURCE_FAILED,
         12.5,
         {"inflight": 7, "crowding": 0.61},
@@ -310,12 +322,12 @@
 def test_commands_as_on_the_wire():
     plain = SendAttempt(None, None, "", 0.0, 0, False, False, True, False)
     asked = ClientRequest("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
-    assert b"".join(resp.pull(asked, plain, 7.9)) == (
+    assert b"".join(resp.attempt_command(asked, plain, 7.9)) == (
         b"*4\r\n$4\r\nPULL\r\n$2\r\n9b\r\n$32\r\nlane=pages,name=ab,piece=0,ttl=7\r\n$2\r\nxy\r\n"
     )
     full = SendAttempt(None, None, "s-1", 0.5, 2, True, True, False, True)
     asked = ClientRequest("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
-    words = b"".join(resp.pull(asked, full, 0.2))
+    words = b"".join(resp.attempt_command(asked, full, 0.2))
     assert words.split(b"\r\n")[6:] == [
         b"lane=p,name=ab,piece=0,ttl=1,dedupe=5c,mine=4b,miss=s-1,prio=2,within=1,"
         b"f=collapse+only-if-cached+refresh+no-store-up",
@@ -323,8 +335,8 @@
         b"",
         b"",
     ]
-    assert resp.kill("9b") == b"*2\r\n$4\r\nKILL\r\n$2\r\n9b\r\n"
-    assert resp.probe("p", True) == b"*2\r\n$5\r\nMETER\r\n$1\r\np\r\n"
+    assert resp.cancel_command("9b") == b"*2\r\n$4\r\nKILL\r\n$2\r\n9b\r\n"
+    assert resp.health_check_command("p", True) == b"*2\r\n$5\r\nMETER\r\n$1\r\np\r\n"
 
 
 # Server-sent events
@@ -341,7 +353,7 @@
         head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
         parts = [EVENTS[at : at + chunk] for at in range(0, len(EVENTS), chunk)]
         body = b"".join(b"%x;q\r\n%s\r\n" % (len(part), part) for part in parts)
-    stream, found = sse.Stream(), []
+    stream, found = sse.SseDecoder(), []
     for at in range(0, len(head + body), step):
         found += stream.feed((head + body)[at : at + step])
     assert [(event.number, event.data) for event in found] == [(41, '{"a":\n1}'), (42, "x")]
@@ -351,16 +363,16 @@
     "last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
 )
 def test_the_last_chunk_ends_the_stream(last, over):
-    stream = sse.Stream()
+    stream = sse.SseDecoder()
     assert stream.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last) == []
-    assert stream.over == over
+    assert stream.is_finished == over
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 1000])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b"\r"])
 def test_lines_of_events_end_in_each_way_that_there_is(end, step):
     # Guards against drains that are read as half a line, and one that waits for the byte behind it.
-    stream, found = sse.Stream(), []
+    stream, found = sse.SseDecoder(), []
     data = (
         HEAD
         + b"\r\n"
@@ -382,4 +394,4 @@
 )
 def test_an_answer_that_is_not_the_stream(answer):
     with pytest.raises(sse.SseError):
-        sse.Stream().feed(answer)
+        sse.SseDecoder().feed(answer)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,7 +43,7 @@
 from mulleinrelay.net import write_queue as outlet_module
 from mulleinrelay.net.client_connection import ClientConnection
 from mulleinrelay.net.client_listener import ClientListener
-from mulleinrelay.net.thrift import Frames
+from mulleinrelay.net.thrift import FrameDecoder
 from mulleinrelay.net.upstream_connections import UpstreamConnection, UpstreamConnections
 from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy.model import Attempt, Endpoint, EndpointState
@@ -53,7 +53,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 @pytest.fixture
@@ -72,8 +72,8 @@
 def waiting(director):
     """The one attempt that waits for its link."""
     caches = director.service.upstream
-    assert wait_for(lambda: len(caches.of_attempt) == 1)
-    return next(iter(caches.of_attempt))
+    assert wait_for(lambda: len(caches.connection_by_attempt) == 1)
+    return next(iter(caches.connection_by_attempt))
 
 
 def forget(number):
@@ -154,7 +154,7 @@
         gate.set()
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (1, 0)
-        assert wait_for(lambda: not director.service.upstream.of_attempt)
+        assert wait_for(lambda: not director.service.upstream.connection_by_attempt)
         assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
 
 
@@ -164,37 +164,42 @@
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     outlet, stale, dropped = WriteQueue(threading.Lock()), set(), []
-    outlet.stale, outlet.withdrawn = lambda owner: owner if owner in stale else None, dropped.append
-    assert outlet.open(ours)
+    outlet.find_stale, outlet.on_withdrawn = (
+        lambda owner: owner if owner in stale else None,
+        dropped.append,
+    )
+    assert outlet.attach(ours)
     with outlet.lock:
-        outlet.put("a", [b"a" * 500_000])
-        outlet.put("b", [b"b" * 10, b"b" * 10])
-        outlet.put("c", [b"c" * 10, b"c" * 10])
+        outlet.write("a", [b"a" * 500_000])
+        outlet.write("b", [b"b" * 10, b"b" * 10])
+        outlet.write("c", [b"c" * 10, b"c" * 10])
         stale.update("ab")  # the first has begun, so it goes on
     got = b""
     while len(got) < 500_020:
         got += theirs.recv(65_536)
     assert got == b"a" * 500_000 + b"c" * 20 and dropped == ["b"]
-    assert wait_for(lambda: not outlet.busy) and outlet.queued == 0 and not outlet.waiting
+    assert (
+        wait_for(lambda: not outlet.is_writing) and outlet.pending_bytes == 0 and not outlet.pending
+    )
     ours.close()
     theirs.close()
 
 
 @pytest.mark.parametrize("takes", [True, False])
 def test_a_peer_that_takes_nothing_is_ended_and_one_that_takes_little_is_not(takes, monkeypatch):
-    monkeypatch.setattr(outlet_module, "LOOK_AGAIN", 20)
+    monkeypatch.setattr(outlet_module, "POLL_INTERVAL_MS", 20)
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     outlet = WriteQueue(threading.Lock(), write_wait=0.3)
-    assert outlet.open(ours)
+    assert outlet.attach(ours)
     with outlet.lock:
-        outlet.put(1, [bytes(2_000_000)])
+        outlet.write(1, [bytes(2_000_000)])
     ends = time.monotonic() + 0.9
     while time.monotonic() < ends:
         if takes:
             theirs.recv(4096)
         time.sleep(0.02)
-    assert outlet.ended != takes
+    assert outlet.is_shut_down != takes
     theirs.close()
     ours.close()
 
@@ -234,7 +239,7 @@
         caller, caches = director.caller(), director.service.upstream
         caller.send("pay", patience="300")
         assert wait_for(director.heard)
-        (attempt,) = caches.of_attempt
+        (attempt,) = caches.connection_by_attempt
         caches.cancel(attempt)
         caches.check_health(
             attempt.endpoint, attempt.addresses[0][1]
@@ -256,12 +261,12 @@
         attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         ours, theirs = socket.socketpair()
         link = UpstreamConnection(place, director.service.clock(), caches.lock)
-        link.outlet.connection = ours
-        caches.links[place] = [link]
-        caches._put(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
-        assert caches.of_attempt[attempt][0] is link
+        link.write_queue.connection = ours
+        caches.connections[place] = [link]
+        caches._send(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
+        assert caches.connection_by_attempt[attempt][0] is link
         caches.cancel(attempt)
-        assert link.outlet.ended != two_attempts
+        assert link.write_queue.is_shut_down != two_attempts
         theirs.close()
         ours.close()
 
@@ -279,7 +284,9 @@
         told(director, leaves.name, state=state)
         gate.set()
         assert wait_for(lambda: len(director.heard("METER")) == 2)
-        assert wait_for(lambda: not any(link.open for link in caches.links.get(leaves, ())))
+        assert wait_for(
+            lambda: not any(link.in_flight for link in caches.connections.get(leaves, ()))
+        )
         caches.check_health(nodes[0], leaves)
         time.sleep(0.05)
         assert len(director.heard("METER")) == 2
@@ -293,8 +300,8 @@
         assert wait_for(director.heard)
         attempt = waiting(director)
         told(director, attempt.addresses[0][1].name, state=state)
-        link = caches.of_attempt[attempt][0]
-        link.heard, attempt.sent_at = 0.0, 1.0
+        link = caches.connection_by_attempt[attempt][0]
+        link.last_received_at, attempt.sent_at = 0.0, 1.0
         caches.ping_quiet_connections()
         assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == EndpointState.READY)
 
@@ -347,13 +354,13 @@
         front.listener = listener
         other = director.caller()
         other.send(entity="00000000000000cd")
-        assert other.answer()[:2] == (1, 0) and wait_for(lambda: stream.last == 2)
+        assert other.answer()[:2] == (1, 0) and wait_for(lambda: stream.last_event_number == 2)
 
 
 def test_a_connection_that_its_node_has_closed_is_not_written_to(monkeypatch):
     # Guards against an effect of which nobody can say whether it happened, for a close that had
     # come before.
-    rooms, reads, room = [], threading.Event(), resp.Arrays.room
+    rooms, reads, room = [], threading.Event(), resp.ArrayDecoder.writable_view
 
     def late(arrays):  # the first connection is read once, and its close is not
         if threading.current_thread().name == "link":
@@ -362,15 +369,15 @@
                 reads.wait(10.0)
         return room(arrays)
 
-    monkeypatch.setattr(resp.Arrays, "room", late)
+    monkeypatch.setattr(resp.ArrayDecoder, "writable_view", late)
     with Running() as director:
         caller, origin = director.caller(), director.nodes[-1]
         caller.send("pay")
         assert caller.answer()[:2] == (1, 0)
-        (links,) = director.service.upstream.links.values()
+        (links,) = director.service.upstream.connections.values()
         link = links[0]
         origin.connections[0].shutdown(socket.SHUT_RDWR)
-        assert wait_for(link.closed_there)
+        assert wait_for(link.is_closed_by_peer)
         caller.send("pay")
         assert caller.answer()[:2] == (2, 0) and len(origin.connections) == 2
         reads.set()
@@ -408,7 +415,7 @@
 @pytest.fixture
 def reading(monkeypatch):
     """Connections of clients are read only once it is set."""
-    yield (begin := held_back(monkeypatch, ClientListener, "_read"))
+    yield (begin := held_back(monkeypatch, ClientListener, "_serve_connection"))
     begin.set()
 
 
@@ -445,7 +452,7 @@
     # Guards against a director that is late itself: its links' threads run before that of the
     # client.
     left = threading.Event()
-    read = held_back(monkeypatch, ClientConnection, "hear", lambda client: client.called)
+    read = held_back(monkeypatch, ClientConnection, "read_calls", lambda client: client.has_called)
     stays = {
         "calls": lambda caller: caller.socket.sendall(WELL),
         "cancels another": lambda caller: caller.socket.sendall(forget(2)),
@@ -457,7 +464,7 @@
         assert wait_for(director.heard)
         (LEAVES | stays)[how](caller)
         (client,) = director.service.listener.clients
-        assert wait_for(lambda: client._next() is not None)
+        assert wait_for(lambda: client._peek() is not None)
         left.set()
         assert wait_for(lambda: not director.service.coordinator.pending_count())
         assert (len(director.heard()) == 1) is (how in LEAVES)
@@ -474,7 +481,7 @@
         with director.service.coordinator.lock:
             caller.send()
             assert wait_for(
-                lambda: any(client.open for client in director.service.listener.clients)
+                lambda: any(client.open_requests for client in director.service.listener.clients)
             )
             if how == "forget":
                 caller.socket.sendall(forget(1))
@@ -490,7 +497,10 @@
 def test_a_cancellation_that_is_read_and_not_obeyed_yet_holds_back_a_further_attempt(monkeypatch):
     left = threading.Event()
     go = held_back(
-        monkeypatch, ClientListener, "_call", lambda front, client, call: call.method == "forget"
+        monkeypatch,
+        ClientListener,
+        "_handle_call",
+        lambda front, client, call: call.method == "forget",
     )
     with Running(lambda fields: left.wait(5.0) and FULL) as director:
         caller = director.caller()
@@ -498,7 +508,7 @@
         assert wait_for(director.heard)
         caller.socket.sendall(forget(1))
         (client,) = director.service.listener.clients
-        assert wait_for(lambda: client.calls)
+        assert wait_for(lambda: client.pending_calls)
         left.set()
         assert wait_for(lambda: not director.service.coordinator.pending_count())
         assert len(director.heard()) == 1
@@ -523,7 +533,7 @@
         if not together:
             caller.socket.sendall(wrong)
         (client,) = director.service.listener.clients
-        assert wait_for(lambda: client.wrong)
+        assert wait_for(lambda: client.framing_error)
         caller.socket.sendall(wrong)
         answer.set()
         assert caller.answer() == (7, 0, {}, b"bytes")
@@ -600,7 +610,7 @@
 
     def cross(front):
         idle = not owes(front)
-        if idle and director.service.stopping.is_set() and not crossed:
+        if idle and director.service.stop_requested.is_set() and not crossed:
             crossed.append(caller.send())
             assert wait_for(director.service.coordinator.pending_count)
             return False
@@ -620,7 +630,7 @@
         with pytest.raises(EOFError):
             caller.answer()
         caller.close()
-        assert director.service.ended.wait(5.0)
+        assert director.service.stopped.wait(5.0)
 
 
 def test_who_the_system_has_accepted_before_the_drain_ends_is_answered(monkeypatch):
@@ -628,7 +638,7 @@
     free = held_back(
         monkeypatch,
         ClientListener,
-        "_let_in",
+        "_admit",
         lambda *_: threading.current_thread().name == "accept",
     )
     with Running() as director:
@@ -643,7 +653,7 @@
         assert first.answer()[:2] == (1, 0)
         for caller in (first, behind):
             caller.close()
-        assert director.service.ended.wait(5.0)
+        assert director.service.stopped.wait(5.0)
 
 
 def test_what_crosses_the_end_of_an_idle_connection_is_neither_begun_nor_met_with_a_reset():
@@ -658,7 +668,7 @@
             )
         )
         (client,) = director.service.listener.clients
-        client.end_idle()
+        client.close_if_idle()
         caller.send()
         time.sleep(0.02)  # it is read and left unused; an answer or a reset would come by now
         assert caller.answer() == (1, 0, {}, b"bytes")
@@ -674,7 +684,7 @@
     # the list.
     answer = threading.Event()
     go = held_back(
-        monkeypatch, Frames, "filled", lambda *_: threading.current_thread().name == "client"
+        monkeypatch, FrameDecoder, "decode", lambda *_: threading.current_thread().name == "client"
     )
     with Running(lambda fields: answer.wait(10.0) and HIT) as director:
         caller = director.caller()
@@ -682,7 +692,7 @@
         assert go.met.wait(5.0)
         (client,) = director.service.listener.clients
         ended = []
-        ender = threading.Thread(target=lambda: ended.append(client.end_idle()))
+        ender = threading.Thread(target=lambda: ended.append(client.close_if_idle()))
         ender.start()
         time.sleep(0.05)  # an end that does not wait for the reader has happened by now
         go.set()
@@ -697,8 +707,8 @@
         caller.send()
         assert wait_for(lambda: director.service.listener.clients)
         (client,) = director.service.listener.clients
-        assert wait_for(client._unread)
-        client.end_idle()
+        assert wait_for(client._has_unread_bytes)
+        client.close_if_idle()
         reading.set()
         assert caller.answer()[:2] == (1, 0)
 
@@ -706,19 +716,19 @@
 def test_a_call_that_has_been_read_and_is_not_yet_begun_counts_as_open(monkeypatch):
     # Guards against the end of a connection, or of the drain, between a call's reading and its
     # begin.
-    go = held_back(monkeypatch, ClientListener, "_call")
+    go = held_back(monkeypatch, ClientListener, "_handle_call")
     with Running() as director:
         caller, table = director.caller(), director.service.listener
         caller.send()
         caller.send(entity="00000000000000cd")
-        assert wait_for(lambda: any(client.calls for client in table.clients))
+        assert wait_for(lambda: any(client.pending_calls for client in table.clients))
         (client,) = table.clients
-        assert table.has_pending_writes() and not client.end_idle()
+        assert table.has_pending_writes() and not client.close_if_idle()
         director.service.stop()
         go.set()
         assert {caller.answer()[:2] for _ in range(2)} == {(1, 0), (2, 0)}
         caller.close()
-        assert director.service.ended.wait(5.0)
+        assert director.service.stopped.wait(5.0)
 
 
 def test_one_that_does_not_close_is_ended_after_a_while():
@@ -727,7 +737,7 @@
         caller.socket.sendall(WELL)
         assert caller.answer()[1] == 0
         (client,) = director.service.listener.clients
-        client.end_idle()
+        client.close_if_idle()
         assert wait_for(lambda: not director.service.listener.clients)
 
 
@@ -740,17 +750,19 @@
         for half in (caller, bad):
             half.socket.sendall(whole[:20])
         clients = director.service.listener.clients
-        assert wait_for(lambda: [client.halfway > 0.0 for client in clients] == [True] * 2)
+        assert wait_for(
+            lambda: [client.partial_call_since > 0.0 for client in clients] == [True] * 2
+        )
         director.service.stop()
         assert wait_for(lambda: director.service.listener.listener is None)
         caller.socket.sendall(whole[20:])
         assert caller.answer()[:2] == (7, 0)
         caller.close()
-        assert director.service.ended.wait(4.0)  # the other one is not waited for for ever
+        assert director.service.stopped.wait(4.0)  # the other one is not waited for for ever
 
 
 def test_the_time_that_a_call_waits_behind_others_is_the_clients(monkeypatch):
-    go = held_back(monkeypatch, ClientListener, "_call")
+    go = held_back(monkeypatch, ClientListener, "_handle_call")
     with Running(None) as director:
         caller = director.caller()
         caller.send(patience="2000")
@@ -848,26 +860,30 @@
 @pytest.mark.parametrize("said", [b"", b"HTTP/1.1 200 OK\r\nx: ", OK, OK + b": well\n\ndata: "])
 def test_a_stream_that_brings_bytes_and_no_line_is_left(said, monkeypatch):
     # Guards against drains that are never heard of while a head or a line trickles in.
-    for name, seconds in (("SILENCE", 0.2), ("FIRST_WORD", 0.3), ("WHOLE_LINE", 0.4)):
+    for name, seconds in (
+        ("SILENCE_TIMEOUT_S", 0.2),
+        ("HEAD_TIMEOUT_S", 0.3),
+        ("LINE_TIMEOUT_S", 0.4),
+    ):
         monkeypatch.setattr(event_stream, name, seconds)
     stand = Trickles([OK, event(2, BAN), None])
     stand.said = said
     with Running(bus=stand) as director:
-        assert wait_for(lambda: director.service.event_stream.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 2)
         assert director.service.coordinator.active_purge_count() == 1
 
 
 def test_a_drain_is_heard_though_three_connections_in_a_row_say_nothing(monkeypatch):
     # What is told counts after 7 s: the waits are those of the program, a tenth as long.
-    for name in ("SILENCE", "FIRST_WORD", "WHOLE_LINE"):
+    for name in ("SILENCE_TIMEOUT_S", "HEAD_TIMEOUT_S", "LINE_TIMEOUT_S"):
         monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with Running(bus=StandBus([OK, None], [None], [None])) as director:
-        director.service.event_stream.pace.ended = lambda *_: 0.01
+        director.service.event_stream.reconnect_backoff.ended = lambda *_: 0.01
         director.bus.scripts.append(
             [OK, event(2, rows(director, "DRAINING", "s-01", "s-02")), None]
         )
         begun = time.monotonic()
-        assert wait_for(lambda: director.service.event_stream.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 2)
         assert time.monotonic() - begun < 0.7
         for number in range(12):
             director.caller().send(entity=f"{number:016x}")
@@ -885,7 +901,7 @@
         )  # a connection that is opened now would take a script
         director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
         director.service.event_stream.reconnect_to(director.service.event_stream.address)
-        assert wait_for(lambda: director.service.event_stream.last == number + 1)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == number + 1)
         caches = {name for name, _, _ in director.service.coordinator.ready_caches()}
         assert caches == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
 
@@ -912,11 +928,14 @@
         director.bus.scripts += [[OK, b"".join(held)], [OK, event(2, BAN), *held, None]]
         director.service.event_stream.reconnect_to(director.service.event_stream.address)
         assert asked.wait(5.0)
-        assert director.service.event_stream.last == 1 and facade.active_purge_count() == 1
+        assert (
+            director.service.event_stream.last_event_number == 1
+            and facade.active_purge_count() == 1
+        )
         if behind != "purge":
             assert "s-01" not in {name for name, _, _ in facade.ready_caches()}
         go.set()
-        assert wait_for(lambda: director.service.event_stream.last == 4)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 4)
 
 
 @pytest.mark.parametrize(
@@ -934,7 +953,7 @@
         ]
         director.service.reload(replace(director.service.config, known_events=told))
         assert wait_for(lambda: len(director.bus.asked) == 2)
-        assert director.bus.asked[1] == stream.last == last
+        assert director.bus.asked[1] == stream.last_event_number == last
         assert ("s-01" not in {name for name, _, _ in facade.ready_caches()}) is drained
 
 
@@ -945,7 +964,7 @@
         named = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
         director.bus.scripts.append([OK, event(2, named), None])
         director.service.event_stream.reconnect_to(director.service.event_stream.address)
-        assert wait_for(lambda: director.service.event_stream.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 2)
         assert {name for name, _, _ in facade.ready_caches()} == {"s-02", "s-03"}
         assert (
             facade.endpoint_updates["s-01"].state == EndpointState.DRAINING
@@ -966,7 +985,7 @@
         # Though the stream's thread waits: a grace may run from now on.
         assert director.service.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
         up.set()
-        assert wait_for(lambda: director.service.event_stream.last == 3)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 3)
     assert new.asked == [2]
     new.close()
 
@@ -975,19 +994,19 @@
     with Running(bus=StandBus()) as director:
         stream = director.service.event_stream
         stream.read_configured_address = lambda: 1 / 0
-        stream.pace.astray = lambda now: True
+        stream.reconnect_backoff.astray = lambda now: True
         director.bus.scripts += [
             [OK, event(2, BAN), None]
         ] * 9  # a connection that the move ends takes one
         stream.reconnect_to(stream.address)
-        assert wait_for(lambda: stream.last == 2 and "fault" in director.sink.events)
+        assert wait_for(lambda: stream.last_event_number == 2 and "fault" in director.sink.events)
 
 
 def test_a_program_that_starts_hears_what_it_missed_before_it_is_well(monkeypatch):
     # Guards against first requests by a list that is out of date: a drain that was told while the
     # program started has used up its grace. The stream's word is held back until the front listens
     # and is asked.
-    monkeypatch.setattr(event_stream, "MISSED", 0.5)
+    monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.5)
     drain = event(2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}})
     stand, late = StandBus([OK, drain, None]), threading.Event()
     talk = stand.talk
@@ -1010,16 +1029,16 @@
     monkeypatch.setattr(ClientListener, "start", begin)
     with director:
         assert asked == [False]
-        assert director.service.listener.well
+        assert director.service.listener.is_healthy
         assert director.service.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("script", ["refused", "closed", "silent"])
 def test_a_program_that_starts_is_well_though_the_stream_says_nothing(script, monkeypatch):
-    monkeypatch.setattr(event_stream, "FIRST_WORD", 0.2)
-    monkeypatch.setattr(event_stream, "MISSED", 60.0)
+    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 60.0)
     stand = StandBus(*{"silent": [[None]] * 9, "closed": [[]] * 9}.get(script, []))
     if script == "refused":
         stand.close()
     with Running(bus=stand) as director:
-        assert director.service.listener.well
+        assert director.service.listener.is_healthy
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -252,7 +252,7 @@
                 self.seen.append(arguments[1])
 
 
-NAMES = list(resp.NOTES)
+NAMES = list(resp.CACHE_STATUS_BY_WORD)
 
 
 @pytest.mark.parametrize(
@@ -277,8 +277,10 @@
     attempt = stage.facade.next_step(request).attempt
     ours = stage.facade.router = Calls(stage.facade.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
-    told = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
-    stage.facade.report_outcome(attempt, told.outcome, told.note, told.waited, told.load, told)
+    told = resp.parse_answer([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
+    stage.facade.report_outcome(
+        attempt, told.outcome, told.cache_status, told.delay, told.load_report, told
+    )
 
     theirs = Instance(1)
     theirs.take(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -179,7 +179,7 @@
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
     client, number, left, shut, owed = ClientConnection(ours), 0, False, False, []
-    client.called = called
+    client.has_called = called
     for move in [*moves, "is read"]:
         if move == "calls" and not left:
             number += 1
@@ -188,16 +188,16 @@
             except OSError:  # it was ended both ways: the client sends it again elsewhere
                 assert shut
         elif move == "answered" and owed:
-            client.answer(owed.pop(0), [b"A"])
+            client.send_answer(owed.pop(0), [b"A"])
         elif move == "cancels" and owed:
-            client.open.pop(owed.pop(0))
+            client.open_requests.pop(owed.pop(0))
         elif move == "is idle":
             unread = not left and not shut and peek(ours)
-            if client.end_idle():
+            if client.close_if_idle():
                 assert not owed and not unread, "a call is lost with its connection"
-                shut = shut or not client.called
+                shut = shut or not client.has_called
         elif move == "is shut":
-            client.end()
+            client.shut_down()
             shut, owed = True, []
         elif move == "leaves" and not left:
             left = bool(theirs.close() or True)
@@ -208,11 +208,13 @@
                 calls = b""
             for call in calls:  # as Front takes one
                 with client.lock:
-                    if not client.outlet.ended:
-                        assert not client.half_closed, "begun after its connection was half-closed"
-                        client.open[call] = call
+                    if not client.write_queue.is_shut_down:
+                        assert not client.half_closed_at, (
+                            "begun after its connection was half-closed"
+                        )
+                        client.open_requests[call] = call
                         owed.append(call)
-    assert list(client.open) == owed or shut
+    assert list(client.open_requests) == owed or shut
     if not left:
         theirs.close()
     ours.close()
@@ -223,7 +225,7 @@
         play_connection(called, moves)
 
 
-@pytest.mark.parametrize("name", ["_unread", "owed"])
+@pytest.mark.parametrize("name", ["_has_unread_bytes", "owes_answer"])
 def test_a_planted_loss_is_found(name, monkeypatch):
     monkeypatch.setattr(ClientConnection, name, lambda client: False)
     with pytest.raises(AssertionError, match="lost"):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -41,7 +41,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 @pytest.mark.parametrize("size", [0, 1, 240_000])
@@ -189,14 +189,14 @@
     ours, theirs = socket.socketpair()
     outlet = WriteQueue(threading.Lock())
     with outlet.lock:
-        outlet.put("a", [b"first", b"second"])
-        outlet.put("b", [b"third"])
-        assert outlet.withdraw("a") and not outlet.withdraw("a") and outlet.unbegun("b")
-    assert outlet.open(ours) and theirs.recv(100) == b"third" and outlet.queued == 0
+        outlet.write("a", [b"first", b"second"])
+        outlet.write("b", [b"third"])
+        assert outlet.withdraw("a") and not outlet.withdraw("a") and outlet.is_unwritten("b")
+    assert outlet.attach(ours) and theirs.recv(100) == b"third" and outlet.pending_bytes == 0
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     with outlet.lock:
-        outlet.put("c", [b"x" * 1_000_000])
-        outlet.put("d", [b"last"])
+        outlet.write("c", [b"x" * 1_000_000])
+        outlet.write("d", [b"last"])
         assert outlet.withdraw("d") and not outlet.withdraw("c")
     left = 1_000_000
     while left:
@@ -218,10 +218,10 @@
         ours, theirs = socket.socketpair()
         with caches.lock:
             link = UpstreamConnection(place, 0.0, caches.lock)
-            link.outlet.connection = ours
-            caches.links[place] = [link]
-            link.outlet.put(None, [bytes(4_000_000)])
-        caches._put(place, "9b", attempt, [b"never"])
+            link.write_queue.connection = ours
+            caches.connections[place] = [link]
+            link.write_queue.write(None, [bytes(4_000_000)])
+        caches._send(place, "9b", attempt, [b"never"])
         assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.CONNECT_FAILED)]
         theirs.close()
         ours.close()
@@ -241,13 +241,13 @@
         caches._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
         link = UpstreamConnection(place, 0.0, caches.lock)
-        link.outlet.connection = ours
-        link.open = {"9b": attempts[0], "9c": attempts[1]}
+        link.write_queue.connection = ours
+        link.in_flight = {"9b": attempts[0], "9c": attempts[1]}
         with caches.lock:
-            link.outlet.put("9b", [bytes(4_000_000)])
-            link.outlet.put("9c", [b"never"])
+            link.write_queue.write("9b", [bytes(4_000_000)])
+            link.write_queue.write("9c", [b"never"])
         theirs.close()
-        caches._end(link, ours, Outcome.RESET, "")
+        caches._close(link, ours, Outcome.RESET, "")
         assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.CONNECT_FAILED)]
 
 
@@ -385,7 +385,7 @@
 
 def test_bounds_give_a_plain_outcome(monkeypatch):
     with Running(None) as director:
-        director.service.listener.requests_most, director.service.listener.clients_most = 2, 2
+        director.service.listener.max_requests, director.service.listener.max_clients = 2, 2
         caller, idle = director.caller(), director.caller()
         for _ in range(3):
             caller.send(patience="500")
@@ -402,7 +402,7 @@
 
 def test_orders_find_a_place_where_pages_have_taken_all_that_are_theirs():
     with Running(None) as director:
-        director.service.listener.requests_most = 8
+        director.service.listener.max_requests = 8
         pages, orders = director.caller(), director.caller()
         for _ in range(20):
             pages.send(patience="3000")
@@ -420,7 +420,7 @@
     monkeypatch.setattr(client_connection, "FIRST_CALL", 0.5)
     with Running() as director:
         table, most = director.service.listener, 0
-        table.clients_most = 8
+        table.max_clients = 8
         held, good = [], director.caller()
         for number in range(60):
             held.append(director.caller())
@@ -453,9 +453,9 @@
 )
 def test_who_overstays(called, halfway, owes, after, late):
     held = client_connection.ClientConnection(None)
-    held.called, held.halfway, held.used = called, halfway, 1000.0
-    held.open = {1: None} if owes else {}
-    assert held.overstays(1000.0 + after) == late
+    held.has_called, held.partial_call_since, held.last_used_at = called, halfway, 1000.0
+    held.open_requests = {1: None} if owes else {}
+    assert held.is_overdue(1000.0 + after) == late
 
 
 @pytest.mark.parametrize("case", ["number", "many", "id", "repeats"])
@@ -513,12 +513,12 @@
     # Guards against a director at its bound of links whose links are all held for what may come,
     # elsewhere.
     with Running(HIT) as director:
-        director.service.upstream.links_most = 3
+        director.service.upstream.max_connections = 3
         caller = director.caller()
         for number in range(40):
             caller.send(entity=f"{number:016x}")
             caller.answer()
-        assert director.service.upstream.count >= 2  # to caches
+        assert director.service.upstream.connection_count >= 2  # to caches
         for _ in range(4):
             caller.send("order")
             if caller.answer()[1] == 0:
@@ -551,22 +551,22 @@
         reported = []
         caches._report = lambda attempt, *rest: reported.append(attempt)
         for attempt in attempts[:2]:
-            caches._put(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        links = [caches.of_attempt[attempt][0] for attempt in attempts[:2]]
+            caches._send(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        links = [caches.connection_by_attempt[attempt][0] for attempt in attempts[:2]]
         first = links[0]
         assert len(set(links)) == 2
-        assert wait_for(lambda: not any(link.outlet.unbegun("9b") for link in links))
+        assert wait_for(lambda: not any(link.write_queue.is_unwritten("9b") for link in links))
         caches.cancel(attempts[0])
-        caches._put(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        assert caches.of_attempt[attempts[2]][0] is not first
+        caches._send(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        assert caches.connection_by_attempt[attempts[2]][0] is not first
 
 
 def test_idle_links_are_closed_from_our_side():
     with Running(allowed={"connIdle": 100.0}) as director:
         caller = director.caller()
         caller.send()
-        assert caller.answer()[:2] == (1, 0) and director.service.upstream.count == 1
-        assert wait_for(lambda: director.service.upstream.count == 0)
+        assert caller.answer()[:2] == (1, 0) and director.service.upstream.connection_count == 1
+        assert wait_for(lambda: director.service.upstream.connection_count == 0)
         caller.send()
         assert caller.answer()[:2] == (2, 0) and "link down" not in director.sink.events
 
@@ -666,7 +666,7 @@
     ],
 )
 def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
-    monkeypatch.setattr(event_stream, "SILENCE", 0.3)
+    monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 0.3)
     stand, seen, play = StandBus(*scripts), [], RequestCoordinator._play
     monkeypatch.setattr(
         RequestCoordinator,
@@ -678,7 +678,7 @@
             lambda: len(stand.asked) > len(asked)
         )  # asked again after the script's silence
         assert stand.asked[: len(asked)] == asked
-        assert stand.asked[len(asked)] == director.service.event_stream.last
+        assert stand.asked[len(asked)] == director.service.event_stream.last_event_number
         seen_events = sum(method in ("listed", "purged") for method in seen)
         assert seen_events == 1 + applied and director.sink.events.count("bad event") == logged
 
@@ -686,7 +686,7 @@
 def test_a_purge_bounds_the_age_of_copies():
     ban = {"ban": {"tag": 17, "ts": time.time() * 1000 - 500}}
     with Running(bus=StandBus([OK, event(2, ban), None])) as director:
-        assert wait_for(lambda: director.service.event_stream.last == 2)
+        assert wait_for(lambda: director.service.event_stream.last_event_number == 2)
         caller = director.caller()
         caller.send()
         caller.send(batch="18", entity="00000000000000cd")
@@ -699,7 +699,7 @@
 
 
 def test_a_drain_answers_what_is_open(monkeypatch):
-    monkeypatch.setattr(director_module, "LAST_ANSWERS", 3.4)  # of 3.7 s
+    monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)  # of 3.7 s
     with Running(None) as director:
         caller = director.caller()
         caller.send()
@@ -710,11 +710,11 @@
         assert wait_for(lambda: director.service.phase == director_module.Phase.DRAINING)
         late = director.caller()
         late.socket.sendall(WELL)
-        assert late.answer()[:2] == (1, 0) and not director.service.listener.well
+        assert late.answer()[:2] == (1, 0) and not director.service.listener.is_healthy
         assert sorted(caller.answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
         assert 0.25 < time.monotonic() - begun < 1.5
         assert (
-            director.service.ended.wait(5.0)
+            director.service.stopped.wait(5.0)
             and director.service.phase == director_module.Phase.STOPPED
         )
 
@@ -820,7 +820,7 @@
 
     monkeypatch.setattr(time, "sleep", pass_time)
     sink.reload = lambda start: sink.event("renewed", bus=start.event_stream_address)
-    process.renew(sink, sink, str(file))
+    process.reload_configuration(sink, sink, str(file))
     assert sink.events == [outcome]
 
 
