--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -167,8 +167,8 @@
         director.cell_service._step()
     return Parts(
         director,
-        director.listener,
-        director.listener._handle_call,
+        director.request_handler,
+        director.request_handler.handle_call,
         "upstream",
         director.coordinator.report_outcome,
         director.coordinator.run_due_timers,
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -11,6 +11,7 @@
 from .coordinator import RequestCoordinator
 from .net.client_listener import ClientListener
 from .net.event_stream import EventStream
+from .net.request_handler import RequestHandler
 from .net.upstream_connections import UpstreamConnections
 from .structured_log import StructuredLog
 
@@ -70,8 +71,9 @@
             start.settings.allows_health_checks,
             start.connections_are_priced,
         )
+        self.request_handler = RequestHandler(start, self.coordinator, self.upstream, log)
         self.listener = ClientListener(
-            start, self.coordinator, self.upstream, log, int(CLIENTS_SHARE * start.max_descriptors)
+            start.listen, self.request_handler, log, int(CLIENTS_SHARE * start.max_descriptors)
         )
         self.event_stream = EventStream(start, self.coordinator, log)
         self.cell_service = None
@@ -79,9 +81,9 @@
             from .cells.service import CellService
 
             self.cell_service = CellService(
-                cells, start, self.coordinator, self.clock, log, self.listener.max_requests
+                cells, start, self.coordinator, self.clock, log, self.request_handler.max_requests
             )
-            self.listener.admission_control = self.cell_service
+            self.request_handler.admission_control = self.cell_service
         self.management_config = (
             management if management is not None and management.enabled else None
         )
@@ -120,7 +122,7 @@
             self.membership.start()
         self.listener.start()
         self.event_stream.wait_until_current()
-        self.listener.is_healthy = True
+        self.request_handler.is_healthy = True
         self._enter(Phase.READY)
 
     def reload(self, start: DirectorConfig) -> None:
@@ -143,7 +145,7 @@
         request_classes = self.config.request_classes.values()
         longest = max((case.client_timeout for case in request_classes), default=0.0) / 1000.0
         end = min(LONGEST_WAIT, longest) + SPARE
-        self.listener.is_healthy = False
+        self.request_handler.is_healthy = False
         self._enter(Phase.DRAINING)
         while (since := time.monotonic() - begun) < end - WRITTEN:
             if (
@@ -155,7 +157,7 @@
                     break
             if since >= end - FINAL_ANSWERS_S:
                 for request in self.coordinator.finish_pending_requests():
-                    self.listener.run_request(request)
+                    self.request_handler.run_request(request)
             time.sleep(0.02)
         self.listener.stop()
         self.event_stream.stop()
@@ -179,7 +181,7 @@
             try:
                 due, probes, moved = self.coordinator.run_due_timers()
                 for request in moved:
-                    self.listener.run_request(request)
+                    self.request_handler.run_request(request)
                 for node, place in probes:
                     self.upstream.check_health(node, place)
                 if (now := self.clock()) >= ask:
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -1,10 +1,10 @@
-"""One connection of clients: the calls that have come on it, what is open, and how it ends.
+"""One connection of a client: the calls that have come on it, open requests, and how it ends.
 
-A connection ends in one of two ways. One that owes nothing is half-closed: the other side is told,
-and what it had on the way is read and left unused until it closes too, or for LINGER; closing at
-once over bytes that are not read would reset the connection, and what was written last could go
-with it. One whose client has gone, does not read or breaks the protocol is shut both ways. After
-either, nothing that is read is taken.
+A connection ends in one of two ways. One on which no answer is owed is half-closed (the writing
+side is shut down), and what the client had under way is read and discarded until it closes too, or
+until the lingering close is over: closing at once over unread bytes would reset the connection, and
+what was written last could be lost with it. One whose client has gone, does not read or breaks the
+protocol is shut down both ways. After either, nothing that is read counts as a call.
 """
 
 import select
@@ -18,77 +18,95 @@
 from . import thrift
 from .write_queue import Piece, WriteQueue
 
-WRITE_WAIT = 6.0  # s that a client may take to read on before its connection is ended
-FIRST_CALL = (
-    2.0  # s from connecting to the first whole call: who says nothing is owed an end within 3 s
-)
-REST_OF_CALL = 3.0  # s from the first bytes of a call to its last
-# s without a call: clients who mean to come back close their connections themselves after 4 s
-IDLE = 6.0
-HALF_CALL = 1.0  # s that the end of a drain waits for the rest of a call: some write slowly
-# s from a half-close to the end: what crosses it comes within 50 ms and a way there and back
-LINGER = 0.15
-CALLS_MOST = 64  # that are read ahead
-# s from a look at all that has come in which a first attempt goes out without another look
-AT_ONCE = 0.02
-LOOK_AGAIN = 0.02  # s between two looks at what is still owed to one that is ended for what it sent
-PEEK_MOST = 65_536  # bytes in which a cancellation is looked for that is not read yet
-UNREAD_MOST = (
-    256  # answers that wait to be read: none who reads leaves so many, and small ones cost most
-)
+WRITE_TIMEOUT_S = 6.0  # in which a client must read on before its connection is ended
+# From connecting to the first complete call: the platform ends silent connections after 3 s.
+FIRST_CALL_TIMEOUT_S = 2.0
+REST_OF_CALL_TIMEOUT_S = 3.0  # from the first bytes of a call to its last
+# Without a call: clients that mean to come back close their connections themselves after 4 s.
+IDLE_TIMEOUT_S = 6.0
+DRAIN_PARTIAL_CALL_S = 1.0  # for which a drain waits for the rest of a call: some write slowly
+# From a half-close to the end: what crosses it comes within 50 ms and a round trip.
+LINGER_S = 0.15
+MAX_PENDING_CALLS = 64  # that are read ahead
+# After a read of all that had come, a first attempt needs no further look for so long.
+RECENT_READ_S = 0.02
+POLL_INTERVAL_S = 0.02  # between two looks while bytes are discarded
+MAX_PEEK_BYTES = 65_536  # in which a cancellation is looked for that is not read yet
+# Answers that wait to be read: no client that reads leaves so many, and small ones cost most.
+MAX_UNREAD_ANSWERS = 256
 
 
 class ClientConnection:
+    """One connection of a client, read by a thread of its own, written to by any.
+
+    Attributes:
+        connection: The socket.
+        address: The client's IP address.
+        admission_entry: What admission control gave for the connection, and gets back at its end.
+        lock: Guards `open_requests`, `write_queue`, and the reading of calls.
+        write_queue: Answers that wait to be written.
+        open_requests: By sequence number; None until the coordinator has accepted the request.
+        decoder: Bytes that have come and are not decoded yet.
+        pending_calls: Calls that are read and not handled; the first may be in the making.
+        has_called: A complete call has come.
+        has_requested: One of the calls was a request.
+        bad_call_count: Unusable calls since the last usable one.
+        framing_error: Why what has come cannot be read any further; empty: it can.
+        last_used_at: When it connected, or the last complete call or answer; monotonic seconds.
+        last_read_at: When all that had come was last read; monotonic seconds.
+        partial_call_since: When a call began whose rest is to come; 0: there is none.
+        half_closed_at: When it was half-closed; 0: it was not.
+    """
+
     def __init__(
-        self, connection: socket.socket | None, address: str = "", entry: str = ""
+        self, connection: socket.socket, address: str = "", admission_entry: str = ""
     ) -> None:
-        """`entry`: what the gate gave for it and gets back."""
-        self.connection, self.address, self.admission_entry = connection, address, entry
-        self.lock = threading.Lock()  # guards `open`, the outlet, and the reading of calls
-        self.write_queue = WriteQueue(self.lock, WRITE_WAIT)
+        self.connection = connection
+        self.address = address
+        self.admission_entry = admission_entry
+        self.lock = threading.Lock()
+        self.write_queue: WriteQueue[None] = WriteQueue(self.lock, WRITE_TIMEOUT_S)
         self.write_queue.connection = connection
-        self.open_requests: dict[int, Request | None] = {}  # None: not yet the module's
+        self.open_requests: dict[int, Request | None] = {}
         self.decoder = thrift.FrameDecoder()
-        self.pending_calls: deque[thrift.MethodCall] = (
-            deque()
-        )  # read and not begun; the first may be in the making
-        self.has_called = False  # a whole call has come
-        self.has_requested = False  # and one of them was a request
-        self.bad_call_count = 0  # calls that can't be used since the last that can
-        self.framing_error = ""  # why what has come can't be read any further
-        self.last_used_at = time.monotonic()  # when it connected, or the last whole call or answer
-        self.last_read_at = 0.0  # when all that had come was read last
-        self.partial_call_since = 0.0  # when a call began of which the rest is to come
-        self.half_closed_at = 0.0  # when
+        self.pending_calls: deque[thrift.MethodCall] = deque()
+        self.has_called = False
+        self.has_requested = False
+        self.bad_call_count = 0
+        self.framing_error = ""
+        self.last_used_at = time.monotonic()
+        self.last_read_at = 0.0
+        self.partial_call_since = 0.0
+        self.half_closed_at = 0.0
 
     def is_overdue(self, now: float) -> bool:
-        """Whether nothing is to be expected any more of one to whom nothing is owed."""
+        """Returns whether it owes no answer and the client has let a timeout pass."""
         if not self.has_called:
-            late = now > self.last_used_at + FIRST_CALL
+            is_late = now > self.last_used_at + FIRST_CALL_TIMEOUT_S
+        elif self.partial_call_since:
+            is_late = now > self.partial_call_since + REST_OF_CALL_TIMEOUT_S
         else:
-            late = (
-                now > self.partial_call_since + REST_OF_CALL
-                if self.partial_call_since
-                else now > self.last_used_at + IDLE
-            )
-        return late and not self.owes_answer()
+            is_late = now > self.last_used_at + IDLE_TIMEOUT_S
+        return is_late and not self.owes_answer()
 
     def is_mid_call(self, now: float) -> bool:
-        """Whether it is in the middle of a call of which the rest may come yet."""
-        return self.partial_call_since > 0.0 and now < self.partial_call_since + HALF_CALL
+        """Returns whether a part of a call has come whose rest is worth waiting for in a drain."""
+        return (
+            self.partial_call_since > 0.0 and now < self.partial_call_since + DRAIN_PARTIAL_CALL_S
+        )
 
-    # Reading; in the connection's own thread
+    # Reading, in the connection's own thread.
 
     def read_calls(self) -> bool:
-        """Reads what has come, and waits only where no call is there to be begun. False where the
-        client has gone, or its connection has been half-closed and read out: what is not begun then
-        never is. So none is begun for a client who left behind it, however many it had sent at
-        once.
+        """Reads what has come into `pending_calls`; waits only where there is no call to handle.
+
+        Returns:
+            False where the client has gone, or its connection was half-closed and read to its end:
+            calls that are not begun then never are. So none is begun for a client that left behind
+            it, however many it had sent at once.
         """
-        while len(self.pending_calls) < CALLS_MOST:
-            if not self.pending_calls and (
-                self.framing_error or not self.connection.recv(1, socket.MSG_PEEK)
-            ):  # waits
+        while len(self.pending_calls) < MAX_PENDING_CALLS:
+            if not self.pending_calls and (self.framing_error or not self._wait_for_bytes()):
                 return False
             with self.lock:
                 try:
@@ -103,14 +121,20 @@
                 if not length:
                     return False
                 if not self.framing_error:
-                    self._take(self.decoder.decode(length))
+                    self._queue_frames(self.decoder.decode(length))
                 elif self.pending_calls:  # one look for its end; whoever floods is not read on
                     return True
-        return not self._closed_behind()
+        return not self._is_closed_by_peer()
+
+    def _wait_for_bytes(self) -> bool:
+        """Blocks until bytes have come; False at the end of the stream."""
+        return bool(self.connection.recv(1, socket.MSG_PEEK))
+
+    def _queue_frames(self, frames: Iterable[memoryview]) -> None:
+        """Queues the calls in frames. Needs the lock, under which they were read.
 
-    def _take(self, frames: Iterable[memoryview]) -> None:
-        """Under the lock under which they were read: whoever would end an idle connection finds a
-        call with the system or here, at every moment.
+        So whoever would end an idle connection finds a call in the system's buffer or in the queue
+        at every moment.
         """
         now = time.monotonic()
         if self.write_queue.is_shut_down:
@@ -118,18 +142,40 @@
             return
         try:
             for frame in frames:
-                self.has_called, self.last_used_at, self.partial_call_since = True, now, 0.0
-                self._queue(thrift.read_call(frame), now)
-        except thrift.ThriftError as wrong:  # what came whole before it has been taken
-            self.framing_error, self.partial_call_since = str(wrong), 0.0
+                self.has_called = True
+                self.last_used_at = now
+                self.partial_call_since = 0.0
+                self._queue_call(thrift.read_call(frame), now)
+        except thrift.ThriftError as error:  # complete calls before it are queued
+            self.framing_error = str(error)
+            self.partial_call_since = 0.0
             return
         self.partial_call_since = (
             (self.partial_call_since or now) if len(self.decoder.buffer) else 0.0
         )
 
+    def _queue_call(self, call: thrift.MethodCall, now: float) -> None:
+        """Queues a call; a cancellation overtakes others and removes the call that it cancels."""
+        call.read_at = now
+        number = thrift.peek_cancelled_number(call) if call.method == "forget" else None
+        if number is None:
+            self.pending_calls.append(call)
+        elif any(
+            pending.method == "serve" and pending.sequence_number == number
+            for pending in self.pending_calls
+        ):
+            self.pending_calls = deque(
+                pending
+                for pending in self.pending_calls
+                if pending.method != "serve" or pending.sequence_number != number
+            )
+        else:
+            self.pending_calls.appendleft(call)
+
     def discard_input(self) -> None:
-        """After bytes that can't be read: what was taken before them is answered, and then the
-        connection is ended. What comes meanwhile is left unused.
+        """Ends the connection after bytes that cannot be read, once all before them is answered.
+
+        What comes meanwhile is discarded.
         """
         while self.owes_answer():
             with self.lock:
@@ -140,144 +186,141 @@
                         return
                 except BlockingIOError:
                     pass
-            time.sleep(LOOK_AGAIN)
+            time.sleep(POLL_INTERVAL_S)
         if self.has_called:
             self.half_close()
-            while self.connection.recv_into(
-                self.decoder.writable_view()
-            ):  # until it closes, or lingers too long
-                time.sleep(LOOK_AGAIN)  # a flood takes no more of the core than that
-
-    def _queue(self, call: thrift.MethodCall, now: float) -> None:
-        """A cancellation goes before calls that wait, and takes the one that it is for along."""
-        call.read_at = now
-        if call.method != "forget" or (number := thrift.peek_cancelled_number(call)) is None:
-            return self.pending_calls.append(call)
-        if not any(
-            held.method == "serve" and held.sequence_number == number for held in self.pending_calls
-        ):
-            return self.pending_calls.appendleft(call)
-        self.pending_calls = deque(
-            held
-            for held in self.pending_calls
-            if held.method != "serve" or held.sequence_number != number
-        )
+            # Until the client closes, or the lingering close is over.
+            while self.connection.recv_into(self.decoder.writable_view()):
+                time.sleep(POLL_INTERVAL_S)  # a flood takes no more of the core than that
 
-    # Answering; by any thread
+    # Answering, by any thread.
 
     def send_reply(self, call: thrift.MethodCall, pieces: list[Piece]) -> None:
-        """The answer to a call other than a request; with it, nothing is owed for that call any
-        more.
-        """
+        """Sends the answer to a call other than a request, which is no longer pending then."""
         with self.lock:
             self.drop_call(call)
             self.write_queue.write(None, pieces)
-            self._bound()
+            self._enforce_unread_limit()
 
     def mark_begun(self, call: thrift.MethodCall) -> None:
+        """Removes a call from the pending ones."""
         with self.lock:
             self.drop_call(call)
 
     def drop_call(self, call: thrift.MethodCall) -> None:
-        """Under the lock. The call does not wait any more: it has its place in the table, or its
-        answer.
-        """
+        """Removes a call that is an open request now, or is answered. Needs the lock."""
         if self.pending_calls and self.pending_calls[0] is call:
             self.pending_calls.popleft()
 
-    def send_answer(self, number: int, pieces: list[Piece]) -> None:
-        """The one answer of a request; nothing where none is owed any more."""
+    def send_answer(self, sequence_number: int, pieces: list[Piece]) -> None:
+        """Sends the one answer of a request; does nothing where none is owed any more."""
         with self.lock:
-            if self.open_requests.pop(number, None) is not None:
-                self.write_queue.write(number, pieces)
+            if self.open_requests.pop(sequence_number, None) is not None:
+                self.write_queue.write(sequence_number, pieces)
                 self.last_used_at = time.monotonic()
-                self._bound()
+                self._enforce_unread_limit()
 
-    def _bound(self) -> None:
-        """Under the lock. Guards against a memory full of small answers that nobody reads."""
-        if len(self.write_queue.pending) > UNREAD_MOST:
+    def _enforce_unread_limit(self) -> None:
+        """Needs the lock. Without it, small answers that nobody reads would fill the memory."""
+        if len(self.write_queue.pending) > MAX_UNREAD_ANSWERS:
             self.write_queue.shut_down()
 
     def owes_answer(self) -> bool:
-        return (
-            bool(self.open_requests or self.pending_calls or self.write_queue.pending_bytes)
-            and not self.write_queue.is_shut_down
-        )
+        """Returns whether calls are pending or open, or answers not written yet."""
+        has_work = self.open_requests or self.pending_calls or self.write_queue.pending_bytes
+        return bool(has_work) and not self.write_queue.is_shut_down
 
-    # Ending
+    # Ending, by any thread.
 
     def shut_down(self) -> None:
-        """At once, whatever is open."""
+        """Ends the connection at once, whatever is open."""
         with self.lock:
             self.write_queue.shut_down()
 
     def close_if_idle(self, lingers: bool = True) -> bool:
-        """Unless something is owed, or has come and is not read yet: that may be a call. One that
-        has never called has no answer to lose and is shut at once.
+        """Ends the connection unless an answer is owed or bytes are unread: they may be a call.
+
+        Args:
+            lingers: Half-close it first, where it has brought a call. One that has never called
+                has no answer to lose and is shut down at once.
+
+        Returns:
+            Whether it was ended.
         """
         with self.lock:
-            if (
-                idle := not self.owes_answer()
+            is_idle = (
+                not self.owes_answer()
                 and not self.write_queue.is_shut_down
                 and not self._has_unread_bytes()
-            ):
-                self.write_queue.shut_down(
-                    socket.SHUT_WR if self.has_called and lingers else socket.SHUT_RDWR
-                )
+            )
+            if is_idle:
+                how = socket.SHUT_WR if self.has_called and lingers else socket.SHUT_RDWR
+                self.write_queue.shut_down(how)
                 self.half_closed_at = time.monotonic()
-        return idle
+        return is_idle
 
     def half_close(self) -> None:
-        """Whatever else it has sent; what it was answered may still reach it."""
+        """Ends the connection whatever else has come; answers may still reach the client."""
         with self.lock:
             self.write_queue.shut_down(socket.SHUT_WR)
             self.half_closed_at = time.monotonic()
 
-    def has_client_left(self, number: int, first: bool = False) -> bool:
-        """Whether it has closed, or called this one off, though its thread may not have read so
-        far. `first`: a call that is begun just now, behind a look at all that had come, unless
-        something held it up.
+    def finish_lingering(self, now: float) -> bool:
+        """Shuts down a connection whose lingering close is over.
+
+        Returns:
+            Whether the connection has been ended by this side at all.
+        """
+        if self.half_closed_at and now > self.half_closed_at + LINGER_S:
+            self.shut_down()
+        return self.write_queue.is_shut_down
+
+    def has_client_left(self, sequence_number: int, is_first_attempt: bool = False) -> bool:
+        """Returns whether the client has closed the connection or cancelled this request.
+
+        That holds also where the connection's thread has not read so far.
+
+        Args:
+            sequence_number: Of the request.
+            is_first_attempt: The request is begun just now, after a read of all that had come,
+                unless something has delayed it.
         """
         with self.lock:
             if any(
-                call.method == "forget" and thrift.peek_cancelled_number(call) == number
+                call.method == "forget" and thrift.peek_cancelled_number(call) == sequence_number
                 for call in self.pending_calls
             ):
                 return True
-            if first and time.monotonic() < self.last_read_at + AT_ONCE:
+            if is_first_attempt and time.monotonic() < self.last_read_at + RECENT_READ_S:
                 return False
-            if not (come := self._peek()):
-                return come is not None
-            if self._closed_behind():
+            next_byte = self._peek()
+            if not next_byte:
+                return next_byte is not None
+            if self._is_closed_by_peer():
                 return True
-            held = bytes(self.decoder.buffer.unread()) + (self._peek(PEEK_MOST) or b"")
-            return not self.framing_error and number in thrift.cancelled_numbers(held)
+            received = bytes(self.decoder.buffer.unread()) + (self._peek(MAX_PEEK_BYTES) or b"")
+            return not self.framing_error and sequence_number in thrift.cancelled_numbers(received)
 
     def _has_unread_bytes(self) -> bool:
         return bool(self._peek())
 
-    def _peek(self, most: int = 1) -> bytes | None:
-        """What has come and is not read; nothing where that is its end, None where nothing has
-        come.
+    def _peek(self, max_bytes: int = 1) -> bytes | None:
+        """Returns bytes that have come and are not read, without consuming them.
+
+        Empty at the end of the stream; None where nothing has come.
         """
         try:
-            return self.connection.recv(most, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            return self.connection.recv(max_bytes, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return None
-        except OSError:  # reset, or closed here
+        except OSError:  # reset, or closed by this side
             return b""
 
-    def _closed_behind(self) -> bool:
-        """Whether its end waits behind bytes that are not read."""
+    def _is_closed_by_peer(self) -> bool:
+        """Returns whether the end of the stream has come, also behind bytes that are not read."""
         try:
-            look = select.poll()
-            look.register(self.connection, select.POLLRDHUP)
-            return bool(look.poll(0))
-        except (OSError, ValueError):  # closed here
+            poll = select.poll()
+            poll.register(self.connection, select.POLLRDHUP)
+            return bool(poll.poll(0))
+        except (OSError, ValueError):  # closed by this side
             return True
-
-    def finish_lingering(self, now: float) -> bool:
-        """Ends one that was half-closed long ago; whether it has been ended by us at all."""
-        if self.half_closed_at and now > self.half_closed_at + LINGER:
-            self.shut_down()
-        return self.write_queue.is_shut_down
--- /dev/null
+++ b/mulleinrelay/net/request_handler.py
@@ -0,0 +1,277 @@
+"""Handles the calls of clients, and sees each request through to its one answer.
+
+A request is worked on by whichever thread has moved it on: that of its connection, that of an
+upstream connection, or the timers'. See `RequestHandler.run_request`.
+"""
+
+import time
+from collections.abc import Callable
+
+from ..config.platform import DirectorConfig
+from ..coordinator import (
+    CancelAttempt,
+    ClientGone,
+    Failed,
+    Rejected,
+    RequestCoordinator,
+    RequestResult,
+    Served,
+)
+from ..policy.admission import AdmissionThresholds
+from ..policy.model import KEYED, CachePool, ClientRequest, Request, RequestClass, SendAttempt
+from ..structured_log import StructuredLog
+from . import thrift
+from .client_connection import ClientConnection
+from .recent_request_ids import RecentRequestIds
+from .request_context import AdmissionControl, RequestContext
+from .upstream_connections import UpstreamConnections
+
+MAX_OPEN_REQUESTS = 32  # on one connection
+REQUESTS_PER_MB = 8  # open at one time: each takes some KB, and its body 48 KB at the most
+# Of the memory: more answers that clients have not read end the connection that adds to them.
+MAX_UNREAD_FRACTION = 0.2
+
+
+class RequestHandler:
+    """Turns calls into requests of the coordinator, and its steps into attempts and answers.
+
+    Thread-safe.
+
+    Attributes:
+        admission_control: Who rejects connections and requests; None: nobody does.
+        upstream: Where attempts go.
+        is_healthy: What clients are told that ask for it.
+        max_requests: Requests open at one time that the memory allows.
+        count_unread_bytes: Returns the bytes of answers that clients have not read; set by the
+            listener.
+    """
+
+    def __init__(
+        self,
+        config: DirectorConfig,
+        coordinator: RequestCoordinator,
+        upstream: UpstreamConnections,
+        log: StructuredLog,
+    ) -> None:
+        self.config = config
+        self.coordinator = coordinator
+        self.upstream = upstream
+        self.log = log
+        self.admission_control: AdmissionControl | None = None
+        self.recent_request_ids = RecentRequestIds(config.memory_mb)
+        self.max_requests = int(REQUESTS_PER_MB * config.memory_mb)
+        self.admission_thresholds = AdmissionThresholds(config.request_classes.values())
+        self.is_healthy = False
+        self.count_unread_bytes: Callable[[], int] = lambda: 0
+        upstream.run_request = self.run_request
+        upstream.has_client_left = self._has_client_left
+
+    @staticmethod
+    def _has_client_left(context: RequestContext, is_first_attempt: bool) -> bool:
+        return context.client.has_client_left(context.sequence_number, is_first_attempt)
+
+    def handle_call(self, client: ClientConnection, call: thrift.MethodCall) -> None:
+        """Handles one call, in the thread of its connection."""
+        number = call.sequence_number
+        try:
+            if call.method == "serve":
+                self._handle_request(client, call)
+            elif call.method == "forget":
+                self._handle_cancellation(client, call)
+            elif call.method == "isWell":
+                client.send_reply(call, thrift.reply("isWell", number, b"", {}, self.is_healthy))
+            else:
+                reply = thrift.application_exception(
+                    call.method, number, thrift.UNKNOWN_METHOD, "unknown method"
+                )
+                client.send_reply(call, reply)
+        except thrift.ThriftError as error:
+            client.bad_call_count += 1
+            self.log.event("bad call", method=call.method, why=str(error))
+            if call.kind == thrift.CALL:
+                reply = thrift.application_exception(
+                    call.method, number, thrift.PROTOCOL_ERROR, str(error)
+                )
+                client.send_reply(call, reply)
+
+    # Requests.
+
+    def _handle_cancellation(self, client: ClientConnection, call: thrift.MethodCall) -> None:
+        number = thrift.read_cancelled_number(call.arguments)
+        with client.lock:
+            request = client.open_requests.pop(number, None)
+        if request is not None:
+            self.client_left(request)
+
+    def _handle_request(self, client: ClientConnection, call: thrift.MethodCall) -> None:
+        admission_control = self.admission_control
+        tenant_field = admission_control.tenant_field if admission_control is not None else ""
+        request = thrift.read_serve(call.arguments, tenant_field)
+        request_class = self._request_class(request)
+        number = call.sequence_number
+        self._check_sequence_number(client, number)
+        if not self._open(client, call, request):
+            return
+        context = RequestContext(client, number, request)
+        pool = None
+        if admission_control is not None:
+            decision = admission_control.admit_request(request, request_class, client.address)
+            pool = getattr(decision, "pool", None)
+            if pool is None:
+                self._reject(client, number, decision.retry_after_ms, decision.is_never_executed)
+                return
+            context.grant = decision
+        accepted = self._accept(context, request_class, pool, call.read_at)
+        with client.lock:
+            client.open_requests[number] = accepted
+        self.run_request(accepted)
+
+    def _request_class(self, request: ClientRequest) -> RequestClass:
+        request_class = self.config.request_classes.get(request.request_class)
+        if request_class is None:
+            raise thrift.ThriftError("an unknown request class")
+        if request_class.idempotency == KEYED and not request.idempotency_key:
+            raise thrift.ThriftError("no idempotency key")
+        return request_class
+
+    def _open(
+        self, client: ClientConnection, call: thrift.MethodCall, request: ClientRequest
+    ) -> bool:
+        """Makes a call an open request; False where its connection has been ended.
+
+        The client sends it again on a new connection then.
+
+        Raises:
+            ThriftError: If the id of the request was used before.
+        """
+        with client.lock:
+            if client.write_queue.is_shut_down:
+                return False
+            client.open_requests[call.sequence_number] = None
+            client.has_requested = True
+            client.drop_call(call)
+        if not self.recent_request_ids.add(request.request_id):
+            with client.lock:
+                del client.open_requests[call.sequence_number]
+            raise thrift.ThriftError("the id was used before")
+        client.bad_call_count = 0
+        return True
+
+    def _check_sequence_number(self, client: ClientConnection, number: int) -> None:
+        """Raises ThriftError if no request may be opened under that number.
+
+        Only this thread adds to the open requests of the connection.
+        """
+        if number in client.open_requests:
+            with client.lock:
+                first = client.open_requests.pop(number, None)
+            if first is not None:  # one answer under one number: nobody could tell whose it is
+                self.client_left(first)
+            raise thrift.ThriftError(f"the number {number} is open already")
+        if len(client.open_requests) >= MAX_OPEN_REQUESTS:
+            raise thrift.ThriftError(f"more than {MAX_OPEN_REQUESTS} requests are open")
+
+    def _accept(
+        self,
+        context: RequestContext,
+        request_class: RequestClass,
+        pool: CachePool | None,
+        read_at: float,
+    ) -> Request:
+        """Hands a request to the coordinator; one without room there ends at once."""
+        request = context.request
+        fullness = max(
+            self.coordinator.pending_count() / self.max_requests,
+            self.coordinator.cpu_pressure(),
+            self.upstream.fullness(),
+        )
+        has_room = self.admission_thresholds.has_room(request_class, request.is_retry, fullness)
+        queued_ms = 1000.0 * (time.monotonic() - read_at)  # behind calls that came with it
+        return self.coordinator.accept(
+            request_class,
+            int(request.object, 16),
+            int(request.part),
+            request.group,
+            request.size_kb,
+            min(request.remaining_time, request_class.client_timeout) - queued_ms,
+            request.is_retry,
+            context,
+            room=has_room,
+            pool=pool,
+        )
+
+    def _reject(
+        self, client: ClientConnection, number: int, retry_after_ms: float, is_never_executed: bool
+    ) -> None:
+        """Sends the one answer of a request that the coordinator has not seen."""
+        if is_never_executed:
+            pieces = thrift.rejected_reply(number, retry_after_ms)
+        else:
+            pieces = thrift.failed_reply(number)
+        with client.lock:
+            is_owed = number in client.open_requests
+            if is_owed:
+                del client.open_requests[number]
+                client.write_queue.write(number, pieces)
+
+    def client_left(self, request: Request) -> None:
+        """Cancels a request: its client has gone or has cancelled it."""
+        self.coordinator.client_left(request)
+        self.run_request(request)
+
+    def run_request(self, request: Request) -> None:
+        """Does what is to be done for a request, in the thread whose call has moved it on."""
+        context: RequestContext | None = request.context
+        if context is None:
+            return
+        try:
+            while (step := self.coordinator.next_step(request)) is not None:
+                self._perform(step, context)
+                if isinstance(step, RequestResult):
+                    # Timers may keep the request for a while, but not what it brought.
+                    request.context = None
+                    is_owed = not isinstance(step, ClientGone)
+                    self._return_grant(context, request, isinstance(step, Served), is_owed)
+        except Exception as error:
+            # Only this request fails; the thread that works on it goes on with others.
+            self.log.exception("request", error)
+            self.coordinator.discard(request)
+            self._return_grant(context, request, False, True)
+            number = context.sequence_number
+            context.client.send_answer(number, thrift.failed_reply(number))
+
+    def _return_grant(
+        self, context: RequestContext, request: Request, is_served: bool, is_owed: bool
+    ) -> None:
+        if context.grant is not None and self.admission_control is not None:
+            self.admission_control.complete_request(context.grant, request, is_served, is_owed)
+
+    def _perform(
+        self, step: SendAttempt | CancelAttempt | RequestResult, context: RequestContext
+    ) -> None:
+        client = context.client
+        number = context.sequence_number
+        if isinstance(step, SendAttempt):
+            self.upstream.send(step, context.request)
+        elif isinstance(step, CancelAttempt):
+            self.upstream.cancel(step.attempt)
+        elif isinstance(step, Served):
+            answer = step.answer
+            fields = {"ok304": "1"} if answer.is_not_modified else {}
+            body = b"" if answer.is_not_modified else answer.body
+            client.send_answer(number, thrift.reply("serve", number, body, fields, True))
+            if client.write_queue.pending_bytes:
+                self._enforce_unread_limit(client)
+        elif isinstance(step, Rejected):
+            client.send_answer(number, thrift.rejected_reply(number, step.retry_after_ms))
+        elif isinstance(step, Failed):
+            client.send_answer(number, thrift.failed_reply(number))
+
+    def _enforce_unread_limit(self, client: ClientConnection) -> None:
+        """Ends the connection of a client that does not read, where too much waits for such."""
+        unread = self.count_unread_bytes()
+        if unread > MAX_UNREAD_FRACTION * self.config.memory_mb * 1e6:
+            self.log.event(
+                "client does not read", bytes=client.write_queue.pending_bytes, all=unread
+            )
+            client.shut_down()
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -372,12 +372,8 @@
 ) -> Pieces:
     """Encodes a reply with one of the exceptions that a method declares, by its field number."""
     exception = _encode_field_head(MAP, 1) + _encode_string_map(fields) + STOP
-    return _encode_frame(
-        _encode_head(REPLY, method, sequence_number)
-        + _encode_field_head(STRUCT, field_number)
-        + exception
-        + STOP
-    )
+    head = _encode_head(REPLY, method, sequence_number)
+    return _encode_frame(head + _encode_field_head(STRUCT, field_number) + exception + STOP)
 
 
 def rejected_reply(sequence_number: int, retry_after_ms: float) -> Pieces:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,6 +43,7 @@
 from mulleinrelay.net import write_queue as outlet_module
 from mulleinrelay.net.client_connection import ClientConnection
 from mulleinrelay.net.client_listener import ClientListener
+from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
 from mulleinrelay.net.upstream_connections import UpstreamConnection, UpstreamConnections
 from mulleinrelay.net.write_queue import WriteQueue
@@ -190,7 +191,7 @@
     monkeypatch.setattr(outlet_module, "POLL_INTERVAL_MS", 20)
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    outlet = WriteQueue(threading.Lock(), write_wait=0.3)
+    outlet = WriteQueue(threading.Lock(), write_timeout_s=0.3)
     assert outlet.attach(ours)
     with outlet.lock:
         outlet.write(1, [bytes(2_000_000)])
@@ -487,7 +488,7 @@
                 caller.socket.sendall(forget(1))
             else:
                 caller.close()
-            time.sleep(2.0 * client_module.AT_ONCE)
+            time.sleep(2.0 * client_module.RECENT_READ_S)
         assert wait_for(lambda: not director.service.coordinator.pending_count())
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (2, 0)
@@ -498,8 +499,8 @@
     left = threading.Event()
     go = held_back(
         monkeypatch,
-        ClientListener,
-        "_handle_call",
+        RequestHandler,
+        "handle_call",
         lambda front, client, call: call.method == "forget",
     )
     with Running(lambda fields: left.wait(5.0) and FULL) as director:
@@ -561,7 +562,7 @@
         request = take(facade, *arguments, **named)
         other = threading.Thread(
             target=lambda: [
-                director.service.listener.run_request(still)
+                director.service.request_handler.run_request(still)
                 for still in facade.finish_pending_requests()
             ]
         )
@@ -716,7 +717,7 @@
 def test_a_call_that_has_been_read_and_is_not_yet_begun_counts_as_open(monkeypatch):
     # Guards against the end of a connection, or of the drain, between a call's reading and its
     # begin.
-    go = held_back(monkeypatch, ClientListener, "_handle_call")
+    go = held_back(monkeypatch, RequestHandler, "handle_call")
     with Running() as director:
         caller, table = director.caller(), director.service.listener
         caller.send()
@@ -762,7 +763,7 @@
 
 
 def test_the_time_that_a_call_waits_behind_others_is_the_clients(monkeypatch):
-    go = held_back(monkeypatch, ClientListener, "_handle_call")
+    go = held_back(monkeypatch, RequestHandler, "handle_call")
     with Running(None) as director:
         caller = director.caller()
         caller.send(patience="2000")
@@ -1029,7 +1030,7 @@
     monkeypatch.setattr(ClientListener, "start", begin)
     with director:
         assert asked == [False]
-        assert director.service.listener.is_healthy
+        assert director.service.request_handler.is_healthy
         assert director.service.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
 
 
@@ -1041,4 +1042,4 @@
     if script == "refused":
         stand.close()
     with Running(bus=stand) as director:
-        assert director.service.listener.is_healthy
+        assert director.service.request_handler.is_healthy
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -385,7 +385,7 @@
 
 def test_bounds_give_a_plain_outcome(monkeypatch):
     with Running(None) as director:
-        director.service.listener.max_requests, director.service.listener.max_clients = 2, 2
+        director.service.request_handler.max_requests, director.service.listener.max_clients = 2, 2
         caller, idle = director.caller(), director.caller()
         for _ in range(3):
             caller.send(patience="500")
@@ -402,7 +402,7 @@
 
 def test_orders_find_a_place_where_pages_have_taken_all_that_are_theirs():
     with Running(None) as director:
-        director.service.listener.max_requests = 8
+        director.service.request_handler.max_requests = 8
         pages, orders = director.caller(), director.caller()
         for _ in range(20):
             pages.send(patience="3000")
@@ -417,7 +417,7 @@
 
 def test_a_flood_of_connections_takes_no_place_from_those_who_call(monkeypatch):
     # Guards against a table that one ended connection opens to many, past all descriptors.
-    monkeypatch.setattr(client_connection, "FIRST_CALL", 0.5)
+    monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 0.5)
     with Running() as director:
         table, most = director.service.listener, 0
         table.max_clients = 8
@@ -710,7 +710,7 @@
         assert wait_for(lambda: director.service.phase == director_module.Phase.DRAINING)
         late = director.caller()
         late.socket.sendall(WELL)
-        assert late.answer()[:2] == (1, 0) and not director.service.listener.is_healthy
+        assert late.answer()[:2] == (1, 0) and not director.service.request_handler.is_healthy
         assert sorted(caller.answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
         assert 0.25 < time.monotonic() - begun < 1.5
         assert (
