--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -141,7 +141,7 @@
     with Running((b"DONE", b"why=HIT", bytes(240_000))) as director:
         stalled, other = director.caller(), director.caller()
         front = director.service.listener
-        front.config.memory_mb = 10
+        director.service.request_handler.config.memory_mb = 10
         for _ in range(30):
             stalled.send()
         assert wait_for(lambda: not director.service.coordinator.pending_count())
