--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -18,7 +18,7 @@
 from ..lab.fleet.paths import DOWN, UP, Book, Lane, rule_for
 from ..lab.fleet.plan import ON_NODES, ON_PATHS, Scenario, Strike
 from ..lab.start import settings_at
-from ..net.upstream_connections import PING_TIMEOUT
+from ..net.upstream_connection import PING_TIMEOUT
 from ..policy.connection_reuse import QUIET
 from ..policy.model import Attempt, Outcome
 from ..standins.fleet import BOX, ORIGIN, PARENT
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -1,29 +1,24 @@
-"""Links to caches, parents and the origin: each a connection with a thread that reads it.
+"""The pool of connections to caches, parents and the origin.
 
-Nothing here blocks a thread that others wait on: a sender's bytes go out at once or are left to the
-link, which connects and catches up by itself. Every attempt is reported once: answered, or lost
-with its link.
+Nothing here blocks a thread that others wait for: what is sent goes out at once or is left to the
+connection's own thread, which connects and catches up by itself. Every attempt is reported to the
+coordinator once: answered, not sent, or lost with its connection.
 """
 
 import errno
-import fcntl
 import itertools
-import math
 import socket
-import termios
 import threading
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from collections.abc import Callable, Hashable
+from typing import TYPE_CHECKING, Any, cast
 
 from ..config.platform import LOAD_REPORT_FIELDS
 from ..coordinator import RequestCoordinator
-from ..policy import connection_reuse as held_links
-from ..policy.connection_reuse import PingBackoff, hold_for
+from ..policy import connection_reuse
 from ..policy.model import (
     Attempt,
+    CacheStatus,
     ClientRequest,
-    Endpoint,
     EndpointAddress,
     Outcome,
     Request,
@@ -31,452 +26,450 @@
 )
 from ..structured_log import StructuredLog
 from . import resp
-from .write_queue import WriteQueue
+from .upstream_connection import HEALTH_CHECK_PREFIX, HealthCheck, InFlight, UpstreamConnection
+from .write_queue import Piece
 
-OVER_FOR = 10_000.0  # ms for which an answer to an attempt that was given up may still come
-PING_TIMEOUT = 100.0  # ms from asking a link for an echo to its end
-PROBE_WAIT = 1000.0  # ms after which a probe without an answer is forgotten
-
-
-@dataclass(slots=True, eq=False)
-class HealthCheck:
-    endpoint: Endpoint
-    sent_at: float
-
-
-class UpstreamConnection:
-    """One connection to a node. All fields are guarded by the lock of Caches."""
-
-    def __init__(self, place: EndpointAddress, now: float, lock: threading.Lock) -> None:
-        self.address, self.last_used_at, self.last_received_at = place, now, now
-        self.write_queue = WriteQueue(lock)
-        self.in_flight: dict[str, Attempt | HealthCheck] = {}
-        self.abandoned: dict[
-            str, float
-        ] = {}  # ended here alone; a late or second answer may still come
-        self.pinged_at = 0.0  # when it was asked whether it still brings answers
-        self.ping_backoff, self.idle_timeout = PingBackoff(), 0.0
-        self.suspect_since = (
-            0.0  # when an attempt was given up with nothing heard since it was sent
-        )
-
-    def can_take(self, about: str, most: int) -> bool:
-        return (
-            not self.write_queue.is_shut_down
-            and len(self.in_flight) < most
-            and about not in self.in_flight
-            and about not in self.abandoned
-            and not self.suspect_since
-            and not self.pinged_at
-        )
-
-    def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that are not read yet: this director may be the one
-        that is late.
-        """
-        here = bytearray(4)
-        fcntl.ioctl(self.write_queue.connection, termios.FIONREAD, here)
-        return any(here)
-
-    def is_closed_by_peer(self) -> bool:
-        """Whether the node has closed it, though its thread may not have read so far."""
-        try:
-            return self.write_queue.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
-        except (OSError, AttributeError):  # nothing, or not up yet
-            return False
-
-    def quiet_since(self) -> float:
-        """Since when attempts have been out with nothing heard."""
-        first = next(
-            (
-                attempt.sent_at
-                for attempt in self.in_flight.values()
-                if isinstance(attempt, Attempt)
-            ),
-            None,
-        )
-        return (
-            math.inf
-            if first is None or self.write_queue.connection is None
-            else max(first, self.last_received_at)
-        )
+if TYPE_CHECKING:
+    from ..policy.router import TrackedEndpoint
 
 
 class UpstreamConnections:
-    """All links of one director."""
+    """All upstream connections of one director; times are ms of its clock. Thread-safe.
+
+    Attributes:
+        run_request: Does what follows for a request that has moved on; set by the request handler.
+        has_client_left: Whether the client of a request's context has left, for its first attempt
+            or a later one; set by the request handler. Called under the lock.
+        lock: Guards all fields below, and all connections.
+        connections: By the endpoint's address.
+        connection_by_attempt: Of attempts in flight, with the id on the wire.
+        failed_addresses: Addresses whose last connection failed, with the attempts lost since.
+        connection_count: Connections in all.
+        max_connections: So many at the most.
+        is_stopped: No connection is opened any more.
+    """
 
     def __init__(
         self,
-        facade: RequestCoordinator,
+        coordinator: RequestCoordinator,
         clock: Callable[[], float],
         log: StructuredLog,
         connect_timeout: float,
-        idle_for: float,
-        attempts_a_connection: int,
-        links_most: int,
-        may_probe: bool,
-        links_priced: bool,
+        idle_timeout: float,
+        max_attempts_per_connection: int,
+        max_connections: int,
+        allows_pings: bool,
+        connections_are_priced: bool,
     ) -> None:
-        """`links_priced`: a new connection costs more than an open one."""
-        self.may_probe = may_probe
-        self.coordinator, self.clock, self.log = facade, clock, log
-        self.run_request: Callable[[Request], None] = lambda request: (
-            None
-        )  # set by the front, as the next is
-        # Whether the client of a ticket has gone; for its first attempt, or a further one.
-        self.has_client_left: Callable[[Any, bool], bool] = lambda ticket, first: False
-        self.connect_timeout, terms = connect_timeout, facade.settings
-        self.far = (terms.parent_kind, terms.origin_kind)
-        self.held_for = {
-            far: hold_for(idle_for, sharers, far, links_priced)
-            for far, sharers in ((False, terms.local_director_count), (True, terms.director_count))
+        """Creates an empty pool.
+
+        Args:
+            coordinator: Knows which attempts may be sent, and is told how they went.
+            clock: Unix milliseconds.
+            log: For operators.
+            connect_timeout: For a connection to come up, and for the first byte of an attempt.
+            idle_timeout: After which endpoints close an idle connection.
+            max_attempts_per_connection: In flight at one time.
+            max_connections: In all.
+            allows_pings: Quiet connections may be pinged.
+            connections_are_priced: A new connection costs more than an open one.
+        """
+        self.coordinator = coordinator
+        self.clock = clock
+        self.log = log
+        self.allows_pings = allows_pings
+        self.run_request: Callable[[Request], None] = lambda request: None
+        self.has_client_left: Callable[[Any, bool], bool] = lambda context, is_first: False
+        self.connect_timeout = connect_timeout
+        settings = coordinator.settings
+        self.shared_kinds = (settings.parent_kind, settings.origin_kind)
+        self.idle_timeouts = {
+            is_shared: connection_reuse.hold_for(
+                idle_timeout, director_count, is_shared, connections_are_priced
+            )
+            for is_shared, director_count in (
+                (False, settings.local_director_count),
+                (True, settings.director_count),
+            )
         }
-        self.attempts_a_connection, self.max_connections = attempts_a_connection, links_most
+        self.max_attempts_per_connection = max_attempts_per_connection
+        self.max_connections = max_connections
         self.lock = threading.Lock()
         self.connections: dict[EndpointAddress, list[UpstreamConnection]] = {}
-        self.down: dict[
-            EndpointAddress, int
-        ] = {}  # places whose last link failed, with attempts lost since the first
+        self.failed_addresses: dict[EndpointAddress, int] = {}
         self.connection_by_attempt: dict[Attempt, tuple[UpstreamConnection, str]] = {}
-        self.connection_count, self.stopped = 0, False
-        self.tags = itertools.count(1)
+        self.connection_count = 0
+        self.is_stopped = False
+        self.health_check_numbers = itertools.count(1)
 
-    # For those who see a request through
+    # For the request handler and the timers.
 
-    def send(self, order: SendAttempt, asked: ClientRequest) -> None:
-        attempt, order.attempt.entity_tag = order.attempt, asked.entity_tag
-        left = attempt.request.deadline - self.clock()
-        self._send(
-            order.address, asked.request_id, attempt, resp.attempt_command(asked, order, left)
-        )
+    def send(self, step: SendAttempt, request: ClientRequest) -> None:
+        """Sends an attempt."""
+        attempt = step.attempt
+        attempt.entity_tag = request.entity_tag
+        remaining_time = attempt.request.deadline - self.clock()
+        pieces = resp.attempt_command(request, step, remaining_time)
+        self._send(step.address, request.request_id, attempt, pieces)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Gives an attempt up; the endpoint is told where the settings allow it."""
         with self.lock:
-            link, about = self.connection_by_attempt.pop(attempt, (None, ""))
-            if link is None or link.in_flight.pop(about, None) is None:
+            connection, wire_id = self.connection_by_attempt.pop(attempt, (None, ""))
+            if connection is None or connection.in_flight.pop(wire_id, None) is None:
                 return
             now = self.clock()
-            if (
-                link.last_received_at < attempt.sent_at
-                and now > attempt.sent_at + self.connect_timeout
-            ):  # sooner: no word
-                link.suspect_since = link.suspect_since or now
-            if not link.write_queue.withdraw(about):
-                link.abandoned[about] = now
+            # Sooner, its silence would tell nothing of the connection.
+            is_overdue = now > attempt.sent_at + self.connect_timeout
+            if connection.last_received_at < attempt.sent_at and is_overdue:
+                connection.suspect(now)
+            if not connection.write_queue.withdraw(wire_id):
+                connection.abandoned[wire_id] = now
                 if self.coordinator.settings.allows_cancel:
-                    self._kill(link, about)
+                    self._write_cancel(connection, wire_id)
+
+    def _write_cancel(self, connection: UpstreamConnection, wire_id: str) -> None:
+        """Needs the lock.
 
-    def _kill(self, link: UpstreamConnection, about: str) -> None:
-        """Under the lock. Where a request may have one attempt out at a time, the next one must not
-        overtake a word that waits behind others to be written: the end of the connection says it at
-        once.
+        Where only one attempt of a request may be in flight, the next one must not overtake a
+        cancellation that waits to be written: the end of the connection says the same at once.
         """
-        link.write_queue.write(None, [resp.cancel_command(about)])
-        if link.write_queue.pending and not self.coordinator.settings.allows_hedging:
-            link.write_queue.shut_down()
+        connection.write_queue.write(None, [resp.cancel_command(wire_id)])
+        if connection.write_queue.pending and not self.coordinator.settings.allows_hedging:
+            connection.write_queue.shut_down()
 
     def check_health(
-        self, node: Endpoint, place: EndpointAddress, with_report: bool = True
+        self, endpoint: "TrackedEndpoint", address: EndpointAddress, with_report: bool = True
     ) -> None:
-        tag = f"probe-{next(self.tags)}"
-        self._send(
-            place,
-            tag,
-            HealthCheck(node, self.clock()),
-            [resp.health_check_command(tag, with_report)],
-        )
+        """Sends a health check, which brings a load report or is a mere ping."""
+        tag = self._next_tag()
+        pieces: list[Piece] = [resp.health_check_command(tag, with_report)]
+        self._send(address, tag, HealthCheck(endpoint, self.clock()), pieces)
+
+    def _next_tag(self) -> str:
+        return f"{HEALTH_CHECK_PREFIX}{next(self.health_check_numbers)}"
 
     def ping_quiet_connections(self) -> None:
-        """Asks links that have been quiet with attempts out for an echo, and ends those that bring
-        none: all that is open there is told at once. Guards against connections that stay open and
-        are of no more use, after an answer that was spoilt, cut, endless or never came; harms where
-        an echo takes over ECHO_WAIT.
+        """Pings connections that are quiet with attempts in flight; ends those that do not answer.
+
+        All attempts that are in flight there are reported at once then. This finds connections that
+        stay open and are of no more use, after an answer that was spoilt, cut, endless or never
+        came. An endpoint that takes longer than PING_TIMEOUT to answer a ping loses a connection.
         """
         now = self.clock()
         with self.lock:
             living = [
-                link
-                for links in self.connections.values()
-                for link in links
-                if not link.write_queue.is_shut_down
+                connection
+                for connections in self.connections.values()
+                for connection in connections
+                if not connection.write_queue.is_shut_down
             ]
-            for link in living if self.may_probe else ():
-                if link.pinged_at and now > link.pinged_at + PING_TIMEOUT * (
-                    2.0 if link.has_unread_bytes() else 1.0
-                ):
-                    link.write_queue.shut_down()
-                    continue
-                quiet = now > link.quiet_since() + link.ping_backoff.wait(len(link.in_flight))
-                if quiet and not link.pinged_at and self._may_ask(link):
-                    link.pinged_at = now
-                    link.write_queue.write(
-                        None,
-                        [resp.health_check_command(f"probe-{next(self.tags)}", with_report=False)],
-                    )
+            for connection in living if self.allows_pings else ():
+                if connection.is_ping_overdue(now):
+                    connection.write_queue.shut_down()
+                elif connection.needs_ping(now) and self._may_ping(connection):
+                    connection.pinged_at = now
+                    ping = resp.health_check_command(self._next_tag(), with_report=False)
+                    connection.write_queue.write(None, [ping])
 
     def close_idle(self) -> None:
-        """Closes what has long been idle, is gone or silent, forgets probes that nobody answered,
-        and takes back attempts of which nothing could be written for as long as connecting may
-        take: they never ran, and sent later they might come after a drain or a purge.
+        """Closes connections that are idle, silent or whose endpoint is gone.
+
+        Forgets health checks without an answer, and withdraws attempts of which nothing could be
+        written for as long as connecting may take: they were never executed, and sent later they
+        might come after a drain or a purge.
         """
-        now, stuck = self.clock(), []
+        now = self.clock()
+        stuck: list[Attempt] = []
         with self.lock:
-            self.down = {place: lost for place, lost in self.down.items() if not place.is_removed}
-            for place, links in list(self.connections.items()):
-                for link in list(links):
-                    link.abandoned = {
-                        about: at for about, at in link.abandoned.items() if now < at + OVER_FOR
-                    }
-                    for tag, held in list(link.in_flight.items()):
-                        if isinstance(held, HealthCheck) and now > held.sent_at + PROBE_WAIT:
-                            del link.in_flight[tag]
-                            link.suspect_since = link.suspect_since or (
-                                now if link.last_received_at < held.sent_at else 0.0
-                            )
-                        elif (
-                            isinstance(held, Attempt)
-                            and now > held.sent_at + self.connect_timeout
-                            and link.write_queue.withdraw(tag)
-                        ):
-                            del link.in_flight[tag]
-                            self.connection_by_attempt.pop(held, None)
-                            link.suspect_since = link.suspect_since or now
-                            stuck.append(held)
-                    if not link.in_flight and (
-                        place.is_removed
-                        or link.suspect_since
-                        or now > link.last_used_at + link.idle_timeout
-                    ):
-                        link.write_queue.shut_down()
+            self.failed_addresses = {
+                address: lost
+                for address, lost in self.failed_addresses.items()
+                if not address.is_removed
+            }
+            for connections in list(self.connections.values()):
+                for connection in list(connections):
+                    connection.forget_overdue(now)
+                    stuck += connection.withdraw_stuck_attempts(now, self.connect_timeout)
+                    if connection.can_close(now):
+                        connection.write_queue.shut_down()
+            for attempt in stuck:
+                self.connection_by_attempt.pop(attempt, None)
         for attempt in stuck:
             self._report(attempt, Outcome.CONNECT_FAILED)
 
     def fullness(self) -> float:
-        """Of the links that there may be, the part that attempts are out on."""
+        """Returns the part of `max_connections` with something in flight, where few are left."""
         with self.lock:
-            if (
-                self.connection_count < held_links.IDLE_MOST * self.max_connections
-            ):  # spares the count
-                return 0.0
-            busy = sum(
-                bool(link.in_flight) for links in self.connections.values() for link in links
+            if self.connection_count < connection_reuse.IDLE_MOST * self.max_connections:
+                return 0.0  # without counting
+            busy_count = sum(
+                bool(connection.in_flight)
+                for connections in self.connections.values()
+                for connection in connections
+            )
+            return connection_reuse.fullness(
+                self.connection_count, busy_count, self.max_connections
             )
-            return held_links.fullness(self.connection_count, busy, self.max_connections)
-
-    def _make_room(self) -> None:
-        """Under the lock."""
-        if self.connection_count > held_links.IDLE_MOST * self.max_connections:
-            idle = [
-                (link.last_used_at, link)
-                for links in self.connections.values()
-                for link in links
-                if not link.in_flight
-            ]
-            for link in held_links.to_end(idle, self.connection_count, self.max_connections):
-                link.write_queue.shut_down()
 
     def stop(self) -> None:
+        """Shuts down all connections; none is opened any more."""
         with self.lock:
-            self.stopped = True
-            for links in list(self.connections.values()):
-                for link in list(links):
-                    link.write_queue.shut_down()
+            self.is_stopped = True
+            for connections in list(self.connections.values()):
+                for connection in list(connections):
+                    connection.write_queue.shut_down()
 
-    # Inside
+    # Sending.
 
     def _send(
-        self,
-        place: EndpointAddress,
-        about: str,
-        held: Attempt | HealthCheck,
-        pieces: list[memoryview | bytes],
+        self, address: EndpointAddress, wire_id: str, item: InFlight, pieces: list[Piece]
     ) -> None:
-        now, link = self.clock(), None
+        now = self.clock()
         with self.lock:
-            links = self.connections.setdefault(place, [])
-            if not self._is_stale(held, place):
-                link = self._choose(links, about)
-                if link is None and not self.stopped:
-                    self._make_room()
-                    if self.connection_count < self.max_connections:
-                        link = self._connect(place, links, now)
-            if link is not None:
-                link.in_flight[about], link.last_used_at = held, now
-                link.idle_timeout = self.held_for[held.endpoint.kind in self.far]
-                if isinstance(held, Attempt):
-                    self.connection_by_attempt[held] = (link, about)
-                link.write_queue.write(about, pieces)
-        if link is None and isinstance(held, Attempt):
-            self._report(
-                held, Outcome.NOT_SENT
-            )  # not to be sent, or no connection here: no word about the node
-
-    def _choose(self, links: list[UpstreamConnection], about: str) -> UpstreamConnection | None:
-        """Under the lock. One that nothing is out on may have been closed by the node in this very
-        moment: what is written there is lost, and nobody could say whether it ran.
+            connection = self._connection_for(address, wire_id, item, now)
+            if connection is not None:
+                connection.in_flight[wire_id] = item
+                connection.last_used_at = now
+                is_shared = item.endpoint.kind in self.shared_kinds
+                connection.idle_timeout = self.idle_timeouts[is_shared]
+                if isinstance(item, Attempt):
+                    self.connection_by_attempt[item] = (connection, wire_id)
+                connection.write_queue.write(wire_id, pieces)
+        if connection is None and isinstance(item, Attempt):
+            # It must not be sent, or there is no connection here: says nothing about the endpoint.
+            self._report(item, Outcome.NOT_SENT)
+
+    def _connection_for(
+        self, address: EndpointAddress, wire_id: str, item: InFlight, now: float
+    ) -> UpstreamConnection | None:
+        """Returns a connection, a new one if needed; None if it is not to be sent. Needs the lock."""
+        connections = self.connections.setdefault(address, [])
+        if self._is_stale(item, address):
+            return None
+        connection = self._choose(connections, wire_id)
+        if connection is None and not self.is_stopped:
+            self._make_room()
+            if self.connection_count < self.max_connections:
+                connection = self._open(address, connections, now)
+        return connection
+
+    def _choose(
+        self, connections: list[UpstreamConnection], wire_id: str
+    ) -> UpstreamConnection | None:
+        """Returns the open connection with the least in flight. Needs the lock.
+
+        One without anything in flight may have been closed by the endpoint at this very moment:
+        what is written there is lost, and nobody could say whether it was executed.
         """
-        for link in sorted(
-            (link for link in links if link.can_take(about, self.attempts_a_connection)),
-            key=lambda link: len(link.in_flight),
-        ):
-            if link.in_flight or not link.is_closed_by_peer():
-                return link
-            link.write_queue.shut_down()
+        usable = (
+            connection
+            for connection in connections
+            if connection.can_take(wire_id, self.max_attempts_per_connection)
+        )
+        for connection in sorted(usable, key=lambda connection: len(connection.in_flight)):
+            if connection.in_flight or not connection.is_closed_by_peer():
+                return connection
+            connection.write_queue.shut_down()
         return None
 
-    def _may_ask(self, link: UpstreamConnection) -> bool:
-        """Under the lock. Whether those that something is out at there may be asked for an echo."""
+    def _make_room(self) -> None:
+        """Shuts down idle connections where the pool is nearly full. Needs the lock."""
+        if self.connection_count > connection_reuse.IDLE_MOST * self.max_connections:
+            idle = [
+                (connection.last_used_at, connection)
+                for connections in self.connections.values()
+                for connection in connections
+                if not connection.in_flight
+            ]
+            for connection in connection_reuse.to_end(
+                idle, self.connection_count, self.max_connections
+            ):
+                connection.write_queue.shut_down()
+
+    def _may_ping(self, connection: UpstreamConnection) -> bool:
+        """Returns whether all endpoints with something in flight there may be pinged."""
         return all(
-            self.coordinator.can_health_check(held.endpoint, link.address)
-            for held in link.in_flight.values()
+            self._may_check_health(item, connection.address)
+            for item in connection.in_flight.values()
         )
 
-    def _is_stale(self, held: Attempt | HealthCheck | None, place: EndpointAddress) -> bool:
-        """Under the lock, which is held until the first byte is written: what comes later comes
-        after it.
+    def _may_check_health(self, item: InFlight, address: EndpointAddress) -> bool:
+        return self.coordinator.can_health_check(cast("TrackedEndpoint", item.endpoint), address)
+
+    def _is_stale(self, item: InFlight | None, address: EndpointAddress) -> bool:
+        """Returns whether it must not be sent any more.
+
+        Needs the lock, which is held until the first byte is written: what comes later comes after
+        it.
         """
-        if isinstance(held, HealthCheck):
-            return not self.coordinator.can_health_check(held.endpoint, place)
-        if held is None or not held.addresses:
+        if isinstance(item, HealthCheck):
+            return not self._may_check_health(item, address)
+        if item is None or not item.addresses:
             return False
-        request = held.request
-        if request.context is not None and self.has_client_left(request.context, not held.number):
-            self.coordinator.client_left(
-                request
-            )  # told by the connection's own thread as well, but that may be late
-        return not self.coordinator.can_begin(held)
-
-    def _stale_on(self, link: UpstreamConnection, about: str) -> Attempt | HealthCheck | None:
-        """Under the lock. What waited for its link and must not be sent any more; off the link with
-        it, so that nobody gives up there what never was.
+        request = item.request
+        is_first = not item.number
+        if request.context is not None and self.has_client_left(request.context, is_first):
+            # The thread of its connection says so as well, but that may come late.
+            self.coordinator.client_left(request)
+        return not self.coordinator.can_begin(item)
+
+    def _take_stale(self, connection: UpstreamConnection, wire_id: str) -> InFlight | None:
+        """Removes and returns what has waited and must not be sent any more. Needs the lock.
+
+        It leaves the connection's table, so that nobody cancels there what was never sent.
         """
-        held = link.in_flight.get(about)
-        if not self._is_stale(held, link.address):
+        item = connection.in_flight.get(wire_id)
+        if item is None or not self._is_stale(item, connection.address):
             return None
-        del link.in_flight[about]
-        self.connection_by_attempt.pop(held, None)
-        return held
+        del connection.in_flight[wire_id]
+        if isinstance(item, Attempt):
+            self.connection_by_attempt.pop(item, None)
+        return item
 
-    def _withdrawn(self, held: Attempt | HealthCheck) -> None:
-        if isinstance(held, Attempt):
-            self._report(held, Outcome.NOT_SENT)
+    def _report_withdrawn(self, item: InFlight) -> None:
+        if isinstance(item, Attempt):
+            self._report(item, Outcome.NOT_SENT)
 
-    def _report(self, attempt: Attempt, *how: Any) -> None:
-        """Tells how an attempt went, and does what follows from it."""
-        self.coordinator.report_outcome(attempt, *how)
+    def _report(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        cache_status: CacheStatus = CacheStatus.UNKNOWN,
+        answer: resp.NodeAnswer | None = None,
+    ) -> None:
+        """Reports how an attempt went, and does what follows from it. Without the lock."""
+        delay = answer.delay if answer is not None else 0.0
+        load_report = answer.load_report if answer is not None else None
+        self.coordinator.report_outcome(attempt, outcome, cache_status, delay, load_report, answer)
         self.run_request(attempt.request)
 
-    def _connect(
-        self, place: EndpointAddress, links: list[UpstreamConnection], now: float
+    # Connections, each in its own thread.
+
+    def _open(
+        self, address: EndpointAddress, connections: list[UpstreamConnection], now: float
     ) -> UpstreamConnection | None:
-        """Under the lock. A new link, or None where no thread is to be had for it."""
-        link = UpstreamConnection(place, now, self.lock)
-        link.write_queue.find_stale = lambda about: self._stale_on(link, about)
-        link.write_queue.on_withdrawn = self._withdrawn
+        """Starts a connection; None where no thread is available for it. Needs the lock."""
+        connection = UpstreamConnection(address, now, self.lock)
+
+        def take_stale(owner: Hashable) -> InFlight | None:
+            return self._take_stale(connection, cast(str, owner))
+
+        connection.write_queue.find_stale = take_stale
+        connection.write_queue.on_withdrawn = self._report_withdrawn
         try:
-            threading.Thread(target=self._run, args=(link,), name="link", daemon=True).start()
-        except RuntimeError as broken:
-            self.log.exception("link", broken)
+            threading.Thread(
+                target=self._run, args=(connection,), name="upstream", daemon=True
+            ).start()
+        except RuntimeError as error:
+            self.log.exception("upstream", error)
             return None
-        links.append(link)
+        connections.append(connection)
         self.connection_count += 1
-        return link
+        return connection
 
-    def _run(self, link: UpstreamConnection) -> None:
-        """The thread of a link: connects, then reads until the end."""
-        outcome, why, connection = Outcome.CONNECT_FAILED, "", None
+    def _run(self, connection: UpstreamConnection) -> None:
+        """Connects, then reads until the end."""
+        outcome = Outcome.CONNECT_FAILED
+        reason = ""
+        connected_socket = None
         try:
-            connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # none may be left
-            connection.settimeout(self.connect_timeout / 1000.0)
-            connection.connect(link.address.address)
-            connection.settimeout(None)
-            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connected_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            connected_socket.settimeout(self.connect_timeout / 1000.0)
+            connected_socket.connect(connection.address.address)
+            connected_socket.settimeout(None)
+            connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             outcome = Outcome.RESET
-            with self.lock:
-                lost = self.down.pop(link.address, None)
-            if lost is not None:
-                self.log.event("link up", node=link.address.name, lost=lost)
-            if link.write_queue.attach(connection):
-                self._read(link, connection)
-        except OSError as broken:
-            why = errno.errorcode.get(broken.errno or 0, type(broken).__name__)
-            if outcome == Outcome.CONNECT_FAILED and held_links.is_own_want(broken.errno):
+            self._log_recovery(connection.address)
+            if connection.write_queue.attach(connected_socket):
+                self._read(connection, connected_socket)
+        except OSError as error:
+            reason = errno.errorcode.get(error.errno or 0, type(error).__name__)
+            if outcome == Outcome.CONNECT_FAILED and connection_reuse.is_own_want(error.errno):
                 outcome = Outcome.NOT_SENT
-        except resp.RespError as broken:
-            why, outcome = str(broken), Outcome.RESET
-        except Exception as broken:
-            self.log.exception("link", broken)
+        except resp.RespError as error:
+            reason = str(error)
+            outcome = Outcome.RESET
+        except Exception as error:
+            # Only this connection ends, with its attempts reported below.
+            self.log.exception("upstream", error)
         finally:
-            self._close(link, connection, outcome, why)
-
-    def _read(self, link: UpstreamConnection, connection: socket.socket) -> None:
-        arrays = resp.ArrayDecoder()
-        while (length := connection.recv_into(arrays.writable_view())) > 0:
-            for items in arrays.decode(length):
-                told = resp.parse_answer(items, LOAD_REPORT_FIELDS)
-                with self.lock:
-                    held = link.in_flight.pop(told.request_id, None)
-                    link.last_used_at = link.last_received_at = self.clock()
-                    if isinstance(held, Attempt):
-                        link.ping_backoff.answered()
-                        if (
-                            told.outcome != Outcome.SERVED
-                        ):  # a second answer must not meet the next one
-                            link.abandoned[told.request_id] = link.last_used_at
-                    elif held is None and link.pinged_at:
-                        link.ping_backoff.echoed()
-                    link.suspect_since = link.pinged_at = 0.0
-                    known = (
-                        held is not None
-                        or told.request_id in link.abandoned
-                        or told.request_id.startswith("probe-")
-                    )
-                    if isinstance(held, Attempt):
-                        self.connection_by_attempt.pop(held, None)
-                if isinstance(held, HealthCheck):
-                    self.coordinator.report_health_check(
-                        held.endpoint, told.load_report, told.is_healthy
-                    )
-                elif held is not None:
-                    self._report(
-                        held,
-                        told.outcome_for(held.entity_tag),
-                        told.cache_status,
-                        told.delay,
-                        told.load_report,
-                        told,
-                    )
-                elif not known:
-                    self.log.event("unknown id", node=link.address.name, about=told.request_id[:32])
+            self._close(connection, connected_socket, outcome, reason)
+
+    def _log_recovery(self, address: EndpointAddress) -> None:
+        with self.lock:
+            lost = self.failed_addresses.pop(address, None)
+        if lost is not None:
+            self.log.event("upstream up", node=address.name, lost=lost)
+
+    def _read(self, connection: UpstreamConnection, connected_socket: socket.socket) -> None:
+        decoder = resp.ArrayDecoder()
+        while (length := connected_socket.recv_into(decoder.writable_view())) > 0:
+            for items in decoder.decode(length):
+                answer = resp.parse_answer(items, LOAD_REPORT_FIELDS)
+                self._handle_answer(connection, answer)
+
+    def _handle_answer(self, connection: UpstreamConnection, answer: resp.NodeAnswer) -> None:
+        with self.lock:
+            answered = connection.in_flight.pop(answer.request_id, None)
+            connection.record_answer(answered, answer, self.clock())
+            is_known = answered is not None or connection.may_answer(answer.request_id)
+            if isinstance(answered, Attempt):
+                self.connection_by_attempt.pop(answered, None)
+        if isinstance(answered, HealthCheck):
+            self.coordinator.report_health_check(
+                answered.endpoint, answer.load_report, answer.is_healthy
+            )
+        elif answered is not None:
+            outcome = answer.outcome_for(answered.entity_tag)
+            self._report(answered, outcome, answer.cache_status, answer)
+        elif not is_known:
+            self.log.event(
+                "unknown request id",
+                node=connection.address.name,
+                request_id=answer.request_id[:32],
+            )
 
     def _close(
-        self, link: UpstreamConnection, connection: socket.socket | None, outcome: Outcome, why: str
+        self,
+        connection: UpstreamConnection,
+        connected_socket: socket.socket | None,
+        outcome: Outcome,
+        reason: str,
     ) -> None:
+        """Removes a connection that is over, and reports the attempts that are lost with it."""
+        address = connection.address
         with self.lock:
-            ours = link.write_queue.is_shut_down
-            link.write_queue.shut_down()
-            links = self.connections.get(link.address, [])
-            if link in links:
-                links.remove(link)
-                self.connection_count -= 1
-            if not links:
-                self.connections.pop(link.address, None)
+            is_closed_here = connection.write_queue.is_shut_down
+            connection.write_queue.shut_down()
+            self._remove(connection)
             lost = [
-                (held, link.write_queue.is_unwritten(about))
-                for about, held in link.in_flight.items()
-                if isinstance(held, Attempt)
+                (attempt, connection.write_queue.is_unwritten(wire_id))
+                for wire_id, attempt in connection.in_flight.items()
+                if isinstance(attempt, Attempt)
             ]
-            for held, _ in lost:
-                self.connection_by_attempt.pop(held, None)
-            link.in_flight = {}
-            if connection is not None:
-                connection.close()
-            first = (lost or not ours) and link.address not in self.down
-            if lost or not ours:
-                self.down[link.address] = self.down.get(link.address, 0) + len(lost)
-        if first:  # one line until it is up again, not one an attempt
-            self.log.event("link down", node=link.address.name, lost=len(lost), why=why or "closed")
-        for held, unbegun in lost:
-            self._report(
-                held, Outcome.CONNECT_FAILED if unbegun and outcome == Outcome.RESET else outcome
+            for attempt, _ in lost:
+                self.connection_by_attempt.pop(attempt, None)
+            connection.in_flight = {}
+            if connected_socket is not None:
+                connected_socket.close()
+            has_failed = bool(lost) or not is_closed_here
+            is_first_failure = has_failed and address not in self.failed_addresses
+            if has_failed:
+                self.failed_addresses[address] = self.failed_addresses.get(address, 0) + len(lost)
+        if is_first_failure:  # one line until it is up again, not one an attempt
+            self.log.event(
+                "upstream down", node=address.name, lost=len(lost), why=reason or "closed"
             )
+        for attempt, is_unwritten in lost:
+            is_never_sent = is_unwritten and outcome == Outcome.RESET
+            self._report(attempt, Outcome.CONNECT_FAILED if is_never_sent else outcome)
+
+    def _remove(self, connection: UpstreamConnection) -> None:
+        """Removes a connection from the pool. Needs the lock."""
+        connections = self.connections.get(connection.address, [])
+        if connection in connections:
+            connections.remove(connection)
+            self.connection_count -= 1
+        if not connections:
+            self.connections.pop(connection.address, None)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -45,7 +45,8 @@
 from mulleinrelay.net.client_listener import ClientListener
 from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
-from mulleinrelay.net.upstream_connections import UpstreamConnection, UpstreamConnections
+from mulleinrelay.net.upstream_connection import UpstreamConnection
+from mulleinrelay.net.upstream_connections import UpstreamConnections
 from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy.model import Attempt, Endpoint, EndpointState
 
@@ -364,7 +365,7 @@
     rooms, reads, room = [], threading.Event(), resp.ArrayDecoder.writable_view
 
     def late(arrays):  # the first connection is read once, and its close is not
-        if threading.current_thread().name == "link":
+        if threading.current_thread().name == "upstream":
             rooms.append(arrays)
             if arrays is rooms[0] and len(rooms) > 1:
                 reads.wait(10.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -32,7 +32,7 @@
 from mulleinrelay import process
 from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection, event_stream
-from mulleinrelay.net.upstream_connections import UpstreamConnection
+from mulleinrelay.net.upstream_connection import UpstreamConnection
 from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy import connection_reuse
 from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
@@ -173,7 +173,7 @@
         caller.send(entity="00000000000000cd")
         assert caller.answer()[:2] == (2, 0) and time.monotonic() - begun < 2.0
         assert len(director.heard()) == 3
-        assert "link down" in director.sink.events
+        assert "upstream down" in director.sink.events
 
 
 def test_a_link_that_echoes_keeps_its_slow_attempts():
@@ -182,7 +182,7 @@
         caller.send("pay", patience="1500")
         assert wait_for(lambda: director.heard("ECHO"))
         assert caller.answer()[:2] == (1, 2)
-        assert len(director.heard()) == 1 and "link down" not in director.sink.events
+        assert len(director.heard()) == 1 and "upstream down" not in director.sink.events
 
 
 def test_what_waits_for_a_link_can_be_taken_back_while_nothing_of_it_is_written():
@@ -259,7 +259,7 @@
         start = threading.Thread.start
 
         def refuse(thread):
-            if thread.name in ("client", "link"):
+            if thread.name in ("client", "upstream"):
                 raise RuntimeError("can't start new thread")
             start(thread)
 
@@ -568,7 +568,7 @@
         assert caller.answer()[:2] == (1, 0) and director.service.upstream.connection_count == 1
         assert wait_for(lambda: director.service.upstream.connection_count == 0)
         caller.send()
-        assert caller.answer()[:2] == (2, 0) and "link down" not in director.sink.events
+        assert caller.answer()[:2] == (2, 0) and "upstream down" not in director.sink.events
 
 
 # The event stream
