--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -27,26 +27,25 @@
 from ..structured_log import StructuredLog
 from . import resp
 from .upstream_connection import HEALTH_CHECK_PREFIX, HealthCheck, InFlight, UpstreamConnection
+from .upstream_pool import UpstreamPool
 from .write_queue import Piece
 
 if TYPE_CHECKING:
     from ..policy.router import TrackedEndpoint
 
 
-class UpstreamConnections:
-    """All upstream connections of one director; times are ms of its clock. Thread-safe.
+class UpstreamConnections(UpstreamPool):
+    """Sends attempts and health checks, and reports how they went; thread-safe.
+
+    Times are ms of the director's clock.
 
     Attributes:
         run_request: Does what follows for a request that has moved on; set by the request handler.
         has_client_left: Whether the client of a request's context has left, for its first attempt
             or a later one; set by the request handler. Called under the lock.
-        lock: Guards all fields below, and all connections.
-        connections: By the endpoint's address.
-        connection_by_attempt: Of attempts in flight, with the id on the wire.
-        failed_addresses: Addresses whose last connection failed, with the attempts lost since.
-        connection_count: Connections in all.
-        max_connections: So many at the most.
-        is_stopped: No connection is opened any more.
+        connection_by_attempt: Of attempts in flight, with the id on the wire; guarded by the lock.
+        failed_addresses: Addresses whose last connection failed, with the attempts lost since;
+            guarded by the lock.
     """
 
     def __init__(
@@ -74,6 +73,7 @@
             allows_pings: Quiet connections may be pinged.
             connections_are_priced: A new connection costs more than an open one.
         """
+        super().__init__(max_connections, max_attempts_per_connection)
         self.coordinator = coordinator
         self.clock = clock
         self.log = log
@@ -92,14 +92,8 @@
                 (True, settings.director_count),
             )
         }
-        self.max_attempts_per_connection = max_attempts_per_connection
-        self.max_connections = max_connections
-        self.lock = threading.Lock()
-        self.connections: dict[EndpointAddress, list[UpstreamConnection]] = {}
         self.failed_addresses: dict[EndpointAddress, int] = {}
         self.connection_by_attempt: dict[Attempt, tuple[UpstreamConnection, str]] = {}
-        self.connection_count = 0
-        self.is_stopped = False
         self.health_check_numbers = itertools.count(1)
 
     # For the request handler and the timers.
@@ -158,13 +152,7 @@
         """
         now = self.clock()
         with self.lock:
-            living = [
-                connection
-                for connections in self.connections.values()
-                for connection in connections
-                if not connection.write_queue.is_shut_down
-            ]
-            for connection in living if self.allows_pings else ():
+            for connection in self.living() if self.allows_pings else ():
                 if connection.is_ping_overdue(now):
                     connection.write_queue.shut_down()
                 elif connection.needs_ping(now) and self._may_ping(connection):
@@ -198,28 +186,6 @@
         for attempt in stuck:
             self._report(attempt, Outcome.CONNECT_FAILED)
 
-    def fullness(self) -> float:
-        """Returns the part of `max_connections` with something in flight, where few are left."""
-        with self.lock:
-            if self.connection_count < connection_reuse.IDLE_MOST * self.max_connections:
-                return 0.0  # without counting
-            busy_count = sum(
-                bool(connection.in_flight)
-                for connections in self.connections.values()
-                for connection in connections
-            )
-            return connection_reuse.fullness(
-                self.connection_count, busy_count, self.max_connections
-            )
-
-    def stop(self) -> None:
-        """Shuts down all connections; none is opened any more."""
-        with self.lock:
-            self.is_stopped = True
-            for connections in list(self.connections.values()):
-                for connection in list(connections):
-                    connection.write_queue.shut_down()
-
     # Sending.
 
     def _send(
@@ -243,50 +209,17 @@
     def _connection_for(
         self, address: EndpointAddress, wire_id: str, item: InFlight, now: float
     ) -> UpstreamConnection | None:
-        """Returns a connection, a new one if needed; None if it is not to be sent. Needs the lock."""
+        """Returns a connection; None where it cannot or must not be sent. Needs the lock."""
         connections = self.connections.setdefault(address, [])
         if self._is_stale(item, address):
             return None
-        connection = self._choose(connections, wire_id)
+        connection = self.choose(connections, wire_id)
         if connection is None and not self.is_stopped:
-            self._make_room()
+            self.make_room()
             if self.connection_count < self.max_connections:
                 connection = self._open(address, connections, now)
         return connection
 
-    def _choose(
-        self, connections: list[UpstreamConnection], wire_id: str
-    ) -> UpstreamConnection | None:
-        """Returns the open connection with the least in flight. Needs the lock.
-
-        One without anything in flight may have been closed by the endpoint at this very moment:
-        what is written there is lost, and nobody could say whether it was executed.
-        """
-        usable = (
-            connection
-            for connection in connections
-            if connection.can_take(wire_id, self.max_attempts_per_connection)
-        )
-        for connection in sorted(usable, key=lambda connection: len(connection.in_flight)):
-            if connection.in_flight or not connection.is_closed_by_peer():
-                return connection
-            connection.write_queue.shut_down()
-        return None
-
-    def _make_room(self) -> None:
-        """Shuts down idle connections where the pool is nearly full. Needs the lock."""
-        if self.connection_count > connection_reuse.IDLE_MOST * self.max_connections:
-            idle = [
-                (connection.last_used_at, connection)
-                for connections in self.connections.values()
-                for connection in connections
-                if not connection.in_flight
-            ]
-            for connection in connection_reuse.to_end(
-                idle, self.connection_count, self.max_connections
-            ):
-                connection.write_queue.shut_down()
-
     def _may_ping(self, connection: UpstreamConnection) -> bool:
         """Returns whether all endpoints with something in flight there may be pinged."""
         return all(
@@ -297,15 +230,14 @@
     def _may_check_health(self, item: InFlight, address: EndpointAddress) -> bool:
         return self.coordinator.can_health_check(cast("TrackedEndpoint", item.endpoint), address)
 
-    def _is_stale(self, item: InFlight | None, address: EndpointAddress) -> bool:
+    def _is_stale(self, item: InFlight, address: EndpointAddress) -> bool:
         """Returns whether it must not be sent any more.
 
-        Needs the lock, which is held until the first byte is written: what comes later comes after
-        it.
+        Needs the lock until the first byte is written: what comes later comes after it.
         """
         if isinstance(item, HealthCheck):
             return not self._may_check_health(item, address)
-        if item is None or not item.addresses:
+        if not item.addresses:
             return False
         request = item.request
         is_first = not item.number
@@ -442,7 +374,7 @@
         with self.lock:
             is_closed_here = connection.write_queue.is_shut_down
             connection.write_queue.shut_down()
-            self._remove(connection)
+            self.remove(connection)
             lost = [
                 (attempt, connection.write_queue.is_unwritten(wire_id))
                 for wire_id, attempt in connection.in_flight.items()
@@ -464,12 +396,3 @@
         for attempt, is_unwritten in lost:
             is_never_sent = is_unwritten and outcome == Outcome.RESET
             self._report(attempt, Outcome.CONNECT_FAILED if is_never_sent else outcome)
-
-    def _remove(self, connection: UpstreamConnection) -> None:
-        """Removes a connection from the pool. Needs the lock."""
-        connections = self.connections.get(connection.address, [])
-        if connection in connections:
-            connections.remove(connection)
-            self.connection_count -= 1
-        if not connections:
-            self.connections.pop(connection.address, None)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -738,7 +738,7 @@
     )
 
     def line():
-        while (told := json.loads(program.stderr.readline()))["event"] == "bus reconnects":
+        while (told := json.loads(program.stderr.readline()))["event"] == "event stream reconnects":
             pass
         return told
 
