--- a/mulleinrelay/config/__init__.py
+++ b/mulleinrelay/config/__init__.py
@@ -1,3 +1,1 @@
-"""Configuration: the platform's start settings (JSON) and the reader of this project's
-INI files.
-"""
+"""Reading of configuration: the platform's JSON, and this project's INI files."""
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -1,18 +1,21 @@
-"""The one place where LB_CONFIG and the start settings are read, checked and given their defaults.
+"""The platform's configuration: the JSON file that LB_CONFIG names, checked, with its defaults.
 
-A fault is a ConfigError whose text names the key. Both the simulator's host and the director
-on sockets get their Terms here.
+The one place where it and the start settings in it are read, both for the simulator's adapter and
+for a director on sockets. Every fault is a `ConfigError` that names the key.
 """
 
 import json
-import os
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
 from ..errors import ConfigError
 from ..policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass, ServiceSettings, SlowStartPolicy
 
-REPEAT = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
+Choice = TypeVar("Choice")
+
+IDEMPOTENCY_BY_WORD = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
+# Our names of the figures in load reports, by the platform's.
 LOAD_REPORT_FIELDS = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -20,122 +23,154 @@
     "util": "busy",
     "x1": "crowding",
 }
-DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, SOCKETS_LEAST = 192, 1024, 64
-FALL_MULTIPLE = (
-    2.0  # of what a cold node can do, where the settings don't tell how much more fells it
-)
-MISSING = object()
+DEFAULT_MEMORY_MB = 192
+DEFAULT_DESCRIPTORS = 1024
+MIN_DESCRIPTORS = 64
+# Of what an endpoint that is warming up can do; more overloads it. Where the settings do not say.
+DEFAULT_OVERLOAD_FACTOR = 2.0
+PORT_COUNT = 65_536
+REQUIRED = object()  # instead of a default: the key must be there
+
+
+@dataclass(frozen=True)
+class ValueForm:
+    """What a value must be: one of these types, and how messages name them."""
+
+    types: tuple[type, ...]
+    name: str
+
+    def matches(self, value: Any) -> bool:
+        """Returns whether a value has this form; true and false are no numbers."""
+        if isinstance(value, bool) and bool not in self.types:
+            return False
+        return isinstance(value, self.types)
+
+
+NUMBER = ValueForm((int, float), "a number")
+INTEGER = ValueForm((int,), "a whole number")
+FLAG = ValueForm((bool,), "true or false")
+TEXT = ValueForm((str,), "a string")
+LIST = ValueForm((list,), "a list")
+OBJECT = ValueForm((dict,), "an object")
 
 
 class JsonSection:
-    """A JSON object with the path that led to it; each reading checks the form."""
+    """A JSON object with the path of keys that led to it.
+
+    Each method reads one key, checks its form and raises ConfigError. A default that is given is
+    returned as it is where the key is missing; without one the key is required.
+    """
 
-    def __init__(self, held: Any, path: str) -> None:
-        if not isinstance(held, dict):
-            raise ConfigError(f"{path or 'the configuration'}: an object is wanted")
-        self.values, self.path = held, path
+    def __init__(self, values: Any, path: str) -> None:
+        """Wraps a parsed value.
 
-    def at(self, key: str) -> str:
+        Raises:
+            ConfigError: If it is no object.
+        """
+        if not isinstance(values, dict):
+            raise ConfigError("an object is wanted", key=path or "the configuration")
+        self.values = values
+        self.path = path
+
+    def path_of(self, key: str) -> str:
+        """Returns the path of a key in this object."""
         return f"{self.path}.{key}" if self.path else key
 
-    def read(self, key: str, forms: tuple[type, ...], wanted: str, default: Any = MISSING) -> Any:
+    def error(self, key: str, reason: str) -> ConfigError:
+        """Returns (does not raise) an error about this key."""
+        return ConfigError(reason, key=self.path_of(key))
+
+    def read(self, key: str, form: ValueForm, default: Any = REQUIRED) -> Any:
+        """Returns the value of a key, which must have this form."""
         value = self.values.get(key, default)
-        if value is MISSING:
-            raise ConfigError(f"{self.at(key)}: the key is missing")
+        if value is REQUIRED:
+            raise self.error(key, "the key is missing")
         if value is default:
             return value
-        if not isinstance(value, forms) or (isinstance(value, bool) and bool not in forms):
-            raise ConfigError(f"{self.at(key)}: {wanted} is wanted")
+        if not form.matches(value):
+            raise self.error(key, f"{form.name} is wanted")
         return value
 
-    def number(self, key: str, default: Any = MISSING) -> float:
-        return self.read(key, (int, float), "a number", default)
+    def number(self, key: str, default: Any = REQUIRED) -> float:
+        """Returns a number."""
+        return self.read(key, NUMBER, default)
 
-    def integer(self, key: str, default: Any = MISSING) -> int:
-        return self.read(key, (int,), "a whole number", default)
+    def integer(self, key: str, default: Any = REQUIRED) -> int:
+        """Returns a whole number."""
+        return self.read(key, INTEGER, default)
 
-    def flag(self, key: str, default: Any = MISSING) -> bool:
-        return self.read(key, (bool,), "true or false", default)
+    def flag(self, key: str, default: Any = REQUIRED) -> bool:
+        """Returns true or false."""
+        return self.read(key, FLAG, default)
 
-    def text(self, key: str, default: Any = MISSING) -> str:
-        return self.read(key, (str,), "a string", default)
+    def text(self, key: str, default: Any = REQUIRED) -> str:
+        """Returns a string."""
+        return self.read(key, TEXT, default)
 
-    def choice(self, key: str, among: dict[str, Any]) -> Any:
+    def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
+        """Returns what a required string stands for."""
         value = self.text(key)
-        if value not in among:
-            raise ConfigError(f"{self.at(key)}: one of {', '.join(among)} is wanted")
-        return among[value]
+        if value not in choices:
+            raise self.error(key, f"one of {', '.join(choices)} is wanted")
+        return choices[value]
 
     def items(self, key: str) -> list[Any]:
-        return self.read(key, (list,), "a list")
-
-    def each(self, key: str, place: int, forms: tuple[type, ...], wanted: str) -> Any:
-        """One entry of a list that must be long enough."""
-        held = self.items(key)
-        if place >= len(held):
-            raise ConfigError(f"{self.at(key)}: an entry {place} is missing")
-        if not isinstance(held[place], forms) or (
-            isinstance(held[place], bool) and bool not in forms
-        ):
-            raise ConfigError(f"{self.at(key)}[{place}]: {wanted} is wanted")
-        return held[place]
+        """Returns a required list."""
+        return self.read(key, LIST)
+
+    def item(self, key: str, position: int, form: ValueForm) -> Any:
+        """Returns one entry of a required list, which must be long enough."""
+        entries = self.items(key)
+        if position >= len(entries):
+            raise self.error(key, f"an entry {position} is missing")
+        if not form.matches(entries[position]):
+            raise self.error(f"{key}[{position}]", f"{form.name} is wanted")
+        return entries[position]
 
     def section(self, key: str) -> "JsonSection":
-        return JsonSection(self.read(key, (dict,), "an object"), self.at(key))
+        """Returns a required object."""
+        return JsonSection(self.read(key, OBJECT), self.path_of(key))
+
+    def optional_section(self, key: str) -> "JsonSection":
+        """Returns an object; an empty one where the key is missing."""
+        return self.section(key) if key in self.values else JsonSection({}, self.path_of(key))
 
     def sections(self, key: str) -> list["JsonSection"]:
+        """Returns a required list of objects."""
         return [
-            JsonSection(held, f"{self.at(key)}[{place}]")
-            for place, held in enumerate(self.items(key))
+            JsonSection(values, f"{self.path_of(key)}[{position}]")
+            for position, values in enumerate(self.items(key))
         ]
 
     def address(self, key: str) -> tuple[str, int]:
+        """Returns host and port of a required string."""
         host, _, port = self.text(key).rpartition(":")
-        if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-            raise ConfigError(f"{self.at(key)}: host:port is wanted")
+        if not host or not port.isdecimal() or not 0 <= int(port) < PORT_COUNT:
+            raise self.error(key, "host:port is wanted")
         return host, int(port)
 
 
-def costs_of(settings: JsonSection) -> JsonSection:
-    """Prices by what they are for; none where they are not told."""
-    return (
-        settings.section("costs")
-        if "costs" in settings.values
-        else JsonSection({}, settings.at("costs"))
-    )
-
+def parse_service_settings(start: JsonSection) -> ServiceSettings:
+    """Returns the start settings in the terms of the policy.
 
-def parse_service_settings(boot: JsonSection) -> ServiceSettings:
-    """What the decision module reads of the start settings, in the project's own words."""
-    allowed, domain, rules = boot.section("allowed"), boot.section("domain"), boot.section("rules")
-    report, number, flag = (
-        boot.section("report"),
-        ((int, float), "a number"),
-        ((bool,), "true or false"),
-    )
-    request_classes = [
-        RequestClass(
-            case.choice("idempotency", REPEAT),
-            case.number("slo"),
-            case.number("aimStretch", 0.0),
-            case.number("deadline"),
-            case.number("memorySpan"),
-            case.text("group"),
-            domain.each("freshFor", at, *number),
-            domain.each("neverKept", at, *flag),
-            case.number("credit", 1.0),
-        )
-        for at, case in enumerate(boot.sections("classes"))
-    ]
-    zone, overload_for = boot.integer("myZone"), rules.number("overloadFor")
+    Raises:
+        ConfigError: If a key is missing or has the wrong form.
+    """
+    allowed = start.section("allowed")
+    domain = start.section("domain")
+    rules = start.section("rules")
+    report = start.section("report")
+    request_classes = _parse_request_classes(start, domain)
+    zone = start.integer("myZone")
+    overload_window = rules.number("overloadFor")
     return ServiceSettings(
         request_classes=request_classes,
         zone=zone,
-        director_count=boot.integer("balancers"),
-        local_director_count=max(1, domain.each("countByZone", zone, *number)),
+        director_count=start.integer("balancers"),
+        local_director_count=max(1, domain.item("countByZone", zone, NUMBER)),
         parent_kind=domain.integer("midKind"),
         origin_kind=domain.integer("storeKind"),
-        advertises_weights=boot.text("weights") != "none",
+        advertises_weights=start.text("weights") != "none",
         transfer_rate=domain.number("oneFlowKbPerS") / 1000.0,
         max_attempts=allowed.integer("maxAttempts"),
         allows_hedging=allowed.flag("mayDuplicate"),
@@ -146,36 +181,84 @@
         allows_cache_bypass=domain.flag("mayPassBy"),
         allows_coalescing=domain.flag("collapses"),
         allows_sibling_fills=domain.text("peersFill") != "none",
-        requires_subscription=boot.text("registryMode") == "subscribe",
+        requires_subscription=start.text("registryMode") == "subscribe",
         load_report_fields=[LOAD_REPORT_FIELDS.get(word, word) for word in report.items("columns")],
         polls_load_reports=report.text("how") == "probe",
-        cache_slow_start=SlowStartPolicy(
-            rules.number("coldFrom"),
-            rules.number("cold"),
-            overload_for,
-            rules.number("fallMultiple", FALL_MULTIPLE),
+        cache_slow_start=_parse_slow_start(
+            rules, ("coldFrom", "cold", "fallMultiple"), overload_window
         ),
-        parent_slow_start=SlowStartPolicy(
-            domain.number("parentStartsAt"),
-            domain.number("parentWarmsIn"),
-            overload_for,
-            domain.number("parentLimitFactor", FALL_MULTIPLE),
+        parent_slow_start=_parse_slow_start(
+            domain, ("parentStartsAt", "parentWarmsIn", "parentLimitFactor"), overload_window
         ),
         purge_propagation=domain.number("purgeTakes"),
-        health_check_cost=costs_of(boot).number("probe", 0.0),
+        health_check_cost=start.optional_section("costs").number("probe", 0.0),
     )
 
 
+def _parse_slow_start(
+    section: JsonSection, keys: tuple[str, str, str], overload_window: float
+) -> SlowStartPolicy:
+    """Reads a policy; `keys` name its initial fraction, its duration and the overload factor."""
+    fraction_key, duration_key, factor_key = keys
+    return SlowStartPolicy(
+        section.number(fraction_key),
+        section.number(duration_key),
+        overload_window,
+        section.number(factor_key, DEFAULT_OVERLOAD_FACTOR),
+    )
+
+
+def _parse_request_classes(start: JsonSection, domain: JsonSection) -> list[RequestClass]:
+    return [
+        RequestClass(
+            section.choice("idempotency", IDEMPOTENCY_BY_WORD),
+            section.number("slo"),
+            section.number("aimStretch", 0.0),
+            section.number("deadline"),
+            section.number("memorySpan"),
+            section.text("group"),
+            domain.item("freshFor", position, NUMBER),
+            domain.item("neverKept", position, FLAG),
+            section.number("credit", 1.0),
+        )
+        for position, section in enumerate(start.sections("classes"))
+    ]
+
+
 def parse_service_settings_text(text: bytes) -> ServiceSettings:
+    """Reads the start settings from JSON.
+
+    Raises:
+        ConfigError: If they cannot be used.
+    """
     try:
         return parse_service_settings(JsonSection(json.loads(text), ""))
-    except ValueError as wrong:
-        raise ConfigError(f"the start settings cannot be read as JSON: {wrong}") from None
+    except ValueError as error:
+        raise ConfigError(f"the start settings cannot be read as JSON: {error}") from error
 
 
 @dataclass(slots=True, eq=False)
 class DirectorConfig:
-    """All that one director is told at its start."""
+    """All that one director is configured with at its start; times in ms.
+
+    Attributes:
+        name: The director's name, in log lines and records.
+        listen: Host and port for clients.
+        seed: Of its random draws.
+        memory_mb: Memory that it may use.
+        max_descriptors: File descriptors that it may use.
+        event_stream_address: Host and port of the event stream.
+        last_event_number: Number of the last event in `known_events`.
+        known_events: Events from before the start, as they were parsed from JSON.
+        settings: What the policy knows of the service.
+        request_classes: By their names on the wire.
+        zones: Numbers of zones by name.
+        kinds: Numbers of kinds of endpoints by name.
+        connect_timeout: For a connection to an endpoint.
+        idle_timeout: After which endpoints close an idle connection.
+        max_attempts_per_connection: In flight at one time.
+        connections_are_priced: A new connection to an endpoint costs more than an open one.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -183,52 +266,53 @@
     memory_mb: float
     max_descriptors: int
     event_stream_address: tuple[str, int]
-    last_event_number: int  # number of the last event that `events` holds
+    last_event_number: int
     known_events: list[Any]
     settings: ServiceSettings
     request_classes: dict[str, RequestClass]
     zones: dict[str, int]
     kinds: dict[str, int]
     connect_timeout: float
-    idle_timeout: float  # nodes close a connection that was idle so long
+    idle_timeout: float
     max_attempts_per_connection: int
-    connections_are_priced: bool = False  # a new connection to a node costs more than an open one
+    connections_are_priced: bool = False
 
 
 def parse_config(text: bytes | str) -> DirectorConfig:
+    """Reads the configuration from JSON.
+
+    Raises:
+        ConfigError: If it cannot be used.
+    """
     try:
-        whole = JsonSection(json.loads(text), "")
-    except ValueError as wrong:
-        raise ConfigError(f"the configuration cannot be read as JSON: {wrong}") from None
-    settings, known = whole.section("settings"), whole.section("known")
-    allowed, terms, seed = (
-        settings.section("allowed"),
-        parse_service_settings(settings),
-        whole.text("seed"),
-    )
-    limits = whole.section("limits") if "limits" in whole.values else JsonSection({}, "limits")
-    costs = costs_of(settings)
-    try:
-        number = int(seed, 16)
-    except ValueError:
-        raise ConfigError("seed: hex digits are wanted") from None
-    sockets = limits.integer("sockets", DEFAULT_SOCKETS)
-    if sockets < SOCKETS_LEAST:
-        raise ConfigError(f"limits.sockets: {SOCKETS_LEAST} or more is wanted")
-    names = [case.text("name") for case in settings.sections("classes")]
+        root = JsonSection(json.loads(text), "")
+    except ValueError as error:
+        raise ConfigError(f"the configuration cannot be read as JSON: {error}") from error
+    start = root.section("settings")
+    known = root.section("known")
+    allowed = start.section("allowed")
+    settings = parse_service_settings(start)
+    seed_text = root.text("seed")
+    limits = root.optional_section("limits")
+    costs = start.optional_section("costs")
+    seed = _parse_seed(seed_text)
+    max_descriptors = limits.integer("sockets", DEFAULT_DESCRIPTORS)
+    if max_descriptors < MIN_DESCRIPTORS:
+        raise limits.error("sockets", f"{MIN_DESCRIPTORS} or more is wanted")
+    class_names = [section.text("name") for section in start.sections("classes")]
     return DirectorConfig(
-        name=whole.text("name"),
-        listen=whole.address("listen"),
-        seed=number,
+        name=root.text("name"),
+        listen=root.address("listen"),
+        seed=seed,
         memory_mb=limits.number("memory_mb", DEFAULT_MEMORY_MB),
-        max_descriptors=sockets,
-        event_stream_address=whole.address("bus"),
+        max_descriptors=max_descriptors,
+        event_stream_address=root.address("bus"),
         last_event_number=known.integer("offset"),
         known_events=known.items("batch"),
-        settings=terms,
-        request_classes=dict(zip(names, terms.request_classes, strict=True)),
-        zones={name: place for place, name in enumerate(settings.items("azs"))},
-        kinds={name: place for place, name in enumerate(settings.items("shapes"))},
+        settings=settings,
+        request_classes=dict(zip(class_names, settings.request_classes, strict=True)),
+        zones={name: number for number, name in enumerate(start.items("azs"))},
+        kinds={name: number for number, name in enumerate(start.items("shapes"))},
         connect_timeout=allowed.number("connectTimeout"),
         idle_timeout=allowed.number("connIdle"),
         max_attempts_per_connection=allowed.integer("maxStreams"),
@@ -236,15 +320,28 @@
     )
 
 
-def load_config(
-    environment: dict[str, str] | os._Environ[str], path: str | None = None
-) -> DirectorConfig:
-    """The configuration that LB_CONFIG (or `path`) names."""
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise ConfigError("hex digits are wanted", key="seed") from error
+
+
+def load_config(environment: Mapping[str, str], path: str | None = None) -> DirectorConfig:
+    """Reads the configuration from a file.
+
+    Args:
+        environment: Where LB_CONFIG names the file.
+        path: The file; None: the one in the environment.
+
+    Raises:
+        ConfigError: If the file is not named, or cannot be read or used.
+    """
     path = path or environment.get("LB_CONFIG")
     if not path:
-        raise ConfigError("LB_CONFIG: not set, and no path was given")
+        raise ConfigError("not set, and no path was given", key="LB_CONFIG")
     try:
         with open(path, "rb") as file:
             return parse_config(file.read())
-    except OSError as wrong:
-        raise ConfigError(f"LB_CONFIG: {path}: {wrong.strerror}") from None
+    except OSError as error:
+        raise ConfigError(str(error.strerror), key=f"LB_CONFIG: {path}") from error
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -13,120 +13,143 @@
 from .errors import ConfigError
 from .structured_log import StructuredLog
 
-STACK = 128 * 1024  # bytes for each thread; of these only what is touched counts
-READ_AGAIN = (0.05, 0.2, 0.0)  # s after which a configuration that can't be used is read again
-DONE, NOT_STARTED, BAD_CONFIGURATION = 0, 1, 2
+THREAD_STACK_BYTES = 128 * 1024  # of each thread; only what is touched counts as memory
+# Waits after which a configuration that cannot be used is read again: it may be half written.
+RETRY_WAITS_S = (0.05, 0.2, 0.0)
+
+EXIT_DONE = 0
+EXIT_NOT_STARTED = 1
+EXIT_BAD_CONFIGURATION = 2
 
 
 def serve(
-    config: str | None, cells: str | None, management: str | None = None, fleet: str | None = None
+    config_path: str | None,
+    cells_path: str | None,
+    management_path: str | None = None,
+    fleet_path: str | None = None,
 ) -> int:
-    """Gives the exit code."""
-    told = signals()
+    """Runs one director until SIGTERM or SIGINT.
+
+    Args:
+        config_path: The platform's configuration; None: the file that LB_CONFIG names.
+        cells_path: Our own file on cells; None: off, as with the next two.
+        management_path: Our own file on management.
+        fleet_path: Our own file on the fleet.
+
+    Returns:
+        The exit code.
+    """
+    signals = open_signal_pipe()
     try:
-        start = load_config(os.environ, config)
-        # Beyond what the system allows, clients and links would leave the event stream no
-        # descriptor.
-        start.max_descriptors = min(
-            start.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        config = load_config(os.environ, config_path)
+        # Beyond what the system allows, clients and upstream connections would leave the event
+        # stream no descriptor.
+        config.max_descriptors = min(
+            config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         )
-        threading.stack_size(STACK)
-        log = StructuredLog(start.name)
-        service = build_director(start, log, cells, management, fleet)
-    except ConfigError as wrong:
-        print(f"mulleinrelay: {wrong}", file=sys.stderr)
-        return BAD_CONFIGURATION
+        threading.stack_size(THREAD_STACK_BYTES)
+        log = StructuredLog(config.name)
+        director = build_director(config, log, cells_path, management_path, fleet_path)
+    except ConfigError as error:
+        return _fail(str(error), EXIT_BAD_CONFIGURATION)
     try:
-        service.start()
-    except OSError as wrong:
-        why = wrong.strerror or str(wrong)
-        at = wrong.filename or f"{start.listen[0]}:{start.listen[1]}"
-        print(f"mulleinrelay: cannot listen on {at}: {why}", file=sys.stderr)
-        return NOT_STARTED
-    except RuntimeError as wrong:  # what management kept can't be used, or its port is taken
-        print(f"mulleinrelay: {wrong}", file=sys.stderr)
-        return BAD_CONFIGURATION
-    service.event_stream.read_configured_address = lambda: bus_named(config)
+        director.start()
+    except OSError as error:
+        reason = error.strerror or str(error)
+        address = error.filename or f"{config.listen[0]}:{config.listen[1]}"
+        return _fail(f"cannot listen on {address}: {reason}", EXIT_NOT_STARTED)
+    except RuntimeError as error:  # stored management data cannot be used, or its port is taken
+        return _fail(str(error), EXIT_BAD_CONFIGURATION)
+    director.event_stream.read_configured_address = lambda: configured_event_stream(config_path)
     gc.collect()
-    gc.freeze()  # what stands at the start stays: the collector need not look at it again
-    while os.read(told, 1)[0] == signal.SIGHUP:
-        reload_configuration(service, log, config)
-    service.stop()
-    service.wait()
+    gc.freeze()  # what exists at the start stays: the collector need not look at it again
+    while os.read(signals, 1)[0] == signal.SIGHUP:
+        reload_configuration(director, log, config_path)
+    director.stop()
+    director.wait()
     log.close()
-    return DONE
+    return EXIT_DONE
+
+
+def _fail(message: str, exit_code: int) -> int:
+    print(f"mulleinrelay: {message}", file=sys.stderr)
+    return exit_code
 
 
-def signals() -> int:
-    """A descriptor that brings the numbers of signals, a byte each, for the main thread to obey in
-    turn. Guards against waits that a signal doesn't break: it may be another thread that the system
-    interrupts, and a handler in Python runs only once the main thread goes on.
+def open_signal_pipe() -> int:
+    """Makes signals readable, so that the main thread obeys them one after the other.
+
+    A signal does not always interrupt a wait of the main thread: the system may deliver it to
+    another thread, and a handler in Python runs only once the main thread goes on.
+
+    Returns:
+        A descriptor that brings the numbers of signals, a byte each.
     """
-    told, telling = os.pipe()
-    os.set_blocking(telling, False)
-    signal.set_wakeup_fd(telling, warn_on_full_buffer=False)
-    for number in (
-        signal.SIGTERM,
-        signal.SIGINT,
-        signal.SIGHUP,
-    ):  # HUP, unhandled, would end the program
-        signal.signal(number, lambda *_: None)  # one in Python, so that the descriptor is written
-    return told
+    read_end, write_end = os.pipe()
+    os.set_blocking(write_end, False)
+    signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
+    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        # A handler in Python, so that the descriptor is written; unhandled, each would end the
+        # program.
+        signal.signal(number, lambda *_: None)
+    return read_end
 
 
 def build_director(
-    start: DirectorConfig,
+    config: DirectorConfig,
     log: StructuredLog,
-    cells: str | None,
-    management: str | None = None,
-    fleet: str | None = None,
+    cells_path: str | None,
+    management_path: str | None = None,
+    fleet_path: str | None = None,
 ) -> Director:
-    """Raises ConfigError, also for what is wrong with our own files."""
-    if not cells and not management and not fleet:
-        return Director(start, log)
+    """Builds a director from the files that are given.
+
+    Raises:
+        ConfigError: If one of our own files cannot be used, or a library that it needs is missing.
+    """
+    cells = None
+    management = None
+    fleet = None
     try:
-        try:
-            held, managed, talked = None, None, None
-            if cells:
-                from .cells.config import load_cells_config
-
-                held = load_cells_config(cells)
-            if management:
-                from .management.config import load_management_config
-
-                managed = load_management_config(management)
-            if fleet:
-                from .membership.config import load_fleet_config
-
-                talked = load_fleet_config(fleet)
-            return Director(start, log, held, managed, talked)
-        except ConfigError as wrong:
-            raise ConfigError(str(wrong)) from None
-    except ModuleNotFoundError as missing:
-        if (missing.name or "").startswith("mulleinrelay"):
+        if cells_path:
+            from .cells.config import load_cells_config
+
+            cells = load_cells_config(cells_path)
+        if management_path:
+            from .management.config import load_management_config
+
+            management = load_management_config(management_path)
+        if fleet_path:
+            from .membership.config import load_fleet_config
+
+            fleet = load_fleet_config(fleet_path)
+        return Director(config, log, cells, management, fleet)
+    except ModuleNotFoundError as error:
+        is_ours = (error.name or "").startswith("mulleinrelay")
+        if is_ours or not (cells_path or management_path or fleet_path):
             raise
         raise ConfigError(
-            f"the library {missing.name} is missing; install mulleinrelay[cells], "
+            f"the library {error.name} is missing; install mulleinrelay[cells], "
             "mulleinrelay[management] or mulleinrelay[fleet]"
-        ) from None
+        ) from error
 
 
-def bus_named(path: str | None) -> tuple[str, int] | None:
-    """The event stream's address as the configuration has it now; None where it can't be read."""
+def configured_event_stream(path: str | None) -> tuple[str, int] | None:
+    """Returns the event stream's address by the configuration now; None if it cannot be read."""
     try:
         return load_config(os.environ, path).event_stream_address
     except ConfigError:
         return None
 
 
-def reload_configuration(service: Director, log: StructuredLog, path: str | None) -> None:
-    """Reads the configuration again; where it can't be used, a few times, as it may not be whole
-    yet.
-    """
-    for wait in READ_AGAIN:
+def reload_configuration(director: Director, log: StructuredLog, path: str | None) -> None:
+    """Reads the configuration again; keeps the present one if that fails a few times."""
+    reason = ""
+    for wait_s in RETRY_WAITS_S:
         try:
-            return service.reload(load_config(os.environ, path))
-        except ConfigError as wrong:
-            why = str(wrong)
-            time.sleep(wait)
-    log.event("configuration kept", why=why)  # what was read last holds on
+            director.reload(load_config(os.environ, path))
+            return
+        except ConfigError as error:
+            reason = str(error)
+            time.sleep(wait_s)
+    log.event("configuration kept", why=reason)
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -1,5 +1,6 @@
-"""One JSON line an event, on standard error, written by a thread of its own: a log that nobody
-reads holds up nothing, and what does not fit is counted.
+"""The log: one JSON line an event, written by a thread of its own.
+
+A log that nobody reads blocks nothing: what does not fit is dropped and counted.
 """
 
 import os
@@ -10,50 +11,70 @@
 
 import orjson
 
-WAITING_MOST = 1000  # lines
-ALIKE_MOST = (
-    20  # lines a second of one event: clients that send what can't be read write the log otherwise
-)
+MAX_QUEUED_LINES = 1000
+# Lines of one event in a second: clients that send what cannot be read would fill the log.
+MAX_LINES_PER_EVENT = 20
+TRACE_FRAMES = 3  # of an exception, the innermost
+STANDARD_ERROR = 2  # its file descriptor
 
 
 class StructuredLog:
-    def __init__(self, name: str = "", descriptor: int = 2) -> None:
-        self.name, self.descriptor = name, descriptor
+    """Writes events as JSON lines; may be used from any thread, and never blocks.
+
+    Counters are not guarded: two threads at once may count a line too few, which does no harm.
+    """
+
+    def __init__(self, name: str = "", descriptor: int = STANDARD_ERROR) -> None:
+        """Starts the writing thread.
+
+        Args:
+            name: The director's, in each line.
+            descriptor: Where lines are written.
+        """
+        self.name = name
+        self.descriptor = descriptor
         self.lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-        self.dropped, self.second = 0, 0
-        self.written: dict[str, int] = {}  # lines of each event in this second
+        self.dropped_count = 0  # since the last line
+        self.current_second = 0  # of the Unix time, in which events are counted
+        self.count_by_event: dict[str, int] = {}
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
-    def event(self, what: str, **figures: object) -> None:
+    def event(self, name: str, /, **fields: object) -> None:
+        """Logs an event with these fields, unless it comes too often or the queue is full."""
         now = time.time()
-        if int(now) != self.second:
-            self.second, self.written = int(now), {}
-        alike = self.written[what] = self.written.get(what, 0) + 1
-        if alike > ALIKE_MOST or self.lines.qsize() >= WAITING_MOST:
-            self.dropped += 1
+        if int(now) != self.current_second:
+            self.current_second = int(now)
+            self.count_by_event = {}
+        count = self.count_by_event.get(name, 0) + 1
+        self.count_by_event[name] = count
+        if count > MAX_LINES_PER_EVENT or self.lines.qsize() >= MAX_QUEUED_LINES:
+            self.dropped_count += 1
             return
-        if self.dropped:
-            figures["dropped"], self.dropped = self.dropped, 0
-        line = {"at": round(now, 3), "director": self.name, "event": what, **figures}
+        if self.dropped_count:
+            fields["dropped"] = self.dropped_count
+            self.dropped_count = 0
+        line = {"at": round(now, 3), "director": self.name, "event": name, **fields}
         self.lines.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
-    def exception(self, where: str, broken: BaseException) -> None:
-        last = traceback.extract_tb(broken.__traceback__)[-3:]
+    def exception(self, where: str, error: BaseException) -> None:
+        """Logs an unexpected exception as the event `fault`, with the end of its traceback."""
+        frames = traceback.extract_tb(error.__traceback__)[-TRACE_FRAMES:]
         self.event(
             "fault",
             where=where,
-            kind=type(broken).__name__,
-            text=str(broken),
+            kind=type(error).__name__,
+            text=str(error),
             trace=[
-                f"{step.filename.rpartition('/')[2]}:{step.lineno} {step.name}" for step in last
+                f"{frame.filename.rpartition('/')[2]}:{frame.lineno} {frame.name}"
+                for frame in frames
             ],
         )
 
-    def close(self, seconds: float = 0.2) -> None:
-        """Waits so long at most for the lines that are still to be written."""
+    def close(self, timeout_s: float = 0.2) -> None:
+        """Waits so long at the most for the lines that are still to be written."""
         self.lines.put(None)
-        self.thread.join(seconds)
+        self.thread.join(timeout_s)
 
     def _write(self) -> None:
         while (line := self.lines.get()) is not None:
