--- a/mulleinrelay/__main__.py
+++ b/mulleinrelay/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line: `python -m mulleinrelay`."""
+
 from .cli import main
 
 main(prog_name="mulleinrelay")
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -1,52 +1,63 @@
-"""The command line. What serves and what only reads files import nothing of one another: each
-command draws in its own part when it is called.
+"""The command line: commands and options, nothing else.
+
+What serves and what only reads files import nothing of one another: each command imports its own
+part when it is called.
 """
 
 import os
 import sys
 from collections.abc import Callable
-from typing import Any
+from importlib import import_module
+from typing import TypeVar
 
 import click
 
 from . import VERSION
 from .errors import ConfigError
 
-DONE, NOT_STARTED, BAD_CONFIGURATION, MISUSED, REFUSED = 0, 1, 2, 2, 3
-GROUPS = {
+Loaded = TypeVar("Loaded")
+PathType = TypeVar("PathType", str, str | None)
+
+EXIT_BAD_CONFIGURATION = 2  # wrong use or a wrong file; the other codes are in `main`
+
+# Groups of commands, each with the module that has it under the same name.
+MODULE_BY_GROUP = {
     "cells": "mulleinrelay.cells.commands",
     "ctl": "mulleinrelay.management.commands",
     "lab": "mulleinrelay.lab.commands",
     "fleet": "mulleinrelay.membership.commands",
 }
+# Where the optional dependencies of a group have another name than the group.
+EXTRA_BY_GROUP = {"ctl": "management"}
 
 
-EXTRAS = {"ctl": "management"}
-
+class LazyGroup(click.Group):
+    """A group whose subgroups are imported when they are used."""
 
-class Lazy(click.Group):
-    """Groups of commands that are imported when they are wanted."""
+    def list_commands(self, ctx: click.Context) -> list[str]:
+        """Returns the names of all commands, for the help text."""
+        return sorted({*super().list_commands(ctx), *MODULE_BY_GROUP})
 
-    def list_commands(self, context: click.Context) -> list[str]:
-        return sorted({*super().list_commands(context), *GROUPS})
-
-    def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        if name not in GROUPS:
-            return super().get_command(context, name)
-        from importlib import import_module
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Returns a command; None if there is none of that name.
 
+        Raises:
+            click.ClickException: If a library that it needs is missing.
+        """
+        if cmd_name not in MODULE_BY_GROUP:
+            return super().get_command(ctx, cmd_name)
         try:
-            return getattr(import_module(GROUPS[name]), name)
-        except ModuleNotFoundError as missing:
-            if (missing.name or "").startswith("mulleinrelay"):
+            return getattr(import_module(MODULE_BY_GROUP[cmd_name]), cmd_name)
+        except ModuleNotFoundError as error:
+            if (error.name or "").startswith("mulleinrelay"):
                 raise
-            extra = EXTRAS.get(name, name)
+            extra = EXTRA_BY_GROUP.get(cmd_name, cmd_name)
             raise click.ClickException(
-                f"{name}: the library {missing.name} is missing; install mulleinrelay[{extra}]"
-            ) from None
+                f"{cmd_name}: the library {error.name} is missing; install mulleinrelay[{extra}]"
+            ) from error
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """A router before tiers of caches.
 
@@ -64,16 +75,12 @@
     envvar="MULLEINRELAY_CELLS",
     help="Our own file, as deploy/cells.ini (default: $MULLEINRELAY_CELLS; none: off).",
 )
-
-
 MANAGEMENT = click.option(
     "--management",
     metavar="FILE",
     envvar="MULLEINRELAY_MANAGEMENT",
     help="Our own file, as deploy/management.ini (default: $MULLEINRELAY_MANAGEMENT).",
 )
-
-
 FLEET = click.option(
     "--fleet",
     metavar="FILE",
@@ -101,69 +108,77 @@
 @FLEET
 def check(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
     """Read the configurations and say what is wrong with them."""
-    from .config.platform import load_config
-
-    if (
-        (cells is None and management is None and fleet is None)
-        or config
-        or os.environ.get("LB_CONFIG")
-    ):
-        try:
-            start = load_config(os.environ, config)
-        except ConfigError as wrong:
-            faulty(str(wrong))
-        click.echo(
-            f"{start.name}: listens on {start.listen[0]}:{start.listen[1]}, "
-            f"{len(start.request_classes)} request classes, {len(start.known_events)} events known, "
-            f"up to number {start.last_event_number}"
-        )
+    has_own_file = cells is not None or management is not None or fleet is not None
+    if config or os.environ.get("LB_CONFIG") or not has_own_file:
+        _check_platform(config)
     if cells is not None:
-        from .cells.config import load_cells_config
-        from .cells.store import load
-
-        own = held_in(load_cells_config, cells)
-        charter = held_in(load, own.assignment_file) if own.assignment_file else None
-        held = (
-            f"version {charter.version}, {len(charter.cells)} cells, {len(charter.tenants)} tenants, "
-            f"{len(charter.migrations)} moves"
-            if charter
-            else "no assignment"
-        )
-        click.echo(f"cells: {'on' if own.enabled else 'off'}, {held}")
+        _check_cells(cells)
     if management is not None:
-        from .management.config import load_management_config
-
-        managed = held_in(load_management_config, management)
-        click.echo(
-            f"management: {'on' if managed.enabled else 'off'}, {managed.listen}, "
-            f"{'TLS' if managed.certificate else 'no TLS'}, {len(managed.rights.by_name)} roles"
-        )
+        _check_management(management)
     if fleet is not None:
-        from .membership.config import load_fleet_config
+        _check_fleet(fleet)
 
-        talked = held_in(load_fleet_config, fleet)
-        click.echo(
-            f"fleet: {'on' if talked.enabled else 'off'}, {talked.fleet}, heard at "
-            f"{talked.announce[0]}:{talked.announce[1]}, {len(talked.seeds)} seeds"
+
+def _check_platform(path: str | None) -> None:
+    from .config.platform import load_config
+
+    config = _load_or_exit(lambda file: load_config(os.environ, file), path)
+    click.echo(
+        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, "
+        f"{len(config.request_classes)} request classes, {len(config.known_events)} events known, "
+        f"up to number {config.last_event_number}"
+    )
+
+
+def _check_cells(path: str) -> None:
+    from .cells.config import load_cells_config
+    from .cells.store import load
+
+    config = _load_or_exit(load_cells_config, path)
+    summary = "no assignment"
+    if config.assignment_file:
+        assignment = _load_or_exit(load, config.assignment_file)
+        summary = (
+            f"version {assignment.version}, {len(assignment.cells)} cells, "
+            f"{len(assignment.tenants)} tenants, {len(assignment.migrations)} moves"
         )
+    click.echo(f"cells: {_on_or_off(config.enabled)}, {summary}")
+
+
+def _check_management(path: str) -> None:
+    from .management.config import load_management_config
 
+    config = _load_or_exit(load_management_config, path)
+    click.echo(
+        f"management: {_on_or_off(config.enabled)}, {config.listen}, "
+        f"{'TLS' if config.certificate else 'no TLS'}, {len(config.rights.by_name)} roles"
+    )
 
-def held_in(load: Callable[[str], Any], path: str) -> Any:
-    """One of our own files; says what is wrong with it and exits."""
 
+def _check_fleet(path: str) -> None:
+    from .membership.config import load_fleet_config
+
+    config = _load_or_exit(load_fleet_config, path)
+    click.echo(
+        f"fleet: {_on_or_off(config.enabled)}, {config.fleet}, heard at "
+        f"{config.announce[0]}:{config.announce[1]}, {len(config.seeds)} seeds"
+    )
+
+
+def _on_or_off(is_enabled: bool) -> str:
+    return "on" if is_enabled else "off"
+
+
+def _load_or_exit(load: Callable[[PathType], Loaded], path: PathType) -> Loaded:
+    """Loads a file; prints what is wrong with it and exits if it cannot be used."""
     try:
         return load(path)
-    except ConfigError as wrong:
-        faulty(str(wrong))
+    except ConfigError as error:
+        click.echo(f"mulleinrelay: {error}", err=True)
+        sys.exit(EXIT_BAD_CONFIGURATION)
 
 
 @main.command()
 def version() -> None:
     """Print the version."""
     click.echo(f"mulleinrelay {VERSION}")
-
-
-def faulty(text: str, code: int = BAD_CONFIGURATION) -> None:
-    """Says what is wrong and exits."""
-    click.echo(f"mulleinrelay: {text}", err=True)
-    sys.exit(code)
