--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -88,17 +88,8 @@
         self.stop_requested = threading.Event()
         self.stopped = threading.Event()
         self.coordinator = RequestCoordinator(self.clock, config.seed, config.settings, log)
-        self.upstream = UpstreamConnections(
-            self.coordinator,
-            self.clock,
-            log,
-            config.connect_timeout,
-            config.idle_timeout,
-            config.max_attempts_per_connection,
-            int(UPSTREAM_FRACTION * config.max_descriptors),
-            config.settings.allows_health_checks,
-            config.connections_are_priced,
-        )
+        max_upstream = int(UPSTREAM_FRACTION * config.max_descriptors)
+        self.upstream = UpstreamConnections(self.coordinator, self.clock, log, config, max_upstream)
         self.request_handler = RequestHandler(config, self.coordinator, self.upstream, log)
         self.listener = ClientListener(
             config.listen, self.request_handler, log, int(CLIENT_FRACTION * config.max_descriptors)
@@ -106,8 +97,7 @@
         self.event_stream = EventStream(config, self.coordinator, log)
         self.cell_service = self._build_cell_service(cells)
         self.request_handler.admission_control = self.cell_service
-        is_managed = management is not None and management.enabled
-        self.management_config = management if is_managed else None
+        self.management_config = management
         self.gnmi_server: GnmiServer | None = None
         self.membership = self._build_membership(fleet)
 
@@ -135,7 +125,7 @@
         )
 
     def _start_management(self) -> None:
-        if self.management_config is None:
+        if self.management_config is None or not self.management_config.enabled:
             return
         from .management.gnmi_server import build
 
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Hashable
 from typing import TYPE_CHECKING, Any, cast
 
-from ..config.platform import LOAD_REPORT_FIELDS
+from ..config.platform import LOAD_REPORT_FIELDS, DirectorConfig
 from ..coordinator import RequestCoordinator
 from ..policy import connection_reuse
 from ..policy.model import (
@@ -40,6 +40,9 @@
     Times are ms of the director's clock.
 
     Attributes:
+        connect_timeout: For a connection to come up, and for the first byte of an attempt.
+        shared_kinds: Kinds of endpoints that all directors share.
+        idle_timeouts: Of connections to endpoints, by whether all directors share these.
         run_request: Does what follows for a request that has moved on; set by the request handler.
         has_client_left: Whether the client of a request's context has left, for its first attempt
             or a later one; set by the request handler. Called under the lock.
@@ -53,12 +56,8 @@
         coordinator: RequestCoordinator,
         clock: Callable[[], float],
         log: StructuredLog,
-        connect_timeout: float,
-        idle_timeout: float,
-        max_attempts_per_connection: int,
+        config: DirectorConfig,
         max_connections: int,
-        allows_pings: bool,
-        connections_are_priced: bool,
     ) -> None:
         """Creates an empty pool.
 
@@ -66,26 +65,22 @@
             coordinator: Knows which attempts may be sent, and is told how they went.
             clock: Unix milliseconds.
             log: For operators.
-            connect_timeout: For a connection to come up, and for the first byte of an attempt.
-            idle_timeout: After which endpoints close an idle connection.
-            max_attempts_per_connection: In flight at one time.
+            config: Timeouts, and how connections may be used.
             max_connections: In all.
-            allows_pings: Quiet connections may be pinged.
-            connections_are_priced: A new connection costs more than an open one.
         """
-        super().__init__(max_connections, max_attempts_per_connection)
+        super().__init__(max_connections, config.max_attempts_per_connection)
         self.coordinator = coordinator
         self.clock = clock
         self.log = log
-        self.allows_pings = allows_pings
+        self.allows_pings = config.settings.allows_health_checks
         self.run_request: Callable[[Request], None] = lambda request: None
         self.has_client_left: Callable[[Any, bool], bool] = lambda context, is_first: False
-        self.connect_timeout = connect_timeout
-        settings = coordinator.settings
+        self.connect_timeout = config.connect_timeout
+        settings = config.settings
         self.shared_kinds = (settings.parent_kind, settings.origin_kind)
         self.idle_timeouts = {
             is_shared: connection_reuse.hold_for(
-                idle_timeout, director_count, is_shared, connections_are_priced
+                config.idle_timeout, director_count, is_shared, config.connections_are_priced
             )
             for is_shared, director_count in (
                 (False, settings.local_director_count),
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -41,12 +41,7 @@
     """
     signals = open_signal_pipe()
     try:
-        config = load_config(os.environ, config_path)
-        # Beyond what the system allows, clients and upstream connections would leave the event
-        # stream no descriptor.
-        config.max_descriptors = min(
-            config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        )
+        config = _load_config_within_limits(config_path)
         threading.stack_size(THREAD_STACK_BYTES)
         log = StructuredLog(config.name)
         director = build_director(config, log, cells_path, management_path, fleet_path)
@@ -63,12 +58,30 @@
     director.event_stream.read_configured_address = lambda: configured_event_stream(config_path)
     gc.collect()
     gc.freeze()  # what exists at the start stays: the collector need not look at it again
+    _obey_signals(signals, director, log, config_path)
+    log.close()
+    return EXIT_DONE
+
+
+def _load_config_within_limits(path: str | None) -> DirectorConfig:
+    """Reads the configuration; its descriptors are bounded by what the system allows.
+
+    Beyond that, clients and upstream connections would leave the event stream no descriptor.
+    """
+    config = load_config(os.environ, path)
+    allowed_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    config.max_descriptors = min(config.max_descriptors, allowed_descriptors)
+    return config
+
+
+def _obey_signals(
+    signals: int, director: Director, log: StructuredLog, config_path: str | None
+) -> None:
+    """Reloads at each SIGHUP; any other signal drains the director and ends the wait."""
     while os.read(signals, 1)[0] == signal.SIGHUP:
         reload_configuration(director, log, config_path)
     director.stop()
     director.wait()
-    log.close()
-    return EXIT_DONE
 
 
 def _fail(message: str, exit_code: int) -> int:
