--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from ..net.resp import ENDS, NOTES
+from ..net.resp import CACHE_STATUS_BY_WORD, OUTCOME_BY_WORD
 from ..policy.actions import SendOptions
 from ..policy.events import (
     AttemptFinished,
@@ -87,7 +87,12 @@
     def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
         """An endpoint has answered an attempt."""
         if not self.gone and attempt.outcome is None:
-            self.ended(attempt, ENDS[word.encode()], NOTES.get(why, CacheStatus.UNKNOWN), waited)
+            self.ended(
+                attempt,
+                OUTCOME_BY_WORD[word.encode()],
+                CACHE_STATUS_BY_WORD.get(why, CacheStatus.UNKNOWN),
+                waited,
+            )
 
     def ended(
         self,
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -13,7 +13,7 @@
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.play import Lab
 from mulleinrelay.lab.scenario import read_scenario
-from mulleinrelay.process import make
+from mulleinrelay.process import build_director
 
 SERVED, REJECTED, FAILED = 0, 1, 2
 FILLED = (b"DONE", b"why=MISS,entity=aa,issued=1,delay=5", b"bytes")
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "COMING", 0.0)
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
 def halfway(share=0.5, **changes):
@@ -266,4 +266,4 @@
         DirectorsFixture(tmp_path, make_assignment(TWO)) as running,
         pytest.raises(ConfigError, match=r"none\.ini"),
     ):
-        make(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
+        build_director(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -114,7 +114,7 @@
         for target in self.targets:
             target.close()
         # Without the second in which clients of a stopping director may still come
-        with mock.patch.object(director_module, "COMING", 0.0):
+        with mock.patch.object(director_module, "NEW_CALLS_S", 0.0):
             self.director.stop()
             for caller in self.callers:
                 caller.close()
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -274,7 +274,7 @@
                 self.seen.append(event.load)
 
 
-NAMES = list(resp.NOTES)
+NAMES = list(resp.CACHE_STATUS_BY_WORD)
 
 
 @pytest.mark.parametrize(
@@ -299,9 +299,11 @@
     attempt = stage.coordinator.next_step(request).attempt
     ours = stage.coordinator._driver.router = RecordingRouter(stage.coordinator.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
-    reply = resp.read_told([memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {})
+    reply = resp.parse_answer(
+        [memoryview(item) for item in (b"a1", word, fields.encode(), b"")], {}
+    )
     stage.coordinator.report_outcome(
-        attempt, reply.outcome, reply.note, reply.waited, reply.load, reply
+        attempt, reply.outcome, reply.cache_status, reply.delay, reply.load_report, reply
     )
 
     theirs = Instance(1)
