--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -320,12 +320,12 @@
         rank = self.cache_selector.retention_rank(request, self._now) if is_cache else 0
         has_timed_out = any(attempt.outcome == Outcome.TIMEOUT for attempt in request.attempts)
         return SendOptions(
-            self.purges.max_age(request, self._now),
-            rank,
-            self.settings.allows_coalescing and not has_timed_out,
-            route.only_if_cached,
-            rank > 0,
-            request.request_class.freshness_lifetime > 0,
+            max_age=self.purges.max_age(request, self._now),
+            retention_rank=rank,
+            allow_coalescing=self.settings.allows_coalescing and not has_timed_out,
+            only_if_cached=route.only_if_cached,
+            store_at_parent=rank > 0,
+            revalidate=request.request_class.freshness_lifetime > 0,
         )
 
     def _check_overdue(self, attempt: Attempt) -> None:
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -22,7 +22,7 @@
     assert small.attempts
 
 
-@pytest.mark.parametrize("wait, taken", [(100.0, True), (900.0, False)])
+@pytest.mark.parametrize(("wait", "taken"), [(100.0, True), (900.0, False)])
 def test_slowdown_is_measured_by_late_hits_and_not_by_attempts_times_directors(wait, taken):
     """With twenty directors, two own attempts in flight had the third request rejected."""
     fleet = Fleet(local_director_count=20)
@@ -54,7 +54,7 @@
     assert len(firsts) == 3
 
 
-@pytest.mark.parametrize("wait, seconds", [(60_000.0, 6.0), (100.0, 0.0)])
+@pytest.mark.parametrize(("wait", "seconds"), [(60_000.0, 6.0), (100.0, 0.0)])
 def test_one_late_answer_does_not_keep_a_cache_from_traffic_for_long(wait, seconds):
     fleet = Fleet()
     request = fleet.ask(key=77)
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, another, weight",
+    ("outcome", "another", "weight"),
     [
         (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
         (Outcome.CONNECT_FAILED, None, 6.0),
@@ -67,7 +67,7 @@
     assert all(request.is_complete for request in requests) or another is None
 
 
-@pytest.mark.parametrize("broken, well", [("parents", "caches"), ("caches", "parents")])
+@pytest.mark.parametrize(("broken", "well"), [("parents", "caches"), ("caches", "parents")])
 def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(broken, well):
     """A failing parent shows as errors at every cache; unless blame is split, these are ejected."""
     fleet = Fleet()
@@ -100,7 +100,7 @@
     assert not any(member.is_ejected for member in fleet.caches)
 
 
-@pytest.mark.parametrize("requests, most", [(40, 3), (400, 22)])
+@pytest.mark.parametrize(("requests", "most"), [(40, 3), (400, 22)])
 def test_trial_requests_are_earned_by_requests(requests, most):
     """At two a second each, hundreds of directors swamped a dead parent with trials."""
     fleet = Fleet()
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, well, is_reinstated",
+    ("outcome", "well", "is_reinstated"),
     [
         (Outcome.CONNECT_FAILED, True, True),
         (Outcome.CONNECT_FAILED, False, False),
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize(
-    "health_checks, bypass, whose",
+    ("health_checks", "bypass", "whose"),
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
 def test_unreachable_caches_are_bypassed_until_a_health_check_is_answered(
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize(
-    "health_checks, bypass, whose",
+    ("health_checks", "bypass", "whose"),
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
 def test_two_failures_in_a_row_mark_the_zone_unreachable_and_requests_bypass_it(
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -12,7 +12,7 @@
 )
 
 
-@pytest.mark.parametrize("caches_start, parents_start", [(True, False), (False, True)])
+@pytest.mark.parametrize(("caches_start", "parents_start"), [(True, False), (False, True)])
 def test_an_endpoint_in_slow_start_gets_less_than_would_overload_it(caches_start, parents_start):
     fleet = Fleet(started=100000.0 * caches_start, parents_started=100000.0 * parents_start)
     sent = {member: 0.0 for member in [fleet.caches[0], *fleet.parents]}
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -38,7 +38,7 @@
         return limit
 
 
-@pytest.mark.parametrize("rate, hours", [(0.1, 1500), (1.0, 150)])
+@pytest.mark.parametrize(("rate", "hours"), [(0.1, 1500), (1.0, 150)])
 def test_a_healthy_endpoint_is_ejected_less_than_once_in_a_thousand_hours(rate, hours):
     """With one error in a thousand; two by chance are let pass in so short a test."""
     monitored, shunned, before = MonitoredEndpoint(rate, 1), 0, False
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.1, 1.0, 5.0])
-@pytest.mark.parametrize("failure_rate, limit", [(1.0, 4), (0.5, 16), (0.3, 40)])
+@pytest.mark.parametrize(("failure_rate", "limit"), [(1.0, 4), (0.5, 16), (0.3, 40)])
 def test_an_outlier_is_ejected_within_so_many_results(rate, failure_rate, limit):
     """Nineteen times in twenty, after twenty good ones."""
     found = []
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -10,7 +10,7 @@
 from mulleinrelay.policy.rendezvous_hash import rendezvous_order
 
 
-@pytest.mark.parametrize("left, near", [(6000.0, False), (200.0, True)])
+@pytest.mark.parametrize(("left", "near"), [(6000.0, False), (200.0, True)])
 def test_a_client_with_less_time_than_its_objective_gets_the_nearest_parent(left, near):
     """Far fills came too late for clients with little time, which were rejected at its end."""
     fleet = Fleet()
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "crowding, age, filled", [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)]
+    ("crowding", "age", "filled"), [(1.0, 0, True), (30.0, 0, False), (30.0, 3000, True)]
 )
 def test_a_congested_link_stops_fills_and_a_miss_is_rejected_immediately(crowding, age, filled):
     """Without the bound, fills whose clients had left kept a link congested for a day."""
@@ -51,7 +51,7 @@
         assert request.is_complete and len(request.attempts) == 1
 
 
-@pytest.mark.parametrize("first_byte, held_only", [(100.0, False), (3000.0, True)])
+@pytest.mark.parametrize(("first_byte", "held_only"), [(100.0, False), (3000.0, True)])
 def test_a_slow_origin_gets_no_more_fills_and_parents_serve_only_what_is_cached(
     first_byte, held_only
 ):
@@ -93,7 +93,7 @@
         fleet.answer(fleet.ask().attempts[0], note=note, first_byte=first_byte)
 
 
-@pytest.mark.parametrize("slow, kept", [((0,), False), ((0, 1), True)])
+@pytest.mark.parametrize(("slow", "kept"), [((0,), False), ((0, 1), True)])
 def test_a_slow_parent_is_passed_over_only_if_the_others_are_not_slow_too(slow, kept):
     """Passing over all slow parents led to ones without the objects, and to the origin."""
     fleet = Fleet()
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, group, outcome, attempts, final",
+    ("repeat", "group", "outcome", "attempts", "final"),
     [
         (IDEMPOTENT, "all", Outcome.ERROR, 2, None),
         (KEYED, "all", Outcome.ERROR, 2, None),
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, after, final",
+    ("outcome", "after", "final"),
     [
         (
             Outcome.ERROR,
@@ -104,7 +104,7 @@
         fleet.answer(attempt)
 
 
-@pytest.mark.parametrize("key, group", [(77, 1), (0, 1)])
+@pytest.mark.parametrize(("key", "group"), [(77, 1), (0, 1)])
 def test_a_purge_bounds_max_age_above_zero(key, group):
     fleet = Fleet()
     fleet.handle(PurgeReceived(key, group, 40.0))
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, after, least, most",
+    ("outcome", "after", "least", "most"),
     [
         (Outcome.REJECTED, 50.0, 5, 13),
         (Outcome.REJECTED, 1.0, 5, 13),
@@ -144,7 +144,7 @@
     assert least <= further <= most
 
 
-@pytest.mark.parametrize("took, none_overdue", [(400.0, True), (90.0, False)])
+@pytest.mark.parametrize(("took", "none_overdue"), [(400.0, True), (90.0, False)])
 def test_without_sizes_an_attempt_is_overdue_by_past_response_times(took, none_overdue):
     """Each was overdue after twice a quarter of its objective, and its parent ejected."""
     fleet = Fleet(transfer_rate=0.0)
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize(
-    "budget, reached, attempts, is_given_up",
+    ("budget", "reached", "attempts", "is_given_up"),
     [
         (8.0, True, 2, False),
         (0.0, True, 1, False),  # its node lives and is slow: what is out there is about to come
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, first, after, may",
+    ("repeat", "first", "after", "may"),
     [
         (IDEMPOTENT, None, 0.0, True),
         (IDEMPOTENT, Outcome.ERROR, 5900.0, True),
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, group, again, most, is_cancelled",
+    ("repeat", "group", "again", "most", "is_cancelled"),
     [
         (IDEMPOTENT, "all", 8.0, 6, True),
         (IDEMPOTENT, "all", 0.5, 6, False),
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    "first, second, result",
+    ("first", "second", "result"),
     [
         ("forget", "report", ClientGone),
         ("report", "forget", Served),
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, sent, outcome, result",
+    ("request_class", "sent", "outcome", "result"),
     [
         ("pages", True, None, Rejected),
         ("order", True, None, Rejected),
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, kept",
+    ("change", "kept"),
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
 def test_an_endpoint_that_restarts_gets_a_new_address_object(change, kept):
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, status, note",
+    ("word", "status", "note"),
     [
         (b"DONE", 0, 1),
         (b"DONE", 0, 3),
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -145,13 +145,13 @@
             ) from error
 
 
-@pytest.mark.parametrize("request_class, length", [("pages", 3), ("order", 2), ("pay", 3)])
+@pytest.mark.parametrize(("request_class", "length"), [("pages", 3), ("order", 2), ("pay", 3)])
 def test_a_request_keeps_to_the_rules_in_every_order_of_its_events(request_class, length):
     search(request_class, length)
 
 
 @pytest.mark.parametrize(
-    "request_class, where, name, planted, message",
+    ("request_class", "where", "name", "planted", "message"),
     [
         ("pages", RequestCoordinator, "can_begin", lambda coordinator, attempt: True, "drains"),
         ("pay", idempotency, "may_have_run", lambda request: [], "twice"),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "frame, told",
+    ("frame", "told"),
     [
         (EMPTY[:9], "input ended inside a frame header"),
         (SAMPLE[:-5], "input ended inside batch 12"),
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told", [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")]
+    ("text", "told"), [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")]
 )
 def test_start_settings_that_cannot_be_used_are_named(text, told):
     with pytest.raises(wire.WireError, match=told):
