--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -4,15 +4,13 @@
 and not objects since a busy director makes several for each request.
 """
 
-from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from .latency import TrackedEndpoint
 from .model import Attempt, Request
 
 
-@dataclass(frozen=True, slots=True)
-class SendOptions:
+class SendOptions(NamedTuple):
     """How an endpoint is to serve an attempt.
 
     Attributes:
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 from random import Random
-from typing import cast
+from typing import Any
 
 from .endpoint_filter import TRIAL_INTERVAL
 from .endpoint_table import EndpointTable
@@ -147,7 +147,8 @@
 
     def take_due_checks(self, now: float) -> list[TrackedEndpoint]:
         """The endpoints that get a health check now; each is due again later."""
-        return cast(list[TrackedEndpoint], self.checks.due(now, self._endpoints.caches))
+        due: list[Any] = self.checks.due(now, self._endpoints.caches)
+        return due
 
     def is_zone_lost(self) -> bool:
         """Whether none of the zone's caches is reached, as far as it shows.
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -4,6 +4,7 @@
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from .latency import TrackedEndpoint
 from .model import Attempt, CacheStatus, EndpointState, Outcome, Request
@@ -71,8 +72,7 @@
     is_healthy: bool = True
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointEntry:
+class EndpointEntry(NamedTuple):
     """The state of one endpoint in an update of the endpoint list."""
 
     endpoint: TrackedEndpoint
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -81,13 +81,9 @@
 }
 
 Fields = tuple[Any, ...]  # of one record, as its struct unpacks them
-
-
-class Record(NamedTuple):
-    """One record that came in; a field that refers to the tail holds what stands there."""
-
-    code: int
-    fields: Fields
+# One record that came in: its code and fields. A field that refers to the tail holds what stands
+# there. A plain tuple, as there are several for each request.
+Record = tuple[int, Fields]
 
 
 class Batch(NamedTuple):
@@ -154,7 +150,7 @@
             if code == ENDPOINT_ROWS:
                 entry = list(ENDPOINT_ROW.iter_unpack(entry))
             fields = (*fields[:offset_field], entry)
-        yield Record(code, fields)
+        yield code, fields
 
 
 class Reply:
--- a/tests/cells/test_search.py
+++ b/tests/cells/test_search.py
@@ -146,7 +146,7 @@
                 lambda apply: (
                     lambda self, entries, *rest: apply(
                         self,
-                        [replace(entry, state=EndpointState.READY) for entry in entries],
+                        [entry._replace(state=EndpointState.READY) for entry in entries],
                         *rest,
                     )
                 ),
