--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -155,7 +155,7 @@
                 lambda apply: (
                     lambda self, entries, *rest: apply(
                         self,
-                        [replace(entry, state=EndpointState.READY) for entry in entries],
+                        [entry._replace(state=EndpointState.READY) for entry in entries],
                         *rest,
                     )
                 ),
