--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -320,6 +320,11 @@
     )
 
 
+def cancel_frame(number):
+    """A cancellation of the call with that sequence number."""
+    return call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
+
+
 WELL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
 
 
@@ -552,6 +557,13 @@
     return condition()
 
 
+def waiting_attempt(director):
+    """The one attempt that is in flight or waits for its connection."""
+    upstream = director.service.upstream
+    assert wait_for(lambda: len(upstream.connection_by_attempt) == 1)
+    return next(iter(upstream.connection_by_attempt))
+
+
 def held_back(monkeypatch, owner, name, only=lambda *_, **__: True):
     """Calls of that method wait until what is returned is set; its `met` is set once one of them
     waits.
--- /dev/null
+++ b/tests/net/test_upstream_connections.py
@@ -0,0 +1,213 @@
+"""Connections to endpoints that fail, are silent or answer too much."""
+
+import errno
+import socket
+import threading
+import time
+
+import pytest
+from helpers import (
+    HIT,
+    MUTE,
+    Running,
+    StandNode,
+    wait_for,
+)
+
+from mulleinrelay.net import resp
+from mulleinrelay.net import upstream_connections as caches_module
+from mulleinrelay.net.upstream_connection import UpstreamConnection
+from mulleinrelay.policy import connection_reuse
+from mulleinrelay.policy.model import Attempt, Endpoint
+
+
+def test_late_second_answer_is_not_taken_for_the_next_attempt():
+    # Guards against an attempt that is thought to have missed while it runs, so that it is
+    # repeated.
+    second = threading.Event()
+
+    class Twice(StandNode):
+        def answer(self, connection, about, fields):
+            if len(director.heard()) == 1:
+                connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
+                return threading.Thread(
+                    target=self.later, args=(connection, about), daemon=True
+                ).start()
+            second.set()
+            time.sleep(0.1)
+            connection.sendall(resp.command(about, b"DONE", b"why=MISS", b"bytes"))
+
+        def later(self, connection, about):
+            second.wait(5.0)
+            connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
+
+    with Running() as director:
+        for node in director.nodes:
+            node.__class__ = Twice
+        caller = director.caller()
+        caller.send()
+        assert caller.answer() == (1, 0, {}, b"bytes")
+        assert len(director.heard()) == 2
+
+
+@pytest.mark.parametrize("cancel, told", [(True, 1), (False, 0)])
+def test_cancellation_is_sent_only_where_the_settings_allow_it(cancel, told):
+    with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
+        caller, caches = director.caller(), director.service.upstream
+        caller.send("pay", patience="300")
+        assert wait_for(director.heard)
+        (attempt,) = caches.connection_by_attempt
+        caches.cancel(attempt)
+        caches.check_health(
+            attempt.endpoint, attempt.addresses[0][1]
+        )  # behind it on the same connection
+        assert wait_for(lambda: director.heard("METER")) and len(director.heard("KILL")) == told
+        assert caller.answer()[:2] == (1, 2)
+
+
+@pytest.mark.parametrize("two_attempts", [True, False])
+def test_cancellation_that_cannot_be_written_ends_connection_without_hedging(
+    two_attempts,
+):
+    # Guards against the next attempt that overtakes the word that the first one is given up.
+    with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
+        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
+        ours, theirs = socket.socketpair()
+        link = UpstreamConnection(place, director.service.clock(), caches.lock)
+        link.write_queue.connection = ours
+        caches.connections[place] = [link]
+        caches._send(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
+        assert caches.connection_by_attempt[attempt][0] is link
+        caches.cancel(attempt)
+        assert link.write_queue.is_shut_down != two_attempts
+        theirs.close()
+        ours.close()
+
+
+def test_lack_of_descriptors_is_not_blamed_on_endpoints(monkeypatch):
+    # Guards against all nodes being shunned while idle clients hold what there is.
+    class Short:
+        def __getattr__(self, name):
+            return getattr(socket, name)
+
+        def socket(self, *_):
+            raise OSError(errno.EMFILE, "too many open files")
+
+    with Running() as director:
+        with monkeypatch.context() as short:
+            short.setattr(caches_module, "socket", Short())
+            caller = director.caller()
+            caller.send()
+            assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
+        members = director.service.coordinator.router.members
+        assert members and not any(member.shunned or member.health.bad for member in members)
+        caller.send()
+        assert caller.answer()[:2] == (2, 0)
+
+
+def test_connection_closed_by_its_endpoint_is_not_written_to(monkeypatch):
+    # Guards against an effect of which nobody can say whether it happened, for a close that had
+    # come before.
+    rooms, reads, room = [], threading.Event(), resp.ArrayDecoder.writable_view
+
+    def late(arrays):  # the first connection is read once, and its close is not
+        if threading.current_thread().name == "upstream":
+            rooms.append(arrays)
+            if arrays is rooms[0] and len(rooms) > 1:
+                reads.wait(10.0)
+        return room(arrays)
+
+    monkeypatch.setattr(resp.ArrayDecoder, "writable_view", late)
+    with Running() as director:
+        caller, origin = director.caller(), director.nodes[-1]
+        caller.send("pay")
+        assert caller.answer()[:2] == (1, 0)
+        (links,) = director.service.upstream.connections.values()
+        link = links[0]
+        origin.connections[0].shutdown(socket.SHUT_RDWR)
+        assert wait_for(link.is_closed_by_peer)
+        caller.send("pay")
+        assert caller.answer()[:2] == (2, 0) and len(origin.connections) == 2
+        reads.set()
+
+
+def test_answer_before_unreadable_bytes_counts():
+    # Guards against an effect that is called failed though its answer has come: the bytes behind
+    # it, of another answer that was spoilt, end the connection.
+    class Spoilt(StandNode):
+        def answer(self, connection, about, fields):
+            connection.sendall(resp.command(about, *HIT) + b"+what\r\n")
+
+    with Running() as director:
+        for node in director.nodes:
+            node.__class__ = Spoilt
+        caller = director.caller()
+        caller.send("pay")
+        assert caller.answer() == (1, 0, {}, b"bytes")
+
+
+def test_refused_connection_proves_that_nothing_was_executed():
+    with Running() as director:
+        for node in director.nodes:
+            node.close()
+        caller = director.caller()
+        for number in range(1, 9):
+            caller.send("pay")
+            assert caller.answer()[:2] == (number, 1)
+        nodes = [figures["node"] for figures in director.sink.figures if "node" in figures]
+        assert len(nodes) == len(set(nodes)) > 0  # one line until a link is up again
+
+
+def test_silent_endpoint_delays_only_its_own_requests():
+    with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
+        caller = director.caller()
+        begun = time.monotonic()
+        caller.send(patience="600")
+        caller.send(entity="00000000000000cd")
+        assert caller.answer()[:2] == (2, 0) and time.monotonic() - begun < 0.5
+        assert caller.answer()[:2] == (1, 1) and time.monotonic() - begun < 0.65
+        assert wait_for(lambda: len(director.heard("KILL")) == len(director.heard()) - 1)
+
+
+def test_endpoint_that_does_not_read_delays_only_its_own_requests(monkeypatch):
+    # Guards against a blocking write in a thread, or under a lock, that others wait for.
+    monkeypatch.setattr(
+        StandNode, "talk", lambda self, connection: time.sleep(3.0) if self.plan else None
+    )
+    with Running() as director:
+        caller = director.caller()
+        for _ in range(30):
+            caller.send("order", body=bytes(48_000), patience="700")
+        begun = time.monotonic()
+        assert {caller.answer()[1] for _ in range(30)} == {1} and time.monotonic() - begun < 1.5
+
+
+@pytest.mark.parametrize("plan", ["cut", MUTE])
+def test_useless_connection_is_ended_and_its_attempts_are_retried_elsewhere(plan, monkeypatch):
+    # Guards against requests that wait out their time on a connection that stays open after a bad
+    # answer.
+    monkeypatch.setattr(connection_reuse, "QUIET", 100.0)  # before the module's own timer
+    with Running() as director:
+        caller, bad = director.caller(), director.nodes[:3]
+        caller.send(entity="00000000000000cd")
+        caller.answer()
+        first = next(node for node in bad if node.heard)
+        first.plan = plan
+        begun = time.monotonic()
+        caller.send(entity="00000000000000cd")
+        assert caller.answer()[:2] == (2, 0) and time.monotonic() - begun < 2.0
+        assert len(director.heard()) == 3
+        assert "upstream down" in director.sink.events
+
+
+def test_connection_that_answers_pings_keeps_its_slow_attempts():
+    with Running(None) as director:
+        caller = director.caller()
+        caller.send("pay", patience="1500")
+        assert wait_for(lambda: director.heard("ECHO"))
+        assert caller.answer()[:2] == (1, 2)
+        assert len(director.heard()) == 1 and "upstream down" not in director.sink.events
--- /dev/null
+++ b/tests/net/test_upstream_writes.py
@@ -0,0 +1,120 @@
+"""What is written to which upstream connection, and what is known of it when it is lost."""
+
+import socket
+import time
+
+from helpers import (
+    HIT,
+    Running,
+    wait_for,
+)
+
+from mulleinrelay.net.upstream_connection import UpstreamConnection
+from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
+
+
+def test_attempt_that_could_not_be_written_is_withdrawn_in_time():
+    # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
+    with Running() as director:
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
+        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
+        reported = []
+        caches._report = lambda *word: reported.append(word)
+        ours, theirs = socket.socketpair()
+        with caches.lock:
+            link = UpstreamConnection(place, 0.0, caches.lock)
+            link.write_queue.connection = ours
+            caches.connections[place] = [link]
+            link.write_queue.write(None, [bytes(4_000_000)])
+        caches._send(place, "9b", attempt, [b"never"])
+        assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.CONNECT_FAILED)]
+        theirs.close()
+        ours.close()
+
+
+def test_reset_proves_that_nothing_was_executed_only_where_nothing_was_written():
+    with Running() as director:
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
+        attempts = [
+            Attempt(None, number, Endpoint(1), None, director.service.clock(), 6000.0)
+            for number in range(2)
+        ]
+        reported = []
+        caches._report = lambda *word: reported.append(word)
+        ours, theirs = socket.socketpair()
+        link = UpstreamConnection(place, 0.0, caches.lock)
+        link.write_queue.connection = ours
+        link.in_flight = {"9b": attempts[0], "9c": attempts[1]}
+        with caches.lock:
+            link.write_queue.write("9b", [bytes(4_000_000)])
+            link.write_queue.write("9c", [b"never"])
+        theirs.close()
+        caches._close(link, ours, Outcome.RESET, "")
+        assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.CONNECT_FAILED)]
+
+
+def test_more_attempts_than_a_connection_carries_open_further_ones():
+    with Running(lambda fields: None, allowed={"mayDuplicate": False}) as director:
+        caller = director.caller()
+        for _ in range(5):
+            caller.send("order", patience="900")
+        assert wait_for(lambda: len(director.heard()) >= 5)
+        origin = director.nodes[-1]
+        assert len(origin.connections) == 3  # two attempts each
+
+
+def test_idle_connections_make_room_for_attempts_to_other_endpoints():
+    # Guards against a director at its bound of links whose links are all held for what may come,
+    # elsewhere.
+    with Running(HIT) as director:
+        director.service.upstream.max_connections = 3
+        caller = director.caller()
+        for number in range(40):
+            caller.send(entity=f"{number:016x}")
+            caller.answer()
+        assert director.service.upstream.connection_count >= 2  # to caches
+        for _ in range(4):
+            caller.send("order")
+            if caller.answer()[1] == 0:
+                break
+            time.sleep(0.05)  # the link that makes room is on its way out
+        else:
+            raise AssertionError("no link was to be had")
+
+
+def test_two_attempts_of_one_request_at_one_endpoint_are_told_apart():
+    # Guards against the late answer to an attempt given up being taken for that of the next one
+    # under its id.
+    with Running(lambda fields: None) as director:
+        caches, place = (
+            director.service.upstream,
+            next(iter(director.service.coordinator.addresses.values())),
+        )
+        attempts = [Attempt(None, number, Endpoint(1), None, 0.0, 1000.0) for number in range(3)]
+        reported = []
+        caches._report = lambda attempt, *rest: reported.append(attempt)
+        for attempt in attempts[:2]:
+            caches._send(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        links = [caches.connection_by_attempt[attempt][0] for attempt in attempts[:2]]
+        first = links[0]
+        assert len(set(links)) == 2
+        assert wait_for(lambda: not any(link.write_queue.is_unwritten("9b") for link in links))
+        caches.cancel(attempts[0])
+        caches._send(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        assert caches.connection_by_attempt[attempts[2]][0] is not first
+
+
+def test_idle_connections_are_closed_from_our_side():
+    with Running(allowed={"connIdle": 100.0}) as director:
+        caller = director.caller()
+        caller.send()
+        assert caller.answer()[:2] == (1, 0) and director.service.upstream.connection_count == 1
+        assert wait_for(lambda: director.service.upstream.connection_count == 0)
+        caller.send()
+        assert caller.answer()[:2] == (2, 0) and "upstream down" not in director.sink.events
--- /dev/null
+++ b/tests/test_process.py
@@ -0,0 +1,179 @@
+"""The program as a process: signals, configuration, exit."""
+
+import ctypes
+import json
+import os
+import signal
+import subprocess
+import sys
+import time
+import tomllib
+from pathlib import Path
+
+import pytest
+from helpers import (
+    BAN,
+    HIT,
+    OK,
+    ROOT,
+    WELL,
+    Caller,
+    Program,
+    Sink,
+    StandBus,
+    StandNode,
+    configuration,
+    event,
+    wait_for,
+)
+
+from mulleinrelay import director as director_module
+from mulleinrelay import process
+
+
+@pytest.fixture(autouse=True)
+def short_drains(monkeypatch):
+    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
+
+
+@pytest.mark.parametrize(
+    "signals, ready",
+    [
+        ([signal.SIGHUP], True),
+        ([signal.SIGHUP] * 5, True),
+        ([signal.SIGTERM], False),
+        ([signal.SIGHUP, signal.SIGTERM], False),
+        ([signal.SIGTERM] * 3, False),
+    ],
+)
+def test_signal_before_the_program_handles_signals(signals, ready, tmp_path):
+    # Guards against a new configuration, told to all, that ends those who are just being started.
+    file, root = tmp_path / "config.json", Path(ROOT)
+    file.write_text(json.dumps(configuration()))
+    run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
+    program = subprocess.Popen(
+        ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
+        cwd=root,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"LB_CONFIG": str(file)},
+    )
+    try:
+        assert wait_for(
+            lambda: b"mulleinrelay\0serve" in Path(f"/proc/{program.pid}/cmdline").read_bytes()
+        )
+        for number in signals:
+            program.send_signal(number)
+        if ready:
+            assert b'"phase":"ready"' in program.stderr.readline()
+            for _ in range(2):
+                program.send_signal(signal.SIGTERM)
+        assert program.wait(10.0) in ((0,) if ready else (0, -signal.SIGTERM))
+    finally:
+        program.kill()
+        program.wait(5.0)
+        program.stderr.close()
+
+
+def test_program_serves_until_sigterm(tmp_path):
+    ban = {"ban": {"tag": 17, "ts": time.time() * 1000}}
+    nodes, probe = [StandNode(HIT) for _ in range(6)], StandBus()
+    probe.close()  # only for a port that is free
+    stands = [StandBus(), StandBus([OK, event(2, BAN), event(3, ban), None]), StandBus()]
+    file = tmp_path / "config.json"
+    texts = [
+        json.dumps(configuration([node.address for node in nodes], bus.address, probe.address))
+        for bus in stands
+    ]
+    file.write_text(texts[0])
+    program = subprocess.Popen(
+        [sys.executable, "-m", "mulleinrelay", "serve"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"LB_CONFIG": str(file)},
+    )
+
+    def line():
+        while (told := json.loads(program.stderr.readline()))["event"] == "event stream reconnects":
+            pass
+        return told
+
+    def purged():
+        caller.send()
+        assert caller.answer()[1:] == (0, {}, b"bytes")
+        return any("within" in fields for node in nodes for _, _, fields, _ in node.heard)
+
+    try:
+        assert line()["phase"] == "ready"
+        host, port = probe.address.split(":")
+        caller = Caller((host, int(port)))
+        caller.socket.sendall(WELL)
+        assert caller.answer()[:2] == (1, 0)
+        caller.send()
+        assert caller.answer() == (1, 0, {}, b"bytes")
+        # Guards against an end by SIGHUP, a faulty file that is taken over, and events lost by the
+        # move.
+        for text, told in ((texts[1], "read"), ("{}", "kept"), (texts[2], "read")):
+            file.write_text(text)
+            program.send_signal(signal.SIGHUP)
+            assert line()["event"] == f"configuration {told}"
+            assert wait_for(purged)
+        assert wait_for(lambda: stands[2].asked) and [bus.asked for bus in stands] == [
+            [1],
+            [1],
+            [3],
+        ]
+        program.send_signal(signal.SIGTERM)
+        assert program.wait(10.0) == 0
+        assert [line()["phase"], line()["phase"]] == ["draining", "stopped"]
+    finally:
+        program.kill()
+        for each in (*nodes, *stands):
+            each.close()
+        program.stderr.close()
+
+
+@pytest.mark.parametrize("place", [0, 1, -1])  # of the thread that the system interrupts
+def test_signal_is_obeyed_whichever_thread_it_interrupts(place, tmp_path):
+    bus = StandBus()
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(configuration(bus=bus.address)))
+    with Program(file) as program:
+        pid = program.process.pid
+        threads = sorted(int(name) for name in os.listdir(f"/proc/{pid}/task"))
+        assert len(threads) > 3
+        for number in (signal.SIGHUP, signal.SIGTERM):
+            assert ctypes.CDLL(None).tgkill(pid, threads[place], number) == 0
+            time.sleep(0.1)
+        assert program.wait(10.0) == 0
+        assert program.says(event="configuration read") and program.says(phase="stopped")
+    bus.close()
+
+
+def test_moved_event_stream_is_found_without_a_signal(tmp_path):
+    old, new = StandBus(), StandBus()
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(configuration(bus=old.address)))
+    with Program(file):
+        assert wait_for(lambda: old.asked)
+        file.write_text(json.dumps(configuration(bus=new.address)))
+        old.close()
+        assert wait_for(lambda: new.asked, 8.0)
+    new.close()
+
+
+@pytest.mark.parametrize(
+    "tries, outcome", [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
+)
+def test_half_written_configuration_is_read_again(tries, outcome, tmp_path, monkeypatch):
+    file, sink, slept = tmp_path / "config.json", Sink(), []
+    file.write_text("{")
+
+    def pass_time(_):
+        slept.append(1)
+        if len(slept) == tries:
+            file.write_text(json.dumps(configuration()))
+
+    monkeypatch.setattr(time, "sleep", pass_time)
+    sink.reload = lambda start: sink.event("renewed", bus=start.event_stream_address)
+    process.reload_configuration(sink, sink, str(file))
+    assert sink.events == [outcome]
