--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,9 +8,12 @@
 from inspect import signature
 
 import pytest
+from helpers import held_back
 from hypothesis import settings
 
+from mulleinrelay import director
 from mulleinrelay.net import event_stream
+from mulleinrelay.net.client_listener import ClientListener
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
@@ -20,13 +23,27 @@
 
 
 @pytest.fixture(autouse=True)
-def told_with_the_head(monkeypatch):
-    """Stand-ins of the event stream tell all with its head: their directors needn't wait for what
-    follows.
+def no_catch_up(monkeypatch):
+    """Stand-ins of the event stream send everything with the head of the response.
+
+    So directors need not wait for what follows it.
     """
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.0)
 
 
+@pytest.fixture
+def short_drains(monkeypatch):
+    """Drains end at once where nothing is open."""
+    monkeypatch.setattr(director, "NEW_CALLS_S", 0.0)
+
+
+@pytest.fixture
+def reading(monkeypatch):
+    """Connections of clients are read only once it is set."""
+    yield (begin := held_back(monkeypatch, ClientListener, "_serve_connection"))
+    begin.set()
+
+
 def pytest_collection_modifyitems(items):
     """Those that wait for a study or a play come last, when most have been played beside the
     others.
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -25,6 +25,8 @@
 from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 FULL = (b"WAIT", b"-", b"")
 
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -17,6 +17,8 @@
 from mulleinrelay.net.client_listener import ClientListener
 from mulleinrelay.net.request_handler import RequestHandler
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_call_that_crosses_end_of_drain_is_answered(monkeypatch):
     # Guards against an end of all connections on a word that none owes an answer which a call has
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -22,6 +22,8 @@
 from mulleinrelay.net import event_stream
 from mulleinrelay.policy.model import EndpointState
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_accept_loop_and_event_stream_go_on_after_lack_of_descriptors(monkeypatch):
     bus_at, tries = StandBus([OK, None], [OK, event(2, BAN), None]), []
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -20,6 +20,8 @@
 from mulleinrelay.net.client_listener import ClientListener
 from mulleinrelay.policy.model import EndpointState
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_director_catches_up_before_it_is_healthy(monkeypatch):
     # Guards against first requests by a list that is out of date: a drain that was told while the
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -16,6 +16,8 @@
 from mulleinrelay.net.upstream_connections import UpstreamConnections
 from mulleinrelay.policy.model import EndpointState
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 @pytest.fixture
 def gate(monkeypatch):
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -9,6 +9,8 @@
     wait_for,
 )
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 @pytest.mark.parametrize(
     "got, entity, current",
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -20,6 +20,8 @@
 from mulleinrelay.policy import connection_reuse
 from mulleinrelay.policy.model import Attempt, Endpoint
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_late_second_answer_is_not_taken_for_the_next_attempt():
     # Guards against an attempt that is thought to have missed while it runs, so that it is
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -3,6 +3,7 @@
 import socket
 import time
 
+import pytest
 from helpers import (
     HIT,
     Running,
@@ -12,6 +13,8 @@
 from mulleinrelay.net.upstream_connection import UpstreamConnection
 from mulleinrelay.policy.model import Attempt, Endpoint, Outcome
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_attempt_that_could_not_be_written_is_withdrawn_in_time():
     # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -12,6 +12,8 @@
 from mulleinrelay.net import write_queue as outlet_module
 from mulleinrelay.net.write_queue import WriteQueue
 
+pytestmark = pytest.mark.usefixtures("short_drains")
+
 
 def test_queue_asks_before_first_byte_of_message_that_waited():
     # Guards against an attempt that leaves minutes late, when its node reads on, and one cut in the
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -11,10 +11,7 @@
 
 from mulleinrelay import director as director_module
 
-
-@pytest.fixture(autouse=True)
-def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
+pytestmark = pytest.mark.usefixtures("short_drains")
 
 
 def test_drain_answers_open_requests(monkeypatch):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -27,13 +27,9 @@
     wait_for,
 )
 
-from mulleinrelay import director as director_module
 from mulleinrelay import process
 
-
-@pytest.fixture(autouse=True)
-def short_drains(monkeypatch):
-    monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
+pytestmark = pytest.mark.usefixtures("short_drains")
 
 
 @pytest.mark.parametrize(
