--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -20,7 +20,7 @@
 
 from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection
-from mulleinrelay.net import client_connection as client_module
+from mulleinrelay.net import client_connection as connection_module
 from mulleinrelay.net.client_connection import ClientConnection
 from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
@@ -98,7 +98,7 @@
                 caller.socket.sendall(cancel_frame(1))
             else:
                 caller.close()
-            time.sleep(2.0 * client_module.RECENT_READ_S)
+            time.sleep(2.0 * connection_module.RECENT_READ_S)
         assert wait_for(lambda: not director.service.coordinator.pending_count())
         other.send(entity="00000000000000cd")
         assert other.answer()[:2] == (2, 0)
@@ -168,12 +168,12 @@
     # Guards against an answer that finds no number to go to, and a number that is owed for ever.
     take = RequestCoordinator.accept
 
-    def taken(facade, *arguments, **named):
-        request = take(facade, *arguments, **named)
+    def taken(coordinator, *arguments, **named):
+        request = take(coordinator, *arguments, **named)
         other = threading.Thread(
             target=lambda: [
                 director.service.request_handler.run_request(still)
-                for still in facade.finish_pending_requests()
+                for still in coordinator.finish_pending_requests()
             ]
         )
         other.start()
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -114,8 +114,8 @@
         director.bus.scripts += [[OK, whole], [OK, whole, event(number + 1, BAN), None]]
         director.service.event_stream.reconnect_to(director.service.event_stream.address)
         assert wait_for(lambda: director.service.event_stream.last_event_number == number + 1)
-        caches = {name for name, _, _ in director.service.coordinator.ready_caches()}
-        assert caches == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
+        ready = {name for name, _, _ in director.service.coordinator.ready_caches()}
+        assert ready == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
 
 
 @pytest.mark.parametrize("behind", ["drain", "whole list", "purge"])
@@ -131,7 +131,7 @@
             super().talk(connection)
 
     with Running(bus=Gap()) as director:
-        facade = director.service.coordinator
+        coordinator = director.service.coordinator
         assert wait_for(lambda: director.bus.asked)
         full = behind == "whole list"
         leaving = rows(director, "DRAINING", "s-01", full=full)
@@ -142,10 +142,10 @@
         assert asked.wait(5.0)
         assert (
             director.service.event_stream.last_event_number == 1
-            and facade.active_purge_count() == 1
+            and coordinator.active_purge_count() == 1
         )
         if behind != "purge":
-            assert "s-01" not in {name for name, _, _ in facade.ready_caches()}
+            assert "s-01" not in {name for name, _, _ in coordinator.ready_caches()}
         go.set()
         assert wait_for(lambda: director.service.event_stream.last_event_number == 4)
 
@@ -158,7 +158,7 @@
     # Guards against drains that a director was told of by its file; an old or unnumbered list is
     # not new, and one behind a gap is heeded, while the stream is asked for what is missing.
     with Running(bus=StandBus([OK, None], [OK, None])) as director:
-        stream, facade = director.service.event_stream, director.service.coordinator
+        stream, coordinator = director.service.event_stream, director.service.coordinator
         told = [
             rows(director, "DRAINING", "s-01") | ({} if number is None else {"offset": number})
             for number in numbers
@@ -166,21 +166,21 @@
         director.service.reload(replace(director.service.config, known_events=told))
         assert wait_for(lambda: len(director.bus.asked) == 2)
         assert director.bus.asked[1] == stream.last_event_number == last
-        assert ("s-01" not in {name for name, _, _ in facade.ready_caches()}) is drained
+        assert ("s-01" not in {name for name, _, _ in coordinator.ready_caches()}) is drained
 
 
 def test_drain_with_nothing_but_the_endpoints_name_counts():
     with Running(bus=StandBus()) as director:
-        facade = director.service.coordinator
+        coordinator = director.service.coordinator
         assert wait_for(lambda: director.bus.asked)
         named = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
         director.bus.scripts.append([OK, event(2, named), None])
         director.service.event_stream.reconnect_to(director.service.event_stream.address)
         assert wait_for(lambda: director.service.event_stream.last_event_number == 2)
-        assert {name for name, _, _ in facade.ready_caches()} == {"s-02", "s-03"}
+        assert {name for name, _, _ in coordinator.ready_caches()} == {"s-02", "s-03"}
         assert (
-            facade.endpoint_updates["s-01"].state == EndpointState.DRAINING
-            and facade.endpoint_updates["s-01"].address[1]
+            coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
+            and coordinator.endpoint_updates["s-01"].address[1]
         )
 
 
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -168,7 +168,7 @@
     monkeypatch.setattr(
         RequestCoordinator,
         "_play",
-        lambda facade, *call: (seen.append(call[0]), play(facade, *call)),
+        lambda coordinator, *call: (seen.append(call[0]), play(coordinator, *call)),
     )
     with Running(bus=stand) as director:
         assert wait_for(
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -117,18 +117,18 @@
     # Guards against questions of any kind to nodes that leave: what waited for its link, and what a
     # quiet link would be asked.
     with Running(None) as director:
-        caches, facade = director.service.upstream, director.service.coordinator
-        nodes = list(facade.router.caches)
+        upstream, coordinator = director.service.upstream, director.service.coordinator
+        nodes = list(coordinator.router.caches)
         for node in nodes:
-            caches.check_health(node, facade.addresses[node])
-        leaves = facade.addresses[nodes[0]]
+            upstream.check_health(node, coordinator.addresses[node])
+        leaves = coordinator.addresses[nodes[0]]
         update_endpoint(director, leaves.name, state=state)
         gate.set()
         assert wait_for(lambda: len(director.heard("METER")) == 2)
         assert wait_for(
-            lambda: not any(link.in_flight for link in caches.connections.get(leaves, ()))
+            lambda: not any(link.in_flight for link in upstream.connections.get(leaves, ()))
         )
-        caches.check_health(nodes[0], leaves)
+        upstream.check_health(nodes[0], leaves)
         time.sleep(0.05)
         assert len(director.heard("METER")) == 2
 
@@ -136,12 +136,12 @@
 @pytest.mark.parametrize("state", [EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
 def test_quiet_connection_is_pinged_only_where_its_endpoint_stays(state):
     with Running(None) as director:
-        caller, caches = director.caller(), director.service.upstream
+        caller, upstream = director.caller(), director.service.upstream
         caller.send(patience="6000")
         assert wait_for(director.heard)
         attempt = waiting_attempt(director)
         update_endpoint(director, attempt.addresses[0][1].name, state=state)
-        link = caches.connection_by_attempt[attempt][0]
+        link = upstream.connection_by_attempt[attempt][0]
         link.last_received_at, attempt.sent_at = 0.0, 1.0
-        caches.ping_quiet_connections()
+        upstream.ping_quiet_connections()
         assert bool(wait_for(lambda: director.heard("ECHO"), 0.1)) is (state == EndpointState.READY)
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -238,8 +238,8 @@
 @pytest.mark.parametrize("late, pages", [(0.0, 0), (5000.0, 1)])
 def test_director_short_of_cpu_admits_requests_with_an_effect(late, pages):
     with Running(HIT) as director:
-        caller, facade = director.caller(), director.service.coordinator
-        facade.lateness.note(facade.clock() + (60_000.0 if late else 0.0), late)
+        caller, coordinator = director.caller(), director.service.coordinator
+        coordinator.lateness.note(coordinator.clock() + (60_000.0 if late else 0.0), late)
         caller.send()
         assert caller.answer()[1] == pages
         caller.send("order")
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -15,7 +15,7 @@
 )
 
 from mulleinrelay.net import resp
-from mulleinrelay.net import upstream_connections as caches_module
+from mulleinrelay.net import upstream_connections as upstream_module
 from mulleinrelay.net.upstream_connection import UpstreamConnection
 from mulleinrelay.policy import connection_reuse
 from mulleinrelay.policy.model import Attempt, Endpoint
@@ -55,12 +55,12 @@
 @pytest.mark.parametrize("cancel, told", [(True, 1), (False, 0)])
 def test_cancellation_is_sent_only_where_the_settings_allow_it(cancel, told):
     with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
-        caller, caches = director.caller(), director.service.upstream
+        caller, upstream = director.caller(), director.service.upstream
         caller.send("pay", patience="300")
         assert wait_for(director.heard)
-        (attempt,) = caches.connection_by_attempt
-        caches.cancel(attempt)
-        caches.check_health(
+        (attempt,) = upstream.connection_by_attempt
+        upstream.cancel(attempt)
+        upstream.check_health(
             attempt.endpoint, attempt.addresses[0][1]
         )  # behind it on the same connection
         assert wait_for(lambda: director.heard("METER")) and len(director.heard("KILL")) == told
@@ -73,18 +73,20 @@
 ):
     # Guards against the next attempt that overtakes the word that the first one is given up.
     with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
-        caches, place = (
+        upstream, place = (
             director.service.upstream,
             next(iter(director.service.coordinator.addresses.values())),
         )
         attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         ours, theirs = socket.socketpair()
-        link = UpstreamConnection(place, director.service.clock(), caches.lock)
+        link = UpstreamConnection(place, director.service.clock(), upstream.lock)
         link.write_queue.connection = ours
-        caches.connections[place] = [link]
-        caches._send(place, "9b", attempt, [bytes(4_000_000)])  # begun, and the node reads no more
-        assert caches.connection_by_attempt[attempt][0] is link
-        caches.cancel(attempt)
+        upstream.connections[place] = [link]
+        upstream._send(
+            place, "9b", attempt, [bytes(4_000_000)]
+        )  # begun, and the node reads no more
+        assert upstream.connection_by_attempt[attempt][0] is link
+        upstream.cancel(attempt)
         assert link.write_queue.is_shut_down != two_attempts
         theirs.close()
         ours.close()
@@ -101,7 +103,7 @@
 
     with Running() as director:
         with monkeypatch.context() as short:
-            short.setattr(caches_module, "socket", Short())
+            short.setattr(upstream_module, "socket", Short())
             caller = director.caller()
             caller.send()
             assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
@@ -128,8 +130,8 @@
         caller, origin = director.caller(), director.nodes[-1]
         caller.send("pay")
         assert caller.answer()[:2] == (1, 0)
-        (links,) = director.service.upstream.connections.values()
-        link = links[0]
+        (connections,) = director.service.upstream.connections.values()
+        link = connections[0]
         origin.connections[0].shutdown(socket.SHUT_RDWR)
         assert wait_for(link.is_closed_by_peer)
         caller.send("pay")
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -19,20 +19,20 @@
 def test_attempt_that_could_not_be_written_is_withdrawn_in_time():
     # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
     with Running() as director:
-        caches, place = (
+        upstream, place = (
             director.service.upstream,
             next(iter(director.service.coordinator.addresses.values())),
         )
         attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
         reported = []
-        caches._report = lambda *word: reported.append(word)
+        upstream._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
-        with caches.lock:
-            link = UpstreamConnection(place, 0.0, caches.lock)
+        with upstream.lock:
+            link = UpstreamConnection(place, 0.0, upstream.lock)
             link.write_queue.connection = ours
-            caches.connections[place] = [link]
+            upstream.connections[place] = [link]
             link.write_queue.write(None, [bytes(4_000_000)])
-        caches._send(place, "9b", attempt, [b"never"])
+        upstream._send(place, "9b", attempt, [b"never"])
         assert wait_for(lambda: reported, 2.0) and reported == [(attempt, Outcome.CONNECT_FAILED)]
         theirs.close()
         ours.close()
@@ -40,7 +40,7 @@
 
 def test_reset_proves_that_nothing_was_executed_only_where_nothing_was_written():
     with Running() as director:
-        caches, place = (
+        upstream, place = (
             director.service.upstream,
             next(iter(director.service.coordinator.addresses.values())),
         )
@@ -49,16 +49,16 @@
             for number in range(2)
         ]
         reported = []
-        caches._report = lambda *word: reported.append(word)
+        upstream._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
-        link = UpstreamConnection(place, 0.0, caches.lock)
+        link = UpstreamConnection(place, 0.0, upstream.lock)
         link.write_queue.connection = ours
         link.in_flight = {"9b": attempts[0], "9c": attempts[1]}
-        with caches.lock:
+        with upstream.lock:
             link.write_queue.write("9b", [bytes(4_000_000)])
             link.write_queue.write("9c", [b"never"])
         theirs.close()
-        caches._close(link, ours, Outcome.RESET, "")
+        upstream._close(link, ours, Outcome.RESET, "")
         assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.CONNECT_FAILED)]
 
 
@@ -95,22 +95,24 @@
     # Guards against the late answer to an attempt given up being taken for that of the next one
     # under its id.
     with Running(lambda fields: None) as director:
-        caches, place = (
+        upstream, place = (
             director.service.upstream,
             next(iter(director.service.coordinator.addresses.values())),
         )
         attempts = [Attempt(None, number, Endpoint(1), None, 0.0, 1000.0) for number in range(3)]
         reported = []
-        caches._report = lambda attempt, *rest: reported.append(attempt)
+        upstream._report = lambda attempt, *rest: reported.append(attempt)
         for attempt in attempts[:2]:
-            caches._send(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        links = [caches.connection_by_attempt[attempt][0] for attempt in attempts[:2]]
-        first = links[0]
-        assert len(set(links)) == 2
-        assert wait_for(lambda: not any(link.write_queue.is_unwritten("9b") for link in links))
-        caches.cancel(attempts[0])
-        caches._send(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
-        assert caches.connection_by_attempt[attempts[2]][0] is not first
+            upstream._send(place, "9b", attempt, [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        connections = [upstream.connection_by_attempt[attempt][0] for attempt in attempts[:2]]
+        first = connections[0]
+        assert len(set(connections)) == 2
+        assert wait_for(
+            lambda: not any(link.write_queue.is_unwritten("9b") for link in connections)
+        )
+        upstream.cancel(attempts[0])
+        upstream._send(place, "9b", attempts[2], [b"*2\r\n$4\r\nKILL\r\n$2\r\nno\r\n"])
+        assert upstream.connection_by_attempt[attempts[2]][0] is not first
 
 
 def test_idle_connections_are_closed_from_our_side():
