--- a/tests/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -33,7 +33,7 @@
 # Received bytes
 
 
-def test_a_view_handed_out_is_never_written_again():
+def test_view_handed_out_is_never_written_again():
     # Guards against an answer's bytes changing under a client that is still being written to.
     intake = ReceiveBuffer(8)
     intake.writable_view()[:6] = b"abcdef"
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("size", [-1, 0, thrift.MAX_FRAME_BYTES + 1, 2**31 - 1])
-def test_a_frame_of_a_wrong_length_is_turned_down_at_once(size):
+def test_frame_of_wrong_length_is_rejected_at_once(size):
     with pytest.raises(thrift.ThriftError):
         feed(thrift.FrameDecoder(), struct.pack(">i", size), 4)
 
@@ -121,18 +121,18 @@
         (MAP + b"\x0c\x00\x09" * 20, "nested too deep"),
     ],
 )
-def test_arguments_that_cannot_be_read(held, told):
+def test_unreadable_arguments_are_rejected(held, told):
     with pytest.raises(thrift.ThriftError, match=told):
         thrift.read_serve(thrift.ValueReader(memoryview(held)))
 
 
 @pytest.mark.parametrize("head", [bytes(4), b"\x80\x02\x00\x01", b"\x80\x01\x00\x02", b"\x80"])
-def test_a_head_that_cannot_be_read(head):
+def test_unreadable_head_is_rejected(head):
     with pytest.raises(thrift.ThriftError):
         thrift.read_call(memoryview(head + struct.pack(">i", 5) + b"serve" + bytes(4)))
 
 
-def test_a_oneway_call_tells_its_number():
+def test_cancellation_names_its_sequence_number():
     (frame,) = feed(
         thrift.FrameDecoder(), call_frame("forget", 9, b"\x08\x00\x01\x00\x00\x00\x07\x00", 4), 100
     )
@@ -166,7 +166,7 @@
         ),
     ],
 )
-def test_answers_as_on_the_wire(pieces, wanted):
+def test_answers_are_encoded_as_on_the_wire(pieces, wanted):
     length, message = struct.unpack(">i", b"".join(pieces)[:4])[0], b"".join(pieces)[4:]
     assert length == len(message) and message.hex() == wanted.replace(" ", "")
 
@@ -208,7 +208,7 @@
         ),
     ],
 )
-def test_what_is_whole_before_bytes_that_cannot_be_read_is_given(parser, whole, wrong):
+def test_complete_messages_before_unreadable_bytes_are_yielded(parser, whole, wrong):
     held, found, data = parser(), [], b"".join(whole) + wrong
     held.writable_view()[: len(data)] = data
     with pytest.raises((resp.RespError, thrift.ThriftError)):
@@ -230,11 +230,11 @@
         (FORGET + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
     ],
 )
-def test_calls_that_are_called_off_by_what_is_not_taken_yet(received, numbers):
+def test_cancellations_are_found_in_unread_bytes(received, numbers):
     assert thrift.cancelled_numbers(received) == numbers
 
 
-def test_a_body_is_a_view_of_what_was_received():
+def test_body_is_a_view_of_received_bytes():
     # Guards against copies of bodies: they pass through in the buffer that they came in.
     arrays = resp.ArrayDecoder(4096)
     (items,) = feed(arrays, resp.command(b"1", b"DONE", b"-", b"z" * 2000), 4096)
@@ -257,7 +257,7 @@
         b"*1\r\n$1_0\r\n",
     ],
 )
-def test_arrays_that_cannot_be_read(stream):
+def test_unreadable_arrays_are_rejected(stream):
     with pytest.raises(resp.RespError):
         feed(resp.ArrayDecoder(), stream, 5)
 
@@ -278,7 +278,7 @@
         (b"a1",) * 5,
     ],
 )
-def test_answers_that_cannot_be_read(items):
+def test_unreadable_answers_are_rejected(items):
     with pytest.raises(resp.RespError):
         resp.parse_answer([memoryview(item) for item in items], {})
 
@@ -287,11 +287,11 @@
     "word, status",
     [(b"DONE", 0), (b"KEEP", 0), (b"LACK", 2), (b"WAIT", 11), (b"BROKE", 5), (b"PAST", 114)],
 )
-def test_words_mean_what_the_simulators_codes_mean(word, status):
+def test_outcome_words_mean_the_same_as_the_simulators_codes(word, status):
     assert resp.OUTCOME_BY_WORD[word] == OUTCOMES[status]
 
 
-def test_notes_stand_in_the_simulators_order():
+def test_cache_statuses_are_in_the_simulators_order():
     assert (
         list(resp.CACHE_STATUS_BY_WORD.values())
         == [NOTES[number] for number in range(1, 11)]
@@ -299,7 +299,7 @@
     )
 
 
-def test_fields_of_an_answer():
+def test_fields_of_an_answer_are_read():
     told = resp.parse_answer(
         [
             memoryview(item)
@@ -319,7 +319,7 @@
     )
 
 
-def test_commands_as_on_the_wire():
+def test_commands_are_encoded_as_on_the_wire():
     plain = SendAttempt(None, None, "", 0.0, 0, False, False, True, False)
     asked = ClientRequest("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
     assert b"".join(resp.attempt_command(asked, plain, 7.9)) == (
@@ -362,7 +362,7 @@
 @pytest.mark.parametrize(
     "last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
 )
-def test_the_last_chunk_ends_the_stream(last, over):
+def test_last_chunk_ends_the_stream(last, over):
     stream = sse.SseDecoder()
     assert stream.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last) == []
     assert stream.is_finished == over
@@ -370,7 +370,7 @@
 
 @pytest.mark.parametrize("step", [1, 2, 3, 1000])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b"\r"])
-def test_lines_of_events_end_in_each_way_that_there_is(end, step):
+def test_lines_of_events_may_end_in_any_way(end, step):
     # Guards against drains that are read as half a line, and one that waits for the byte behind it.
     stream, found = sse.SseDecoder(), []
     data = (
@@ -392,6 +392,6 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_an_answer_that_is_not_the_stream(answer):
+def test_response_that_is_not_the_stream_is_rejected(answer):
     with pytest.raises(sse.SseError):
         sse.SseDecoder().feed(answer)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -57,7 +57,7 @@
         ("settings/rules/cold", True, "settings.rules.cold: a number"),
     ],
 )
-def test_a_fault_names_its_key(path, value, told, tmp_path):
+def test_error_names_its_key(path, value, told, tmp_path):
     with pytest.raises(ConfigError) as fault:
         parse_config(changed(path, value))
     assert str(fault.value).startswith(told)
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "[", "[]", "nul"])
-def test_what_is_no_object_is_told(text):
+def test_value_that_is_no_object_is_an_error(text):
     with pytest.raises(ConfigError, match="configuration"):
         parse_config(text)
 
 
-def test_a_configuration_as_a_director_gets_it(tmp_path):
+def test_configuration_is_read_as_a_director_gets_it(tmp_path):
     start = parse_config(json.dumps(configuration()))
     assert (start.name, start.seed, start.max_descriptors, start.last_event_number) == (
         "n3",
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/no/such/file"}])
-def test_a_configuration_that_is_not_there(environment):
+def test_missing_configuration_is_an_error(environment):
     with pytest.raises(ConfigError, match="LB_CONFIG"):
         load_config(environment)
 
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("told, descriptors", [(128, 128), (1024, 128)])
-def test_idle_clients_that_fill_the_descriptors_keep_no_director_from_a_drain(
+def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
     told, descriptors, tmp_path
 ):
     """Also where the system allows fewer than it was told of. Guards against a stream, links or
@@ -46,9 +46,9 @@
         assert caller.answer()[:2] == (1, 0)
         at = ("127.0.0.1", listens)
         idle = [socket.create_connection(at, timeout=10.0) for _ in range(2 * descriptors)]
-        for one in idle[::2]:  # half of them ask once, and all stay
+        for connection in idle[::2]:  # half of them ask once, and all stay
             with contextlib.suppress(OSError):
-                one.sendall(WELL)
+                connection.sendall(WELL)
         caller.send()
         assert caller.answer()[0] == 2  # it was not ended for them
         bus = ends.enter_context(
@@ -65,8 +65,8 @@
             ) == before
 
         assert wait_for(served_past_it, 20.0) and served_past_it()
-        for one in idle:
-            one.close()
+        for connection in idle:
+            connection.close()
         caller.close()
         here = f"/proc/{program.process.pid}"
         assert wait_for(
