--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,7 @@
-"""Small stand-ins for the tables of cases: a writer that records, a director with a small fleet, a
-facade with a clock of its own, and on loopback a node, an event bus and a client.
+"""Stand-ins for tests: recorders and small fleets without sockets, and servers on loopback.
+
+Without sockets: an action sink that records, a router with a small fleet, a coordinator with a
+clock of its own. On loopback: an endpoint, an event stream, a client, a director, the program.
 """
 
 import itertools
@@ -348,12 +350,16 @@
 
 
 def free_port():
-    with socket.create_server(("127.0.0.1", 0)) as held:
-        return held.getsockname()[1]
+    """A port of loopback that was free a moment ago."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        return server.getsockname()[1]
 
 
 class Listener:
-    """A server on a port of loopback (0: a free one) with a thread for each connection."""
+    """A server on a port of loopback (0: a free one) with a thread for each connection.
+
+    A subclass says in `talk` what it does on one; it ends with an OSError when that is closed.
+    """
 
     def __init__(self, port=0):
         self.socket = socket.create_server(("127.0.0.1", port))
@@ -386,12 +392,14 @@
 
 
 def MUTE(fields):  # noqa: N802
-    """A plan: answers nothing, an echo neither."""
+    """A plan for a StandNode: answers neither attempts nor pings."""
 
 
 class StandNode(Listener):
-    """A cache, parent or the origin: answers each PULL as its `plan` says, and keeps what it was
-    told.
+    """An endpoint: answers each attempt by its `plan`, and records all commands in `heard`.
+
+    A plan is the words of an answer, or "reset", "nonsense" or "cut" (an answer without its end),
+    or None (no answer); or a function of the attempt's fields that returns one of these.
     """
 
     def __init__(self, plan):
@@ -399,9 +407,9 @@
         super().__init__()
 
     def talk(self, connection):
-        arrays = resp.ArrayDecoder()
-        while (length := connection.recv_into(arrays.writable_view())) > 0:
-            for items in arrays.decode(length):
+        decoder = resp.ArrayDecoder()
+        while (length := connection.recv_into(decoder.writable_view())) > 0:
+            for items in decoder.decode(length):
                 word, about, *rest = [bytes(item) for item in items]
                 fields = (
                     dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
@@ -428,8 +436,10 @@
 
 
 class StandBus(Listener):
-    """An event bus: each connection gets the next of the scripts, pieces of bytes; it notes from
-    where.
+    """An event stream: each connection gets the next of the scripts.
+
+    A script is a list of pieces of bytes; None in it waits until the client leaves. `asked` has the
+    event number that each connection asked to go on from.
     """
 
     def __init__(self, *scripts, port=0):
@@ -451,7 +461,7 @@
 
 
 class Caller:
-    """A client on one connection."""
+    """A client on one connection; its calls have the sequence numbers 1, 2, ..."""
 
     marks = itertools.count(1)
 
@@ -517,7 +527,7 @@
 
 
 class Running:
-    """A whole director on loopback before stand-ins, ended with the block."""
+    """A director on loopback with an endpoint for each of SPOTS; drained at the block's end."""
 
     def __init__(self, plan=HIT, bus=None, **changes):
         self.nodes = [StandNode(plan) for _ in SPOTS]
@@ -582,8 +592,9 @@
 
 
 class Program:
-    """The program with this configuration and so many descriptors, and the lines that it has
-    logged.
+    """The program as a process, with this configuration file and so many descriptors.
+
+    `told` has the lines that it has logged, parsed from JSON.
     """
 
     def __init__(self, file, descriptors=1024):
