--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -30,14 +30,14 @@
 late_ms = 5000
 """
 IN_STEP = (
-    "spread/watching.py",
+    "policy/health_checks.py",
     "self.random.choice(listed)",
     "listed[int(now / 500.0) % len(listed)]",
 )
 ONE_CLOCK = (
-    "policy.py",
-    "(mix(*what, member.key) + 1)",
-    "(mix(int(self.now / 3000.0), member.key) + 1)",
+    "policy/router.py",
+    "(mix(*what, member.hash_key) + 1)",
+    "(mix(int(self.now / 3000.0), member.hash_key) + 1)",
 )
 
 
