--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -114,13 +114,13 @@
 def flood(cells: bool, burst: float) -> dict:
     lab = Lab(read_scenario(FLOOD.format(cells="yes" if cells else "no", burst=burst)))
     found = lab.run()
-    others = [one for one in lab.terminals if one.demand.tenant in ("gamma", "delta")]
+    others = [one for one in lab.terminals if one.load.tenant in ("gamma", "delta")]
     asked = served = 0
     delays = []
     for one in others:
-        asked += sum(3.0 <= at < 8.5 for at in one.tally.asked_at)
-        served += sum(3.0 <= at < 8.5 for at in one.tally.served_at)
-        delays += [delay for at, delay in one.tally.delays if 3.0 <= at < 8.5]
+        asked += sum(3.0 <= at < 8.5 for at in one.result.asked_at)
+        served += sum(3.0 <= at < 8.5 for at in one.result.served_at)
+        delays += [delay for at, delay in one.result.delays if 3.0 <= at < 8.5]
     delays.sort()
     return found | {"others_share": served / asked, "others_p99": delays[int(0.99 * len(delays))]}
 
@@ -132,12 +132,12 @@
     def live(lab: Lab, since: float) -> None:
         if since >= begins and not held:
             for name in ("s-3", "s-4"):
-                lab.fleet.nodes[name].peak = 0.0
+                lab.fleet.nodes[name].peak_load = 0.0
             held["origin"] = lab.fleet.origin_fetches
 
     found = lab.run(live)
     return found | {
-        "cold_peak": max(lab.fleet.nodes[name].peak for name in ("s-3", "s-4")),
+        "cold_peak": max(lab.fleet.nodes[name].peak_load for name in ("s-3", "s-4")),
         "origin": lab.fleet.origin_fetches - held["origin"],
     }
 
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -20,7 +20,7 @@
 from mulleinrelay.lab.scenario import read_scenario
 from mulleinrelay.management.gnmi_client import Access, CallError, GnmiTarget
 from mulleinrelay.management.paths import parse
-from mulleinrelay.standins.fleet import now_ms
+from mulleinrelay.standins.clock import now_ms
 
 SCENARIO = """
 [lab]
@@ -95,7 +95,7 @@
                 for target in at:
                     target.set(updates=[(path, {})])
                 time.sleep(0.3)
-                took.append(max(0.0, held.fleet.nodes[box].last_named - sent))
+                took.append(max(0.0, held.fleet.nodes[box].last_named_at - sent))
                 for target in at:
                     target.set(deletes=[path])
                 time.sleep(0.05)
@@ -162,9 +162,9 @@
     scenario = read_scenario(SCENARIO.format(seconds=1, directors=1))
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(scenario, folder)
-        from mulleinrelay.standins.servers import World
+        from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = World(lab.fleet)
+        lab.world = LoopbackEnvironment(lab.fleet)
         lab._start_directors()
         for turn in range(count):
             director = lab.directors[-1]
@@ -224,9 +224,9 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(read_scenario(text), folder)
-        from mulleinrelay.standins.servers import World
+        from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = World(lab.fleet)
+        lab.world = LoopbackEnvironment(lab.fleet)
         rows = [
             {
                 "id": f"b-{number}",
@@ -241,7 +241,7 @@
             for number in range(2_000)
         ]
         lab._start_directors()
-        lab.world.stream.tell({"topology": {"version": 9, "full": False, "servers": rows}})
+        lab.world.stream.publish({"topology": {"version": 9, "full": False, "servers": rows}})
         target, took = GnmiTarget(lab.directors[0].managed, Access(seconds=60.0)), []
         time.sleep(1.0)
         for _ in range(5):
@@ -294,9 +294,9 @@
         lab = Lab(
             read_scenario(text if management else text.replace("management = yes\n", "")), folder
         )
-        from mulleinrelay.standins.servers import World
+        from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = World(lab.fleet)
+        lab.world = LoopbackEnvironment(lab.fleet)
         lab._start_directors()
         time.sleep(0.5)
         with open(f"/proc/{lab.directors[0].process.pid}/status", encoding="ascii") as file:
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -12,10 +12,10 @@
 
 def live(lab: Lab, since: float) -> None:
     shares = " ".join(
-        f"{one.demand.tenant} {one.share(max(0.0, since - 3.0), since - 1.0):.2f}"
+        f"{one.load.tenant} {one.served_fraction(max(0.0, since - 3.0), since - 1.0):.2f}"
         for one in lab.terminals
     )
-    busy = max(lab.fleet.nodes.values(), key=lambda node: node.in_window)
+    busy = max(lab.fleet.nodes.values(), key=lambda node: node.window_load)
     sys.stderr.write(f"\r{since:6.1f} s  served: {shares}  busiest {busy.spec.name}   ")
     sys.stderr.flush()
 
--- a/mulleinrelay/lab/fleet/channel.py
+++ b/mulleinrelay/lab/fleet/channel.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from ...standins.loop import READ, Loop
+from ...standins.event_loop import READ, EventLoop
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
@@ -20,7 +20,7 @@
     sys.stdout.buffer.flush()
 
 
-def obey(loop: Loop, obeyed: Callable[[dict], None]) -> None:
+def obey(loop: EventLoop, obeyed: Callable[[dict], None]) -> None:
     """Each line of standard input is given to `obeyed`; its end ends the loop."""
     held = b""
 
@@ -31,7 +31,7 @@
         except BlockingIOError:
             return
         if not piece:
-            loop.ended = True
+            loop.is_stopped = True
             return
         *lines, held = (held + piece).split(b"\n")
         for line in lines:
--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -10,8 +10,10 @@
 import orjson
 
 from ...net import resp
-from ...standins.fleet import BOX, ORIGIN, Fleet, Node, Spec
-from ...standins.loop import Loop, Wire, now_ms
+from ...standins.clock import now_ms
+from ...standins.event_loop import EventLoop, LoopConnection
+from ...standins.node_kinds import CACHE, ORIGIN
+from ...standins.nodes import NodeFleet, NodeSpec, SimulatedNode
 from . import addresses
 from .channel import Records, obey, say
 from .plan import AT_A_TIME, Scenario, Site
@@ -20,33 +22,34 @@
 FLUSH_EVERY = 1000.0
 
 
-def fleet_of(scenario: Scenario) -> Fleet:
+def fleet_of(scenario: Scenario) -> NodeFleet:
     """All nodes of the scenario, with nothing held."""
-    return Fleet(
-        {site.name: Node(_spec(scenario, site)) for site in scenario.sites()}, {"order", "pay"}
+    return NodeFleet(
+        {site.name: SimulatedNode(_spec(scenario, site)) for site in scenario.sites()},
+        {"order", "pay"},
     )
 
 
-def _spec(scenario: Scenario, site: Site) -> Spec:
-    if site.kind == BOX:
-        return Spec(
+def _spec(scenario: Scenario, site: Site) -> NodeSpec:
+    if site.kind == CACHE:
+        return NodeSpec(
             site.name,
-            BOX,
+            CACHE,
             site.place,
             scenario.capacity * site.share,
             scenario.fill_cost,
             scenario.hit_ms,
             weight=round(AT_A_TIME * site.share),
-            cold_from=scenario.cold_from,
-            cold_for=scenario.cold_ms,
-            holds=scenario.holds,
-            falls=scenario.falls,
-            falls_at=2.5,
-            falls_after=1500.0,
-            falls_warm=False,
+            initial_fraction=scenario.cold_from,
+            slow_start_duration=scenario.cold_ms,
+            max_copies=scenario.holds,
+            crashes_on_overload=scenario.falls,
+            crash_load=2.5,
+            crash_after=1500.0,
+            crashes_when_warm=False,
         )
     if site.kind == ORIGIN:
-        return Spec(
+        return NodeSpec(
             site.name,
             ORIGIN,
             site.place,
@@ -55,7 +58,7 @@
             scenario.origin_ms,
             weight=4 * AT_A_TIME,
         )
-    return Spec(
+    return NodeSpec(
         site.name,
         site.kind,
         site.place,
@@ -63,13 +66,13 @@
         1.0,
         scenario.parent_ms,
         weight=4 * AT_A_TIME,
-        cold_from=scenario.cold_from,
-        cold_for=scenario.parent_cold_ms,
-        holds=scenario.parent_holds,
-        falls=scenario.falls,
-        falls_at=2.0,
-        falls_after=1500.0,
-        falls_warm=False,
+        initial_fraction=scenario.cold_from,
+        slow_start_duration=scenario.parent_cold_ms,
+        max_copies=scenario.parent_holds,
+        crashes_on_overload=scenario.falls,
+        crash_load=2.0,
+        crash_after=1500.0,
+        crashes_when_warm=False,
     )
 
 
@@ -81,28 +84,30 @@
     """A connection whose first line tells its director."""
 
     def __init__(
-        self, wire: Wire, known: Callable[[int], None], heard: Callable[[bytes], None]
+        self, wire: LoopConnection, known: Callable[[int], None], heard: Callable[[bytes], None]
     ) -> None:
         self.wire, self.known, self.then, self.head = wire, known, heard, b""
-        wire.heard = self._head
+        wire.on_data = self._head
 
     def _head(self, data: bytes) -> None:
         self.head += data
         line, end, rest = self.head.partition(b"\n")
         if end:
-            self.wire.heard = self.then
+            self.wire.on_data = self.then
             self.known(int(line[1:]))
-            if rest and not self.wire.closed:
+            if rest and not self.wire.is_closed:
                 self.then(rest)
 
 
 class NodeHost:
     """One node: its listener, its connections, and what it is told to do wrong."""
 
-    def __init__(self, hosts: "Hosts", node: Node, place: str) -> None:
+    def __init__(self, hosts: "Hosts", node: SimulatedNode, place: str) -> None:
         self.hosts, self.node, self.place = hosts, node, place
         self.port, self.listener = 0, None
-        self.wires: dict[Wire, int | None] = {}  # all accepted; None: its director is not told yet
+        self.wires: dict[
+            LoopConnection, int | None
+        ] = {}  # all accepted; None: its director is not told yet
         self.errs: frozenset[int] = frozenset()  # directors that get errors
         self.lags: tuple[frozenset[int], float] = (
             frozenset(),
@@ -117,9 +122,9 @@
 
     def die(self) -> None:
         """As a process that is killed."""
-        self.node.alive = False
+        self.node.is_alive = False
         if self.listener is not None:
-            self.hosts.loop.deaf(self.listener)
+            self.hosts.loop.stop_listening(self.listener)
             self.listener = None
         for wire in list(self.wires):
             self._drop(wire)
@@ -127,7 +132,7 @@
         say(deaf=self.node.spec.name)
 
     def _welcome(self, connection: socket.socket) -> None:
-        wire, arrays = Wire(self.hosts.loop, connection), resp.Arrays(4096)
+        wire, arrays = LoopConnection(self.hosts.loop, connection), resp.Arrays(4096)
         over: set[bytes] = set()
         self.wires[wire] = (
             None  # else it would outlive the node, and a command on it count as its fall
@@ -139,25 +144,25 @@
 
         def heard(data: bytes) -> None:
             view = memoryview(data)
-            while len(view) and not wire.closed:
+            while len(view) and not wire.is_closed:
                 room = arrays.room()
                 taken = min(len(room), len(view))
                 room[:taken] = view[:taken]
                 view = view[taken:]
                 for items in arrays.filled(taken):
                     self._told(wire, over, [bytes(item) for item in items])
-                    if wire.closed:
+                    if wire.is_closed:
                         return
 
-        wire.over = lambda: self._drop(wire)
+        wire.on_close = lambda: self._drop(wire)
         Named(wire, known, heard)
 
-    def _drop(self, wire: Wire) -> None:
+    def _drop(self, wire: LoopConnection) -> None:
         director = self.wires.pop(wire, None)
         if director is not None:
             self.hosts.records.add("conn", now_ms(), director, self.node.spec.name, -1)
 
-    def _told(self, wire: Wire, over: set[bytes], items: list[bytes]) -> None:
+    def _told(self, wire: LoopConnection, over: set[bytes], items: list[bytes]) -> None:
         word, about = items[0], items[1]
         director, node, now = self.wires[wire], self.node, now_ms()
         if word == b"KILL":
@@ -167,10 +172,10 @@
             return
         if word != b"PULL":
             self.hosts.records.add("probe", now, director, node.spec.name, word.decode())
-            if not node.silent:
-                load = node.in_window / max(1.0, node.spec.capacity * node.warmth(now))
+            if not node.is_silent:
+                load = node.window_load / max(1.0, node.spec.capacity * node.capacity_fraction(now))
                 held = (
-                    b"rep=util:%.2f;inflight:%d" % (min(1.0, load), len(node.filling))
+                    b"rep=util:%.2f;inflight:%d" % (min(1.0, load), len(node.fills_in_progress))
                     if word == b"METER"
                     else b"-"
                 )
@@ -192,35 +197,35 @@
             )
             return self._answer(wire, over, about, (b"BROKE", b"-", b""), now + 1.0)
         fleet = self.hosts.fleet
-        stale = fleet.stale
-        reply = fleet.pull(node.spec.name, fields)
-        why = fields_of(reply.words[1]).get("why", "")
-        old = self.hosts.too_old(director, fields, reply.words[1], now)
-        fleet.stale = stale  # reckoned by director, from when each was told
+        stale = fleet.stale_answers
+        reply = fleet.handle_pull(node.spec.name, fields)
+        why = fields_of(reply.items[1]).get("why", "")
+        old = self.hosts.too_old(director, fields, reply.items[1], now)
+        fleet.stale_answers = stale  # reckoned by director, from when each was told
         self.hosts.records.add(
             "attempt",
             now,
             director,
             node.spec.name,
             *self._about(fields),
-            reply.words[0].decode(),
+            reply.items[0].decode(),
             why,
             int(old),
             about.decode(),
         )
-        if not node.alive:  # it was pushed over
+        if not node.is_alive:  # it was pushed over
             self.hosts.records.add("fell", now, node.spec.name)
             return self.die()
         source = self.hosts.hosts.get(fields.get("miss", ""))
-        if source is not None and not source.node.alive and source.listener is not None:
+        if source is not None and not source.node.is_alive and source.listener is not None:
             self.hosts.records.add("fell", now, source.node.spec.name)
             source.die()
-        if reply.due is None:
+        if reply.due_at is None:
             return
-        due = reply.due
+        due = reply.due_at
         if director in self.lags[0]:
             due = now + (due - now) * self.lags[1]
-        self._answer(wire, over, about, reply.words, due)
+        self._answer(wire, over, about, reply.items, due)
 
     def _about(self, fields: dict[str, str]) -> tuple[str, str, str, str]:
         return (
@@ -231,21 +236,26 @@
         )
 
     def _answer(
-        self, wire: Wire, over: set[bytes], about: bytes, words: tuple[bytes, ...], due: float
+        self,
+        wire: LoopConnection,
+        over: set[bytes],
+        about: bytes,
+        words: tuple[bytes, ...],
+        due: float,
     ) -> None:
         def go() -> None:
-            if about not in over and not self.node.silent and self.node.alive:
-                wire.put(resp.command(about, *words))
+            if about not in over and not self.node.is_silent and self.node.is_alive:
+                wire.write(resp.command(about, *words))
 
         if due <= now_ms():
             go()
         else:
-            self.hosts.loop.at(due, go)
+            self.hosts.loop.call_at(due, go)
 
 
 class Hosts:
     def __init__(self, first: dict, scenario: Scenario) -> None:
-        self.scenario, self.loop, self.records = scenario, Loop(), Records(first["records"])
+        self.scenario, self.loop, self.records = scenario, EventLoop(), Records(first["records"])
         self.random = random.Random(f"{scenario.seed}-list")
         self.fleet = fleet_of(scenario)
         self.hosts = {
@@ -258,15 +268,15 @@
         self.told: dict[
             tuple[int, str], float
         ] = {}  # when a director was told of an object's purge
-        self.readers: dict[Wire, list[int]] = {}  # [director, place]
+        self.readers: dict[LoopConnection, list[int]] = {}  # [director, place]
         self.far_ports: dict[str, int] = {}
         stream = self.loop.listen("127.0.0.1", 0, self._read)
         self.stream_port = stream.getsockname()[1]
-        self.loop.each(
-            COMMENT_EVERY, lambda: [wire.put(b": on\n\n") for wire in list(self.readers)]
+        self.loop.call_every(
+            COMMENT_EVERY, lambda: [wire.write(b": on\n\n") for wire in list(self.readers)]
         )
-        self.loop.each(20.0, self._tell_all)
-        self.loop.each(FLUSH_EVERY, self.records.file.flush)
+        self.loop.call_every(20.0, self._tell_all)
+        self.loop.call_every(FLUSH_EVERY, self.records.file.flush)
         obey(self.loop, self.obeyed)
 
     # The list
@@ -280,7 +290,7 @@
             "cell": 0,
             "state": host.node.state,
             "weight": host.node.spec.weight,
-            "started_ms": round(host.node.started),
+            "started_ms": round(host.node.started_at),
         }
 
     def announce(self, names: list[str]) -> None:
@@ -310,7 +320,7 @@
         return {"offset": place + 1} | held
 
     def _read(self, connection: socket.socket) -> None:
-        wire = Wire(self.loop, connection)
+        wire = LoopConnection(self.loop, connection)
         who, head = [-1, 0], b""
 
         def known(director: int) -> None:
@@ -322,11 +332,11 @@
             if b"\r\n\r\n" in head and wire not in self.readers:
                 who[1] = int(head.lower().partition(b"last-event-id:")[2].split()[0])
                 self.records.add("read", now_ms(), who[0], who[1])
-                wire.put(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: on\n\n")
+                wire.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: on\n\n")
                 self.readers[wire] = who
                 self._tell(wire, who)
 
-        wire.over = lambda: self.readers.pop(wire, None)
+        wire.on_close = lambda: self.readers.pop(wire, None)
         Named(wire, known, heard)
 
     def _tell_all(self) -> None:
@@ -334,9 +344,9 @@
             if who[1] < len(self.events):
                 self._tell(wire, who)
 
-    def _tell(self, wire: Wire, who: list[int]) -> None:
+    def _tell(self, wire: LoopConnection, who: list[int]) -> None:
         now, (director, place) = now_ms(), who
-        while place < len(self.events) and not wire.closed:
+        while place < len(self.events) and not wire.is_closed:
             spot = (director, place)
             if spot not in self.due:
                 purge = "ban" in self.events[place][1]
@@ -345,7 +355,7 @@
             if now < self.due[spot] + self.late.get(director, 0.0):
                 break
             held = self.words(director, place)
-            wire.put(b"id: %d\ndata: %s\n\n" % (place + 1, orjson.dumps(held)))
+            wire.write(b"id: %d\ndata: %s\n\n" % (place + 1, orjson.dumps(held)))
             if "ban" in held:
                 self.told.setdefault((director, held["ban"]["url"]), now)
             else:
@@ -365,7 +375,7 @@
         return (
             told is not None
             and issued is not None
-            and self.fleet.too_old(key, float(issued), now, told)
+            and self.fleet.is_outdated(key, float(issued), now, told)
         )
 
     # What the lab wants
@@ -382,11 +392,11 @@
                 self.late[director] = held["late"]
         elif "purge" in held:
             key, now = held["purge"], now_ms()
-            self.fleet.purged[key] = now
+            self.fleet.purged_at[key] = now
             for (
                 host
             ) in self.hosts.values():  # nodes drop it within the purge's time, here in half of it
-                self.loop.at(
+                self.loop.call_at(
                     now + self.random.uniform(200.0, 3000.0),
                     lambda host=host: (
                         host.node.copies.pop((key, "0"), None)
@@ -411,13 +421,13 @@
                 self._revive(host)
             self.announce([node.spec.name])
         elif what == "node_silent":
-            node.silent = begins
+            node.is_silent = begins
             if not begins:
                 self._revive(host)
                 self.announce([node.spec.name])
         elif what == "node_slow":
             if everyone:
-                node.slow = by if begins else 1.0
+                node.slowdown = by if begins else 1.0
             else:
                 host.lags = (some, by) if begins else (frozenset(), 1.0)
         elif what == "node_errors":
@@ -428,21 +438,21 @@
 
     def _revive(self, host: NodeHost) -> None:
         """It comes back cold and empty."""
-        host.node.forget()
-        host.node.started, host.node.state, host.node.alive = now_ms(), "SERVING", True
-        host.node.silent = False
+        host.node.reset()
+        host.node.started_at, host.node.state, host.node.is_alive = now_ms(), "SERVING", True
+        host.node.is_silent = False
         host.listen()
         say(hears=host.node.spec.name)
 
     def close(self) -> None:
         for host in self.hosts.values():
             self.records.add(
-                "node", host.node.spec.name, round(host.node.peak, 3), dict(host.node.counts)
+                "node", host.node.spec.name, round(host.node.peak_load, 3), dict(host.node.counts)
             )
         self.records.add(
             "effects",
-            sum(times > 1 for times in self.fleet.effects.values()),
-            len(self.fleet.effects),
+            sum(times > 1 for times in self.fleet.executions.values()),
+            len(self.fleet.executions),
             self.fleet.origin_fetches,
         )
         self.records.close()
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from ...standins.loop import now_ms
+from ...standins.clock import now_ms
 from ..start import settings_at
 from . import addresses
 from .channel import ROOT, Helper, Records, last_line
--- a/mulleinrelay/lab/fleet/relay.py
+++ b/mulleinrelay/lab/fleet/relay.py
@@ -10,7 +10,8 @@
 import sys
 from dataclasses import dataclass, field
 
-from ...standins.loop import READ, Loop, Wire, now_ms
+from ...standins.clock import now_ms
+from ...standins.event_loop import READ, EventLoop, LoopConnection
 from . import addresses
 from .channel import obey, say
 from .paths import DOWN, UP, Book, Lane, rule_of
@@ -23,8 +24,8 @@
     """One direction of a connection."""
 
     name: str
-    source: Wire
-    target: Wire
+    source: LoopConnection
+    target: LoopConnection
     lane: Lane = field(default_factory=Lane)
     held: list[bytes] = field(default_factory=list)  # while it is cut
 
@@ -33,14 +34,20 @@
     """A director's connection and the one that goes on to its target."""
 
     def __init__(
-        self, relay: "Relay", kind: str, name: str, director: int, near: Wire, beyond: Wire
+        self,
+        relay: "Relay",
+        kind: str,
+        name: str,
+        director: int,
+        near: LoopConnection,
+        beyond: LoopConnection,
     ) -> None:
         self.relay, self.kind, self.name, self.director = relay, kind, name, director
         self.near, self.beyond = near, beyond
         self.ways = [Way(UP, near, beyond), Way(DOWN, beyond, near)]
         for way in self.ways:
-            way.source.heard = lambda data, way=way: self.pass_on(way, data)
-            way.source.over = lambda way=way: self.pass_on(way, None)
+            way.source.on_data = lambda data, way=way: self.pass_on(way, data)
+            way.source.on_close = lambda way=way: self.pass_on(way, None)
 
     def pass_on(self, way: Way, data: bytes | None) -> None:
         book, now = self.relay.book, now_ms()
@@ -62,11 +69,11 @@
         if due <= now:
             self._put(way, data)
         else:
-            self.relay.loop.at(due, lambda: self._put(way, data))
+            self.relay.loop.call_at(due, lambda: self._put(way, data))
 
     def _put(self, way: Way, data: bytes | None) -> None:
         if data is not None:
-            way.target.put(data)
+            way.target.write(data)
         else:
             self.reset()
 
@@ -88,7 +95,7 @@
 
 class Relay:
     def __init__(self, first: dict) -> None:
-        self.loop, self.book, self.random = Loop(), Book(), random.Random(first["seed"])
+        self.loop, self.book, self.random = EventLoop(), Book(), random.Random(first["seed"])
         self.pairs: dict[Pair, None] = {}
         self.targets = {held["name"]: held for held in first["targets"]}
         self.ports: dict[str, int] = {}
@@ -110,11 +117,11 @@
 
     def welcome(self, name: str, connection: socket.socket) -> None:
         held, director = self.targets[name], addresses.director_of(connection.getsockname()[0])
-        near = Wire(self.loop, connection)
+        near = LoopConnection(self.loop, connection)
         if director < 0 or self.book.broken(held["kind"], director, name):
             return near.close(reset=True)
         beyond = self.loop.connect(tuple(held["to"]))
-        beyond.put(b"@%d\n" % director)  # tells the target who has come
+        beyond.write(b"@%d\n" % director)  # tells the target who has come
         self.pairs[Pair(self, held["kind"], name, director, near, beyond)] = None
 
     def obeyed(self, held: dict) -> None:
@@ -124,7 +131,7 @@
             self.book.rules.pop(held["lift"], None)
         elif "deaf" in held:
             if (listener := self.listeners.pop(held["deaf"], None)) is not None:
-                self.loop.deaf(listener)
+                self.loop.stop_listening(listener)
             return
         elif "hears" in held:
             return self.listen(held["hears"])
@@ -156,7 +163,7 @@
                 for again in self.book.datagram(
                     "director", to, str(sender), DOWN, due, self.random
                 ):
-                    self.loop.at(
+                    self.loop.call_at(
                         again, lambda data=data, sender=sender: self._send(sender, to, data)
                     )
 
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -9,8 +9,9 @@
 import orjson
 
 from ...net import thrift
-from ...standins.clients import read_answer, serve_frame
-from ...standins.loop import Loop, Wire, now_ms
+from ...standins.client_protocol import decode_reply, encode_serve_call
+from ...standins.clock import now_ms
+from ...standins.event_loop import EventLoop, LoopConnection
 from . import addresses
 from .channel import Records, obey, say
 from .load import PAUSE, Demand, Wanted, may_try_again
@@ -44,14 +45,16 @@
         self.late: dict[int, float] = {}  # asked and not answered in time
         self.number, self.used = 0, now_ms()
         self.frames = thrift.Frames(most=300_000)
-        self.wire: Wire = terminals.loop.connect((addresses.own(director), terminals.port))
-        self.wire.heard, self.wire.over = self._heard, self._over
+        self.wire: LoopConnection = terminals.loop.connect(
+            (addresses.own(director), terminals.port)
+        )
+        self.wire.on_data, self.wire.on_close = self._heard, self._over
 
     def send(self, pending: Pending, now: float, fields: dict[str, str]) -> None:
         self.number += 1
         self.used = now
         self.out[self.number] = pending, pending.until
-        self.wire.put(serve_frame(self.number, fields))
+        self.wire.write(encode_serve_call(self.number, fields))
 
     def _heard(self, data: bytes) -> None:
         view = memoryview(data)
@@ -61,7 +64,8 @@
             room[:taken] = view[:taken]
             view = view[taken:]
             for frame in self.frames.filled(taken):
-                number, what, pause = read_answer(frame)
+                reply = decode_reply(frame)
+                number, what, pause = reply.number, reply.outcome.value, reply.retry_after_ms
                 found = self.out.pop(number, None)
                 if found is None:
                     self.terminals.strange(self, number in self.late)
@@ -84,7 +88,7 @@
 
 class Terminals:
     def __init__(self, first: dict, scenario: Scenario) -> None:
-        self.scenario, self.loop, self.records = scenario, Loop(), Records(first["records"])
+        self.scenario, self.loop, self.records = scenario, EventLoop(), Records(first["records"])
         self.port, self.began = first["port"], 0.0
         self.random = random.Random(f"{scenario.seed}-clients-{first['locations']}")
         self.demands = [Demand(scenario, location) for location in first["locations"]]
@@ -98,13 +102,13 @@
         if "began" in held:
             self.began, self.ends = held["began"], held["began"] + 1000.0 * self.scenario.seconds
             for demand in self.demands:
-                self.loop.at(
+                self.loop.call_at(
                     self.began + 1000.0 * demand.next_in(0.0),
                     lambda demand=demand: self.ask(demand),
                 )
-            self.loop.each(100.0, self.sweep)
-            self.loop.each(1000.0, lambda: say(asked=self.asked, served=self.served))
-            self.loop.each(1000.0, self.records.file.flush)
+            self.loop.call_every(100.0, self.sweep)
+            self.loop.call_every(1000.0, lambda: say(asked=self.asked, served=self.served))
+            self.loop.call_every(1000.0, self.records.file.flush)
 
     def ask(self, demand: Demand) -> None:
         now = now_ms()
@@ -121,7 +125,7 @@
             due += 1000.0 * demand.next_in(since)
             if due < now - 1000.0:
                 due = now
-        self.loop.at(due, lambda: self.ask(demand))
+        self.loop.call_at(due, lambda: self.ask(demand))
 
     def attempt(self, pending: Pending, demand: Demand) -> None:
         now, director = now_ms(), demand.director(self.away)
@@ -165,7 +169,9 @@
             self.records.add("rejected", now, director, pause)
             again = now + (pause or PAUSE)
             if again < pending.until:
-                return self.loop.at(again, lambda: self.attempt(pending, self.demand_of(pending)))
+                return self.loop.call_at(
+                    again, lambda: self.attempt(pending, self.demand_of(pending))
+                )
         self.ended(pending, director, what)
 
     def ended(self, pending: Pending, director: int, what: str) -> None:
@@ -205,7 +211,7 @@
             self.records.add("cut", now, line.director, len(out))
         for pending, _ in out.values():
             if may_try_again(self.scenario, pending.wanted, pending.tries, pending.until - now):
-                self.loop.at(
+                self.loop.call_at(
                     now + PAUSE,
                     lambda pending=pending: self.attempt(pending, self.demand_of(pending)),
                 )
@@ -219,7 +225,7 @@
         passed by until it says so.
         """
         lost = now_ms()
-        self.loop.at(lost + self.scenario.front_ms, lambda: self.is_well(director))
+        self.loop.call_at(lost + self.scenario.front_ms, lambda: self.is_well(director))
 
     def is_well(self, director: int) -> None:
         wire, frames = (
@@ -240,17 +246,17 @@
                 self.away.discard(director)
             else:
                 self.away.add(director)
-                self.loop.at(now_ms() + RETURN_EVERY, lambda: self.is_well(director))
+                self.loop.call_at(now_ms() + RETURN_EVERY, lambda: self.is_well(director))
 
-        wire.heard, wire.over = heard, lambda: told(False)
-        wire.put(well_frame())
+        wire.on_data, wire.on_close = heard, lambda: told(False)
+        wire.write(well_frame())
 
         def silent() -> None:
-            if not wire.closed:
+            if not wire.is_closed:
                 wire.close()
                 told(False)
 
-        self.loop.at(now_ms() + 1000.0, silent)
+        self.loop.call_at(now_ms() + 1000.0, silent)
 
     def sweep(self) -> None:
         now = now_ms()
@@ -258,7 +264,7 @@
             for line in list(lines):
                 line.sweep(now)
         if now > self.ends + self.scenario.patience_ms + self.scenario.late_ms + 100.0:
-            self.loop.ended = True
+            self.loop.is_stopped = True
 
 
 def well_frame() -> bytes:
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/play.py
@@ -16,9 +16,11 @@
 from ..cells import edits, store
 from ..cells.model import Assignment, Tenant
 from ..cells.parser import write
-from ..standins.clients import Terminals
-from ..standins.fleet import BOX, ORIGIN, PARENT, Fleet, Node, Spec, now_ms
-from ..standins.servers import World
+from ..standins.clock import now_ms
+from ..standins.environment import LoopbackEnvironment
+from ..standins.load_generator import LoadGenerator
+from ..standins.node_kinds import CACHE, ORIGIN, PARENT
+from ..standins.nodes import NodeFleet, NodeSpec, SimulatedNode
 from .scenario import Deed, Scenario
 from .start import settings
 
@@ -32,35 +34,37 @@
         return probe.getsockname()[1]
 
 
-def fleet_of(scenario: Scenario) -> Fleet:
+def fleet_of(scenario: Scenario) -> NodeFleet:
     specs = [
-        Spec(
+        NodeSpec(
             name,
-            BOX,
+            CACHE,
             "edge",
             scenario.capacity,
             scenario.fill_cost,
             scenario.hit_delay,
-            cold_from=scenario.cold_from,
-            cold_for=scenario.cold_for,
-            falls=scenario.falls,
+            initial_fraction=scenario.cold_from,
+            slow_start_duration=scenario.cold_for,
+            crashes_on_overload=scenario.falls,
         )
         for name in scenario.caches
     ]
     specs += [
-        Spec(
+        NodeSpec(
             f"p-{place}",
             PARENT,
             "hub",
             10.0 * scenario.capacity,
             1.0,
             scenario.fill_delay,
-            holds=scenario.parent_holds,
+            max_copies=scenario.parent_holds,
         )
         for place in range(1, scenario.parents + 1)
     ]
-    specs.append(Spec("o-1", ORIGIN, "hub", scenario.origin_capacity, 1.0, scenario.origin_delay))
-    return Fleet({spec.name: Node(spec) for spec in specs}, {"order"})
+    specs.append(
+        NodeSpec("o-1", ORIGIN, "hub", scenario.origin_capacity, 1.0, scenario.origin_delay)
+    )
+    return NodeFleet({spec.name: SimulatedNode(spec) for spec in specs}, {"order"})
 
 
 class Director:
@@ -142,7 +146,7 @@
         self.assignment = os.path.join(self.folder, "assignment.ini")
         self.fleet = fleet_of(scenario)
         self.directors: list[Director] = []
-        self.terminals: list[Terminals] = []
+        self.terminals: list[LoadGenerator] = []
         self.deeds_done: list[dict[str, Any]] = []
         self.began = 0.0
 
@@ -151,7 +155,7 @@
         live: Callable[["Lab", float], None] | None = None,
         before: Callable[["Lab"], None] | None = None,
     ) -> dict[str, Any]:
-        self.world = World(self.fleet)
+        self.world = LoopbackEnvironment(self.fleet)
         try:
             self._start_directors()
             self._start_load()
@@ -163,21 +167,21 @@
             while (since := (now_ms() - self.began) / 1000.0) < self.scenario.seconds:
                 time.sleep(min(0.5, max(0.01, self.scenario.seconds - since)))
                 for terminals in self.terminals:
-                    terminals.sweep()
+                    terminals.expire_unanswered()
                 if live is not None:
                     live(self, since)
             for terminals in self.terminals:
-                terminals.end()
+                terminals.stop()
             time.sleep(max(demand.patience for demand in self.scenario.demands) / 1000.0 + 0.1)
             for terminals in self.terminals:
-                terminals.sweep()
+                terminals.expire_unanswered()
             used = [
                 director.cpu() - first for director, first in zip(self.directors, cpu, strict=True)
             ]
             return self.summary(sum(used))
         finally:
             for terminals in self.terminals:
-                terminals.ended.set()
+                terminals.stopped.set()
                 terminals.close()
             for director in self.directors:
                 director.end()
@@ -237,11 +241,11 @@
         self.began = now_ms() + 200.0
         addresses = [director.address for director in self.directors]
         self.terminals = [
-            Terminals(demand, addresses, self.scenario.seed, self.began)
+            LoadGenerator(demand, addresses, self.scenario.seed, self.began)
             for demand in self.scenario.demands
         ]
         for terminals in self.terminals:
-            terminals.begin()
+            terminals.start()
 
     # Deeds
 
@@ -277,7 +281,7 @@
         elif deed.what == "cut":
             self.change(lambda old: cut_over(old, deed.tenants, deed.target))
         else:
-            self.world.strike(deed.what, deed.node)
+            self.world.inject_fault(deed.what, deed.node)
 
     def change(self, make: Callable[[Assignment], Assignment]) -> Assignment:
         with store.sole_writer(self.assignment):
@@ -290,9 +294,9 @@
         fleet, seconds = self.fleet, self.scenario.seconds
         tenants = {}
         for terminals in self.terminals:
-            counts = terminals.tally.counts
-            tenants[terminals.demand.tenant] = {
-                "share": round(terminals.share(0.0, seconds), 4),
+            counts = terminals.result.counts
+            tenants[terminals.load.tenant] = {
+                "share": round(terminals.served_fraction(0.0, seconds), 4),
                 "p50_ms": round(terminals.percentile(0.5, 0.0, seconds), 1),
                 "p99_ms": round(terminals.percentile(0.99, 0.0, seconds), 1),
                 **{what.replace(" ", "_"): count for what, count in sorted(counts.items())},
@@ -319,11 +323,15 @@
             "cpu_s": round(cpu, 3),
             "cpu_ms_a_request": round(1000.0 * cpu / answered, 4) if answered else None,
             "origin_fetches": fleet.origin_fetches,
-            "orders_run": len(fleet.effects),
-            "orders_run_twice": sum(times > 1 for times in fleet.effects.values()),
-            "stale": fleet.stale,
+            "orders_run": len(fleet.executions),
+            "orders_run_twice": sum(times > 1 for times in fleet.executions.values()),
+            "stale": fleet.stale_answers,
             "nodes": {
-                name: {"peak_load": round(node.peak, 3), **dict(node.counts), "alive": node.alive}
+                name: {
+                    "peak_load": round(node.peak_load, 3),
+                    **dict(node.counts),
+                    "alive": node.is_alive,
+                }
                 for name, node in fleet.nodes.items()
             },
             "deeds": self.deeds_done,
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -7,7 +7,7 @@
 from ..cells.parser import read
 from ..config.ini import IniSection, parse_sections
 from ..errors import ConfigError
-from ..standins.clients import Demand
+from ..standins.load_generator import TenantLoad
 
 FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
 DEEDS = (*FAULTS, "move", "cut", "abort")
@@ -51,7 +51,7 @@
     open_most: int
     rate: float
     charter: Assignment
-    demands: list[Demand] = field(default_factory=list)
+    demands: list[TenantLoad] = field(default_factory=list)
     deeds: list[Deed] = field(default_factory=list)
 
 
@@ -133,11 +133,11 @@
     return scenario
 
 
-def _demand(keys: IniSection, tenant: str) -> Demand:
+def _demand(keys: IniSection, tenant: str) -> TenantLoad:
     bursts = []
     if keys.number("burst_rate", 0.0):
         bursts = [(keys.number("burst_at"), keys.number("burst_until"), keys.number("burst_rate"))]
-    return Demand(
+    return TenantLoad(
         tenant,
         keys.number("rate"),
         keys.integer("objects", 200) or 1,
--- a/mulleinrelay/lab/start.py
+++ b/mulleinrelay/lab/start.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ..standins.fleet import BOX, ORIGIN, PARENT
+from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from .fleet.plan import Scenario
 
 
@@ -45,7 +45,7 @@
             "retryAfter": True,
         },
         "azs": places,
-        "shapes": [BOX, PARENT, ORIGIN],
+        "shapes": [CACHE, PARENT, ORIGIN],
         "balancers": sum(directors_by_place),
         "myZone": mine,
         "registryMode": "automatic",
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -21,7 +21,7 @@
 from ..net.upstream_connections import ECHO_WAIT
 from ..policy.connection_reuse import QUIET
 from ..policy.model import Attempt, Outcome
-from ..standins.fleet import BOX, ORIGIN, PARENT
+from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from .clock import Clock
 from .directors import Modelled
 
@@ -65,7 +65,7 @@
         self.case_places = {"pages": 0, "order": 1, "pay": 2}
         self.places = scenario.places()
         self.zone_of = {place: at for at, place in enumerate(self.places)}
-        self.kinds = {BOX: 0, PARENT: 1, ORIGIN: 2}
+        self.kinds = {CACHE: 0, PARENT: 1, ORIGIN: 2}
         self.terms = {
             place: parse_service_settings(JsonSection(settings_at(scenario, place), ""))
             for place in scenario.locations
@@ -83,7 +83,7 @@
             [
                 self.row(site.name)
                 for site in self.sites.values()
-                if site.kind != BOX or site.place == place
+                if site.kind != CACHE or site.place == place
             ],
             whole=True,
         )
@@ -97,7 +97,7 @@
             "kind": node.spec.kind,
             "state": node.state,
             "weight": node.spec.weight,
-            "started_ms": node.started,
+            "started_ms": node.started_at,
         }
 
     def since(self) -> float:
@@ -194,7 +194,7 @@
 
     def carry(self, director: int, name: str, way: str, do: Callable[[], None]) -> None:
         """Over the path between a director and a node, as the rules have it."""
-        kind = "cache" if self.sites[name].kind == BOX else "parent"
+        kind = "cache" if self.sites[name].kind == CACHE else "parent"
         if self.book.held(kind, director, name, way):
             self.held.append((director, name, way, do))
             return self.clock.at(
@@ -211,14 +211,16 @@
         """A link that is still cut is ended, as a director does with one that brings no echo: its
         attempts are lost, and what was held never comes.
         """
-        if self.book.held("cache" if self.sites[name].kind == BOX else "parent", number, name, way):
+        if self.book.held(
+            "cache" if self.sites[name].kind == CACHE else "parent", number, name, way
+        ):
             for attempt, director in list(self.out[name].items()):
                 if director.number == number:
                     self.lost(director, attempt, name, Outcome.RESET)
 
     def send(self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]) -> None:
         self.out[name][attempt] = director
-        kind = "cache" if self.sites[name].kind == BOX else "parent"
+        kind = "cache" if self.sites[name].kind == CACHE else "parent"
         if self.book.rules and self.book.broken(kind, director.number, name):
             return self.clock.at(
                 self.clock() + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.RESET)
@@ -233,7 +235,7 @@
         self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
         node, number, now = self.fleet.nodes[name], director.number, self.clock()
-        if not node.alive:
+        if not node.is_alive:
             return self.clock.at(
                 now + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.CONNECT_FAILED)
             )
@@ -241,8 +243,8 @@
             return self.out[name].pop(attempt, None)
         words, due, old = (b"BROKE", b"-", b""), now + 1.0, False
         if number not in self.errs.get(name, ()):
-            reply = self.fleet.pull(name, fields)
-            words, due = reply.words, reply.due
+            reply = self.fleet.handle_pull(name, fields)
+            words, due = reply.items, reply.due_at
             old = self.too_old(number, fields, words[1], now)
         held = fields_of(words[1])
         self.heard.attempts.append(
@@ -262,12 +264,12 @@
         )
         for fallen in {name, fields["miss"]} - {""}:
             if (
-                not self.fleet.nodes[fallen].alive
+                not self.fleet.nodes[fallen].is_alive
                 and not self.fleet.nodes[fallen].state == "DELETED"
             ):
                 self.heard.others["fell"].append((self.since(), fallen))
                 self.die(fallen)
-        if due is None or not node.alive:
+        if due is None or not node.is_alive:
             return
         some, times = self.lags.get(name, ((), 1.0))
         due = now + (due - now) * (times if number in some else 1.0)
@@ -276,7 +278,7 @@
     def back(
         self, director: Modelled, attempt: Attempt, name: str, word: str, held: dict[str, str]
     ) -> None:
-        if self.out[name].pop(attempt, None) is None or self.fleet.nodes[name].silent:
+        if self.out[name].pop(attempt, None) is None or self.fleet.nodes[name].is_silent:
             return
         number = director.number
 
@@ -296,16 +298,16 @@
         return (
             told is not None
             and issued is not None
-            and self.fleet.too_old(key, float(issued), now, told)
+            and self.fleet.is_outdated(key, float(issued), now, told)
         )
 
     def probe(self, director: Modelled, name: str) -> None:
         self.heard.others["probe"].append((self.since(), director.number, name, "METER"))
-        kind = "cache" if self.sites[name].kind == BOX else "parent"
+        kind = "cache" if self.sites[name].kind == CACHE else "parent"
         if any(self.book.held(kind, director.number, name, way) for way in (UP, DOWN)):
             return  # a cut holds what an echo was to bring; its link is ended meanwhile
         node = self.fleet.nodes[name]
-        if node.alive and not node.silent:
+        if node.is_alive and not node.is_silent:
             self.clock.at(
                 self.clock() + 2.0 * NODE_MS,
                 lambda: (
@@ -319,7 +321,7 @@
         """The list tells each director in its own time, within the notice."""
         row, box = self.row(name), self.sites[name]
         for number in range(self.scenario.directors):
-            if box.kind != BOX or self.scenario.location_of(number) == box.place:
+            if box.kind != CACHE or self.scenario.location_of(number) == box.place:
                 due = (
                     self.clock()
                     + self.random.uniform(*self.scenario.notice_ms)
@@ -340,7 +342,7 @@
 
     def die(self, name: str) -> None:
         node = self.fleet.nodes[name]
-        node.alive, node.state = False, "DELETED"
+        node.is_alive, node.state = False, "DELETED"
         out, self.out[name] = self.out[name], {}
         for attempt, director in out.items():
             self.clock.at(
@@ -351,8 +353,13 @@
 
     def revive(self, name: str) -> None:
         node = self.fleet.nodes[name]
-        node.forget()
-        node.started, node.state, node.alive, node.silent = self.clock(), "SERVING", True, False
+        node.reset()
+        node.started_at, node.state, node.is_alive, node.is_silent = (
+            self.clock(),
+            "SERVING",
+            True,
+            False,
+        )
         self.announce(name)
 
     def strike(self, strike: Strike) -> None:
@@ -395,7 +402,7 @@
 
     def _purge(self, key: str) -> None:
         now = self.clock()
-        self.fleet.purged[key] = now
+        self.fleet.purged_at[key] = now
         for node in self.fleet.nodes.values():
             self.clock.at(
                 now + self.random.uniform(200.0, 3000.0),
@@ -426,11 +433,11 @@
             else:
                 self.revive(name)
         elif strike.what == "node_silent":
-            node.silent = strike.begins
+            node.is_silent = strike.begins
             if not strike.begins:
                 self.revive(name)
         elif strike.what == "node_slow" and len(some) >= self.scenario.directors:
-            node.slow = by if strike.begins else 1.0
+            node.slowdown = by if strike.begins else 1.0
         elif strike.what == "node_slow":
             self.lags[name] = (some, by) if strike.begins else (frozenset(), 1.0)
         elif strike.what == "node_errors":
@@ -476,7 +483,7 @@
             if live is not None:
                 looks = self.heard.looks
                 live(self.since(), len(looks), sum(look[7] == "served" for look in looks))
-        effects = self.fleet.effects
+        effects = self.fleet.executions
         self.heard.others["effects"].append(
             (sum(times > 1 for times in effects.values()), len(effects), self.fleet.origin_fetches)
         )
--- a/mulleinrelay/standins/__init__.py
+++ b/mulleinrelay/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins on loopback for what a director talks to: caches, parents, origin, event stream and
-clients. Written from the forms of the protocol; their capacities and delays are made up, and so is
-what they measure.
+"""Stand-ins on loopback for the systems that a director talks to.
+
+These are caches, parents, the origin, the event stream and clients, written from the forms of the
+protocol. Their capacities and delays are invented, and so is everything measured with them.
 """
--- /dev/null
+++ b/mulleinrelay/standins/client_protocol.py
@@ -0,0 +1,96 @@
+"""Calls of clients to directors in framed Thrift, as both load generators send them; pure."""
+
+import enum
+import struct
+from dataclasses import dataclass
+
+from ..net import thrift
+
+DEFAULT_RETRY_DELAY = 100.0  # ms before a retry where the rejection names no delay
+MAX_IN_FLIGHT = 32  # requests on one connection
+MAX_FRAME_BYTES = 300_000  # of a reply
+HEALTH_METHOD = b"isWell"
+SERVE_METHOD = b"serve"
+MIN_PATIENCE_MS = 1.0  # directors want a positive patience
+
+_MAP_OF_STRINGS = b"\x0b\x0b"
+_STOP = b"\x00"
+
+
+class ReplyOutcome(enum.StrEnum):
+    """What a reply says; the values are the words of the labs' figures and records."""
+
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    INVALID = "bad"
+
+
+_OUTCOMES = {0: ReplyOutcome.SERVED, 1: ReplyOutcome.REJECTED, 2: ReplyOutcome.FAILED}
+
+
+@dataclass(frozen=True, slots=True)
+class ServerReply:
+    """A director's reply to the call with that number; `retry_after_ms` is 0 where not given."""
+
+    number: int
+    outcome: ReplyOutcome
+    retry_after_ms: float = 0.0
+
+
+def encode_serve_call(number: int, fields: dict[str, str], body: bytes = b"") -> bytes:
+    """Encode a call of `serve` with string fields and a body as one frame."""
+    pairs = b"".join(
+        struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
+    )
+    message = (
+        struct.pack(">Ii", thrift.VERSION | thrift.CALL, len(SERVE_METHOD))
+        + SERVE_METHOD
+        + struct.pack(">i", number)
+        + b"\x0d\x00\x01"
+        + _MAP_OF_STRINGS
+        + struct.pack(">i", len(fields))
+        + pairs
+        + b"\x0b\x00\x02"
+        + struct.pack(">i", len(body))
+        + body
+        + _STOP
+    )
+    return struct.pack(">i", len(message)) + message
+
+
+def encode_health_call() -> bytes:
+    """Encode a call that asks a director whether it is well, as one frame."""
+    message = (
+        struct.pack(">Ii", thrift.VERSION | thrift.CALL, len(HEALTH_METHOD))
+        + HEALTH_METHOD
+        + struct.pack(">i", 1)
+        + b"\x02\x00\x01\x00"
+        + _STOP
+    )
+    return struct.pack(">i", len(message)) + message
+
+
+def is_healthy_reply(frame: memoryview) -> bool:
+    """Return whether the reply to a health call is true."""
+    return bytes(frame[-5:]).find(b"\x01") >= 0
+
+
+def decode_reply(frame: memoryview) -> ServerReply:
+    """Decode the reply to a `serve` call. Raises ThriftError."""
+    reader = thrift.Reader(frame)
+    kind = struct.unpack(">I", reader.bytes(4))[0] & 0xFF
+    reader.binary()
+    number = reader.int()
+    if kind == thrift.EXCEPTION:
+        return ServerReply(number, ReplyOutcome.INVALID)
+    reader.byte()
+    result_id = reader.short()
+    retry_after_ms = 0.0
+    while result_id == 1 and (field_type := reader.byte()) != 0:
+        reader.short()
+        if field_type == thrift.MAP:
+            retry_after_ms = float(reader.strings().get("pause", "0"))
+        else:
+            reader.skip(field_type)
+    return ServerReply(number, _OUTCOMES.get(result_id, ReplyOutcome.INVALID), retry_after_ms)
--- /dev/null
+++ b/mulleinrelay/standins/environment.py
@@ -0,0 +1,254 @@
+"""Threaded servers for the stand-ins: nodes over RESP, and the event stream.
+
+`LoopbackEnvironment` joins them for the tests of processes and the small lab; faults are injected
+into it by name.
+"""
+
+import contextlib
+import socket
+import threading
+import time
+from collections.abc import Iterable
+from typing import Any
+
+import orjson
+
+from ..net import resp
+from .clock import now_ms
+from .event_loop import RESET_ON_CLOSE
+from .node_protocol import CancelledCommands, decode_fields
+from .nodes import NodeFleet, SimulatedNode
+from .timer import Timer
+
+MAX_HEAD_BYTES = 8192  # of an HTTP request
+KEEP_ALIVE_S = 0.5  # between comments on an event stream without events
+RESTART_S = 0.05  # between a node's end and its next start
+SLOWDOWN = 10.0  # of a node with the fault `slow`
+
+
+class ThreadedServer:
+    """A TCP server on loopback with a thread for each connection.
+
+    `lock` guards `connections`. The threads are daemons; `close` ends them by closing their
+    sockets.
+    """
+
+    def __init__(self) -> None:
+        self.address = ("127.0.0.1", 0)
+        self.lock = threading.Lock()
+        self.connections: dict[socket.socket, None] = {}
+        self.listener: socket.socket | None = None
+        self.listen()
+
+    def listen(self) -> None:
+        """Listen at `address`; the first call takes a free port, later calls take it again."""
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(self.address)
+        listener.listen(256)
+        self.address = listener.getsockname()
+        self.listener = listener
+        threading.Thread(target=self._accept, args=(listener,), daemon=True).start()
+
+    def serve_connection(self, connection: socket.socket) -> None:
+        """Serve one connection until it ends; runs on the connection's own thread."""
+        raise NotImplementedError
+
+    def close(self, reset: bool = False) -> None:
+        """Stop listening and end all connections, with TCP resets where `reset` is set."""
+        if self.listener is not None:
+            with contextlib.suppress(OSError):
+                self.listener.shutdown(socket.SHUT_RDWR)
+            self.listener.close()
+        with self.lock:
+            connections = list(self.connections)
+        for connection in connections:
+            with contextlib.suppress(OSError):
+                if reset:
+                    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                connection.shutdown(socket.SHUT_RDWR)
+
+    def _accept(self, listener: socket.socket) -> None:
+        while True:
+            try:
+                connection, _ = listener.accept()
+            except OSError:
+                return
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            with self.lock:
+                self.connections[connection] = None
+            threading.Thread(target=self._run_connection, args=(connection,), daemon=True).start()
+
+    def _run_connection(self, connection: socket.socket) -> None:
+        try:
+            self.serve_connection(connection)
+        except (OSError, ValueError, resp.RespError):
+            pass  # the peer has gone or doesn't follow the protocol; its connection ends
+        finally:
+            with self.lock:
+                self.connections.pop(connection, None)
+            connection.close()
+
+
+class NodeServer(ThreadedServer):
+    """One cache, parent or the origin on a socket."""
+
+    def __init__(self, fleet: NodeFleet, node: SimulatedNode, timer: Timer) -> None:
+        self.fleet = fleet
+        self.node = node
+        self.timer = timer
+        super().__init__()
+
+    def serve_connection(self, connection: socket.socket) -> None:
+        """Answer commands until the connection ends or a command makes the node crash."""
+        arrays = resp.Arrays()
+        session = _NodeSession(connection)
+        while (length := connection.recv_into(arrays.room())) > 0:
+            for items in arrays.filled(length):
+                word, command_id, *rest = [bytes(item) for item in items]
+                if word == b"PULL":
+                    self._pull(session, command_id, rest[0])
+                    if not self.node.is_alive:
+                        self.close(reset=True)
+                        return
+                elif word == b"KILL":
+                    session.cancelled.add(command_id)
+                elif not self.node.is_silent:
+                    session.answer(command_id, (b"FIT", b"-"))
+
+    def _pull(self, session: "_NodeSession", command_id: bytes, fields: bytes) -> None:
+        reply = self.fleet.handle_pull(self.node.spec.name, decode_fields(fields))
+        if self.node.is_alive and reply.due_at is not None:
+            self.timer.call_at(reply.due_at, lambda: session.answer(command_id, reply.items))
+
+
+class _NodeSession:
+    """Answers on one connection; `write_lock` keeps each answer in one piece."""
+
+    def __init__(self, connection: socket.socket) -> None:
+        self.connection = connection
+        self.cancelled = CancelledCommands()
+        self.write_lock = threading.Lock()
+
+    def answer(self, command_id: bytes, items: tuple[bytes, ...]) -> None:
+        if command_id not in self.cancelled:
+            with self.write_lock:
+                self.connection.sendall(resp.command(command_id, *items))
+
+
+class EventStreamServer(ThreadedServer):
+    """The event stream: stores all events, and sends each reader those after its last one.
+
+    `has_events` guards `events`.
+    """
+
+    def __init__(self) -> None:
+        self.events: list[bytes] = []
+        self.has_events = threading.Condition()
+        self.is_stopped = False
+        super().__init__()
+
+    def publish(self, event: dict[str, Any]) -> None:
+        """Append an event and send it to all readers."""
+        with self.has_events:
+            number = len(self.events) + 1
+            body = orjson.dumps({"offset": number} | event)
+            self.events.append(b"id: %d\ndata: %s\n\n" % (number, body))
+            self.has_events.notify_all()
+
+    def serve_connection(self, connection: socket.socket) -> None:
+        """Send the events after the request's Last-Event-ID as they come."""
+        head = b""
+        while b"\r\n\r\n" not in head and len(head) < MAX_HEAD_BYTES:
+            piece = connection.recv(4096)
+            if not piece:
+                return
+            head += piece
+        position = int(head.lower().partition(b"last-event-id:")[2].split()[0])
+        connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        while not self.is_stopped:
+            with self.has_events:
+                if position >= len(self.events):
+                    self.has_events.wait(KEEP_ALIVE_S)
+                pieces = self.events[position:]
+                position = len(self.events)
+            connection.sendall(b"".join(pieces) or b": on\n\n")
+
+    def close(self, reset: bool = False) -> None:
+        """Stop listening and end all streams."""
+        self.is_stopped = True
+        super().close(reset)
+
+
+class LoopbackEnvironment:
+    """A fleet of nodes on sockets and its event stream, with faults by name."""
+
+    def __init__(self, fleet: NodeFleet) -> None:
+        self.fleet = fleet
+        self.timer = Timer()
+        self.stream = EventStreamServer()
+        self.servers = {
+            name: NodeServer(fleet, node, self.timer) for name, node in fleet.nodes.items()
+        }
+        self.version = 0
+        self.publish_endpoints(fleet.nodes)
+
+    def endpoint_row(self, name: str) -> dict[str, Any]:
+        """Return the entry of a node in the endpoint list."""
+        node = self.fleet.nodes[name]
+        host, port = self.servers[name].address
+        return {
+            "id": name,
+            "addr": f"{host}:{port}",
+            "zone": node.spec.zone,
+            "kind": node.spec.kind,
+            "cell": 0,
+            "state": node.state,
+            "weight": node.spec.weight,
+            "started_ms": round(node.started_at),
+        }
+
+    def publish_endpoints(self, names: Iterable[str]) -> None:
+        """Publish an endpoint update for these nodes; the first one is a full snapshot."""
+        rows = [self.endpoint_row(name) for name in names]
+        self.version += 1
+        self.stream.publish(
+            {"topology": {"version": self.version, "full": self.version == 1, "servers": rows}}
+        )
+
+    def inject_fault(self, fault: str, name: str) -> None:
+        """Inject a fault into a node, or end one.
+
+        Args:
+            fault: kill, revive, cold, slow, silent, well, drain, ready or purge.
+            name: The node; with purge, the object.
+        """
+        if fault == "purge":
+            self.fleet.purged_at[name] = now_ms()
+            self.stream.publish({"ban": {"url": name, "ts": round(now_ms())}})
+            return
+        node = self.fleet.nodes[name]
+        with self.fleet.lock:
+            if fault in ("kill", "cold"):
+                node.is_alive = False
+            if fault in ("revive", "cold"):
+                node.reset()
+                node.started_at = now_ms()
+                node.state = "SERVING"
+            node.slowdown = {"slow": SLOWDOWN, "well": 1.0}.get(fault, node.slowdown)
+            node.is_silent = {"silent": True, "well": False}.get(fault, node.is_silent)
+            node.state = {"drain": "DRAINING", "ready": "SERVING"}.get(fault, node.state)
+        if fault in ("kill", "cold"):
+            self.servers[name].close(reset=True)
+        if fault in ("revive", "cold"):
+            time.sleep(RESTART_S)
+            node.is_alive = True
+            self.servers[name].listen()
+        if fault in ("revive", "cold", "drain", "ready"):
+            self.publish_endpoints([name])
+
+    def close(self) -> None:
+        """End the timer and all servers."""
+        self.timer.stop()
+        for server in (*self.servers.values(), self.stream):
+            server.close()
--- /dev/null
+++ b/mulleinrelay/standins/event_loop.py
@@ -0,0 +1,204 @@
+"""An event loop for thousands of connections in one thread.
+
+The nodes, fault proxies and load generators of the fleet lab run on it.
+"""
+
+import contextlib
+import heapq
+import itertools
+import selectors
+import socket
+import struct
+from collections import deque
+from collections.abc import Callable
+
+from .clock import now_ms
+
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing sends a reset
+READ_SIZE = 65_536  # bytes
+MAX_UNSENT_BYTES = 8_000_000  # that a peer may leave unread before its connection is closed
+MAX_SELECT_S = 0.25  # between two checks of the timers
+ACCEPTS_AT_A_TIME = 64
+
+READ = selectors.EVENT_READ
+WRITE = selectors.EVENT_WRITE
+
+
+class EventLoop:
+    """Calls functions when sockets are ready and when timers are due. Not thread-safe."""
+
+    def __init__(self) -> None:
+        self.selector = selectors.DefaultSelector()
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []  # heap by time, then order
+        self.order = itertools.count()
+        self.is_stopped = False
+
+    def call_at(self, due_at: float, call: Callable[[], None]) -> None:
+        """Call `call` at `due_at` (Unix ms)."""
+        heapq.heappush(self.timers, (due_at, next(self.order), call))
+
+    def call_every(self, interval: float, call: Callable[[], None]) -> None:
+        """Call `call` every `interval` ms, until the loop stops."""
+
+        def repeat() -> None:
+            call()
+            self.call_at(now_ms() + interval, repeat)
+
+        self.call_at(now_ms() + interval, repeat)
+
+    def run(self) -> None:
+        """Run until `is_stopped` is set by one of the functions called."""
+        while not self.is_stopped:
+            now = now_ms()
+            while self.timers and self.timers[0][0] <= now and not self.is_stopped:
+                heapq.heappop(self.timers)[2]()
+            wait_s = MAX_SELECT_S
+            if self.timers:
+                wait_s = max(0.0, (self.timers[0][0] - now_ms()) / 1000.0)
+            for key, mask in self.selector.select(min(wait_s, MAX_SELECT_S)):
+                key.data(mask)
+
+    def listen(
+        self,
+        host: str,
+        port: int,
+        on_connection: Callable[[socket.socket], None],
+        everywhere: bool = False,
+        backlog: int = 1024,
+    ) -> socket.socket:
+        """Listen and return the listening socket.
+
+        Args:
+            host: Address to listen at; not used with `everywhere`.
+            port: Port to listen at; 0: any free one.
+            on_connection: Called with each accepted, non-blocking connection.
+            everywhere: Listen at all loopback addresses, and on that device alone.
+            backlog: Connections that may wait to be accepted.
+        """
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if everywhere:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")
+        listener.bind(("" if everywhere else host, port))
+        listener.listen(backlog)
+        listener.setblocking(False)
+
+        def accept(_: int) -> None:
+            for _ in range(ACCEPTS_AT_A_TIME):
+                try:
+                    connection, _ = listener.accept()
+                except OSError:
+                    return
+                connection.setblocking(False)
+                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                on_connection(connection)
+
+        self.selector.register(listener, READ, accept)
+        return listener
+
+    def stop_listening(self, listener: socket.socket) -> None:
+        """Close a socket that `listen` returned."""
+        self.selector.unregister(listener)
+        listener.close()
+
+    def connect(self, address: tuple[str, int]) -> "LoopConnection":
+        """Begin to connect; a failure shows as the end of the connection."""
+        connection = socket.socket()
+        connection.setblocking(False)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection.connect_ex(address)
+        return LoopConnection(self, connection)
+
+
+class LoopConnection:
+    """A TCP connection of an event loop.
+
+    Attributes:
+        on_data: Called with the bytes received.
+        on_close: Called once when the peer or an error has ended the connection; not after `close`.
+    """
+
+    def __init__(self, loop: EventLoop, connection: socket.socket) -> None:
+        self.loop = loop
+        self.connection = connection
+        self.on_data: Callable[[bytes], None] = lambda data: None
+        self.on_close: Callable[[], None] = lambda: None
+        self.unsent: deque[memoryview] = deque()
+        self.unsent_bytes = 0
+        self.is_closed = False
+        self.mask = READ
+        loop.selector.register(connection, self.mask, self._on_ready)
+
+    def write(self, data: bytes | memoryview) -> None:
+        """Send bytes, now or when the peer reads. Does nothing on a closed connection."""
+        if self.is_closed or not data:
+            return
+        if not self.unsent:
+            try:
+                data = memoryview(data)[self.connection.send(data) :]
+            except (BlockingIOError, InterruptedError):
+                pass
+            except OSError:
+                self._end()
+                return
+        if len(data):
+            self.unsent.append(memoryview(data))
+            self.unsent_bytes += len(data)
+            if self.unsent_bytes > MAX_UNSENT_BYTES:
+                self._end()
+                return
+            self._update_mask()
+
+    def close(self, reset: bool = False) -> None:
+        """Close from this side, with a TCP reset where `reset` is set; `on_close` is not called."""
+        if self.is_closed:
+            return
+        self.is_closed = True
+        self.loop.selector.unregister(self.connection)
+        if reset:
+            with contextlib.suppress(OSError):
+                self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        self.connection.close()
+        self.unsent.clear()
+
+    def _end(self) -> None:
+        if not self.is_closed:
+            self.close()
+            self.on_close()
+
+    def _update_mask(self) -> None:
+        mask = READ | (WRITE if self.unsent else 0)
+        if mask != self.mask:
+            self.loop.selector.modify(self.connection, mask, self._on_ready)
+            self.mask = mask
+
+    def _on_ready(self, mask: int) -> None:
+        if mask & WRITE:
+            self._send_unsent()
+        if mask & READ and not self.is_closed:
+            try:
+                data = self.connection.recv(READ_SIZE)
+            except (BlockingIOError, InterruptedError):
+                return
+            except OSError:
+                data = b""
+            if data:
+                self.on_data(data)
+            else:
+                self._end()
+
+    def _send_unsent(self) -> None:
+        while self.unsent:
+            piece = self.unsent.popleft()
+            try:
+                sent = self.connection.send(piece)
+            except (BlockingIOError, InterruptedError):
+                sent = 0
+            except OSError:
+                self._end()
+                return
+            self.unsent_bytes -= sent
+            if sent < len(piece):
+                self.unsent.appendleft(piece[sent:])
+                break
+        self._update_mask()
--- /dev/null
+++ b/mulleinrelay/standins/node_protocol.py
@@ -0,0 +1,24 @@
+"""What both node servers share of the protocol between directors and nodes; pure."""
+
+MAX_CANCELLED = 10_000  # ids that a connection remembers; then all of them are dropped
+
+
+def decode_fields(text: bytes | memoryview) -> dict[str, str]:
+    """Decode `key=value,key=value`; parts without `=` are left out."""
+    return dict(pair.split("=", 1) for pair in str(text, "ascii").split(",") if "=" in pair)
+
+
+class CancelledCommands:
+    """Ids of the commands that a director has cancelled on one connection."""
+
+    def __init__(self) -> None:
+        self.ids: set[bytes] = set()
+
+    def add(self, command_id: bytes) -> None:
+        """Remember that the command needs no answer."""
+        self.ids.add(command_id)
+        if len(self.ids) > MAX_CANCELLED:
+            self.ids.clear()
+
+    def __contains__(self, command_id: bytes) -> bool:
+        return command_id in self.ids
--- a/tests/lab/test_hosts.py
+++ b/tests/lab/test_hosts.py
@@ -9,7 +9,7 @@
 from mulleinrelay.lab.fleet.hosts import NodeHost, fleet_of
 from mulleinrelay.lab.fleet.plan import read_fleet
 from mulleinrelay.net import resp
-from mulleinrelay.standins.loop import Loop
+from mulleinrelay.standins.event_loop import EventLoop
 
 SMALL = """
 [fleet lab]
@@ -31,7 +31,7 @@
     scenario = read_fleet(SMALL)
     fleet, records = fleet_of(scenario), []
     hosts = SimpleNamespace(
-        loop=Loop(),
+        loop=EventLoop(),
         fleet=fleet,
         hosts={},
         too_old=lambda *_: False,
