--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -33,7 +33,8 @@
 LAB_KEYS = "seconds directors seed cells management"
 LAB_FLEET_KEYS = """caches parents capacity fill_cost hit_ms=hit_delay fill_ms=fill_delay
     origin_ms=origin_delay origin_capacity cold_from cold_ms=cold_for falls parent_holds"""
-LAB_LOAD_KEYS = "rate objects orders skew patience_ms=patience tries connections"
+LAB_LOAD_KEYS = """rate objects=object_count orders=order_fraction skew patience_ms=patience
+    tries=max_tries connections=connections_per_director"""
 BURST_KEYS = ("burst_at", "burst_until", "burst_rate")
 FLEET_LAB = {
     "fleet lab": "name seconds warm_s=warm seed client_processes=clients relay_processes=relays",
