--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -19,10 +19,12 @@
 import click
 import orjson
 
-from mulleinrelay.lab.fleet.audit import Audit, read
+from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.evenness import percentile
-from mulleinrelay.lab.fleet.plan import Scenario, read_fleet
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario import FleetScenario
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.membership.messages import Codec, Kind, State, UnusableError, Word
 from mulleinrelay.records import read_states
 
@@ -75,25 +77,28 @@
 TOLD = 1.6  # s after its return by which all directors have been told of a cache
 
 
-def cold_use(scenario: Scenario, audit: Audit) -> dict[str, float]:
+def cold_use(scenario: FleetScenario, audit: Audit) -> dict[str, float]:
     """Of what all may send cold caches, the part that they did; and the most in any window over
     what those can do then. A cache's limit is its capacity as far as it is warm; requests count, as
     with directors.
     """
     back = next(held[0] for held in audit.faults if held[1] == "cold" and not held[3])
     names = next(held[5] for held in audit.faults if held[1] == "cold")
-    begins, ends = back + TOLD + 4.0, back + scenario.cold_ms / 1000.0 - 1.0
+    begins, ends = back + TOLD + 4.0, back + scenario.slow_start_ms / 1000.0 - 1.0
     sent: dict[str, list[float]] = defaultdict(list)
-    for attempt in audit.heard.attempts:
-        if attempt[2] in names and back + TOLD < attempt[0] < back + scenario.cold_ms / 1000.0:
+    for attempt in audit.observations.attempts:
+        if (
+            attempt[2] in names
+            and back + TOLD < attempt[0] < back + scenario.slow_start_ms / 1000.0
+        ):
             sent[attempt[2]].append(attempt[0])
 
     def able(name: str, at: float) -> float:
         warmth = (
-            scenario.cold_from
-            + (1.0 - scenario.cold_from) * 1000.0 * (at - back) / scenario.cold_ms
+            scenario.initial_fraction
+            + (1.0 - scenario.initial_fraction) * 1000.0 * (at - back) / scenario.slow_start_ms
         )
-        return scenario.capacity * audit.sites[name].share * min(1.0, warmth)
+        return scenario.capacity * audit.sites[name].capacity_factor * min(1.0, warmth)
 
     used = allowed = most = 0.0
     for name in names:
@@ -113,7 +118,7 @@
     """From each director's own log: how long it took to call the killed dead, and whom it called so
     who lived and was reached.
     """
-    began, lines = audit.heard.began / 1000.0, []
+    began, lines = audit.observations.started_at / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
         with open(path, "rb") as file:
             for line in file:
@@ -140,7 +145,7 @@
 
 def play(directors: int, rate: float, seed: int, talk: bool) -> dict[str, Any]:
     text = SCENARIO.format(directors=directors, rate=rate, seed=seed, talk="yes" if talk else "no")
-    scenario = read_fleet(text)
+    scenario = parse_fleet_scenario(text)
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-budgets-") as folder:
         states: dict[str, dict] = {}
 
@@ -153,13 +158,17 @@
                 )
 
         FleetLab(scenario, text, folder, ROOT).run(live)
-        audit = Audit(scenario, read(folder))
+        audit = Audit(scenario, read_observations(folder))
         figures = audit.figures()
         found = {rule: figures[rule] for rule in RULES} | cold_use(scenario, audit)
         looks = [
-            look for look in audit.heard.looks if look[0] >= scenario.warm and look[7] == "served"
+            look
+            for look in audit.observations.requests
+            if look[0] >= scenario.warm_up_s and look[7] == "served"
         ]
-        cpu, rss = zip(*[(held[1], held[2]) for held in audit.heard.others["use"]], strict=True)
+        cpu, rss = zip(
+            *[(held[1], held[2]) for held in audit.observations.others["use"]], strict=True
+        )
         found |= {
             "credit": figures["credit"],
             "rejected": figures["outcomes"].get("rejected", 0),
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -23,11 +23,13 @@
 import click
 import orjson
 
-from mulleinrelay.lab.fleet.audit import CREDIT, Audit, Heard, read
+from mulleinrelay.lab.fleet.audit import PRIORITY_WEIGHTS, Audit
 from mulleinrelay.lab.fleet.evenness import percentile
-from mulleinrelay.lab.fleet.load import PAUSE, Demand
-from mulleinrelay.lab.fleet.plan import PARENT, Scenario, read_fleet
+from mulleinrelay.lab.fleet.load import DEFAULT_RETRY_DELAY, LocationLoad
+from mulleinrelay.lab.fleet.observations import Observations, read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario import PARENT, FleetScenario
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.policy.outlier_detection import OutlierDetector
 
 from . import recovery
@@ -100,11 +102,11 @@
 GOOD_ERRS, GOOD_HOURS = 0.001, 2.0  # errors of a good cache; hours that are drawn
 
 
-def credit(heard: Heard, goal: float, first: float, last: float) -> float:
+def credit(heard: Observations, goal: float, first: float, last: float) -> float:
     return recovery.credit(heard, goal, first, last)
 
 
-def bound(scenario: Scenario, heard: Heard) -> float:
+def bound(scenario: FleetScenario, heard: Observations) -> float:
     """Of the credit of requests asked during the kill, what one could win who serves all that reach
     a living director in time.
     """
@@ -120,24 +122,24 @@
     def gone(director: int, at: float, notice: float = 0.0) -> bool:
         return any(first + notice <= at < last for first, last in dead.get(director, ()))
 
-    demands = {place: Demand(scenario, place) for place in scenario.locations}
+    demands = {place: LocationLoad(scenario, place) for place in scenario.locations}
     for demand in demands.values():
         demand.random = random.Random(f"{scenario.seed}-bound")
     asked = won = 0.0
-    for look in heard.looks:
+    for look in heard.requests:
         if not KILL_FROM <= look[0] < KILL_TO:
             continue
-        worth, now = CREDIT[look[5]], look[0]
+        worth, now = PRIORITY_WEIGHTS[look[5]], look[0]
         asked += worth
         demand = demands[look[2]]
-        for _ in range(scenario.tries):
-            away = {one for one in dead if gone(one, now, scenario.front_ms / 1000.0)}
-            director = demand.director(away)
-            late = 1000.0 * (now - look[0]) + TAKES_MS > scenario.goal_ms
+        for _ in range(scenario.max_tries):
+            away = {one for one in dead if gone(one, now, scenario.failure_detection_ms / 1000.0)}
+            director = demand.draw_director(away)
+            late = 1000.0 * (now - look[0]) + TAKES_MS > scenario.latency_objective_ms
             if director is not None and not gone(director, now):
                 won += 0.1 * worth if late else worth
                 break
-            now += PAUSE / 1000.0
+            now += DEFAULT_RETRY_DELAY / 1000.0
     return won / asked if asked else 0.0
 
 
@@ -159,9 +161,9 @@
     return sorted(found)
 
 
-def killed(scenario: Scenario, audit: Audit) -> dict[str, Any]:
-    heard, goal = audit.heard, scenario.goal_ms
-    calm = credit(heard, goal, scenario.warm, KILL_FROM)
+def killed(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
+    heard, goal = audit.observations, scenario.latency_objective_ms
+    calm = credit(heard, goal, scenario.warm_up_s, KILL_FROM)
     during, most = credit(heard, goal, KILL_FROM, KILL_TO), bound(scenario, heard)
     end = int(max(held[0] for held in audit.faults if held[2] == "kill" and not held[3])) + 1
     back = next(
@@ -183,7 +185,7 @@
     }
 
 
-def unreached(scenario: Scenario, audit: Audit) -> dict[str, Any]:
+def unreached(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Which directors of the location judged the cut as a cut, by what they did: they sent first
     attempts of requests straight to a parent while it lasted; and which of them came back at which
     second.
@@ -191,28 +193,30 @@
     first, last = (held[0] for held in audit.faults if held[1] == "unreached")
     cut = set(next(held[4] for held in audit.faults if held[1] == "unreached"))
     asked: dict[int, int] = defaultdict(int)
-    for look in audit.heard.looks:
+    for look in audit.observations.requests:
         if first < look[0] < last - 2.0 and look[5] == "pages":
             asked[look[4]] += 1
     passed, back = set(), {}
-    for attempt in audit.heard.attempts:
+    for attempt in audit.observations.attempts:
         if attempt[1] in cut and attempt[3] == "pages":
             if first < attempt[0] < last and audit.sites[attempt[2]].kind == PARENT:
                 passed.add(attempt[1])
-            elif attempt[0] > last and attempt[2] in audit.boxes:
+            elif attempt[0] > last and attempt[2] in audit.caches:
                 back.setdefault(attempt[1], attempt[0] - last)
     able = [one for one in cut if asked[one] >= ASKED]
-    goal = scenario.goal_ms
+    goal = scenario.latency_objective_ms
     return {
         "zone_cut_judged_as_cut": round(sum(one in passed for one in able) / max(1, len(able)), 4),
         "zone_cut_directors": len(able),
         "zone_back_s_p50": round(percentile(back.values(), 0.5), 2),
         "zone_back_s_p99": round(percentile(back.values(), 0.99), 2),
-        "credit_during_cut": round(credit(audit.heard, goal, first, last), 4),
+        "credit_during_cut": round(credit(audit.observations, goal, first, last), 4),
     }
 
 
-def bad(scenario: Scenario, audit: Audit, told: list[tuple[float, int, str]]) -> dict[str, Any]:
+def bad(
+    scenario: FleetScenario, audit: Audit, told: list[tuple[float, int, str]]
+) -> dict[str, Any]:
     """When each director that met a bad cache often enough shunned it, by its log, and took it
     back.
     """
@@ -221,7 +225,7 @@
     last = next(held[0] for held in audit.faults if held[1] == "bad" and not held[3])
     names = {name.rpartition("-")[2].lstrip("0"): name for name in fault[5]}
     met: dict[tuple[int, str], int] = defaultdict(int)
-    for attempt in audit.heard.attempts:
+    for attempt in audit.observations.attempts:
         if first <= attempt[0] < last and attempt[2] in fault[5]:
             met[attempt[1], attempt[2]] += 1
     found, returned = {}, {}
@@ -238,7 +242,7 @@
         first <= at < last and "shunned (error)" in text and text.split()[0] not in names
         for at, _, text in told
     )
-    goal = scenario.goal_ms
+    goal = scenario.latency_objective_ms
     return {
         "bad_cache_found_s_p50": round(percentile(found.values(), 0.5), 2),
         "bad_cache_found_s_p99": round(percentile(found.values(), 0.99), 2),
@@ -246,19 +250,19 @@
         "bad_cache_pairs": len(able),
         "bad_cache_taken_back": len(returned),
         "good_shunned_for_errors_beside_it": wrong,
-        "credit_during_bad": round(credit(audit.heard, goal, first, last), 4),
-        "credit_during_slow": round(credit(audit.heard, goal, 28.0, 36.0), 4),
+        "credit_during_bad": round(credit(audit.observations, goal, first, last), 4),
+        "credit_during_slow": round(credit(audit.observations, goal, 28.0, 36.0), 4),
     }
 
 
 def play(name: str, directors: int, rate: float, seed: int, program: str) -> dict[str, Any]:
     seconds, faults = LOST[name]
     text = head(name, directors, rate, seed, seconds, CACHES) + faults
-    scenario = read_fleet(text)
+    scenario = parse_fleet_scenario(text)
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-loss-") as folder:
         FleetLab(scenario, text, folder, program).run()
-        audit = Audit(scenario, read(folder))
-        told = lines(folder, audit.heard.began)
+        audit = Audit(scenario, read_observations(folder))
+        told = lines(folder, audit.observations.started_at)
     figures = audit.figures()
     found = {rule: figures[rule] for rule in RULES} | {"credit": figures["credit"]}
     if name == "killed":
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -15,8 +15,9 @@
 
 import click
 
-from mulleinrelay.lab.fleet.audit import CREDIT, Heard
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import PRIORITY_WEIGHTS
+from mulleinrelay.lab.fleet.observations import Observations
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.world import World
 
 BEGINS, AFTER, SPAN = (
@@ -61,19 +62,19 @@
 }
 
 
-def credit(heard: Heard, goal: float, first: float, last: float) -> float:
+def credit(heard: Observations, goal: float, first: float, last: float) -> float:
     """Of what was asked for in these seconds, the part that was earned."""
     asked = earned = 0.0
-    for look in heard.looks:
+    for look in heard.requests:
         if first <= look[0] < last:
-            worth = CREDIT[look[5]]
+            worth = PRIORITY_WEIGHTS[look[5]]
             asked += worth
             if look[7] == "served":
                 earned += worth if look[1] <= goal else 0.1 * worth
     return earned / asked if asked else 0.0
 
 
-def back_after(heard: Heard, goal: float, end: int) -> int | None:
+def back_after(heard: Observations, goal: float, end: int) -> int | None:
     """Seconds from the trouble's end from which the credit stays enough; None where it
     never does.
     """
@@ -87,7 +88,7 @@
 
 
 def play(name: str, length: int, directors: int, rate: float, seed: int) -> dict[str, Any]:
-    scenario = read_fleet(
+    scenario = parse_fleet_scenario(
         HEAD.format(
             seconds=BEGINS + length + AFTER,
             warm=CALM_FROM,
@@ -104,10 +105,10 @@
         "trouble": name,
         "length": length,
         "seed": seed,
-        "calm": round(credit(heard, scenario.goal_ms, CALM_FROM, BEGINS), 3),
-        "during": round(credit(heard, scenario.goal_ms, BEGINS, end), 3),
-        "back_s": back_after(heard, scenario.goal_ms, end),
-        "attempts_by_request": round(len(heard.attempts) / max(1, len(heard.looks)), 2),
+        "calm": round(credit(heard, scenario.latency_objective_ms, CALM_FROM, BEGINS), 3),
+        "during": round(credit(heard, scenario.latency_objective_ms, BEGINS, end), 3),
+        "back_s": back_after(heard, scenario.latency_objective_ms, end),
+        "attempts_by_request": round(len(heard.attempts) / max(1, len(heard.requests)), 2),
     }
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -16,9 +16,10 @@
 
 import click
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.world import play as play_model
 
 from .versions import ROOT, unpack
@@ -159,10 +160,10 @@
 
 
 def play(text: str, program: str = ROOT) -> dict[str, Any]:
-    scenario = read_fleet(text)
+    scenario = parse_fleet_scenario(text)
     lab = FleetLab(scenario, text, program=program)
     try:
-        return Audit(scenario, read(lab.run())).figures()
+        return Audit(scenario, read_observations(lab.run())).figures()
     finally:
         lab.clear()
 
@@ -205,7 +206,7 @@
     """By scenario and figure: the model's less the lab's, over the lab's."""
     found = {}
     for name in plays:
-        scenario = read_fleet(texts[name])
+        scenario = parse_fleet_scenario(texts[name])
         theirs = play_model(replace(scenario, directors=plays[name]["directors"]))
         found[name] = {
             key: round((theirs[key] - plays[name][key]) / max(1e-9, plays[name][key]), 3)
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -114,23 +114,24 @@
     model: bool,
 ) -> None:
     """Raises ConfigError, and OSError where the file can't be written."""
-    from .fleet.plan import read_fleet
+    from .fleet.scenario_parser import parse_fleet_scenario
 
-    scenario = read_fleet(text)
+    scenario = parse_fleet_scenario(text)
     if directors is not None:
-        scenario = scenario.sized(directors)
+        scenario = scenario.with_directors(directors)
     shown = None if quiet or as_json else watch
     if model:
         from ..model.world import play as play_model
 
         found = play_model(scenario, shown)
         return tell(found, as_json)
-    from .fleet.audit import Audit, read
+    from .fleet.audit import Audit
+    from .fleet.observations import read_observations
     from .fleet.play import FleetLab
 
     playing = FleetLab(scenario, text, keep)
     try:
-        audit = Audit(scenario, read(playing.run(shown)))
+        audit = Audit(scenario, read_observations(playing.run(shown)))
         if plot is not None:
             from .fleet.picture import draw
 
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -1,355 +1,362 @@
-"""Joins what nodes, stream, clients and the lab wrote down, by time, and says what the play came
-to: pure but for the reading of the files. Directors' own words count for nothing here.
+"""The audit of a play: joins the records by time, counts violations and computes the figures.
+
+Pure. It takes the records of nodes, event stream, clients and the lab; what directors say about
+themselves counts for nothing here.
 """
 
-import os
 from collections import Counter, defaultdict
-from dataclasses import dataclass, field
+from collections.abc import Iterable
 from typing import Any
 
-import orjson
-
+from ...standins.node_kinds import CACHE, PARENT
 from . import evenness
-from .evenness import Box, Sent
-from .plan import BOX, PARENT, Scenario
-
-DRAIN_AFTER = 2050.0  # ms from being told to the last new work
-AFTER_FAULT = 5.0  # s from a fault's begin, and from its end, that count as its time
-AWAY = 3000.0  # ms around a stop in which a director owes nothing in time
-CREDIT = {"pages": 1.0, "order": 3.0, "pay": 3.0}
-
-
-@dataclass(slots=True)
-class Heard:
-    """All records of a play, times in s from its start."""
-
-    began: float = 0.0
-    seconds: float = 0.0
-    ready_after: float = 0.0
-    attempts: list[tuple] = field(default_factory=list)
-    looks: list[tuple] = field(default_factory=list)
-    others: dict[str, list[tuple]] = field(default_factory=lambda: defaultdict(list))
-
-
-def read(folder: str) -> Heard:
-    heard = Heard()
-    lines = []
-    for name in sorted(os.listdir(folder)):
-        if name.endswith(".records"):
-            with open(os.path.join(folder, name), "rb") as file:
-                lines += [orjson.loads(line) for line in file if line.endswith(b"\n")]
-    began = next(line for line in lines if line[0] == "began")
-    heard.began, heard.seconds, heard.ready_after = began[1:4]
-    for what, *held in lines:
-        if what == "attempt":
-            heard.attempts.append(((held[0] - heard.began) / 1000.0, *held[1:]))
-        elif what == "look":
-            heard.looks.append(((held[0] - heard.began) / 1000.0, *held[1:]))
-        elif what not in ("began", "use", "node", "effects"):
-            heard.others[what].append(((held[0] - heard.began) / 1000.0, *held[1:]))
-        else:
-            heard.others[what].append(tuple(held))
-    heard.attempts.sort(key=lambda attempt: attempt[0])
-    return heard
+from .evenness import AuditedCache, FirstAttempt, Loads
+from .observations import AttemptRecord, FaultRecord, NotificationRecord, Observations
+from .scenario import FleetScenario
+
+DRAIN_GRACE_S = 2.05  # from a notification to the last new attempt
+FAULT_MARGIN_S = 5.0  # from a fault's start, and from its end, that count as its time
+STOP_MARGIN_MS = 3000.0  # after a stop, within which a director may still be late
+KILL_LEAD_MS = 200.0  # before the recorded time of a stop or kill
+RESTART_FROM_MS = 700.0  # after a SIGTERM: a director first finishes its pending requests
+RESTART_TO_MS = 12_000.0
+FOREVER_S = 1e9
+FOREVER_MS = 1e12
+MIN_PARENT_FILLS = 20  # a second, or the parents' shares say nothing
+SETTLING_S = 4  # of each fault, left out of the parents' shares
+MISSED_OBJECTIVE = 0.1  # of its weight that a request served late earns
+PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
+VIOLATIONS = (
+    "requests_lost",
+    "answers_twice",
+    "orders_run_twice",
+    "drains_broken",
+    "fell",
+    "purges_broken",
+    "crashes",
+)
+
+Span = tuple[float, float]
 
 
 class Audit:
-    def __init__(self, scenario: Scenario, heard: Heard) -> None:
-        self.scenario, self.heard = scenario, heard
-        self.sites = {site.name: site for site in scenario.sites()}
-        self.faults = heard.others["fault"]
-        self.boxes = self._boxes()
-        self.seconds = range(int(scenario.warm), int(heard.seconds))
-
-    # Who was well, and when
-
-    def _boxes(self) -> dict[str, Box]:
-        found = {}
-        for site in self.sites.values():
-            if site.kind == BOX:
-                digits = int(site.name.rpartition("-")[2], 16)
-                found[site.name] = Box(
-                    site.name, digits, site.place, site.share, self._well(site.name)
-                )
-        return found
+    """The audit of one play. Times are seconds from its start, if not named otherwise."""
 
-    def _well(self, name: str) -> list[tuple[float, float]]:
-        """From and to, s: reached by all, at its speed, warm; a while after each change is left
-        out.
-        """
-        spans, since, warm = [], 0.0, self.scenario.cold_ms / 1000.0
-        for at, _, what, begins, _, nodes, _, _ in self.faults:
-            if name in nodes and what.startswith(("node_", "drain")):
-                if begins and since < at:
-                    spans.append((since, at))
-                since = (
-                    1e9
-                    if begins
-                    else at
-                    + (warm if what in ("node_kill", "node_cold", "node_silent") else AFTER_FAULT)
-                )
-        spans += [(since, 1e9)] if since < 1e9 else []
-        fell = min((held[0] for held in self.heard.others["fell"] if held[1] == name), default=1e9)
-        return [(first, min(last, fell)) for first, last in spans if first < fell]
+    def __init__(self, scenario: FleetScenario, observations: Observations) -> None:
+        self.scenario = scenario
+        self.observations = observations
+        self.sites = {site.name: site for site in scenario.node_sites()}
+        self.faults: list[FaultRecord] = observations.others["fault"]
+        self.caches = self._audited_caches()
+        self.seconds = range(int(scenario.warm_up_s), int(observations.seconds))
+
+    # When caches were healthy
+
+    def _audited_caches(self) -> dict[str, AuditedCache]:
+        return {
+            site.name: AuditedCache(
+                site.name,
+                int(site.name.rpartition("-")[2], 16),
+                site.zone,
+                site.capacity_factor,
+                self._healthy_spans(site.name),
+            )
+            for site in self.sites.values()
+            if site.kind == CACHE
+        }
+
+    def _healthy_spans(self, name: str) -> list[Span]:
+        """When a cache was reached by all, at its speed and warm; with a margin after changes."""
+        spans: list[Span] = []
+        since = 0.0
+        for fault in self.faults:
+            if name not in fault.nodes or not fault.kind.startswith(("node_", "drain")):
+                continue
+            if fault.is_start:
+                if since < fault.at_s:
+                    spans.append((since, fault.at_s))
+                since = FOREVER_S
+            else:
+                since = fault.at_s + self._recovery_s(fault.kind)
+        if since < FOREVER_S:
+            spans.append((since, FOREVER_S))
+        crashes = [crash.at_s for crash in self.observations.others["fell"] if crash.node == name]
+        crashed_at = min(crashes, default=FOREVER_S)
+        return [(first, min(last, crashed_at)) for first, last in spans if first < crashed_at]
+
+    def _recovery_s(self, kind: str) -> float:
+        if kind in ("node_kill", "node_cold", "node_silent"):
+            return self.scenario.slow_start_ms / 1000.0
+        return FAULT_MARGIN_S
 
     def fault_seconds(self) -> set[int]:
-        """Seconds within a fault or AFTER_FAULT after its begin or its end."""
-        found = set()
-        for at, *_ in self.faults:
-            found |= set(range(int(at) - 1, int(at + AFTER_FAULT) + 1))
+        """Return the seconds around the start and the end of a fault."""
+        found: set[int] = set()
+        for fault in self.faults:
+            found |= set(range(int(fault.at_s) - 1, int(fault.at_s + FAULT_MARGIN_S) + 1))
         return found
 
-    def first_attempts(self) -> list[Sent]:
-        """The first attempt of each request at a cache."""
-        known, found = set(), []
-        for attempt in self.heard.attempts:
-            if attempt[2] in self.boxes and attempt[3] == "pages" and attempt[10] not in known:
-                known.add(attempt[10])
-                found.append(Sent(attempt[0], attempt[2], int(attempt[4], 16)))
+    def first_attempts(self) -> list[FirstAttempt]:
+        """Return the first attempt of each read at a cache."""
+        known = set()
+        found = []
+        for attempt in self.observations.attempts:
+            is_read_at_cache = attempt.node in self.caches and attempt.request_class == "pages"
+            if is_read_at_cache and attempt.command_id not in known:
+                known.add(attempt.command_id)
+                object_id = int(attempt.object_id, 16)
+                found.append(FirstAttempt(attempt.at_s, attempt.node, object_id))
         return found
 
-    # The rules
-
-    def rules(self) -> dict[str, int]:
-        heard = self.heard
-        excused = self._excused()
-        none = sum(
-            not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["none"]
-        )
-        late = sum(
-            not self._away(excused, held[1], 1000.0 * held[0]) for held in heard.others["late"]
-        )
-        cut = sum(
-            held[2]
-            for held in heard.others["cut"]
-            if not self._away(excused, held[1], 1000.0 * held[0])
-        )
-        effects = heard.others["effects"][0] if heard.others["effects"] else (0, 0, 0)
+    # Violations
+
+    def count_violations(self) -> dict[str, int]:
+        """Return the violations by rule; what the lab itself has done to directors is excused."""
+        others = self.observations.others
+        excused = self._excused_spans()
+
+        def unexcused(record_type: str) -> list[Any]:
+            return [
+                record
+                for record in others[record_type]
+                if not _is_excused(excused, record[1], 1000.0 * record[0])
+            ]
+
+        lost = len(unexcused("none")) + sum(cut.requests for cut in unexcused("cut"))
         return {
-            "requests_lost": none + cut,
-            "answers_late": late,
-            "answers_twice": len(heard.others["twice"]),
-            "orders_run_twice": effects[0],
-            "drains_broken": self.drains(),
-            "fell": len(heard.others["fell"]),
-            "purges_broken": sum(attempt[9] for attempt in heard.attempts),
-            "crashes": len(heard.others["crash"]),
+            "requests_lost": lost,
+            "answers_late": len(unexcused("late")),
+            "answers_twice": len(others["twice"]),
+            "orders_run_twice": others["effects"][0].repeated if others["effects"] else 0,
+            "drains_broken": self.count_drain_violations(),
+            "fell": len(others["fell"]),
+            "purges_broken": sum(attempt.is_outdated for attempt in self.observations.attempts),
+            "crashes": len(others["crash"]),
         }
 
-    def _excused(self) -> dict[int, list[tuple[float, float]]]:
-        """By director the spans (ms) in which it was killed, stopped or told to end by the lab."""
-        found: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        for at, _, what, begins, directors, _, _, _ in self.faults:
-            if what in ("stop", "kill") and begins:
-                for director in directors:
-                    found[director].append((1000.0 * at - 200.0, 1e12))
-            elif what in ("stop", "kill"):
-                for director in directors:
+    def _excused_spans(self) -> dict[int, list[Span]]:
+        """By director the spans (ms) in which the lab had killed, stopped or restarted it."""
+        found: dict[int, list[Span]] = defaultdict(list)
+        for fault in self.faults:
+            if fault.kind not in ("stop", "kill"):
+                continue
+            for director in fault.directors:
+                if fault.is_start:
+                    found[director].append((1000.0 * fault.at_s - KILL_LEAD_MS, FOREVER_MS))
+                else:
                     first = found[director][-1][0]
-                    found[director][-1] = (first, 1000.0 * at + AWAY + self.scenario.patience_ms)
-        for held in self.heard.others["term"]:
-            found[held[1]].append((1000.0 * held[0] + 700.0, 1000.0 * held[0] + 12_000.0))
+                    last = 1000.0 * fault.at_s + STOP_MARGIN_MS + self.scenario.patience_ms
+                    found[director][-1] = (first, last)
+        for restart in self.observations.others["term"]:
+            at = 1000.0 * restart.at_s
+            found[restart.director].append((at + RESTART_FROM_MS, at + RESTART_TO_MS))
         return found
 
-    def _away(
-        self, excused: dict[int, list[tuple[float, float]]], director: int, at: float
-    ) -> bool:
-        return any(first <= at <= last for first, last in excused.get(director, ()))
+    def count_drain_violations(self) -> int:
+        """Count attempts to a node, or with it as fill source, that came too late.
 
-    def drains(self) -> int:
-        """Attempts to a node, or with it as their source, later than 2 s after their director was
-        told that it drains or is gone.
+        That is, after the director had been notified that it drains or is gone, and
+        DRAIN_GRACE_S had passed.
         """
-        told: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
-        for at, director, name, state, _ in self.heard.others["told"]:
-            told[director, name].append((at, state != "SERVING"))
-        broken = 0
-        for attempt in self.heard.attempts:
-            for name in {attempt[2], attempt[5]}:
-                words = told.get((attempt[1], name))
-                if words:
-                    before = [held for held in words if held[0] <= attempt[0]]
-                    if (
-                        before
-                        and before[-1][1]
-                        and attempt[0] > before[-1][0] + DRAIN_AFTER / 1000.0
-                    ):
-                        broken += 1
-        return broken
+        notifications: dict[tuple[int, str], list[NotificationRecord]] = defaultdict(list)
+        for record in self.observations.others["told"]:
+            notifications[record.director, record.node].append(record)
+        violations = 0
+        for attempt in self.observations.attempts:
+            for name in {attempt.node, attempt.fill_source}:
+                records = notifications.get((attempt.director, name), [])
+                violations += _is_too_late(attempt, records)
+        return violations
 
     # Load
 
-    def parents(self) -> dict[int, dict[str, float]]:
-        """By second the share of each parent among fills from parents."""
-        counts: dict[int, Counter] = defaultdict(Counter)
-        for attempt in self.heard.attempts:
-            at, node, source = attempt[0], attempt[2], attempt[5]
-            if node in self.boxes and source in self.sites and self.sites[source].kind == PARENT:
-                counts[int(at)][source] += 1
+    def parent_shares(self) -> dict[int, dict[str, float]]:
+        """Return by second the share of each parent among fills from parents."""
+        counts: dict[int, Counter[str]] = defaultdict(Counter)
+        for attempt in self.observations.attempts:
+            source = self.sites.get(attempt.fill_source)
+            if attempt.node in self.caches and source is not None and source.kind == PARENT:
+                counts[int(attempt.at_s)][source.name] += 1
         return {
-            second: {name: count / held.total() for name, count in held.items()}
-            for second, held in counts.items()
-            if held.total() >= 20
+            second: {name: count / fills.total() for name, count in fills.items()}
+            for second, fills in counts.items()
+            if fills.total() >= MIN_PARENT_FILLS
         }
 
-    def growth(self, what: str) -> float:
-        """The most of probes (a second) or connections (at one time) of one cache, after the
-        warm-up.
+    def peak_of(self, what: str) -> float:
+        """Return the peak of one cache after the warm-up.
+
+        Args:
+            what: `probes`, a second (99th percentile), or `connections`, at a time.
         """
-        first = self.scenario.warm
+        first = self.scenario.warm_up_s
         if what == "probes":
             counts = Counter(
-                (held[2], int(held[0]))
-                for held in self.heard.others["probe"]
-                if held[2] in self.boxes and held[0] >= first
+                (check.node, int(check.at_s))
+                for check in self.observations.others["probe"]
+                if check.node in self.caches and check.at_s >= first
             )
             return evenness.percentile(counts.values(), 0.99)
-        most, here = 0, Counter()
-        for at, _, name, step in sorted(self.heard.others["conn"]):
-            here[name] += step
-            if name in self.boxes and at >= first:
-                most = max(most, here[name])
-        return float(most)
-
-    def probes_together(self) -> float:
-        """Of a location's probes in half a second, the share that meets one cache, the mean."""
-        asked = [
-            (held[0], held[2])
-            for held in self.heard.others["probe"]
-            if held[2] in self.boxes and held[0] >= self.scenario.warm
+        peak = 0
+        open_connections: Counter[str] = Counter()
+        for record in sorted(self.observations.others["conn"]):
+            open_connections[record.node] += record.change
+            if record.node in self.caches and record.at_s >= first:
+                peak = max(peak, open_connections[record.node])
+        return float(peak)
+
+    def health_check_concentration(self) -> float:
+        """Return how far the health checks of a location meet one cache at a time; 1: a herd."""
+        checks = [
+            (check.at_s, check.node)
+            for check in self.observations.others["probe"]
+            if check.node in self.caches and check.at_s >= self.scenario.warm_up_s
         ]
-        return evenness.together(asked, self.boxes)
+        return evenness.concentration(checks, self.caches)
 
-    def credit(self) -> float:
-        """Credit of requests served within their goal over all that was asked for, after the
-        warm-up.
+    def earned_weight(self) -> float:
+        """Return the priority weight earned after the warm-up, as a fraction of what was asked.
+
+        A request earns its weight within its latency objective, and a part of it later.
         """
         asked = earned = 0.0
-        for look in self.heard.looks:
-            if look[0] >= self.scenario.warm:
-                worth = CREDIT[look[5]]
-                asked += worth
-                if look[7] == "served":
-                    earned += worth if look[1] <= self.scenario.goal_ms else 0.1 * worth
+        for request in self.observations.requests:
+            if request.at_s >= self.scenario.warm_up_s:
+                weight = PRIORITY_WEIGHTS[request.request_class]
+                asked += weight
+                if request.outcome == "served":
+                    is_in_time = request.duration_ms <= self.scenario.latency_objective_ms
+                    earned += weight if is_in_time else MISSED_OBJECTIVE * weight
         return earned / asked if asked else 0.0
 
+    def fills_by_source(self) -> dict[str, int]:
+        """Return the fills by the kind of their source: sibling, parent, origin, none."""
+        found: Counter[str] = Counter()
+        for attempt in self.observations.attempts:
+            if attempt.node in self.caches and attempt.reason != "HIT":
+                site = self.sites.get(attempt.fill_source)
+                if site is None:
+                    found["none"] += 1
+                else:
+                    found["sibling" if site.kind == CACHE else site.kind] += 1
+        return dict(found)
+
+    def max_parent_share_change(self) -> float:
+        """Return the largest change of a parent's share; the start of each fault is left out."""
+        skipped = {
+            second
+            for fault in self.faults
+            for second in range(int(fault.at_s), int(fault.at_s) + SETTLING_S)
+        }
+        seconds = [second for second in self.seconds if second not in skipped]
+        return round(evenness.max_share_change(self.parent_shares(), seconds), 3)
+
+    def recovery_p99_s(self, loads: Loads) -> float | None:
+        """Return the 99th percentile of the time from healthy again to half of the fair share."""
+        found = []
+        end_s = self.observations.seconds
+        for name, cache in self.caches.items():
+            for first, last in cache.healthy_spans:
+                if 0.0 < first < end_s - 4.0:
+                    end = int(min(last, end_s))
+                    found.append(
+                        evenness.seconds_until_half_load(
+                            loads, self.caches, name, int(first) + 1, end
+                        )
+                    )
+        return evenness.percentile(found, 0.99) if found else None
+
+    # Figures
+
     def figures(self) -> dict[str, Any]:
-        sent = self.first_attempts()
-        loads, seen = (
-            evenness.by_second(sent),
-            evenness.by_second(evenness.all_seeing(sent, self.boxes)),
-        )
-        troubled = self.fault_seconds()
-        calm = [second for second in self.seconds if second not in troubled]
-        after = [second for second in calm if self.faults and second > self.faults[0][0]]
-        before = [second for second in calm if second not in after]
+        """Return all figures by the names of the command's output."""
+        attempts = self.first_attempts()
+        loads = evenness.by_second(attempts)
         found = {
             "directors": self.scenario.directors,
-            "ready_s": self.heard.ready_after,
-            "requests": len(self.heard.looks),
-            "outcomes": dict(Counter(look[7] for look in self.heard.looks)),
-            "credit": round(self.credit(), 4),
-            **self.rules(),
-            "calm_imbalance": self._imbalance(loads, seen, before),
-            "fault_imbalance": self._imbalance(loads, seen, after) if after else None,
-            "imbalance_p99": round(
-                evenness.percentile(evenness.ratios(loads, self.boxes, calm), 0.99), 3
-            ),
-            "all_seeing_p99": round(
-                evenness.percentile(evenness.ratios(seen, self.boxes, calm), 0.99), 3
-            ),
-            "herd_seconds_calm": len(evenness.herd_seconds(loads, self.boxes, before)),
-            "herd_seconds_fault": len(evenness.herd_seconds(loads, self.boxes, after)),
-            "herd_seconds_all_seeing": len(evenness.herd_seconds(seen, self.boxes, calm)),
-            "idle_s_max": max(
-                evenness.idle_spans(loads, self.boxes, list(self.seconds)).values(), default=0
-            ),
-            "return_s_p99": self.returns(loads),
-            "parent_swing": self.parent_swing(),
-            "probes_a_cache": self.growth("probes"),
-            "probes_together": round(self.probes_together(), 3),
-            "connections_a_cache": self.growth("connections"),
-            "first_attempts": len(sent),
-            "attempts": len(self.heard.attempts),
-            "attempts_by_request": round(
-                len(self.heard.attempts) / max(1, len(self.heard.looks)), 3
-            ),
-            "hit_share": round(
-                sum(held[8] == "HIT" for held in self.heard.attempts) / max(1, len(sent)), 3
-            ),
-            "fills": self.fills(),
-            "origin_fetches": self.heard.others["effects"][0][2]
-            if self.heard.others["effects"]
-            else None,
-            "probes": len(self.heard.others["probe"]),
-            "connections": sum(held[3] > 0 for held in self.heard.others["conn"]),
-            "reads": len(self.heard.others["read"]),
-            "reads_peak": max(
-                Counter(int(10 * held[0]) for held in self.heard.others["read"]).values(), default=0
-            ),
-            "memory_mb_max": max((held[2] for held in self.heard.others["use"]), default=0.0),
-            "cpu_s": round(sum(held[1] for held in self.heard.others["use"]), 2),
-            "faults": [
-                {
-                    "at": round(held[0], 2),
-                    "name": held[1],
-                    "what": held[2],
-                    "begins": held[3],
-                    "directors": len(held[4]),
-                    "nodes": held[5],
-                    "wrong": held[7],
-                }
-                for held in self.faults
-            ],
+            "ready_s": self.observations.ready_after_s,
+            "requests": len(self.observations.requests),
+            "outcomes": dict(Counter(request.outcome for request in self.observations.requests)),
+            "credit": round(self.earned_weight(), 4),
+            **self.count_violations(),
+            **self._evenness_figures(attempts, loads),
+            "return_s_p99": self.recovery_p99_s(loads),
+            "parent_swing": self.max_parent_share_change(),
+            "probes_a_cache": self.peak_of("probes"),
+            "probes_together": round(self.health_check_concentration(), 3),
+            "connections_a_cache": self.peak_of("connections"),
+            **self._count_figures(len(attempts)),
+            "faults": [_fault_figures(fault) for fault in self.faults],
         }
-        found["rules_broken"] = sum(
-            found[rule]
-            for rule in (
-                "requests_lost",
-                "answers_twice",
-                "orders_run_twice",
-                "drains_broken",
-                "fell",
-                "purges_broken",
-                "crashes",
-            )
-        )
+        found["rules_broken"] = sum(found[rule] for rule in VIOLATIONS)
         return found
 
-    def _imbalance(
-        self, loads: dict[int, Counter], seen: dict[int, Counter], seconds: list[int]
-    ) -> float | None:
-        ours = evenness.percentile(evenness.ratios(loads, self.boxes, seconds), 0.99)
-        theirs = evenness.percentile(evenness.ratios(seen, self.boxes, seconds), 0.99)
-        return round(ours / theirs, 3) if theirs else None
-
-    def fills(self) -> dict[str, int]:
-        """By source: sibling, parent, origin, none."""
-        found: Counter = Counter()
-        for attempt in self.heard.attempts:
-            if attempt[2] in self.boxes and attempt[8] != "HIT":
-                site = self.sites.get(attempt[5])
-                found["none" if site is None else "sibling" if site.kind == BOX else site.kind] += 1
-        return dict(found)
+    def _evenness_figures(self, attempts: list[FirstAttempt], loads: Loads) -> dict[str, Any]:
+        ideal = evenness.by_second(evenness.ideal_assignment(attempts, self.caches))
+        excluded = self.fault_seconds()
+        calm = [second for second in self.seconds if second not in excluded]
+        after = [second for second in calm if self.faults and second > self.faults[0].at_s]
+        before = [second for second in calm if second not in after]
+        idle_spans = evenness.longest_idle_spans(loads, self.caches, list(self.seconds))
+        return {
+            "calm_imbalance": self._imbalance(loads, ideal, before),
+            "fault_imbalance": self._imbalance(loads, ideal, after) if after else None,
+            "imbalance_p99": round(self._ratio_p99(loads, calm), 3),
+            "all_seeing_p99": round(self._ratio_p99(ideal, calm), 3),
+            "herd_seconds_calm": len(evenness.herd_seconds(loads, self.caches, before)),
+            "herd_seconds_fault": len(evenness.herd_seconds(loads, self.caches, after)),
+            "herd_seconds_all_seeing": len(evenness.herd_seconds(ideal, self.caches, calm)),
+            "idle_s_max": max(idle_spans.values(), default=0),
+        }
 
-    def parent_swing(self) -> float:
-        """After the first 3 s of each fault."""
-        skipped = {second for at, *_ in self.faults for second in range(int(at), int(at) + 4)}
-        return round(
-            evenness.swings(
-                self.parents(), [second for second in self.seconds if second not in skipped]
-            ),
-            3,
-        )
-
-    def returns(self, loads: dict[int, Counter]) -> float | None:
-        """s from when a cache is well and warm again to half of its share, the 99th percentile."""
-        found = []
-        for name, box in self.boxes.items():
-            for first, last in box.well:
-                if 0.0 < first < self.heard.seconds - 4.0:
-                    until = int(min(last, self.heard.seconds))
-                    found.append(
-                        evenness.return_after(loads, self.boxes, name, int(first) + 1, until)
-                    )
-        return evenness.percentile(found, 0.99) if found else None
+    def _ratio_p99(self, loads: Loads, seconds: Iterable[int]) -> float:
+        return evenness.percentile(evenness.known_load_ratios(loads, self.caches, seconds), 0.99)
+
+    def _imbalance(self, loads: Loads, ideal: Loads, seconds: list[int]) -> float | None:
+        """The directors' 99th percentile of load ratios over that of the ideal assignment."""
+        ideal_p99 = self._ratio_p99(ideal, seconds)
+        return round(self._ratio_p99(loads, seconds) / ideal_p99, 3) if ideal_p99 else None
+
+    def _count_figures(self, first_attempts: int) -> dict[str, Any]:
+        observations = self.observations
+        others = observations.others
+        attempts = observations.attempts
+        hits = sum(attempt.reason == "HIT" for attempt in attempts)
+        reads = Counter(int(10 * read[0]) for read in others["read"])  # in tenths of a second
+        return {
+            "first_attempts": first_attempts,
+            "attempts": len(attempts),
+            "attempts_by_request": round(len(attempts) / max(1, len(observations.requests)), 3),
+            "hit_share": round(hits / max(1, first_attempts), 3),
+            "fills": self.fills_by_source(),
+            "origin_fetches": others["effects"][0].origin_fetches if others["effects"] else None,
+            "probes": len(others["probe"]),
+            "connections": sum(record.change > 0 for record in others["conn"]),
+            "reads": len(others["read"]),
+            "reads_peak": max(reads.values(), default=0),
+            "memory_mb_max": max((usage.resident_mb for usage in others["use"]), default=0.0),
+            "cpu_s": round(sum(usage.cpu_s for usage in others["use"]), 2),
+        }
+
+
+def _is_excused(excused: dict[int, list[Span]], director: int, at_ms: float) -> bool:
+    return any(first <= at_ms <= last for first, last in excused.get(director, ()))
+
+
+def _is_too_late(attempt: AttemptRecord, notifications: list[NotificationRecord]) -> bool:
+    earlier = [record for record in notifications if record.at_s <= attempt.at_s]
+    if not earlier or earlier[-1].state == "SERVING":
+        return False
+    return attempt.at_s > earlier[-1].at_s + DRAIN_GRACE_S
+
+
+def _fault_figures(fault: FaultRecord) -> dict[str, Any]:
+    return {
+        "at": round(fault.at_s, 2),
+        "name": fault.name,
+        "what": fault.kind,
+        "begins": fault.is_start,
+        "directors": len(fault.directors),
+        "nodes": fault.nodes,
+        "wrong": fault.error,
+    }
--- a/mulleinrelay/lab/fleet/hosts.py
+++ b/mulleinrelay/lab/fleet/hosts.py
@@ -16,34 +16,34 @@
 from ...standins.nodes import NodeFleet, NodeSpec, SimulatedNode
 from . import addresses
 from .channel import Records, obey, say
-from .plan import AT_A_TIME, Scenario, Site
+from .scenario import CONCURRENT_ANSWERS, FleetScenario, NodeSite
 
 COMMENT_EVERY = 1000.0
 FLUSH_EVERY = 1000.0
 
 
-def fleet_of(scenario: Scenario) -> NodeFleet:
+def fleet_of(scenario: FleetScenario) -> NodeFleet:
     """All nodes of the scenario, with nothing held."""
     return NodeFleet(
-        {site.name: SimulatedNode(_spec(scenario, site)) for site in scenario.sites()},
+        {site.name: SimulatedNode(_spec(scenario, site)) for site in scenario.node_sites()},
         {"order", "pay"},
     )
 
 
-def _spec(scenario: Scenario, site: Site) -> NodeSpec:
+def _spec(scenario: FleetScenario, site: NodeSite) -> NodeSpec:
     if site.kind == CACHE:
         return NodeSpec(
             site.name,
             CACHE,
-            site.place,
-            scenario.capacity * site.share,
+            site.zone,
+            scenario.capacity * site.capacity_factor,
             scenario.fill_cost,
             scenario.hit_ms,
-            weight=round(AT_A_TIME * site.share),
-            initial_fraction=scenario.cold_from,
-            slow_start_duration=scenario.cold_ms,
-            max_copies=scenario.holds,
-            crashes_on_overload=scenario.falls,
+            weight=round(CONCURRENT_ANSWERS * site.capacity_factor),
+            initial_fraction=scenario.initial_fraction,
+            slow_start_duration=scenario.slow_start_ms,
+            max_copies=scenario.max_copies,
+            crashes_on_overload=scenario.crashes_on_overload,
             crash_load=2.5,
             crash_after=1500.0,
             crashes_when_warm=False,
@@ -52,24 +52,24 @@
         return NodeSpec(
             site.name,
             ORIGIN,
-            site.place,
+            site.zone,
             scenario.origin_capacity,
             1.0,
             scenario.origin_ms,
-            weight=4 * AT_A_TIME,
+            weight=4 * CONCURRENT_ANSWERS,
         )
     return NodeSpec(
         site.name,
         site.kind,
-        site.place,
+        site.zone,
         scenario.parent_capacity,
         1.0,
         scenario.parent_ms,
-        weight=4 * AT_A_TIME,
-        initial_fraction=scenario.cold_from,
-        slow_start_duration=scenario.parent_cold_ms,
-        max_copies=scenario.parent_holds,
-        crashes_on_overload=scenario.falls,
+        weight=4 * CONCURRENT_ANSWERS,
+        initial_fraction=scenario.initial_fraction,
+        slow_start_duration=scenario.parent_slow_start_ms,
+        max_copies=scenario.parent_max_copies,
+        crashes_on_overload=scenario.crashes_on_overload,
         crash_load=2.0,
         crash_after=1500.0,
         crashes_when_warm=False,
@@ -254,13 +254,13 @@
 
 
 class Hosts:
-    def __init__(self, first: dict, scenario: Scenario) -> None:
+    def __init__(self, first: dict, scenario: FleetScenario) -> None:
         self.scenario, self.loop, self.records = scenario, EventLoop(), Records(first["records"])
         self.random = random.Random(f"{scenario.seed}-list")
         self.fleet = fleet_of(scenario)
         self.hosts = {
-            site.name: NodeHost(self, self.fleet.nodes[site.name], site.place)
-            for site in scenario.sites()
+            site.name: NodeHost(self, self.fleet.nodes[site.name], site.zone)
+            for site in scenario.node_sites()
         }
         self.events: list[tuple[float, dict]] = []  # (when it came about, what it says)
         self.due: dict[tuple[int, int], float] = {}  # when a director may hear of an event
@@ -350,7 +350,7 @@
             spot = (director, place)
             if spot not in self.due:
                 purge = "ban" in self.events[place][1]
-                wait = 0.0 if place == 0 else self.random.uniform(*self.scenario.notice_ms)
+                wait = 0.0 if place == 0 else self.random.uniform(*self.scenario.update_delay_ms)
                 self.due[spot] = self.events[place][0] + (wait / 3.0 if purge else wait)
             if now < self.due[spot] + self.late.get(director, 0.0):
                 break
@@ -383,7 +383,7 @@
     def obeyed(self, held: dict) -> None:
         if "far" in held:
             self.far_ports = held["far"]
-            self.announce([site.name for site in self.scenario.sites()])
+            self.announce([site.name for site in self.scenario.node_sites()])
             say(began=True)
         elif "known" in held:
             say(words=self.words(held["known"], 0))
@@ -460,9 +460,9 @@
 
 def main() -> None:
     first = orjson.loads(sys.stdin.buffer.raw.readline())
-    from .plan import read_fleet
+    from .scenario_parser import parse_fleet_scenario
 
-    scenario = read_fleet(first["scenario"]).sized(first["directors"])
+    scenario = parse_fleet_scenario(first["scenario"]).with_directors(first["directors"])
     hosts = Hosts(first, scenario)
     say(
         ports={name: host.port for name, host in hosts.hosts.items()}
--- a/mulleinrelay/lab/fleet/picture.py
+++ b/mulleinrelay/lab/fleet/picture.py
@@ -18,15 +18,17 @@
     import numpy
     from matplotlib import pyplot
 
-    until = audit.heard.seconds
+    until = audit.observations.seconds
     attempts = [
-        (attempt[0], attempt[2]) for attempt in audit.heard.attempts if attempt[2] in audit.boxes
+        (attempt[0], attempt[2])
+        for attempt in audit.observations.attempts
+        if attempt[2] in audit.caches
     ]
     names, counts = slot_loads(attempts, SLOT, until)
-    order = sorted(range(len(names)), key=lambda at: (audit.boxes[names[at]].location, names[at]))
+    order = sorted(range(len(names)), key=lambda at: (audit.caches[names[at]].location, names[at]))
     load = numpy.array([counts[at] for at in order], dtype=float).reshape(len(order), -1)
-    capacity = numpy.array([audit.boxes[names[at]].capacity for at in order])
-    places = [audit.boxes[names[at]].location for at in order]
+    capacity = numpy.array([audit.caches[names[at]].capacity for at in order])
+    places = [audit.caches[names[at]].location for at in order]
     kernel = numpy.ones(5) / 5.0  # half a second, as 100 ms of one cache hold few attempts
     smooth = numpy.array([numpy.convolve(row, kernel, mode="same") for row in load])
     ratio = numpy.ones_like(smooth)
--- a/mulleinrelay/lab/fleet/play.py
+++ b/mulleinrelay/lab/fleet/play.py
@@ -20,8 +20,8 @@
 from ..start import settings_at
 from . import addresses
 from .channel import ROOT, Helper, Records, last_line
-from .paths import Rule, held_of, rule_for
-from .plan import ON_NODES, ON_PATHS, Scenario, Strike
+from .network_rules import NetworkRule, encode_rule, rule_for
+from .scenario import NODE_FAULTS, PATH_FAULTS, FleetScenario, ScenarioStep
 
 READY_WITHIN = 60.0  # s
 AT_ONCE = 24  # processes that start at the same time
@@ -53,7 +53,7 @@
         program, more = ["mulleinrelay"], []
         if self.step is not None:
             program = ["mulleinrelay.lab.fleet.stepped", str(self.step)]
-        if self.lab.scenario.talk:
+        if self.lab.scenario.has_membership:
             more = ["--fleet", self.lab.path(f"n{self.number}.ini")]
         environment = os.environ | {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": self.lab.program}
         for name in ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT", "MULLEINRELAY_FLEET"):
@@ -118,22 +118,22 @@
     """
 
     def __init__(
-        self, scenario: Scenario, text: str, folder: str | None = None, program: str = ROOT
+        self, scenario: FleetScenario, text: str, folder: str | None = None, program: str = ROOT
     ) -> None:
         """`text`: the scenario's file, which the lab's processes read again. `program`: the folder
         that holds the package that the directors run, so that earlier versions can be played.
         Raises ConfigError.
         """
-        self.scenario, self.text, self.program = scenario.on_sockets(), text, program
+        self.scenario, self.text, self.program = scenario.require_process_limits(), text, program
         self.kept = folder is not None
         self.folder = folder or tempfile.mkdtemp(prefix="mulleinrelay-fleet-")
         os.makedirs(self.folder, exist_ok=True)
         self.port, self.datagram_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_DGRAM)
         self.helpers: list[Helper] = []
         self.steps = {
-            number: strike.fault.by
-            for strike in scenario.strikes()
-            if strike.what == "clock"
+            number: strike.fault.amount
+            for strike in scenario.steps()
+            if strike.kind == "clock"
             for number in strike.directors
         }
         self.directors: list[Director] = []
@@ -192,7 +192,7 @@
             "hosts", "hosts", common | {"records": self.path("hosts.records")}
         )
         ports = self.hosts.hear()["ports"]
-        kinds = {site.name: site.kind for site in scenario.sites()} | {"stream": "stream"}
+        kinds = {site.name: site.kind for site in scenario.node_sites()} | {"stream": "stream"}
         targets = [
             {
                 "name": name,
@@ -206,10 +206,10 @@
             for name, port in ports.items()
         ]
         self.relays = []
-        for place in range(scenario.relays):
+        for place in range(scenario.proxy_processes):
             first = {
                 "seed": f"{scenario.seed}-relay-{place}",
-                "targets": targets[place :: scenario.relays],
+                "targets": targets[place :: scenario.proxy_processes],
             }
             if place == 0:
                 first |= {
@@ -225,8 +225,8 @@
         self.hosts.hear()
         self._start_directors(far["stream"])
         self.clients = []
-        for place in range(scenario.clients):
-            locations = scenario.locations[place :: scenario.clients]
+        for place in range(scenario.client_processes):
+            locations = scenario.locations[place :: scenario.client_processes]
             if locations:
                 self.clients.append(
                     self._helper(
@@ -255,15 +255,15 @@
             whole = {
                 "name": f"n{number}",
                 "listen": f"{addresses.own(number)}:{self.port}",
-                "seed": f"{scenario.seed * 100_003 + (0 if scenario.one_seed else number * 7919):x}",
+                "seed": f"{scenario.seed * 100_003 + (0 if scenario.has_same_seeds else number * 7919):x}",
                 "bus": f"{addresses.far(number)}:{stream_port}",
-                "limits": {"memory_mb": scenario.memory_mb, "sockets": scenario.sockets},
+                "limits": {"memory_mb": scenario.memory_mb, "sockets": scenario.max_descriptors},
                 "known": {"offset": 1, "batch": [words]},
                 "settings": by_location[scenario.location_of(number)],
             }
             with open(director.path, "wb") as file:
                 file.write(orjson.dumps(whole))
-            if scenario.talk:
+            if scenario.has_membership:
                 with open(self.path(f"n{number}.ini"), "w", encoding="utf-8") as file:
                     file.write(self._talk_file(number))
         self.began_starting = time.monotonic()
@@ -290,7 +290,7 @@
             f"[fleet]\nenabled = yes\nname = lab\nkey = lab-{port:08}\nlocation = {place}\n"
             f"listen = {addresses.own(number)}:{port}\nannounce = {addresses.peer(number)}:{port}\n"
             f"seeds = {seeds}\nrecords = fleet\n"
-            f"[budgets]\ncold = {'yes' if self.scenario.share else 'no'}\n"
+            f"[budgets]\ncold = {'yes' if self.scenario.shares_quotas else 'no'}\n"
         )
 
     def _thread(self, run: Callable[[], None]) -> None:
@@ -383,8 +383,8 @@
 
     def _strike_all(self) -> None:
         running: dict[str, list[int]] = {}
-        for strike in self.scenario.strikes():
-            wait = self.began + 1000.0 * strike.at - now_ms()
+        for strike in self.scenario.steps():
+            wait = self.began + 1000.0 * strike.at_s - now_ms()
             if wait > 0.0 and self.ended.wait(wait / 1000.0):
                 return
             wrong, at = "", now_ms()  # not after: many processes take a while to end
@@ -396,40 +396,40 @@
                 "fault",
                 at,
                 strike.name,
-                strike.what,
-                strike.begins,
+                strike.kind,
+                strike.is_start,
                 list(strike.directors),
                 list(strike.nodes),
                 strike.fault.location,
                 wrong,
             )
 
-    def _strike(self, strike: Strike, running: dict[str, list[int]]) -> None:
+    def _strike(self, strike: ScenarioStep, running: dict[str, list[int]]) -> None:
         fault = strike.fault
-        if strike.what in ON_PATHS:
-            if strike.begins:
+        if strike.kind in PATH_FAULTS:
+            if strike.is_start:
                 running[strike.name] = self._rule(rule_for(strike))
             else:
                 self._lift(running.pop(strike.name, []))
-        elif strike.what == "late_list":
-            late = 1000.0 * (fault.by or 9.0) if strike.begins else 0.0
+        elif strike.kind == "late_list":
+            late = 1000.0 * (fault.amount or 9.0) if strike.is_start else 0.0
             self.hosts.tell({"late": late, "directors": list(strike.directors)})
-        elif strike.what == "purge":
-            if strike.begins:
+        elif strike.kind == "purge":
+            if strike.is_start:
                 self.hosts.tell({"purge": f"{(1 << 32) + 1:016x}"})
-        elif strike.what in ON_NODES:
+        elif strike.kind in NODE_FAULTS:
             self.hosts.tell(
                 {
-                    "do": strike.what,
+                    "do": strike.kind,
                     "nodes": list(strike.nodes),
-                    "begins": strike.begins,
+                    "begins": strike.is_start,
                     "directors": list(strike.directors),
-                    "by": fault.by,
+                    "by": fault.amount,
                 }
             )
         else:
             met = [self.directors[number] for number in strike.directors]
-            if strike.what == "kill" and strike.begins:  # all at once, then they are seen to
+            if strike.kind == "kill" and strike.is_start:  # all at once, then they are seen to
                 for director in met:
                     self.stopped.add(director.number)
                     director.ended_by_us = True
@@ -437,17 +437,17 @@
             for director in met:
                 self._on_director(strike, director)
 
-    def _on_director(self, strike: Strike, director: Director) -> None:
-        if strike.what == "stop":
-            director.signal(signal.SIGSTOP if strike.begins else signal.SIGCONT)
-        elif strike.what == "kill" and strike.begins:
+    def _on_director(self, strike: ScenarioStep, director: Director) -> None:
+        if strike.kind == "stop":
+            director.signal(signal.SIGSTOP if strike.is_start else signal.SIGCONT)
+        elif strike.kind == "kill" and strike.is_start:
             director.wait(5.0)
-        elif strike.what == "kill":
+        elif strike.kind == "kill":
             director.begin()
             self._up(director)
-        elif strike.what == "clock" and strike.begins:
+        elif strike.kind == "clock" and strike.is_start:
             director.signal(signal.SIGUSR1)
-        elif strike.what == "restart" and strike.begins:
+        elif strike.kind == "restart" and strike.is_start:
             self._thread(lambda: self._restart(director))
 
     def _restart(self, director: Director) -> None:
@@ -479,10 +479,10 @@
 
         self._thread(wait)
 
-    def _rule(self, rule: Rule) -> list[int]:
+    def _rule(self, rule: NetworkRule) -> list[int]:
         self.rules += 1
         for relay in self.relays:
-            relay.tell({"rule": self.rules, "held": held_of(rule)})
+            relay.tell({"rule": self.rules, "held": encode_rule(rule)})
         return [self.rules]
 
     def _lift(self, numbers: list[int]) -> None:
--- a/mulleinrelay/lab/fleet/relay.py
+++ b/mulleinrelay/lab/fleet/relay.py
@@ -14,7 +14,7 @@
 from ...standins.event_loop import READ, EventLoop, LoopConnection
 from . import addresses
 from .channel import obey, say
-from .paths import DOWN, UP, Book, Lane, rule_of
+from .network_rules import DOWN, UP, ActiveRules, StreamState, decode_rule
 
 DATAGRAM_MOST = 65_000
 
@@ -26,7 +26,7 @@
     name: str
     source: LoopConnection
     target: LoopConnection
-    lane: Lane = field(default_factory=Lane)
+    lane: StreamState = field(default_factory=StreamState)
     held: list[bytes] = field(default_factory=list)  # while it is cut
 
 
@@ -51,12 +51,12 @@
 
     def pass_on(self, way: Way, data: bytes | None) -> None:
         book, now = self.relay.book, now_ms()
-        if way.held or book.held(self.kind, self.director, self.name, way.name):
+        if way.held or book.cuts_path(self.kind, self.director, self.name, way.name):
             if data is None:  # given up at one side: what is held never comes, as in a dead network
                 return self.reset()
             way.held.append(data)
             return
-        due = book.due(
+        due = book.stream_due_at(
             self.kind,
             self.director,
             self.name,
@@ -79,10 +79,12 @@
 
     def look_again(self) -> None:
         """The rules have changed."""
-        if self.relay.book.broken(self.kind, self.director, self.name):
+        if self.relay.book.resets_path(self.kind, self.director, self.name):
             return self.reset()
         for way in self.ways:
-            if way.held and not self.relay.book.held(self.kind, self.director, self.name, way.name):
+            if way.held and not self.relay.book.cuts_path(
+                self.kind, self.director, self.name, way.name
+            ):
                 held, way.held = way.held, []
                 for data in held:
                     self.pass_on(way, data)
@@ -95,7 +97,7 @@
 
 class Relay:
     def __init__(self, first: dict) -> None:
-        self.loop, self.book, self.random = EventLoop(), Book(), random.Random(first["seed"])
+        self.loop, self.book, self.random = EventLoop(), ActiveRules(), random.Random(first["seed"])
         self.pairs: dict[Pair, None] = {}
         self.targets = {held["name"]: held for held in first["targets"]}
         self.ports: dict[str, int] = {}
@@ -118,7 +120,7 @@
     def welcome(self, name: str, connection: socket.socket) -> None:
         held, director = self.targets[name], addresses.director_of(connection.getsockname()[0])
         near = LoopConnection(self.loop, connection)
-        if director < 0 or self.book.broken(held["kind"], director, name):
+        if director < 0 or self.book.resets_path(held["kind"], director, name):
             return near.close(reset=True)
         beyond = self.loop.connect(tuple(held["to"]))
         beyond.write(b"@%d\n" % director)  # tells the target who has come
@@ -126,7 +128,7 @@
 
     def obeyed(self, held: dict) -> None:
         if "rule" in held:
-            self.book.rules[held["rule"]] = rule_of(held["held"])
+            self.book.rules[held["rule"]] = decode_rule(held["held"])
         elif "lift" in held:
             self.book.rules.pop(held["lift"], None)
         elif "deaf" in held:
@@ -155,12 +157,12 @@
             except OSError:
                 return
             sender = addresses.director_of(host)
-            if sender not in self.gates or not host.startswith(f"127.{addresses.OWN}."):
+            if sender not in self.gates or not host.startswith(f"127.{addresses.OWN_NETWORK}."):
                 continue
             now = now_ms()
-            first = self.book.datagram("director", sender, str(to), UP, now, self.random)
+            first = self.book.datagram_due_times("director", sender, str(to), UP, now, self.random)
             for due in first:  # a rule may name the sender, or, the other way, the one it is for
-                for again in self.book.datagram(
+                for again in self.book.datagram_due_times(
                     "director", to, str(sender), DOWN, due, self.random
                 ):
                     self.loop.call_at(
--- a/mulleinrelay/lab/fleet/terminals.py
+++ b/mulleinrelay/lab/fleet/terminals.py
@@ -14,8 +14,9 @@
 from ...standins.event_loop import EventLoop, LoopConnection
 from . import addresses
 from .channel import Records, obey, say
-from .load import PAUSE, Demand, Wanted, may_try_again
-from .plan import Scenario, read_fleet
+from .load import DEFAULT_RETRY_DELAY, LocationLoad, RequestPlan, can_retry_after_disconnect
+from .scenario import FleetScenario
+from .scenario_parser import parse_fleet_scenario
 
 OPEN_MOST = 32  # requests on one connection
 IDLE = 4000.0  # ms after which clients close a connection
@@ -30,7 +31,7 @@
     asked: float
     until: float
     location: str
-    wanted: Wanted
+    wanted: RequestPlan
     tries: int = 0
     over: bool = False
     first: int = -1
@@ -77,7 +78,7 @@
 
     def sweep(self, now: float) -> None:
         for number, (pending, until) in list(self.out.items()):
-            if now > until + self.terminals.scenario.late_ms:
+            if now > until + self.terminals.scenario.answer_grace_ms:
                 del self.out[number]
                 self.late[number] = until
                 self.terminals.unanswered(pending, self.director)
@@ -87,11 +88,11 @@
 
 
 class Terminals:
-    def __init__(self, first: dict, scenario: Scenario) -> None:
+    def __init__(self, first: dict, scenario: FleetScenario) -> None:
         self.scenario, self.loop, self.records = scenario, EventLoop(), Records(first["records"])
         self.port, self.began = first["port"], 0.0
         self.random = random.Random(f"{scenario.seed}-clients-{first['locations']}")
-        self.demands = [Demand(scenario, location) for location in first["locations"]]
+        self.demands = [LocationLoad(scenario, location) for location in first["locations"]]
         self.lines: dict[int, list[Line]] = {}
         self.away: set[int] = set()  # directors that the front passes by
         self.mark, self.mark_base = 0, self.random.getrandbits(31) << 32
@@ -103,14 +104,14 @@
             self.began, self.ends = held["began"], held["began"] + 1000.0 * self.scenario.seconds
             for demand in self.demands:
                 self.loop.call_at(
-                    self.began + 1000.0 * demand.next_in(0.0),
+                    self.began + 1000.0 * demand.next_arrival_in_s(0.0),
                     lambda demand=demand: self.ask(demand),
                 )
             self.loop.call_every(100.0, self.sweep)
             self.loop.call_every(1000.0, lambda: say(asked=self.asked, served=self.served))
             self.loop.call_every(1000.0, self.records.file.flush)
 
-    def ask(self, demand: Demand) -> None:
+    def ask(self, demand: LocationLoad) -> None:
         now = now_ms()
         due = now
         while due <= now:  # what this process is late for goes out together; the audit sees when
@@ -119,16 +120,16 @@
                 return
             self.asked += 1
             pending = Pending(
-                now, now + self.scenario.patience_ms, demand.location, demand.wanted(since)
+                now, now + self.scenario.patience_ms, demand.location, demand.draw_request(since)
             )
             self.attempt(pending, demand)
-            due += 1000.0 * demand.next_in(since)
+            due += 1000.0 * demand.next_arrival_in_s(since)
             if due < now - 1000.0:
                 due = now
         self.loop.call_at(due, lambda: self.ask(demand))
 
-    def attempt(self, pending: Pending, demand: Demand) -> None:
-        now, director = now_ms(), demand.director(self.away)
+    def attempt(self, pending: Pending, demand: LocationLoad) -> None:
+        now, director = now_ms(), demand.draw_director(self.away)
         if director is None or now > pending.until - 10.0:
             return self.ended(pending, director if director is not None else -1, "nobody")
         pending.tries += 1
@@ -139,10 +140,10 @@
             "route": wanted.request_class,
             "trace": f"{self.mark_base + self.mark:016x}",
             "patience": f"{max(1.0, pending.until - now):.0f}",
-            "entity": f"{wanted.key:016x}",
+            "entity": f"{wanted.object_id:016x}",
             "nth": "0",
-            "batch": str(wanted.key & 0xFF),
-            "size": f"{wanted.size:.1f}",
+            "batch": str(wanted.object_id & 0xFF),
+            "size": f"{wanted.size_kb:.1f}",
         }
         if wanted.idempotency_key:
             fields["nonce"] = wanted.idempotency_key
@@ -158,16 +159,16 @@
             lines.append(found)
         return found
 
-    def demand_of(self, pending: Pending) -> Demand:
+    def demand_of(self, pending: Pending) -> LocationLoad:
         return next(demand for demand in self.demands if demand.location == pending.location)
 
     def answered(self, pending: Pending, director: int, what: str, pause: float) -> None:
         if pending.over:
             return
         now = now_ms()
-        if what == "rejected" and pending.tries < self.scenario.tries:
+        if what == "rejected" and pending.tries < self.scenario.max_tries:
             self.records.add("rejected", now, director, pause)
-            again = now + (pause or PAUSE)
+            again = now + (pause or DEFAULT_RETRY_DELAY)
             if again < pending.until:
                 return self.loop.call_at(
                     again, lambda: self.attempt(pending, self.demand_of(pending))
@@ -187,7 +188,7 @@
             pending.first,
             director,
             pending.wanted.request_class,
-            pending.wanted.key,
+            pending.wanted.object_id,
             what,
             pending.tries,
         )
@@ -210,9 +211,11 @@
         if out:
             self.records.add("cut", now, line.director, len(out))
         for pending, _ in out.values():
-            if may_try_again(self.scenario, pending.wanted, pending.tries, pending.until - now):
+            if can_retry_after_disconnect(
+                self.scenario, pending.wanted, pending.tries, pending.until - now
+            ):
                 self.loop.call_at(
-                    now + PAUSE,
+                    now + DEFAULT_RETRY_DELAY,
                     lambda pending=pending: self.attempt(pending, self.demand_of(pending)),
                 )
             else:
@@ -225,7 +228,7 @@
         passed by until it says so.
         """
         lost = now_ms()
-        self.loop.call_at(lost + self.scenario.front_ms, lambda: self.is_well(director))
+        self.loop.call_at(lost + self.scenario.failure_detection_ms, lambda: self.is_well(director))
 
     def is_well(self, director: int) -> None:
         wire, frames = (
@@ -263,7 +266,7 @@
         for lines in list(self.lines.values()):
             for line in list(lines):
                 line.sweep(now)
-        if now > self.ends + self.scenario.patience_ms + self.scenario.late_ms + 100.0:
+        if now > self.ends + self.scenario.patience_ms + self.scenario.answer_grace_ms + 100.0:
             self.loop.is_stopped = True
 
 
@@ -281,7 +284,9 @@
 
 def main() -> None:
     first = orjson.loads(sys.stdin.buffer.raw.readline())
-    terminals = Terminals(first, read_fleet(first["scenario"]).sized(first["directors"]))
+    terminals = Terminals(
+        first, parse_fleet_scenario(first["scenario"]).with_directors(first["directors"])
+    )
     say(ready=True)
     terminals.loop.run()
     terminals.records.close()
--- a/mulleinrelay/lab/start.py
+++ b/mulleinrelay/lab/start.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
-from .fleet.plan import Scenario
+from .fleet.scenario import FleetScenario
 
 
 def settings(
@@ -73,20 +73,22 @@
     }
 
 
-def settings_at(scenario: Scenario, location: str) -> dict[str, Any]:
+def settings_at(scenario: FleetScenario, location: str) -> dict[str, Any]:
     """Those of a fleet's director in that location."""
-    places = scenario.places()
-    counts = [len(scenario.here(place)) if place in scenario.locations else 0 for place in places]
+    places = scenario.zones()
+    counts = [
+        len(scenario.directors_in(place)) if place in scenario.locations else 0 for place in places
+    ]
     return settings(
         places,
         places.index(location),
         counts,
-        scenario.cold_from,
-        scenario.cold_ms,
-        scenario.goal_ms,
+        scenario.initial_fraction,
+        scenario.slow_start_ms,
+        scenario.latency_objective_ms,
         scenario.patience_ms,
-        scenario.effects > 0.0,
-        scenario.probes,
-        scenario.parent_cold_ms,
-        scenario.flow,
+        scenario.unsafe_fraction > 0.0,
+        scenario.polls_load_reports,
+        scenario.parent_slow_start_ms,
+        scenario.transfer_rate,
     )
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -87,10 +87,10 @@
         request = Request(
             pending,
             case,
-            wanted.key,
+            wanted.object_id,
             0,
-            wanted.key & 0xFF,
-            wanted.size,
+            wanted.object_id & 0xFF,
+            wanted.size_kb,
             now,
             now + left,
             pending.tries > 1,
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -12,11 +12,28 @@
 from typing import Any
 
 from ..config.platform import JsonSection, parse_service_settings
-from ..lab.fleet.audit import Audit, Heard
+from ..lab.fleet.audit import Audit
 from ..lab.fleet.hosts import fields_of, fleet_of
-from ..lab.fleet.load import PAUSE, Demand, Wanted, may_try_again
-from ..lab.fleet.paths import DOWN, UP, Book, Lane, rule_for
-from ..lab.fleet.plan import ON_NODES, ON_PATHS, Scenario, Strike
+from ..lab.fleet.load import (
+    DEFAULT_RETRY_DELAY,
+    LocationLoad,
+    RequestPlan,
+    can_retry_after_disconnect,
+)
+from ..lab.fleet.network_rules import DOWN, UP, ActiveRules, StreamState, rule_for
+from ..lab.fleet.observations import (
+    AttemptRecord,
+    DirectorRecord,
+    DisconnectRecord,
+    ExecutionRecord,
+    FaultRecord,
+    HealthCheckRecord,
+    NodeCrashRecord,
+    NotificationRecord,
+    Observations,
+    RequestRecord,
+)
+from ..lab.fleet.scenario import NODE_FAULTS, PATH_FAULTS, FleetScenario, ScenarioStep
 from ..lab.start import settings_at
 from ..net.upstream_connections import ECHO_WAIT
 from ..policy.connection_reuse import QUIET
@@ -34,7 +51,7 @@
     asked: float
     until: float
     location: str
-    wanted: Wanted
+    wanted: RequestPlan
     director: int = -1
     first: int = -1
     tries: int = 0
@@ -42,16 +59,16 @@
 
 
 class World:
-    def __init__(self, scenario: Scenario) -> None:
+    def __init__(self, scenario: FleetScenario) -> None:
         self.scenario, self.clock = scenario, Clock()
         self.began = self.clock.now + 500.0
         self.random = random.Random(f"{scenario.seed}-model")
         self.fleet = fleet_of(scenario)
         self.fleet.clock = self.clock
-        self.sites = {site.name: site for site in scenario.sites()}
-        self.heard = Heard(self.began, scenario.seconds)
-        self.book, self.rules = Book(), dict[str, int]()
-        self.lanes: dict[tuple[int, str, str], Lane] = defaultdict(Lane)
+        self.sites = {site.name: site for site in scenario.node_sites()}
+        self.heard = Observations(self.began, scenario.seconds)
+        self.book, self.rules = ActiveRules(), dict[str, int]()
+        self.lanes: dict[tuple[int, str, str], StreamState] = defaultdict(StreamState)
         self.held: list[tuple[int, str, str, Callable[[], None]]] = []
         self.stopped: dict[int, list[Callable[[], None]]] = {}
         self.away: set[int] = set()
@@ -63,27 +80,29 @@
         self.lags: dict[str, tuple[frozenset[int], float]] = {}
         self.told: dict[tuple[int, str], float] = {}
         self.case_places = {"pages": 0, "order": 1, "pay": 2}
-        self.places = scenario.places()
+        self.places = scenario.zones()
         self.zone_of = {place: at for at, place in enumerate(self.places)}
         self.kinds = {CACHE: 0, PARENT: 1, ORIGIN: 2}
         self.terms = {
             place: parse_service_settings(JsonSection(settings_at(scenario, place), ""))
             for place in scenario.locations
         }
-        self.demands = {place: Demand(scenario, place) for place in scenario.locations}
+        self.demands = {place: LocationLoad(scenario, place) for place in scenario.locations}
         self.starts = self.count = 0
         self.directors = [self.make(number) for number in range(scenario.directors)]
 
     def make(self, number: int) -> Modelled:
         self.starts += 1
-        seed = self.scenario.seed * 100_003 + (0 if self.scenario.one_seed else 7919 * self.starts)
+        seed = self.scenario.seed * 100_003 + (
+            0 if self.scenario.has_same_seeds else 7919 * self.starts
+        )
         place = self.scenario.location_of(number)
         made = Modelled(self, number, self.terms[place], self.zone_of, self.kinds, seed)
         made.list(
             [
                 self.row(site.name)
                 for site in self.sites.values()
-                if site.kind != CACHE or site.place == place
+                if site.kind != CACHE or site.zone == place
             ],
             whole=True,
         )
@@ -93,7 +112,7 @@
         node = self.fleet.nodes[name]
         return {
             "id": name,
-            "zone": self.sites[name].place,
+            "zone": self.sites[name].zone,
             "kind": node.spec.kind,
             "state": node.state,
             "weight": node.spec.weight,
@@ -105,7 +124,7 @@
 
     # Clients
 
-    def ask(self, demand: Demand) -> None:
+    def ask(self, demand: LocationLoad) -> None:
         since, now = self.since(), self.clock()
         if since >= self.scenario.seconds:
             return
@@ -116,19 +135,19 @@
                 now,
                 now + self.scenario.patience_ms,
                 demand.location,
-                demand.wanted(since),
+                demand.draw_request(since),
             )
         )
-        self.clock.at(now + 1000.0 * demand.next_in(since), lambda: self.ask(demand))
+        self.clock.at(now + 1000.0 * demand.next_arrival_in_s(since), lambda: self.ask(demand))
 
     def attempt(self, pending: Pending) -> None:
-        now, director = self.clock(), self.demands[pending.location].director(self.away)
+        now, director = self.clock(), self.demands[pending.location].draw_director(self.away)
         if director is None or now > pending.until - 10.0:
             return self.ended(pending, "nobody")
         pending.tries, pending.director = pending.tries + 1, director
         pending.first = director if pending.first < 0 else pending.first
         tries = pending.tries
-        missing = pending.until + self.scenario.late_ms
+        missing = pending.until + self.scenario.answer_grace_ms
         self.clock.at(
             missing, lambda: pending.over or pending.tries != tries or self.unanswered(pending)
         )
@@ -146,16 +165,16 @@
         """Its director is dead: its client tries again, and the front passes it by after its
         notice.
         """
-        self.heard.others["cut"].append((self.since(), number, 1))
+        self.heard.others["cut"].append(DisconnectRecord(self.since(), number, 1))
         if self.directors[number].gone:
             self.clock.at(
-                self.clock() + self.scenario.front_ms,
+                self.clock() + self.scenario.failure_detection_ms,
                 lambda: self.away.add(number) if self.directors[number].gone else None,
             )
         left = pending.until - self.clock()
-        if may_try_again(self.scenario, pending.wanted, pending.tries, left):
+        if can_retry_after_disconnect(self.scenario, pending.wanted, pending.tries, left):
             return self.clock.at(
-                self.clock() + PAUSE, lambda: pending.over or self.attempt(pending)
+                self.clock() + DEFAULT_RETRY_DELAY, lambda: pending.over or self.attempt(pending)
             )
         self.ended(pending, "cut off")
 
@@ -163,8 +182,8 @@
         if pending.over:
             return
         now = self.clock()
-        again = now + (pause or PAUSE)
-        if what == "rejected" and pending.tries < self.scenario.tries and again < pending.until:
+        again = now + (pause or DEFAULT_RETRY_DELAY)
+        if what == "rejected" and pending.tries < self.scenario.max_tries and again < pending.until:
             return self.clock.at(again, lambda: pending.over or self.attempt(pending))
         self.clock.at(now + CLIENT_MS, lambda: self.ended(pending, what))
 
@@ -176,15 +195,15 @@
         if not pending.over:
             pending.over = True
             wanted = pending.wanted
-            self.heard.looks.append(
-                (
+            self.heard.requests.append(
+                RequestRecord(
                     (pending.asked - self.began) / 1000.0,
                     self.clock() - pending.asked,
                     pending.location,
                     pending.first,
                     pending.director,
                     wanted.request_class,
-                    wanted.key,
+                    wanted.object_id,
                     what,
                     pending.tries,
                 )
@@ -195,14 +214,14 @@
     def carry(self, director: int, name: str, way: str, do: Callable[[], None]) -> None:
         """Over the path between a director and a node, as the rules have it."""
         kind = "cache" if self.sites[name].kind == CACHE else "parent"
-        if self.book.held(kind, director, name, way):
+        if self.book.cuts_path(kind, director, name, way):
             self.held.append((director, name, way, do))
             return self.clock.at(
                 self.clock() + QUIET / 2.0 + ECHO_WAIT, lambda: self.quiet(director, name, way)
             )
         due = self.clock() + NODE_MS
         if self.book.rules:
-            due = self.book.due(
+            due = self.book.stream_due_at(
                 kind, director, name, way, due, 300, self.lanes[director, name, way], self.random
             )
         self.clock.at(due, do)
@@ -211,7 +230,7 @@
         """A link that is still cut is ended, as a director does with one that brings no echo: its
         attempts are lost, and what was held never comes.
         """
-        if self.book.held(
+        if self.book.cuts_path(
             "cache" if self.sites[name].kind == CACHE else "parent", number, name, way
         ):
             for attempt, director in list(self.out[name].items()):
@@ -221,7 +240,7 @@
     def send(self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]) -> None:
         self.out[name][attempt] = director
         kind = "cache" if self.sites[name].kind == CACHE else "parent"
-        if self.book.rules and self.book.broken(kind, director.number, name):
+        if self.book.rules and self.book.resets_path(kind, director.number, name):
             return self.clock.at(
                 self.clock() + NODE_MS, lambda: self.lost(director, attempt, name, Outcome.RESET)
             )
@@ -248,7 +267,7 @@
             old = self.too_old(number, fields, words[1], now)
         held = fields_of(words[1])
         self.heard.attempts.append(
-            (
+            AttemptRecord(
                 self.since(),
                 number,
                 name,
@@ -267,7 +286,7 @@
                 not self.fleet.nodes[fallen].is_alive
                 and not self.fleet.nodes[fallen].state == "DELETED"
             ):
-                self.heard.others["fell"].append((self.since(), fallen))
+                self.heard.others["fell"].append(NodeCrashRecord(self.since(), fallen))
                 self.die(fallen)
         if due is None or not node.is_alive:
             return
@@ -302,9 +321,11 @@
         )
 
     def probe(self, director: Modelled, name: str) -> None:
-        self.heard.others["probe"].append((self.since(), director.number, name, "METER"))
+        self.heard.others["probe"].append(
+            HealthCheckRecord(self.since(), director.number, name, "METER")
+        )
         kind = "cache" if self.sites[name].kind == CACHE else "parent"
-        if any(self.book.held(kind, director.number, name, way) for way in (UP, DOWN)):
+        if any(self.book.cuts_path(kind, director.number, name, way) for way in (UP, DOWN)):
             return  # a cut holds what an echo was to bring; its link is ended meanwhile
         node = self.fleet.nodes[name]
         if node.is_alive and not node.is_silent:
@@ -321,10 +342,10 @@
         """The list tells each director in its own time, within the notice."""
         row, box = self.row(name), self.sites[name]
         for number in range(self.scenario.directors):
-            if box.kind != CACHE or self.scenario.location_of(number) == box.place:
+            if box.kind != CACHE or self.scenario.location_of(number) == box.zone:
                 due = (
                     self.clock()
-                    + self.random.uniform(*self.scenario.notice_ms)
+                    + self.random.uniform(*self.scenario.update_delay_ms)
                     + self.late.get(number, 0.0)
                 )
                 self.clock.at(due, lambda number=number: self.hear(number, row))
@@ -336,7 +357,7 @@
         if number in self.stopped:
             return self.stopped[number].append(lambda: self.hear(number, row))
         self.heard.others["told"].append(
-            (self.since(), number, row["id"], row["state"], row["started_ms"])
+            NotificationRecord(self.since(), number, row["id"], row["state"], row["started_ms"])
         )
         director.list([row])
 
@@ -362,13 +383,13 @@
         )
         self.announce(name)
 
-    def strike(self, strike: Strike) -> None:
-        fault, begins = strike.fault, strike.begins
+    def strike(self, strike: ScenarioStep) -> None:
+        fault, begins = strike.fault, strike.is_start
         self.heard.others["fault"].append(
-            (
+            FaultRecord(
                 self.since(),
                 strike.name,
-                strike.what,
+                strike.kind,
                 begins,
                 list(strike.directors),
                 list(strike.nodes),
@@ -376,22 +397,22 @@
                 "",
             )
         )
-        if strike.what in ON_PATHS:
+        if strike.kind in PATH_FAULTS:
             self._path(strike)
-        elif strike.what == "late_list":
+        elif strike.kind == "late_list":
             for number in strike.directors:
-                self.late[number] = 1000.0 * (fault.by or 9.0) if begins else 0.0
-        elif strike.what == "purge" and begins:
+                self.late[number] = 1000.0 * (fault.amount or 9.0) if begins else 0.0
+        elif strike.kind == "purge" and begins:
             self._purge(f"{(1 << 32) + 1:016x}")
-        elif strike.what in ON_NODES:
+        elif strike.kind in NODE_FAULTS:
             for name in strike.nodes:
                 self._node(strike, name)
         else:
             for number in strike.directors:
-                self._director(strike.what, number, begins)
+                self._director(strike.kind, number, begins)
 
-    def _path(self, strike: Strike) -> None:
-        if strike.begins:
+    def _path(self, strike: ScenarioStep) -> None:
+        if strike.is_start:
             self.rules[strike.name] = len(self.rules) + 1
             self.book.rules[self.rules[strike.name]] = rule_for(strike)
             return
@@ -419,31 +440,31 @@
                     self.told[number, key] = self.clock()
                     director.play("purged", int(key, 16), 0, self.clock() - now)
 
-            self.clock.at(now + self.random.uniform(*self.scenario.notice_ms) / 3.0, hear)
+            self.clock.at(now + self.random.uniform(*self.scenario.update_delay_ms) / 3.0, hear)
 
-    def _node(self, strike: Strike, name: str) -> None:
+    def _node(self, strike: ScenarioStep, name: str) -> None:
         node, some, by = (
             self.fleet.nodes[name],
             frozenset(strike.directors),
-            strike.fault.by or 10.0,
+            strike.fault.amount or 10.0,
         )
-        if strike.what in ("node_kill", "node_cold"):
-            if strike.begins:
+        if strike.kind in ("node_kill", "node_cold"):
+            if strike.is_start:
                 self.die(name)
             else:
                 self.revive(name)
-        elif strike.what == "node_silent":
-            node.is_silent = strike.begins
-            if not strike.begins:
+        elif strike.kind == "node_silent":
+            node.is_silent = strike.is_start
+            if not strike.is_start:
                 self.revive(name)
-        elif strike.what == "node_slow" and len(some) >= self.scenario.directors:
-            node.slowdown = by if strike.begins else 1.0
-        elif strike.what == "node_slow":
-            self.lags[name] = (some, by) if strike.begins else (frozenset(), 1.0)
-        elif strike.what == "node_errors":
-            self.errs[name] = some if strike.begins else frozenset()
-        elif strike.what == "drain":
-            node.state = "DRAINING" if strike.begins else "SERVING"
+        elif strike.kind == "node_slow" and len(some) >= self.scenario.directors:
+            node.slowdown = by if strike.is_start else 1.0
+        elif strike.kind == "node_slow":
+            self.lags[name] = (some, by) if strike.is_start else (frozenset(), 1.0)
+        elif strike.kind == "node_errors":
+            self.errs[name] = some if strike.is_start else frozenset()
+        elif strike.kind == "drain":
+            node.state = "DRAINING" if strike.is_start else "SERVING"
             self.announce(name)
 
     def _director(self, what: str, number: int, begins: bool) -> None:
@@ -462,36 +483,41 @@
             self.directors[number] = self.make(number)
             self.away.discard(number)
         elif begins and what == "restart":  # its open requests end, then it stands there anew
-            self.heard.others["term"].append((self.since(), number))
+            self.heard.others["term"].append(DirectorRecord(self.since(), number))
             for request in list(director.open):
                 director.play("woken", request)
             director.gone = True
             self.directors[number] = self.make(number)
 
-    def run(self, live: Callable[[float, int, int], None] | None = None) -> Heard:
+    def run(self, live: Callable[[float, int, int], None] | None = None) -> Observations:
         for demand in self.demands.values():
             self.clock.at(
-                self.began + 1000.0 * demand.next_in(0.0), lambda demand=demand: self.ask(demand)
+                self.began + 1000.0 * demand.next_arrival_in_s(0.0),
+                lambda demand=demand: self.ask(demand),
             )
-        for strike in self.scenario.strikes():
+        for strike in self.scenario.steps():
             self.clock.at(
-                self.began + 1000.0 * strike.at, lambda strike=strike: self.strike(strike)
+                self.began + 1000.0 * strike.at_s, lambda strike=strike: self.strike(strike)
             )
         end = self.began + 1000.0 * self.scenario.seconds + self.scenario.patience_ms + 300.0
         while self.clock.now < end:
             self.clock.run(min(end, self.clock.now + 500.0))
             if live is not None:
-                looks = self.heard.looks
+                looks = self.heard.requests
                 live(self.since(), len(looks), sum(look[7] == "served" for look in looks))
         effects = self.fleet.executions
         self.heard.others["effects"].append(
-            (sum(times > 1 for times in effects.values()), len(effects), self.fleet.origin_fetches)
+            ExecutionRecord(
+                sum(times > 1 for times in effects.values()),
+                len(effects),
+                self.fleet.origin_fetches,
+            )
         )
         return self.heard
 
 
 def play(
-    scenario: Scenario, live: Callable[[float, int, int], None] | None = None
+    scenario: FleetScenario, live: Callable[[float, int, int], None] | None = None
 ) -> dict[str, Any]:
     """The figures of a play, by the lab's own audit."""
     return Audit(scenario, World(scenario).run(live)).figures()
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -4,14 +4,16 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
-SCENARIO = read_fleet(
+SCENARIO = parse_fleet_scenario(
     "[fleet lab]\nseconds = 20\nwarm_s = 1\n[directors]\ncount = 8\n[load]\npatience_ms = 1000\n"
 )
 BOX, PARENT = (
-    next(site.name for site in SCENARIO.sites() if site.kind == kind) for kind in ("box", "parent")
+    next(site.name for site in SCENARIO.node_sites() if site.kind == kind)
+    for kind in ("box", "parent")
 )
 BEGAN = 5_000.0
 
@@ -46,7 +48,7 @@
     (tmp_path / "a.records").write_text(
         "".join(json.dumps(line) + "\n" for line in held) + '["cut short'
     )
-    return Audit(SCENARIO, read(str(tmp_path)))
+    return Audit(SCENARIO, read_observations(str(tmp_path)))
 
 
 DRAIN = ["told", at(5), 1, BOX, "DRAINING", 0]
@@ -96,7 +98,7 @@
 def test_what_breaks_a_rule_is_counted_and_what_the_lab_did_is_excused(
     lines, rule, count, tmp_path
 ):
-    found = audited(tmp_path, *lines).rules()
+    found = audited(tmp_path, *lines).count_violations()
     assert found[rule] == count and sum(found.values()) == count
 
 
@@ -118,14 +120,16 @@
     ],
 )
 def test_when_a_cache_counts_as_well(lines, well, tmp_path):
-    assert audited(tmp_path, *lines).boxes[BOX].well == [pytest.approx(span) for span in well]
+    assert audited(tmp_path, *lines).caches[BOX].healthy_spans == [
+        pytest.approx(span) for span in well
+    ]
 
 
 def test_a_request_counts_once_at_its_first_cache(tmp_path):
     audit = audited(
         tmp_path, attempt(3, mark="m1"), attempt(3.1, mark="m1"), attempt(3.2, mark="m2")
     )
-    assert [round(one.at, 1) for one in audit.first_attempts()] == [3.0, 3.2]
+    assert [round(one.at_s, 1) for one in audit.first_attempts()] == [3.0, 3.2]
 
 
 def test_connections_and_probes_of_one_cache(tmp_path):
@@ -135,7 +139,7 @@
     ]
     lines += [["probe", at(7.1), 1, BOX, "METER"], ["probe", at(7.3), 2, BOX, "ECHO"]]
     audit = audited(tmp_path, *lines)
-    assert audit.growth("connections") == 3.0 and audit.growth("probes") == 2.0
+    assert audit.peak_of("connections") == 3.0 and audit.peak_of("probes") == 2.0
 
 
 @pytest.mark.parametrize(
@@ -143,4 +147,4 @@
 )
 def test_credit_goes_by_the_goal(what, ms, credit, tmp_path):
     audit = audited(tmp_path, ["look", at(3), ms, "north", 1, 1, "order", 7, what, 1])
-    assert audit.credit() == pytest.approx(credit)
+    assert audit.earned_weight() == pytest.approx(credit)
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -4,14 +4,14 @@
 import pytest
 
 from mulleinrelay.lab.fleet import evenness
-from mulleinrelay.lab.fleet.evenness import Box, Sent
+from mulleinrelay.lab.fleet.evenness import AuditedCache, FirstAttempt
 
 ALWAYS = [(0.0, 1e9)]
 
 
 def boxes(*capacities, well=None):
     return {
-        f"c{at}": Box(f"c{at}", at + 1, "north", capacity, (well or {}).get(at, ALWAYS))
+        f"c{at}": AuditedCache(f"c{at}", at + 1, "north", capacity, (well or {}).get(at, ALWAYS))
         for at, capacity in enumerate(capacities)
     }
 
@@ -42,27 +42,30 @@
         boxes(2.0, 1.0, 1.0, well={2: [(0.0, 1.0), (2.0, 9.0)]}),
         loads((20, 10, 10), (20, 10, 0), (0, 20, 20)),
     )
-    assert evenness.ratios(load, held, [0]) == [1.0, 1.0, 1.0]
-    assert evenness.ratios(load, held, [1]) == [1.0, 1.0]
-    assert evenness.ratios(load, held, [2]) == [0.0, 2.0, 2.0]
+    assert evenness.known_load_ratios(load, held, [0]) == [1.0, 1.0, 1.0]
+    assert evenness.known_load_ratios(load, held, [1]) == [1.0, 1.0]
+    assert evenness.known_load_ratios(load, held, [2]) == [0.0, 2.0, 2.0]
 
 
 @pytest.mark.parametrize("well, longest", [(None, 3), ({0: [(0.0, 2.0), (3.0, 9.0)]}, 2)])
 def test_an_idle_cache_is_found_while_it_is_well(well, longest):
     load = loads((1, 30, 30), (0, 30, 30), (2, 30, 30), (20, 30, 30))
-    assert evenness.idle_spans(load, boxes(1.0, 1.0, 1.0, well=well), [0, 1, 2, 3])["c0"] == longest
+    assert (
+        evenness.longest_idle_spans(load, boxes(1.0, 1.0, 1.0, well=well), [0, 1, 2, 3])["c0"]
+        == longest
+    )
 
 
 def test_one_who_sees_all_spreads_what_is_hot_and_leaves_the_rest_to_the_hash():
     held = boxes(1.0, 1.0, 1.0, 1.0)
-    sent = [Sent(at / 1000.0, "c0", 77 if at % 2 else at) for at in range(4000)]
-    seen = evenness.all_seeing(sent, held)
-    hot = Counter(one.box for one in seen if one.key == 77)
+    sent = [FirstAttempt(at / 1000.0, "c0", 77 if at % 2 else at) for at in range(4000)]
+    seen = evenness.ideal_assignment(sent, held)
+    hot = Counter(one.cache for one in seen if one.object_id == 77)
     assert len(hot) == 4 and max(hot.values()) < 800
     assert all(
-        one.box == evenness.rendezvous(list(held.values()), one.key)[0].name
+        one.cache == evenness.rendezvous(list(held.values()), one.object_id)[0].name
         for one in seen
-        if one.key != 77
+        if one.object_id != 77
     )
 
 
@@ -75,7 +78,7 @@
     ],
 )
 def test_a_swing_between_neighbouring_seconds(shares, most):
-    assert evenness.swings(shares, range(4)) == pytest.approx(most)
+    assert evenness.max_share_change(shares, range(4)) == pytest.approx(most)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +87,7 @@
 )
 def test_how_long_a_cache_takes_to_come_back_to_its_share(first, after):
     load = loads(*[(count, 20, 20) for count in first])
-    assert evenness.return_after(load, boxes(1.0, 1.0, 1.0), "c0", 0, 6) == after
+    assert evenness.seconds_until_half_load(load, boxes(1.0, 1.0, 1.0), "c0", 0, 6) == after
 
 
 def test_loads_by_slot():
@@ -99,7 +102,7 @@
 )
 def test_questions_that_meet_one_cache_at_one_time(names, share):
     asked = [(0.1, name) for name in names.split()]
-    assert evenness.together(asked, boxes(1.0, 1.0, 1.0)) == pytest.approx(share)
+    assert evenness.concentration(asked, boxes(1.0, 1.0, 1.0)) == pytest.approx(share)
 
 
 @pytest.mark.parametrize("turns", [0.0, 0.1, 0.2, 0.25, 0.3, 0.45])
@@ -110,6 +113,6 @@
         (at, f"c{int((at - turns) / 0.5) % 6}")
         for at in (draw.uniform(1.0, 9.0) for _ in range(400))
     ]
-    assert evenness.together(asked, boxes(*[1.0] * 6)) > 0.85
+    assert evenness.concentration(asked, boxes(*[1.0] * 6)) > 0.85
     apart = [(at, f"c{draw.randrange(6)}") for at, _ in asked]
-    assert evenness.together(apart, boxes(*[1.0] * 6)) < 0.45
+    assert evenness.concentration(apart, boxes(*[1.0] * 6)) < 0.45
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -11,9 +11,10 @@
 import psutil
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 # What depends on this machine's speed is left wide: answers, stops and drains have seconds to
@@ -123,11 +124,11 @@
 
 
 def play(folder):
-    scenario = read_fleet(TROUBLED)
+    scenario = parse_fleet_scenario(TROUBLED)
     lab = FleetLab(scenario, TROUBLED, folder)
     alive = []
     lab.run(before=lambda lab: alive.extend(processes_of(folder)))
-    return folder, Audit(scenario, read(folder)), alive
+    return folder, Audit(scenario, read_observations(folder)), alive
 
 
 PLAYS = {"troubled": play}
@@ -142,14 +143,19 @@
     _, audit, alive = troubled
     figures = audit.figures()
     assert len(alive) >= 34 and len(alive) + 5 >= 39  # with hosts, relays, clients and keeper
-    assert {rule: figures[rule] for rule in audit.rules()} == dict.fromkeys(audit.rules(), 0)
+    assert {rule: figures[rule] for rule in audit.count_violations()} == dict.fromkeys(
+        audit.count_violations(), 0
+    )
     assert [fault["wrong"] for fault in figures["faults"]] == [""] * len(figures["faults"])
     assert figures["requests"] > 1200 and figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_each_fault_shows_at_the_other_side(troubled):
     _, audit, _ = troubled
-    attempts, faults = audit.heard.attempts, {fault[1]: fault for fault in audit.faults if fault[3]}
+    attempts, faults = (
+        audit.observations.attempts,
+        {fault[1]: fault for fault in audit.faults if fault[3]},
+    )
     cut, killed = (
         set(faults["cutoff"][4]),
         [fault for fault in audit.faults if fault[1] == "many" and fault[3]],
@@ -159,7 +165,7 @@
         for attempt in attempts
         if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8
     ]
-    north = {name for name, box in audit.boxes.items() if box.location == "north"}
+    north = {name for name, box in audit.caches.items() if box.location == "north"}
     assert during and not [
         attempt for attempt in during if attempt[1] in cut and attempt[2] in north
     ]
@@ -175,11 +181,11 @@
         attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0
     ]
     assert back
-    assert audit.heard.others["term"] and audit.heard.others["again"]
+    assert audit.observations.others["term"] and audit.observations.others["again"]
     late = set(faults["late"][4])
     told = {
         director: at
-        for at, director, _, state, _ in reversed(audit.heard.others["told"])
+        for at, director, _, state, _ in reversed(audit.observations.others["told"])
         if state == "DELETED"
     }
     waits = [told[director] - faults["dead"][0] for director in told]
@@ -193,12 +199,12 @@
     _, audit, _ = troubled
     faults = {(fault[1], fault[3]): fault for fault in audit.faults}
     first, last = faults["moved", True][0], faults["moved", False][0]
-    asked = [look[2] for look in audit.heard.looks if first + 0.2 < look[0] < last - 0.2]
+    asked = [look[2] for look in audit.observations.requests if first + 0.2 < look[0] < last - 0.2]
     assert asked.count("south") > 3 * asked.count("north") > 0
     (mute,) = faults["mute", True][5]
     since = faults["mute", False][0]
     assert any(
-        attempt[2] == mute and attempt[0] > since for attempt in audit.heard.attempts
+        attempt[2] == mute and attempt[0] > since for attempt in audit.observations.attempts
     )  # it is back
 
 
--- a/tests/lab/test_hosts.py
+++ b/tests/lab/test_hosts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinrelay.lab.fleet.hosts import NodeHost, fleet_of
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.net import resp
 from mulleinrelay.standins.event_loop import EventLoop
 
@@ -28,7 +28,7 @@
 def test_a_node_that_dies_takes_all_its_connections_along(named):
     # Guards against a fall that is counted where a node was killed: a command on a connection that
     # had been accepted, and whose first line came after the kill.
-    scenario = read_fleet(SMALL)
+    scenario = parse_fleet_scenario(SMALL)
     fleet, records = fleet_of(scenario), []
     hosts = SimpleNamespace(
         loop=EventLoop(),
@@ -37,8 +37,8 @@
         too_old=lambda *_: False,
         records=SimpleNamespace(add=lambda *held: records.append(held)),
     )
-    site = next(iter(scenario.sites()))
-    host = NodeHost(hosts, fleet.nodes[site.name], site.place)
+    site = next(iter(scenario.node_sites()))
+    host = NodeHost(hosts, fleet.nodes[site.name], site.zone)
 
     def turn():
         for key, mask in hosts.loop.selector.select(1.0):
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -5,9 +5,11 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import PARENT, read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario import PARENT
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 LOSSES = """
 [fleet lab]
@@ -84,8 +86,8 @@
 
 
 def play(folder):
-    FleetLab(read_fleet(LOSSES), LOSSES, folder).run()
-    return Audit(read_fleet(LOSSES), read(folder))
+    FleetLab(parse_fleet_scenario(LOSSES), LOSSES, folder).run()
+    return Audit(parse_fleet_scenario(LOSSES), read_observations(folder))
 
 
 PLAYS = {"losses": play}
@@ -107,13 +109,13 @@
 def outcomes(audit, first, last, directors=None):
     return [
         look[7]
-        for look in audit.heard.looks
+        for look in audit.observations.requests
         if first < look[0] < last and (directors is None or look[4] in directors)
     ]
 
 
 def test_no_rule_is_broken(audit):
-    assert {rule: found for rule, found in audit.rules().items() if found} == {}
+    assert {rule: found for rule, found in audit.count_violations().items() if found} == {}
     assert all(not held[7] for held in audit.faults)  # each was carried out
 
 
@@ -128,7 +130,7 @@
     assert looks.count("served") > 0.7 * len(looks) > 30
     passing = {
         attempt[1]
-        for attempt in audit.heard.attempts
+        for attempt in audit.observations.attempts
         if first < attempt[0] < last
         and attempt[1] in there
         and audit.sites[attempt[2]].kind == PARENT
@@ -140,10 +142,10 @@
     last, there = when(audit, "unreached", False), met(audit, "unreached")
     back = {
         attempt[1]
-        for attempt in audit.heard.attempts
+        for attempt in audit.observations.attempts
         if last < attempt[0] < when(audit, "killed") + 6.0
         and attempt[1] in there
-        and attempt[2] in audit.boxes
+        and attempt[2] in audit.caches
     }
     assert len(back) > 0.5 * len(there)
 
@@ -152,11 +154,11 @@
     first = when(audit, "killed")
     orders = [
         look
-        for look in audit.heard.looks
+        for look in audit.observations.requests
         if first - 1.0 < look[0] < first + 4.0 and look[5] == "order"
     ]
     moved = [look for look in orders if look[8] > 1 and look[3] != look[4] and look[7] == "served"]
-    assert len(moved) >= 5 and audit.rules()["orders_run_twice"] == 0
+    assert len(moved) >= 5 and audit.count_violations()["orders_run_twice"] == 0
 
 
 def test_the_fleet_is_useful_between_and_after_two_kills(audit):
@@ -175,6 +177,6 @@
 
 
 def test_caches_that_return_cold_while_directors_restart_do_not_fall(audit):
-    assert not audit.heard.others["fell"] and len(audit.heard.others["again"]) >= 10
+    assert not audit.observations.others["fell"] and len(audit.observations.others["again"]) >= 10
     looks = outcomes(audit, when(audit, "replaced", False) + 2.0, 32.0)
     assert looks.count("served") > 0.5 * len(looks) > 50
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 LOST = """
 [fleet lab]
@@ -51,8 +52,8 @@
 
 
 def play(folder):
-    FleetLab(read_fleet(LOST), LOST, folder).run()
-    return Audit(read_fleet(LOST), read(folder))
+    FleetLab(parse_fleet_scenario(LOST), LOST, folder).run()
+    return Audit(parse_fleet_scenario(LOST), read_observations(folder))
 
 
 PLAYS = {"lost": play}
@@ -68,7 +69,7 @@
 
 
 def test_no_rule_is_broken(audit):
-    assert {rule: found for rule, found in audit.rules().items() if found} == {}
+    assert {rule: found for rule, found in audit.count_violations().items() if found} == {}
 
 
 def test_caches_that_are_all_slow_get_no_storm_of_attempts(audit):
@@ -77,17 +78,19 @@
     """
     first, last = fault(audit, "slow")[0], fault(audit, "slow", False)[0] + 2.0
     attempts = [
-        held for held in audit.heard.attempts if held[2] in audit.boxes and first < held[0] < last
+        held
+        for held in audit.observations.attempts
+        if held[2] in audit.caches and first < held[0] < last
     ]
     asked = sum(
-        look[8] for look in audit.heard.looks if first < look[0] < last
+        look[8] for look in audit.observations.requests if first < look[0] < last
     )  # with the clients' retries
     assert 0 < len(attempts) < 1.5 * asked
 
 
 def test_what_is_served_is_back_once_the_slowness_is_over(audit):
     end = fault(audit, "slow", False)[0]
-    looks = [look[7] for look in audit.heard.looks if end + 2.5 < look[0] < end + 4.5]
+    looks = [look[7] for look in audit.observations.requests if end + 2.5 < look[0] < end + 4.5]
     assert looks.count("served") > 0.8 * len(looks) > 50
 
 
@@ -97,14 +100,20 @@
     """
     back, cold = fault(audit, "cold", False)[0], set(fault(audit, "cold")[5])
     attempts = [
-        held for held in audit.heard.attempts if held[2] in cold and 2.0 < held[0] - back < 6.0
+        held
+        for held in audit.observations.attempts
+        if held[2] in cold and 2.0 < held[0] - back < 6.0
     ]  # told to all
-    assert len(cold) == 4 and len(attempts) >= 4 and not audit.heard.others["fell"]
+    assert len(cold) == 4 and len(attempts) >= 4 and not audit.observations.others["fell"]
 
 
 def test_survivors_answer_all_they_take_while_most_are_gone(audit):
     first, last = fault(audit, "killed")[0], fault(audit, "killed", False)[0]
     dead = set(fault(audit, "killed")[4])
-    taken = [look for look in audit.heard.looks if first < look[0] < last and look[4] not in dead]
+    taken = [
+        look
+        for look in audit.observations.requests
+        if first < look[0] < last and look[4] not in dead
+    ]
     answered = [look for look in taken if look[7] in ("served", "rejected", "failed")]
     assert len(dead) == 24 and len(taken) > 30 and len(answered) == len(taken)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.world import play
 
 SMALL = """
@@ -58,19 +58,21 @@
 )
 def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
-    figures = play(read_fleet(text))
+    figures = play(parse_fleet_scenario(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
     assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
     assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_the_same_seed_plays_the_same():
-    first, again = (play(read_fleet(SMALL)) for _ in range(2))
-    assert first == again != play(read_fleet(SMALL.replace("seed = 4", "seed = 5")))
+    first, again = (play(parse_fleet_scenario(SMALL)) for _ in range(2))
+    assert first == again != play(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
 
 
 def test_a_fleet_larger_than_the_lab_is_played():
-    figures = play(read_fleet(SMALL.replace("seconds = 16", "seconds = 5")).sized(1000))
+    figures = play(
+        parse_fleet_scenario(SMALL.replace("seconds = 16", "seconds = 5")).with_directors(1000)
+    )
     assert (
         figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
     )
--- a/tests/lab/test_path_rules.py
+++ b/tests/lab/test_path_rules.py
@@ -4,36 +4,47 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.lab.fleet.paths import DOWN, UP, Book, Lane, Rule, held_of, rule_of
+from mulleinrelay.lab.fleet.network_rules import (
+    DOWN,
+    UP,
+    ActiveRules,
+    NetworkRule,
+    StreamState,
+    decode_rule,
+    encode_rule,
+)
 
 CACHES = ("cache",)
 
 
 def book(*rules):
-    return Book(dict(enumerate(rules)))
+    return ActiveRules(dict(enumerate(rules)))
 
 
 @pytest.mark.parametrize(
     "rule, director, target, met",
     [
-        (Rule(CACHES), 3, "c-1", True),
-        (Rule(("parent",)), 3, "c-1", False),
-        (Rule(CACHES, frozenset({4})), 3, "c-1", False),
-        (Rule(CACHES, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
-        (Rule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
+        (NetworkRule(CACHES), 3, "c-1", True),
+        (NetworkRule(("parent",)), 3, "c-1", False),
+        (NetworkRule(CACHES, frozenset({4})), 3, "c-1", False),
+        (NetworkRule(CACHES, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
+        (NetworkRule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
     ],
 )
 def test_whom_a_rule_meets(rule, director, target, met):
-    assert rule.meets("cache", director, target) is met
+    assert rule.applies_to("cache", director, target) is met
 
 
 @pytest.mark.parametrize(
     "way, up, down", [("both", True, True), ("up", True, False), ("down", False, True)]
 )
 def test_a_cut_one_way_lets_the_other_pass(way, up, down):
-    held = book(Rule(CACHES, way=way, cut=True))
-    assert held.held("cache", 1, "c-1", UP) is up and held.held("cache", 1, "c-1", DOWN) is down
-    assert not held.held("parent", 1, "p-1", UP) and not held.broken("cache", 1, "c-1")
+    held = book(NetworkRule(CACHES, direction=way, is_cut=True))
+    assert (
+        held.cuts_path("cache", 1, "c-1", UP) is up
+        and held.cuts_path("cache", 1, "c-1", DOWN) is down
+    )
+    assert not held.cuts_path("parent", 1, "p-1", UP) and not held.resets_path("cache", 1, "c-1")
 
 
 @given(
@@ -45,53 +56,61 @@
 )
 def test_bytes_keep_their_order_and_none_goes_back_in_time(pieces, delay, jitter, loss, rate):
     held, lane, draw = (
-        book(Rule(CACHES, delay=delay, jitter=jitter, loss=loss, rate=rate)),
-        Lane(),
+        book(NetworkRule(CACHES, delay_ms=delay, jitter_ms=jitter, loss=loss, bytes_per_s=rate)),
+        StreamState(),
         random.Random(1),
     )
     now = last = 0.0
     for step, length in pieces:
         now += step
-        due = held.due("cache", 1, "c-1", UP, now, length, lane, draw)
+        due = held.stream_due_at("cache", 1, "c-1", UP, now, length, lane, draw)
         assert due >= now + delay and due >= last
         last = due
-    assert lane.sent == sum(length for _, length in pieces)
+    assert lane.sent_bytes_bytes == sum(length for _, length in pieces)
 
 
 def test_a_trickle_takes_its_time():
-    held, lane, draw = book(Rule(("stream",), rate=1000.0)), Lane(last=100.0), random.Random(1)
-    dues = [held.due("stream", 1, "stream", DOWN, 100.0, 500, lane, draw) for _ in range(4)]
+    held, lane, draw = (
+        book(NetworkRule(("stream",), bytes_per_s=1000.0)),
+        StreamState(last_due_at=100.0),
+        random.Random(1),
+    )
+    dues = [
+        held.stream_due_at("stream", 1, "stream", DOWN, 100.0, 500, lane, draw) for _ in range(4)
+    ]
     assert dues == [600.0, 1100.0, 1600.0, 2100.0]
 
 
 @pytest.mark.parametrize(
     "rule, low, high",
     [
-        (Rule(("director",), loss=0.5), 350, 650),
-        (Rule(("director",), doubled=0.5), 1350, 1650),
-        (Rule(("director",), cut=True), 0, 0),
-        (Rule(("director",), reset=True), 0, 0),
-        (Rule(("director",), way="up", loss=1.0), 0, 0),
-        (Rule(("director",), way="down", loss=1.0), 1000, 1000),
+        (NetworkRule(("director",), loss=0.5), 350, 650),
+        (NetworkRule(("director",), duplication=0.5), 1350, 1650),
+        (NetworkRule(("director",), is_cut=True), 0, 0),
+        (NetworkRule(("director",), is_reset=True), 0, 0),
+        (NetworkRule(("director",), direction="up", loss=1.0), 0, 0),
+        (NetworkRule(("director",), direction="down", loss=1.0), 1000, 1000),
     ],
 )
 def test_datagrams_are_lost_and_doubled(rule, low, high):
     held, draw = book(rule), random.Random(1)
     assert (
         low
-        <= sum(len(held.datagram("director", 1, "2", UP, 5.0, draw)) for _ in range(1000))
+        <= sum(len(held.datagram_due_times("director", 1, "2", UP, 5.0, draw)) for _ in range(1000))
         <= high
     )
 
 
 def test_datagrams_are_overtaken():
-    held, draw = book(Rule(("director",), overtaken=0.5, delay=10.0)), random.Random(1)
-    dues = [held.datagram("director", 1, "2", UP, float(now), draw)[0] for now in range(200)]
+    held, draw = book(NetworkRule(("director",), reordering=0.5, delay_ms=10.0)), random.Random(1)
+    dues = [
+        held.datagram_due_times("director", 1, "2", UP, float(now), draw)[0] for now in range(200)
+    ]
     assert dues != sorted(dues) and min(due - now for now, due in enumerate(dues)) >= 10.0
 
 
 def test_a_rule_survives_its_line():
-    rule = Rule(
+    rule = NetworkRule(
         ("cache", "parent"),
         frozenset({1, 2}),
         frozenset({"c-1"}),
@@ -105,4 +124,4 @@
         0.3,
         4.0,
     )
-    assert rule_of(held_of(rule)) == rule
+    assert decode_rule(encode_rule(rule)) == rule
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -2,8 +2,8 @@
 
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.lab.fleet import addresses
-from mulleinrelay.lab.fleet.load import Demand, Wanted, may_try_again
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.load import LocationLoad, RequestPlan, can_retry_after_disconnect
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 HEAD = "[fleet lab]\nseconds = 30\nseed = 3\n"
 KILL = HEAD + "[fault k]\nwhat = kill\nat = 5\nfor = 8\nshare = 0.7\n"
@@ -34,12 +34,12 @@
 )
 def test_a_fault_names_its_key(text, told):
     with pytest.raises(ConfigError, match=told):
-        read_fleet(text)
+        parse_fleet_scenario(text)
 
 
 def test_the_same_seed_gives_the_same_plan_and_another_one_does_not():
     def drawn(text):
-        return [(strike.at, strike.directors) for strike in read_fleet(text).strikes()]
+        return [(strike.at_s, strike.directors) for strike in parse_fleet_scenario(text).steps()]
 
     assert drawn(KILL) == drawn(KILL) != drawn(KILL.replace("seed = 3", "seed = 4"))
     assert [len(directors) for _, directors in drawn(KILL)] == [28] + 28 * [1]
@@ -55,50 +55,54 @@
     ],
 )
 def test_whom_a_fault_meets(more, whom, begin, end):
-    strikes = read_fleet(HEAD + "[fault a]\nat = 4\n" + more).strikes()
+    strikes = parse_fleet_scenario(HEAD + "[fault a]\nat = 4\n" + more).steps()
     assert {len(strike.directors) for strike in strikes} == {whom}
-    assert [sum(strike.begins is begins for strike in strikes) for begins in (True, False)] == [
+    assert [sum(strike.is_start is begins for strike in strikes) for begins in (True, False)] == [
         begin,
         end,
     ]
-    assert all(4.0 <= strike.at <= 14.0 for strike in strikes)
+    assert all(4.0 <= strike.at_s <= 14.0 for strike in strikes)
 
 
 def test_load_lies_unevenly_and_sums_up():
-    scenario = read_fleet(HEAD + "[directors]\ncount = 300\nuneven = 1.2\n[load]\nrate = 900\n")
-    rates = scenario.rates()
+    scenario = parse_fleet_scenario(
+        HEAD + "[directors]\ncount = 300\nuneven = 1.2\n[load]\nrate = 900\n"
+    )
+    rates = scenario.director_rates()
     assert 0.95 < sum(rates) / 900 < 1.1 and max(rates) > 25 and min(rates) < 0.4
 
 
 def test_nodes_have_names_of_their_own_and_a_place():
-    scenario = read_fleet(HEAD + "[nodes]\nlocations = a b c d e f g h\ncaches = 12\nparents = 8\n")
-    sites = scenario.sites()
+    scenario = parse_fleet_scenario(
+        HEAD + "[nodes]\nlocations = a b c d e f g h\ncaches = 12\nparents = 8\n"
+    )
+    sites = scenario.node_sites()
     assert len({site.name for site in sites}) == len(sites) == 8 * 12 + 16 + 1
-    assert {site.place for site in sites} == set(scenario.places())
+    assert {site.zone for site in sites} == set(scenario.zones())
 
 
 @pytest.mark.parametrize(
     "since, north, south", [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)]
 )
 def test_load_moves_from_one_location_to_another(since, north, south):
-    scenario = read_fleet(
+    scenario = parse_fleet_scenario(
         HEAD + "[directors]\nuneven = 0\n[fault s]\nwhat = shift\nat = 10\nfor = 5\nby = 0.5\n"
         "location = north\nother = south\n"
     )
     usual = scenario.rate / 2
-    assert Demand(scenario, "north").rate(since) == pytest.approx(north * usual)
-    assert Demand(scenario, "south").rate(since) == pytest.approx(south * usual)
+    assert LocationLoad(scenario, "north").rate_at(since) == pytest.approx(north * usual)
+    assert LocationLoad(scenario, "south").rate_at(since) == pytest.approx(south * usual)
 
 
 def test_a_sudden_hot_object_takes_its_share():
-    scenario = read_fleet(
+    scenario = parse_fleet_scenario(
         HEAD + "[load]\norders = 0\n[fault h]\nwhat = hot\nat = 10\nfor = 5\nby = 0.2\n"
     )
-    demand = Demand(scenario, "north")
-    keys = [demand.wanted(12.0).key for _ in range(2000)]
+    demand = LocationLoad(scenario, "north")
+    keys = [demand.draw_request(12.0).object_id for _ in range(2000)]
     hot = max(set(keys), key=keys.count)
     assert 0.17 < keys.count(hot) / 2000 < 0.24 and hot not in [
-        demand.wanted(8.0).key for _ in range(2000)
+        demand.draw_request(8.0).object_id for _ in range(2000)
     ]
 
 
@@ -120,12 +124,12 @@
     [(400, 50, ""), (401, 50, "count"), (10, 250, "caches"), (0, 5, "count"), (5001, 5, "count")],
 )
 def test_what_sockets_can_not_play_is_refused(directors, caches, refused):
-    scenario = read_fleet(HEAD + f"[nodes]\ncaches = {caches}\n")
+    scenario = parse_fleet_scenario(HEAD + f"[nodes]\ncaches = {caches}\n")
     if not refused:
-        assert scenario.sized(directors).on_sockets().directors == directors
+        assert scenario.with_directors(directors).require_process_limits().directors == directors
         return
     with pytest.raises(ConfigError, match=refused):
-        scenario.sized(directors).on_sockets()
+        scenario.with_directors(directors).require_process_limits()
 
 
 @pytest.mark.parametrize(
@@ -139,4 +143,9 @@
     ],
 )
 def test_which_clients_ask_again_after_their_connection_ended(request_class, tries, left, again):
-    assert may_try_again(read_fleet(HEAD), Wanted(request_class, 1, 4.0, ""), tries, left) is again
+    assert (
+        can_retry_after_disconnect(
+            parse_fleet_scenario(HEAD), RequestPlan(request_class, 1, 4.0, ""), tries, left
+        )
+        is again
+    )
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
+from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.channel import ROOT
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 SMALL = """
 [fleet lab]
@@ -53,9 +54,9 @@
         with open(path, "w", encoding="utf-8") as file:
             file.write(text.replace(plant[1], plant[2]))
     text = SMALL.replace("[directors]", "[directors]\none_seed = yes") if plant else SMALL
-    scenario = read_fleet(text)
+    scenario = parse_fleet_scenario(text)
     lab = FleetLab(scenario, text, os.path.join(folder, "play"), program)
-    return Audit(scenario, read(lab.run())).figures()
+    return Audit(scenario, read_observations(lab.run())).figures()
 
 
 PLAYS = {
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -8,7 +8,7 @@
 
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.channel import Helper
-from mulleinrelay.lab.fleet.paths import Rule, held_of
+from mulleinrelay.lab.fleet.network_rules import NetworkRule, encode_rule
 
 DATAGRAMS = 7461
 
@@ -61,7 +61,7 @@
 
     def rule(self, rule):
         self.rules += 1
-        self.helper.tell({"rule": self.rules, "held": held_of(rule)})
+        self.helper.tell({"rule": self.rules, "held": encode_rule(rule)})
         time.sleep(0.1)
 
     def lift(self):
@@ -103,7 +103,7 @@
 def test_what_a_cut_holds_comes_once_it_is_over(relayed, way, heard):
     mine, other = relayed.connect(1), relayed.connect(2)
     assert said(mine, b"a") == b"a"
-    relayed.rule(Rule(("cache",), frozenset({1}), way=way, cut=True))
+    relayed.rule(NetworkRule(("cache",), frozenset({1}), direction=way, is_cut=True))
     assert said(mine, b"lost") is None and said(other, b"b") == b"b"
     assert [piece for piece in relayed.echo.heard if piece == b"lost"] == heard
     assert said(relayed.connect(1), b"new") is None
@@ -114,7 +114,7 @@
 def test_a_cut_with_resets_ends_connections_and_meets_new_ones(relayed):
     mine, other = relayed.connect(1), relayed.connect(2)
     assert said(mine, b"a") == b"a" and said(other, b"b") == b"b"
-    relayed.rule(Rule(("cache",), frozenset({1}), reset=True))
+    relayed.rule(NetworkRule(("cache",), frozenset({1}), is_reset=True))
     assert (
         said(mine, b"x") == b""
         and said(relayed.connect(1), b"y") == b""
@@ -138,7 +138,7 @@
 def test_delay_takes_its_time_both_ways(relayed):
     mine = relayed.connect()
     assert said(mine, b"a") == b"a"
-    relayed.rule(Rule(("cache",), delay=60.0))
+    relayed.rule(NetworkRule(("cache",), delay_ms=60.0))
     begun = time.monotonic()
     assert said(mine, b"b") == b"b" and time.monotonic() - begun >= 0.115
 
@@ -154,7 +154,7 @@
         assert gates[2].recvfrom(100) == (b"hail", (addresses.peer(1), DATAGRAMS))
         gates[2].sendto(b"well", (addresses.peer(1), DATAGRAMS))
         assert gates[1].recvfrom(100) == (b"well", (addresses.peer(2), DATAGRAMS))
-        relayed.rule(Rule(("director",), frozenset({1}), way="up", cut=True))
+        relayed.rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
         gates[1].sendto(b"lost", (addresses.peer(2), DATAGRAMS))
         gates[2].sendto(b"comes", (addresses.peer(1), DATAGRAMS))
         assert gates[1].recv(100) == b"comes"
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.records import read_logs, read_states
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
@@ -93,7 +94,7 @@
     """The audit, the folder, and what directors believed in the middle of the cut and
     at the end.
     """
-    lab, middle = FleetLab(read_fleet(TROUBLED), TROUBLED, folder), {}
+    lab, middle = FleetLab(parse_fleet_scenario(TROUBLED), TROUBLED, folder), {}
 
     middle["parts"] = []  # (s, director, limit, may use, owns)
 
@@ -117,7 +118,7 @@
             middle["budgets"] = command(folder, "budgets")
 
     lab.run(look_last)
-    return Audit(read_fleet(TROUBLED), read(folder)), folder, middle
+    return Audit(parse_fleet_scenario(TROUBLED), read_observations(folder)), folder, middle
 
 
 PLAYS = {"membership": play}
@@ -152,7 +153,7 @@
 
 def said(audit, folder, first, last):
     """(director, member, what) between two times of the play."""
-    began, lines = audit.heard.began / 1000.0, read_logs(os.path.join(folder, "fleet"))
+    began, lines = audit.observations.started_at / 1000.0, read_logs(os.path.join(folder, "fleet"))
     return [
         (line["director"], *line["text"].split(" ", 1))
         for line in lines
@@ -241,10 +242,10 @@
     )
     sent = [
         attempt
-        for attempt in audit.heard.attempts
+        for attempt in audit.observations.attempts
         if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0
     ]
-    assert not audit.heard.others["fell"] and len(sent) > 40
+    assert not audit.observations.others["fell"] and len(sent) > 40
     while_cold = [
         (name, usable / own)
         for since, name, limit, usable, own in middle["parts"]
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -12,7 +12,7 @@
 from mulleinrelay.cells.parser import read as read_assignment
 from mulleinrelay.cells.parser import write as write_assignment
 from mulleinrelay.cli import main
-from mulleinrelay.lab.fleet.plan import read_fleet
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.lab.scenario import read_scenario
 from mulleinrelay.management.assignment_mapping import charter_from, charter_tree
 from mulleinrelay.management.config import load_management_config
@@ -37,17 +37,22 @@
     tries=max_tries connections=connections_per_director"""
 BURST_KEYS = ("burst_at", "burst_until", "burst_rate")
 FLEET_LAB = {
-    "fleet lab": "name seconds warm_s=warm seed client_processes=clients relay_processes=relays",
-    "directors": """count=directors one_seed talk share uneven least_rate=least memory_mb sockets
-        probes""",
-    "nodes": """locations caches large_share=mixed hubs parents capacity fill_cost parent_ms hub_ms
-        origin_ms parent_capacity origin_capacity holds parent_holds cold_from cold_ms
-        parent_cold_ms falls""",
-    "load": """rate objects skew shared orders effects patience_ms goal_ms tries late_ms
-        front_ms""",
+    "fleet lab": """name seconds warm_s=warm_up_s seed client_processes
+        relay_processes=proxy_processes""",
+    "directors": """count=directors one_seed=has_same_seeds talk=has_membership share=shares_quotas
+        uneven=rate_spread least_rate=min_rate memory_mb sockets=max_descriptors
+        probes=polls_load_reports""",
+    "nodes": """locations caches large_share=large_fraction hubs parents capacity fill_cost parent_ms
+        hub_ms origin_ms parent_capacity origin_capacity holds=max_copies
+        parent_holds=parent_max_copies cold_from=initial_fraction cold_ms=slow_start_ms
+        parent_cold_ms=parent_slow_start_ms falls=crashes_on_overload""",
+    "load": """rate objects skew shared=shared_fraction orders=order_fraction
+        effects=unsafe_fraction patience_ms goal_ms=latency_objective_ms tries=max_tries
+        late_ms=answer_grace_ms front_ms=failure_detection_ms""",
 }
-FAULT_KEYS = """what at for=span share location paths way by jitter_ms=jitter over seen_by nodes
-    other"""
+FAULT_KEYS = """what=kind at=at_s for=duration_s share=fraction location paths=path_kinds
+    way=direction by=amount jitter_ms over=spread_s seen_by=director_fraction nodes
+    other=other_location"""
 
 KINDS = {
     "ping": Kind.PING,
@@ -291,8 +296,8 @@
 def fleet_lab_file(path: str) -> dict[str, Any]:
     """A scenario of a fleet, as `lab` reads it."""
     with open(path, encoding="utf-8") as file:
-        held = read_fleet(file.read())
+        held = parse_fleet_scenario(file.read())
     found = {title: named(held, keys) for title, keys in FLEET_LAB.items()}
-    found["nodes"]["notice_from_ms"], found["nodes"]["notice_to_ms"] = held.notice_ms
+    found["nodes"]["notice_from_ms"], found["nodes"]["notice_to_ms"] = held.update_delay_ms
     found["faults"] = {one.name: named(one, FAULT_KEYS) for one in held.faults}
     return found
