--- a/tests/lab/test_path_rules.py
+++ b/tests/lab/test_network_rules.py
@@ -66,7 +66,7 @@
         due = held.stream_due_at("cache", 1, "c-1", UP, now, length, lane, draw)
         assert due >= now + delay and due >= last
         last = due
-    assert lane.sent_bytes_bytes == sum(length for _, length in pieces)
+    assert lane.sent_bytes == sum(length for _, length in pieces)
 
 
 def test_a_trickle_takes_its_time():
