--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -95,9 +95,7 @@
         ([["crash", at(3), 1, 1, "why"]], "crashes", 1),
     ],
 )
-def test_what_breaks_a_rule_is_counted_and_what_the_lab_did_is_excused(
-    lines, rule, count, tmp_path
-):
+def test_violations_are_counted_and_what_the_lab_has_done_is_excused(lines, rule, count, tmp_path):
     found = audited(tmp_path, *lines).count_violations()
     assert found[rule] == count and sum(found.values()) == count
 
@@ -119,7 +117,7 @@
         ([fault(4, "node_slow", True, nodes=[PARENT])], [(0.0, 1e9)]),
     ],
 )
-def test_when_a_cache_counts_as_well(lines, well, tmp_path):
+def test_healthy_spans_of_a_cache(lines, well, tmp_path):
     assert audited(tmp_path, *lines).caches[BOX].healthy_spans == [
         pytest.approx(span) for span in well
     ]
@@ -132,7 +130,7 @@
     assert [round(one.at_s, 1) for one in audit.first_attempts()] == [3.0, 3.2]
 
 
-def test_connections_and_probes_of_one_cache(tmp_path):
+def test_peaks_of_connections_and_health_checks_of_one_cache(tmp_path):
     lines = [
         ["conn", at(second), director, BOX, step]
         for second, director, step in ((2, 1, 1), (3, 2, 1), (4, 1, -1), (5, 3, 1), (6, 4, 1))
@@ -145,6 +143,6 @@
 @pytest.mark.parametrize(
     "what, ms, credit", [("served", 100.0, 1.0), ("served", 900.0, 0.1), ("rejected", 5.0, 0.0)]
 )
-def test_credit_goes_by_the_goal(what, ms, credit, tmp_path):
+def test_weight_is_earned_by_the_latency_objective(what, ms, credit, tmp_path):
     audit = audited(tmp_path, ["look", at(3), ms, "north", 1, 1, "order", 7, what, 1])
     assert audit.earned_weight() == pytest.approx(credit)
--- a/tests/lab/test_fleet_scenario.py
+++ b/tests/lab/test_fleet_scenario.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
         (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
@@ -32,12 +32,12 @@
         (HEAD + "[fault a]\nwhat = shift\nat = 3\nlocation = north\n", r"\[fault a\] other"),
     ],
 )
-def test_a_fault_names_its_key(text, told):
-    with pytest.raises(ConfigError, match=told):
+def test_an_error_names_its_section_and_key(text, message):
+    with pytest.raises(ConfigError, match=message):
         parse_fleet_scenario(text)
 
 
-def test_the_same_seed_gives_the_same_plan_and_another_one_does_not():
+def test_the_same_seed_gives_the_same_steps_and_another_one_does_not():
     def drawn(text):
         return [(strike.at_s, strike.directors) for strike in parse_fleet_scenario(text).steps()]
 
@@ -54,7 +54,7 @@
         ("what = node_errors\nseen_by = 0.5\nshare = 0.25\nfor = 6\n", 20, 1, 1),
     ],
 )
-def test_whom_a_fault_meets(more, whom, begin, end):
+def test_a_fault_meets_so_many_directors_in_so_many_steps(more, whom, begin, end):
     strikes = parse_fleet_scenario(HEAD + "[fault a]\nat = 4\n" + more).steps()
     assert {len(strike.directors) for strike in strikes} == {whom}
     assert [sum(strike.is_start is begins for strike in strikes) for begins in (True, False)] == [
@@ -64,7 +64,7 @@
     assert all(4.0 <= strike.at_s <= 14.0 for strike in strikes)
 
 
-def test_load_lies_unevenly_and_sums_up():
+def test_director_rates_are_uneven_and_sum_to_the_rate():
     scenario = parse_fleet_scenario(
         HEAD + "[directors]\ncount = 300\nuneven = 1.2\n[load]\nrate = 900\n"
     )
@@ -72,7 +72,7 @@
     assert 0.95 < sum(rates) / 900 < 1.1 and max(rates) > 25 and min(rates) < 0.4
 
 
-def test_nodes_have_names_of_their_own_and_a_place():
+def test_nodes_have_distinct_names_and_a_zone():
     scenario = parse_fleet_scenario(
         HEAD + "[nodes]\nlocations = a b c d e f g h\ncaches = 12\nparents = 8\n"
     )
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize(
     "since, north, south", [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)]
 )
-def test_load_moves_from_one_location_to_another(since, north, south):
+def test_a_shift_moves_load_between_locations(since, north, south):
     scenario = parse_fleet_scenario(
         HEAD + "[directors]\nuneven = 0\n[fault s]\nwhat = shift\nat = 10\nfor = 5\nby = 0.5\n"
         "location = north\nother = south\n"
@@ -94,7 +94,7 @@
     assert LocationLoad(scenario, "south").rate_at(since) == pytest.approx(south * usual)
 
 
-def test_a_sudden_hot_object_takes_its_share():
+def test_a_hot_object_takes_its_fraction_of_requests():
     scenario = parse_fleet_scenario(
         HEAD + "[load]\norders = 0\n[fault h]\nwhat = hot\nat = 10\nfor = 5\nby = 0.2\n"
     )
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("director", [0, 1, 254, 255, 256, 399, 4999])
-def test_an_address_tells_its_director(director):
+def test_each_address_of_a_director_leads_back_to_it(director):
     held = [addresses.own(director), addresses.far(director), addresses.peer(director)]
     assert [addresses.director_of(address) for address in held] == [director] * 3 and len(
         set(held)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1", "10.20.0.1", "127.40.0.1", "x"])
-def test_who_else_comes_is_nobody(address):
+def test_other_addresses_belong_to_no_director(address):
     assert addresses.director_of(address) == -1
 
 
@@ -123,7 +123,7 @@
     "directors, caches, refused",
     [(400, 50, ""), (401, 50, "count"), (10, 250, "caches"), (0, 5, "count"), (5001, 5, "count")],
 )
-def test_what_sockets_can_not_play_is_refused(directors, caches, refused):
+def test_a_scenario_too_large_for_processes_is_rejected(directors, caches, refused):
     scenario = parse_fleet_scenario(HEAD + f"[nodes]\ncaches = {caches}\n")
     if not refused:
         assert scenario.with_directors(directors).require_process_limits().directors == directors
@@ -142,7 +142,7 @@
         ("pay", 1, 500.0, False),  # its first try may have had its effect
     ],
 )
-def test_which_clients_ask_again_after_their_connection_ended(request_class, tries, left, again):
+def test_clients_retry_after_a_disconnect_only_where_it_is_safe(request_class, tries, left, again):
     assert (
         can_retry_after_disconnect(
             parse_fleet_scenario(HEAD), RequestPlan(request_class, 1, 4.0, ""), tries, left
--- a/tests/lab/test_network_rules.py
+++ b/tests/lab/test_network_rules.py
@@ -17,12 +17,12 @@
 CACHES = ("cache",)
 
 
-def book(*rules):
+def rules_of(*rules):
     return ActiveRules(dict(enumerate(rules)))
 
 
 @pytest.mark.parametrize(
-    "rule, director, target, met",
+    "rule, director, target, applies",
     [
         (NetworkRule(CACHES), 3, "c-1", True),
         (NetworkRule(("parent",)), 3, "c-1", False),
@@ -31,20 +31,20 @@
         (NetworkRule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
     ],
 )
-def test_whom_a_rule_meets(rule, director, target, met):
-    assert rule.applies_to("cache", director, target) is met
+def test_a_rule_applies_to_its_paths_only(rule, director, target, applies):
+    assert rule.applies_to("cache", director, target) is applies
 
 
 @pytest.mark.parametrize(
     "way, up, down", [("both", True, True), ("up", True, False), ("down", False, True)]
 )
-def test_a_cut_one_way_lets_the_other_pass(way, up, down):
-    held = book(NetworkRule(CACHES, direction=way, is_cut=True))
+def test_a_cut_in_one_direction_lets_the_other_pass(way, up, down):
+    rules = rules_of(NetworkRule(CACHES, direction=way, is_cut=True))
     assert (
-        held.cuts_path("cache", 1, "c-1", UP) is up
-        and held.cuts_path("cache", 1, "c-1", DOWN) is down
+        rules.cuts_path("cache", 1, "c-1", UP) is up
+        and rules.cuts_path("cache", 1, "c-1", DOWN) is down
     )
-    assert not held.cuts_path("parent", 1, "p-1", UP) and not held.resets_path("cache", 1, "c-1")
+    assert not rules.cuts_path("parent", 1, "p-1", UP) and not rules.resets_path("cache", 1, "c-1")
 
 
 @given(
@@ -54,29 +54,31 @@
     st.floats(0, 1),
     st.sampled_from([0.0, 1000.0, 1e6]),
 )
-def test_bytes_keep_their_order_and_none_goes_back_in_time(pieces, delay, jitter, loss, rate):
-    held, lane, draw = (
-        book(NetworkRule(CACHES, delay_ms=delay, jitter_ms=jitter, loss=loss, bytes_per_s=rate)),
+def test_stream_bytes_keep_their_order_and_never_come_early(pieces, delay, jitter, loss, rate):
+    rules, stream, draw = (
+        rules_of(
+            NetworkRule(CACHES, delay_ms=delay, jitter_ms=jitter, loss=loss, bytes_per_s=rate)
+        ),
         StreamState(),
         random.Random(1),
     )
     now = last = 0.0
     for step, length in pieces:
         now += step
-        due = held.stream_due_at("cache", 1, "c-1", UP, now, length, lane, draw)
+        due = rules.stream_due_at("cache", 1, "c-1", UP, now, length, stream, draw)
         assert due >= now + delay and due >= last
         last = due
-    assert lane.sent_bytes == sum(length for _, length in pieces)
+    assert stream.sent_bytes == sum(length for _, length in pieces)
 
 
-def test_a_trickle_takes_its_time():
-    held, lane, draw = (
-        book(NetworkRule(("stream",), bytes_per_s=1000.0)),
+def test_a_rate_limit_spreads_bytes_over_time():
+    rules, stream, draw = (
+        rules_of(NetworkRule(("stream",), bytes_per_s=1000.0)),
         StreamState(last_due_at=100.0),
         random.Random(1),
     )
     dues = [
-        held.stream_due_at("stream", 1, "stream", DOWN, 100.0, 500, lane, draw) for _ in range(4)
+        rules.stream_due_at("stream", 1, "stream", DOWN, 100.0, 500, stream, draw) for _ in range(4)
     ]
     assert dues == [600.0, 1100.0, 1600.0, 2100.0]
 
@@ -92,24 +94,29 @@
         (NetworkRule(("director",), direction="down", loss=1.0), 1000, 1000),
     ],
 )
-def test_datagrams_are_lost_and_doubled(rule, low, high):
-    held, draw = book(rule), random.Random(1)
+def test_datagrams_are_lost_and_duplicated(rule, low, high):
+    rules, draw = rules_of(rule), random.Random(1)
     assert (
         low
-        <= sum(len(held.datagram_due_times("director", 1, "2", UP, 5.0, draw)) for _ in range(1000))
+        <= sum(
+            len(rules.datagram_due_times("director", 1, "2", UP, 5.0, draw)) for _ in range(1000)
+        )
         <= high
     )
 
 
-def test_datagrams_are_overtaken():
-    held, draw = book(NetworkRule(("director",), reordering=0.5, delay_ms=10.0)), random.Random(1)
+def test_datagrams_are_reordered():
+    rules, draw = (
+        rules_of(NetworkRule(("director",), reordering=0.5, delay_ms=10.0)),
+        random.Random(1),
+    )
     dues = [
-        held.datagram_due_times("director", 1, "2", UP, float(now), draw)[0] for now in range(200)
+        rules.datagram_due_times("director", 1, "2", UP, float(now), draw)[0] for now in range(200)
     ]
     assert dues != sorted(dues) and min(due - now for now, due in enumerate(dues)) >= 10.0
 
 
-def test_a_rule_survives_its_line():
+def test_a_rule_is_the_same_after_encoding_and_decoding():
     rule = NetworkRule(
         ("cache", "parent"),
         frozenset({1, 2}),
