--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -22,7 +22,7 @@
 from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.evenness import percentile
 from mulleinrelay.lab.fleet.observations import read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario import FleetScenario
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.membership.messages import Codec, Kind, State, UnusableError, Word
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -20,8 +20,8 @@
 from mulleinrelay.cells.hashing import bounded
 from mulleinrelay.cells.model import Limits
 from mulleinrelay.cells.parser import write
-from mulleinrelay.lab.play import Lab
-from mulleinrelay.lab.scenario import read_scenario
+from mulleinrelay.lab.runner import Lab
+from mulleinrelay.lab.scenario import parse_scenario
 
 from .versions import ROOT, unpack
 
@@ -112,9 +112,9 @@
 
 
 def flood(cells: bool, burst: float) -> dict:
-    lab = Lab(read_scenario(FLOOD.format(cells="yes" if cells else "no", burst=burst)))
+    lab = Lab(parse_scenario(FLOOD.format(cells="yes" if cells else "no", burst=burst)))
     found = lab.run()
-    others = [one for one in lab.terminals if one.load.tenant in ("gamma", "delta")]
+    others = [one for one in lab.load_generators if one.load.tenant in ("gamma", "delta")]
     asked = served = 0
     delays = []
     for one in others:
@@ -127,7 +127,7 @@
 
 def move(what: str, seconds: float, spans: str, begins: float) -> dict:
     """Figures from `begins` s on: the peak on the receiving caches, and fetches at the origin."""
-    lab, held = Lab(read_scenario(MOVE.format(what=what, seconds=seconds, spans=spans))), {}
+    lab, held = Lab(parse_scenario(MOVE.format(what=what, seconds=seconds, spans=spans))), {}
 
     def live(lab: Lab, since: float) -> None:
         if since >= begins and not held:
@@ -192,22 +192,22 @@
 
 
 def costs(folder: str) -> dict:
-    scenario = read_scenario(FLOOD.format(cells="yes", burst=25))
+    scenario = parse_scenario(FLOOD.format(cells="yes", burst=25))
     files = {}
     for name, limits in (("on", Limits()), ("closed", Limits(rate=1e-6, burst=1.0))):
-        tenants = scenario.charter.tenants | {
-            "acme": replace(scenario.charter.tenants["acme"], limits=limits)
+        tenants = scenario.assignment.tenants | {
+            "acme": replace(scenario.assignment.tenants["acme"], limits=limits)
         }
         cells = {
             key: replace(cell, caches=caches)
             for (key, cell), caches in zip(
-                scenario.charter.cells.items(),
+                scenario.assignment.cells.items(),
                 (("s-00", "s-01", "s-02", "s-03", "s-04"), ()),
                 strict=True,
             )
         }
         with open(os.path.join(folder, f"{name}-assignment.ini"), "w", encoding="utf-8") as file:
-            file.write(write(replace(scenario.charter, tenants=tenants, cells=cells)))
+            file.write(write(replace(scenario.assignment, tenants=tenants, cells=cells)))
         files[name] = os.path.join(folder, f"{name}.ini")
         with open(files[name], "w", encoding="utf-8") as file:
             file.write(f"[cells]\nenabled = yes\nassignment = {name}-assignment.ini\n")
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -27,7 +27,7 @@
 from mulleinrelay.lab.fleet.evenness import percentile
 from mulleinrelay.lab.fleet.load import DEFAULT_RETRY_DELAY, LocationLoad
 from mulleinrelay.lab.fleet.observations import Observations, read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario import PARENT, FleetScenario
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.policy.outlier_detection import OutlierDetector
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -16,8 +16,8 @@
 import click
 
 from mulleinrelay.cells import store
-from mulleinrelay.lab.play import Lab
-from mulleinrelay.lab.scenario import read_scenario
+from mulleinrelay.lab.runner import Lab
+from mulleinrelay.lab.scenario import parse_scenario
 from mulleinrelay.management.gnmi_client import Access, CallError, GnmiTarget
 from mulleinrelay.management.paths import parse
 from mulleinrelay.standins.clock import now_ms
@@ -71,7 +71,7 @@
 
 
 def targets(lab: Lab) -> list[GnmiTarget]:
-    return [GnmiTarget(director.managed, Access()) for director in lab.directors]
+    return [GnmiTarget(director.gnmi_address, Access()) for director in lab.directors]
 
 
 def drains(count: int = 50, directors: int = 3) -> dict:
@@ -79,7 +79,7 @@
     named the box for.
     """
     lab, took, lost = (
-        Lab(read_scenario(SCENARIO.format(seconds=max(8, count // 2 + 3), directors=directors))),
+        Lab(parse_scenario(SCENARIO.format(seconds=max(8, count // 2 + 3), directors=directors))),
         [],
         [],
     )
@@ -118,7 +118,9 @@
     """What 200 refused changes leave behind, in what runs, in state, in files and in the log."""
     lab, told = (
         Lab(
-            read_scenario(SCENARIO.format(seconds=6, directors=1).replace("rate = 150", "rate = 5"))
+            parse_scenario(
+                SCENARIO.format(seconds=6, directors=1).replace("rate = 150", "rate = 5")
+            )
         ),
         {},
     )
@@ -159,16 +161,16 @@
 def kills(count: int) -> dict:
     """A director killed at random points of commits that change a drain and a tenant together."""
     chance, half, seen = random.Random(8), 0, 0
-    scenario = read_scenario(SCENARIO.format(seconds=1, directors=1))
+    scenario = parse_scenario(SCENARIO.format(seconds=1, directors=1))
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(scenario, folder)
         from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = LoopbackEnvironment(lab.fleet)
+        lab.environment = LoopbackEnvironment(lab.fleet)
         lab._start_directors()
         for turn in range(count):
             director = lab.directors[-1]
-            target, number = GnmiTarget(director.managed, Access()), turn * 100
+            target, number = GnmiTarget(director.gnmi_address, Access()), turn * 100
 
             def write(target: GnmiTarget = target, number: int = number) -> None:
                 try:
@@ -192,8 +194,8 @@
             director.process.wait()
             writer.join(10.0)
             target.close()
-            lab.again(director)
-            after = GnmiTarget(director.managed, Access())
+            lab.restart(director)
+            after = GnmiTarget(director.gnmi_address, Access())
             held = dict(after.get(parse("/fleet"), 1))[parse("/fleet")]
             weight = float(
                 next(one for one in held["assignment"]["tenant"] if one["name"] == "acme")["weight"]
@@ -206,8 +208,8 @@
             half += reason is not None and not float(reason) + 1.0 == weight == file
             after.close()
         for director in lab.directors:
-            director.end()
-        lab.world.close()
+            director.stop()
+        lab.environment.close()
     return {"half_applied": half, "kills": count, "kills_with_something_kept": seen}
 
 
@@ -223,10 +225,10 @@
         )
     )
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(read_scenario(text), folder)
+        lab = Lab(parse_scenario(text), folder)
         from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = LoopbackEnvironment(lab.fleet)
+        lab.environment = LoopbackEnvironment(lab.fleet)
         rows = [
             {
                 "id": f"b-{number}",
@@ -241,8 +243,8 @@
             for number in range(2_000)
         ]
         lab._start_directors()
-        lab.world.stream.publish({"topology": {"version": 9, "full": False, "servers": rows}})
-        target, took = GnmiTarget(lab.directors[0].managed, Access(seconds=60.0)), []
+        lab.environment.stream.publish({"topology": {"version": 9, "full": False, "servers": rows}})
+        target, took = GnmiTarget(lab.directors[0].gnmi_address, Access(seconds=60.0)), []
         time.sleep(1.0)
         for _ in range(5):
             begun = time.perf_counter()
@@ -250,14 +252,14 @@
             took.append(1000.0 * (time.perf_counter() - begun))
         boxes = len(whole[0][1]["fleet"]["boxes"]["box"])
         target.close()
-        lab.directors[0].end()
-        lab.world.close()
+        lab.directors[0].stop()
+        lab.environment.close()
     return {"get_full_ms": round(statistics.median(took)), "get_full_boxes": boxes}
 
 
 def flood(streams: int) -> tuple[float, int]:
     """p99 of requests, with so many streams and a flood of Gets."""
-    lab, ended = Lab(read_scenario(SCENARIO.format(seconds=8, directors=1))), threading.Event()
+    lab, ended = Lab(parse_scenario(SCENARIO.format(seconds=8, directors=1))), threading.Event()
 
     def work(held: Lab) -> None:
         def stream() -> None:
@@ -285,24 +287,24 @@
 
     lab.run(before=work)
     ended.set()
-    return lab.terminals[0].percentile(0.99, 1.5, 8.0), streams
+    return lab.load_generators[0].percentile(0.99, 1.5, 8.0), streams
 
 
 def rss(management: bool) -> float:
     text = SCENARIO.format(seconds=1, directors=1)
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(
-            read_scenario(text if management else text.replace("management = yes\n", "")), folder
+            parse_scenario(text if management else text.replace("management = yes\n", "")), folder
         )
         from mulleinrelay.standins.environment import LoopbackEnvironment
 
-        lab.world = LoopbackEnvironment(lab.fleet)
+        lab.environment = LoopbackEnvironment(lab.fleet)
         lab._start_directors()
         time.sleep(0.5)
         with open(f"/proc/{lab.directors[0].process.pid}/status", encoding="ascii") as file:
             found = next(int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS"))
-        lab.directors[0].end()
-        lab.world.close()
+        lab.directors[0].stop()
+        lab.environment.close()
     return round(found, 1)
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -18,7 +18,7 @@
 
 from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.observations import read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.world import play as play_model
 
@@ -165,7 +165,7 @@
     try:
         return Audit(scenario, read_observations(lab.run())).figures()
     finally:
-        lab.clear()
+        lab.remove_folder()
 
 
 def summary(plays: dict[str, dict[str, Any]]) -> dict[str, Any]:
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -6,14 +6,14 @@
 import orjson
 
 from ..errors import ConfigError
-from .play import Lab
-from .scenario import read_scenario
+from .runner import Lab
+from .scenario import parse_scenario
 
 
 def live(lab: Lab, since: float) -> None:
     shares = " ".join(
         f"{one.load.tenant} {one.served_fraction(max(0.0, since - 3.0), since - 1.0):.2f}"
-        for one in lab.terminals
+        for one in lab.load_generators
     )
     busy = max(lab.fleet.nodes.values(), key=lambda node: node.window_load)
     sys.stderr.write(f"\r{since:6.1f} s  served: {shares}  busiest {busy.spec.name}   ")
@@ -61,7 +61,7 @@
             raise click.UsageError(
                 "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
             )
-        scenario = read_scenario(text)
+        scenario = parse_scenario(text)
     except (ConfigError, UnicodeDecodeError) as wrong:
         click.echo(f"mulleinrelay: {path}: {wrong}", err=True)
         sys.exit(2)
@@ -127,20 +127,20 @@
         return tell(found, as_json)
     from .fleet.audit import Audit
     from .fleet.observations import read_observations
-    from .fleet.play import FleetLab
+    from .fleet.runner import FleetLab
 
     playing = FleetLab(scenario, text, keep)
     try:
         audit = Audit(scenario, read_observations(playing.run(shown)))
         if plot is not None:
-            from .fleet.picture import draw
+            from .fleet.heatmap import draw
 
             draw(audit, plot)
     except RuntimeError as wrong:
         click.echo(f"mulleinrelay: {wrong}", err=True)
         sys.exit(1)
     finally:
-        playing.clear()
+        playing.remove_folder()
     if shown is not None:
         click.echo("", err=True)
     tell(audit.figures(), as_json)
--- a/mulleinrelay/lab/start.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -6,7 +6,7 @@
 from .fleet.scenario import FleetScenario
 
 
-def settings(
+def platform_settings(
     places: list[str],
     mine: int,
     directors_by_place: list[int],
@@ -73,13 +73,13 @@
     }
 
 
-def settings_at(scenario: FleetScenario, location: str) -> dict[str, Any]:
+def fleet_platform_settings(scenario: FleetScenario, location: str) -> dict[str, Any]:
     """Those of a fleet's director in that location."""
     places = scenario.zones()
     counts = [
         len(scenario.directors_in(place)) if place in scenario.locations else 0 for place in places
     ]
-    return settings(
+    return platform_settings(
         places,
         places.index(location),
         counts,
--- a/mulleinrelay/lab/fleet/__init__.py
+++ b/mulleinrelay/lab/fleet/__init__.py
@@ -1,3 +1,5 @@
-"""A fleet on one machine: hundreds of directors as real processes, stand-ins before and behind
-them, faults between them, and an audit that counts from the other side. Nothing of it serves.
+"""A fleet on one machine: hundreds of directors as real processes, with faults between them.
+
+Stand-ins take the place of everything around the directors, and an audit counts from the other
+side. Nothing of it serves.
 """
--- /dev/null
+++ b/mulleinrelay/lab/fleet/director.py
@@ -0,0 +1,106 @@
+"""One director of a fleet lab as a process, with loopback addresses of its own."""
+
+import os
+import subprocess
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ..director_process import DirectorProcess, director_environment
+from . import addresses
+from .control_channel import last_line
+
+UNSET_VARIABLES = ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT", "MULLEINRELAY_FLEET")
+KILL_TIMEOUT_S = 5.0
+
+
+@dataclass(frozen=True, slots=True)
+class DirectorSetup:
+    """What all directors of a lab share.
+
+    Attributes:
+        folder: The lab's folder.
+        program: Folder that holds the package that they run.
+        port: Port of all directors, each at its own address.
+        has_membership: Whether they get a fleet file.
+        on_started: Called with the id of each process that was started.
+        on_ended: Called with the id of each process that was seen to end.
+    """
+
+    folder: str
+    program: str
+    port: int
+    has_membership: bool
+    on_started: Callable[[int], None]
+    on_ended: Callable[[int], None]
+
+
+class FleetDirector(DirectorProcess):
+    """One director of a fleet lab.
+
+    Attributes:
+        starts: Number of starts so far: who waits for one must not speak for the next.
+        was_killed: Whether the lab has killed the present process.
+        clock_step_ms: Step of its wall clock at a fault `clock`; None: it has the real clock.
+    """
+
+    def __init__(self, setup: DirectorSetup, number: int, clock_step_ms: float | None) -> None:
+        """Prepare without starting; the configuration is written to `config_path` by the lab."""
+        super().__init__((addresses.own(number), setup.port))
+        self.setup = setup
+        self.number = number
+        self.clock_step_ms = clock_step_ms
+        self.config_path = os.path.join(setup.folder, f"n{number}.json")
+        self.fleet_path = os.path.join(setup.folder, f"n{number}.ini")
+        self.log_path = os.path.join(setup.folder, f"n{number}.log")
+        self.starts = 0
+        self.was_killed = False
+
+    def start(self) -> None:
+        """Start a process."""
+        self.starts += 1
+        self.was_killed = False
+        command = [sys.executable, "-m", "mulleinrelay"]
+        if self.clock_step_ms is not None:
+            command = [sys.executable, "-m", "mulleinrelay.lab.fleet.stepped"]
+            command.append(str(self.clock_step_ms))
+        command += ["serve", "--config", self.config_path]
+        if self.setup.has_membership:
+            command += ["--fleet", self.fleet_path]
+        with open(self.log_path, "ab") as log:
+            self.process = subprocess.Popen(
+                command,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=director_environment(self.setup.program, UNSET_VARIABLES),
+                cwd=self.setup.folder,
+                start_new_session=True,
+            )
+        self.setup.on_started(self.process.pid)
+
+    def is_ready(self) -> bool:
+        """Return whether it serves clients. Raises RuntimeError where it has ended."""
+        code = self.exit_code()
+        if code is not None:
+            raise RuntimeError(
+                f"director n{self.number} ended with {code}; see "
+                f"{self.log_path}: {last_line(self.log_path)}"
+            )
+        return self.accepts_connections()
+
+    def signal(self, number: int) -> None:
+        """Send a signal, where it runs."""
+        if self.process is not None and self.process.poll() is None:
+            self.process.send_signal(number)
+
+    def wait(self, timeout_s: float) -> None:
+        """Wait until the process has ended; after `timeout_s` it is killed."""
+        if self.process is None:
+            return
+        try:
+            self.process.wait(timeout_s)
+        except subprocess.TimeoutExpired:
+            self.process.kill()
+            self.process.wait(KILL_TIMEOUT_S)
+        self.setup.on_ended(self.process.pid)
--- /dev/null
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -0,0 +1,343 @@
+"""One node of a fleet lab on a socket, in the event loop of the endpoint process.
+
+What a node stores and can bear is decided in `standins/nodes.py`. Each connection begins with a
+line that names its director.
+"""
+
+import random
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from ...net import resp
+from ...standins.clock import now_ms
+from ...standins.event_loop import EventLoop, LoopConnection
+from ...standins.node_kinds import CACHE, ORIGIN
+from ...standins.node_protocol import CancelledCommands, decode_fields
+from ...standins.nodes import NodeFleet, NodeSpec, Reply, SimulatedNode
+from .control_channel import send_message
+from .scenario import CONCURRENT_ANSWERS, FleetScenario, NodeSite
+
+RECEIVE_BUFFER_SIZE = 4096  # bytes, at first
+ANSWER_DELAY_MS = 1.0  # of health checks and errors
+WRITE_CLASSES = ("order", "pay")
+CACHE_CRASH_LOAD = 2.5
+PARENT_CRASH_LOAD = 2.0
+CRASH_AFTER_MS = 1500.0
+PURGE_DELAY_MS = (200.0, 3000.0)  # until a node drops its copy: half of what it may take
+PARENT_WEIGHT = 4 * CONCURRENT_ANSWERS
+
+
+class Recorder(Protocol):
+    """Where records go."""
+
+    def add(self, *record: object) -> None:
+        """Append a record: its type and its values."""
+
+
+@dataclass(slots=True)
+class NodeContext:
+    """What all nodes of the process share.
+
+    Attributes:
+        servers: All nodes by name.
+        is_outdated: Whether an answer is older than a purge that the director knows of; called
+            with the director, the command's fields, the answer's second item and the time.
+    """
+
+    loop: EventLoop
+    fleet: NodeFleet
+    records: Recorder
+    is_outdated: Callable[[int | None, dict[str, str], bytes, float], bool]
+    servers: dict[str, "NodeServer"] = field(default_factory=dict)
+
+
+@dataclass(slots=True, eq=False)
+class _Session:
+    """A director's connection; `director` is None until its first line has come."""
+
+    connection: LoopConnection
+    director: int | None = None
+    arrays: resp.Arrays = field(default_factory=lambda: resp.Arrays(RECEIVE_BUFFER_SIZE))
+    cancelled: CancelledCommands = field(default_factory=CancelledCommands)
+
+
+def build_node_fleet(scenario: FleetScenario) -> NodeFleet:
+    """Build all nodes of the scenario, with nothing stored."""
+    nodes = {site.name: SimulatedNode(_node_spec(scenario, site)) for site in scenario.node_sites()}
+    return NodeFleet(nodes, set(WRITE_CLASSES))
+
+
+def _node_spec(scenario: FleetScenario, site: NodeSite) -> NodeSpec:
+    if site.kind == CACHE:
+        return NodeSpec(
+            site.name,
+            CACHE,
+            site.zone,
+            scenario.capacity * site.capacity_factor,
+            scenario.fill_cost,
+            scenario.hit_ms,
+            weight=round(CONCURRENT_ANSWERS * site.capacity_factor),
+            initial_fraction=scenario.initial_fraction,
+            slow_start_duration=scenario.slow_start_ms,
+            max_copies=scenario.max_copies,
+            crashes_on_overload=scenario.crashes_on_overload,
+            crash_load=CACHE_CRASH_LOAD,
+            crash_after=CRASH_AFTER_MS,
+            crashes_when_warm=False,
+        )
+    if site.kind == ORIGIN:
+        return NodeSpec(
+            site.name,
+            ORIGIN,
+            site.zone,
+            scenario.origin_capacity,
+            1.0,
+            scenario.origin_ms,
+            weight=PARENT_WEIGHT,
+        )
+    return NodeSpec(
+        site.name,
+        site.kind,
+        site.zone,
+        scenario.parent_capacity,
+        1.0,
+        scenario.parent_ms,
+        weight=PARENT_WEIGHT,
+        initial_fraction=scenario.initial_fraction,
+        slow_start_duration=scenario.parent_slow_start_ms,
+        max_copies=scenario.parent_max_copies,
+        crashes_on_overload=scenario.crashes_on_overload,
+        crash_load=PARENT_CRASH_LOAD,
+        crash_after=CRASH_AFTER_MS,
+        crashes_when_warm=False,
+    )
+
+
+def read_director_line(
+    connection: LoopConnection,
+    on_director: Callable[[int], None],
+    on_data: Callable[[bytes], None],
+) -> None:
+    """Read the first line of a connection, which a fault proxy sends.
+
+    Args:
+        connection: A connection that was accepted.
+        on_director: Called once with the director that the line names.
+        on_data: Called with all bytes after the line.
+    """
+    head = b""
+
+    def on_head(data: bytes) -> None:
+        nonlocal head
+        head += data
+        line, newline, rest = head.partition(b"\n")
+        if newline:
+            connection.on_data = on_data
+            on_director(int(line[1:]))
+            if rest and not connection.is_closed:
+                on_data(rest)
+
+    connection.on_data = on_head
+
+
+class NodeServer:
+    """One node: its listener, its connections, and the faults that it shows to some directors.
+
+    Attributes:
+        failing_for: Directors that get errors.
+        slow_for: Directors for which it is slower, by `slowdown`.
+    """
+
+    def __init__(self, context: NodeContext, node: SimulatedNode, zone: str) -> None:
+        self.context = context
+        self.node = node
+        self.zone = zone
+        self.port = 0
+        self.listener: socket.socket | None = None
+        # All accepted connections are kept, also before their first line: one that outlived the
+        # node would have a command on it count as the node's crash.
+        self.sessions: dict[LoopConnection, _Session] = {}
+        self.failing_for: frozenset[int] = frozenset()
+        self.slow_for: frozenset[int] = frozenset()
+        self.slowdown = 1.0
+        self.listen()
+
+    def listen(self) -> None:
+        """Listen at the node's port; does nothing where it does so already."""
+        if self.listener is None:
+            self.listener = self.context.loop.listen("127.0.0.1", self.port, self._on_connection)
+            self.port = self.listener.getsockname()[1]
+
+    def crash(self) -> None:
+        """End the node as a process that is killed ends: its connections are reset."""
+        self.node.is_alive = False
+        if self.listener is not None:
+            self.context.loop.stop_listening(self.listener)
+            self.listener = None
+        for connection in list(self.sessions):
+            self._forget(connection)
+            connection.close(reset=True)
+        send_message(deaf=self.node.spec.name)
+
+    def restart(self) -> None:
+        """Start the node again, cold and empty."""
+        node = self.node
+        node.reset()
+        node.started_at = now_ms()
+        node.state = "SERVING"
+        node.is_alive = True
+        node.is_silent = False
+        self.listen()
+        send_message(hears=node.spec.name)
+
+    def _on_connection(self, accepted: socket.socket) -> None:
+        connection = LoopConnection(self.context.loop, accepted)
+        session = _Session(connection)
+        self.sessions[connection] = session
+
+        def on_director(director: int) -> None:
+            session.director = director
+            self._record("conn", director, self.node.spec.name, 1)
+
+        connection.on_close = lambda: self._forget(connection)
+        read_director_line(connection, on_director, lambda data: self._on_data(session, data))
+
+    def _forget(self, connection: LoopConnection) -> None:
+        session = self.sessions.pop(connection, None)
+        if session is not None and session.director is not None:
+            self._record("conn", session.director, self.node.spec.name, -1)
+
+    def _on_data(self, session: _Session, data: bytes) -> None:
+        view = memoryview(data)
+        while len(view) and not session.connection.is_closed:
+            room = session.arrays.room()
+            taken = min(len(room), len(view))
+            room[:taken] = view[:taken]
+            view = view[taken:]
+            for items in session.arrays.filled(taken):
+                self._on_command(session, [bytes(item) for item in items])
+                if session.connection.is_closed:
+                    return
+
+    def _on_command(self, session: _Session, items: list[bytes]) -> None:
+        word, command_id = items[0], items[1]
+        if word == b"KILL":
+            session.cancelled.add(command_id)
+        elif word == b"PULL":
+            self._pull(session, command_id, items[2])
+        else:
+            self._check_health(session, command_id, word)
+
+    def _check_health(self, session: _Session, command_id: bytes, word: bytes) -> None:
+        now = now_ms()
+        self._record("probe", session.director, self.node.spec.name, word.decode(), at=now)
+        if self.node.is_silent:
+            return
+        report = self._load_report(now) if word == b"METER" else b"-"
+        self._answer(session, command_id, (b"FIT", report), now + ANSWER_DELAY_MS)
+
+    def _load_report(self, now: float) -> bytes:
+        node = self.node
+        capacity = max(1.0, node.spec.capacity * node.capacity_fraction(now))
+        utilization = min(1.0, node.window_load / capacity)
+        return b"rep=util:%.2f;inflight:%d" % (utilization, len(node.fills_in_progress))
+
+    def _pull(self, session: _Session, command_id: bytes, encoded_fields: bytes) -> None:
+        now = now_ms()
+        fields = decode_fields(encoded_fields)
+        fields.setdefault("dedupe", "mark-" + command_id.decode())
+        if session.director in self.failing_for:
+            self._record_attempt(session, fields, command_id, Reply((b"BROKE", b"-"), None), now)
+            items = (b"BROKE", b"-", b"")
+            self._answer(session, command_id, items, now + ANSWER_DELAY_MS)
+            return
+        fleet = self.context.fleet
+        stale_answers = fleet.stale_answers
+        reply = fleet.handle_pull(self.node.spec.name, fields)
+        is_outdated = self.context.is_outdated(session.director, fields, reply.items[1], now)
+        fleet.stale_answers = stale_answers  # counted by director, from when each was notified
+        self._record_attempt(session, fields, command_id, reply, now, is_outdated)
+        if not self.node.is_alive:
+            self._record("fell", self.node.spec.name, at=now)
+            self.crash()
+            return
+        self._crash_overloaded_source(fields.get("miss", ""), now)
+        if reply.due_at is not None:
+            due_at = reply.due_at
+            if session.director in self.slow_for:
+                due_at = now + (due_at - now) * self.slowdown
+            self._answer(session, command_id, reply.items, due_at)
+
+    def _crash_overloaded_source(self, name: str, now: float) -> None:
+        source = self.context.servers.get(name)
+        if source is not None and not source.node.is_alive and source.listener is not None:
+            self._record("fell", source.node.spec.name, at=now)
+            source.crash()
+
+    def _record_attempt(
+        self,
+        session: _Session,
+        fields: dict[str, str],
+        command_id: bytes,
+        reply: Reply,
+        now: float,
+        is_outdated: bool = False,
+    ) -> None:
+        self._record(
+            "attempt",
+            session.director,
+            self.node.spec.name,
+            fields.get("lane", ""),
+            fields.get("name", ""),
+            fields.get("miss", ""),
+            fields.get("f", ""),
+            reply.items[0].decode(),
+            decode_fields(reply.items[1]).get("why", ""),
+            int(is_outdated),
+            command_id.decode(),
+            at=now,
+        )
+
+    def _record(self, record_type: str, *values: object, at: float | None = None) -> None:
+        self.context.records.add(record_type, now_ms() if at is None else at, *values)
+
+    def _answer(
+        self, session: _Session, command_id: bytes, items: tuple[bytes, ...], due_at: float
+    ) -> None:
+        def send() -> None:
+            node = self.node
+            if command_id not in session.cancelled and not node.is_silent and node.is_alive:
+                session.connection.write(resp.command(command_id, *items))
+
+        if due_at <= now_ms():
+            send()
+        else:
+            self.context.loop.call_at(due_at, send)
+
+
+def schedule_purge(
+    call_at: Callable[[float, Callable[[], None]], None],
+    nodes: list[SimulatedNode],
+    object_id: str,
+    now: float,
+    draw: random.Random,
+) -> None:
+    """Remove copies of an object older than `now` from the nodes, each at a random time.
+
+    Args:
+        call_at: Schedules a function at a time in ms.
+        nodes: The nodes, in the order of the draws.
+        object_id: The object.
+        now: When it is purged.
+        draw: Source of randomness.
+    """
+    copy_key = (object_id, "0")
+    for node in nodes:
+
+        def drop(node: SimulatedNode = node) -> None:
+            if node.copies.get(copy_key, now) < now:
+                node.copies.pop(copy_key, None)
+
+        call_at(now + draw.uniform(*PURGE_DELAY_MS), drop)
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -1,6 +1,9 @@
-"""The program with a wall clock that a signal steps: `python -m mulleinrelay.lab.fleet.stepped MS
-serve ...` is `python -m mulleinrelay serve ...` whose `time.time` is MS later from each SIGUSR1 on.
-Only the lab starts it, for the directors that a fault `clock` meets.
+"""The program with a wall clock that a signal steps.
+
+`python -m mulleinrelay.lab.fleet.stepped MS serve ...` is `python -m mulleinrelay serve ...` whose
+`time.time` is MS later from each SIGUSR1 on. Only the lab starts it, for the directors that a fault
+`clock` meets. The module keeps this name because the lab also starts it in earlier versions of the
+program, which it compares.
 """
 
 import signal
@@ -9,22 +12,27 @@
 import time
 
 
-def step_on_signal(by: float) -> None:
-    """Before any thread starts: SIGUSR1 is left to one that waits for it. `by`: seconds."""
-    real, stepped = time.time, [0.0]
-    time.time = lambda: real() + stepped[0]
+def step_on_signal(step_s: float) -> None:
+    """Replace `time.time`; each SIGUSR1 steps it by `step_s` seconds.
+
+    To be called before any other thread starts, as these must inherit the blocked signal.
+    """
+    real_time = time.time
+    offset_s = [0.0]
+    time.time = lambda: real_time() + offset_s[0]
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
 
-    def wait() -> None:
+    def wait_for_signals() -> None:
         while signal.sigwait([signal.SIGUSR1]):
-            stepped[0] += by
+            offset_s[0] += step_s
 
-    threading.Thread(target=wait, name="step", daemon=True).start()
+    threading.Thread(target=wait_for_signals, name="step", daemon=True).start()
 
 
 def main() -> None:
+    """Take the step from the first argument, and run the program with the others."""
     step_on_signal(float(sys.argv.pop(1)) / 1000.0)
-    from ...cli import main as program
+    from ...cli import main as program  # after the clock is replaced
 
     program(prog_name="mulleinrelay")
 
--- a/mulleinrelay/lab/play.py
+++ b/mulleinrelay/lab/runner.py
@@ -21,8 +21,8 @@
 from ..standins.load_generator import LoadGenerator
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from ..standins.nodes import NodeFleet, NodeSpec, SimulatedNode
-from .scenario import Deed, Scenario
-from .start import settings
+from .director_settings import platform_settings
+from .scenario import Scenario, ScenarioStep
 
 READY_WITHIN = 15.0  # s
 MEMORY_MB, SOCKETS = 128, 1024
@@ -34,7 +34,7 @@
         return probe.getsockname()[1]
 
 
-def fleet_of(scenario: Scenario) -> NodeFleet:
+def build_node_fleet(scenario: Scenario) -> NodeFleet:
     specs = [
         NodeSpec(
             name,
@@ -43,9 +43,9 @@
             scenario.capacity,
             scenario.fill_cost,
             scenario.hit_delay,
-            initial_fraction=scenario.cold_from,
-            slow_start_duration=scenario.cold_for,
-            crashes_on_overload=scenario.falls,
+            initial_fraction=scenario.initial_fraction,
+            slow_start_duration=scenario.slow_start_duration,
+            crashes_on_overload=scenario.crashes_on_overload,
         )
         for name in scenario.caches
     ]
@@ -57,7 +57,7 @@
             10.0 * scenario.capacity,
             1.0,
             scenario.fill_delay,
-            max_copies=scenario.parent_holds,
+            max_copies=scenario.parent_max_copies,
         )
         for place in range(1, scenario.parents + 1)
     ]
@@ -73,25 +73,25 @@
     def __init__(
         self, name: str, folder: str, whole: dict[str, Any], own: str | None, managed: bool
     ) -> None:
-        self.name, self.address, self.managed = name, ("127.0.0.1", free_port()), ""
+        self.name, self.address, self.gnmi_address = name, ("127.0.0.1", free_port()), ""
         path = os.path.join(folder, f"{name}.json")
         with open(path, "w", encoding="utf-8") as file:
             json.dump(whole | {"name": name, "listen": f"127.0.0.1:{self.address[1]}"}, file)
         self.command = [sys.executable, "-m", "mulleinrelay", "serve", "--config", path]
         self.command += ["--cells", own] if own else []
         if managed:
-            self.managed = f"127.0.0.1:{free_port()}"
+            self.gnmi_address = f"127.0.0.1:{free_port()}"
             file_name = os.path.join(folder, f"{name}-management.ini")
             with open(file_name, "w", encoding="utf-8") as file:
                 file.write(
-                    f"[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = {self.managed}\n"
+                    f"[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = {self.gnmi_address}\n"
                     f"state_dir = state-{name}\n"
                 )
             self.command += ["--management", file_name]
         self.log_path = os.path.join(folder, f"{name}.log")
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.log = open(self.log_path, "ab")  # closed with the process
         here = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
         environment = os.environ | {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": here}
@@ -101,7 +101,7 @@
             self.command, stderr=self.log, stdout=self.log, env=environment
         )
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         try:
             socket.create_connection(self.address, timeout=0.2).close()
             return True
@@ -121,7 +121,7 @@
         except OSError:
             return 0.0
 
-    def end(self) -> None:
+    def stop(self) -> None:
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -144,9 +144,9 @@
         )
         self.folder = folder or self.kept.name
         self.assignment = os.path.join(self.folder, "assignment.ini")
-        self.fleet = fleet_of(scenario)
+        self.fleet = build_node_fleet(scenario)
         self.directors: list[Director] = []
-        self.terminals: list[LoadGenerator] = []
+        self.load_generators: list[LoadGenerator] = []
         self.deeds_done: list[dict[str, Any]] = []
         self.began = 0.0
 
@@ -155,7 +155,7 @@
         live: Callable[["Lab", float], None] | None = None,
         before: Callable[["Lab"], None] | None = None,
     ) -> dict[str, Any]:
-        self.world = LoopbackEnvironment(self.fleet)
+        self.environment = LoopbackEnvironment(self.fleet)
         try:
             self._start_directors()
             self._start_load()
@@ -166,26 +166,26 @@
             deeds.start()
             while (since := (now_ms() - self.began) / 1000.0) < self.scenario.seconds:
                 time.sleep(min(0.5, max(0.01, self.scenario.seconds - since)))
-                for terminals in self.terminals:
+                for terminals in self.load_generators:
                     terminals.expire_unanswered()
                 if live is not None:
                     live(self, since)
-            for terminals in self.terminals:
+            for terminals in self.load_generators:
                 terminals.stop()
-            time.sleep(max(demand.patience for demand in self.scenario.demands) / 1000.0 + 0.1)
-            for terminals in self.terminals:
+            time.sleep(max(demand.patience for demand in self.scenario.loads) / 1000.0 + 0.1)
+            for terminals in self.load_generators:
                 terminals.expire_unanswered()
             used = [
                 director.cpu() - first for director, first in zip(self.directors, cpu, strict=True)
             ]
             return self.summary(sum(used))
         finally:
-            for terminals in self.terminals:
+            for terminals in self.load_generators:
                 terminals.stopped.set()
                 terminals.close()
             for director in self.directors:
-                director.end()
-            self.world.close()
+                director.stop()
+            self.environment.close()
             if self.kept is not None:
                 self.kept.cleanup()
 
@@ -193,15 +193,15 @@
         scenario, own = self.scenario, None
         if scenario.cells:
             with open(self.assignment, "w", encoding="utf-8") as file:
-                file.write(write(scenario.charter))
+                file.write(write(scenario.assignment))
             own = os.path.join(self.folder, "cells.ini")
             with open(own, "w", encoding="utf-8") as file:
                 file.write(
                     "[cells]\nenabled = yes\nassignment = assignment.ini\nread_every_ms = 100\n"
-                    f"records = records\n[director]\nopen_most = {scenario.open_most}\n"
+                    f"records = records\n[director]\nopen_most = {scenario.max_open_requests}\n"
                     f"rate = {scenario.rate}\n"
                 )
-        host, port = self.world.stream.address
+        host, port = self.environment.stream.address
         for place in range(scenario.directors):
             whole = {
                 "seed": f"{scenario.seed + place:x}",
@@ -209,14 +209,16 @@
                 "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
                 "known": {
                     "offset": 1,
-                    "batch": [json.loads(self.world.stream.events[0].partition(b"data: ")[2])],
+                    "batch": [
+                        json.loads(self.environment.stream.events[0].partition(b"data: ")[2])
+                    ],
                 },
-                "settings": settings(
+                "settings": platform_settings(
                     ["hub", "edge"],
                     1,
                     [0, scenario.directors],
-                    scenario.cold_from,
-                    scenario.cold_for,
+                    scenario.initial_fraction,
+                    scenario.slow_start_duration,
                 ),
             }
             self.directors.append(
@@ -224,15 +226,15 @@
             )
         self._wait_ready()
 
-    def again(self, director: Director) -> None:
+    def restart(self, director: Director) -> None:
         """Starts one that has ended once more, as it was."""
         director.log.close()
-        director.begin()
+        director.start()
         self._wait_ready()
 
     def _wait_ready(self) -> None:
         end = time.monotonic() + READY_WITHIN
-        while not all([director.ready() for director in self.directors]):
+        while not all([director.is_ready() for director in self.directors]):
             if time.monotonic() > end:
                 raise RuntimeError(f"a director was not ready within {READY_WITHIN:.0f} s")
             time.sleep(0.02)
@@ -240,17 +242,17 @@
     def _start_load(self) -> None:
         self.began = now_ms() + 200.0
         addresses = [director.address for director in self.directors]
-        self.terminals = [
+        self.load_generators = [
             LoadGenerator(demand, addresses, self.scenario.seed, self.began)
-            for demand in self.scenario.demands
+            for demand in self.scenario.loads
         ]
-        for terminals in self.terminals:
+        for terminals in self.load_generators:
             terminals.start()
 
     # Deeds
 
     def _do(self) -> None:
-        for deed in self.scenario.deeds:
+        for deed in self.scenario.steps:
             wait = self.began + deed.at * 1000.0 - now_ms()
             if wait > 0.0:
                 time.sleep(wait / 1000.0)
@@ -268,7 +270,7 @@
                 }
             )
 
-    def _deed(self, deed: Deed) -> None:
+    def _deed(self, deed: ScenarioStep) -> None:
         if deed.what == "move":
             spans = edits.Spans(deed.warm, deed.shift, deed.drain)
             self.change(
@@ -281,7 +283,7 @@
         elif deed.what == "cut":
             self.change(lambda old: cut_over(old, deed.tenants, deed.target))
         else:
-            self.world.inject_fault(deed.what, deed.node)
+            self.environment.inject_fault(deed.what, deed.node)
 
     def change(self, make: Callable[[Assignment], Assignment]) -> Assignment:
         with store.sole_writer(self.assignment):
@@ -293,7 +295,7 @@
     def summary(self, cpu: float) -> dict[str, Any]:
         fleet, seconds = self.fleet, self.scenario.seconds
         tenants = {}
-        for terminals in self.terminals:
+        for terminals in self.load_generators:
             counts = terminals.result.counts
             tenants[terminals.load.tenant] = {
                 "share": round(terminals.served_fraction(0.0, seconds), 4),
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Deed:
+class ScenarioStep:
     """Something that happens at its second: a fault of a node, or a change of the assignment."""
 
     name: str
@@ -44,18 +44,18 @@
     fill_delay: float
     origin_delay: float
     origin_capacity: float
-    cold_from: float
-    cold_for: float
-    falls: bool
-    parent_holds: int
-    open_most: int
+    initial_fraction: float
+    slow_start_duration: float
+    crashes_on_overload: bool
+    parent_max_copies: int
+    max_open_requests: int
     rate: float
-    charter: Assignment
-    demands: list[TenantLoad] = field(default_factory=list)
-    deeds: list[Deed] = field(default_factory=list)
+    assignment: Assignment
+    loads: list[TenantLoad] = field(default_factory=list)
+    steps: list[ScenarioStep] = field(default_factory=list)
 
 
-def read_scenario(text: str) -> Scenario:
+def parse_scenario(text: str) -> Scenario:
     """Raises ConfigError, whose text names the key."""
     found = parse_sections(text)
     lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OURS)
@@ -103,15 +103,15 @@
         fill_delay=fleet.number("fill_ms", 10.0),
         origin_delay=fleet.number("origin_ms", 30.0),
         origin_capacity=fleet.number("origin_capacity", 2_000.0),
-        cold_from=fleet.number("cold_from", 1.0, 1.0),
-        cold_for=fleet.number("cold_ms", 0.0),
-        falls=fleet.flag("falls", False),
-        parent_holds=fleet.integer("parent_holds", 0),
-        open_most=director.integer("open_most", 0),
+        initial_fraction=fleet.number("cold_from", 1.0, 1.0),
+        slow_start_duration=fleet.number("cold_ms", 0.0),
+        crashes_on_overload=fleet.flag("falls", False),
+        parent_max_copies=fleet.integer("parent_holds", 0),
+        max_open_requests=director.integer("open_most", 0),
         rate=director.number("rate", 0.0),
-        charter=charter,
-        demands=demands,
-        deeds=sorted(deeds, key=lambda deed: deed.at),
+        assignment=charter,
+        loads=demands,
+        steps=sorted(deeds, key=lambda deed: deed.at),
     )
     for keys in (lab, fleet, director):
         keys.reject_unknown_keys()
@@ -150,9 +150,9 @@
     )
 
 
-def _deed(keys: IniSection, name: str) -> Deed:
+def _deed(keys: IniSection, name: str) -> ScenarioStep:
     what = keys.choice("what", DEEDS, "")
-    deed = Deed(name, keys.number("at"), what)
+    deed = ScenarioStep(name, keys.number("at"), what)
     if what in FAULTS:
         deed.node = keys.text("node")
     elif what == "abort":
--- a/mulleinrelay/model/world.py
+++ b/mulleinrelay/model/world.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from ..config.platform import JsonSection, parse_service_settings
+from ..lab.director_settings import fleet_platform_settings
 from ..lab.fleet.audit import Audit
-from ..lab.fleet.hosts import fields_of, fleet_of
 from ..lab.fleet.load import (
     DEFAULT_RETRY_DELAY,
     LocationLoad,
@@ -21,6 +21,7 @@
     can_retry_after_disconnect,
 )
 from ..lab.fleet.network_rules import DOWN, UP, ActiveRules, StreamState, rule_for
+from ..lab.fleet.node_server import build_node_fleet
 from ..lab.fleet.observations import (
     AttemptRecord,
     DirectorRecord,
@@ -34,11 +35,11 @@
     RequestRecord,
 )
 from ..lab.fleet.scenario import NODE_FAULTS, PATH_FAULTS, FleetScenario, ScenarioStep
-from ..lab.start import settings_at
 from ..net.upstream_connections import ECHO_WAIT
 from ..policy.connection_reuse import QUIET
 from ..policy.model import Attempt, Outcome
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
+from ..standins.node_protocol import decode_fields
 from .clock import Clock
 from .directors import Modelled
 
@@ -63,7 +64,7 @@
         self.scenario, self.clock = scenario, Clock()
         self.began = self.clock.now + 500.0
         self.random = random.Random(f"{scenario.seed}-model")
-        self.fleet = fleet_of(scenario)
+        self.fleet = build_node_fleet(scenario)
         self.fleet.clock = self.clock
         self.sites = {site.name: site for site in scenario.node_sites()}
         self.heard = Observations(self.began, scenario.seconds)
@@ -84,7 +85,7 @@
         self.zone_of = {place: at for at, place in enumerate(self.places)}
         self.kinds = {CACHE: 0, PARENT: 1, ORIGIN: 2}
         self.terms = {
-            place: parse_service_settings(JsonSection(settings_at(scenario, place), ""))
+            place: parse_service_settings(JsonSection(fleet_platform_settings(scenario, place), ""))
             for place in scenario.locations
         }
         self.demands = {place: LocationLoad(scenario, place) for place in scenario.locations}
@@ -265,7 +266,7 @@
             reply = self.fleet.handle_pull(name, fields)
             words, due = reply.items, reply.due_at
             old = self.too_old(number, fields, words[1], now)
-        held = fields_of(words[1])
+        held = decode_fields(words[1])
         self.heard.attempts.append(
             AttemptRecord(
                 self.since(),
@@ -312,7 +313,7 @@
         """Whether the answer is an older copy than a purge that this director was told over a
         second ago.
         """
-        key, issued = fields.get("name", ""), fields_of(said).get("issued")
+        key, issued = fields.get("name", ""), decode_fields(said).get("issued")
         told = self.told.get((director, key))
         return (
             told is not None
--- a/tests/cells/test_hard_cases.py
+++ b/tests/cells/test_hard_cases.py
@@ -11,8 +11,8 @@
 from mulleinrelay.cells.parser import write
 from mulleinrelay.cells.service import CellService
 from mulleinrelay.errors import ConfigError
-from mulleinrelay.lab.play import Lab
-from mulleinrelay.lab.scenario import read_scenario
+from mulleinrelay.lab.runner import Lab
+from mulleinrelay.lab.scenario import parse_scenario
 from mulleinrelay.process import make
 
 SERVED, REJECTED, FAILED = 0, 1, 2
@@ -230,7 +230,7 @@
 
 
 def test_a_small_lab_counts_each_answer_once():
-    found = Lab(read_scenario(LAB)).run()
+    found = Lab(parse_scenario(LAB)).run()
     assert [deed["wrong"] for deed in found["deeds"]] == ["", ""]
     assert (
         found["orders_run_twice"] == found["total"]["answers_twice"] == found["total"]["bad"] == 0
@@ -252,7 +252,7 @@
 )
 def test_a_faulty_scenario_names_its_key(change, told):
     with pytest.raises(ConfigError) as fault:
-        read_scenario(LAB.replace(*change, 1))
+        parse_scenario(LAB.replace(*change, 1))
     assert str(fault.value).startswith(told)
 
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""A relay as a process, with real sockets on both sides."""
+"""A fault proxy as a process, with real sockets on both sides."""
 
 import socket
 import threading
@@ -7,13 +7,13 @@
 import pytest
 
 from mulleinrelay.lab.fleet import addresses
-from mulleinrelay.lab.fleet.channel import Helper
+from mulleinrelay.lab.fleet.control_channel import LabProcess
 from mulleinrelay.lab.fleet.network_rules import NetworkRule, encode_rule
 
 DATAGRAMS = 7461
 
 
-class Echo:
+class EchoServer:
     """A target that says back what it hears, and keeps the line that names the director."""
 
     def __init__(self):
@@ -42,11 +42,11 @@
         connection.close()
 
 
-class Relayed:
+class ProxySetup:
     def __init__(self, tmp_path):
-        self.echo, self.rules = Echo(), 0
-        self.helper = Helper(
-            "relay",
+        self.echo, self.rules = EchoServer(), 0
+        self.process = LabProcess(
+            "fault_proxy",
             str(tmp_path / "relay.log"),
             {
                 "seed": "1",
@@ -57,15 +57,15 @@
                 "datagram_port": DATAGRAMS,
             },
         )
-        self.port = self.helper.hear()["ports"]["c-1"]
+        self.port = self.process.receive()["ports"]["c-1"]
 
     def rule(self, rule):
         self.rules += 1
-        self.helper.tell({"rule": self.rules, "held": encode_rule(rule)})
+        self.process.send({"rule": self.rules, "held": encode_rule(rule)})
         time.sleep(0.1)
 
     def lift(self):
-        self.helper.tell({"lift": self.rules})
+        self.process.send({"lift": self.rules})
 
     def connect(self, director=1):
         made = socket.create_connection((addresses.far(director), self.port), timeout=2.0)
@@ -74,14 +74,14 @@
 
 
 @pytest.fixture
-def relayed(tmp_path):
-    made = Relayed(tmp_path)
+def setup(tmp_path):
+    made = ProxySetup(tmp_path)
     yield made
-    made.helper.end()
+    made.process.stop()
     made.echo.listener.close()
 
 
-def said(connection, text):
+def exchange(connection, text):
     """What comes back: the text, nothing within 0.4 s, or the connection's end."""
     try:
         connection.sendall(text)
@@ -92,58 +92,59 @@
         return b""
 
 
-def test_bytes_pass_and_the_target_learns_who_has_come(relayed):
+def test_bytes_pass_and_the_target_learns_the_director(setup):
     assert (
-        said(relayed.connect(1), b"one") == b"one" and said(relayed.connect(300), b"two") == b"two"
+        exchange(setup.connect(1), b"one") == b"one"
+        and exchange(setup.connect(300), b"two") == b"two"
     )
-    assert sorted(relayed.echo.named) == [b"@1\n", b"@300\n"]
+    assert sorted(setup.echo.named) == [b"@1\n", b"@300\n"]
 
 
 @pytest.mark.parametrize("way, heard", [("both", []), ("up", []), ("down", [b"lost"])])
-def test_what_a_cut_holds_comes_once_it_is_over(relayed, way, heard):
-    mine, other = relayed.connect(1), relayed.connect(2)
-    assert said(mine, b"a") == b"a"
-    relayed.rule(NetworkRule(("cache",), frozenset({1}), direction=way, is_cut=True))
-    assert said(mine, b"lost") is None and said(other, b"b") == b"b"
-    assert [piece for piece in relayed.echo.heard if piece == b"lost"] == heard
-    assert said(relayed.connect(1), b"new") is None
-    relayed.lift()
+def test_bytes_held_by_a_cut_arrive_after_it(setup, way, heard):
+    mine, other = setup.connect(1), setup.connect(2)
+    assert exchange(mine, b"a") == b"a"
+    setup.rule(NetworkRule(("cache",), frozenset({1}), direction=way, is_cut=True))
+    assert exchange(mine, b"lost") is None and exchange(other, b"b") == b"b"
+    assert [piece for piece in setup.echo.heard if piece == b"lost"] == heard
+    assert exchange(setup.connect(1), b"new") is None
+    setup.lift()
     assert mine.recv(100) == b"lost"
 
 
-def test_a_cut_with_resets_ends_connections_and_meets_new_ones(relayed):
-    mine, other = relayed.connect(1), relayed.connect(2)
-    assert said(mine, b"a") == b"a" and said(other, b"b") == b"b"
-    relayed.rule(NetworkRule(("cache",), frozenset({1}), is_reset=True))
+def test_a_reset_rule_ends_connections_and_rejects_new_ones(setup):
+    mine, other = setup.connect(1), setup.connect(2)
+    assert exchange(mine, b"a") == b"a" and exchange(other, b"b") == b"b"
+    setup.rule(NetworkRule(("cache",), frozenset({1}), is_reset=True))
     assert (
-        said(mine, b"x") == b""
-        and said(relayed.connect(1), b"y") == b""
-        and said(other, b"z") == b"z"
+        exchange(mine, b"x") == b""
+        and exchange(setup.connect(1), b"y") == b""
+        and exchange(other, b"z") == b"z"
     )
-    relayed.lift()
+    setup.lift()
     time.sleep(0.1)
-    assert said(relayed.connect(1), b"w") == b"w"
+    assert exchange(setup.connect(1), b"w") == b"w"
 
 
-def test_a_target_that_died_refuses_connections(relayed):
-    relayed.helper.tell({"deaf": "c-1"})
+def test_a_target_that_crashed_refuses_connections(setup):
+    setup.process.send({"deaf": "c-1"})
     time.sleep(0.1)
     with pytest.raises(ConnectionRefusedError):
-        relayed.connect()
-    relayed.helper.tell({"hears": "c-1"})
+        setup.connect()
+    setup.process.send({"hears": "c-1"})
     time.sleep(0.1)
-    assert said(relayed.connect(), b"back") == b"back"
+    assert exchange(setup.connect(), b"back") == b"back"
 
 
-def test_delay_takes_its_time_both_ways(relayed):
-    mine = relayed.connect()
-    assert said(mine, b"a") == b"a"
-    relayed.rule(NetworkRule(("cache",), delay_ms=60.0))
+def test_a_delay_applies_in_both_directions(setup):
+    mine = setup.connect()
+    assert exchange(mine, b"a") == b"a"
+    setup.rule(NetworkRule(("cache",), delay_ms=60.0))
     begun = time.monotonic()
-    assert said(mine, b"b") == b"b" and time.monotonic() - begun >= 0.115
+    assert exchange(mine, b"b") == b"b" and time.monotonic() - begun >= 0.115
 
 
-def test_datagrams_pass_with_their_sender_and_meet_rules(relayed):
+def test_datagrams_keep_their_sender_and_follow_rules(setup):
     gates = {}
     for director in (1, 2):
         gates[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -154,7 +155,7 @@
         assert gates[2].recvfrom(100) == (b"hail", (addresses.peer(1), DATAGRAMS))
         gates[2].sendto(b"well", (addresses.peer(1), DATAGRAMS))
         assert gates[1].recvfrom(100) == (b"well", (addresses.peer(2), DATAGRAMS))
-        relayed.rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
+        setup.rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
         gates[1].sendto(b"lost", (addresses.peer(2), DATAGRAMS))
         gates[2].sendto(b"comes", (addresses.peer(1), DATAGRAMS))
         assert gates[1].recv(100) == b"comes"
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -13,7 +13,7 @@
 
 from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.observations import read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -6,9 +6,9 @@
 import pytest
 
 from mulleinrelay.lab.fleet.audit import Audit
-from mulleinrelay.lab.fleet.channel import ROOT
+from mulleinrelay.lab.fleet.control_channel import ROOT
 from mulleinrelay.lab.fleet.observations import read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 SMALL = """
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -13,7 +13,7 @@
 
 from mulleinrelay.lab.fleet.audit import Audit
 from mulleinrelay.lab.fleet.observations import read_observations
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.records import read_logs, read_states
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -13,7 +13,7 @@
 from mulleinrelay.cells.parser import write as write_assignment
 from mulleinrelay.cli import main
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.lab.scenario import read_scenario
+from mulleinrelay.lab.scenario import parse_scenario
 from mulleinrelay.management.assignment_mapping import charter_from, charter_tree
 from mulleinrelay.management.config import load_management_config
 from mulleinrelay.management.datastore_file import DatastoreFile
@@ -32,7 +32,8 @@
 FLEET_KEYS = "enabled name=fleet location members_most"
 LAB_KEYS = "seconds directors seed cells management"
 LAB_FLEET_KEYS = """caches parents capacity fill_cost hit_ms=hit_delay fill_ms=fill_delay
-    origin_ms=origin_delay origin_capacity cold_from cold_ms=cold_for falls parent_holds"""
+    origin_ms=origin_delay origin_capacity cold_from=initial_fraction cold_ms=slow_start_duration
+    falls=crashes_on_overload parent_holds=parent_max_copies"""
 LAB_LOAD_KEYS = """rate objects=object_count orders=order_fraction skew patience_ms=patience
     tries=max_tries connections=connections_per_director"""
 BURST_KEYS = ("burst_at", "burst_until", "burst_rate")
@@ -274,14 +275,14 @@
 def lab_file(path: str) -> dict[str, Any]:
     """A scenario of tenants, as `lab` reads it."""
     with open(path, encoding="utf-8") as file:
-        held = read_scenario(file.read())
+        held = parse_scenario(file.read())
     return {
         "lab": named(held, LAB_KEYS),
         "fleet": named(held, LAB_FLEET_KEYS),
-        "director": named(held, "open_most rate"),
-        "assignment": charter_tree(held.charter),
-        "load": {one.tenant: lab_load(one) for one in held.demands},
-        "deeds": [one.name for one in held.deeds],
+        "director": named(held, "open_most=max_open_requests rate"),
+        "assignment": charter_tree(held.assignment),
+        "load": {one.tenant: lab_load(one) for one in held.loads},
+        "deeds": [one.name for one in held.steps],
     }
 
 
