--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -167,7 +167,7 @@
         from mulleinrelay.standins.environment import LoopbackEnvironment
 
         lab.environment = LoopbackEnvironment(lab.fleet)
-        lab._start_directors()
+        lab.start_directors()
         for turn in range(count):
             director = lab.directors[-1]
             target, number = GnmiTarget(director.gnmi_address, Access()), turn * 100
@@ -242,7 +242,7 @@
             }
             for number in range(2_000)
         ]
-        lab._start_directors()
+        lab.start_directors()
         lab.environment.stream.publish({"topology": {"version": 9, "full": False, "servers": rows}})
         target, took = GnmiTarget(lab.directors[0].gnmi_address, Access(seconds=60.0)), []
         time.sleep(1.0)
@@ -299,7 +299,7 @@
         from mulleinrelay.standins.environment import LoopbackEnvironment
 
         lab.environment = LoopbackEnvironment(lab.fleet)
-        lab._start_directors()
+        lab.start_directors()
         time.sleep(0.5)
         with open(f"/proc/{lab.directors[0].process.pid}/status", encoding="ascii") as file:
             found = next(int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS"))
--- a/mulleinrelay/lab/__init__.py
+++ b/mulleinrelay/lab/__init__.py
@@ -1,3 +1,4 @@
-"""A lab on loopback: stand-ins, directors as processes, load and faults by a script; nothing of it
-serves.
+"""A lab on loopback: stand-ins, directors as processes, load, and faults by a scenario.
+
+Nothing of it serves.
 """
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -1,6 +1,9 @@
-"""`mulleinrelay lab`: plays a scenario on loopback and says what it came to."""
+"""`mulleinrelay lab`: plays a scenario on loopback and prints the figures."""
 
+import os
 import sys
+from dataclasses import dataclass
+from typing import Any, NoReturn
 
 import click
 import orjson
@@ -9,19 +12,52 @@
 from .runner import Lab
 from .scenario import parse_scenario
 
+EXIT_NOT_PLAYED = 1
+EXIT_WRONG_SCENARIO = 2
+FLEET_SECTION = "[fleet lab]"
 
-def live(lab: Lab, since: float) -> None:
-    shares = " ".join(
-        f"{one.load.tenant} {one.served_fraction(max(0.0, since - 3.0), since - 1.0):.2f}"
-        for one in lab.load_generators
+Figures = dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class LabOptions:
+    """The command's options; see its help."""
+
+    as_json: bool
+    quiet: bool
+    keep: str | None
+    directors: int | None
+    plot: str | None
+    model: bool
+
+    @property
+    def shows_progress(self) -> bool:
+        """Whether live figures are written to standard error."""
+        return not self.quiet and not self.as_json
+
+    @property
+    def is_for_fleets(self) -> bool:
+        """Whether an option is given that goes with fleet scenarios only."""
+        return self.directors is not None or self.plot is not None or self.model
+
+
+def show_progress(lab: Lab, since_start_s: float) -> None:
+    """Write the live figures of a lab of tenants."""
+    first = max(0.0, since_start_s - 3.0)
+    fractions = " ".join(
+        f"{generator.load.tenant} {generator.served_fraction(first, since_start_s - 1.0):.2f}"
+        for generator in lab.load_generators
+    )
+    busiest = max(lab.fleet.nodes.values(), key=lambda node: node.window_load)
+    sys.stderr.write(
+        f"\r{since_start_s:6.1f} s  served: {fractions}  busiest {busiest.spec.name}   "
     )
-    busy = max(lab.fleet.nodes.values(), key=lambda node: node.window_load)
-    sys.stderr.write(f"\r{since:6.1f} s  served: {shares}  busiest {busy.spec.name}   ")
     sys.stderr.flush()
 
 
-def watch(since: float, asked: int, served: int) -> None:
-    sys.stderr.write(f"\r{since:6.1f} s  asked {asked}  served {served}   ")
+def show_fleet_progress(since_start_s: float, asked: int, served: int) -> None:
+    """Write the live figures of a fleet lab."""
+    sys.stderr.write(f"\r{since_start_s:6.1f} s  asked {asked}  served {served}   ")
     sys.stderr.flush()
 
 
@@ -52,109 +88,116 @@
     processes. All servers and clients are stand-ins of ours: figures tell of directors before these
     alone. Exit codes: 0 played, 1 it could not be, 2 the scenario is wrong.
     """
+    options = LabOptions(as_json, quiet, keep, directors, plot, model)
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-        if "[fleet lab]" in text:
-            return play_fleet(text, as_json, quiet, keep, directors, plot, model)
-        if directors is not None or plot is not None or model:
+        if FLEET_SECTION in text:
+            play_fleet(text, options)
+            return
+        if options.is_for_fleets:
             raise click.UsageError(
                 "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
             )
         scenario = parse_scenario(text)
-    except (ConfigError, UnicodeDecodeError) as wrong:
-        click.echo(f"mulleinrelay: {path}: {wrong}", err=True)
-        sys.exit(2)
-    except OSError as wrong:
-        click.echo(f"mulleinrelay: {path}: {wrong.strerror}", err=True)
-        sys.exit(2)
+    except (ConfigError, UnicodeDecodeError) as error:
+        _exit(f"{path}: {error}", EXIT_WRONG_SCENARIO)
+    except OSError as error:
+        _exit(f"{path}: {error.strerror}", EXIT_WRONG_SCENARIO)
     if keep is not None:
-        import os
-
         os.makedirs(keep, exist_ok=True)
     try:
-        found = Lab(scenario, keep).run(None if quiet or as_json else live)
-    except RuntimeError as wrong:
-        click.echo(f"mulleinrelay: {wrong}", err=True)
-        sys.exit(1)
+        figures = Lab(scenario, keep).run(show_progress if options.shows_progress else None)
+    except RuntimeError as error:
+        _exit(str(error), EXIT_NOT_PLAYED)
     if as_json:
-        return click.echo(orjson.dumps(found))
+        click.echo(orjson.dumps(figures))
+        return
     if not quiet:
         click.echo("", err=True)
+    _print_figures(figures)
+
+
+def _print_figures(figures: Figures) -> None:
     click.echo(
-        f"{'tenant':<12} {'asked':>7} {'share':>6} {'p50 ms':>7} {'p99 ms':>7} {'rejected':>8} {'failed':>7}"
+        f"{'tenant':<12} {'asked':>7} {'share':>6} {'p50 ms':>7} {'p99 ms':>7} "
+        f"{'rejected':>8} {'failed':>7}"
     )
-    for name, tenant in found["tenants"].items():
+    for name, tenant in figures["tenants"].items():
         click.echo(
-            f"{name:<12} {tenant.get('asked', 0):>7} {tenant['share']:>6.3f} {tenant['p50_ms']:>7.1f} "
-            f"{tenant['p99_ms']:>7.1f} {tenant.get('rejected', 0):>8} {tenant.get('failed', 0):>7}"
+            f"{name:<12} {tenant.get('asked', 0):>7} {tenant['share']:>6.3f} "
+            f"{tenant['p50_ms']:>7.1f} {tenant['p99_ms']:>7.1f} "
+            f"{tenant.get('rejected', 0):>8} {tenant.get('failed', 0):>7}"
         )
-    for name, node in found["nodes"].items():
+    for name, node in figures["nodes"].items():
         click.echo(
             f"{name:<12} peak load {node['peak_load']:.2f}, hits {node.get('hits', 0)}, fills "
             f"{node.get('fills', 0)}{'' if node['alive'] else ', DEAD'}"
         )
+    total = figures["total"]
     click.echo(
-        f"origin fetches {found['origin_fetches']}, orders run {found['orders_run']}, run twice "
-        f"{found['orders_run_twice']}, no answer {found['total']['no_answer']}, answered twice "
-        f"{found['total']['answers_twice']}, stale {found['stale']}, CPU a request "
-        f"{found['cpu_ms_a_request']} ms"
+        f"origin fetches {figures['origin_fetches']}, orders run {figures['orders_run']}, run "
+        f"twice {figures['orders_run_twice']}, no answer {total['no_answer']}, answered twice "
+        f"{total['answers_twice']}, stale {figures['stale']}, CPU a request "
+        f"{figures['cpu_ms_a_request']} ms"
     )
-    for deed in found["deeds"]:
-        click.echo(f"{deed['at']:8.2f} s {deed['name']}: {deed['what']} {deed['wrong']}")
+    for step in figures["deeds"]:
+        click.echo(f"{step['at']:8.2f} s {step['name']}: {step['what']} {step['wrong']}")
 
 
-def play_fleet(
-    text: str,
-    as_json: bool,
-    quiet: bool,
-    keep: str | None,
-    directors: int | None,
-    plot: str | None,
-    model: bool,
-) -> None:
-    """Raises ConfigError, and OSError where the file can't be written."""
+def play_fleet(text: str, options: LabOptions) -> None:
+    """Play a fleet scenario and print its figures.
+
+    Raises:
+        ConfigError: The scenario is wrong.
+        OSError: A file can't be written.
+    """
     from .fleet.scenario_parser import parse_fleet_scenario
 
     scenario = parse_fleet_scenario(text)
-    if directors is not None:
-        scenario = scenario.with_directors(directors)
-    shown = None if quiet or as_json else watch
-    if model:
+    if options.directors is not None:
+        scenario = scenario.with_directors(options.directors)
+    progress = show_fleet_progress if options.shows_progress else None
+    if options.model:
         from ..model.world import play as play_model
 
-        found = play_model(scenario, shown)
-        return tell(found, as_json)
+        _print_fleet_figures(play_model(scenario, progress), options.as_json)
+        return
     from .fleet.audit import Audit
     from .fleet.observations import read_observations
     from .fleet.runner import FleetLab
 
-    playing = FleetLab(scenario, text, keep)
+    fleet_lab = FleetLab(scenario, text, options.keep)
     try:
-        audit = Audit(scenario, read_observations(playing.run(shown)))
-        if plot is not None:
+        audit = Audit(scenario, read_observations(fleet_lab.run(progress)))
+        if options.plot is not None:
             from .fleet.heatmap import draw
 
-            draw(audit, plot)
-    except RuntimeError as wrong:
-        click.echo(f"mulleinrelay: {wrong}", err=True)
-        sys.exit(1)
+            draw(audit, options.plot)
+    except RuntimeError as error:
+        _exit(str(error), EXIT_NOT_PLAYED)
     finally:
-        playing.remove_folder()
-    if shown is not None:
+        fleet_lab.remove_folder()
+    if progress is not None:
         click.echo("", err=True)
-    tell(audit.figures(), as_json)
+    _print_fleet_figures(audit.figures(), options.as_json)
 
 
-def tell(found: dict, as_json: bool) -> None:
+def _print_fleet_figures(figures: Figures, as_json: bool) -> None:
     if as_json:
-        return click.echo(orjson.dumps(found))
-    for name, value in found.items():
+        click.echo(orjson.dumps(figures))
+        return
+    for name, value in figures.items():
         if name != "faults":
             click.echo(f"{name:<24} {value}")
-    for fault in found.get("faults", ()):
+    for fault in figures.get("faults", ()):
         word = "begins" if fault["begins"] else "ends"
         met = f"{fault['directors']} directors, nodes {', '.join(fault['nodes']) or 'none'}"
         click.echo(
             f"{fault['at']:8.2f} s {fault['name']}: {fault['what']} {word}; {met} {fault['wrong']}"
         )
+
+
+def _exit(message: str, code: int) -> NoReturn:
+    click.echo(f"mulleinrelay: {message}", err=True)
+    sys.exit(code)
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -1,94 +1,134 @@
-"""The start settings that a platform would give a director of the lab."""
+"""The settings that a platform would give a director of a lab."""
 
+from dataclasses import dataclass
 from typing import Any
 
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from .fleet.scenario import FleetScenario
 
+MIN_SLOW_START_MS = 1.0  # the platform wants a positive duration
+PURGE_MS = 1000.0  # that a purge may take, in a lab of tenants
+FLEET_PURGE_MS = 6000.0  # the same in a fleet lab
 
-def platform_settings(
-    places: list[str],
-    mine: int,
-    directors_by_place: list[int],
-    cold_from: float,
-    cold_ms: float,
-    goal: float = 400.0,
-    patience: float = 3000.0,
-    effects: bool = False,
-    probes: bool = False,
-    parent_cold_ms: float | None = None,
-    flow: float = 8000.0,
-) -> dict[str, Any]:
-    """`places`: locations and hubs by name; `mine`: this director's. Request classes: pages, order,
-    and pay where `effects` is on. Times in ms; `flow`: KB a second of one transfer.
+_BASE_CLASS = {"memorySpan": 6000.0, "group": "all"}
+_ALLOWED = {
+    "cancel": True,
+    "connIdle": 30000.0,
+    "connectTimeout": 400.0,
+    "maxAttempts": 6,
+    "maxRetryAfter": 1000.0,
+    "maxStreams": 64,
+    "mayDuplicate": True,
+    "mayProbe": True,
+    "retryAfter": True,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class PlatformOptions:
+    """What differs between the settings of directors. Times in ms.
+
+    Attributes:
+        zones: Names of hubs and locations.
+        own_zone: Index of this director's.
+        directors_by_zone: Number of directors in each zone.
+        initial_fraction: Fraction of its capacity that a started node has.
+        slow_start_ms: Slow start of caches; 0: none.
+        parent_slow_start_ms: Slow start of parents; None: as caches.
+        has_unsafe_class: Whether there is a request class `pay` beside `pages` and `order`.
+        transfer_rate: KB a second of one transfer.
+        purge_ms: That a purge may take.
     """
-    case = {
-        "idempotency": "safe",
-        "slo": goal,
-        "deadline": patience,
-        "memorySpan": 6000.0,
-        "group": "all",
-    }
-    cases = [case | {"name": "pages"}, case | {"name": "order", "idempotency": "keyed"}]
-    cases += [case | {"name": "pay", "idempotency": "unsafe"}] if effects else []
-    warm_in = cold_ms or 1.0
+
+    zones: list[str]
+    own_zone: int
+    directors_by_zone: list[int]
+    initial_fraction: float
+    slow_start_ms: float
+    parent_slow_start_ms: float | None = None
+    latency_objective_ms: float = 400.0
+    patience_ms: float = 3000.0
+    has_unsafe_class: bool = False
+    polls_load_reports: bool = False
+    transfer_rate: float = 8000.0
+    purge_ms: float = PURGE_MS
+
+
+def platform_settings(options: PlatformOptions) -> dict[str, Any]:
+    """Return the settings in the platform's form."""
+    slow_start_ms = options.slow_start_ms or MIN_SLOW_START_MS
+    parent_slow_start_ms = slow_start_ms
+    if options.parent_slow_start_ms is not None:
+        parent_slow_start_ms = options.parent_slow_start_ms or MIN_SLOW_START_MS
+    classes = _request_classes(options)
+    polls = options.polls_load_reports
     return {
-        "allowed": {
-            "cancel": True,
-            "connIdle": 30000.0,
-            "connectTimeout": 400.0,
-            "maxAttempts": 6,
-            "maxRetryAfter": 1000.0,
-            "maxStreams": 64,
-            "mayDuplicate": True,
-            "mayProbe": True,
-            "retryAfter": True,
-        },
-        "azs": places,
+        "allowed": dict(_ALLOWED),
+        "azs": options.zones,
         "shapes": [CACHE, PARENT, ORIGIN],
-        "balancers": sum(directors_by_place),
-        "myZone": mine,
+        "balancers": sum(options.directors_by_zone),
+        "myZone": options.own_zone,
         "registryMode": "automatic",
         "weights": "nominal",
-        "classes": cases,
+        "classes": classes,
         "domain": {
             "collapses": True,
-            "countByZone": directors_by_place,
-            "freshFor": [0.0] * len(cases),
+            "countByZone": options.directors_by_zone,
+            "freshFor": [0.0] * len(classes),
             "mayPassBy": True,
             "midKind": 1,
-            "neverKept": [case["name"] != "pages" for case in cases],
-            "oneFlowKbPerS": flow,
-            "parentStartsAt": cold_from,
-            "parentWarmsIn": warm_in if parent_cold_ms is None else parent_cold_ms or 1.0,
+            "neverKept": [request_class["name"] != "pages" for request_class in classes],
+            "oneFlowKbPerS": options.transfer_rate,
+            "parentStartsAt": options.initial_fraction,
+            "parentWarmsIn": parent_slow_start_ms,
             "peersFill": "location",
-            "purgeTakes": 1000.0 if parent_cold_ms is None else 6000.0,
+            "purgeTakes": options.purge_ms,
             "storeKind": 2,
         },
         "report": {
-            "how": "probe" if probes else "none",
-            "columns": ["util", "inflight"] if probes else [],
+            "how": "probe" if polls else "none",
+            "columns": ["util", "inflight"] if polls else [],
         },
-        "rules": {"coldFrom": cold_from, "cold": warm_in, "overloadFor": 1000.0},
+        "rules": {
+            "coldFrom": options.initial_fraction,
+            "cold": slow_start_ms,
+            "overloadFor": 1000.0,
+        },
+    }
+
+
+def _request_classes(options: PlatformOptions) -> list[dict[str, Any]]:
+    base = {
+        "idempotency": "safe",
+        "slo": options.latency_objective_ms,
+        "deadline": options.patience_ms,
+        **_BASE_CLASS,
     }
+    classes = [base | {"name": "pages"}, base | {"name": "order", "idempotency": "keyed"}]
+    if options.has_unsafe_class:
+        classes.append(base | {"name": "pay", "idempotency": "unsafe"})
+    return classes
 
 
 def fleet_platform_settings(scenario: FleetScenario, location: str) -> dict[str, Any]:
-    """Those of a fleet's director in that location."""
-    places = scenario.zones()
-    counts = [
-        len(scenario.directors_in(place)) if place in scenario.locations else 0 for place in places
+    """Return the settings of a fleet's directors in that location."""
+    zones = scenario.zones()
+    directors_by_zone = [
+        len(scenario.directors_in(zone)) if zone in scenario.locations else 0 for zone in zones
     ]
     return platform_settings(
-        places,
-        places.index(location),
-        counts,
-        scenario.initial_fraction,
-        scenario.slow_start_ms,
-        scenario.latency_objective_ms,
-        scenario.patience_ms,
-        scenario.unsafe_fraction > 0.0,
-        scenario.polls_load_reports,
-        scenario.parent_slow_start_ms,
-        scenario.transfer_rate,
+        PlatformOptions(
+            zones=zones,
+            own_zone=zones.index(location),
+            directors_by_zone=directors_by_zone,
+            initial_fraction=scenario.initial_fraction,
+            slow_start_ms=scenario.slow_start_ms,
+            parent_slow_start_ms=scenario.parent_slow_start_ms,
+            latency_objective_ms=scenario.latency_objective_ms,
+            patience_ms=scenario.patience_ms,
+            has_unsafe_class=scenario.unsafe_fraction > 0.0,
+            polls_load_reports=scenario.polls_load_reports,
+            transfer_rate=scenario.transfer_rate,
+            purge_ms=FLEET_PURGE_MS,
+        )
     )
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: the stand-ins here, each director a process of its own."""
+"""Plays a scenario of tenants: the stand-ins in this process, each director as one of its own."""
 
 import json
 import os
@@ -21,25 +21,52 @@
 from ..standins.load_generator import LoadGenerator
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from ..standins.nodes import NodeFleet, NodeSpec, SimulatedNode
-from .director_settings import platform_settings
+from .director_process import DirectorProcess, director_environment
+from .director_settings import PlatformOptions, platform_settings
 from .scenario import Scenario, ScenarioStep
 
-READY_WITHIN = 15.0  # s
-MEMORY_MB, SOCKETS = 128, 1024
+ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+UNSET_VARIABLES = ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT")
+READY_TIMEOUT_S = 15.0
+READY_POLL_S = 0.02
+TERM_TIMEOUT_S = 8.0
+KILL_TIMEOUT_S = 2.0
+LEAD_MS = 200.0  # from all directors being ready to the first request
+PROGRESS_S = 0.5  # between two calls of `live`
+END_GRACE_S = 0.1  # beyond the longest patience, for the last answers
+MEMORY_MB = 128
+MAX_DESCRIPTORS = 1024
+LOCATION = "edge"
+HUB = "hub"
+PARENT_FACTOR = 10.0  # capacity of a parent, in caches
+TOTALS = (
+    "asked",
+    "tries",
+    "served",
+    "rejected",
+    "failed",
+    "bad",
+    "no_answer",
+    "answers_twice",
+    "answers_late",
+    "cut_off",
+)
 
 
 def free_port() -> int:
+    """Return a port that is free on loopback."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 def build_node_fleet(scenario: Scenario) -> NodeFleet:
+    """Build all nodes of the scenario, with nothing stored."""
     specs = [
         NodeSpec(
             name,
             CACHE,
-            "edge",
+            LOCATION,
             scenario.capacity,
             scenario.fill_cost,
             scenario.hit_delay,
@@ -51,103 +78,125 @@
     ]
     specs += [
         NodeSpec(
-            f"p-{place}",
+            f"p-{number}",
             PARENT,
-            "hub",
-            10.0 * scenario.capacity,
+            HUB,
+            PARENT_FACTOR * scenario.capacity,
             1.0,
             scenario.fill_delay,
             max_copies=scenario.parent_max_copies,
         )
-        for place in range(1, scenario.parents + 1)
+        for number in range(1, scenario.parents + 1)
     ]
-    specs.append(
-        NodeSpec("o-1", ORIGIN, "hub", scenario.origin_capacity, 1.0, scenario.origin_delay)
-    )
+    specs.append(NodeSpec("o-1", ORIGIN, HUB, scenario.origin_capacity, 1.0, scenario.origin_delay))
     return NodeFleet({spec.name: SimulatedNode(spec) for spec in specs}, {"order"})
 
 
-class Director:
-    """One director as a process."""
+class Director(DirectorProcess):
+    """One director of the lab; `gnmi_address` is empty where it serves no gNMI."""
 
     def __init__(
-        self, name: str, folder: str, whole: dict[str, Any], own: str | None, managed: bool
+        self,
+        name: str,
+        folder: str,
+        platform: dict[str, Any],
+        cells_file: str | None,
+        has_management: bool,
     ) -> None:
-        self.name, self.address, self.gnmi_address = name, ("127.0.0.1", free_port()), ""
-        path = os.path.join(folder, f"{name}.json")
-        with open(path, "w", encoding="utf-8") as file:
-            json.dump(whole | {"name": name, "listen": f"127.0.0.1:{self.address[1]}"}, file)
-        self.command = [sys.executable, "-m", "mulleinrelay", "serve", "--config", path]
-        self.command += ["--cells", own] if own else []
-        if managed:
+        """Write its configuration into the folder and start it.
+
+        Args:
+            name: Its name, and that of its files.
+            folder: The lab's folder.
+            platform: The platform's settings, without its name and address.
+            cells_file: The file of the section [cells]; None: it has no cells.
+            has_management: Whether it serves gNMI.
+        """
+        super().__init__(("127.0.0.1", free_port()))
+        self.name = name
+        self.gnmi_address = ""
+        config_path = os.path.join(folder, f"{name}.json")
+        with open(config_path, "w", encoding="utf-8") as file:
+            json.dump(platform | {"name": name, "listen": f"127.0.0.1:{self.address[1]}"}, file)
+        self.command = [sys.executable, "-m", "mulleinrelay", "serve", "--config", config_path]
+        if cells_file:
+            self.command += ["--cells", cells_file]
+        if has_management:
             self.gnmi_address = f"127.0.0.1:{free_port()}"
-            file_name = os.path.join(folder, f"{name}-management.ini")
-            with open(file_name, "w", encoding="utf-8") as file:
-                file.write(
-                    f"[management]\nenabled = yes\ninsecure_loopback = yes\nlisten = {self.gnmi_address}\n"
-                    f"state_dir = state-{name}\n"
-                )
-            self.command += ["--management", file_name]
+            self.command += ["--management", self._write_management_file(folder)]
         self.log_path = os.path.join(folder, f"{name}.log")
         self.start()
 
     def start(self) -> None:
-        self.log = open(self.log_path, "ab")  # closed with the process
-        here = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-        environment = os.environ | {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": here}
-        for name in ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT"):
-            environment.pop(name, None)
-        self.process = subprocess.Popen(
-            self.command, stderr=self.log, stdout=self.log, env=environment
+        """Start a process."""
+        self.log = open(self.log_path, "ab")  # noqa: SIM115 (closed with the process)
+        self.process: subprocess.Popen[bytes] = subprocess.Popen(
+            self.command,
+            stderr=self.log,
+            stdout=self.log,
+            env=director_environment(ROOT, UNSET_VARIABLES),
         )
 
     def is_ready(self) -> bool:
-        try:
-            socket.create_connection(self.address, timeout=0.2).close()
+        """Return whether it serves clients. Raises RuntimeError where it has ended."""
+        if self.accepts_connections():
             return True
-        except OSError:
-            if self.process.poll() is not None:
-                raise RuntimeError(
-                    f"a director ended with {self.process.returncode}; see {self.log.name}"
-                ) from None
-            return False
-
-    def cpu(self) -> float:
-        """Seconds of CPU so far; 0 once it has ended."""
-        try:
-            with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as file:
-                held = file.read().rpartition(")")[2].split()
-            return (int(held[11]) + int(held[12])) / os.sysconf("SC_CLK_TCK")
-        except OSError:
-            return 0.0
+        code = self.process.poll()
+        if code is not None:
+            raise RuntimeError(f"a director ended with {code}; see {self.log.name}")
+        return False
 
     def stop(self) -> None:
+        """Have it shut down gracefully; where that takes too long, it is killed."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            self.process.wait(8.0)
+            self.process.wait(TERM_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
-            self.process.wait(2.0)
+            self.process.wait(KILL_TIMEOUT_S)
         self.log.close()
 
+    def _write_management_file(self, folder: str) -> str:
+        path = os.path.join(folder, f"{self.name}-management.ini")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write(
+                "[management]\nenabled = yes\ninsecure_loopback = yes\n"
+                f"listen = {self.gnmi_address}\nstate_dir = state-{self.name}\n"
+            )
+        return path
+
 
 class Lab:
-    """One play of a scenario. `run` gives its figures; `live` is called twice a second
-    meanwhile.
+    """One play of a scenario.
+
+    Attributes:
+        assignment: Path of the assignment file that the directors share.
+        environment: The stand-ins on sockets; set by `run`, or by those who start directors alone.
+        began: Start of the load in Unix ms.
+        completed_steps: What was done, by the names of the output.
     """
 
+    environment: LoopbackEnvironment
+
     def __init__(self, scenario: Scenario, folder: str | None = None) -> None:
+        """Prepare a play.
+
+        Args:
+            scenario: What to play.
+            folder: Where configurations, logs and records are kept; None: a temporary folder.
+        """
         self.scenario = scenario
-        self.kept = (
-            tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-") if folder is None else None
-        )
-        self.folder = folder or self.kept.name
+        self.temporary: tempfile.TemporaryDirectory[str] | None = None
+        if not folder:
+            self.temporary = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-")
+            folder = self.temporary.name
+        self.folder = folder
         self.assignment = os.path.join(self.folder, "assignment.ini")
         self.fleet = build_node_fleet(scenario)
         self.directors: list[Director] = []
         self.load_generators: list[LoadGenerator] = []
-        self.deeds_done: list[dict[str, Any]] = []
+        self.completed_steps: list[dict[str, Any]] = []
         self.began = 0.0
 
     def run(
@@ -155,175 +204,84 @@
         live: Callable[["Lab", float], None] | None = None,
         before: Callable[["Lab"], None] | None = None,
     ) -> dict[str, Any]:
+        """Play, and return the figures.
+
+        Args:
+            live: Called twice a second with the lab and the seconds since the start.
+            before: Called when the load has started.
+
+        Raises:
+            RuntimeError: A director was not ready in time.
+        """
         self.environment = LoopbackEnvironment(self.fleet)
         try:
-            self._start_directors()
+            self.start_directors()
             self._start_load()
             if before is not None:
                 before(self)
-            cpu = [director.cpu() for director in self.directors]
-            deeds = threading.Thread(target=self._do, daemon=True)
-            deeds.start()
-            while (since := (now_ms() - self.began) / 1000.0) < self.scenario.seconds:
-                time.sleep(min(0.5, max(0.01, self.scenario.seconds - since)))
-                for terminals in self.load_generators:
-                    terminals.expire_unanswered()
-                if live is not None:
-                    live(self, since)
-            for terminals in self.load_generators:
-                terminals.stop()
-            time.sleep(max(demand.patience for demand in self.scenario.loads) / 1000.0 + 0.1)
-            for terminals in self.load_generators:
-                terminals.expire_unanswered()
-            used = [
-                director.cpu() - first for director, first in zip(self.directors, cpu, strict=True)
-            ]
-            return self.summary(sum(used))
+            cpu_before = [director.usage().cpu_s for director in self.directors]
+            threading.Thread(target=self._run_steps, name="steps", daemon=True).start()
+            self._follow(live)
+            cpu_s = sum(
+                director.usage().cpu_s - earlier
+                for director, earlier in zip(self.directors, cpu_before, strict=True)
+            )
+            return self.summary(cpu_s)
         finally:
-            for terminals in self.load_generators:
-                terminals.stopped.set()
-                terminals.close()
-            for director in self.directors:
-                director.stop()
-            self.environment.close()
-            if self.kept is not None:
-                self.kept.cleanup()
-
-    def _start_directors(self) -> None:
-        scenario, own = self.scenario, None
-        if scenario.cells:
-            with open(self.assignment, "w", encoding="utf-8") as file:
-                file.write(write(scenario.assignment))
-            own = os.path.join(self.folder, "cells.ini")
-            with open(own, "w", encoding="utf-8") as file:
-                file.write(
-                    "[cells]\nenabled = yes\nassignment = assignment.ini\nread_every_ms = 100\n"
-                    f"records = records\n[director]\nopen_most = {scenario.max_open_requests}\n"
-                    f"rate = {scenario.rate}\n"
-                )
+            self._stop()
+
+    def start_directors(self) -> None:
+        """Start all directors and wait until they serve."""
+        scenario = self.scenario
+        cells_file = self._write_cells_files() if scenario.cells else None
         host, port = self.environment.stream.address
-        for place in range(scenario.directors):
-            whole = {
-                "seed": f"{scenario.seed + place:x}",
+        options = PlatformOptions(
+            zones=[HUB, LOCATION],
+            own_zone=1,
+            directors_by_zone=[0, scenario.directors],
+            initial_fraction=scenario.initial_fraction,
+            slow_start_ms=scenario.slow_start_duration,
+        )
+        snapshot = json.loads(self.environment.stream.events[0].partition(b"data: ")[2])
+        for number in range(scenario.directors):
+            platform = {
+                "seed": f"{scenario.seed + number:x}",
                 "bus": f"{host}:{port}",
-                "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
-                "known": {
-                    "offset": 1,
-                    "batch": [
-                        json.loads(self.environment.stream.events[0].partition(b"data: ")[2])
-                    ],
-                },
-                "settings": platform_settings(
-                    ["hub", "edge"],
-                    1,
-                    [0, scenario.directors],
-                    scenario.initial_fraction,
-                    scenario.slow_start_duration,
-                ),
+                "limits": {"memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS},
+                "known": {"offset": 1, "batch": [snapshot]},
+                "settings": platform_settings(options),
             }
             self.directors.append(
-                Director(f"n{place}", self.folder, whole, own, scenario.management)
+                Director(f"n{number}", self.folder, platform, cells_file, scenario.management)
             )
-        self._wait_ready()
+        self._wait_until_ready()
 
     def restart(self, director: Director) -> None:
-        """Starts one that has ended once more, as it was."""
+        """Start a director that has ended once more, as it was."""
         director.log.close()
         director.start()
-        self._wait_ready()
-
-    def _wait_ready(self) -> None:
-        end = time.monotonic() + READY_WITHIN
-        while not all([director.is_ready() for director in self.directors]):
-            if time.monotonic() > end:
-                raise RuntimeError(f"a director was not ready within {READY_WITHIN:.0f} s")
-            time.sleep(0.02)
-
-    def _start_load(self) -> None:
-        self.began = now_ms() + 200.0
-        addresses = [director.address for director in self.directors]
-        self.load_generators = [
-            LoadGenerator(demand, addresses, self.scenario.seed, self.began)
-            for demand in self.scenario.loads
-        ]
-        for terminals in self.load_generators:
-            terminals.start()
-
-    # Deeds
-
-    def _do(self) -> None:
-        for deed in self.scenario.steps:
-            wait = self.began + deed.at * 1000.0 - now_ms()
-            if wait > 0.0:
-                time.sleep(wait / 1000.0)
-            wrong = ""
-            try:
-                self._deed(deed)
-            except Exception as broken:  # told in the summary; the play goes on
-                wrong = str(broken)
-            self.deeds_done.append(
-                {
-                    "name": deed.name,
-                    "what": deed.what,
-                    "wrong": wrong,
-                    "at": round((now_ms() - self.began) / 1000.0, 3),
-                }
-            )
+        self._wait_until_ready()
 
-    def _deed(self, deed: ScenarioStep) -> None:
-        if deed.what == "move":
-            spans = edits.Spans(deed.warm, deed.shift, deed.drain)
-            self.change(
-                lambda old: edits.start_move(
-                    old, deed.name, deed.tenants, deed.target, now_ms(), spans
-                )
-            )
-        elif deed.what == "abort":
-            self.change(lambda old: edits.abort(old, deed.target, now_ms()))
-        elif deed.what == "cut":
-            self.change(lambda old: cut_over(old, deed.tenants, deed.target))
-        else:
-            self.environment.inject_fault(deed.what, deed.node)
-
-    def change(self, make: Callable[[Assignment], Assignment]) -> Assignment:
+    def change_assignment(self, make: Callable[[Assignment], Assignment]) -> Assignment:
+        """Change the assignment file; returns what was saved."""
         with store.sole_writer(self.assignment):
             old = store.load(self.assignment)
             return store.save(self.assignment, make(old), round(now_ms()), old.version)
 
-    # What it came to
-
-    def summary(self, cpu: float) -> dict[str, Any]:
-        fleet, seconds = self.fleet, self.scenario.seconds
-        tenants = {}
-        for terminals in self.load_generators:
-            counts = terminals.result.counts
-            tenants[terminals.load.tenant] = {
-                "share": round(terminals.served_fraction(0.0, seconds), 4),
-                "p50_ms": round(terminals.percentile(0.5, 0.0, seconds), 1),
-                "p99_ms": round(terminals.percentile(0.99, 0.0, seconds), 1),
-                **{what.replace(" ", "_"): count for what, count in sorted(counts.items())},
-            }
-        total = {
-            what: sum(tenant.get(what, 0) for tenant in tenants.values())
-            for what in (
-                "asked",
-                "tries",
-                "served",
-                "rejected",
-                "failed",
-                "bad",
-                "no_answer",
-                "answers_twice",
-                "answers_late",
-                "cut_off",
-            )
+    def summary(self, cpu_s: float) -> dict[str, Any]:
+        """Return the figures by the names of the command's output; `cpu_s`: of all directors."""
+        fleet = self.fleet
+        tenants = {
+            generator.load.tenant: self._tenant_figures(generator)
+            for generator in self.load_generators
         }
+        total = {name: sum(tenant.get(name, 0) for tenant in tenants.values()) for name in TOTALS}
         answered = total["served"] + total["rejected"] + total["failed"]
         return {
             "tenants": tenants,
             "total": total,
-            "cpu_s": round(cpu, 3),
-            "cpu_ms_a_request": round(1000.0 * cpu / answered, 4) if answered else None,
+            "cpu_s": round(cpu_s, 3),
+            "cpu_ms_a_request": round(1000.0 * cpu_s / answered, 4) if answered else None,
             "origin_fetches": fleet.origin_fetches,
             "orders_run": len(fleet.executions),
             "orders_run_twice": sum(times > 1 for times in fleet.executions.values()),
@@ -336,13 +294,118 @@
                 }
                 for name, node in fleet.nodes.items()
             },
-            "deeds": self.deeds_done,
+            "deeds": self.completed_steps,
         }
 
+    def _tenant_figures(self, generator: LoadGenerator) -> dict[str, Any]:
+        seconds = self.scenario.seconds
+        counts = generator.result.counts
+        return {
+            "share": round(generator.served_fraction(0.0, seconds), 4),
+            "p50_ms": round(generator.percentile(0.5, 0.0, seconds), 1),
+            "p99_ms": round(generator.percentile(0.99, 0.0, seconds), 1),
+            **{event.replace(" ", "_"): count for event, count in sorted(counts.items())},
+        }
+
+    def _write_cells_files(self) -> str:
+        """Write the assignment and the file that names it; returns the latter's path."""
+        scenario = self.scenario
+        with open(self.assignment, "w", encoding="utf-8") as file:
+            file.write(write(scenario.assignment))
+        path = os.path.join(self.folder, "cells.ini")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write(
+                "[cells]\nenabled = yes\nassignment = assignment.ini\nread_every_ms = 100\n"
+                f"records = records\n[director]\nopen_most = {scenario.max_open_requests}\n"
+                f"rate = {scenario.rate}\n"
+            )
+        return path
+
+    def _wait_until_ready(self) -> None:
+        ends_at = time.monotonic() + READY_TIMEOUT_S
+        while True:
+            are_ready = [director.is_ready() for director in self.directors]  # raises for any
+            if all(are_ready):
+                return
+            if time.monotonic() > ends_at:
+                raise RuntimeError(f"a director was not ready within {READY_TIMEOUT_S:.0f} s")
+            time.sleep(READY_POLL_S)
+
+    def _start_load(self) -> None:
+        self.began = now_ms() + LEAD_MS
+        addresses = [director.address for director in self.directors]
+        self.load_generators = [
+            LoadGenerator(load, addresses, self.scenario.seed, self.began)
+            for load in self.scenario.loads
+        ]
+        for generator in self.load_generators:
+            generator.start()
+
+    def _follow(self, live: Callable[["Lab", float], None] | None) -> None:
+        """Wait until the load has ended and its last answers have come."""
+        seconds = self.scenario.seconds
+        while (since_start_s := (now_ms() - self.began) / 1000.0) < seconds:
+            time.sleep(min(PROGRESS_S, max(0.01, seconds - since_start_s)))
+            for generator in self.load_generators:
+                generator.expire_unanswered()
+            if live is not None:
+                live(self, since_start_s)
+        for generator in self.load_generators:
+            generator.stop()
+        time.sleep(max(load.patience for load in self.scenario.loads) / 1000.0 + END_GRACE_S)
+        for generator in self.load_generators:
+            generator.expire_unanswered()
+
+    def _stop(self) -> None:
+        for generator in self.load_generators:
+            generator.stopped.set()
+            generator.close()
+        for director in self.directors:
+            director.stop()
+        self.environment.close()
+        if self.temporary is not None:
+            self.temporary.cleanup()
+
+    # Steps, on a thread of their own
+
+    def _run_steps(self) -> None:
+        for step in self.scenario.steps:
+            wait_ms = self.began + step.at_s * 1000.0 - now_ms()
+            if wait_ms > 0.0:
+                time.sleep(wait_ms / 1000.0)
+            error = ""
+            try:
+                self._run_step(step)
+            except Exception as failure:  # shown in the summary; the play goes on
+                error = str(failure)
+            self.completed_steps.append(
+                {
+                    "name": step.name,
+                    "what": step.kind,
+                    "wrong": error,
+                    "at": round((now_ms() - self.began) / 1000.0, 3),
+                }
+            )
+
+    def _run_step(self, step: ScenarioStep) -> None:
+        if step.kind == "move":
+            spans = edits.Spans(step.warm_up_ms, step.shift_ms, step.drain_ms)
+            self.change_assignment(
+                lambda old: edits.start_move(
+                    old, step.name, step.tenants, step.target, now_ms(), spans
+                )
+            )
+        elif step.kind == "abort":
+            self.change_assignment(lambda old: edits.abort(old, step.target, now_ms()))
+        elif step.kind == "cut":
+            self.change_assignment(lambda old: cut_over(old, step.tenants, step.target))
+        else:
+            self.environment.inject_fault(step.kind, step.node)
+
 
-def cut_over(charter: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
-    """The tenants stand in another cell at once: what a move is measured against."""
-    people: dict[str, Tenant] = {
-        name: replace(charter.tenants[name], cell=target) for name in tenants
+def cut_over(assignment: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
+    """Place the tenants in another cell at once, for comparison with a migration."""
+    moved: dict[str, Tenant] = {
+        name: replace(assignment.tenants[name], cell=target) for name in tenants
     }
-    return replace(charter, tenants=charter.tenants | people)
+    return replace(assignment, tenants=assignment.tenants | moved)
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -1,7 +1,10 @@
-"""What a scenario file says; pure. Sections [cell NAME], [tenant NAME], [limits] are those of an
-assignment."""
+"""Scenarios of the lab of tenants; pure.
+
+The sections [cell NAME], [tenant NAME], [limits] and others are those of an assignment file.
+"""
 
 from dataclasses import dataclass, field
+from typing import Any
 
 from ..cells.model import Assignment
 from ..cells.parser import read
@@ -9,28 +12,60 @@
 from ..errors import ConfigError
 from ..standins.load_generator import TenantLoad
 
-FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
-DEEDS = (*FAULTS, "move", "cut", "abort")
-OURS = ("lab", "fleet", "director")
+NODE_FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
+STEP_KINDS = (*NODE_FAULTS, "move", "cut", "abort")
+OWN_SECTIONS = ("lab", "fleet", "director")
+OTHER_NODE_PREFIXES = "po"  # names of parents and of the origin, which scenarios don't list
+ASSIGNMENT_DEFAULTS = {
+    "form": "1",
+    "version": "1",
+    "written": "0",
+    "spread_ms": "1000",
+    "skew_ms": "200",
+    "horizon_ms": "4000",
+}
+
+Sections = dict[str, dict[str, str]]
 
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """Something that happens at its second: a fault of a node, or a change of the assignment."""
+    """A fault of a node or a change of the assignment.
+
+    Attributes:
+        at_s: When it happens, in seconds from the start.
+        kind: One of STEP_KINDS.
+        node: The node of a fault; with `purge`, the object.
+        tenants: Tenants that are migrated.
+        target: The cell that they are migrated to; with `abort`, the migration.
+        warm_up_ms: Warm-up of the migration.
+        shift_ms: Shift of the migration.
+        drain_ms: Drain of the migration.
+    """
 
     name: str
-    at: float
-    what: str
+    at_s: float
+    kind: str
     node: str = ""
     tenants: tuple[str, ...] = ()
     target: str = ""
-    warm: float = 0.0
-    shift: float = 0.0
-    drain: float = 0.0
+    warm_up_ms: float = 0.0
+    shift_ms: float = 0.0
+    drain_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Scenario:
+    """A scenario. Capacities are in hits a second, delays in ms.
+
+    Attributes:
+        cells: Whether directors get an assignment.
+        management: Whether directors serve gNMI.
+        initial_fraction: Fraction of its capacity that a started cache has.
+        max_open_requests: Limit of each director; 0: none.
+        rate: Requests a second that each director admits; 0: any number.
+    """
+
     seconds: float
     directors: int
     seed: int
@@ -56,113 +91,126 @@
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Raises ConfigError, whose text names the key."""
+    """Parse a scenario. Raises ConfigError, whose text names the key."""
     found = parse_sections(text)
-    lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OURS)
-    demands, deeds, ours = [], [], {}
-    for title, held in found.items():
+    lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OWN_SECTIONS)
+    loads: list[TenantLoad] = []
+    steps: list[ScenarioStep] = []
+    assignment_sections: Sections = {}
+    for title, values in found.items():
         kind, _, name = title.partition(" ")
-        keys = IniSection(title, held)
+        section = IniSection(title, values)
         if kind == "load":
-            demands.append(_demand(keys, name))
-            keys.reject_unknown_keys()
+            loads.append(_parse_load(section, name))
+            section.reject_unknown_keys()
         elif kind == "deed":
-            deeds.append(_deed(keys, name))
-            keys.reject_unknown_keys()
+            steps.append(_parse_step(section, name))
+            section.reject_unknown_keys()
         else:
-            ours[title] = held
-    ours.setdefault("assignment", {})
-    ours["assignment"] = {
-        "form": "1",
-        "version": "1",
-        "written": "0",
-        "spread_ms": "1000",
-        "skew_ms": "200",
-        "horizon_ms": "4000",
-    } | ours["assignment"]
-    charter = read(
-        "\n".join(
-            f"[{title}]\n" + "\n".join(f"{key} = {value}" for key, value in held.items())
-            for title, held in ours.items()
-        )
-    )
-    names = fleet.names("caches")
-    if not names:
+            assignment_sections[title] = values
+    assignment = _parse_assignment(assignment_sections)
+    caches = fleet.names("caches")
+    if not caches:
         raise fleet.error("caches", "names of caches are wanted")
     scenario = Scenario(
-        seconds=lab.number("seconds", 10.0, 600.0, 1.0),
-        directors=lab.integer("directors", 1, 8) or 1,
-        seed=lab.integer("seed", 1),
-        cells=lab.flag("cells", True),
-        management=lab.flag("management", False),
-        caches=names,
-        parents=fleet.integer("parents", 2, 16),
-        capacity=fleet.number("capacity", 400.0, 1e6, 1.0),
-        fill_cost=fleet.number("fill_cost", 4.0, 1e3, 1.0),
-        hit_delay=fleet.number("hit_ms", 2.0),
-        fill_delay=fleet.number("fill_ms", 10.0),
-        origin_delay=fleet.number("origin_ms", 30.0),
-        origin_capacity=fleet.number("origin_capacity", 2_000.0),
-        initial_fraction=fleet.number("cold_from", 1.0, 1.0),
-        slow_start_duration=fleet.number("cold_ms", 0.0),
-        crashes_on_overload=fleet.flag("falls", False),
-        parent_max_copies=fleet.integer("parent_holds", 0),
+        **_lab_fields(lab),
+        caches=caches,
+        **_fleet_fields(fleet),
         max_open_requests=director.integer("open_most", 0),
         rate=director.number("rate", 0.0),
-        assignment=charter,
-        loads=demands,
-        steps=sorted(deeds, key=lambda deed: deed.at),
+        assignment=assignment,
+        loads=loads,
+        steps=sorted(steps, key=lambda step: step.at_s),
     )
-    for keys in (lab, fleet, director):
-        keys.reject_unknown_keys()
-    for demand in demands:
-        if (
-            scenario.cells
-            and demand.tenant not in charter.tenants
-            and charter.unknown_tenant_policy == "reject"
-        ):
-            raise ConfigError(f"[load {demand.tenant}]: no such tenant")
-    for deed in deeds:
-        if (
-            deed.node
-            and deed.what != "purge"
-            and deed.node not in names
-            and deed.node[:1] not in "po"
-        ):
-            raise ConfigError(f"[deed {deed.name}] node: no cache {deed.node!r}")
+    for section in (lab, fleet, director):
+        section.reject_unknown_keys()
+    _check_loads(scenario, loads)
+    _check_steps(scenario, steps)
     return scenario
 
 
-def _demand(keys: IniSection, tenant: str) -> TenantLoad:
+def _parse_assignment(sections: Sections) -> Assignment:
+    """Parse the sections of the assignment, with defaults for its head."""
+    sections.setdefault("assignment", {})
+    sections["assignment"] = ASSIGNMENT_DEFAULTS | sections["assignment"]
+    texts = (
+        f"[{title}]\n" + "\n".join(f"{key} = {value}" for key, value in values.items())
+        for title, values in sections.items()
+    )
+    return read("\n".join(texts))
+
+
+def _lab_fields(section: IniSection) -> dict[str, Any]:
+    return {
+        "seconds": section.number("seconds", 10.0, 600.0, 1.0),
+        "directors": section.integer("directors", 1, 8) or 1,
+        "seed": section.integer("seed", 1),
+        "cells": section.flag("cells", True),
+        "management": section.flag("management", False),
+    }
+
+
+def _fleet_fields(section: IniSection) -> dict[str, Any]:
+    return {
+        "parents": section.integer("parents", 2, 16),
+        "capacity": section.number("capacity", 400.0, 1e6, 1.0),
+        "fill_cost": section.number("fill_cost", 4.0, 1e3, 1.0),
+        "hit_delay": section.number("hit_ms", 2.0),
+        "fill_delay": section.number("fill_ms", 10.0),
+        "origin_delay": section.number("origin_ms", 30.0),
+        "origin_capacity": section.number("origin_capacity", 2_000.0),
+        "initial_fraction": section.number("cold_from", 1.0, 1.0),
+        "slow_start_duration": section.number("cold_ms", 0.0),
+        "crashes_on_overload": section.flag("falls", False),
+        "parent_max_copies": section.integer("parent_holds", 0),
+    }
+
+
+def _check_loads(scenario: Scenario, loads: list[TenantLoad]) -> None:
+    is_strict = scenario.cells and scenario.assignment.unknown_tenant_policy == "reject"
+    for load in loads:
+        if is_strict and load.tenant not in scenario.assignment.tenants:
+            raise ConfigError("no such tenant", section=f"load {load.tenant}")
+
+
+def _check_steps(scenario: Scenario, steps: list[ScenarioStep]) -> None:
+    for step in steps:
+        is_listed = step.node in scenario.caches or step.node[:1] in OTHER_NODE_PREFIXES
+        if step.node and step.kind != "purge" and not is_listed:
+            raise ConfigError(f"no cache {step.node!r}", section=f"deed {step.name}", key="node")
+
+
+def _parse_load(section: IniSection, tenant: str) -> TenantLoad:
     bursts = []
-    if keys.number("burst_rate", 0.0):
-        bursts = [(keys.number("burst_at"), keys.number("burst_until"), keys.number("burst_rate"))]
+    if section.number("burst_rate", 0.0):
+        starts_s = section.number("burst_at")
+        ends_s = section.number("burst_until")
+        bursts = [(starts_s, ends_s, section.number("burst_rate"))]
     return TenantLoad(
-        tenant,
-        keys.number("rate"),
-        keys.integer("objects", 200) or 1,
-        keys.number("orders", 0.0, 1.0),
-        keys.number("skew", 0.8, 3.0),
-        keys.number("patience_ms", 1_500.0, 60_000.0, 10.0),
-        keys.integer("tries", 3, 10),
-        keys.integer("connections", 2, 64) or 1,
-        bursts,
+        tenant=tenant,
+        rate=section.number("rate"),
+        object_count=section.integer("objects", 200) or 1,
+        order_fraction=section.number("orders", 0.0, 1.0),
+        skew=section.number("skew", 0.8, 3.0),
+        patience=section.number("patience_ms", 1_500.0, 60_000.0, 10.0),
+        max_tries=section.integer("tries", 3, 10),
+        connections_per_director=section.integer("connections", 2, 64) or 1,
+        bursts=bursts,
     )
 
 
-def _deed(keys: IniSection, name: str) -> ScenarioStep:
-    what = keys.choice("what", DEEDS, "")
-    deed = ScenarioStep(name, keys.number("at"), what)
-    if what in FAULTS:
-        deed.node = keys.text("node")
-    elif what == "abort":
-        deed.target = keys.text("move")
+def _parse_step(section: IniSection, name: str) -> ScenarioStep:
+    kind = section.choice("what", STEP_KINDS, "")
+    step = ScenarioStep(name, section.number("at"), kind)
+    if kind in NODE_FAULTS:
+        step.node = section.text("node")
+    elif kind == "abort":
+        step.target = section.text("move")
     else:
-        deed.tenants, deed.target = keys.names("tenants"), keys.text("to")
-        if what == "move":
-            deed.warm, deed.shift = (
-                keys.number("warm_ms", 1_000.0),
-                keys.number("shift_ms", 3_000.0),
-            )
-            deed.drain = keys.number("drain_ms", 1_000.0)
-    return deed
+        step.tenants = section.names("tenants")
+        step.target = section.text("to")
+        if kind == "move":
+            step.warm_up_ms = section.number("warm_ms", 1_000.0)
+            step.shift_ms = section.number("shift_ms", 3_000.0)
+            step.drain_ms = section.number("drain_ms", 1_000.0)
+    return step
