--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,7 +18,7 @@
 from mulleinrelay.lab.fleet.audit import PRIORITY_WEIGHTS
 from mulleinrelay.lab.fleet.observations import Observations
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.model.world import World
+from mulleinrelay.model.simulation import Simulation
 
 BEGINS, AFTER, SPAN = (
     20,
@@ -100,7 +100,7 @@
             trouble=TROUBLES[name],
         )
     )
-    heard, end = World(scenario).run(), BEGINS + length
+    heard, end = Simulation(scenario).run(), BEGINS + length
     return {
         "trouble": name,
         "length": length,
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -159,7 +159,7 @@
         scenario = scenario.with_directors(options.directors)
     progress = show_fleet_progress if options.shows_progress else None
     if options.model:
-        from ..model.world import play as play_model
+        from ..model.simulation import play as play_model
 
         _print_fleet_figures(play_model(scenario, progress), options.as_json)
         return
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -32,7 +32,7 @@
 def main() -> None:
     """Take the step from the first argument, and run the program with the others."""
     step_on_signal(float(sys.argv.pop(1)) / 1000.0)
-    from ...cli import main as program  # after the clock is replaced
+    from ...cli import main as program
 
     program(prog_name="mulleinrelay")
 
--- a/mulleinrelay/model/__init__.py
+++ b/mulleinrelay/model/__init__.py
@@ -1,3 +1,5 @@
-"""A fleet in simulated time: the very decision module, the stand-ins' physics and the fleet lab's
-scenarios and audit, at sizes that processes don't reach.
+"""A fleet in simulated time.
+
+It joins the router itself, the stand-ins' nodes, and the fleet lab's scenarios and audit, at sizes
+that processes don't reach.
 """
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -83,7 +83,7 @@
 
     def ask(self, pending: Any, left: float) -> None:
         now, wanted = self.world.clock(), pending.wanted
-        case = self.terms.request_classes[self.world.case_places[wanted.request_class]]
+        case = self.terms.request_classes[self.world.class_indices[wanted.request_class]]
         request = Request(
             pending,
             case,
@@ -127,6 +127,18 @@
             None,
         )
 
+    def health_check_answered(self, name: str) -> None:
+        """A node has answered a health check."""
+        self.play("told", self.members[name], {})
+
+    def purged(self, object_id: int, age: float) -> None:
+        """The director is notified of a purge that is `age` ms old."""
+        self.play("purged", object_id, 0, age)
+
+    def finish(self, request: Request) -> None:
+        """The request's time is over."""
+        self.play("woken", request)
+
     def timed_out(self, attempt: Attempt) -> None:
         if attempt.outcome is None:
             self.ended(attempt, Outcome.TIMEOUT)
@@ -139,7 +151,7 @@
     def _settle(self, request: Request, what: str, pause: float) -> None:
         pending = self.open.pop(request, None)
         if pending is not None:
-            self.world.answered(self, pending, what, pause)
+            self.world.on_result(self, pending, what, pause)
 
     # The module's Writer
 
@@ -176,8 +188,10 @@
         }
         if max_age > 0.0:
             fields["within"] = f"{max(1.0, max_age):.0f}"
-        self.world.send(self, attempt, self.names[attempt.endpoint], fields)
-        self.world.clock.at(self.world.clock() + attempt.timeout, lambda: self.timed_out(attempt))
+        self.world.send_attempt(self, attempt, self.names[attempt.endpoint], fields)
+        self.world.clock.call_at(
+            self.world.clock() + attempt.timeout, lambda: self.timed_out(attempt)
+        )
 
     def abandon(self, attempt: Attempt) -> None:
         if attempt.outcome is None:
@@ -190,10 +204,10 @@
         self._settle(request, "failed", 0.0)
 
     def wake(self, delay: float, about: Any) -> None:
-        self.world.clock.at(self.world.clock() + delay, lambda: self.woken(about))
+        self.world.clock.call_at(self.world.clock() + delay, lambda: self.woken(about))
 
     def probe(self, node: TrackedEndpoint) -> None:
-        self.world.probe(self, self.names[node])
+        self.world.check_health(self, self.names[node])
 
     def subscribe(self) -> None:
         """The stream is always read."""
--- /dev/null
+++ b/mulleinrelay/model/simulation.py
@@ -0,0 +1,329 @@
+"""The simulation: directors, clients, nodes, endpoint updates and faults in simulated time.
+
+It leaves out: CPU and queues of directors, connections (an attempt that is cut off is held and
+arrives when the cut is over), streams with a limited rate. A director is notified of the caches of
+its own location, of all parents and of the origin; in the lab it is notified of all nodes.
+"""
+
+import random
+from collections.abc import Callable
+from typing import Any
+
+from ..config.platform import JsonSection, parse_service_settings
+from ..lab.director_settings import fleet_platform_settings
+from ..lab.fleet.audit import Audit
+from ..lab.fleet.network_rules import rule_for
+from ..lab.fleet.node_server import build_node_fleet, schedule_purge
+from ..lab.fleet.observations import (
+    DirectorRecord,
+    ExecutionRecord,
+    FaultRecord,
+    NotificationRecord,
+    Observations,
+)
+from ..lab.fleet.scenario import NODE_FAULTS, PATH_FAULTS, FleetScenario, ScenarioStep
+from ..policy.model import Attempt
+from ..standins.node_kinds import CACHE, ORIGIN, PARENT
+from .clients import PendingRequest, SimulatedClients
+from .clock import Clock
+from .directors import Modelled
+from .network import SimulatedNetwork
+
+LEAD_MS = 500.0  # before the first request
+END_GRACE_MS = 300.0  # beyond the last request's patience
+PROGRESS_MS = 500.0  # of simulated time between two calls of `live`
+SEED_FACTOR = 100_003  # spreads the directors' seeds of different scenarios
+SEED_STEP = 7919
+DEFAULT_SLOWDOWN = 10.0
+DEFAULT_UPDATE_DELAY_S = 9.0
+PURGE_DELAY_DIVISOR = 3.0  # purges come sooner than endpoint updates
+PURGED_OBJECT = f"{(1 << 32) + 1:016x}"  # the most popular of the objects that locations share
+
+Progress = Callable[[float, int, int], None]
+
+
+class Simulation:
+    """One play in simulated time.
+
+    Attributes:
+        began: Start of the play in ms.
+        class_indices: Position of each request class in the directors' settings.
+        stopped: Calls that wait until a stopped director goes on, by director.
+        late_by: Further delay of endpoint updates in ms, by director.
+    """
+
+    def __init__(self, scenario: FleetScenario) -> None:
+        self.scenario = scenario
+        self.clock = Clock()
+        self.began = self.clock.now + LEAD_MS
+        self.random = random.Random(f"{scenario.seed}-model")
+        self.fleet = build_node_fleet(scenario)
+        self.fleet.clock = self.clock
+        self.sites = {site.name: site for site in scenario.node_sites()}
+        self.observations = Observations(self.began, scenario.seconds)
+        self.network = SimulatedNetwork(self)
+        self.clients = SimulatedClients(self)
+        self.rule_numbers: dict[str, int] = {}  # of network faults, by name
+        self.stopped: dict[int, list[Callable[[], None]]] = {}
+        self.late_by: dict[int, float] = {}
+        self.class_indices = {"pages": 0, "order": 1, "pay": 2}
+        self.zone_numbers = {zone: number for number, zone in enumerate(scenario.zones())}
+        self.kind_numbers = {CACHE: 0, PARENT: 1, ORIGIN: 2}
+        self.settings = {
+            location: parse_service_settings(
+                JsonSection(fleet_platform_settings(scenario, location), "")
+            )
+            for location in scenario.locations
+        }
+        self.director_starts = 0
+        self.directors = [self._start_director(number) for number in range(scenario.directors)]
+
+    def run(self, live: Progress | None = None) -> Observations:
+        """Play, and return the records.
+
+        Args:
+            live: Called now and then with the seconds since the start, and the requests completed
+                and served.
+        """
+        self.clients.start()
+        for step in self.scenario.steps():
+            self._schedule(step)
+        patience_ms = self.scenario.patience_ms
+        ends_at = self.began + 1000.0 * self.scenario.seconds + patience_ms + END_GRACE_MS
+        while self.clock.now < ends_at:
+            self.clock.run(min(ends_at, self.clock.now + PROGRESS_MS))
+            if live is not None:
+                requests = self.observations.requests
+                served = sum(request.outcome == "served" for request in requests)
+                live(self.since_start_s(), len(requests), served)
+        executions = self.fleet.executions
+        repeated = sum(times > 1 for times in executions.values())
+        self.observations.others["effects"].append(
+            ExecutionRecord(repeated, len(executions), self.fleet.origin_fetches)
+        )
+        return self.observations
+
+    def since_start_s(self) -> float:
+        """Return the simulated seconds since the start."""
+        return (self.clock() - self.began) / 1000.0
+
+    def defer_if_stopped(self, number: int, call: Callable[[], None]) -> bool:
+        """Have a call wait where the director is stopped; returns whether it is."""
+        if number not in self.stopped:
+            return False
+        self.stopped[number].append(call)
+        return True
+
+    # Called by directors
+
+    def on_result(
+        self, director: Modelled, pending: PendingRequest, outcome: str, retry_after_ms: float
+    ) -> None:
+        """Bring a director's result to its client."""
+        self.clients.on_result(pending, outcome, retry_after_ms)
+
+    def send_attempt(
+        self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
+    ) -> None:
+        """Bring a director's command to a node."""
+        self.network.send_attempt(director, attempt, name, fields)
+
+    def check_health(self, director: Modelled, name: str) -> None:
+        """Bring a director's health check to a node."""
+        self.network.check_health(director, name)
+
+    # Nodes
+
+    def crash_node(self, name: str) -> None:
+        """End a node: its attempts are reset, and directors are notified."""
+        node = self.fleet.nodes[name]
+        node.is_alive = False
+        node.state = "DELETED"
+        self.network.reset_attempts_at(name)
+        self._publish_endpoint(name)
+
+    def _restart_node(self, name: str) -> None:
+        node = self.fleet.nodes[name]
+        node.reset()
+        node.started_at = self.clock()
+        node.state = "SERVING"
+        node.is_alive = True
+        node.is_silent = False
+        self._publish_endpoint(name)
+
+    def _endpoint_row(self, name: str) -> dict[str, Any]:
+        node = self.fleet.nodes[name]
+        return {
+            "id": name,
+            "zone": self.sites[name].zone,
+            "kind": node.spec.kind,
+            "state": node.state,
+            "weight": node.spec.weight,
+            "started_ms": node.started_at,
+        }
+
+    def _publish_endpoint(self, name: str) -> None:
+        """Notify each director of a node's present state, after a delay of its own."""
+        row = self._endpoint_row(name)
+        site = self.sites[name]
+        for number in range(self.scenario.directors):
+            if site.kind != CACHE or self.scenario.location_of(number) == site.zone:
+                delay = self.random.uniform(*self.scenario.update_delay_ms)
+                due_at = self.clock() + delay + self.late_by.get(number, 0.0)
+                self._notify_at(due_at, number, row)
+
+    def _notify_at(self, due_at: float, number: int, row: dict[str, Any]) -> None:
+        self.clock.call_at(due_at, lambda: self._notify(number, row))
+
+    def _notify(self, number: int, row: dict[str, Any]) -> None:
+        director = self.directors[number]
+        if director.gone:
+            return
+        if self.defer_if_stopped(number, lambda: self._notify(number, row)):
+            return
+        self.observations.others["told"].append(
+            NotificationRecord(
+                self.since_start_s(), number, row["id"], row["state"], row["started_ms"]
+            )
+        )
+        director.list([row])
+
+    # Directors
+
+    def _start_director(self, number: int) -> Modelled:
+        self.director_starts += 1
+        offset = 0 if self.scenario.has_same_seeds else SEED_STEP * self.director_starts
+        location = self.scenario.location_of(number)
+        director = Modelled(
+            self,
+            number,
+            self.settings[location],
+            self.zone_numbers,
+            self.kind_numbers,
+            self.scenario.seed * SEED_FACTOR + offset,
+        )
+        rows = [
+            self._endpoint_row(site.name)
+            for site in self.sites.values()
+            if site.kind != CACHE or site.zone == location
+        ]
+        director.list(rows, whole=True)
+        return director
+
+    # Faults
+
+    def _schedule(self, step: ScenarioStep) -> None:
+        self.clock.call_at(self.began + 1000.0 * step.at_s, lambda: self._inject(step))
+
+    def _inject(self, step: ScenarioStep) -> None:
+        self.observations.others["fault"].append(
+            FaultRecord(
+                self.since_start_s(),
+                step.name,
+                step.kind,
+                step.is_start,
+                list(step.directors),
+                list(step.nodes),
+                step.fault.location,
+                "",
+            )
+        )
+        if step.kind in PATH_FAULTS:
+            self._change_rules(step)
+        elif step.kind == "late_list":
+            late_by = 1000.0 * (step.fault.amount or DEFAULT_UPDATE_DELAY_S)
+            for number in step.directors:
+                self.late_by[number] = late_by if step.is_start else 0.0
+        elif step.kind == "purge" and step.is_start:
+            self._purge(PURGED_OBJECT)
+        elif step.kind in NODE_FAULTS:
+            for name in step.nodes:
+                self._inject_into_node(step, name)
+        else:
+            for number in step.directors:
+                self._inject_into_director(step, number)
+
+    def _change_rules(self, step: ScenarioStep) -> None:
+        rules = self.network.rules.rules
+        if step.is_start:
+            number = len(self.rule_numbers) + 1
+            self.rule_numbers[step.name] = number
+            rules[number] = rule_for(step)
+        else:
+            rules.pop(self.rule_numbers[step.name], None)
+            self.network.release_held()
+
+    def _purge(self, object_id: str) -> None:
+        now = self.clock()
+        self.fleet.purged_at[object_id] = now
+        nodes = list(self.fleet.nodes.values())
+        schedule_purge(self.clock.call_at, nodes, object_id, now, self.random)
+        for director in self.directors:
+            delay = self.random.uniform(*self.scenario.update_delay_ms) / PURGE_DELAY_DIVISOR
+            self._notify_of_purge_at(now + delay, director, object_id, now)
+
+    def _notify_of_purge_at(
+        self, due_at: float, director: Modelled, object_id: str, purged_at: float
+    ) -> None:
+        def notify() -> None:
+            if not director.gone:
+                self.network.purge_notified_at[director.number, object_id] = self.clock()
+                director.purged(int(object_id, 16), self.clock() - purged_at)
+
+        self.clock.call_at(due_at, notify)
+
+    def _inject_into_node(self, step: ScenarioStep, name: str) -> None:
+        node = self.fleet.nodes[name]
+        directors = frozenset(step.directors)
+        amount = step.fault.amount or DEFAULT_SLOWDOWN
+        if step.kind in ("node_kill", "node_cold"):
+            if step.is_start:
+                self.crash_node(name)
+            else:
+                self._restart_node(name)
+        elif step.kind == "node_silent":
+            node.is_silent = step.is_start
+            if not step.is_start:
+                self._restart_node(name)
+        elif step.kind == "node_slow" and len(directors) >= self.scenario.directors:
+            node.slowdown = amount if step.is_start else 1.0
+        elif step.kind == "node_slow":
+            unaffected: tuple[frozenset[int], float] = (frozenset(), 1.0)
+            self.network.slow_for[name] = (directors, amount) if step.is_start else unaffected
+        elif step.kind == "node_errors":
+            self.network.failing_for[name] = directors if step.is_start else frozenset()
+        elif step.kind == "drain":
+            node.state = "DRAINING" if step.is_start else "SERVING"
+            self._publish_endpoint(name)
+
+    def _inject_into_director(self, step: ScenarioStep, number: int) -> None:
+        director = self.directors[number]
+        if step.kind == "stop" and step.is_start:
+            self.stopped[number] = []
+        elif step.kind == "stop":
+            for call in self.stopped.pop(number, []):
+                call()
+        elif step.kind == "kill" and step.is_start:
+            director.gone = True
+            for pending in list(director.open.values()):
+                self.clients.on_disconnect(pending, number)
+        elif step.kind == "kill":
+            self.directors[number] = self._start_director(number)
+            self.clients.excluded.discard(number)
+        elif step.kind == "restart" and step.is_start:
+            self._restart_director(number)
+
+    def _restart_director(self, number: int) -> None:
+        """Shut a director down gracefully: it finishes its pending requests, then starts anew."""
+        director = self.directors[number]
+        record = DirectorRecord(self.since_start_s(), number)
+        self.observations.others["term"].append(record)
+        for request in list(director.open):
+            director.finish(request)
+        director.gone = True
+        self.directors[number] = self._start_director(number)
+
+
+def play(scenario: FleetScenario, live: Progress | None = None) -> dict[str, Any]:
+    """Play a scenario and return the figures of the lab's audit."""
+    return Audit(scenario, Simulation(scenario).run(live)).figures()
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.model.world import play
+from mulleinrelay.model.simulation import play
 
 SMALL = """
 [fleet lab]
