--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -103,7 +103,7 @@
 
 
 def credit(heard: Observations, goal: float, first: float, last: float) -> float:
-    return recovery.credit(heard, goal, first, last)
+    return recovery.earned_fraction(heard, goal, first, last)
 
 
 def bound(scenario: FleetScenario, heard: Observations) -> float:
@@ -292,9 +292,7 @@
 
 def sweep(directors: int, seed: int, jobs: int) -> dict[str, Any]:
     cases = [
-        (name, length, directors, 230.0, seed)
-        for name in recovery.TROUBLES
-        for length in (2, 8, 20)
+        (name, length, directors, 230.0, seed) for name in recovery.FAULTS for length in (2, 8, 20)
     ]
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(recovery.play, *zip(*cases, strict=True)))
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,11 +1,12 @@
-"""Whether a fleet comes back by itself once a trouble is over: `python -m benchmarks.recovery
---json`, one JSON object as the last line. Each trouble is played in the model at several lengths;
-what is told is how many seconds after its end the credit of two seconds is 0.95 of the calm one
-again, and stays so. A trouble that leaves an overload alive behind it (a metastable failure) shows
-as many seconds, or as none found.
-
-The model has no sockets, no CPU and no queues in directors: figures are of simulated time and of
-stand-ins.
+"""Whether a fleet recovers by itself once a fault is over.
+
+`python -m benchmarks.recovery --json` prints one JSON object as the last line. Each fault is
+simulated at several lengths. The figure is how many seconds after its end the weight earned in two
+seconds is 0.95 of the calm one again, and stays so. A fault that leaves an overload behind (a
+metastable failure) shows as many seconds, or as none found.
+
+The simulation has no sockets, no CPU and no queues in directors: figures are of simulated time and
+of stand-ins.
 """
 
 import json
@@ -20,12 +21,12 @@
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.simulation import Simulation
 
-BEGINS, AFTER, SPAN = (
-    20,
-    16,
-    2,
-)  # s: a trouble's begin, the play after its end, the span of a credit
-CALM_FROM, ENOUGH = 14, 0.95
+FAULT_AT_S = 20
+AFTER_S = 16  # of the play after the fault's end
+WINDOW_S = 2  # over which earned weight is computed
+CALM_FROM_S = 14
+RECOVERED = 0.95  # of the calm fraction
+MISSED_OBJECTIVE = 0.1  # of its weight that a request served late earns
 HEAD = """
 [fleet lab]
 name = recovery
@@ -50,7 +51,7 @@
 for = {length}
 {trouble}
 """
-TROUBLES = {
+FAULTS = {
     "burst": "what = burst\nby = 5",
     "slow": "what = node_slow\nshare = 1.0\nby = 8",
     "killed": "what = kill\nshare = 0.7",
@@ -62,53 +63,62 @@
 }
 
 
-def credit(heard: Observations, goal: float, first: float, last: float) -> float:
-    """Of what was asked for in these seconds, the part that was earned."""
+def earned_fraction(
+    observations: Observations, objective_ms: float, first_s: float, last_s: float
+) -> float:
+    """Return the weight earned by requests of these seconds, as a fraction of what was asked."""
     asked = earned = 0.0
-    for look in heard.requests:
-        if first <= look[0] < last:
-            worth = PRIORITY_WEIGHTS[look[5]]
-            asked += worth
-            if look[7] == "served":
-                earned += worth if look[1] <= goal else 0.1 * worth
+    for request in observations.requests:
+        if first_s <= request.at_s < last_s:
+            weight = PRIORITY_WEIGHTS[request.request_class]
+            asked += weight
+            if request.outcome == "served":
+                is_in_time = request.duration_ms <= objective_ms
+                earned += weight if is_in_time else MISSED_OBJECTIVE * weight
     return earned / asked if asked else 0.0
 
 
-def back_after(heard: Observations, goal: float, end: int) -> int | None:
-    """Seconds from the trouble's end from which the credit stays enough; None where it
-    never does.
-    """
-    enough = ENOUGH * credit(heard, goal, CALM_FROM, BEGINS)
-    found = None
-    for second in range(AFTER - SPAN, -1, -1):
-        if credit(heard, goal, end + second, end + second + SPAN) < enough:
+def recovery_seconds(observations: Observations, objective_ms: float, end_s: int) -> int | None:
+    """Return the seconds from the fault's end to the recovery; None where there is none."""
+    calm = earned_fraction(observations, objective_ms, CALM_FROM_S, FAULT_AT_S)
+    recovered_after = None
+    for second in range(AFTER_S - WINDOW_S, -1, -1):
+        first_s = end_s + second
+        fraction = earned_fraction(observations, objective_ms, first_s, first_s + WINDOW_S)
+        if fraction < RECOVERED * calm:
             break
-        found = second
-    return found
+        recovered_after = second
+    return recovered_after
 
 
 def play(name: str, length: int, directors: int, rate: float, seed: int) -> dict[str, Any]:
+    """Simulate one fault of so many seconds, and return its figures."""
     scenario = parse_fleet_scenario(
         HEAD.format(
-            seconds=BEGINS + length + AFTER,
-            warm=CALM_FROM,
+            seconds=FAULT_AT_S + length + AFTER_S,
+            warm=CALM_FROM_S,
             seed=seed,
             rate=rate,
             directors=directors,
-            begins=BEGINS,
+            begins=FAULT_AT_S,
             length=length,
-            trouble=TROUBLES[name],
+            trouble=FAULTS[name],
         )
     )
-    heard, end = Simulation(scenario).run(), BEGINS + length
+    observations = Simulation(scenario).run()
+    objective_ms = scenario.latency_objective_ms
+    end_s = FAULT_AT_S + length
+    calm = earned_fraction(observations, objective_ms, CALM_FROM_S, FAULT_AT_S)
+    during = earned_fraction(observations, objective_ms, FAULT_AT_S, end_s)
+    attempts = len(observations.attempts) / max(1, len(observations.requests))
     return {
         "trouble": name,
         "length": length,
         "seed": seed,
-        "calm": round(credit(heard, scenario.latency_objective_ms, CALM_FROM, BEGINS), 3),
-        "during": round(credit(heard, scenario.latency_objective_ms, BEGINS, end), 3),
-        "back_s": back_after(heard, scenario.latency_objective_ms, end),
-        "attempts_by_request": round(len(heard.attempts) / max(1, len(heard.requests)), 2),
+        "calm": round(calm, 3),
+        "during": round(during, 3),
+        "back_s": recovery_seconds(observations, objective_ms, end_s),
+        "attempts_by_request": round(attempts, 2),
     }
 
 
@@ -127,7 +137,7 @@
 )
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2), show_default=True)
 @click.option(
-    "--trouble", "names", multiple=True, type=click.Choice(list(TROUBLES)), help="These alone."
+    "--trouble", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone."
 )
 @click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True, help="Processes.")
 def main(
@@ -144,20 +154,27 @@
     """
     cases = [
         (name, length, directors, rate, seed)
-        for name in names or TROUBLES
+        for name in names or FAULTS
         for length in lengths
         for seed in seeds
     ]
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(play, *zip(*cases, strict=True)))
-    lost = [found for found in plays if found["back_s"] is None]
-    most = max((found["back_s"] for found in plays if found["back_s"] is not None), default=None)
-    told = {"directors": directors, "plays": plays, "back_s_most": most, "never_back": len(lost)}
+    durations = [figures["back_s"] for figures in plays if figures["back_s"] is not None]
+    longest = max(durations, default=None)
+    never = len(plays) - len(durations)
     if as_json:
-        return click.echo(json.dumps(told))
-    for found in plays:
-        click.echo("  ".join(f"{name} {value}" for name, value in found.items()))
-    click.echo(f"back after {most} s at the most; never: {len(lost)} of {len(plays)}")
+        summary = {
+            "directors": directors,
+            "plays": plays,
+            "back_s_most": longest,
+            "never_back": never,
+        }
+        click.echo(json.dumps(summary))
+        return
+    for figures in plays:
+        click.echo("  ".join(f"{name} {value}" for name, value in figures.items()))
+    click.echo(f"back after {longest} s at the most; never: {never} of {len(plays)}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,10 +1,11 @@
-"""How evenly a fleet's load lies and what it bears: `python -m benchmarks.spread --json`, one JSON
-object as the last line, under 8 minutes. `--version REV` plays each scenario by an earlier version
-of our own as well, right after, before the same stand-ins: two fleets at one time would take each
-other's cores.
+"""How evenly a fleet's load lies on caches, and what the fleet bears.
 
-Directors are real processes; nodes, clients and the network are stand-ins of ours on this machine,
-and a figure tells of directors before these alone.
+`python -m benchmarks.spread --json` prints one JSON object as the last line, in under 8 minutes.
+`--version REV` plays each scenario by an earlier version as well, right after, before the same
+stand-ins: two fleets at a time would compete for the machine's cores.
+
+Directors are real processes; nodes, clients and the network are stand-ins on this machine, and
+figures are of directors before these alone.
 """
 
 import json
@@ -24,8 +25,13 @@
 
 from .versions import ROOT, unpack
 
+Figures = dict[str, Any]
+
 RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "answers_late")
-FEW, MANY = 30, 300  # directors, for what grows with their number
+FEW = 30  # directors, for what grows with their number
+MANY = 300
+GROWTH_SECONDS = 20
+MIN_COMPARED = 1e-9  # instead of 0 as a divisor
 COMPARED = ("credit", "imbalance_p99", "attempts_by_request", "hit_share")
 
 HEAD = """
@@ -141,6 +147,7 @@
     caches: int = 6,
     probes: bool = False,
 ) -> str:
+    """Return the text of a scenario without its faults; `caches`: by location."""
     return HEAD.format(
         name=name,
         directors=directors,
@@ -152,14 +159,16 @@
     )
 
 
-def text_of(
+def scenario_text(
     name: str, directors: int, rate: float, seed: int, seconds: int = 0, probes: bool = False
 ) -> str:
-    span, faults = FAULTS[name]
-    return head(name, directors, rate, seed, seconds or span, probes=probes) + faults
+    """Return the text of one of the scenarios; `seconds`: its length, where not its usual one."""
+    usual_seconds, faults = FAULTS[name]
+    return head(name, directors, rate, seed, seconds or usual_seconds, probes=probes) + faults
 
 
-def play(text: str, program: str = ROOT) -> dict[str, Any]:
+def play(text: str, program: str = ROOT) -> Figures:
+    """Play a scenario with processes; `program`: folder of the package that directors run."""
     scenario = parse_fleet_scenario(text)
     lab = FleetLab(scenario, text, program=program)
     try:
@@ -168,51 +177,71 @@
         lab.remove_folder()
 
 
-def summary(plays: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    faulty = {name: found for name, found in plays.items() if name != "calm"}
+def largest(plays: list[Figures], key: str) -> Any:
+    """Return the largest value of a figure; None where no play has it."""
+    return max((figures[key] for figures in plays if figures[key] is not None), default=None)
 
-    def most(key: str, among: dict[str, dict[str, Any]] = plays) -> Any:
-        return max((found[key] for found in among.values() if found[key] is not None), default=None)
 
+def summary(plays: dict[str, Figures]) -> Figures:
+    """Return the figures over all plays, which are given by scenario."""
+    every = list(plays.values())
+    with_faults = [figures for name, figures in plays.items() if name != "calm"]
     return {
         "calm_imbalance": plays["calm"]["calm_imbalance"] if "calm" in plays else None,
-        "fault_imbalance": most("fault_imbalance", faulty),
-        "herd_seconds_calm": sum(found["herd_seconds_calm"] for found in plays.values()),
-        "herd_seconds_fault_max": most("herd_seconds_fault", faulty),
-        "herd_seconds_all_seeing": most("herd_seconds_all_seeing"),
-        "idle_s_max": most("idle_s_max"),
-        "return_s_p99": most("return_s_p99"),
-        "parent_swing": most("parent_swing"),
-        **{rule: sum(found[rule] for found in plays.values()) for rule in RULES},
-        "credit": {name: found["credit"] for name, found in plays.items()},
+        "fault_imbalance": largest(with_faults, "fault_imbalance"),
+        "herd_seconds_calm": sum(figures["herd_seconds_calm"] for figures in every),
+        "herd_seconds_fault_max": largest(with_faults, "herd_seconds_fault"),
+        "herd_seconds_all_seeing": largest(every, "herd_seconds_all_seeing"),
+        "idle_s_max": largest(every, "idle_s_max"),
+        "return_s_p99": largest(every, "return_s_p99"),
+        "parent_swing": largest(every, "parent_swing"),
+        **{rule: sum(figures[rule] for figures in every) for rule in RULES},
+        "credit": {name: figures["credit"] for name, figures in plays.items()},
     }
 
 
 def growth(rate: float, seed: int) -> dict[str, float]:
-    """What one cache bears of many directors, over what it bears of few, at the same load."""
-    found = {}
-    for count in (FEW, MANY):
-        found[count] = play(text_of("calm", count, rate, seed, 20, True))
-    told = {"ready_s_300": found[MANY]["ready_s"]}
+    """Return what one cache bears of many directors over what it bears of few, at the same load."""
+    few = play(scenario_text("calm", FEW, rate, seed, GROWTH_SECONDS, True))
+    many = play(scenario_text("calm", MANY, rate, seed, GROWTH_SECONDS, True))
+    figures = {"ready_s_300": many["ready_s"]}
     for what in ("probes", "connections"):
-        few, many = (found[count][f"{what}_a_cache"] for count in (FEW, MANY))
-        told[f"{what}_growth"] = round(many / max(1.0, few), 3)
-    return told
+        key = f"{what}_a_cache"
+        figures[f"{what}_growth"] = round(many[key] / max(1.0, few[key]), 3)
+    return figures
 
 
-def model_error(
-    plays: dict[str, dict[str, Any]], texts: dict[str, str]
-) -> dict[str, dict[str, float]]:
-    """By scenario and figure: the model's less the lab's, over the lab's."""
-    found = {}
-    for name in plays:
+def model_error(plays: dict[str, Figures], texts: dict[str, str]) -> dict[str, dict[str, float]]:
+    """Return the simulation's figures less the lab's, over the lab's, by scenario and figure."""
+    errors = {}
+    for name, measured in plays.items():
         scenario = parse_fleet_scenario(texts[name])
-        theirs = play_model(replace(scenario, directors=plays[name]["directors"]))
-        found[name] = {
-            key: round((theirs[key] - plays[name][key]) / max(1e-9, plays[name][key]), 3)
+        simulated = play_model(replace(scenario, directors=measured["directors"]))
+        errors[name] = {
+            key: round((simulated[key] - measured[key]) / max(MIN_COMPARED, measured[key]), 3)
             for key in COMPARED
         }
-    return found
+    return errors
+
+
+def play_all(
+    texts: dict[str, str], version: str | None, shows_progress: bool
+) -> tuple[dict[str, Figures], dict[str, Figures]]:
+    """Play all scenarios by the present program, and by an earlier version where one is given."""
+    ours: dict[str, Figures] = {}
+    theirs: dict[str, Figures] = {}
+    with tempfile.TemporaryDirectory(prefix="mulleinrelay-before-") as folder:
+        program = unpack(version, folder) if version else None
+        for name, text in texts.items():
+            ours[name] = play(text)
+            played = [ours[name]]
+            if program:
+                theirs[name] = play(text, program)
+                played.append(theirs[name])
+            if shows_progress:
+                shown = (f"credit {one['credit']}, idle {one['idle_s_max']} s" for one in played)
+                click.echo(f"{name}: " + "; before: ".join(shown), err=True)
+    return ours, theirs
 
 
 @click.command()
@@ -240,36 +269,27 @@
 ) -> None:
     """Play the scenarios of the even spread."""
     began = time.monotonic()
-    texts = {name: text_of(name, directors, rate, seed) for name in names or FAULTS}
-    ours, theirs = {}, {}
-    with tempfile.TemporaryDirectory(prefix="mulleinrelay-before-") as folder:
-        program = unpack(version, folder) if version else None
-        for name, text in texts.items():
-            found = [play(text, folder) for folder in (ROOT, program) if folder]
-            ours[name] = found[0]
-            if program:
-                theirs[name] = found[1]
-            if not as_json:
-                shown = (f"credit {one['credit']}, idle {one['idle_s_max']} s" for one in found)
-                click.echo(f"{name}: " + "; before: ".join(shown), err=True)
-    told: dict[str, Any] = {"directors": directors} | summary(ours)
+    texts = {name: scenario_text(name, directors, rate, seed) for name in names or FAULTS}
+    ours, theirs = play_all(texts, version, not as_json)
+    result: Figures = {"directors": directors} | summary(ours)
     if theirs:
         ratios = {name: round(ours[name]["credit"] / theirs[name]["credit"], 4) for name in ours}
-        told |= {
+        result |= {
             "credit_ratio_vs_before": ratios,
             "credit_ratio_least": min(ratios.values()),
             "before": summary(theirs),
         }
     if with_growth:
-        told |= growth(rate / 2.0, seed)
+        result |= growth(rate / 2.0, seed)
     if with_model:
         errors = model_error(ours, texts)
-        largest = max(abs(value) for held in errors.values() for value in held.values())
-        told |= {"model_vs_lab_error": errors, "model_vs_lab_error_most": largest}
-    told["seconds"] = round(time.monotonic() - began, 1)
+        largest_error = max(abs(error) for by_key in errors.values() for error in by_key.values())
+        result |= {"model_vs_lab_error": errors, "model_vs_lab_error_most": largest_error}
+    result["seconds"] = round(time.monotonic() - began, 1)
     if as_json:
-        return click.echo(json.dumps(told))
-    for name, value in told.items():
+        click.echo(json.dumps(result))
+        return
+    for name, value in result.items():
         click.echo(f"{name:<26} {value}")
 
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,4 +1,4 @@
-"""Earlier versions of our own, to be set beside this one."""
+"""Earlier versions of this program, for comparison with the present one."""
 
 import io
 import os
@@ -9,11 +9,14 @@
 
 
 def unpack(version: str, folder: str) -> str:
-    """The package as it was at that version, in this folder. Raises OSError or CalledProcessError
-    where the history is not at hand.
+    """Write the package as it was at that version into a folder; returns the folder.
+
+    Raises:
+        OSError: Git isn't installed, or the folder can't be written.
+        CalledProcessError: The history doesn't have the version.
     """
     command = ["git", "archive", version, "mulleinrelay"]
-    held = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
-    with tarfile.open(fileobj=io.BytesIO(held.stdout)) as archive:
+    archived = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
+    with tarfile.open(fileobj=io.BytesIO(archived.stdout)) as archive:
         archive.extractall(folder, filter="data")
     return folder
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_simulation.py
@@ -1,6 +1,4 @@
-"""The model on the scenarios of the lab: same plan, same audit, and what rests on simulated time
-alone.
-"""
+"""The simulation plays the lab's scenarios, with the lab's audit."""
 
 import pytest
 
@@ -56,7 +54,7 @@
         ),
     ],
 )
-def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
+def test_each_fault_causes_no_violation(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
     figures = play(parse_fleet_scenario(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
@@ -64,12 +62,12 @@
     assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
-def test_the_same_seed_plays_the_same():
+def test_the_same_seed_gives_the_same_figures():
     first, again = (play(parse_fleet_scenario(SMALL)) for _ in range(2))
     assert first == again != play(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
 
 
-def test_a_fleet_larger_than_the_lab_is_played():
+def test_a_fleet_larger_than_the_lab_can_be_simulated():
     figures = play(
         parse_fleet_scenario(SMALL.replace("seconds = 16", "seconds = 5")).with_directors(1000)
     )
