--- /dev/null
+++ b/mulleinrelay/lab/director.py
@@ -0,0 +1,98 @@
+"""One director of the lab of tenants as a process."""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+from typing import Any
+
+from .director_process import DirectorProcess, director_environment
+
+ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+UNSET_VARIABLES = ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT")
+TERM_TIMEOUT_S = 8.0
+KILL_TIMEOUT_S = 2.0
+
+
+def free_port() -> int:
+    """Return a port that is free on loopback."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
+
+
+class Director(DirectorProcess):
+    """One director of the lab; `gnmi_address` is empty where it serves no gNMI."""
+
+    def __init__(
+        self,
+        name: str,
+        folder: str,
+        platform: dict[str, Any],
+        cells_file: str | None,
+        has_management: bool,
+    ) -> None:
+        """Write its configuration into the folder and start it.
+
+        Args:
+            name: Its name, and that of its files.
+            folder: The lab's folder.
+            platform: The platform's settings, without its name and address.
+            cells_file: The file of the section [cells]; None: it has no cells.
+            has_management: Whether it serves gNMI.
+        """
+        super().__init__(("127.0.0.1", free_port()))
+        self.name = name
+        self.gnmi_address = ""
+        config_path = os.path.join(folder, f"{name}.json")
+        with open(config_path, "w", encoding="utf-8") as file:
+            json.dump(platform | {"name": name, "listen": f"127.0.0.1:{self.address[1]}"}, file)
+        self.command = [sys.executable, "-m", "mulleinrelay", "serve", "--config", config_path]
+        if cells_file:
+            self.command += ["--cells", cells_file]
+        if has_management:
+            self.gnmi_address = f"127.0.0.1:{free_port()}"
+            self.command += ["--management", self._write_management_file(folder)]
+        self.log_path = os.path.join(folder, f"{name}.log")
+        self.start()
+
+    def start(self) -> None:
+        """Start a process."""
+        self.log = open(self.log_path, "ab")  # noqa: SIM115 (closed with the process)
+        self.process: subprocess.Popen[bytes] = subprocess.Popen(
+            self.command,
+            stderr=self.log,
+            stdout=self.log,
+            env=director_environment(ROOT, UNSET_VARIABLES),
+        )
+
+    def is_ready(self) -> bool:
+        """Return whether it serves clients. Raises RuntimeError where it has ended."""
+        if self.accepts_connections():
+            return True
+        code = self.process.poll()
+        if code is not None:
+            raise RuntimeError(f"a director ended with {code}; see {self.log.name}")
+        return False
+
+    def stop(self) -> None:
+        """Have it shut down gracefully; where that takes too long, it is killed."""
+        if self.process.poll() is None:
+            self.process.send_signal(signal.SIGTERM)
+        try:
+            self.process.wait(TERM_TIMEOUT_S)
+        except subprocess.TimeoutExpired:
+            self.process.kill()
+            self.process.wait(KILL_TIMEOUT_S)
+        self.log.close()
+
+    def _write_management_file(self, folder: str) -> str:
+        path = os.path.join(folder, f"{self.name}-management.ini")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write(
+                "[management]\nenabled = yes\ninsecure_loopback = yes\n"
+                f"listen = {self.gnmi_address}\nstate_dir = state-{self.name}\n"
+            )
+        return path
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -56,10 +56,6 @@
 
 def platform_settings(options: PlatformOptions) -> dict[str, Any]:
     """Return the settings in the platform's form."""
-    slow_start_ms = options.slow_start_ms or MIN_SLOW_START_MS
-    parent_slow_start_ms = slow_start_ms
-    if options.parent_slow_start_ms is not None:
-        parent_slow_start_ms = options.parent_slow_start_ms or MIN_SLOW_START_MS
     classes = _request_classes(options)
     polls = options.polls_load_reports
     return {
@@ -71,32 +67,39 @@
         "registryMode": "automatic",
         "weights": "nominal",
         "classes": classes,
-        "domain": {
-            "collapses": True,
-            "countByZone": options.directors_by_zone,
-            "freshFor": [0.0] * len(classes),
-            "mayPassBy": True,
-            "midKind": 1,
-            "neverKept": [request_class["name"] != "pages" for request_class in classes],
-            "oneFlowKbPerS": options.transfer_rate,
-            "parentStartsAt": options.initial_fraction,
-            "parentWarmsIn": parent_slow_start_ms,
-            "peersFill": "location",
-            "purgeTakes": options.purge_ms,
-            "storeKind": 2,
-        },
+        "domain": _domain(options, classes),
         "report": {
             "how": "probe" if polls else "none",
             "columns": ["util", "inflight"] if polls else [],
         },
         "rules": {
             "coldFrom": options.initial_fraction,
-            "cold": slow_start_ms,
+            "cold": options.slow_start_ms or MIN_SLOW_START_MS,
             "overloadFor": 1000.0,
         },
     }
 
 
+def _domain(options: PlatformOptions, classes: list[dict[str, Any]]) -> dict[str, Any]:
+    parent_slow_start_ms = options.parent_slow_start_ms
+    if parent_slow_start_ms is None:
+        parent_slow_start_ms = options.slow_start_ms
+    return {
+        "collapses": True,
+        "countByZone": options.directors_by_zone,
+        "freshFor": [0.0] * len(classes),
+        "mayPassBy": True,
+        "midKind": 1,
+        "neverKept": [request_class["name"] != "pages" for request_class in classes],
+        "oneFlowKbPerS": options.transfer_rate,
+        "parentStartsAt": options.initial_fraction,
+        "parentWarmsIn": parent_slow_start_ms or MIN_SLOW_START_MS,
+        "peersFill": "location",
+        "purgeTakes": options.purge_ms,
+        "storeKind": 2,
+    }
+
+
 def _request_classes(options: PlatformOptions) -> list[dict[str, Any]]:
     base = {
         "idempotency": "safe",
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -11,7 +11,10 @@
 from ...standins.client_protocol import DEFAULT_RETRY_DELAY
 from .scenario import LOAD_FAULTS, OBJECT_SIZE_KB, FaultInjection, FleetScenario
 
-PAGES, ORDER, PAY = "pages", "order", "pay"
+# Request classes: reads, writes with an idempotency key, and writes without
+PAGES = "pages"
+ORDER = "order"
+PAY = "pay"
 OUTSIZED_KB = 40.0  # of a new object that is ten times the usual size
 HOT_OBJECT_ID = 0x77_0000_0001  # the object that a `hot` fault adds requests for
 SHARED_OBJECT_BASE = 1 << 32  # ids of objects that all locations request
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -13,7 +13,7 @@
 from ...net import resp
 from ...standins.clock import now_ms
 from ...standins.event_loop import EventLoop, LoopConnection
-from ...standins.node_kinds import CACHE, ORIGIN
+from ...standins.node_kinds import CACHE, ORIGIN, PARENT
 from ...standins.node_protocol import CancelledCommands, decode_fields
 from ...standins.nodes import NodeFleet, NodeSpec, Reply, SimulatedNode
 from .control_channel import send_message
@@ -71,35 +71,43 @@
 
 def _node_spec(scenario: FleetScenario, site: NodeSite) -> NodeSpec:
     if site.kind == CACHE:
-        return NodeSpec(
-            site.name,
-            CACHE,
-            site.zone,
-            scenario.capacity * site.capacity_factor,
-            scenario.fill_cost,
-            scenario.hit_ms,
-            weight=round(CONCURRENT_ANSWERS * site.capacity_factor),
-            initial_fraction=scenario.initial_fraction,
-            slow_start_duration=scenario.slow_start_ms,
-            max_copies=scenario.max_copies,
-            crashes_on_overload=scenario.crashes_on_overload,
-            crash_load=CACHE_CRASH_LOAD,
-            crash_after=CRASH_AFTER_MS,
-            crashes_when_warm=False,
-        )
-    if site.kind == ORIGIN:
-        return NodeSpec(
-            site.name,
-            ORIGIN,
-            site.zone,
-            scenario.origin_capacity,
-            1.0,
-            scenario.origin_ms,
-            weight=PARENT_WEIGHT,
-        )
+        return _cache_spec(scenario, site)
+    if site.kind == PARENT:
+        return _parent_spec(scenario, site)
+    return NodeSpec(
+        site.name,
+        ORIGIN,
+        site.zone,
+        scenario.origin_capacity,
+        1.0,
+        scenario.origin_ms,
+        weight=PARENT_WEIGHT,
+    )
+
+
+def _cache_spec(scenario: FleetScenario, site: NodeSite) -> NodeSpec:
+    return NodeSpec(
+        site.name,
+        CACHE,
+        site.zone,
+        scenario.capacity * site.capacity_factor,
+        scenario.fill_cost,
+        scenario.hit_ms,
+        weight=round(CONCURRENT_ANSWERS * site.capacity_factor),
+        initial_fraction=scenario.initial_fraction,
+        slow_start_duration=scenario.slow_start_ms,
+        max_copies=scenario.max_copies,
+        crashes_on_overload=scenario.crashes_on_overload,
+        crash_load=CACHE_CRASH_LOAD,
+        crash_after=CRASH_AFTER_MS,
+        crashes_when_warm=False,
+    )
+
+
+def _parent_spec(scenario: FleetScenario, site: NodeSite) -> NodeSpec:
     return NodeSpec(
         site.name,
-        site.kind,
+        PARENT,
         site.zone,
         scenario.parent_capacity,
         1.0,
@@ -222,7 +230,8 @@
                     return
 
     def _on_command(self, session: _Session, items: list[bytes]) -> None:
-        word, command_id = items[0], items[1]
+        word = items[0]
+        command_id = items[1]
         if word == b"KILL":
             session.cancelled.add(command_id)
         elif word == b"PULL":
