--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -139,10 +139,12 @@
     return plays("troubled")
 
 
-def test_the_rules_hold_through_faults_between_forty_processes(troubled):
+def test_faults_between_forty_processes_cause_no_violation(troubled):
     _, audit, alive = troubled
     figures = audit.figures()
-    assert len(alive) >= 34 and len(alive) + 5 >= 39  # with hosts, relays, clients and keeper
+    assert (
+        len(alive) >= 34 and len(alive) + 5 >= 39
+    )  # with endpoints, proxies, load generators and reaper
     assert {rule: figures[rule] for rule in audit.count_violations()} == dict.fromkeys(
         audit.count_violations(), 0
     )
@@ -150,7 +152,7 @@
     assert figures["requests"] > 1200 and figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
-def test_each_fault_shows_at_the_other_side(troubled):
+def test_each_fault_shows_in_the_records_of_nodes_and_stream(troubled):
     _, audit, _ = troubled
     attempts, faults = (
         audit.observations.attempts,
@@ -195,7 +197,7 @@
     )
 
 
-def test_load_moves_and_a_silent_cache_answers_nobody(troubled):
+def test_load_shifts_and_a_silent_cache_comes_back(troubled):
     _, audit, _ = troubled
     faults = {(fault[1], fault[3]): fault for fault in audit.faults}
     first, last = faults["moved", True][0], faults["moved", False][0]
@@ -208,13 +210,13 @@
     )  # it is back
 
 
-def test_nothing_of_it_is_left(troubled):
+def test_no_process_is_left_after_a_play(troubled):
     folder, _, alive = troubled
     assert not [process for process in alive if process.is_running()] and not processes_of(folder)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_nothing_is_left_of_a_lab_that_is_ended(number, tmp_path):
+def test_no_process_or_folder_is_left_of_a_lab_that_is_killed(number, tmp_path):
     path, temporary = tmp_path / "small.ini", tmp_path / "tmp"
     path.write_text("[fleet lab]\nseconds = 60\n[directors]\ncount = 6\n[load]\nrate = 20\n")
     temporary.mkdir()
@@ -229,7 +231,7 @@
         ),  # a shell's background job ignores it,
     )
     end, held = time.monotonic() + 30.0, []
-    while len(held) < 7 and time.monotonic() < end:  # six directors and the keeper name the folder
+    while len(held) < 7 and time.monotonic() < end:  # six directors and the reaper name the folder
         time.sleep(0.1)
         held = processes_of(str(temporary))
     others = psutil.Process(program.pid).children(recursive=True)
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -98,85 +98,93 @@
     return plays("losses")
 
 
-def when(audit, name, begins=True):
-    return next(held[0] for held in audit.faults if held[1] == name and held[3] == begins)
+def fault_time(audit, name, is_start=True):
+    return next(
+        fault.at_s for fault in audit.faults if fault.name == name and fault.is_start == is_start
+    )
 
 
-def met(audit, name):
-    return set(next(held[4] for held in audit.faults if held[1] == name))
+def faulty_directors(audit, name):
+    return set(next(fault.directors for fault in audit.faults if fault.name == name))
 
 
 def outcomes(audit, first, last, directors=None):
     return [
-        look[7]
-        for look in audit.observations.requests
-        if first < look[0] < last and (directors is None or look[4] in directors)
+        request.outcome
+        for request in audit.observations.requests
+        if first < request.at_s < last and (directors is None or request.director in directors)
     ]
 
 
-def test_no_rule_is_broken(audit):
-    assert {rule: found for rule, found in audit.count_violations().items() if found} == {}
-    assert all(not held[7] for held in audit.faults)  # each was carried out
+def test_no_violations(audit):
+    assert {rule: count for rule, count in audit.count_violations().items() if count} == {}
+    assert all(not fault.error for fault in audit.faults)  # each was injected
 
 
-def test_a_location_whose_caches_are_not_reached_is_served_past_them(audit):
-    """Guards against each cache being found out for itself, with a request or two lost for each."""
-    first, last, there = (
-        when(audit, "unreached"),
-        when(audit, "unreached", False),
-        met(audit, "unreached"),
+def test_requests_bypass_the_caches_of_an_unreachable_location(audit):
+    """Each cache was once detected by itself, with a request or two lost for each."""
+    first, last, affected = (
+        fault_time(audit, "unreached"),
+        fault_time(audit, "unreached", False),
+        faulty_directors(audit, "unreached"),
     )
-    looks = outcomes(audit, first + 2.0, last - 0.5, there)
-    assert looks.count("served") > 0.7 * len(looks) > 30
-    passing = {
-        attempt[1]
+    results = outcomes(audit, first + 2.0, last - 0.5, affected)
+    assert results.count("served") > 0.7 * len(results) > 30
+    bypassing = {
+        attempt.director
         for attempt in audit.observations.attempts
-        if first < attempt[0] < last
-        and attempt[1] in there
-        and audit.sites[attempt[2]].kind == PARENT
+        if first < attempt.at_s < last
+        and attempt.director in affected
+        and audit.sites[attempt.node].kind == PARENT
     }
-    assert len(passing) > 0.7 * len(there)
+    assert len(bypassing) > 0.7 * len(affected)
 
 
-def test_it_is_back_at_its_caches_afterwards(audit):
-    last, there = when(audit, "unreached", False), met(audit, "unreached")
+def test_directors_use_the_caches_again_after_the_cut(audit):
+    last, affected = fault_time(audit, "unreached", False), faulty_directors(audit, "unreached")
     back = {
-        attempt[1]
+        attempt.director
         for attempt in audit.observations.attempts
-        if last < attempt[0] < when(audit, "killed") + 6.0
-        and attempt[1] in there
-        and attempt[2] in audit.caches
+        if last < attempt.at_s < fault_time(audit, "killed") + 6.0
+        and attempt.director in affected
+        and attempt.node in audit.caches
     }
-    assert len(back) > 0.5 * len(there)
+    assert len(back) > 0.5 * len(affected)
 
 
-def test_orders_that_a_kill_met_run_once_though_their_clients_ask_others(audit):
-    first = when(audit, "killed")
+def test_orders_retried_at_other_directors_after_a_kill_run_once(audit):
+    first = fault_time(audit, "killed")
     orders = [
-        look
-        for look in audit.observations.requests
-        if first - 1.0 < look[0] < first + 4.0 and look[5] == "order"
+        request
+        for request in audit.observations.requests
+        if first - 1.0 < request.at_s < first + 4.0 and request.request_class == "order"
+    ]
+    moved = [
+        order
+        for order in orders
+        if order.tries > 1 and order.first_director != order.director and order.outcome == "served"
     ]
-    moved = [look for look in orders if look[8] > 1 and look[3] != look[4] and look[7] == "served"]
     assert len(moved) >= 5 and audit.count_violations()["orders_run_twice"] == 0
 
 
-def test_the_fleet_is_useful_between_and_after_two_kills(audit):
-    again, back = when(audit, "again"), when(audit, "again", False)
-    survivors = set(range(34)) - met(audit, "again") - met(audit, "killed")
-    looks = outcomes(audit, again, back, survivors)
-    assert looks.count("served") > 0.8 * len(looks) > 10
-    looks = outcomes(audit, back + 1.5, when(audit, "stopped"))
-    assert looks.count("served") > 0.8 * len(looks) > 10
+def test_most_requests_are_served_between_and_after_two_kills(audit):
+    again, back = fault_time(audit, "again"), fault_time(audit, "again", False)
+    survivors = (
+        set(range(34)) - faulty_directors(audit, "again") - faulty_directors(audit, "killed")
+    )
+    results = outcomes(audit, again, back, survivors)
+    assert results.count("served") > 0.8 * len(results) > 10
+    results = outcomes(audit, back + 1.5, fault_time(audit, "stopped"))
+    assert results.count("served") > 0.8 * len(results) > 10
 
 
-def test_directors_whose_clocks_were_stepped_go_on(audit):
-    stepped = met(audit, "forward") - met(audit, "killed")
-    looks = outcomes(audit, when(audit, "forward"), when(audit, "tenths"), stepped)
-    assert looks.count("served") > 0.6 * len(looks) > 20
+def test_directors_with_stepped_clocks_continue_to_serve(audit):
+    stepped = faulty_directors(audit, "forward") - faulty_directors(audit, "killed")
+    results = outcomes(audit, fault_time(audit, "forward"), fault_time(audit, "tenths"), stepped)
+    assert results.count("served") > 0.6 * len(results) > 20
 
 
-def test_caches_that_return_cold_while_directors_restart_do_not_fall(audit):
+def test_cold_caches_do_not_crash_while_directors_restart(audit):
     assert not audit.observations.others["fell"] and len(audit.observations.others["again"]) >= 10
-    looks = outcomes(audit, when(audit, "replaced", False) + 2.0, 32.0)
-    assert looks.count("served") > 0.5 * len(looks) > 50
+    results = outcomes(audit, fault_time(audit, "replaced", False) + 2.0, 32.0)
+    assert results.count("served") > 0.5 * len(results) > 50
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -64,56 +64,60 @@
     return plays("lost")
 
 
-def fault(audit, name, begins=True):
-    return next(held for held in audit.faults if held[1] == name and held[3] == begins)
+def fault(audit, name, is_start=True):
+    return next(
+        record for record in audit.faults if record.name == name and record.is_start == is_start
+    )
 
 
-def test_no_rule_is_broken(audit):
-    assert {rule: found for rule, found in audit.count_violations().items() if found} == {}
+def test_no_violations(audit):
+    assert {rule: count for rule, count in audit.count_violations().items() if count} == {}
 
 
-def test_caches_that_are_all_slow_get_no_storm_of_attempts(audit):
-    """Guards against requests that go from full cache to full cache: over two attempts a request
-    then.
-    """
-    first, last = fault(audit, "slow")[0], fault(audit, "slow", False)[0] + 2.0
+def test_slow_caches_get_no_overload_of_retries(audit):
+    """Requests once went from full cache to full cache, with over two attempts a request."""
+    first, last = fault(audit, "slow").at_s, fault(audit, "slow", False).at_s + 2.0
     attempts = [
-        held
-        for held in audit.observations.attempts
-        if held[2] in audit.caches and first < held[0] < last
+        attempt
+        for attempt in audit.observations.attempts
+        if attempt.node in audit.caches and first < attempt.at_s < last
     ]
     asked = sum(
-        look[8] for look in audit.observations.requests if first < look[0] < last
+        request.tries for request in audit.observations.requests if first < request.at_s < last
     )  # with the clients' retries
     assert 0 < len(attempts) < 1.5 * asked
 
 
-def test_what_is_served_is_back_once_the_slowness_is_over(audit):
-    end = fault(audit, "slow", False)[0]
-    looks = [look[7] for look in audit.observations.requests if end + 2.5 < look[0] < end + 4.5]
-    assert looks.count("served") > 0.8 * len(looks) > 50
+def test_requests_are_served_again_after_the_slowness(audit):
+    end = fault(audit, "slow", False).at_s
+    outcomes = [
+        request.outcome
+        for request in audit.observations.requests
+        if end + 2.5 < request.at_s < end + 4.5
+    ]
+    assert outcomes.count("served") > 0.8 * len(outcomes) > 50
 
 
-def test_caches_that_return_cold_are_used_and_do_not_fall(audit):
-    """Guards against parts of a cold cache that are less than one request: 17 directors share each,
-    so that none would be asked anything for all its cold time.
+def test_caches_that_restart_cold_are_used_and_do_not_crash(audit):
+    """With quotas of less than one request, 17 directors share each cold cache, and none of them
+    would send it anything during its whole slow start.
     """
-    back, cold = fault(audit, "cold", False)[0], set(fault(audit, "cold")[5])
+    back, cold = fault(audit, "cold", False).at_s, set(fault(audit, "cold").nodes)
     attempts = [
-        held
-        for held in audit.observations.attempts
-        if held[2] in cold and 2.0 < held[0] - back < 6.0
-    ]  # told to all
+        attempt
+        for attempt in audit.observations.attempts
+        if attempt.node in cold and 2.0 < attempt.at_s - back < 6.0
+    ]  # all directors were notified
     assert len(cold) == 4 and len(attempts) >= 4 and not audit.observations.others["fell"]
 
 
-def test_survivors_answer_all_they_take_while_most_are_gone(audit):
-    first, last = fault(audit, "killed")[0], fault(audit, "killed", False)[0]
-    dead = set(fault(audit, "killed")[4])
+def test_survivors_answer_most_requests_while_most_directors_are_dead(audit):
+    first, last = fault(audit, "killed").at_s, fault(audit, "killed", False).at_s
+    dead = set(fault(audit, "killed").directors)
     taken = [
-        look
-        for look in audit.observations.requests
-        if first < look[0] < last and look[4] not in dead
+        request
+        for request in audit.observations.requests
+        if first < request.at_s < last and request.director not in dead
     ]
-    answered = [look for look in taken if look[7] in ("served", "rejected", "failed")]
+    answered = [request for request in taken if request.outcome in ("served", "rejected", "failed")]
     assert len(dead) == 24 and len(taken) > 30 and len(answered) == len(taken)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -162,7 +162,7 @@
 
 
 def test_no_rule_is_broken_and_no_request_waits_for_talk(played):
-    assert {rule: found for rule, found in played[0].rules().items() if found} == {}
+    assert {rule: found for rule, found in played[0].count_violations().items() if found} == {}
     assert all(not held[7] for held in played[0].faults)
 
 
