--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -3,13 +3,7 @@
 import os
 from dataclasses import dataclass
 
-from ..config.ini import (
-    NAME_PATTERN,
-    IniSection,
-    load_ini,
-    parse_sections,
-    reject_unknown_sections,
-)
+from ..config.ini import NAME_PATTERN, IniSection, load_ini, parse_sections, reject_unknown_sections
 
 SECTIONS = ("cells", "director")
 
--- /dev/null
+++ b/mulleinrelay/lab/runner.py
@@ -0,0 +1,321 @@
+"""Plays a scenario of tenants: the stand-ins in this process, each director as one of its own."""
+
+import json
+import os
+import tempfile
+import threading
+import time
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from ..cells import edits, store
+from ..cells.formatter import format_assignment
+from ..cells.model import Assignment, Tenant
+from ..standins.clock import now_ms
+from ..standins.environment import LoopbackEnvironment
+from ..standins.load_generator import LoadGenerator
+from ..standins.node_kinds import CACHE, ORIGIN, PARENT
+from ..standins.nodes import NodeFleet, NodeSpec, SimulatedNode
+from .director import Director
+from .director_settings import PlatformOptions, platform_settings
+from .scenario import Scenario, ScenarioStep
+
+READY_TIMEOUT_S = 15.0
+READY_POLL_S = 0.02
+LEAD_MS = 200.0  # from all directors being ready to the first request
+PROGRESS_S = 0.5  # between two calls of `live`
+END_GRACE_S = 0.1  # beyond the longest patience, for the last answers
+MEMORY_MB = 128
+MAX_DESCRIPTORS = 1024
+LOCATION = "edge"
+HUB = "hub"
+PARENT_FACTOR = 10.0  # capacity of a parent, in caches
+TOTALS = (
+    "asked",
+    "tries",
+    "served",
+    "rejected",
+    "failed",
+    "bad",
+    "no_answer",
+    "answers_twice",
+    "answers_late",
+    "cut_off",
+)
+
+
+def build_node_fleet(scenario: Scenario) -> NodeFleet:
+    """Build all nodes of the scenario, with nothing stored."""
+    specs = [
+        NodeSpec(
+            name,
+            CACHE,
+            LOCATION,
+            scenario.capacity,
+            scenario.fill_cost,
+            scenario.hit_delay,
+            initial_fraction=scenario.initial_fraction,
+            slow_start_duration=scenario.slow_start_duration,
+            crashes_on_overload=scenario.crashes_on_overload,
+        )
+        for name in scenario.caches
+    ]
+    specs += [
+        NodeSpec(
+            f"p-{number}",
+            PARENT,
+            HUB,
+            PARENT_FACTOR * scenario.capacity,
+            1.0,
+            scenario.fill_delay,
+            max_copies=scenario.parent_max_copies,
+        )
+        for number in range(1, scenario.parents + 1)
+    ]
+    specs.append(NodeSpec("o-1", ORIGIN, HUB, scenario.origin_capacity, 1.0, scenario.origin_delay))
+    return NodeFleet({spec.name: SimulatedNode(spec) for spec in specs}, {"order"})
+
+
+class Lab:
+    """One play of a scenario.
+
+    Attributes:
+        assignment: Path of the assignment file that the directors share.
+        environment: The stand-ins on sockets; set by `run`, or by those who start directors alone.
+        began: Start of the load in Unix ms.
+        completed_steps: What was done, by the names of the output.
+    """
+
+    environment: LoopbackEnvironment
+
+    def __init__(self, scenario: Scenario, folder: str | None = None) -> None:
+        """Prepare a play.
+
+        Args:
+            scenario: What to play.
+            folder: Where configurations, logs and records are kept; None: a temporary folder.
+        """
+        self.scenario = scenario
+        self.temporary: tempfile.TemporaryDirectory[str] | None = None
+        if not folder:
+            self.temporary = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-")
+            folder = self.temporary.name
+        self.folder = folder
+        self.assignment = os.path.join(self.folder, "assignment.ini")
+        self.fleet = build_node_fleet(scenario)
+        self.directors: list[Director] = []
+        self.load_generators: list[LoadGenerator] = []
+        self.completed_steps: list[dict[str, Any]] = []
+        self.began = 0.0
+
+    def run(
+        self,
+        live: Callable[["Lab", float], None] | None = None,
+        before: Callable[["Lab"], None] | None = None,
+    ) -> dict[str, Any]:
+        """Play, and return the figures.
+
+        Args:
+            live: Called twice a second with the lab and the seconds since the start.
+            before: Called when the load has started.
+
+        Raises:
+            RuntimeError: A director was not ready in time.
+        """
+        self.environment = LoopbackEnvironment(self.fleet)
+        try:
+            self.start_directors()
+            self._start_load()
+            if before is not None:
+                before(self)
+            cpu_before = [director.usage().cpu_s for director in self.directors]
+            threading.Thread(target=self._run_steps, name="steps", daemon=True).start()
+            self._follow(live)
+            cpu_s = sum(
+                director.usage().cpu_s - earlier
+                for director, earlier in zip(self.directors, cpu_before, strict=True)
+            )
+            return self.summary(cpu_s)
+        finally:
+            self._stop()
+
+    def start_directors(self) -> None:
+        """Start all directors and wait until they serve."""
+        scenario = self.scenario
+        cells_file = self._write_cells_files() if scenario.cells else None
+        host, port = self.environment.stream.address
+        options = PlatformOptions(
+            zones=[HUB, LOCATION],
+            own_zone=1,
+            directors_by_zone=[0, scenario.directors],
+            initial_fraction=scenario.initial_fraction,
+            slow_start_ms=scenario.slow_start_duration,
+        )
+        snapshot = json.loads(self.environment.stream.events[0].partition(b"data: ")[2])
+        for number in range(scenario.directors):
+            platform = {
+                "seed": f"{scenario.seed + number:x}",
+                "bus": f"{host}:{port}",
+                "limits": {"memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS},
+                "known": {"offset": 1, "batch": [snapshot]},
+                "settings": platform_settings(options),
+            }
+            self.directors.append(
+                Director(f"n{number}", self.folder, platform, cells_file, scenario.management)
+            )
+        self._wait_until_ready()
+
+    def restart(self, director: Director) -> None:
+        """Start a director that has ended once more, as it was."""
+        director.log.close()
+        director.start()
+        self._wait_until_ready()
+
+    def change_assignment(self, make: Callable[[Assignment], Assignment]) -> Assignment:
+        """Change the assignment file; returns what was saved."""
+        with store.exclusive_writer(self.assignment):
+            old = store.load_assignment(self.assignment)
+            return store.save_assignment(self.assignment, make(old), round(now_ms()), old.version)
+
+    def summary(self, cpu_s: float) -> dict[str, Any]:
+        """Return the figures by the names of the command's output; `cpu_s`: of all directors."""
+        fleet = self.fleet
+        tenants = {
+            generator.load.tenant: self._tenant_figures(generator)
+            for generator in self.load_generators
+        }
+        total = {name: sum(tenant.get(name, 0) for tenant in tenants.values()) for name in TOTALS}
+        answered = total["served"] + total["rejected"] + total["failed"]
+        return {
+            "tenants": tenants,
+            "total": total,
+            "cpu_s": round(cpu_s, 3),
+            "cpu_ms_a_request": round(1000.0 * cpu_s / answered, 4) if answered else None,
+            "origin_fetches": fleet.origin_fetches,
+            "orders_run": len(fleet.executions),
+            "orders_run_twice": sum(times > 1 for times in fleet.executions.values()),
+            "stale": fleet.stale_answers,
+            "nodes": {
+                name: {
+                    "peak_load": round(node.peak_load, 3),
+                    **dict(node.counts),
+                    "alive": node.is_alive,
+                }
+                for name, node in fleet.nodes.items()
+            },
+            "deeds": self.completed_steps,
+        }
+
+    def _tenant_figures(self, generator: LoadGenerator) -> dict[str, Any]:
+        seconds = self.scenario.seconds
+        counts = generator.result.counts
+        return {
+            "share": round(generator.served_fraction(0.0, seconds), 4),
+            "p50_ms": round(generator.percentile(0.5, 0.0, seconds), 1),
+            "p99_ms": round(generator.percentile(0.99, 0.0, seconds), 1),
+            **{event.replace(" ", "_"): count for event, count in sorted(counts.items())},
+        }
+
+    def _write_cells_files(self) -> str:
+        """Write the assignment and the file that names it; returns the latter's path."""
+        scenario = self.scenario
+        with open(self.assignment, "w", encoding="utf-8") as file:
+            file.write(format_assignment(scenario.assignment))
+        path = os.path.join(self.folder, "cells.ini")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write(
+                "[cells]\nenabled = yes\nassignment = assignment.ini\nread_every_ms = 100\n"
+                f"records = records\n[director]\nopen_most = {scenario.max_open_requests}\n"
+                f"rate = {scenario.rate}\n"
+            )
+        return path
+
+    def _wait_until_ready(self) -> None:
+        ends_at = time.monotonic() + READY_TIMEOUT_S
+        while True:
+            are_ready = [director.is_ready() for director in self.directors]  # raises for any
+            if all(are_ready):
+                return
+            if time.monotonic() > ends_at:
+                raise RuntimeError(f"a director was not ready within {READY_TIMEOUT_S:.0f} s")
+            time.sleep(READY_POLL_S)
+
+    def _start_load(self) -> None:
+        self.began = now_ms() + LEAD_MS
+        addresses = [director.address for director in self.directors]
+        self.load_generators = [
+            LoadGenerator(load, addresses, self.scenario.seed, self.began)
+            for load in self.scenario.loads
+        ]
+        for generator in self.load_generators:
+            generator.start()
+
+    def _follow(self, live: Callable[["Lab", float], None] | None) -> None:
+        """Wait until the load has ended and its last answers have come."""
+        seconds = self.scenario.seconds
+        while (since_start_s := (now_ms() - self.began) / 1000.0) < seconds:
+            time.sleep(min(PROGRESS_S, max(0.01, seconds - since_start_s)))
+            for generator in self.load_generators:
+                generator.expire_unanswered()
+            if live is not None:
+                live(self, since_start_s)
+        for generator in self.load_generators:
+            generator.stop()
+        time.sleep(max(load.patience for load in self.scenario.loads) / 1000.0 + END_GRACE_S)
+        for generator in self.load_generators:
+            generator.expire_unanswered()
+
+    def _stop(self) -> None:
+        for generator in self.load_generators:
+            generator.stopped.set()
+            generator.close()
+        for director in self.directors:
+            director.stop()
+        self.environment.close()
+        if self.temporary is not None:
+            self.temporary.cleanup()
+
+    # Steps, on a thread of their own
+
+    def _run_steps(self) -> None:
+        for step in self.scenario.steps:
+            wait_ms = self.began + step.at_s * 1000.0 - now_ms()
+            if wait_ms > 0.0:
+                time.sleep(wait_ms / 1000.0)
+            error = ""
+            try:
+                self._run_step(step)
+            except Exception as failure:  # shown in the summary; the play goes on
+                error = str(failure)
+            self.completed_steps.append(
+                {
+                    "name": step.name,
+                    "what": step.kind,
+                    "wrong": error,
+                    "at": round((now_ms() - self.began) / 1000.0, 3),
+                }
+            )
+
+    def _run_step(self, step: ScenarioStep) -> None:
+        if step.kind == "move":
+            spans = edits.StageDurations(step.warm_up_ms, step.shift_ms, step.drain_ms)
+            self.change_assignment(
+                lambda old: edits.start_migration(
+                    old, step.name, step.tenants, step.target, now_ms(), spans
+                )
+            )
+        elif step.kind == "abort":
+            self.change_assignment(lambda old: edits.abort_migration(old, step.target, now_ms()))
+        elif step.kind == "cut":
+            self.change_assignment(lambda old: cut_over(old, step.tenants, step.target))
+        else:
+            self.environment.inject_fault(step.kind, step.node)
+
+
+def cut_over(assignment: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
+    """Place the tenants in another cell at once, for comparison with a migration."""
+    moved: dict[str, Tenant] = {
+        name: replace(assignment.tenants[name], cell=target) for name in tenants
+    }
+    return replace(assignment, tenants=assignment.tenants | moved)
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -6,13 +6,7 @@
 import os
 from dataclasses import dataclass
 
-from ..config.ini import (
-    MAX_PORT,
-    IniSection,
-    load_ini,
-    parse_sections,
-    reject_unknown_sections,
-)
+from ..config.ini import MAX_PORT, IniSection, load_ini, parse_sections, reject_unknown_sections
 from .authorization import ROLES_BY_NAME, AuthorizationPolicy, Role
 
 SECTIONS = ("management", "roles", "limits")
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -10,15 +10,7 @@
 from typing import Any, NamedTuple
 
 from .errors import ErrorCode, PathError
-from .paths import (
-    ANY_ELEMENT,
-    ANY_ELEMENTS,
-    Keys,
-    Path,
-    PathElement,
-    format_path,
-    has_keys,
-)
+from .paths import ANY_ELEMENT, ANY_ELEMENTS, Keys, Path, PathElement, format_path, has_keys
 from .schema import SchemaNode
 
 MAX_TREE_DEPTH = 32  # levels; the model has five, much deeper input would exhaust the stack
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -73,7 +73,7 @@
         incarnation: Of this director.
         time_offset: Milliseconds that the coordinator's clock is ahead of the exchange's.
     """
-    from ..budgets.quota_exchange import QuotaExchange  # needed only where limits are shared
+    from ..budgets.quota_exchange import QuotaExchange
 
     now = _now()
     random = Random(f"{seed}-rights")
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -20,7 +20,8 @@
 from ..policy.router import Router
 
 if TYPE_CHECKING:
-    from .world import Pending, World
+    from .clients import PendingRequest
+    from .simulation import Simulation
 
 STATES = {
     "SERVING": EndpointState.READY,
@@ -39,7 +40,7 @@
 
     def __init__(
         self,
-        world: "World",
+        world: "Simulation",
         number: int,
         settings: ServiceSettings,
         zone_of: dict[str, int],
@@ -55,7 +56,7 @@
         self.router = Router(world.clock(), seed, settings)
         self.endpoints: dict[str, TrackedEndpoint] = {}
         self.names: dict[TrackedEndpoint, str] = {}
-        self.open: dict[Request, Pending] = {}
+        self.open: dict[Request, PendingRequest] = {}
         self.gone = False  # killed; a new one stands in its place
         self._cancelled: deque[Attempt] = deque()
 
@@ -65,18 +66,18 @@
         """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
         self._handle(EndpointsUpdated([self._entry(row) for row in rows], whole))
 
-    def ask(self, pending: "Pending", left: float) -> None:
+    def ask(self, pending: "PendingRequest", left: float) -> None:
         """A client sends a request and waits so many ms."""
         now = self.world.clock()
         wanted = pending.wanted
-        number = self.world.case_places[wanted.request_class]
+        number = self.world.class_indices[wanted.request_class]
         request = Request(
             pending,
             self.settings.request_classes[number],
-            wanted.key,
+            wanted.object_id,
             0,
-            wanted.key & GROUP_MASK,
-            wanted.size,
+            wanted.object_id & GROUP_MASK,
+            wanted.size_kb,
             now,
             now + left,
             pending.tries > 1,
@@ -177,7 +178,7 @@
     def _complete(self, request: Request, result: str, retry_after: float) -> None:
         pending = self.open.pop(request, None)
         if pending is not None:
-            self.world.answered(self, pending, result, retry_after)
+            self.world.on_result(self, pending, result, retry_after)
 
     # ActionSink
 
@@ -185,8 +186,8 @@
         """Sends the attempt through the model's network, and sets its timeout."""
         clock = self.world.clock
         fields = _fields(attempt, options, self._source_name(attempt))
-        self.world.send(self, attempt, self.names[attempt.endpoint], fields)
-        clock.at(clock() + attempt.timeout, lambda: self._time_out(attempt))
+        self.world.send_attempt(self, attempt, self.names[attempt.endpoint], fields)
+        clock.call_at(clock() + attempt.timeout, lambda: self._time_out(attempt))
 
     def _source_name(self, attempt: Attempt) -> str:
         source = attempt.fill_source
@@ -208,11 +209,11 @@
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
         """Sets a timer of the model's clock."""
         clock = self.world.clock
-        clock.at(clock() + delay, lambda: self._fire_timer(subject))
+        clock.call_at(clock() + delay, lambda: self._fire_timer(subject))
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
         """Sends a health check through the model's network."""
-        self.world.probe(self, self.names[endpoint])
+        self.world.check_health(self, self.names[endpoint])
 
     def subscribe_to_endpoints(self) -> None:
         """The endpoint list is always read."""
--- a/mulleinrelay/router_driver.py
+++ b/mulleinrelay/router_driver.py
@@ -4,14 +4,7 @@
 from typing import Any
 
 from .pending_requests import Failed, PendingRequest, Served
-from .policy.events import (
-    AttemptFinished,
-    ClientLeft,
-    Event,
-    LoadReport,
-    TimerFired,
-    request_of,
-)
+from .policy.events import AttemptFinished, ClientLeft, Event, LoadReport, TimerFired, request_of
 from .policy.model import Attempt, CacheStatus, Outcome, Request
 from .policy.router import Router
 from .router_actions import PendingActions
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_simulation.py
@@ -1,11 +1,9 @@
-"""The model on the scenarios of the lab: same plan, same audit, and what rests on simulated time
-alone.
-"""
+"""The simulation plays the lab's scenarios, with the lab's audit."""
 
 import pytest
 
-from mulleinrelay.lab.fleet.plan import read_fleet
-from mulleinrelay.model.world import play
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
+from mulleinrelay.model.simulation import play
 
 SMALL = """
 [fleet lab]
@@ -56,21 +54,23 @@
         ),
     ],
 )
-def test_the_rules_hold_in_the_model_through_each_fault(fault, outcomes):
+def test_each_fault_causes_no_violation(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
-    figures = play(read_fleet(text))
+    figures = play(parse_fleet_scenario(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
     assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
     assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
-def test_the_same_seed_plays_the_same():
-    first, again = (play(read_fleet(SMALL)) for _ in range(2))
-    assert first == again != play(read_fleet(SMALL.replace("seed = 4", "seed = 5")))
+def test_the_same_seed_gives_the_same_figures():
+    first, again = (play(parse_fleet_scenario(SMALL)) for _ in range(2))
+    assert first == again != play(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
 
 
-def test_a_fleet_larger_than_the_lab_is_played():
-    figures = play(read_fleet(SMALL.replace("seconds = 16", "seconds = 5")).sized(1000))
+def test_a_fleet_larger_than_the_lab_can_be_simulated():
+    figures = play(
+        parse_fleet_scenario(SMALL.replace("seconds = 16", "seconds = 5")).with_directors(1000)
+    )
     assert (
         figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
     )
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -6,12 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mulleinrelay.management.datastore import (
-    MAX_VERSIONS,
-    CommitRequest,
-    ConfirmRequest,
-    Datastore,
-)
+from mulleinrelay.management.datastore import MAX_VERSIONS, CommitRequest, ConfirmRequest, Datastore
 from mulleinrelay.management.datastore_file import decode_state, encode_state
 from mulleinrelay.management.errors import CommitRejectedError, ErrorCode
 
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from mulleinrelay.lab.fleet.audit import Audit, read
-from mulleinrelay.lab.fleet.plan import read_fleet
-from mulleinrelay.lab.fleet.play import FleetLab
+from mulleinrelay.lab.fleet.audit import Audit
+from mulleinrelay.lab.fleet.observations import read_observations
+from mulleinrelay.lab.fleet.runner import FleetLab
+from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.membership.config import parse_fleet_config
 from mulleinrelay.membership.service import MembershipService
 from mulleinrelay.records import read_logs, read_states
@@ -94,7 +95,7 @@
 
 def play(folder):
     """The audit, the folder, and the records in the middle of the partition and at the end."""
-    lab = FleetLab(read_fleet(SCENARIO), SCENARIO, folder)
+    lab = FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder)
     observed = {"budgets in time": []}  # (s, director, limit, usable, owned)
 
     def observe(since, *_):
@@ -118,7 +119,7 @@
             observed["budgets"] = run_command(folder, "budgets")
 
     lab.run(observe_to_the_end)
-    return Audit(read_fleet(SCENARIO), read(folder)), folder, observed
+    return Audit(parse_fleet_scenario(SCENARIO), read_observations(folder)), folder, observed
 
 
 PLAYS = {"membership": play}
@@ -153,7 +154,7 @@
 
 def logged_events(audit, folder, first, last):
     """(director, member, event) between two times of the play."""
-    began = audit.heard.began / 1000.0
+    began = audit.observations.started_at / 1000.0
     lines = read_logs(os.path.join(folder, "fleet"))
     return [
         (line["director"], *line["text"].split(" ", 1))
@@ -163,7 +164,7 @@
 
 
 def test_no_rule_is_broken_and_no_request_waits_for_membership(played):
-    assert {rule: found for rule, found in played[0].rules().items() if found} == {}
+    assert {rule: found for rule, found in played[0].count_violations().items() if found} == {}
     assert all(not held[7] for held in played[0].faults)
 
 
@@ -251,10 +252,10 @@
     cold = set(next(held[5] for held in audit.faults if held[1] == "cold"))
     sent = [
         attempt
-        for attempt in audit.heard.attempts
+        for attempt in audit.observations.attempts
         if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0
     ]
-    assert not audit.heard.others["fell"] and len(sent) > 40
+    assert not audit.observations.others["fell"] and len(sent) > 40
     usable_by_owned = [
         usable / owned
         for since, _, limit, usable, owned in observed["budgets in time"]
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -3,13 +3,8 @@
 import pytest
 from helpers import Fleet
 
-from mulleinrelay.policy.events import (
-    AttemptFinished,
-)
-from mulleinrelay.policy.model import (
-    CacheStatus,
-    Outcome,
-)
+from mulleinrelay.policy.events import AttemptFinished
+from mulleinrelay.policy.model import CacheStatus, Outcome
 
 
 def test_a_request_that_no_cache_can_serve_in_time_is_rejected_immediately():
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -10,12 +10,7 @@
     HealthCheckFinished,
     TimerFired,
 )
-from mulleinrelay.policy.model import (
-    Attempt,
-    CacheStatus,
-    EndpointState,
-    Outcome,
-)
+from mulleinrelay.policy.model import Attempt, CacheStatus, EndpointState, Outcome
 
 
 def test_a_silent_cache_is_hedged_at_once_and_ejected_when_signs_add_up():
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -3,13 +3,8 @@
 import pytest
 from helpers import Fleet
 
-from mulleinrelay.policy.events import (
-    AttemptFinished,
-)
-from mulleinrelay.policy.model import (
-    CacheStatus,
-    Outcome,
-)
+from mulleinrelay.policy.events import AttemptFinished
+from mulleinrelay.policy.model import CacheStatus, Outcome
 
 
 @pytest.mark.parametrize(("caches_start", "parents_start"), [(True, False), (False, True)])
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -3,10 +3,7 @@
 import pytest
 from helpers import Fleet
 
-from mulleinrelay.policy.model import (
-    CacheStatus,
-    Outcome,
-)
+from mulleinrelay.policy.model import CacheStatus, Outcome
 from mulleinrelay.policy.rendezvous_hash import rendezvous_order
 
 
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -10,14 +10,7 @@
     PurgeReceived,
     TimerFired,
 )
-from mulleinrelay.policy.model import (
-    IDEMPOTENT,
-    KEYED,
-    UNSAFE,
-    CacheStatus,
-    EndpointState,
-    Outcome,
-)
+from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, CacheStatus, EndpointState, Outcome
 from mulleinrelay.policy.router import Route
 
 
--- a/tests/policy/test_stream_reconnect.py
+++ b/tests/policy/test_stream_reconnect.py
@@ -2,11 +2,7 @@
 
 import pytest
 
-from mulleinrelay.policy.stream_reconnect import (
-    MAX_BACKOFF_S,
-    RECONNECT_JITTER_S,
-    ReconnectBackoff,
-)
+from mulleinrelay.policy.stream_reconnect import MAX_BACKOFF_S, RECONNECT_JITTER_S, ReconnectBackoff
 
 
 @pytest.mark.parametrize(
