--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -230,6 +230,17 @@
         return 0.0
 
 
+def count_answers(connection: socket.socket) -> int:
+    """Reads the answers that have come: each holds the name of its method once."""
+    received = b""
+    try:
+        while piece := connection.recv(1 << 20):
+            received += piece
+    except BlockingIOError:
+        pass
+    return received.count(b"serve")
+
+
 def drive(cells: str) -> Callable[[int], float]:
     """Returns a function that plays so many requests and returns the CPU seconds they took."""
     try:
@@ -254,22 +265,12 @@
         parts.run_due_timers()
         return time.thread_time() - begun
 
-    def count_answers() -> int:
-        """Reads the answers: each holds the one body of 400 bytes and the name of its method."""
-        received = b""
-        try:
-            while piece := theirs.recv(1 << 20):
-                received += piece
-        except BlockingIOError:
-            pass
-        return received.count(b"serve")
-
     def play(requests: int) -> float:
         used = 0.0
         while requests > 0:
             batch = min(requests, BATCH)
             used += play_batch(batch)
-            if (answers := count_answers()) != batch:
+            if (answers := count_answers(theirs)) != batch:
                 raise RuntimeError(f"{answers} of {batch} requests were answered")
             requests -= batch
         return used
