--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -288,6 +288,7 @@
         return click.echo(json.dumps(told))
     for key, value in told.items():
         click.echo(f"{key:<30} {value}")
+    return None
 
 
 if __name__ == "__main__":
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -370,6 +370,7 @@
         return click.echo(json.dumps(told))
     for key, value in told.items():
         click.echo(f"{key:<34} {value}")
+    return None
 
 
 if __name__ == "__main__":
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -151,7 +151,8 @@
     config = _load_or_exit(load_management_config, path)
     click.echo(
         f"management: {_on_or_off(config.enabled)}, {config.listen}, "
-        f"{'TLS' if config.certificate else 'no TLS'}, {len(config.authorization.roles_by_name)} roles"
+        f"{'TLS' if config.certificate else 'no TLS'}, "
+        f"{len(config.authorization.roles_by_name)} roles"
     )
 
 
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -150,6 +150,11 @@
         return host, int(port)
 
 
+# Keys of the initial fraction, the duration and the overload factor.
+CACHE_SLOW_START_KEYS = ("coldFrom", "cold", "fallMultiple")
+PARENT_SLOW_START_KEYS = ("parentStartsAt", "parentWarmsIn", "parentLimitFactor")
+
+
 def parse_service_settings(start: JsonSection) -> ServiceSettings:
     """Returns the start settings in the terms of the policy.
 
@@ -184,12 +189,8 @@
         requires_subscription=start.text("registryMode") == "subscribe",
         load_report_fields=[LOAD_REPORT_FIELDS.get(word, word) for word in report.items("columns")],
         polls_load_reports=report.text("how") == "probe",
-        cache_slow_start=_parse_slow_start(
-            rules, ("coldFrom", "cold", "fallMultiple"), overload_window
-        ),
-        parent_slow_start=_parse_slow_start(
-            domain, ("parentStartsAt", "parentWarmsIn", "parentLimitFactor"), overload_window
-        ),
+        cache_slow_start=_parse_slow_start(rules, CACHE_SLOW_START_KEYS, overload_window),
+        parent_slow_start=_parse_slow_start(domain, PARENT_SLOW_START_KEYS, overload_window),
         purge_propagation=domain.number("purgeTakes"),
         health_check_cost=start.optional_section("costs").number("probe", 0.0),
     )
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -10,7 +10,7 @@
 
 from ..errors import ConfigError
 from .runner import Lab
-from .scenario import parse_scenario
+from .scenario import Scenario, parse_scenario
 
 EXIT_NOT_PLAYED = 1
 EXIT_WRONG_SCENARIO = 2
@@ -104,16 +104,20 @@
         _exit(f"{path}: {error}", EXIT_WRONG_SCENARIO)
     except OSError as error:
         _exit(f"{path}: {error.strerror}", EXIT_WRONG_SCENARIO)
-    if keep is not None:
-        os.makedirs(keep, exist_ok=True)
+    _play_tenants(scenario, options)
+
+
+def _play_tenants(scenario: Scenario, options: LabOptions) -> None:
+    if options.keep is not None:
+        os.makedirs(options.keep, exist_ok=True)
     try:
-        figures = Lab(scenario, keep).run(show_progress if options.shows_progress else None)
+        figures = Lab(scenario, options.keep).run(show_progress if options.shows_progress else None)
     except RuntimeError as error:
         _exit(str(error), EXIT_NOT_PLAYED)
-    if as_json:
+    if options.as_json:
         click.echo(orjson.dumps(figures))
         return
-    if not quiet:
+    if not options.quiet:
         click.echo("", err=True)
     _print_figures(figures)
 
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -47,22 +47,28 @@
         director = build_director(config, log, cells_path, management_path, fleet_path)
     except ConfigError as error:
         return _fail(str(error), EXIT_BAD_CONFIGURATION)
+    exit_code = _start(director, config)
+    if exit_code != EXIT_DONE:
+        return exit_code
+    director.event_stream.read_configured_address = lambda: configured_event_stream(config_path)
+    gc.collect()
+    gc.freeze()  # what exists at the start stays: the collector need not look at it again
+    _obey_signals(signals, director, log, config_path)
+    log.close()
+    return EXIT_DONE
+
+
+def _start(director: Director, config: DirectorConfig) -> int:
+    """Starts the director; returns the exit code where it cannot, with its message written."""
     try:
         director.start()
     except OSError as error:
         reason = error.strerror or str(error)
         address = error.filename or f"{config.listen[0]}:{config.listen[1]}"
         return _fail(f"cannot listen on {address}: {reason}", EXIT_NOT_STARTED)
-    except (
-        RuntimeError,
-        StoreError,
-    ) as error:  # stored management data cannot be used, or its port is taken
+    except (RuntimeError, StoreError) as error:
+        # Stored management data cannot be used, or the port of management is taken.
         return _fail(str(error), EXIT_BAD_CONFIGURATION)
-    director.event_stream.read_configured_address = lambda: configured_event_stream(config_path)
-    gc.collect()
-    gc.freeze()  # what exists at the start stays: the collector need not look at it again
-    _obey_signals(signals, director, log, config_path)
-    log.close()
     return EXIT_DONE
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,6 +4,7 @@
 clock of its own. On loopback: an endpoint, an event stream, a client, a director, the program.
 """
 
+import contextlib
 import itertools
 import json
 import os
@@ -63,7 +64,7 @@
 
 
 class Fleet:
-    """A router in front of three caches, two parents and an origin; the clock moves with each call."""
+    """A router in front of three caches, two parents and an origin; each call moves the clock."""
 
     def __init__(
         self,
@@ -75,31 +76,31 @@
         **changes,
     ):
         case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
-        settings = dict(
-            request_classes=[case],
-            zone=1,
-            director_count=3,
-            local_director_count=1,
-            parent_kind=PARENT,
-            origin_kind=ORIGIN,
-            advertises_weights=True,
-            transfer_rate=10.0,
-            max_attempts=6,
-            allows_hedging=True,
-            allows_cancel=True,
-            allows_health_checks=False,
-            allows_retry_after=True,
-            max_retry_after=1000.0,
-            allows_cache_bypass=True,
-            allows_coalescing=True,
-            allows_sibling_fills=True,
-            requires_subscription=False,
-            load_report_fields=["crowding"],
-            polls_load_reports=False,
-            cache_slow_start=SlowStartPolicy(0.2, 17000.0, 1500.0, 2.5),
-            parent_slow_start=SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
-            purge_propagation=6000.0,
-        )
+        settings = {
+            "request_classes": [case],
+            "zone": 1,
+            "director_count": 3,
+            "local_director_count": 1,
+            "parent_kind": PARENT,
+            "origin_kind": ORIGIN,
+            "advertises_weights": True,
+            "transfer_rate": 10.0,
+            "max_attempts": 6,
+            "allows_hedging": True,
+            "allows_cancel": True,
+            "allows_health_checks": False,
+            "allows_retry_after": True,
+            "max_retry_after": 1000.0,
+            "allows_cache_bypass": True,
+            "allows_coalescing": True,
+            "allows_sibling_fills": True,
+            "requires_subscription": False,
+            "load_report_fields": ["crowding"],
+            "polls_load_reports": False,
+            "cache_slow_start": SlowStartPolicy(0.2, 17000.0, 1500.0, 2.5),
+            "parent_slow_start": SlowStartPolicy(0.063, 20000.0, 1500.0, 2.0),
+            "purge_propagation": 6000.0,
+        }
         self.settings = ServiceSettings(**(settings | changes))
         self.case, self.now, self.out = case, 100000.0, Recorder()
         self.router = Router(self.now, 7, self.settings)
@@ -252,8 +253,8 @@
 
 
 class Stage:
-    """A coordinator in front of three caches, two parents and an origin, with a clock that stands until
-    moved.
+    """A coordinator in front of three caches, two parents and an origin; its clock stands until
+    it is moved.
     """
 
     def __init__(self, **changes):
@@ -387,17 +388,13 @@
             threading.Thread(target=self._guarded, args=(connection,), daemon=True).start()
 
     def _guarded(self, connection):
-        try:
+        with contextlib.suppress(OSError):
             self.talk(connection)
-        except OSError:
-            pass
 
     def close(self):
         for each in (self.socket, *self.connections):
-            try:
+            with contextlib.suppress(OSError):
                 each.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
             each.close()
 
 
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, rule, count",
+    ("lines", "rule", "count"),
     [
         ([attempt(6.9)], "drains_broken", 0),
         ([attempt(6.9), DRAIN], "drains_broken", 0),
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, well",
+    ("lines", "well"),
     [
         ([], [(0.0, 1e9)]),
         (
@@ -141,7 +141,8 @@
 
 
 @pytest.mark.parametrize(
-    "what, ms, credit", [("served", 100.0, 1.0), ("served", 900.0, 0.1), ("rejected", 5.0, 0.0)]
+    ("what", "ms", "credit"),
+    [("served", 100.0, 1.0), ("served", 900.0, 0.1), ("rejected", 5.0, 0.0)],
 )
 def test_weight_is_earned_by_the_latency_objective(what, ms, credit, tmp_path):
     audit = audited(tmp_path, ["look", at(3), ms, "north", 1, 1, "order", 7, what, 1])
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "counts, herd",
+    ("counts", "herd"),
     [
         ((30, 10, 20), []),  # nobody is over twice its share
         ((41, 9, 10), [0]),
@@ -47,7 +47,7 @@
     assert evenness.known_load_ratios(load, held, [2]) == [0.0, 2.0, 2.0]
 
 
-@pytest.mark.parametrize("healthy, longest", [(None, 3), ({0: [(0.0, 2.0), (3.0, 9.0)]}, 2)])
+@pytest.mark.parametrize(("healthy", "longest"), [(None, 3), ({0: [(0.0, 2.0), (3.0, 9.0)]}, 2)])
 def test_an_idle_span_counts_healthy_seconds_only(healthy, longest):
     load = loads((1, 30, 30), (0, 30, 30), (2, 30, 30), (20, 30, 30))
     assert (
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "shares, most",
+    ("shares", "most"),
     [
         ({0: {"p": 0.5, "q": 0.5}, 1: {"p": 0.1, "q": 0.9}}, 0.4),
         ({0: {"p": 0.5}, 2: {"p": 0.1}}, 0.0),
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "first, after",
+    ("first", "after"),
     [((20, 20, 20, 20, 20, 20), 0.0), ((0, 0, 0, 20, 20, 20), 2.0), ((0, 0, 0, 0, 0, 0), 6.0)],
 )
 def test_seconds_until_a_cache_has_half_of_its_share_again(first, after):
@@ -100,7 +100,8 @@
 
 
 @pytest.mark.parametrize(
-    "names, share", [("c0 c0 c0 c0 c0 c0", 1.0), ("c0 c1 c2 c0 c1 c2", 1 / 3), ("c0 c0 c0", 0.0)]
+    ("names", "share"),
+    [("c0 c0 c0 c0 c0 c0", 1.0), ("c0 c1 c2 c0 c1 c2", 1 / 3), ("c0 c0 c0", 0.0)],
 )
 def test_concentration_is_the_share_of_checks_that_meet_one_cache(names, share):
     asked = [(0.1, name) for name in names.split()]
--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -100,7 +100,7 @@
     assert sorted(setup.echo.named) == [b"@1\n", b"@300\n"]
 
 
-@pytest.mark.parametrize("way, heard", [("both", []), ("up", []), ("down", [b"lost"])])
+@pytest.mark.parametrize(("way", "heard"), [("both", []), ("up", []), ("down", [b"lost"])])
 def test_bytes_held_by_a_cut_arrive_after_it(setup, way, heard):
     mine, other = setup.connect(1), setup.connect(2)
     assert exchange(mine, b"a") == b"a"
--- a/tests/lab/test_fleet_scenario.py
+++ b/tests/lab/test_fleet_scenario.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         (HEAD + "[fleet]\n", r"\[fleet\]: an unknown section"),
         (HEAD + "colour = red\n", r"\[fleet lab\] colour: an unknown key"),
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, whom, begin, end",
+    ("more", "whom", "begin", "end"),
     [
         ("what = stop\nshare = 0.5\nfor = 5\n", 20, 1, 1),
         ("what = restart\nover = 10\n", 1, 40, 0),
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    "since, north, south", [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)]
+    ("since", "north", "south"), [(5.0, 1.0, 1.0), (12.0, 0.5, 1.5), (25.0, 1.0, 1.0)]
 )
 def test_a_shift_moves_load_between_locations(since, north, south):
     scenario = parse_fleet_scenario(
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "directors, caches, refused",
+    ("directors", "caches", "refused"),
     [(400, 50, ""), (401, 50, "count"), (10, 250, "caches"), (0, 5, "count"), (5001, 5, "count")],
 )
 def test_a_scenario_too_large_for_processes_is_rejected(directors, caches, refused):
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, tries, left, again",
+    ("request_class", "tries", "left", "again"),
     [
         ("pages", 1, 500.0, True),
         ("order", 2, 500.0, True),
--- a/tests/lab/test_network_rules.py
+++ b/tests/lab/test_network_rules.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, director, target, applies",
+    ("rule", "director", "target", "applies"),
     [
         (NetworkRule(CACHES), 3, "c-1", True),
         (NetworkRule(("parent",)), 3, "c-1", False),
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "way, up, down", [("both", True, True), ("up", True, False), ("down", False, True)]
+    ("way", "up", "down"), [("both", True, True), ("up", True, False), ("down", False, True)]
 )
 def test_a_cut_in_one_direction_lets_the_other_pass(way, up, down):
     rules = rules_of(NetworkRule(CACHES, direction=way, is_cut=True))
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, low, high",
+    ("rule", "low", "high"),
     [
         (NetworkRule(("director",), loss=0.5), 350, 650),
         (NetworkRule(("director",), duplication=0.5), 1350, 1650),
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    "play, herd, idle, probes",
+    ("play", "herd", "idle", "probes"),
     [
         ("none-planted", False, False, False),
         ("planted-probes", False, False, True),
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -17,14 +17,14 @@
 STUDIES |= {f"{trouble}, many": (recovery.play, trouble, 5, 200, 230.0, 1) for trouble, _ in MANY}
 
 
-@pytest.mark.parametrize("trouble, length", FEW)
+@pytest.mark.parametrize(("trouble", "length"), FEW)
 def test_the_fleet_is_back_within_ten_seconds(trouble, length, studies):
     found = studies(f"{trouble}, {length} s")
     assert found["calm"] > 0.95 and found["during"] < 0.7
     assert found["back_s"] is not None and found["back_s"] <= 10
 
 
-@pytest.mark.parametrize("trouble, during", MANY)
+@pytest.mark.parametrize(("trouble", "during"), MANY)
 def test_a_fleet_of_directors_that_see_one_request_a_second_is_back_too(trouble, during, studies):
     """Guards against overdue requests that are rejected with their answers on the way: the fleet
     never came back. And against a location that is not reached being found out cache by cache.
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, outcomes",
+    ("fault", "outcomes"),
     [
         ("", {"served"}),
         ("what = cut\nlocation = north\nfor = 4\n", {"served", "rejected"}),
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize(
-    "called, halfway, owes, after, late",
+    ("called", "halfway", "owes", "after", "late"),
     [
         (False, 0.0, False, 1.5, False),
         (False, 0.0, False, 2.5, True),
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "held, told",
+    ("held", "told"),
     [
         (b"", "wanted at 0"),
         (b"\x00", "no fields"),
@@ -145,11 +145,12 @@
 
 
 @pytest.mark.parametrize(
-    "pieces, wanted",
+    ("pieces", "wanted"),
     [
         (
             thrift.reply("isWell", 2, b"", {}, True),
-            "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 0d0002 0b0b 00000000 020003 010000",
+            "80010002 00000006 697357656c6c 00000002 0c0000 0b0001 00000000 "
+            "0d0002 0b0b 00000000 020003 010000",
         ),
         (
             thrift.rejected_reply(3, 99.6),
@@ -194,7 +195,7 @@
 
 
 @pytest.mark.parametrize(
-    "parser, whole, wrong",
+    ("parser", "whole", "wrong"),
     [
         (
             resp.ArrayDecoder,
@@ -218,7 +219,7 @@
 
 
 @pytest.mark.parametrize(
-    "received, numbers",
+    ("received", "numbers"),
     [
         (b"", set()),
         (FORGET, {3}),
@@ -284,7 +285,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, status",
+    ("word", "status"),
     [(b"DONE", 0), (b"KEEP", 0), (b"LACK", 2), (b"WAIT", 11), (b"BROKE", 5), (b"PAST", 114)],
 )
 def test_outcome_words_mean_the_same_as_the_simulators_codes(word, status):
@@ -360,7 +361,7 @@
 
 
 @pytest.mark.parametrize(
-    "last, over", [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
+    ("last", "over"), [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
 )
 def test_last_chunk_ends_the_stream(last, over):
     stream = sse.SseDecoder()
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -103,7 +103,7 @@
         assert not director.nodes[0].heard and not director.nodes[1].heard
 
 
-@pytest.mark.parametrize("number, applied", [(1, False), (2, True), (9, True)])
+@pytest.mark.parametrize(("number", "applied"), [(1, False), (2, True), (9, True)])
 def test_full_snapshot_counts_only_where_it_is_newer(number, applied):
     # Guards against a list from before what is known, and loses no purge that a gap may hide.
     with Running(bus=StandBus()) as director:
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    "numbers, last, drained",
+    ("numbers", "last", "drained"),
     [([1, 2], 2, True), ([2], 2, True), ([3], 1, True), ([1], 1, False), ([None], 1, False)],
 )
 def test_events_of_new_configuration_count_though_the_stream_is_silent(numbers, last, drained):
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "scripts, asked, applied, logged",
+    ("scripts", "asked", "applied", "logged"),
     [
         (
             [[OK, event(2, BAN), event(3, BAN)], [OK, event(3, BAN), event(4, GONE), None]],
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -62,7 +62,9 @@
 ]
 
 
-@pytest.mark.parametrize("request_class, between", CASES)  # writes go straight to the only origin
+@pytest.mark.parametrize(
+    ("request_class", "between"), CASES
+)  # writes go straight to the only origin
 def test_attempt_that_waited_for_its_connection_obeys_endpoint_list_and_purges_of_now(
     request_class, between, gate
 ):
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "got, entity, current",
+    ("got", "entity", "current"),
     [("aa", "aa", True), ("aa", "ab", False), (None, "aa", False), (None, "", False)],
 )
 def test_not_modified_is_answered_only_where_endpoint_named_the_clients_copy(got, entity, current):
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, plan, what",
+    ("request_class", "plan", "what"),
     [
         ("pages", (b"WAIT", b"-", b""), 1),
         ("pages", "reset", 1),
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, told",
+    ("changes", "told"),
     [
         ({"request_class": "nope"}, "an unknown request class"),
         ({"patience": None}, "the field patience is missing"),
@@ -235,7 +235,7 @@
         assert other.answer()[:2] == (1, 1)
 
 
-@pytest.mark.parametrize("late, pages", [(0.0, 0), (5000.0, 1)])
+@pytest.mark.parametrize(("late", "pages"), [(0.0, 0), (5000.0, 1)])
 def test_director_short_of_cpu_admits_requests_with_an_effect(late, pages):
     with Running(HIT) as director:
         caller, coordinator = director.caller(), director.service.coordinator
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -38,6 +38,7 @@
             second.set()
             time.sleep(0.1)
             connection.sendall(resp.command(about, b"DONE", b"why=MISS", b"bytes"))
+            return None
 
         def later(self, connection, about):
             second.wait(5.0)
@@ -52,7 +53,7 @@
         assert len(director.heard()) == 2
 
 
-@pytest.mark.parametrize("cancel, told", [(True, 1), (False, 0)])
+@pytest.mark.parametrize(("cancel", "told"), [(True, 1), (False, 0)])
 def test_cancellation_is_sent_only_where_the_settings_allow_it(cancel, told):
     with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
         caller, upstream = director.caller(), director.service.upstream
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(("caches_start", "parents_start"), [(True, False), (False, True)])
 def test_an_endpoint_in_slow_start_gets_less_than_would_overload_it(caches_start, parents_start):
     fleet = Fleet(started=100000.0 * caches_start, parents_started=100000.0 * parents_start)
-    sent = {member: 0.0 for member in [fleet.caches[0], *fleet.parents]}
+    sent = dict.fromkeys([fleet.caches[0], *fleet.parents], 0.0)
     for _ in range(300):
         attempt = fleet.ask(size=500.0, after=5).attempts[0]
         for member in {attempt.endpoint, attempt.fill_source} & set(sent):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -47,8 +47,10 @@
     "directors": """count=directors one_seed=has_same_seeds talk=has_membership share=shares_quotas
         uneven=rate_spread least_rate=min_rate memory_mb sockets=max_descriptors
         probes=polls_load_reports""",
-    "nodes": """locations caches large_share=large_fraction hubs parents capacity fill_cost parent_ms
-        hub_ms origin_ms parent_capacity origin_capacity holds=max_copies
+    "nodes": """locations caches large_share=large_fraction hubs parents capacity fill_cost
+        parent_ms
+        hub_ms origin_ms parent_capacity origin_capacity
+        holds=max_copies
         parent_holds=parent_max_copies cold_from=initial_fraction cold_ms=slow_start_ms
         parent_cold_ms=parent_slow_start_ms falls=crashes_on_overload""",
     "load": """rate objects skew shared=shared_fraction orders=order_fraction
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, told",
+    ("path", "value", "told"),
     [
         ("name", ..., "name: the key is missing"),
         ("listen", "nowhere", "listen: host:port is wanted"),
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -83,6 +83,7 @@
         ]
         assert self.request_class != "pay" or not possibly_run, "an effect may happen twice"
         self.begun.append(attempt)
+        return None
 
     def out(self):
         return [attempt for attempt in self.begun if attempt not in self.ended]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "signals, ready",
+    ("signals", "ready"),
     [
         ([signal.SIGHUP], True),
         ([signal.SIGHUP] * 5, True),
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "tries, outcome", [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
+    ("tries", "outcome"), [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
 )
 def test_half_written_configuration_is_read_again(tries, outcome, tmp_path, monkeypatch):
     file, sink, slept = tmp_path / "config.json", Sink(), []
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -153,13 +153,13 @@
     assert stored_data.datagram_written(FLEET, KEY, data) == data
 
 
-@pytest.mark.parametrize("name, number", KINDS_ON_THE_WIRE.items(), ids=str)
+@pytest.mark.parametrize(("name", "number"), KINDS_ON_THE_WIRE.items(), ids=str)
 def test_a_kind_keeps_its_number_on_the_wire(name, number):
     assert stored_data.kind_number(name) == number
     assert stored_data.datagram(FLEET, KEY, bytes_of("datagrams", f"{name}.hex"))[2] == number
 
 
-@pytest.mark.parametrize("name, number", STATES_ON_THE_WIRE.items(), ids=str)
+@pytest.mark.parametrize(("name", "number"), STATES_ON_THE_WIRE.items(), ids=str)
 def test_a_state_keeps_its_number_on_the_wire(name, number):
     assert stored_data.state_number(name) == number
     data = bytes_of("datagrams", f"word-of-one-{name}.hex")
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -25,7 +25,7 @@
 )
 
 
-@pytest.mark.parametrize("told, descriptors", [(128, 128), (1024, 128)])
+@pytest.mark.parametrize(("told", "descriptors"), [(128, 128), (1024, 128)])
 def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
     told, descriptors, tmp_path
 ):
