--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -83,7 +83,7 @@
         self.lock = threading.Lock()
         # Guarded by `lock`:
         self.registry = EndpointRegistry()
-        self.lateness = SchedulingDelay()
+        self.scheduling_delay = SchedulingDelay()
         router = Router(clock(), seed, settings)
         self._actions = PendingActions(self.registry, self._now, log, self._wake)
         self._driver = RouterDriver(router, self._actions, self._now, log)
@@ -112,13 +112,13 @@
         remaining_time: float,
         is_retry: bool,
         context: Any = None,
-        room: bool = True,
+        has_capacity: bool = True,
         pool: CachePool | None = None,
     ) -> Request:
         """Takes a request; the calling thread carries out its steps, and until then nobody else.
 
-        `remaining_time` is ms until the client's deadline. Without `room` to see the request
-        through, the router ends it at once. With a pool it is confined to that.
+        `remaining_time` is ms until the client's deadline. Without `has_capacity` to see the
+        request through, the router ends it at once. With a pool it is confined to that.
         """
         now = self.clock()
         with self.lock:
@@ -138,7 +138,7 @@
             self._actions.set_timer(
                 remaining_time + RESULT_SLACK, TimerKind.RESULT_OVERDUE, request
             )
-            self._driver.handle(RequestReceived(request) if room else TimerFired(request))
+            self._driver.handle(RequestReceived(request) if has_capacity else TimerFired(request))
         return request
 
     def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
@@ -239,9 +239,9 @@
         """The number of requests whose result has not been taken."""
         return len(self.pending_requests)
 
-    def cpu_pressure(self) -> float:
+    def cpu_utilization(self) -> float:
         """0 where timers run when they are due, near 1 where this director itself is late."""
-        return self.lateness.utilization(self.clock())
+        return self.scheduling_delay.utilization(self.clock())
 
     # Endpoints
 
@@ -335,7 +335,7 @@
             now = self.clock()
             first_due = self._actions.timers.next_due()
             if first_due is not None and first_due <= now:
-                self.lateness.record(now, now - first_due)
+                self.scheduling_delay.record(now, now - first_due)
             changed: dict[Request, None] = {}
             while (timer := self._actions.timers.pop_due(now)) is not None:
                 kind, subject = timer
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ...policy.rendezvous_hash import mix
+from ...policy.rendezvous_hash import hash_integers
 
 HOT_FRACTION = 0.02  # of a location's recent requests: an object above it gets one more cache
 HOT_WINDOW_S = 10.0  # over which requests count as recent
@@ -156,7 +156,7 @@
     return sorted(
         caches,
         key=lambda cache: (
-            -math.log((mix(object_id, 0, cache.hash_key) + 1) / 2.0**64) / cache.capacity
+            -math.log((hash_integers(object_id, 0, cache.hash_key) + 1) / 2.0**64) / cache.capacity
         ),
     )
 
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -182,7 +182,7 @@
         request = context.request
         fullness = max(
             self.coordinator.pending_count() / self.max_requests,
-            self.coordinator.cpu_pressure(),
+            self.coordinator.cpu_utilization(),
             self.upstream.fullness(),
         )
         has_room = self.admission_thresholds.can_admit(request_class, request.is_retry, fullness)
@@ -196,7 +196,7 @@
             min(request.remaining_time, request_class.client_timeout) - queued_ms,
             request.is_retry,
             context,
-            room=has_room,
+            has_capacity=has_room,
             pool=pool,
         )
 
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -15,7 +15,7 @@
 MASK_64 = 0xFFFFFFFFFFFFFFFF
 
 
-def mix(*parts: int) -> int:
+def hash_integers(*parts: int) -> int:
     """A 64-bit hash of integers that is the same at every director."""
     state = 0x9E3779B97F4A7C15
     for part in parts:
@@ -36,7 +36,7 @@
 
     def _score(endpoint: TrackedEndpoint) -> float:
         weight = endpoint.weight * slow_start.available_fraction(endpoint, now)
-        uniform = (mix(object_id, part, endpoint.hash_key) + 1) / 2.0**64
+        uniform = (hash_integers(object_id, part, endpoint.hash_key) + 1) / 2.0**64
         return -math.log(uniform) / max(weight, MIN_WEIGHT)
 
     return sorted(endpoints, key=_score)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -283,7 +283,7 @@
 
     def take(self, request_class="pages", left=6000.0, room=True) -> Request:
         case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
-        return self.coordinator.accept(case, 0xABC, 0, 1, 100.0, left, False, room=room)
+        return self.coordinator.accept(case, 0xABC, 0, 1, 100.0, left, False, has_capacity=room)
 
     def again(self, request):
         """The same request with its first attempt out, for another host of the module."""
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -37,8 +37,8 @@
 )
 ONE_CLOCK = (
     "policy/rendezvous_hash.py",
-    "(mix(object_id, part, endpoint.hash_key) + 1)",
-    "(mix(int(now / 3000.0), endpoint.hash_key) + 1)",
+    "(hash_integers(object_id, part, endpoint.hash_key) + 1)",
+    "(hash_integers(int(now / 3000.0), endpoint.hash_key) + 1)",
 )
 
 
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -239,7 +239,7 @@
 def test_director_short_of_cpu_admits_requests_with_an_effect(late, pages):
     with Running(HIT) as director:
         caller, coordinator = director.caller(), director.service.coordinator
-        coordinator.lateness.record(coordinator.clock() + (60_000.0 if late else 0.0), late)
+        coordinator.scheduling_delay.record(coordinator.clock() + (60_000.0 if late else 0.0), late)
         caller.send()
         assert caller.answer()[1] == pages
         caller.send("order")
