--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -229,12 +229,12 @@
     from simulated_fleet import SimulatedFleet
 
     fleet = SimulatedFleet(count)
-    updates = [core.table.local for core in fleet.cores.values()]
-    for core in fleet.cores.values():
+    updates = [protocol.table.local for protocol in fleet.protocols.values()]
+    for protocol in fleet.protocols.values():
         for update in updates:
-            core.table.merge(0.0, update, update.member_id)
-        core.table.broadcasts.clear()
-        core.table.events.clear()
+            protocol.table.merge(0.0, update, update.member_id)
+        protocol.table.broadcasts.clear()
+        protocol.table.events.clear()
     fleet.run(2.0)
     before = fleet.sent_bytes
     fleet.run(seconds)
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -31,14 +31,14 @@
 
     def start(self, number, incarnation=None):
         super().start(number, incarnation)
-        core = self.cores[number]
+        protocol = self.protocols[number]
         now = self.clock(number)
         share = QuotaShare(1.0 / len(self.demand))
         self.shares[number] = share
         self.recent[number] = []
         random = Random(f"{number}-{self.starts}-rights")
-        core.delegate = QuotaExchange(now, random, core.table.local.incarnation)
-        core.delegate.add(now, QuotaSource(LIMIT, len(self.demand), WINDOW, share))
+        protocol.delegate = QuotaExchange(now, random, protocol.table.local.incarnation)
+        protocol.delegate.add(now, QuotaSource(LIMIT, len(self.demand), WINDOW, share))
 
     def play(self, seconds):
         """In steps of 20 ms."""
@@ -97,8 +97,8 @@
 
 def use_without_lending():
     fleet = LoadedFleet(30, uneven(30, 900.0), 900.0, seed=2)
-    for core in fleet.cores.values():
-        core.delegate.tick = lambda *_: []  # nobody lends
+    for protocol in fleet.protocols.values():
+        protocol.delegate.tick = lambda *_: []  # nobody lends
     for share in fleet.shares.values():
         share.fraction = 1.0 / 30
     fleet.play(6)
@@ -197,7 +197,7 @@
 def test_nothing_is_requested_without_demand():
     fleet = LoadedFleet(8, [0.0] * 8, 100.0, seed=8)
     fleet.play(6)
-    assert all(core.delegate.counts["asked"] == 0 for core in fleet.cores.values())
+    assert all(protocol.delegate.counts["asked"] == 0 for protocol in fleet.protocols.values())
     assert all(
         share.fraction == pytest.approx(1.0 / 8, rel=1e-3) for share in fleet.shares.values()
     )
@@ -208,7 +208,7 @@
 )
 def test_invalid_payload_is_counted_and_changes_nothing(payload):
     fleet = LoadedFleet(2, [0.0, 0.0], 100.0)
-    exchange = fleet.cores[0].delegate
+    exchange = fleet.protocols[0].delegate
     assert exchange.receive(0.0, ("n1", "10.0.0.1", 7002), payload) == []
     assert exchange.counts["unusable"] >= 1 and not exchange.limits[LIMIT].ledger.granted
 
@@ -216,7 +216,7 @@
 def test_greedy_borrower_gets_no_more_than_may_be_lent():
     fleet = LoadedFleet(2, [0.0, 0.0], 100.0)
     fleet.play(6)
-    ledger = fleet.cores[0].delegate.limits[LIMIT].ledger
+    ledger = fleet.protocols[0].delegate.limits[LIMIT].ledger
     numbers = itertools.count(1)
     grants = [
         ledger.grant(fleet.clock(0), ("greedy", "h", 1), 1, LeaseRequest(next(numbers), 1 << 20), 0)
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -30,7 +30,7 @@
         self.order = itertools.count()
         self.sent = 0
         self.sent_bytes = 0
-        self.cores = {}
+        self.protocols = {}
         self.suspended = set()
         self.killed = set()
         self.partitions = []
@@ -49,7 +49,7 @@
         )
         self.killed.discard(number)
         random = Random(f"{number}-{self.starts}")
-        self.cores[number] = SwimProtocol(
+        self.protocols[number] = SwimProtocol(
             self.clock(number),
             MemberTable(local, MAX_MEMBERS, random),
             DatagramCodec("lab", b"key"),
@@ -87,14 +87,14 @@
         self._tick(number)
 
     def leave(self, number):
-        self._send(number, self.cores[number].leave())
+        self._send(number, self.protocols[number].leave())
 
     def run(self, seconds):
         end = self.now + 1000.0 * seconds
         while self.queue and self.queue[0][0] <= end:
             at, _, kind, to, arguments = heapq.heappop(self.queue)
             self.now = max(self.now, at)
-            if to in self.killed or to not in self.cores:
+            if to in self.killed or to not in self.protocols:
                 continue
             if to in self.suspended:
                 heapq.heappush(self.queue, (end + 1.0, next(self.order), kind, to, arguments))
@@ -102,21 +102,21 @@
                     break
                 continue
             if kind == "datagram":
-                self._send(to, self.cores[to].receive(self.clock(to), *arguments))
-            elif arguments[0] is self.cores[to]:
+                self._send(to, self.protocols[to].receive(self.clock(to), *arguments))
+            elif arguments[0] is self.protocols[to]:
                 self._tick(to)
             self._collect_events(to)
         self.now = end
 
     def _collect_events(self, number):
-        self.events += [(self.now, number, event) for event in self.cores[number].take_events()]
+        self.events += [(self.now, number, event) for event in self.protocols[number].take_events()]
 
     def _tick(self, number):
-        core = self.cores[number]
-        self._send(number, core.tick(self.clock(number)))
-        wake_at = (core.next_wake_at() - CLOCK_OFFSET * number) / self._clock_rate(number)
+        protocol = self.protocols[number]
+        self._send(number, protocol.tick(self.clock(number)))
+        wake_at = (protocol.next_wake_at() - CLOCK_OFFSET * number) / self._clock_rate(number)
         due = max(self.now + 1.0, wake_at)
-        heapq.heappush(self.queue, (due, next(self.order), "tick", number, (core,)))
+        heapq.heappush(self.queue, (due, next(self.order), "tick", number, (protocol,)))
 
     def _send(self, number, datagrams):
         for address, data in datagrams:
@@ -140,13 +140,13 @@
         """Returns the directors that one takes to be in one of these states."""
         return {
             int(entry.update.name[1:])
-            for entry in self.cores[number].table.entries.values()
+            for entry in self.protocols[number].table.entries.values()
             if entry.update.state in states
         }
 
     def agree(self, among=None):
         """Whether all running directors, or these, take one another for alive and nobody else."""
-        running = set(among if among is not None else self.cores) - self.killed - self.suspended
+        running = set(among if among is not None else self.protocols) - self.killed - self.suspended
         return all(self.seen_by(number) == running - {number} for number in running)
 
     def events_of(self, kind):
--- a/tests/membership/test_membership_status.py
+++ b/tests/membership/test_membership_status.py
@@ -30,9 +30,9 @@
 def status_after(seconds):
     fleet = SimulatedFleet(3)
     fleet.run(seconds)
-    core = fleet.cores[0]
-    core.receive(fleet.clock(0), ("10.0.0.1", 7002), b"no datagram of ours")
-    return director_status(core, fleet.clock(0), ServiceFigures("lab", 20, 10, EVENTS, 7.12345))
+    protocol = fleet.protocols[0]
+    protocol.receive(fleet.clock(0), ("10.0.0.1", 7002), b"no datagram of ours")
+    return director_status(protocol, fleet.clock(0), ServiceFigures("lab", 20, 10, EVENTS, 7.12345))
 
 
 def test_record_has_the_keys_that_scripts_read():
@@ -53,9 +53,9 @@
 
 def test_member_that_was_never_received_from_has_no_time_of_last_datagram():
     fleet = SimulatedFleet(2)
-    table = fleet.cores[0].table
-    unseen = fleet.cores[1].table.local
+    table = fleet.protocols[0].table
+    unseen = fleet.protocols[1].table.local
     table.merge(fleet.clock(0), unseen, ("n9", "10.0.0.1", 7009))
     figures = ServiceFigures("lab", 0, 0, [], 0.0)
-    members = director_status(fleet.cores[0], fleet.clock(0), figures)["members"]
+    members = director_status(fleet.protocols[0], fleet.clock(0), figures)["members"]
     assert [member["heard_s"] for member in members] == [None]
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -82,7 +82,7 @@
     fleet.run(12)
     fleet.start(7, incarnation=5)
     fleet.run(12)
-    assert fleet.agree() and fleet.cores[7].table.local.incarnation > 1000
+    assert fleet.agree() and fleet.protocols[7].table.local.incarnation > 1000
 
 
 def test_resumed_member_does_not_judge_others_by_its_old_view():
@@ -141,11 +141,11 @@
 
 def test_two_members_of_one_name_are_reported_and_both_known():
     fleet = SimulatedFleet(6)
-    table = fleet.cores[5].table
+    table = fleet.protocols[5].table
     table.local = msgspec.structs.replace(table.local, name="n4")
     fleet.run(8)
     assert len({number for _, number, _ in fleet.events_of("two of one name")}) == 6
-    assert all(core.table.cluster_size() == 6 for core in fleet.cores.values())
+    assert all(protocol.table.cluster_size() == 6 for protocol in fleet.protocols.values())
 
 
 def test_drifting_clocks_do_not_matter():
@@ -181,11 +181,11 @@
 
 def test_new_member_learns_a_fleet_larger_than_one_sync_within_seconds():
     fleet = SimulatedFleet(150)
-    updates = [core.table.local for core in fleet.cores.values()]
-    for core in fleet.cores.values():  # a fleet that has been running for long
+    updates = [protocol.table.local for protocol in fleet.protocols.values()]
+    for protocol in fleet.protocols.values():  # a fleet that has been running for long
         for update in updates:
-            core.table.merge(0.0, update, update.member_id)
-        core.table.broadcasts.clear()
+            protocol.table.merge(0.0, update, update.member_id)
+        protocol.table.broadcasts.clear()
     fleet.run(1)
     fleet.start(150)
     fleet.run(9)
