--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -13,7 +13,7 @@
 RENDEZVOUS = "rendezvous"
 
 # What happens to requests of unknown tenants (key `unknown`).
-TO_DEFAULT = "default_tenant"
+USE_DEFAULT_TENANT = "default_tenant"
 REJECT = "reject"
 
 KEEP_SHUFFLE_SHARDS = -1  # in a rollout: the cell's own number of caches for each tenant
@@ -163,7 +163,7 @@
         placement_method: `TABLE` or `RENDEZVOUS`.
         load_bound: A cell gets no more than this multiple of its share of the tenants' load.
         default_tenant: Whose quota requests of unknown tenants use; empty: there is none.
-        unknown_tenant_policy: `TO_DEFAULT` or `REJECT`.
+        unknown_tenant_policy: `USE_DEFAULT_TENANT` or `REJECT`.
         propagation_time: Every director has read a version so long after it was written.
         clock_skew: The clocks of directors and of operators' machines differ by no more.
         retry_horizon: A client's last retry comes no later than this after its first attempt.
@@ -179,7 +179,7 @@
     placement_method: str = RENDEZVOUS
     load_bound: float = 1.25
     default_tenant: str = ""
-    unknown_tenant_policy: str = TO_DEFAULT
+    unknown_tenant_policy: str = USE_DEFAULT_TENANT
     propagation_time: float = 5_000.0
     clock_skew: float = 500.0
     retry_horizon: float = 12_000.0
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -18,7 +18,7 @@
     REJECT,
     RENDEZVOUS,
     TABLE,
-    TO_DEFAULT,
+    USE_DEFAULT_TENANT,
     Assignment,
     Cell,
     Limits,
@@ -134,7 +134,9 @@
         placement_method=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
         load_bound=head.number("load_bound", 1.25, MAX_FACTOR, 1.0),
         default_tenant=head.text("default_tenant", ""),
-        unknown_tenant_policy=head.choice("unknown", (TO_DEFAULT, REJECT), TO_DEFAULT),
+        unknown_tenant_policy=head.choice(
+            "unknown", (USE_DEFAULT_TENANT, REJECT), USE_DEFAULT_TENANT
+        ),
         propagation_time=head.number("spread_ms", 5_000.0),
         clock_skew=head.number("skew_ms", 500.0),
         retry_horizon=head.number("horizon_ms", 12_000.0),
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -121,38 +121,38 @@
                 del self.connections[entry]
 
     def admit_request(
-        self, asked: ClientRequest, request_class: RequestClass, address: str
+        self, client_request: ClientRequest, request_class: RequestClass, address: str
     ) -> AdmissionGrant | AdmissionRejection:
         """Admits or rejects a client's request."""
         request = AdmissionRequest(
-            asked.tenant,
+            client_request.tenant,
             address,
-            asked.group,
-            asked.object,
+            client_request.group,
+            client_request.object,
             request_class,
-            asked.idempotency_key,
-            asked.is_retry,
-            len(asked.body),
+            client_request.idempotency_key,
+            client_request.is_retry,
+            len(client_request.body),
         )
         with self.lock:
             return self.controller.admit_request(self._clock(), request)
 
     def complete_request(
-        self, grant: AdmissionGrant, request: Request, good: bool, owed: bool
+        self, grant: AdmissionGrant, request: Request, is_served: bool, is_client_waiting: bool
     ) -> None:
         """Releases what an admitted request used.
 
         Args:
             grant: What `admit_request` returned.
             request: The request at the policy.
-            good: Whether it was served.
-            owed: Whether its client still waited.
+            is_served: Whether it was served.
+            is_client_waiting: Whether its client still waited.
         """
         now = self._clock()
         sending_time = request.size_kb / self._transfer_rate if self._transfer_rate else 0.0
         delay = max(0.0, now - request.arrived_at - sending_time)
         with self.lock:
-            text = self.controller.complete_request(now, grant, good, owed, delay)
+            text = self.controller.complete_request(now, grant, is_served, is_client_waiting, delay)
         if text:
             self._log_texts([text])
 
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ..errors import ConfigError
-from .model import TO_DEFAULT, Assignment
+from .model import USE_DEFAULT_TENANT, Assignment
 
 MAX_CACHED_ADDRESSES = 4096  # clients' addresses whose tenant is kept
 
@@ -144,6 +144,9 @@
                 return tenant_name
         elif found := self.tenant_of_address(address) or self._by_group.find(group):
             return found
-        if self.assignment.unknown_tenant_policy == TO_DEFAULT and self.assignment.default_tenant:
+        if (
+            self.assignment.unknown_tenant_policy == USE_DEFAULT_TENANT
+            and self.assignment.default_tenant
+        ):
             return self.assignment.default_tenant
         return None
--- a/mulleinrelay/cells/validation.py
+++ b/mulleinrelay/cells/validation.py
@@ -8,7 +8,7 @@
 
 from ..config.ini import NUMBER_LIMIT
 from ..errors import ConfigError
-from .model import TABLE, TO_DEFAULT, Assignment, Migration, Rollout
+from .model import TABLE, USE_DEFAULT_TENANT, Assignment, Migration, Rollout
 
 
 def validate_assignment(assignment: Assignment) -> None:
@@ -40,7 +40,7 @@
     if assignment.default_tenant:
         name = assignment.default_tenant
         _require_known("assignment", "default_tenant", "tenant", name, assignment.tenants)
-    elif assignment.unknown_tenant_policy == TO_DEFAULT:
+    elif assignment.unknown_tenant_policy == USE_DEFAULT_TENANT:
         raise ConfigError(
             "wanted where unknown = default_tenant", section="assignment", key="default_tenant"
         )
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -8,7 +8,16 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..cells.model import REJECT, TO_DEFAULT, Assignment, Cell, Limits, Migration, Rollout, Tenant
+from ..cells.model import (
+    REJECT,
+    USE_DEFAULT_TENANT,
+    Assignment,
+    Cell,
+    Limits,
+    Migration,
+    Rollout,
+    Tenant,
+)
 from ..cells.parser import GROUP_RANGE_PATTERN, LIMIT_FIELDS_BY_KEY
 from ..cells.validation import validate_assignment
 from ..errors import ConfigError
@@ -195,7 +204,7 @@
         },
         limits=limits,
         default_tenant=tree.get("default-tenant", ""),
-        unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else TO_DEFAULT,
+        unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else USE_DEFAULT_TENANT,
         **_given_attributes(tree),
     )
     validate_assignment(assignment)
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -45,7 +45,9 @@
     def release_connection(self, entry: str) -> None:
         """Takes back what was given for a connection."""
 
-    def admit_request(self, asked: ClientRequest, request_class: RequestClass, address: str) -> Any:
+    def admit_request(
+        self, client_request: ClientRequest, request_class: RequestClass, address: str
+    ) -> Any:
         """Decides on a request.
 
         Returns:
@@ -53,12 +55,14 @@
             rejection, which has no `pool`, but `retry_after_ms` and `is_never_executed`.
         """
 
-    def complete_request(self, grant: Any, request: Request, good: bool, owed: bool) -> None:
+    def complete_request(
+        self, grant: Any, request: Request, is_served: bool, is_client_waiting: bool
+    ) -> None:
         """Takes back a grant.
 
         Args:
             grant: What `admit_request` gave.
             request: The request as the coordinator knows it.
-            good: It was served.
-            owed: An answer was owed: its client had not left.
+            is_served: It was served.
+            is_client_waiting: An answer was owed: its client had not left.
         """
