--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -98,7 +98,7 @@
             if not NAME_PATTERN.fullmatch(name):
                 raise self.error(key, f"{name!r} is no name (letters, digits, _ . : -)")
         if len(set(found)) != len(found):
-            raise self.error(key, "a name stands there twice")
+            raise self.error(key, "a name occurs twice")
         return found
 
     def address(self, key: str, text: str) -> Address:
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -20,12 +20,12 @@
 
 
 WORLDS = [(2, 2, 1, 3), (3, 2, 1, 2), (2, 4, 2, 2)]
-STUDIES = {f"units, {world}": (searched, 8_000, *world) for world in WORLDS}
+PROCESS_JOBS = {f"units, {world}": (searched, 8_000, *world) for world in WORLDS}
 
 
 @pytest.mark.parametrize("world", WORLDS)  # directors, units each, restarts, requests
-def test_no_unit_is_used_twice_in_any_state(world, studies):
-    seen, trace = studies(f"units, {world}")
+def test_no_unit_is_used_twice_in_any_state(world, process_job_result):
+    seen, trace = process_job_result(f"units, {world}")
     assert trace is None and seen >= 2_000
 
 
@@ -59,12 +59,14 @@
 
 
 PLANTED = [(LenderKeepsUsing, 4), (LeaseFromReceipt, 9), (NoWaitAfterRestart, 5)]
-STUDIES |= {planted.__name__: (searched, MAX_STATES, 2, 2, 1, 2, planted) for planted, _ in PLANTED}
+PROCESS_JOBS |= {
+    planted.__name__: (searched, MAX_STATES, 2, 2, 1, 2, planted) for planted, _ in PLANTED
+}
 
 
 @pytest.mark.parametrize(("planted", "max_steps"), PLANTED)
-def test_planted_fault_is_found_with_a_trace(planted, max_steps, studies):
-    _, trace = studies(planted.__name__)
+def test_planted_fault_is_found_with_a_trace(planted, max_steps, process_job_result):
+    _, trace = process_job_result(planted.__name__)
     assert trace is not None and len(trace) <= max_steps, trace
     assert any("arrives" in step for step in trace)
 
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -105,13 +105,13 @@
     return len(fleet.admitted_at) / (900.0 * 6)
 
 
-STUDIES = {"with lending": (use_with_lending,), "without lending": (use_without_lending,)}
+PROCESS_JOBS = {"with lending": (use_with_lending,), "without lending": (use_without_lending,)}
 
 
-def test_units_go_to_where_the_requests_are(studies):
-    used, most = studies("with lending")
+def test_units_go_to_where_the_requests_are(process_job_result):
+    used, most = process_job_result("with lending")
     assert used > 0.88 and most <= 1.0
-    assert studies("without lending") < 0.35
+    assert process_job_result("without lending") < 0.35
 
 
 def test_units_follow_within_two_seconds_when_the_load_moves():
--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -2,7 +2,16 @@
 
 import json
 
-from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
+from helpers import (
+    ENDPOINTS,
+    HIT_ANSWER,
+    LogRecorder,
+    StandInClient,
+    StandInEndpoint,
+    StandInEventStream,
+    commands_by_endpoint,
+    platform_configuration,
+)
 
 from mulleinrelay.cells.admission_controller import (
     AdmissionController,
@@ -127,16 +136,18 @@
 class DirectorsFixture:
     """Whole directors with one assignment file, before the same stand-ins; the block stops them."""
 
-    def __init__(self, folder, held, plan=HIT, directors=1, open_most=0, rate=0.0, **changes):
+    def __init__(
+        self, folder, held, plan=HIT_ANSWER, directors=1, open_most=0, rate=0.0, **changes
+    ):
         self.path = folder / "assignment.ini"
         self.path.write_text(format_assignment(held))
-        plans = plan if isinstance(plan, list) else [plan] * len(SPOTS)
-        self.nodes = [StandNode(each) for each in plans]
-        self.bus, self.sinks, self.callers = StandBus(), [], []
+        plans = plan if isinstance(plan, list) else [plan] * len(ENDPOINTS)
+        self.endpoints = [StandInEndpoint(each) for each in plans]
+        self.bus, self.sinks, self.callers = StandInEventStream(), [], []
         self.services: list[Director] = []
         for number in range(directors):
-            whole = configuration(
-                [node.address for node in self.nodes], self.bus.address, **changes
+            whole = platform_configuration(
+                [node.address for node in self.endpoints], self.bus.address, **changes
             )
             own = CellsConfig(
                 True,
@@ -148,7 +159,7 @@
                 rate,
                 5_000.0,
             )
-            self.sinks.append(Sink())
+            self.sinks.append(LogRecorder())
             start = parse_config(json.dumps(whole | {"name": f"n{number}"}))
             self.services.append(Director(start, self.sinks[-1], own))
 
@@ -158,11 +169,11 @@
         return self
 
     def caller(self, number=0):
-        self.callers.append(Caller(self.services[number].listener.listener.getsockname()))
+        self.callers.append(StandInClient(self.services[number].listener.listener.getsockname()))
         return self.callers[-1]
 
     def heard(self, word="PULL"):
-        return heard(self.nodes, word)
+        return commands_by_endpoint(self.endpoints, word)
 
     def __exit__(self, *_):
         for service in self.services:
@@ -171,5 +182,5 @@
             caller.close()
         for service in self.services:
             service.wait()
-        for each in (*self.nodes, self.bus):
+        for each in (*self.endpoints, self.bus):
             each.close()
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -51,7 +51,7 @@
             WHOLE + "[cell a]\ncaches = s-1\n[cell b]\ncaches = s-1",
             "[cell b] caches: s-1 stands in cell a",
         ),
-        (WHOLE + "[cell a]\ncaches = s-1 s-1", "[cell a] caches: a name stands there twice"),
+        (WHOLE + "[cell a]\ncaches = s-1 s-1", "[cell a] caches: a name occurs twice"),
         (WHOLE + "[cell a]\nreserve = 1.5", "[cell a] reserve: a number from 0 to 1"),
         (
             WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = north\nstarts = 1\nwarm_ms = 1\n"
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -5,7 +5,7 @@
 
 import pytest
 from cells_fixtures import Cell, DirectorsFixture, make_assignment, make_migration
-from helpers import HIT, rows, wait_for
+from helpers import HIT_ANSWER, endpoint_list_update, wait_for
 
 from mulleinrelay import director as director_module
 from mulleinrelay.cells.formatter import format_assignment
@@ -44,7 +44,7 @@
     # open; where the machine is so slow that some of them are given up meanwhile, as many may
     # follow, and no more.
     def silent(fields):
-        return None if fields["name"].startswith("f") else HIT
+        return None if fields["name"].startswith("f") else HIT_ANSWER
 
     ended, settle = [], CellService.complete_request
 
@@ -57,14 +57,14 @@
     with DirectorsFixture(tmp_path, make_assignment(TWO), plan=silent, open_most=64) as running:
         others = running.caller()
         others.send(tenant="beta")
-        assert others.answer()[1] == SERVED
+        assert others.read_answer()[1] == SERVED
         callers = [running.caller() for _ in range(8)]
         for number in range(30):
             for caller in callers:
                 caller.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
-            assert others.answer()[1] == SERVED
+            assert others.read_answer()[1] == SERVED
         held = [entry for entry in running.heard()["s-01"] if entry[2]["name"].startswith("f")]
         assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
         assert (
@@ -74,21 +74,21 @@
         for (
             caller
         ) in callers:  # one answer each, those that were held at the end of their client's time
-            assert [caller.answer()[1] for _ in range(30)] == [REJECTED] * 30
+            assert [caller.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
 def test_two_directors_migrate_the_same_objects_and_the_old_cache_fills(tmp_path):
     # South lacks everything at first and tells so; what north has answered lately, it is to give as
     # a sibling.
 
-    plans = [HIT, FILLED, FILLED, FILLED, FILLED, FILLED]
+    plans = [HIT_ANSWER, FILLED, FILLED, FILLED, FILLED, FILLED]
     objects = [f"{number:016x}" for number in range(40)]
     with DirectorsFixture(tmp_path, make_assignment(TWO), plan=plans, directors=2) as running:
         for number in (0, 1):
             caller = running.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
-                assert caller.answer()[1] == SERVED
+                assert caller.read_answer()[1] == SERVED
         assert len(running.heard()["s-01"]) == 80
         running.path.write_text(
             format_assignment(
@@ -106,7 +106,7 @@
             caller = running.caller(number)
             for entity in objects:
                 caller.send(tenant="acme", entity=entity)
-                assert caller.answer()[1] == SERVED
+                assert caller.read_answer()[1] == SERVED
             new = {name: attempts[before[name] :] for name, attempts in running.heard().items()}
             went.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
             sources = {entry[2]["miss"] for name in ("s-02", "s-03") for entry in new[name]}
@@ -120,10 +120,13 @@
 
     def held(fields):
         answered.wait(10.0)
-        return HIT
+        return HIT_ANSWER
 
     with DirectorsFixture(
-        tmp_path, make_assignment(TWO), plan=[held, HIT, HIT, HIT, HIT, HIT], directors=2
+        tmp_path,
+        make_assignment(TWO),
+        plan=[held, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER],
+        directors=2,
     ) as running:
         for one in running.services:
             one.config.request_classes["order"].key_scope = "cell"
@@ -145,14 +148,14 @@
         again = running.caller(where)
         again.send("order", tenant="acme", nonce="n1", redo="1", patience="2900")
         if where == 1:
-            assert again.answer()[1] == answer
+            assert again.read_answer()[1] == answer
         answered.set()
-        assert first.answer()[1] == SERVED
+        assert first.read_answer()[1] == SERVED
         if where == 0:
-            assert again.answer()[1] == answer
+            assert again.read_answer()[1] == answer
         fresh = running.caller(where)
         fresh.send("order", tenant="acme", nonce="n2")
-        assert fresh.answer()[1] == SERVED
+        assert fresh.read_answer()[1] == SERVED
         ran = {
             name
             for name, sent in running.heard().items()
@@ -168,12 +171,12 @@
 def test_drain_during_a_migration_holds_for_both_cells(tmp_path):
     with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(),))) as running:
         director = running.services[0]
-        director.event_stream.apply(2, rows(running, "DRAINING", "s-01", "s-02"))
+        director.event_stream.apply(2, endpoint_list_update(running, "DRAINING", "s-01", "s-02"))
         assert wait_for(lambda: len(director.coordinator.ready_caches()) == 1)
         caller = running.caller()
         for number in range(40):
             caller.send(tenant="acme", entity=f"{number:016x}")
-            caller.answer()
+            caller.read_answer()
         heard = running.heard()
         assert not heard["s-01"] and not heard["s-02"] and heard["s-03"]
         assert not {entry[2].get("miss") for entry in heard["s-03"]} & {"s-01", "s-02"}
@@ -183,13 +186,13 @@
     with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(1.0),))) as running:
         caller = running.caller()
         caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.answer()[1] == SERVED
+        assert caller.read_answer()[1] == SERVED
         director = running.services[0]
         director.event_stream.apply(
             2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}}
         )
         caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.answer()[1] == SERVED
+        assert caller.read_answer()[1] == SERVED
         last = [
             sent[-1] for name, sent in running.heard().items() if name in ("s-02", "s-03") and sent
         ][-1]
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -8,7 +8,7 @@
 
 import pytest
 from cells_fixtures import Cell, ControllerFixture, make_assignment, make_migration
-from helpers import Stage
+from helpers import CoordinatorFixture
 
 from mulleinrelay.coordinator import CancelAttempt, SendAttempt
 from mulleinrelay.policy.endpoint_capacity import SlowStartAdmission
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, version):
-        self.stage = Stage()
+        self.stage = CoordinatorFixture()
         self.stage.coordinator.settings.director_count = (
             self.stage.coordinator.settings.local_director_count
         ) = 2
@@ -57,7 +57,7 @@
         if what == "purge":
             self.told["purge"] = now
             return self.stage.coordinator.apply_purge(0xABC, 0, now)
-        row = next(entry for entry in self.stage.entries if entry.name == box)
+        row = next(entry for entry in self.stage.endpoint_updates if entry.name == box)
         state = {
             "drain": EndpointState.DRAINING,
             "cold": EndpointState.READY,
@@ -78,7 +78,7 @@
             grant = self.fixture.admit(key=key)
             if not hasattr(grant, "pool"):
                 continue
-            case = self.stage.terms.request_classes[0]
+            case = self.stage.settings.request_classes[0]
             request = coordinator.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
             while (step := coordinator.next_step(request)) is not None:
                 if isinstance(step, SendAttempt):
@@ -136,11 +136,11 @@
     return found, played
 
 
-STUDIES = {"moves": (search,)}
+PROCESS_JOBS = {"moves": (search,)}
 
 
-def test_no_rule_is_broken_in_a_migration_whatever_fails(studies):
-    found, played = studies("moves")
+def test_no_rule_is_broken_in_a_migration_whatever_fails(process_job_result):
+    found, played = process_job_result("moves")
     assert played == 270 and not found
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from inspect import signature
 
 import pytest
-from helpers import held_back
+from helpers import hold_calls
 from hypothesis import settings
 
 from mulleinrelay import director
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_catch_up(monkeypatch):
+def skip_catch_up(monkeypatch):
     """Stand-ins of the event stream send everything with the head of the response.
 
     So directors need not wait for what follows it.
@@ -38,9 +38,9 @@
 
 
 @pytest.fixture
-def reading(monkeypatch):
+def allow_client_reads(monkeypatch):
     """Connections of clients are read only once it is set."""
-    yield (begin := held_back(monkeypatch, ClientListener, "_serve_connection"))
+    yield (begin := hold_calls(monkeypatch, ClientListener, "_serve_connection"))
     begin.set()
 
 
@@ -49,7 +49,11 @@
     others.
     """
     items.sort(
-        key=lambda item: not {"studies", "plays"}.isdisjoint(signature(item.function).parameters)
+        key=lambda item: (
+            not {"process_job_result", "thread_job_result"}.isdisjoint(
+                signature(item.function).parameters
+            )
+        )
     )
 
 
@@ -62,22 +66,22 @@
 
 
 @pytest.fixture(scope="session", autouse=True)
-def studies(request):
+def process_job_result(request):
     """What the study of that name came to. A module names its studies in STUDIES: a function with
     its arguments, which is called in another process.
     """
-    wanted = wanted_by(request.session, "STUDIES")
+    wanted = wanted_by(request.session, "PROCESS_JOBS")
     with ProcessPoolExecutor(STUDIED_AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
         begun = {name: pool.submit(*study) for name, study in wanted.items()}
         yield lambda name: begun[name].result()
 
 
 @pytest.fixture(scope="session", autouse=True)
-def plays(request, tmp_path_factory):
+def thread_job_result(request, tmp_path_factory):
     """What the play of that name came to. A module names its plays in PLAYS: functions
     of a folder.
     """
-    wanted = wanted_by(request.session, "PLAYS")
+    wanted = wanted_by(request.session, "THREAD_JOBS")
     with ThreadPoolExecutor(AT_A_TIME) as pool:
         played = {
             name: pool.submit(play, str(tmp_path_factory.mktemp(name)))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,42 +42,44 @@
 from mulleinrelay.policy.router import Router
 
 CACHE, PARENT, ORIGIN = 0, 2, 3
-HIT = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
-OK = b"HTTP/1.1 200 OK\r\n\r\n"
-BAN = {"ban": {"url": "00000000000000ab", "ts": 1}}
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
+PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}
+PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
 
-class Recorder:
+class ActionRecorder:
     """Keeps every action as (name, arguments)."""
 
     def __init__(self):
-        self.actions = []
+        self.entries = []
 
     def __getattr__(self, name):
-        return lambda *arguments: self.actions.append((name, arguments))
+        return lambda *arguments: self.entries.append((name, arguments))
 
     def take(self, name):
-        found = [arguments for action, arguments in self.actions if action == name]
-        self.actions = [entry for entry in self.actions if entry[0] != name]
+        found = [arguments for action, arguments in self.entries if action == name]
+        self.entries = [entry for entry in self.entries if entry[0] != name]
         return found
 
 
-class Fleet:
+class RouterFixture:
     """A router in front of three caches, two parents and an origin; each call moves the clock."""
 
     def __init__(
         self,
-        repeat=IDEMPOTENT,
+        idempotency=IDEMPOTENT,
         group="all",
-        never_kept=False,
-        started=None,
-        parents_started=0.0,
+        is_uncacheable=False,
+        cache_started_at=None,
+        parents_started_at=0.0,
         **changes,
     ):
-        case = RequestClass(repeat, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, never_kept)
+        request_class = RequestClass(
+            idempotency, 500.0, 2.0, 6000.0, 5000.0, group, 0.0, is_uncacheable
+        )
         settings = {
-            "request_classes": [case],
+            "request_classes": [request_class],
             "zone": 1,
             "director_count": 3,
             "local_director_count": 1,
@@ -102,51 +104,69 @@
             "purge_propagation": 6000.0,
         }
         self.settings = ServiceSettings(**(settings | changes))
-        self.case, self.now, self.out = case, 100000.0, Recorder()
+        self.request_class, self.now, self.actions = request_class, 100000.0, ActionRecorder()
         self.router = Router(self.now, 7, self.settings)
         self.caches = [TrackedEndpoint(key) for key in (11, 12, 13)]
         self.parents = [TrackedEndpoint(key) for key in (21, 22)]
         self.origin = TrackedEndpoint(31)
-        self.count = 0
+        self.request_count = 0
         rows = [
-            self.row(cache, CACHE, 1, started if cache is self.caches[0] else None)
+            self.endpoint_entry(
+                cache, CACHE, 1, cache_started_at if cache is self.caches[0] else None
+            )
             for cache in self.caches
         ]
-        rows += [self.row(parent, PARENT, 0, parents_started) for parent in self.parents]
-        rows.append(self.row(self.origin, ORIGIN, 0, None))
+        rows += [
+            self.endpoint_entry(parent, PARENT, 0, parents_started_at) for parent in self.parents
+        ]
+        rows.append(self.endpoint_entry(self.origin, ORIGIN, 0, None))
         self.handle(EndpointsUpdated(rows, True))
 
-    def row(self, endpoint, kind, zone, started=None, state=EndpointState.READY):
-        return EndpointEntry(endpoint, state, 6.0, kind, zone, 0, started or 0.0)
+    def endpoint_entry(self, endpoint, kind, zone, started_at=None, state=EndpointState.READY):
+        return EndpointEntry(endpoint, state, 6.0, kind, zone, 0, started_at or 0.0)
 
     def handle(self, event, after=0.0):
         self.now += after
-        self.router.handle(self.now, [event], self.out)
+        self.router.handle(self.now, [event], self.actions)
 
-    def ask(self, key=None, size=1000.0, left=6000.0, after=1.0) -> Request:
+    def receive_request(
+        self, object_id=None, size_kb=1000.0, remaining_time=6000.0, after=1.0
+    ) -> Request:
         self.now += after
-        self.count += 1
-        key = key or 1000 + self.count
-        request = Request(self.count, self.case, key, 0, 1, size, self.now, self.now + left)
+        self.request_count += 1
+        object_id = object_id or 1000 + self.request_count
+        request = Request(
+            self.request_count,
+            self.request_class,
+            object_id,
+            0,
+            1,
+            size_kb,
+            self.now,
+            self.now + remaining_time,
+        )
         self.handle(RequestReceived(request))
         return request
 
-    def answer(
+    def finish_attempt(
         self,
         attempt,
         outcome=Outcome.SERVED,
-        note=CacheStatus.HIT,
+        cache_status=CacheStatus.HIT,
         first_byte=0.0,
         after=0.0,
-        load=None,
+        load_report=None,
     ):
         is_complete = outcome == Outcome.SERVED
         self.handle(
-            AttemptFinished(attempt, outcome, 100.0, is_complete, note, first_byte, load), after
+            AttemptFinished(
+                attempt, outcome, 100.0, is_complete, cache_status, first_byte, load_report
+            ),
+            after,
         )
 
 
-def settings(**changes):
+def start_settings(**changes):
     """Start settings as an instance or a director is given them; a change replaces keys of one
     part.
     """
@@ -202,7 +222,7 @@
     return whole
 
 
-SPOTS = [
+ENDPOINTS = [
     ("s-01", "edge", "box"),
     ("s-02", "edge", "box"),
     ("s-03", "edge", "box"),
@@ -212,7 +232,9 @@
 ]
 
 
-def configuration(addresses=(), bus="127.0.0.1:1", listen="127.0.0.1:0", **changes):
+def platform_configuration(
+    addresses=(), event_stream_address="127.0.0.1:1", listen="127.0.0.1:0", **changes
+):
     rows = [
         {
             "id": name,
@@ -224,45 +246,45 @@
             "started_ms": 0,
             "addr": addresses[place] if addresses else f"127.0.0.1:{place + 1}",
         }
-        for place, (name, zone, kind) in enumerate(SPOTS)
+        for place, (name, zone, kind) in enumerate(ENDPOINTS)
     ]
     event = {"offset": 1, "topology": {"version": 1, "full": True, "servers": rows}}
     return {
         "name": "n3",
         "listen": listen,
         "seed": "8c1f",
-        "bus": bus,
+        "bus": event_stream_address,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"offset": 1, "batch": [event]},
-        "settings": settings(**changes),
+        "settings": start_settings(**changes),
     }
 
 
-class Sink:
+class LogRecorder:
     """Keeps the names of what is logged, and the figures."""
 
     def __init__(self):
-        self.events, self.figures = [], []
+        self.event_names, self.fields = [], []
 
-    def event(self, what, **figures):
-        self.events.append(what)
-        self.figures.append(figures)
+    def event(self, what, **fields):
+        self.event_names.append(what)
+        self.fields.append(fields)
 
     def exception(self, where, broken):
         self.event("fault", where=where, kind=type(broken).__name__)
 
 
-class Stage:
+class CoordinatorFixture:
     """A coordinator in front of three caches, two parents and an origin; its clock stands until
     it is moved.
     """
 
     def __init__(self, **changes):
         self.now = 100_000.0
-        self.terms = parse_service_settings(JsonSection(settings(**changes), ""))
-        self.sink = Sink()
-        self.coordinator = RequestCoordinator(lambda: self.now, 7, self.terms, self.sink)
-        self.entries = [
+        self.settings = parse_service_settings(JsonSection(start_settings(**changes), ""))
+        self.log = LogRecorder()
+        self.coordinator = RequestCoordinator(lambda: self.now, 7, self.settings, self.log)
+        self.endpoint_updates = [
             EndpointUpdate(
                 name,
                 ("127.0.0.1", place + 1),
@@ -273,31 +295,33 @@
                 0,
                 0.0,
             )
-            for place, (name, zone, kind) in enumerate(SPOTS)
+            for place, (name, zone, kind) in enumerate(ENDPOINTS)
         ]
-        self.coordinator.update_endpoints(self.entries, True)
+        self.coordinator.update_endpoints(self.endpoint_updates, True)
 
-    def now_is_real(self):
+    def use_real_clock(self):
         self.coordinator.clock = lambda: time.monotonic() * 1000.0
         self.now = self.coordinator.clock()
 
-    def take(self, request_class="pages", left=6000.0, room=True) -> Request:
-        case = self.terms.request_classes[["pages", "order", "pay"].index(request_class)]
-        return self.coordinator.accept(case, 0xABC, 0, 1, 100.0, left, False, has_capacity=room)
+    def accept(self, request_class="pages", remaining_time=6000.0, has_capacity=True) -> Request:
+        case = self.settings.request_classes[["pages", "order", "pay"].index(request_class)]
+        return self.coordinator.accept(
+            case, 0xABC, 0, 1, 100.0, remaining_time, False, has_capacity=has_capacity
+        )
 
-    def again(self, request):
+    def copy_with_first_attempt(self, request):
         """The same request with its first attempt out, for another host of the module."""
         first = request.attempts[0]
         twin = Request(1, request.request_class, request.object_id, 0, 1, 100.0, 0.0, 6000.0)
         twin.attempts.append(Attempt(twin, 0, first.endpoint, first.fill_source, 0.0, 6000.0))
         return twin
 
-    def until_result(self, request):
+    def run_to_result(self, request):
         while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
-    def pass_time(self, span):
+    def advance_time(self, span):
         """Runs the timers of a span, each at its time."""
         end = self.now + span
         while (due := self.coordinator.run_due_timers()[0]) <= end:
@@ -338,25 +362,27 @@
     return call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
 
 
-WELL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
+IS_WELL_CALL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
 
 
-def event(number, held):
+def stream_event(number, held):
     return f"id: {number}\ndata: {json.dumps({'offset': number} | held)}\n\n".encode()
 
 
-def rows(stage, state, *names, full=False):
+def endpoint_list_update(running, state, *names, full=False):
     """An event on these of its `nodes`, as the list told them first."""
-    (first,) = configuration([node.address for node in stage.nodes])["known"]["batch"]
+    (first,) = platform_configuration([node.address for node in running.endpoints])["known"][
+        "batch"
+    ]
     told = [row | {"state": state} for row in first["topology"]["servers"] if row["id"] in names]
     return {"topology": {"version": 2, "full": full, "servers": told}}
 
 
-def heard(nodes, word="PULL"):
+def commands_by_endpoint(endpoints, word="PULL"):
     """What each was told, by its name."""
     return {
-        name: [entry for entry in node.heard if entry[0] == word]
-        for (name, _, _), node in zip(SPOTS, nodes, strict=True)
+        name: [entry for entry in node.commands if entry[0] == word]
+        for (name, _, _), node in zip(ENDPOINTS, endpoints, strict=True)
     }
 
 
@@ -366,7 +392,7 @@
         return server.getsockname()[1]
 
 
-class Listener:
+class StandInServer:
     """A server on a port of loopback (0: a free one) with a thread for each connection.
 
     A subclass says in `talk` what it does on one; it ends with an OSError when that is closed.
@@ -389,7 +415,7 @@
 
     def _guarded(self, connection):
         with contextlib.suppress(OSError):
-            self.talk(connection)
+            self.serve_connection(connection)
 
     def close(self):
         for each in (self.socket, *self.connections):
@@ -398,11 +424,11 @@
             each.close()
 
 
-def MUTE(fields):  # noqa: N802
+def answer_nothing(fields):
     """A plan for a StandNode: answers neither attempts nor pings."""
 
 
-class StandNode(Listener):
+class StandInEndpoint(StandInServer):
     """An endpoint: answers each attempt by its `plan`, and records all commands in `heard`.
 
     A plan is the words of an answer, or "reset", "nonsense" or "cut" (an answer without its end),
@@ -410,10 +436,10 @@
     """
 
     def __init__(self, plan):
-        self.plan, self.heard = plan, []
+        self.plan, self.commands = plan, []
         super().__init__()
 
-    def talk(self, connection):
+    def serve_connection(self, connection):
         decoder = resp.ArrayDecoder()
         while (length := connection.recv_into(decoder.writable_view())) > 0:
             for items in decoder.decode(length):
@@ -421,10 +447,12 @@
                 fields = (
                     dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
                 )
-                self.heard.append((word.decode(), about.decode(), fields, rest[1] if rest else b""))
+                self.commands.append(
+                    (word.decode(), about.decode(), fields, rest[1] if rest else b"")
+                )
                 if word == b"PULL":
                     self.answer(connection, about, fields)
-                elif word == b"ECHO" and self.plan is not MUTE:
+                elif word == b"ECHO" and self.plan is not answer_nothing:
                     connection.sendall(resp.command(about, b"FIT", b"-"))
 
     def answer(self, connection, about, fields):
@@ -442,7 +470,7 @@
             connection.sendall(resp.command(about, *plan))
 
 
-class StandBus(Listener):
+class StandInEventStream(StandInServer):
     """An event stream: each connection gets the next of the scripts.
 
     A script is a list of pieces of bytes; None in it waits until the client leaves. `asked` has the
@@ -450,15 +478,15 @@
     """
 
     def __init__(self, *scripts, port=0):
-        self.scripts, self.asked = list(scripts), []
+        self.scripts, self.last_event_ids = list(scripts), []
         super().__init__(port)
 
-    def talk(self, connection):
+    def serve_connection(self, connection):
         head = b""
         while b"\r\n\r\n" not in head:
             head += connection.recv(4096)
-        self.asked.append(int(head.lower().partition(b"last-event-id:")[2].split()[0]))
-        script = self.scripts.pop(0) if self.scripts else [OK, None]
+        self.last_event_ids.append(int(head.lower().partition(b"last-event-id:")[2].split()[0]))
+        script = self.scripts.pop(0) if self.scripts else [RESPONSE_HEAD, None]
         for piece in script:
             if piece is None:
                 connection.recv(1)  # silent until the other side leaves
@@ -467,20 +495,24 @@
         connection.close()
 
 
-class Caller:
+class StandInClient:
     """A client on one connection; its calls have the sequence numbers 1, 2, ..."""
 
-    marks = itertools.count(1)
+    request_ids = itertools.count(1)
 
     def __init__(self, address):
         self.socket = socket.create_connection(address, timeout=10.0)
-        self.frames, self.ready, self.count = thrift.FrameDecoder(max_frame_bytes=300_000), [], 0
+        self.decoder, self.ready_frames, self.call_count = (
+            thrift.FrameDecoder(max_frame_bytes=300_000),
+            [],
+            0,
+        )
 
     def send(self, request_class="pages", entity="00000000000000ab", body=b"", **changes):
-        self.count += 1
+        self.call_count += 1
         fields = {
             "route": request_class,
-            "trace": f"{next(self.marks):016x}",
+            "trace": f"{next(self.request_ids):016x}",
             "patience": "3000",
             "entity": entity,
             "nth": "0",
@@ -489,28 +521,28 @@
             "nonce": "5c0f",
         } | changes
         self.socket.sendall(
-            serve_frame(self.count, {k: v for k, v in fields.items() if v is not None}, body)
+            serve_frame(self.call_count, {k: v for k, v in fields.items() if v is not None}, body)
         )
-        return self.count
+        return self.call_count
 
-    def frame(self):
-        while not self.ready:
+    def read_frame(self):
+        while not self.ready_frames:
             room = memoryview(bytearray(65536))
             length = self.socket.recv_into(room)
             if not length:
                 raise EOFError
             while length:
-                spot = self.frames.writable_view()
+                spot = self.decoder.writable_view()
                 part = min(len(spot), length)
                 spot[:part] = room[:part]
-                self.ready += self.frames.decode(part)
+                self.ready_frames += self.decoder.decode(part)
                 room, length = room[part:], length - part
-        return self.ready.pop(0)
+        return self.ready_frames.pop(0)
 
-    def answer(self):
+    def read_answer(self):
         """(number, what, fields, body); `what` is 0 for served, 1 rejected, 2 failed, or the text
         of an application exception."""
-        reader = thrift.ValueReader(self.frame())
+        reader = thrift.ValueReader(self.read_frame())
         kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
         reader.read_binary()
         number = reader.read_i32()
@@ -533,37 +565,39 @@
         self.socket.close()
 
 
-class Running:
+class RunningDirector:
     """A director on loopback with an endpoint for each of SPOTS; drained at the block's end."""
 
-    def __init__(self, plan=HIT, bus=None, **changes):
-        self.nodes = [StandNode(plan) for _ in SPOTS]
-        self.bus = bus or StandBus()
-        whole = configuration([node.address for node in self.nodes], self.bus.address, **changes)
-        self.sink = Sink()
-        self.service = Director(parse_config(json.dumps(whole)), self.sink)
-
-    def __enter__(self) -> "Running":
-        self.service.start()
-        self.address = self.service.listener.listener.getsockname()
-        self.ender = threading.Thread(target=self.service.wait, daemon=True)
+    def __init__(self, plan=HIT_ANSWER, event_stream=None, **changes):
+        self.endpoints = [StandInEndpoint(plan) for _ in ENDPOINTS]
+        self.event_stream = event_stream or StandInEventStream()
+        whole = platform_configuration(
+            [node.address for node in self.endpoints], self.event_stream.address, **changes
+        )
+        self.log = LogRecorder()
+        self.director = Director(parse_config(json.dumps(whole)), self.log)
+
+    def __enter__(self) -> "RunningDirector":
+        self.director.start()
+        self.address = self.director.listener.listener.getsockname()
+        self.ender = threading.Thread(target=self.director.wait, daemon=True)
         self.ender.start()
-        self.callers = []
+        self.clients = []
         return self
 
-    def caller(self) -> Caller:
-        self.callers.append(Caller(self.address))
-        return self.callers[-1]
+    def connect_client(self) -> StandInClient:
+        self.clients.append(StandInClient(self.address))
+        return self.clients[-1]
 
-    def heard(self, word="PULL"):
-        return [entry for node in self.nodes for entry in node.heard if entry[0] == word]
+    def commands(self, word="PULL"):
+        return [entry for node in self.endpoints for entry in node.commands if entry[0] == word]
 
     def __exit__(self, *_):
-        self.service.stop()
-        for caller in self.callers:
-            caller.close()
+        self.director.stop()
+        for client in self.clients:
+            client.close()
         self.ender.join(10.0)
-        for each in (*self.nodes, self.bus):
+        for each in (*self.endpoints, self.event_stream):
             each.close()
 
 
@@ -574,23 +608,23 @@
     return condition()
 
 
-def waiting_attempt(director):
+def wait_for_attempt(running):
     """The one attempt that is in flight or waits for its connection."""
-    upstream = director.service.upstream
+    upstream = running.director.upstream
     assert wait_for(lambda: len(upstream.connection_by_attempt) == 1)
     return next(iter(upstream.connection_by_attempt))
 
 
-def held_back(monkeypatch, owner, name, only=lambda *_, **__: True):
+def hold_calls(monkeypatch, owner, name, condition=lambda *_, **__: True):
     """Calls of that method wait until what is returned is set; its `met` is set once one of them
     waits.
     """
     go, method = threading.Event(), getattr(owner, name)
-    go.met = threading.Event()
+    go.reached = threading.Event()
 
     def late(*arguments, **named):
-        if only(*arguments, **named):
-            go.met.set()
+        if condition(*arguments, **named):
+            go.reached.set()
             go.wait(10.0)
         return method(*arguments, **named)
 
@@ -598,7 +632,7 @@
     return go
 
 
-class Program:
+class DirectorProcess:
     """The program as a process, with this configuration file and so many descriptors.
 
     `told` has the lines that it has logged, parsed from JSON.
@@ -608,17 +642,19 @@
         run = (
             f"ulimit -n {descriptors}; exec {sys.executable} -m mulleinrelay serve --config {file}"
         )
-        self.process = subprocess.Popen(["/bin/sh", "-c", run], cwd=ROOT, stderr=subprocess.PIPE)
-        self.told, self.send_signal = [], self.process.send_signal
+        self.process = subprocess.Popen(
+            ["/bin/sh", "-c", run], cwd=PROJECT_ROOT, stderr=subprocess.PIPE
+        )
+        self.log_lines, self.send_signal = [], self.process.send_signal
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.reader.start()
 
     def _read(self):
         for line in self.process.stderr:
-            self.told.append(json.loads(line))
+            self.log_lines.append(json.loads(line))
 
-    def says(self, **held):
-        return any(held.items() <= line.items() for line in self.told)
+    def has_logged(self, **held):
+        return any(held.items() <= line.items() for line in self.log_lines)
 
     def wait(self, seconds=15.0):
         """Its exit code; all that it logged is there by then."""
@@ -626,8 +662,8 @@
         self.reader.join(seconds)
         return code
 
-    def __enter__(self) -> "Program":
-        assert wait_for(lambda: self.says(phase="ready"), 20.0)
+    def __enter__(self) -> "DirectorProcess":
+        assert wait_for(lambda: self.has_logged(phase="ready"), 20.0)
         return self
 
     def __exit__(self, *_):
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -131,12 +131,12 @@
     return folder, Audit(scenario, read_observations(folder)), alive
 
 
-PLAYS = {"troubled": play}
+THREAD_JOBS = {"troubled": play}
 
 
 @pytest.fixture(scope="module")
-def troubled(plays):
-    return plays("troubled")
+def troubled(thread_job_result):
+    return thread_job_result("troubled")
 
 
 def test_faults_between_forty_processes_cause_no_violation(troubled):
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -90,12 +90,12 @@
     return Audit(parse_fleet_scenario(LOSSES), read_observations(folder))
 
 
-PLAYS = {"losses": play}
+THREAD_JOBS = {"losses": play}
 
 
 @pytest.fixture(scope="module")
-def audit(plays):
-    return plays("losses")
+def audit(thread_job_result):
+    return thread_job_result("losses")
 
 
 def fault_time(audit, name, is_start=True):
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -56,12 +56,12 @@
     return Audit(parse_fleet_scenario(LOST), read_observations(folder))
 
 
-PLAYS = {"lost": play}
+THREAD_JOBS = {"lost": play}
 
 
 @pytest.fixture(scope="module")
-def audit(plays):
-    return plays("lost")
+def audit(thread_job_result):
+    return thread_job_result("lost")
 
 
 def fault(audit, name, is_start=True):
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -59,7 +59,7 @@
     return Audit(scenario, read_observations(lab.run())).figures()
 
 
-PLAYS = {
+THREAD_JOBS = {
     "none-planted": played,
     "planted-probes": lambda folder: played(folder, IN_STEP),
     "planted-herd": lambda folder: played(folder, ONE_CLOCK),
@@ -74,8 +74,10 @@
         ("planted-herd", True, True, False),
     ],
 )
-def test_a_planted_herd_is_found_and_none_where_there_is_none(play, herd, idle, probes, plays):
-    figures = plays(play)
+def test_a_planted_herd_is_found_and_none_where_there_is_none(
+    play, herd, idle, probes, thread_job_result
+):
+    figures = thread_job_result(play)
     assert (figures["herd_seconds_calm"] > 3) is herd
     assert (figures["idle_s_max"] > 2) is idle
     assert (figures["probes_together"] > 0.6) is probes
--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -3,7 +3,16 @@
 import json
 from unittest import mock
 
-from helpers import HIT, SPOTS, Caller, Sink, StandBus, StandNode, configuration, heard
+from helpers import (
+    ENDPOINTS,
+    HIT_ANSWER,
+    LogRecorder,
+    StandInClient,
+    StandInEndpoint,
+    StandInEventStream,
+    commands_by_endpoint,
+    platform_configuration,
+)
 
 from mulleinrelay import director as director_module
 from mulleinrelay.cells.config import CellsConfig
@@ -46,11 +55,11 @@
 class ManagedDirector:
     """One director on loopback with management, and cells if asked for; ended with the block."""
 
-    def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT):
+    def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER):
         self.folder = folder
-        self.endpoints = [StandNode(plan) for _ in SPOTS]
-        self.event_stream = StandBus()
-        self.log = Sink()
+        self.endpoints = [StandInEndpoint(plan) for _ in ENDPOINTS]
+        self.event_stream = StandInEventStream()
+        self.log = LogRecorder()
         self.callers = []
         self.targets = []
         self.assignment_path = folder / "assignment.ini"
@@ -62,7 +71,9 @@
                 True, str(self.assignment_path), "tenant", 50.0, "", 0, 0.0, 5_000.0
             )
         addresses = [endpoint.address for endpoint in self.endpoints]
-        self.config = parse_config(json.dumps(configuration(addresses, self.event_stream.address)))
+        self.config = parse_config(
+            json.dumps(platform_configuration(addresses, self.event_stream.address))
+        )
         self.director = Director(
             self.config, self.log, cells_config, parse_management_config(config, str(folder))
         )
@@ -80,7 +91,7 @@
 
     def caller(self):
         """A new client that sends requests."""
-        self.callers.append(Caller(self.director.listener.listener.getsockname()))
+        self.callers.append(StandInClient(self.director.listener.listener.getsockname()))
         return self.callers[-1]
 
     def ready_caches(self):
@@ -88,19 +99,19 @@
 
     def received_requests(self):
         """What each endpoint has received."""
-        return heard(self.endpoints)
+        return commands_by_endpoint(self.endpoints)
 
     def assignment_in_use(self):
         return self.director.cell_service.controller.assignment
 
     def update_endpoint(self, number, name, state="SERVING", started=0, port=None):
         """Sends an update of one endpoint, as the event stream would."""
-        index = next(index for index, row in enumerate(SPOTS) if row[0] == name)
+        index = next(index for index, row in enumerate(ENDPOINTS) if row[0] == name)
         row = {
             "id": name,
             "addr": f"127.0.0.1:{port}" if port else self.endpoints[index].address,
-            "zone": SPOTS[index][1],
-            "kind": SPOTS[index][2],
+            "zone": ENDPOINTS[index][1],
+            "kind": ENDPOINTS[index][2],
             "cell": 0,
             "state": state,
             "weight": 4,
--- a/tests/management/test_certificates.py
+++ b/tests/management/test_certificates.py
@@ -122,5 +122,5 @@
         )
         assert found
         assert wait_for(
-            lambda: any("read again" in str(figures) for figures in director.log.figures)
+            lambda: any("read again" in str(figures) for figures in director.log.fields)
         )
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -5,7 +5,7 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import HIT, wait_for
+from helpers import HIT_ANSWER, wait_for
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from managed_director import ManagedDirector, drain, drain_path
@@ -44,7 +44,7 @@
     def answer_late(fields):
         if fields["name"].endswith("ff"):
             may_answer.wait(10.0)
-        return HIT
+        return HIT_ANSWER
 
     def has_late_request(attempts):
         return any(attempt[2]["name"].endswith("ff") for attempt in attempts)
@@ -54,7 +54,7 @@
         target = director.target()
         for number in range(12):
             caller.send(entity=f"{number:016x}")
-            assert caller.answer()[1] == 0
+            assert caller.read_answer()[1] == 0
         late_caller = director.caller()
         late_caller.send(entity="00000000000000ff")
         assert wait_for(lambda: any(map(has_late_request, director.received_requests().values())))
@@ -71,9 +71,9 @@
         for number in range(30):
             caller.send(entity=f"{number + 100:016x}")
             if endpoint != "s-21":
-                assert caller.answer()[1] == 0
+                assert caller.read_answer()[1] == 0
         may_answer.set()
-        assert late_caller.answer()[1] == 0
+        assert late_caller.read_answer()[1] == 0
         received = director.received_requests()
         assert len(received[endpoint]) == before
         fill_sources = {
@@ -236,7 +236,7 @@
         caller = director.caller()
         for _ in range(5):
             caller.send(tenant="acme")
-        assert sorted(caller.answer()[1] for _ in range(5)) == [0, 0, 1, 1, 1]
+        assert sorted(caller.read_answer()[1] for _ in range(5)) == [0, 0, 1, 1, 1]
         file = str(director.assignment_path)
         arguments = f"cells move acme --to south --name m1 --shift-ms 900 --file {file}"
         result = CliRunner().invoke(main, arguments.split())
@@ -294,7 +294,7 @@
     with ManagedDirector(tmp_path, cells=True) as restarted:
         assert store.load_assignment(str(restarted.assignment_path)).tenants["acme"].weight == 3.0
         assert "s-9" in restarted.management.drains.intent.drains
-        assert any("brought to its end" in str(figures) for figures in restarted.log.figures)
+        assert any("brought to its end" in str(figures) for figures in restarted.log.fields)
 
 
 def test_reloads_and_calls_that_time_out_leave_no_partial_change(tmp_path):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -122,12 +122,12 @@
     return Audit(parse_fleet_scenario(SCENARIO), read_observations(folder)), folder, observed
 
 
-PLAYS = {"membership": play}
+THREAD_JOBS = {"membership": play}
 
 
 @pytest.fixture(scope="module")
-def played(plays):
-    return plays("membership")
+def played(thread_job_result):
+    return thread_job_result("membership")
 
 
 def run_command(folder, *words):
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -36,15 +36,15 @@
     (0.2, 0.2, 60.0, 0),
     (0.3, 0.3, 80.0, 2),
 ]  # 2 of 870 pairs in two minutes
-STUDIES = {f"members, {network}": (two_minutes, *network) for *network, _ in NETWORKS}
-STUDIES |= {f"{count} members": (bytes_sent_by_each, count) for count in (16, 96)}
+PROCESS_JOBS = {f"members, {network}": (two_minutes, *network) for *network, _ in NETWORKS}
+PROCESS_JOBS |= {f"{count} members": (bytes_sent_by_each, count) for count in (16, 96)}
 
 
 @pytest.mark.parametrize(("loss", "doubled", "jitter", "died"), NETWORKS)
 def test_no_running_member_is_found_dead_despite_loss_duplicates_and_reordering(
-    loss, doubled, jitter, died, studies
+    loss, doubled, jitter, died, process_job_result
 ):
-    seen, found_dead = studies(f"members, {[loss, doubled, jitter]}")
+    seen, found_dead = process_job_result(f"members, {[loss, doubled, jitter]}")
     assert seen == [29] * 30 and found_dead <= died
 
 
@@ -193,8 +193,8 @@
     assert sum(150 in fleet.seen_by(number) for number in range(150)) == 150
 
 
-def test_bytes_sent_by_each_member_do_not_grow_with_the_fleet(studies):
-    rates = [studies(f"{count} members") for count in (16, 96)]
+def test_bytes_sent_by_each_member_do_not_grow_with_the_fleet(process_job_result):
+    rates = [process_job_result(f"{count} members") for count in (16, 96)]
     assert rates[1] < 2.0 * rates[0] and rates[1] < 3000.0
 
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -7,15 +7,15 @@
 
 import pytest
 from helpers import (
-    HIT,
-    WELL,
-    Running,
+    HIT_ANSWER,
+    IS_WELL_CALL,
+    RunningDirector,
     call_frame,
     cancel_frame,
-    held_back,
+    hold_calls,
     serve_frame,
     wait_for,
-    waiting_attempt,
+    wait_for_attempt,
 )
 
 from mulleinrelay.coordinator import RequestCoordinator
@@ -31,26 +31,26 @@
 
 
 @pytest.mark.parametrize("calls", [20, 300])  # all that came can be read ahead, or not
-def test_no_request_begins_for_client_that_sent_many_and_left(calls, reading):
+def test_no_request_begins_for_client_that_sent_many_and_left(calls, allow_client_reads):
     # Guards against attempts that begin long after the client that they are for has closed its
     # connection.
-    with Running() as director:
-        leaver, stayer = director.caller(), director.caller()
+    with RunningDirector() as running:
+        leaver, stayer = running.connect_client(), running.connect_client()
         for number in range(calls):
             leaver.send("order", entity=f"{number:016x}")
         leaver.close()
         stayer.send(entity="00000000000000cd")
-        reading.set()
-        assert stayer.answer()[:2] == (1, 0)
-        assert wait_for(lambda: len(director.service.listener.clients) == 1)
-        assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["cd"]
+        allow_client_reads.set()
+        assert stayer.read_answer()[:2] == (1, 0)
+        assert wait_for(lambda: len(running.director.listener.clients) == 1)
+        assert [fields["name"][-2:] for _, _, fields, _ in running.commands()] == ["cd"]
 
 
 LEAVES = {
     "closes": lambda caller: caller.close(),
     "cancels": lambda caller: caller.socket.sendall(cancel_frame(1)),
-    "cancels behind a call": lambda caller: caller.socket.sendall(WELL + cancel_frame(1)),
-    "closes behind a call": lambda caller: (caller.socket.sendall(WELL), caller.close()),
+    "cancels behind a call": lambda caller: caller.socket.sendall(IS_WELL_CALL + cancel_frame(1)),
+    "closes behind a call": lambda caller: (caller.socket.sendall(IS_WELL_CALL), caller.close()),
     "resets": lambda caller: (
         caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)),
         caller.close(),
@@ -63,66 +63,66 @@
     # Guards against a director that is late itself: its links' threads run before that of the
     # client.
     left = threading.Event()
-    read = held_back(monkeypatch, ClientConnection, "read_calls", lambda client: client.has_called)
+    read = hold_calls(monkeypatch, ClientConnection, "read_calls", lambda client: client.has_called)
     stays = {
-        "calls": lambda caller: caller.socket.sendall(WELL),
+        "calls": lambda caller: caller.socket.sendall(IS_WELL_CALL),
         "cancels another": lambda caller: caller.socket.sendall(cancel_frame(2)),
     }
 
-    with Running(lambda fields: left.wait(5.0) and FULL) as director:
-        caller = director.caller()
+    with RunningDirector(lambda fields: left.wait(5.0) and FULL) as running:
+        caller = running.connect_client()
         caller.send()
-        assert wait_for(director.heard)
+        assert wait_for(running.commands)
         (LEAVES | stays)[how](caller)
-        (client,) = director.service.listener.clients
+        (client,) = running.director.listener.clients
         assert wait_for(lambda: client._peek() is not None)
         left.set()
-        assert wait_for(lambda: not director.service.coordinator.pending_count())
-        assert (len(director.heard()) == 1) is (how in LEAVES)
+        assert wait_for(lambda: not running.director.coordinator.pending_count())
+        assert (len(running.commands()) == 1) is (how in LEAVES)
         read.set()
 
 
 @pytest.mark.parametrize("how", ["forget", "close"])
 def test_nothing_is_sent_for_client_that_left_while_its_request_waited_for_the_coordinator(how):
     # Its request has been read; then its thread waits, for the module here, or for the core.
-    with Running() as director:
-        caller, other = director.caller(), director.caller()
+    with RunningDirector() as running:
+        caller, other = running.connect_client(), running.connect_client()
         other.send()
-        assert other.answer()[:2] == (1, 0)  # the link is up
-        with director.service.coordinator.lock:
+        assert other.read_answer()[:2] == (1, 0)  # the link is up
+        with running.director.coordinator.lock:
             caller.send()
             assert wait_for(
-                lambda: any(client.open_requests for client in director.service.listener.clients)
+                lambda: any(client.open_requests for client in running.director.listener.clients)
             )
             if how == "forget":
                 caller.socket.sendall(cancel_frame(1))
             else:
                 caller.close()
             time.sleep(2.0 * connection_module.RECENT_READ_S)
-        assert wait_for(lambda: not director.service.coordinator.pending_count())
+        assert wait_for(lambda: not running.director.coordinator.pending_count())
         other.send(entity="00000000000000cd")
-        assert other.answer()[:2] == (2, 0)
-        assert [fields["name"][-2:] for _, _, fields, _ in director.heard()] == ["ab", "cd"]
+        assert other.read_answer()[:2] == (2, 0)
+        assert [fields["name"][-2:] for _, _, fields, _ in running.commands()] == ["ab", "cd"]
 
 
 def test_cancellation_that_is_read_and_not_handled_yet_prevents_retry(monkeypatch):
     left = threading.Event()
-    go = held_back(
+    go = hold_calls(
         monkeypatch,
         RequestHandler,
         "handle_call",
         lambda front, client, call: call.method == "forget",
     )
-    with Running(lambda fields: left.wait(5.0) and FULL) as director:
-        caller = director.caller()
+    with RunningDirector(lambda fields: left.wait(5.0) and FULL) as running:
+        caller = running.connect_client()
         caller.send()
-        assert wait_for(director.heard)
+        assert wait_for(running.commands)
         caller.socket.sendall(cancel_frame(1))
-        (client,) = director.service.listener.clients
+        (client,) = running.director.listener.clients
         assert wait_for(lambda: client.pending_calls)
         left.set()
-        assert wait_for(lambda: not director.service.coordinator.pending_count())
-        assert len(director.heard()) == 1
+        assert wait_for(lambda: not running.director.coordinator.pending_count())
+        assert len(running.commands()) == 1
         go.set()
 
 
@@ -134,34 +134,34 @@
     # Guards against a request that is lost with the rest of its connection, and an answer that a
     # reset over unread bytes takes along.
     answer = threading.Event()
-    with Running(lambda fields: answer.wait(5.0) and HIT) as director:
-        caller = director.caller()
+    with RunningDirector(lambda fields: answer.wait(5.0) and HIT_ANSWER) as running:
+        caller = running.connect_client()
         whole = serve_frame(
             7, {"route": "pages", "trace": "e" * 16, "patience": "3000", "entity": "ab" * 8}
         )
         caller.socket.sendall(whole + wrong if together else whole)
-        assert wait_for(director.heard)
+        assert wait_for(running.commands)
         if not together:
             caller.socket.sendall(wrong)
-        (client,) = director.service.listener.clients
+        (client,) = running.director.listener.clients
         assert wait_for(lambda: client.framing_error)
         caller.socket.sendall(wrong)
         answer.set()
-        assert caller.answer() == (7, 0, {}, b"bytes")
+        assert caller.read_answer() == (7, 0, {}, b"bytes")
         with pytest.raises(EOFError):
-            caller.answer()
-        assert wait_for(lambda: not director.service.listener.clients)  # though it does not close
+            caller.read_answer()
+        assert wait_for(lambda: not running.director.listener.clients)  # though it does not close
 
 
 def test_client_that_sends_unreadable_bytes_and_leaves_is_not_waited_for():
-    with Running(None) as director:
-        caller = director.caller()
+    with RunningDirector(None) as running:
+        caller = running.connect_client()
         caller.send()
-        assert wait_for(director.heard)
+        assert wait_for(running.commands)
         caller.socket.sendall(b"\xff" * 100)
         caller.close()
-        assert wait_for(lambda: not director.service.listener.clients, 1.0)
-        assert not director.service.coordinator.pending_count()
+        assert wait_for(lambda: not running.director.listener.clients, 1.0)
+        assert not running.director.coordinator.pending_count()
 
 
 def test_result_that_comes_before_request_is_registered_is_answered_once(monkeypatch):
@@ -172,7 +172,7 @@
         request = take(coordinator, *arguments, **named)
         other = threading.Thread(
             target=lambda: [
-                director.service.request_handler.run_request(still)
+                running.director.request_handler.run_request(still)
                 for still in coordinator.finish_pending_requests()
             ]
         )
@@ -181,28 +181,28 @@
         return request
 
     monkeypatch.setattr(RequestCoordinator, "accept", taken)
-    with Running() as director:
-        caller = director.caller()
+    with RunningDirector() as running:
+        caller = running.connect_client()
         caller.send()
-        assert caller.answer()[:2] == (1, 1)
-        caller.socket.sendall(WELL)
-        assert caller.answer()[:2] == (1, 0)  # and nothing between
+        assert caller.read_answer()[:2] == (1, 1)
+        caller.socket.sendall(IS_WELL_CALL)
+        assert caller.read_answer()[:2] == (1, 0)  # and nothing between
         assert (
-            not director.service.listener.has_pending_writes()
-            and not director.service.coordinator.pending_count()
+            not running.director.listener.has_pending_writes()
+            and not running.director.coordinator.pending_count()
         )
 
 
-def test_call_is_not_begun_where_its_cancellation_has_come_behind_it(reading):
-    with Running() as director:
-        caller = director.caller()
+def test_call_is_not_begun_where_its_cancellation_has_come_behind_it(allow_client_reads):
+    with RunningDirector() as running:
+        caller = running.connect_client()
         for number in range(1, 9):
             caller.send(entity=f"{number:016x}")
         for number in (2, 5, 8):
             caller.socket.sendall(cancel_frame(number))
-        reading.set()
-        assert sorted(caller.answer()[0] for _ in range(5)) == [1, 3, 4, 6, 7]
-        assert sorted(int(fields["name"], 16) for _, _, fields, _ in director.heard()) == [
+        allow_client_reads.set()
+        assert sorted(caller.read_answer()[0] for _ in range(5)) == [1, 3, 4, 6, 7]
+        assert sorted(int(fields["name"], 16) for _, _, fields, _ in running.commands()) == [
             1,
             3,
             4,
@@ -211,21 +211,24 @@
         ]
         unreadable, well = call_frame("forget", 0, b"\x0b", 4), call_frame("isWell", 9, b"\0")
         caller.socket.sendall(cancel_frame(1) + unreadable + well)
-        assert caller.answer()[:2] == (9, 0)  # one that is over, one that can't be read: no harm
+        assert caller.read_answer()[:2] == (
+            9,
+            0,
+        )  # one that is over, one that can't be read: no harm
 
 
 def test_call_is_in_system_buffer_or_pending_at_every_moment(monkeypatch):
     # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in
     # the list.
     answer = threading.Event()
-    go = held_back(
+    go = hold_calls(
         monkeypatch, FrameDecoder, "decode", lambda *_: threading.current_thread().name == "client"
     )
-    with Running(lambda fields: answer.wait(10.0) and HIT) as director:
-        caller = director.caller()
+    with RunningDirector(lambda fields: answer.wait(10.0) and HIT_ANSWER) as running:
+        caller = running.connect_client()
         caller.send()
-        assert go.met.wait(5.0)
-        (client,) = director.service.listener.clients
+        assert go.reached.wait(5.0)
+        (client,) = running.director.listener.clients
         ended = []
         ender = threading.Thread(target=lambda: ended.append(client.close_if_idle()))
         ender.start()
@@ -233,18 +236,18 @@
         go.set()
         ender.join()
         answer.set()  # not before: once it is answered, it may be ended
-        assert ended == [False] and caller.answer()[:2] == (1, 0)
+        assert ended == [False] and caller.read_answer()[:2] == (1, 0)
 
 
 def test_time_that_call_waits_behind_others_is_taken_off_its_deadline(monkeypatch):
-    go = held_back(monkeypatch, RequestHandler, "handle_call")
-    with Running(None) as director:
-        caller = director.caller()
+    go = hold_calls(monkeypatch, RequestHandler, "handle_call")
+    with RunningDirector(None) as running:
+        caller = running.connect_client()
         caller.send(patience="2000")
-        assert wait_for(lambda: director.service.listener.clients)
+        assert wait_for(lambda: running.director.listener.clients)
         time.sleep(0.3)
         go.set()
-        attempt = waiting_attempt(director)
+        attempt = wait_for_attempt(running)
         assert attempt.request.deadline - attempt.request.arrived_at < 1750.0
 
 
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -7,10 +7,10 @@
 
 import pytest
 from helpers import (
-    HIT,
-    MUTE,
-    Running,
-    StandNode,
+    HIT_ANSWER,
+    RunningDirector,
+    StandInEndpoint,
+    answer_nothing,
     wait_for,
 )
 
@@ -28,9 +28,9 @@
     # repeated.
     second = threading.Event()
 
-    class Twice(StandNode):
+    class Twice(StandInEndpoint):
         def answer(self, connection, about, fields):
-            if len(director.heard()) == 1:
+            if len(running.commands()) == 1:
                 connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
                 return threading.Thread(
                     target=self.later, args=(connection, about), daemon=True
@@ -44,28 +44,28 @@
             second.wait(5.0)
             connection.sendall(resp.command(about, b"LACK", b"why=UP_MISS"))
 
-    with Running() as director:
-        for node in director.nodes:
+    with RunningDirector() as running:
+        for node in running.endpoints:
             node.__class__ = Twice
-        caller = director.caller()
+        caller = running.connect_client()
         caller.send()
-        assert caller.answer() == (1, 0, {}, b"bytes")
-        assert len(director.heard()) == 2
+        assert caller.read_answer() == (1, 0, {}, b"bytes")
+        assert len(running.commands()) == 2
 
 
 @pytest.mark.parametrize(("cancel", "told"), [(True, 1), (False, 0)])
 def test_cancellation_is_sent_only_where_the_settings_allow_it(cancel, told):
-    with Running(None, allowed={"cancel": cancel, "mayDuplicate": False}) as director:
-        caller, upstream = director.caller(), director.service.upstream
+    with RunningDirector(None, allowed={"cancel": cancel, "mayDuplicate": False}) as running:
+        caller, upstream = running.connect_client(), running.director.upstream
         caller.send("pay", patience="300")
-        assert wait_for(director.heard)
+        assert wait_for(running.commands)
         (attempt,) = upstream.connection_by_attempt
         upstream.cancel(attempt)
         upstream.check_health(
             attempt.endpoint, attempt.addresses[0][1]
         )  # behind it on the same connection
-        assert wait_for(lambda: director.heard("METER")) and len(director.heard("KILL")) == told
-        assert caller.answer()[:2] == (1, 2)
+        assert wait_for(lambda: running.commands("METER")) and len(running.commands("KILL")) == told
+        assert caller.read_answer()[:2] == (1, 2)
 
 
 @pytest.mark.parametrize("two_attempts", [True, False])
@@ -73,14 +73,14 @@
     two_attempts,
 ):
     # Guards against the next attempt that overtakes the word that the first one is given up.
-    with Running(None, allowed={"mayDuplicate": two_attempts}) as director:
+    with RunningDirector(None, allowed={"mayDuplicate": two_attempts}) as running:
         upstream, place = (
-            director.service.upstream,
-            next(iter(director.service.coordinator.addresses.values())),
+            running.director.upstream,
+            next(iter(running.director.coordinator.addresses.values())),
         )
-        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Endpoint(1), None, running.director.clock(), 6000.0)
         ours, theirs = socket.socketpair()
-        link = UpstreamConnection(place, director.service.clock(), upstream.lock)
+        link = UpstreamConnection(place, running.director.clock(), upstream.lock)
         link.write_queue.connection = ours
         upstream.connections[place] = [link]
         upstream._send(
@@ -102,18 +102,18 @@
         def socket(self, *_):
             raise OSError(errno.EMFILE, "too many open files")
 
-    with Running() as director:
+    with RunningDirector() as running:
         with monkeypatch.context() as short:
             short.setattr(upstream_module, "socket", Short())
-            caller = director.caller()
+            caller = running.connect_client()
             caller.send()
-            assert caller.answer()[:2] == (1, 1)  # at once, and harmless to try again
-        members = director.service.coordinator.router.endpoints.known
+            assert caller.read_answer()[:2] == (1, 1)  # at once, and harmless to try again
+        members = running.director.coordinator.router.endpoints.known
         assert members and not any(
             member.is_ejected or member.outlier_detector.failures for member in members
         )
         caller.send()
-        assert caller.answer()[:2] == (2, 0)
+        assert caller.read_answer()[:2] == (2, 0)
 
 
 def test_connection_closed_by_its_endpoint_is_not_written_to(monkeypatch):
@@ -129,94 +129,100 @@
         return room(arrays)
 
     monkeypatch.setattr(resp.ArrayDecoder, "writable_view", late)
-    with Running() as director:
-        caller, origin = director.caller(), director.nodes[-1]
+    with RunningDirector() as running:
+        caller, origin = running.connect_client(), running.endpoints[-1]
         caller.send("pay")
-        assert caller.answer()[:2] == (1, 0)
-        (connections,) = director.service.upstream.connections.values()
+        assert caller.read_answer()[:2] == (1, 0)
+        (connections,) = running.director.upstream.connections.values()
         link = connections[0]
         origin.connections[0].shutdown(socket.SHUT_RDWR)
         assert wait_for(link.is_closed_by_peer)
         caller.send("pay")
-        assert caller.answer()[:2] == (2, 0) and len(origin.connections) == 2
+        assert caller.read_answer()[:2] == (2, 0) and len(origin.connections) == 2
         reads.set()
 
 
 def test_answer_before_unreadable_bytes_counts():
     # Guards against an effect that is called failed though its answer has come: the bytes behind
     # it, of another answer that was spoilt, end the connection.
-    class Spoilt(StandNode):
+    class Spoilt(StandInEndpoint):
         def answer(self, connection, about, fields):
-            connection.sendall(resp.command(about, *HIT) + b"+what\r\n")
+            connection.sendall(resp.command(about, *HIT_ANSWER) + b"+what\r\n")
 
-    with Running() as director:
-        for node in director.nodes:
+    with RunningDirector() as running:
+        for node in running.endpoints:
             node.__class__ = Spoilt
-        caller = director.caller()
+        caller = running.connect_client()
         caller.send("pay")
-        assert caller.answer() == (1, 0, {}, b"bytes")
+        assert caller.read_answer() == (1, 0, {}, b"bytes")
 
 
 def test_refused_connection_proves_that_nothing_was_executed():
-    with Running() as director:
-        for node in director.nodes:
+    with RunningDirector() as running:
+        for node in running.endpoints:
             node.close()
-        caller = director.caller()
+        caller = running.connect_client()
         for number in range(1, 9):
             caller.send("pay")
-            assert caller.answer()[:2] == (number, 1)
-        nodes = [figures["node"] for figures in director.sink.figures if "node" in figures]
+            assert caller.read_answer()[:2] == (number, 1)
+        nodes = [figures["node"] for figures in running.log.fields if "node" in figures]
         assert len(nodes) == len(set(nodes)) > 0  # one line until a link is up again
 
 
 def test_silent_endpoint_delays_only_its_own_requests():
-    with Running(lambda fields: None if fields["name"].endswith("ab") else HIT) as director:
-        caller = director.caller()
+    with RunningDirector(
+        lambda fields: None if fields["name"].endswith("ab") else HIT_ANSWER
+    ) as running:
+        caller = running.connect_client()
         begun = time.monotonic()
         caller.send(patience="600")
         caller.send(entity="00000000000000cd")
-        assert caller.answer()[:2] == (2, 0) and time.monotonic() - begun < 0.5
-        assert caller.answer()[:2] == (1, 1) and time.monotonic() - begun < 0.65
-        assert wait_for(lambda: len(director.heard("KILL")) == len(director.heard()) - 1)
+        assert caller.read_answer()[:2] == (2, 0) and time.monotonic() - begun < 0.5
+        assert caller.read_answer()[:2] == (1, 1) and time.monotonic() - begun < 0.65
+        assert wait_for(lambda: len(running.commands("KILL")) == len(running.commands()) - 1)
 
 
 def test_endpoint_that_does_not_read_delays_only_its_own_requests(monkeypatch):
     # Guards against a blocking write in a thread, or under a lock, that others wait for.
     monkeypatch.setattr(
-        StandNode, "talk", lambda self, connection: time.sleep(3.0) if self.plan else None
+        StandInEndpoint,
+        "serve_connection",
+        lambda self, connection: time.sleep(3.0) if self.plan else None,
     )
-    with Running() as director:
-        caller = director.caller()
+    with RunningDirector() as running:
+        caller = running.connect_client()
         for _ in range(30):
             caller.send("order", body=bytes(48_000), patience="700")
         begun = time.monotonic()
-        assert {caller.answer()[1] for _ in range(30)} == {1} and time.monotonic() - begun < 1.5
+        assert {caller.read_answer()[1] for _ in range(30)} == {
+            1
+        } and time.monotonic() - begun < 1.5
 
 
-@pytest.mark.parametrize("plan", ["cut", MUTE])
+@pytest.mark.parametrize("plan", ["cut", answer_nothing])
 def test_useless_connection_is_ended_and_its_attempts_are_retried_elsewhere(plan, monkeypatch):
     # Guards against requests that wait out their time on a connection that stays open after a bad
     # answer.
     monkeypatch.setattr(
         connection_reuse, "SILENCE_BEFORE_PING", 100.0
     )  # before the module's own timer
-    with Running() as director:
-        caller, bad = director.caller(), director.nodes[:3]
+    with RunningDirector() as running:
+        caller, bad = running.connect_client(), running.endpoints[:3]
         caller.send(entity="00000000000000cd")
-        caller.answer()
-        first = next(node for node in bad if node.heard)
+        caller.read_answer()
+        first = next(node for node in bad if node.commands)
         first.plan = plan
         begun = time.monotonic()
         caller.send(entity="00000000000000cd")
-        assert caller.answer()[:2] == (2, 0) and time.monotonic() - begun < 2.0
-        assert len(director.heard()) == 3
-        assert "upstream down" in director.sink.events
+        assert caller.read_answer()[:2] == (2, 0) and time.monotonic() - begun < 2.0
+        assert len(running.commands()) == 3
+        assert "upstream down" in running.log.event_names
 
 
 def test_connection_that_answers_pings_keeps_its_slow_attempts():
-    with Running(None) as director:
-        caller = director.caller()
+    with RunningDirector(None) as running:
+        caller = running.connect_client()
         caller.send("pay", patience="1500")
-        assert wait_for(lambda: director.heard("ECHO"))
-        assert caller.answer()[:2] == (1, 2)
-        assert len(director.heard()) == 1 and "upstream down" not in director.sink.events
+        assert wait_for(lambda: running.commands("ECHO"))
+        assert caller.read_answer()[:2] == (1, 2)
+        assert len(running.commands()) == 1 and "upstream down" not in running.log.event_names
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -5,8 +5,8 @@
 
 import pytest
 from helpers import (
-    HIT,
-    Running,
+    HIT_ANSWER,
+    RunningDirector,
     wait_for,
 )
 
@@ -18,12 +18,12 @@
 
 def test_attempt_that_could_not_be_written_is_withdrawn_in_time():
     # Guards against a stalled link that sends an attempt seconds later, after a drain or a purge.
-    with Running() as director:
+    with RunningDirector() as running:
         upstream, place = (
-            director.service.upstream,
-            next(iter(director.service.coordinator.addresses.values())),
+            running.director.upstream,
+            next(iter(running.director.coordinator.addresses.values())),
         )
-        attempt = Attempt(None, 0, Endpoint(1), None, director.service.clock(), 6000.0)
+        attempt = Attempt(None, 0, Endpoint(1), None, running.director.clock(), 6000.0)
         reported = []
         upstream._report = lambda *word: reported.append(word)
         ours, theirs = socket.socketpair()
@@ -39,13 +39,13 @@
 
 
 def test_reset_proves_that_nothing_was_executed_only_where_nothing_was_written():
-    with Running() as director:
+    with RunningDirector() as running:
         upstream, place = (
-            director.service.upstream,
-            next(iter(director.service.coordinator.addresses.values())),
+            running.director.upstream,
+            next(iter(running.director.coordinator.addresses.values())),
         )
         attempts = [
-            Attempt(None, number, Endpoint(1), None, director.service.clock(), 6000.0)
+            Attempt(None, number, Endpoint(1), None, running.director.clock(), 6000.0)
             for number in range(2)
         ]
         reported = []
@@ -63,28 +63,28 @@
 
 
 def test_more_attempts_than_a_connection_carries_open_further_ones():
-    with Running(lambda fields: None, allowed={"mayDuplicate": False}) as director:
-        caller = director.caller()
+    with RunningDirector(lambda fields: None, allowed={"mayDuplicate": False}) as running:
+        caller = running.connect_client()
         for _ in range(5):
             caller.send("order", patience="900")
-        assert wait_for(lambda: len(director.heard()) >= 5)
-        origin = director.nodes[-1]
+        assert wait_for(lambda: len(running.commands()) >= 5)
+        origin = running.endpoints[-1]
         assert len(origin.connections) == 3  # two attempts each
 
 
 def test_idle_connections_make_room_for_attempts_to_other_endpoints():
     # Guards against a director at its bound of links whose links are all held for what may come,
     # elsewhere.
-    with Running(HIT) as director:
-        director.service.upstream.max_connections = 3
-        caller = director.caller()
+    with RunningDirector(HIT_ANSWER) as running:
+        running.director.upstream.max_connections = 3
+        caller = running.connect_client()
         for number in range(40):
             caller.send(entity=f"{number:016x}")
-            caller.answer()
-        assert director.service.upstream.connection_count >= 2  # to caches
+            caller.read_answer()
+        assert running.director.upstream.connection_count >= 2  # to caches
         for _ in range(4):
             caller.send("order")
-            if caller.answer()[1] == 0:
+            if caller.read_answer()[1] == 0:
                 break
             time.sleep(0.05)  # the link that makes room is on its way out
         else:
@@ -94,10 +94,10 @@
 def test_two_attempts_of_one_request_at_one_endpoint_are_told_apart():
     # Guards against the late answer to an attempt given up being taken for that of the next one
     # under its id.
-    with Running(lambda fields: None) as director:
+    with RunningDirector(lambda fields: None) as running:
         upstream, place = (
-            director.service.upstream,
-            next(iter(director.service.coordinator.addresses.values())),
+            running.director.upstream,
+            next(iter(running.director.coordinator.addresses.values())),
         )
         attempts = [Attempt(None, number, Endpoint(1), None, 0.0, 1000.0) for number in range(3)]
         reported = []
@@ -116,10 +116,12 @@
 
 
 def test_idle_connections_are_closed_from_our_side():
-    with Running(allowed={"connIdle": 100.0}) as director:
-        caller = director.caller()
+    with RunningDirector(allowed={"connIdle": 100.0}) as running:
+        caller = running.connect_client()
         caller.send()
-        assert caller.answer()[:2] == (1, 0) and director.service.upstream.connection_count == 1
-        assert wait_for(lambda: director.service.upstream.connection_count == 0)
+        assert (
+            caller.read_answer()[:2] == (1, 0) and running.director.upstream.connection_count == 1
+        )
+        assert wait_for(lambda: running.director.upstream.connection_count == 0)
         caller.send()
-        assert caller.answer()[:2] == (2, 0) and "upstream down" not in director.sink.events
+        assert caller.read_answer()[:2] == (2, 0) and "upstream down" not in running.log.event_names
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -1,7 +1,7 @@
 """Which endpoints are ejected and reinstated, seen from the router."""
 
 import pytest
-from helpers import CACHE, PARENT, Fleet
+from helpers import CACHE, PARENT, RouterFixture
 
 from mulleinrelay.policy.endpoint_health import EjectionReason
 from mulleinrelay.policy.events import (
@@ -14,13 +14,13 @@
 
 
 def test_a_silent_cache_is_hedged_at_once_and_ejected_when_signs_add_up():
-    fleet = Fleet()
-    silent = fleet.ask(key=5).attempts[0].endpoint
+    fleet = RouterFixture()
+    silent = fleet.receive_request(object_id=5).attempts[0].endpoint
     for _ in range(40):
-        attempt = fleet.ask(after=60).attempts[0]
+        attempt = fleet.receive_request(after=60).attempts[0]
         if attempt.endpoint is not silent:
-            fleet.answer(attempt)
-        for delay, about in fleet.out.take("schedule_timer"):
+            fleet.finish_attempt(attempt)
+        for delay, about in fleet.actions.take("schedule_timer"):
             if about is attempt and attempt.endpoint is silent:
                 fleet.handle(TimerFired(attempt), after=delay)
                 assert (
@@ -44,20 +44,20 @@
 )
 def test_failures_are_weighted_by_what_they_show_of_the_endpoint(outcome, another, weight):
     """Requests for unknown objects and malformed answers had healthy caches ejected."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     cache = fleet.caches[0]
     requests = []
     while len(requests) < 3:
-        request = fleet.ask()
+        request = fleet.receive_request()
         if request.attempts[0].endpoint is cache:
             requests.append(request)
         else:
-            fleet.answer(request.attempts[0])
+            fleet.finish_attempt(request.attempts[0])
     for request in requests:
         request.attempts[0].expects_hit = True  # a hit was due, so that no source shares the blame
-        fleet.answer(request.attempts[0], outcome, CacheStatus.UNKNOWN)
+        fleet.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if another is not None:
-            fleet.answer(request.attempts[1], another)
+            fleet.finish_attempt(request.attempts[1], another)
     assert cache.outlier_detector.failures == weight
     assert all(request.is_complete for request in requests) or another is None
 
@@ -65,13 +65,13 @@
 @pytest.mark.parametrize(("broken", "well"), [("parents", "caches"), ("caches", "parents")])
 def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(broken, well):
     """A failing parent shows as errors at every cache; unless blame is split, these are ejected."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     outlier = getattr(fleet, broken)[0]
     for _ in range(150):
-        request = fleet.ask(after=20)
+        request = fleet.receive_request(after=20)
         attempt = request.attempts[0]
         bad = outlier in (attempt.endpoint, attempt.fill_source)
-        fleet.answer(
+        fleet.finish_attempt(
             attempt,
             *(
                 (Outcome.ERROR, CacheStatus.UNKNOWN)
@@ -80,17 +80,17 @@
             ),
         )
         for attempt in request.attempts[1:]:
-            fleet.answer(attempt, note=CacheStatus.FILLED)
+            fleet.finish_attempt(attempt, cache_status=CacheStatus.FILLED)
     assert outlier.is_ejected and not any(member.is_ejected for member in getattr(fleet, well))
 
 
 def test_a_slow_endpoint_that_answers_in_between_is_not_ejected():
     """A fixed timeout took loaded endpoints for silent ones."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     for _ in range(30):
-        attempt = fleet.ask(after=400).attempts[0]
+        attempt = fleet.receive_request(after=400).attempts[0]
         fleet.handle(TimerFired(attempt), after=900)
-        fleet.answer(attempt, after=10)
+        fleet.finish_attempt(attempt, after=10)
         assert not attempt.endpoint.is_ejected or attempt.endpoint.silence >= 2.0
     assert not any(member.is_ejected for member in fleet.caches)
 
@@ -98,37 +98,37 @@
 @pytest.mark.parametrize(("requests", "most"), [(40, 3), (400, 22)])
 def test_trial_requests_are_earned_by_requests(requests, most):
     """At two a second each, hundreds of directors swamped a dead parent with trials."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     fleet.parents[0].is_ejected = True
     tried = 0
     for _ in range(requests):
-        attempt = fleet.ask(after=600).attempts[0]
+        attempt = fleet.receive_request(after=600).attempts[0]
         tried += attempt.fill_source is fleet.parents[0]
-        fleet.answer(attempt)
+        fleet.finish_attempt(attempt)
     assert 0 < tried <= most
 
 
 def test_a_parent_that_fails_rare_fills_is_ejected():
     """Results four seconds apart were forgotten before two of them could count."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     for _ in range(12):
-        request = fleet.ask(after=4000)
+        request = fleet.receive_request(after=4000)
         bad = request.attempts[0].fill_source is fleet.parents[0]
-        fleet.answer(
+        fleet.finish_attempt(
             request.attempts[0], *((Outcome.REJECTED, CacheStatus.SOURCE_FAILED) if bad else ())
         )
         for attempt in request.attempts[1:]:
-            fleet.answer(attempt)
+            fleet.finish_attempt(attempt)
     assert fleet.parents[0].is_ejected
 
 
 def test_a_fill_source_that_rejects_is_not_ejected():
     """Loaded parents were ejected like dead ones, and the dead ones were used again."""
-    fleet = Fleet()
+    fleet = RouterFixture()
     for _ in range(30):
-        request = fleet.ask(after=30)
+        request = fleet.receive_request(after=30)
         for attempt in request.attempts:
-            fleet.answer(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
+            fleet.finish_attempt(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
     assert not any(parent.is_ejected for parent in fleet.parents)
 
 
@@ -143,16 +143,16 @@
 def test_an_answered_health_check_reinstates_only_an_unreachable_cache(
     outcome, well, is_reinstated
 ):
-    fleet = Fleet(allows_health_checks=True)
-    outlier = fleet.ask(key=77).attempts[0].endpoint
+    fleet = RouterFixture(allows_health_checks=True)
+    outlier = fleet.receive_request(object_id=77).attempts[0].endpoint
     while not outlier.is_ejected:
         fleet.router.health.record_result(
             outlier, 2.0, EjectionReason(outcome.name.lower()), fleet.now
         )
     probed = []
     for _ in range(40):  # any round asks whom it is time to ask
-        fleet.ask()
-        probed += fleet.out.take("check_health")
+        fleet.receive_request()
+        probed += fleet.actions.take("check_health")
         fleet.now += 50.0
     assert ((outlier,) in probed) is (outcome is Outcome.CONNECT_FAILED)
     fleet.handle(HealthCheckFinished(outlier, None, well))
@@ -164,17 +164,17 @@
 @pytest.mark.parametrize("first", ["breaks", "leaves"])
 def test_an_endpoint_that_left_gets_no_health_check(first, state, whose):
     """An attempt at an endpoint that had left broke afterwards: its address was not known."""
-    fleet = Fleet(allows_health_checks=True)
+    fleet = RouterFixture(allows_health_checks=True)
     outlier = fleet.caches[0] if whose == CACHE else fleet.parents[0]
-    row = fleet.row(outlier, whose, 1 if whose == CACHE else 0, state=state)
+    row = fleet.endpoint_entry(outlier, whose, 1 if whose == CACHE else 0, state=state)
     if first == "leaves":
         fleet.handle(EndpointsUpdated([row], False))
     fleet.router.health.record_result(outlier, 4.0, EjectionReason.RESET, fleet.now)
     if first == "breaks":
         fleet.handle(EndpointsUpdated([row], False))
     for _ in range(40):
-        fleet.ask(after=50.0)
-    assert fleet.out.take("check_health") == []
+        fleet.receive_request(after=50.0)
+    assert fleet.actions.take("check_health") == []
 
 
 @pytest.mark.parametrize(
@@ -184,17 +184,17 @@
 def test_unreachable_caches_are_bypassed_until_a_health_check_is_answered(
     health_checks, bypass, whose
 ):
-    fleet = Fleet(allows_health_checks=health_checks, allows_cache_bypass=bypass)
+    fleet = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
     for cache in fleet.caches:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
-    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
+    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {whose}
     fleet.handle(HealthCheckFinished(fleet.caches[1], None, True))
-    assert {fleet.ask().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
+    assert {fleet.receive_request().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
 
 
 def test_a_hit_delayed_by_an_outage_does_not_count_as_slowdown():
-    fleet = Fleet()
-    request = fleet.ask(key=77)
+    fleet = RouterFixture()
+    request = fleet.receive_request(object_id=77)
     node = request.attempts[0].endpoint
     fleet.router.health.record_result(node, 4.0, EjectionReason.RESET, fleet.now)
     fleet.now += 5000.0
@@ -213,21 +213,21 @@
 def test_two_failures_in_a_row_mark_the_zone_unreachable_and_requests_bypass_it(
     health_checks, bypass, whose
 ):
-    fleet = Fleet(allows_health_checks=health_checks, allows_cache_bypass=bypass)
+    fleet = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
     for cache in fleet.caches[:2]:
-        attempt = Attempt(fleet.ask(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET)
+        attempt = Attempt(fleet.receive_request(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET)
         fleet.router.recorder.record(
             AttemptFinished(attempt, Outcome.RESET, 1.0, False, CacheStatus.UNKNOWN, 0.0, None),
             fleet.now,
         )
-    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {whose}
+    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {whose}
     assert not any(cache.is_ejected for cache in fleet.caches)  # no judgement of each for itself
     fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
-    assert {fleet.ask().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
+    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
 
 def test_caches_ejected_in_an_outage_are_reinstated_by_the_first_response_of_any():
-    fleet = Fleet(allows_health_checks=True)
+    fleet = RouterFixture(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
     assert fleet.router.health.zone.is_unreachable and all(
@@ -235,15 +235,15 @@
     )
     asked = []
     for _ in range(20):
-        fleet.ask(after=50.0)
-        asked += fleet.out.take("check_health")
+        fleet.receive_request(after=50.0)
+        asked += fleet.actions.take("check_health")
     assert len(asked) >= 2  # a few are asked soon
     fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
     assert not any(cache.is_ejected for cache in fleet.caches)
 
 
 def test_a_health_check_of_a_parent_does_not_end_a_zone_outage():
-    fleet = Fleet(allows_health_checks=True)
+    fleet = RouterFixture(allows_health_checks=True)
     for cache in fleet.caches[:2]:
         fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
     fleet.handle(HealthCheckFinished(fleet.parents[0], None, True))
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import Fleet
+from helpers import RouterFixture
 
 from mulleinrelay.policy.endpoint_health import EjectionReason
 from mulleinrelay.policy.latency import TrackedEndpoint
@@ -15,7 +15,7 @@
 
     def __init__(self, rate, seed):
         self.health, self.random, self.rate, self.now = (
-            Fleet().router.health,
+            RouterFixture().router.health,
             Random(seed),
             rate,
             1e6,
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -66,7 +66,7 @@
 
 FLEETS = [(1, 200.0), (5, 40.0), (20, 10.0), (200, 1.0), (200, 20.0), (600, 0.5)]
 CAPACITIES = [0.6, 2.0, 8.0]
-STUDIES = {
+PROCESS_JOBS = {
     f"slow start, {directors} x {rate}, {capacity}": (peaks, directors, capacity, rate)
     for directors, rate in FLEETS
     for capacity in CAPACITIES
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize(("directors", "rate"), FLEETS)
 @pytest.mark.parametrize("capacity", CAPACITIES)
 def test_all_directors_together_stay_below_what_fails_a_warming_endpoint(
-    directors, rate, capacity, studies
+    directors, rate, capacity, process_job_result
 ):
     """It fails at N + 3 root N + 3 requests of mean work, N being what it can do in the window."""
     number = capacity * WINDOW / MEAN_WORK
-    found = studies(f"slow start, {directors} x {rate}, {capacity}")
+    found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
     assert len(found) == 5
     assert max(found) / MEAN_WORK < number + 3.0 * math.sqrt(number) + 3.0
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -2,7 +2,7 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import configuration
+from helpers import platform_configuration
 
 from mulleinrelay import cli
 from mulleinrelay.config.platform import load_config, parse_config
@@ -17,7 +17,7 @@
 
 def changed(path, value):
     """The configuration with one key set, or taken out where the value is `...`."""
-    whole = configuration()
+    whole = platform_configuration()
     *way, last = path.split("/")
     spot = whole
     for step in way:
@@ -73,7 +73,7 @@
 
 
 def test_configuration_is_read_as_a_director_gets_it(tmp_path):
-    start = parse_config(json.dumps(configuration()))
+    start = parse_config(json.dumps(platform_configuration()))
     assert (start.name, start.seed, start.max_descriptors, start.last_event_number) == (
         "n3",
         0x8C1F,
@@ -85,7 +85,7 @@
         "edge": 1,
     }
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(configuration()))
+    file.write_text(json.dumps(platform_configuration()))
     assert load_config({"LB_CONFIG": str(file)}).name == "n3"
     code, told, _ = call("check", "--config", str(file))
     assert code == 0 and told.startswith("n3: listens on 127.0.0.1:")
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -2,7 +2,7 @@
 import threading
 
 import pytest
-from helpers import Stage, settings
+from helpers import CoordinatorFixture, start_settings
 
 from mulleinrelay import wire
 from mulleinrelay.coordinator import (
@@ -25,8 +25,8 @@
 
 
 def test_a_request_is_served_once_and_later_reports_are_dropped():
-    stage = Stage()
-    request = stage.take()
+    stage = CoordinatorFixture()
+    request = stage.accept()
     order = stage.coordinator.next_step(request)
     assert (
         isinstance(order, SendAttempt)
@@ -55,8 +55,8 @@
     ],
 )
 def test_the_first_event_decides_the_result_of_a_request(first, second, result):
-    stage = Stage()
-    request = stage.take()
+    stage = CoordinatorFixture()
+    request = stage.accept()
     attempt = stage.coordinator.next_step(request).attempt
     events = {
         "forget": lambda: stage.coordinator.client_left(request),
@@ -64,7 +64,7 @@
         "report": lambda: stage.coordinator.report_outcome(
             attempt, Outcome.SERVED, CacheStatus.HIT
         ),
-        "time": lambda: stage.pass_time(7000.0),
+        "time": lambda: stage.advance_time(7000.0),
     }
     events[first]()
     events[second]()
@@ -89,8 +89,8 @@
     request_class, sent, outcome, result
 ):
     # A shutdown must not call safe to retry what may have run.
-    stage = Stage()
-    request = stage.take(request_class)
+    stage = CoordinatorFixture()
+    request = stage.accept(request_class)
     if sent:
         attempt = stage.coordinator.next_step(request).attempt
         if outcome is not None:
@@ -98,32 +98,32 @@
     else:
         request.attempts[0].outcome = Outcome.NOT_SENT
     stage.coordinator.finish_pending_requests()
-    assert isinstance(stage.until_result(request), result)
+    assert isinstance(stage.run_to_result(request), result)
 
 
 def test_an_attempt_cancelled_before_its_step_was_taken_is_never_sent():
-    stage = Stage()
-    request = stage.take()
+    stage = CoordinatorFixture()
+    request = stage.accept()
     stage.coordinator.client_left(request)
     assert isinstance(stage.coordinator.next_step(request), ClientGone)
     assert request.attempts[0].outcome == Outcome.CANCELLED
 
 
 def test_an_attempt_past_its_timeout_is_cancelled_and_reported():
-    stage = Stage(
+    stage = CoordinatorFixture(
         allowed={"cancel": False}
     )  # the router cancels nothing: the coordinator keeps the time
-    request = stage.take()
+    request = stage.accept()
     attempt = stage.coordinator.next_step(request).attempt
-    stage.pass_time(6001.0)
+    stage.advance_time(6001.0)
     assert attempt.outcome == Outcome.TIMEOUT
-    assert isinstance(stage.until_result(request), Rejected)
+    assert isinstance(stage.run_to_result(request), Rejected)
 
 
 def test_one_thread_at_a_time_takes_the_steps_of_a_request():
     # Else one thread carries out the result while another still sends an attempt.
-    stage, found = Stage(), []
-    request = stage.take()
+    stage, found = CoordinatorFixture(), []
+    request = stage.accept()
     attempt = stage.coordinator.next_step(request).attempt
 
     def pick_elsewhere():
@@ -139,7 +139,7 @@
         and stage.coordinator.next_step(request) is None
     )
 
-    request = stage.take()
+    request = stage.accept()
     attempt = stage.coordinator.next_step(request).attempt
     assert (
         stage.coordinator.next_step(request) is None
@@ -150,15 +150,15 @@
 
 
 def test_a_request_without_capacity_is_rejected_without_an_attempt():
-    stage = Stage()
-    request = stage.take(room=False)
+    stage = CoordinatorFixture()
+    request = stage.accept(has_capacity=False)
     result = stage.coordinator.next_step(request)
     assert isinstance(result, Rejected) and result.retry_after_ms > 0.0 and not request.attempts
 
 
 def test_run_due_timers_runs_what_is_due_and_returns_when_to_call_again():
-    stage = Stage()
-    request = stage.take(left=300.0)
+    stage = CoordinatorFixture()
+    request = stage.accept(remaining_time=300.0)
     due, *_ = stage.coordinator.run_due_timers()
     assert stage.now < due <= request.deadline
     while not request.is_complete:
@@ -169,40 +169,40 @@
 
 
 def test_wait_until_ends_early_for_an_earlier_timer():
-    stage = Stage()
-    stage.now_is_real()
+    stage = CoordinatorFixture()
+    stage.use_real_clock()
     done = threading.Event()
     waiter = threading.Thread(
         target=lambda: (stage.coordinator.wait_until(stage.now + 60_000.0), done.set())
     )
     waiter.start()
     assert not done.wait(0.05)
-    stage.take()
+    stage.accept()
     assert done.wait(5.0)
 
 
 @pytest.mark.parametrize("failing", [RequestReceived, AttemptFinished])
 def test_a_failing_router_still_gives_one_result(failing):
     # Else a client waits in vain for a request on which the router failed.
-    stage = Stage()
-    stage.sink.events.clear()
+    stage = CoordinatorFixture()
+    stage.log.event_names.clear()
     stage.coordinator.router.handlers[failing] = lambda *_: 1 / 0
-    request = stage.take()
+    request = stage.accept()
     if failing is AttemptFinished:
         stage.coordinator.report_outcome(stage.coordinator.next_step(request).attempt, Outcome.MISS)
-    assert isinstance(stage.coordinator.next_step(request), Failed) and stage.sink.events == [
+    assert isinstance(stage.coordinator.next_step(request), Failed) and stage.log.event_names == [
         "fault"
     ]
 
 
 def test_a_request_without_a_result_is_failed_after_its_deadline():
-    stage = Stage()
-    request = stage.take(left=200.0)
+    stage = CoordinatorFixture()
+    request = stage.accept(remaining_time=200.0)
     stage.coordinator.next_step(request)
     for event in (TimerFired, AttemptFinished):
         stage.coordinator.router.handlers[event] = lambda *_: None
-    stage.pass_time(209.0)
-    assert isinstance(stage.until_result(request), Failed)
+    stage.advance_time(209.0)
+    assert isinstance(stage.run_to_result(request), Failed)
 
 
 @pytest.mark.parametrize(
@@ -211,8 +211,8 @@
 )
 def test_an_endpoint_that_restarts_gets_a_new_address_object(change, kept):
     # Else attempts go out on connections of the machine that had the address before.
-    stage = Stage()
-    entry = stage.entries[0]
+    stage = CoordinatorFixture()
+    entry = stage.endpoint_updates[0]
     member = stage.coordinator.endpoints[entry.name]
     before = stage.coordinator.addresses[member]
     for name, value in change.items():
@@ -222,9 +222,9 @@
 
 
 def test_an_endpoint_missing_from_a_full_snapshot_is_removed():
-    stage = Stage()
+    stage = CoordinatorFixture()
     before = stage.coordinator.addresses[stage.coordinator.endpoints["s-01"]]
-    stage.coordinator.update_endpoints(stage.entries[1:], True)
+    stage.coordinator.update_endpoints(stage.endpoint_updates[1:], True)
     assert before.is_removed and not any(
         address.is_removed for address in stage.coordinator.addresses.values()
     )
@@ -232,7 +232,7 @@
 
 def test_removed_endpoints_are_forgotten():
     # Else memory grows with every endpoint that is replaced, in coordinator and router.
-    stage, entry = Stage(), None
+    stage, entry = CoordinatorFixture(), None
     for number in range(50):
         gone, entry = (
             entry,
@@ -243,7 +243,7 @@
         if gone is not None:
             gone.state = EndpointState.GONE
         stage.coordinator.update_endpoints([entry] + ([gone] if gone else []), False)
-        stage.until_result(stage.take(left=0.0))
+        stage.run_to_result(stage.accept(remaining_time=0.0))
     assert (
         len(stage.coordinator.endpoints)
         == len(stage.coordinator.addresses)
@@ -294,8 +294,8 @@
     ],
 )
 def test_the_network_code_and_the_simulator_report_the_same_events(word, status, note):
-    stage = Stage()
-    request = stage.take()
+    stage = CoordinatorFixture()
+    request = stage.accept()
     attempt = stage.coordinator.next_step(request).attempt
     ours = stage.coordinator._driver.router = RecordingRouter(stage.coordinator.settings)
     fields = f"delay=12.5,why={NAMES[note - 1]}" if note else "delay=12.5"
@@ -307,9 +307,9 @@
     )
 
     theirs = Instance(1)
-    theirs.read(0.0, wire.BEGIN, (7, json.dumps(settings()).encode()), {})
+    theirs.read(0.0, wire.BEGIN, (7, json.dumps(start_settings()).encode()), {})
     theirs.router = RecordingRouter(theirs.router.settings)
-    theirs.requests[1] = stage.again(request)
+    theirs.requests[1] = stage.copy_with_first_attempt(request)
     closed = int(status == 0)
     theirs.read(
         5.0,
@@ -322,11 +322,11 @@
 
 
 def test_a_health_check_is_handed_out_and_its_load_report_reaches_the_router():
-    stage = Stage(report={"how": "probe", "columns": ["x1"]})
+    stage = CoordinatorFixture(report={"how": "probe", "columns": ["x1"]})
     probes = []
     while not probes:  # reports are earned by requests
         stage.now += 100.0
-        stage.take()
+        stage.accept()
         _, probes, _ = stage.coordinator.run_due_timers()
     ((node, address),) = probes
     assert address is stage.coordinator.addresses[node]
@@ -335,8 +335,8 @@
 
 
 def test_a_load_report_in_an_answer_reaches_the_router():
-    stage = Stage(report={"how": "answers", "columns": ["x1"]})
-    attempt = stage.coordinator.next_step(stage.take()).attempt
+    stage = CoordinatorFixture(report={"how": "answers", "columns": ["x1"]})
+    attempt = stage.coordinator.next_step(stage.accept()).attempt
     stage.coordinator.report_outcome(
         attempt, Outcome.SERVED, CacheStatus.HIT, load={"crowding": 3.5}
     )
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import Stage
+from helpers import CoordinatorFixture
 
 from mulleinrelay.coordinator import CancelAttempt, Rejected, RequestCoordinator, Served
 from mulleinrelay.net.client_connection import ClientConnection
@@ -41,7 +41,7 @@
 
     def __init__(self, request_class, waits):
         """`waits`: steps are not written at once, as the connection is not up."""
-        self.stage = Stage()
+        self.stage = CoordinatorFixture()
         self.request_class = request_class
         self.waits = waits
         self.coordinator = self.stage.coordinator
@@ -51,7 +51,7 @@
         self.draining = set()
         self.has_client_left = False
         self.unwritten = []  # steps that were taken and are not yet written
-        self.request = self.stage.take(request_class, left=2000.0)
+        self.request = self.stage.accept(request_class, remaining_time=2000.0)
         self.run_steps()
 
     def run_steps(self):
@@ -109,7 +109,7 @@
             self.has_client_left = True
             self.coordinator.client_left(self.request)
         elif event == "overdue":
-            self.stage.pass_time(700.0)
+            self.stage.advance_time(700.0)
         elif event == "shuts down":
             self.coordinator.finish_pending_requests()
         elif event in ("waits", "is written"):
@@ -119,7 +119,7 @@
 
     def end(self):
         self.happen("is written")
-        self.stage.pass_time(2500.0)
+        self.stage.advance_time(2500.0)
         self.run_steps()
         assert len(self.results) == 1 and self.coordinator.next_step(self.request) is None
         assert not self.coordinator.pending_requests and not [
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -10,17 +10,17 @@
 
 import pytest
 from helpers import (
-    HIT,
-    OK,
-    SPOTS,
-    WELL,
-    Caller,
-    Program,
-    StandBus,
-    StandNode,
-    configuration,
-    event,
+    ENDPOINTS,
+    HIT_ANSWER,
+    IS_WELL_CALL,
+    RESPONSE_HEAD,
+    DirectorProcess,
+    StandInClient,
+    StandInEndpoint,
+    StandInEventStream,
     free_port,
+    platform_configuration,
+    stream_event,
     wait_for,
 )
 
@@ -33,35 +33,41 @@
     clients that find no descriptor left when discovery is back, and against what stays behind of
     them.
     """
-    nodes, port, listens = [StandNode(HIT) for _ in SPOTS], free_port(), free_port()
-    whole = configuration(
+    nodes, port, listens = (
+        [StandInEndpoint(HIT_ANSWER) for _ in ENDPOINTS],
+        free_port(),
+        free_port(),
+    )
+    whole = platform_configuration(
         [node.address for node in nodes], f"127.0.0.1:{port}", f"127.0.0.1:{listens}"
     )
     whole["limits"]["sockets"] = told
     (file := tmp_path / "config.json").write_text(json.dumps(whole))
     drain = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
-    with Program(file, descriptors) as program, contextlib.ExitStack() as ends:
-        caller = Caller(("127.0.0.1", listens))
+    with DirectorProcess(file, descriptors) as program, contextlib.ExitStack() as ends:
+        caller = StandInClient(("127.0.0.1", listens))
         caller.send()
-        assert caller.answer()[:2] == (1, 0)
+        assert caller.read_answer()[:2] == (1, 0)
         at = ("127.0.0.1", listens)
         idle = [socket.create_connection(at, timeout=10.0) for _ in range(2 * descriptors)]
         for connection in idle[::2]:  # half of them ask once, and all stay
             with contextlib.suppress(OSError):
-                connection.sendall(WELL)
+                connection.sendall(IS_WELL_CALL)
         caller.send()
-        assert caller.answer()[0] == 2  # it was not ended for them
+        assert caller.read_answer()[0] == 2  # it was not ended for them
         bus = ends.enter_context(
-            contextlib.closing(StandBus([OK, event(2, drain), None], port=port))
+            contextlib.closing(
+                StandInEventStream([RESPONSE_HEAD, stream_event(2, drain), None], port=port)
+            )
         )
-        assert wait_for(lambda: bus.asked, 20.0)
+        assert wait_for(lambda: bus.last_event_ids, 20.0)
 
         def served_past_it():
-            before = len(nodes[0].heard)
+            before = len(nodes[0].commands)
             for _ in range(12):
-                caller.send(entity=f"{caller.count:016x}")
-            return [caller.answer()[1] for _ in range(12)] == [0] * 12 and len(
-                nodes[0].heard
+                caller.send(entity=f"{caller.call_count:016x}")
+            return [caller.read_answer()[1] for _ in range(12)] == [0] * 12 and len(
+                nodes[0].commands
             ) == before
 
         assert wait_for(served_past_it, 20.0) and served_past_it()
@@ -72,7 +78,7 @@
         assert wait_for(
             lambda: len(os.listdir(f"{here}/fd")) <= 16 and len(os.listdir(f"{here}/task")) <= 12
         )
-        assert not program.says(event="fault")
+        assert not program.has_logged(event="fault")
         program.send_signal(signal.SIGTERM)
         assert program.wait() == 0
 
@@ -82,10 +88,10 @@
     """With discovery down and no node there, as after the loss of all."""
     files = [tmp_path / f"{number}.json" for number in range(count)]
     for file in files:
-        file.write_text(json.dumps(configuration(listen=f"127.0.0.1:{free_port()}")))
+        file.write_text(json.dumps(platform_configuration(listen=f"127.0.0.1:{free_port()}")))
     for last in (False, True):
         with contextlib.ExitStack() as ends:
-            programs = [Program(file) for file in files]
+            programs = [DirectorProcess(file) for file in files]
             for program in programs:
                 ends.push(program)
             wait_for(lambda held=programs: ready(held) == count, 10.0 if last else 30.0)
@@ -96,4 +102,4 @@
 
 
 def ready(programs):
-    return sum(program.says(phase="ready") for program in programs)
+    return sum(program.has_logged(phase="ready") for program in programs)
