--- a/mulleinrelay/__init__.py
+++ b/mulleinrelay/__init__.py
@@ -1,3 +1,3 @@
-"""A load-aware router before tiers of caches with one origin behind them."""
+"""A load-aware router in front of tiers of caches with one origin."""
 
 VERSION = "0.2.0"
--- a/mulleinrelay/__main__.py
+++ b/mulleinrelay/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: `python -m mulleinrelay`."""
+"""Entry point of the command line: `python -m mulleinrelay`."""
 
 from .cli import main
 
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -1,7 +1,7 @@
-"""The command line: commands and options, nothing else.
+"""The commands and options of the command line.
 
-What serves and what only reads files import nothing of one another: each command imports its own
-part when it is called.
+Each command imports the modules that it needs when it is called, so that commands that only read
+files do not load the server.
 """
 
 import os
@@ -18,31 +18,31 @@
 Loaded = TypeVar("Loaded")
 PathType = TypeVar("PathType", str, str | None)
 
-EXIT_BAD_CONFIGURATION = 2  # wrong use or a wrong file; the other codes are in `main`
+EXIT_BAD_CONFIGURATION = 2  # wrong usage or an invalid file; `main` lists the other codes
 
-# Groups of commands, each with the module that has it under the same name.
+# Command groups and their modules; each module defines the group under the same name.
 MODULE_BY_GROUP = {
     "cells": "mulleinrelay.cells.commands",
     "ctl": "mulleinrelay.management.commands",
     "lab": "mulleinrelay.lab.commands",
     "fleet": "mulleinrelay.membership.commands",
 }
-# Where the optional dependencies of a group have another name than the group.
+# Names of optional dependencies that differ from the name of the group.
 EXTRA_BY_GROUP = {"ctl": "management"}
 
 
 class LazyGroup(click.Group):
-    """A group whose subgroups are imported when they are used."""
+    """Command group that imports its subgroups on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all commands, for the help text."""
+        """Return the names of all commands, for the help text."""
         return sorted({*super().list_commands(ctx), *MODULE_BY_GROUP})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns a command; None if there is none of that name.
+        """Return the command of this name; None if it does not exist.
 
         Raises:
-            click.ClickException: If a library that it needs is missing.
+            click.ClickException: If a library that the command requires is missing.
         """
         if cmd_name not in MODULE_BY_GROUP:
             return super().get_command(ctx, cmd_name)
@@ -59,10 +59,10 @@
 
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A router before tiers of caches.
+    """Run and manage a router in front of tiers of caches.
 
-    Exit codes: 0 done; 1 not started, or failed; 2 wrong use or a wrong file; 3 refused: the change
-    would break a rule, and says which.
+    Exit codes: 0 success; 1 the start or the command failed; 2 wrong usage or an invalid file; 3
+    the change would violate a rule, which the message names.
     """
 
 
@@ -73,19 +73,20 @@
     "--cells",
     metavar="FILE",
     envvar="MULLEINRELAY_CELLS",
-    help="Our own file, as deploy/cells.ini (default: $MULLEINRELAY_CELLS; none: off).",
+    help="Cell configuration, as in deploy/cells.ini (default: $MULLEINRELAY_CELLS; none: off).",
 )
 MANAGEMENT = click.option(
     "--management",
     metavar="FILE",
     envvar="MULLEINRELAY_MANAGEMENT",
-    help="Our own file, as deploy/management.ini (default: $MULLEINRELAY_MANAGEMENT).",
+    help="Management configuration, as in deploy/management.ini "
+    "(default: $MULLEINRELAY_MANAGEMENT; none: off).",
 )
 FLEET = click.option(
     "--fleet",
     metavar="FILE",
     envvar="MULLEINRELAY_FLEET",
-    help="Our own file, as deploy/fleet.ini (default: $MULLEINRELAY_FLEET; none: off).",
+    help="Fleet configuration, as in deploy/fleet.ini (default: $MULLEINRELAY_FLEET; none: off).",
 )
 
 
@@ -95,7 +96,7 @@
 @MANAGEMENT
 @FLEET
 def serve(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
-    """Run one director until SIGTERM; SIGHUP reads the configuration again."""
+    """Run one director until SIGTERM; SIGHUP reloads the configuration."""
     from .process import serve
 
     sys.exit(serve(config, cells, management, fleet))
@@ -107,7 +108,7 @@
 @MANAGEMENT
 @FLEET
 def check(config: str | None, cells: str | None, management: str | None, fleet: str | None) -> None:
-    """Read the configurations and say what is wrong with them."""
+    """Check the configuration files and print a summary or the first error."""
     has_own_file = cells is not None or management is not None or fleet is not None
     if config or os.environ.get("LB_CONFIG") or not has_own_file:
         _check_platform(config)
@@ -161,7 +162,7 @@
 
     config = _load_or_exit(load_fleet_config, path)
     click.echo(
-        f"fleet: {_on_or_off(config.enabled)}, {config.fleet}, heard at "
+        f"fleet: {_on_or_off(config.enabled)}, {config.fleet}, announced address "
         f"{config.announce[0]}:{config.announce[1]}, {len(config.seeds)} seeds"
     )
 
@@ -170,10 +171,10 @@
     return "on" if is_enabled else "off"
 
 
-def _load_or_exit(load_assignment: Callable[[PathType], Loaded], path: PathType) -> Loaded:
-    """Loads a file; prints what is wrong with it and exits if it cannot be used."""
+def _load_or_exit(load: Callable[[PathType], Loaded], path: PathType) -> Loaded:
+    """Load a file; print the error and exit if the file is invalid."""
     try:
-        return load_assignment(path)
+        return load(path)
     except ConfigError as error:
         click.echo(f"mulleinrelay: {error}", err=True)
         sys.exit(EXIT_BAD_CONFIGURATION)
--- a/mulleinrelay/config/__init__.py
+++ b/mulleinrelay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Reading of configuration: the platform's JSON, and this project's INI files."""
+"""Configuration: the platform's JSON file and this project's INI files."""
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -1,7 +1,7 @@
-"""The platform's configuration: the JSON file that LB_CONFIG names, checked, with its defaults.
+"""Parser of the platform's configuration, the JSON file that LB_CONFIG names.
 
-The one place where it and the start settings in it are read, both for the simulator's adapter and
-for a director on sockets. Every fault is a `ConfigError` that names the key.
+Both the simulator's adapter and a director on sockets use it to read the start settings. Every
+error is a `ConfigError` that names the key.
 """
 
 import json
@@ -15,7 +15,7 @@
 Choice = TypeVar("Choice")
 
 IDEMPOTENCY_BY_WORD = {"safe": IDEMPOTENT, "keyed": KEYED, "unsafe": UNSAFE}
-# Our names of the figures in load reports, by the platform's.
+# This program's names of the figures in load reports, by the platform's names.
 LOAD_REPORT_FIELDS = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -26,21 +26,21 @@
 DEFAULT_MEMORY_MB = 192
 DEFAULT_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 64
-# Of what an endpoint that is warming up can do; more overloads it. Where the settings do not say.
+# Multiple of the current capacity during slow start; more work overloads the endpoint.
 DEFAULT_OVERLOAD_FACTOR = 2.0
 PORT_COUNT = 65_536
-REQUIRED = object()  # instead of a default: the key must be there
+REQUIRED = object()  # in place of a default: the key must be present
 
 
 @dataclass(frozen=True)
 class ValueForm:
-    """What a value must be: one of these types, and how messages name them."""
+    """Allowed types of a value, and their name in error messages."""
 
     types: tuple[type, ...]
     name: str
 
     def matches(self, value: Any) -> bool:
-        """Returns whether a value has this form; true and false are no numbers."""
+        """Return whether a value has one of the types; booleans do not count as numbers."""
         if isinstance(value, bool) and bool not in self.types:
             return False
         return isinstance(value, self.types)
@@ -55,17 +55,17 @@
 
 
 class JsonSection:
-    """A JSON object with the path of keys that led to it.
+    """A JSON object and its path of keys from the root.
 
-    Each method reads one key, checks its form and raises ConfigError. A default that is given is
-    returned as it is where the key is missing; without one the key is required.
+    Each method reads one key, and raises ConfigError if the value has a wrong type. If the key is
+    missing, the default is returned unchanged; without a default the key is required.
     """
 
     def __init__(self, values: Any, path: str) -> None:
-        """Wraps a parsed value.
+        """Wrap a parsed value.
 
         Raises:
-            ConfigError: If it is no object.
+            ConfigError: If the value is not an object.
         """
         if not isinstance(values, dict):
             raise ConfigError("an object is wanted", key=path or "the configuration")
@@ -73,15 +73,15 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """Returns the path of a key in this object."""
+        """Return the path of a key in this object."""
         return f"{self.path}.{key}" if self.path else key
 
     def error(self, key: str, reason: str) -> ConfigError:
-        """Returns (does not raise) an error about this key."""
+        """Return an error about this key without raising it."""
         return ConfigError(reason, key=self.path_of(key))
 
     def read(self, key: str, form: ValueForm, default: Any = REQUIRED) -> Any:
-        """Returns the value of a key, which must have this form."""
+        """Return the value of a key, which must have one of the types of `form`."""
         value = self.values.get(key, default)
         if value is REQUIRED:
             raise self.error(key, "the key is missing")
@@ -92,34 +92,34 @@
         return value
 
     def number(self, key: str, default: Any = REQUIRED) -> float:
-        """Returns a number."""
+        """Return a number."""
         return self.read(key, NUMBER, default)
 
     def integer(self, key: str, default: Any = REQUIRED) -> int:
-        """Returns a whole number."""
+        """Return an integer."""
         return self.read(key, INTEGER, default)
 
     def flag(self, key: str, default: Any = REQUIRED) -> bool:
-        """Returns true or false."""
+        """Return a boolean."""
         return self.read(key, FLAG, default)
 
     def text(self, key: str, default: Any = REQUIRED) -> str:
-        """Returns a string."""
+        """Return a string."""
         return self.read(key, TEXT, default)
 
     def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
-        """Returns what a required string stands for."""
+        """Return the choice that a required string names."""
         value = self.text(key)
         if value not in choices:
             raise self.error(key, f"one of {', '.join(choices)} is wanted")
         return choices[value]
 
     def items(self, key: str) -> list[Any]:
-        """Returns a required list."""
+        """Return a required list."""
         return self.read(key, LIST)
 
     def item(self, key: str, position: int, form: ValueForm) -> Any:
-        """Returns one entry of a required list, which must be long enough."""
+        """Return the entry at a position of a required list."""
         entries = self.items(key)
         if position >= len(entries):
             raise self.error(key, f"an entry {position} is missing")
@@ -128,38 +128,38 @@
         return entries[position]
 
     def section(self, key: str) -> "JsonSection":
-        """Returns a required object."""
+        """Return a required object."""
         return JsonSection(self.read(key, OBJECT), self.path_of(key))
 
     def optional_section(self, key: str) -> "JsonSection":
-        """Returns an object; an empty one where the key is missing."""
+        """Return an object, which is empty if the key is missing."""
         return self.section(key) if key in self.values else JsonSection({}, self.path_of(key))
 
     def sections(self, key: str) -> list["JsonSection"]:
-        """Returns a required list of objects."""
+        """Return a required list of objects."""
         return [
             JsonSection(values, f"{self.path_of(key)}[{position}]")
             for position, values in enumerate(self.items(key))
         ]
 
     def address(self, key: str) -> tuple[str, int]:
-        """Returns host and port of a required string."""
+        """Return the host and port in a required string."""
         host, _, port = self.text(key).rpartition(":")
         if not host or not port.isdecimal() or not 0 <= int(port) < PORT_COUNT:
             raise self.error(key, "host:port is wanted")
         return host, int(port)
 
 
-# Keys of the initial fraction, the duration and the overload factor.
+# Keys of the initial fraction, the duration and the overload factor
 CACHE_SLOW_START_KEYS = ("coldFrom", "cold", "fallMultiple")
 PARENT_SLOW_START_KEYS = ("parentStartsAt", "parentWarmsIn", "parentLimitFactor")
 
 
 def parse_service_settings(start: JsonSection) -> ServiceSettings:
-    """Returns the start settings in the terms of the policy.
+    """Return the start settings in the terms of the policy.
 
     Raises:
-        ConfigError: If a key is missing or has the wrong form.
+        ConfigError: If a key is missing or its value has a wrong type.
     """
     allowed = start.section("allowed")
     domain = start.section("domain")
@@ -199,7 +199,10 @@
 def _parse_slow_start(
     section: JsonSection, keys: tuple[str, str, str], overload_window: float
 ) -> SlowStartPolicy:
-    """Reads a policy; `keys` name its initial fraction, its duration and the overload factor."""
+    """Read a slow start policy.
+
+    `keys` are the keys of the initial fraction, the duration and the overload factor.
+    """
     fraction_key, duration_key, factor_key = keys
     return SlowStartPolicy(
         section.number(fraction_key),
@@ -227,10 +230,10 @@
 
 
 def parse_service_settings_text(text: bytes) -> ServiceSettings:
-    """Reads the start settings from JSON.
+    """Read the start settings from JSON.
 
     Raises:
-        ConfigError: If they cannot be used.
+        ConfigError: If the settings are invalid.
     """
     try:
         return parse_service_settings(JsonSection(json.loads(text), ""))
@@ -240,25 +243,26 @@
 
 @dataclass(slots=True, eq=False)
 class DirectorConfig:
-    """All that one director is configured with at its start; times in ms.
+    """Complete configuration of one director. Times are in ms.
 
     Attributes:
-        name: The director's name, in log lines and records.
+        name: The director's name, for log lines and records.
         listen: Host and port for clients.
-        seed: Of its random draws.
-        memory_mb: Memory that it may use.
-        max_descriptors: File descriptors that it may use.
+        seed: Seed of the random number generators.
+        memory_mb: Memory limit.
+        max_descriptors: Maximum number of file descriptors.
         event_stream_address: Host and port of the event stream.
         last_event_number: Number of the last event in `known_events`.
-        known_events: Events from before the start, as they were parsed from JSON.
-        settings: What the policy knows of the service.
-        request_classes: By their names on the wire.
-        zones: Numbers of zones by name.
-        kinds: Numbers of kinds of endpoints by name.
-        connect_timeout: For a connection to an endpoint.
-        idle_timeout: After which endpoints close an idle connection.
-        max_attempts_per_connection: In flight at one time.
-        connections_are_priced: A new connection to an endpoint costs more than an open one.
+        known_events: Events from before the start, parsed from JSON.
+        settings: Settings of the service for the policy.
+        request_classes: Request classes by their names on the wire.
+        zones: Zone numbers by name.
+        kinds: Numbers of the kinds of endpoints by name.
+        connect_timeout: Timeout for a connect to an endpoint.
+        idle_timeout: Time after which endpoints close an idle connection.
+        max_attempts_per_connection: Maximum number of attempts in flight on one connection.
+        prefers_open_connections: Whether opening a connection to an endpoint costs more than
+            keeping one open.
     """
 
     name: str
@@ -276,14 +280,14 @@
     connect_timeout: float
     idle_timeout: float
     max_attempts_per_connection: int
-    connections_are_priced: bool = False
+    prefers_open_connections: bool = False
 
 
 def parse_config(text: bytes | str) -> DirectorConfig:
-    """Reads the configuration from JSON.
+    """Read the configuration from JSON.
 
     Raises:
-        ConfigError: If it cannot be used.
+        ConfigError: If the configuration is invalid.
     """
     try:
         root = JsonSection(json.loads(text), "")
@@ -317,7 +321,7 @@
         connect_timeout=allowed.number("connectTimeout"),
         idle_timeout=allowed.number("connIdle"),
         max_attempts_per_connection=allowed.integer("maxStreams"),
-        connections_are_priced=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
+        prefers_open_connections=costs.number("handshake", 0.0) > costs.number("connection", 0.0),
     )
 
 
@@ -329,14 +333,14 @@
 
 
 def load_config(environment: Mapping[str, str], path: str | None = None) -> DirectorConfig:
-    """Reads the configuration from a file.
+    """Read the configuration from a file.
 
     Args:
-        environment: Where LB_CONFIG names the file.
-        path: The file; None: the one in the environment.
+        environment: Environment variables, of which LB_CONFIG names the file.
+        path: Path of the file; None to use LB_CONFIG.
 
     Raises:
-        ConfigError: If the file is not named, or cannot be read or used.
+        ConfigError: If no file is named, or the file cannot be read or is invalid.
     """
     path = path or environment.get("LB_CONFIG")
     if not path:
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -1,4 +1,7 @@
-"""One director from start to exit, built from its parts; no signals, no environment."""
+"""One director from start to exit.
+
+It is independent of signals and environment variables, which `process` handles.
+"""
 
 import threading
 import time
@@ -21,26 +24,26 @@
     from .membership.config import FleetConfig
     from .membership.service import MembershipService
 
-# Of the descriptors; the rest is for the event stream, management and files.
+# Fractions of the file descriptors. The others are for the event stream, management and files.
 CLIENT_FRACTION = 0.5
 UPSTREAM_FRACTION = 0.4
 
-CLOSE_IDLE_INTERVAL = 250.0  # ms between two looks for idle connections
-PING_INTERVAL = 25.0  # ms between two looks for quiet upstream connections
-TIMER_ERROR_WAIT_S = 0.05  # after an error in the timers' thread
+CLOSE_IDLE_INTERVAL = 250.0  # ms between two searches for idle connections
+PING_INTERVAL = 25.0  # ms between two searches for silent upstream connections
+TIMER_ERROR_WAIT_S = 0.05  # wait after an error in the thread of the timers
 
-# Of a drain, which the platform ends after the longest client timeout or MAX_PATIENCE_S, whichever
-# is shorter, and DRAIN_GRACE_S more.
-NEW_CALLS_S = 1.0  # from its begin, in which clients still send calls
+# The platform ends a drain DRAIN_GRACE_S after the longest client timeout, but at the latest
+# DRAIN_GRACE_S after MAX_PATIENCE_S.
+NEW_CALLS_S = 1.0  # from the beginning of the drain; clients still send calls during this time
 MAX_PATIENCE_S = 3.0
 DRAIN_GRACE_S = 0.7
-FINAL_ANSWERS_S = 0.5  # before its end: all that is open gets its final answer
-EXIT_S = 0.2  # before its end: the process exits
+FINAL_ANSWERS_S = 0.5  # before the end of the drain, when all open requests get a final answer
+EXIT_S = 0.2  # before the end of the drain, when the process exits
 DRAIN_POLL_S = 0.02
 
 
 class Phase(Enum):
-    """Where a director is in its life cycle, as log lines have it."""
+    """Phase of a director's life cycle, as written to the log."""
 
     STARTING = "starting"
     READY = "ready"
@@ -49,15 +52,15 @@
 
 
 class Director:
-    """All parts of one director, and their order at start and stop.
+    """One director, which builds its components and starts and stops them in order.
 
     Attributes:
-        phase: Where it is in its life cycle.
+        phase: Current phase of the life cycle.
         stop_requested: Set by `stop`.
-        stopped: Set when the drain is over.
-        cell_service: Confines tenants; None: off, as with the next two.
-        gnmi_server: Management by gNMI; built at the start.
-        membership: Speaks to other directors.
+        stopped: Set when the drain is finished.
+        cell_service: Service that confines tenants to cells; None if it is off.
+        gnmi_server: Server for management by gNMI, built at the start; None if it is off.
+        membership: Service that communicates with other directors; None if it is off.
     """
 
     def __init__(
@@ -68,22 +71,22 @@
         management: "ManagementConfig | None" = None,
         fleet: "FleetConfig | None" = None,
     ) -> None:
-        """Builds the parts; nothing is started.
+        """Build the components without starting them.
 
         Args:
             config: The platform's configuration.
-            log: For operators.
-            cells: Tenants are confined as it says; None: off.
-            management: Operators reach the director by gNMI; None: off.
-            fleet: The director speaks to others; None: off.
+            log: Log for operators.
+            cells: Configuration of cells; None to switch them off.
+            management: Configuration of management by gNMI; None to switch it off.
+            fleet: Configuration of the communication with other directors; None to switch it off.
 
         Raises:
-            ConfigError: If the cell assignment cannot be used.
+            ConfigError: If the cell assignment is invalid.
         """
         self.config = config
         self.log = log
         self.phase = Phase.STARTING
-        # Taken once: steps of the system's clock do not reach the timers.
+        # Computed only once, so that steps of the system clock do not affect the timers.
         self.clock_offset = time.time() * 1000.0 - time.monotonic() * 1000.0
         self.stop_requested = threading.Event()
         self.stopped = threading.Event()
@@ -141,15 +144,15 @@
         self.gnmi_server.management.start()
 
     def clock(self) -> float:
-        """Returns Unix milliseconds that never step."""
+        """Return Unix milliseconds that are not affected by steps of the system clock."""
         return self.clock_offset + time.monotonic() * 1000.0
 
     def start(self) -> None:
-        """Starts all parts; returns when requests are welcome.
+        """Start all components; return when the director is ready for requests.
 
         Raises:
             OSError: If the address for clients cannot be listened on.
-            RuntimeError: If management cannot start.
+            RuntimeError: If management cannot be started.
         """
         self.event_stream.start()
         if self.cell_service is not None:
@@ -161,28 +164,28 @@
         self.listener.start()
         self.event_stream.wait_until_current()
         self.request_handler.is_healthy = True
-        self._enter(Phase.READY)
+        self._enter_phase(Phase.READY)
 
     def reload(self, config: DirectorConfig) -> None:
-        """Takes over what may change in a running director.
+        """Apply the parts of a new configuration that can change while the director runs.
 
-        That is the event stream's address and the events known by now; the rest stays.
+        These are the address of the event stream and the known events.
         """
         host, port = config.event_stream_address
         self.log.event("configuration read", bus=f"{host}:{port}")
         self.event_stream.reconnect_to(config.event_stream_address, config.known_events)
 
     def stop(self) -> None:
-        """Requests the drain, which `wait` carries out."""
+        """Request the drain, which `wait` performs."""
         self.stop_requested.set()
 
     def wait(self) -> None:
-        """Waits for `stop`, drains, and stops all parts."""
+        """Wait until `stop` is called, then drain and stop all components."""
         self.stop_requested.wait()
-        drain_began = time.monotonic()
+        drain_started = time.monotonic()
         self.request_handler.is_healthy = False
-        self._enter(Phase.DRAINING)
-        self._drain(drain_began)
+        self._enter_phase(Phase.DRAINING)
+        self._drain(drain_started)
         self.listener.stop()
         self.event_stream.stop()
         if self.membership is not None:
@@ -192,21 +195,21 @@
         if self.cell_service is not None:
             self.cell_service.stop()
         self.upstream.stop()
-        self._enter(Phase.STOPPED)
+        self._enter_phase(Phase.STOPPED)
         self.stopped.set()
 
-    def _drain(self, began: float) -> None:
-        """Finishes pending requests and ends connections, as far as the platform's time allows."""
+    def _drain(self, started: float) -> None:
+        """Finish pending requests and close connections within the platform's time limit."""
         request_classes = self.config.request_classes.values()
         longest = max((each.client_timeout for each in request_classes), default=0.0) / 1000.0
         duration = min(MAX_PATIENCE_S, longest) + DRAIN_GRACE_S
-        while (elapsed := time.monotonic() - began) < duration - EXIT_S:
+        while (elapsed := time.monotonic() - started) < duration - EXIT_S:
             is_idle = (
                 elapsed >= NEW_CALLS_S
                 and not self.coordinator.pending_count()
                 and not self.listener.has_pending_writes()
             )
-            # It is not over where a call has crossed it, or the end of a connection is to come.
+            # The drain goes on if another call has arrived, or if a connection is not closed yet.
             if is_idle and self.listener.drain():
                 return
             if elapsed >= duration - FINAL_ANSWERS_S:
@@ -214,12 +217,12 @@
                     self.request_handler.run_request(request)
             time.sleep(DRAIN_POLL_S)
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter_phase(self, phase: Phase) -> None:
         self.phase = phase
         self.log.event("phase", phase=phase.value, open=self.coordinator.pending_count())
 
     def _run_timers(self) -> None:
-        """Runs the coordinator's timers and looks after connections, in a thread of its own."""
+        """Run the coordinator's timers and maintain connections, in a separate thread."""
         close_idle_at = self.clock()
         ping_at = close_idle_at
         while not self.stopped.is_set():
@@ -231,7 +234,7 @@
                     self.upstream.check_health(endpoint, address)
                 now = self.clock()
                 if now >= ping_at:
-                    self.upstream.ping_quiet_connections()
+                    self.upstream.ping_silent_connections()
                     ping_at = now + PING_INTERVAL
                 if now >= close_idle_at:
                     self.upstream.close_idle()
@@ -239,7 +242,7 @@
                     close_idle_at = now + CLOSE_IDLE_INTERVAL
                 self.coordinator.wait_until(min(next_timer, close_idle_at, ping_at))
             except Exception as error:
-                # Without timers no request would end. Should the error stay, the other threads
-                # still get the core.
+                # The thread must go on, as requests would never time out without timers. The wait
+                # leaves CPU time to the other threads if the error persists.
                 self.log.exception("timers", error)
                 self.stopped.wait(TIMER_ERROR_WAIT_S)
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -1,10 +1,15 @@
-"""One connection of a client: the calls that have come on it, open requests, and how it ends.
+"""One connection of a client: its received calls, its open requests, and how it is closed.
 
-A connection ends in one of two ways. One on which no answer is owed is half-closed (the writing
-side is shut down), and what the client had under way is read and discarded until it closes too, or
-until the lingering close is over: closing at once over unread bytes would reset the connection, and
-what was written last could be lost with it. One whose client has gone, does not read or breaks the
-protocol is shut down both ways. After either, nothing that is read counts as a call.
+A connection is closed in one of two ways:
+
+- A connection without outstanding answers is half-closed: its writing side is shut down, and bytes
+  that are still in flight are read and discarded until the client closes too or the lingering close
+  times out. Closing a socket that has unread bytes would reset the connection, and the last answer
+  could be lost.
+- A connection whose client has disconnected, does not read or violates the protocol is shut down
+  in both directions.
+
+After either, no received bytes are handled as a call.
 """
 
 import select
@@ -18,44 +23,50 @@
 from . import thrift
 from .write_queue import Piece, WriteQueue
 
-WRITE_TIMEOUT_S = 6.0  # in which a client must read on before its connection is ended
-# From connecting to the first complete call: the platform ends silent connections after 3 s.
+WRITE_TIMEOUT_S = 6.0  # a client that reads nothing for this long is disconnected
+# From connecting to the first complete call. The platform closes silent connections after 3 s.
 FIRST_CALL_TIMEOUT_S = 2.0
 REST_OF_CALL_TIMEOUT_S = 3.0  # from the first bytes of a call to its last
-# Without a call: clients that mean to come back close their connections themselves after 4 s.
+# Since the last call. Clients that reuse their connections close idle ones after 4 s themselves.
 IDLE_TIMEOUT_S = 6.0
-DRAIN_PARTIAL_CALL_S = 1.0  # for which a drain waits for the rest of a call: some write slowly
-# From a half-close to the end: what crosses it comes within 50 ms and a round trip.
+DRAIN_PARTIAL_CALL_S = 1.0  # a drain waits this long for the rest of a call from a slow client
+# From the half-close to the full close. Calls that cross a half-close arrive within 50 ms and a
+# round trip.
 LINGER_S = 0.15
-MAX_PENDING_CALLS = 64  # that are read ahead
-# After a read of all that had come, a first attempt needs no further look for so long.
+MAX_PENDING_CALLS = 64  # read ahead on one connection
+# A first attempt does not check the socket again if it was read to its end this recently.
 RECENT_READ_S = 0.02
-POLL_INTERVAL_S = 0.02  # between two looks while bytes are discarded
-MAX_PEEK_BYTES = 65_536  # in which a cancellation is looked for that is not read yet
-# Answers that wait to be read: no client that reads leaves so many, and small ones cost most.
+POLL_INTERVAL_S = 0.02  # between two reads while input is discarded
+MAX_PEEK_BYTES = 65_536  # of unread input that are searched for a cancellation
+# On one connection. A client that reads never leaves this many, and each small answer has a high
+# overhead in memory.
 MAX_UNREAD_ANSWERS = 256
 
 
 class ClientConnection:
-    """One connection of a client, read by a thread of its own, written to by any.
+    """One connection of a client. One thread reads it; any thread may write to it.
+
+    Times are monotonic seconds.
 
     Attributes:
         connection: The socket.
         address: The client's IP address.
-        admission_entry: What admission control gave for the connection, and gets back at its end.
+        admission_entry: Token from admission control, which is returned to it at the end.
         lock: Guards `open_requests`, `write_queue`, and the reading of calls.
-        write_queue: Answers that wait to be written.
-        open_requests: By sequence number; None until the coordinator has accepted the request.
-        decoder: Bytes that have come and are not decoded yet.
-        pending_calls: Calls that are read and not handled; the first may be in the making.
-        has_called: A complete call has come.
-        has_requested: One of the calls was a request.
-        bad_call_count: Unusable calls since the last usable one.
-        framing_error: Why what has come cannot be read any further; empty: it can.
-        last_used_at: When it connected, or the last complete call or answer; monotonic seconds.
-        last_read_at: When all that had come was last read; monotonic seconds.
-        partial_call_since: When a call began whose rest is to come; 0: there is none.
-        half_closed_at: When it was half-closed; 0: it was not.
+        write_queue: Answers to be written.
+        open_requests: Open requests by sequence number; None until the coordinator has accepted
+            the request.
+        decoder: Decoder with the received bytes that are not decoded yet.
+        pending_calls: Calls that were read but not answered; the first may be in progress.
+        has_called: Whether a complete call was received.
+        has_requested: Whether one of the calls was a request.
+        bad_call_count: Number of invalid calls since the last valid one.
+        framing_error: Why the received bytes cannot be decoded any further; empty if they can.
+        last_used_at: Time of the connect, or of the last complete call or answer.
+        last_read_at: Time at which the socket was last read until it was empty.
+        partial_call_since: Arrival time of the first bytes of an incomplete call; 0 if there is
+            none.
+        half_closed_at: Time of the half-close; 0 if there was none.
     """
 
     def __init__(
@@ -80,7 +91,7 @@
         self.half_closed_at = 0.0
 
     def is_overdue(self, now: float) -> bool:
-        """Returns whether it owes no answer and the client has let a timeout pass."""
+        """Return whether the client has exceeded a timeout and no answer is outstanding."""
         if not self.has_called:
             is_late = now > self.last_used_at + FIRST_CALL_TIMEOUT_S
         elif self.partial_call_since:
@@ -90,20 +101,20 @@
         return is_late and not self.owes_answer()
 
     def is_mid_call(self, now: float) -> bool:
-        """Returns whether a part of a call has come whose rest is worth waiting for in a drain."""
+        """Return whether a drain should wait for the rest of a partially received call."""
         return (
             self.partial_call_since > 0.0 and now < self.partial_call_since + DRAIN_PARTIAL_CALL_S
         )
 
-    # Reading, in the connection's own thread.
+    # Reading, in the connection's own thread
 
     def read_calls(self) -> bool:
-        """Reads what has come into `pending_calls`; waits only where there is no call to handle.
+        """Read the received bytes into `pending_calls`; block only if no call is pending.
 
         Returns:
-            False where the client has gone, or its connection was half-closed and read to its end:
-            calls that are not begun then never are. So none is begun for a client that left behind
-            it, however many it had sent at once.
+            False if the client has disconnected, or if the connection was half-closed and is read
+            to its end. The caller must not start the pending calls then. This way no call is
+            started for a client that sends many calls at once and disconnects.
         """
         while len(self.pending_calls) < MAX_PENDING_CALLS:
             if not self.pending_calls and (self.framing_error or not self._wait_for_bytes()):
@@ -122,19 +133,21 @@
                     return False
                 if not self.framing_error:
                     self._queue_frames(self.decoder.decode(length))
-                elif self.pending_calls:  # one look for its end; whoever floods is not read on
+                elif self.pending_calls:
+                    # One read is enough to detect a disconnect. Reading on would let a client that
+                    # floods the connection keep this thread from handling the pending calls.
                     return True
         return not self._is_closed_by_peer()
 
     def _wait_for_bytes(self) -> bool:
-        """Blocks until bytes have come; False at the end of the stream."""
+        """Block until bytes are received; return False at the end of the stream."""
         return bool(self.connection.recv(1, socket.MSG_PEEK))
 
     def _queue_frames(self, frames: Iterable[memoryview]) -> None:
-        """Queues the calls in frames. Needs the lock, under which they were read.
+        """Queue the calls in frames; the caller has held the lock since it read their bytes.
 
-        So whoever would end an idle connection finds a call in the system's buffer or in the queue
-        at every moment.
+        A thread that closes idle connections thus finds a call at every moment, either in the
+        kernel's receive buffer or in the queue.
         """
         now = time.monotonic()
         if self.write_queue.is_shut_down:
@@ -146,7 +159,7 @@
                 self.last_used_at = now
                 self.partial_call_since = 0.0
                 self._queue_call(thrift.read_call(frame), now)
-        except thrift.ThriftError as error:  # complete calls before it are queued
+        except thrift.ThriftError as error:  # the complete calls before the error are queued
             self.framing_error = str(error)
             self.partial_call_since = 0.0
             return
@@ -155,7 +168,11 @@
         )
 
     def _queue_call(self, call: thrift.MethodCall, now: float) -> None:
-        """Queues a call; a cancellation overtakes others and removes the call that it cancels."""
+        """Queue a call, or apply a cancellation.
+
+        A cancellation of a pending call removes that call. Any other cancellation is queued before
+        all pending calls.
+        """
         call.read_at = now
         number = thrift.peek_cancelled_number(call) if call.method == "forget" else None
         if number is None:
@@ -173,9 +190,9 @@
             self.pending_calls.appendleft(call)
 
     def discard_input(self) -> None:
-        """Ends the connection after bytes that cannot be read, once all before them is answered.
+        """Close the connection after a framing error, once all earlier calls are answered.
 
-        What comes meanwhile is discarded.
+        Bytes that are received meanwhile are discarded.
         """
         while self.owes_answer():
             with self.lock:
@@ -189,31 +206,34 @@
             time.sleep(POLL_INTERVAL_S)
         if self.has_called:
             self.half_close()
-            # Until the client closes, or the lingering close is over.
+            # Until the client closes the connection or the lingering close times out.
             while self.connection.recv_into(self.decoder.writable_view()):
-                time.sleep(POLL_INTERVAL_S)  # a flood takes no more of the core than that
+                time.sleep(POLL_INTERVAL_S)  # limits the CPU time that a flood takes
 
-    # Answering, by any thread.
+    # Answering, in any thread
 
     def send_reply(self, call: thrift.MethodCall, pieces: list[Piece]) -> None:
-        """Sends the answer to a call other than a request, which is no longer pending then."""
+        """Send the answer to a call that is not a request, and remove the call from the queue."""
         with self.lock:
-            self.drop_call(call)
+            self.remove_pending_call(call)
             self.write_queue.write(None, pieces)
             self._enforce_unread_limit()
 
-    def mark_begun(self, call: thrift.MethodCall) -> None:
-        """Removes a call from the pending ones."""
+    def finish_call(self, call: thrift.MethodCall) -> None:
+        """Remove a handled call from the queue, unless it was removed earlier."""
         with self.lock:
-            self.drop_call(call)
+            self.remove_pending_call(call)
+
+    def remove_pending_call(self, call: thrift.MethodCall) -> None:
+        """Remove a call from the head of the queue, if it is there; the caller holds the lock.
 
-    def drop_call(self, call: thrift.MethodCall) -> None:
-        """Removes a call that is an open request now, or is answered. Needs the lock."""
+        The call has become an open request or was answered.
+        """
         if self.pending_calls and self.pending_calls[0] is call:
             self.pending_calls.popleft()
 
     def send_answer(self, sequence_number: int, pieces: list[Piece]) -> None:
-        """Sends the one answer of a request; does nothing where none is owed any more."""
+        """Send the only answer to a request; do nothing if the request is no longer open."""
         with self.lock:
             if self.open_requests.pop(sequence_number, None) is not None:
                 self.write_queue.write(sequence_number, pieces)
@@ -221,31 +241,36 @@
                 self._enforce_unread_limit()
 
     def _enforce_unread_limit(self) -> None:
-        """Needs the lock. Without it, small answers that nobody reads would fill the memory."""
+        """Shut down the connection if too many answers are unread; the caller holds the lock.
+
+        Without this limit, small answers that the client does not read would fill the memory.
+        """
         if len(self.write_queue.pending) > MAX_UNREAD_ANSWERS:
             self.write_queue.shut_down()
 
     def owes_answer(self) -> bool:
-        """Returns whether calls are pending or open, or answers not written yet."""
+        """Return whether calls are pending, requests are open or answers are unwritten."""
         has_work = self.open_requests or self.pending_calls or self.write_queue.pending_bytes
         return bool(has_work) and not self.write_queue.is_shut_down
 
-    # Ending, by any thread.
+    # Closing, in any thread
 
     def shut_down(self) -> None:
-        """Ends the connection at once, whatever is open."""
+        """Close the connection at once, even with open requests."""
         with self.lock:
             self.write_queue.shut_down()
 
     def close_if_idle(self, lingers: bool = True) -> bool:
-        """Ends the connection unless an answer is owed or bytes are unread: they may be a call.
+        """Close the connection unless an answer is outstanding or bytes are unread.
+
+        Unread bytes may be a call.
 
         Args:
-            lingers: Half-close it first, where it has brought a call. One that has never called
-                has no answer to lose and is shut down at once.
+            lingers: Whether to half-close the connection first. A connection that never brought a
+                call has no answer to lose and is always shut down at once.
 
         Returns:
-            Whether it was ended.
+            Whether the connection was closed.
         """
         with self.lock:
             is_idle = (
@@ -260,30 +285,34 @@
         return is_idle
 
     def half_close(self) -> None:
-        """Ends the connection whatever else has come; answers may still reach the client."""
+        """Half-close the connection, even if bytes are unread.
+
+        Answers that were already written can still reach the client.
+        """
         with self.lock:
             self.write_queue.shut_down(socket.SHUT_WR)
             self.half_closed_at = time.monotonic()
 
     def finish_lingering(self, now: float) -> bool:
-        """Shuts down a connection whose lingering close is over.
+        """Shut down the connection if its lingering close has timed out.
 
         Returns:
-            Whether the connection has been ended by this side at all.
+            Whether this side has closed the connection, completely or partly.
         """
         if self.half_closed_at and now > self.half_closed_at + LINGER_S:
             self.shut_down()
         return self.write_queue.is_shut_down
 
     def has_client_left(self, sequence_number: int, is_first_attempt: bool = False) -> bool:
-        """Returns whether the client has closed the connection or cancelled this request.
+        """Return whether the client has closed the connection or cancelled this request.
 
-        That holds also where the connection's thread has not read so far.
+        This includes bytes that the connection's thread has not read yet.
 
         Args:
-            sequence_number: Of the request.
-            is_first_attempt: The request is begun just now, after a read of all that had come,
-                unless something has delayed it.
+            sequence_number: Sequence number of the request.
+            is_first_attempt: Whether this is the first attempt of the request. The connection's
+                thread normally starts it right after it has read the socket until it was empty,
+                so the socket is not checked again if that read is recent.
         """
         with self.lock:
             if any(
@@ -305,19 +334,19 @@
         return bool(self._peek())
 
     def _peek(self, max_bytes: int = 1) -> bytes | None:
-        """Returns bytes that have come and are not read, without consuming them.
+        """Return unread bytes without consuming them.
 
-        Empty at the end of the stream; None where nothing has come.
+        The result is empty at the end of the stream, and None if nothing was received.
         """
         try:
             return self.connection.recv(max_bytes, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return None
-        except OSError:  # reset, or closed by this side
+        except OSError:  # reset by the client or closed by this side
             return b""
 
     def _is_closed_by_peer(self) -> bool:
-        """Returns whether the end of the stream has come, also behind bytes that are not read."""
+        """Return whether the client has closed its side, even if bytes before it are unread."""
         try:
             poll = select.poll()
             poll.register(self.connection, select.POLLRDHUP)
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -1,6 +1,6 @@
-"""The clients' side of a director: accept loop, table of connections, eviction and drain.
+"""The client side of a director: accept loop, connection table, eviction and drain.
 
-Each connection has a thread of its own that reads it and hands its calls to the request handler.
+Each connection has a thread that reads it and passes its calls to the request handler.
 """
 
 import contextlib
@@ -15,22 +15,22 @@
 from .client_connection import ClientConnection
 from .request_handler import RequestHandler
 
-BACKLOG = 1024  # connections that the system accepts ahead
-MAX_BAD_CALLS = 8  # unusable calls in a row, after which the connection is ended
-SPARE_DIVISOR = 16  # one in so many places is made free before it is needed
-ACCEPT_RETRY_S = 0.05  # after a failed accept
-REMOVAL_WAIT_S = 0.02  # for a connection that was ended, and holds its descriptor a little longer
+BACKLOG = 1024  # connections that the kernel queues before they are accepted
+MAX_BAD_CALLS = 8  # consecutive invalid calls; one more closes the connection
+SPARE_DIVISOR = 16  # one in this many slots of the table is kept free in advance
+ACCEPT_RETRY_S = 0.05  # wait after a failed accept
+REMOVAL_WAIT_S = 0.02  # wait for a closed connection to release its file descriptor
 
 
 class ClientListener:
-    """Accepts clients and reads their calls.
+    """Server that accepts client connections and reads their calls.
 
     Attributes:
         listener: The listening socket; None before the start and after the drain has begun.
         lock: Guards `clients`.
         clients: The open connections, as an ordered set.
-        client_removed: Notified when a connection has left `clients`.
-        max_clients: Open connections at the most.
+        client_removed: Condition that is notified when a connection is removed from `clients`.
+        max_clients: Maximum number of open connections.
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         request_handler.count_unread_bytes = self._count_unread_bytes
 
     def _count_unread_bytes(self) -> int:
-        """Returns the bytes of answers that clients have not read."""
+        """Return the total size of the answers that clients have not read."""
         with self.lock:
             return sum(client.write_queue.pending_bytes for client in self.clients)
 
     def start(self) -> None:
-        """Listens and starts the accept loop.
+        """Start to listen and start the accept loop.
 
         Raises:
             OSError: If the address cannot be listened on.
@@ -70,13 +70,13 @@
         self.accept_thread.start()
 
     def drain(self) -> bool:
-        """Stops accepting and ends idle connections.
+        """Stop accepting connections and close the idle ones.
 
-        To be called again until it returns True: a request that came meanwhile is seen through
-        first, and none is begun on a connection that has been ended.
+        The caller repeats this until it returns True. Requests that arrive meanwhile are completed
+        first. No request is started on a connection that was closed.
 
         Returns:
-            Whether no connection is left.
+            Whether all connections are closed.
         """
         if self.listener is not None:
             listener = self.listener
@@ -92,22 +92,22 @@
         return not self.clients and not self.accept_thread.is_alive()
 
     def _accept_rest(self, listener: socket.socket) -> None:
-        """Admits those whom the system has accepted already: their calls may have come."""
-        with contextlib.suppress(OSError):  # none is left
+        """Accept the connections in the kernel's backlog: their clients may have sent calls."""
+        with contextlib.suppress(OSError):  # the backlog is empty
             listener.setblocking(False)
             while True:
                 self._admit_or_close(*listener.accept())
 
     def stop(self) -> None:
-        """Ends all connections, whatever is open."""
+        """Close all connections, even those with open requests."""
         self.drain()
         for client in list(self.clients):
             client.shut_down()
 
     def close_idle(self) -> None:
-        """Ends connections that are silent, stop in the middle of a call or are held unused.
+        """Close connections that are silent, idle or stuck in the middle of a call.
 
-        They would fill the table, and their threads the memory.
+        Otherwise they would fill the table, and their threads the memory.
         """
         now = time.monotonic()
         for client in list(self.clients):
@@ -115,20 +115,20 @@
                 client.close_if_idle()
 
     def has_pending_writes(self) -> bool:
-        """Returns whether an answer is owed to any client."""
+        """Return whether an answer to any client is outstanding."""
         return any(client.owes_answer() for client in list(self.clients))
 
-    # Connections.
+    # Connections
 
     def _accept(self) -> None:
-        """The accept loop, in a thread of its own; ends when the listener is closed."""
+        """Run the accept loop in its own thread until the listener is closed."""
         while (listener := self.listener) is not None:
             try:
                 connection, address = listener.accept()
             except OSError as error:
                 if error.errno in (errno.EINVAL, errno.EBADF):  # closed by `drain`
                     return
-                self.log.exception("accept", error)  # such as: out of descriptors
+                self.log.exception("accept", error)  # for example, out of file descriptors
                 time.sleep(ACCEPT_RETRY_S)
                 continue
             self._admit_or_close(connection, address)
@@ -137,7 +137,8 @@
         try:
             self._admit(connection, address[0])
         except Exception as error:
-            # Such as: no thread is available. This client is lost; the accept loop goes on.
+            # For example, no thread is available. Only this client is lost; the accept loop goes
+            # on.
             self.log.exception("accept", error)
             connection.close()
 
@@ -157,7 +158,7 @@
                 admission_control.release_connection(entry)
 
     def _register(self, connection: socket.socket, address: str, entry: str) -> bool:
-        """Adds a connection to the table and starts its thread; False if there is no place."""
+        """Add a connection to the table and start its thread; return False if the table is full."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(connection, address, entry)
         with self.lock:
@@ -177,32 +178,33 @@
         return True
 
     def _make_room(self) -> bool:
-        """Evicts idle connections where the table is nearly full. Needs the lock.
+        """Evict idle connections if the table is nearly full; the caller holds the lock.
 
         Returns:
-            False if the table is full and no connection may be ended.
+            False if the table is full and no connection can be evicted.
         """
         max_clients = self.max_clients
-        max_unspared = max_clients - max(1, max_clients // SPARE_DIVISOR)
-        while (count := len(self.clients)) > max_unspared:
+        eviction_threshold = max_clients - max(1, max_clients // SPARE_DIVISOR)
+        while (count := len(self.clients)) > eviction_threshold:
             is_full = count >= max_clients
-            ending = [client for client in self.clients if client.write_queue.is_shut_down]
+            closing = [client for client in self.clients if client.write_queue.is_shut_down]
             candidates: Sequence[ClientConnection] = ()
-            if count - len(ending) > max_unspared:  # no more than make room
+            if count - len(closing) > eviction_threshold:  # the closing ones are not enough
                 candidates = self._eviction_candidates()
-            # The first that owes nothing; none lingers at the cost of a client that waits.
+            # Evicts the first connection that is still idle. If the table is full, there is no
+            # lingering close, because a new client is waiting for the slot.
             is_evicted = any(client.close_if_idle(lingers=not is_full) for client in candidates)
             if not is_full:
                 return True
             if not is_evicted:
-                if not ending:
+                if not closing:
                     return False
-                min(ending, key=lambda client: client.half_closed_at).shut_down()
+                min(closing, key=lambda client: client.half_closed_at).shut_down()
             self.client_removed.wait(REMOVAL_WAIT_S)
         return True
 
     def _eviction_candidates(self) -> list[ClientConnection]:
-        """Returns connections that may be evicted, in their order. Needs the lock."""
+        """Return the idle connections in the order of eviction; the caller holds the lock."""
         idle = [
             client
             for client in self.clients
@@ -219,13 +221,13 @@
         )
 
     def _serve_connection(self, client: ClientConnection) -> None:
-        """Reads a connection until its end, in its own thread."""
+        """Handle a connection until it is closed, in its own thread."""
         try:
             self._handle_calls(client)
         except OSError:  # reset by the client
             pass
         except Exception as error:
-            # Only this connection ends; its requests are cancelled below.
+            # Only this connection is closed; its requests are cancelled below.
             self.log.exception("client", error)
         finally:
             self._remove(client)
@@ -234,7 +236,7 @@
         while client.read_calls():
             call = client.pending_calls[0]
             self.request_handler.handle_call(client, call)
-            client.mark_begun(call)
+            client.finish_call(call)
             if (
                 client.bad_call_count > MAX_BAD_CALLS
                 and not client.open_requests
@@ -247,7 +249,7 @@
             client.discard_input()
 
     def _remove(self, client: ClientConnection) -> None:
-        """Ends a connection that has been read to its end, and what is open on it."""
+        """Close a connection that was read to its end, and cancel its open requests."""
         client.shut_down()
         with client.lock:
             abandoned = [
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -1,6 +1,7 @@
-"""The event stream: endpoint updates and purges, from the configuration first, then as watched.
+"""The event stream: endpoint updates and purges.
 
-A thread of its own follows the stream and reconnects when it ends, is silent or skips an event.
+Events from the configuration are applied first. Then a thread follows the stream and reconnects
+when the stream ends, is silent or skips an event.
 """
 
 import contextlib
@@ -20,36 +21,39 @@
 from ..structured_log import StructuredLog
 from . import sse
 
-SILENCE_TIMEOUT_S = 2.5  # without a byte: a comment comes each second
-# From connecting to the complete head of the response: three silent connections fit into 7 s.
+SILENCE_TIMEOUT_S = 2.5  # without any bytes; the server sends a comment every second
+# From connecting to the complete head of the response. Three silent connections in a row must fit
+# into 7 s.
 HEAD_TIMEOUT_S = 1.5
-LINE_TIMEOUT_S = 5.0  # from a complete line to the next, however many bytes trickle in between
-CATCH_UP_TIMEOUT_S = 0.25  # from the head, in which missed events come: they are sent at once
-RECEIVE_BYTES = 65_536  # at one time
+LINE_TIMEOUT_S = 5.0  # from one complete line to the next, even if bytes trickle in between
+CATCH_UP_TIMEOUT_S = 0.25  # from the head; the server sends missed events right after it
+RECEIVE_BYTES = 65_536  # buffer size of one read
 
-NumberedEvent = tuple[int | None, Any]  # number of its `id` line, and its data parsed from JSON
+NumberedEvent = tuple[int | None, Any]  # number in the `id` line, and data parsed from JSON
 Address = tuple[str, int]
 
 
 class GapError(Exception):
-    """The stream has skipped events."""
+    """A gap between the numbers of two events of the stream."""
 
 
 class EventStream:
-    """Follows the event stream and applies its events to the coordinator.
+    """Client of the event stream, which applies the events to the coordinator.
 
     Attributes:
-        address: Where the stream is.
-        last_event_number: Number of the last event applied.
-        gap_at: The last event number at which a gap was met; -1: none of the stream.
-        lock: Guards `last_event_number`, while an event is applied.
-        connection: The open socket; None before the first.
-        read_configured_address: Returns where the stream is by the configuration file now; None if
-            that cannot be read.
+        address: Host and port of the stream.
+        last_event_number: Number of the last applied event.
+        gap_at: Number of the last event before the most recent gap in the stream; -1 if the gap
+            was not in the stream but in the events of a configuration.
+        lock: Guards `last_event_number` while an event is applied.
+        connection: The most recent socket; None before the first connection.
+        read_configured_address: Function that returns the stream's address in the current
+            configuration file, or None if the file cannot be read.
         stop_requested: Set by `stop`.
-        wake_up: Ends the wait for the next connection.
-        head_received: A response head has come, or none will.
-        first_connection_ended: The first connection is over.
+        wake_up: Set to end the wait before the next connection.
+        head_received: Set when a response head was received or the first connection has ended
+            without one.
+        first_connection_ended: Set when the first connection has ended.
     """
 
     def __init__(
@@ -72,33 +76,33 @@
         self.thread = threading.Thread(target=self._run, name="event-stream", daemon=True)
 
     def start(self) -> None:
-        """Applies the events of the configuration, then follows the stream in a thread."""
+        """Apply the events of the configuration, then follow the stream in a thread."""
         for data in self.config.known_events:
             self.apply(None, data, must_follow=False)
         self.last_event_number = max(self.last_event_number, self.config.last_event_number)
         self.thread.start()
 
     def stop(self) -> None:
-        """Ends the connection and the thread, without waiting for it."""
+        """Close the connection and end the thread, without waiting for the thread."""
         self.stop_requested.set()
         self._wake()
 
     def wait_until_current(self) -> None:
-        """Waits until missed events have come, or none can be had, for a bounded time.
+        """Wait for a limited time until missed events were received or cannot be received.
 
-        A director that starts with an endpoint list that is out of date would send its first
-        requests to endpoints that were announced as draining while it started.
+        With an outdated endpoint list, a new director would send its first requests to endpoints
+        that were announced as draining while it started.
         """
         if self.head_received.wait(HEAD_TIMEOUT_S):
             self.first_connection_ended.wait(CATCH_UP_TIMEOUT_S)
 
     def reconnect_to(self, address: Address, known_events: Sequence[Any] = ()) -> None:
-        """Follows the stream at another address, from the last event applied.
+        """Follow the stream at another address, from the last applied event on.
 
         Args:
-            address: Where the stream is now.
-            known_events: Events that came with the address. They are applied here and now: the
-                stream may have been silent for a while, and its thread may be waiting for an
+            address: The new host and port.
+            known_events: Events that came with the address. They are applied at once, because the
+                stream may have been silent for a while and its thread may be waiting for an
                 address that does not answer.
         """
         self.address = address
@@ -106,25 +110,25 @@
         self._wake()
 
     def _wake(self) -> None:
-        """Ends the connection, and the wait for the next one."""
+        """Close the connection and end the wait before the next one."""
         self.wake_up.set()
         connection = self.connection
         if connection is not None:
-            with contextlib.suppress(OSError):  # it is closed already
+            with contextlib.suppress(OSError):  # already closed
                 connection.shutdown(socket.SHUT_RDWR)
 
-    # Applying events.
+    # Applying events
 
     def apply(self, line_number: int | None, data: Any, must_follow: bool = True) -> None:
-        """Applies one event; skips one that is known, and logs one that cannot be read.
+        """Apply one event; skip a known event, and log an unreadable one.
 
         Args:
-            line_number: Number of its `id` line; None: without one.
-            data: The value that was parsed from its JSON.
-            must_follow: Its number must follow on that of the last event.
+            line_number: Number in the event's `id` line; None if it has none.
+            data: Data of the event, parsed from JSON.
+            must_follow: Whether the number must follow directly after that of the last event.
 
         Raises:
-            GapError: If events before it are missing; once for each gap.
+            GapError: If earlier events are missing; raised once for each gap.
         """
         number = line_number
         try:
@@ -143,23 +147,23 @@
         except GapError:
             raise
         except Exception as error:
-            # Whatever an event holds, the stream is read on.
+            # An event with any content must not end the stream.
             self.log.event("bad event", number=number, why=f"{type(error).__name__}: {error}")
 
     def _check_gap(self, number: int) -> None:
-        """Raises GapError for the first event behind a gap; the stream is read again then."""
+        """Raise GapError for the first event after a gap; the caller then reconnects."""
         last = self.last_event_number
         if number > last + 1 and self.gap_at != last:
             self.gap_at = last
             raise GapError(f"event {number} after {last}")
 
     def _apply_restrictions(self, data: Any) -> None:
-        """Applies of an event behind a gap what must be obeyed at once.
+        """Apply the restrictions in an event after a gap: its purge, or its drained endpoints.
 
-        It has been announced, so the time in which it must be obeyed may run from now on. All of
-        the event is applied in its turn.
+        The event was announced, so the grace period for obeying it may have begun. The complete
+        event is applied later, after the missing events.
         """
-        # An error is logged when the event is applied in its turn.
+        # An error is logged when the complete event is applied.
         with contextlib.suppress(Exception):
             event = sse.parse_event(data, self.config.zones, self.config.kinds)
             self._update_coordinator(sse.restrictive_part(event))
@@ -171,21 +175,21 @@
             self.coordinator.update_endpoints(event.entries, event.is_full_snapshot)
 
     def _apply_known(self, known_events: Sequence[Any]) -> None:
-        """Applies events of the configuration as far as they follow on the last one.
+        """Apply the events of a configuration that follow directly after the last applied event.
 
-        The stream brings the rest.
+        The stream delivers the other events.
         """
         try:
             self._apply_in_order(
                 [(None, data) for data in known_events if sse.event_number(data, None) is not None]
             )
         except GapError:
-            self.gap_at = -1  # the stream has not been asked for what is missing
+            self.gap_at = -1  # the missing events were not requested from the stream yet
         except ConfigError as error:
             self.log.event("bad event", why=str(error))
 
     def _apply_in_order(self, events: list[NumberedEvent]) -> None:
-        """Applies events that came together."""
+        """Apply a batch of events; after a gap, apply only the restrictions of the other events."""
         with self.lock:
             for position, (line_number, data) in enumerate(events):
                 try:
@@ -195,7 +199,7 @@
                         self._apply_restrictions(later_data)
                     raise
 
-    # Following the stream, in a thread of its own.
+    # Following the stream, in its own thread
 
     def _run(self) -> None:
         while True:
@@ -208,7 +212,7 @@
             try:
                 self._follow(*self.address)
             except Exception as error:
-                # Whatever it was, the stream is followed again.
+                # After any error, the stream is followed again.
                 reason = f"{type(error).__name__}: {error}"
                 is_refused = isinstance(error, ConnectionRefusedError)
             self.head_received.set()
@@ -219,7 +223,11 @@
                 self.log.event("event stream reconnects", last=self.last_event_number, why=reason)
 
     def _wait_to_reconnect(self, has_progressed: bool, is_refused: bool) -> str:
-        """Waits for the backoff; returns why it ended early, if the address has changed."""
+        """Wait for the backoff.
+
+        Returns:
+            Why the wait ended early because of a new address; empty if it did not.
+        """
         now = time.monotonic()
         wait_s = self.reconnect_backoff.record_end(now, has_progressed, is_refused)
         if self.reconnect_backoff.begin_lookup_if_due(now):
@@ -237,16 +245,16 @@
         try:
             return self.read_configured_address()
         except Exception as error:
-            # Whatever state the file is in, the one thread that hears of drains goes on.
+            # No state of the file may end the only thread that receives drains.
             self.log.exception("event stream", error)
             return None
 
     def _follow(self, host: str, port: int) -> None:
-        """Reads the stream from one connection until it ends."""
+        """Read the stream from one connection until it ends."""
         connection = socket.create_connection((host, port), timeout=HEAD_TIMEOUT_S)
         self.connection = connection
         try:
-            if self.wake_up.is_set():  # while it was opened, so that nobody has ended it
+            if self.wake_up.is_set():  # `_wake` ran too early to shut down this connection
                 return
             connection.sendall(sse.stream_request(f"{host}:{port}", self.last_event_number))
             self._read(connection)
@@ -260,7 +268,7 @@
         while not decoder.is_finished:
             remaining_s = deadline - time.monotonic()
             if remaining_s <= 0.0:
-                raise TimeoutError("no whole line")
+                raise TimeoutError("no complete line received in time")
             connection.settimeout(min(remaining_s, SILENCE_TIMEOUT_S))
             piece = connection.recv(RECEIVE_BYTES)
             if not piece:
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -1,18 +1,18 @@
-"""A buffer for received bytes that hands out views instead of copies.
+"""A buffer for received bytes that returns views instead of copies.
 
-Each byte of the memory is written only once, so a view handed out stays valid for as long as
-somebody holds it. Not thread-safe.
+Each byte of the memory is written only once, so a returned view stays valid as long as it is
+referenced. Not thread-safe.
 """
 
 
 class ReceiveBuffer:
-    """Memory to receive into, and the bytes that have come and are not consumed yet.
+    """Memory for received bytes, of which a part may be unread.
 
     Attributes:
-        size: Bytes of a fresh block of memory.
-        view: The block that is written at present.
-        start: Offset in `view` of the first unread byte.
-        end: Offset in `view` behind the last unread byte; whoever receives moves it on.
+        size: Size of a new block of memory, in bytes.
+        view: The block that is currently written.
+        start: Offset of the first unread byte in `view`.
+        end: Offset after the last unread byte in `view`; the receiver advances it.
     """
 
     def __init__(self, size: int) -> None:
@@ -25,11 +25,11 @@
         return self.end - self.start
 
     def writable_view(self, message_length: int = 0) -> memoryview:
-        """Returns the memory for the next bytes; takes a fresh block where this one is full.
+        """Return the memory for the next bytes; allocate a new block if the current one is full.
 
         Args:
-            message_length: Length of the message whose first bytes are unread, where it is known:
-                all of it then fits into one block.
+            message_length: Length of the message that starts with the first unread byte, if it is
+                known. The complete message then fits into one block.
         """
         if self.end == len(self.view) or self.start + message_length > len(self.view):
             unread = self.view[self.start : self.end]
@@ -41,11 +41,11 @@
         return self.view[self.end :]
 
     def take(self, length: int) -> memoryview:
-        """Consumes the first unread bytes and returns them."""
+        """Consume and return the first `length` unread bytes."""
         taken = self.view[self.start : self.start + length]
         self.start += length
         return taken
 
     def unread(self) -> memoryview:
-        """Returns the unread bytes without consuming them."""
+        """Return the unread bytes without consuming them."""
         return self.view[self.start : self.end]
--- a/mulleinrelay/net/recent_request_ids.py
+++ b/mulleinrelay/net/recent_request_ids.py
@@ -1,17 +1,17 @@
-"""Finds requests whose id was used before; thread-safe."""
+"""Detection of request ids that were used before; thread-safe."""
 
 import threading
 import time
 
-IDS_PER_MB = 100  # of the director's memory, in each of two sets
-KEPT_FOR_S = 5.0  # for which an id is remembered at the least, unless a set is full
+IDS_PER_MB = 100  # in each of two sets, for each MB of the director's memory
+KEPT_FOR_S = 5.0  # minimum time for which an id is remembered, unless a set is full
 
 
 class RecentRequestIds:
-    """Ids of recent requests; each request has a new one, also a client's retry.
+    """Ids of recent requests. Each request has a new id, and so has a client's retry.
 
-    Protects the director from requests that come again at full speed, and endpoints from taking
-    one request for another. Only a client that breaks the protocol is rejected.
+    Rejecting known ids protects the director from clients that repeat a request without delay, and
+    endpoints from confusing two requests. Only clients that violate the protocol are rejected.
     """
 
     def __init__(self, memory_mb: float) -> None:
@@ -22,7 +22,7 @@
         self.current_since = time.monotonic()
 
     def add(self, request_id: str) -> bool:
-        """Remembers an id; returns whether it is new."""
+        """Remember an id; return whether it is new."""
         with self.lock:
             if request_id in self.current or request_id in self.previous:
                 return False
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -1,4 +1,4 @@
-"""What the network code keeps with a request, and who decides whether it comes in at all."""
+"""The network code's data for a request, and the interface of admission control."""
 
 from dataclasses import dataclass
 from typing import Any, Protocol
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Where a request came from; the coordinator hands it back with each step.
+    """Origin of a request; the coordinator returns it with each step of the request.
 
     Attributes:
-        client: The connection that the answer goes to.
-        sequence_number: The client's number for the call.
-        request: The request as its client worded it.
-        grant: What admission control gave for it; None without admission control.
+        client: Connection for the answer.
+        sequence_number: The client's number of the call.
+        request: The request as received from the client.
+        grant: Grant of admission control; None without admission control.
     """
 
     client: ClientConnection
@@ -25,44 +25,47 @@
 
 
 class AdmissionControl(Protocol):
-    """Rejects connections and requests before the coordinator sees them, and confines the others.
+    """Interface that admits or rejects connections and requests before the coordinator sees them.
 
-    Thread-safe.
+    An admitted request may be confined to a pool of caches. Thread-safe.
 
     Attributes:
-        tenant_field: The field in which clients name their tenant; empty: none.
+        tenant_field: Name of the request field with the client's tenant; empty if there is none.
     """
 
     tenant_field: str
 
     def admit_connection(self, address: str) -> str | None:
-        """Counts a connection from that address.
+        """Count a connection from that address.
 
         Returns:
-            What to give back at its end; None if no further connection may come from there.
+            A token to be released at the end of the connection; None if the address may not open
+            another connection.
         """
 
     def release_connection(self, entry: str) -> None:
-        """Takes back what was given for a connection."""
+        """Release the token of a connection that has ended."""
 
     def admit_request(
         self, client_request: ClientRequest, request_class: RequestClass, address: str
     ) -> Any:
-        """Decides on a request.
+        """Admit or reject a request.
 
         Returns:
-            A grant, which has a `pool` (CachePool) and goes to `complete_request` in the end; or a
-            rejection, which has no `pool`, but `retry_after_ms` and `is_never_executed`.
+            A grant, which has a `pool` (CachePool) and is passed to `complete_request` at the end
+            of the request; or a rejection, which has no `pool` but has `retry_after_ms` and
+            `is_never_executed`.
         """
 
     def complete_request(
         self, grant: Any, request: Request, is_served: bool, is_client_waiting: bool
     ) -> None:
-        """Takes back a grant.
+        """Release the grant of a completed request.
 
         Args:
-            grant: What `admit_request` gave.
+            grant: The grant from `admit_request`.
             request: The request as the coordinator knows it.
-            is_served: It was served.
-            is_client_waiting: An answer was owed: its client had not left.
+            is_served: Whether the request was served.
+            is_client_waiting: Whether the client had neither disconnected nor cancelled the
+                request.
         """
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -1,7 +1,7 @@
-"""Handles the calls of clients, and sees each request through to its one answer.
+"""Handling of client calls: each request is processed until its only answer is sent.
 
-A request is worked on by whichever thread has moved it on: that of its connection, that of an
-upstream connection, or the timers'. See `RequestHandler.run_request`.
+The steps of a request run in the thread that caused them: the thread of its client connection, of
+an upstream connection, or of the timers. See `RequestHandler.run_request`.
 """
 
 import time
@@ -27,23 +27,24 @@
 from .upstream_connections import UpstreamConnections
 
 MAX_OPEN_REQUESTS = 32  # on one connection
-REQUESTS_PER_MB = 8  # open at one time: each takes some KB, and its body 48 KB at the most
-# Of the memory: more answers that clients have not read end the connection that adds to them.
+REQUESTS_PER_MB = 8  # open requests per MB of memory; each takes some KB, its body up to 48 KB
+# Maximum fraction of the memory for answers that clients have not read. A client whose answer
+# exceeds it is disconnected.
 MAX_UNREAD_FRACTION = 0.2
 
 
 class RequestHandler:
-    """Turns calls into requests of the coordinator, and its steps into attempts and answers.
+    """Handler that passes requests to the coordinator and carries out the coordinator's steps.
 
     Thread-safe.
 
     Attributes:
-        admission_control: Who rejects connections and requests; None: nobody does.
-        upstream: Where attempts go.
-        is_healthy: What clients are told that ask for it.
-        max_requests: Requests open at one time that the memory allows.
-        count_unread_bytes: Returns the bytes of answers that clients have not read; set by the
-            listener.
+        admission_control: Admission control for connections and requests; None if there is none.
+        upstream: Connections to endpoints, over which attempts are sent.
+        is_healthy: The director's answer to health checks of clients.
+        max_requests: Maximum number of open requests that the memory allows.
+        count_unread_bytes: Function that returns the total size of the answers that clients have
+            not read; set by the listener.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         return context.client.has_client_left(context.sequence_number, is_first_attempt)
 
     def handle_call(self, client: ClientConnection, call: thrift.MethodCall) -> None:
-        """Handles one call, in the thread of its connection."""
+        """Handle one call in the thread of its connection."""
         number = call.sequence_number
         try:
             if call.method == "serve":
@@ -94,7 +95,7 @@
                 )
                 client.send_reply(call, reply)
 
-    # Requests.
+    # Requests
 
     def _handle_cancellation(self, client: ClientConnection, call: thrift.MethodCall) -> None:
         number = thrift.read_cancelled_number(call.arguments)
@@ -137,19 +138,21 @@
     def _open(
         self, client: ClientConnection, call: thrift.MethodCall, request: ClientRequest
     ) -> bool:
-        """Makes a call an open request; False where its connection has been ended.
+        """Register a call as an open request.
 
-        The client sends it again on a new connection then.
+        Returns:
+            False if the connection was closed meanwhile. The client then repeats the request on a
+            new connection.
 
         Raises:
-            ThriftError: If the id of the request was used before.
+            ThriftError: If the request id was used before.
         """
         with client.lock:
             if client.write_queue.is_shut_down:
                 return False
             client.open_requests[call.sequence_number] = None
             client.has_requested = True
-            client.drop_call(call)
+            client.remove_pending_call(call)
         if not self.recent_request_ids.add(request.request_id):
             with client.lock:
                 del client.open_requests[call.sequence_number]
@@ -158,14 +161,16 @@
         return True
 
     def _check_sequence_number(self, client: ClientConnection, number: int) -> None:
-        """Raises ThriftError if no request may be opened under that number.
+        """Raise ThriftError if no request can be opened under this sequence number.
 
-        Only this thread adds to the open requests of the connection.
+        The check needs no lock, because only this thread adds open requests to the connection. If
+        the number is in use, the open request is cancelled as well: the client could not tell to
+        which of the two requests an answer belongs.
         """
         if number in client.open_requests:
             with client.lock:
                 first = client.open_requests.pop(number, None)
-            if first is not None:  # one answer under one number: nobody could tell whose it is
+            if first is not None:
                 self.client_left(first)
             raise thrift.ThriftError(f"the number {number} is open already")
         if len(client.open_requests) >= MAX_OPEN_REQUESTS:
@@ -178,15 +183,17 @@
         pool: CachePool | None,
         read_at: float,
     ) -> Request:
-        """Hands a request to the coordinator; one without room there ends at once."""
+        """Pass a request to the coordinator, which rejects it at once if there is no capacity."""
         request = context.request
-        fullness = max(
+        utilization = max(
             self.coordinator.pending_count() / self.max_requests,
             self.coordinator.cpu_utilization(),
             self.upstream.fullness(),
         )
-        has_room = self.admission_thresholds.can_admit(request_class, request.is_retry, fullness)
-        queued_ms = 1000.0 * (time.monotonic() - read_at)  # behind calls that came with it
+        has_capacity = self.admission_thresholds.can_admit(
+            request_class, request.is_retry, utilization
+        )
+        queued_ms = 1000.0 * (time.monotonic() - read_at)  # behind calls received earlier
         return self.coordinator.accept(
             request_class,
             int(request.object, 16),
@@ -196,14 +203,14 @@
             min(request.remaining_time, request_class.client_timeout) - queued_ms,
             request.is_retry,
             context,
-            has_capacity=has_room,
+            has_capacity=has_capacity,
             pool=pool,
         )
 
     def _reject(
         self, client: ClientConnection, number: int, retry_after_ms: float, is_never_executed: bool
     ) -> None:
-        """Sends the one answer of a request that the coordinator has not seen."""
+        """Send the only answer to a request that was never passed to the coordinator."""
         if is_never_executed:
             pieces = thrift.rejected_reply(number, retry_after_ms)
         else:
@@ -215,12 +222,12 @@
                 client.write_queue.write(number, pieces)
 
     def client_left(self, request: Request) -> None:
-        """Cancels a request: its client has gone or has cancelled it."""
+        """Cancel a request whose client has disconnected or cancelled it."""
         self.coordinator.client_left(request)
         self.run_request(request)
 
     def run_request(self, request: Request) -> None:
-        """Does what is to be done for a request, in the thread whose call has moved it on."""
+        """Carry out the next steps of a request, in the thread that caused them."""
         context: RequestContext | None = request.context
         if context is None:
             return
@@ -228,12 +235,12 @@
             while (step := self.coordinator.next_step(request)) is not None:
                 self._perform(step, context)
                 if isinstance(step, RequestResult):
-                    # Timers may keep the request for a while, but not what it brought.
+                    # Timers may hold the request for a while; its body must not stay in memory.
                     request.context = None
                     is_owed = not isinstance(step, ClientGone)
                     self._return_grant(context, request, isinstance(step, Served), is_owed)
         except Exception as error:
-            # Only this request fails; the thread that works on it goes on with others.
+            # Only this request fails; the thread goes on with other requests.
             self.log.exception("request", error)
             self.coordinator.discard(request)
             self._return_grant(context, request, False, True)
@@ -268,7 +275,7 @@
             client.send_answer(number, thrift.failed_reply(number))
 
     def _enforce_unread_limit(self, client: ClientConnection) -> None:
-        """Ends the connection of a client that does not read, where too much waits for such."""
+        """Close a connection that does not read, if unread answers fill too much memory."""
         unread = self.count_unread_bytes()
         if unread > MAX_UNREAD_FRACTION * self.config.memory_mb * 1e6:
             self.log.event(
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -1,7 +1,7 @@
-"""RESP arrays of bulk strings, and the commands and answers of caches, parents and the origin.
+"""RESP arrays of bulk strings: commands to caches, parents and the origin, and their answers.
 
-Pure: no sockets, no clocks. The words on the wire are the platform's; the tables below turn them
-into the terms of this program.
+This module uses no sockets and no clocks. The platform defines the words on the wire; the tables
+below translate them into the terms of this program.
 """
 
 import math
@@ -13,8 +13,8 @@
 from .receive_buffer import ReceiveBuffer
 
 MAX_BULK_BYTES = 262_144
-MAX_ITEMS = 8  # of an array
-MAX_HEAD_BYTES = 32  # of the line that tells the length of an array or a bulk string
+MAX_ITEMS = 8  # in an array
+MAX_HEAD_BYTES = 32  # of the line with the length of an array or a bulk string
 LINE_END = b"\r\n"
 NO_FIELDS = "-"
 
@@ -42,35 +42,39 @@
 
 
 class RespError(ProtocolError):
-    """Bytes that do not follow the protocol, or an answer that cannot be read."""
+    """Bytes that violate the protocol, or an answer that cannot be read."""
 
 
 class ArrayDecoder:
-    """Cuts received bytes into arrays of bulk strings, as views of them. Not thread-safe."""
+    """Decoder that splits received bytes into arrays of bulk strings. Not thread-safe.
+
+    The items are views of the receive buffer. Offsets count from the first unread byte.
+    """
 
     def __init__(self, size: int = 65_536) -> None:
-        """Creates a decoder whose buffer has blocks of `size` bytes."""
+        """Create a decoder whose buffer has blocks of `size` bytes."""
         self.buffer = ReceiveBuffer(size)
-        self.expected_length = 0  # of the unread array up to the item that comes; 0: not known
+        # Length of the unread array up to the end of the incomplete item; 0 if it is unknown.
+        self.expected_length = 0
         self._begin_array()
 
     def _begin_array(self) -> None:
-        self.missing_items = -1  # of the array that comes; -1 before its head
-        self.scanned_bytes = 0  # of it, from the start of the unread bytes
-        self.spans: list[tuple[int, int]] = []  # of its items, from the start of the unread bytes
+        self.missing_items = -1  # items of the array that are still to be read; -1 before its head
+        self.scanned_bytes = 0  # length of the part of the array that was scanned
+        self.spans: list[tuple[int, int]] = []  # start and end offset of each scanned item
 
     def writable_view(self) -> memoryview:
-        """Returns the memory for the next bytes."""
+        """Return the memory for the next bytes."""
         return self.buffer.writable_view(self.expected_length)
 
     def decode(self, length: int) -> Iterator[list[memoryview]]:
-        """Yields the arrays that are complete now.
+        """Yield the arrays that are complete.
 
         Args:
-            length: Bytes that were written to the writable view since the last call.
+            length: Number of bytes that were written to the writable view since the last call.
 
         Raises:
-            RespError: Where bytes cannot be read; the arrays before them have been yielded.
+            RespError: If bytes cannot be decoded; all arrays before them have been yielded.
         """
         self.buffer.end += length
         self.expected_length = 0
@@ -78,13 +82,13 @@
             yield array
 
     def _next_array(self) -> list[memoryview] | None:
-        """Consumes an array; None while it is not complete."""
+        """Consume and return an array; return None if it is incomplete."""
         if self.missing_items < 0:
             count = self._next_head(b"*")
             if count is None:
                 return None
             if not 0 < count <= MAX_ITEMS:
-                raise RespError(f"an array of {count}")
+                raise RespError(f"an array of {count} items")
             self.missing_items = count
         while self.missing_items:
             if not self._scan_bulk_string():
@@ -96,7 +100,7 @@
         return items
 
     def _scan_bulk_string(self) -> bool:
-        """Notes where the next item stands; False while it is not complete."""
+        """Record the span of the next item; return False if the item is incomplete."""
         before = self.scanned_bytes
         size = self._next_head(b"$")
         if size is None:
@@ -114,43 +118,43 @@
             return False
         end_in_view = self.buffer.start + end
         if self.buffer.view[end_in_view - len(LINE_END) : end_in_view] != LINE_END:
-            raise RespError("a bulk string without its end")
+            raise RespError("a bulk string without CR LF at its end")
         self.spans.append((start, start + size))
         self.scanned_bytes = end
         return True
 
     def _next_head(self, mark: bytes) -> int | None:
-        """Returns the number on a head line and moves behind it; None while it is not complete."""
+        """Return the number in a head line and skip the line; return None if it is incomplete."""
         start = self.buffer.start + self.scanned_bytes
         head = bytes(self.buffer.view[start : min(self.buffer.end, start + MAX_HEAD_BYTES)])
         if head and head[:1] != mark:
-            raise RespError(f"{mark.decode()} wanted, found {head[:8]!r}")
+            raise RespError(f"expected {mark.decode()}, found {head[:8]!r}")
         end = head.find(LINE_END)
         if end < 0:
             if len(head) >= MAX_HEAD_BYTES:
-                raise RespError("a head line without its end")
+                raise RespError(f"a head line without CR LF in {MAX_HEAD_BYTES} bytes")
             return None
         digits = head[1:end]
         if not digits.removeprefix(b"-").isdigit():
-            raise RespError(f"a number wanted, found {digits!r}")
+            raise RespError(f"expected a number, found {digits!r}")
         self.scanned_bytes += end + len(LINE_END)
         return int(digits)
 
 
 @dataclass(slots=True, eq=False)
-class NodeAnswer:
-    """One answer of an endpoint, to an attempt or to a health check.
+class EndpointAnswer:
+    """Answer of an endpoint to an attempt or to a health check.
 
     Attributes:
-        request_id: Id of the request, or the tag of the health check.
-        outcome: How the attempt went; None for a health check.
-        body: The object; empty where there is none.
-        is_not_modified: The copy that the client holds is current.
-        entity_tag: Of the copy that the answer is about; empty: not named.
-        cache_status: How the answer came about.
-        delay: Time that the endpoint itself took, in ms.
-        load_report: Figures by the names of the load report; None where there is no report.
-        is_healthy: What the endpoint says of itself in a health check.
+        request_id: Id of the request, or tag of the health check.
+        outcome: Outcome of the attempt; None for a health check.
+        body: The object; empty if there is none.
+        is_not_modified: Whether the client's copy is current.
+        entity_tag: Entity tag of the copy to which the answer refers; empty if it is missing.
+        cache_status: How the cache obtained the answer.
+        delay: Processing time at the endpoint, in ms.
+        load_report: Figures by their names in the load report; None if there is no report.
+        is_healthy: Health that the endpoint reports in the answer to a health check.
     """
 
     request_id: str
@@ -164,10 +168,13 @@
     is_healthy: bool = True
 
     def outcome_for(self, entity_tag: str) -> Outcome:
-        """Returns the outcome of the attempt that it answers.
+        """Return the outcome of the attempt to which this answer belongs.
 
-        A health check's answer to an attempt is an error of the endpoint, and so is "not modified"
-        for another copy than the client's, which has this tag (empty: it has none).
+        An attempt that receives the answer to a health check has failed with an error of the
+        endpoint. So has an attempt that receives "not modified" for another copy than the client's.
+
+        Args:
+            entity_tag: Entity tag of the client's copy; empty if the client has none.
         """
         if self.outcome is None:
             return Outcome.ERROR
@@ -176,15 +183,16 @@
         return self.outcome
 
 
-def parse_answer(items: list[memoryview], load_report_fields: dict[str, str]) -> NodeAnswer:
-    """Reads an array as an answer.
+def parse_answer(items: list[memoryview], load_report_fields: dict[str, str]) -> EndpointAnswer:
+    """Parse an array as an answer.
 
     Args:
-        items: Id, word, fields, and a body where there is one.
-        load_report_fields: Our names of a load report's figures, by those on the wire.
+        items: Id, word, fields and an optional body.
+        load_report_fields: This program's names of the figures in a load report, by the names on
+            the wire.
 
     Raises:
-        RespError: If it cannot be read.
+        RespError: If the array is not a valid answer.
     """
     if not 3 <= len(items) <= 4:
         raise RespError(f"an answer of {len(items)} items")
@@ -192,10 +200,10 @@
     outcome = OUTCOME_BY_WORD.get(word)
     if outcome is None and word not in HEALTH_BY_WORD:
         raise RespError(f"an unknown word {word[:16]!r}")
-    if word == b"DONE" and len(items) < 4:  # it would pass for an object without bytes
-        raise RespError("an object without its bytes")
+    if word == b"DONE" and len(items) < 4:  # would be taken for an empty object
+        raise RespError("an answer without the body of the object")
     try:
-        answer = NodeAnswer(
+        answer = EndpointAnswer(
             str(items[0], "ascii"),
             outcome,
             items[3] if len(items) > 3 else items[2][:0],
@@ -208,7 +216,7 @@
     return answer
 
 
-def _read_fields(answer: NodeAnswer, fields: str, load_report_fields: dict[str, str]) -> None:
+def _read_fields(answer: EndpointAnswer, fields: str, load_report_fields: dict[str, str]) -> None:
     for pair in fields.split(",") if fields not in (NO_FIELDS, "") else ():
         name, _, value = pair.partition("=")
         if name == "why":
@@ -227,9 +235,9 @@
 
 
 def _parse_figure(text: str) -> float:
-    """Returns a finite number of 0 or more.
+    """Return the number in a text, which must be finite and not negative.
 
-    Another one would spoil for good what is smoothed over time.
+    Any other number would permanently corrupt averages that are smoothed over time.
     """
     value = float(text)
     if not math.isfinite(value) or value < 0.0:
@@ -238,7 +246,7 @@
 
 
 def command(*items: bytes) -> bytes:
-    """Encodes an array of bulk strings."""
+    """Encode an array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(
         b"$%d\r\n%s\r\n" % (len(item), item) for item in items
     )
@@ -247,12 +255,12 @@
 def attempt_command(
     request: ClientRequest, step: SendAttempt, remaining_time: float
 ) -> list[memoryview | bytes]:
-    """Encodes an attempt, as pieces to be written one after the other.
+    """Encode an attempt as a list of buffers to be written in order.
 
     Args:
-        request: The request as its client worded it.
-        step: How the attempt is to be sent.
-        remaining_time: How long its client still waits, in ms.
+        request: The request as received from the client.
+        step: Options of the attempt.
+        remaining_time: Time for which the client still waits, in ms.
     """
     fields = ",".join(
         f"{name}={value}" for name, value in _attempt_fields(request, step, remaining_time).items()
@@ -280,7 +288,7 @@
         fields["miss"] = step.fill_source
     if step.retention_rank:
         fields["prio"] = step.retention_rank
-    if step.max_age > 0.0:  # 0 would mean any age
+    if step.max_age > 0.0:  # 0 means that a copy of any age may be served
         fields["within"] = max(1, int(step.max_age))
     flags = _attempt_flags(step)
     if flags:
@@ -302,10 +310,10 @@
 
 
 def cancel_command(request_id: str) -> bytes:
-    """Encodes that nobody waits for the answer to this request any more."""
+    """Encode the cancellation of a request."""
     return command(b"KILL", request_id.encode())
 
 
 def health_check_command(tag: str, with_report: bool) -> bytes:
-    """Encodes a health check: one that wants a load report, or a ping."""
+    """Encode a health check: a request for a load report, or a ping."""
     return command(b"METER" if with_report else b"ECHO", tag.encode())
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -1,6 +1,6 @@
-"""The event stream's protocol: an HTTP response with server-sent events, and what events say.
+"""The protocol of the event stream: an HTTP response with server-sent events as JSON.
 
-The body may be plain or in chunks. Pure: no sockets, no clocks.
+The body may be chunked. This module uses no sockets and no clocks.
 """
 
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from ..errors import ConfigError, ProtocolError
 from ..policy.model import UNKNOWN_ADDRESS, EndpointState, EndpointUpdate
 
-MAX_LINE_BYTES = 4_194_304  # the first event holds the complete endpoint list
+MAX_LINE_BYTES = 4_194_304  # the first event contains the complete endpoint list
 MAX_HEAD_BYTES = 16_384
-MAX_DATA_LINES = 1024  # of one event; each may be long
+MAX_DATA_LINES = 1024  # in one event; each may be long
 MAX_CHUNK_HEAD_BYTES = 64
 HEAD_END = b"\r\n\r\n"
-LINE_END_BYTES = 2  # CR LF behind each chunk
+LINE_END_BYTES = 2  # CR LF after each chunk
 STATE_BY_WORD = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
@@ -24,19 +24,19 @@
 
 
 class SseError(ProtocolError):
-    """Bytes that do not follow the protocol, or an answer other than the stream."""
+    """Bytes that violate the protocol, or a response other than the event stream."""
 
 
 @dataclass(slots=True, eq=False)
 class ServerSentEvent:
-    """One event: its id (None: without one) and its data, not parsed yet."""
+    """One event with its id (None if it has none) and its unparsed data."""
 
     number: int | None
     data: str
 
 
 def stream_request(host: str, last_event_number: int) -> bytes:
-    """Encodes the HTTP request that opens the stream behind that event."""
+    """Encode the HTTP request for the events after this event number."""
     return (
         f"GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_event_number}\r\n\r\n"
@@ -44,21 +44,21 @@
 
 
 class SseDecoder:
-    """Turns the received bytes of one HTTP response into events. Not thread-safe.
+    """Decoder of one HTTP response into events. Not thread-safe.
 
     Attributes:
-        line_count: Complete lines so far; the head counts as one.
-        is_finished: The last chunk has come.
+        line_count: Number of complete lines so far; the head counts as one.
+        is_finished: Whether the last chunk was received.
     """
 
     def __init__(self) -> None:
         self.head = b""
         self.is_head_read = False
         self.is_chunked = False
-        self.chunk_bytes_left = 0  # of a chunk still to come, its line end included
+        self.chunk_bytes_left = 0  # missing bytes of the current chunk, with its line end
         self.unread_chunks = b""
         self.partial_line = b""
-        # The last byte was a CR, which ends a line whether or not a LF follows.
+        # Whether the last byte was a CR, which ends a line with or without a LF after it.
         self.ended_with_return = False
         self.is_finished = False
         self.line_count = 0
@@ -66,17 +66,17 @@
         self.data: list[str] = []
 
     def feed(self, piece: bytes) -> list[ServerSentEvent]:
-        """Takes received bytes; returns the events that are complete now.
+        """Decode received bytes and return the events that are complete.
 
         Raises:
-            SseError: If the bytes do not follow the protocol.
+            SseError: If the bytes violate the protocol.
         """
         if not self.is_head_read:
             self.head += piece
             end = self.head.find(HEAD_END)
             if end < 0:
                 if len(self.head) > MAX_HEAD_BYTES:
-                    raise SseError("a head without its end")
+                    raise SseError(f"a response head of over {MAX_HEAD_BYTES} bytes")
                 return []
             piece = self.head[end + len(HEAD_END) :]
             self._read_head(self.head[:end].decode("latin-1"))
@@ -86,7 +86,7 @@
         first, *lines = head.split("\r\n")
         status = first.split(" ", 2)
         if len(status) < 2 or not status[0].startswith("HTTP/1.") or status[1] != "200":
-            raise SseError(f"answered {first[:80]!r}")
+            raise SseError(f"unexpected response {first[:80]!r}")
         headers = {
             name.strip().lower(): value.strip().lower()
             for name, _, value in (line.partition(":") for line in lines)
@@ -96,7 +96,7 @@
         self.line_count = 1
 
     def _unchunk(self, piece: bytes) -> bytes:
-        """Returns the bytes of the body that have come, without the heads and ends of chunks."""
+        """Return the received part of the body, without the heads and line ends of chunks."""
         self.unread_chunks += piece
         body = []
         while self.unread_chunks:
@@ -115,11 +115,15 @@
         return b"".join(body)
 
     def _read_chunk_head(self) -> bool:
-        """Reads the length of a chunk; False where it has not come, or the chunk is the last."""
+        """Read the length of a chunk.
+
+        Returns:
+            False if the line with the length is incomplete, or if the chunk is the last one.
+        """
         line, end, rest = self.unread_chunks.partition(b"\r\n")
         if not end:
             if len(line) > MAX_CHUNK_HEAD_BYTES:
-                raise SseError("a chunk without its length")
+                raise SseError(f"a chunk head of over {MAX_CHUNK_HEAD_BYTES} bytes")
             return False
         try:
             length = int(line.partition(b";")[0], 16)
@@ -142,12 +146,12 @@
         *lines, self.partial_line = self.partial_line.split(b"\n")
         self.line_count += len(lines)
         if len(self.partial_line) > MAX_LINE_BYTES:
-            raise SseError("a line without its end")
+            raise SseError(f"a line of over {MAX_LINE_BYTES} bytes")
         events = (self._read_line(line.decode("utf-8", "replace")) for line in lines)
         return [event for event in events if event is not None]
 
     def _read_line(self, line: str) -> ServerSentEvent | None:
-        """Takes one line; returns the event that it ends."""
+        """Decode one line; return the event that ends with it, or None."""
         if not line:
             event = ServerSentEvent(self.number, "\n".join(self.data)) if self.data else None
             self.number = None
@@ -158,7 +162,7 @@
         if name == "data":
             self.data.append(value)
             if len(self.data) > MAX_DATA_LINES:
-                raise SseError("an event without its end")
+                raise SseError(f"an event of over {MAX_DATA_LINES} data lines")
         elif name == "id" and value.isdecimal():
             self.number = int(value)
         return None
@@ -166,12 +170,12 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointListEvent:
-    """Changes of the endpoint list, or all of it.
+    """Update of the endpoint list, or a snapshot of the complete list.
 
     Attributes:
-        entries: The endpoints that it names.
-        is_full_snapshot: Endpoints that it does not name are gone.
-        errors: What is wrong with entries that cannot be read.
+        entries: The listed endpoints.
+        is_full_snapshot: Whether all endpoints that are not listed are gone.
+        errors: One error message for each unreadable entry.
     """
 
     entries: list[EndpointUpdate]
@@ -181,12 +185,12 @@
 
 @dataclass(slots=True, eq=False)
 class PurgeEvent:
-    """A purge of one object, or of a group of them.
+    """Purge of one object or of a group of objects.
 
     Attributes:
-        object_id: The object; 0: the whole group.
-        group: The group; 0 with an object.
-        issued_at: Unix milliseconds; copies from before must not be served.
+        object_id: The purged object; 0 if the group is purged.
+        group: The purged group; 0 if a single object is purged.
+        issued_at: Time of the purge in Unix milliseconds; older copies must not be served.
     """
 
     object_id: int
@@ -195,9 +199,9 @@
 
 
 def restrictive_part(event: EndpointListEvent | PurgeEvent) -> EndpointListEvent | PurgeEvent:
-    """Returns what must be obeyed at once though earlier events are missing.
+    """Return the part of an event that is applied at once even if earlier events are missing.
 
-    That is a purge, and each endpoint that must not be used; not which endpoints are ready.
+    This part is a purge, or the endpoints that must not be used. Ready endpoints are left out.
     """
     if isinstance(event, PurgeEvent):
         return event
@@ -207,10 +211,10 @@
 
 
 def event_number(data: Any, line_number: int | None) -> int | None:
-    """Returns the number that an event gives itself, else that of its `id` line.
+    """Return the number in an event's data, or that of its `id` line if the data have none.
 
     Raises:
-        ConfigError: If the event is no object, or its number is none.
+        ConfigError: If the event is not an object or its number is not an integer.
     """
     return JsonSection(data, "event").integer("offset", line_number)
 
@@ -218,16 +222,16 @@
 def parse_event(
     data: Any, zones: dict[str, int], kinds: dict[str, int]
 ) -> EndpointListEvent | PurgeEvent:
-    """Reads the JSON of an event.
+    """Parse the data of an event.
 
     Args:
-        data: The value that was parsed from JSON.
-        zones: Numbers of the zones by name.
+        data: Data of the event, parsed from JSON.
+        zones: Zone numbers by name.
         kinds: Numbers of the kinds of endpoints by name.
 
     Raises:
-        ConfigError: If it cannot be read; the message names the key.
-        ValueError: If the id of a purged object is no hex number.
+        ConfigError: If the event cannot be read; the message names the key.
+        ValueError: If the id of a purged object is not a hexadecimal number.
     """
     event = JsonSection(data, "event")
     if "ban" in event.values:
@@ -240,7 +244,7 @@
     for row in topology.sections("servers"):
         try:
             listed.entries.append(_parse_endpoint(row, zones, kinds))
-        except ConfigError as error:  # the other entries count
+        except ConfigError as error:  # the other entries are still valid
             departure = _parse_departure(row)
             if departure is None:
                 listed.errors.append(str(error))
@@ -265,9 +269,10 @@
 
 
 def _parse_departure(row: JsonSection) -> EndpointUpdate | None:
-    """Reads an endpoint that drains or is gone by its name alone; None if it does neither.
+    """Parse an entry of an endpoint that is draining or gone, using only its name and state.
 
-    Its other fields may be missing or out of date.
+    The other fields may be missing or outdated. The result is None if the endpoint is neither
+    draining nor gone.
     """
     name = row.values.get("id")
     state = row.values.get("state")
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -1,6 +1,7 @@
-"""Thrift, framed transport and strict binary protocol, as the clients' service speaks it.
+"""Thrift with framed transport and strict binary protocol, for the clients' service.
 
-Pure: no sockets, no clocks. Names of fields and methods on the wire are the platform's.
+This module uses no sockets and no clocks. The platform defines the names of fields and methods on
+the wire.
 """
 
 import re
@@ -12,9 +13,9 @@
 from ..policy.model import ClientRequest
 from .receive_buffer import ReceiveBuffer
 
-Pieces = list[memoryview | bytes]  # of one message, to be written one after the other
+Pieces = list[memoryview | bytes]  # buffers of one message, to be written in order
 
-# Types of values (TType).
+# Value types (TType)
 BOOL = 2
 BYTE = 3
 DOUBLE = 4
@@ -26,15 +27,15 @@
 MAP = 13
 SET = 14
 LIST = 15
-BYTES_OF_TYPE = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # those of a fixed size
+BYTES_OF_TYPE = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # types of a fixed size
 
-# Types of messages (TMessageType).
+# Message types (TMessageType)
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
 ONEWAY = 4
 
-# Types of a TApplicationException.
+# Types of a TApplicationException
 UNKNOWN_METHOD = 1
 INTERNAL_ERROR = 6
 PROTOCOL_ERROR = 7
@@ -42,8 +43,8 @@
 VERSION = 0x80010000  # of the strict binary protocol; the lowest byte holds the message type
 VERSION_MASK = 0xFFFFFF00
 MAX_NESTING = 16
-MAX_FIELDS = 64  # of the clients' string map
-MAX_BODY_BYTES = 48_000  # a write brings no more
+MAX_FIELDS = 64  # in a client's string map
+MAX_BODY_BYTES = 48_000  # largest body of a write
 MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 MAX_GROUP = 255
 LENGTH_BYTES = 4  # before each frame
@@ -53,38 +54,39 @@
 I16_FORMAT = struct.Struct(">h")
 STOP = b"\0"  # ends a struct
 
-# Forms of the clients' fields.
-TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)  # goes unchanged into an attempt's fields
+# Formats of the clients' fields
+TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)  # copied unchanged to an attempt's fields
 HEX_NUMBER = re.compile(r"[0-9a-fA-F]{16}", re.ASCII)
 NUMBER = re.compile(r"[0-9]{1,9}", re.ASCII)
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
 
 
 class ThriftError(ProtocolError):
-    """Bytes that do not follow the protocol, or a call that cannot be used."""
+    """Bytes that violate the protocol, or an invalid call."""
 
 
 class FrameDecoder:
-    """Cuts received bytes into frames. Not thread-safe."""
+    """Decoder that splits received bytes into frames. Not thread-safe."""
 
     def __init__(self, size: int = 4096, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Creates a decoder whose buffer has blocks of `size` bytes."""
+        """Create a decoder whose buffer has blocks of `size` bytes."""
         self.buffer = ReceiveBuffer(size)
         self.max_frame_bytes = max_frame_bytes
-        self.expected_length = 0  # of the first unread frame, its length included; 0: not known
+        # Length of the first unread frame with its length prefix; 0 if it is unknown.
+        self.expected_length = 0
 
     def writable_view(self) -> memoryview:
-        """Returns the memory for the next bytes."""
+        """Return the memory for the next bytes."""
         return self.buffer.writable_view(self.expected_length)
 
     def decode(self, length: int) -> Iterator[memoryview]:
-        """Yields the frames that are complete now, without their length.
+        """Yield the frames that are complete, without their length prefixes.
 
         Args:
-            length: Bytes that were written to the writable view since the last call.
+            length: Number of bytes that were written to the writable view since the last call.
 
         Raises:
-            ThriftError: Where bytes cannot be a frame; the frames before them have been yielded.
+            ThriftError: If bytes are not a valid frame; all frames before them have been yielded.
         """
         buffer = self.buffer
         buffer.end += length
@@ -100,53 +102,53 @@
 
 
 class ValueReader:
-    """Reads values one after the other from a frame; each method raises ThriftError."""
+    """Sequential reader of the values in a frame. Each method may raise ThriftError."""
 
     def __init__(self, frame: memoryview) -> None:
         self.frame = frame
         self.offset = 0
 
     def read_bytes(self, length: int) -> memoryview:
-        """Reads that many bytes."""
+        """Read `length` bytes."""
         end = self.offset + length
         if length < 0 or end > len(self.frame):
             raise ThriftError(f"{length} bytes wanted at {self.offset} of {len(self.frame)}")
-        found = self.frame[self.offset : end]
+        value = self.frame[self.offset : end]
         self.offset = end
-        return found
+        return value
 
     def read_byte(self) -> int:
-        """Reads an unsigned byte."""
+        """Read an unsigned byte."""
         return self.read_bytes(1)[0]
 
     def read_i16(self) -> int:
-        """Reads a signed number of two bytes."""
+        """Read a signed integer of two bytes."""
         return I16_FORMAT.unpack(self.read_bytes(2))[0]
 
     def read_i32(self) -> int:
-        """Reads a signed number of four bytes."""
+        """Read a signed integer of four bytes."""
         return I32_FORMAT.unpack(self.read_bytes(4))[0]
 
     def read_binary(self) -> memoryview:
-        """Reads a string of bytes with its length before it."""
+        """Read a byte string after its length prefix."""
         return self.read_bytes(self.read_i32())
 
     def read_text(self) -> str:
-        """Reads a string of UTF-8."""
+        """Read a UTF-8 string."""
         try:
             return str(self.read_binary(), "utf-8")
         except UnicodeDecodeError as error:
             raise ThriftError("a string that is not UTF-8") from error
 
     def read_size(self, maximum: int) -> int:
-        """Reads the number of entries of a collection."""
+        """Read the number of entries of a collection."""
         size = self.read_i32()
         if not 0 <= size <= maximum:
             raise ThriftError(f"a collection of {size}")
         return size
 
     def read_string_map(self) -> dict[str, str]:
-        """Reads a map whose keys and values are strings."""
+        """Read a map whose keys and values are strings."""
         key_type = self.read_byte()
         value_type = self.read_byte()
         size = self.read_size(MAX_FIELDS)
@@ -155,7 +157,7 @@
         return {self.read_text(): self.read_text() for _ in range(size)}
 
     def skip_value(self, value_type: int, depth: int = 0) -> None:
-        """Skips a value of any type; `depth` counts the values that it is nested in."""
+        """Skip a value of any type; `depth` is the number of enclosing values."""
         if depth > MAX_NESTING:
             raise ThriftError("nested too deep")
         if value_type in BYTES_OF_TYPE:
@@ -185,14 +187,14 @@
 
 @dataclass(slots=True, eq=False)
 class MethodCall:
-    """The head of a message; its arguments are read by the function for that method.
+    """Head of a message. The arguments are read later by a function for the method.
 
     Attributes:
         method: Name of the method.
         kind: CALL or ONEWAY.
-        sequence_number: The client's number for the call, which the answer bears.
-        arguments: Reader that stands before the arguments.
-        read_at: When it was read from the socket, in monotonic seconds.
+        sequence_number: The client's number of the call, which the answer repeats.
+        arguments: Reader that is positioned before the arguments.
+        read_at: Time at which the call was read from the socket, in monotonic seconds.
     """
 
     method: str
@@ -203,10 +205,10 @@
 
 
 def read_call(frame: memoryview) -> MethodCall:
-    """Reads the head of a message.
+    """Read the head of a message.
 
     Raises:
-        ThriftError: If it is no call of the strict binary protocol.
+        ThriftError: If the message is not a call of the strict binary protocol.
     """
     reader = ValueReader(frame)
     word = U32_FORMAT.unpack(reader.read_bytes(4))[0]
@@ -219,15 +221,15 @@
 
 
 def read_serve(reader: ValueReader, tenant_field: str = "") -> ClientRequest:
-    """Reads the arguments of `serve` and checks the form of each field.
+    """Read the arguments of `serve` and check the format of each field.
 
     Args:
-        reader: Stands before the arguments.
-        tenant_field: The field in which clients of our own installations name their tenant;
-            empty: none.
+        reader: Reader that is positioned before the arguments.
+        tenant_field: Name of the field with the tenant, which clients of our own installations
+            send; empty if there is none.
 
     Raises:
-        ThriftError: If they cannot be read, or a field is missing or has the wrong form.
+        ThriftError: If the arguments cannot be read, or a field is missing or has a wrong format.
     """
     fields = None
     body = reader.frame[:0]
@@ -277,26 +279,26 @@
 
 
 def read_cancelled_number(reader: ValueReader) -> int:
-    """Reads the argument of `forget`: the sequence number of the call that is cancelled.
+    """Read the argument of `forget`: the sequence number of the cancelled call.
 
     Raises:
-        ThriftError: If there is none.
+        ThriftError: If the argument is missing or cannot be read.
     """
-    found = None
+    number = None
     while (value_type := reader.read_byte()) != 0:
         if (reader.read_i16(), value_type) == (1, I32):
-            found = reader.read_i32()
+            number = reader.read_i32()
         else:
             reader.skip_value(value_type)
-    if found is None:
+    if number is None:
         raise ThriftError("no sequence number")
-    return found
+    return number
 
 
 def peek_cancelled_number(call: MethodCall) -> int | None:
-    """Returns the number that a `forget` cancels, without consuming its arguments.
+    """Return the sequence number in a `forget` call without consuming the arguments.
 
-    None where it cannot be read.
+    The result is None if the number cannot be read.
     """
     try:
         return read_cancelled_number(ValueReader(call.arguments.frame[call.arguments.offset :]))
@@ -305,18 +307,18 @@
 
 
 def cancelled_numbers(received: bytes) -> set[int]:
-    """Returns the sequence numbers that complete calls among bytes not consumed yet cancel."""
+    """Return the sequence numbers in all complete `forget` calls within received bytes."""
     decoder = FrameDecoder(len(received))
     decoder.writable_view()[:] = received
-    found: set[int] = set()
+    numbers: set[int] = set()
     try:
         for frame in decoder.decode(len(received)):
             call = read_call(frame)
             if call.method == "forget" and (number := peek_cancelled_number(call)) is not None:
-                found.add(number)
-    except ThriftError:  # what comes behind it is never read as a call
+                numbers.add(number)
+    except ThriftError:  # bytes after a framing error are never handled as calls
         pass
-    return found
+    return numbers
 
 
 def _encode_text(text: str) -> bytes:
@@ -349,7 +351,7 @@
     fields: dict[str, str],
     is_good: bool,
 ) -> Pieces:
-    """Encodes a reply that holds an Answer struct: body, fields and whether all is well."""
+    """Encode a reply with an Answer struct, which consists of body, fields and success flag."""
     start = (
         _encode_head(REPLY, method, sequence_number)
         + _encode_field_head(STRUCT, 0)
@@ -370,25 +372,25 @@
 def declared_exception(
     method: str, sequence_number: int, field_number: int, fields: dict[str, str]
 ) -> Pieces:
-    """Encodes a reply with one of the exceptions that a method declares, by its field number."""
+    """Encode a reply with an exception that the method declares under this field number."""
     exception = _encode_field_head(MAP, 1) + _encode_string_map(fields) + STOP
     head = _encode_head(REPLY, method, sequence_number)
     return _encode_frame(head + _encode_field_head(STRUCT, field_number) + exception + STOP)
 
 
 def rejected_reply(sequence_number: int, retry_after_ms: float) -> Pieces:
-    """Encodes the answer to a request that was not executed; the client may retry."""
+    """Encode the answer to a request that was not executed; the client may retry."""
     fields = {"pause": str(round(retry_after_ms))} if retry_after_ms > 0 else {}
     return declared_exception("serve", sequence_number, 1, fields)
 
 
 def failed_reply(sequence_number: int) -> Pieces:
-    """Encodes the answer to a request that failed and may have been executed."""
+    """Encode the answer to a failed request that may have been executed."""
     return declared_exception("serve", sequence_number, 2, {})
 
 
 def application_exception(method: str, sequence_number: int, kind: int, text: str) -> Pieces:
-    """Encodes a TApplicationException."""
+    """Encode a TApplicationException."""
     return _encode_frame(
         _encode_head(EXCEPTION, method, sequence_number)
         + _encode_field_head(STRING, 1)
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -1,8 +1,8 @@
-"""The pool of connections to caches, parents and the origin.
+"""Connections to caches, parents and the origin.
 
-Nothing here blocks a thread that others wait for: what is sent goes out at once or is left to the
-connection's own thread, which connects and catches up by itself. Every attempt is reported to the
-coordinator once: answered, not sent, or lost with its connection.
+Calls do not block: data is written at once if possible, or else queued for the connection's own
+thread, which connects and writes the queue. Every attempt is reported to the coordinator exactly
+once: as answered, as not sent, or as lost with its connection.
 """
 
 import errno
@@ -35,20 +35,23 @@
 
 
 class UpstreamConnections(UpstreamPool):
-    """Sends attempts and health checks, and reports how they went; thread-safe.
+    """Sender of attempts and health checks, which reports their outcomes. Thread-safe.
 
     Times are ms of the director's clock.
 
     Attributes:
-        connect_timeout: For a connection to come up, and for the first byte of an attempt.
+        connect_timeout: Timeout for a connect, and for writing the first byte of an attempt.
         shared_kinds: Kinds of endpoints that all directors share.
-        idle_timeouts: Of connections to endpoints, by whether all directors share these.
-        run_request: Does what follows for a request that has moved on; set by the request handler.
-        has_client_left: Whether the client of a request's context has left, for its first attempt
-            or a later one; set by the request handler. Called under the lock.
-        connection_by_attempt: Of attempts in flight, with the id on the wire; guarded by the lock.
-        failed_addresses: Addresses whose last connection failed, with the attempts lost since;
-            guarded by the lock.
+        idle_timeouts: Idle timeouts of connections, by whether all directors share the endpoint.
+        run_request: Function that carries out the next steps of a request; set by the request
+            handler.
+        has_client_left: Function that returns whether the client of a request has disconnected or
+            cancelled the request. Its arguments are the request's context and whether the attempt
+            is the first one. Set by the request handler, and called with the lock held.
+        connection_by_attempt: Connection and id on the wire of each attempt in flight; guarded by
+            the lock.
+        failed_addresses: Addresses whose last connection failed, with the number of attempts lost
+            since then; guarded by the lock.
     """
 
     def __init__(
@@ -59,14 +62,14 @@
         config: DirectorConfig,
         max_connections: int,
     ) -> None:
-        """Creates an empty pool.
+        """Create an empty pool.
 
         Args:
-            coordinator: Knows which attempts may be sent, and is told how they went.
-            clock: Unix milliseconds.
-            log: For operators.
-            config: Timeouts, and how connections may be used.
-            max_connections: In all.
+            coordinator: Decides whether an attempt may be sent, and receives its outcome.
+            clock: Returns Unix milliseconds.
+            log: Log for operators.
+            config: Timeouts and limits of connections.
+            max_connections: Maximum number of open connections.
         """
         super().__init__(max_connections, config.max_attempts_per_connection)
         self.coordinator = coordinator
@@ -80,7 +83,7 @@
         self.shared_kinds = (settings.parent_kind, settings.origin_kind)
         self.idle_timeouts = {
             is_shared: connection_reuse.choose_idle_timeout(
-                config.idle_timeout, director_count, is_shared, config.connections_are_priced
+                config.idle_timeout, director_count, is_shared, config.prefers_open_connections
             )
             for is_shared, director_count in (
                 (False, settings.local_director_count),
@@ -91,10 +94,10 @@
         self.connection_by_attempt: dict[Attempt, tuple[UpstreamConnection, str]] = {}
         self.health_check_numbers = itertools.count(1)
 
-    # For the request handler and the timers.
+    # Calls from the request handler and the timers
 
     def send(self, step: SendAttempt, request: ClientRequest) -> None:
-        """Sends an attempt."""
+        """Send an attempt."""
         attempt = step.attempt
         attempt.entity_tag = request.entity_tag
         remaining_time = attempt.request.deadline - self.clock()
@@ -102,26 +105,27 @@
         self._send(step.address, request.request_id, attempt, pieces)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Gives an attempt up; the endpoint is told where the settings allow it."""
+        """Abandon an attempt; send a cancellation to the endpoint if the settings allow it."""
         with self.lock:
             connection, wire_id = self.connection_by_attempt.pop(attempt, (None, ""))
             if connection is None or connection.in_flight.pop(wire_id, None) is None:
                 return
             now = self.clock()
-            # Sooner, its silence would tell nothing of the connection.
+            # A shorter silence does not indicate a fault of the connection.
             is_overdue = now > attempt.sent_at + self.connect_timeout
             if connection.last_received_at < attempt.sent_at and is_overdue:
-                connection.suspect(now)
+                connection.mark_suspect(now)
             if not connection.write_queue.withdraw(wire_id):
                 connection.abandoned[wire_id] = now
                 if self.coordinator.settings.allows_cancel:
                     self._write_cancel(connection, wire_id)
 
     def _write_cancel(self, connection: UpstreamConnection, wire_id: str) -> None:
-        """Needs the lock.
+        """Write a cancellation; the caller holds the lock.
 
-        Where only one attempt of a request may be in flight, the next one must not overtake a
-        cancellation that waits to be written: the end of the connection says the same at once.
+        If only one attempt of a request may be in flight, the next attempt must not overtake a
+        cancellation that is still in the write queue. The connection is closed in that case, which
+        cancels the attempt at once.
         """
         connection.write_queue.write(None, [resp.cancel_command(wire_id)])
         if connection.write_queue.pending and not self.coordinator.settings.allows_hedging:
@@ -130,7 +134,7 @@
     def check_health(
         self, endpoint: "TrackedEndpoint", address: EndpointAddress, with_report: bool = True
     ) -> None:
-        """Sends a health check, which brings a load report or is a mere ping."""
+        """Send a health check, which requests a load report or is only a ping."""
         tag = self._next_tag()
         pieces: list[Piece] = [resp.health_check_command(tag, with_report)]
         self._send(address, tag, HealthCheck(endpoint, self.clock()), pieces)
@@ -138,16 +142,17 @@
     def _next_tag(self) -> str:
         return f"{HEALTH_CHECK_PREFIX}{next(self.health_check_numbers)}"
 
-    def ping_quiet_connections(self) -> None:
-        """Pings connections that are quiet with attempts in flight; ends those that do not answer.
+    def ping_silent_connections(self) -> None:
+        """Ping silent connections that have attempts in flight; close those that do not answer.
 
-        All attempts that are in flight there are reported at once then. This finds connections that
-        stay open and are of no more use, after an answer that was spoilt, cut, endless or never
-        came. An endpoint that takes longer than PING_TIMEOUT to answer a ping loses a connection.
+        All attempts in flight on a closed connection are reported at once. The pings detect
+        connections that stay open but no longer work, after a corrupt, truncated, endless or
+        missing answer. An endpoint that needs longer than PING_TIMEOUT to answer a ping loses the
+        connection.
         """
         now = self.clock()
         with self.lock:
-            for connection in self.living() if self.allows_pings else ():
+            for connection in self.usable_connections() if self.allows_pings else ():
                 if connection.is_ping_overdue(now):
                     connection.write_queue.shut_down()
                 elif connection.needs_ping(now) and self._may_ping(connection):
@@ -156,11 +161,11 @@
                     connection.write_queue.write(None, [ping])
 
     def close_idle(self) -> None:
-        """Closes connections that are idle, silent or whose endpoint is gone.
+        """Close connections that are idle or suspect, or whose endpoint was removed.
 
-        Forgets health checks without an answer, and withdraws attempts of which nothing could be
-        written for as long as connecting may take: they were never executed, and sent later they
-        might come after a drain or a purge.
+        Also remove overdue health checks, and withdraw attempts of which nothing was written within
+        the connect timeout. These attempts were never executed; if they were sent later, they could
+        arrive after a drain or a purge.
         """
         now = self.clock()
         stuck: list[Attempt] = []
@@ -172,7 +177,7 @@
             }
             for connections in list(self.connections.values()):
                 for connection in list(connections):
-                    connection.forget_overdue(now)
+                    connection.remove_overdue(now)
                     stuck += connection.withdraw_stuck_attempts(now, self.connect_timeout)
                     if connection.can_close(now):
                         connection.write_queue.shut_down()
@@ -181,7 +186,7 @@
         for attempt in stuck:
             self._report(attempt, Outcome.CONNECT_FAILED)
 
-    # Sending.
+    # Sending
 
     def _send(
         self, address: EndpointAddress, wire_id: str, item: InFlight, pieces: list[Piece]
@@ -198,13 +203,17 @@
                     self.connection_by_attempt[item] = (connection, wire_id)
                 connection.write_queue.write(wire_id, pieces)
         if connection is None and isinstance(item, Attempt):
-            # It must not be sent, or there is no connection here: says nothing about the endpoint.
+            # The attempt is stale or no connection is available here. This is not a failure of the
+            # endpoint.
             self._report(item, Outcome.NOT_SENT)
 
     def _connection_for(
         self, address: EndpointAddress, wire_id: str, item: InFlight, now: float
     ) -> UpstreamConnection | None:
-        """Returns a connection; None where it cannot or must not be sent. Needs the lock."""
+        """Return a connection for an attempt or health check; the caller holds the lock.
+
+        The result is None if the item must not be sent any more or no connection is available.
+        """
         connections = self.connections.setdefault(address, [])
         if self._is_stale(item, address):
             return None
@@ -216,7 +225,7 @@
         return connection
 
     def _may_ping(self, connection: UpstreamConnection) -> bool:
-        """Returns whether all endpoints with something in flight there may be pinged."""
+        """Return whether health checks are allowed for all items in flight on a connection."""
         return all(
             self._may_check_health(item, connection.address)
             for item in connection.in_flight.values()
@@ -226,9 +235,10 @@
         return self.coordinator.can_health_check(cast("TrackedEndpoint", item.endpoint), address)
 
     def _is_stale(self, item: InFlight, address: EndpointAddress) -> bool:
-        """Returns whether it must not be sent any more.
+        """Return whether an attempt or health check must not be sent any more.
 
-        Needs the lock until the first byte is written: what comes later comes after it.
+        The caller holds the lock until the first byte is written, so that no cancellation, drain or
+        purge can be processed between this check and the write.
         """
         if isinstance(item, HealthCheck):
             return not self._may_check_health(item, address)
@@ -237,14 +247,15 @@
         request = item.request
         is_first = not item.number
         if request.context is not None and self.has_client_left(request.context, is_first):
-            # The thread of its connection says so as well, but that may come late.
+            # The thread of the client's connection reports this as well, but possibly too late.
             self.coordinator.client_left(request)
         return not self.coordinator.can_begin(item)
 
     def _take_stale(self, connection: UpstreamConnection, wire_id: str) -> InFlight | None:
-        """Removes and returns what has waited and must not be sent any more. Needs the lock.
+        """Remove and return a queued item if it must not be sent any more; return None otherwise.
 
-        It leaves the connection's table, so that nobody cancels there what was never sent.
+        The item is also removed from the connection, so that no cancellation is sent for an attempt
+        that was never sent. The caller holds the lock.
         """
         item = connection.in_flight.get(wire_id)
         if item is None or not self._is_stale(item, connection.address):
@@ -263,20 +274,23 @@
         attempt: Attempt,
         outcome: Outcome,
         cache_status: CacheStatus = CacheStatus.UNKNOWN,
-        answer: resp.NodeAnswer | None = None,
+        answer: resp.EndpointAnswer | None = None,
     ) -> None:
-        """Reports how an attempt went, and does what follows from it. Without the lock."""
+        """Report the outcome of an attempt and run the next steps of its request.
+
+        The caller must not hold the lock.
+        """
         delay = answer.delay if answer is not None else 0.0
         load_report = answer.load_report if answer is not None else None
         self.coordinator.report_outcome(attempt, outcome, cache_status, delay, load_report, answer)
         self.run_request(attempt.request)
 
-    # Connections, each in its own thread.
+    # Connections, each in its own thread
 
     def _open(
         self, address: EndpointAddress, connections: list[UpstreamConnection], now: float
     ) -> UpstreamConnection | None:
-        """Starts a connection; None where no thread is available for it. Needs the lock."""
+        """Open a connection; return None if no thread is available. The caller holds the lock."""
         connection = UpstreamConnection(address, now, self.lock)
 
         def take_stale(owner: Hashable) -> InFlight | None:
@@ -296,7 +310,7 @@
         return connection
 
     def _run(self, connection: UpstreamConnection) -> None:
-        """Connects, then reads until the end."""
+        """Connect to the endpoint and read answers until the connection is closed."""
         outcome = Outcome.CONNECT_FAILED
         reason = ""
         connected_socket = None
@@ -320,7 +334,7 @@
             reason = str(error)
             outcome = Outcome.RESET
         except Exception as error:
-            # Only this connection ends, with its attempts reported below.
+            # Only this connection is closed; its attempts are reported below.
             self.log.exception("upstream", error)
         finally:
             self._close(connection, connected_socket, outcome, reason)
@@ -338,11 +352,11 @@
                 answer = resp.parse_answer(items, LOAD_REPORT_FIELDS)
                 self._handle_answer(connection, answer)
 
-    def _handle_answer(self, connection: UpstreamConnection, answer: resp.NodeAnswer) -> None:
+    def _handle_answer(self, connection: UpstreamConnection, answer: resp.EndpointAnswer) -> None:
         with self.lock:
             answered = connection.in_flight.pop(answer.request_id, None)
             connection.record_answer(answered, answer, self.clock())
-            is_known = answered is not None or connection.may_answer(answer.request_id)
+            is_known = answered is not None or connection.expects_answer(answer.request_id)
             if isinstance(answered, Attempt):
                 self.connection_by_attempt.pop(answered, None)
         if isinstance(answered, HealthCheck):
@@ -366,7 +380,7 @@
         outcome: Outcome,
         reason: str,
     ) -> None:
-        """Removes a connection that is over, and reports the attempts that are lost with it."""
+        """Remove a closed connection and report the attempts that were lost with it."""
         address = connection.address
         with self.lock:
             is_closed_here = connection.write_queue.is_shut_down
@@ -386,7 +400,7 @@
             is_first_failure = has_failed and address not in self.failed_addresses
             if has_failed:
                 self.failed_addresses[address] = self.failed_addresses.get(address, 0) + len(lost)
-        if is_first_failure:  # one line until it is up again, not one an attempt
+        if is_first_failure:  # one log line per outage, not one per attempt
             self.log.event(
                 "upstream down", node=address.name, lost=len(lost), why=reason or "closed"
             )
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The table of a director's upstream connections, and which of them makes room when it is full."""
+"""The pool of a director's upstream connections, with eviction when it is nearly full."""
 
 import threading
 
@@ -8,15 +8,15 @@
 
 
 class UpstreamPool:
-    """Open connections by the endpoint's address.
+    """Pool of connections by endpoint address.
 
     Attributes:
-        lock: Guards all other fields, and all connections.
-        connections: By the endpoint's address.
-        connection_count: Connections in all.
-        max_connections: So many at the most.
-        max_attempts_per_connection: In flight at one time.
-        is_stopped: No connection is opened any more.
+        lock: Guards all other fields and all connections.
+        connections: Connections by the endpoint's address.
+        connection_count: Total number of connections.
+        max_connections: Maximum number of connections.
+        max_attempts_per_connection: Maximum number of attempts in flight on one connection.
+        is_stopped: Whether the pool was stopped and opens no more connections.
     """
 
     def __init__(self, max_connections: int, max_attempts_per_connection: int) -> None:
@@ -27,8 +27,8 @@
         self.max_attempts_per_connection = max_attempts_per_connection
         self.is_stopped = False
 
-    def living(self) -> list[UpstreamConnection]:
-        """Returns the connections that are not shut down. Needs the lock."""
+    def usable_connections(self) -> list[UpstreamConnection]:
+        """Return the connections that are not shut down; the caller holds the lock."""
         return [
             connection
             for connections in self.connections.values()
@@ -37,10 +37,13 @@
         ]
 
     def fullness(self) -> float:
-        """Returns the part of `max_connections` with something in flight, where few are left."""
+        """Return the fraction of `max_connections` that is busy.
+
+        The result is 0 while the number of connections is below the eviction threshold.
+        """
         with self.lock:
             if self.connection_count < connection_reuse.EVICTION_THRESHOLD * self.max_connections:
-                return 0.0  # without counting
+                return 0.0  # saves counting the busy connections
             busy_count = sum(
                 bool(connection.in_flight)
                 for connections in self.connections.values()
@@ -51,7 +54,7 @@
             )
 
     def stop(self) -> None:
-        """Shuts down all connections; none is opened any more."""
+        """Shut down all connections and open no more."""
         with self.lock:
             self.is_stopped = True
             for connections in list(self.connections.values()):
@@ -61,15 +64,16 @@
     def choose(
         self, connections: list[UpstreamConnection], wire_id: str
     ) -> UpstreamConnection | None:
-        """Returns the open connection with the least in flight. Needs the lock.
+        """Return the usable connection with the fewest items in flight; the caller holds the lock.
 
-        One without anything in flight may have been closed by the endpoint at this very moment:
-        what is written there is lost, and nobody could say whether it was executed.
+        An idle connection may have just been closed by the endpoint, so it is checked first. An
+        attempt written to a closed connection is lost, and it would be unknown whether it was
+        executed.
         """
         usable = (
             connection
             for connection in connections
-            if connection.can_take(wire_id, self.max_attempts_per_connection)
+            if connection.can_send(wire_id, self.max_attempts_per_connection)
         )
         for connection in sorted(usable, key=lambda connection: len(connection.in_flight)):
             if connection.in_flight or not connection.is_closed_by_peer():
@@ -78,7 +82,7 @@
         return None
 
     def make_room(self) -> None:
-        """Shuts down idle connections where the pool is nearly full. Needs the lock."""
+        """Shut down idle connections if the pool is nearly full; the caller holds the lock."""
         if self.connection_count > connection_reuse.EVICTION_THRESHOLD * self.max_connections:
             idle = [
                 (connection.last_used_at, connection)
@@ -92,7 +96,7 @@
                 connection.write_queue.shut_down()
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Removes a connection from the pool. Needs the lock."""
+        """Remove a connection from the pool; the caller holds the lock."""
         connections = self.connections.get(connection.address, [])
         if connection in connections:
             connections.remove(connection)
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -1,8 +1,8 @@
-"""Writing to a socket without blocking those who write: what does not go at once waits in a queue.
+"""Non-blocking writes to a socket: bytes that cannot be written at once are queued.
 
-A thread of its own writes the queue once the socket takes bytes again. Before the first byte of a
-message that waited, the owner of the queue is asked whether it may still be sent: the connection
-came up late or the peer did not read, and meanwhile the message may have become stale.
+A thread writes the queue as soon as the socket is writable again. Before it writes the first byte
+of a queued message, it asks the owner of the queue whether the message is stale: the connect may
+have taken long, or the peer may not have read for a while.
 """
 
 import contextlib
@@ -16,19 +16,19 @@
 from typing import Generic, TypeVar
 
 Piece = memoryview | bytes
-Withdrawn = TypeVar("Withdrawn")  # what the queue's owner knows a withdrawn message by
+Withdrawn = TypeVar("Withdrawn")  # the queue owner's representation of a withdrawn message
 
-POLL_INTERVAL_MS = 250  # between two looks at a connection that takes no bytes
+POLL_INTERVAL_MS = 250  # between two checks of a connection that is not writable
 
 
 @dataclass(slots=True, eq=False)
 class PendingPiece:
-    """Bytes that wait to be written.
+    """Queued bytes of a message.
 
     Attributes:
-        owner: What the message belongs to, as its writer named it.
+        owner: Key of the message, chosen by its writer.
         piece: The bytes.
-        is_first: No byte of its message has been written.
+        is_first: Whether these are the first bytes of the message and all of it is unwritten.
     """
 
     owner: Hashable
@@ -37,27 +37,29 @@
 
 
 class WriteQueue(Generic[Withdrawn]):
-    """Messages that wait to be written to one connection.
+    """Queue of messages to be written to one connection.
 
     Attributes:
-        lock: Guards all other fields; its owner may share it. Waiting is done outside it.
-        connection: The socket; while there is none, everything waits.
-        pending: Pieces that wait, in the order of writing.
-        pending_bytes: Their length.
-        is_writing: A thread writes what waits, so nobody else may write.
-        is_shut_down: Nothing more is written.
-        find_stale: Called under the lock before the first byte of a message that waited, with its
-            owner; returns what to pass to `on_withdrawn` if it must not be sent, else None.
-        on_withdrawn: Called without the lock for each message that was withdrawn that way.
+        lock: Guards all other fields, and may also guard data of the queue's owner. It is not held
+            while a thread waits for the socket.
+        connection: The socket; all messages are queued while it is None.
+        pending: Queued pieces in the order of writing.
+        pending_bytes: Total size of the queued pieces.
+        is_writing: Whether a thread is writing the queue, so that no other thread may write.
+        is_shut_down: Whether the queue was shut down and writes nothing more.
+        find_stale: Callback that is called with the lock held before the first byte of a queued
+            message is written. It receives the message's owner, and returns the value for
+            `on_withdrawn` if the message must not be sent, or else None.
+        on_withdrawn: Callback that is called without the lock for each stale message.
     """
 
     def __init__(self, lock: threading.Lock, write_timeout_s: float | None = None) -> None:
-        """Creates a queue without a connection.
+        """Create a queue without a connection.
 
         Args:
-            lock: Guards the queue.
-            write_timeout_s: After so long without a byte written the connection is shut down;
-                None: never.
+            lock: Lock that guards the queue.
+            write_timeout_s: The connection is shut down if no byte could be written for this time;
+                None for no timeout.
         """
         self.lock = lock
         self.write_timeout_s = write_timeout_s
@@ -70,7 +72,10 @@
         self.on_withdrawn: Callable[[Withdrawn], None] = lambda withdrawn: None
 
     def write(self, owner: Hashable, pieces: list[Piece]) -> None:
-        """Writes a message, or as much of it as goes at once; the rest waits. Needs the lock."""
+        """Write as much of a message as possible and queue the remainder.
+
+        The caller holds the lock.
+        """
         if self.is_shut_down:
             return
         sent = 0
@@ -87,32 +92,32 @@
             self._start_writer()
 
     def _enqueue(self, owner: Hashable, pieces: list[Piece], sent: int) -> None:
-        """Queues the pieces of a message of which so many bytes are written. Needs the lock."""
+        """Queue the part of a message after the first `sent` bytes; the caller holds the lock."""
         is_first = sent == 0
         for piece in pieces:
             if sent >= len(piece):
                 sent -= len(piece)
                 continue
-            rest = memoryview(piece)[sent:] if sent else piece
-            self.pending.append(PendingPiece(owner, rest, is_first))
-            self.pending_bytes += len(rest)
+            unsent = memoryview(piece)[sent:] if sent else piece
+            self.pending.append(PendingPiece(owner, unsent, is_first))
+            self.pending_bytes += len(unsent)
             is_first = False
             sent = 0
 
     def _start_writer(self) -> None:
-        """Needs the lock."""
+        """Start a thread that writes the queue; the caller holds the lock."""
         try:
             threading.Thread(target=self._write_pending, name="write-queue", daemon=True).start()
-        except RuntimeError:  # no thread is available: what is queued would wait for ever
+        except RuntimeError:  # no thread is available, so the queue would never be written
             self.shut_down()
             return
         self.is_writing = True
 
     def attach(self, connection: socket.socket) -> bool:
-        """Sets the connection, which has come up, and writes what waits for it.
+        """Set the connection after a successful connect, and write the queued messages.
 
         Returns:
-            False where the queue was shut down meanwhile.
+            False if the queue was shut down meanwhile.
         """
         with self.lock:
             if self.is_shut_down:
@@ -123,10 +128,10 @@
         return True
 
     def withdraw(self, owner: Hashable) -> bool:
-        """Removes a message of which nothing is written. Needs the lock.
+        """Remove a queued message if no byte of it is written; the caller holds the lock.
 
         Returns:
-            False where it is too late.
+            Whether the message was removed.
         """
         if not self.is_unwritten(owner):
             return False
@@ -137,22 +142,28 @@
         return True
 
     def is_unwritten(self, owner: Hashable) -> bool:
-        """Returns whether a message waits of which nothing is written. Needs the lock."""
+        """Return whether a message is queued and no byte of it is written.
+
+        The caller holds the lock.
+        """
         return any(entry.is_first and entry.owner == owner for entry in self.pending)
 
     def shut_down(self, how: int = socket.SHUT_RDWR) -> None:
-        """Shuts the connection down; nothing more is written. Needs the lock.
+        """Shut down the connection and write nothing more; the caller holds the lock.
 
-        Threads that write to the connection wake up, and those that read from it, unless only
-        writing is shut down.
+        Threads that are blocked in a write wake up, and so do threads that are blocked in a read
+        unless `how` shuts down only the writing side.
         """
         self.is_shut_down = True
         if self.connection is not None:
-            with contextlib.suppress(OSError):  # the peer has closed or reset it
+            with contextlib.suppress(OSError):  # closed or reset by the peer
                 self.connection.shutdown(how)
 
     def _write_pending(self) -> None:
-        """Writes what waits until nothing does. Runs without the lock, in the writing thread."""
+        """Write the queue until it is empty, in the writing thread.
+
+        The caller must not hold the lock.
+        """
         progress_at = time.monotonic()
         while True:
             is_stuck = False
@@ -179,7 +190,7 @@
                 self._wait_until_writable()
 
     def _withdraw_stale(self) -> list[Withdrawn]:
-        """Removes messages at the head of the queue that must not be sent. Needs the lock."""
+        """Remove stale messages from the head of the queue; the caller holds the lock."""
         withdrawn = []
         while self.pending and not self.is_shut_down and self.pending[0].is_first:
             message = self.find_stale(self.pending[0].owner)
@@ -190,7 +201,11 @@
         return withdrawn
 
     def _write_some(self) -> bool:
-        """Writes of the first piece what goes without waiting; whether any did. Needs the lock."""
+        """Write as much of the first piece as possible without blocking; the caller holds the lock.
+
+        Returns:
+            False if the socket is not writable.
+        """
         entry = self.pending[0]
         assert self.connection is not None
         try:
@@ -209,7 +224,7 @@
 
     def _wait_until_writable(self) -> None:
         assert self.connection is not None
-        with contextlib.suppress(OSError, ValueError):  # it was closed meanwhile
+        with contextlib.suppress(OSError, ValueError):  # the socket was closed meanwhile
             poll = select.poll()
             poll.register(self.connection, select.POLLOUT)
             poll.poll(POLL_INTERVAL_MS)
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -1,4 +1,4 @@
-"""A director as a process: signals, the configuration and the exit code."""
+"""A director as a process: signals, configuration files and exit code."""
 
 import gc
 import os
@@ -13,8 +13,8 @@
 from .errors import ConfigError, StoreError
 from .structured_log import StructuredLog
 
-THREAD_STACK_BYTES = 128 * 1024  # of each thread; only what is touched counts as memory
-# Waits after which a configuration that cannot be used is read again: it may be half written.
+THREAD_STACK_BYTES = 128 * 1024  # for each thread; only touched pages use memory
+# Waits before an invalid configuration is read again, as it may be only partly written.
 RETRY_WAITS_S = (0.05, 0.2, 0.0)
 
 EXIT_DONE = 0
@@ -28,18 +28,18 @@
     management_path: str | None = None,
     fleet_path: str | None = None,
 ) -> int:
-    """Runs one director until SIGTERM or SIGINT.
+    """Run one director until SIGTERM or SIGINT.
 
     Args:
-        config_path: The platform's configuration; None: the file that LB_CONFIG names.
-        cells_path: Our own file on cells; None: off, as with the next two.
-        management_path: Our own file on management.
-        fleet_path: Our own file on the fleet.
+        config_path: File of the platform's configuration; None to use LB_CONFIG.
+        cells_path: File with the configuration of cells; None to switch them off.
+        management_path: File with the configuration of management; None to switch it off.
+        fleet_path: File with the configuration of the fleet; None to switch it off.
 
     Returns:
         The exit code.
     """
-    signals = open_signal_pipe()
+    signal_pipe = open_signal_pipe()
     try:
         config = _load_config_within_limits(config_path)
         threading.stack_size(THREAD_STACK_BYTES)
@@ -52,14 +52,14 @@
         return exit_code
     director.event_stream.read_configured_address = lambda: configured_event_stream(config_path)
     gc.collect()
-    gc.freeze()  # what exists at the start stays: the collector need not look at it again
-    _obey_signals(signals, director, log, config_path)
+    gc.freeze()  # objects from the start live on; the collector need not scan them again
+    _handle_signals(signal_pipe, director, log, config_path)
     log.close()
     return EXIT_DONE
 
 
 def _start(director: Director, config: DirectorConfig) -> int:
-    """Starts the director; returns the exit code where it cannot, with its message written."""
+    """Start the director and return the exit code; print a message if the start failed."""
     try:
         director.start()
     except OSError as error:
@@ -67,15 +67,16 @@
         address = error.filename or f"{config.listen[0]}:{config.listen[1]}"
         return _fail(f"cannot listen on {address}: {reason}", EXIT_NOT_STARTED)
     except (RuntimeError, StoreError) as error:
-        # Stored management data cannot be used, or the port of management is taken.
+        # Stored management data are invalid, or the port of management is in use.
         return _fail(str(error), EXIT_BAD_CONFIGURATION)
     return EXIT_DONE
 
 
 def _load_config_within_limits(path: str | None) -> DirectorConfig:
-    """Reads the configuration; its descriptors are bounded by what the system allows.
+    """Read the configuration and limit its file descriptors to the process limit.
 
-    Beyond that, clients and upstream connections would leave the event stream no descriptor.
+    Without this limit, clients and upstream connections could use up all descriptors, and the event
+    stream would get none.
     """
     config = load_config(os.environ, path)
     allowed_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -83,11 +84,11 @@
     return config
 
 
-def _obey_signals(
-    signals: int, director: Director, log: StructuredLog, config_path: str | None
+def _handle_signals(
+    signal_pipe: int, director: Director, log: StructuredLog, config_path: str | None
 ) -> None:
-    """Reloads at each SIGHUP; any other signal drains the director and ends the wait."""
-    while os.read(signals, 1)[0] == signal.SIGHUP:
+    """Reload the configuration on each SIGHUP; drain the director and return on other signals."""
+    while os.read(signal_pipe, 1)[0] == signal.SIGHUP:
         reload_configuration(director, log, config_path)
     director.stop()
     director.wait()
@@ -99,20 +100,20 @@
 
 
 def open_signal_pipe() -> int:
-    """Makes signals readable, so that the main thread obeys them one after the other.
+    """Write received signals to a pipe, so that the main thread handles them in order.
 
-    A signal does not always interrupt a wait of the main thread: the system may deliver it to
-    another thread, and a handler in Python runs only once the main thread goes on.
+    A signal does not always interrupt a blocking call of the main thread: the kernel may deliver it
+    to another thread, and a Python handler runs only after the main thread has continued.
 
     Returns:
-        A descriptor that brings the numbers of signals, a byte each.
+        The read end of the pipe, which provides the signal numbers as one byte each.
     """
     read_end, write_end = os.pipe()
     os.set_blocking(write_end, False)
     signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        # A handler in Python, so that the descriptor is written; unhandled, each would end the
-        # program.
+        # The wakeup descriptor is written only for signals that have a Python handler. Without a
+        # handler, each of these signals would end the program.
         signal.signal(number, lambda *_: None)
     return read_end
 
@@ -124,10 +125,10 @@
     management_path: str | None = None,
     fleet_path: str | None = None,
 ) -> Director:
-    """Builds a director from the files that are given.
+    """Build a director from the given configuration files.
 
     Raises:
-        ConfigError: If one of our own files cannot be used, or a library that it needs is missing.
+        ConfigError: If a file is invalid, or a library that it requires is missing.
     """
     cells = None
     management = None
@@ -157,7 +158,10 @@
 
 
 def configured_event_stream(path: str | None) -> tuple[str, int] | None:
-    """Returns the event stream's address by the configuration now; None if it cannot be read."""
+    """Return the event stream's address in the current configuration file.
+
+    The result is None if the file cannot be read.
+    """
     try:
         return load_config(os.environ, path).event_stream_address
     except ConfigError:
@@ -165,7 +169,7 @@
 
 
 def reload_configuration(director: Director, log: StructuredLog, path: str | None) -> None:
-    """Reads the configuration again; keeps the present one if that fails a few times."""
+    """Read the configuration again; keep the current one if all attempts fail."""
     reason = ""
     for wait_s in RETRY_WAITS_S:
         try:
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and health checks that wait for their connection, and what happens meanwhile."""
+"""Attempts and health checks that are queued until their connection is open."""
 
 import time
 from dataclasses import replace
@@ -20,134 +20,137 @@
 
 
 @pytest.fixture
-def gate(monkeypatch):
-    """Links come up only once it is set."""
-    yield (up := hold_calls(monkeypatch, UpstreamConnections, "_run"))
-    up.set()
+def allow_connecting(monkeypatch):
+    """Block upstream connections from opening until the event is set."""
+    yield (resume := hold_calls(monkeypatch, UpstreamConnections, "_run"))
+    resume.set()
 
 
 def update_endpoint(running, name, **changes):
-    """An endpoint update that changes these fields of that endpoint."""
+    """Apply an endpoint update that changes these fields of an endpoint."""
     coordinator = running.director.coordinator
     coordinator.update_endpoints([replace(coordinator.endpoint_updates[name], **changes)], False)
 
 
-BETWEEN = {
-    "its cache drains": lambda d, attempt: update_endpoint(
-        d, attempt.addresses[0][1].name, state=EndpointState.DRAINING
+CHANGES = {
+    "its cache drains": lambda running, attempt: update_endpoint(
+        running, attempt.addresses[0][1].name, state=EndpointState.DRAINING
     ),
-    "its cache is gone": lambda d, attempt: update_endpoint(
-        d, attempt.addresses[0][1].name, state=EndpointState.GONE
+    "its cache is gone": lambda running, attempt: update_endpoint(
+        running, attempt.addresses[0][1].name, state=EndpointState.GONE
     ),
-    "another machine is there": lambda d, attempt: update_endpoint(
-        d, attempt.addresses[0][1].name, started_at=5.0
+    "another machine is there": lambda running, attempt: update_endpoint(
+        running, attempt.addresses[0][1].name, started_at=5.0
     ),
-    "its source drains": lambda d, attempt: update_endpoint(
-        d, attempt.addresses[1][1].name, state=EndpointState.DRAINING
+    "its source drains": lambda running, attempt: update_endpoint(
+        running, attempt.addresses[1][1].name, state=EndpointState.DRAINING
     ),
-    "its source is gone": lambda d, attempt: update_endpoint(
-        d, attempt.addresses[1][1].name, state=EndpointState.GONE
+    "its source is gone": lambda running, attempt: update_endpoint(
+        running, attempt.addresses[1][1].name, state=EndpointState.GONE
     ),
-    "its object is purged": lambda d, attempt: d.director.coordinator.apply_purge(
-        0xAB, 0, d.director.clock()
+    "its object is purged": lambda running, attempt: running.director.coordinator.apply_purge(
+        0xAB, 0, running.director.clock()
     ),
-    "its group is purged": lambda d, attempt: d.director.coordinator.apply_purge(
-        0, 17, d.director.clock()
+    "its group is purged": lambda running, attempt: running.director.coordinator.apply_purge(
+        0, 17, running.director.clock()
     ),
 }
 
 
-CASES = [("pages", between) for between in BETWEEN] + [
-    (name, between) for name in ("order", "pay") for between in BETWEEN if "source" not in between
+# The write classes have no fill source: writes go directly to the only origin.
+CASES = [("pages", change) for change in CHANGES] + [
+    (name, change) for name in ("order", "pay") for change in CHANGES if "source" not in change
 ]
 
 
-@pytest.mark.parametrize(
-    ("request_class", "between"), CASES
-)  # writes go straight to the only origin
-def test_attempt_that_waited_for_its_connection_obeys_endpoint_list_and_purges_of_now(
-    request_class, between, gate
+@pytest.mark.parametrize(("request_class", "change"), CASES)
+def test_queued_attempt_obeys_later_endpoint_updates_and_purges(
+    request_class, change, allow_connecting
 ):
-    # Guards against requests to nodes that were announced as leaving, and copies from before a
-    # purge.
+    # Queued attempts must not reach endpoints that were announced as draining or gone, nor accept
+    # copies from before a purge.
     with RunningDirector() as running:
-        caller = running.connect_client()
-        caller.send(request_class)
+        client = running.connect_client()
+        client.send(request_class)
         attempt = wait_for_attempt(running)
-        BETWEEN[between](running, attempt)
-        gate.set()
-        what = caller.read_answer()[1]
-        heard = running.commands()
-        if request_class != "pages" and ("drains" in between or "is gone" in between):
-            assert what == 1 and not heard  # it never ran, so a retry does no harm
+        CHANGES[change](running, attempt)
+        allow_connecting.set()
+        result = client.read_answer()[1]
+        commands = running.commands()
+        if request_class != "pages" and ("drains" in change or "is gone" in change):
+            assert result == 1 and not commands  # never executed, so a retry is safe
             return
-        assert what == 0 and len(heard) == 1
-        assert ("within" in heard[0][2]) == ("purged" in between)
-        if request_class == "pages" and "purged" not in between:
-            named = [
+        assert result == 0 and len(commands) == 1
+        assert ("within" in commands[0][2]) == ("purged" in change)
+        if request_class == "pages" and "purged" not in change:
+            used_names = [
                 name
-                for (name, _, _), node in zip(ENDPOINTS, running.endpoints, strict=True)
-                if node.commands
+                for (name, _, _), endpoint in zip(ENDPOINTS, running.endpoints, strict=True)
+                if endpoint.commands
             ]
-            assert attempt.addresses["source" in between][1].name not in [
-                *named,
-                heard[0][2].get("miss"),
+            assert attempt.addresses["source" in change][1].name not in [
+                *used_names,
+                commands[0][2].get("miss"),
             ]
 
 
-@pytest.mark.parametrize("how", ["forget", "close"])
-@pytest.mark.parametrize("may_cancel", [True, False])
-def test_nothing_is_sent_for_client_that_left_while_its_connection_was_opened(
-    how, may_cancel, gate
+@pytest.mark.parametrize("leave_action", ["forget", "close"])
+@pytest.mark.parametrize("allows_cancel", [True, False])
+def test_nothing_is_sent_if_client_leaves_before_the_connection_is_open(
+    leave_action, allows_cancel, allow_connecting
 ):
-    with RunningDirector(allowed={"cancel": may_cancel}) as running:
-        caller, other = running.connect_client(), running.connect_client()
-        number = caller.send()
+    with RunningDirector(allowed={"cancel": allows_cancel}) as running:
+        client, other_client = running.connect_client(), running.connect_client()
+        number = client.send()
         attempt = wait_for_attempt(running)
-        if how == "forget":
-            caller.socket.sendall(cancel_frame(number))
+        if leave_action == "forget":
+            client.socket.sendall(cancel_frame(number))
         else:
-            caller.close()
+            client.close()
         assert wait_for(lambda: attempt.request.is_complete)
-        gate.set()
-        other.send(entity="00000000000000cd")
-        assert other.read_answer()[:2] == (1, 0)
+        allow_connecting.set()
+        other_client.send(entity="00000000000000cd")
+        assert other_client.read_answer()[:2] == (1, 0)
         assert wait_for(lambda: not running.director.upstream.connection_by_attempt)
         assert [fields["name"][-2:] for _, _, fields, _ in running.commands()] == ["cd"]
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_no_health_check_is_sent_to_endpoint_announced_as_draining_or_gone(state, gate):
-    # Guards against questions of any kind to nodes that leave: what waited for its link, and what a
-    # quiet link would be asked.
+def test_no_health_check_is_sent_to_endpoint_announced_as_draining_or_gone(state, allow_connecting):
+    # Neither queued health checks nor new ones may be sent to endpoints that are draining or gone.
     with RunningDirector(None) as running:
         upstream, coordinator = running.director.upstream, running.director.coordinator
-        nodes = list(coordinator.router.endpoints.caches)
-        for node in nodes:
-            upstream.check_health(node, coordinator.addresses[node])
-        leaves = coordinator.addresses[nodes[0]]
-        update_endpoint(running, leaves.name, state=state)
-        gate.set()
+        caches = list(coordinator.router.endpoints.caches)
+        for cache in caches:
+            upstream.check_health(cache, coordinator.addresses[cache])
+        leaving_address = coordinator.addresses[caches[0]]
+        update_endpoint(running, leaving_address.name, state=state)
+        allow_connecting.set()
         assert wait_for(lambda: len(running.commands("METER")) == 2)
         assert wait_for(
-            lambda: not any(link.in_flight for link in upstream.connections.get(leaves, ()))
+            lambda: (
+                not any(
+                    connection.in_flight
+                    for connection in upstream.connections.get(leaving_address, ())
+                )
+            )
         )
-        upstream.check_health(nodes[0], leaves)
+        upstream.check_health(caches[0], leaving_address)
         time.sleep(0.05)
         assert len(running.commands("METER")) == 2
 
 
 @pytest.mark.parametrize("state", [EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
-def test_quiet_connection_is_pinged_only_where_its_endpoint_stays(state):
+def test_silent_connection_is_pinged_only_if_its_endpoint_is_ready(state):
     with RunningDirector(None) as running:
-        caller, upstream = running.connect_client(), running.director.upstream
-        caller.send(patience="6000")
+        client, upstream = running.connect_client(), running.director.upstream
+        client.send(patience="6000")
         assert wait_for(running.commands)
         attempt = wait_for_attempt(running)
         update_endpoint(running, attempt.addresses[0][1].name, state=state)
-        link = upstream.connection_by_attempt[attempt][0]
-        link.last_received_at, attempt.sent_at = 0.0, 1.0
-        upstream.ping_quiet_connections()
+        connection = upstream.connection_by_attempt[attempt][0]
+        connection.last_received_at, attempt.sent_at = 0.0, 1.0
+        upstream.ping_silent_connections()
         assert bool(wait_for(lambda: running.commands("ECHO"), 0.1)) is (
             state == EndpointState.READY
         )
