--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,7 @@
-"""A client's calls, cancellations and leaving, in every order; the tests hold threads back."""
+"""Client connections: calls, cancellations and disconnects that race with other threads.
+
+The tests block threads at chosen points to produce the races.
+"""
 
 import socket
 import struct
@@ -20,188 +23,195 @@
 
 from mulleinrelay.coordinator import RequestCoordinator
 from mulleinrelay.net import client_connection
-from mulleinrelay.net import client_connection as connection_module
 from mulleinrelay.net.client_connection import ClientConnection
 from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
 
 pytestmark = pytest.mark.usefixtures("short_drains")
 
-FULL = (b"WAIT", b"-", b"")
+REJECTED_ANSWER = (b"WAIT", b"-", b"")
 
 
-@pytest.mark.parametrize("calls", [20, 300])  # all that came can be read ahead, or not
-def test_no_request_begins_for_client_that_sent_many_and_left(calls, allow_client_reads):
-    # Guards against attempts that begin long after the client that they are for has closed its
-    # connection.
+@pytest.mark.parametrize("call_count", [20, 300])  # fewer and more calls than can be read ahead
+def test_no_request_starts_for_client_that_sent_many_and_disconnected(
+    call_count, allow_client_reads
+):
+    # Attempts must not start long after their client has closed its connection.
     with RunningDirector() as running:
-        leaver, stayer = running.connect_client(), running.connect_client()
-        for number in range(calls):
-            leaver.send("order", entity=f"{number:016x}")
-        leaver.close()
-        stayer.send(entity="00000000000000cd")
+        leaving_client, staying_client = running.connect_client(), running.connect_client()
+        for number in range(call_count):
+            leaving_client.send("order", entity=f"{number:016x}")
+        leaving_client.close()
+        staying_client.send(entity="00000000000000cd")
         allow_client_reads.set()
-        assert stayer.read_answer()[:2] == (1, 0)
+        assert staying_client.read_answer()[:2] == (1, 0)
         assert wait_for(lambda: len(running.director.listener.clients) == 1)
         assert [fields["name"][-2:] for _, _, fields, _ in running.commands()] == ["cd"]
 
 
-LEAVES = {
-    "closes": lambda caller: caller.close(),
-    "cancels": lambda caller: caller.socket.sendall(cancel_frame(1)),
-    "cancels behind a call": lambda caller: caller.socket.sendall(IS_WELL_CALL + cancel_frame(1)),
-    "closes behind a call": lambda caller: (caller.socket.sendall(IS_WELL_CALL), caller.close()),
-    "resets": lambda caller: (
-        caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)),
-        caller.close(),
+LEAVE_ACTIONS = {
+    "closes": lambda client: client.close(),
+    "cancels": lambda client: client.socket.sendall(cancel_frame(1)),
+    "cancels after a call": lambda client: client.socket.sendall(IS_WELL_CALL + cancel_frame(1)),
+    "closes after a call": lambda client: (client.socket.sendall(IS_WELL_CALL), client.close()),
+    "resets": lambda client: (
+        client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)),
+        client.close(),
     ),
 }
 
 
-@pytest.mark.parametrize("how", [*LEAVES, "calls", "cancels another"])
-def test_no_retry_begins_for_client_whose_leaving_is_not_read_yet(how, monkeypatch):
-    # Guards against a director that is late itself: its links' threads run before that of the
-    # client.
-    left = threading.Event()
-    read = hold_calls(monkeypatch, ClientConnection, "read_calls", lambda client: client.has_called)
-    stays = {
-        "calls": lambda caller: caller.socket.sendall(IS_WELL_CALL),
-        "cancels another": lambda caller: caller.socket.sendall(cancel_frame(2)),
+@pytest.mark.parametrize("action", [*LEAVE_ACTIONS, "calls", "cancels another"])
+def test_no_retry_starts_if_disconnect_or_cancellation_is_still_unread(action, monkeypatch):
+    # If the director is short of CPU time, the threads of its upstream connections may run before
+    # the thread of the client.
+    has_left = threading.Event()
+    resume_reading = hold_calls(
+        monkeypatch, ClientConnection, "read_calls", lambda connection: connection.has_called
+    )
+    stay_actions = {
+        "calls": lambda client: client.socket.sendall(IS_WELL_CALL),
+        "cancels another": lambda client: client.socket.sendall(cancel_frame(2)),
     }
 
-    with RunningDirector(lambda fields: left.wait(5.0) and FULL) as running:
-        caller = running.connect_client()
-        caller.send()
+    with RunningDirector(lambda fields: has_left.wait(5.0) and REJECTED_ANSWER) as running:
+        client = running.connect_client()
+        client.send()
         assert wait_for(running.commands)
-        (LEAVES | stays)[how](caller)
-        (client,) = running.director.listener.clients
-        assert wait_for(lambda: client._peek() is not None)
-        left.set()
+        (LEAVE_ACTIONS | stay_actions)[action](client)
+        (connection,) = running.director.listener.clients
+        assert wait_for(lambda: connection._peek() is not None)
+        has_left.set()
         assert wait_for(lambda: not running.director.coordinator.pending_count())
-        assert (len(running.commands()) == 1) is (how in LEAVES)
-        read.set()
+        assert (len(running.commands()) == 1) is (action in LEAVE_ACTIONS)
+        resume_reading.set()
 
 
-@pytest.mark.parametrize("how", ["forget", "close"])
-def test_nothing_is_sent_for_client_that_left_while_its_request_waited_for_the_coordinator(how):
-    # Its request has been read; then its thread waits, for the module here, or for the core.
+@pytest.mark.parametrize("leave_action", ["forget", "close"])
+def test_nothing_is_sent_if_client_leaves_while_its_request_waits_for_the_coordinator(leave_action):
+    # The request was read, but its thread is delayed: here by the coordinator's lock, in production
+    # possibly by a lack of CPU time.
     with RunningDirector() as running:
-        caller, other = running.connect_client(), running.connect_client()
-        other.send()
-        assert other.read_answer()[:2] == (1, 0)  # the link is up
+        client, other_client = running.connect_client(), running.connect_client()
+        other_client.send()
+        assert other_client.read_answer()[:2] == (1, 0)  # the upstream connection is open
         with running.director.coordinator.lock:
-            caller.send()
+            client.send()
             assert wait_for(
-                lambda: any(client.open_requests for client in running.director.listener.clients)
+                lambda: any(
+                    connection.open_requests for connection in running.director.listener.clients
+                )
             )
-            if how == "forget":
-                caller.socket.sendall(cancel_frame(1))
+            if leave_action == "forget":
+                client.socket.sendall(cancel_frame(1))
             else:
-                caller.close()
-            time.sleep(2.0 * connection_module.RECENT_READ_S)
+                client.close()
+            time.sleep(2.0 * client_connection.RECENT_READ_S)
         assert wait_for(lambda: not running.director.coordinator.pending_count())
-        other.send(entity="00000000000000cd")
-        assert other.read_answer()[:2] == (2, 0)
+        other_client.send(entity="00000000000000cd")
+        assert other_client.read_answer()[:2] == (2, 0)
         assert [fields["name"][-2:] for _, _, fields, _ in running.commands()] == ["ab", "cd"]
 
 
-def test_cancellation_that_is_read_and_not_handled_yet_prevents_retry(monkeypatch):
-    left = threading.Event()
-    go = hold_calls(
+def test_cancellation_that_is_read_but_not_handled_prevents_retry(monkeypatch):
+    has_left = threading.Event()
+    resume = hold_calls(
         monkeypatch,
         RequestHandler,
         "handle_call",
-        lambda front, client, call: call.method == "forget",
+        lambda handler, connection, call: call.method == "forget",
     )
-    with RunningDirector(lambda fields: left.wait(5.0) and FULL) as running:
-        caller = running.connect_client()
-        caller.send()
+    with RunningDirector(lambda fields: has_left.wait(5.0) and REJECTED_ANSWER) as running:
+        client = running.connect_client()
+        client.send()
         assert wait_for(running.commands)
-        caller.socket.sendall(cancel_frame(1))
-        (client,) = running.director.listener.clients
-        assert wait_for(lambda: client.pending_calls)
-        left.set()
+        client.socket.sendall(cancel_frame(1))
+        (connection,) = running.director.listener.clients
+        assert wait_for(lambda: connection.pending_calls)
+        has_left.set()
         assert wait_for(lambda: not running.director.coordinator.pending_count())
         assert len(running.commands()) == 1
-        go.set()
+        resume.set()
 
 
-@pytest.mark.parametrize("together", [True, False])
+@pytest.mark.parametrize("is_sent_together", [True, False])
 @pytest.mark.parametrize(
-    "wrong", [b"\xff\xff\xff\xff" * 20, b"\0\0\0\x05hello", b"\x7f\xff\xff\xff"]
+    "invalid_bytes", [b"\xff\xff\xff\xff" * 20, b"\0\0\0\x05hello", b"\x7f\xff\xff\xff"]
 )
-def test_request_before_unreadable_bytes_is_answered(wrong, together):
-    # Guards against a request that is lost with the rest of its connection, and an answer that a
-    # reset over unread bytes takes along.
-    answer = threading.Event()
-    with RunningDirector(lambda fields: answer.wait(5.0) and HIT_ANSWER) as running:
-        caller = running.connect_client()
-        whole = serve_frame(
+def test_request_before_unreadable_bytes_is_answered(invalid_bytes, is_sent_together):
+    # The request must not be lost together with the invalid bytes, and the answer must not be lost
+    # by a connection reset that unread bytes cause.
+    may_answer = threading.Event()
+    with RunningDirector(lambda fields: may_answer.wait(5.0) and HIT_ANSWER) as running:
+        client = running.connect_client()
+        request_frame = serve_frame(
             7, {"route": "pages", "trace": "e" * 16, "patience": "3000", "entity": "ab" * 8}
         )
-        caller.socket.sendall(whole + wrong if together else whole)
+        client.socket.sendall(request_frame + invalid_bytes if is_sent_together else request_frame)
         assert wait_for(running.commands)
-        if not together:
-            caller.socket.sendall(wrong)
-        (client,) = running.director.listener.clients
-        assert wait_for(lambda: client.framing_error)
-        caller.socket.sendall(wrong)
-        answer.set()
-        assert caller.read_answer() == (7, 0, {}, b"bytes")
+        if not is_sent_together:
+            client.socket.sendall(invalid_bytes)
+        (connection,) = running.director.listener.clients
+        assert wait_for(lambda: connection.framing_error)
+        client.socket.sendall(invalid_bytes)
+        may_answer.set()
+        assert client.read_answer() == (7, 0, {}, b"bytes")
         with pytest.raises(EOFError):
-            caller.read_answer()
-        assert wait_for(lambda: not running.director.listener.clients)  # though it does not close
+            client.read_answer()
+        # Although the client does not close its side
+        assert wait_for(lambda: not running.director.listener.clients)
 
 
-def test_client_that_sends_unreadable_bytes_and_leaves_is_not_waited_for():
+def test_client_that_sends_unreadable_bytes_and_disconnects_is_removed():
     with RunningDirector(None) as running:
-        caller = running.connect_client()
-        caller.send()
+        client = running.connect_client()
+        client.send()
         assert wait_for(running.commands)
-        caller.socket.sendall(b"\xff" * 100)
-        caller.close()
+        client.socket.sendall(b"\xff" * 100)
+        client.close()
         assert wait_for(lambda: not running.director.listener.clients, 1.0)
         assert not running.director.coordinator.pending_count()
 
 
-def test_result_that_comes_before_request_is_registered_is_answered_once(monkeypatch):
-    # Guards against an answer that finds no number to go to, and a number that is owed for ever.
-    take = RequestCoordinator.accept
+def test_result_before_request_is_registered_is_answered_once(monkeypatch):
+    # If the result comes before the request's sequence number is registered, the answer must not be
+    # dropped, and the number must not stay registered for ever.
+    accept = RequestCoordinator.accept
 
-    def taken(coordinator, *arguments, **named):
-        request = take(coordinator, *arguments, **named)
-        other = threading.Thread(
+    def accept_and_finish(coordinator, *arguments, **keywords):
+        request = accept(coordinator, *arguments, **keywords)
+        finisher = threading.Thread(
             target=lambda: [
-                running.director.request_handler.run_request(still)
-                for still in coordinator.finish_pending_requests()
+                running.director.request_handler.run_request(pending_request)
+                for pending_request in coordinator.finish_pending_requests()
             ]
         )
-        other.start()
-        other.join()
+        finisher.start()
+        finisher.join()
         return request
 
-    monkeypatch.setattr(RequestCoordinator, "accept", taken)
+    monkeypatch.setattr(RequestCoordinator, "accept", accept_and_finish)
     with RunningDirector() as running:
-        caller = running.connect_client()
-        caller.send()
-        assert caller.read_answer()[:2] == (1, 1)
-        caller.socket.sendall(IS_WELL_CALL)
-        assert caller.read_answer()[:2] == (1, 0)  # and nothing between
+        client = running.connect_client()
+        client.send()
+        assert client.read_answer()[:2] == (1, 1)
+        client.socket.sendall(IS_WELL_CALL)
+        assert client.read_answer()[:2] == (1, 0)  # no other answer before it
         assert (
             not running.director.listener.has_pending_writes()
             and not running.director.coordinator.pending_count()
         )
 
 
-def test_call_is_not_begun_where_its_cancellation_has_come_behind_it(allow_client_reads):
+def test_call_is_not_started_if_its_cancellation_was_received_after_it(allow_client_reads):
     with RunningDirector() as running:
-        caller = running.connect_client()
+        client = running.connect_client()
         for number in range(1, 9):
-            caller.send(entity=f"{number:016x}")
+            client.send(entity=f"{number:016x}")
         for number in (2, 5, 8):
-            caller.socket.sendall(cancel_frame(number))
+            client.socket.sendall(cancel_frame(number))
         allow_client_reads.set()
-        assert sorted(caller.read_answer()[0] for _ in range(5)) == [1, 3, 4, 6, 7]
+        assert sorted(client.read_answer()[0] for _ in range(5)) == [1, 3, 4, 6, 7]
         assert sorted(int(fields["name"], 16) for _, _, fields, _ in running.commands()) == [
             1,
             3,
@@ -209,54 +219,55 @@
             6,
             7,
         ]
-        unreadable, well = call_frame("forget", 0, b"\x0b", 4), call_frame("isWell", 9, b"\0")
-        caller.socket.sendall(cancel_frame(1) + unreadable + well)
-        assert caller.read_answer()[:2] == (
-            9,
-            0,
-        )  # one that is over, one that can't be read: no harm
-
-
-def test_call_is_in_system_buffer_or_pending_at_every_moment(monkeypatch):
-    # Guards against an end between the bytes' leaving the system's buffer and the call's arrival in
-    # the list.
-    answer = threading.Event()
-    go = hold_calls(
+        unreadable_call, health_call = (
+            call_frame("forget", 0, b"\x0b", 4),
+            call_frame("isWell", 9, b"\0"),
+        )
+        client.socket.sendall(cancel_frame(1) + unreadable_call + health_call)
+        # Cancellations of finished calls and invalid cancellations are ignored.
+        assert client.read_answer()[:2] == (9, 0)
+
+
+def test_call_is_in_receive_buffer_or_pending_at_every_moment(monkeypatch):
+    # An idle connection must not be closed after the bytes of a call were read from the kernel's
+    # buffer and before the call is queued.
+    may_answer = threading.Event()
+    resume_decoding = hold_calls(
         monkeypatch, FrameDecoder, "decode", lambda *_: threading.current_thread().name == "client"
     )
-    with RunningDirector(lambda fields: answer.wait(10.0) and HIT_ANSWER) as running:
-        caller = running.connect_client()
-        caller.send()
-        assert go.reached.wait(5.0)
-        (client,) = running.director.listener.clients
-        ended = []
-        ender = threading.Thread(target=lambda: ended.append(client.close_if_idle()))
-        ender.start()
-        time.sleep(0.05)  # an end that does not wait for the reader has happened by now
-        go.set()
-        ender.join()
-        answer.set()  # not before: once it is answered, it may be ended
-        assert ended == [False] and caller.read_answer()[:2] == (1, 0)
-
-
-def test_time_that_call_waits_behind_others_is_taken_off_its_deadline(monkeypatch):
-    go = hold_calls(monkeypatch, RequestHandler, "handle_call")
+    with RunningDirector(lambda fields: may_answer.wait(10.0) and HIT_ANSWER) as running:
+        client = running.connect_client()
+        client.send()
+        assert resume_decoding.reached.wait(5.0)
+        (connection,) = running.director.listener.clients
+        close_results = []
+        closer = threading.Thread(target=lambda: close_results.append(connection.close_if_idle()))
+        closer.start()
+        time.sleep(0.05)  # a close that does not wait for the reading thread would be done by now
+        resume_decoding.set()
+        closer.join()
+        may_answer.set()  # not earlier, because the connection may be closed after the answer
+        assert close_results == [False] and client.read_answer()[:2] == (1, 0)
+
+
+def test_time_in_queue_is_deducted_from_the_deadline(monkeypatch):
+    resume = hold_calls(monkeypatch, RequestHandler, "handle_call")
     with RunningDirector(None) as running:
-        caller = running.connect_client()
-        caller.send(patience="2000")
+        client = running.connect_client()
+        client.send(patience="2000")
         assert wait_for(lambda: running.director.listener.clients)
         time.sleep(0.3)
-        go.set()
+        resume.set()
         attempt = wait_for_attempt(running)
         assert attempt.request.deadline - attempt.request.arrived_at < 1750.0
 
 
 @pytest.mark.parametrize(
-    ("called", "halfway", "owes", "after", "late"),
+    ("has_called", "partial_call_since", "has_open_request", "elapsed_s", "is_overdue"),
     [
         (False, 0.0, False, 1.5, False),
         (False, 0.0, False, 2.5, True),
-        (False, 900.0, False, 2.5, True),  # a call that comes byte by byte
+        (False, 900.0, False, 2.5, True),  # a call that arrives byte by byte
         (True, 0.0, False, 4.5, False),
         (True, 0.0, False, 6.5, True),
         (True, 0.0, True, 6.5, False),
@@ -264,8 +275,14 @@
         (True, 1003.0, False, 6.5, True),
     ],
 )
-def test_connection_is_overdue_after_its_timeout(called, halfway, owes, after, late):
-    held = client_connection.ClientConnection(None)
-    held.has_called, held.partial_call_since, held.last_used_at = called, halfway, 1000.0
-    held.open_requests = {1: None} if owes else {}
-    assert held.is_overdue(1000.0 + after) == late
+def test_connection_is_overdue_after_its_timeout(
+    has_called, partial_call_since, has_open_request, elapsed_s, is_overdue
+):
+    connection = client_connection.ClientConnection(None)
+    connection.has_called, connection.partial_call_since, connection.last_used_at = (
+        has_called,
+        partial_call_since,
+        1000.0,
+    )
+    connection.open_requests = {1: None} if has_open_request else {}
+    assert connection.is_overdue(1000.0 + elapsed_s) == is_overdue
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -1,3 +1,5 @@
+"""Codecs: Thrift, RESP and server-sent events."""
+
 import struct
 
 import pytest
@@ -14,68 +16,69 @@
     "patience": "1500",
     "entity": "7f3a9c21e0b4d655",
 }
-FORGET = call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x03\0", 4)
-STEPS = [1, 2, 3, 5, 7, 64, 10**6]
+CANCELLATION = call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x03\0", 4)
+STEP_SIZES = [1, 2, 3, 5, 7, 64, 10**6]
 
 
-def feed(parser, data, step):
-    """Receives the data in pieces of at most `step` bytes, as a link or a client's thread does."""
-    found, data = [], memoryview(data)
+def feed(decoder, data, step):
+    """Decode the data in pieces of at most `step` bytes, like a connection's thread."""
+    messages, data = [], memoryview(data)
     while len(data):
-        room = parser.writable_view()
-        length = min(step, len(room), len(data))
-        room[:length] = data[:length]
-        found += parser.decode(length)
+        view = decoder.writable_view()
+        length = min(step, len(view), len(data))
+        view[:length] = data[:length]
+        messages += decoder.decode(length)
         data = data[length:]
-    return found
+    return messages
 
 
 # Received bytes
 
 
-def test_view_handed_out_is_never_written_again():
-    # Guards against an answer's bytes changing under a client that is still being written to.
-    intake = ReceiveBuffer(8)
-    intake.writable_view()[:6] = b"abcdef"
-    intake.end += 6
-    taken = intake.take(4)
+def test_returned_view_is_never_written_again():
+    # The bytes of an answer must not change while they are still being written to a client.
+    buffer = ReceiveBuffer(8)
+    buffer.writable_view()[:6] = b"abcdef"
+    buffer.end += 6
+    taken = buffer.take(4)
     for byte in b"ghijklmnop":
-        intake.writable_view()[:1] = bytes((byte,))
-        intake.end += 1
-    assert bytes(taken) == b"abcd" and bytes(intake.unread()) == b"efghijklmnop"
+        buffer.writable_view()[:1] = bytes((byte,))
+        buffer.end += 1
+    assert bytes(taken) == b"abcd" and bytes(buffer.unread()) == b"efghijklmnop"
 
 
 # Thrift
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_frames_are_the_same_in_any_split(step):
+@pytest.mark.parametrize("step_size", STEP_SIZES)
+def test_frames_are_the_same_in_any_split(step_size):
     calls = [
         serve_frame(number, FIELDS | {"entity": f"{number:016x}"}, b"x" * size)
         for number, size in ((1, 0), (2, 9000), (3, 1))
     ]
-    found = [
-        thrift.read_call(frame) for frame in feed(thrift.FrameDecoder(64), b"".join(calls), step)
+    decoded_calls = [
+        thrift.read_call(frame)
+        for frame in feed(thrift.FrameDecoder(64), b"".join(calls), step_size)
     ]
-    assert [(call.method, call.kind, call.sequence_number) for call in found] == [
+    assert [(call.method, call.kind, call.sequence_number) for call in decoded_calls] == [
         ("serve", 1, n) for n in (1, 2, 3)
     ]
-    read = [thrift.read_serve(call.arguments) for call in found]
-    assert [(asked.object, len(asked.body)) for asked in read] == [
+    requests = [thrift.read_serve(call.arguments) for call in decoded_calls]
+    assert [(request.object, len(request.body)) for request in requests] == [
         ("0" * 15 + "1", 0),
         ("0" * 15 + "2", 9000),
         ("0" * 15 + "3", 1),
     ]
 
 
-@pytest.mark.parametrize("size", [-1, 0, thrift.MAX_FRAME_BYTES + 1, 2**31 - 1])
-def test_frame_of_wrong_length_is_rejected_at_once(size):
+@pytest.mark.parametrize("length", [-1, 0, thrift.MAX_FRAME_BYTES + 1, 2**31 - 1])
+def test_frame_of_wrong_length_is_rejected_at_once(length):
     with pytest.raises(thrift.ThriftError):
-        feed(thrift.FrameDecoder(), struct.pack(">i", size), 4)
+        feed(thrift.FrameDecoder(), struct.pack(">i", length), 4)
 
 
-MAP = b"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x01a\x00\x00\x00\x01b"
-UNKNOWN = [
+FIELD_MAP = b"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x01a\x00\x00\x00\x01b"
+UNKNOWN_FIELDS = [
     b"\x02\x00\x09\x01",  # bool
     b"\x03\x00\x09\x01",  # byte
     b"\x04\x00\x09" + bytes(8),  # double
@@ -89,12 +92,14 @@
 ]
 
 
-@pytest.mark.parametrize("unknown", UNKNOWN)
-def test_unknown_fields_are_skipped(unknown):
+@pytest.mark.parametrize("unknown_field", UNKNOWN_FIELDS)
+def test_unknown_fields_are_skipped(unknown_field):
     (frame,) = feed(thrift.FrameDecoder(), serve_frame(1, FIELDS | {"new": "1"}, b"xy"), 1000)
-    known = bytes(thrift.read_call(frame).arguments.frame[17:-1])
-    asked = thrift.read_serve(thrift.ValueReader(memoryview(unknown + known + unknown + b"\x00")))
-    assert (asked.request_class, asked.remaining_time, bytes(asked.body)) == (
+    known_fields = bytes(thrift.read_call(frame).arguments.frame[17:-1])
+    request = thrift.read_serve(
+        thrift.ValueReader(memoryview(unknown_field + known_fields + unknown_field + b"\x00"))
+    )
+    assert (request.request_class, request.remaining_time, bytes(request.body)) == (
         "pages",
         1500.0,
         b"xy",
@@ -102,28 +107,28 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "told"),
+    ("arguments", "message"),
     [
         (b"", "wanted at 0"),
         (b"\x00", "no fields"),
-        (MAP, "wanted at"),
-        (MAP[:-3] + b"\x7f\xff\xff\xffb\x00", "wanted at"),
-        (MAP[:5] + b"\x7f\xff\xff\xff", "a collection of"),
-        (MAP[:5] + b"\xff\xff\xff\xff", "a collection of -1"),
-        (MAP[:4] + b"\x08\x00\x00\x00\x01" + bytes(8), "not of strings"),
-        (MAP[:-1] + b"\xff\x00", "not UTF-8"),
-        (MAP + b"\x0b\x00\x02" + struct.pack(">i", -5), "-5 bytes wanted"),
+        (FIELD_MAP, "wanted at"),
+        (FIELD_MAP[:-3] + b"\x7f\xff\xff\xffb\x00", "wanted at"),
+        (FIELD_MAP[:5] + b"\x7f\xff\xff\xff", "a collection of"),
+        (FIELD_MAP[:5] + b"\xff\xff\xff\xff", "a collection of -1"),
+        (FIELD_MAP[:4] + b"\x08\x00\x00\x00\x01" + bytes(8), "not of strings"),
+        (FIELD_MAP[:-1] + b"\xff\x00", "not UTF-8"),
+        (FIELD_MAP + b"\x0b\x00\x02" + struct.pack(">i", -5), "-5 bytes wanted"),
         (
-            MAP + b"\x0b\x00\x02" + struct.pack(">i", 48001) + bytes(48001) + b"\0",
+            FIELD_MAP + b"\x0b\x00\x02" + struct.pack(">i", 48001) + bytes(48001) + b"\0",
             "a body of 48001",
         ),
-        (MAP + b"\x63\x00\x09\x00", "unknown type 99"),
-        (MAP + b"\x0c\x00\x09" * 20, "nested too deep"),
+        (FIELD_MAP + b"\x63\x00\x09\x00", "unknown type 99"),
+        (FIELD_MAP + b"\x0c\x00\x09" * 20, "nested too deep"),
     ],
 )
-def test_unreadable_arguments_are_rejected(held, told):
-    with pytest.raises(thrift.ThriftError, match=told):
-        thrift.read_serve(thrift.ValueReader(memoryview(held)))
+def test_unreadable_arguments_are_rejected(arguments, message):
+    with pytest.raises(thrift.ThriftError, match=message):
+        thrift.read_serve(thrift.ValueReader(memoryview(arguments)))
 
 
 @pytest.mark.parametrize("head", [bytes(4), b"\x80\x02\x00\x01", b"\x80\x01\x00\x02", b"\x80"])
@@ -145,7 +150,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "wanted"),
+    ("pieces", "expected_hex"),
     [
         (
             thrift.reply("isWell", 2, b"", {}, True),
@@ -167,25 +172,28 @@
         ),
     ],
 )
-def test_answers_are_encoded_as_on_the_wire(pieces, wanted):
+def test_answers_are_encoded_as_on_the_wire(pieces, expected_hex):
     length, message = struct.unpack(">i", b"".join(pieces)[:4])[0], b"".join(pieces)[4:]
-    assert length == len(message) and message.hex() == wanted.replace(" ", "")
+    assert length == len(message) and message.hex() == expected_hex.replace(" ", "")
 
 
 # RESP
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_arrays_are_the_same_in_any_split(step):
-    stream = (
+@pytest.mark.parametrize("step_size", STEP_SIZES)
+def test_arrays_are_the_same_in_any_split(step_size):
+    data = (
         resp.command(b"a1", b"DONE", b"why=HIT", b"\r\n*2\r\n" + bytes(9000))
         + resp.command(b"a2", b"LACK", b"-")
         + resp.command(b"a3", b"KEEP", b"-", b"")
         + b"*4\r\n$2\r\na4\r\n$4\r\nPAST\r\n$1\r\n-\r\n$-1\r\n"
     )
-    found = [resp.parse_answer(items, {}) for items in feed(resp.ArrayDecoder(64), stream, step)]
+    answers = [
+        resp.parse_answer(items, {}) for items in feed(resp.ArrayDecoder(64), data, step_size)
+    ]
     assert [
-        (told.request_id, told.outcome, len(told.body), told.is_not_modified) for told in found
+        (answer.request_id, answer.outcome, len(answer.body), answer.is_not_modified)
+        for answer in answers
     ] == [
         ("a1", Outcome.SERVED, 9006, False),
         ("a2", Outcome.MISS, 0, False),
@@ -195,7 +203,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parser", "whole", "wrong"),
+    ("decoder_type", "messages", "invalid_bytes"),
     [
         (
             resp.ArrayDecoder,
@@ -209,26 +217,28 @@
         ),
     ],
 )
-def test_complete_messages_before_unreadable_bytes_are_yielded(parser, whole, wrong):
-    held, found, data = parser(), [], b"".join(whole) + wrong
-    held.writable_view()[: len(data)] = data
+def test_complete_messages_before_unreadable_bytes_are_yielded(
+    decoder_type, messages, invalid_bytes
+):
+    decoder, decoded, data = decoder_type(), [], b"".join(messages) + invalid_bytes
+    decoder.writable_view()[: len(data)] = data
     with pytest.raises((resp.RespError, thrift.ThriftError)):
-        for one in held.decode(len(data)):
-            found.append(one)
-    assert len(found) == len(whole)
+        for message in decoder.decode(len(data)):
+            decoded.append(message)
+    assert len(decoded) == len(messages)
 
 
 @pytest.mark.parametrize(
     ("received", "numbers"),
     [
         (b"", set()),
-        (FORGET, {3}),
-        (FORGET[:-1], set()),
-        (serve_frame(1, FIELDS, FORGET) + FORGET, {3}),
-        (serve_frame(1, FIELDS, FORGET), set()),  # within a body
-        (call_frame("forget", 0, b"\x0b", 4) + FORGET, {3}),
-        (b"\xff" * 8 + FORGET, set()),
-        (FORGET + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
+        (CANCELLATION, {3}),
+        (CANCELLATION[:-1], set()),
+        (serve_frame(1, FIELDS, CANCELLATION) + CANCELLATION, {3}),
+        (serve_frame(1, FIELDS, CANCELLATION), set()),  # inside a body
+        (call_frame("forget", 0, b"\x0b", 4) + CANCELLATION, {3}),
+        (b"\xff" * 8 + CANCELLATION, set()),
+        (CANCELLATION + call_frame("forget", 0, b"\x08\x00\x01\x00\x00\x00\x04\0", 4), {3, 4}),
     ],
 )
 def test_cancellations_are_found_in_unread_bytes(received, numbers):
@@ -236,14 +246,14 @@
 
 
 def test_body_is_a_view_of_received_bytes():
-    # Guards against copies of bodies: they pass through in the buffer that they came in.
-    arrays = resp.ArrayDecoder(4096)
-    (items,) = feed(arrays, resp.command(b"1", b"DONE", b"-", b"z" * 2000), 4096)
-    assert resp.parse_answer(items, {}).body.obj is arrays.buffer.view.obj
+    # Bodies are forwarded without a copy, from the buffer in which they were received.
+    decoder = resp.ArrayDecoder(4096)
+    (items,) = feed(decoder, resp.command(b"1", b"DONE", b"-", b"z" * 2000), 4096)
+    assert resp.parse_answer(items, {}).body.obj is decoder.buffer.view.obj
 
 
 @pytest.mark.parametrize(
-    "stream",
+    "data",
     [
         b"+OK\r\n",
         b"*0\r\n",
@@ -258,9 +268,9 @@
         b"*1\r\n$1_0\r\n",
     ],
 )
-def test_unreadable_arrays_are_rejected(stream):
+def test_unreadable_arrays_are_rejected(data):
     with pytest.raises(resp.RespError):
-        feed(resp.ArrayDecoder(), stream, 5)
+        feed(resp.ArrayDecoder(), data, 5)
 
 
 @pytest.mark.parametrize(
@@ -301,7 +311,7 @@
 
 
 def test_fields_of_an_answer_are_read():
-    told = resp.parse_answer(
+    answer = resp.parse_answer(
         [
             memoryview(item)
             for item in (
@@ -313,7 +323,7 @@
         ],
         {"x1": "crowding"},
     )
-    assert (told.cache_status, told.delay, told.load_report) == (
+    assert (answer.cache_status, answer.delay, answer.load_report) == (
         CacheStatus.SOURCE_FAILED,
         12.5,
         {"inflight": 7, "crowding": 0.61},
@@ -321,15 +331,15 @@
 
 
 def test_commands_are_encoded_as_on_the_wire():
-    plain = SendAttempt(None, None, "", 0.0, 0, False, False, True, False)
-    asked = ClientRequest("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
-    assert b"".join(resp.attempt_command(asked, plain, 7.9)) == (
+    plain_step = SendAttempt(None, None, "", 0.0, 0, False, False, True, False)
+    request = ClientRequest("pages", "9b", "ab", "0", "", "", b"xy", 9.0, 0, 0.0, False)
+    assert b"".join(resp.attempt_command(request, plain_step, 7.9)) == (
         b"*4\r\n$4\r\nPULL\r\n$2\r\n9b\r\n$32\r\nlane=pages,name=ab,piece=0,ttl=7\r\n$2\r\nxy\r\n"
     )
-    full = SendAttempt(None, None, "s-1", 0.5, 2, True, True, False, True)
-    asked = ClientRequest("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
-    words = b"".join(resp.attempt_command(asked, full, 0.2))
-    assert words.split(b"\r\n")[6:] == [
+    full_step = SendAttempt(None, None, "s-1", 0.5, 2, True, True, False, True)
+    request = ClientRequest("p", "9b", "ab", "0", "5c", "4b", b"", 9.0, 0, 0.0, False)
+    encoded = b"".join(resp.attempt_command(request, full_step, 0.2))
+    assert encoded.split(b"\r\n")[6:] == [
         b"lane=p,name=ab,piece=0,ttl=1,dedupe=5c,mine=4b,miss=s-1,prio=2,within=1,"
         b"f=collapse+only-if-cached+refresh+no-store-up",
         b"$0",
@@ -346,46 +356,48 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 
 
-@pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("chunk", [0, 1, 4, 1000])
-def test_events_are_the_same_in_any_split(step, chunk):
+@pytest.mark.parametrize("step_size", STEP_SIZES)
+@pytest.mark.parametrize("chunk_size", [0, 1, 4, 1000])
+def test_events_are_the_same_in_any_split(step_size, chunk_size):
     body, head = EVENTS, HEAD + b"\r\n"
-    if chunk:
+    if chunk_size:
         head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-        parts = [EVENTS[at : at + chunk] for at in range(0, len(EVENTS), chunk)]
-        body = b"".join(b"%x;q\r\n%s\r\n" % (len(part), part) for part in parts)
-    stream, found = sse.SseDecoder(), []
-    for at in range(0, len(head + body), step):
-        found += stream.feed((head + body)[at : at + step])
-    assert [(event.number, event.data) for event in found] == [(41, '{"a":\n1}'), (42, "x")]
+        chunks = [EVENTS[start : start + chunk_size] for start in range(0, len(EVENTS), chunk_size)]
+        body = b"".join(b"%x;q\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
+    decoder, events = sse.SseDecoder(), []
+    for start in range(0, len(head + body), step_size):
+        events += decoder.feed((head + body)[start : start + step_size])
+    assert [(event.number, event.data) for event in events] == [(41, '{"a":\n1}'), (42, "x")]
 
 
 @pytest.mark.parametrize(
-    ("last", "over"), [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)]
+    ("last_chunk", "is_finished"),
+    [(b"0\r\n", True), (b"0;x\r\n", True), (b"0", False), (b"5\r\n", 0)],
 )
-def test_last_chunk_ends_the_stream(last, over):
-    stream = sse.SseDecoder()
-    assert stream.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last) == []
-    assert stream.is_finished == over
-
-
-@pytest.mark.parametrize("step", [1, 2, 3, 1000])
-@pytest.mark.parametrize("end", [b"\n", b"\r\n", b"\r"])
-def test_lines_of_events_may_end_in_any_way(end, step):
-    # Guards against drains that are read as half a line, and one that waits for the byte behind it.
-    stream, found = sse.SseDecoder(), []
+def test_last_chunk_ends_the_stream(last_chunk, is_finished):
+    decoder = sse.SseDecoder()
+    assert decoder.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\n: a\r\n" + last_chunk) == []
+    assert decoder.is_finished == is_finished
+
+
+@pytest.mark.parametrize("step_size", [1, 2, 3, 1000])
+@pytest.mark.parametrize("line_end", [b"\n", b"\r\n", b"\r"])
+def test_lines_of_events_may_end_in_any_way(line_end, step_size):
+    # A line that ends with CR must be complete without the next byte, or its drain would be
+    # delayed.
+    decoder, events = sse.SseDecoder(), []
     data = (
         HEAD
         + b"\r\n"
-        + end.join([b"id:1", b"data: a", b"", b"data: b", b"id: 2", b"data: c", b"", b""])
+        + line_end.join([b"id:1", b"data: a", b"", b"data: b", b"id: 2", b"data: c", b"", b""])
     )
-    for place in range(0, len(data), step):
-        found += stream.feed(data[place : place + step])
-    assert [(event.number, event.data) for event in found] == [(1, "a"), (2, "b\nc")]
+    for start in range(0, len(data), step_size):
+        events += decoder.feed(data[start : start + step_size])
+    assert [(event.number, event.data) for event in events] == [(1, "a"), (2, "b\nc")]
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 404 Not Found\r\n\r\n",
         b"hello\r\n\r\n",
@@ -393,6 +405,6 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_response_that_is_not_the_stream_is_rejected(answer):
+def test_response_that_is_not_the_stream_is_rejected(response):
     with pytest.raises(sse.SseError):
-        sse.SseDecoder().feed(answer)
+        sse.SseDecoder().feed(response)
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -1,4 +1,4 @@
-"""The event stream: silence, gaps, new addresses."""
+"""The event stream: silence, gaps and new addresses."""
 
 import errno
 import socket
@@ -26,72 +26,78 @@
 
 
 def test_accept_loop_and_event_stream_go_on_after_lack_of_descriptors(monkeypatch):
-    bus_at, tries = (
+    event_stream_server, failures = (
         StandInEventStream([RESPONSE_HEAD, None], [RESPONSE_HEAD, stream_event(2, PURGE), None]),
         [],
     )
 
-    def short(*_, **__):
-        tries.append(1)
+    def fail(*_, **__):
+        failures.append(1)
         raise OSError(errno.EMFILE, "too many open files")
 
-    with RunningDirector(event_stream=bus_at) as running:
-        front, stream, caller = (
+    with RunningDirector(event_stream=event_stream_server) as running:
+        listener, stream, client = (
             running.director.listener,
             running.director.event_stream,
             running.connect_client(),
         )
-        listener, front.listener = front.listener, SimpleNamespace(accept=short)
-        with monkeypatch.context() as held:
-            held.setattr(
+        listening_socket, listener.listener = listener.listener, SimpleNamespace(accept=fail)
+        with monkeypatch.context() as context:
+            context.setattr(
                 event_stream,
                 "socket",
-                SimpleNamespace(create_connection=short, SHUT_RDWR=socket.SHUT_RDWR),
+                SimpleNamespace(create_connection=fail, SHUT_RDWR=socket.SHUT_RDWR),
             )
-            caller.send()  # it was accepted before, and is served all the while
-            assert caller.read_answer()[:2] == (1, 0)
+            client.send()  # connections that are already open are still served
+            assert client.read_answer()[:2] == (1, 0)
             stream.reconnect_to(stream.address)
-            assert wait_for(lambda: len(tries) >= 4)
-        front.listener = listener
-        other = running.connect_client()
-        other.send(entity="00000000000000cd")
-        assert other.read_answer()[:2] == (1, 0) and wait_for(lambda: stream.last_event_number == 2)
+            assert wait_for(lambda: len(failures) >= 4)
+        listener.listener = listening_socket
+        other_client = running.connect_client()
+        other_client.send(entity="00000000000000cd")
+        assert other_client.read_answer()[:2] == (1, 0) and wait_for(
+            lambda: stream.last_event_number == 2
+        )
+
 
+class TricklingEventStream(StandInEventStream):
+    """Stand-in whose first connection sends `first_bytes` and then single bytes.
 
-class Trickles(StandInEventStream):
-    """Its first connection says `said`, then one byte after the other; the others are well."""
+    Its other connections follow the scripts.
+    """
 
-    said = b""
+    first_bytes = b""
 
     def serve_connection(self, connection):
         if len(self.connections) > 1:
             return super().serve_connection(connection)
-        connection.sendall(self.said)
+        connection.sendall(self.first_bytes)
         while True:
             connection.sendall(b"x")
             time.sleep(0.02)
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"HTTP/1.1 200 OK\r\nx: ", RESPONSE_HEAD, RESPONSE_HEAD + b": well\n\ndata: "]
+    "first_bytes",
+    [b"", b"HTTP/1.1 200 OK\r\nx: ", RESPONSE_HEAD, RESPONSE_HEAD + b": well\n\ndata: "],
 )
-def test_stream_that_brings_bytes_and_no_line_is_left(said, monkeypatch):
-    # Guards against drains that are never heard of while a head or a line trickles in.
-    for name, seconds in (
+def test_stream_that_sends_bytes_but_no_line_is_closed(first_bytes, monkeypatch):
+    # Drains would never be received while a head or a line trickles in.
+    for name, timeout_s in (
         ("SILENCE_TIMEOUT_S", 0.2),
         ("HEAD_TIMEOUT_S", 0.3),
         ("LINE_TIMEOUT_S", 0.4),
     ):
-        monkeypatch.setattr(event_stream, name, seconds)
-    stand = Trickles([RESPONSE_HEAD, stream_event(2, PURGE), None])
-    stand.said = said
-    with RunningDirector(event_stream=stand) as running:
+        monkeypatch.setattr(event_stream, name, timeout_s)
+    stand_in = TricklingEventStream([RESPONSE_HEAD, stream_event(2, PURGE), None])
+    stand_in.first_bytes = first_bytes
+    with RunningDirector(event_stream=stand_in) as running:
         assert wait_for(lambda: running.director.event_stream.last_event_number == 2)
         assert running.director.coordinator.active_purge_count() == 1
 
 
-def test_drain_is_received_though_three_connections_in_a_row_are_silent(monkeypatch):
-    # What is told counts after 7 s: the waits are those of the program, a tenth as long.
+def test_drain_is_received_after_three_silent_connections(monkeypatch):
+    # Announced drains must be obeyed after 7 s. All times are scaled down to a tenth.
     for name in ("SILENCE_TIMEOUT_S", "HEAD_TIMEOUT_S", "LINE_TIMEOUT_S"):
         monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with RunningDirector(
@@ -105,100 +111,106 @@
                 None,
             ]
         )
-        begun = time.monotonic()
+        started_at = time.monotonic()
         assert wait_for(lambda: running.director.event_stream.last_event_number == 2)
-        assert time.monotonic() - begun < 0.7
+        assert time.monotonic() - started_at < 0.7
         for number in range(12):
             running.connect_client().send(entity=f"{number:016x}")
         assert wait_for(lambda: len(running.commands()) == 12)
         assert not running.endpoints[0].commands and not running.endpoints[1].commands
 
 
-@pytest.mark.parametrize(("number", "applied"), [(1, False), (2, True), (9, True)])
-def test_full_snapshot_counts_only_where_it_is_newer(number, applied):
-    # Guards against a list from before what is known, and loses no purge that a gap may hide.
+@pytest.mark.parametrize(("number", "is_applied"), [(1, False), (2, True), (9, True)])
+def test_full_snapshot_is_applied_only_if_it_is_newer(number, is_applied):
+    # An outdated snapshot must not replace newer updates, and a purge after the snapshot must not
+    # be lost.
     with RunningDirector(event_stream=StandInEventStream()) as running:
-        whole = stream_event(
+        snapshot = stream_event(
             number, endpoint_list_update(running, "SERVING", "s-03", "s-11", "s-21", full=True)
         )
-        assert wait_for(
-            lambda: running.event_stream.last_event_ids
-        )  # a connection that is opened now would take a script
+        # Later connections take the next scripts.
+        assert wait_for(lambda: running.event_stream.last_event_ids)
         running.event_stream.scripts += [
-            [RESPONSE_HEAD, whole],
-            [RESPONSE_HEAD, whole, stream_event(number + 1, PURGE), None],
+            [RESPONSE_HEAD, snapshot],
+            [RESPONSE_HEAD, snapshot, stream_event(number + 1, PURGE), None],
         ]
         running.director.event_stream.reconnect_to(running.director.event_stream.address)
         assert wait_for(lambda: running.director.event_stream.last_event_number == number + 1)
-        ready = {name for name, _, _ in running.director.coordinator.ready_caches()}
-        assert ready == ({"s-03"} if applied else {"s-01", "s-02", "s-03"})
+        ready_caches = {name for name, _, _ in running.director.coordinator.ready_caches()}
+        assert ready_caches == ({"s-03"} if is_applied else {"s-01", "s-02", "s-03"})
 
 
-@pytest.mark.parametrize("behind", ["drain", "whole list", "purge"])
-def test_restrictions_behind_a_gap_hold_before_the_gap_is_closed(behind):
-    # Guards against a grace that runs out while the events before it are asked for again.
-    asked, go = threading.Event(), threading.Event()
+@pytest.mark.parametrize("event_kind", ["drain", "full snapshot", "purge"])
+def test_restrictions_after_a_gap_are_applied_before_the_missing_events(event_kind):
+    # The grace period of a restriction must not expire while the missing events are requested.
+    missing_requested, send_missing = threading.Event(), threading.Event()
 
-    class Gap(StandInEventStream):
+    class PausedEventStream(StandInEventStream):
         def serve_connection(self, connection):
             if len(self.last_event_ids) == 2:
-                asked.set()
-                go.wait(10.0)
+                missing_requested.set()
+                send_missing.wait(10.0)
             super().serve_connection(connection)
 
-    with RunningDirector(event_stream=Gap()) as running:
+    with RunningDirector(event_stream=PausedEventStream()) as running:
         coordinator = running.director.coordinator
         assert wait_for(lambda: running.event_stream.last_event_ids)
-        full = behind == "whole list"
-        leaving = endpoint_list_update(running, "DRAINING", "s-01", full=full)
-        leaving["topology"]["servers"] += endpoint_list_update(running, "SERVING", "s-03")[
+        is_full_snapshot = event_kind == "full snapshot"
+        update = endpoint_list_update(running, "DRAINING", "s-01", full=is_full_snapshot)
+        update["topology"]["servers"] += endpoint_list_update(running, "SERVING", "s-03")[
             "topology"
         ]["servers"]
-        held = [stream_event(3, PURGE if behind == "purge" else leaving), stream_event(4, PURGE)]
+        events_after_gap = [
+            stream_event(3, PURGE if event_kind == "purge" else update),
+            stream_event(4, PURGE),
+        ]
         running.event_stream.scripts += [
-            [RESPONSE_HEAD, b"".join(held)],
-            [RESPONSE_HEAD, stream_event(2, PURGE), *held, None],
+            [RESPONSE_HEAD, b"".join(events_after_gap)],
+            [RESPONSE_HEAD, stream_event(2, PURGE), *events_after_gap, None],
         ]
         running.director.event_stream.reconnect_to(running.director.event_stream.address)
-        assert asked.wait(5.0)
+        assert missing_requested.wait(5.0)
         assert (
             running.director.event_stream.last_event_number == 1
             and coordinator.active_purge_count() == 1
         )
-        if behind != "purge":
+        if event_kind != "purge":
             assert "s-01" not in {name for name, _, _ in coordinator.ready_caches()}
-        go.set()
+        send_missing.set()
         assert wait_for(lambda: running.director.event_stream.last_event_number == 4)
 
 
 @pytest.mark.parametrize(
-    ("numbers", "last", "drained"),
+    ("numbers", "last_number", "is_drained"),
     [([1, 2], 2, True), ([2], 2, True), ([3], 1, True), ([1], 1, False), ([None], 1, False)],
 )
-def test_events_of_new_configuration_count_though_the_stream_is_silent(numbers, last, drained):
-    # Guards against drains that a director was told of by its file; an old or unnumbered list is
-    # not new, and one behind a gap is heeded, while the stream is asked for what is missing.
+def test_events_of_new_configuration_are_applied_while_the_stream_is_silent(
+    numbers, last_number, is_drained
+):
+    # Drains in a new configuration must be applied at once. Old or unnumbered events are skipped.
+    # Of an event after a gap only the restrictions are applied, and the stream is asked for the
+    # missing events.
     with RunningDirector(
         event_stream=StandInEventStream([RESPONSE_HEAD, None], [RESPONSE_HEAD, None])
     ) as running:
         stream, coordinator = running.director.event_stream, running.director.coordinator
-        told = [
+        known_events = [
             endpoint_list_update(running, "DRAINING", "s-01")
             | ({} if number is None else {"offset": number})
             for number in numbers
         ]
-        running.director.reload(replace(running.director.config, known_events=told))
+        running.director.reload(replace(running.director.config, known_events=known_events))
         assert wait_for(lambda: len(running.event_stream.last_event_ids) == 2)
-        assert running.event_stream.last_event_ids[1] == stream.last_event_number == last
-        assert ("s-01" not in {name for name, _, _ in coordinator.ready_caches()}) is drained
+        assert running.event_stream.last_event_ids[1] == stream.last_event_number == last_number
+        assert ("s-01" not in {name for name, _, _ in coordinator.ready_caches()}) is is_drained
 
 
-def test_drain_with_nothing_but_the_endpoints_name_counts():
+def test_drain_with_only_the_endpoint_name_is_applied():
     with RunningDirector(event_stream=StandInEventStream()) as running:
         coordinator = running.director.coordinator
         assert wait_for(lambda: running.event_stream.last_event_ids)
-        named = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
-        running.event_stream.scripts.append([RESPONSE_HEAD, stream_event(2, named), None])
+        update = {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
+        running.event_stream.scripts.append([RESPONSE_HEAD, stream_event(2, update), None])
         running.director.event_stream.reconnect_to(running.director.event_stream.address)
         assert wait_for(lambda: running.director.event_stream.last_event_number == 2)
         assert {name for name, _, _ in coordinator.ready_caches()} == {"s-02", "s-03"}
@@ -209,31 +221,32 @@
 
 
 def test_new_address_is_followed_while_the_old_one_is_being_connected_to(monkeypatch):
-    new = StandInEventStream([RESPONSE_HEAD, stream_event(3, PURGE), None])
-    host, port = new.address.split(":")
-    moved = (host, int(port))
-    up = hold_calls(monkeypatch, socket, "create_connection", lambda address, **_: address != moved)
+    new_stream = StandInEventStream([RESPONSE_HEAD, stream_event(3, PURGE), None])
+    host, port = new_stream.address.split(":")
+    new_address = (host, int(port))
+    allow_connecting = hold_calls(
+        monkeypatch, socket, "create_connection", lambda address, **_: address != new_address
+    )
     with RunningDirector() as running:
         drain = endpoint_list_update(running, "DRAINING", "s-01") | {"offset": 2}
         running.director.reload(
-            replace(running.director.config, event_stream_address=moved, known_events=[drain])
+            replace(running.director.config, event_stream_address=new_address, known_events=[drain])
         )
-        # Though the stream's thread waits: a grace may run from now on.
+        # The drain is applied while the stream's thread is blocked, as its grace period has begun.
         assert running.director.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
-        up.set()
+        allow_connecting.set()
         assert wait_for(lambda: running.director.event_stream.last_event_number == 3)
-    assert new.last_event_ids == [2]
-    new.close()
+    assert new_stream.last_event_ids == [2]
+    new_stream.close()
 
 
-def test_unreadable_configuration_ends_no_stream():
+def test_unreadable_configuration_does_not_end_the_stream():
     with RunningDirector(event_stream=StandInEventStream()) as running:
         stream = running.director.event_stream
         stream.read_configured_address = lambda: 1 / 0
         stream.reconnect_backoff.begin_lookup_if_due = lambda now: True
-        running.event_stream.scripts += [
-            [RESPONSE_HEAD, stream_event(2, PURGE), None]
-        ] * 9  # a connection that the move ends takes one
+        # More than one script, as the connection that `reconnect_to` closes may take one
+        running.event_stream.scripts += [[RESPONSE_HEAD, stream_event(2, PURGE), None]] * 9
         stream.reconnect_to(stream.address)
         assert wait_for(
             lambda: stream.last_event_number == 2 and "fault" in running.log.event_names
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -1,4 +1,4 @@
-"""The event stream at the start of a director, and which events are applied."""
+"""The event stream at the start of a director, and the selection of events to apply."""
 
 import socket
 import threading
@@ -25,53 +25,58 @@
 
 
 def test_director_catches_up_before_it_is_healthy(monkeypatch):
-    # Guards against first requests by a list that is out of date: a drain that was told while the
-    # program started has used up its grace. The stream's word is held back until the front listens
-    # and is asked.
+    # Without catching up, the first requests would use an outdated endpoint list: the grace period
+    # of a drain that was announced during the start may be over. The stream sends nothing until the
+    # listener has answered a health check.
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.5)
     drain = stream_event(
         2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
     )
-    stand, late = StandInEventStream([RESPONSE_HEAD, drain, None]), threading.Event()
-    talk = stand.serve_connection
+    event_stream_server, allow_events = (
+        StandInEventStream([RESPONSE_HEAD, drain, None]),
+        threading.Event(),
+    )
+    serve_connection = event_stream_server.serve_connection
 
-    def held(connection):
-        late.wait(10.0)
-        talk(connection)
+    def serve_late(connection):
+        allow_events.wait(10.0)
+        serve_connection(connection)
 
-    stand.serve_connection = held
-    running = RunningDirector(event_stream=stand)
-    begun, asked = ClientListener.start, []
+    event_stream_server.serve_connection = serve_late
+    running = RunningDirector(event_stream=event_stream_server)
+    start_listener, health_answers = ClientListener.start, []
 
-    def begin(front):
-        begun(front)
-        with socket.create_connection(front.listener.getsockname(), timeout=10.0) as client:
-            client.sendall(IS_WELL_CALL)
-            asked.append(b"\x02\x00\x00\x01" in client.recv(4096))  # `good`
-        late.set()
+    def start_and_check_health(listener):
+        start_listener(listener)
+        with socket.create_connection(listener.listener.getsockname(), timeout=10.0) as connection:
+            connection.sendall(IS_WELL_CALL)
+            health_answers.append(b"\x02\x00\x00\x01" in connection.recv(4096))  # the field `good`
+        allow_events.set()
 
-    monkeypatch.setattr(ClientListener, "start", begin)
+    monkeypatch.setattr(ClientListener, "start", start_and_check_health)
     with running:
-        assert asked == [False]
+        assert health_answers == [False]
         assert running.director.request_handler.is_healthy
         assert running.director.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
 
 
-@pytest.mark.parametrize("script", ["refused", "closed", "silent"])
-def test_director_becomes_healthy_though_the_stream_is_silent(script, monkeypatch):
+@pytest.mark.parametrize("failure", ["refused", "closed", "silent"])
+def test_director_becomes_healthy_without_the_stream(failure, monkeypatch):
     monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 0.2)
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 60.0)
-    stand = StandInEventStream(*{"silent": [[None]] * 9, "closed": [[]] * 9}.get(script, []))
-    if script == "refused":
-        stand.close()
-    with RunningDirector(event_stream=stand) as running:
+    event_stream_server = StandInEventStream(
+        *{"silent": [[None]] * 9, "closed": [[]] * 9}.get(failure, [])
+    )
+    if failure == "refused":
+        event_stream_server.close()
+    with RunningDirector(event_stream=event_stream_server) as running:
         assert running.director.request_handler.is_healthy
 
 
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-GONE = {
+ENDPOINT_GONE = {
     "topology": {
         "version": 2,
         "full": False,
@@ -89,10 +94,12 @@
 }
 
 
-ALL = {"topology": {"version": 4, "full": True, "servers": GONE["topology"]["servers"]}}
+SNAPSHOT = {
+    "topology": {"version": 4, "full": True, "servers": ENDPOINT_GONE["topology"]["servers"]}
+}
 
 
-NAMED = {
+NAMES_ONLY = {
     "topology": {
         "version": 2,
         "servers": [
@@ -106,23 +113,20 @@
 
 
 @pytest.mark.parametrize(
-    ("scripts", "asked", "applied", "logged"),
+    ("scripts", "last_event_ids", "applied_count", "logged_count"),
     [
         (
             [
                 [RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, PURGE)],
-                [RESPONSE_HEAD, stream_event(3, PURGE), stream_event(4, GONE), None],
+                [RESPONSE_HEAD, stream_event(3, PURGE), stream_event(4, ENDPOINT_GONE), None],
             ],
             [1, 3],
             3,
             0,
         ),
-        (
-            [[RESPONSE_HEAD, stream_event(2, PURGE), None]],
-            [1],
-            1,
-            0,
-        ),  # silent: read again, from the last
+        # The stream is silent after an event and is reconnected.
+        ([[RESPONSE_HEAD, stream_event(2, PURGE), None]], [1], 1, 0),
+        # A purge after a gap is applied at once, and again after the missing events.
         (
             [
                 [RESPONSE_HEAD, stream_event(2, PURGE), stream_event(4, PURGE)],
@@ -131,7 +135,8 @@
             [1, 2],
             3 + 1,
             0,
-        ),  # one behind a gap is heeded at once, and once more in its turn
+        ),
+        # The missing events are never sent.
         (
             [
                 [RESPONSE_HEAD, stream_event(4, PURGE)],
@@ -140,7 +145,7 @@
             [1, 1],
             2 + 1,
             0,
-        ),  # never there
+        ),
         (
             [[b"HTTP/1.1 500 No\r\n\r\n"], [RESPONSE_HEAD, stream_event(2, PURGE), None]],
             [1, 1],
@@ -179,7 +184,7 @@
             [
                 [
                     RESPONSE_HEAD,
-                    stream_event(1, GONE),
+                    stream_event(1, ENDPOINT_GONE),
                     stream_event(2, PURGE)[:9],
                     stream_event(2, PURGE)[9:],
                     None,
@@ -189,6 +194,7 @@
             1,
             0,
         ),
+        # An incomplete event, then the complete one
         (
             [
                 [RESPONSE_HEAD, stream_event(2, PURGE)[:-1]],
@@ -197,32 +203,30 @@
             [1, 1],
             1,
             0,
-        ),  # half of it, then whole
+        ),
+        # Purges in a gap before a full snapshot
         (
             [
-                [RESPONSE_HEAD, stream_event(4, ALL)],
+                [RESPONSE_HEAD, stream_event(4, SNAPSHOT)],
                 [
                     RESPONSE_HEAD,
                     stream_event(2, PURGE),
                     stream_event(3, PURGE),
-                    stream_event(4, ALL),
+                    stream_event(4, SNAPSHOT),
                     None,
                 ],
             ],
             [1, 1],
             3 + 1,
             0,
-        ),  # purges within a gap that a whole list would fill
-        (
-            [[RESPONSE_HEAD, stream_event(2, NAMED), None]],
-            [1],
-            1,
-            0,
-        ),  # of who leaves the name is enough
+        ),
+        # The name of an endpoint that is draining or gone is sufficient.
+        ([[RESPONSE_HEAD, stream_event(2, NAMES_ONLY), None]], [1], 1, 0),
+        # The last chunk ends the stream, although the connection stays open.
         (
             [
                 [
-                    CHUNKED,
+                    CHUNKED_HEAD,
                     b"%x\r\n%s\r\n0\r\n\r\n"
                     % (len(stream_event(2, PURGE)), stream_event(2, PURGE)),
                     None,
@@ -232,38 +236,52 @@
             [1, 2],
             2,
             0,
-        ),  # the last chunk ends it, though nobody closes
+        ),
     ],
 )
-def test_events_are_applied_once_and_none_is_skipped(scripts, asked, applied, logged, monkeypatch):
+def test_events_are_applied_once_and_none_is_skipped(
+    scripts, last_event_ids, applied_count, logged_count, monkeypatch
+):
     monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 0.3)
-    stand, seen, handle = StandInEventStream(*scripts), [], RouterDriver.handle
+    event_stream_server, router_events, handle = (
+        StandInEventStream(*scripts),
+        [],
+        RouterDriver.handle,
+    )
     monkeypatch.setattr(
         RouterDriver,
         "handle",
-        lambda driver, event: (seen.append(type(event)), handle(driver, event)),
+        lambda driver, event: (router_events.append(type(event)), handle(driver, event)),
     )
-    with RunningDirector(event_stream=stand) as running:
+    with RunningDirector(event_stream=event_stream_server) as running:
         assert wait_for(
-            lambda: len(stand.last_event_ids) > len(asked)
-        )  # asked again after the script's silence
-        assert stand.last_event_ids[: len(asked)] == asked
-        assert stand.last_event_ids[len(asked)] == running.director.event_stream.last_event_number
-        seen_events = sum(kind in (EndpointsUpdated, PurgeReceived) for kind in seen)
-        assert seen_events == 1 + applied and running.log.event_names.count("bad event") == logged
+            lambda: len(event_stream_server.last_event_ids) > len(last_event_ids)
+        )  # the director reconnects when the script becomes silent
+        assert event_stream_server.last_event_ids[: len(last_event_ids)] == last_event_ids
+        assert (
+            event_stream_server.last_event_ids[len(last_event_ids)]
+            == running.director.event_stream.last_event_number
+        )
+        handled_count = sum(
+            event_type in (EndpointsUpdated, PurgeReceived) for event_type in router_events
+        )
+        assert (
+            handled_count == 1 + applied_count
+            and running.log.event_names.count("bad event") == logged_count
+        )
 
 
-def test_purge_bounds_the_age_of_copies():
-    ban = {"ban": {"tag": 17, "ts": time.time() * 1000 - 500}}
+def test_purge_limits_the_age_of_copies():
+    purge = {"ban": {"tag": 17, "ts": time.time() * 1000 - 500}}
     with RunningDirector(
-        event_stream=StandInEventStream([RESPONSE_HEAD, stream_event(2, ban), None])
+        event_stream=StandInEventStream([RESPONSE_HEAD, stream_event(2, purge), None])
     ) as running:
         assert wait_for(lambda: running.director.event_stream.last_event_number == 2)
-        caller = running.connect_client()
-        caller.send()
-        caller.send(batch="18", entity="00000000000000cd")
-        assert {caller.read_answer()[1], caller.read_answer()[1]} == {0}
-        within = {
+        client = running.connect_client()
+        client.send()
+        client.send(batch="18", entity="00000000000000cd")
+        assert {client.read_answer()[1], client.read_answer()[1]} == {0}
+        max_ages = {
             fields["name"][-2:]: fields.get("within") for _, _, fields, _ in running.commands()
         }
-        assert within["cd"] is None and 400 < int(within["ab"]) < 5000
+        assert max_ages["cd"] is None and 400 < int(max_ages["ab"]) < 5000
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -1,4 +1,4 @@
-"""Writing to a peer that reads late, little or nothing."""
+"""Writes to a peer that reads late, slowly or not at all."""
 
 import socket
 import threading
@@ -15,65 +15,67 @@
 pytestmark = pytest.mark.usefixtures("short_drains")
 
 
-def test_queue_asks_before_first_byte_of_message_that_waited():
-    # Guards against an attempt that leaves minutes late, when its node reads on, and one cut in the
-    # middle.
-    ours, theirs = socket.socketpair()
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    queue, stale, dropped = WriteQueue(threading.Lock()), set(), []
+def test_queue_drops_stale_messages_before_their_first_byte():
+    # A stale attempt must not be sent when its endpoint reads again, and a message that was partly
+    # written must be completed.
+    local, remote = socket.socketpair()
+    local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    queue, stale_owners, withdrawn = WriteQueue(threading.Lock()), set(), []
     queue.find_stale, queue.on_withdrawn = (
-        lambda owner: owner if owner in stale else None,
-        dropped.append,
+        lambda owner: owner if owner in stale_owners else None,
+        withdrawn.append,
     )
-    assert queue.attach(ours)
+    assert queue.attach(local)
     with queue.lock:
         queue.write("a", [b"a" * 500_000])
         queue.write("b", [b"b" * 10, b"b" * 10])
         queue.write("c", [b"c" * 10, b"c" * 10])
-        stale.update("ab")  # the first has begun, so it goes on
-    got = b""
-    while len(got) < 500_020:
-        got += theirs.recv(65_536)
-    assert got == b"a" * 500_000 + b"c" * 20 and dropped == ["b"]
+        stale_owners.update("ab")  # "a" is partly written, so it is completed
+    received = b""
+    while len(received) < 500_020:
+        received += remote.recv(65_536)
+    assert received == b"a" * 500_000 + b"c" * 20 and withdrawn == ["b"]
     assert wait_for(lambda: not queue.is_writing) and queue.pending_bytes == 0 and not queue.pending
-    ours.close()
-    theirs.close()
+    local.close()
+    remote.close()
 
 
-@pytest.mark.parametrize("takes", [True, False])
-def test_queue_ends_peer_that_reads_nothing_but_not_one_that_reads_little(takes, monkeypatch):
+@pytest.mark.parametrize("is_reading", [True, False])
+def test_queue_disconnects_peer_that_reads_nothing_but_not_one_that_reads_slowly(
+    is_reading, monkeypatch
+):
     monkeypatch.setattr(queue_module, "POLL_INTERVAL_MS", 20)
-    ours, theirs = socket.socketpair()
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    local, remote = socket.socketpair()
+    local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     queue = WriteQueue(threading.Lock(), write_timeout_s=0.3)
-    assert queue.attach(ours)
+    assert queue.attach(local)
     with queue.lock:
         queue.write(1, [bytes(2_000_000)])
-    ends = time.monotonic() + 0.9
-    while time.monotonic() < ends:
-        if takes:
-            theirs.recv(4096)
+    ends_at = time.monotonic() + 0.9
+    while time.monotonic() < ends_at:
+        if is_reading:
+            remote.recv(4096)
         time.sleep(0.02)
-    assert queue.is_shut_down != takes
-    theirs.close()
-    ours.close()
+    assert queue.is_shut_down != is_reading
+    remote.close()
+    local.close()
 
 
-def test_message_can_be_withdrawn_while_nothing_of_it_is_written():
-    ours, theirs = socket.socketpair()
+def test_message_can_be_withdrawn_while_it_is_unwritten():
+    local, remote = socket.socketpair()
     queue = WriteQueue(threading.Lock())
     with queue.lock:
         queue.write("a", [b"first", b"second"])
         queue.write("b", [b"third"])
         assert queue.withdraw("a") and not queue.withdraw("a") and queue.is_unwritten("b")
-    assert queue.attach(ours) and theirs.recv(100) == b"third" and queue.pending_bytes == 0
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    assert queue.attach(local) and remote.recv(100) == b"third" and queue.pending_bytes == 0
+    local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     with queue.lock:
         queue.write("c", [b"x" * 1_000_000])
         queue.write("d", [b"last"])
         assert queue.withdraw("d") and not queue.withdraw("c")
-    left = 1_000_000
-    while left:
-        left -= len(theirs.recv(65_536))
-    theirs.close()
-    ours.close()
+    remaining = 1_000_000
+    while remaining:
+        remaining -= len(remote.recv(65_536))
+    remote.close()
+    local.close()
