--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,11 @@
-"""The same verdict every time: hypothesis draws the same cases at each run. Plays of whole fleets
-take most of a minute and little of a machine, studies of the model a core each: those that the
-collected tests want are begun with the first test, and run beside the others.
+"""Shared fixtures, hypothesis settings and background jobs.
+
+Hypothesis generates the same cases in each run, so that test results are reproducible.
+
+Some tests evaluate a long-running job. The jobs of all collected tests are started before the first
+test and run in the background. Lab runs with complete fleets take most of a minute but little CPU
+time, so they run in threads. Simulations and searches use one CPU core each, so they run in
+processes.
 """
 
 import multiprocessing
@@ -18,36 +23,34 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
-AT_A_TIME = 3  # fleets: more would be late
-STUDIED_AT_A_TIME = 3  # processes
+MAX_THREAD_JOBS = 3  # at a time; more fleets at once would be late
+MAX_PROCESS_JOBS = 3  # at a time
 
 
 @pytest.fixture(autouse=True)
 def skip_catch_up(monkeypatch):
-    """Stand-ins of the event stream send everything with the head of the response.
+    """Let directors start without waiting for missed events of the event stream.
 
-    So directors need not wait for what follows it.
+    The stand-in sends all events together with the head of the response.
     """
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.0)
 
 
 @pytest.fixture
 def short_drains(monkeypatch):
-    """Drains end at once where nothing is open."""
+    """Let drains end at once if no request is open."""
     monkeypatch.setattr(director, "NEW_CALLS_S", 0.0)
 
 
 @pytest.fixture
 def allow_client_reads(monkeypatch):
-    """Connections of clients are read only once it is set."""
-    yield (begin := hold_calls(monkeypatch, ClientListener, "_serve_connection"))
-    begin.set()
+    """Return an event; client connections are not read until it is set."""
+    yield (resume := hold_calls(monkeypatch, ClientListener, "_serve_connection"))
+    resume.set()
 
 
 def pytest_collection_modifyitems(items):
-    """Those that wait for a study or a play come last, when most have been played beside the
-    others.
-    """
+    """Move tests that wait for a background job to the end, when most jobs are finished."""
     items.sort(
         key=lambda item: (
             not {"process_job_result", "thread_job_result"}.isdisjoint(
@@ -57,34 +60,38 @@
     )
 
 
-def wanted_by(session, name):
+def collect_jobs(session, name):
+    """Return the union of the job tables with this name in all collected test modules."""
     modules = {item.module for item in session.items}
-    wanted = {}
+    jobs = {}
     for module in sorted(modules, key=lambda module: module.__name__):
-        wanted |= getattr(module, name, {})
-    return wanted
+        jobs |= getattr(module, name, {})
+    return jobs
 
 
 @pytest.fixture(scope="session", autouse=True)
 def process_job_result(request):
-    """What the study of that name came to. A module names its studies in STUDIES: a function with
-    its arguments, which is called in another process.
+    """Return a function that waits for the process job of a name and returns its result.
+
+    A test module lists its jobs in PROCESS_JOBS: each name has a function and its arguments. The
+    function is called in another process.
     """
-    wanted = wanted_by(request.session, "PROCESS_JOBS")
-    with ProcessPoolExecutor(STUDIED_AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
-        begun = {name: pool.submit(*study) for name, study in wanted.items()}
-        yield lambda name: begun[name].result()
+    jobs = collect_jobs(request.session, "PROCESS_JOBS")
+    with ProcessPoolExecutor(MAX_PROCESS_JOBS, multiprocessing.get_context("spawn")) as pool:
+        futures = {name: pool.submit(*job) for name, job in jobs.items()}
+        yield lambda name: futures[name].result()
 
 
 @pytest.fixture(scope="session", autouse=True)
 def thread_job_result(request, tmp_path_factory):
-    """What the play of that name came to. A module names its plays in PLAYS: functions
-    of a folder.
+    """Return a function that waits for the thread job of a name and returns its result.
+
+    A test module lists its jobs in THREAD_JOBS: each name has a function, which is called in a
+    thread with the path of a temporary folder.
     """
-    wanted = wanted_by(request.session, "THREAD_JOBS")
-    with ThreadPoolExecutor(AT_A_TIME) as pool:
-        played = {
-            name: pool.submit(play, str(tmp_path_factory.mktemp(name)))
-            for name, play in wanted.items()
+    jobs = collect_jobs(request.session, "THREAD_JOBS")
+    with ThreadPoolExecutor(MAX_THREAD_JOBS) as pool:
+        futures = {
+            name: pool.submit(job, str(tmp_path_factory.mktemp(name))) for name, job in jobs.items()
         }
-        yield lambda name: played[name].result()
+        yield lambda name: futures[name].result()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,8 @@
-"""Stand-ins for tests: recorders and small fleets without sockets, and servers on loopback.
+"""Test helpers: recorders, fixtures without sockets, and stand-ins on loopback.
 
-Without sockets: an action sink that records, a router with a small fleet, a coordinator with a
-clock of its own. On loopback: an endpoint, an event stream, a client, a director, the program.
+Without sockets: recorders of actions and log events, a router with a few endpoints, and a
+coordinator with a manual clock. On loopback: stand-ins for endpoints, the event stream and clients,
+a director, and the program as a process.
 """
 
 import contextlib
@@ -49,7 +50,7 @@
 
 
 class ActionRecorder:
-    """Keeps every action as (name, arguments)."""
+    """Recorder of router actions as (name, arguments)."""
 
     def __init__(self):
         self.entries = []
@@ -58,13 +59,17 @@
         return lambda *arguments: self.entries.append((name, arguments))
 
     def take(self, name):
-        found = [arguments for action, arguments in self.entries if action == name]
+        """Remove all actions of this name and return their arguments."""
+        taken = [arguments for action, arguments in self.entries if action == name]
         self.entries = [entry for entry in self.entries if entry[0] != name]
-        return found
+        return taken
 
 
 class RouterFixture:
-    """A router in front of three caches, two parents and an origin; each call moves the clock."""
+    """Router with three caches, two parents and an origin, and a manual clock in ms.
+
+    The parameter `after` of a method is the time that passes before the event.
+    """
 
     def __init__(
         self,
@@ -167,17 +172,18 @@
 
 
 def start_settings(**changes):
-    """Start settings as an instance or a director is given them; a change replaces keys of one
-    part.
+    """Return the start settings of a director as parsed JSON.
+
+    Each keyword names an object in the settings and replaces some of its keys.
     """
-    case = {
+    request_class = {
         "idempotency": "safe",
         "slo": 500.0,
         "deadline": 6000.0,
         "memorySpan": 5000.0,
         "group": "all",
     }
-    whole = {
+    settings = {
         "allowed": {
             "cancel": True,
             "connIdle": 30000.0,
@@ -196,9 +202,9 @@
         "registryMode": "automatic",
         "weights": "nominal",
         "classes": [
-            case | {"name": "pages"},
-            case | {"name": "order", "idempotency": "keyed"},
-            case | {"name": "pay", "idempotency": "unsafe"},
+            request_class | {"name": "pages"},
+            request_class | {"name": "order", "idempotency": "keyed"},
+            request_class | {"name": "pay", "idempotency": "unsafe"},
         ],
         "domain": {
             "collapses": True,
@@ -217,11 +223,12 @@
         "report": {"how": "none", "columns": []},
         "rules": {"coldFrom": 0.2, "cold": 17000.0, "overloadFor": 1500.0},
     }
-    for part, keys in changes.items():
-        whole[part] = whole[part] | keys
-    return whole
+    for section, keys in changes.items():
+        settings[section] = settings[section] | keys
+    return settings
 
 
+# Name, zone and kind of each endpoint
 ENDPOINTS = [
     ("s-01", "edge", "box"),
     ("s-02", "edge", "box"),
@@ -235,6 +242,14 @@
 def platform_configuration(
     addresses=(), event_stream_address="127.0.0.1:1", listen="127.0.0.1:0", **changes
 ):
+    """Return a director's configuration as parsed JSON.
+
+    Args:
+        addresses: Addresses of the endpoints in the order of ENDPOINTS; empty for unused addresses.
+        event_stream_address: Address of the event stream.
+        listen: Address for clients.
+        changes: Changes of the start settings, as in `start_settings`.
+    """
     rows = [
         {
             "id": name,
@@ -244,9 +259,9 @@
             "state": "SERVING",
             "weight": 4,
             "started_ms": 0,
-            "addr": addresses[place] if addresses else f"127.0.0.1:{place + 1}",
+            "addr": addresses[index] if addresses else f"127.0.0.1:{index + 1}",
         }
-        for place, (name, zone, kind) in enumerate(ENDPOINTS)
+        for index, (name, zone, kind) in enumerate(ENDPOINTS)
     ]
     event = {"offset": 1, "topology": {"version": 1, "full": True, "servers": rows}}
     return {
@@ -261,23 +276,21 @@
 
 
 class LogRecorder:
-    """Keeps the names of what is logged, and the figures."""
+    """Log that records the names and the fields of all events."""
 
     def __init__(self):
         self.event_names, self.fields = [], []
 
-    def event(self, what, **fields):
-        self.event_names.append(what)
+    def event(self, event_name, **fields):
+        self.event_names.append(event_name)
         self.fields.append(fields)
 
-    def exception(self, where, broken):
-        self.event("fault", where=where, kind=type(broken).__name__)
+    def exception(self, where, error):
+        self.event("fault", where=where, kind=type(error).__name__)
 
 
 class CoordinatorFixture:
-    """A coordinator in front of three caches, two parents and an origin; its clock stands until
-    it is moved.
-    """
+    """Coordinator with three caches, two parents and an origin, and a manual clock in ms."""
 
     def __init__(self, **changes):
         self.now = 100_000.0
@@ -287,7 +300,7 @@
         self.endpoint_updates = [
             EndpointUpdate(
                 name,
-                ("127.0.0.1", place + 1),
+                ("127.0.0.1", index + 1),
                 EndpointState.READY,
                 4.0,
                 ["box", "parent", "origin"].index(kind),
@@ -295,7 +308,7 @@
                 0,
                 0.0,
             )
-            for place, (name, zone, kind) in enumerate(ENDPOINTS)
+            for index, (name, zone, kind) in enumerate(ENDPOINTS)
         ]
         self.coordinator.update_endpoints(self.endpoint_updates, True)
 
@@ -310,37 +323,40 @@
         )
 
     def copy_with_first_attempt(self, request):
-        """The same request with its first attempt out, for another host of the module."""
+        """Return a copy of a request with its first attempt, for another coordinator or adapter."""
         first = request.attempts[0]
-        twin = Request(1, request.request_class, request.object_id, 0, 1, 100.0, 0.0, 6000.0)
-        twin.attempts.append(Attempt(twin, 0, first.endpoint, first.fill_source, 0.0, 6000.0))
-        return twin
+        copy = Request(1, request.request_class, request.object_id, 0, 1, 100.0, 0.0, 6000.0)
+        copy.attempts.append(Attempt(copy, 0, first.endpoint, first.fill_source, 0.0, 6000.0))
+        return copy
 
     def run_to_result(self, request):
+        """Take the steps of a request until its result, and return the result."""
         while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
-    def advance_time(self, span):
-        """Runs the timers of a span, each at its time."""
-        end = self.now + span
+    def advance_time(self, duration):
+        """Advance the clock and run each timer at its time."""
+        end = self.now + duration
         while (due := self.coordinator.run_due_timers()[0]) <= end:
             self.now = max(self.now, due)
         self.now = end
 
 
 def call_frame(method, number, arguments, kind=thrift.CALL):
+    """Encode a call with its frame length."""
     name = method.encode()
-    held = (
+    message = (
         struct.pack(">Ii", thrift.VERSION | kind, len(name))
         + name
         + struct.pack(">i", number)
         + arguments
     )
-    return struct.pack(">i", len(held)) + held
+    return struct.pack(">i", len(message)) + message
 
 
 def serve_frame(number, fields, body=b""):
+    """Encode a request with its frame length."""
     pairs = b"".join(
         struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
     )
@@ -358,44 +374,51 @@
 
 
 def cancel_frame(number):
-    """A cancellation of the call with that sequence number."""
+    """Encode a cancellation of the call with this sequence number."""
     return call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
 
 
 IS_WELL_CALL = call_frame("isWell", 1, b"\x02\x00\x01\x00\x00")
 
 
-def stream_event(number, held):
-    return f"id: {number}\ndata: {json.dumps({'offset': number} | held)}\n\n".encode()
+def stream_event(number, data):
+    """Encode a server-sent event."""
+    return f"id: {number}\ndata: {json.dumps({'offset': number} | data)}\n\n".encode()
 
 
 def endpoint_list_update(running, state, *names, full=False):
-    """An event on these of its `nodes`, as the list told them first."""
-    (first,) = platform_configuration([node.address for node in running.endpoints])["known"][
-        "batch"
+    """Return the data of an event that sets the state of the endpoints with these names.
+
+    `running` is a RunningDirector or another object with `endpoints`.
+    """
+    (known_event,) = platform_configuration([endpoint.address for endpoint in running.endpoints])[
+        "known"
+    ]["batch"]
+    rows = [
+        row | {"state": state} for row in known_event["topology"]["servers"] if row["id"] in names
     ]
-    told = [row | {"state": state} for row in first["topology"]["servers"] if row["id"] in names]
-    return {"topology": {"version": 2, "full": full, "servers": told}}
+    return {"topology": {"version": 2, "full": full, "servers": rows}}
 
 
-def commands_by_endpoint(endpoints, word="PULL"):
-    """What each was told, by its name."""
+def commands_by_endpoint(endpoints, command="PULL"):
+    """Return the recorded commands of this kind by the name of their endpoint."""
     return {
-        name: [entry for entry in node.commands if entry[0] == word]
-        for (name, _, _), node in zip(ENDPOINTS, endpoints, strict=True)
+        name: [entry for entry in endpoint.commands if entry[0] == command]
+        for (name, _, _), endpoint in zip(ENDPOINTS, endpoints, strict=True)
     }
 
 
 def free_port():
-    """A port of loopback that was free a moment ago."""
+    """Return a loopback port that is free at this moment."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return server.getsockname()[1]
 
 
 class StandInServer:
-    """A server on a port of loopback (0: a free one) with a thread for each connection.
+    """Server on a loopback port (0 for a free one) with a thread for each connection.
 
-    A subclass says in `talk` what it does on one; it ends with an OSError when that is closed.
+    A subclass implements `serve_connection`, which ends with an OSError when the connection is
+    closed.
     """
 
     def __init__(self, port=0):
@@ -411,28 +434,36 @@
             except OSError:
                 return
             self.connections.append(connection)
-            threading.Thread(target=self._guarded, args=(connection,), daemon=True).start()
+            threading.Thread(target=self._run, args=(connection,), daemon=True).start()
 
-    def _guarded(self, connection):
+    def _run(self, connection):
         with contextlib.suppress(OSError):
             self.serve_connection(connection)
 
     def close(self):
-        for each in (self.socket, *self.connections):
+        for connection in (self.socket, *self.connections):
             with contextlib.suppress(OSError):
-                each.shutdown(socket.SHUT_RDWR)
-            each.close()
+                connection.shutdown(socket.SHUT_RDWR)
+            connection.close()
 
 
 def answer_nothing(fields):
-    """A plan for a StandNode: answers neither attempts nor pings."""
+    """Plan of a StandInEndpoint that answers neither attempts nor pings."""
 
 
 class StandInEndpoint(StandInServer):
-    """An endpoint: answers each attempt by its `plan`, and records all commands in `heard`.
+    """Endpoint that answers each attempt by its `plan` and records all commands in `commands`.
+
+    A plan is one of these:
+
+    - the items of an answer after the request id
+    - "reset": the connection is reset
+    - "nonsense": invalid bytes are sent
+    - "cut": an incomplete answer is sent
+    - None: no answer is sent
+    - a function of the attempt's fields that returns one of the values above
 
-    A plan is the words of an answer, or "reset", "nonsense" or "cut" (an answer without its end),
-    or None (no answer); or a function of the attempt's fields that returns one of these.
+    Recorded commands are tuples of command name, request id or tag, fields, and body.
     """
 
     def __init__(self, plan):
@@ -443,19 +474,20 @@
         decoder = resp.ArrayDecoder()
         while (length := connection.recv_into(decoder.writable_view())) > 0:
             for items in decoder.decode(length):
-                word, about, *rest = [bytes(item) for item in items]
+                command, request_id, *rest = [bytes(item) for item in items]
                 fields = (
                     dict(pair.split("=", 1) for pair in rest[0].decode().split(",")) if rest else {}
                 )
                 self.commands.append(
-                    (word.decode(), about.decode(), fields, rest[1] if rest else b"")
+                    (command.decode(), request_id.decode(), fields, rest[1] if rest else b"")
                 )
-                if word == b"PULL":
-                    self.answer(connection, about, fields)
-                elif word == b"ECHO" and self.plan is not answer_nothing:
-                    connection.sendall(resp.command(about, b"FIT", b"-"))
+                if command == b"PULL":
+                    self.answer(connection, request_id, fields)
+                elif command == b"ECHO" and self.plan is not answer_nothing:
+                    connection.sendall(resp.command(request_id, b"FIT", b"-"))
 
-    def answer(self, connection, about, fields):
+    def answer(self, connection, request_id, fields):
+        """Answer an attempt by the plan."""
         plan = self.plan(fields) if callable(self.plan) else self.plan
         if plan == "reset":
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -463,18 +495,18 @@
         elif plan == "nonsense":
             connection.sendall(b"+what\r\n")
         elif plan == "cut":
-            connection.sendall(resp.command(about, b"DONE", b"-", bytes(900))[:-400])
-            while connection.recv(4096):  # stays open and says no more
+            connection.sendall(resp.command(request_id, b"DONE", b"-", bytes(900))[:-400])
+            while connection.recv(4096):  # stays open and sends nothing more
                 pass
         elif plan is not None:
-            connection.sendall(resp.command(about, *plan))
+            connection.sendall(resp.command(request_id, *plan))
 
 
 class StandInEventStream(StandInServer):
-    """An event stream: each connection gets the next of the scripts.
+    """Event stream whose connections each play the next of the scripts.
 
-    A script is a list of pieces of bytes; None in it waits until the client leaves. `asked` has the
-    event number that each connection asked to go on from.
+    A script is a list of byte strings to send. None in a script waits until the client closes the
+    connection. `last_event_ids` lists the event number in the request of each connection.
     """
 
     def __init__(self, *scripts, port=0):
@@ -489,14 +521,14 @@
         script = self.scripts.pop(0) if self.scripts else [RESPONSE_HEAD, None]
         for piece in script:
             if piece is None:
-                connection.recv(1)  # silent until the other side leaves
+                connection.recv(1)  # silent until the client closes the connection
             else:
                 connection.sendall(piece)
         connection.close()
 
 
 class StandInClient:
-    """A client on one connection; its calls have the sequence numbers 1, 2, ..."""
+    """Client with one connection. Its calls have the sequence numbers 1, 2, and so on."""
 
     request_ids = itertools.count(1)
 
@@ -509,6 +541,10 @@
         )
 
     def send(self, request_class="pages", entity="00000000000000ab", body=b"", **changes):
+        """Send a request and return its sequence number.
+
+        The changes replace fields of the request; None omits a field.
+        """
         self.call_count += 1
         fields = {
             "route": request_class,
@@ -526,22 +562,26 @@
         return self.call_count
 
     def read_frame(self):
+        """Return the next frame; raise EOFError if the director has closed the connection."""
         while not self.ready_frames:
-            room = memoryview(bytearray(65536))
-            length = self.socket.recv_into(room)
+            received = memoryview(bytearray(65536))
+            length = self.socket.recv_into(received)
             if not length:
                 raise EOFError
             while length:
-                spot = self.decoder.writable_view()
-                part = min(len(spot), length)
-                spot[:part] = room[:part]
+                view = self.decoder.writable_view()
+                part = min(len(view), length)
+                view[:part] = received[:part]
                 self.ready_frames += self.decoder.decode(part)
-                room, length = room[part:], length - part
+                received, length = received[part:], length - part
         return self.ready_frames.pop(0)
 
     def read_answer(self):
-        """(number, what, fields, body); `what` is 0 for served, 1 rejected, 2 failed, or the text
-        of an application exception."""
+        """Return the next answer as (sequence number, result, fields, body).
+
+        The result is 0 for served, 1 for rejected, 2 for failed, or the text of an application
+        exception.
+        """
         reader = thrift.ValueReader(self.read_frame())
         kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
         reader.read_binary()
@@ -550,38 +590,42 @@
             reader.read_bytes(3)
             return number, reader.read_text(), {}, b""
         reader.read_byte()
-        what, fields, body = reader.read_i16(), {}, b""
-        while (held := reader.read_byte()) != 0:
+        result, fields, body = reader.read_i16(), {}, b""
+        while (value_type := reader.read_byte()) != 0:
             reader.read_i16()
-            if held == thrift.STRING:
+            if value_type == thrift.STRING:
                 body = bytes(reader.read_binary())
-            elif held == thrift.MAP:
+            elif value_type == thrift.MAP:
                 fields = reader.read_string_map()
             else:
-                reader.skip_value(held)
-        return number, what, fields, body
+                reader.skip_value(value_type)
+        return number, result, fields, body
 
     def close(self):
         self.socket.close()
 
 
 class RunningDirector:
-    """A director on loopback with an endpoint for each of SPOTS; drained at the block's end."""
+    """Director on loopback with a StandInEndpoint for each of ENDPOINTS.
+
+    It is a context manager: the director is started at the beginning of the block and drained at
+    the end.
+    """
 
     def __init__(self, plan=HIT_ANSWER, event_stream=None, **changes):
         self.endpoints = [StandInEndpoint(plan) for _ in ENDPOINTS]
         self.event_stream = event_stream or StandInEventStream()
-        whole = platform_configuration(
-            [node.address for node in self.endpoints], self.event_stream.address, **changes
+        configuration = platform_configuration(
+            [endpoint.address for endpoint in self.endpoints], self.event_stream.address, **changes
         )
         self.log = LogRecorder()
-        self.director = Director(parse_config(json.dumps(whole)), self.log)
+        self.director = Director(parse_config(json.dumps(configuration)), self.log)
 
     def __enter__(self) -> "RunningDirector":
         self.director.start()
         self.address = self.director.listener.listener.getsockname()
-        self.ender = threading.Thread(target=self.director.wait, daemon=True)
-        self.ender.start()
+        self.drain_thread = threading.Thread(target=self.director.wait, daemon=True)
+        self.drain_thread.start()
         self.clients = []
         return self
 
@@ -589,61 +633,70 @@
         self.clients.append(StandInClient(self.address))
         return self.clients[-1]
 
-    def commands(self, word="PULL"):
-        return [entry for node in self.endpoints for entry in node.commands if entry[0] == word]
+    def commands(self, command="PULL"):
+        """Return the commands of this kind that any endpoint has received."""
+        return [
+            entry
+            for endpoint in self.endpoints
+            for entry in endpoint.commands
+            if entry[0] == command
+        ]
 
     def __exit__(self, *_):
         self.director.stop()
         for client in self.clients:
             client.close()
-        self.ender.join(10.0)
-        for each in (*self.endpoints, self.event_stream):
-            each.close()
+        self.drain_thread.join(10.0)
+        for server in (*self.endpoints, self.event_stream):
+            server.close()
 
 
-def wait_for(condition, seconds=5.0):
-    end = time.monotonic() + seconds
+def wait_for(condition, timeout_s=5.0):
+    """Wait until a condition is true or the timeout expires; return the last result."""
+    end = time.monotonic() + timeout_s
     while not condition() and time.monotonic() < end:
         time.sleep(0.01)
     return condition()
 
 
 def wait_for_attempt(running):
-    """The one attempt that is in flight or waits for its connection."""
+    """Wait until exactly one attempt is queued or in flight, and return it."""
     upstream = running.director.upstream
     assert wait_for(lambda: len(upstream.connection_by_attempt) == 1)
     return next(iter(upstream.connection_by_attempt))
 
 
 def hold_calls(monkeypatch, owner, name, condition=lambda *_, **__: True):
-    """Calls of that method wait until what is returned is set; its `met` is set once one of them
-    waits.
+    """Block calls of a method until the returned event is set.
+
+    Only calls whose arguments fulfil the condition are blocked. The event has an attribute
+    `reached`, an event that is set when the first call is blocked.
     """
-    go, method = threading.Event(), getattr(owner, name)
-    go.reached = threading.Event()
+    resume, method = threading.Event(), getattr(owner, name)
+    resume.reached = threading.Event()
 
-    def late(*arguments, **named):
-        if condition(*arguments, **named):
-            go.reached.set()
-            go.wait(10.0)
-        return method(*arguments, **named)
+    def blocked_method(*arguments, **keywords):
+        if condition(*arguments, **keywords):
+            resume.reached.set()
+            resume.wait(10.0)
+        return method(*arguments, **keywords)
 
-    monkeypatch.setattr(owner, name, late)
-    return go
+    monkeypatch.setattr(owner, name, blocked_method)
+    return resume
 
 
 class DirectorProcess:
-    """The program as a process, with this configuration file and so many descriptors.
+    """The program as a process, with this configuration file and limit of file descriptors.
 
-    `told` has the lines that it has logged, parsed from JSON.
+    `log_lines` lists the logged lines, parsed from JSON.
     """
 
     def __init__(self, file, descriptors=1024):
-        run = (
+        command = (
             f"ulimit -n {descriptors}; exec {sys.executable} -m mulleinrelay serve --config {file}"
         )
         self.process = subprocess.Popen(
-            ["/bin/sh", "-c", run], cwd=PROJECT_ROOT, stderr=subprocess.PIPE
+            ["/bin/sh", "-c", command], cwd=PROJECT_ROOT, stderr=subprocess.PIPE
         )
         self.log_lines, self.send_signal = [], self.process.send_signal
         self.reader = threading.Thread(target=self._read, daemon=True)
@@ -653,14 +706,15 @@
         for line in self.process.stderr:
             self.log_lines.append(json.loads(line))
 
-    def has_logged(self, **held):
-        return any(held.items() <= line.items() for line in self.log_lines)
+    def has_logged(self, **fields):
+        """Return whether a logged line contains these fields."""
+        return any(fields.items() <= line.items() for line in self.log_lines)
 
-    def wait(self, seconds=15.0):
-        """Its exit code; all that it logged is there by then."""
-        code = self.process.wait(seconds)
-        self.reader.join(seconds)
-        return code
+    def wait(self, timeout_s=15.0):
+        """Wait for the end of the process and of its log; return the exit code."""
+        exit_code = self.process.wait(timeout_s)
+        self.reader.join(timeout_s)
+        return exit_code
 
     def __enter__(self) -> "DirectorProcess":
         assert wait_for(lambda: self.has_logged(phase="ready"), 20.0)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,3 +1,5 @@
+"""The platform's configuration and the commands `check` and `version`."""
+
 import json
 
 import pytest
@@ -9,28 +11,28 @@
 from mulleinrelay.errors import ConfigError
 
 
-def call(*arguments):
-    """(exit code, standard output, standard error) of one command."""
-    done = CliRunner().invoke(cli.main, arguments)
-    return done.exit_code, done.stdout, done.stderr
+def run_command(*arguments):
+    """Run a command; return its exit code, standard output and standard error."""
+    result = CliRunner().invoke(cli.main, arguments)
+    return result.exit_code, result.stdout, result.stderr
 
 
-def changed(path, value):
-    """The configuration with one key set, or taken out where the value is `...`."""
-    whole = platform_configuration()
-    *way, last = path.split("/")
-    spot = whole
-    for step in way:
-        spot = spot[int(step) if step.isdecimal() else step]
+def configuration_with(path, value):
+    """Return the configuration as JSON with one key changed, or removed if the value is `...`."""
+    configuration = platform_configuration()
+    *parents, last = path.split("/")
+    section = configuration
+    for key in parents:
+        section = section[int(key) if key.isdecimal() else key]
     if value is ...:
-        del spot[last]
+        del section[last]
     else:
-        spot[last] = value
-    return json.dumps(whole)
+        section[last] = value
+    return json.dumps(configuration)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "told"),
+    ("path", "value", "message"),
     [
         ("name", ..., "name: the key is missing"),
         ("listen", "nowhere", "listen: host:port is wanted"),
@@ -57,38 +59,38 @@
         ("settings/rules/cold", True, "settings.rules.cold: a number"),
     ],
 )
-def test_error_names_its_key(path, value, told, tmp_path):
-    with pytest.raises(ConfigError) as fault:
-        parse_config(changed(path, value))
-    assert str(fault.value).startswith(told)
+def test_error_names_its_key(path, value, message, tmp_path):
+    with pytest.raises(ConfigError) as error:
+        parse_config(configuration_with(path, value))
+    assert str(error.value).startswith(message)
     file = tmp_path / "config.json"
-    file.write_text(changed(path, value))
-    assert call("check", "--config", str(file)) == (2, "", f"mulleinrelay: {fault.value}\n")
+    file.write_text(configuration_with(path, value))
+    assert run_command("check", "--config", str(file)) == (2, "", f"mulleinrelay: {error.value}\n")
 
 
 @pytest.mark.parametrize("text", ["", "[", "[]", "nul"])
-def test_value_that_is_no_object_is_an_error(text):
+def test_configuration_that_is_not_an_object_is_an_error(text):
     with pytest.raises(ConfigError, match="configuration"):
         parse_config(text)
 
 
-def test_configuration_is_read_as_a_director_gets_it(tmp_path):
-    start = parse_config(json.dumps(platform_configuration()))
-    assert (start.name, start.seed, start.max_descriptors, start.last_event_number) == (
+def test_valid_configuration_is_read_and_checked(tmp_path):
+    config = parse_config(json.dumps(platform_configuration()))
+    assert (config.name, config.seed, config.max_descriptors, config.last_event_number) == (
         "n3",
         0x8C1F,
         1024,
         1,
     )
-    assert list(start.request_classes) == ["pages", "order", "pay"] and start.zones == {
+    assert list(config.request_classes) == ["pages", "order", "pay"] and config.zones == {
         "hub": 0,
         "edge": 1,
     }
     file = tmp_path / "config.json"
     file.write_text(json.dumps(platform_configuration()))
     assert load_config({"LB_CONFIG": str(file)}).name == "n3"
-    code, told, _ = call("check", "--config", str(file))
-    assert code == 0 and told.startswith("n3: listens on 127.0.0.1:")
+    exit_code, output, _ = run_command("check", "--config", str(file))
+    assert exit_code == 0 and output.startswith("n3: listens on 127.0.0.1:")
 
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/no/such/file"}])
@@ -98,5 +100,5 @@
 
 
 def test_version():
-    code, told, _ = call("version")
-    assert code == 0 and told.startswith("mulleinrelay 0.")
+    exit_code, output, _ = run_command("version")
+    assert exit_code == 0 and output.startswith("mulleinrelay 0.")
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,4 +1,4 @@
-"""One director: drain, clock and timers."""
+"""A director's drain, clock and timers."""
 
 import time
 
@@ -15,46 +15,49 @@
 
 
 def test_drain_answers_open_requests(monkeypatch):
-    monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)  # of 3.7 s
+    monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)  # of a drain of 3.7 s
     with RunningDirector(None) as running:
-        caller = running.connect_client()
-        caller.send()
-        caller.send("pay")
+        client = running.connect_client()
+        client.send()
+        client.send("pay")
         assert wait_for(lambda: len(running.commands()) == 2)
         running.director.stop()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         assert wait_for(lambda: running.director.phase == director_module.Phase.DRAINING)
-        late = running.connect_client()
-        late.socket.sendall(IS_WELL_CALL)
-        assert late.read_answer()[:2] == (1, 0) and not running.director.request_handler.is_healthy
-        assert sorted(caller.read_answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
-        assert 0.25 < time.monotonic() - begun < 1.5
+        late_client = running.connect_client()
+        late_client.socket.sendall(IS_WELL_CALL)
+        assert (
+            late_client.read_answer()[:2] == (1, 0)
+            and not running.director.request_handler.is_healthy
+        )
+        assert sorted(client.read_answer()[:2] for _ in range(2)) == [(1, 1), (2, 2)]
+        assert 0.25 < time.monotonic() - started_at < 1.5
         assert (
             running.director.stopped.wait(5.0)
             and running.director.phase == director_module.Phase.STOPPED
         )
 
 
-def test_step_of_the_system_clock_reaches_no_timer(monkeypatch):
+def test_step_of_the_system_clock_does_not_affect_timers(monkeypatch):
     with RunningDirector() as running:
-        before = running.director.clock()
-        assert abs(before - time.time() * 1000.0) < 1000.0
+        clock_before = running.director.clock()
+        assert abs(clock_before - time.time() * 1000.0) < 1000.0
         monkeypatch.setattr(time, "time", lambda: 0.0)
-        assert 0.0 <= running.director.clock() - before < 1000.0
+        assert 0.0 <= running.director.clock() - clock_before < 1000.0
 
 
 def test_timers_go_on_after_an_exception(monkeypatch):
     with RunningDirector() as running:
-        tick, failed = running.director.coordinator.run_due_timers, []
+        run_due_timers, failures = running.director.coordinator.run_due_timers, []
 
         def fail_once():
-            if not failed:
-                failed.append(1)
+            if not failures:
+                failures.append(1)
                 raise KeyError("tick")
-            return tick()
+            return run_due_timers()
 
         monkeypatch.setattr(running.director.coordinator, "run_due_timers", fail_once)
-        caller = running.connect_client()
+        client = running.connect_client()
         assert wait_for(lambda: "fault" in running.log.event_names)
-        caller.send()
-        assert caller.read_answer()[:2] == (1, 0) and running.log.event_names.count("fault") == 1
+        client.send()
+        assert client.read_answer()[:2] == (1, 0) and running.log.event_names.count("fault") == 1
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: signals, configuration, exit."""
+"""The program as a process: signals, configuration and exit code."""
 
 import ctypes
 import json
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("signals", "ready"),
+    ("signals", "becomes_ready"),
     [
         ([signal.SIGHUP], True),
         ([signal.SIGHUP] * 5, True),
@@ -42,14 +42,15 @@
         ([signal.SIGTERM] * 3, False),
     ],
 )
-def test_signal_before_the_program_handles_signals(signals, ready, tmp_path):
-    # Guards against a new configuration, told to all, that ends those who are just being started.
-    file, root = tmp_path / "config.json", Path(PROJECT_ROOT)
+def test_signal_before_the_program_handles_signals(signals, becomes_ready, tmp_path):
+    # A SIGHUP that is sent to all directors for a new configuration must not end those that are
+    # just starting.
+    file, project_root = tmp_path / "config.json", Path(PROJECT_ROOT)
     file.write_text(json.dumps(platform_configuration()))
-    run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
+    command = tomllib.loads((project_root / "deploy" / "balancer.toml").read_text())["run"]
     program = subprocess.Popen(
-        ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
-        cwd=root,
+        ["/bin/sh", "-c", command.replace(".venv/bin/python", sys.executable)],
+        cwd=project_root,
         stderr=subprocess.PIPE,
         env=os.environ | {"LB_CONFIG": str(file)},
     )
@@ -59,11 +60,11 @@
         )
         for number in signals:
             program.send_signal(number)
-        if ready:
+        if becomes_ready:
             assert b'"phase":"ready"' in program.stderr.readline()
             for _ in range(2):
                 program.send_signal(signal.SIGTERM)
-        assert program.wait(10.0) in ((0,) if ready else (0, -signal.SIGTERM))
+        assert program.wait(10.0) in ((0,) if becomes_ready else (0, -signal.SIGTERM))
     finally:
         program.kill()
         program.wait(5.0)
@@ -71,20 +72,24 @@
 
 
 def test_program_serves_until_sigterm(tmp_path):
-    ban = {"ban": {"tag": 17, "ts": time.time() * 1000}}
-    nodes, probe = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], StandInEventStream()
-    probe.close()  # only for a port that is free
-    stands = [
+    purge = {"ban": {"tag": 17, "ts": time.time() * 1000}}
+    endpoints, unused_server = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], StandInEventStream()
+    unused_server.close()  # only provides a free port
+    event_streams = [
         StandInEventStream(),
-        StandInEventStream([RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, ban), None]),
+        StandInEventStream([RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]),
         StandInEventStream(),
     ]
     file = tmp_path / "config.json"
     texts = [
         json.dumps(
-            platform_configuration([node.address for node in nodes], bus.address, probe.address)
+            platform_configuration(
+                [endpoint.address for endpoint in endpoints],
+                event_stream.address,
+                unused_server.address,
+            )
         )
-        for bus in stands
+        for event_stream in event_streams
     ]
     file.write_text(texts[0])
     program = subprocess.Popen(
@@ -94,33 +99,37 @@
         env=os.environ | {"LB_CONFIG": str(file)},
     )
 
-    def line():
-        while (told := json.loads(program.stderr.readline()))["event"] == "event stream reconnects":
+    def next_log_line():
+        while (log_line := json.loads(program.stderr.readline()))[
+            "event"
+        ] == "event stream reconnects":
             pass
-        return told
+        return log_line
 
-    def purged():
-        caller.send()
-        assert caller.read_answer()[1:] == (0, {}, b"bytes")
-        return any("within" in fields for node in nodes for _, _, fields, _ in node.commands)
+    def is_purged():
+        client.send()
+        assert client.read_answer()[1:] == (0, {}, b"bytes")
+        return any(
+            "within" in fields for endpoint in endpoints for _, _, fields, _ in endpoint.commands
+        )
 
     try:
-        assert line()["phase"] == "ready"
-        host, port = probe.address.split(":")
-        caller = StandInClient((host, int(port)))
-        caller.socket.sendall(IS_WELL_CALL)
-        assert caller.read_answer()[:2] == (1, 0)
-        caller.send()
-        assert caller.read_answer() == (1, 0, {}, b"bytes")
-        # Guards against an end by SIGHUP, a faulty file that is taken over, and events lost by the
-        # move.
-        for text, told in ((texts[1], "read"), ("{}", "kept"), (texts[2], "read")):
+        assert next_log_line()["phase"] == "ready"
+        host, port = unused_server.address.split(":")
+        client = StandInClient((host, int(port)))
+        client.socket.sendall(IS_WELL_CALL)
+        assert client.read_answer()[:2] == (1, 0)
+        client.send()
+        assert client.read_answer() == (1, 0, {}, b"bytes")
+        # SIGHUP must not end the program, an invalid file must not be applied, and no event may be
+        # lost when the event stream moves.
+        for text, expected in ((texts[1], "read"), ("{}", "kept"), (texts[2], "read")):
             file.write_text(text)
             program.send_signal(signal.SIGHUP)
-            assert line()["event"] == f"configuration {told}"
-            assert wait_for(purged)
-        assert wait_for(lambda: stands[2].last_event_ids) and [
-            bus.last_event_ids for bus in stands
+            assert next_log_line()["event"] == f"configuration {expected}"
+            assert wait_for(is_purged)
+        assert wait_for(lambda: event_streams[2].last_event_ids) and [
+            event_stream.last_event_ids for event_stream in event_streams
         ] == [
             [1],
             [1],
@@ -128,58 +137,58 @@
         ]
         program.send_signal(signal.SIGTERM)
         assert program.wait(10.0) == 0
-        assert [line()["phase"], line()["phase"]] == ["draining", "stopped"]
+        assert [next_log_line()["phase"], next_log_line()["phase"]] == ["draining", "stopped"]
     finally:
         program.kill()
-        for each in (*nodes, *stands):
-            each.close()
+        for server in (*endpoints, *event_streams):
+            server.close()
         program.stderr.close()
 
 
-@pytest.mark.parametrize("place", [0, 1, -1])  # of the thread that the system interrupts
-def test_signal_is_obeyed_whichever_thread_it_interrupts(place, tmp_path):
-    bus = StandInEventStream()
+@pytest.mark.parametrize("thread_index", [0, 1, -1])  # of the thread that receives the signal
+def test_signal_is_handled_whichever_thread_receives_it(thread_index, tmp_path):
+    event_stream = StandInEventStream()
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(platform_configuration(event_stream_address=bus.address)))
+    file.write_text(json.dumps(platform_configuration(event_stream_address=event_stream.address)))
     with DirectorProcess(file) as program:
         pid = program.process.pid
         threads = sorted(int(name) for name in os.listdir(f"/proc/{pid}/task"))
         assert len(threads) > 3
         for number in (signal.SIGHUP, signal.SIGTERM):
-            assert ctypes.CDLL(None).tgkill(pid, threads[place], number) == 0
+            assert ctypes.CDLL(None).tgkill(pid, threads[thread_index], number) == 0
             time.sleep(0.1)
         assert program.wait(10.0) == 0
         assert program.has_logged(event="configuration read") and program.has_logged(
             phase="stopped"
         )
-    bus.close()
+    event_stream.close()
 
 
 def test_moved_event_stream_is_found_without_a_signal(tmp_path):
-    old, new = StandInEventStream(), StandInEventStream()
+    old_stream, new_stream = StandInEventStream(), StandInEventStream()
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(platform_configuration(event_stream_address=old.address)))
+    file.write_text(json.dumps(platform_configuration(event_stream_address=old_stream.address)))
     with DirectorProcess(file):
-        assert wait_for(lambda: old.last_event_ids)
-        file.write_text(json.dumps(platform_configuration(event_stream_address=new.address)))
-        old.close()
-        assert wait_for(lambda: new.last_event_ids, 8.0)
-    new.close()
+        assert wait_for(lambda: old_stream.last_event_ids)
+        file.write_text(json.dumps(platform_configuration(event_stream_address=new_stream.address)))
+        old_stream.close()
+        assert wait_for(lambda: new_stream.last_event_ids, 8.0)
+    new_stream.close()
 
 
 @pytest.mark.parametrize(
-    ("tries", "outcome"), [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
+    ("attempt_count", "outcome"), [(1, "renewed"), (2, "renewed"), (9, "configuration kept")]
 )
-def test_half_written_configuration_is_read_again(tries, outcome, tmp_path, monkeypatch):
-    file, sink, slept = tmp_path / "config.json", LogRecorder(), []
+def test_half_written_configuration_is_read_again(attempt_count, outcome, tmp_path, monkeypatch):
+    file, log, sleeps = tmp_path / "config.json", LogRecorder(), []
     file.write_text("{")
 
-    def pass_time(_):
-        slept.append(1)
-        if len(slept) == tries:
+    def sleep(_):
+        sleeps.append(1)
+        if len(sleeps) == attempt_count:
             file.write_text(json.dumps(platform_configuration()))
 
-    monkeypatch.setattr(time, "sleep", pass_time)
-    sink.reload = lambda start: sink.event("renewed", bus=start.event_stream_address)
-    process.reload_configuration(sink, sink, str(file))
-    assert sink.event_names == [outcome]
+    monkeypatch.setattr(time, "sleep", sleep)
+    log.reload = lambda config: log.event("renewed", bus=config.event_stream_address)
+    process.reload_configuration(log, log, str(file))
+    assert log.event_names == [outcome]
