--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -32,10 +32,10 @@
 PING_INTERVAL = 25.0  # ms between two searches for silent upstream connections
 TIMER_ERROR_WAIT_S = 0.05  # wait after an error in the thread of the timers
 
-# The platform ends a drain DRAIN_GRACE_S after the longest client timeout, but at the latest
-# DRAIN_GRACE_S after MAX_PATIENCE_S.
+# The platform ends a drain DRAIN_GRACE_S after the longest client timeout, of which at most
+# MAX_CLIENT_TIMEOUT_S count.
 NEW_CALLS_S = 1.0  # from the beginning of the drain; clients still send calls during this time
-MAX_PATIENCE_S = 3.0
+MAX_CLIENT_TIMEOUT_S = 3.0
 DRAIN_GRACE_S = 0.7
 FINAL_ANSWERS_S = 0.5  # before the end of the drain, when all open requests get a final answer
 EXIT_S = 0.2  # before the end of the drain, when the process exits
@@ -202,7 +202,7 @@
         """Finish pending requests and close connections within the platform's time limit."""
         request_classes = self.config.request_classes.values()
         longest = max((each.client_timeout for each in request_classes), default=0.0) / 1000.0
-        duration = min(MAX_PATIENCE_S, longest) + DRAIN_GRACE_S
+        duration = min(MAX_CLIENT_TIMEOUT_S, longest) + DRAIN_GRACE_S
         while (elapsed := time.monotonic() - started) < duration - EXIT_S:
             is_idle = (
                 elapsed >= NEW_CALLS_S
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -59,7 +59,7 @@
         decoder: Decoder with the received bytes that are not decoded yet.
         pending_calls: Calls that were read but not answered; the first may be in progress.
         has_called: Whether a complete call was received.
-        has_requested: Whether one of the calls was a request.
+        has_sent_request: Whether one of the calls was a request.
         bad_call_count: Number of invalid calls since the last valid one.
         framing_error: Why the received bytes cannot be decoded any further; empty if they can.
         last_used_at: Time of the connect, or of the last complete call or answer.
@@ -82,7 +82,7 @@
         self.decoder = thrift.FrameDecoder()
         self.pending_calls: deque[thrift.MethodCall] = deque()
         self.has_called = False
-        self.has_requested = False
+        self.has_sent_request = False
         self.bad_call_count = 0
         self.framing_error = ""
         self.last_used_at = time.monotonic()
@@ -266,8 +266,8 @@
         Unread bytes may be a call.
 
         Args:
-            lingers: Whether to half-close the connection first. A connection that never brought a
-                call has no answer to lose and is always shut down at once.
+            lingers: Whether to half-close the connection first. A connection on which no call was
+                received has no answer to lose and is always shut down at once.
 
         Returns:
             Whether the connection was closed.
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -81,7 +81,7 @@
         if self.listener is not None:
             listener = self.listener
             self.listener = None
-            self._accept_rest(listener)
+            self._accept_backlog(listener)
             with contextlib.suppress(OSError):
                 listener.shutdown(socket.SHUT_RDWR)
             listener.close()
@@ -91,7 +91,7 @@
                 client.close_if_idle()
         return not self.clients and not self.accept_thread.is_alive()
 
-    def _accept_rest(self, listener: socket.socket) -> None:
+    def _accept_backlog(self, listener: socket.socket) -> None:
         """Accept the connections in the kernel's backlog: their clients may have sent calls."""
         with contextlib.suppress(OSError):  # the backlog is empty
             listener.setblocking(False)
@@ -214,7 +214,7 @@
             idle,
             key=lambda client: eviction_order(
                 client.has_called,
-                client.has_requested,
+                client.has_sent_request,
                 client.partial_call_since > 0.0,
                 client.last_used_at,
             ),
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -151,7 +151,7 @@
             if client.write_queue.is_shut_down:
                 return False
             client.open_requests[call.sequence_number] = None
-            client.has_requested = True
+            client.has_sent_request = True
             client.remove_pending_call(call)
         if not self.recent_request_ids.add(request.request_id):
             with client.lock:
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -217,7 +217,7 @@
         connections = self.connections.setdefault(address, [])
         if self._is_stale(item, address):
             return None
-        connection = self.choose(connections, wire_id)
+        connection = self.choose_connection(connections, wire_id)
         if connection is None and not self.is_stopped:
             self.make_room()
             if self.connection_count < self.max_connections:
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -61,7 +61,7 @@
                 for connection in list(connections):
                     connection.write_queue.shut_down()
 
-    def choose(
+    def choose_connection(
         self, connections: list[UpstreamConnection], wire_id: str
     ) -> UpstreamConnection | None:
         """Return the usable connection with the fewest items in flight; the caller holds the lock.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -503,7 +503,7 @@
 
 
 class StandInEventStream(StandInServer):
-    """Event stream whose connections each play the next of the scripts.
+    """Event stream that serves each connection with the next script.
 
     A script is a list of byte strings to send. None in a script waits until the client closes the
     connection. `last_event_ids` lists the event number in the request of each connection.
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -158,7 +158,7 @@
         assert client.read_answer() == (7, 0, {}, b"bytes")
         with pytest.raises(EOFError):
             client.read_answer()
-        # Although the client does not close its side
+        # The connection is removed although the client does not close its side.
         assert wait_for(lambda: not running.director.listener.clients)
 
 
@@ -175,7 +175,7 @@
 
 def test_result_before_request_is_registered_is_answered_once(monkeypatch):
     # If the result comes before the request's sequence number is registered, the answer must not be
-    # dropped, and the number must not stay registered for ever.
+    # dropped, and the number must not stay registered forever.
     accept = RequestCoordinator.accept
 
     def accept_and_finish(coordinator, *arguments, **keywords):
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -20,12 +20,12 @@
 STEP_SIZES = [1, 2, 3, 5, 7, 64, 10**6]
 
 
-def feed(decoder, data, step):
-    """Decode the data in pieces of at most `step` bytes, like a connection's thread."""
+def feed(decoder, data, step_size):
+    """Decode data in pieces of at most `step_size` bytes, like a connection's thread."""
     messages, data = [], memoryview(data)
     while len(data):
         view = decoder.writable_view()
-        length = min(step, len(view), len(data))
+        length = min(step_size, len(view), len(data))
         view[:length] = data[:length]
         messages += decoder.decode(length)
         data = data[length:]
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -188,8 +188,8 @@
     numbers, last_number, is_drained
 ):
     # Drains in a new configuration must be applied at once. Old or unnumbered events are skipped.
-    # Of an event after a gap only the restrictions are applied, and the stream is asked for the
-    # missing events.
+    # Of an event after a gap, only the restrictions are applied, and the missing events are
+    # requested from the stream.
     with RunningDirector(
         event_stream=StandInEventStream([RESPONSE_HEAD, None], [RESPONSE_HEAD, None])
     ) as running:
@@ -245,7 +245,7 @@
         stream = running.director.event_stream
         stream.read_configured_address = lambda: 1 / 0
         stream.reconnect_backoff.begin_lookup_if_due = lambda now: True
-        # More than one script, as the connection that `reconnect_to` closes may take one
+        # The script is repeated, as the connection that `reconnect_to` closes may use one.
         running.event_stream.scripts += [[RESPONSE_HEAD, stream_event(2, PURGE), None]] * 9
         stream.reconnect_to(stream.address)
         assert wait_for(
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -168,7 +168,7 @@
             client.send("pay")
             assert client.read_answer()[:2] == (number, 1)
         failed_names = [fields["node"] for fields in running.log.fields if "node" in fields]
-        # One log line for each endpoint until a connection is open again
+        # Each endpoint is logged only once until a connection to it is open again.
         assert len(failed_names) == len(set(failed_names)) > 0
 
 
