--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,10 +42,10 @@
 )
 from mulleinrelay.policy.router import Router
 
-CACHE, PARENT, ORIGIN = 0, 2, 3
-HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
-PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}
+CACHE, PARENT, ORIGIN = 0, 2, 3  # kinds of endpoints in RouterFixture
+HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")  # word, fields and body
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"  # of the event stream
+PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}  # data of an event
 PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
 
@@ -317,9 +317,9 @@
         self.now = self.coordinator.clock()
 
     def accept(self, request_class="pages", remaining_time=6000.0, has_capacity=True) -> Request:
-        case = self.settings.request_classes[["pages", "order", "pay"].index(request_class)]
+        parsed_class = self.settings.request_classes[["pages", "order", "pay"].index(request_class)]
         return self.coordinator.accept(
-            case, 0xABC, 0, 1, 100.0, remaining_time, False, has_capacity=has_capacity
+            parsed_class, 0xABC, 0, 1, 100.0, remaining_time, False, has_capacity=has_capacity
         )
 
     def copy_with_first_attempt(self, request):
