--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -1,6 +1,7 @@
-"""The log: one JSON line an event, written by a thread of its own.
+"""Structured log: one JSON line per event, written by its own thread.
 
-A log that nobody reads blocks nothing: what does not fit is dropped and counted.
+If the reader of the log stalls, no other thread blocks: lines that do not fit into the queue are
+dropped and counted.
 """
 
 import os
@@ -12,54 +13,58 @@
 import orjson
 
 MAX_QUEUED_LINES = 1000
-# Lines of one event in a second: clients that send what cannot be read would fill the log.
-MAX_LINES_PER_EVENT = 20
-TRACE_FRAMES = 3  # of an exception, the innermost
-STANDARD_ERROR = 2  # its file descriptor
+# Clients that send malformed requests would otherwise fill the log
+MAX_LINES_PER_EVENT_PER_S = 20
+MAX_TRACE_FRAMES = 3  # innermost frames of an exception that are logged
+STDERR_DESCRIPTOR = 2
 
 
 class StructuredLog:
-    """Writes events as JSON lines; may be used from any thread, and never blocks.
+    """Writes events as JSON lines. Any thread may use it, and it never blocks.
 
-    Counters are not guarded: two threads at once may count a line too few, which does no harm.
+    The counters are not guarded by a lock. Concurrent threads may count a line too few, which does
+    no harm.
     """
 
-    def __init__(self, name: str = "", descriptor: int = STANDARD_ERROR) -> None:
-        """Starts the writing thread.
+    def __init__(self, name: str = "", descriptor: int = STDERR_DESCRIPTOR) -> None:
+        """Start the writing thread.
 
         Args:
-            name: The director's, in each line.
-            descriptor: Where lines are written.
+            name: Name of the director, which is part of each line.
+            descriptor: File descriptor that lines are written to.
         """
         self.name = name
         self.descriptor = descriptor
-        self.lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-        self.dropped_count = 0  # since the last line
-        self.current_second = 0  # of the Unix time, in which events are counted
-        self.count_by_event: dict[str, int] = {}
+        self.queued_lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
+        self.dropped_count = 0  # since the last queued line
+        self.current_second = 0  # Unix second to which `counts_by_event` applies
+        self.counts_by_event: dict[str, int] = {}
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
     def event(self, name: str, /, **fields: object) -> None:
-        """Logs an event with these fields, unless it comes too often or the queue is full."""
+        """Log an event with the given fields.
+
+        The line is dropped if the event exceeds its rate limit or the queue is full.
+        """
         now = time.time()
         if int(now) != self.current_second:
             self.current_second = int(now)
-            self.count_by_event = {}
-        count = self.count_by_event.get(name, 0) + 1
-        self.count_by_event[name] = count
-        if count > MAX_LINES_PER_EVENT or self.lines.qsize() >= MAX_QUEUED_LINES:
+            self.counts_by_event = {}
+        count = self.counts_by_event.get(name, 0) + 1
+        self.counts_by_event[name] = count
+        if count > MAX_LINES_PER_EVENT_PER_S or self.queued_lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped_count += 1
             return
         if self.dropped_count:
             fields["dropped"] = self.dropped_count
             self.dropped_count = 0
         line = {"at": round(now, 3), "director": self.name, "event": name, **fields}
-        self.lines.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
+        self.queued_lines.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
     def exception(self, where: str, error: BaseException) -> None:
-        """Logs an unexpected exception as the event `fault`, with the end of its traceback."""
-        frames = traceback.extract_tb(error.__traceback__)[-TRACE_FRAMES:]
+        """Log an unexpected exception as the event `fault`, with the end of its traceback."""
+        frames = traceback.extract_tb(error.__traceback__)[-MAX_TRACE_FRAMES:]
         self.event(
             "fault",
             where=where,
@@ -72,14 +77,14 @@
         )
 
     def close(self, timeout_s: float = 0.2) -> None:
-        """Waits so long at the most for the lines that are still to be written."""
-        self.lines.put(None)
+        """Stop the writing thread, and wait up to `timeout_s` for the pending lines."""
+        self.queued_lines.put(None)
         self.thread.join(timeout_s)
 
     def _write(self) -> None:
-        while (line := self.lines.get()) is not None:
+        while (line := self.queued_lines.get()) is not None:
             try:
                 while line:
                     line = line[os.write(self.descriptor, line) :]
-            except OSError:  # nobody reads the log any more; the director goes on
+            except OSError:  # the reader of the log has closed it; the director continues
                 pass
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,6 +1,9 @@
-"""What the present program reads out of stored data, in terms of the outside: keys of files, keys
-of JSON, YANG names, fields on the wire. The only place that names modules and attributes of the
-program for `test_stored_data.py`: a rename edits this file, never the test or the data."""
+"""Adapter between `test_stored_data.py` and the program.
+
+It returns the content of stored data in external terms: keys of files and of JSON objects, YANG
+names, fields of the wire format. Only this file names modules and attributes of the program, so
+that a rename in the program changes neither the test's expectations nor the data.
+"""
 
 import os
 from typing import Any
@@ -22,7 +25,7 @@
 from mulleinrelay.membership.config import load_fleet_config
 from mulleinrelay.membership.messages import DatagramCodec, MemberState, MessageKind
 
-# INI keys with the attributes that hold them, where these differ
+# INI keys, each as `key=attribute` if the attribute has another name
 CELLS_KEYS = "enabled tenant_field read_every_ms=poll_interval"
 DIRECTOR_KEYS = "open_most=max_open_requests rate come_back_most_ms=max_retry_after"
 CELLS_PATHS = {"assignment": "assignment_file", "records": "records_folder"}
@@ -78,109 +81,110 @@
 }
 
 
-def named(held: Any, keys: str) -> dict[str, Any]:
-    """Values of an object by the keys of its file: `key` or `key=attribute` each."""
+def values_by_key(loaded: Any, keys: str) -> dict[str, Any]:
+    """Return an object's values by key; `keys` consists of `key` and `key=attribute` words."""
     pairs = [word.partition("=") for word in keys.split()]
-    return {key: plain(getattr(held, attribute or key)) for key, _, attribute in pairs}
+    return {key: to_json_types(getattr(loaded, attribute or key)) for key, _, attribute in pairs}
 
 
-def plain(value: Any) -> Any:
-    """As JSON has it."""
-    return [plain(one) for one in value] if isinstance(value, list | tuple) else value
+def to_json_types(value: Any) -> Any:
+    """Return a value with tuples replaced by lists, as in JSON."""
+    return [to_json_types(item) for item in value] if isinstance(value, list | tuple) else value
 
 
-def paths_in(
-    held: Any, keys: tuple[str, ...], folder: str, attributes: dict[str, str] | None = None
+def relative_paths(
+    loaded: Any, keys: tuple[str, ...], folder: str, attributes: dict[str, str] | None = None
 ) -> dict[str, str]:
-    """Paths as the file in that folder words them; `attributes`: that hold them, where these
-    differ from the keys.
+    """Return the paths of a configuration relative to the folder of its file, by key.
+
+    `attributes` contains the names of attributes that differ from the keys.
     """
-    paths = {key: getattr(held, (attributes or {}).get(key, key)) for key in keys}
+    paths = {key: getattr(loaded, (attributes or {}).get(key, key)) for key in keys}
     return {key: os.path.relpath(path, folder) if path else "" for key, path in paths.items()}
 
 
 def host_and_port(address: tuple[str, int]) -> str:
-    """As files word it."""
+    """Return an address as it appears in files."""
     return f"{address[0]}:{address[1]}"
 
 
 # Commands
 
 
-def command(*arguments: str) -> tuple[int, str]:
-    """The exit code of a command of the program, and what it writes to standard output."""
-    ours = [name for name in os.environ if name.startswith(("MULLEINRELAY_", "LB_"))]
-    done = CliRunner().invoke(main, list(arguments), env=dict.fromkeys(ours))
-    return done.exit_code, done.stdout
+def run_command(*arguments: str) -> tuple[int, str]:
+    """Return the exit code and the standard output of a command of the program."""
+    own_variables = [name for name in os.environ if name.startswith(("MULLEINRELAY_", "LB_"))]
+    result = CliRunner().invoke(main, list(arguments), env=dict.fromkeys(own_variables))
+    return result.exit_code, result.stdout
 
 
 # The datastore of management
 
 
-def datastore(folder: str) -> dict[str, Any]:
-    """The versions and the change that wants its confirmation, as a folder of states holds them."""
-    held = DatastoreFile(folder).load()
-    waiting = held.pending_confirmation
+def read_datastore(folder: str) -> dict[str, Any]:
+    """Return the versions and the commit with a pending confirmation of a stored datastore."""
+    loaded = DatastoreFile(folder).load()
+    pending = loaded.pending_confirmation
     return {
         "versions": [
             {
-                "version": one.number,
-                "at": one.committed_at,
-                "by": one.author,
-                "why": one.comment,
-                "marks": one.participant_versions,
-                "tree": one.tree,
+                "version": version.number,
+                "at": version.committed_at,
+                "by": version.author,
+                "why": version.comment,
+                "marks": version.participant_versions,
+                "tree": version.tree,
             }
-            for one in held.versions
+            for version in loaded.versions
         ],
         "unconfirmed": None
-        if waiting is None
+        if pending is None
         else {
-            "name": waiting.commit_id,
-            "until": waiting.deadline,
-            "tree": waiting.rollback_tree,
+            "name": pending.commit_id,
+            "until": pending.deadline,
+            "tree": pending.rollback_tree,
         },
     }
 
 
-def datastore_written(folder: str, new_folder: str) -> None:
-    """What a folder of states holds, written into another."""
+def rewrite_datastore(folder: str, new_folder: str) -> None:
+    """Read a stored datastore and write it to another folder."""
     DatastoreFile(new_folder).save(DatastoreFile(folder).load())
 
 
-def accepted(tree: dict[str, Any]) -> dict[str, Any]:
-    """A tree as the YANG model lets it pass."""
+def validate_tree(tree: dict[str, Any]) -> dict[str, Any]:
+    """Return a tree as validated by the YANG model."""
     return YangModel().validate(tree)
 
 
-def drains(tree: dict[str, Any]) -> dict[str, dict[str, Any]]:
-    """The drains that a tree asks for, by box."""
+def drains_by_box(tree: dict[str, Any]) -> dict[str, dict[str, Any]]:
+    """Return the drains that a tree requests, by box."""
     return {
-        box: {"scope": want.scope.value, "forced": want.forced}
-        for box, want in requested_drains(tree).items()
+        box: {"scope": drain.scope.value, "forced": drain.forced}
+        for box, drain in requested_drains(tree).items()
     }
 
 
-def assignment_of(tree: dict[str, Any], version: int, written: float) -> str:
-    """The text of the assignment file that a tree's `assignment` stands for."""
+def assignment_text(tree: dict[str, Any], version: int, written: float) -> str:
+    """Return the text of the assignment file for a tree's `assignment`."""
     return write_assignment(assignment_from_tree(tree["fleet"]["assignment"], version, written))
 
 
 # Assignment files
 
 
-def assignment(text: str) -> dict[str, Any]:
-    """Version and time by their keys in the file, the rest by its names in the YANG model."""
-    held = read_assignment(text)
+def parse_assignment(text: str) -> dict[str, Any]:
+    """Return version and time by the keys of the file, and the assignment by its YANG names."""
+    loaded = read_assignment(text)
     return {
-        "version": held.version,
-        "written": held.written_at,
-        "assignment": assignment_to_tree(held),
+        "version": loaded.version,
+        "written": loaded.written_at,
+        "assignment": assignment_to_tree(loaded),
     }
 
 
-def assignment_written(text: str) -> str:
-    """The text that the program writes for what it has read."""
+def rewrite_assignment(text: str) -> str:
+    """Parse an assignment file and return the text that the program writes for it."""
     return write_assignment(read_assignment(text))
 
 
@@ -188,62 +192,80 @@
 
 
 def kind_number(name: str) -> int:
-    """Of a kind of datagram, as the program means it."""
+    """Return the program's number of a datagram kind."""
     return int(KINDS[name])
 
 
 def state_number(name: str) -> int:
-    """Of a state of a director, as the program means it."""
+    """Return the program's number of a member state."""
     return int(STATES[name])
 
 
-def datagram(fleet: str, key: bytes, data: bytes) -> list[Any]:
-    """The fields on the wire in their order: version, fleet, kind, number, sender, about, words,
-    part; each word: name, host, port, location, life, count, state."""
-    held = DatagramCodec(fleet, key).decode(data)
+def decode_datagram(fleet: str, key: bytes, data: bytes) -> list[Any]:
+    """Return the fields of a datagram in the order of the wire format.
 
-    def word(one: Any) -> list[Any]:
+    These are the version, fleet, kind, number, sender, target, updates and payload. Each update
+    consists of the name, host, port, location, incarnation, refutation count and state.
+    """
+    message = DatagramCodec(fleet, key).decode(data)
+
+    def update_fields(update: Any) -> list[Any]:
         return [
-            one.name,
-            one.host,
-            one.port,
-            one.location,
-            one.incarnation,
-            one.refutation_count,
-            int(one.state),
+            update.name,
+            update.host,
+            update.port,
+            update.location,
+            update.incarnation,
+            update.refutation_count,
+            int(update.state),
         ]
 
     return [
-        held.version,
-        held.fleet,
-        int(held.kind),
-        held.number,
-        word(held.sender),
-        word(held.target) if held.target is not None else None,
-        [word(one) for one in held.updates],
-        held.payload.hex(),
+        message.version,
+        message.fleet,
+        int(message.kind),
+        message.number,
+        update_fields(message.sender),
+        update_fields(message.target) if message.target is not None else None,
+        [update_fields(update) for update in message.updates],
+        message.payload.hex(),
     ]
 
 
-def datagram_written(fleet: str, key: bytes, data: bytes) -> bytes:
-    """The datagram that the program makes of what it has read."""
+def reencode_datagram(fleet: str, key: bytes, data: bytes) -> bytes:
+    """Decode a datagram and return the program's encoding of its message."""
     codec = DatagramCodec(fleet, key)
-    held = codec.decode(data)
+    message = codec.decode(data)
     return codec.encode(
-        held.kind, held.number, held.sender, held.target, held.updates, held.payload
+        message.kind,
+        message.number,
+        message.sender,
+        message.target,
+        message.updates,
+        message.payload,
     )
 
 
-def leases(data: bytes) -> list[list[Any]]:
-    """Each word on a limit, its fields in order: limit, kind, life, number, grains, renews."""
+def decode_leases(data: bytes) -> list[list[Any]]:
+    """Return the lease messages of a payload.
+
+    Each contains the limit, kind, incarnation, number, units and renewed lease in wire order.
+    """
     return [
-        [one.limit, one.kind, one.incarnation, one.number, one.units, one.renews]
-        for one in LeaseCodec().decode(data)
+        [
+            message.limit,
+            message.kind,
+            message.incarnation,
+            message.number,
+            message.units,
+            message.renews,
+        ]
+        for message in LeaseCodec().decode(data)
     ]
 
 
-def leases_written(data: bytes) -> bytes:
-    """The bytes that the program makes of the words that it has read."""
+def reencode_leases(data: bytes) -> bytes:
+    """Decode a payload of lease messages and return the program's encoding of them."""
     codec = LeaseCodec()
     return codec.encode(codec.decode(data))
 
@@ -251,70 +273,73 @@
 # INI files
 
 
-def cells_file(path: str) -> dict[str, Any]:
-    """As `serve` and `check` read it."""
-    held = load_cells_config(path)
+def load_cells_file(path: str) -> dict[str, Any]:
+    """Return the values of a cells file as `serve` and `check` read it."""
+    loaded = load_cells_config(path)
     folder = os.path.dirname(path)
-    paths = paths_in(held, ("assignment", "records"), folder, CELLS_PATHS)
-    return {"cells": named(held, CELLS_KEYS) | paths, "director": named(held, DIRECTOR_KEYS)}
+    paths = relative_paths(loaded, ("assignment", "records"), folder, CELLS_PATHS)
+    return {
+        "cells": values_by_key(loaded, CELLS_KEYS) | paths,
+        "director": values_by_key(loaded, DIRECTOR_KEYS),
+    }
 
 
-def management_file(path: str) -> dict[str, Any]:
-    """As `serve` and `check` read it."""
-    held = load_management_config(path)
-    paths = paths_in(held, MANAGEMENT_PATHS, os.path.dirname(path))
-    roles = {name: role.name.lower() for name, role in held.authorization.roles_by_name.items()}
+def load_management_file(path: str) -> dict[str, Any]:
+    """Return the values of a management file as `serve` and `check` read it."""
+    loaded = load_management_config(path)
+    paths = relative_paths(loaded, MANAGEMENT_PATHS, os.path.dirname(path))
+    roles = {name: role.name.lower() for name, role in loaded.authorization.roles_by_name.items()}
     return {
-        "management": named(held, MANAGEMENT_KEYS) | paths,
-        "unnamed callers may": held.authorization.anonymous_role.name.lower(),
+        "management": values_by_key(loaded, MANAGEMENT_KEYS) | paths,
+        "unnamed callers may": loaded.authorization.anonymous_role.name.lower(),
         "roles": roles,
-        "limits": named(held, MANAGEMENT_LIMITS),
+        "limits": values_by_key(loaded, MANAGEMENT_LIMITS),
     }
 
 
-def fleet_file(path: str) -> dict[str, Any]:
-    """As `serve` and `check` read it."""
-    held = load_fleet_config(path)
+def load_fleet_file(path: str) -> dict[str, Any]:
+    """Return the values of a membership file as `serve` and `check` read it."""
+    loaded = load_fleet_config(path)
     others = {
-        "key": held.key.decode(),
-        "listen": host_and_port(held.listen),
-        "announce": host_and_port(held.announce),
-        "seeds": [host_and_port(seed) for seed in held.seeds],
+        "key": loaded.key.decode(),
+        "listen": host_and_port(loaded.listen),
+        "announce": host_and_port(loaded.announce),
+        "seeds": [host_and_port(seed) for seed in loaded.seeds],
     }
-    paths = paths_in(held, ("records",), os.path.dirname(path), FLEET_PATHS)
+    paths = relative_paths(loaded, ("records",), os.path.dirname(path), FLEET_PATHS)
     return {
-        "fleet": named(held, FLEET_KEYS) | others | paths,
-        "budgets": {"cold": held.shares_slow_start_quota},
+        "fleet": values_by_key(loaded, FLEET_KEYS) | others | paths,
+        "budgets": {"cold": loaded.shares_slow_start_quota},
     }
 
 
-def lab_file(path: str) -> dict[str, Any]:
-    """A scenario of tenants, as `lab` reads it."""
+def load_lab_file(path: str) -> dict[str, Any]:
+    """Return the values of a tenant scenario as `lab` reads it."""
     with open(path, encoding="utf-8") as file:
-        held = parse_scenario(file.read())
+        loaded = parse_scenario(file.read())
     return {
-        "lab": named(held, LAB_KEYS),
-        "fleet": named(held, LAB_FLEET_KEYS),
-        "director": named(held, "open_most=max_open_requests rate"),
-        "assignment": assignment_to_tree(held.assignment),
-        "load": {one.tenant: lab_load(one) for one in held.loads},
-        "deeds": [one.name for one in held.steps],
+        "lab": values_by_key(loaded, LAB_KEYS),
+        "fleet": values_by_key(loaded, LAB_FLEET_KEYS),
+        "director": values_by_key(loaded, "open_most=max_open_requests rate"),
+        "assignment": assignment_to_tree(loaded.assignment),
+        "load": {load.tenant: lab_load(load) for load in loaded.loads},
+        "deeds": [step.name for step in loaded.steps],
     }
 
 
-def lab_load(held: Any) -> dict[str, Any]:
-    """One section `load NAME`."""
-    found = named(held, LAB_LOAD_KEYS)
-    for burst in held.bursts:
-        found |= dict(zip(BURST_KEYS, burst, strict=True))
-    return found
+def lab_load(load: Any) -> dict[str, Any]:
+    """Return the values of one section `load NAME`."""
+    values = values_by_key(load, LAB_LOAD_KEYS)
+    for burst in load.bursts:
+        values |= dict(zip(BURST_KEYS, burst, strict=True))
+    return values
 
 
-def fleet_lab_file(path: str) -> dict[str, Any]:
-    """A scenario of a fleet, as `lab` reads it."""
+def load_fleet_lab_file(path: str) -> dict[str, Any]:
+    """Return the values of a fleet scenario as `lab` reads it."""
     with open(path, encoding="utf-8") as file:
-        held = parse_fleet_scenario(file.read())
-    found = {title: named(held, keys) for title, keys in FLEET_LAB.items()}
-    found["nodes"]["notice_from_ms"], found["nodes"]["notice_to_ms"] = held.update_delay_ms
-    found["faults"] = {one.name: named(one, FAULT_KEYS) for one in held.faults}
-    return found
+        loaded = parse_fleet_scenario(file.read())
+    values = {title: values_by_key(loaded, keys) for title, keys in FLEET_LAB.items()}
+    values["nodes"]["notice_from_ms"], values["nodes"]["notice_to_ms"] = loaded.update_delay_ms
+    values["faults"] = {fault.name: values_by_key(fault, FAULT_KEYS) for fault in loaded.faults}
+    return values
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,9 @@
-"""What the program wrote at 0.3 is read to the same values, and is written again byte for byte.
+"""Data that version 0.3 wrote is read to the same values and written again byte for byte.
 
-The data and `expected.json` were made by the program at commit 47a24c8 and are never edited, nor is
-this file: renames in the program edit the adapter `stored_data.py` alone."""
+The program at commit 47a24c8 wrote the data and `expected.json`, which are never edited. The
+expectations in this file are never edited either: a rename in the program changes only the adapter
+`stored_data.py`.
+"""
 
 import json
 import shutil
@@ -31,11 +33,11 @@
 LEASES = ["ask", "ask-again", "back", "lend", "several"]
 CHECKED = ["cells", "fleet", "management"]
 INI_FILES = {
-    "cells": stored_data.cells_file,
-    "fleet": stored_data.fleet_file,
-    "lab-fleet": stored_data.fleet_lab_file,
-    "lab-flood": stored_data.lab_file,
-    "management": stored_data.management_file,
+    "cells": stored_data.load_cells_file,
+    "fleet": stored_data.load_fleet_file,
+    "lab-fleet": stored_data.load_fleet_lab_file,
+    "lab-flood": stored_data.load_lab_file,
+    "management": stored_data.load_management_file,
 }
 KINDS_ON_THE_WIRE = {
     "ping": 0,
@@ -51,21 +53,21 @@
 COMMANDS = list(EXPECTED["commands"])
 
 
-def text_of(*place):
-    return DATA.joinpath(*place).read_text(encoding="utf-8")
+def read_text(*path_parts):
+    return DATA.joinpath(*path_parts).read_text(encoding="utf-8")
 
 
-def bytes_of(*place):
-    return bytes.fromhex(text_of(*place))
+def read_hex(*path_parts):
+    return bytes.fromhex(read_text(*path_parts))
 
 
 def as_json(value):
-    """With lists for tuples, as `expected.json` has them."""
+    """Return a value with tuples replaced by lists, as in `expected.json`."""
     return json.loads(json.dumps(value))
 
 
-def test_every_stored_file_is_looked_at():
-    """A file that is added, lost or renamed shows."""
+def test_every_stored_file_is_known():
+    """Fail if a file is added, lost or renamed."""
     found = {path.relative_to(DATA).as_posix() for path in DATA.rglob("*") if path.is_file()}
     assert found == set(EXPECTED["files"]) | {"README.md", "expected.json"}
 
@@ -75,35 +77,37 @@
 
 @pytest.mark.parametrize("name", DATASTORES)
 def test_a_datastore_is_read_to_the_same_versions(name):
-    assert stored_data.datastore(str(DATA / "datastore" / name)) == EXPECTED["datastore"][name]
+    assert stored_data.read_datastore(str(DATA / "datastore" / name)) == EXPECTED["datastore"][name]
 
 
 @pytest.mark.parametrize("name", DATASTORES)
 def test_a_datastore_is_written_again_byte_for_byte(name, tmp_path):
-    stored_data.datastore_written(str(DATA / "datastore" / name), str(tmp_path))
+    stored_data.rewrite_datastore(str(DATA / "datastore" / name), str(tmp_path))
     stored = (DATA / "datastore" / name / "datastore").read_bytes()
     assert (tmp_path / "datastore").read_bytes() == stored
 
 
 @pytest.mark.parametrize("name", DATASTORES)
-def test_the_model_lets_stored_trees_pass_unchanged(name):
-    trees = [one["tree"] for one in EXPECTED["datastore"][name]["versions"]]
-    assert [stored_data.accepted(tree) for tree in trees] == trees
+def test_the_yang_model_accepts_stored_trees_unchanged(name):
+    trees = [version["tree"] for version in EXPECTED["datastore"][name]["versions"]]
+    assert [stored_data.validate_tree(tree) for tree in trees] == trees
 
 
 @pytest.mark.parametrize("name", DATASTORES)
-def test_stored_trees_ask_for_the_same_drains(name):
+def test_stored_trees_request_the_same_drains(name):
     versions = EXPECTED["datastore"][name]["versions"]
-    found = {str(one["version"]): stored_data.drains(one["tree"]) for one in versions}
+    found = {
+        str(version["version"]): stored_data.drains_by_box(version["tree"]) for version in versions
+    }
     assert found == EXPECTED["drains"][name]
 
 
-def test_a_stored_tree_stands_for_the_stored_assignment_file():
-    """The last version of the history and the file that management wrote with it."""
+def test_a_stored_tree_gives_the_stored_assignment_file():
+    """Compare the last version of the history with the file that management wrote for it."""
     tree = EXPECTED["datastore"]["history"]["versions"][-1]["tree"]
-    held = EXPECTED["assignment"]["by-management"]
-    made = stored_data.assignment_of(tree, held["version"], held["written"])
-    assert made == text_of("assignment", "by-management.ini")
+    expected = EXPECTED["assignment"]["by-management"]
+    text = stored_data.assignment_text(tree, expected["version"], expected["written"])
+    assert text == read_text("assignment", "by-management.ini")
 
 
 # Assignment files
@@ -111,31 +115,34 @@
 
 @pytest.mark.parametrize("name", ASSIGNMENTS)
 def test_an_assignment_is_read_to_the_same_values(name):
-    held = stored_data.assignment(text_of("assignment", f"{name}.ini"))
-    assert as_json(held) == EXPECTED["assignment"][name]
+    found = stored_data.parse_assignment(read_text("assignment", f"{name}.ini"))
+    assert as_json(found) == EXPECTED["assignment"][name]
 
 
 @pytest.mark.parametrize("name", ASSIGNMENTS)
 def test_an_assignment_is_written_again_byte_for_byte(name):
-    text = text_of("assignment", f"{name}.ini")
-    assert stored_data.assignment_written(text) == text
+    text = read_text("assignment", f"{name}.ini")
+    assert stored_data.rewrite_assignment(text) == text
 
 
-# Records, logs and assignments, by the commands that tell of them
+# Records, logs and assignments, as commands show them
 
 
-@pytest.mark.parametrize("words", COMMANDS)
-def test_a_command_tells_the_same_of_stored_files(words, tmp_path, monkeypatch):
-    """The time of day is that of the records; the fleet's own file names the stored records."""
-    held = EXPECTED["commands"][words]
-    monkeypatch.setattr(time, "time", lambda: held["at"])
+@pytest.mark.parametrize("command", COMMANDS)
+def test_a_command_shows_the_same_for_stored_files(command, tmp_path, monkeypatch):
+    """The clock is set to the time of the records, and a fleet file names the stored records."""
+    expected = EXPECTED["commands"][command]
+    monkeypatch.setattr(time, "time", lambda: expected["at"])
     monkeypatch.chdir(DATA)
-    own = tmp_path / "fleet.ini"
-    own.write_text(f"[fleet]\nrecords = {DATA / 'fleet-records'}\n", encoding="utf-8")
-    arguments = [str(own) if word == "FLEET.ini" else word for word in held["arguments"]]
-    code, told = stored_data.command(*arguments)
-    lines = [json.loads(line) for line in told.splitlines()]
-    assert (code, lines) == (held["code"], held["lines"])
+    fleet_file = tmp_path / "fleet.ini"
+    fleet_file.write_text(f"[fleet]\nrecords = {DATA / 'fleet-records'}\n", encoding="utf-8")
+    arguments = [
+        str(fleet_file) if argument == "FLEET.ini" else argument
+        for argument in expected["arguments"]
+    ]
+    code, output = stored_data.run_command(*arguments)
+    lines = [json.loads(line) for line in output.splitlines()]
+    assert (code, lines) == (expected["code"], expected["lines"])
 
 
 # Datagrams
@@ -143,40 +150,42 @@
 
 @pytest.mark.parametrize("name", DATAGRAMS)
 def test_a_datagram_is_read_to_the_same_fields(name):
-    found = stored_data.datagram(FLEET, KEY, bytes_of("datagrams", f"{name}.hex"))
+    found = stored_data.decode_datagram(FLEET, KEY, read_hex("datagrams", f"{name}.hex"))
     assert found == EXPECTED["datagrams"][name]
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
 def test_a_datagram_is_written_again_byte_for_byte(name):
-    data = bytes_of("datagrams", f"{name}.hex")
-    assert stored_data.datagram_written(FLEET, KEY, data) == data
+    data = read_hex("datagrams", f"{name}.hex")
+    assert stored_data.reencode_datagram(FLEET, KEY, data) == data
 
 
 @pytest.mark.parametrize(("name", "number"), KINDS_ON_THE_WIRE.items(), ids=str)
 def test_a_kind_keeps_its_number_on_the_wire(name, number):
     assert stored_data.kind_number(name) == number
-    assert stored_data.datagram(FLEET, KEY, bytes_of("datagrams", f"{name}.hex"))[2] == number
+    assert (
+        stored_data.decode_datagram(FLEET, KEY, read_hex("datagrams", f"{name}.hex"))[2] == number
+    )
 
 
 @pytest.mark.parametrize(("name", "number"), STATES_ON_THE_WIRE.items(), ids=str)
 def test_a_state_keeps_its_number_on_the_wire(name, number):
     assert stored_data.state_number(name) == number
-    data = bytes_of("datagrams", f"word-of-one-{name}.hex")
-    words = stored_data.datagram(FLEET, KEY, data)[6]
-    assert number in [word[-1] for word in words]
+    data = read_hex("datagrams", f"word-of-one-{name}.hex")
+    updates = stored_data.decode_datagram(FLEET, KEY, data)[6]
+    assert number in [update[-1] for update in updates]
 
 
 @pytest.mark.parametrize("name", LEASES)
-def test_words_on_leases_are_read_to_the_same_fields(name):
-    found = stored_data.leases(bytes_of("leases", f"{name}.hex"))
+def test_lease_messages_are_read_to_the_same_fields(name):
+    found = stored_data.decode_leases(read_hex("leases", f"{name}.hex"))
     assert found == EXPECTED["leases"][name]
 
 
 @pytest.mark.parametrize("name", LEASES)
-def test_words_on_leases_are_written_again_byte_for_byte(name):
-    data = bytes_of("leases", f"{name}.hex")
-    assert stored_data.leases_written(data) == data
+def test_lease_messages_are_written_again_byte_for_byte(name):
+    data = read_hex("leases", f"{name}.hex")
+    assert stored_data.reencode_leases(data) == data
 
 
 # INI files
@@ -188,14 +197,14 @@
     assert as_json(found) == EXPECTED["ini files"][name]
 
 
-def test_the_example_of_an_assignment_is_read_to_the_same_values():
-    held = stored_data.assignment(text_of("deploy", "cells-assignment.ini"))
-    assert as_json(held) == EXPECTED["assignment"]["deploy"]
+def test_the_example_assignment_is_read_to_the_same_values():
+    found = stored_data.parse_assignment(read_text("deploy", "cells-assignment.ini"))
+    assert as_json(found) == EXPECTED["assignment"]["deploy"]
 
 
 @pytest.mark.parametrize("name", CHECKED)
-def test_check_passes_an_ini_file(name, tmp_path, monkeypatch):
+def test_check_accepts_an_ini_file(name, tmp_path, monkeypatch):
     shutil.copytree(DATA / "deploy", tmp_path, dirs_exist_ok=True)
     monkeypatch.chdir(tmp_path)
-    held = EXPECTED["check"][name]
-    assert list(stored_data.command("check", f"--{name}", f"{name}.ini")) == held
+    expected = EXPECTED["check"][name]
+    assert list(stored_data.run_command("check", f"--{name}", f"{name}.ini")) == expected
--- a/tests/test_structured_log.py
+++ b/tests/test_structured_log.py
@@ -1,4 +1,4 @@
-"""The log."""
+"""Tests of the structured log."""
 
 import json
 import os
@@ -11,26 +11,28 @@
 from mulleinrelay.structured_log import StructuredLog
 
 
-def test_log_that_nobody_reads_blocks_nothing():
-    # Guards against a stalled reader of the log that stops the director under the module's lock.
-    reads, writes = os.pipe()
-    log, held = StructuredLog("n3", writes), []
+def test_stalled_reader_of_the_log_blocks_no_other_thread():
+    # The director logs while it holds the decision module's lock, so a stalled reader of the log
+    # must not block it.
+    read_end, write_end = os.pipe()
+    log, chunks = StructuredLog("n3", write_end), []
     burst = threading.Thread(
-        target=lambda: [log.event(f"e{i % 1500}", text="x" * 200) for i in range(3000)], daemon=True
+        target=lambda: [log.event(f"e{number % 1500}", text="x" * 200) for number in range(3000)],
+        daemon=True,
     )
     burst.start()
     burst.join(5.0)
     assert not burst.is_alive()
     reader = threading.Thread(
-        target=lambda: held.extend(iter(lambda: os.read(reads, 65_536), b"")), daemon=True
+        target=lambda: chunks.extend(iter(lambda: os.read(read_end, 65_536), b"")), daemon=True
     )
     reader.start()
-    assert wait_for(log.lines.empty)
+    assert wait_for(log.queued_lines.empty)
     log.event("last")
     log.close(5.0)
-    os.close(writes)
+    os.close(write_end)
     reader.join(5.0)
-    lines = [json.loads(line) for line in b"".join(held).splitlines()]
+    lines = [json.loads(line) for line in b"".join(chunks).splitlines()]
     assert sum(1 + line.get("dropped", 0) for line in lines) == 3001 and len(lines) < 3001
     assert (lines[-1]["event"], lines[-1]["director"]) == ("last", "n3")
-    os.close(reads)
+    os.close(read_end)
