--- a/mulleinrelay/budgets/__init__.py
+++ b/mulleinrelay/budgets/__init__.py
@@ -1,5 +1,5 @@
-"""Limits of the whole fleet, as quota units that directors own, lend and get back.
+"""Limits that apply to the whole fleet, divided into quota units that directors own and lend.
 
-`lease_ledger.py` and `quota_exchange.py` decide and are pure; `lease_messages.py` is the wire
-format of what they exchange, which travels in the datagrams of membership.
+`lease_ledger.py` and `quota_exchange.py` decide on leases without I/O. `lease_messages.py` is the
+wire format of the lease messages, which are sent in the datagrams of membership.
 """
--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -1,27 +1,27 @@
-"""One director's quota units of one limit; pure, times in ms of its own steady clock.
-
-A limit is divided into `UNITS_PER_LIMIT` units. Each unit has one owner, which never changes, by
-the number of directors that the limit is configured for. An owner that does not need some of its
-units lends them for a while. At any time at most one director may use a unit:
-
-- The owner locks the units of a lease before it answers, until `LEASE_DURATION` after that, and
-  then for one window more.
-- The borrower may use them until LEASE_DURATION * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent the
-  request*: that was before the owner locked them, and two clocks that drift apart by
-  MAX_CLOCK_DRIFT do not bring the borrower beyond the owner's lock (docs/budgets.md has the sum).
-- A grant counts once, for the request of this incarnation that it answers, and only while that is
-  remembered. A request that arrives again gets the first answer again and locks nothing more.
-- A director that has restarted does not know what it has lent: it uses only the reserved units,
-  which are never lent, until all leases of an earlier incarnation have expired. Nor does it know
-  what it has used: it uses nothing for one window.
-
-So whatever is lost, duplicated, delayed or reordered, and whichever director crashes or is
-suspended, no unit is used twice; a loss only costs time. A director that receives nothing has its
-own units back within LEASE_DURATION and one window.
-
-Limits count use over a window. Units that are lent have not been used for a window, and their owner
-does not use them for a window after their return, so that no window sees two directors use the
-same unit.
+"""Quota units of one limit at one director. No I/O; times in ms of the director's monotonic clock.
+
+A limit is divided into `UNITS_PER_LIMIT` units. Each unit has one owner, which never changes and
+follows from the number of directors that the limit is configured for. An owner that does not need
+some of its units lends them for a limited time. At any time at most one director may use a unit:
+
+- The owner locks the units of a lease before it sends the grant. It unlocks them one window after
+  the end of `LEASE_DURATION_MS`.
+- The borrower may use the units until LEASE_DURATION_MS * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent
+  the request*. The owner locked them later than that, so even with two clocks that drift apart by
+  MAX_CLOCK_DRIFT the borrower's use ends before the owner's lock (derivation in docs/budgets.md).
+- A grant is accepted once, for the pending request of this incarnation that it answers. A duplicate
+  request gets the same grant again and locks no further units.
+- A director that has restarted does not know which units it has lent. Until all leases of an
+  earlier incarnation have expired it uses only the reserved units, which are never lent. It does
+  not know its recent use either, so it uses no units for one window.
+
+Lost, duplicated, delayed or reordered messages and crashed or paused directors therefore never lead
+to the use of a unit by two directors; a loss only delays the use. A director that receives nothing
+can use its own units again within LEASE_DURATION_MS and one window.
+
+Limits count use over a window. An owner therefore lends only units that it has not used for a
+window, and uses them again one window after their return. No window thus contains the use of one
+unit by two directors.
 """
 
 import math
@@ -29,8 +29,8 @@
 
 UNITS_PER_LIMIT = 1 << 20
 MAX_CLOCK_DRIFT = 0.01  # relative, between two directors' clocks
-LEASE_DURATION = 2_000.0  # ms for which the owner locks what it lends
-RESERVED_FRACTION = 0.05  # of the owned units: never lent, and usable soon after a start
+LEASE_DURATION_MS = 2_000.0  # for which the owner locks lent units
+RESERVED_FRACTION = 0.05  # of the owned units: never lent, usable one window after a start
 
 MemberId = tuple[str, str, int]
 """Name, host and port of a director, as in membership."""
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """Asks one other director for units, or to renew the lease of an earlier request."""
+    """Request for units of another director, or for the renewal of an earlier lease."""
 
     number: int
     units: int
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseGrant:
-    """The answer to the request of that number."""
+    """Response to the lease request with the same number."""
 
     number: int
     units: int
@@ -55,14 +55,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRelease:
-    """The borrower does not use the units of that request any more."""
+    """Notice that the borrower no longer uses the units of the request with the same number."""
 
     number: int
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """Units that this director has lent: locked until then, and for one window more."""
+    """Lent units; locked for one more window after `locked_until`."""
 
     units: int
     locked_until: float
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class BorrowedLease:
-    """Units of another director that this one may use before they expire."""
+    """Borrowed units, which may be used until they expire."""
 
     lender: MemberId
     units: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that may still be answered."""
+    """A request whose grant may still arrive."""
 
     lender: MemberId
     sent_at: float
@@ -88,27 +88,27 @@
 
 @dataclass(slots=True)
 class LeaseLedger:
-    """What one director owns, has lent and has borrowed of one limit.
+    """Owned, lent and borrowed units of one limit at one director.
 
     Attributes:
         owned: Units that this director owns.
         window: Milliseconds over which use is counted.
-        started_at: When this incarnation started to use the limit.
-        incarnation: Of this process, greater than that of any before it under the same name.
-        lease_duration: See `LEASE_DURATION`.
+        started_at: Time at which this incarnation started to use the limit.
+        incarnation: Incarnation of this director; greater than all earlier ones of the same name.
+        lease_duration: See `LEASE_DURATION_MS`.
         max_clock_drift: See `MAX_CLOCK_DRIFT`.
         reserved_fraction: See `RESERVED_FRACTION`.
-        last_number: Number of the last request.
-        granted: Leases granted, by borrower, its incarnation and its request's number.
-        borrowed: Leases borrowed, by the number of the own request.
-        pending: Own requests that may still be answered, by number.
+        last_number: Number of the last request that this director sent.
+        granted: Granted leases by the borrower, its incarnation and the number of its request.
+        borrowed: Borrowed leases by the number of this director's request.
+        pending: This director's requests whose grant may still arrive, by number.
     """
 
     owned: int
     window: float
     started_at: float
     incarnation: int
-    lease_duration: float = LEASE_DURATION
+    lease_duration: float = LEASE_DURATION_MS
     max_clock_drift: float = MAX_CLOCK_DRIFT
     reserved_fraction: float = RESERVED_FRACTION
     last_number: int = 0
@@ -116,7 +116,7 @@
     borrowed: dict[int, BorrowedLease] = field(default_factory=dict)
     pending: dict[int, PendingRequest] = field(default_factory=dict)
 
-    # What may be used
+    # Usable units
 
     @property
     def reserved(self) -> int:
@@ -124,15 +124,19 @@
         return math.ceil(self.owned * self.reserved_fraction)
 
     def usable(self, now: float) -> int:
-        """Returns the units that this director may use."""
+        """Return the number of units that this director may use."""
         return self.usable_owned(now) + sum(
             lease.units for lease in self.borrowed.values() if now < lease.expires_at
         )
 
     def usable_owned(self, now: float) -> int:
-        """Returns the owned units that neither are lent nor may be from before a restart."""
+        """Return the number of owned units that this director may use.
+
+        Lent units are excluded. For some time after a restart, so are the units that an earlier
+        incarnation may have used or lent.
+        """
         age = (now - self.started_at) / (1.0 + 2.0 * self.max_clock_drift)
-        if age < self.window:  # an earlier incarnation may just have used all of it
+        if age < self.window:  # an earlier incarnation may just have used all units
             return 0
         if age < self.lease_duration + self.window:
             return self.reserved
@@ -141,24 +145,24 @@
         )
 
     def lendable(self, now: float, used: int) -> int:
-        """Returns the owned units that may be lent.
+        """Return the number of owned units that may be lent.
 
         Args:
             now: Time in ms.
-            used: The most units that this director has used at one time in the last window.
+            used: Maximum number of units that this director used within the last window.
         """
         return max(0, self.usable_owned(now) - max(used, self.reserved))
 
     # As the borrower
 
     def request(self, now: float, lender: MemberId, units: int, renews: int = 0) -> LeaseRequest:
-        """Records and returns a request that is to be sent to the lender now.
+        """Record and return a request, which the caller sends to the lender immediately.
 
         Args:
             now: Time in ms.
-            lender: The director that is asked.
-            units: Units that are wanted; for a renewal, those of the lease.
-            renews: Number of the lease to renew; 0 asks for a new one.
+            lender: Director that receives the request.
+            units: Number of requested units; for a renewal, the units of the lease.
+            renews: Number of the lease to renew; 0 for a new lease.
         """
         self.last_number += 1
         self.pending[self.last_number] = PendingRequest(lender, now, renews)
@@ -167,16 +171,16 @@
     def accept_grant(
         self, now: float, lender: MemberId, incarnation: int, grant: LeaseGrant
     ) -> bool:
-        """Takes over the units of a grant.
+        """Borrow the units of a grant.
 
         Args:
             now: Time in ms.
-            lender: The director that sent the grant.
-            incarnation: Of the borrower, as the request had it.
+            lender: Director that sent the grant.
+            incarnation: Incarnation of the borrower in the request.
             grant: The grant.
 
         Returns:
-            Whether the grant counts.
+            Whether the grant is valid.
         """
         request = self.pending.get(grant.number)
         if request is None or request.lender != lender:
@@ -188,7 +192,7 @@
         if request.renews:
             lease = self.borrowed.get(request.renews)
             if lease is None or lease.lender != lender or lease.units != grant.units:
-                # Released or expired meanwhile: what the lender has locked for it expires by itself
+                # The lease was released or has expired; the lender's lock expires by itself
                 return False
             lease.expires_at = max(lease.expires_at, expires_at)
             return True
@@ -197,7 +201,7 @@
         return now < expires_at
 
     def release(self, number: int) -> LeaseRelease | None:
-        """Gives a borrowed lease up; returns what is to be sent to its lender, if there is one."""
+        """Release a borrowed lease; return the message for its lender, or None if unknown."""
         lease = self.borrowed.pop(number, None)
         return LeaseRelease(number) if lease is not None else None
 
@@ -206,20 +210,20 @@
     def grant(
         self, now: float, borrower: MemberId, incarnation: int, request: LeaseRequest, used: int
     ) -> LeaseGrant | None:
-        """Locks units for a borrower, before anybody learns of it.
+        """Lock units for a borrower before the grant is sent.
 
         Args:
             now: Time in ms.
-            borrower: The director that asks.
-            incarnation: Of the borrower.
-            request: Its request.
+            borrower: Director that sent the request.
+            incarnation: Incarnation of the borrower.
+            request: The request.
             used: See `lendable`.
 
         Returns:
-            The grant that is to be sent; None: the request is not answered.
+            The grant to send; None if the request gets no response.
         """
         lease = self.granted.get((borrower, incarnation, request.number))
-        if lease is not None:  # a duplicate: the same answer, as long as it may still be of use
+        if lease is not None:  # duplicate request: same grant until the lease expires
             return LeaseGrant(request.number, lease.units) if now < lease.locked_until else None
         if request.renews:
             lease = self.granted.get((borrower, incarnation, request.renews))
@@ -238,7 +242,7 @@
     def accept_release(
         self, now: float, borrower: MemberId, incarnation: int, release: LeaseRelease
     ) -> None:
-        """Unlocks the units of a lease one window from now."""
+        """End a lease, so that its units are unlocked one window from now."""
         lease = self.granted.get((borrower, incarnation, release.number))
         if lease is not None:
             lease.locked_until = min(lease.locked_until, now)
@@ -246,7 +250,7 @@
     # Time
 
     def remove_expired(self, now: float) -> None:
-        """Forgets leases and requests that can have no effect any more."""
+        """Remove leases and requests that have no effect any more."""
         self.granted = {
             key: lease
             for key, lease in self.granted.items()
--- a/mulleinrelay/budgets/lease_messages.py
+++ b/mulleinrelay/budgets/lease_messages.py
@@ -1,6 +1,7 @@
-"""Messages about leases and their encoding: MessagePack arrays, whose order is the wire format.
+"""Lease messages and their encoding as MessagePack arrays, without I/O.
 
-They are the payload of a membership datagram, which has the checksum. Pure.
+The order of the fields is the wire format. The messages are the payload of a membership datagram,
+which contains the checksum.
 """
 
 from collections.abc import Sequence
@@ -12,7 +13,7 @@
 
 
 class LeaseMessageKind(StrEnum):
-    """What a lease message does; the values are the wire format."""
+    """Kind of a lease message; the values are the wire format."""
 
     REQUEST = "a"
     GRANT = "l"
@@ -24,12 +25,12 @@
 
     Attributes:
         limit: Name of the limit.
-        kind: A `LeaseMessageKind`; text, so that a kind of a later version is ignored rather than
-            spoiling all messages that came with it.
-        incarnation: Of the borrower.
-        number: Number of the borrower's request; it names the lease.
+        kind: A `LeaseMessageKind`. The type is str, so that a message of an unknown kind from a
+            later version does not invalidate the other messages of the payload.
+        incarnation: Incarnation of the borrower.
+        number: Number of the borrower's request, which identifies the lease.
         units: Quota units that are requested or granted; 0 in a release.
-        renews: Number of the lease that a request renews; 0 for a new one.
+        renews: Number of the lease that a request renews; 0 for a new lease.
     """
 
     limit: str
@@ -48,11 +49,11 @@
         self._decoder = msgspec.msgpack.Decoder(list[LeaseMessage])
 
     def encode(self, messages: Sequence[LeaseMessage]) -> bytes:
-        """Returns the payload."""
+        """Return the payload with the given messages."""
         return self._encoder.encode(messages)
 
     def decode(self, payload: bytes) -> list[LeaseMessage]:
-        """Returns the messages of a payload.
+        """Return the messages of a payload.
 
         Raises:
             ProtocolError: If it is not a list of lease messages.
--- a/mulleinrelay/membership/broadcast_queue.py
+++ b/mulleinrelay/membership/broadcast_queue.py
@@ -1,7 +1,7 @@
-"""Member updates that are still to be piggybacked on datagrams; pure.
+"""Queue of the member updates that are piggybacked on datagrams, without I/O.
 
-After the `TransmitLimitedQueue` of hashicorp/memberlist: each update is sent a number of times that
-grows with the logarithm of the fleet's size, those that were sent least first.
+It follows `TransmitLimitedQueue` of hashicorp/memberlist: each update is sent a limited number of
+times, which grows with the logarithm of the fleet's size. Updates that were sent least go first.
 """
 
 import math
@@ -9,18 +9,19 @@
 
 from .messages import MemberId
 
-RETRANSMIT_MULTIPLIER = 2.0  # transmissions of an update by log2 of the fleet's size
+RETRANSMIT_MULTIPLIER = 2.0  # transmissions of an update per log2 of the fleet's size
 
 
 def transmit_limit(cluster_size: int) -> int:
-    """Returns how often one update is sent in a fleet of that size."""
+    """Return how often one update is sent in a fleet of this size."""
     return math.ceil(RETRANSMIT_MULTIPLIER * math.log2(cluster_size + 1))
 
 
 class BroadcastQueue:
-    """Members whose current update is still to be sent, with the transmissions so far.
+    """Members whose update is still to be sent, with the number of transmissions so far.
 
-    The update itself is looked up when it is sent, so that the newest one goes out.
+    The queue holds only member ids. The caller looks the update up when it sends it, so that the
+    newest update is sent.
     """
 
     def __init__(self) -> None:
@@ -30,24 +31,24 @@
         return len(self._transmissions)
 
     def enqueue(self, member_id: MemberId) -> None:
-        """Adds a member, or starts anew to count its transmissions."""
+        """Add a member, or reset its number of transmissions."""
         self._transmissions[member_id] = 0
 
     def discard(self, member_id: MemberId) -> None:
-        """Removes a member, if it is there."""
+        """Remove a member if it is queued."""
         self._transmissions.pop(member_id, None)
 
     def clear(self) -> None:
-        """Removes all members."""
+        """Remove all members."""
         self._transmissions.clear()
 
-    def select(self, count: int, first: Iterable[MemberId] = ()) -> list[MemberId]:
-        """Returns up to `count` members: those of `first`, then those sent least."""
+    def select(self, count: int, preferred: Iterable[MemberId] = ()) -> list[MemberId]:
+        """Return up to `count` members: the preferred ones, then those sent least."""
         ranked = sorted(self._transmissions, key=lambda member_id: self._transmissions[member_id])
-        return list(dict.fromkeys([*first, *ranked]))[:count]
+        return list(dict.fromkeys([*preferred, *ranked]))[:count]
 
-    def count_transmission(self, member_id: MemberId, limit: int) -> None:
-        """Notes that the update of a member was sent, and removes it at the limit."""
+    def record_transmission(self, member_id: MemberId, limit: int) -> None:
+        """Count a transmission of a member's update, and remove the member at the limit."""
         if member_id not in self._transmissions:
             return
         self._transmissions[member_id] += 1
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -1,4 +1,4 @@
-"""`mulleinrelay fleet`: what directors know of each other, from the records that they write."""
+"""Command group `mulleinrelay fleet`: shows the membership records that directors write."""
 
 import os
 import sys
@@ -13,24 +13,27 @@
 from .config import load_fleet_config
 
 EXIT_FAILED = 1
-EXIT_WRONG_FILE = 2
-MAX_RECORD_AGE_S = 5.0  # a director that is running writes its records each second
+EXIT_INVALID_FILE = 2
+MAX_RECORD_AGE_S = 5.0  # a running director writes its records each second
 
-MEMBERS_HELP = """Each member with how many directors take it for alive, suspected, dead or left;
-where they disagree, the part of the fleet that hears nothing shows. Exit code 1 where no director
-keeps fresh records."""
-BUDGETS_HELP = """Each limit that directors share: who may use which part of it (thousandths of the
-whole), and what is lent to whom. Exit code 1 where no director keeps fresh records."""
+MEMBERS_HELP = """Show each member and how many directors see it as alive, suspect, dead or left.
+Differences show which part of the fleet receives no datagrams. Exit code 1 if no director writes
+fresh records."""
+BUDGETS_HELP = """Show the limits that directors share: the fraction of each limit that each
+director may use (in thousandths), and the leases between directors. Exit code 1 if no director
+writes fresh records."""
 
 
 @click.group()
 def fleet() -> None:
-    """Which directors are there, as they see each other, by the records that FILE names."""
+    """Show the fleet's members and quotas from its directors' records (FILE: as for --fleet)."""
 
 
 FILE = click.argument("path", metavar="FILE")
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
-FROM = click.option("--from", "witness", metavar="NAME", help="As this director sees it.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+FROM = click.option(
+    "--from", "witness", metavar="NAME", help="Show only the view of this director."
+)
 
 
 @fleet.command(help=MEMBERS_HELP)
@@ -38,7 +41,7 @@
 @FROM
 @JSON
 def members(path: str, witness: str | None, as_json: bool) -> None:
-    """Shows all members and how many directors see each of them in which state."""
+    """Show all members and how many directors see each of them in which state."""
     now = time.time()
     states = [
         state
@@ -55,11 +58,11 @@
         click.echo(orjson.dumps(output))
     else:
         for member in summaries:
-            seen = ", ".join(
+            counts = ", ".join(
                 f"{state} {count}" for state, count in sorted(member["seen_by"].items())
             )
             click.echo(
-                f"{member['name']:<16} {member['address']:<22} {member['location']:<12} {seen}"
+                f"{member['name']:<16} {member['address']:<22} {member['location']:<12} {counts}"
             )
         if without_fresh_records:
             click.echo(f"no fresh records: {', '.join(without_fresh_records)}")
@@ -71,7 +74,7 @@
 @FILE
 @JSON
 def budgets(path: str, as_json: bool) -> None:
-    """Shows all shared limits and each director's part of them."""
+    """Show all shared limits and the units of each director."""
     now = time.time()
     fresh = [state for state in read_states(_records_folder(path)) if _is_fresh(state, now)]
     limits = _limits_by_director(fresh)
@@ -79,7 +82,7 @@
         click.echo(orjson.dumps(limits))
     else:
         for name, by_director in sorted(limits.items()):
-            _echo_limit(name, by_director)
+            _print_limit(name, by_director)
     if not limits:
         sys.exit(EXIT_FAILED)
 
@@ -89,14 +92,14 @@
 @click.argument("limit")
 @JSON
 def explain(path: str, limit: str, as_json: bool) -> None:
-    """Why each director may use what it may of LIMIT: what it owns, has out, and has from whom."""
+    """Explain each director's usable part of LIMIT: owned, lent and borrowed units."""
     found = {}
     for state in read_states(_records_folder(path)):
         if state.get("budgets") and limit in state["budgets"]["limits"]:
             age_s = round(time.time() - state.get("written", 0.0), 1)
             found[state["director"]] = state["budgets"]["limits"][limit] | {"written_s_ago": age_s}
     if not found:
-        click.echo(f"mulleinrelay: no director has written of a limit {limit!r}", err=True)
+        click.echo(f"mulleinrelay: no director has recorded a limit {limit!r}", err=True)
         sys.exit(EXIT_FAILED)
     if as_json:
         click.echo(orjson.dumps(found))
@@ -108,11 +111,15 @@
 @fleet.command()
 @FILE
 @click.option(
-    "--last", type=click.IntRange(1, 100_000), default=100, show_default=True, help="Lines."
+    "--last",
+    type=click.IntRange(1, 100_000),
+    default=100,
+    show_default=True,
+    help="Number of lines to show.",
 )
 @JSON
 def log(path: str, last: int, as_json: bool) -> None:
-    """What directors have seen of each other, of all of them by time."""
+    """Show the membership events that all directors have recorded, in order of time."""
     for line in read_logs(_records_folder(path))[-last:]:
         if as_json:
             click.echo(orjson.dumps(line))
@@ -122,28 +129,30 @@
 
 
 def _records_folder(path: str) -> str:
-    """Returns the folder that a configuration names; ends the program where there is none."""
+    """Return the records folder of a configuration; exit if there is none."""
     try:
         config = load_fleet_config(path)
     except ConfigError as error:
         click.echo(f"mulleinrelay: {error}", err=True)
-        sys.exit(EXIT_WRONG_FILE)
+        sys.exit(EXIT_INVALID_FILE)
     if not config.records_folder or not os.path.isdir(config.records_folder):
         click.echo(
-            f"mulleinrelay: {path}: no records are kept (key `records`), or none yet", err=True
+            f"mulleinrelay: {path}: no records folder is configured (key `records`), or it does"
+            " not exist yet",
+            err=True,
         )
         sys.exit(EXIT_FAILED)
     return config.records_folder
 
 
 def _is_fresh(state: Record, now: float) -> bool:
-    """Whether a record was written by a director that is still running."""
+    """Return whether a record was written by a director that is still running."""
     is_old = now - state.get("written", 0.0) > MAX_RECORD_AGE_S
     return not is_old and state.get("state") != "left"
 
 
 def _summarize_members(states: Iterable[Record]) -> list[Record]:
-    """Returns all members by name and address, with the number of directors by state seen."""
+    """Return all members by name and address, each with the number of directors per state seen."""
     found: dict[tuple[str, str], Record] = {}
     for state in states:
         _count_member(found, state, "itself")
@@ -175,7 +184,7 @@
     return limits
 
 
-def _echo_limit(name: str, by_director: Record) -> None:
+def _print_limit(name: str, by_director: Record) -> None:
     usable = sum(part["usable"] for part in by_director.values())
     click.echo(f"{name}: {usable:.0f} of 1000 may be used, by {len(by_director)}")
     for director, part in sorted(by_director.items(), key=lambda item: -item[1]["usable"]):
--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -1,6 +1,6 @@
-"""The INI file of a director's membership: its address, its seeds, its records (`--fleet FILE`).
+"""INI file with a director's membership settings: addresses, seeds, records (`--fleet FILE`).
 
-Sections `[fleet]` and `[budgets]`; deploy/fleet.ini explains each key.
+Its sections are `[fleet]` and `[budgets]`; deploy/fleet.ini explains each key.
 """
 
 import os
@@ -19,7 +19,7 @@
 MIN_KEY_CHARS = 8
 DEFAULT_MAX_MEMBERS = 4_000
 MAX_MEMBERS_LIMIT = 100_000
-WILDCARD_HOSTS = ("0.0.0.0", "::")  # addresses to listen at, at which nobody can be reached
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # can be listened on, but not sent to
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,17 +27,17 @@
     """Configuration of one director's membership.
 
     Attributes:
-        enabled: Whether the director takes part in membership at all.
-        fleet: Name of the fleet; datagrams of others are dropped.
+        enabled: Whether the director takes part in membership.
+        fleet: Name of the fleet; datagrams of other fleets are dropped.
         key: Secret that all directors of the fleet share.
         listen: Address at which datagrams are received.
-        announce: Address at which other directors reach this one.
+        announce: Address at which other directors reach this director.
         location: Location (zone) of this director.
-        seeds: Directors that are asked first, while no other is known.
-        max_members: Bound on the members that are remembered.
-        records_folder: Folder of the records for operators' commands; empty: none are written.
-        shares_slow_start_quota: Whether the limits on caches and parents that are warming up are
-            lent among directors.
+        seeds: Addresses of the directors that are contacted while no other director is known.
+        max_members: Maximum number of members in the member table.
+        records_folder: Folder of the records for operators' commands; no records if empty.
+        shares_slow_start_quota: Whether directors lend each other units of the limits on cold
+            caches and cold parents.
     """
 
     enabled: bool
@@ -53,14 +53,14 @@
 
 
 def parse_fleet_config(text: str, folder: str) -> FleetConfig:
-    """Parses the text of the file.
+    """Parse the text of the file.
 
     Args:
         text: The text.
-        folder: Folder from which relative paths are taken.
+        folder: Folder that relative paths in the text refer to.
 
     Raises:
-        ConfigError: If the text cannot be used.
+        ConfigError: If the text is not a valid configuration.
     """
     sections = parse_sections(text)
     reject_unknown_sections(sections, SECTIONS)
@@ -74,7 +74,7 @@
     key = _parse_key(fleet, enabled)
     announce = fleet.address("announce", fleet.text("announce", f"{listen[0]}:{listen[1]}"))
     if enabled and announce[0] in WILDCARD_HOSTS:
-        reason = "an address at which others find this director is wanted"
+        reason = "must be an address at which other directors reach this director"
         raise fleet.error("announce", reason)
     config = FleetConfig(
         enabled=enabled,
@@ -96,22 +96,22 @@
 def _parse_name(section: IniSection, key: str, default: str) -> str:
     name = section.text(key, default)
     if not NAME_PATTERN.fullmatch(name):
-        raise section.error(key, f"{name!r} is no name")
+        raise section.error(key, f"{name!r} is not a valid name")
     return name
 
 
 def _parse_key(section: IniSection, enabled: bool) -> bytes:
     key = section.text("key", "")
     if enabled and len(key) < MIN_KEY_CHARS:
-        reason = f"{MIN_KEY_CHARS} characters or more are wanted where enabled = yes"
+        reason = f"must have at least {MIN_KEY_CHARS} characters if enabled = yes"
         raise section.error("key", reason)
     return key.encode()
 
 
 def load_fleet_config(path: str) -> FleetConfig:
-    """Reads and parses the file.
+    """Read and parse the file.
 
     Raises:
-        ConfigError: If the file cannot be read or used.
+        ConfigError: If the file cannot be read or is not a valid configuration.
     """
     return load_ini(path, parse_fleet_config)
--- a/mulleinrelay/membership/datagrams.py
+++ b/mulleinrelay/membership/datagrams.py
@@ -1,23 +1,23 @@
-"""Datagrams to be sent, with the member updates that they carry; pure."""
+"""Construction of outgoing datagrams with the member updates that they carry, without I/O."""
 
 from typing import NamedTuple
 
 from .member_table import MemberTable
 from .messages import Address, DatagramCodec, MemberId, MemberState, MemberUpdate, MessageKind
 
-UPDATES_PER_DATAGRAM = 14  # as many as usually fit into MAX_DATAGRAM_BYTES
-NO_NUMBER = 0  # of a message that expects no answer
+UPDATES_PER_DATAGRAM = 14  # usually the most that fit into MAX_DATAGRAM_BYTES
+NO_SEQUENCE_NUMBER = 0  # of a message that expects no response
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram and where it goes."""
+    """An encoded datagram and its destination."""
 
     address: Address
     data: bytes
 
 
 class DatagramFactory:
-    """Makes the datagrams of one director out of its table."""
+    """Builds the datagrams of one director from its member table."""
 
     def __init__(self, codec: DatagramCodec, table: MemberTable) -> None:
         self._codec = codec
@@ -31,38 +31,39 @@
         target: MemberUpdate | None = None,
         recipient: MemberId | None = None,
     ) -> OutgoingDatagram:
-        """Returns a message with queued updates piggybacked, which counts their transmission.
+        """Return a message with piggybacked updates, and count the updates' transmission.
 
         Args:
-            address: Where it goes.
-            kind: See `Message`, as for `number` and `target`.
+            address: Destination of the datagram.
+            kind: Kind of the message.
             number: Sequence number of the ping.
-            target: Whom an indirect ping is for.
-            recipient: Who receives it, if that is known: where it is not believed alive, that
-                update goes first, so that it can refute it ("buddy system" of Lifeguard).
+            target: Member that an indirect ping is for.
+            recipient: Member at the destination, if known. If this director does not consider it
+                alive, the update about it goes first, so that the member can refute it ("buddy
+                system" of Lifeguard).
         """
-        first = []
+        preferred = []
         if recipient is not None:
             entry = self._table.entries.get(recipient)
             if entry is not None and entry.update.state > MemberState.ALIVE:
-                first = [recipient]
-        updates = self._table.take_broadcasts(UPDATES_PER_DATAGRAM, first)
-        return self._make(address, kind, number, target, updates)
+                preferred = [recipient]
+        updates = self._table.take_broadcasts(UPDATES_PER_DATAGRAM, preferred)
+        return self._build(address, kind, number, target, updates)
 
     def with_updates(
         self, address: Address, kind: MessageKind, number: int, updates: list[MemberUpdate]
     ) -> OutgoingDatagram:
-        """Returns a message with just these updates."""
-        return self._make(address, kind, number, None, updates)
+        """Return a message with only the given updates."""
+        return self._build(address, kind, number, None, updates)
 
     def with_payload(self, address: Address, payload: bytes) -> OutgoingDatagram:
-        """Returns a message for the recipient's delegate."""
+        """Return a message for the recipient's delegate."""
         data = self._codec.encode(
-            MessageKind.USER_MESSAGE, NO_NUMBER, self._table.local, None, [], payload
+            MessageKind.USER_MESSAGE, NO_SEQUENCE_NUMBER, self._table.local, None, [], payload
         )
         return OutgoingDatagram(address, data)
 
-    def _make(
+    def _build(
         self,
         address: Address,
         kind: MessageKind,
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -1,16 +1,17 @@
-"""Failure detection: pings, indirect pings, suspicion and local health; pure, times in ms.
-
-SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-Membership Protocol", 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard:
-SWIM-ing with Situational Awareness", 2017):
-
-- Each period one member is pinged, in rounds of random order. Where no ack comes in time, others
-  are asked to ping it as well (indirect ping); where that brings none either, it is suspected.
-- A suspect that refutes in time is alive again; one that doesn't counts as dead. The timeout grows
-  with the logarithm of the fleet's size and shrinks with each other director that suspects the
-  member too ("dynamic suspicion", Lifeguard IV-B).
-- A director that itself fails to get acks and nacks takes itself for slow, and gives all others
-  more time ("local health multiplier", Lifeguard IV-A).
+"""Failure detection: pings, indirect pings, suspicion and local health. No I/O; times in ms.
+
+It implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
+Group Membership Protocol", 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey:
+"Lifeguard: SWIM-ing with Situational Awareness", 2017):
+
+- In each period one member is pinged, in rounds of random order. If no ack arrives in time, other
+  members are asked to ping it as well (indirect ping). If no ack arrives then either, the member
+  becomes suspect.
+- A suspect that refutes the suspicion in time is alive again; otherwise it becomes dead. The
+  suspicion timeout grows with the logarithm of the fleet's size. It shrinks with each other
+  director that suspects the member too ("dynamic suspicion", Lifeguard IV-B).
+- A director that does not receive acks and nacks assumes that it is slow itself, and increases its
+  timeouts for all members ("local health multiplier", Lifeguard IV-A).
 """
 
 import math
@@ -21,44 +22,46 @@
 from .member_table import MemberEntry, MemberTable
 from .messages import Address, MemberId, MemberState, MemberUpdate, Message, MessageKind
 
-PING_INTERVAL = 500.0
-PING_INTERVAL_JITTER = 0.2  # each interval is from 0.9 to 1.1 of it
-ACK_TIMEOUT = 150.0  # until indirect pings are asked for, while this director is healthy
-INDIRECT_PINGS = 3  # members that are asked for one
-MIN_SUSPICION_INTERVALS = 1.5  # ping intervals by log10 of the fleet's size
-MAX_SUSPICION_FACTOR = 3.0  # times that, where no other director suspects the member
-SUSPICION_CONFIRMATIONS = 3  # other directors that suspect it too, for the least timeout
-MAX_HEALTH_SCORE = 8  # timeouts are at most this plus one times as long
-FINAL_PINGS = (0.3, 0.5, 0.7)  # fractions of the suspicion timeout after which a suspect is pinged
-SUSPICION_CHECK_INTERVAL = 0.2 * PING_INTERVAL  # while any member is suspect
-SUSPENSION_PENALTY = 2  # on the health score, after this director itself was stopped
-SEQUENCE_START_LIMIT = 1 << 30  # sequence numbers start below it, at random
+PING_INTERVAL_MS = 500.0
+PING_INTERVAL_JITTER = 0.2  # relative: each interval is 0.9 to 1.1 times as long
+ACK_TIMEOUT_MS = 150.0  # until indirect pings are requested, at health score 0
+INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
+MIN_SUSPICION_INTERVALS = 1.5  # minimum suspicion timeout, in ping intervals per log10 of the size
+MAX_SUSPICION_FACTOR = 3.0  # maximum suspicion timeout, as a multiple of the minimum
+SUSPICION_CONFIRMATIONS = 3  # further suspecting directors that reduce the timeout to the minimum
+MAX_HEALTH_SCORE = 8  # timeouts are multiplied by the score plus one
+# Fractions of the suspicion timeout after which a suspect is pinged again
+SUSPECT_PING_FRACTIONS = (0.3, 0.5, 0.7)
+SUSPICION_CHECK_INTERVAL_MS = 0.2 * PING_INTERVAL_MS  # while any member is suspect
+PAUSE_HEALTH_PENALTY = 2  # added to the health score after this process was paused
+SEQUENCE_START_LIMIT = 1 << 30  # exclusive bound of the random first sequence number
 
 
 @dataclass(slots=True, frozen=True)
 class PingRequester:
-    """The director that asked for an indirect ping, and the number that its answer carries."""
+    """A director that requested an indirect ping, and the sequence number of its request."""
 
     address: Address
-    number: int
+    sequence_number: int
 
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping that was sent and not yet answered.
+    """A ping without an ack so far.
 
     Attributes:
-        member_id: Whom it went to.
-        number: Its sequence number.
-        sent_at: When it was sent.
-        requester: Who asked for it; None for this director's own pings.
-        precedence: Of the update that a failure would put in doubt.
-        has_indirect_pings: Whether others were asked to ping the member too.
-        nacks: Answers of others that they have got no ack either.
+        member_id: Member that was pinged.
+        sequence_number: Sequence number of the ping.
+        sent_at: Time at which the ping was sent.
+        requester: Director that requested this indirect ping; None for this director's own ping.
+        precedence: Precedence of the member's update when the ping was sent. The member becomes
+            suspect only if the update is still the same.
+        has_indirect_pings: Whether other members were asked to ping the member too.
+        nacks: Number of those members that reported that they have received no ack either.
     """
 
     member_id: MemberId
-    number: int
+    sequence_number: int
     sent_at: float
     requester: PingRequester | None = None
     precedence: tuple[int, int, int] = (0, 0, 0)
@@ -67,11 +70,11 @@
 
 
 class FailureDetector:
-    """Pings the members of a table and sets their state.
+    """Pings the members of a table and updates their state.
 
     Attributes:
-        health_score: 0 while this director itself is healthy, up to `MAX_HEALTH_SCORE`.
-        next_ping_at: When the next member is pinged.
+        health_score: Local health, from 0 (healthy) to `MAX_HEALTH_SCORE`.
+        next_ping_at: Time of the next ping.
     """
 
     def __init__(
@@ -80,118 +83,126 @@
         self._table = table
         self._datagrams = datagrams
         self._random = random
-        self._last_number = random.randrange(SEQUENCE_START_LIMIT)
+        self._last_sequence_number = random.randrange(SEQUENCE_START_LIMIT)
         self._pending: dict[int, PendingPing] = {}
-        self._ping_order: list[MemberId] = []  # members that this round still has to ping
+        self._ping_order: list[MemberId] = []  # members that are still to be pinged in this round
         self.health_score = 0
-        self.next_ping_at = now + PING_INTERVAL * random.random()
+        self.next_ping_at = now + PING_INTERVAL_MS * random.random()
 
     def next_wake_at(self, last_tick_at: float) -> float:
-        """Returns when a tick is wanted at the latest."""
+        """Return the time of the next required tick."""
         due_times = [self.next_ping_at]
         for ping in self._pending.values():
             if ping.requester is None and not ping.has_indirect_pings:
                 due_times.append(ping.sent_at + self._ack_timeout())
         entries = self._table.entries.values()
         if any(entry.update.state == MemberState.SUSPECT for entry in entries):
-            due_times.append(last_tick_at + SUSPICION_CHECK_INTERVAL)
+            due_times.append(last_tick_at + SUSPICION_CHECK_INTERVAL_MS)
         return min(due_times)
 
     # Received messages
 
     def handle_ack(self, message: Message) -> list[OutgoingDatagram]:
-        """Completes a ping; the ack of an indirect ping is passed on to who asked for it."""
+        """Complete a ping; forward the ack of an indirect ping to its requester."""
         ping = self._pending.pop(message.number, None)
         if ping is None:
             return []
         if ping.requester is not None:
-            return [self._answer(ping.requester, MessageKind.ACK)]
+            return [self._reply(ping.requester, MessageKind.ACK)]
         self.health_score = max(0, self.health_score - 1)
         return []
 
     def handle_nack(self, message: Message) -> None:
-        """Notes that a director which was asked to ping a member has got no ack."""
+        """Record that an indirect ping has received no ack."""
         if ping := self._pending.get(message.number):
             ping.nacks += 1
 
     def handle_indirect_ping(
         self, now: float, requester: PingRequester, target: MemberUpdate
     ) -> list[OutgoingDatagram]:
-        """Pings a member for another director."""
-        number = self._next_number()
+        """Ping a member on behalf of another director."""
+        number = self._next_sequence_number()
         self._pending[number] = PendingPing(target.member_id, number, now, requester)
         return [self._ping(target, number)]
 
     def notify_suspect(self, update: MemberUpdate) -> list[OutgoingDatagram]:
-        """Pings a suspect, so that it learns of the suspicion and can refute it."""
-        return [self._ping(update, self._next_number())]
+        """Ping a suspect, so that it learns of the suspicion and can refute it."""
+        return [self._ping(update, self._next_sequence_number())]
 
     # Time
 
-    def handle_suspension(self, now: float) -> None:
-        """This director was stopped: pending pings prove nothing, suspicions start anew."""
+    def handle_pause(self, now: float) -> None:
+        """Discard the pending pings and restart all suspicion timeouts after a pause.
+
+        While this process was paused it received no acks, so the missing acks prove nothing.
+        """
         self._pending.clear()
-        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + SUSPENSION_PENALTY)
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + PAUSE_HEALTH_PENALTY)
         for entry in self._table.entries.values():
             if entry.update.state == MemberState.SUSPECT:
                 entry.state_since = now
 
     def check_pending_pings(self, now: float) -> list[OutgoingDatagram]:
-        """Asks for indirect pings where an ack is late, then suspects the member."""
-        out = []
+        """Request indirect pings for overdue acks; suspect members that still send no ack."""
+        outgoing = []
         for number, ping in list(self._pending.items()):
             entry = self._table.entries.get(ping.member_id)
             if ping.requester is not None:
-                if now > ping.sent_at + PING_INTERVAL:
+                if now > ping.sent_at + PING_INTERVAL_MS:
                     del self._pending[number]
-                    out.append(self._answer(ping.requester, MessageKind.NACK))
+                    outgoing.append(self._reply(ping.requester, MessageKind.NACK))
             elif entry is None or not entry.is_active:
                 del self._pending[number]
             elif not ping.has_indirect_pings and now > ping.sent_at + self._ack_timeout():
                 ping.has_indirect_pings = True
-                out += self._request_indirect_pings(ping, entry.update)
-            elif now > ping.sent_at + PING_INTERVAL * self._health_factor() + self._ack_timeout():
+                outgoing += self._request_indirect_pings(ping, entry.update)
+            elif (
+                now > ping.sent_at + PING_INTERVAL_MS * self._health_factor() + self._ack_timeout()
+            ):
                 del self._pending[number]
-                out.append(self._suspect(now, ping, entry))
-        return out
+                outgoing.append(self._suspect(now, ping, entry))
+        return outgoing
 
     def check_suspects(self, now: float) -> list[OutgoingDatagram]:
-        """Pings suspects some last times; those whose timeout is over have died."""
+        """Ping suspects again, and declare those dead whose suspicion timeout has expired."""
         cluster_size = self._table.cluster_size()
-        out = []
+        outgoing = []
         for member_id, entry in list(self._table.entries.items()):
             if entry.update.state != MemberState.SUSPECT:
                 continue
             timeout = self._suspicion_timeout(cluster_size, len(entry.suspected_by))
-            sent = entry.final_pings_sent
+            sent = entry.suspect_pings_sent
             if now > entry.state_since + timeout:
                 self._table.set_state(now, member_id, MemberState.DEAD)
-            elif sent < len(FINAL_PINGS) and now > entry.state_since + FINAL_PINGS[sent] * timeout:
-                entry.final_pings_sent += 1
-                out.append(self._ping(entry.update, self._next_number()))
-        return out
+            elif (
+                sent < len(SUSPECT_PING_FRACTIONS)
+                and now > entry.state_since + SUSPECT_PING_FRACTIONS[sent] * timeout
+            ):
+                entry.suspect_pings_sent += 1
+                outgoing.append(self._ping(entry.update, self._next_sequence_number()))
+        return outgoing
 
     def ping_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Pings the next member once an interval, and lets the table forget old ones."""
+        """Ping the next member once per interval, and remove expired members from the table."""
         if now < self.next_ping_at:
             return []
         jitter = 1.0 - 0.5 * PING_INTERVAL_JITTER + PING_INTERVAL_JITTER * self._random.random()
-        self.next_ping_at = now + PING_INTERVAL * jitter
+        self.next_ping_at = now + PING_INTERVAL_MS * jitter
         self._table.remove_expired(now)
         entry = self._next_to_ping()
         if entry is None:
             return []
         update = entry.update
-        number = self._next_number()
+        number = self._next_sequence_number()
         self._pending[number] = PendingPing(
             update.member_id, number, now, precedence=update.precedence
         )
         return [self._ping(update, number)]
 
     def _next_to_ping(self) -> MemberEntry | None:
-        """Takes the next active member of this round; a new round has a new random order.
+        """Return the next active member of this round; each round has a new random order.
 
-        So no member waits longer than two rounds for its ping (SWIM, 4.3).
+        A member thus waits at most two rounds for its ping (SWIM, 4.3).
         """
         while self._ping_order:
             entry = self._table.entries.get(self._ping_order.pop())
@@ -206,26 +217,30 @@
     def _request_indirect_pings(
         self, ping: PendingPing, update: MemberUpdate
     ) -> list[OutgoingDatagram]:
-        """Pings the member again, and asks some others to ping it too."""
+        """Ping the member again, and ask some random alive members to ping it too."""
         others = [
             other
             for other in self._table.active_members()
             if other.member_id != ping.member_id and other.state == MemberState.ALIVE
         ]
-        out = [self._ping(update, ping.number)]
+        outgoing = [self._ping(update, ping.sequence_number)]
         for other in self._random.sample(others, min(INDIRECT_PINGS, len(others))):
-            out.append(
+            outgoing.append(
                 self._datagrams.with_broadcasts(
-                    other.address, MessageKind.INDIRECT_PING, ping.number, update, other.member_id
+                    other.address,
+                    MessageKind.INDIRECT_PING,
+                    ping.sequence_number,
+                    update,
+                    other.member_id,
                 )
             )
-        return out
+        return outgoing
 
     def _suspect(self, now: float, ping: PendingPing, entry: MemberEntry) -> OutgoingDatagram:
-        """Suspects a member that has not acknowledged a ping, or confirms its suspicion.
+        """Suspect a member that has not acknowledged a ping, or confirm its suspicion.
 
-        Where none of the others that were asked has sent a nack, the fault may be on this side:
-        then the own health score gets worse too.
+        If none of the members that were asked for an indirect ping has sent a nack, the fault may
+        be local. The health score then gets worse as well.
         """
         has_others = self._table.cluster_size() - 2 > 0
         if has_others and not ping.nacks:
@@ -235,7 +250,7 @@
             self._table.set_state(now, ping.member_id, MemberState.SUSPECT)
         elif entry.update.state == MemberState.SUSPECT:
             self._table.merge(now, entry.update, self._table.local.member_id)
-        return self._ping(entry.update, self._next_number())
+        return self._ping(entry.update, self._next_sequence_number())
 
     # Timeouts
 
@@ -243,31 +258,33 @@
         return 1 + self.health_score
 
     def _ack_timeout(self) -> float:
-        return ACK_TIMEOUT * self._health_factor()
+        return ACK_TIMEOUT_MS * self._health_factor()
 
-    def _suspicion_timeout(self, cluster_size: int, suspecting: int) -> float:
-        """Returns how long a suspect may take to refute (Lifeguard, IV-B).
+    def _suspicion_timeout(self, cluster_size: int, suspector_count: int) -> float:
+        """Return the time that a suspect has to refute the suspicion (Lifeguard, IV-B).
 
         Args:
-            cluster_size: Of the fleet before this check has found any member dead.
-            suspecting: Directors that suspect the member.
+            cluster_size: Size of the fleet before this check declared any member dead.
+            suspector_count: Number of directors that suspect the member.
         """
-        least = MIN_SUSPICION_INTERVALS * max(1.0, math.log10(cluster_size)) * PING_INTERVAL
+        min_timeout = (
+            MIN_SUSPICION_INTERVALS * max(1.0, math.log10(cluster_size)) * PING_INTERVAL_MS
+        )
         confirmations = max(1, min(SUSPICION_CONFIRMATIONS, self._table.cluster_size() - 2))
-        agreement = math.log(min(suspecting, confirmations + 1)) / math.log(confirmations + 1)
+        agreement = math.log(min(suspector_count, confirmations + 1)) / math.log(confirmations + 1)
         factor = MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * agreement
-        return least * factor * self._health_factor()
+        return min_timeout * factor * self._health_factor()
 
     # Datagrams
 
-    def _next_number(self) -> int:
-        self._last_number += 1
-        return self._last_number
+    def _next_sequence_number(self) -> int:
+        self._last_sequence_number += 1
+        return self._last_sequence_number
 
     def _ping(self, update: MemberUpdate, number: int) -> OutgoingDatagram:
         return self._datagrams.with_broadcasts(
             update.address, MessageKind.PING, number, recipient=update.member_id
         )
 
-    def _answer(self, requester: PingRequester, kind: MessageKind) -> OutgoingDatagram:
-        return self._datagrams.with_broadcasts(requester.address, kind, requester.number)
+    def _reply(self, requester: PingRequester, kind: MessageKind) -> OutgoingDatagram:
+        return self._datagrams.with_broadcasts(requester.address, kind, requester.sequence_number)
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -1,8 +1,9 @@
-"""What one director knows of all members; pure, times in ms.
+"""Member table of one director: its view of all members. No I/O; times in ms.
 
-Updates are merged by precedence alone (incarnation, refutations, state), so that neither their
-order nor their number nor the path they took matters. A member that died or left is remembered for
-`DEPARTED_RETENTION`: an old update about it must not bring it back.
+Updates are merged by precedence alone (incarnation, refutation count, state). The result is
+therefore independent of the order, the number and the path of the updates. A departed (dead or
+left) member stays in the table for `DEPARTED_RETENTION_MS`, so that an old update about it does not
+make it alive again.
 """
 
 import hashlib
@@ -16,12 +17,12 @@
 from .broadcast_queue import BroadcastQueue, transmit_limit
 from .messages import MemberId, MemberState, MemberUpdate
 
-DEPARTED_RETENTION = 120_000.0  # ms that a member is remembered which died or left
-HASH_BYTES = 6  # of an update in the digest of a table
+DEPARTED_RETENTION_MS = 120_000.0  # for which a dead or left member stays in the table
+HASH_BYTES = 6  # size of an update's hash in the digest of a table
 
 
 class MemberEventKind(StrEnum):
-    """What happened to a member; the values are the texts of log lines and records."""
+    """Kind of a member event; the values are the texts of log lines and records."""
 
     JOINED = "joined"
     ALIVE_AGAIN = "alive again"
@@ -31,8 +32,8 @@
     RESTARTED = "started again"
     DUPLICATE_NAME = "two of one name"
     FORGOTTEN = "forgotten"
-    REFUTED = "denied"  # this director has refuted a suspicion about itself
-    SUSPENDED = "late"  # this director itself was stopped for a while
+    REFUTED = "denied"  # this director refuted a suspicion about itself
+    PAUSED = "late"  # the process of this director was paused for some time
 
 
 EVENT_BY_STATE = {
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberEvent:
-    """A change that is logged and kept in the records for operators."""
+    """A change of a member that is logged and recorded for operators."""
 
     kind: MemberEventKind
     update: MemberUpdate
@@ -53,69 +54,69 @@
 
 @dataclass(slots=True, eq=False)
 class MemberEntry:
-    """One member.
+    """Table entry of one member.
 
     Attributes:
-        update: The update of greatest precedence so far.
-        state_since: When the member entered its state.
-        suspected_by: Directors that suspect it; empty unless it is suspect.
-        last_received_at: Time of its last own datagram; 0 if there was none.
-        final_pings_sent: Pings sent to it while it is suspect.
+        update: The update with the greatest precedence so far.
+        state_since: Time at which the member entered its state.
+        suspected_by: Directors that suspect the member; empty unless it is suspect.
+        last_received_at: Time of the last datagram from the member; 0 if there was none.
+        suspect_pings_sent: Number of additional pings since the member became suspect.
     """
 
     update: MemberUpdate
     state_since: float
     suspected_by: set[MemberId] = field(default_factory=set)
     last_received_at: float = 0.0
-    final_pings_sent: int = 0
+    suspect_pings_sent: int = 0
 
     @property
     def is_active(self) -> bool:
-        """Whether the member is alive or only suspect."""
+        """Whether the member is alive or suspect."""
         return self.update.state <= MemberState.SUSPECT
 
 
 class MemberTable:
-    """The members other than this director, by id, and this director's own state.
+    """The state of this director and the entries of all other members.
 
     Attributes:
-        local: Own state, as it is sent to others.
-        entries: All other members that are known, also departed ones.
+        local: This director's own state, as it is sent to other directors.
+        entries: Entries of all other known members, including departed ones, by member id.
         broadcasts: Members whose update is still to be sent.
-        events: Events since the owner of the table took them.
-        refused_members: Updates on unknown members for which there was no space.
+        events: Events since the owner of the table last took them.
+        rejected_members: Number of updates about unknown members that did not fit into the table.
     """
 
     def __init__(self, local: MemberUpdate, max_members: int, random: Random) -> None:
-        """Makes a table of at most `max_members` entries; `random` draws samples."""
+        """Create a table of at most `max_members` entries; `random` draws the samples."""
         self.local = local
         self.entries: dict[MemberId, MemberEntry] = {}
         self.broadcasts = BroadcastQueue()
         self.events: list[MemberEvent] = []
-        self.refused_members = 0
+        self.rejected_members = 0
         self._max_members = max_members
         self._random = random
 
     # Queries
 
     def cluster_size(self) -> int:
-        """Returns the number of active members, this director included."""
-        # Compared in place, here and below: each datagram does this for each member
+        """Return the number of active members, including this director."""
+        # Compares states inline, here and below: this runs for each member at each datagram
         suspect = MemberState.SUSPECT
         return 1 + sum(entry.update.state <= suspect for entry in self.entries.values())
 
     def active_members(self) -> list[MemberUpdate]:
-        """Returns the other members that are alive or suspect."""
+        """Return the updates of the other members that are alive or suspect."""
         suspect = MemberState.SUSPECT
         return [entry.update for entry in self.entries.values() if entry.update.state <= suspect]
 
     def sample(self, count: int) -> list[MemberUpdate]:
-        """Returns up to `count` entries, also departed ones, drawn at random."""
+        """Return the updates of up to `count` random members, including departed ones."""
         known = list(self.entries.values())
         return [entry.update for entry in self._random.sample(known, min(count, len(known)))]
 
     def digest(self) -> int:
-        """Returns a number that is the same for the same active members in the same states."""
+        """Return a number that is equal for tables with the same active members and states."""
         total = 0
         for update in [self.local, *self.active_members()]:
             total ^= _hash_update(update)
@@ -124,15 +125,15 @@
     # Merging
 
     def merge(self, now: float, update: MemberUpdate, reporter: MemberId) -> bool:
-        """Merges one update.
+        """Merge one update.
 
         Args:
             now: Time in ms.
             update: The update.
-            reporter: The director that sent it.
+            reporter: Director that sent the update.
 
         Returns:
-            Whether it has changed anything.
+            Whether the update changed the table.
         """
         if update.member_id == self.local.member_id:
             return self._merge_local(update)
@@ -147,20 +148,22 @@
         return True
 
     def set_state(self, now: float, member_id: MemberId, state: MemberState) -> None:
-        """Merges this director's own judgement on a member in its present incarnation."""
+        """Set the state of a member in its present incarnation, as seen by this director."""
         update = msgspec.structs.replace(self.entries[member_id].update, state=state)
         self.merge(now, update, self.local.member_id)
 
     def _add(self, now: float, update: MemberUpdate, reporter: MemberId) -> bool:
-        if update.state >= MemberState.DEAD:  # departed before it was ever known
+        if update.state >= MemberState.DEAD:  # the member departed before it became known here
             return False
         if len(self.entries) >= self._max_members and not self._evict_departed():
-            self.refused_members += 1
+            self.rejected_members += 1
             return False
         has_duplicate_name = update.name == self.local.name or any(
             other.update.name == update.name and other.is_active for other in self.entries.values()
         )
-        self.entries[update.member_id] = MemberEntry(update, now, _suspecting(update, reporter))
+        self.entries[update.member_id] = MemberEntry(
+            update, now, _initial_suspectors(update, reporter)
+        )
         self.events.append(MemberEvent(MemberEventKind.JOINED, update))
         if has_duplicate_name:
             self.events.append(MemberEvent(MemberEventKind.DUPLICATE_NAME, update))
@@ -168,7 +171,7 @@
         return True
 
     def _evict_departed(self) -> bool:
-        """Removes the member that departed first; returns whether there was one."""
+        """Remove the member that departed first; return whether there was a departed member."""
         departed = [member_id for member_id, entry in self.entries.items() if not entry.is_active]
         if departed:
             self.remove(min(departed, key=lambda member_id: self.entries[member_id].state_since))
@@ -177,7 +180,7 @@
     def _confirm_suspicion(
         self, entry: MemberEntry, update: MemberUpdate, reporter: MemberId
     ) -> bool:
-        """Counts one more director that suspects the member, which shortens its timeout."""
+        """Add a director that suspects the member, which shortens the suspicion timeout."""
         if update.state != MemberState.SUSPECT or reporter in entry.suspected_by:
             return False
         entry.suspected_by.add(reporter)
@@ -187,29 +190,30 @@
     def _replace(
         self, now: float, entry: MemberEntry, update: MemberUpdate, reporter: MemberId
     ) -> None:
-        before = entry.update
+        previous = entry.update
         entry.update = update
-        if update.state != before.state or update.incarnation != before.incarnation:
-            entry.final_pings_sent = 0
+        if update.state != previous.state or update.incarnation != previous.incarnation:
+            entry.suspect_pings_sent = 0
             entry.state_since = now
-            entry.suspected_by = _suspecting(update, reporter)
-            self._record_transition(before, update)
+            entry.suspected_by = _initial_suspectors(update, reporter)
+            self._record_transition(previous, update)
         self.broadcasts.enqueue(update.member_id)
 
-    def _record_transition(self, before: MemberUpdate, update: MemberUpdate) -> None:
-        if update.incarnation != before.incarnation and update.state <= MemberState.SUSPECT:
+    def _record_transition(self, previous: MemberUpdate, update: MemberUpdate) -> None:
+        if update.incarnation != previous.incarnation and update.state <= MemberState.SUSPECT:
             kind = MemberEventKind.RESTARTED
         else:
             kind = EVENT_BY_STATE[update.state]
-        if kind == MemberEventKind.ALIVE_AGAIN and before.state == MemberState.ALIVE:
+        if kind == MemberEventKind.ALIVE_AGAIN and previous.state == MemberState.ALIVE:
             return
         self.events.append(MemberEvent(kind, update))
 
     def _merge_local(self, update: MemberUpdate) -> bool:
-        """Refutes what others claim of this director.
+        """Refute an update of other directors about this director, if necessary.
 
-        A suspicion is refuted with a greater refutation number. A greater incarnation is exceeded:
-        it is this director's own, from before a restart at which its clock was set back.
+        A suspicion is refuted with a greater refutation count. If the update has a greater
+        incarnation than this director, the clock was set back before the last restart; this
+        director then takes the next greater incarnation.
         """
         local = self.local
         if update.incarnation > local.incarnation:
@@ -234,35 +238,35 @@
     # Removal
 
     def remove(self, member_id: MemberId) -> None:
-        """Forgets a member."""
+        """Remove a member from the table."""
         self.entries.pop(member_id, None)
         self.broadcasts.discard(member_id)
 
     def remove_expired(self, now: float) -> None:
-        """Forgets the members that departed longer ago than `DEPARTED_RETENTION`."""
+        """Remove the members that departed more than `DEPARTED_RETENTION_MS` ago."""
         for member_id, entry in list(self.entries.items()):
-            if not entry.is_active and now > entry.state_since + DEPARTED_RETENTION:
+            if not entry.is_active and now > entry.state_since + DEPARTED_RETENTION_MS:
                 self.events.append(MemberEvent(MemberEventKind.FORGOTTEN, entry.update))
                 self.remove(member_id)
 
     # Broadcasts
 
-    def take_broadcasts(self, count: int, first: Iterable[MemberId] = ()) -> list[MemberUpdate]:
-        """Returns up to `count` updates to piggyback, and counts their transmission.
+    def take_broadcasts(self, count: int, preferred: Iterable[MemberId] = ()) -> list[MemberUpdate]:
+        """Return up to `count` updates to piggyback, and count their transmission.
 
         Args:
-            count: Updates that a datagram has space for.
-            first: Members whose update goes before all others, also if it is not queued.
+            count: Maximum number of updates in the datagram.
+            preferred: Members whose update precedes all others, even if it is not queued.
         """
         limit = transmit_limit(self.cluster_size())
         updates = []
-        for member_id in self.broadcasts.select(count, first):
+        for member_id in self.broadcasts.select(count, preferred):
             update = self._update_of(member_id)
             if update is None:
                 self.broadcasts.discard(member_id)
                 continue
             updates.append(update)
-            self.broadcasts.count_transmission(member_id, limit)
+            self.broadcasts.record_transmission(member_id, limit)
         return updates
 
     def _update_of(self, member_id: MemberId) -> MemberUpdate | None:
@@ -272,7 +276,7 @@
         return entry.update if entry is not None else None
 
 
-def _suspecting(update: MemberUpdate, reporter: MemberId) -> set[MemberId]:
+def _initial_suspectors(update: MemberUpdate, reporter: MemberId) -> set[MemberId]:
     return {reporter} if update.state == MemberState.SUSPECT else set()
 
 
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -1,11 +1,11 @@
-"""Messages between directors and their encoding: MessagePack behind a keyed checksum. Pure.
+"""Messages between directors and their encoding, without I/O.
 
-A datagram is the checksum (8 bytes of BLAKE2b with the fleet's key) and then one `Message` as a
-MessagePack array, whose order of fields is the wire format.
+A datagram consists of a checksum (8 bytes of BLAKE2b, keyed with the fleet's key) and one `Message`
+as a MessagePack array. The order of the fields is the wire format.
 
-The checksum rejects datagrams of other fleets and damaged ones. It hides nothing and does not
-prove which director of the fleet has sent a datagram. A datagram that cannot be used is counted by
-its `DropReason` and dropped.
+The checksum rejects damaged datagrams and datagrams of other fleets. It does not encrypt, and it
+does not prove which director of the fleet sent a datagram. Invalid datagrams are dropped and
+counted by `DropReason`.
 """
 
 import hashlib
@@ -20,9 +20,9 @@
 CHECKSUM_BYTES = 8
 MAX_TEXT_CHARS = 64  # of a name, a location or a host
 MAX_PORT = 65_535
-INCARNATION_LIMIT = 2**53  # first value that is too large: readers of JSON have doubles
-REFUTATION_LIMIT = 2**31  # first value that is too large
-# Room for the array around the updates, when their number is cut to what may fit
+INCARNATION_LIMIT = 2**53  # exclusive; JSON readers store numbers as doubles, exact below it
+REFUTATION_LIMIT = 2**31  # exclusive
+# Reserve for the array around the updates when the number of updates is reduced to fit
 ENCODING_MARGIN_BYTES = 64
 
 Address = tuple[str, int]
@@ -31,7 +31,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member, in the order in which one overrides another of the same incarnation."""
+    """State of a member; at equal incarnation, a greater value overrides a smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -40,32 +40,32 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram asks or answers; the names are those of SWIM and hashicorp/memberlist."""
+    """Kind of a message; the names follow SWIM and hashicorp/memberlist."""
 
     PING = 0
     ACK = 1
     INDIRECT_PING = 2  # asks the recipient to ping the target
-    NACK = 3  # the target of an indirect ping has not answered in time
-    SYNC_REQUEST = 4  # push/pull: some of the sender's table; wants pages in return
-    SYNC_PAGE = 5  # one page of the answer
+    NACK = 3  # the target of an indirect ping has not sent an ack in time
+    SYNC_REQUEST = 4  # push/pull: carries a part of the sender's table and requests pages
+    SYNC_PAGE = 5  # one page of the response to a sync request
     USER_MESSAGE = 6  # carries `payload` for the delegate: quota leases
 
 
 class DropReason(StrEnum):
-    """Why a datagram was dropped; the values are keys of the status that operators read."""
+    """Reason why a datagram was dropped; the values are keys of the status for operators."""
 
-    LENGTH = "length"
-    CHECKSUM = "checksum"
-    FORM = "form"  # not the MessagePack array of a message
-    VERSION = "version"
-    FLEET = "fleet"
-    UPDATE = "word"  # a member update with a value out of bounds
-    SELF = "own"  # sent by this director itself
-    RATE = "too many"  # over the number that is read each second
+    INVALID_LENGTH = "length"
+    CHECKSUM_MISMATCH = "checksum"
+    MALFORMED = "form"  # not the MessagePack array of a message
+    VERSION_MISMATCH = "version"
+    OTHER_FLEET = "fleet"
+    INVALID_UPDATE = "word"  # a member update with a value out of bounds
+    OWN_DATAGRAM = "own"  # sent by this director itself
+    RATE_LIMITED = "too many"  # exceeds the number of datagrams that are read per second
 
 
 class InvalidDatagramError(ProtocolError):
-    """A datagram that is dropped; the message is the value of its reason."""
+    """A datagram that is dropped; the message is the value of the drop reason."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -73,16 +73,16 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The state of one member as some director knows it (an "alive", "suspect", "dead" message).
+    """The state of one member as reported by a director ("alive", "suspect", "dead" message).
 
     Attributes:
         name: Name of the director, `LB_NAME`.
         host: Host at which other directors reach it.
-        port: UDP port at which they reach it.
+        port: UDP port at which other directors reach it.
         location: Location (zone) of the director.
-        incarnation: Number of its start: Unix milliseconds at that time, so that it only grows.
-        refutation_count: How many suspicions it has refuted in this incarnation. Together with
-            `incarnation` it is the incarnation number of the SWIM paper.
+        incarnation: Unix milliseconds at which the director started. It grows with each restart.
+        refutation_count: Number of suspicions that the director has refuted in this incarnation.
+            Together with `incarnation` it is the incarnation number of the SWIM paper.
         state: The state that the update asserts.
     """
 
@@ -96,32 +96,32 @@
 
     @property
     def member_id(self) -> MemberId:
-        """What distinguishes members; a name may be used twice by mistake."""
+        """Identity of the member; not the name alone, which may be used twice by mistake."""
         return (self.name, self.host, self.port)
 
     @property
     def address(self) -> Address:
-        """Where the member receives datagrams."""
+        """Address at which the member receives datagrams."""
         return (self.host, self.port)
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Of two updates about one member the greater is the valid one."""
+        """Sort key of updates about one member: the greater update overrides the smaller one."""
         return (self.incarnation, self.refutation_count, int(self.state))
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram, decoded.
+    """The decoded content of a datagram.
 
     Attributes:
         version: `PROTOCOL_VERSION` of the sender.
         fleet: Name of the fleet.
-        kind: What the message asks or answers.
-        number: Sequence number of a ping, which its answer repeats; digest of the sender's table
-            in `SYNC_REQUEST` and `SYNC_PAGE`.
+        kind: Kind of the message.
+        number: Sequence number of a ping, which the response repeats. In `SYNC_REQUEST` and
+            `SYNC_PAGE`, the digest of the sender's table.
         sender: The sender's own state.
-        target: Whom to ping; None unless the kind is `INDIRECT_PING`.
-        updates: Member updates that are piggybacked, or a page of the table.
+        target: Member to ping; None unless the kind is `INDIRECT_PING`.
+        updates: Piggybacked member updates, or a page of the table.
         payload: Bytes for the delegate; empty unless the kind is `USER_MESSAGE`.
     """
 
@@ -145,7 +145,7 @@
         self._decoder = msgspec.msgpack.Decoder(Message)
 
     def checksum(self, body: bytes) -> bytes:
-        """Returns the keyed checksum that precedes a body."""
+        """Return the keyed checksum of a message body."""
         return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES, key=self._key).digest()
 
     def encode(
@@ -157,14 +157,15 @@
         updates: list[MemberUpdate],
         payload: bytes = b"",
     ) -> bytes:
-        """Returns a datagram of `MAX_DATAGRAM_BYTES` at most, with as many updates as fit.
+        """Return a datagram of at most `MAX_DATAGRAM_BYTES`, with as many updates as fit.
 
         Args:
-            kind: See `Message`, as for the others.
+            kind: Kind of the message.
             number: Sequence number or digest.
-            sender: Own state.
-            target: Whom to ping.
-            updates: The most important first: the last ones are left out where they don't fit.
+            sender: The sender's own state.
+            target: Member to ping.
+            updates: Updates in descending order of importance; the last ones are left out if they
+                do not fit.
             payload: Bytes for the delegate.
         """
         while True:
@@ -175,33 +176,33 @@
             length = len(body) + CHECKSUM_BYTES
             if length <= MAX_DATAGRAM_BYTES or not updates:
                 return self.checksum(body) + body
-            fitting = len(updates) * MAX_DATAGRAM_BYTES // (length + ENCODING_MARGIN_BYTES)
-            updates = updates[:fitting]
+            fitting_count = len(updates) * MAX_DATAGRAM_BYTES // (length + ENCODING_MARGIN_BYTES)
+            updates = updates[:fitting_count]
 
     def decode(self, data: bytes) -> Message:
-        """Returns the message of a datagram.
+        """Return the message of a datagram.
 
         Raises:
-            InvalidDatagramError: If it is not a datagram of this fleet with usable values.
+            InvalidDatagramError: If it is not a datagram of this fleet with valid values.
         """
         if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-            raise InvalidDatagramError(DropReason.LENGTH)
+            raise InvalidDatagramError(DropReason.INVALID_LENGTH)
         body = data[CHECKSUM_BYTES:]
         if self.checksum(body) != data[:CHECKSUM_BYTES]:
-            raise InvalidDatagramError(DropReason.CHECKSUM)
+            raise InvalidDatagramError(DropReason.CHECKSUM_MISMATCH)
         try:
             message = self._decoder.decode(body)
         except msgspec.MsgspecError as error:
-            raise InvalidDatagramError(DropReason.FORM) from error
+            raise InvalidDatagramError(DropReason.MALFORMED) from error
         if message.version != PROTOCOL_VERSION:
-            raise InvalidDatagramError(DropReason.VERSION)
+            raise InvalidDatagramError(DropReason.VERSION_MISMATCH)
         if message.fleet != self.fleet:
-            raise InvalidDatagramError(DropReason.FLEET)
+            raise InvalidDatagramError(DropReason.OTHER_FLEET)
         updates = [message.sender, *message.updates]
         if message.target is not None:
             updates.append(message.target)
         if not all(_is_within_bounds(update) for update in updates):
-            raise InvalidDatagramError(DropReason.UPDATE)
+            raise InvalidDatagramError(DropReason.INVALID_UPDATE)
         return message
 
 
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -1,6 +1,6 @@
-"""The thread of membership: a UDP socket, the protocol, log lines and records.
+"""Membership service: runs the protocol on a UDP socket in its own thread.
 
-No request ever waits for it.
+It also writes the membership's log lines and records. Client requests never wait for this thread.
 """
 
 import socket
@@ -18,40 +18,40 @@
 from .datagrams import OutgoingDatagram
 from .member_table import MemberEvent, MemberTable
 from .messages import MAX_DATAGRAM_BYTES, DatagramCodec, MemberState, MemberUpdate
-from .status import MS_PER_S, ServiceFigures, director_status
+from .status import MS_PER_S, ServiceStatistics, director_status
 from .swim import SwimProtocol
 
 if TYPE_CHECKING:
-    from ..budgets.quota_exchange import QuotaExchange, QuotaSource
+    from ..budgets.quota_exchange import LimitDefinition, QuotaExchange
 
-RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
-MAX_EVENTS = 200  # events that the record shows, and that wait for the records' log
-MAX_RECEIVE_WAIT_S = 0.5  # of one wait for a datagram: a stop is noticed within it
+RECORDS_INTERVAL_MS = 1_000.0  # between two writes of the records
+MAX_EVENTS = 200  # in the record, and pending for the log of the records
+MAX_RECEIVE_WAIT_S = 0.5  # for one datagram; `stop` takes effect within this time
 MIN_RECEIVE_WAIT_S = 0.002  # keeps the thread from spinning while a tick is due
-MAX_DATAGRAMS_PER_STEP = 64  # read before the next tick
-ERROR_PAUSE_S = 0.1  # after an unexpected error, so that its repetition does not load the machine
-LOG_EVENT = "fleet"  # `event` of the log lines
+MAX_DATAGRAMS_PER_STEP = 64  # that are read before the next tick
+ERROR_PAUSE_S = 0.1  # after an unexpected error; limits the load if the error repeats
+LOG_EVENT = "fleet"  # value of `event` in the log lines
 
 
 @dataclass(slots=True)
 class EventHistory:
-    """Texts of the events of late.
+    """Texts of recent events.
 
     Attributes:
-        last: The last `MAX_EVENTS`, each with `at` (Unix seconds) and `text`.
-        unrecorded: Texts that the records' log does not have yet.
+        recent: The last `MAX_EVENTS` events, each with `at` (Unix seconds) and `text`.
+        unrecorded: Texts that are not in the log of the records yet.
     """
 
-    last: list[dict[str, object]] = field(default_factory=list)
+    recent: list[dict[str, object]] = field(default_factory=list)
     unrecorded: list[str] = field(default_factory=list)
 
     def add(self, at_s: float, text: str) -> None:
-        """Adds an event."""
+        """Add an event."""
         self.unrecorded.append(text)
-        self.last = [*self.last, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
+        self.recent = [*self.recent, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
 
     def take_unrecorded(self) -> list[str]:
-        """Returns the last texts that are still to be recorded, and forgets them."""
+        """Return the last `MAX_EVENTS` unrecorded texts, and clear all unrecorded texts."""
         texts = self.unrecorded[-MAX_EVENTS:]
         self.unrecorded = []
         return texts
@@ -62,40 +62,40 @@
     coordinator: RequestCoordinator,
     seed: int,
     incarnation: int,
-    time_offset: float,
+    clock_offset: float,
 ) -> "QuotaExchange":
-    """Returns the exchange of the limits on warming-up caches of this location, and parents.
+    """Return the exchange for the limits on cold caches of this location and on cold parents.
 
     Args:
-        config: The membership's configuration.
+        config: Configuration of membership.
         coordinator: Owner of the limits and of the lock that guards them.
-        seed: Of the random numbers.
-        incarnation: Of this director.
-        time_offset: Milliseconds that the coordinator's clock is ahead of the exchange's.
+        seed: Seed of the random numbers.
+        incarnation: Incarnation of this director.
+        clock_offset: Milliseconds by which the coordinator's clock is ahead of `_now`.
     """
     from ..budgets.quota_exchange import QuotaExchange
 
     now = _now()
     random = Random(f"{seed}-rights")
-    exchange = QuotaExchange(now, random, incarnation, time_offset, coordinator.lock)
-    for source in _quota_sources(coordinator, config.location):
-        exchange.add(now, source)
+    exchange = QuotaExchange(now, random, incarnation, clock_offset, coordinator.lock)
+    for definition in _limit_definitions(coordinator, config.location):
+        exchange.add(now, definition)
     return exchange
 
 
-def _quota_sources(coordinator: RequestCoordinator, location: str) -> list["QuotaSource"]:
-    from ..budgets.quota_exchange import QuotaSource
+def _limit_definitions(coordinator: RequestCoordinator, location: str) -> list["LimitDefinition"]:
+    from ..budgets.quota_exchange import LimitDefinition
 
     router = coordinator.router
     settings = coordinator.settings
-    caches = QuotaSource(
+    caches = LimitDefinition(
         name=f"cold caches of {location}",
         owners=settings.local_director_count,
         window=settings.cache_slow_start.overload_window,
         share=router.cache_slow_start_quota,
         location=location,
     )
-    parents = QuotaSource(
+    parents = LimitDefinition(
         name="cold parents",
         owners=settings.director_count,
         window=settings.parent_slow_start.overload_window,
@@ -107,13 +107,13 @@
 def build_protocol(
     config: FleetConfig, name: str, incarnation: int, seed: int, now: float
 ) -> SwimProtocol:
-    """Returns the protocol of one director, without a delegate.
+    """Return the protocol of one director, without a delegate.
 
     Args:
         config: Configuration of membership.
         name: Name of the director.
-        incarnation: Unix milliseconds of its start.
-        seed: Of the random numbers.
+        incarnation: Unix milliseconds at which the director started.
+        seed: Seed of the random numbers.
         now: Time in ms.
     """
     host, port = config.announce
@@ -125,10 +125,10 @@
 
 
 class MembershipService:
-    """Takes part in the fleet's membership.
+    """Runs the membership protocol of this director.
 
-    Threads: `start` and `stop` are called by the director's thread. All else runs in the service's
-    own, but for the last log lines and records, which `stop` writes.
+    Threads: the director's thread calls `start` and `stop`. Everything else runs in the service's
+    own thread, except for the last log lines and records, which `stop` writes.
     """
 
     def __init__(
@@ -140,20 +140,21 @@
         log: StructuredLog,
         coordinator: RequestCoordinator | None = None,
     ) -> None:
-        """Builds the service; `start` opens its socket.
+        """Create the service; `start` opens its socket.
 
         Args:
             config: Configuration of membership.
             name: Name of this director.
-            seed: Of the random numbers.
-            clock: Unix milliseconds, read once for the incarnation; all else goes by a steady one.
-            log: Where events are logged.
-            coordinator: Whose limits are lent; None: none are.
+            seed: Seed of the random numbers.
+            clock: Returns Unix milliseconds. It is read only here, for the incarnation and the
+                clock offset; the protocol uses a monotonic clock.
+            log: Log for membership events.
+            coordinator: Owner of the limits that are shared; None to share no limits.
         """
         self.config = config
         self.log = log
         incarnation = int(clock())
-        # Guards `protocol`, with its table, detector and delegate
+        # Guards `protocol`, including its table, detector and delegate
         self.protocol_lock = threading.Lock()
         self.protocol = build_protocol(config, name, incarnation, seed, _now())
         if config.shares_slow_start_quota and coordinator is not None:
@@ -171,33 +172,33 @@
         self._socket: socket.socket | None = None
 
     def start(self) -> None:
-        """Opens the socket and starts the thread.
+        """Open the socket and start the thread.
 
         Raises:
             OSError: If the address cannot be bound; its `filename` names the address.
         """
-        listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            listener.bind(self.config.listen)
+            udp_socket.bind(self.config.listen)
         except OSError as error:
-            listener.close()
+            udp_socket.close()
             host, port = self.config.listen
             error.filename = f"{host}:{port} for datagrams"
             raise
-        self._socket = listener
+        self._socket = udp_socket
         self._thread = threading.Thread(
-            target=self._run, args=(listener,), name="fleet", daemon=True
+            target=self._run, args=(udp_socket,), name="fleet", daemon=True
         )
         self._thread.start()
 
     def stop(self) -> None:
-        """Notifies some members that this director leaves, and ends the thread."""
+        """Notify some members that this director leaves, and end the thread."""
         if self._stopping.is_set() or self._socket is None or self._thread is None:
             return
         self._stopping.set()
         with self.protocol_lock:
-            out = self.protocol.leave()
-        self._send(self._socket, out)
+            outgoing = self.protocol.leave()
+        self._send(self._socket, outgoing)
         now = _now()
         self._log_events()
         self._write_records(now)
@@ -206,33 +207,33 @@
 
     # In the service's thread
 
-    def _run(self, endpoint: socket.socket) -> None:
+    def _run(self, udp_socket: socket.socket) -> None:
         while not self._stopping.is_set():
             try:
-                self._tick(endpoint)
-                self._receive(endpoint)
+                self._tick(udp_socket)
+                self._receive(udp_socket)
             except Exception as error:
-                # The top of the thread: a fault in one step is logged with its trace, and
-                # membership goes on with the next one.
+                # Top level of the thread: logs the exception and continues, so that an error in
+                # one step does not end membership.
                 self.log.exception(LOG_EVENT, error)
                 self._stopping.wait(ERROR_PAUSE_S)
 
-    def _tick(self, endpoint: socket.socket) -> None:
-        """Does what is due, and sets how long the socket may wait for the first datagram."""
+    def _tick(self, udp_socket: socket.socket) -> None:
+        """Run the protocol's tick, and set the socket's timeout for the first datagram."""
         with self.protocol_lock:
             now = _now()
-            self._send(endpoint, self.protocol.tick(now))
+            self._send(udp_socket, self.protocol.tick(now))
             wait_s = (self.protocol.next_wake_at() - now) / MS_PER_S
         self._log_events()
         if now >= self._next_records_at:
             self._write_records(now)
-        endpoint.settimeout(min(MAX_RECEIVE_WAIT_S, max(MIN_RECEIVE_WAIT_S, wait_s)))
+        udp_socket.settimeout(min(MAX_RECEIVE_WAIT_S, max(MIN_RECEIVE_WAIT_S, wait_s)))
 
-    def _receive(self, endpoint: socket.socket) -> None:
-        """Handles datagrams until none is waiting; waits for the first one only."""
+    def _receive(self, udp_socket: socket.socket) -> None:
+        """Handle the pending datagrams; wait only for the first one."""
         for _ in range(MAX_DATAGRAMS_PER_STEP):
             try:
-                data, address = endpoint.recvfrom(MAX_DATAGRAM_BYTES + 1)
+                data, address = udp_socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (TimeoutError, BlockingIOError):
                 return
             except OSError as error:
@@ -240,17 +241,17 @@
                     return
                 if not isinstance(error, ConnectionError):
                     raise
-                continue  # ICMP "port unreachable" after a datagram that was sent
+                continue  # ICMP "port unreachable" for an earlier outgoing datagram
             self._bytes_in += len(data)
             with self.protocol_lock:
-                self._send(endpoint, self.protocol.receive(_now(), address, data))
-            endpoint.settimeout(0.0)
+                self._send(udp_socket, self.protocol.receive(_now(), address, data))
+            udp_socket.settimeout(0.0)
 
-    def _send(self, endpoint: socket.socket, out: Iterable[OutgoingDatagram]) -> None:
-        for address, data in out:
+    def _send(self, udp_socket: socket.socket, outgoing: Iterable[OutgoingDatagram]) -> None:
+        for address, data in outgoing:
             try:
-                endpoint.sendto(data, address)
-            except OSError:  # no route, or no buffer: the protocol expects losses
+                udp_socket.sendto(data, address)
+            except OSError:  # no route or no buffer; the protocol tolerates loss
                 continue
             self._bytes_out += len(data)
 
@@ -273,20 +274,20 @@
     def _write_records(self, now: float) -> None:
         if self.records is None:
             return
-        self._next_records_at = now + RECORDS_INTERVAL
+        self._next_records_at = now + RECORDS_INTERVAL_MS
         texts = self._events.take_unrecorded()
-        if notice := self.records.write(self.status(now), texts):
-            self.log.event(LOG_EVENT, text=notice)
+        if message := self.records.write(self.status(now), texts):
+            self.log.event(LOG_EVENT, text=message)
 
     def status(self, now: float) -> dict:
-        """Returns the record for operators; `now` is in ms of the protocol's clock."""
+        """Return the record for operators; `now` is in ms of the protocol's clock."""
         with self.protocol_lock:
-            figures = ServiceFigures(
-                self.config.fleet, self._bytes_out, self._bytes_in, self._events.last, time.time()
+            statistics = ServiceStatistics(
+                self.config.fleet, self._bytes_out, self._bytes_in, self._events.recent, time.time()
             )
-            return director_status(self.protocol, now, figures)
+            return director_status(self.protocol, now, statistics)
 
 
 def _now() -> float:
-    """The steady clock of membership, in ms."""
+    """Return the time of membership's monotonic clock, in ms."""
     return time.monotonic() * MS_PER_S
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -1,9 +1,10 @@
-"""Push/pull synchronization of member tables (anti-entropy); pure, times in ms.
+"""Push/pull synchronization of member tables (anti-entropy). No I/O; times in ms.
 
-As in hashicorp/memberlist, a director now and then exchanges its table with one other, which finds
-what gossip has missed. Tables are compared by digest; where these differ, the other answers with
-pages. After a network partition both sides count each other as dead and would never ping again, so
-dead members and unknown seeds are tried too.
+As in hashicorp/memberlist, a director periodically exchanges its table with one other director, to
+get updates that gossip has missed. Tables are compared by digest; if the digests differ, the other
+director responds with pages of its table. After a network partition the two sides consider each
+other dead and do not ping each other any more. Sync requests therefore go to dead members and
+unknown seeds too.
 """
 
 import math
@@ -13,25 +14,25 @@
 from .member_table import MemberTable
 from .messages import Address, MemberId, MemberState, MemberUpdate, MessageKind
 
-SYNC_INTERVAL = 10_000.0
-ISOLATED_SYNC_INTERVAL = 1_000.0  # while at most one other member is active
-INITIAL_SYNC_JITTER = 100.0  # the first sync comes within it
-FOLLOW_UP_DELAY = 250.0  # to the next sync, where one has left a difference
-FOLLOW_UP_BACKOFF = 1.2  # factor on that delay after each sync without news
-RECONNECT_INTERVAL = 3_000.0  # between attempts at dead members and unknown seeds
-MIN_INTERVAL_FACTOR = 0.75  # intervals are from 0.75 to 1.25 times as long
+SYNC_INTERVAL_MS = 10_000.0
+ISOLATED_SYNC_INTERVAL_MS = 1_000.0  # while at most one other member is active
+INITIAL_SYNC_JITTER_MS = 100.0  # maximum delay of the first sync
+FOLLOW_UP_DELAY_MS = 250.0  # until the next sync if the tables still differ after a page
+FOLLOW_UP_BACKOFF = 1.2  # factor on the follow-up delay after a page without changes
+RECONNECT_INTERVAL_MS = 3_000.0  # between sync requests to dead members and unknown seeds
+MIN_INTERVAL_FACTOR = 0.75  # jitter: intervals are 0.75 to 1.25 times as long
 INTERVAL_FACTOR_RANGE = 0.5
-MAX_PAGES = 6  # that answer one request
-MAX_SEEDS = 3  # that are asked at a time
-DIGEST_MASK = 0xFFFFFFFF  # the part of a table's digest that messages carry
+MAX_PAGES = 6  # in response to one request
+MAX_SEEDS = 3  # that are contacted at a time
+DIGEST_MASK = 0xFFFFFFFF  # bits of a table's digest that messages carry
 
 
 class StateSync:
-    """Exchanges the table of one director with others.
+    """Exchanges the table of one director with other directors.
 
     Attributes:
-        next_sync_at: When the next member is asked.
-        next_reconnect_at: When a dead member and an unknown seed are tried next.
+        next_sync_at: Time of the next sync request to an active member.
+        next_reconnect_at: Time of the next sync requests to a dead member and an unknown seed.
     """
 
     def __init__(
@@ -46,39 +47,40 @@
         self._datagrams = datagrams
         self._seeds = seeds
         self._random = random
-        self._follow_up_delay = FOLLOW_UP_DELAY
-        self.next_sync_at = now + INITIAL_SYNC_JITTER * random.random()
-        self.next_reconnect_at = now + RECONNECT_INTERVAL * random.random()
+        self._follow_up_delay = FOLLOW_UP_DELAY_MS
+        self.next_sync_at = now + INITIAL_SYNC_JITTER_MS * random.random()
+        self.next_reconnect_at = now + RECONNECT_INTERVAL_MS * random.random()
 
     def next_wake_at(self) -> float:
-        """Returns when a tick is wanted at the latest."""
+        """Return the time of the next required tick."""
         return min(self.next_sync_at, self.next_reconnect_at)
 
     # Received messages
 
-    def handle_page(self, now: float, digest: int, has_news: bool) -> None:
-        """Plans the next sync early where the sender's table still differs from this one.
+    def handle_page(self, now: float, digest: int, has_changes: bool) -> None:
+        """Schedule an early next sync if the sender's table still differs from this table.
 
         Args:
             now: Time in ms.
-            digest: Of the sender's table.
-            has_news: Whether the page has changed anything here.
+            digest: Digest of the sender's table.
+            has_changes: Whether the page changed this table.
         """
         if digest == self._digest():
             return
-        if has_news:
-            self._follow_up_delay = FOLLOW_UP_DELAY
+        if has_changes:
+            self._follow_up_delay = FOLLOW_UP_DELAY_MS
         else:
-            self._follow_up_delay = min(SYNC_INTERVAL, FOLLOW_UP_BACKOFF * self._follow_up_delay)
+            self._follow_up_delay = min(SYNC_INTERVAL_MS, FOLLOW_UP_BACKOFF * self._follow_up_delay)
         self.next_sync_at = min(self.next_sync_at, now + self._follow_up_delay)
 
     def handle_request(
         self, address: Address, sender: MemberId, digest: int
     ) -> list[OutgoingDatagram]:
-        """Answers with pages of the table, unless the sender's table is the same.
+        """Respond with pages of the table, unless the digests are equal.
 
-        Of a large table the pages are drawn at random: further syncs bring the rest. Where the
-        sender is not believed alive, that comes first, so that it can refute it.
+        The pages of a large table are random samples; further syncs transfer the remaining
+        members. If this director does not consider the sender alive, the update about the sender
+        goes first, so that the sender can refute it.
         """
         local_digest = self._digest()
         if digest == local_digest:
@@ -104,25 +106,25 @@
     # Time
 
     def sync_soon(self, now: float) -> None:
-        """Makes the next sync due at once."""
+        """Schedule the next sync for now."""
         self.next_sync_at = now
 
     def sync_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Asks one random member, or the seeds where none is known."""
+        """Request a sync from a random active member, or from the seeds if no member is active."""
         if now < self.next_sync_at:
             return []
         active = self._table.active_members()
-        interval = ISOLATED_SYNC_INTERVAL if len(active) < 2 else SYNC_INTERVAL
+        interval = ISOLATED_SYNC_INTERVAL_MS if len(active) < 2 else SYNC_INTERVAL_MS
         self.next_sync_at = now + interval * self._random_factor()
         addresses = [self._random.choice(active).address] if active else self._other_seeds()
         updates = self._table.sample(UPDATES_PER_DATAGRAM)
         return [self._request(address, updates) for address in addresses]
 
     def reconnect_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Asks one random dead member, and one random seed that is not known as active."""
+        """Request a sync from one random dead member and one random seed that is not active."""
         if now < self.next_reconnect_at:
             return []
-        self.next_reconnect_at = now + RECONNECT_INTERVAL * self._random_factor()
+        self.next_reconnect_at = now + RECONNECT_INTERVAL_MS * self._random_factor()
         dead = [
             entry.update
             for entry in self._table.entries.values()
@@ -130,15 +132,15 @@
         ]
         active_addresses = {update.address for update in self._table.active_members()}
         unknown_seeds = [seed for seed in self._other_seeds() if seed not in active_addresses]
-        out = []
+        outgoing = []
         if dead:
             update = self._random.choice(dead)
             updates = [update, *self._table.sample(UPDATES_PER_DATAGRAM - 1)]
-            out.append(self._request(update.address, updates))
+            outgoing.append(self._request(update.address, updates))
         if unknown_seeds:
             seed = self._random.choice(unknown_seeds)
-            out.append(self._request(seed, self._table.sample(UPDATES_PER_DATAGRAM)))
-        return out
+            outgoing.append(self._request(seed, self._table.sample(UPDATES_PER_DATAGRAM)))
+        return outgoing
 
     def _request(self, address: Address, updates: list[MemberUpdate]) -> OutgoingDatagram:
         return self._datagrams.with_updates(
--- a/mulleinrelay/membership/status.py
+++ b/mulleinrelay/membership/status.py
@@ -1,8 +1,8 @@
-"""What a director writes about its membership for operators, as JSON objects; pure.
+"""Membership status of a director for operators, as JSON objects; no I/O.
 
-The keys are those of the records and of `--json` output. They are the outside's words, which keep
-their form: `life` is the incarnation, `denials` the refutation number, `unwell` the health score,
-`heard_s` the seconds since the last datagram.
+The keys appear in the records and in `--json` output and must not change. `life` is the
+incarnation, `denials` the refutation count, `unwell` the health score, and `heard_s` the number of
+seconds since the last datagram.
 """
 
 from dataclasses import dataclass
@@ -15,15 +15,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ServiceFigures:
-    """Figures that the service adds to the protocol's.
+class ServiceStatistics:
+    """Part of the status that the service provides.
 
     Attributes:
         fleet: Name of the fleet.
-        bytes_out: Bytes of the datagrams sent so far.
-        bytes_in: Bytes of those received.
-        events: Last events, each with `at` and `text`.
-        written_at_s: Unix seconds.
+        bytes_out: Total bytes of the datagrams sent.
+        bytes_in: Total bytes of the datagrams received.
+        events: Recent events, each with `at` and `text`.
+        written_at_s: Time at which the record is written, in Unix seconds.
     """
 
     fleet: str
@@ -33,31 +33,31 @@
     written_at_s: float
 
 
-def director_status(protocol: SwimProtocol, now: float, figures: ServiceFigures) -> dict:
-    """Returns the record of one director.
+def director_status(protocol: SwimProtocol, now: float, statistics: ServiceStatistics) -> dict:
+    """Return the record of one director.
 
     Args:
-        protocol: The protocol; the caller holds its lock.
-        now: Time in ms, by the protocol's clock.
-        figures: What else the record has.
+        protocol: Membership protocol of the director; the caller holds its lock.
+        now: Time in ms of the protocol's clock.
+        statistics: Part of the status that the service provides.
     """
     table = protocol.table
     members = [_entry_status(entry, now) for entry in table.entries.values()]
     dropped = {reason.value: count for reason, count in protocol.dropped_datagrams.items()}
     delegate = protocol.delegate
     return {
-        "fleet": figures.fleet,
+        "fleet": statistics.fleet,
         **_update_status(table.local),
         "unwell": protocol.detector.health_score,
         "size": table.cluster_size(),
         "members": sorted(members, key=lambda member: (member["name"], member["address"])),
         "dropped": dict(sorted(dropped.items())),
-        "refused": table.refused_members,
+        "refused": table.rejected_members,
         "budgets": delegate.status(now) if delegate is not None else None,
-        "bytes_out": figures.bytes_out,
-        "bytes_in": figures.bytes_in,
-        "events": figures.events,
-        "written": round(figures.written_at_s, 3),
+        "bytes_out": statistics.bytes_out,
+        "bytes_in": statistics.bytes_in,
+        "events": statistics.events,
+        "written": round(statistics.written_at_s, 3),
     }
 
 
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -1,9 +1,9 @@
-"""The membership protocol of one director: what it does with datagrams and as time passes. Pure.
+"""Membership protocol of one director: handles received datagrams and periodic work. No I/O.
 
-SWIM (Das, Gupta, Motivala 2002) with parts of Lifeguard (Dadgar, Phillips, Currey 2017), in the
-terms of hashicorp/memberlist; `failure_detector.py` has what is followed. Member updates spread as
-gossip that is piggybacked on the datagrams of failure detection (`broadcast_queue.py`), and by
-push/pull (`state_sync.py`).
+It implements SWIM (Das, Gupta, Motivala 2002) with parts of Lifeguard (Dadgar, Phillips, Currey
+2017), in the terms of hashicorp/memberlist. `failure_detector.py` describes the implemented parts.
+Member updates spread as gossip, which is piggybacked on the datagrams of failure detection
+(`broadcast_queue.py`), and by push/pull synchronization (`state_sync.py`).
 """
 
 from random import Random
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from .datagrams import NO_NUMBER, DatagramFactory, OutgoingDatagram
-from .failure_detector import PING_INTERVAL, FailureDetector, PingRequester
+from .datagrams import NO_SEQUENCE_NUMBER, DatagramFactory, OutgoingDatagram
+from .failure_detector import PING_INTERVAL_MS, FailureDetector, PingRequester
 from .member_table import MemberEvent, MemberEventKind, MemberTable
 from .messages import (
     Address,
@@ -27,48 +27,54 @@
 )
 from .state_sync import StateSync
 
-SUSPENSION_THRESHOLD = (
-    4.0 * PING_INTERVAL
-)  # between two ticks: longer, and this director was stopped
-SUSPECT_NOTIFICATIONS = 3  # directors, of all that hear of a suspicion, that notify the suspect
-REFUTATION_FANOUT = 4  # members that a refutation is sent to at once
-LEAVE_FANOUT = 6  # members that are notified at once when this director leaves
-MAX_DATAGRAMS_PER_WINDOW = 400  # that are read; more are dropped unread
-RATE_WINDOW = 1000.0  # ms
+# A longer time between two ticks means that the process was paused
+PAUSE_THRESHOLD_MS = 4.0 * PING_INTERVAL_MS
+SUSPECT_NOTIFICATIONS = 3  # expected number of directors that notify a suspect of its suspicion
+REFUTATION_FANOUT = 4  # members that receive a refutation immediately
+LEAVE_FANOUT = 6  # members that are notified immediately when this director leaves
+MAX_DATAGRAMS_PER_WINDOW = 400  # that are decoded; further datagrams are dropped
+RATE_WINDOW_MS = 1000.0
 
 
 class Delegate(Protocol):
-    """What exchanges messages of its own between members (`Delegate` of memberlist).
+    """Component that exchanges its own messages between members (`Delegate` of memberlist).
 
-    It is as pure as the protocol and is called with the same time, under the same lock.
+    Like the protocol it does no I/O. It is called with the same time and under the same lock.
     """
 
     def next_wake_at(self) -> float:
-        """Returns when a tick is wanted at the latest."""
+        """Return the time of the next required tick."""
 
     def tick(
         self, now: float, incarnation: int, members: list[tuple[MemberId, str]]
     ) -> list[tuple[MemberId, bytes]]:
-        """Takes the alive members with their locations; returns payloads and their recipients."""
+        """Do the work that is due; return payloads and their recipients.
+
+        Args:
+            now: Time in ms.
+            incarnation: Current incarnation of this director.
+            members: Alive members with their locations.
+        """
 
     def receive(
         self, now: float, member_id: MemberId, payload: bytes
     ) -> list[tuple[MemberId, bytes]]:
-        """Takes a payload of a member that is trusted; returns payloads and their recipients."""
+        """Handle a payload from a trusted member; return payloads and their recipients."""
 
     def status(self, now: float) -> dict[str, object]:
-        """Returns what is shown to operators, as JSON objects."""
+        """Return the status for operators, as JSON objects."""
 
 
 class SwimProtocol:
-    """The protocol: `receive` and `tick` return datagrams to send, events gather in the table.
+    """SWIM protocol of one director.
 
-    Not thread-safe: the owner calls it under a lock.
+    `receive` and `tick` return the datagrams to send; events accumulate in the table. The class is
+    not thread-safe: the owner calls it under a lock.
 
     Attributes:
-        table: The members.
-        detector: Failure detection.
-        delegate: Receiver of user messages; None: they are ignored.
+        table: Member table of this director.
+        detector: Failure detector of this director.
+        delegate: Receiver of user messages; they are ignored if it is None.
         dropped_datagrams: Number of datagrams dropped so far, by reason.
     """
 
@@ -86,7 +92,7 @@
         self._codec = codec
         self._random = random
         self._datagrams = DatagramFactory(codec, table)
-        # The order of these two is the order of their random draws
+        # Both draw random numbers when they are created, so their order matters
         self.detector = FailureDetector(now, table, self._datagrams, random)
         self._sync = StateSync(now, table, self._datagrams, seeds, random)
         self._last_tick_at = now
@@ -95,37 +101,37 @@
         self._has_left = False
 
     def take_events(self) -> list[MemberEvent]:
-        """Returns the events since the last call, and forgets them."""
+        """Return the events since the last call, and clear them."""
         events = self.table.events
         self.table.events = []
         return events
 
     def next_wake_at(self) -> float:
-        """Returns when `tick` is wanted at the latest."""
+        """Return the time of the next required `tick`."""
         due = min(self.detector.next_wake_at(self._last_tick_at), self._sync.next_wake_at())
         return due if self.delegate is None else min(due, self.delegate.next_wake_at())
 
     # Datagrams
 
     def receive(self, now: float, address: Address, data: bytes) -> list[OutgoingDatagram]:
-        """Handles one datagram.
+        """Handle one datagram.
 
         Args:
             now: Time in ms.
-            address: Where it comes from.
-            data: Its bytes, of which nothing is assumed.
+            address: Address of the sender.
+            data: Content of the datagram, not validated yet.
 
         Returns:
             Datagrams to send.
         """
-        if now >= self._rate_window_start + RATE_WINDOW:
+        if now >= self._rate_window_start + RATE_WINDOW_MS:
             self._rate_window_start = now
             self._datagrams_in_window = 0
         self._datagrams_in_window += 1
         if self._has_left:
             return []
         if self._datagrams_in_window > MAX_DATAGRAMS_PER_WINDOW:
-            self._count_drop(DropReason.RATE)
+            self._count_drop(DropReason.RATE_LIMITED)
             return []
         try:
             message = self._codec.decode(data)
@@ -133,7 +139,7 @@
             self._count_drop(error.reason)
             return []
         if message.sender.member_id == self.table.local.member_id:
-            self._count_drop(DropReason.SELF)
+            self._count_drop(DropReason.OWN_DATAGRAM)
             return []
         return self._handle(now, address, message)
 
@@ -147,45 +153,47 @@
         is_trusted = False
         if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
             entry.last_received_at = now
-            # A sender that counts as dead learns so and may refute it; what it says of others may
-            # be long out of date, or come of its receiving nothing.
+            # A sender that this director considers dead is not trusted: its updates may be out of
+            # date, or wrong because it receives no datagrams. The reply tells the sender that it is
+            # considered dead, so that it can refute this.
             is_trusted = entry.is_active
-        out: list[OutgoingDatagram] = []
-        before = self.table.local
-        has_news = self._merge_updates(now, message, is_trusted, out)
+        outgoing: list[OutgoingDatagram] = []
+        previous = self.table.local
+        has_changes = self._merge_updates(now, message, is_trusted, outgoing)
         if message.kind == MessageKind.SYNC_PAGE:
-            self._sync.handle_page(now, message.number, has_news)
-        if before.precedence != self.table.local.precedence:
-            out += self._announce_refutation()
-        out += self._answer(now, address, message, is_trusted)
-        return out
+            self._sync.handle_page(now, message.number, has_changes)
+        if previous.precedence != self.table.local.precedence:
+            outgoing += self._announce_refutation()
+        outgoing += self._respond(now, address, message, is_trusted)
+        return outgoing
 
     def _merge_updates(
-        self, now: float, message: Message, is_trusted: bool, out: list[OutgoingDatagram]
+        self, now: float, message: Message, is_trusted: bool, outgoing: list[OutgoingDatagram]
     ) -> bool:
-        """Merges the updates that came along, and notifies suspects.
+        """Merge the updates of a message, and notify suspects.
 
         Args:
             now: Time in ms.
             message: The message.
-            is_trusted: Whether its sender is believed on others than this director.
-            out: Datagrams to send are appended here.
+            is_trusted: Whether the sender's updates about other members are accepted. Updates
+                about this director are always accepted.
+            outgoing: Datagrams to send are appended to this list.
 
         Returns:
-            Whether any update has changed anything.
+            Whether any update changed the table.
         """
-        has_news = False
+        has_changes = False
         local_id = self.table.local.member_id
         for update in message.updates:
             if not is_trusted and update.member_id != local_id:
                 continue
             if self.table.merge(now, update, message.sender.member_id):
-                has_news = True
+                has_changes = True
                 if update.state == MemberState.SUSPECT:
-                    out += self._notify_suspect(update)
-        return has_news
+                    outgoing += self._notify_suspect(update)
+        return has_changes
 
-    def _answer(
+    def _respond(
         self, now: float, address: Address, message: Message, is_trusted: bool
     ) -> list[OutgoingDatagram]:
         sender_id = message.sender.member_id
@@ -204,15 +212,17 @@
             case MessageKind.NACK:
                 self.detector.handle_nack(message)
             case MessageKind.USER_MESSAGE if self.delegate is not None and is_trusted:
-                return self._wrap(self.delegate.receive(now, sender_id, message.payload))
+                return self._wrap_payloads(self.delegate.receive(now, sender_id, message.payload))
             case MessageKind.SYNC_REQUEST:
                 return self._sync.handle_request(address, sender_id, message.number)
         return []
 
     def _notify_suspect(self, update: MemberUpdate) -> list[OutgoingDatagram]:
-        """Pings a suspect with the odds by which some of all that hear of it do so.
+        """Ping a suspect, with a probability of `SUSPECT_NOTIFICATIONS` / fleet size.
 
-        The suspect may have little time left to refute.
+        Each director that learns of the suspicion does so. The suspect thus receives about
+        `SUSPECT_NOTIFICATIONS` pings and can refute the suspicion early, as it may have little time
+        left.
         """
         if update.member_id == self.table.local.member_id:
             return []
@@ -224,12 +234,12 @@
         members = self.table.active_members()
         return [
             self._datagrams.with_broadcasts(
-                update.address, MessageKind.ACK, NO_NUMBER, recipient=update.member_id
+                update.address, MessageKind.ACK, NO_SEQUENCE_NUMBER, recipient=update.member_id
             )
             for update in self._random.sample(members, min(REFUTATION_FANOUT, len(members)))
         ]
 
-    def _wrap(self, payloads: list[tuple[MemberId, bytes]]) -> list[OutgoingDatagram]:
+    def _wrap_payloads(self, payloads: list[tuple[MemberId, bytes]]) -> list[OutgoingDatagram]:
         return [
             self._datagrams.with_payload((host, port), payload)
             for (_, host, port), payload in payloads
@@ -238,19 +248,19 @@
     # Time
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Does what is due and returns datagrams to send."""
+        """Do the work that is due; return the datagrams to send."""
         if self._has_left:
             return []
-        if now > self._last_tick_at + SUSPENSION_THRESHOLD:
-            self._handle_suspension(now)
+        if now > self._last_tick_at + PAUSE_THRESHOLD_MS:
+            self._handle_pause(now)
         self._last_tick_at = now
-        out = self.detector.check_pending_pings(now)
-        out += self.detector.check_suspects(now)
-        out += self.detector.ping_if_due(now)
-        out += self._tick_delegate(now)
-        out += self._sync.sync_if_due(now)
-        out += self._sync.reconnect_if_due(now)
-        return out
+        outgoing = self.detector.check_pending_pings(now)
+        outgoing += self.detector.check_suspects(now)
+        outgoing += self.detector.ping_if_due(now)
+        outgoing += self._tick_delegate(now)
+        outgoing += self._sync.sync_if_due(now)
+        outgoing += self._sync.reconnect_if_due(now)
+        return outgoing
 
     def _tick_delegate(self, now: float) -> list[OutgoingDatagram]:
         if self.delegate is None:
@@ -260,22 +270,22 @@
             for update in self.table.active_members()
             if update.state == MemberState.ALIVE
         ]
-        return self._wrap(self.delegate.tick(now, self.table.local.incarnation, members))
+        return self._wrap_payloads(self.delegate.tick(now, self.table.local.incarnation, members))
 
-    def _handle_suspension(self, now: float) -> None:
-        """This director was stopped, so that what it believes of others is out of date."""
-        self.detector.handle_suspension(now)
+    def _handle_pause(self, now: float) -> None:
+        """Refresh the view of the other members, which is out of date after a pause."""
+        self.detector.handle_pause(now)
         self._sync.sync_soon(now)
-        self.table.events.append(MemberEvent(MemberEventKind.SUSPENDED, self.table.local))
+        self.table.events.append(MemberEvent(MemberEventKind.PAUSED, self.table.local))
 
     def leave(self) -> list[OutgoingDatagram]:
-        """Leaves the fleet; returns datagrams to some members, which pass it on."""
+        """Leave the fleet; return datagrams to some members, which spread the update."""
         self.table.local = msgspec.structs.replace(self.table.local, state=MemberState.LEFT)
         self._has_left = True
         members = self.table.active_members()
         return [
             self._datagrams.with_updates(
-                update.address, MessageKind.ACK, NO_NUMBER, [self.table.local]
+                update.address, MessageKind.ACK, NO_SEQUENCE_NUMBER, [self.table.local]
             )
             for update in self._random.sample(members, min(LEAVE_FANOUT, len(members)))
         ]
--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -1,6 +1,8 @@
-"""All states that two or three ledgers can come to over a network that loses, duplicates, delays
-and reorders, with restarts, in small numbers: breadth first, so that the trace to a fault that is
-found is the shortest.
+"""Model checker for lease ledgers: explores all states that two or three ledgers can reach.
+
+The network may lose, duplicate, delay and reorder messages, and directors may restart; the number
+of requests, releases and restarts is small. The search is breadth-first, so that the trace to a
+violation is the shortest one.
 """
 
 import copy
@@ -8,36 +10,40 @@
 
 from mulleinrelay.budgets.lease_ledger import LeaseLedger
 
-LEASE_DURATION = 3.0
-WINDOW = 1.0
+LEASE_DURATION_MS = 3.0
+WINDOW_MS = 1.0
 CLOCK_DRIFT = 0.0
 RESERVED_FRACTION = 0.5
 MAX_STATES = 60_000
-MAX_IN_TRANSIT = 3  # messages
+MAX_MESSAGES_IN_TRANSIT = 3
 
 
-def new_ledger(owned, now, incarnation, make=LeaseLedger):
-    return make(owned, WINDOW, now, incarnation, LEASE_DURATION, CLOCK_DRIFT, RESERVED_FRACTION)
+def new_ledger(owned, now, incarnation, ledger_class=LeaseLedger):
+    return ledger_class(
+        owned, WINDOW_MS, now, incarnation, LEASE_DURATION_MS, CLOCK_DRIFT, RESERVED_FRACTION
+    )
 
 
 class World:
-    """The state: ledgers, messages in transit, the time, and what the adversary may still do."""
+    """State of the model: ledgers, messages in transit, the time, and the remaining actions."""
 
-    def __init__(self, count, owned, restarts, requests, make=LeaseLedger):
+    def __init__(self, count, owned, restarts, requests, ledger_class=LeaseLedger):
         self.owned = owned
-        self.make = make
+        self.ledger_class = ledger_class
         self.now = 0.0
-        self.ledgers = [new_ledger(owned, -10.0 * LEASE_DURATION, 1, make) for _ in range(count)]
+        self.ledgers = [
+            new_ledger(owned, -10.0 * LEASE_DURATION_MS, 1, ledger_class) for _ in range(count)
+        ]
         self.in_transit = []  # (kind, sender, recipient, borrower's incarnation, message)
         self.restarts = restarts
         self.requests = requests
         self.releases = 1
 
     def key(self):
-        """The same for states that cannot be told apart later on: times count from now."""
+        """Return a key that is equal for equivalent states; its times are relative to now."""
 
         def since_now(at):
-            return max(-LEASE_DURATION - WINDOW - 1.0, at - self.now)
+            return max(-LEASE_DURATION_MS - WINDOW_MS - 1.0, at - self.now)
 
         def ledger_key(ledger):
             granted = sorted(
@@ -69,48 +75,51 @@
             self.releases,
         )
 
-    def in_use(self):
+    def usable_units(self):
         return sum(ledger.usable(self.now) for ledger in self.ledgers)
 
     def steps(self):
-        """What may come next: (description, function of a world)."""
-        found = [("a tick", lambda world: world.tick())]
+        """Return the possible next steps as (description, function of a world)."""
+        steps = [("a tick", lambda world: world.tick())]
         for borrower in range(len(self.ledgers)):
-            found += self._steps_of(borrower)
+            steps += self._steps_of(borrower)
         for index, (kind, sender, recipient, _, _) in enumerate(self.in_transit):
             text = f"{kind} from {sender} to {recipient}"
-            found.append((f"{text} arrives", lambda world, at=index: world.arrive(at, True)))
-            found.append(
-                (f"{text} arrives and will again", lambda world, at=index: world.arrive(at, False))
+            steps.append((f"{text} arrives", lambda world, at=index: world.arrive(at, True)))
+            steps.append(
+                (
+                    f"{text} arrives and will be duplicated",
+                    lambda world, at=index: world.arrive(at, False),
+                )
             )
-        return found
+        return steps
 
     def _steps_of(self, borrower):
-        found = []
+        steps = []
         leases = self.ledgers[borrower].borrowed
         for lender in range(len(self.ledgers)):
             if lender == borrower or not self.requests:
                 continue
             numbers = [number for number, lease in leases.items() if lease.lender == lender]
             for renewed in [0, *numbers]:
-                found.append(
+                steps.append(
                     (
                         f"{borrower} requests {f'{renewed} again' if renewed else '1'} of {lender}",
                         lambda world, to=lender, lease=renewed: world.request(borrower, to, lease),
                     )
                 )
         for number in leases if self.releases else ():
-            found.append(
+            steps.append(
                 (
                     f"{borrower} releases {number}",
                     lambda world, lease=number: world.release(borrower, lease),
                 )
             )
         if self.restarts:
-            found.append(
+            steps.append(
                 (f"{borrower} is killed and restarts", lambda world: world.restart(borrower))
             )
-        return found
+        return steps
 
     def tick(self):
         self.now += 1.0
@@ -133,17 +142,17 @@
     def restart(self, number):
         self.restarts -= 1
         incarnation = self.ledgers[number].incarnation + 1
-        self.ledgers[number] = new_ledger(self.owned, self.now, incarnation, self.make)
+        self.ledgers[number] = new_ledger(self.owned, self.now, incarnation, self.ledger_class)
 
     def arrive(self, index, is_last):
-        """A message arrives; unless it `is_last`, a duplicate stays in transit."""
+        """Deliver a message; unless `is_last`, a duplicate stays in transit."""
         kind, sender, recipient, incarnation, message = (
             self.in_transit.pop(index) if is_last else self.in_transit[index]
         )
         ledger = self.ledgers[recipient]
         if kind == "request":
             grant = ledger.grant(self.now, sender, incarnation, message, 0)
-            if grant is not None and len(self.in_transit) < MAX_IN_TRANSIT:
+            if grant is not None and len(self.in_transit) < MAX_MESSAGES_IN_TRANSIT:
                 self.in_transit.append(("grant", recipient, sender, incarnation, grant))
         elif kind == "grant":
             ledger.accept_grant(self.now, sender, incarnation, message)
@@ -152,21 +161,23 @@
 
 
 def search(world, max_states=MAX_STATES):
-    """(states seen, None), or with the trace to the first state in which more is in use than there
-    is.
+    """Search for a state in which the directors may use more units than exist.
+
+    Returns:
+        The number of visited states, and the trace to that state, or None if there is none.
     """
     limit = len(world.ledgers) * world.owned
-    seen = {world.key()}
+    visited = {world.key()}
     queue = deque([(world, ())])
-    while queue and len(seen) < max_states:
+    while queue and len(visited) < max_states:
         state, trace = queue.popleft()
         for text, apply in state.steps():
             successor = copy.deepcopy(state)
             apply(successor)
             path = (*trace, text)
-            if successor.in_use() > limit:
-                return len(seen), path
-            if (key := successor.key()) not in seen:
-                seen.add(key)
+            if successor.usable_units() > limit:
+                return len(visited), path
+            if (key := successor.key()) not in visited:
+                visited.add(key)
                 queue.append((successor, path))
-    return len(seen), None
+    return len(visited), None
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -1,36 +1,38 @@
-"""No quota unit is used twice, in all states that small fleets can come to; planted faults are
-found.
+"""No quota unit is used by two directors in any state that small fleets can reach.
+
+The model check also finds each of several defects that are built into ledgers on purpose.
 """
 
 import pytest
 from lease_model import MAX_STATES, World, search
 
 from mulleinrelay.budgets.lease_ledger import (
-    LEASE_DURATION,
+    LEASE_DURATION_MS,
     MAX_CLOCK_DRIFT,
     GrantedLease,
     LeaseLedger,
 )
 
-RUNNING_FOR_LONG = -1e9  # start of a ledger that need not wait for an earlier incarnation's leases
+LONG_AGO = -1e9  # start time of a ledger without leases of an earlier incarnation
 
 
-def searched(max_states, *world):
+def search_world(max_states, *world):
     return search(World(*world), max_states)
 
 
+# Directors, owned units of each director, restarts, requests
 WORLDS = [(2, 2, 1, 3), (3, 2, 1, 2), (2, 4, 2, 2)]
-PROCESS_JOBS = {f"units, {world}": (searched, 8_000, *world) for world in WORLDS}
+PROCESS_JOBS = {f"units, {world}": (search_world, 8_000, *world) for world in WORLDS}
 
 
-@pytest.mark.parametrize("world", WORLDS)  # directors, units each, restarts, requests
+@pytest.mark.parametrize("world", WORLDS)
 def test_no_unit_is_used_twice_in_any_state(world, process_job_result):
-    seen, trace = process_job_result(f"units, {world}")
-    assert trace is None and seen >= 2_000
+    visited, trace = process_job_result(f"units, {world}")
+    assert trace is None and visited >= 2_000
 
 
 class LenderKeepsUsing(LeaseLedger):
-    """The owner grants units and goes on to use them."""
+    """Ledger with a defect: the owner keeps using the units that it has lent."""
 
     def grant(self, now, borrower, incarnation, request, used):
         grant = LeaseLedger.grant(self, now, borrower, incarnation, request, used)
@@ -41,7 +43,7 @@
 
 
 class LeaseFromReceipt(LeaseLedger):
-    """The borrower's lease counts from when it received the grant, not from its request."""
+    """Ledger with a defect: the lease starts when the grant arrives, not when it was requested."""
 
     def accept_grant(self, now, lender, incarnation, grant):
         if grant.number in self.pending:
@@ -50,7 +52,7 @@
 
 
 class NoWaitAfterRestart(LeaseLedger):
-    """The owner's next incarnation uses all of its own units at once."""
+    """Ledger with a defect: after a restart the owner uses all of its own units immediately."""
 
     def usable_owned(self, now):
         return self.owned - sum(
@@ -58,34 +60,37 @@
         )
 
 
-PLANTED = [(LenderKeepsUsing, 4), (LeaseFromReceipt, 9), (NoWaitAfterRestart, 5)]
+DEFECTIVE_LEDGERS = [(LenderKeepsUsing, 4), (LeaseFromReceipt, 9), (NoWaitAfterRestart, 5)]
 PROCESS_JOBS |= {
-    planted.__name__: (searched, MAX_STATES, 2, 2, 1, 2, planted) for planted, _ in PLANTED
+    ledger_class.__name__: (search_world, MAX_STATES, 2, 2, 1, 2, ledger_class)
+    for ledger_class, _ in DEFECTIVE_LEDGERS
 }
 
 
-@pytest.mark.parametrize(("planted", "max_steps"), PLANTED)
-def test_planted_fault_is_found_with_a_trace(planted, max_steps, process_job_result):
-    _, trace = process_job_result(planted.__name__)
+@pytest.mark.parametrize(("ledger_class", "max_steps"), DEFECTIVE_LEDGERS)
+def test_defect_is_found_with_a_trace(ledger_class, max_steps, process_job_result):
+    _, trace = process_job_result(ledger_class.__name__)
     assert trace is not None and len(trace) <= max_steps, trace
     assert any("arrives" in step for step in trace)
 
 
 def test_leases_are_exclusive_though_clocks_drift():
-    """By algebra over all rates within MAX_CLOCK_DRIFT and all delays.
+    """Prove it with z3 for all clock rates within MAX_CLOCK_DRIFT and for all delays.
 
-    The borrower's last use is before the owner's next. z3 finds no counter-example, and finds one
-    where the borrower uses the full lease duration.
+    The borrower's lease expires before the owner unlocks the units. z3 must find no counter-example
+    for this, but it must find one if the borrower uses the full lease duration.
     """
     z3 = pytest.importorskip("z3")
     drift = z3.RealVal(str(MAX_CLOCK_DRIFT))
-    duration = z3.RealVal(str(LEASE_DURATION))
-    requested, locked, owner_rate, borrower_rate = z3.Reals("asked heard fast slow")
+    duration = z3.RealVal(str(LEASE_DURATION_MS))
+    requested, locked, owner_rate, borrower_rate = z3.Reals(
+        "requested locked owner_rate borrower_rate"
+    )
 
     def can_overlap(factor):
         solver = z3.Solver()
-        solver.add(requested >= 0, locked >= requested)  # true times of the request and of the lock
-        for rate in (owner_rate, borrower_rate):  # of their clocks to true time
+        solver.add(requested >= 0, locked >= requested)  # true times
+        for rate in (owner_rate, borrower_rate):  # of the clocks, relative to true time
             solver.add(rate >= 1 - drift, rate <= 1 + drift)
         unlocked = locked + duration / owner_rate
         expired = requested + duration * factor / borrower_rate
@@ -98,8 +103,8 @@
 def test_released_unit_is_not_used_by_its_owner_for_a_window():
     lender_id = ("one", "h", 1)
     borrower_id = ("two", "h", 2)
-    lender = LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1)
-    borrower = LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1)
+    lender = LeaseLedger(100, 1500.0, LONG_AGO, 1)
+    borrower = LeaseLedger(100, 1500.0, LONG_AGO, 1)
     request = borrower.request(0.0, lender_id, 50)
     grant = lender.grant(10.0, borrower_id, 1, request, 30)
     assert grant.units == 50 and borrower.accept_grant(20.0, lender_id, 1, grant)
@@ -111,8 +116,8 @@
 
 
 @pytest.mark.parametrize(("used", "lendable"), [(0, 95), (5, 95), (50, 50), (100, 0), (500, 0)])
-def test_units_used_of_late_and_reserved_units_are_not_lent(used, lendable):
-    assert LeaseLedger(100, 1500.0, RUNNING_FOR_LONG, 1).lendable(0.0, used) == lendable
+def test_recently_used_and_reserved_units_are_not_lent(used, lendable):
+    assert LeaseLedger(100, 1500.0, LONG_AGO, 1).lendable(0.0, used) == lendable
 
 
 @pytest.mark.parametrize(
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -1,5 +1,7 @@
-"""Fleets of quota exchanges in simulated time, over the membership's simulated network: what the
-fleet uses stays within the limit in every window, and units go to where the requests are.
+"""Quota exchanges in simulated fleets, over the simulated network of the membership tests.
+
+The use of the fleet stays within the limit in every window, and units move to the directors that
+receive the requests.
 """
 
 import itertools
@@ -8,25 +10,28 @@
 import pytest
 from simulated_fleet import SimulatedFleet
 
-from mulleinrelay.budgets.lease_ledger import LEASE_DURATION, RESERVED_FRACTION, LeaseRequest
-from mulleinrelay.budgets.quota_exchange import QuotaExchange, QuotaSource
+from mulleinrelay.budgets.lease_ledger import LEASE_DURATION_MS, RESERVED_FRACTION, LeaseRequest
+from mulleinrelay.budgets.quota_exchange import LimitDefinition, QuotaExchange
 from mulleinrelay.policy.model import QuotaShare
 
-WINDOW = 1500.0
+WINDOW_MS = 1500.0
 LIMIT = "cold"
 
 
 class LoadedFleet(SimulatedFleet):
-    """Each director also wants so many requests a second of one limit of `rate` a second over the
-    fleet, and admits those that its fraction allows over any window, as the decision module does.
+    """Simulated fleet whose directors also receive requests that are subject to one shared limit.
+
+    `demand` contains the requests per second of each director, and `rate` the limit of the fleet in
+    requests per second. Like the decision module, a director admits a request if its fraction of
+    the limit allows it in the current window.
     """
 
     def __init__(self, count, demand, rate, **network):
         self.demand = demand
         self.rate = rate
         self.shares = {}
-        self.admitted_at = []  # of all directors
-        self.recent = {}  # admissions of each director in the last window, by its own clock
+        self.admitted_at = []  # admission times of all directors
+        self.recent = {}  # admission times per director in the last window, by its own clock
         super().__init__(count, **network)
 
     def start(self, number, incarnation=None):
@@ -38,25 +43,25 @@
         self.recent[number] = []
         random = Random(f"{number}-{self.starts}-rights")
         protocol.delegate = QuotaExchange(now, random, protocol.table.local.incarnation)
-        protocol.delegate.add(now, QuotaSource(LIMIT, len(self.demand), WINDOW, share))
+        protocol.delegate.add(now, LimitDefinition(LIMIT, len(self.demand), WINDOW_MS, share))
 
-    def play(self, seconds):
-        """In steps of 20 ms."""
+    def run_with_load(self, seconds):
+        """Run the fleet and its requests in steps of 20 ms."""
         for _ in range(round(50 * seconds)):
             self.run(0.02)
             for number, wanted in enumerate(self.demand):
-                if number not in self.killed | self.suspended:
+                if number not in self.killed | self.paused:
                     requests = sum(self.random.random() < wanted * 0.001 for _ in range(20))
                     for _ in range(requests):
                         self.request(number)
 
     def request(self, number):
-        """One request of a director, which is admitted or rejected."""
+        """Admit or reject one request at a director."""
         now = self.clock(number)
         share = self.shares[number]
-        recent = [at for at in self.recent[number] if at > now - WINDOW]
+        recent = [at for at in self.recent[number] if at > now - WINDOW_MS]
         self.recent[number] = recent
-        fraction = (len(recent) + 1) / (self.rate * WINDOW / 1000.0)
+        fraction = (len(recent) + 1) / (self.rate * WINDOW_MS / 1000.0)
         if fraction <= share.fraction_at(now):
             share.peak_used = max(share.peak_used, fraction)
             recent.append(now)
@@ -64,97 +69,102 @@
         else:
             share.peak_rejected = max(share.peak_rejected, fraction)
 
-    def largest_use(self, since=0.0, window=WINDOW):
-        """The most that all admitted in any window, over the limit for it."""
+    def max_utilization(self, since=0.0, window=WINDOW_MS):
+        """Return the maximum of the admitted requests in any window, relative to the limit."""
         admitted = [at for at in self.admitted_at if at >= since]
         first = 0
-        most = 0
+        max_count = 0
         for index, at in enumerate(admitted):
             while admitted[first] <= at - window:
                 first += 1
-            most = max(most, index - first + 1)
-        return most / (self.rate * window / 1000.0)
+            max_count = max(max_count, index - first + 1)
+        return max_count / (self.rate * window / 1000.0)
 
 
-def uneven(count, rate, busy=0.1, fraction=0.9):
-    """One in ten has nine in ten of a demand that equals the limit."""
-    some = max(1, round(busy * count))
+def uneven_demand(count, rate, busy=0.1, fraction=0.9):
+    """Return a total demand equal to the limit, of which 10% of the directors receive 90%."""
+    busy_count = max(1, round(busy * count))
     return [
-        rate * fraction / some if number < some else rate * (1.0 - fraction) / (count - some)
+        rate * fraction / busy_count
+        if number < busy_count
+        else rate * (1.0 - fraction) / (count - busy_count)
         for number in range(count)
     ]
 
 
-def use_with_lending():
-    """The fraction of a limit that a fleet uses, and the most in any window."""
-    fleet = LoadedFleet(30, uneven(30, 900.0), 900.0, seed=2)
-    fleet.play(12)
+def utilization_with_lending():
+    """Return the fraction of a limit that a fleet uses, and its maximum in any window."""
+    fleet = LoadedFleet(30, uneven_demand(30, 900.0), 900.0, seed=2)
+    fleet.run_with_load(12)
     before = len(fleet.admitted_at)
     since = fleet.now
-    fleet.play(6)
-    return (len(fleet.admitted_at) - before) / (900.0 * 6), fleet.largest_use(since)
+    fleet.run_with_load(6)
+    return (len(fleet.admitted_at) - before) / (900.0 * 6), fleet.max_utilization(since)
 
 
-def use_without_lending():
-    fleet = LoadedFleet(30, uneven(30, 900.0), 900.0, seed=2)
+def utilization_without_lending():
+    fleet = LoadedFleet(30, uneven_demand(30, 900.0), 900.0, seed=2)
     for protocol in fleet.protocols.values():
-        protocol.delegate.tick = lambda *_: []  # nobody lends
+        protocol.delegate.tick = lambda *_: []  # no director lends or borrows
     for share in fleet.shares.values():
         share.fraction = 1.0 / 30
-    fleet.play(6)
+    fleet.run_with_load(6)
     return len(fleet.admitted_at) / (900.0 * 6)
 
 
-PROCESS_JOBS = {"with lending": (use_with_lending,), "without lending": (use_without_lending,)}
+PROCESS_JOBS = {
+    "with lending": (utilization_with_lending,),
+    "without lending": (utilization_without_lending,),
+}
 
 
-def test_units_go_to_where_the_requests_are(process_job_result):
-    used, most = process_job_result("with lending")
-    assert used > 0.88 and most <= 1.0
+def test_units_move_to_the_directors_that_receive_the_requests(process_job_result):
+    utilization, max_utilization = process_job_result("with lending")
+    assert utilization > 0.88 and max_utilization <= 1.0
     assert process_job_result("without lending") < 0.35
 
 
 def test_units_follow_within_two_seconds_when_the_load_moves():
-    fleet = LoadedFleet(20, uneven(20, 800.0), 800.0, seed=4)
-    fleet.play(12)
+    fleet = LoadedFleet(20, uneven_demand(20, 800.0), 800.0, seed=4)
+    fleet.run_with_load(12)
     fleet.demand = fleet.demand[::-1]
-    fleet.play(2.5)
+    fleet.run_with_load(2.5)
     before = len(fleet.admitted_at)
-    fleet.play(3)
+    fleet.run_with_load(3)
     assert (len(fleet.admitted_at) - before) / (800.0 * 3) > 0.7
-    assert fleet.largest_use() <= 1.0
+    assert fleet.max_utilization() <= 1.0
 
 
 def inject(fleet, fault):
     if fault == "partition":
-        fleet.cut(range(4), range(4, 12))
-        fleet.cut(range(4, 12), range(4))
+        fleet.block(range(4), range(4, 12))
+        fleet.block(range(4, 12), range(4))
     elif fault == "deaf":
-        fleet.cut(range(1, 12), [0])
+        fleet.block(range(1, 12), [0])
     elif fault in ("killed", "restarted"):
         for number in range(0, 12, 3):
             fleet.kill(number)
-    elif fault == "suspended":
+    elif fault == "paused":
         for number in (0, 3, 4):
-            fleet.suspend(number)
+            fleet.pause(number)
 
 
 def recover(fleet):
-    fleet.heal()
-    for number in list(fleet.suspended):
+    fleet.unblock_all()
+    for number in list(fleet.paused):
         fleet.resume(number)
         for _ in range(9):
-            fleet.request(number)  # before it receives anything
+            fleet.request(number)  # before the director receives any datagram
     for number in list(fleet.killed):
         fleet.start(number)
 
 
 @pytest.mark.parametrize(
-    "fault", ["loss", "partition", "killed", "suspended", "restarted", "deaf", "drift"]
+    "fault", ["loss", "partition", "killed", "paused", "restarted", "deaf", "drift"]
 )
-def test_limit_holds_in_every_window_despite(fault):
-    """Both halves are overloaded: each director wants far more than there is."""
-    network = {"loss": 0.3, "doubled": 0.3, "jitter": 80.0} if fault == "loss" else {}
+def test_limit_holds_in_every_window_despite_a_fault(fault):
+    """Both sides of the partition are overloaded, as the demand is far above the limit."""
+    network = {"loss": 0.3, "duplication": 0.3, "jitter": 80.0} if fault == "loss" else {}
     fleet = LoadedFleet(
         12,
         [60.0 if number % 3 == 0 else 8.0 for number in range(12)],
@@ -163,40 +173,40 @@
         drift=0.009 if fault == "drift" else 0.0,
         **network,
     )
-    fleet.play(8)
+    fleet.run_with_load(8)
     for _ in range(2):
         inject(fleet, fault)
         fleet.demand = fleet.demand[1:] + fleet.demand[:1]
-        fleet.play(0.4 if fault == "restarted" else 5)
+        fleet.run_with_load(0.4 if fault == "restarted" else 5)
         recover(fleet)
-        fleet.play(5)
-    assert fleet.largest_use() <= 1.0 and len(fleet.admitted_at) > 500
+        fleet.run_with_load(5)
+    assert fleet.max_utilization() <= 1.0 and len(fleet.admitted_at) > 500
 
 
 def test_isolated_director_has_its_own_fraction_and_no_more():
     fleet = LoadedFleet(10, [50.0] * 10, 100.0, seed=6)
-    fleet.play(8)
-    fleet.cut([3], range(10))
-    fleet.cut(range(10), [3])
-    fleet.play((LEASE_DURATION + WINDOW) / 1000.0 + 0.2)
+    fleet.run_with_load(8)
+    fleet.block([3], range(10))
+    fleet.block(range(10), [3])
+    fleet.run_with_load((LEASE_DURATION_MS + WINDOW_MS) / 1000.0 + 0.2)
     assert fleet.shares[3].fraction_at(fleet.clock(3)) == pytest.approx(0.1, rel=1e-3)
-    fleet.play(5)
+    fleet.run_with_load(5)
     assert fleet.shares[3].fraction_at(fleet.clock(3)) == pytest.approx(0.1, rel=1e-3)
 
 
-def test_borrowed_fraction_expires_while_its_director_is_suspended():
-    fleet = LoadedFleet(10, uneven(10, 100.0), 100.0, seed=7)
-    fleet.play(8)
+def test_borrowed_fraction_expires_while_its_director_is_paused():
+    fleet = LoadedFleet(10, uneven_demand(10, 100.0), 100.0, seed=7)
+    fleet.run_with_load(8)
     assert fleet.shares[0].fraction_at(fleet.clock(0)) > 0.3
-    fleet.suspend(0)
+    fleet.pause(0)
     fleet.run(3)
-    # As it resumes, before anything is done
+    # When the director resumes, before it handles anything
     assert fleet.shares[0].fraction_at(fleet.clock(0)) <= 0.1 + 1e-9
 
 
 def test_nothing_is_requested_without_demand():
     fleet = LoadedFleet(8, [0.0] * 8, 100.0, seed=8)
-    fleet.play(6)
+    fleet.run_with_load(6)
     assert all(protocol.delegate.counts["asked"] == 0 for protocol in fleet.protocols.values())
     assert all(
         share.fraction == pytest.approx(1.0 / 8, rel=1e-3) for share in fleet.shares.values()
@@ -215,7 +225,7 @@
 
 def test_greedy_borrower_gets_no_more_than_may_be_lent():
     fleet = LoadedFleet(2, [0.0, 0.0], 100.0)
-    fleet.play(6)
+    fleet.run_with_load(6)
     ledger = fleet.protocols[0].delegate.limits[LIMIT].ledger
     numbers = itertools.count(1)
     grants = [
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,5 +1,5 @@
-"""A fleet of membership protocols in simulated time, with losses, duplicates, delays, partitions,
-suspended and killed directors. The same seed plays the same.
+"""A fleet of membership protocols in simulated time, with loss, duplication and delay of datagrams,
+partitions, and paused and killed directors. The simulation is deterministic for a given seed.
 """
 
 import heapq
@@ -13,27 +13,30 @@
 HOST = "10.0.0.1"
 FIRST_PORT = 7001
 MAX_MEMBERS = 4000
-CLOCK_OFFSET = 1000.0  # ms between the clocks of two neighbours
+CLOCK_OFFSET_MS = 1000.0  # between the clocks of two directors with successive numbers
 
 
 class SimulatedFleet:
-    """Director `number` is named n0, n1, ...; times of the simulation are ms in `now`."""
+    """Simulated directors n0, n1, ..., which are identified by their number.
 
-    def __init__(self, count, seed=1, loss=0.0, doubled=0.0, jitter=20.0, seeds=2, drift=0.0):
+    `now` is the simulated time in ms.
+    """
+
+    def __init__(self, count, seed=1, loss=0.0, duplication=0.0, jitter=20.0, seeds=2, drift=0.0):
         self.now = 0.0
         self.random = Random(seed)
         self.loss = loss
-        self.doubled = doubled
+        self.duplication = duplication
         self.jitter = jitter
         self.drift = drift
-        self.queue = []  # (time, order, kind, director, arguments)
-        self.order = itertools.count()
+        self.queue = []  # heap of (time, sequence number, kind, director, arguments)
+        self.sequence = itertools.count()
         self.sent = 0
         self.sent_bytes = 0
         self.protocols = {}
-        self.suspended = set()
+        self.paused = set()
         self.killed = set()
-        self.partitions = []
+        self.blocked_links = []
         self.events = []
         self.starts = 0
         self.seeds = [(HOST, FIRST_PORT + number) for number in range(seeds)]
@@ -41,7 +44,7 @@
             self.start(number)
 
     def start(self, number, incarnation=None):
-        """Starts a director, or starts it again after a kill."""
+        """Start a director, or restart it after a kill."""
         self.starts += 1
         incarnation = incarnation or int(1000 + self.now)
         local = MemberUpdate(
@@ -62,28 +65,28 @@
         return 1.0 + self.drift * ((number % 3) - 1)
 
     def clock(self, number):
-        """Each director has its own clock, up to `drift` fast or slow."""
-        return self.now * self._clock_rate(number) + CLOCK_OFFSET * number
+        """Return the time of a director's clock, which is up to `drift` fast or slow."""
+        return self.now * self._clock_rate(number) + CLOCK_OFFSET_MS * number
 
-    def cut(self, senders, receivers):
-        """Nothing passes from these to those."""
-        self.partitions.append((frozenset(senders), frozenset(receivers)))
+    def block(self, senders, receivers):
+        """Drop all datagrams from `senders` to `receivers`, in this direction only."""
+        self.blocked_links.append((frozenset(senders), frozenset(receivers)))
 
-    def heal(self):
-        self.partitions.clear()
+    def unblock_all(self):
+        self.blocked_links.clear()
 
     def kill(self, number):
         self.killed.add(number)
 
-    def suspend(self, number):
-        self.suspended.add(number)
+    def pause(self, number):
+        self.paused.add(number)
 
     def resume(self, number):
-        self.suspended.discard(number)
+        self.paused.discard(number)
         queue = self.queue
         self.queue = []
-        for at, order, kind, to, arguments in queue:  # what came meanwhile is read at once
-            heapq.heappush(self.queue, (max(self.now, at), order, kind, to, arguments))
+        for at, sequence_number, kind, to, arguments in queue:  # overdue items run immediately
+            heapq.heappush(self.queue, (max(self.now, at), sequence_number, kind, to, arguments))
         self._tick(number)
 
     def leave(self, number):
@@ -96,8 +99,8 @@
             self.now = max(self.now, at)
             if to in self.killed or to not in self.protocols:
                 continue
-            if to in self.suspended:
-                heapq.heappush(self.queue, (end + 1.0, next(self.order), kind, to, arguments))
+            if to in self.paused:
+                heapq.heappush(self.queue, (end + 1.0, next(self.sequence), kind, to, arguments))
                 if self.queue[0][0] > end:
                     break
                 continue
@@ -114,43 +117,48 @@
     def _tick(self, number):
         protocol = self.protocols[number]
         self._send(number, protocol.tick(self.clock(number)))
-        wake_at = (protocol.next_wake_at() - CLOCK_OFFSET * number) / self._clock_rate(number)
+        wake_at = (protocol.next_wake_at() - CLOCK_OFFSET_MS * number) / self._clock_rate(number)
         due = max(self.now + 1.0, wake_at)
-        heapq.heappush(self.queue, (due, next(self.order), "tick", number, (protocol,)))
+        heapq.heappush(self.queue, (due, next(self.sequence), "tick", number, (protocol,)))
 
     def _send(self, number, datagrams):
         for address, data in datagrams:
             to = address[1] - FIRST_PORT
             self.sent += 1
             self.sent_bytes += len(data)
-            if any(number in senders and to in receivers for senders, receivers in self.partitions):
+            if any(
+                number in senders and to in receivers for senders, receivers in self.blocked_links
+            ):
                 continue
             if self.random.random() < self.loss:
                 copies = 0
             else:
-                copies = 1 + (self.random.random() < self.doubled)
+                copies = 1 + (self.random.random() < self.duplication)
             for _ in range(copies):
                 at = self.now + 0.5 + self.random.random() * self.jitter
                 arguments = ((HOST, FIRST_PORT + number), data)
-                heapq.heappush(self.queue, (at, next(self.order), "datagram", to, arguments))
+                heapq.heappush(self.queue, (at, next(self.sequence), "datagram", to, arguments))
 
-    # What they believe
+    # Views of the directors
 
-    def seen_by(self, number, states=(MemberState.ALIVE,)):
-        """Returns the directors that one takes to be in one of these states."""
+    def members_seen_by(self, number, states=(MemberState.ALIVE,)):
+        """Return the numbers of the members that a director sees in one of the given states."""
         return {
             int(entry.update.name[1:])
             for entry in self.protocols[number].table.entries.values()
             if entry.update.state in states
         }
 
-    def agree(self, among=None):
-        """Whether all running directors, or these, take one another for alive and nobody else."""
-        running = set(among if among is not None else self.protocols) - self.killed - self.suspended
-        return all(self.seen_by(number) == running - {number} for number in running)
+    def has_converged(self, among=None):
+        """Return whether each running director sees exactly the other running ones as alive.
+
+        If `among` is given, only these directors count as running.
+        """
+        running = set(among if among is not None else self.protocols) - self.killed - self.paused
+        return all(self.members_seen_by(number) == running - {number} for number in running)
 
     def events_of(self, kind):
-        """Returns (time, observer's number, member's name) of each event of that kind."""
+        """Return (time, observer's number, member's name) for each event of the given kind."""
         return [
             (at, number, event.update.name)
             for at, number, event in self.events
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -21,7 +21,7 @@
 
 def test_updates_sent_least_are_selected_first():
     queue = queue_of(FIRST, SECOND, THIRD)
-    queue.count_transmission(FIRST, 10)
+    queue.record_transmission(FIRST, 10)
     assert queue.select(2) == [SECOND, THIRD]
 
 
@@ -30,11 +30,11 @@
     assert queue.select(2, [THIRD]) == [THIRD, FIRST]
 
 
-def test_update_is_removed_at_the_limit_and_enqueuing_counts_anew():
+def test_update_is_removed_at_the_limit_and_enqueuing_resets_the_count():
     queue = queue_of(FIRST)
-    queue.count_transmission(FIRST, 2)
+    queue.record_transmission(FIRST, 2)
     queue.enqueue(FIRST)
-    queue.count_transmission(FIRST, 2)
+    queue.record_transmission(FIRST, 2)
     assert len(queue) == 1
-    queue.count_transmission(FIRST, 2)
+    queue.record_transmission(FIRST, 2)
     assert len(queue) == 0
--- a/tests/membership/test_fleet_config.py
+++ b/tests/membership/test_fleet_config.py
@@ -5,12 +5,12 @@
 from mulleinrelay.errors import ConfigError
 from mulleinrelay.membership.config import load_fleet_config, parse_fleet_config
 
-DEPLOYED_FILE = os.path.join(os.path.dirname(__file__), "..", "..", "deploy", "fleet.ini")
+EXAMPLE_FILE = os.path.join(os.path.dirname(__file__), "..", "..", "deploy", "fleet.ini")
 ENABLED = "[fleet]\nenabled = yes\nkey = long enough\n"
 
 
-def test_deployed_file_is_disabled_and_can_be_parsed():
-    config = load_fleet_config(DEPLOYED_FILE)
+def test_example_file_is_disabled_and_valid():
+    config = load_fleet_config(EXAMPLE_FILE)
     assert not config.enabled and not config.shares_slow_start_quota and config.seeds
 
 
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""Merging updates gives the same table whatever their order, number and path."""
+"""Merged updates give the same table, independent of their order, number and path."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mulleinrelay.membership.member_table import DEPARTED_RETENTION, MemberTable
+from mulleinrelay.membership.member_table import DEPARTED_RETENTION_MS, MemberTable
 from mulleinrelay.membership.messages import MemberState, MemberUpdate
 
 LOCAL = MemberUpdate("me", "h", 1, "here", 5, 0, MemberState.ALIVE)
@@ -31,20 +31,24 @@
 
 @given(st.lists(UPDATES, max_size=12), st.randoms(use_true_random=False))
 def test_order_and_repetition_of_updates_do_not_matter(updates, random):
-    """All members are known before: one that is first known as departed is not remembered."""
+    """All members are added as alive first, as an unknown member that has departed is not added."""
     known = [update(number, 0) for number in (2, 3, 4)]
-    found = []
+    merged_tables = []
     for _ in range(2):
         table = empty_table()
-        for merged in known + updates:
-            table.merge(0.0, merged, REPORTER)
-        found.append({member_id: entry.update for member_id, entry in table.entries.items()})
+        for member_update in known + updates:
+            table.merge(0.0, member_update, REPORTER)
+        merged_tables.append(
+            {member_id: entry.update for member_id, entry in table.entries.items()}
+        )
         updates = updates + random.sample(updates, len(updates) // 2)
         random.shuffle(updates)
-    assert found[0] == found[1]
-    for member_id, remaining in found[0].items():
-        assert remaining.precedence == max(
-            merged.precedence for merged in known + updates if merged.member_id == member_id
+    assert merged_tables[0] == merged_tables[1]
+    for member_id, final_update in merged_tables[0].items():
+        assert final_update.precedence == max(
+            member_update.precedence
+            for member_update in known + updates
+            if member_update.member_id == member_id
         )
 
 
@@ -55,8 +59,12 @@
         ({"state": MemberState.DEAD}, 5, 1),
         ({"state": MemberState.SUSPECT, "refutation_count": 7}, 5, 8),
         ({}, 5, 0),
-        ({"incarnation": 3, "state": MemberState.DEAD}, 5, 0),  # of an earlier incarnation
-        ({"incarnation": 9}, 10, 0),  # from before a restart with a clock that was ahead
+        (
+            {"incarnation": 3, "state": MemberState.DEAD},
+            5,
+            0,
+        ),  # update about an earlier incarnation
+        ({"incarnation": 9}, 10, 0),  # the clock was set back before the restart
     ],
 )
 def test_update_about_this_director_is_refuted_or_exceeded(changes, incarnation, refutation_count):
@@ -69,14 +77,14 @@
     )
 
 
-def test_departed_member_is_not_revived_by_an_old_update_and_is_forgotten_in_the_end():
+def test_departed_member_is_not_revived_by_an_old_update_and_is_removed_after_the_retention():
     table = empty_table()
     table.merge(0.0, update(), REPORTER)
     table.merge(1.0, update(state=MemberState.DEAD), REPORTER)
     assert not table.merge(2.0, update(), REPORTER) and table.cluster_size() == 1
-    table.remove_expired(DEPARTED_RETENTION)
+    table.remove_expired(DEPARTED_RETENTION_MS)
     assert table.entries
-    table.remove_expired(DEPARTED_RETENTION + 2.0)
+    table.remove_expired(DEPARTED_RETENTION_MS + 2.0)
     assert not table.entries
     assert not table.merge(0.0, update(state=MemberState.LEFT), REPORTER)
 
@@ -85,7 +93,7 @@
     table = empty_table(max_members=5)
     for number in range(2, 40):
         table.merge(0.0, update(number), REPORTER)
-    assert len(table.entries) == 5 and table.refused_members == 33
+    assert len(table.entries) == 5 and table.rejected_members == 33
     table.merge(1.0, update(2, state=MemberState.DEAD), REPORTER)
     assert table.merge(2.0, update(90), REPORTER) and len(table.entries) == 5
 
@@ -99,12 +107,14 @@
     assert table.cluster_size() == 4
 
 
-def test_updates_are_broadcast_a_bounded_number_of_times_and_new_ones_first():
+def test_updates_are_broadcast_a_limited_number_of_times_and_new_ones_first():
     table = empty_table()
     for number in range(2, 12):
         table.merge(0.0, update(number), REPORTER)
     sent = [broadcast.member_id for _ in range(40) for broadcast in table.take_broadcasts(4)]
-    assert {sent.count(member_id) for member_id in table.entries} == {8}  # 2 log2(12), rounded up
+    assert {sent.count(member_id) for member_id in table.entries} == {
+        8
+    }  # transmit limit: ceil(2 * log2(12))
     assert not table.broadcasts
     table.merge(1.0, update(5, state=MemberState.SUSPECT), REPORTER)
     assert table.take_broadcasts(3) == [update(5, state=MemberState.SUSPECT)]
--- a/tests/membership/test_membership_status.py
+++ b/tests/membership/test_membership_status.py
@@ -1,8 +1,8 @@
-"""The record for operators: its keys are read by scripts and keep their form."""
+"""The record for operators, whose keys are an interface: operators' scripts read them."""
 
 from simulated_fleet import SimulatedFleet
 
-from mulleinrelay.membership.status import ServiceFigures, director_status
+from mulleinrelay.membership.status import ServiceStatistics, director_status
 
 RECORD_KEYS = [
     "fleet",
@@ -32,7 +32,9 @@
     fleet.run(seconds)
     protocol = fleet.protocols[0]
     protocol.receive(fleet.clock(0), ("10.0.0.1", 7002), b"no datagram of ours")
-    return director_status(protocol, fleet.clock(0), ServiceFigures("lab", 20, 10, EVENTS, 7.12345))
+    return director_status(
+        protocol, fleet.clock(0), ServiceStatistics("lab", 20, 10, EVENTS, 7.12345)
+    )
 
 
 def test_record_has_the_keys_that_scripts_read():
@@ -51,11 +53,11 @@
     assert status["events"] == EVENTS and status["budgets"] is None
 
 
-def test_member_that_was_never_received_from_has_no_time_of_last_datagram():
+def test_member_that_has_sent_no_datagram_has_no_time_of_the_last_datagram():
     fleet = SimulatedFleet(2)
     table = fleet.protocols[0].table
-    unseen = fleet.protocols[1].table.local
-    table.merge(fleet.clock(0), unseen, ("n9", "10.0.0.1", 7009))
-    figures = ServiceFigures("lab", 0, 0, [], 0.0)
-    members = director_status(fleet.protocols[0], fleet.clock(0), figures)["members"]
+    silent_member = fleet.protocols[1].table.local
+    table.merge(fleet.clock(0), silent_member, ("n9", "10.0.0.1", 7009))
+    statistics = ServiceStatistics("lab", 0, 0, [], 0.0)
+    members = director_status(fleet.protocols[0], fleet.clock(0), statistics)["members"]
     assert [member["heard_s"] for member in members] == [None]
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -33,8 +33,8 @@
     return codec.encode(MessageKind.PING, 1, sender, None, list(piggybacked))
 
 
-@pytest.mark.parametrize(("count", "fitting"), [(0, 0), (1, 1), (14, 14)])
-def test_decoding_returns_what_was_encoded(count, fitting):
+@pytest.mark.parametrize(("count", "expected_count"), [(0, 0), (1, 1), (14, 14)])
+def test_decoding_returns_what_was_encoded(count, expected_count):
     message = CODEC.decode(CODEC.encode(MessageKind.PING, 9, LOCAL, LOCAL, updates(count)))
     assert (message.kind, message.number, message.sender, message.target) == (
         MessageKind.PING,
@@ -42,10 +42,10 @@
         LOCAL,
         LOCAL,
     )
-    assert message.updates == updates(count)[:fitting]
+    assert message.updates == updates(count)[:expected_count]
 
 
-def test_updates_that_would_exceed_the_datagram_are_left_out():
+def test_updates_that_do_not_fit_into_a_datagram_are_left_out():
     data = CODEC.encode(MessageKind.SYNC_PAGE, 0, LOCAL, None, updates(500))
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert 10 <= len(CODEC.decode(data).updates) < 60
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,5 +1,5 @@
-"""Fourteen directors as processes whose datagrams pass a relay that drops, delays and partitions;
-judged by the records that each has written at the end and on the way.
+"""Fourteen directors as processes, whose datagrams pass a relay that drops and delays them and
+partitions the fleet. The tests check the records that the directors wrote during and after the run.
 """
 
 import json
@@ -93,19 +93,19 @@
 """
 
 
-def play(folder):
-    """The audit, the folder, and the records in the middle of the partition and at the end."""
+def run_scenario(folder):
+    """Return the audit, the folder, and the records during the partition and at the end."""
     lab = FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder)
-    observed = {"budgets in time": []}  # (s, director, limit, usable, owned)
+    observed = {"budget samples": []}  # (s, director, limit, usable, owned)
 
     def observe(since, *_):
-        budgets = observed["budgets in time"]
-        if budgets and since < budgets[-1][0] + 0.5:
+        samples = observed["budget samples"]
+        if samples and since < samples[-1][0] + 0.5:
             return
         states = read_states(os.path.join(folder, "fleet"))
         if since > 17.0 and "partition" not in observed:
             observed["partition"] = {state["name"]: state for state in states}
-        budgets += [
+        samples += [
             (since, state["name"], name, limit["usable"], limit["own"])
             for state in states
             if state.get("budgets")
@@ -122,84 +122,89 @@
     return Audit(parse_fleet_scenario(SCENARIO), read_observations(folder)), folder, observed
 
 
-THREAD_JOBS = {"membership": play}
+THREAD_JOBS = {"membership": run_scenario}
 
 
 @pytest.fixture(scope="module")
-def played(thread_job_result):
+def lab_run(thread_job_result):
     return thread_job_result("membership")
 
 
-def run_command(folder, *words):
+def run_command(folder, *arguments):
+    """Run `mulleinrelay fleet`; return the exit code and the output."""
     command = [
         sys.executable,
         "-m",
         "mulleinrelay",
         "fleet",
-        *words,
+        *arguments,
         os.path.join(folder, "n0.ini"),
         "--json",
     ]
-    finished = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=30)
-    return finished.returncode, finished.stdout
+    result = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=30)
+    return result.returncode, result.stdout
 
 
-def directors_hit(audit, name):
-    return {f"n{number}" for number in next(held[4] for held in audit.faults if held[1] == name)}
+def affected_directors(audit, name):
+    """Return the directors that a fault of the scenario affected."""
+    return {f"n{number}" for number in next(fault[4] for fault in audit.faults if fault[1] == name)}
 
 
-def time_of(audit, name, begins=True):
-    return next(held[0] for held in audit.faults if held[1] == name and held[3] == begins)
+def fault_time(audit, name, begins=True):
+    """Return the time in s at which a fault began, or ended."""
+    return next(fault[0] for fault in audit.faults if fault[1] == name and fault[3] == begins)
 
 
 def logged_events(audit, folder, first, last):
-    """(director, member, event) between two times of the play."""
-    began = audit.observations.started_at / 1000.0
+    """Return (director, member, event) of the events between two times of the run, in s."""
+    started_at = audit.observations.started_at / 1000.0
     lines = read_logs(os.path.join(folder, "fleet"))
     return [
         (line["director"], *line["text"].split(" ", 1))
         for line in lines
-        if first <= line["at"] - began < last
+        if first <= line["at"] - started_at < last
     ]
 
 
-def test_no_rule_is_broken_and_no_request_waits_for_membership(played):
-    assert {rule: found for rule, found in played[0].count_violations().items() if found} == {}
-    assert all(not held[7] for held in played[0].faults)
+def test_no_rule_is_violated_and_no_request_waits_for_membership(lab_run):
+    assert {rule: count for rule, count in lab_run[0].count_violations().items() if count} == {}
+    assert all(not fault[7] for fault in lab_run[0].faults)
 
 
-def test_each_side_of_a_partition_sees_its_own_side_and_takes_the_other_for_dead(played):
-    audit, _, observed = played
-    north = directors_hit(audit, "parted")
-    south = {f"n{number}" for number in range(COUNT)} - north - directors_hit(audit, "stopped")
+def test_each_side_of_a_partition_sees_its_own_side_and_considers_the_other_dead(lab_run):
+    audit, _, observed = lab_run
+    north = affected_directors(audit, "parted")
+    south = {f"n{number}" for number in range(COUNT)} - north - affected_directors(audit, "stopped")
     for side, other_side in ((north, south), (south, north)):
         for name in side:
-            seen = {
+            seen_states = {
                 member["name"]: member["state"] for member in observed["partition"][name]["members"]
             }
-            assert all(seen[other] in ("alive", "suspect") for other in side - {name})
-            dead = sum(seen[other] == "dead" for other in other_side)
+            assert all(seen_states[other] in ("alive", "suspect") for other in side - {name})
+            dead = sum(seen_states[other] == "dead" for other in other_side)
             assert dead >= 0.6 * len(other_side)
 
 
-def test_all_members_see_each_other_alive_after_all_faults(played):
-    code, output = played[2]["members"]
+def test_all_members_see_each_other_alive_after_all_faults(lab_run):
+    code, output = lab_run[2]["members"]
     members = json.loads(output)["members"]
     assert code == 0 and len(members) == COUNT and json.loads(output)["witnesses"] == COUNT
     alive = sum(member["seen_by"].get("alive", 0) for member in members)
     assert alive >= 0.97 * COUNT * (COUNT - 1)
 
 
-def test_killed_members_are_found_dead_and_their_restart_is_recognized(played):
-    audit, folder, _ = played
-    killed = directors_hit(audit, "killed")
-    killed_at = time_of(audit, "killed")
+def test_killed_members_are_found_dead_and_their_restart_is_recognized(lab_run):
+    audit, folder, _ = lab_run
+    killed = affected_directors(audit, "killed")
+    killed_at = fault_time(audit, "killed")
     died = {
         (director, member)
         for director, member, event in logged_events(audit, folder, killed_at, killed_at + 8.0)
         if event == "died"
     }
-    witnesses = {f"n{number}" for number in range(COUNT)} - killed - directors_hit(audit, "deaf")
+    witnesses = (
+        {f"n{number}" for number in range(COUNT)} - killed - affected_directors(audit, "deaf")
+    )
     assert all(
         sum((director, member) in died for director in witnesses) >= 0.8 * len(witnesses)
         for member in killed
@@ -212,30 +217,32 @@
     assert killed <= restarted
 
 
-def test_deaf_member_does_not_get_others_found_dead(played):
-    audit, folder, _ = played
-    deaf = directors_hit(audit, "deaf")
-    down = deaf | directors_hit(audit, "killed") | directors_hit(audit, "ended")
-    first = time_of(audit, "deaf")
-    last = time_of(audit, "deaf", False)
-    wrong = {
+def test_member_that_receives_nothing_does_not_have_others_declared_dead(lab_run):
+    audit, folder, _ = lab_run
+    deaf = affected_directors(audit, "deaf")
+    down = deaf | affected_directors(audit, "killed") | affected_directors(audit, "ended")
+    first = fault_time(audit, "deaf")
+    last = fault_time(audit, "deaf", False)
+    false_deaths = {
         (director, member)
         for director, member, event in logged_events(audit, folder, first, last)
         if event == "died" and director not in deaf and member not in down
     }
-    assert len(wrong) <= 1 and deaf
+    assert len(false_deaths) <= 1 and deaf
 
 
-def test_member_that_stops_leaves_and_is_not_found_dead(played):
-    audit, folder, _ = played
-    ended = directors_hit(audit, "ended")
-    unreliable = ended | directors_hit(audit, "deaf")
+def test_member_that_stops_leaves_and_is_not_found_dead(lab_run):
+    audit, folder, _ = lab_run
+    ended = affected_directors(audit, "ended")
+    unreliable = ended | affected_directors(audit, "deaf")
     events = [
         event
-        for director, member, event in logged_events(audit, folder, time_of(audit, "ended"), 46.0)
+        for director, member, event in logged_events(
+            audit, folder, fault_time(audit, "ended"), 46.0
+        )
         if member in ended and director not in unreliable
     ]
-    # Its next incarnation may be known before its leaving
+    # A restart may be known before the preceding leave, which is then ignored
     assert (
         events.count("left") >= 3
         and events.count("left") + events.count("started again") >= 0.8 * COUNT
@@ -243,30 +250,30 @@
     assert events.count("died") <= 1
 
 
-def test_quota_of_cold_caches_goes_to_busy_directors_and_no_cache_is_overloaded(played):
-    """Counted at the caches: what was sent while three in four were warming up, the fleet was
-    partitioned and directors that held leases were suspended and killed.
+def test_quota_of_cold_caches_moves_to_busy_directors_and_no_cache_is_overloaded(lab_run):
+    """Count the attempts at the cold caches while three in four caches are cold, the fleet is
+    partitioned, and directors that hold leases are paused and killed.
     """
-    audit, _, observed = played
-    first = time_of(audit, "cold", False)
-    cold = set(next(held[5] for held in audit.faults if held[1] == "cold"))
-    sent = [
+    audit, _, observed = lab_run
+    cold_at = fault_time(audit, "cold", False)
+    cold_caches = set(next(fault[5] for fault in audit.faults if fault[1] == "cold"))
+    attempts = [
         attempt
         for attempt in audit.observations.attempts
-        if attempt[2] in cold and first + 1.5 < attempt[0] < first + 14.0
+        if attempt[2] in cold_caches and cold_at + 1.5 < attempt[0] < cold_at + 14.0
     ]
-    assert not audit.observations.others["fell"] and len(sent) > 40
+    assert not audit.observations.others["fell"] and len(attempts) > 40
     usable_by_owned = [
         usable / owned
-        for since, _, limit, usable, owned in observed["budgets in time"]
-        if "caches" in limit and first < since < first + 14.0
+        for since, _, limit, usable, owned in observed["budget samples"]
+        if "caches" in limit and cold_at < since < cold_at + 14.0
     ]
     assert max(usable_by_owned) > 1.5
-    assert min(usable_by_owned) < 0.9  # some lend
+    assert min(usable_by_owned) < 0.9  # some directors lend units
 
 
-def test_each_director_has_all_its_own_quota_again_in_the_end(played):
-    code, output = played[2]["budgets"]
+def test_each_director_can_use_its_own_quota_again_at_the_end(lab_run):
+    code, output = lab_run[2]["budgets"]
     limits = json.loads(output)
     assert code == 0 and sum(len(parts) for parts in limits.values()) == 2 * COUNT
     assert len(limits) == 3
@@ -275,23 +282,23 @@
     )
 
 
-def test_invalid_file_is_reported_by_key(tmp_path):
+def test_error_in_the_fleet_file_names_the_key(tmp_path):
     path = tmp_path / "fleet.ini"
     path.write_text("[fleet]\nenabled = yes\nkey = short\n")
-    finished = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "mulleinrelay", "check", "--fleet", str(path)],
         capture_output=True,
         text=True,
         cwd=ROOT,
         timeout=30,
     )
-    assert finished.returncode == 2 and "[fleet] key" in finished.stderr
+    assert result.returncode == 2 and "[fleet] key" in result.stderr
     code, _ = run_command(str(tmp_path), "members")
     assert code == 2
 
 
 def test_stopped_service_leaves_no_thread(tmp_path):
-    """A director must be able to stop while its membership waits for datagrams."""
+    """A director must be able to stop while its membership thread waits for datagrams."""
     config = parse_fleet_config(
         "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
     )
