--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -98,7 +98,7 @@
         return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
 
     def lenders_with_pending_request(self, now: float) -> set[MemberId]:
-        """Return the directors that have a request of this director pending."""
+        """Return the directors to which a request is pending."""
         return {
             request.lender
             for request in self.ledger.pending.values()
@@ -155,7 +155,8 @@
         """Add a limit; this director may use no units of it at first."""
         units = UNITS_PER_LIMIT // max(1, definition.owners)
         ledger = LeaseLedger(units, definition.window, now, self._incarnation)
-        # Grants for an earlier incarnation's requests must not match a request of this one
+        # A grant for a request of an earlier incarnation must not match a request of this
+        # incarnation
         ledger.last_number = self._random.randrange(REQUEST_NUMBER_LIMIT)
         self.limits[definition.name] = SharedLimit(definition, ledger)
         definition.share.is_tracked = True
@@ -216,7 +217,7 @@
         return [(member_id, self._codec.encode(responses))] if responses else []
 
     def _update_share(self, now: float, limit: SharedLimit) -> None:
-        """Set the decision module's fraction, and its fallback for when a borrowed lease expires."""
+        """Set the decision module's fraction, its expiry and the fallback fraction after it."""
         share = limit.definition.share
         ledger = limit.ledger
         first_expiry = min(
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -26,7 +26,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Show the fleet's members and quotas from its directors' records (FILE: as for --fleet)."""
+    """Show the fleet's members and quotas from its directors' records; FILE is the fleet file."""
 
 
 FILE = click.argument("path", metavar="FILE")
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -26,7 +26,8 @@
 PING_INTERVAL_JITTER = 0.2  # relative: each interval is 0.9 to 1.1 times as long
 ACK_TIMEOUT_MS = 150.0  # until indirect pings are requested, at health score 0
 INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
-MIN_SUSPICION_INTERVALS = 1.5  # minimum suspicion timeout, in ping intervals per log10 of the size
+# Minimum suspicion timeout, in ping intervals per log10 of the fleet's size
+MIN_SUSPICION_INTERVALS = 1.5
 MAX_SUSPICION_FACTOR = 3.0  # maximum suspicion timeout, as a multiple of the minimum
 SUSPICION_CONFIRMATIONS = 3  # further suspecting directors that reduce the timeout to the minimum
 MAX_HEALTH_SCORE = 8  # timeouts are multiplied by the score plus one
@@ -113,7 +114,7 @@
         return []
 
     def handle_nack(self, message: Message) -> None:
-        """Record that an indirect ping has received no ack."""
+        """Record that a member which was asked for an indirect ping has received no ack."""
         if ping := self._pending.get(message.number):
             ping.nacks += 1
 
@@ -164,7 +165,7 @@
         return outgoing
 
     def check_suspects(self, now: float) -> list[OutgoingDatagram]:
-        """Ping suspects again, and declare those dead whose suspicion timeout has expired."""
+        """Ping suspects again; declare suspects dead when their suspicion timeout has expired."""
         cluster_size = self._table.cluster_size()
         outgoing = []
         for member_id, entry in list(self._table.entries.items()):
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -101,7 +101,8 @@
 
     def cluster_size(self) -> int:
         """Return the number of active members, including this director."""
-        # Compares states inline, here and below: this runs for each member at each datagram
+        # States are compared inline here and below, without `is_active`, because this runs for each
+        # member at each datagram
         suspect = MemberState.SUSPECT
         return 1 + sum(entry.update.state <= suspect for entry in self.entries.values())
 
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -25,7 +25,7 @@
     from ..budgets.quota_exchange import LimitDefinition, QuotaExchange
 
 RECORDS_INTERVAL_MS = 1_000.0  # between two writes of the records
-MAX_EVENTS = 200  # in the record, and pending for the log of the records
+MAX_EVENTS = 200  # in the state record; also the most that one write adds to the log
 MAX_RECEIVE_WAIT_S = 0.5  # for one datagram; `stop` takes effect within this time
 MIN_RECEIVE_WAIT_S = 0.002  # keeps the thread from spinning while a tick is due
 MAX_DATAGRAMS_PER_STEP = 64  # that are read before the next tick
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -220,9 +220,9 @@
     def _notify_suspect(self, update: MemberUpdate) -> list[OutgoingDatagram]:
         """Ping a suspect, with a probability of `SUSPECT_NOTIFICATIONS` / fleet size.
 
-        Each director that learns of the suspicion does so. The suspect thus receives about
-        `SUSPECT_NOTIFICATIONS` pings and can refute the suspicion early, as it may have little time
-        left.
+        Each director that learns of the suspicion does so, so the suspect receives about
+        `SUSPECT_NOTIFICATIONS` pings. They inform it early, as it may have little time left to
+        refute the suspicion.
         """
         if update.member_id == self.table.local.member_id:
             return []
--- a/mulleinrelay/records.py
+++ b/mulleinrelay/records.py
@@ -16,7 +16,7 @@
 LOG_SUFFIX = ".jsonl"
 ROTATED_SUFFIX = ".1"
 TEMPORARY_SUFFIX = ".new"  # of a state file that is being written
-MAX_LOG_BYTES = 1_000_000  # above which the log is rotated
+MAX_LOG_BYTES = 1_000_000  # above which the log is rotated; one older log is kept
 
 Record = dict[str, Any]
 """A JSON object."""
--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -10,8 +10,9 @@
 
 from mulleinrelay.budgets.lease_ledger import LeaseLedger
 
-LEASE_DURATION_MS = 3.0
-WINDOW_MS = 1.0
+# Times are in ticks of the model
+LEASE_DURATION = 3.0
+WINDOW = 1.0
 CLOCK_DRIFT = 0.0
 RESERVED_FRACTION = 0.5
 MAX_STATES = 60_000
@@ -20,7 +21,7 @@
 
 def new_ledger(owned, now, incarnation, ledger_class=LeaseLedger):
     return ledger_class(
-        owned, WINDOW_MS, now, incarnation, LEASE_DURATION_MS, CLOCK_DRIFT, RESERVED_FRACTION
+        owned, WINDOW, now, incarnation, LEASE_DURATION, CLOCK_DRIFT, RESERVED_FRACTION
     )
 
 
@@ -32,7 +33,7 @@
         self.ledger_class = ledger_class
         self.now = 0.0
         self.ledgers = [
-            new_ledger(owned, -10.0 * LEASE_DURATION_MS, 1, ledger_class) for _ in range(count)
+            new_ledger(owned, -10.0 * LEASE_DURATION, 1, ledger_class) for _ in range(count)
         ]
         self.in_transit = []  # (kind, sender, recipient, borrower's incarnation, message)
         self.restarts = restarts
@@ -43,7 +44,7 @@
         """Return a key that is equal for equivalent states; its times are relative to now."""
 
         def since_now(at):
-            return max(-LEASE_DURATION_MS - WINDOW_MS - 1.0, at - self.now)
+            return max(-LEASE_DURATION - WINDOW - 1.0, at - self.now)
 
         def ledger_key(ledger):
             granted = sorted(
