--- a/mulleinrelay/cells/__init__.py
+++ b/mulleinrelay/cells/__init__.py
@@ -1,10 +1,15 @@
-"""Cells: tenants are confined to parts of the fleet and of the director, and migrate in service.
+"""Cells: partitions of the fleet and of each director, to which tenants are confined.
 
-Pure modules, from the bottom: `model` (an assignment file as data), `validation`, `parser` and
-`formatter` (text in and out), `hashing` and `tenant_resolution` (which cell, whose request),
-`token_bucket`, `retry_budget`, `concurrency_limit` and `fair_share` (what a tenant may take),
-`migrations`, `sticky_routing`, `failover` and `rollouts` (how this changes over time), `placement`
-and `admission_controller` (all of it for one request), `edits` (what operators change).
+Tenants can migrate between cells without an interruption of service.
 
-With files, clocks or threads: `store`, `config`, `service` and `commands`.
+Pure modules, lowest layer first:
+
+- `model`, `validation`, `parser` and `formatter`: the assignment file and its content.
+- `hashing` and `tenant_resolution`: the cell of a tenant, and the tenant of a request.
+- `token_bucket`, `retry_budget`, `concurrency_limit` and `fair_share`: quotas.
+- `migrations`, `sticky_routing`, `failover` and `rollouts`: changes over time.
+- `placement` and `admission_controller`: the decision about one request.
+- `edits`: changes that operators make.
+
+Modules that use files, clocks or threads: `store`, `config`, `service` and `commands`.
 """
--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -1,10 +1,11 @@
-"""Admission of requests by tenant and cell: whose request it is, where it goes, whether it may.
+"""Admission control by tenant and cell.
 
-The controller owns everything that cells decide at one director. The routing policy still picks the
-endpoint, out of the pool that is given here. A request that is rejected here never reaches it.
+For each request, the controller finds the tenant and the cell, and admits or rejects the request.
+It owns all state of the cells at one director. The routing policy chooses the endpoint of an
+admitted request from the pool that the controller returns, and never sees rejected requests.
 
-Pure: the time (ms) is passed in and endpoints are opaque. Not thread-safe: `CellService` holds its
-lock round each call.
+Pure: the current time (Unix milliseconds) is an argument, and endpoints are opaque. Not
+thread-safe: `CellService` holds its lock during each call.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,7 @@
 from ..policy.model import IDEMPOTENT, KEYED
 from . import migrations, rollouts
 from .admission_types import AdmissionGrant, AdmissionRejection, AdmissionRequest
-from .cell_quotas import Candidate, CellQuotas, FailoverTerms
+from .cell_quotas import AdmissionCandidate, CellQuotas, FailoverTerms
 from .cell_state import DirectorCapacity
 from .model import Assignment, Limits
 from .placement import Placement, checked_home_cells
@@ -34,19 +35,21 @@
     "prepare_assignment",
 ]
 
-MAX_TENANT_STATES = 20_000  # beyond, the half that was used longest ago is dropped
-BODY_KB_PER_SLOT = 16.0  # KB of a body that count as one more open request
-DEFAULT_WAIT = 1_000.0  # ms: Retry-After where nothing tells when the request may come
+MAX_TENANT_STATES = 20_000  # at this size, the least recently used half is dropped
+BODY_KB_PER_SLOT = 16.0  # KB of body that count as one more open request
+DEFAULT_WAIT = 1_000.0  # ms: Retry-After if the real wait is not known
 
 
 @dataclass(slots=True, eq=False)
 class PreparedAssignment:
-    """An assignment with what is computed from it alone, so that taking it over is quick.
+    """An assignment and the indexes that are computed from it.
+
+    The indexes are computed in advance, so that putting the assignment in force is quick.
 
     Attributes:
         assignment: The assignment.
-        tenant_resolver: Finds the tenant of a request.
-        homes: Home cell by tenant.
+        tenant_resolver: Index that finds the tenant of a request.
+        homes: Home cells by tenant.
     """
 
     assignment: Assignment
@@ -55,7 +58,7 @@
 
 
 def prepare_assignment(assignment: Assignment) -> PreparedAssignment:
-    """Computes what is needed to use an assignment; it takes seconds for a large one.
+    """Compute the indexes of an assignment; this takes seconds for a large assignment.
 
     Raises:
         ConfigError: If the assignment cannot be used.
@@ -66,18 +69,18 @@
 
 
 class AdmissionController:
-    """Admits or rejects requests by the assignment in force.
+    """Admission control of one director, by the assignment in force.
 
     Attributes:
         assignment: The version in force.
-        tenant_resolver: Finds the tenant of a request.
-        placement: Finds the cell and the caches of a request.
-        capacity: What this director has.
-        tenant_states: By tenant.
-        unknown_tenant: Of requests whose tenant is unknown.
-        cell_quotas: What cells use of this director.
-        rollout_states: By rollout.
-        migration_stages: By migration, as last logged.
+        tenant_resolver: Index that finds the tenant of a request.
+        placement: Component that finds the cell and the caches of a request.
+        capacity: Capacity of this director.
+        tenant_states: Usage of quotas by tenant.
+        unknown_tenant: Usage by requests whose tenant is unknown.
+        cell_quotas: Usage of this director by its cells.
+        rollout_states: States of the rollouts, by name.
+        migration_stages: Last logged stage of each migration, by name.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
         capacity: DirectorCapacity,
         can_bypass_caches: bool,
     ) -> None:
-        """Starts without any cache.
+        """Create a controller that knows no cache yet.
 
         Raises:
             ConfigError: If the assignment cannot be used.
@@ -102,28 +105,30 @@
         self.migration_stages: dict[str, migrations.MigrationStage] = {}
         self._use_assignment(prepared)
 
-    # Changes of the assignment, the endpoint list and the time
+    # Updates of the assignment and the endpoint list, and periodic work
 
     def replace_assignment(
         self, now: float, assignment: Assignment | PreparedAssignment
     ) -> list[str]:
-        """Takes over a new version; what tenants and cells use, and idempotency keys, are kept.
+        """Put a new version of the assignment in force.
+
+        The usage of tenants and cells and the known idempotency keys are kept.
 
         Returns:
-            Texts for the log.
+            Messages for the log.
 
         Raises:
-            ConfigError: If it cannot be used; then the old one stays in force.
+            ConfigError: If the assignment cannot be used; the old version then stays in force.
         """
         if isinstance(assignment, PreparedAssignment):
             prepared = assignment
         else:
             prepared = prepare_assignment(assignment)
         new = prepared.assignment
-        texts = self.placement.replace_assignment(now, new, prepared.homes)
+        messages = self.placement.replace_assignment(now, new, prepared.homes)
         self._use_assignment(prepared)
-        first = f"version {new.version}: {len(new.cells)} cells, {len(new.tenants)} tenants"
-        return [first, *texts]
+        summary = f"version {new.version}: {len(new.cells)} cells, {len(new.tenants)} tenants"
+        return [summary, *messages]
 
     def _use_assignment(self, prepared: PreparedAssignment) -> None:
         assignment = prepared.assignment
@@ -157,49 +162,49 @@
         return rollouts.limits_in_force(self.rollout_states, home, tenant_limits)
 
     def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
-        """Takes over the ready caches of this location; returns texts for the log."""
+        """Replace the list of ready caches in this location and return messages for the log."""
         return self.placement.update_caches(now, caches)
 
     def step(self, now: float) -> list[str]:
-        """Advances migrations and rollouts; to be called some times a second.
+        """Advance migrations and rollouts; to be called several times a second.
 
         Returns:
-            Texts for the log.
+            Messages for the log.
         """
         return self._log_migrations(now) + self._advance_rollouts(now)
 
     def _log_migrations(self, now: float) -> list[str]:
-        texts = []
+        messages = []
         for name, migration in self.assignment.migrations.items():
             stage = migrations.stage_at(migration, now)
             if stage != self.migration_stages[name]:
                 self.migration_stages[name] = stage
                 fraction = migrations.migrated_fraction(migration, now)
-                texts.append(
+                messages.append(
                     f"move {name} {stage.value}: "
                     f"{fraction:.2f} of {migration.source} in {migration.target}"
                 )
-        return texts
+        return messages
 
     def _advance_rollouts(self, now: float) -> list[str]:
-        texts = []
+        messages = []
         for name, state in self.rollout_states.items():
             if change := state.advance(now):
                 wave_count = len(state.rollout.waves)
-                texts.append(f"release {name} {change}, wave {state.wave} of {wave_count}")
+                messages.append(f"release {name} {change}, wave {state.wave} of {wave_count}")
                 self._update_tenant_limits()
                 shuffle_shards = rollouts.shuffle_shards_by_cell(self.rollout_states)
                 self.placement.set_shuffle_shards(shuffle_shards)
-        return texts
+        return messages
 
     # Connections and requests
 
     def can_admit_connection(self, address: str, open_connections: int) -> bool:
-        """Returns whether one more connection may come from an address.
+        """Return whether one more connection from an address is allowed.
 
         Args:
-            address: Of the client.
-            open_connections: Connections that its tenant has.
+            address: The client's address.
+            open_connections: Number of open connections of the address's tenant.
         """
         tenant = self.tenant_resolver.tenant_of_address(address)
         limit = self._limits_of(tenant).max_connections if tenant else 0
@@ -208,9 +213,10 @@
     def admit_request(
         self, now: float, request: AdmissionRequest
     ) -> AdmissionGrant | AdmissionRejection:
-        """Admits a request, which is completed later, or rejects it.
+        """Admit or reject a request.
 
-        Demand is noted also of requests that are rejected; limits are used up by admitted ones.
+        The caller must pass the grant of an admitted request to `complete_request` later. Rejected
+        requests count as demand of their tenant; only admitted requests consume quota.
         """
         tenant = self.tenant_resolver.resolve(request.tenant_name, request.address, request.group)
         if tenant is None:
@@ -227,14 +233,14 @@
         placement = self.placement.stable_placements.get(tenant) if is_idempotent else None
         if placement is None:
             placement_request = _placement_request(tenant, request)
-            found = self.placement.place(now, placement_request)
-            if isinstance(found, PlacementFailure):
-                return self._reject_unplaced(state, request, found)
-            placement = found
-        candidate = self._candidate(request, tenant, state, placement)
-        if shortage := self.cell_quotas.check(now, candidate):
-            return self._reject(state, request, shortage.reason, shortage.wait)
-        if placement_request is not None:  # without it: idempotent, so any cell may run it again
+            result = self.placement.place(now, placement_request)
+            if isinstance(result, PlacementFailure):
+                return self._reject_unplaced(state, request, result)
+            placement = result
+        candidate = self._build_candidate(request, tenant, state, placement)
+        if exceeded := self.cell_quotas.check(now, candidate):
+            return self._reject(state, request, exceeded.reason, exceeded.wait)
+        if placement_request is not None:  # None: idempotent, so retries may run in any cell
             self.placement.record_admission(now, placement_request, placement)
         if uses_retry_budget:
             state.retry_budget.consume()
@@ -250,17 +256,17 @@
         is_client_waiting: bool,
         delay: float,
     ) -> str:
-        """Releases what a request used; a second call does nothing.
+        """Release the quota of a request and record its outcome; a second call does nothing.
 
         Args:
-            now: The time.
-            grant: The admitted request.
-            is_served: Whether it was served.
-            is_client_waiting: Whether its client still waited.
-            delay: How long it took, ms, the time of sending its answer aside.
+            now: The current time.
+            grant: The grant of the request.
+            is_served: Whether the request was served.
+            is_client_waiting: Whether the client was still waiting.
+            delay: Time until the answer, ms, without the time of sending it.
 
         Returns:
-            A text for the log where the cell's concurrency limit was reduced, else nothing.
+            A message for the log if the cell's concurrency limit was reduced, else an empty string.
         """
         if grant.is_completed:
             return ""
@@ -279,16 +285,16 @@
         return ""
 
     def status(self, now: float) -> dict[str, Any]:
-        """Returns the state of cells, migrations and rollouts here, as `status_report` has it."""
+        """Return the state of cells, migrations and rollouts, in the form of `status_report`."""
         return status_report(self, now)
 
-    # Steps of an admission, in their order
+    # Steps of an admission
 
-    def _candidate(
+    def _build_candidate(
         self, request: AdmissionRequest, tenant: str, state: TenantState, placement: CellPlacement
-    ) -> Candidate:
+    ) -> AdmissionCandidate:
         body_kb = request.body_bytes / 1024.0
-        candidate = Candidate(
+        candidate = AdmissionCandidate(
             tenant,
             self.assignment.tenants[tenant].weight,
             state,
@@ -301,7 +307,7 @@
             candidate.failover = FailoverTerms(
                 lost_cell=lost_cell.name,
                 quota=lost_cell.failover_quota,
-                host_capacity_fraction=self.placement.availability[
+                failover_capacity_fraction=self.placement.availability[
                     placement.cell
                 ].capacity_fraction(),
             )
@@ -309,9 +315,11 @@
 
     def _add_tenant_state(self, tenant: str) -> TenantState:
         if len(self.tenant_states) >= MAX_TENANT_STATES:
-            # What is open is in the grants, so a state that is dropped loses none of it.
-            by_use = sorted(self.tenant_states.items(), key=lambda item: item[1].last_used_at)
-            self.tenant_states = dict(by_use[MAX_TENANT_STATES // 2 :])
+            # The grants hold the quota of open requests, so dropping a state loses none of it.
+            states_by_last_use = sorted(
+                self.tenant_states.items(), key=lambda item: item[1].last_used_at
+            )
+            self.tenant_states = dict(states_by_last_use[MAX_TENANT_STATES // 2 :])
         state = TenantState(self._limits_of(tenant))
         self.tenant_states[tenant] = state
         return state
@@ -345,9 +353,11 @@
 
 
 def _is_never_executed(request: AdmissionRequest) -> bool:
-    """Returns whether a client that is rejected may come again.
+    """Return whether the client can repeat a rejected request without running it twice.
 
-    No attempt of this request has gone out, but the one that it repeats may have run.
+    The director has sent no attempt of the rejected request. If the request is a retry, its first
+    attempt may have run; this is harmless if the request is idempotent, or if all endpoints know
+    its idempotency key.
     """
     request_class = request.request_class
     is_known_everywhere = request_class.idempotency == KEYED and request_class.key_scope == "all"
--- a/mulleinrelay/cells/admission_types.py
+++ b/mulleinrelay/cells/admission_types.py
@@ -1,4 +1,4 @@
-"""What the admission controller is asked and what it answers."""
+"""Types of the admission controller's interface: requests, grants and rejections."""
 
 from dataclasses import dataclass, field
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionRequest:
-    """A client's request, as far as its admission depends on it.
+    """The parts of a client's request that its admission depends on.
 
     Attributes:
-        tenant_name: As the client gave it; empty: it gave none.
-        address: Of the client.
-        group: Of the object.
-        key: The object; hexadecimal digits are parsed only where they are needed.
-        request_class: Says how it may be repeated.
-        idempotency_key: Empty: none.
-        is_retry: Whether the client has sent it before.
-        body_bytes: Size of its body.
+        tenant_name: Tenant that the client named; empty if the client named none.
+        address: The client's address.
+        group: Group of the object.
+        key: Object id, a number or hexadecimal digits, which are parsed only if needed.
+        request_class: Request class, with the rules for repeating a request.
+        idempotency_key: Idempotency key; empty if there is none.
+        is_retry: Whether the client has sent the request before.
+        body_bytes: Size of the body.
     """
 
     tenant_name: str
@@ -34,18 +34,19 @@
     body_bytes: int = 0
 
     def key_number(self) -> int:
-        """Returns the object as a number."""
+        """Return the object id as a number."""
         return int(self.key, 16) if isinstance(self.key, str) else self.key
 
 
 @dataclass(slots=True, eq=False)
 class AdmissionRejection:
-    """A request that is rejected.
+    """The rejection of a request.
 
     Attributes:
-        reason: In words.
-        retry_after_ms: When the client may come again, ms.
-        is_never_executed: Whether nothing of it can have run: then it is rejected, else it fails.
+        reason: Reason in words.
+        retry_after_ms: Time after which the client may retry, ms.
+        is_never_executed: Whether the request certainly has not run. If so, the client is told
+            that the request was rejected, otherwise that it failed.
     """
 
     reason: str
@@ -55,20 +56,20 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionGrant:
-    """An admitted request; it is completed once.
+    """An admitted request and the quota that it holds until it is completed.
 
     Attributes:
-        tenant: Whose request it is.
-        cell: The cell that serves it.
-        pool: The caches that it is confined to.
-        slots: Its size in open requests; a body counts as more than one.
-        body_kb: KB of its body.
-        tenant_state: Whose body it is counted in.
-        cell_state: Where its outcome is counted.
-        share: The tenant's share that it uses.
-        cell_share: The cell's share that it uses.
-        failover_quota: That it uses; None: it is served at home.
-        is_completed: Whether all this has been released.
+        tenant: The request's tenant.
+        cell: Cell that serves the request.
+        pool: Caches that the request is confined to.
+        slots: Size of the request in open requests; a body makes it larger than 1.
+        body_kb: Size of the body, KB.
+        tenant_state: State of the tenant, which counts the body.
+        cell_state: State of the cell, which counts the outcome.
+        share: The tenant's share of the cell's open requests.
+        cell_share: The cell's share of the director's open requests.
+        failover_quota: Quota in the failover cell; None if the home cell serves the request.
+        is_completed: Whether the quota has been released.
     """
 
     tenant: str
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -1,7 +1,8 @@
-"""What cells use of this director, and the checks of a request against it.
+"""Quotas of the cells at one director, and the check of a request against them.
 
-Each cell has a fair share of the director's rate and open requests, and each tenant a fair share of
-its cell's. Pure and not thread-safe: the admission controller's lock guards the state.
+Each cell has a fair share of the director's rate and open requests, and each tenant has a fair
+share of its cell's rate and open requests. Pure and not thread-safe: `CellService` holds its lock
+during each call.
 """
 
 from dataclasses import dataclass
@@ -9,23 +10,24 @@
 from ..policy.model import CachePool
 from .admission_types import AdmissionGrant
 from .cell_state import CellState, DirectorCapacity
-from .failover import FailoverQuota, HostLimits
+from .failover import FailoverCellLimits, FailoverQuota
 from .fair_share import FairShares
 from .model import Cell
 from .tenant_state import TenantCellLimits, TenantState
 from .token_bucket import BucketShare, FairTokenBucket
 
 WAIT_FOR_BODIES = 1_000.0  # ms: Retry-After while bodies of open requests fill the tenant's quota
-NARROW_ABOVE = 0.5  # fraction of a cell's capacity in use, above which lending is narrowed
+# Used fraction of a cell's capacity above which its tenants lend less.
+RESTRICT_LENDING_ABOVE = 0.5
 
 
 @dataclass(slots=True, frozen=True)
-class Shortage:
-    """A limit that a request does not fit into.
+class ExceededLimit:
+    """A limit that a request would exceed.
 
     Attributes:
-        reason: In words.
-        wait: When it may fit, ms; 0: not known.
+        reason: Name of the limit, in words.
+        wait: Time until the request may fit, ms; 0 if it is not known.
     """
 
     reason: str
@@ -34,42 +36,43 @@
 
 @dataclass(slots=True, frozen=True)
 class FailoverTerms:
-    """What a failover cell may give to a lost cell's tenants.
+    """The terms on which a failover cell serves the tenants of a lost cell.
 
     Attributes:
         lost_cell: Name of the lost cell.
-        quota: Fraction of the failover cell's limits.
-        host_capacity_fraction: Of the failover cell's caches while they warm up, 0 to 1.
+        quota: Fraction of the failover cell's limits that these tenants may use.
+        failover_capacity_fraction: Capacity fraction of the failover cell's caches, 0 to 1; less
+            than 1 during slow start.
     """
 
     lost_cell: str
     quota: float
-    host_capacity_fraction: float
+    failover_capacity_fraction: float
 
 
 @dataclass(slots=True, eq=False)
 class _BucketShares:
-    """The shares of rates that a request uses: its cell's and, within that, its tenant's."""
+    """The rates that a request uses: the cell's share, and the tenant's share of the cell's."""
 
     cell: BucketShare
     tenant: BucketShare
 
 
 @dataclass(slots=True, eq=False)
-class Candidate:
-    """A request whose cell is known, while it is checked against limits.
+class AdmissionCandidate:
+    """A placed request that is checked against the quotas.
 
     Attributes:
-        tenant: Whose request it is.
-        tenant_weight: The tenant's weight among those of its cell.
-        tenant_state: What the tenant uses of its quota.
-        cell: The cell that is to serve it.
-        body_kb: KB of its body.
-        slots: Its size in open requests; a body counts as more than one.
-        failover: Set where the tenant's own cell is lost.
+        tenant: The request's tenant.
+        tenant_weight: Weight of the tenant among the tenants of its cell.
+        tenant_state: The tenant's usage of its quota.
+        cell: Cell that is to serve the request.
+        body_kb: Size of the body, KB.
+        slots: Size of the request in open requests; a body makes it larger than 1.
+        failover: Terms of the failover; None if the home cell serves the request.
         limits: The tenant's limits in the cell; set by the check.
-        bucket_shares: Set by the check where a rate is bounded.
-        failover_quota: Set by the check where the tenant's own cell is lost.
+        bucket_shares: Shares of the rates; set by the check if a rate is limited.
+        failover_quota: Quota in the failover cell; set by the check if there is a failover.
     """
 
     tenant: str
@@ -85,24 +88,24 @@
 
 
 class CellQuotas:
-    """The state of all cells at one director.
+    """The quotas of all cells at one director.
 
     Attributes:
-        capacity: What the director has.
-        cell_states: By cell.
+        capacity: Capacity of the director.
+        cell_states: States of the cells, by name.
         cell_shares: The cells' shares of the director's open requests.
         cell_rates: The cells' shares of the director's rate.
     """
 
     def __init__(self, capacity: DirectorCapacity) -> None:
-        """Starts without any cell."""
+        """Create quotas without any cell."""
         self.capacity = capacity
         self.cell_states: dict[str, CellState] = {}
         self.cell_shares = FairShares(capacity.max_open_requests)
         self.cell_rates = FairTokenBucket(capacity.rate)
 
     def set_cells(self, cells: dict[str, Cell]) -> None:
-        """Takes over the cells of a new assignment; what is in use stays counted."""
+        """Replace the cells by those of a new assignment; open requests stay counted."""
         states = {}
         for name, cell in cells.items():
             state = self.cell_states.get(name)
@@ -113,29 +116,29 @@
             states[name] = state
         self.cell_states = states
 
-    def check(self, now: float, candidate: Candidate) -> Shortage | None:
-        """Returns the first limit that a request does not fit into; None: it fits.
+    def check(self, now: float, candidate: AdmissionCandidate) -> ExceededLimit | None:
+        """Return the first limit that a request would exceed; None if it fits into all limits.
 
-        Demand is noted also where it does not fit, up to the limit that was short.
+        The request's demand is recorded at each limit that is checked, even if it is rejected.
         """
         limits = self._limits(now, candidate)
         candidate.limits = limits
-        shortage = self._find_shortage(now, candidate, limits)
-        if shortage is not None:
+        exceeded = self._find_exceeded_limit(now, candidate, limits)
+        if exceeded is not None:
             limits.cell_state.rejected_count += 1
-        return shortage
+        return exceeded
 
-    def acquire(self, now: float, candidate: Candidate, pool: CachePool) -> AdmissionGrant:
-        """Uses up the limits that a request has been checked against.
+    def acquire(self, now: float, candidate: AdmissionCandidate, pool: CachePool) -> AdmissionGrant:
+        """Consume the quota of a request that has passed `check`.
 
         Args:
-            now: The time.
-            candidate: The request, just after its check.
-            pool: The caches that it is confined to.
+            now: The current time.
+            candidate: The checked request.
+            pool: The caches that the request is confined to.
         """
         limits = candidate.limits
         if limits is None:
-            raise ValueError("a request is checked before it is admitted")
+            raise ValueError("acquire was called for a request that was not checked")
         state = candidate.tenant_state
         cell_state = limits.cell_state
         if candidate.failover_quota is not None:
@@ -162,7 +165,7 @@
         )
 
     def release(self, grant: AdmissionGrant) -> None:
-        """Releases what an admitted request used; to be called once."""
+        """Release the quota of an admitted request; to be called once for each grant."""
         grant.cell_state.shares.release(grant.share, grant.slots)
         self.cell_shares.release(grant.cell_share, grant.slots)
         if grant.body_kb:
@@ -171,7 +174,7 @@
         if grant.failover_quota is not None:
             grant.failover_quota.release()
 
-    def _limits(self, now: float, candidate: Candidate) -> TenantCellLimits:
+    def _limits(self, now: float, candidate: AdmissionCandidate) -> TenantCellLimits:
         cell = candidate.cell
         tenant_state = candidate.tenant_state
         limits = tenant_state.cell_limits.get(cell.name)
@@ -187,21 +190,23 @@
             tenant_state.cell_limits[cell.name] = limits
         return limits
 
-    def _find_shortage(
-        self, now: float, candidate: Candidate, limits: TenantCellLimits
-    ) -> Shortage | None:
+    def _find_exceeded_limit(
+        self, now: float, candidate: AdmissionCandidate, limits: TenantCellLimits
+    ) -> ExceededLimit | None:
         if wait := self._wait_for_rates(now, candidate, limits):
-            return Shortage("rate of the cell", wait)
+            return ExceededLimit("rate of the cell", wait)
         if not candidate.tenant_state.has_space_for_body(candidate.body_kb):
-            return Shortage("bodies of the tenant", WAIT_FOR_BODIES)
-        if shortage := self._check_concurrency(now, candidate, limits):
-            return shortage
+            return ExceededLimit("bodies of the tenant", WAIT_FOR_BODIES)
+        if exceeded := self._check_concurrency(now, candidate, limits):
+            return exceeded
         if candidate.failover is not None:
             return self._check_failover(now, candidate, candidate.failover, limits)
         return None
 
-    def _wait_for_rates(self, now: float, candidate: Candidate, limits: TenantCellLimits) -> float:
-        """Returns 0 if the rates allow the request now, else the milliseconds until they do."""
+    def _wait_for_rates(
+        self, now: float, candidate: AdmissionCandidate, limits: TenantCellLimits
+    ) -> float:
+        """Return the milliseconds until the rates allow the request; 0 if they allow it now."""
         cell_state = limits.cell_state
         if not self.cell_rates.rate and not cell_state.limits.rate:
             return 0.0
@@ -216,35 +221,39 @@
         return wait
 
     def _check_concurrency(
-        self, now: float, candidate: Candidate, limits: TenantCellLimits
-    ) -> Shortage | None:
+        self, now: float, candidate: AdmissionCandidate, limits: TenantCellLimits
+    ) -> ExceededLimit | None:
         slots = candidate.slots
         cell_state = limits.cell_state
         shares = cell_state.shares
         cell_state.concurrency_limit.record_open(shares.open + slots)
-        if shares.open + slots > NARROW_ABOVE * shares.capacity:
-            # So much less is lent inside the cell that a lender that comes back, over the capacity
-            # by OVERCOMMIT, still fits into what the cell may have.
+        if shares.open + slots > RESTRICT_LENDING_ABOVE * shares.capacity:
+            # Reduces the capacity that tenants share, so that a lender that resumes and exceeds
+            # the capacity by OVERCOMMIT stays within the cell's limit.
             reachable = self.cell_shares.reachable(limits.cell_share, now)
             limit = min(cell_state.concurrency_limit.current, reachable)
             shares.capacity = limit / (1.0 + FairShares.OVERCOMMIT)
         if not shares.request(limits.share, now, slots):
-            return Shortage("share of the tenant", 0.0)
+            return ExceededLimit("share of the tenant", 0.0)
         if not self.cell_shares.request(limits.cell_share, now, slots):
-            return Shortage("share of the cell", 0.0)
+            return ExceededLimit("share of the cell", 0.0)
         return None
 
     def _check_failover(
-        self, now: float, candidate: Candidate, terms: FailoverTerms, limits: TenantCellLimits
-    ) -> Shortage | None:
+        self,
+        now: float,
+        candidate: AdmissionCandidate,
+        terms: FailoverTerms,
+        limits: TenantCellLimits,
+    ) -> ExceededLimit | None:
         cell_state = limits.cell_state
         rate = cell_state.token_bucket.rate
         if not rate and candidate.bucket_shares is not None:
             rate = self.cell_rates.guaranteed_rate(candidate.bucket_shares.cell)
         concurrency = cell_state.concurrency_limit.current
-        host = HostLimits(terms.host_capacity_fraction, concurrency, rate)
+        failover_limits = FailoverCellLimits(terms.failover_capacity_fraction, concurrency, rate)
         quota = cell_state.failover_quota(terms.lost_cell)
-        if wait := quota.wait_time(now, terms.quota, host):
-            return Shortage("reserve of the neighbour", wait)
+        if wait := quota.wait_time(now, terms.quota, failover_limits):
+            return ExceededLimit("reserve of the neighbour", wait)
         candidate.failover_quota = quota
         return None
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -1,6 +1,6 @@
-"""One cell at this director: its rate, its concurrency limit and its tenants' shares of these.
+"""State of one cell at this director: rate, concurrency limit and the tenants' shares of both.
 
-Pure and not thread-safe: the admission controller's lock guards the state.
+Pure and not thread-safe: `CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from .failover import FailoverQuota
 from .fair_share import FairShares
 from .model import Limits
-from .token_bucket import LONG_AGO, BucketShare, FairTokenBucket
+from .token_bucket import DISTANT_PAST, BucketShare, FairTokenBucket
 
-MIN_CONCURRENCY = 4.0  # open requests that a cell may always have, however slow it is
+MIN_CONCURRENCY = 4.0  # open requests that even a slow cell may have
 
 
 @dataclass(slots=True, frozen=True)
 class DirectorCapacity:
-    """What the director itself has.
+    """The capacity of one director.
 
     Attributes:
-        max_open_requests: Requests that may be open.
-        rate: Requests a second that it can serve; 0: no bound.
-        max_retry_after: The longest Retry-After of a rejected request, ms.
+        max_open_requests: Maximum number of open requests.
+        rate: Maximum number of requests per second; 0 if it is not limited.
+        max_retry_after: Longest Retry-After of a rejected request, ms.
     """
 
     max_open_requests: float
@@ -30,29 +30,29 @@
 
 
 class CellState:
-    """What one cell uses of this director.
+    """The usage of this director by one cell.
 
     Attributes:
-        limits: The cell's own limits.
-        token_bucket: Its rate, shared by its tenants.
-        concurrency_limit: How many requests it may have open.
-        shares: Its tenants' shares of that.
-        failover_quotas: By lost cell, what that one's tenants may take here.
-        served_count: Requests that were served in time.
-        completed_count: Requests that are over and whose client still waited.
-        rejected_count: Requests that were rejected for a limit of the cell.
-        rate_updated_at: When the rate was last taken from the director's.
+        limits: The cell's limits from the assignment.
+        token_bucket: The cell's rate, shared by its tenants.
+        concurrency_limit: Adaptive limit on the cell's open requests.
+        shares: The tenants' shares of the cell's open requests.
+        failover_quotas: Quotas of the tenants of lost cells, by lost cell.
+        served_count: Number of requests that were served in time.
+        completed_count: Number of completed requests whose client was still waiting.
+        rejected_count: Number of requests that were rejected because of a limit of the cell.
+        rate_updated_at: Time when the rate was last derived from the director's rate.
     """
 
     def __init__(self, capacity: DirectorCapacity, limits: Limits) -> None:
-        """Starts with nothing open, at the highest concurrency limit."""
+        """Create a cell without open requests, with the highest concurrency limit."""
         self.limits = limits
         self.token_bucket = FairTokenBucket(limits.rate)
         self.failover_quotas: dict[str, FailoverQuota] = {}
         self.served_count = 0
         self.completed_count = 0
         self.rejected_count = 0
-        self.rate_updated_at = LONG_AGO
+        self.rate_updated_at = DISTANT_PAST
         maximum = self._max_open_requests(capacity, limits)
         self.concurrency_limit = ConcurrencyLimit(min(MIN_CONCURRENCY, maximum), maximum)
         self.shares = FairShares(maximum)
@@ -63,7 +63,7 @@
         return min(capacity.max_open_requests, cell_maximum)
 
     def set_limits(self, capacity: DirectorCapacity, limits: Limits) -> None:
-        """Takes over new limits; open requests stay counted where they were admitted."""
+        """Replace the limits; open requests stay counted."""
         self.limits = limits
         self.token_bucket.set_rate(limits.rate)
         maximum = self._max_open_requests(capacity, limits)
@@ -71,15 +71,16 @@
         self.shares.capacity = maximum
 
     def failover_quota(self, lost_cell: str) -> FailoverQuota:
-        """Returns the quota of a lost cell's tenants here, making it where needed."""
+        """Return the quota of a lost cell's tenants in this cell; create it on the first call."""
         return self.failover_quotas.setdefault(lost_cell, FailoverQuota())
 
     def follow_director_rate(
         self, now: float, director_bucket: FairTokenBucket, cell_share: BucketShare
     ) -> None:
-        """Shares what the cell may reach of the director's rate among its tenants.
+        """Set the rate that the tenants share to the cell's reachable part of the director's rate.
 
-        That is done for a cell without a rate of its own, some times a second.
+        This does nothing if the cell has a rate limit of its own, if the director's rate is not
+        limited, or if less than `FairTokenBucket.RECOMPUTE_INTERVAL` passed since the last update.
         """
         if self.limits.rate or not director_bucket.rate:
             return
--- a/mulleinrelay/cells/command_options.py
+++ b/mulleinrelay/cells/command_options.py
@@ -1,6 +1,6 @@
-"""Options of the commands of `mulleinrelay cells`, and what is made of them.
+"""Options of the commands of `mulleinrelay cells`, and their conversion to edits.
 
-Names, defaults and help texts are the interface of people and scripts, and stay.
+Names and defaults of options are an interface that scripts depend on; they must not change.
 """
 
 from collections.abc import Callable
@@ -21,26 +21,27 @@
     metavar="FILE",
     envvar="MULLEINRELAY_ASSIGNMENT",
     required=True,
-    help="The assignment file (default: $MULLEINRELAY_ASSIGNMENT).",
+    help="Path of the assignment file (default: $MULLEINRELAY_ASSIGNMENT).",
 )
-RECORDS = click.option("--records", metavar="FOLDER", help="Where directors keep their records.")
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
+RECORDS = click.option("--records", metavar="FOLDER", help="Folder with the directors' records.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object, not text.")
 
 
 @dataclass(slots=True, frozen=True)
 class MigrationOptions:
-    """The options of `plan` and `move`, by the names that click derives from them.
+    """The options of `plan` and `move`, under the names that click derives from them.
 
     Attributes:
         warm_ms: Duration of the warm-up.
-        shift_ms: Duration of the shift; None: computed from the demand.
+        shift_ms: Duration of the shift; None if it is to be computed from the demand.
         drain_ms: Duration of the drain.
-        rate: Requests a second of the tenants; None: the demand is not known.
-        capacity: Of the receiving caches, in hits a second; None: the demand is not known.
-        load: Of the receiving caches already, in hits a second.
-        fill_cost: Of a fill, in hits.
-        hit_share: Fraction of hits once warm.
-        objects: Of the tenants; None: the demand is not known.
+        rate: Requests per second of the tenants; None if the demand is not known.
+        capacity: Capacity of the receiving caches, in hits per second; None if the demand is not
+            known.
+        load: Present load of the receiving caches, in hits per second.
+        fill_cost: Cost of a fill, in hits.
+        hit_share: Hit ratio once the caches are warm.
+        objects: Number of objects of the tenants; None if the demand is not known.
     """
 
     warm_ms: float
@@ -54,15 +55,15 @@
     objects: float | None
 
     def demand(self) -> MigrationDemand | None:
-        """Returns the demand on the receiving caches; None: it is not given.
+        """Return the demand on the receiving caches; None if no option gives it.
 
         Raises:
-            click.UsageError: If a part of it is missing.
+            click.UsageError: If only some of the options of the demand are given.
         """
         if self.rate is None and self.capacity is None and self.objects is None:
             return None
         if self.rate is None or self.capacity is None or self.objects is None:
-            raise click.UsageError("--rate, --capacity and --objects go together")
+            raise click.UsageError("--rate, --capacity and --objects must be given together")
         return MigrationDemand(
             rate=self.rate,
             load=self.load,
@@ -73,33 +74,36 @@
         )
 
     def durations(self, demand: MigrationDemand | None) -> edits.StageDurations:
-        """Returns the durations of the stages, as given or as the demand needs.
+        """Return the durations of the stages; the shift is given or computed from the demand.
 
         Raises:
-            click.UsageError: If neither a shift nor a demand is given.
+            click.UsageError: If neither the duration of the shift nor a demand is given.
             EditRejectedError: If the receiving caches cannot serve the demand.
         """
         if self.shift_ms is not None:
             return edits.StageDurations(self.warm_ms, self.shift_ms, self.drain_ms)
         if demand is None:
             raise click.UsageError(
-                "either --shift-ms, or --rate, --capacity and --objects, from which it is reckoned"
+                "give either --shift-ms, or --rate, --capacity and --objects to compute it"
             )
         return edits.durations_for_demand(demand, self.warm_ms, self.drain_ms)
 
 
 def migration_options(command: Command) -> Command:
-    """Adds the options of `MigrationOptions`; the last one added is listed first."""
+    """Add the options of `MigrationOptions` to a command.
+
+    The help text lists the options in reverse order: click puts the last added option first.
+    """
     for name, default, text in (
-        ("--drain-ms", 30_000.0, "The old caches still fill so long."),
-        ("--shift-ms", None, "Reckoned from the demand where left out."),
-        ("--warm-ms", 10_000.0, "The first few objects go over so long."),
-        ("--objects", None, "Objects of the tenants that are asked for in some minutes."),
-        ("--hit-share", 0.9, "Share of hits once warm."),
-        ("--fill-cost", 4.0, "What a fill costs beside a hit."),
-        ("--load", 0.0, "What they do already."),
-        ("--capacity", None, "What the receiving caches can do, in hits a second."),
-        ("--rate", None, "Requests a second of the tenants, at the peak."),
+        ("--drain-ms", 30_000.0, "Time after the shift in which the old caches still fill misses."),
+        ("--shift-ms", None, "Duration of the shift; computed from the demand if not given."),
+        ("--warm-ms", 10_000.0, "Duration of the warm-up, in which the first few objects move."),
+        ("--objects", None, "Objects of the tenants that are requested within a few minutes."),
+        ("--hit-share", 0.9, "Hit ratio once the caches are warm."),
+        ("--fill-cost", 4.0, "Cost of a fill, in hits."),
+        ("--load", 0.0, "Present load of the receiving caches, in hits per second."),
+        ("--capacity", None, "Capacity of the receiving caches, in hits per second."),
+        ("--rate", None, "Requests per second of the tenants at their peak."),
     ):
         add_option = click.option(
             name, type=float, default=default, show_default=default is not None, help=text
@@ -110,15 +114,15 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutOptions:
-    """The options of `release`, by the names that click derives from them.
+    """The options of `release`, under the names that click derives from them.
 
     Attributes:
-        waves: The cells of each wave, separated by blanks or commas.
-        wave_ms: The least time between two waves.
-        rate: Requests a second of a tenant; 0: no bound.
-        open_most: Requests that a tenant may have open; 0: no bound.
-        retries: Clients' retries for each first attempt.
-        shuffle: Caches of each tenant; None: as the cell has it.
+        waves: Cells of each wave, separated by spaces or commas.
+        wave_ms: Minimum time between two waves.
+        rate: Requests per second of a tenant; 0 if they are not limited.
+        open_most: Maximum number of open requests of a tenant; 0 if it is not limited.
+        retries: Retries that clients may send for each first attempt.
+        shuffle: Number of caches of each tenant; None to keep the number of the cell.
     """
 
     waves: tuple[str, ...]
@@ -129,7 +133,7 @@
     shuffle: int | None
 
     def rollout(self, assignment: Assignment, name: str, canary: str, now: float) -> Rollout:
-        """Returns the rollout, which starts when all directors have read of it."""
+        """Return the rollout; it starts when all directors have read the assignment file."""
         return Rollout(
             name,
             canary,
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -1,6 +1,6 @@
-"""`mulleinrelay cells`: operators' commands on the assignment file and directors' records.
+"""`mulleinrelay cells`: commands for operators on the assignment file and the directors' records.
 
-Docstrings of commands are their help texts. What commands print is in `presentation`.
+The docstring of a command is its help text. The module `presentation` formats the output.
 """
 
 import os
@@ -32,21 +32,21 @@
 UNUSABLE_FILE = 2
 REJECTED = 3
 
-PLANNED_NAME = "planned"  # of the migration that `plan` makes up
+PLANNED_NAME = "planned"  # name of the migration that `plan` projects
 
 
 @click.group()
 def cells() -> None:
-    """Tenants, the cells they are confined to, and their moves.
+    """Manage tenants, the cells that they are confined to, and their moves.
 
-    Exit codes: 0 done; 2 wrong use or a file that can't be used; 3 refused: nothing was changed,
-    and why.
+    Exit codes: 0 success; 2 wrong usage or an unusable file; 3 the change was refused for the
+    reason shown, and nothing was changed.
     """
 
 
 @contextmanager
 def exit_on_errors() -> Iterator[None]:
-    """Ends the command with its exit code where a file or a change cannot be used."""
+    """Exit with a message and an exit code if a file is unusable or a change is rejected."""
     try:
         yield
     except ConfigError as error:
@@ -61,12 +61,12 @@
 
 
 def now_ms() -> float:
-    """Returns Unix milliseconds."""
+    """Return the current time, Unix milliseconds."""
     return time.time() * 1000.0
 
 
 def print_report(as_json: bool, report: Report) -> None:
-    """Prints the output of a command."""
+    """Print the output of a command, as JSON or as text."""
     if as_json:
         click.echo(orjson.dumps(report.data))
     else:
@@ -74,9 +74,9 @@
             click.echo(line)
 
 
-def record_change(path: str, event: str, figures: dict[str, Any]) -> None:
-    """Appends one JSON line to the log of operators' changes beside the file."""
-    import structlog  # here, as most commands change nothing and start faster without it
+def record_change(path: str, event: str, fields: dict[str, Any]) -> None:
+    """Append one JSON line to the log of operators' changes, which is next to the file."""
+    import structlog  # imported here because most commands do not need it and start faster
 
     with open(f"{path}.log", "ab") as file:
         log = structlog.wrap_logger(
@@ -86,22 +86,22 @@
                 structlog.processors.JSONRenderer(serializer=orjson.dumps),
             ],
         )
-        log.info(event, **figures)
+        log.info(event, **fields)
 
 
 def change_assignment(
-    path: str, event: str, edit: Callable[[Assignment], Assignment], **figures: Any
+    path: str, event: str, edit: Callable[[Assignment], Assignment], **fields: Any
 ) -> Assignment:
-    """Writes the next version and records who made it.
+    """Write the next version of the assignment and record its author in the log.
 
     Args:
-        path: The assignment file.
-        event: What is recorded as the change's kind.
-        edit: Makes the next version of the present one.
-        figures: What else is recorded.
+        path: Path of the assignment file.
+        event: Kind of the change, for the log.
+        edit: Function that returns the next version for the present one.
+        fields: Further fields for the log.
 
     Returns:
-        The version that was written.
+        The assignment that was written.
 
     Raises:
         ConfigError: If the file cannot be used or written.
@@ -111,7 +111,7 @@
         old = store.load_assignment(path)
         new = store.save_assignment(path, edit(old), round(now_ms()), old.version)
     author = {"version": new.version, "by": os.environ.get("USER", "")}
-    record_change(path, event, author | figures)
+    record_change(path, event, author | fields)
     return new
 
 
@@ -120,7 +120,7 @@
 @RECORDS
 @JSON
 def show(path: str, records: str | None, as_json: bool) -> None:
-    """Cells, tenants, moves and releases; with --records, what each director makes of them."""
+    """Show cells, tenants, moves and releases; with --records, also the directors' states."""
     with exit_on_errors():
         assignment = store.load_assignment(path)
         now = now_ms()
@@ -131,25 +131,25 @@
 @cells.command("explain")
 @click.argument("what")
 @FILE
-@click.option("--tenant", metavar="TENANT", help="Whose object it is, where WHAT is an object.")
+@click.option("--tenant", metavar="TENANT", help="Tenant of the object, if WHAT is an object.")
 @JSON
 def explain(what: str, path: str, tenant: str | None, as_json: bool) -> None:
-    """Why TENANT, or an OBJECT (16 hex digits) of --tenant, stands in its cell."""
+    """Explain why a tenant, or an object (16 hex digits) of --tenant, belongs to its cell."""
     with exit_on_errors():
         assignment = store.load_assignment(path)
         now = now_ms()
         if tenant is None:
-            found = explanations.explain_tenant(assignment, what, now)
+            result = explanations.explain_tenant(assignment, what, now)
         else:
-            found = explanations.explain_object(assignment, tenant, _object_key(what), now)
-    print_report(as_json, presentation.explanation(found))
+            result = explanations.explain_object(assignment, tenant, _object_key(what), now)
+    print_report(as_json, presentation.explanation(result))
 
 
 def _object_key(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError as error:
-        raise click.UsageError(f"{text!r} is no object: 16 hex digits are wanted") from error
+        raise click.UsageError(f"{text!r} is not an object: 16 hex digits expected") from error
 
 
 @cells.command("plan")
@@ -158,9 +158,11 @@
 @FILE
 @migration_options
 @JSON
-def plan(tenants: tuple[str, ...], target: str, path: str, as_json: bool, **given: Any) -> None:
-    """What a move would look like; nothing is changed."""
-    options = MigrationOptions(**given)
+def plan(
+    tenants: tuple[str, ...], target: str, path: str, as_json: bool, **option_values: Any
+) -> None:
+    """Show the course of a move without starting it."""
+    options = MigrationOptions(**option_values)
     with exit_on_errors():
         assignment = store.load_assignment(path)
         now = now_ms()
@@ -168,14 +170,16 @@
         durations = options.durations(demand)
         changed = edits.start_migration(assignment, PLANNED_NAME, tenants, target, now, durations)
     migration = changed.migrations[PLANNED_NAME]
-    any_demand = MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0)  # the fractions are the same for all
-    projection = migrations.project_load(migration, demand or any_demand)
+    placeholder_demand = MigrationDemand(
+        0.0, 0.0, 1.0, 1.0, 1.0, 1.0
+    )  # does not affect the fractions
+    projection = migrations.project_load(migration, demand or placeholder_demand)
     peak_load = max(point.utilization for point in projection) if demand else None
     print_report(as_json, presentation.migration_plan(migration, durations, projection, peak_load))
     if peak_load is not None and peak_load >= 1.0:
         click.echo(
-            "mulleinrelay: refused: the peak is over what the receiving caches may take; "
-            "a longer shift",
+            "mulleinrelay: refused: the peak is over the capacity of the receiving caches; "
+            "choose a longer shift",
             err=True,
         )
         sys.exit(REJECTED)
@@ -184,15 +188,20 @@
 @cells.command("move")
 @click.argument("tenants", nargs=-1, required=True)
 @click.option("--to", "target", required=True, metavar="CELL")
-@click.option("--name", metavar="NAME", help="Of the move; made up where left out.")
+@click.option("--name", metavar="NAME", help="Name of the move; generated if not given.")
 @FILE
 @migration_options
 @JSON
 def move(
-    tenants: tuple[str, ...], target: str, name: str | None, path: str, as_json: bool, **given: Any
+    tenants: tuple[str, ...],
+    target: str,
+    name: str | None,
+    path: str,
+    as_json: bool,
+    **option_values: Any,
 ) -> None:
-    """Move TENANTS to another cell, in service."""
-    options = MigrationOptions(**given)
+    """Move TENANTS to another cell without an interruption of service."""
+    options = MigrationOptions(**option_values)
     with exit_on_errors():
         durations = options.durations(options.demand())
         name = name or f"m{round(now_ms())}"
@@ -212,14 +221,14 @@
 def _add_edit_command(
     verb: str, help_text: str, edit: Callable[[Assignment, str, float], Assignment]
 ) -> None:
-    """Adds a command that changes the migration or rollout NAME."""
+    """Register a command that edits the migration or rollout with a given name."""
 
     @cells.command(name=verb, help=help_text)
     @click.argument("name")
     @FILE
     @JSON
     def run(name: str, path: str, as_json: bool) -> None:
-        """Runs the edit."""
+        """Apply the edit."""
         with exit_on_errors():
             new = change_assignment(path, verb, lambda old: edit(old, name, now_ms()), name=name)
         report = Report(
@@ -228,17 +237,17 @@
         print_report(as_json, report)
 
 
-_add_edit_command("hold", "Stop a move where it is.", edits.pause_migration)
-_add_edit_command("resume", "Let a held move go on.", edits.resume_migration)
-_add_edit_command("abort", "Stop a move and let all go back.", edits.abort_migration)
+_add_edit_command("hold", "Pause a move.", edits.pause_migration)
+_add_edit_command("resume", "Resume a held move.", edits.resume_migration)
+_add_edit_command("abort", "Abort a move; all objects return.", edits.abort_migration)
 _add_edit_command(
     "take-back",
-    "Take a release back everywhere.",
+    "Roll a release back in all cells.",
     lambda old, name, _: edits.roll_back(old, name),
 )
 _add_edit_command(
     "keep",
-    "Make a release's limits those of its tenants.",
+    "Make a release's limits the tenants' own limits and end the release.",
     lambda old, name, _: edits.adopt_rollout(old, name),
 )
 
@@ -247,7 +256,7 @@
 @FILE
 @JSON
 def end(path: str, as_json: bool) -> None:
-    """Leave out moves that are over; their tenants stand in the table then."""
+    """Remove completed moves; their tenants' entries then name the cell that they are in."""
     with exit_on_errors():
         ended = edits.end_migrations(store.load_assignment(path), now_ms())[1]
         version = store.load_assignment(path).version
@@ -262,24 +271,24 @@
 
 @cells.command(
     "release",
-    help="New limits or layout for tenants, one cell first; each director halts or takes back what "
-    "harms that cell.",
+    help="Roll out new limits or shuffle shards, starting with one cell; each director halts the "
+    "release or rolls it back if it harms that cell.",
 )
 @click.argument("name")
 @click.option("--canary", required=True, metavar="CELL")
 @click.option(
-    "--wave", "waves", multiple=True, metavar="CELL[,CELL]", help="One for each wave, in order."
+    "--wave", "waves", multiple=True, metavar="CELL[,CELL]", help="Cells of one wave; repeatable."
 )
 @click.option("--wave-ms", type=float, default=60_000.0, show_default=True)
 @click.option("--rate", type=float, default=0.0)
 @click.option("--open-most", type=float, default=0.0)
 @click.option("--retries", type=float, default=0.2, show_default=True)
-@click.option("--shuffle", type=click.IntRange(0, 10_000), help="Caches of each tenant; 0: all.")
+@click.option("--shuffle", type=click.IntRange(0, 10_000), help="Caches per tenant; 0: all.")
 @FILE
 @JSON
-def release(name: str, canary: str, path: str, as_json: bool, **given: Any) -> None:
-    """Starts a rollout."""
-    options = RolloutOptions(**given)
+def release(name: str, canary: str, path: str, as_json: bool, **option_values: Any) -> None:
+    """Start a rollout."""
+    options = RolloutOptions(**option_values)
     with exit_on_errors():
         new = change_assignment(
             path,
@@ -301,16 +310,16 @@
 @click.option("--last", type=click.IntRange(1, 100_000), default=50, show_default=True)
 @JSON
 def log(path: str, records: str | None, last: int, as_json: bool) -> None:
-    """What staff changed and, with --records, how directors followed, in order of time."""
+    """Show the changes of operators and, with --records, those of directors, by time."""
     with exit_on_errors():
         lines = read_logs(records) if records else []
-    lines += _operators_changes(path)
+    lines += _operator_changes(path)
     lines = sorted(lines, key=lambda line: line["at"])[-last:]
     print_report(as_json, presentation.history(lines))
 
 
-def _operators_changes(path: str) -> list[dict[str, Any]]:
-    """Returns the changes that `record_change` recorded; lines that cannot be read are skipped."""
+def _operator_changes(path: str) -> list[dict[str, Any]]:
+    """Return the changes that `record_change` wrote; unreadable lines are skipped."""
     try:
         with open(f"{path}.log", "rb") as file:
             texts = list(file)
@@ -319,13 +328,13 @@
     changes = []
     for text in texts:
         try:
-            figures = orjson.loads(text)
-        except ValueError:  # cut off by a power cut
+            fields = orjson.loads(text)
+        except ValueError:  # a power failure truncated the line
             continue
         parts = [
             f"{key} {presentation.format_value(value)}"
-            for key, value in figures.items()
+            for key, value in fields.items()
             if key not in ("at", "by")
         ]
-        changes.append({"director": "staff", "at": figures.get("at", 0.0), "text": " ".join(parts)})
+        changes.append({"director": "staff", "at": fields.get("at", 0.0), "text": " ".join(parts)})
     return changes
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -1,35 +1,37 @@
-"""The adaptive limit on a cell's open requests, from the delay of those that were served.
+"""Adaptive limit on a cell's open requests, derived from the delays of served requests.
 
-The limit grows additively while it is used and delays stay near their baseline, and falls by a
-tenth once a window while they don't (AIMD). The baseline is the lowest mean of recent windows; it
-rises slowly, so that a cell that got slower for good is given its capacity back.
+Additive increase, multiplicative decrease (AIMD), once per window: the limit grows while it is used
+and delays are near their baseline, and falls by a tenth while delays are high. The baseline is the
+lowest mean delay of recent windows. It rises slowly, so that a cell that became permanently slower
+regains its limit.
 
-Pure and not thread-safe: the admission controller's lock guards it.
+Pure and not thread-safe: `CellService` holds its lock during each call.
 """
 
 
 class ConcurrencyLimit:
-    """How many requests one cell may have open.
+    """The maximum number of open requests of one cell.
 
     Attributes:
-        minimum: The limit never falls below this.
-        maximum: The limit never rises above this.
-        current: The limit in force.
-        baseline_delay: The delay of an unloaded cell, ms; 0: not known yet.
+        minimum: Lower bound of the limit.
+        maximum: Upper bound of the limit.
+        current: Present limit.
+        baseline_delay: Delay of the cell without load, ms; 0 if it is not known yet.
     """
 
     WINDOW = 250.0  # ms over which delays are averaged
-    MIN_SAMPLES = 8  # served requests without which a window is not closed
-    DECREASE_FACTOR = 0.9  # of the limit, once a window, while delays are high
-    INCREASE_FRACTION = 0.05  # of the limit, once a window; one request at the least
-    SLOW_RATIO = 2.0  # a window is slow when its mean is over so many times the baseline ...
-    SLOW_MARGIN = 5.0  # ... and so many ms, so that very short delays don't count as slow
-    USED_FRACTION = 0.7  # of the limit that must have been open before it grows
-    BASELINE_DRIFT = 0.01  # fraction by which the baseline rises a window
-    MIN_DELAY = 1.0  # ms: shorter delays are within the clock's noise
+    MIN_SAMPLES = 8  # served requests that a window needs before it can end
+    DECREASE_FACTOR = 0.9  # factor of the limit per window with high delays
+    INCREASE_FRACTION = 0.05  # fraction of the limit added per window, at least one request
+    # A window is slow if its mean delay exceeds SLOW_RATIO times the baseline plus SLOW_MARGIN.
+    SLOW_RATIO = 2.0
+    SLOW_MARGIN = 5.0  # ms; keeps small changes of very short delays from counting as slow
+    USED_FRACTION = 0.7  # fraction of the limit that must have been open before the limit grows
+    BASELINE_DRIFT = 0.01  # fraction by which the baseline rises per window
+    MIN_DELAY = 1.0  # ms; shorter delays are within the clock's noise
 
     def __init__(self, minimum: float, maximum: float) -> None:
-        """Starts at the maximum."""
+        """Create a limit that starts at its maximum."""
         self.minimum = minimum
         self.maximum = max(minimum, maximum)
         self.current = self.maximum
@@ -40,21 +42,21 @@
         self._peak_open = 0.0
 
     def record_open(self, open_count: float) -> None:
-        """Notes how many requests are open, the new one included."""
+        """Record the number of open requests, including the new one."""
         self._peak_open = max(self._peak_open, open_count)
 
     def record_completion(self, now: float, delay: float) -> bool:
-        """Notes a served request and adapts the limit at the end of a window.
+        """Record a served request and adapt the limit at the end of a window.
 
         Args:
-            now: The time.
-            delay: How long it took, ms, the time of sending its answer aside.
+            now: The current time.
+            delay: Time until the answer, ms, without the time of sending it.
 
         Returns:
-            Whether the limit has been reduced.
+            Whether the limit was reduced.
         """
         if now >= self._window_ends_at + self.WINDOW:
-            # The first sample, or the first after a pause: older ones say nothing about now.
+            # The first sample, or the first after a pause, makes older samples obsolete.
             self._start_window(now)
         self._sample_count += 1
         self._total_delay += max(delay, self.MIN_DELAY)
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -1,4 +1,4 @@
-"""The file `cells.ini` beside the platform's configuration; pure but for `load_cells_config`."""
+"""Reader of `cells.ini`, the configuration file of cells; pure except for `load_cells_config`."""
 
 import os
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CellsConfig:
-    """Whether cells are on here, and what this director has.
+    """The settings of cells at one director.
 
     Attributes:
         enabled: Whether tenants are confined to cells.
-        assignment_file: Path of the assignment file; empty: none.
-        tenant_field: Key of the clients' map that names the tenant; empty: none.
-        poll_interval: Milliseconds between two looks at the assignment file.
-        records_folder: Folder for this director's records; empty: none are kept.
-        max_open_requests: Requests that may be open here; 0: as many as memory allows.
-        rate: Requests a second that this director can serve; 0: no bound.
-        max_retry_after: The longest Retry-After of a rejected request, ms.
+        assignment_file: Path of the assignment file; empty if there is none.
+        tenant_field: Key of a request's fields that names the tenant; empty if there is none.
+        poll_interval: Time between two checks of the assignment file for changes, ms.
+        records_folder: Folder for this director's records; empty if none are written.
+        max_open_requests: Maximum number of open requests; 0 if only memory limits them.
+        rate: Requests per second that this director can serve; 0 if they are not limited.
+        max_retry_after: Longest Retry-After of a rejected request, ms.
     """
 
     enabled: bool
@@ -34,11 +34,11 @@
 
 
 def parse_cells_config(text: str, folder: str) -> CellsConfig:
-    """Reads the text of the file.
+    """Parse the text of the file.
 
     Args:
-        text: The text.
-        folder: Relative paths are taken from here.
+        text: Text of the file.
+        folder: Folder that relative paths in the text start from.
 
     Raises:
         ConfigError: If the text cannot be used.
@@ -51,7 +51,7 @@
     assignment_file = cells.text("assignment", "")
     records_folder = cells.text("records", "")
     if enabled and not assignment_file:
-        raise cells.error("assignment", "a path is wanted where enabled = yes")
+        raise cells.error("assignment", "a path is required if enabled = yes")
     config = CellsConfig(
         enabled=enabled,
         assignment_file=_path_in(folder, assignment_file),
@@ -63,7 +63,7 @@
         max_retry_after=director.number("come_back_most_ms", 5_000.0, 600_000.0),
     )
     if config.tenant_field and not NAME_PATTERN.fullmatch(config.tenant_field):
-        raise cells.error("tenant_field", f"{config.tenant_field!r} is no name")
+        raise cells.error("tenant_field", f"{config.tenant_field!r} is not a valid name")
     cells.reject_unknown_keys()
     director.reject_unknown_keys()
     return config
@@ -74,9 +74,9 @@
 
 
 def load_cells_config(path: str) -> CellsConfig:
-    """Reads the file.
+    """Read and parse the file.
 
     Raises:
-        ConfigError: If it cannot be read or used.
+        ConfigError: If the file cannot be read or used.
     """
     return load_ini(path, parse_cells_config)
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -1,8 +1,8 @@
-"""What operators may change of an assignment, as pure functions from one version to the next.
+"""Changes that operators can make to an assignment: pure functions from one version to the next.
 
-A change that would break a rule is an `EditRejectedError`; the caller writes and logs the result.
-What is to happen at all directors at one time is set ahead by the propagation time, when each of
-them has read the file.
+A change that would break a rule raises `EditRejectedError`. The caller writes and logs the new
+version. An event that all directors must execute at the same time is scheduled ahead by the
+propagation time and the clock skew, so that every director has read the file by then.
 """
 
 from dataclasses import dataclass, replace
@@ -14,12 +14,12 @@
 
 
 class EditRejectedError(MulleinrelayError):
-    """The change can be understood and is not made; the text says why."""
+    """A change that would break a rule and is not made; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class StageDurations:
-    """How long the stages of a migration take, ms."""
+    """The durations of a migration's stages, ms."""
 
     warm_up: float
     shift: float
@@ -35,48 +35,50 @@
     durations: StageDurations,
     starts_in: float = 0.0,
 ) -> Assignment:
-    """Adds a migration.
+    """Add a migration.
 
     Args:
-        assignment: The version that is changed.
-        name: Of the migration.
+        assignment: The version to change.
+        name: Name of the new migration.
         tenants: Names of the tenants that migrate.
-        target: Name of the cell that they go to.
-        now: The time.
-        durations: Of its stages.
-        starts_in: It starts after so many ms; no sooner than every director has read of it.
+        target: Name of the target cell.
+        now: The current time.
+        durations: Durations of the stages.
+        starts_in: Delay of the start, ms. The migration does not start before every director has
+            read it.
 
     Raises:
-        EditRejectedError: If the tenants cannot migrate together or are migrating.
+        EditRejectedError: If the tenants cannot migrate together or are already migrating.
     """
     if name in assignment.migrations:
-        raise EditRejectedError(f"there is a move {name} already")
+        raise EditRejectedError(f"there is already a move {name}")
     if target not in assignment.cells:
         raise EditRejectedError(f"there is no cell {target}")
     source = _common_home(assignment, tenants)
     if source == target:
-        raise EditRejectedError(f"they stand in {target} already")
+        raise EditRejectedError(f"the tenants are already in cell {target}")
     starts_at = now + max(starts_in, assignment.propagation_time + assignment.clock_skew)
     stages = (durations.warm_up, durations.shift, durations.drain)
     migration = Migration(name, tenants, source, target, starts_at, *stages)
     changed = _with_migration(assignment, migration)
-    return _with_cell(changed, tenants, source)  # so that no hash places them elsewhere
+    # An explicit cell keeps the hash from placing the tenants elsewhere during the migration.
+    return _with_cell(changed, tenants, source)
 
 
 def _common_home(assignment: Assignment, tenants: tuple[str, ...]) -> str:
-    """Returns the cell of all of the tenants, none of which may be migrating."""
+    """Return the home cell that all tenants share; none of them may be migrating."""
     homes = home_cells(assignment)
     for tenant in tenants:
         if tenant not in assignment.tenants:
             raise EditRejectedError(f"there is no tenant {tenant}")
         if (migration := migration_of(assignment, tenant)) is not None:
             raise EditRejectedError(
-                f"tenant {tenant} is moved by {migration.name}; abort or end that first"
+                f"tenant {tenant} is already moved by {migration.name}; abort or end this move"
             )
     sources = {homes[tenant] for tenant in tenants}
     if len(sources) != 1:
         raise EditRejectedError(
-            "the tenants of one move must stand in one cell, not in " + ", ".join(sorted(sources))
+            "the tenants of a move must be in one cell, but are in " + ", ".join(sorted(sources))
         )
     return sources.pop()
 
@@ -93,24 +95,24 @@
 def durations_for_demand(
     demand: migrations.MigrationDemand, warm_up: float, drain: float
 ) -> StageDurations:
-    """Returns the shortest migration that the receiving caches can serve.
+    """Return the durations of the shortest migration that the receiving caches can serve.
 
     Raises:
-        EditRejectedError: If they cannot serve the tenants at all.
+        EditRejectedError: If the receiving caches cannot serve the tenants at all.
     """
     shift = migrations.min_shift_duration(demand)
     if shift is None:
         load = demand.load + demand.rate
         capacity = migrations.TARGET_UTILIZATION * demand.capacity
         raise EditRejectedError(
-            f"the receiving caches can't bear these tenants even when warm: {load:.0f} "
-            f"of {capacity:.0f} hits a second, and the misses beside"
+            f"the receiving caches cannot serve these tenants even when warm: {load:.0f} "
+            f"of {capacity:.0f} hits per second, in addition to misses"
         )
     return StageDurations(warm_up, float(round(shift)), drain)
 
 
 def rejection_reason(old: Assignment, new: Assignment) -> str:
-    """Returns why a file that can be read is not put in force; empty: it is."""
+    """Return why a new version must not be put in force; empty if it may be."""
     is_older = new.version < old.version
     is_same_version_changed = new.version == old.version and new != old
     if is_older or is_same_version_changed:
@@ -122,7 +124,7 @@
 
 
 def migration_of(assignment: Assignment, tenant: str) -> Migration | None:
-    """Returns the migration of a tenant; None: it has none."""
+    """Return the migration of a tenant; None if the tenant does not migrate."""
     for migration in assignment.migrations.values():
         if tenant in migration.tenants:
             return migration
@@ -138,39 +140,42 @@
 
 
 def _effective_at(assignment: Assignment, migration: Migration, now: float) -> float:
-    """Returns when all directors have read what is written now, no sooner than the start."""
+    """Return the earliest time at which a change written now can take effect.
+
+    This is the time when all directors have read the file, but not before the migration starts.
+    """
     return max(migration.starts_at, now + assignment.propagation_time + assignment.clock_skew)
 
 
 def pause_migration(assignment: Assignment, name: str, now: float) -> Assignment:
-    """Keeps the migrated fraction where it is, until the migration is resumed.
+    """Pause a migration; its migrated fraction stays the same until it is resumed.
 
     Raises:
-        EditRejectedError: If it cannot be paused.
+        EditRejectedError: If the migration cannot be paused.
     """
     migration = _required_migration(assignment, name)
     pauses_at = _effective_at(assignment, migration, now)
     if migration.aborted_at:
         raise EditRejectedError(f"move {name} is aborted")
     if migration.paused_at and not migration.resumed_at:
-        raise EditRejectedError(f"move {name} is held already")
+        raise EditRejectedError(f"move {name} is already held")
     if migration.paused_at and now < migration.resumed_at:
         wait = migration.resumed_at - now
-        raise EditRejectedError(f"move {name} is just being resumed; wait {wait:.0f} ms")
-    if migration.paused_at:  # the pause that is over becomes part of the start
+        raise EditRejectedError(f"move {name} is about to be resumed; wait {wait:.0f} ms")
+    if migration.paused_at:  # a migration stores one pause: the earlier pause delays the start
         starts_at = migration.starts_at + migration.resumed_at - migration.paused_at
         migration = replace(migration, starts_at=starts_at, resumed_at=0.0)
     running = replace(migration, paused_at=0.0)
     if migrations.stage_at(running, pauses_at) == migrations.MigrationStage.DONE:
-        raise EditRejectedError(f"move {name} is done by then")
+        raise EditRejectedError(f"move {name} will be done before it can be held")
     return _with_migration(assignment, replace(migration, paused_at=pauses_at))
 
 
 def resume_migration(assignment: Assignment, name: str, now: float) -> Assignment:
-    """Lets a paused migration go on.
+    """Resume a paused migration.
 
     Raises:
-        EditRejectedError: If it is not paused.
+        EditRejectedError: If the migration is not paused.
     """
     migration = _required_migration(assignment, name)
     if not migration.paused_at or migration.resumed_at or migration.aborted_at:
@@ -180,40 +185,43 @@
 
 
 def abort_migration(assignment: Assignment, name: str, now: float) -> Assignment:
-    """Lets all objects go back; a migration that has not begun anywhere is removed at once.
+    """Abort a migration; its objects return to the source cell.
+
+    A migration that has not started at any director is removed at once.
 
     Raises:
-        EditRejectedError: If it is aborted or done.
+        EditRejectedError: If the migration is aborted or done.
     """
     migration = _required_migration(assignment, name)
     if migration.aborted_at:
-        raise EditRejectedError(f"move {name} is aborted already")
+        raise EditRejectedError(f"move {name} is already aborted")
     if now + assignment.propagation_time + assignment.clock_skew < migration.starts_at:
         others = {key: other for key, other in assignment.migrations.items() if key != name}
         return replace(assignment, migrations=others)
     aborts_at = _effective_at(assignment, migration, now)
     if migrations.stage_at(migration, aborts_at) == migrations.MigrationStage.DONE:
         raise EditRejectedError(
-            f"move {name} is done by then; move the tenants back to {migration.source}"
+            f"move {name} will be done before it can be aborted; "
+            f"move the tenants back to {migration.source}"
         )
     return _with_migration(assignment, replace(migration, aborted_at=aborts_at))
 
 
 def end_migrations(assignment: Assignment, now: float) -> tuple[Assignment, list[str]]:
-    """Removes migrations that are over, once no client's retry can depend on them.
+    """Remove ended migrations once no retry of a client can depend on them.
 
-    Their tenants then have the cell where they ended as their own.
+    The entries of their tenants then name the cell in which the migration ended.
 
     Returns:
-        The new version, and the names of the migrations that were removed.
+        The new version, and the names of the removed migrations.
     """
     grace = assignment.retry_horizon + assignment.propagation_time + assignment.clock_skew
     ended: list[str] = []
     remaining: dict[str, Migration] = {}
     changed = assignment
     for name, migration in assignment.migrations.items():
-        ended_at = migrations.ended_at(migration)
-        if ended_at is None or now < ended_at + grace:
+        ends_at = migrations.ends_at(migration)
+        if ends_at is None or now < ends_at + grace:
             remaining[name] = migration
             continue
         ended.append(name)
@@ -223,21 +231,21 @@
 
 
 def start_rollout(assignment: Assignment, rollout: Rollout) -> Assignment:
-    """Adds a rollout.
+    """Add a rollout.
 
     Raises:
-        EditRejectedError: If there is one of this name.
+        EditRejectedError: If there is a rollout of the same name.
     """
     if rollout.name in assignment.rollouts:
-        raise EditRejectedError(f"there is a release {rollout.name} already")
+        raise EditRejectedError(f"there is already a release {rollout.name}")
     return replace(assignment, rollouts=assignment.rollouts | {rollout.name: rollout})
 
 
 def roll_back(assignment: Assignment, name: str) -> Assignment:
-    """Takes a rollout back everywhere.
+    """Roll back a rollout in all cells.
 
     Raises:
-        EditRejectedError: If there is none of this name.
+        EditRejectedError: If there is no rollout of this name.
     """
     if name not in assignment.rollouts:
         raise EditRejectedError(
@@ -248,10 +256,10 @@
 
 
 def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
-    """Makes a rollout's limits those of all tenants of its cells, and removes it.
+    """Make a rollout's limits the own limits of all tenants of its cells, and remove the rollout.
 
     Raises:
-        EditRejectedError: If there is none of this name in force.
+        EditRejectedError: If no rollout of this name is in force.
     """
     if name not in assignment.rollouts or assignment.rollouts[name].is_rolled_back:
         raise EditRejectedError(f"there is no release {name} in force")
--- a/mulleinrelay/cells/explanations.py
+++ b/mulleinrelay/cells/explanations.py
@@ -1,6 +1,6 @@
-"""Why a tenant or an object belongs to its cell, for operators; pure.
+"""Explanations for operators why a tenant or an object belongs to its cell; pure.
 
-The keys are those of `mulleinrelay cells explain --json` and stay.
+`mulleinrelay cells explain --json` prints the keys of these dicts, so they must not change.
 """
 
 from . import migrations
@@ -11,7 +11,7 @@
 
 
 def explain_tenant(assignment: Assignment, tenant: str, now: float) -> dict[str, object]:
-    """Returns why a tenant belongs to its cell.
+    """Return a tenant's cell and the data that decides on it.
 
     Raises:
         EditRejectedError: If there is no such tenant.
@@ -27,7 +27,7 @@
         for cell in assignment.cells.values()
         if cell.weight
     ]
-    found: dict[str, object] = {
+    explanation: dict[str, object] = {
         "tenant": tenant,
         "cell": home,
         "why": "its own entry" if entry.cell else "by hash, within the load bound",
@@ -38,10 +38,10 @@
     }
     migration = migration_of(assignment, tenant)
     if migration is not None:
-        found["move"] = _explain_migration(migration, now)
+        explanation["move"] = _explain_migration(migration, now)
     if home:
-        found["neighbours"] = list(assignment.cells[home].failover_cells)
-    return found
+        explanation["neighbours"] = list(assignment.cells[home].failover_cells)
+    return explanation
 
 
 def _explain_migration(migration: Migration, now: float) -> dict[str, object]:
@@ -50,28 +50,28 @@
         "to": migration.target,
         "stage": migrations.stage_at(migration, now).value,
         "share_over": round(migrations.migrated_fraction(migration, now), 4),
-        "ended_at": migrations.ended_at(migration),
+        "ended_at": migrations.ends_at(migration),
     }
 
 
 def explain_object(assignment: Assignment, tenant: str, key: int, now: float) -> dict[str, object]:
-    """Returns why a tenant's object belongs to its cell now.
+    """Return the current cell of a tenant's object and the data that decides on it.
 
     Raises:
         EditRejectedError: If there is no such tenant.
     """
-    found = explain_tenant(assignment, tenant, now)
+    explanation = explain_tenant(assignment, tenant, now)
     migration = migration_of(assignment, tenant)
     if migration is not None:
         fraction = migrations.migrated_fraction(migration, now)
         if migrations.is_migrated(migration, key, fraction):
-            found["cell"] = migration.target
-            found["why"] = f"gone over with move {migration.name}"
-    return {"object": f"{key:016x}"} | found
+            explanation["cell"] = migration.target
+            explanation["why"] = f"gone over with move {migration.name}"
+    return {"object": f"{key:016x}"} | explanation
 
 
 def limits_by_key(limits: Limits) -> dict[str, float]:
-    """Returns the limits that are set, by their keys in the assignment file."""
+    """Return the limits other than 0, by their keys in the assignment file."""
     return {
         key: value
         for key, field in LIMIT_FIELDS_BY_KEY.items()
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -1,12 +1,12 @@
-"""A cell that is lost: which cell takes over its tenants, how much, and how they return; pure.
+"""Failover of the tenants of a lost cell to another cell, and their return; pure.
 
 A cell is lost at this director while none of its caches here is ready. Its tenants go to the first
-failover cell that is available, within the failover quota: a fraction of what that cell may have
-open and take a second, scaled by the capacity that its caches have while they warm up. When the
-cell is back its tenants' objects return one by one over `return_duration`, so that neither cell
-sees a jump.
+failover cell that is available, within the failover quota: a fraction of that cell's limits on open
+requests and on the rate, scaled by the capacity fraction of its caches during slow start. When the
+lost cell recovers, its tenants' objects return one by one over `return_duration`, so that the load
+of neither cell jumps.
 
-Not thread-safe: the admission controller's lock guards the state.
+Not thread-safe: `CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -15,24 +15,28 @@
 from .model import Cell
 from .token_bucket import TokenBucket
 
-# Without it the first objects to return would be those that a cache ranks first by hash.
+# Salt of the hash that orders returning objects. Without it, the objects that a cache ranks first
+# by hash would return first.
 RECOVERY_SALT = 0x72657475726E
-WAIT_WITHOUT_QUOTA = 1_000.0  # ms: nothing may come while the caches have no capacity yet
-WAIT_FOR_OPEN_REQUEST = 200.0  # ms: about the time in which an open request ends
-RATE_TOLERANCE = 0.01  # a rate that changed by a smaller fraction is not set anew
+WAIT_WITHOUT_QUOTA = 1_000.0  # ms; for requests that arrive while the caches have no capacity yet
+WAIT_FOR_OPEN_REQUEST = 200.0  # ms; typical time until an open request completes
+RATE_TOLERANCE = 0.01  # fraction; the rate is not updated for smaller changes
 
 
 @dataclass(slots=True, eq=False)
 class CellAvailability:
-    """Whether a cell can serve its tenants at this director.
+    """The ability of a cell to serve its tenants at this director.
 
     Attributes:
         cell: The cell.
-        ready_caches: How many of its caches here are ready.
-        total_capacity: Sum of their capacity fractions; `ready_caches` when none is warming up.
-        is_lost: Whether none is ready.
-        recovering_since: When it came back; 0: it has not been lost, or all objects have returned.
-        has_been_ready: Whether a cache was ever ready; the first ones are no recovery.
+        ready_caches: Number of the cell's ready caches in this location.
+        total_capacity: Sum of the capacity fractions of these caches; equal to `ready_caches` if
+            none is in slow start.
+        is_lost: Whether no cache is ready.
+        recovering_since: Start of the recovery; 0 if the cell has not been lost, or if all objects
+            have returned.
+        has_been_ready: Whether a cache was ever ready. The first ready cache after the director's
+            start begins no recovery.
     """
 
     cell: Cell
@@ -43,7 +47,11 @@
     has_been_ready: bool = False
 
     def update_caches(self, now: float, ready_caches: int, total_capacity: float) -> str:
-        """Takes over a new endpoint list; returns `lost` or `back` on that change, else nothing."""
+        """Record the number and capacity of the ready caches.
+
+        Returns:
+            "lost" or "back" if the cell was lost or came back, otherwise an empty string.
+        """
         self.ready_caches = ready_caches
         self.total_capacity = total_capacity
         was_lost = self.is_lost
@@ -59,7 +67,10 @@
         return "back"
 
     def home_fraction(self, now: float) -> float:
-        """Returns the fraction of its objects that it serves itself; ends the recovery at 1."""
+        """Return the fraction of its objects that the cell serves itself.
+
+        A fraction of 1 ends the recovery.
+        """
         if self.is_lost:
             return 0.0
         if not self.recovering_since:
@@ -70,39 +81,44 @@
         return min(fraction, 1.0)
 
     def capacity_fraction(self) -> float:
-        """Returns the mean capacity fraction of its ready caches, 0 to 1."""
+        """Return the mean capacity fraction of the cell's ready caches, 0 to 1."""
         return self.total_capacity / self.ready_caches if self.ready_caches else 0.0
 
 
 def is_served_at_home(key: int, home_fraction: float) -> bool:
-    """Returns whether an object's own cell serves it at this home fraction."""
+    """Return whether the home cell serves an object at a given home fraction."""
     if home_fraction >= 1.0:
         return True
     return home_fraction > 0.0 and combine_hashes(key, RECOVERY_SALT) / HASH_RANGE < home_fraction
 
 
-def find_failover_host(
+def find_failover_cell(
     availability: dict[str, CellAvailability], cell: Cell
 ) -> CellAvailability | None:
-    """Returns the cell that takes over a cell's tenants now; None: they are rejected.
+    """Return the failover cell that serves a lost cell's tenants; None if none is available.
 
-    A cell that is recovering takes over nobody: its own tenants are still elsewhere.
+    A recovering cell serves no tenants of other cells, because some of its own objects are still
+    served elsewhere.
     """
     for name in cell.failover_cells:
-        host = availability.get(name)
-        if host is not None and not host.is_lost and not host.recovering_since:
-            return host
+        failover_cell = availability.get(name)
+        if (
+            failover_cell is not None
+            and not failover_cell.is_lost
+            and not failover_cell.recovering_since
+        ):
+            return failover_cell
     return None
 
 
 @dataclass(slots=True, frozen=True)
-class HostLimits:
-    """What a failover cell has for all its requests, its own tenants' included.
+class FailoverCellLimits:
+    """The limits of a failover cell for all requests, including those of its own tenants.
 
     Attributes:
-        capacity_fraction: Of its caches while they warm up, 0 to 1.
-        concurrency: Requests that it may have open.
-        rate: Requests a second that it may take; 0: no bound.
+        capacity_fraction: Capacity fraction of its caches, 0 to 1; less than 1 during slow start.
+        concurrency: Maximum number of open requests.
+        rate: Maximum number of requests per second; 0 if it is not limited.
     """
 
     capacity_fraction: float
@@ -111,40 +127,40 @@
 
 
 class FailoverQuota:
-    """The bound on what one lost cell's tenants may take at one failover cell."""
+    """The quota of one lost cell's tenants in one failover cell."""
 
     def __init__(self) -> None:
-        """Starts with no request open."""
+        """Create a quota of which nothing is used."""
         self.open = 0
-        self.rate = 0.0  # requests a second; 0: no bound
+        self.rate = 0.0  # requests per second; 0 if not limited
         self.token_bucket = TokenBucket(0.0, 0.0)
 
-    def wait_time(self, now: float, quota: float, host: HostLimits) -> float:
-        """Returns 0 if one more request may come, else when to ask again, ms.
+    def wait_time(self, now: float, quota: float, cell_limits: FailoverCellLimits) -> float:
+        """Return the time until one more request may be admitted, ms; 0 if it may be now.
 
         Args:
-            now: The time.
-            quota: The failover quota of the lost cell.
-            host: The limits of the failover cell; a new rate is taken over.
+            now: The current time.
+            quota: The lost cell's failover quota, a fraction of the failover cell's limits.
+            cell_limits: Limits of the failover cell; a changed rate updates the token bucket.
         """
-        fraction = quota * host.capacity_fraction
+        fraction = quota * cell_limits.capacity_fraction
         if fraction <= 0.0:
             return WAIT_WITHOUT_QUOTA
-        if self.open + 1 > max(1.0, fraction * host.concurrency):
+        if self.open + 1 > max(1.0, fraction * cell_limits.concurrency):
             return WAIT_FOR_OPEN_REQUEST
-        if not host.rate:
+        if not cell_limits.rate:
             return 0.0
-        rate = fraction * host.rate
+        rate = fraction * cell_limits.rate
         if abs(rate - self.rate) > RATE_TOLERANCE * self.rate:
             self.rate = rate
             self.token_bucket = self.token_bucket.with_rate(rate, 0.0)
         return self.token_bucket.wait_time(now)
 
     def acquire(self, now: float) -> None:
-        """Counts one more request."""
+        """Count one more open request."""
         self.open += 1
         self.token_bucket.consume(now)
 
     def release(self) -> None:
-        """Counts one request as over."""
+        """Count one request as completed."""
         self.open = max(0, self.open - 1)
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -1,18 +1,19 @@
 """Weighted fair shares of a number of open requests.
 
-Each party is guaranteed its share by weight among the active parties. What they don't use is lent;
-a lender that comes back is admitted at once up to its guaranteed share, over the capacity by
-`FairShares.OVERCOMMIT` at most, and nothing more is lent until the borrowers have gone down.
-Requests are short, so what is lent is back within their time.
+Each active party (a cell or a tenant) has a guaranteed share in proportion to its weight. Unused
+shares are lent to other parties. A lender that sends requests again is admitted at once up to its
+guaranteed share, even if this exceeds the capacity by up to `FairShares.OVERCOMMIT`; nothing more
+is lent until the borrowers' requests have completed. Requests are short, so a lender soon regains
+its share.
 
-Pure and not thread-safe: the admission controller's lock guards it.
+Pure and not thread-safe: `CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
 
-from .token_bucket import LONG_AGO
+from .token_bucket import DISTANT_PAST
 
-# Requests with a body count in fractions; a remainder below this is the rounding of their sum.
+# Requests with a body have fractional sizes; a smaller sum is a rounding error and counts as 0.
 ROUNDING_REMAINDER = 1e-6
 
 
@@ -21,13 +22,13 @@
     """One party's share of the open requests that several parties share.
 
     Attributes:
-        weight: The guaranteed share is in proportion to this.
-        maximum: Bound of the party's own; 0: none.
-        open: Requests open, counted by their size.
-        last_requested_at: When the party last asked for a request.
-        window_peak: The most that it had open or wanted in this window.
-        previous_peak: The same in the window before.
-        window_ends_at: When this window ends.
+        weight: Weight of the party; its guaranteed share is in proportion to the weight.
+        maximum: Upper bound of the party's open requests; 0 if there is none.
+        open: Open requests, counted by their size.
+        last_requested_at: Time of the party's last request, admitted or not.
+        window_peak: Highest demand in the current window: open and requested, by size.
+        previous_peak: Highest demand in the previous window.
+        window_ends_at: End of the current window.
     """
 
     weight: float
@@ -39,7 +40,7 @@
     window_ends_at: float = 0.0
 
     def record_demand(self, now: float, window: float, amount: float) -> None:
-        """Notes that the party wants `amount` more; `window` in ms."""
+        """Record the party's demand for a further request of size `amount`; `window` is in ms."""
         if now >= self.window_ends_at:
             is_next_window = now < self.window_ends_at + window
             self.previous_peak = self.window_peak if is_next_window else 0.0
@@ -49,59 +50,63 @@
         self.window_peak = max(self.window_peak, self.open + amount)
 
     def demand(self, now: float, window: float) -> float:
-        """Returns the most that the party wanted in this window and the one before."""
+        """Return the party's highest demand in the current and the previous window."""
         if now >= self.window_ends_at + window:
             return self.open
         return max(self.open, self.window_peak, self.previous_peak)
 
 
 class FairShares:
-    """A capacity of open requests, shared by all parties that ask for some.
+    """A capacity of open requests that several parties share.
 
     Attributes:
-        capacity: Requests that may be open together.
-        open: Requests that are open together.
-        shares: By party.
-        computed_at: When the sums below were computed.
-        active_weight: Sum of the active parties' weights.
-        reserved: What active parties are guaranteed, want and have not: it isn't lent.
+        capacity: Maximum number of open requests of all parties together.
+        open: Number of open requests of all parties together.
+        shares: Shares by party.
+        computed_at: Time when the following sums were computed.
+        active_weight: Sum of the weights of all active parties.
+        reserved: Sum of the parties' unmet demand within their guaranteed shares; not lent.
     """
 
-    DEMAND_WINDOW = 1_000.0  # ms: a party is active so long after a request; demand is a peak of 2
-    OVERCOMMIT = 0.25  # fraction of the capacity by which a returning lender may exceed it
-    RECOMPUTE_INTERVAL = 50.0  # ms: between two sums over all parties
-    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms: an idle party is dropped then
+    # ms; a party stays active for this time, and its demand is the peak of two such windows.
+    DEMAND_WINDOW = 1_000.0
+    OVERCOMMIT = 0.25  # fraction of the capacity by which a resuming lender may exceed it
+    RECOMPUTE_INTERVAL = 50.0  # ms between two computations of the sums over all parties
+    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms after which an idle party is dropped
 
     def __init__(self, capacity: float) -> None:
-        """Starts without any party."""
+        """Create shares of a capacity, without any party."""
         self.capacity = capacity
         self.open = 0.0
         self.shares: dict[str, ConcurrencyShare] = {}
-        self.computed_at = LONG_AGO
+        self.computed_at = DISTANT_PAST
         self.active_weight = 0.0
         self.reserved = 0.0
 
     def share_for(self, name: str, weight: float, maximum: float = 0.0) -> ConcurrencyShare:
-        """Returns the share of a party, with this weight and bound from now on."""
+        """Return the share of a party after setting its weight and upper bound.
+
+        The share is created on the first call for a party.
+        """
         share = self.shares.get(name)
         if share is None:
             share = ConcurrencyShare(weight, maximum)
             self.shares[name] = share
-            self.computed_at = LONG_AGO
+            self.computed_at = DISTANT_PAST
         elif (share.weight, share.maximum) != (weight, maximum):
             share.weight = weight
             share.maximum = maximum
-            self.computed_at = LONG_AGO
+            self.computed_at = DISTANT_PAST
         return share
 
     def guaranteed(self, share: ConcurrencyShare) -> float:
-        """Returns what the party may always have open; one request at the least."""
+        """Return the number of requests that the party may always have open, at least 1."""
         return max(1.0, self.capacity * share.weight / max(self.active_weight, share.weight))
 
     def request(self, share: ConcurrencyShare, now: float, amount: float = 1.0) -> bool:
-        """Notes the party's demand and returns whether it may open `amount` more.
+        """Record the party's demand and return whether a request of size `amount` is allowed.
 
-        A caller that goes on calls `acquire`.
+        The caller calls `acquire` if it admits the request.
         """
         wanted = share.open + amount
         was_active = now < share.last_requested_at + self.DEMAND_WINDOW
@@ -120,33 +125,33 @@
         return total + self._reserved_for_others(share, now) <= self.capacity
 
     def reachable(self, share: ConcurrencyShare, now: float) -> float:
-        """Returns the most that a party may have open now, by itself."""
+        """Return the number of requests that the party could have open now."""
         used_by_others = self.open - share.open
         lendable = self.capacity - used_by_others - self._reserved_for_others(share, now)
         return max(self.guaranteed(share), lendable)
 
     def acquire(self, share: ConcurrencyShare, amount: float = 1.0) -> None:
-        """Counts a request of this size as open."""
+        """Count a request of size `amount` as open."""
         share.open += amount
         self.open += amount
 
     def release(self, share: ConcurrencyShare, amount: float = 1.0) -> None:
-        """Counts a request of this size as over."""
+        """Count a request of size `amount` as completed."""
         share_open = share.open - amount
         total_open = self.open - amount
         share.open = share_open if share_open > ROUNDING_REMAINDER else 0.0
         self.open = total_open if total_open > ROUNDING_REMAINDER else 0.0
 
-    def _unmet(self, share: ConcurrencyShare, now: float) -> float:
-        """Returns what the party wants of its guaranteed share and does not have."""
+    def _unmet_demand(self, share: ConcurrencyShare, now: float) -> float:
+        """Return the party's demand within its guaranteed share that is not open yet."""
         wanted = min(share.demand(now, self.DEMAND_WINDOW), self.guaranteed(share))
         return max(0.0, wanted - share.open)
 
     def _reserved_for_others(self, share: ConcurrencyShare, now: float) -> float:
-        return max(0.0, self.reserved - self._unmet(share, now))
+        return max(0.0, self.reserved - self._unmet_demand(share, now))
 
     def _recompute(self, now: float) -> None:
-        """Sums over the active parties; those that have long been idle are dropped."""
+        """Recompute the sums over the active parties, and drop parties after `IDLE_TIMEOUT`."""
         self.computed_at = now
         self.active_weight = 0.0
         for name, share in list(self.shares.items()):
@@ -157,4 +162,4 @@
         self.reserved = 0.0
         for share in self.shares.values():
             if now < share.last_requested_at + 2.0 * self.DEMAND_WINDOW:
-                self.reserved += self._unmet(share, now)
+                self.reserved += self._unmet_demand(share, now)
--- a/mulleinrelay/cells/formatter.py
+++ b/mulleinrelay/cells/formatter.py
@@ -1,6 +1,6 @@
-"""An assignment as the text of an assignment file; pure.
+"""Formatter of assignments as the text of an assignment file; pure.
 
-The keys stand in a fixed order, so that two versions of a file can be compared line by line.
+Keys are written in a fixed order, so that two versions of a file can be compared line by line.
 """
 
 from dataclasses import dataclass
@@ -18,9 +18,9 @@
 
 
 def format_assignment(assignment: Assignment) -> str:
-    """Returns the text of an assignment; `parse_assignment` reads an equal one from it."""
+    """Return the text of an assignment; `parse_assignment` returns an equal assignment for it."""
     sections = [
-        _Section("assignment", _head_values(assignment)),
+        _Section("assignment", _assignment_values(assignment)),
         _Section("limits", _limit_values(assignment.limits)),
     ]
     sections += [
@@ -42,7 +42,7 @@
     return HEADER + "\n" + "\n\n".join(texts) + "\n"
 
 
-def _head_values(assignment: Assignment) -> dict[str, object]:
+def _assignment_values(assignment: Assignment) -> dict[str, object]:
     return {
         "form": FILE_FORMAT_VERSION,
         "version": assignment.version,
@@ -114,7 +114,7 @@
 
 
 def _format_section(section: _Section) -> str:
-    """Returns a section's lines; keys with an empty text or no names are left out."""
+    """Return the text of a section; keys with an empty text or an empty list are left out."""
     lines = [f"[{section.title}]"]
     lines += [
         f"{key} = {_format_value(value)}"
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -1,11 +1,12 @@
-"""Which cell a tenant and a cache belong to, by hash; pure.
+"""Placement of tenants and caches in cells by hash; pure.
 
-Every director computes the same from the assignment and the endpoint list alone.
+All directors compute the same placement, because it depends on the assignment and the endpoint list
+only.
 
-Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998), weighted, with a bound on
-each cell's load (Mirrokni, Thorup and Zadimoghaddam, 2016). Where a cell or cache is removed, only
-its own tenants get another one, and those that they push over a bound; where one is added, only the
-tenants that now prefer it are placed anew.
+The method is weighted rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998) with
+a bound on each cell's load (Mirrokni, Thorup and Zadimoghaddam, 2016). If a cell or cache is
+removed, only its own tenants move, and tenants that they push over a load bound. If one is added,
+only the tenants that prefer it move.
 """
 
 import math
@@ -15,7 +16,7 @@
 
 from .model import TABLE, Assignment
 
-HASH_RANGE = 2.0**64  # hashes are below this
+HASH_RANGE = 2.0**64  # upper bound of a hash, exclusive
 HASH_MASK = 0xFFFFFFFFFFFFFFFF
 
 # Constants of splitmix64 (Steele, Lea and Flood, 2014).
@@ -23,17 +24,17 @@
 SPLITMIX_MULTIPLIER_1 = 0xBF58476D1CE4E5B9
 SPLITMIX_MULTIPLIER_2 = 0x94D049BB133111EB
 
-# A candidate as (name, hash of the name, weight).
+# A candidate: name, hash of the name, weight.
 Candidate = tuple[str, int, float]
 
 
 def hash_name(text: str) -> int:
-    """Returns 64 bits of a name, the same on every machine."""
+    """Return a 64-bit hash of a name that is the same on every machine."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 def combine_hashes(first: int, second: int) -> int:
-    """Returns one well distributed hash of two."""
+    """Return a well-distributed hash of two hashes."""
     state = (first ^ second * SPLITMIX_INCREMENT) & HASH_MASK
     state = (state ^ state >> 30) * SPLITMIX_MULTIPLIER_1 & HASH_MASK
     state = (state ^ state >> 27) * SPLITMIX_MULTIPLIER_2 & HASH_MASK
@@ -41,12 +42,16 @@
 
 
 def rendezvous_score(name_hash: int, candidate_hash: int, weight: float) -> float:
-    """Returns the score of a candidate for a name; the lowest wins, in proportion to weights."""
+    """Return the score of a candidate for a name.
+
+    The candidate with the lowest score is preferred. Each candidate is preferred by a share of the
+    names in proportion to its weight.
+    """
     return -math.log((combine_hashes(name_hash, candidate_hash) + 1) / HASH_RANGE) / weight
 
 
 def rendezvous_order(name_hash: int, candidates: Iterable[Candidate]) -> list[str]:
-    """Returns the names of the candidates, the preferred first."""
+    """Return the names of the candidates in the order of preference."""
     scores = [
         (rendezvous_score(name_hash, candidate_hash, weight), candidate)
         for candidate, candidate_hash, weight in candidates
@@ -57,16 +62,16 @@
 def assign_with_load_bound(
     items: Mapping[str, float], bins: Mapping[str, float], bound: float
 ) -> dict[str, str]:
-    """Assigns each item to a bin; the order of the mappings does not matter.
+    """Assign each item to a bin; the result does not depend on the order of the mappings.
 
     Args:
         items: Load of each item.
         bins: Weight of each bin.
-        bound: No bin takes more than this multiple (1 at the least) of its share of the load, save
-            by its last item.
+        bound: Maximum load of a bin, as a multiple (at least 1) of its share of the total load.
+            Only the last item of a bin may exceed it.
 
     Returns:
-        The bin of each item; nothing without bins.
+        The bin of each item; empty if there are no bins.
     """
     if not bins:
         return {}
@@ -88,7 +93,7 @@
 
 
 def _preferred_bin_function(candidates: list[Candidate]) -> Callable[[int], str]:
-    """Returns a function that gives the preferred bin of an item's hash."""
+    """Return a function that returns the preferred bin for the hash of an item."""
     if len({weight for _, _, weight in candidates}) > 1:
         return lambda item_hash: min(
             (rendezvous_score(item_hash, candidate_hash, weight), name)
@@ -98,10 +103,11 @@
 
 
 def _equal_weights_function(candidates: list[Candidate]) -> Callable[[int], str]:
-    """Returns the same function for bins of one weight, much faster.
+    """Return a faster equivalent of `_preferred_bin_function` for bins of equal weights.
 
-    The highest hash then has the lowest score, so no logarithm is needed. The hash is written out
-    once more without its call: assignments of 100,000 tenants are computed while requests run.
+    With equal weights, the highest hash has the lowest score, so no logarithm is needed.
+    `combine_hashes` is inlined, because assignments of 100,000 tenants are computed while requests
+    are served.
     """
     salted = [
         (name, candidate_hash * SPLITMIX_INCREMENT & HASH_MASK)
@@ -109,7 +115,7 @@
     ]
 
     def preferred_bin(item_hash: int) -> str:
-        """Returns the bin with the highest hash."""
+        """Return the bin with the highest hash."""
         best_name = ""
         best_hash = -1
         for name, salt in salted:
@@ -126,10 +132,10 @@
 
 
 def home_cells(assignment: Assignment) -> dict[str, str]:
-    """Returns the cell of each tenant, migrations aside.
+    """Return the home cell of each tenant, regardless of migrations.
 
-    A tenant that names its cell is placed there and does not count against a load bound. With the
-    placement method `table` every other tenant has no cell.
+    A tenant whose entry names a cell belongs to that cell and does not count towards the load
+    bound. With the placement method `table`, tenants whose entries name no cell have none.
     """
     tenants = assignment.tenants
     named = {name: tenant.cell for name, tenant in tenants.items() if tenant.cell}
@@ -141,13 +147,13 @@
 
 
 def caches_by_cell(assignment: Assignment, caches: Iterable[str]) -> dict[str, list[str]]:
-    """Returns the sorted caches of each cell, out of the caches of one location.
+    """Return the sorted names of each cell's caches, given the caches of one location.
 
-    Caches that no cell names go by hash to the cells that name none, at least one to each while
-    there are enough; without such cells they belong to nobody.
+    Caches that no cell names are distributed by hash among the cells that name no caches, at least
+    one for each cell if there are enough. Without such cells, these caches belong to no cell.
     """
     present = sorted(set(caches))
-    found = {
+    caches_of_cell = {
         name: sorted(cache for cache in cell.caches if cache in present)
         for name, cell in assignment.cells.items()
     }
@@ -157,25 +163,25 @@
         if not cell.caches and cell.weight > 0.0
     }
     if not weights:
-        return found
+        return caches_of_cell
     named = {cache for cell in assignment.cells.values() for cache in cell.caches}
     unnamed = dict.fromkeys((cache for cache in present if cache not in named), 1.0)
     for cache, cell_name in assign_with_load_bound(unnamed, weights, 1.0).items():
-        found[cell_name].append(cache)
-    _fill_empty_cells(found, weights)
-    return {name: sorted(names) for name, names in found.items()}
+        caches_of_cell[cell_name].append(cache)
+    _fill_empty_cells(caches_of_cell, weights)
+    return {name: sorted(names) for name, names in caches_of_cell.items()}
 
 
-def _fill_empty_cells(found: dict[str, list[str]], weights: dict[str, float]) -> None:
-    """Gives each cell without a cache, which would be lost from the start, one of another's."""
+def _fill_empty_cells(caches_of_cell: dict[str, list[str]], weights: dict[str, float]) -> None:
+    """Move a cache of another cell to each cell that has none and would be lost."""
     for name in sorted(weights):
-        if found[name]:
+        if caches_of_cell[name]:
             continue
-        richest = max(sorted(weights), key=lambda other: len(found[other]) / weights[other])
-        if len(found[richest]) > 1:
-            cache = _preferred_cache(found[richest], hash_name(name))
-            found[richest].remove(cache)
-            found[name].append(cache)
+        donor = max(sorted(weights), key=lambda other: len(caches_of_cell[other]) / weights[other])
+        if len(caches_of_cell[donor]) > 1:
+            cache = _preferred_cache(caches_of_cell[donor], hash_name(name))
+            caches_of_cell[donor].remove(cache)
+            caches_of_cell[name].append(cache)
 
 
 def _preferred_cache(caches: list[str], cell_hash: int) -> str:
@@ -183,9 +189,10 @@
 
 
 def shuffle_shard(tenant: str, caches: list[str], count: int) -> list[str]:
-    """Returns the `count` caches of a tenant (shuffle sharding); all of them where it is 0.
+    """Return the `count` caches of a tenant (shuffle sharding); all caches if `count` is 0.
 
-    Two tenants share all of their caches with a chance of 1 in (n over count).
+    Two tenants share all of their caches with a probability of 1 in (n choose count), where n is
+    the number of caches.
     """
     if not 0 < count < len(caches):
         return list(caches)
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -1,13 +1,14 @@
-"""The course of a migration, from the assignment and the clock alone; pure.
+"""The stages of a migration, computed from the assignment and the clock only; pure.
 
     planned -> warm -> shift -> drain -> done
-    warm, shift or drain, once aborted: back -> aborted
-
-In the warm-up the migrated fraction rises slowly to `warm_up_fraction`, in the shift to 1. Objects
-migrate one by one in the order of their hash, so that directors whose clocks differ a little differ
-in a few objects only, and a migrated object stays migrated. Until the migration is done the old
-cell's caches fill misses as siblings, and serve what the new ones may not be sent. After an abort
-the fraction falls as fast as it rose in the shift, as old caches may have dropped their objects.
+    warm, shift or drain, after an abort: back -> aborted
+
+The migrated fraction rises slowly to `warm_up_fraction` during the warm-up, and to 1 during the
+shift. Objects migrate one by one in the order of their hash: directors whose clocks differ slightly
+disagree about a few objects only, and a migrated object stays migrated. Until the migration is
+done, the old cell's caches fill misses as sibling caches, and serve requests that cannot be sent to
+the new caches. After an abort, the fraction falls only as fast as it rises during the shift,
+because the old caches may have dropped objects in the meantime.
 """
 
 from dataclasses import dataclass
@@ -16,20 +17,21 @@
 from .hashing import HASH_RANGE, combine_hashes
 from .model import Migration
 
-# Without it the first objects to migrate would be those that a cache ranks first by hash.
+# Salt of the hash that orders migrating objects. Without it, the objects that a cache ranks first
+# by hash would migrate first.
 MIGRATION_SALT = 0x6D6F7665
-# Fraction of the receiving caches' capacity that a migration may use: chance and an uneven hash
-# bring some of them half as much again for a second.
+# Maximum fraction of the receiving caches' capacity that a migration may use. For a second, some
+# caches get half as much load again, because of chance and uneven hashing.
 TARGET_UTILIZATION = 0.65
 MIN_SHIFT_DURATION = 2_000.0  # ms
-PROJECTION_STEPS = 2_000  # points in time at which a load is projected
-PROJECTION_MARGIN = 1_000.0  # ms after the shift that are projected too
-MIN_DIVISOR = 1e-9  # in place of 0
-SAME_FRACTION = 1e-9  # migrated fractions that differ by less are equal
+PROJECTION_STEPS = 2_000  # points in time for which the load is projected
+PROJECTION_MARGIN = 1_000.0  # ms after the shift that the projection includes
+MIN_DIVISOR = 1e-9  # avoids a division by zero
+SAME_FRACTION = 1e-9  # migrated fractions that differ by less are considered equal
 
 
 class MigrationStage(StrEnum):
-    """Where a migration is; the values are words of the assignment file and of `--json`."""
+    """The stage of a migration; the values appear in logs, records and the output of commands."""
 
     PLANNED = "planned"
     WARM_UP = "warm"
@@ -42,15 +44,15 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationDemand:
-    """What a migration demands of the receiving caches.
+    """The demand of a migration on the receiving caches.
 
     Attributes:
-        rate: Requests a second of the tenants.
-        load: What the caches do already, in hits a second.
-        capacity: What they can do together, in hits a second.
-        fill_cost: Cost of a fill in hits.
-        hit_ratio: Fraction of hits once the caches are warm.
-        object_count: Objects that the tenants ask for.
+        rate: Requests per second of the tenants.
+        load: Present load of the caches, in hits per second.
+        capacity: Capacity of all caches together, in hits per second.
+        fill_cost: Cost of a fill, in hits.
+        hit_ratio: Hit ratio once the caches are warm.
+        object_count: Number of objects that the tenants request.
     """
 
     rate: float
@@ -63,12 +65,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ProjectedLoad:
-    """The load of the receiving caches at one time of a migration.
+    """The projected load of the receiving caches at one point in time of a migration.
 
     Attributes:
-        elapsed: Milliseconds since the start.
-        fraction: The migrated fraction.
-        utilization: The load over the capacity.
+        elapsed: Time since the start, ms.
+        fraction: Migrated fraction.
+        utilization: Load divided by the capacity.
     """
 
     elapsed: float
@@ -77,7 +79,7 @@
 
 
 def _planned_fraction(migration: Migration, now: float) -> float:
-    """Returns the migrated fraction as if nothing paused or aborted the migration."""
+    """Return the migrated fraction at `now`, ignoring pauses and aborts."""
     elapsed = now - migration.starts_at
     if elapsed <= 0.0:
         return 0.0
@@ -90,8 +92,8 @@
     return warm_fraction + (1.0 - warm_fraction) * elapsed / migration.shift_duration
 
 
-def _without_pause(migration: Migration, now: float) -> float:
-    """Returns the time by the migration's own clock, which stands still in a pause."""
+def _migration_time(migration: Migration, now: float) -> float:
+    """Return the time on the migration's own clock, which stops during a pause."""
     if not migration.paused_at or now < migration.paused_at:
         return now
     if not migration.resumed_at or now < migration.resumed_at:
@@ -104,15 +106,15 @@
 
 
 def migrated_fraction(migration: Migration, now: float) -> float:
-    """Returns the fraction of objects that belong to the new cell, 0 to 1."""
+    """Return the fraction of the objects that belong to the target cell, 0 to 1."""
     if not migration.aborted_at or now < migration.aborted_at:
-        return _planned_fraction(migration, _without_pause(migration, now))
-    reached = _planned_fraction(migration, _without_pause(migration, migration.aborted_at))
+        return _planned_fraction(migration, _migration_time(migration, now))
+    reached = _planned_fraction(migration, _migration_time(migration, migration.aborted_at))
     return max(0.0, reached - (now - migration.aborted_at) / _rollback_duration(migration))
 
 
 def completes_at(migration: Migration) -> float:
-    """Returns when the migration is done, by its own clock."""
+    """Return the time at which the migration is done, on its own clock (see `_migration_time`)."""
     return (
         migration.starts_at
         + migration.warm_up_duration
@@ -121,8 +123,8 @@
     )
 
 
-def ended_at(migration: Migration) -> float | None:
-    """Returns when all is done or has gone back; None while it is paused."""
+def ends_at(migration: Migration) -> float | None:
+    """Return the time at which the migration is done or rolled back; None while it is paused."""
     if migration.aborted_at:
         reached = migrated_fraction(migration, migration.aborted_at)
         return migration.aborted_at + reached * _rollback_duration(migration)
@@ -134,7 +136,10 @@
 
 
 def is_equivalent(first: Migration, second: Migration, now: float) -> bool:
-    """Returns whether both are one migration at one point now; its future may differ."""
+    """Return whether two versions of a migration are in the same state now.
+
+    Their future courses may differ.
+    """
     return (
         first.tenants == second.tenants
         and first.source == second.source
@@ -148,16 +153,16 @@
 
 
 def stage_at(migration: Migration, now: float) -> MigrationStage:
-    """Returns the stage at a time."""
+    """Return the stage of a migration at a point in time."""
     if migration.aborted_at and now >= migration.aborted_at:
-        if _without_pause(migration, migration.aborted_at) >= completes_at(migration):
-            # Too late for an abort; another migration takes the tenants back.
+        if _migration_time(migration, migration.aborted_at) >= completes_at(migration):
+            # The migration was done before the abort; another migration must return the tenants.
             return MigrationStage.DONE
         if migrated_fraction(migration, now) > 0.0:
             return MigrationStage.ROLLING_BACK
         return MigrationStage.ABORTED
-    remaining = _without_pause(migration, now) - migration.starts_at
-    for stage_at, duration in (
+    remaining = _migration_time(migration, now) - migration.starts_at
+    for stage, duration in (
         (MigrationStage.PLANNED, 0.0),
         (MigrationStage.WARM_UP, migration.warm_up_duration),
         (MigrationStage.SHIFT, migration.shift_duration),
@@ -165,23 +170,24 @@
     ):
         remaining -= duration
         if remaining < 0.0:
-            return stage_at
+            return stage
     return MigrationStage.DONE
 
 
 def is_migrated(migration: Migration, key: int, fraction: float) -> bool:
-    """Returns whether an object belongs to the new cell at a migrated fraction.
+    """Return whether an object belongs to the target cell at a given migrated fraction.
 
     Args:
-        migration: Every one has the same order of objects.
-        key: The object.
-        fraction: The migrated fraction.
+        migration: The migration. It is not used: objects migrate in the same order in all
+            migrations.
+        key: Object id.
+        fraction: Migrated fraction.
     """
     return combine_hashes(key, MIGRATION_SALT) / HASH_RANGE < fraction
 
 
 def is_in_progress(migration: Migration, now: float) -> bool:
-    """Returns whether both cells take part in it."""
+    """Return whether both cells of the migration serve its tenants."""
     return stage_at(migration, now) not in (
         MigrationStage.PLANNED,
         MigrationStage.DONE,
@@ -190,15 +196,18 @@
 
 
 def max_published_fraction(migration: Migration, now: float) -> float:
-    """Returns the largest migrated fraction that any version of the file has had up to now."""
+    """Return the largest migrated fraction up to now in any version of the assignment file.
+
+    Versions with a pause or an abort have smaller fractions.
+    """
     return _planned_fraction(migration, now)
 
 
 def project_load(migration: Migration, demand: MigrationDemand) -> list[ProjectedLoad]:
-    """Returns the load of the receiving caches along the course of a migration.
+    """Return the load of the receiving caches over the course of a migration.
 
-    An object is filled when it is first requested in its new cell, so objects that migrated at once
-    are filled as fast as requests find them; the others have the usual hit ratio.
+    A migrated object is filled when it is first requested in its new cell. Until then requests for
+    it are misses; requests for other objects have the usual hit ratio.
     """
     duration = migration.warm_up_duration + migration.shift_duration + PROJECTION_MARGIN
     step = max(1.0, duration / PROJECTION_STEPS)
@@ -222,10 +231,13 @@
 
 
 def min_shift_duration(demand: MigrationDemand) -> float | None:
-    """Returns the shortest shift (ms) that keeps the receiving caches under their target.
+    """Return the shortest shift (ms) that keeps the load below `TARGET_UTILIZATION`.
+
+    The load is highest at the end of the shift, when all requests go to the receiving caches and
+    the last objects still have to be filled.
 
-    At its end all requests come and the last objects are new. None: the caches cannot serve the
-    tenants even when they are warm.
+    Returns:
+        The duration; None if the caches cannot serve the tenants even when they are warm.
     """
     spare = TARGET_UTILIZATION * demand.capacity - demand.load - demand.rate
     usual_fills = demand.rate * (1.0 - demand.hit_ratio)
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -1,35 +1,37 @@
-"""The content of an assignment file as plain data; nothing is decided here.
+"""Data classes for the content of an assignment file, without logic.
 
-Points in time are Unix milliseconds, durations milliseconds, rates requests a second. Names are
-compared as written.
+Times are in Unix milliseconds, durations in milliseconds, and rates in requests per second. Names
+are case-sensitive.
 """
 
 from dataclasses import dataclass, field
 
-FILE_FORMAT_VERSION = 1  # files with another one are rejected
+FILE_FORMAT_VERSION = 1  # files with another format version are rejected
 
-# Ways to place the tenants that name no cell (key `how`).
+# Placement methods for tenants whose entries name no cell (key `how`).
 TABLE = "table"
 RENDEZVOUS = "rendezvous"
 
-# What happens to requests of unknown tenants (key `unknown`).
+# Policies for requests of unknown tenants (key `unknown`).
 USE_DEFAULT_TENANT = "default_tenant"
 REJECT = "reject"
 
-KEEP_SHUFFLE_SHARDS = -1  # in a rollout: the cell's own number of caches for each tenant
+KEEP_SHUFFLE_SHARDS = -1  # in a rollout: keeps the cell's number of caches per tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """A tenant's or a cell's quota at each director; 0 stands for no bound of its own.
+    """The quota of a tenant or a cell at each director.
+
+    A value of 0 means no limit, except for `burst` and `retry_ratio`.
 
     Attributes:
-        rate: Requests a second.
-        burst: Requests that may come at once beyond the rate; 0: what the rate brings in 100 ms.
-        max_open_requests: Requests open at one time.
-        max_body_kb: KB of bodies that open requests brought.
-        retry_ratio: Clients' retries for each first attempt.
-        max_connections: Connections from the tenant's address ranges.
+        rate: Requests per second.
+        burst: Requests that may arrive at once; 0 for the number that the rate allows in 100 ms.
+        max_open_requests: Maximum number of open requests.
+        max_body_kb: Maximum size of the bodies of all open requests together, KB.
+        retry_ratio: Retries that clients may send for each first attempt.
+        max_connections: Maximum number of connections from the tenant's address ranges.
     """
 
     rate: float = 0.0
@@ -45,14 +47,17 @@
     """A part of the fleet that some tenants are confined to.
 
     Attributes:
-        name: Its name.
-        weight: Tenants and caches are placed in proportion to it; 0: none by hash.
-        caches: Its caches by name; none: by hash, from those that no cell names.
-        shuffle_shards: Caches of each tenant, by the tenant's own hash; 0: all of the cell's.
-        failover_cells: Where its tenants go when it is lost, in this order of preference.
-        failover_quota: Fraction of such a cell's limits that they may take there together.
-        return_duration: Its objects come back over this time.
-        limits: Its own limits.
+        name: Name of the cell.
+        weight: Weight in the placement of tenants and caches by hash; 0 places none in the cell.
+        caches: Names of the cell's caches. If it is empty, the cell gets caches by hash from those
+            that no cell names.
+        shuffle_shards: Number of caches of each tenant, chosen by the tenant's hash; 0 for all
+            caches of the cell.
+        failover_cells: Cells that serve the tenants if the cell is lost, in order of preference.
+        failover_quota: Fraction of a failover cell's limits that all tenants of the lost cell may
+            use together.
+        return_duration: Time over which the objects return to the cell after it was lost.
+        limits: Limits of the cell.
     """
 
     name: str
@@ -70,12 +75,12 @@
     """A customer whose requests share one quota.
 
     Attributes:
-        name: Its name.
-        cell: Its home cell; empty: by hash.
-        weight: Its load, for the placement, and its weight among the tenants of its cell.
+        name: Name of the tenant.
+        cell: Name of the home cell; empty if the tenant is placed by hash.
+        weight: Load of the tenant in the placement, and its weight in the shares of its cell.
         addresses: CIDR ranges of its clients.
-        groups: Ranges of its object groups, both ends included.
-        limits: Its quota.
+        groups: Ranges of its object groups; both ends are inclusive.
+        limits: Quota of the tenant.
     """
 
     name: str
@@ -88,21 +93,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Migration:
-    """Tenants on their way from one cell to another.
+    """A migration of tenants from one cell to another.
 
     Attributes:
-        name: Its name.
+        name: Name of the migration.
         tenants: Names of the tenants.
-        source: Name of the cell that they leave.
-        target: Name of the cell that they go to.
-        starts_at: When it starts.
-        warm_up_duration: The first few objects migrate over this time.
-        shift_duration: The other objects migrate over this time.
-        drain_duration: The old cell's caches fill misses for this time after.
-        warm_up_fraction: Fraction of the objects that migrate in the warm-up.
-        paused_at: When it is paused; 0: not paused.
-        resumed_at: When it goes on; 0: not resumed.
-        aborted_at: When it turns back; 0: not aborted.
+        source: Name of the cell that the tenants leave.
+        target: Name of the cell that the tenants go to.
+        starts_at: Time of the start.
+        warm_up_duration: Time in which the first few objects migrate.
+        shift_duration: Time after the warm-up in which all other objects migrate.
+        drain_duration: Time after the shift in which the old cell's caches still fill misses.
+        warm_up_fraction: Fraction of the objects that migrate during the warm-up.
+        paused_at: Time of the pause; 0 if there is none.
+        resumed_at: Time of the resumption; 0 if there is none.
+        aborted_at: Time of the abort, from which objects return; 0 if there is none.
     """
 
     name: str
@@ -121,19 +126,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Rollout:
-    """Limits and shuffle shards that reach one cell first, then others wave by wave.
+    """A rollout of limits and shuffle shards to a canary cell, then to other cells in waves.
 
     Attributes:
-        name: Its name.
+        name: Name of the rollout.
         canary: Name of the first cell.
         waves: Names of the cells of each wave after the canary.
-        starts_at: When the canary gets it.
-        wave_duration: The least time between two waves.
-        limits: The new limits of the cells' tenants.
-        max_success_drop: Drop of the success rate, beyond that of the other cells, that is borne.
-        max_slowdown: Growth of the delay, beyond that of the other cells, that is borne; a factor.
+        starts_at: Time at which the rollout reaches the canary.
+        wave_duration: Minimum time between two waves.
+        limits: New limits of the tenants of the cells.
+        max_success_drop: Tolerated drop of the success rate, beyond the drop in the other cells.
+        max_slowdown: Tolerated factor of the delay, beyond the slowdown of the other cells.
         is_rolled_back: Whether operators have rolled it back.
-        shuffle_shards: Caches of each tenant; `KEEP_SHUFFLE_SHARDS`: as the cell has it.
+        shuffle_shards: Number of caches of each tenant, or `KEEP_SHUFFLE_SHARDS`.
     """
 
     name: str
@@ -150,23 +155,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Assignment:
-    """One version of the cell assignment.
+    """One version of the assignment of tenants and caches to cells.
 
     Attributes:
-        version: Its number; each change has a higher one.
-        written_at: When it was written.
-        cells: All cells by name.
-        tenants: All tenants by name.
-        migrations: Migrations by name, also those that are over until operators end them.
-        rollouts: Rollouts by name, the oldest first.
-        limits: Limits of tenants that set none.
+        version: Version number; each change increases it.
+        written_at: Time at which the version was written.
+        cells: Cells by name.
+        tenants: Tenants by name.
+        migrations: Migrations by name. Ended migrations stay until operators remove them.
+        rollouts: Rollouts by name, oldest first.
+        limits: Default limits of tenants.
         placement_method: `TABLE` or `RENDEZVOUS`.
-        load_bound: A cell gets no more than this multiple of its share of the tenants' load.
-        default_tenant: Whose quota requests of unknown tenants use; empty: there is none.
+        load_bound: Maximum load of a cell, as a multiple of its share of the tenants' load.
+        default_tenant: Tenant whose quota is used by requests of unknown tenants; empty if there
+            is none.
         unknown_tenant_policy: `USE_DEFAULT_TENANT` or `REJECT`.
-        propagation_time: Every director has read a version so long after it was written.
-        clock_skew: The clocks of directors and of operators' machines differ by no more.
-        retry_horizon: A client's last retry comes no later than this after its first attempt.
+        propagation_time: Time after which all directors have read a new version.
+        clock_skew: Maximum difference between the clocks of directors and operators' machines.
+        retry_horizon: Maximum time between a client's first attempt and its last retry.
     """
 
     version: int
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,8 +1,9 @@
-"""The text of an assignment file, read to an `Assignment`; pure.
+"""Parser of assignment files; pure.
 
-An error is a ConfigError that names section and key, as in `[tenant acme] rate: a number of 0 or
-more is wanted`. The words of the file (`move`, `release`, `reserve`, ...) are older than the terms
-of the code; this module and `formatter` are where the two meet.
+Errors are ConfigErrors that name the section and the key, as in `[tenant acme] rate: ...`. Some
+keys and sections of the file have other names than the corresponding classes and attributes
+(`move` for a migration, `release` for a rollout, `reserve` for a failover quota, ...). This module
+and `formatter` translate between them.
 """
 
 import ipaddress
@@ -29,13 +30,13 @@
 from .validation import validate_assignment
 
 GROUP_RANGE_PATTERN = re.compile(r"(\d{1,3})(?:-(\d{1,3}))?", re.ASCII)
-MAX_GROUP = 255  # groups of objects are numbered by one byte
+MAX_GROUP = 255  # the group of an object is one byte
 MAX_WEIGHT = 1e6
 MIN_TENANT_WEIGHT = 1e-6
 MAX_SHUFFLE_SHARDS = 10_000
-MAX_FACTOR = 100.0  # of the load bound and of a rollout's slowdown
+MAX_FACTOR = 100.0  # upper limit of the load bound and of a rollout's slowdown
 
-# Keys of limits in the file, and the fields of `Limits` that hold them, in the order of both.
+# Keys of limits in the file, and the corresponding attributes of `Limits`, in the same order.
 LIMIT_FIELDS_BY_KEY = {
     "rate": "rate",
     "burst": "burst",
@@ -48,7 +49,7 @@
 
 @dataclass(slots=True, eq=False)
 class _NamedSections:
-    """What the sections `cell NAME`, `tenant NAME`, `move NAME` and `release NAME` hold."""
+    """The content of the sections `cell NAME`, `tenant NAME`, `move NAME` and `release NAME`."""
 
     cells: dict[str, Cell] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
@@ -56,19 +57,19 @@
     rollouts: dict[str, Rollout] = field(default_factory=dict)
 
     def parse(self, kind: str, name: str, section: IniSection, default_limits: Limits) -> bool:
-        """Adds one section; returns False, and adds nothing, where the kind is not known."""
+        """Parse and add one section; return whether its kind is known."""
         match kind:
             case "cell":
-                _reject_second(self.cells, name, section)
+                _reject_duplicate(self.cells, name, section)
                 self.cells[name] = _parse_cell(section, name)
             case "tenant":
-                _reject_second(self.tenants, name, section)
+                _reject_duplicate(self.tenants, name, section)
                 self.tenants[name] = _parse_tenant(section, name, default_limits)
             case "move":
-                _reject_second(self.migrations, name, section)
+                _reject_duplicate(self.migrations, name, section)
                 self.migrations[name] = _parse_migration(section, name)
             case "release":
-                _reject_second(self.rollouts, name, section)
+                _reject_duplicate(self.rollouts, name, section)
                 self.rollouts[name] = _parse_rollout(section, name, default_limits)
             case _:
                 return False
@@ -76,20 +77,20 @@
 
 
 def parse_assignment(text: str) -> Assignment:
-    """Reads the text of an assignment file.
+    """Parse and validate the text of an assignment file.
 
     Raises:
-        ConfigError: If the text cannot be read or its parts do not fit together.
+        ConfigError: If the text cannot be parsed or its parts contradict each other.
     """
     texts = parse_sections(text)
     if "assignment" not in texts:
         raise ConfigError("the section is missing", section="assignment")
-    head = IniSection("assignment", texts.pop("assignment"))
-    file_format = head.integer("form")
+    assignment_section = IniSection("assignment", texts.pop("assignment"))
+    file_format = assignment_section.integer("form")
     if file_format != FILE_FORMAT_VERSION:
-        raise head.error(
+        raise assignment_section.error(
             "form",
-            f"this program reads form {FILE_FORMAT_VERSION}, the file has {file_format}",
+            f"this program reads form {FILE_FORMAT_VERSION}, but the file has form {file_format}",
         )
     limits_section = IniSection("limits", texts.pop("limits", {}))
     limits = _parse_limits(limits_section, Limits())
@@ -97,7 +98,7 @@
     sections = _NamedSections()
     for title, values in texts.items():
         _parse_named_section(sections, IniSection(title, values), limits)
-    assignment = _parse_head(head, limits, sections)
+    assignment = _parse_assignment_section(assignment_section, limits, sections)
     validate_assignment(assignment)
     return assignment
 
@@ -116,32 +117,38 @@
     section.reject_unknown_keys()
 
 
-def _reject_second(known: Mapping[str, object], name: str, section: IniSection) -> None:
-    """Raises ConfigError for `[cell  a]` after `[cell a]`, which are two titles of one name."""
+def _reject_duplicate(known: Mapping[str, object], name: str, section: IniSection) -> None:
+    """Raise ConfigError for a section that has the same kind and name as an earlier one.
+
+    The titles may differ in spaces, as `[cell a]` and `[cell  a]`, so that the INI parser accepts
+    both.
+    """
     if name in known:
-        raise ConfigError("stands there twice", section=section.title)
+        raise ConfigError("a section of this kind and name occurs twice", section=section.title)
 
 
-def _parse_head(head: IniSection, limits: Limits, sections: _NamedSections) -> Assignment:
+def _parse_assignment_section(
+    section: IniSection, limits: Limits, sections: _NamedSections
+) -> Assignment:
     assignment = Assignment(
-        version=head.integer("version"),
-        written_at=head.number("written"),
+        version=section.integer("version"),
+        written_at=section.number("written"),
         limits=limits,
         cells=sections.cells,
         tenants=sections.tenants,
         migrations=sections.migrations,
         rollouts=sections.rollouts,
-        placement_method=head.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
-        load_bound=head.number("load_bound", 1.25, MAX_FACTOR, 1.0),
-        default_tenant=head.text("default_tenant", ""),
-        unknown_tenant_policy=head.choice(
+        placement_method=section.choice("how", (RENDEZVOUS, TABLE), RENDEZVOUS),
+        load_bound=section.number("load_bound", 1.25, MAX_FACTOR, 1.0),
+        default_tenant=section.text("default_tenant", ""),
+        unknown_tenant_policy=section.choice(
             "unknown", (USE_DEFAULT_TENANT, REJECT), USE_DEFAULT_TENANT
         ),
-        propagation_time=head.number("spread_ms", 5_000.0),
-        clock_skew=head.number("skew_ms", 500.0),
-        retry_horizon=head.number("horizon_ms", 12_000.0),
+        propagation_time=section.number("spread_ms", 5_000.0),
+        clock_skew=section.number("skew_ms", 500.0),
+        retry_horizon=section.number("horizon_ms", 12_000.0),
     )
-    head.reject_unknown_keys()
+    section.reject_unknown_keys()
     return assignment
 
 
@@ -188,14 +195,16 @@
 
 
 def _parse_groups(section: IniSection, text: str) -> tuple[int, int]:
-    """Reads `7` or `7-9`, both ends included."""
+    """Parse a group (`7`) or a range of groups (`7-9`, both ends inclusive)."""
     parts = GROUP_RANGE_PATTERN.fullmatch(text)
     if parts is not None:
         first = int(parts[1])
         last = int(parts[2] or parts[1])
         if first <= last <= MAX_GROUP:
             return first, last
-    raise section.error("groups", f"{text!r} is no group or range of groups from 0 to {MAX_GROUP}")
+    raise section.error(
+        "groups", f"{text!r} is not a group or a range of groups from 0 to {MAX_GROUP}"
+    )
 
 
 def _parse_migration(section: IniSection, name: str) -> Migration:
@@ -235,5 +244,5 @@
 
 
 def _split(text: str) -> tuple[str, ...]:
-    """Returns words that are separated by blanks or commas."""
+    """Return the words of a text, which are separated by spaces or commas."""
     return tuple(text.replace(",", " ").split())
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,9 +1,9 @@
-"""Which cell and which caches a tenant's request goes to now; pure.
+"""Placement of requests: the cell and the caches that a tenant's request goes to; pure.
 
-Home cells, migrations, lost cells and idempotency keys are taken together here. A director's caches
-are opaque: a name, an endpoint and its capacity fraction (0 to 1).
+The placement combines home cells, migrations, lost cells and idempotency keys. The caches of this
+director are opaque: each has a name, an endpoint and a capacity fraction (0 to 1).
 
-Not thread-safe: the admission controller's lock guards the state.
+Not thread-safe: `CellService` holds its lock during each call.
 """
 
 from collections.abc import Iterable
@@ -18,21 +18,25 @@
 from .placement_types import CellPlacement, PlacementFailure, PlacementRequest, ReadyCache
 from .sticky_routing import IdempotencyKeyCache, MigrationSide, RequestHistory, choose_side
 
-INITIAL_RETRY_TOKENS = 2.0  # retries of a tenant that has just come; its requests earn more
-MAX_CACHED_TENANTS = 20_000  # with a pool or a retry budget; beyond, all are made anew when needed
+INITIAL_RETRY_TOKENS = 2.0  # retries of a new tenant; its requests earn more
+# Tenants with a cached placement or a retry budget; a full cache is cleared and refilled on demand.
+MAX_CACHED_TENANTS = 20_000
 MAX_IDEMPOTENCY_KEYS = 20_000
 
 
-@dataclass(slots=True, eq=False)  # not frozen: it is made for each request, which costs less
+@dataclass(slots=True, eq=False)  # not frozen: each request creates one, and frozen costs more
 class _Route:
-    """The cell of an object, and the other side of its migration; empty: it has no part in it."""
+    """The cell of an object, and the other cell of its migration.
+
+    The other cell is empty if there is no migration or if the other cell takes no part in it.
+    """
 
     cell: str
     other_cell: str = ""
 
 
 def _only_cell(now: float, home: str, migration: Migration | None) -> str | None:
-    """Returns the cell of all of a tenant's objects; None while a migration splits them."""
+    """Return the cell of all objects of a tenant; None while a migration splits them."""
     if migration is None:
         return home
     stage = migrations.stage_at(migration, now)
@@ -42,10 +46,10 @@
 
 
 def checked_home_cells(assignment: Assignment) -> dict[str, str]:
-    """Returns the home cell of each tenant; it takes seconds for a large assignment.
+    """Return the home cell of each tenant; this takes seconds for a large assignment.
 
     Raises:
-        ConfigError: If a migration's tenants are not in the cell where it begins.
+        ConfigError: If a tenant's home is not the source cell of its migration.
     """
     homes = home_cells(assignment)
     for name, migration in assignment.migrations.items():
@@ -53,7 +57,7 @@
             if homes.get(tenant) != migration.source:
                 place = homes.get(tenant) or "no cell"
                 raise ConfigError(
-                    f"tenant {tenant} stands in {place}, not in {migration.source}",
+                    f"tenant {tenant} is in {place}, not in {migration.source}",
                     section=f"move {name}",
                     key="from",
                 )
@@ -61,39 +65,39 @@
 
 
 class Placement:
-    """Places requests by one assignment at a time.
+    """The placement of requests by the assignment in force.
 
     Attributes:
         assignment: The version in force.
-        can_bypass_caches: Whether requests that are not cacheable go past the caches.
-        homes: Home cell by tenant.
-        migrations_by_tenant: The migration of each tenant that has one.
-        idempotency_keys: The cell that each key went to.
-        caches: The ready caches of this location, by name.
-        caches_by_cell: Names of these by cell.
-        availability: State of each cell.
-        unsettled_until: Tenants that changed cells without a migration, and until when their
-            retries are uncertain.
-        uncertain_until: Until then other directors may still use the version before, or this one
-            did before it was restarted.
-        retry_budgets: The director's retries for each tenant.
-        shuffle_shards: Caches of each tenant in the cells where a rollout sets them.
-        stable_placements: Of tenants at home in cells that are available: all their idempotent
-            requests go the same way.
+        can_bypass_caches: Whether uncacheable requests bypass the caches.
+        homes: Home cells by tenant.
+        migrations_by_tenant: Migrations by tenant; tenants without a migration are missing.
+        idempotency_keys: Cells to which the requests with idempotency keys went.
+        caches: Ready caches in this location, sorted by name.
+        caches_by_cell: Names of these caches by cell.
+        availability: Availability of each cell.
+        unsettled_until: For tenants that changed cells without a migration, the time until which
+            the cell of their first attempts is uncertain.
+        uncertain_until: Time until which other directors may use the previous version, or this
+            director may have used it before a restart.
+        retry_budgets: Budgets of the director's own retries, by tenant.
+        shuffle_shards: Number of caches of each tenant, for the cells where a rollout sets it.
+        stable_placements: Placements of tenants whose home cell is available and that do not
+            migrate; all idempotent requests of such a tenant have the same placement.
     """
 
     def __init__(
         self, assignment: Assignment, can_bypass_caches: bool, homes: dict[str, str] | None = None
     ) -> None:
-        """Starts without any cache.
+        """Create a placement that knows no cache yet.
 
         Args:
-            assignment: The first version.
-            can_bypass_caches: Whether requests that are not cacheable go past the caches.
-            homes: Home cells, where they have been computed already.
+            assignment: The first version of the assignment.
+            can_bypass_caches: Whether uncacheable requests bypass the caches.
+            homes: Home cells by tenant; None to compute them.
 
         Raises:
-            ConfigError: If a migration does not begin where its tenants are.
+            ConfigError: If a tenant's home is not the source cell of its migration.
         """
         self.can_bypass_caches = can_bypass_caches
         self.idempotency_keys = IdempotencyKeyCache(MAX_IDEMPOTENCY_KEYS)
@@ -114,20 +118,20 @@
             + assignment.retry_horizon
         )
 
-    # Changes of the assignment and of the endpoint list
+    # Updates of the assignment and of the endpoint list
 
     def replace_assignment(
         self, now: float, assignment: Assignment, homes: dict[str, str]
     ) -> list[str]:
-        """Takes over a new version; tenants that change cells without a migration do so at once.
+        """Put a new version in force; tenants that change cells without a migration do so at once.
 
         Args:
-            now: The time.
+            now: The current time.
             assignment: The new version.
-            homes: Its home cells.
+            homes: Home cells in the new version, by tenant.
 
         Returns:
-            Texts for the log, on changes of cells.
+            Messages for the log about changes of cells.
         """
         old_homes = self.homes
         old_migrations = self.migrations_by_tenant
@@ -144,10 +148,10 @@
             name: until for name, until in self.unsettled_until.items() if now < until
         }
         self.unsettled_until |= dict.fromkeys(moved_at_once, uncertain_until)
-        texts = self._update_availability(now)
+        messages = self._update_availability(now)
         if moved_at_once:
-            texts.insert(0, f"{len(moved_at_once)} tenants change cells without a move")
-        return texts
+            messages.insert(0, f"{len(moved_at_once)} tenants change cells without a move")
+        return messages
 
     def _moves_at_once(
         self,
@@ -156,7 +160,7 @@
         old_homes: dict[str, str],
         old_migrations: dict[str, Migration],
     ) -> bool:
-        """Returns whether objects may change cells other than by the course of a migration."""
+        """Return whether objects of a tenant may change cells other than by a migration."""
         old = old_migrations.get(tenant)
         new = self.migrations_by_tenant.get(tenant)
         if old is not None and new is not None and migrations.is_equivalent(old, new, now):
@@ -165,14 +169,14 @@
         return old_cell is None or old_cell != _only_cell(now, self.homes[tenant], new)
 
     def set_shuffle_shards(self, shuffle_shards: dict[str, int]) -> None:
-        """Sets the caches of each tenant in cells where a rollout says so; negative: it doesn't."""
+        """Set the number of caches per tenant by cell; negative numbers are ignored."""
         shuffle_shards = {cell: count for cell, count in shuffle_shards.items() if count >= 0}
         if shuffle_shards != self.shuffle_shards:
             self.shuffle_shards = shuffle_shards
             self._drop_placements()
 
     def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
-        """Takes over the ready caches of this location; returns texts for the log."""
+        """Replace the list of ready caches in this location and return messages for the log."""
         self.caches = sorted(caches, key=lambda entry: entry[0])
         return self._update_availability(now)
 
@@ -198,13 +202,13 @@
         self._endpoints = {name: endpoint for name, endpoint, _ in self.caches}
         fractions = {name: fraction for name, _, fraction in self.caches}
         self._drop_placements()
-        texts = []
+        messages = []
         for name, availability in self.availability.items():
             cell_caches = self.caches_by_cell[name]
             total_capacity = sum(fractions[cache] for cache in cell_caches)
             if change := availability.update_caches(now, len(cell_caches), total_capacity):
-                texts.append(f"cell {name} {change}")
-        return texts
+                messages.append(f"cell {name} {change}")
+        return messages
 
     def _drop_placements(self) -> None:
         self._placements.clear()
@@ -213,7 +217,7 @@
     # The placement of one request
 
     def place(self, now: float, request: PlacementRequest) -> CellPlacement | PlacementFailure:
-        """Returns the cell and the caches of a request, or why it has none."""
+        """Return the cell and the caches of a request, or the reason why there is no cell."""
         tenant = request.tenant
         home = self.homes.get(tenant)
         if home is None:
@@ -239,7 +243,7 @@
     def record_admission(
         self, now: float, request: PlacementRequest, placement: CellPlacement
     ) -> None:
-        """Notes the cell of an admitted request: its retries go the same way."""
+        """Record the cell of an admitted request with an idempotency key, for its retries."""
         request_class = request.request_class
         if request.idempotency_key and request_class.idempotency == KEYED:
             lifetime = (
@@ -266,7 +270,7 @@
         )
 
     def _is_uncertain(self, now: float, tenant: str, history: RequestHistory) -> bool:
-        """Returns whether another director may have run the request in another cell."""
+        """Return whether another director may have run the request in another cell."""
         if history.can_run_anywhere or not history.is_retry or history.known_cell is not None:
             return False
         return now < self.uncertain_until or now < self.unsettled_until.get(tenant, 0.0)
@@ -287,12 +291,12 @@
         side: MigrationSide,
         history: RequestHistory,
     ) -> _Route:
-        """Returns the cell of a migrating object, and the other one while that takes part."""
+        """Return the cell of a migrating object, and the other cell while it takes part."""
         is_in_progress = migrations.is_in_progress(migration, now)
         if side == MigrationSide.TARGET and is_in_progress and history.can_run_anywhere:
             home_fraction = self.availability[migration.target].home_fraction(now)
             if not failover.is_served_at_home(key, home_fraction):
-                # The receiving cell was lost: the old one serves its tenants as before.
+                # The target cell is lost or recovering, so the source cell serves the object.
                 side = MigrationSide.SOURCE
         if side == MigrationSide.TARGET:
             route = _Route(migration.target, migration.source)
@@ -316,16 +320,21 @@
             return PlacementFailure.MAY_HAVE_RUN if is_retry else PlacementFailure.CELL_LOST
         if failover.is_served_at_home(request.key, availability.home_fraction(now)):
             return self._place_at_home(request.tenant, route)
-        host = failover.find_failover_host(self.availability, availability.cell)
-        if host is not None:
-            at_host = self._place_at_home(request.tenant, _Route(host.cell.name))
-            return CellPlacement(host.cell.name, at_host.pool, failed_over_from=route.cell)
+        failover_cell = failover.find_failover_cell(self.availability, availability.cell)
+        if failover_cell is not None:
+            at_failover_cell = self._place_at_home(request.tenant, _Route(failover_cell.cell.name))
+            return CellPlacement(
+                failover_cell.cell.name, at_failover_cell.pool, failed_over_from=route.cell
+            )
         if availability.is_lost:
             return PlacementFailure.CELL_LOST
         return self._place_at_home(request.tenant, route)
 
     def _place_at_home(self, tenant: str, route: _Route) -> CellPlacement:
-        """Returns the placement in the route's cell, made once for each list and assignment."""
+        """Return the placement in the route's cell.
+
+        It is cached until the endpoint list or the assignment changes.
+        """
         placement = self._placements.get((tenant, route.cell, route.other_cell))
         if placement is None:
             if len(self._placements) >= MAX_CACHED_TENANTS:
@@ -341,9 +350,9 @@
         migration = self.migrations_by_tenant.get(tenant)
         is_from_old_cell = migration is not None and migration.source == route.other_cell
         is_aborted = migration is not None and migration.aborted_at > 0.0
-        can_fill = is_from_old_cell or is_aborted  # after an abort what migrated comes back
+        can_fill = is_from_old_cell or is_aborted  # after an abort, migrated objects return
         if route.cell in self.shuffle_shards:
-            # The caches that the tenant left behind by the rollout fill the new ones.
+            # The rollout changes the tenant's caches; the previous caches fill the new ones.
             all_caches = self.caches_by_cell[route.cell]
             other_caches = other_caches | {self._endpoints[name]: None for name in all_caches}
             can_fill = True
@@ -355,13 +364,13 @@
         )
 
     def _shard(self, tenant: str, cell: Cell) -> dict[Endpoint, None]:
-        """Returns the tenant's caches in a cell."""
+        """Return the tenant's caches in a cell."""
         count = self.shuffle_shards.get(cell.name, cell.shuffle_shards)
         names = shuffle_shard(tenant, self.caches_by_cell[cell.name], count)
         return {self._endpoints[name]: None for name in names}
 
     def retry_budget(self, tenant: str) -> RetryBudget:
-        """Returns the budget of the director's retries for a tenant, making it where needed."""
+        """Return the budget of the director's own retries for a tenant; create it if needed."""
         budget = self.retry_budgets.get(tenant)
         if budget is None:
             if len(self.retry_budgets) >= MAX_CACHED_TENANTS:
--- a/mulleinrelay/cells/placement_types.py
+++ b/mulleinrelay/cells/placement_types.py
@@ -1,17 +1,17 @@
-"""What a placement depends on, and what it is."""
+"""Types of the placement of requests: request, result and reasons for a failure."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 from ..policy.model import CachePool, Endpoint, RequestClass
 
-# A cache of this location: name, endpoint, and the fraction of its capacity that it has
-# while it warms up (1 when it is warm).
+# A ready cache in this location: name, endpoint and capacity fraction (less than 1 during slow
+# start).
 ReadyCache = tuple[str, Endpoint, float]
 
 
 class PlacementFailure(Enum):
-    """Why a request goes to no cell."""
+    """The reason why a request cannot be placed in any cell."""
 
     CELL_LOST = "its cell is lost and no neighbour takes it in"
     MAY_HAVE_RUN = "its first try may have run in another cell"
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True, eq=False)
 class PlacementRequest:
-    """What a placement depends on.
+    """The parts of a request that its placement depends on.
 
     Attributes:
-        tenant: Whose request it is.
-        key: The object.
-        request_class: Says how it may be repeated.
-        idempotency_key: Empty: none.
-        is_retry: Whether the client has sent it before.
+        tenant: The request's tenant.
+        key: Object id.
+        request_class: Request class, with the rules for repeating a request.
+        idempotency_key: Idempotency key; empty if there is none.
+        is_retry: Whether the client has sent the request before.
     """
 
     tenant: str
@@ -39,12 +39,12 @@
 
 @dataclass(slots=True, eq=False)
 class CellPlacement:
-    """Where a request goes.
+    """The placement of a request.
 
     Attributes:
-        cell: The cell that serves it.
-        pool: The caches that it is confined to.
-        failed_over_from: The lost cell that it belongs to; empty: it is served at home.
+        cell: Cell that serves the request.
+        pool: Caches that the request is confined to.
+        failed_over_from: Lost cell that the request belongs to; empty if there is no failover.
     """
 
     cell: str
--- a/mulleinrelay/cells/presentation.py
+++ b/mulleinrelay/cells/presentation.py
@@ -1,7 +1,7 @@
-"""What the commands of `mulleinrelay cells` print, as text and as JSON; pure.
+"""Output of the commands of `mulleinrelay cells`, as text and as JSON; pure.
 
-The texts and keys are the interface of people and scripts; they are older than the terms of the
-code and stay.
+Texts and keys are an interface that people and scripts depend on, so they must not change. Some
+differ from the names in the code, such as "move" for a migration and "release" for a rollout.
 """
 
 import time
@@ -14,8 +14,8 @@
 from .migrations import ProjectedLoad
 from .model import Assignment, Migration
 
-MAX_LISTED_TENANTS = 8  # of a cell, in the text
-PLAN_POINTS = 10  # of a migration's course that are shown
+MAX_LISTED_TENANTS = 8  # tenants per cell in the text output
+PLAN_POINTS = 10  # points in time of a migration that `plan` shows
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,8 +23,8 @@
     """The output of a command.
 
     Attributes:
-        data: One JSON object.
-        lines: The same as text.
+        data: Output as a JSON object.
+        lines: Lines of the output as text.
     """
 
     data: dict[str, Any]
@@ -35,12 +35,12 @@
 
 
 def overview(assignment: Assignment, states: list[dict[str, Any]], now: float) -> Report:
-    """Returns the output of `show`.
+    """Return the output of `show`.
 
     Args:
-        assignment: The content of the file.
-        states: What directors recorded of themselves.
-        now: The time.
+        assignment: Content of the assignment file.
+        states: States of the directors from their records.
+        now: The current time.
     """
     homes = home_cells(assignment)
     tenants_by_cell = {
@@ -121,13 +121,13 @@
 # explain
 
 
-def explanation(found: dict[str, object]) -> Report:
-    """Returns the output of `explain`."""
-    return Report(found, [f"{key}: {format_value(value)}" for key, value in found.items()])
+def explanation(data: dict[str, object]) -> Report:
+    """Return the output of `explain`."""
+    return Report(data, [f"{key}: {format_value(value)}" for key, value in data.items()])
 
 
 def format_value(value: object) -> str:
-    """Returns a value as words: names of a list, or keys and values of a dict."""
+    """Return a value as text: the items of a list, or the keys and values of a dict."""
     if isinstance(value, list):
         return " ".join(str(item) for item in value) or "none"
     if isinstance(value, dict):
@@ -144,13 +144,13 @@
     projection: list[ProjectedLoad],
     peak_load: float | None,
 ) -> Report:
-    """Returns the output of `plan`.
+    """Return the output of `plan`.
 
     Args:
-        migration: As it would be.
-        durations: Of its stages.
-        projection: Its load over time.
-        peak_load: The highest load; None: the demand is not known, so neither is a load.
+        migration: The planned migration.
+        durations: Durations of its stages.
+        projection: Projected load over time.
+        peak_load: Highest projected load; None if the demand, and so the load, is not known.
     """
     has_load = peak_load is not None
     points = _plan_points(projection, has_load)
@@ -191,7 +191,7 @@
 def started_migration(
     version: int, migration: Migration, durations: StageDurations, now: float
 ) -> Report:
-    """Returns the output of `move`."""
+    """Return the output of `move`."""
     starts_in_s = (migration.starts_at - now) / 1000.0
     duration_s = (migrations.completes_at(migration) - migration.starts_at) / 1000.0
     name = migration.name
@@ -213,7 +213,11 @@
 
 
 def history(lines: list[dict[str, Any]]) -> Report:
-    """Returns the output of `log`; each line has a time (seconds), a director and a text."""
+    """Return the output of `log`.
+
+    Args:
+        lines: Log lines; the key `at` is the time in Unix seconds.
+    """
     return Report({"lines": lines}, [_history_line(line) for line in lines])
 
 
--- a/mulleinrelay/cells/retry_budget.py
+++ b/mulleinrelay/cells/retry_budget.py
@@ -1,36 +1,36 @@
-"""The budget of clients' retries: each first attempt earns a fraction of a retry.
+"""Retry budget of clients: each first attempt earns a fraction of a retry.
 
-Pure and not thread-safe: the admission controller's lock guards it. The budget of the director's
-own retries is `policy.model.RetryBudget`.
+Pure and not thread-safe: `CellService` holds its lock during each call. The budget of the
+director's own retries is `policy.model.RetryBudget`.
 """
 
-DEFAULT_MAX_BALANCE = 10.0  # retries that a client may send in a row after a quiet time
+DEFAULT_MAX_BALANCE = 10.0  # retries that clients may send in a row with a full budget
 
 
 class ClientRetryBudget:
-    """How many retries the clients of one tenant may still send."""
+    """The number of retries that the clients of one tenant may still send."""
 
     __slots__ = ("balance", "earn_ratio", "maximum")
 
     def __init__(self, earn_ratio: float, maximum: float = DEFAULT_MAX_BALANCE) -> None:
-        """Makes a full budget.
+        """Create a full budget.
 
         Args:
-            earn_ratio: Retries earned by each first attempt.
-            maximum: Retries that can be saved up.
+            earn_ratio: Number of retries that each first attempt earns.
+            maximum: Maximum balance, in retries.
         """
         self.earn_ratio = earn_ratio
         self.maximum = maximum
         self.balance = maximum
 
     def record_first_attempt(self) -> None:
-        """Earns a fraction of a retry."""
+        """Add the earnings of one first attempt to the balance."""
         self.balance = min(self.maximum, self.balance + self.earn_ratio)
 
     def can_retry(self) -> bool:
-        """Returns whether one retry may come now."""
+        """Return whether the balance allows a retry."""
         return self.balance >= 1.0
 
     def consume(self) -> None:
-        """Takes one retry."""
+        """Subtract one retry from the balance."""
         self.balance -= 1.0
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -1,12 +1,12 @@
-"""New limits that reach one canary cell first, then others wave by wave; pure.
+"""Rollouts of new limits to a canary cell first, then to other cells in waves; pure.
 
-Each director judges by its own requests and halts a rollout, or rolls it back, where cells suffer
-by it. A cell that the rollout has reached is compared with its own past, and that difference with
-the same difference of the cells without it: what affects both is no fault of the rollout, and halts
-it without rolling it back. So does a drop in the last wave, when no cell is left to compare with:
-then operators decide.
+Each director evaluates a rollout by its own requests, and halts it or rolls it back if it harms
+cells. The change in the cells that the rollout has reached, compared with the time before, is
+compared with the change in the cells without it. If both got worse, the rollout is not the cause
+and is only halted. A decline in the last wave also halts it, because no cell is left to compare
+with. Operators decide about a halted rollout.
 
-Not thread-safe: the admission controller's lock guards the state.
+Not thread-safe: `CellService` holds its lock during each call.
 """
 
 from collections.abc import Iterable
@@ -15,21 +15,22 @@
 
 from .model import KEEP_SHUFFLE_SHARDS, Limits, Rollout
 
-MIN_REQUESTS = 30.0  # of each side, before they are compared
-HALF_LIFE = 10_000.0  # ms after which older requests count half
-MAX_HALVINGS = 30  # more leave nothing
-SETTLING_TIME = 1_000.0  # ms after a wave's start whose requests are not counted
-# Standard deviations by which a success rate must differ, so that chance rolls nothing back.
+MIN_REQUESTS = 30.0  # requests that each side of a comparison needs
+HALF_LIFE = 10_000.0  # ms after which the counts are halved
+MAX_HALVINGS = 30  # after this many halvings, the counts are practically 0
+SETTLING_TIME = 1_000.0  # ms after the start of a wave in which requests are not counted
+# Standard deviations by which a success rate must drop; smaller drops may be chance.
 SIGNIFICANCE = 2.0
-DELAY_NOISE = 5.0  # ms, added to both delays that are compared: a small change of them is noise
-# The others' change where they have too few requests: nothing then counts as the rollout's fault.
+DELAY_NOISE = 5.0  # ms; added to both delays of a comparison, so that small changes have no effect
+# Assumed change of the cells without the rollout if they have too few requests. The values are
+# larger than any real change, so that nothing is attributed to the rollout.
 UNKNOWN_DROP = 1.0
 UNKNOWN_SLOWDOWN = 1e9
-NOT_STARTED = -1  # wave; 0 is the canary
+NOT_STARTED = -1  # number of the wave before the start; the canary is wave 0
 
 
 class RolloutPhase(StrEnum):
-    """Where a rollout is; the values are words of log lines and of `--json`."""
+    """The phase of a rollout; the values appear in logs, records and the output of commands."""
 
     WAITING = "waiting"
     CANARY = "canary"
@@ -40,7 +41,7 @@
 
 
 class ComparisonResult(Enum):
-    """What a comparison of cells with and without the rollout says."""
+    """The result of comparing the cells with the rollout to the cells without it."""
 
     UNCLEAR = "too few requests"
     GOOD = "no worse than before"
@@ -50,13 +51,13 @@
 
 @dataclass(slots=True, eq=False)
 class CellStatistics:
-    """Requests of one cell, older ones counted less.
+    """Statistics of the requests of one cell; older requests have less weight.
 
     Attributes:
-        served: Requests that were served.
-        total: All requests.
-        total_delay: Sum of the delays of those that were served, ms.
-        halves_at: When the counts are next halved; 0: nothing has been recorded.
+        served: Number of served requests.
+        total: Number of requests.
+        total_delay: Sum of the delays of the served requests, ms.
+        halves_at: Time when the counts are next halved; 0 if no request was counted yet.
     """
 
     served: float = 0.0
@@ -65,7 +66,7 @@
     halves_at: float = 0.0
 
     def add(self, now: float, is_served: bool, delay: float) -> None:
-        """Counts one request; `delay` in ms."""
+        """Count one request; `delay` is in ms."""
         if now >= self.halves_at:
             if self.halves_at:
                 halvings = 1 + int((now - self.halves_at) / HALF_LIFE)
@@ -82,21 +83,21 @@
         self.total_delay *= factor
 
     def success_rate(self) -> float:
-        """Returns the fraction of requests that were served; 1 without any."""
+        """Return the fraction of requests that were served; 1 if there are no requests."""
         return self.served / self.total if self.total else 1.0
 
     def mean_delay(self) -> float:
-        """Returns the mean delay of those that were served, ms; 0 without any."""
+        """Return the mean delay of the served requests, ms; 0 if there are none."""
         return self.total_delay / self.served if self.served else 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class _Change:
-    """How requests of some cells changed.
+    """The change of the requests of some cells between two periods.
 
     Attributes:
-        drop: By how much the success rate fell.
-        slowdown: The delay as a multiple of the earlier one.
+        drop: Drop of the success rate.
+        slowdown: Mean delay divided by the earlier mean delay.
     """
 
     drop: float
@@ -105,18 +106,18 @@
 
 @dataclass(slots=True, eq=False)
 class RolloutState:
-    """One rollout at this director.
+    """The state of one rollout at this director.
 
     Attributes:
-        rollout: As the assignment has it.
-        current: Requests by cell since the last wave began.
-        before_rollout: Requests by cell from before the rollout reached it.
-        reached_at: When the rollout reached each cell.
-        baseline: Requests of all cells from before the rollout began.
-        wave: `NOT_STARTED`, 0 for the canary, or the number of the wave.
-        wave_started_at: When this wave began.
-        is_halted: Whether it waits for operators.
-        rollback_reason: Why it was rolled back; empty: it was not.
+        rollout: Rollout in the assignment in force.
+        current: Statistics by cell since the start of the current wave.
+        before_rollout: Statistics by cell from before the rollout reached the cell.
+        reached_at: Time when the rollout reached each cell.
+        baseline: Statistics of all cells from before the start of the rollout.
+        wave: Number of the current wave; `NOT_STARTED` before the start, 0 for the canary.
+        wave_started_at: Start of the current wave.
+        is_halted: Whether the rollout is halted until operators intervene or the cells recover.
+        rollback_reason: Reason of the rollback; empty if it was not rolled back.
     """
 
     rollout: Rollout
@@ -129,20 +130,20 @@
     is_halted: bool = False
     rollback_reason: str = ""
 
-    def groups(self) -> list[tuple[str, ...]]:
-        """Returns the cells of the canary and of each wave."""
+    def cells_by_wave(self) -> list[tuple[str, ...]]:
+        """Return the cells of the canary and of each wave."""
         return [(self.rollout.canary,), *self.rollout.waves]
 
     def reached_cells(self) -> list[str]:
-        """Returns the cells of the waves that have begun."""
-        return [cell for group in self.groups()[: self.wave + 1] for cell in group]
+        """Return the cells of the waves that have started."""
+        return [cell for wave_cells in self.cells_by_wave()[: self.wave + 1] for cell in wave_cells]
 
     def is_in_force(self, cell: str) -> bool:
-        """Returns whether a cell uses the rollout's limits."""
+        """Return whether a cell uses the rollout's limits."""
         return not self.rollback_reason and cell in self.reached_at
 
     def phase(self) -> RolloutPhase:
-        """Returns where the rollout is."""
+        """Return the phase of the rollout."""
         if self.rollback_reason:
             return RolloutPhase.ROLLED_BACK
         if self.wave == NOT_STARTED:
@@ -154,16 +155,16 @@
         return RolloutPhase.CANARY if self.wave == 0 else RolloutPhase.WAVES
 
     def record(self, now: float, cell: str, is_served: bool, delay: float) -> None:
-        """Counts a request of a cell; `delay` in ms."""
+        """Count a request of a cell; `delay` is in ms."""
         if self.wave >= 0 and now < self.wave_started_at + SETTLING_TIME:
             return
         self.current.setdefault(cell, CellStatistics()).add(now, is_served, delay)
 
     def advance(self, now: float) -> str:
-        """Goes on, halts or rolls back by the clock; to be called some times a second.
+        """Start the next wave, halt or roll back, if due; to be called several times a second.
 
         Returns:
-            The new phase for the log; empty: it is the same.
+            The new phase for the log; empty if the phase is unchanged.
         """
         previous = self.phase()
         if not self.rollback_reason:
@@ -171,9 +172,9 @@
                 self.rollback_reason = "by staff"
             elif now >= self.rollout.starts_at:
                 if self.wave == NOT_STARTED:
-                    self._begin_wave(now, 0)
+                    self._start_wave(now, 0)
                 else:
-                    self._judge(now)
+                    self._evaluate(now)
         phase = self.phase()
         if phase == previous:
             return ""
@@ -184,44 +185,44 @@
     def _is_last_wave(self) -> bool:
         return self.wave >= len(self.rollout.waves)
 
-    def _begin_wave(self, now: float, wave: int) -> None:
-        """Begins a wave; requests are counted anew from here on, in all cells alike."""
+    def _start_wave(self, now: float, wave: int) -> None:
+        """Start a wave and reset the statistics of all cells."""
         if wave == 0:
-            self.baseline = {cell: replace(counts) for cell, counts in self.current.items()}
+            self.baseline = {cell: replace(statistics) for cell, statistics in self.current.items()}
         self.wave = wave
         self.wave_started_at = now
-        for cell in self.groups()[wave]:
-            counts = self.current.get(cell)
-            if counts is None or counts.total < MIN_REQUESTS:
-                counts = self.baseline.get(cell, CellStatistics())
-            self.before_rollout[cell] = counts
+        for cell in self.cells_by_wave()[wave]:
+            statistics = self.current.get(cell)
+            if statistics is None or statistics.total < MIN_REQUESTS:
+                statistics = self.baseline.get(cell, CellStatistics())
+            self.before_rollout[cell] = statistics
             self.reached_at[cell] = now
         self.current = {}
 
-    def _judge(self, now: float) -> None:
+    def _evaluate(self, now: float) -> None:
         is_wave_over = now >= self.wave_started_at + self.rollout.wave_duration
         if self._is_last_wave() and is_wave_over:
-            self.is_halted = False  # it has proven itself everywhere; what comes is not its doing
+            self.is_halted = False  # the rollout is complete; later changes have other causes
             return
         result = self._compare()
         if result == ComparisonResult.WORSE:
             self.rollback_reason = "worse than its past and than the cells without it"
         self.is_halted = result == ComparisonResult.BOTH_WORSE
         if result == ComparisonResult.GOOD and is_wave_over and not self._is_last_wave():
-            self._begin_wave(now, self.wave + 1)
+            self._start_wave(now, self.wave + 1)
 
     def _compare(self) -> ComparisonResult:
         reached = self.reached_cells()
         others = [cell for cell in self.baseline if cell not in reached]
-        with_rollout = _sum_of(self.current, reached)
-        before = _sum_of(self.before_rollout, reached)
-        without_rollout = _sum_of(self.current, others)
-        others_before = _sum_of(self.baseline, others)
+        with_rollout = _sum_statistics(self.current, reached)
+        before = _sum_statistics(self.before_rollout, reached)
+        without_rollout = _sum_statistics(self.current, others)
+        others_before = _sum_statistics(self.baseline, others)
         if with_rollout.total < MIN_REQUESTS or before.total < MIN_REQUESTS:
             return ComparisonResult.UNCLEAR
-        change = _change(before, with_rollout)
+        change = _change_between(before, with_rollout)
         if without_rollout.total >= MIN_REQUESTS and others_before.total >= MIN_REQUESTS:
-            others_change = _change(others_before, without_rollout)
+            others_change = _change_between(others_before, without_rollout)
         else:
             others_change = _Change(UNKNOWN_DROP, UNKNOWN_SLOWDOWN)
         max_drop = self.rollout.max_success_drop + _noise(before, with_rollout)
@@ -234,16 +235,18 @@
         return ComparisonResult.GOOD
 
 
-def _sum_of(statistics: dict[str, CellStatistics], cells: Iterable[str]) -> CellStatistics:
-    known = [statistics[cell] for cell in cells if cell in statistics]
+def _sum_statistics(
+    statistics_by_cell: dict[str, CellStatistics], cells: Iterable[str]
+) -> CellStatistics:
+    known = [statistics_by_cell[cell] for cell in cells if cell in statistics_by_cell]
     return CellStatistics(
-        served=sum(counts.served for counts in known),
-        total=sum(counts.total for counts in known),
-        total_delay=sum(counts.total_delay for counts in known),
+        served=sum(statistics.served for statistics in known),
+        total=sum(statistics.total for statistics in known),
+        total_delay=sum(statistics.total_delay for statistics in known),
     )
 
 
-def _change(before: CellStatistics, after: CellStatistics) -> _Change:
+def _change_between(before: CellStatistics, after: CellStatistics) -> _Change:
     slowdown = 1.0
     if before.served and after.served:
         slowdown = (after.mean_delay() + DELAY_NOISE) / (before.mean_delay() + DELAY_NOISE)
@@ -251,19 +254,19 @@
 
 
 def _noise(before: CellStatistics, after: CellStatistics) -> float:
-    """Returns the drop of the success rate that chance alone may bring (two-proportion z-test)."""
+    """Return the drop of the success rate that may be due to chance (two-proportion z-test)."""
     size_factor = (1.0 / after.total + 1.0 / before.total) ** 0.5
     return SIGNIFICANCE * _deviation(before, after) * size_factor
 
 
 def _deviation(first: CellStatistics, second: CellStatistics) -> float:
-    """Returns the standard deviation of one request's success, 0.5 at the most."""
+    """Return the standard deviation of the success of one request, at most 0.5."""
     success_rate = (first.served + second.served + 1.0) / (first.total + second.total + 2.0)
     return (success_rate * (1.0 - success_rate)) ** 0.5
 
 
 def shuffle_shards_by_cell(states: dict[str, RolloutState]) -> dict[str, int]:
-    """Returns the caches of each tenant in the cells where a rollout in force sets them."""
+    """Return the number of caches per tenant, for the cells where a rollout in force sets it."""
     return {
         cell: state.rollout.shuffle_shards
         for state in states.values()
@@ -273,7 +276,7 @@
 
 
 def limits_in_force(states: dict[str, RolloutState], cell: str, tenant_limits: Limits) -> Limits:
-    """Returns the limits of a cell's tenants: of the newest rollout there, else their own."""
+    """Return the limits of a tenant: of the newest rollout in its cell, otherwise its own."""
     limits = tenant_limits
     for state in states.values():
         if state.is_in_force(cell):
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -1,8 +1,8 @@
-"""Cells at a running director: the lock round the admission controller, and its clock.
+"""Cells at a running director: a thread-safe wrapper of the admission controller.
 
-A thread follows the assignment file and the list of ready caches, advances migrations and rollouts,
-and keeps this director's records. Client threads call the four methods of `AdmissionControl` (see
-`net.client_listener`).
+A thread polls the assignment file and the list of ready caches, advances migrations and rollouts,
+and writes this director's records. Client threads call the four methods of `AdmissionControl` (see
+`net.request_context`).
 """
 
 import threading
@@ -30,21 +30,22 @@
 from .placement_types import ReadyCache
 
 STEP_INTERVAL = 100.0  # ms between two steps of the thread
-RECORDS_INTERVAL = 1_000.0  # ms between two writings of the records
-MIN_CAPACITY_CHANGE = 0.05  # a capacity fraction is taken over when it changed by more
-MAX_PENDING_TEXTS = 1_000  # log texts that wait for the next writing of the records
+RECORDS_INTERVAL = 1_000.0  # ms between two writes of the records
+MIN_CAPACITY_CHANGE = 0.05  # smaller changes of a capacity fraction are ignored
+MAX_PENDING_MESSAGES = 1_000  # log messages that wait for the next write of the records
 
 
 class CellService:
-    """Admission control by cells; safe to call from any thread.
+    """Admission control by cells; thread-safe.
 
     Attributes:
-        config: The file `cells.ini`.
-        tenant_field: Key of the clients' map that names the tenant; empty: none.
-        lock: Guards `controller` and all that it holds, and `connections`. Only the thread and
-            `apply_prepared` replace the assignment.
-        controller: Decides about requests.
-        connections: Open connections by tenant; the empty name stands for addresses of no tenant.
+        config: Settings from `cells.ini`.
+        tenant_field: Key of a request's fields that names the tenant; empty if there is none.
+        lock: Lock that guards `connections`, and `controller` with all its parts. Only the
+            service's thread and `apply_prepared` replace the assignment.
+        controller: Admission controller.
+        connections: Number of open connections by tenant; the empty name counts the connections
+            from addresses without a tenant.
     """
 
     def __init__(
@@ -56,25 +57,26 @@
         log: StructuredLog,
         max_open_requests: int,
     ) -> None:
-        """Reads the assignment file.
+        """Create the service and read the assignment file.
 
         Args:
-            config: The file `cells.ini`.
+            config: Settings from `cells.ini`.
             director_config: The platform's configuration of this director.
-            coordinator: Says which caches are ready.
-            clock: Unix milliseconds.
-            log: Gets events `cells`.
-            max_open_requests: What the director's memory allows.
+            coordinator: Request coordinator, which lists the ready caches.
+            clock: Clock that returns Unix milliseconds.
+            log: Log for events named `cells`.
+            max_open_requests: Maximum number of open requests that the director's memory allows.
 
         Raises:
-            ConfigError: If the file cannot be used: there is no older version yet.
+            ConfigError: If the assignment file cannot be used; there is no earlier version to
+                fall back to.
         """
         self.config = config
         self.tenant_field = config.tenant_field
         self._coordinator = coordinator
         self._clock = clock
         self._log = log
-        self._transfer_rate = director_config.settings.transfer_rate  # KB/ms; 0: not known
+        self._transfer_rate = director_config.settings.transfer_rate  # KB/ms; 0 if not known
         self.lock = threading.Lock()
         self._file_identity = store.file_identity(config.assignment_file)
         capacity = _director_capacity(config, max_open_requests)
@@ -85,26 +87,26 @@
         self._caches: Sequence[ReadyCache] = []
         self._records = _director_records(config, director_config.name)
         self._next_poll_at = self._next_records_at = 0.0
-        self._pending_texts: list[str] = []  # for the records
+        self._pending_messages: list[str] = []  # for the records
         self._is_stopped = threading.Event()
 
     def start(self) -> None:
-        """Takes over the ready caches and starts the thread."""
-        self._log_texts([f"version {self.controller.assignment.version}"])
+        """Read the ready caches and start the thread."""
+        self._log_messages([f"version {self.controller.assignment.version}"])
         self._step()
         threading.Thread(target=self._run, name="cells", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread after its present step, without waiting for it."""
+        """Tell the thread to end after its current step; do not wait for it."""
         self._is_stopped.set()
 
-    # For the client listener
+    # Methods of AdmissionControl
 
     def admit_connection(self, address: str) -> str | None:
-        """Counts one more connection.
+        """Count a new connection if the limit of its tenant allows it.
 
         Returns:
-            Its tenant, empty where the address has none; None: the tenant has as many as it may.
+            The tenant, empty if the address has none; None if the tenant's limit is reached.
         """
         with self.lock:
             tenant = self.controller.tenant_resolver.tenant_of_address(address)
@@ -113,17 +115,17 @@
             self.connections[tenant] += 1
             return tenant
 
-    def release_connection(self, entry: str) -> None:
-        """Counts a connection as closed; `entry` is what `admit_connection` returned."""
+    def release_connection(self, tenant: str) -> None:
+        """Count a connection as closed; `tenant` is the return value of `admit_connection`."""
         with self.lock:
-            self.connections[entry] -= 1
-            if not self.connections[entry]:
-                del self.connections[entry]
+            self.connections[tenant] -= 1
+            if not self.connections[tenant]:
+                del self.connections[tenant]
 
     def admit_request(
         self, client_request: ClientRequest, request_class: RequestClass, address: str
     ) -> AdmissionGrant | AdmissionRejection:
-        """Admits or rejects a client's request."""
+        """Admit or reject a client's request."""
         request = AdmissionRequest(
             client_request.tenant,
             address,
@@ -140,74 +142,77 @@
     def complete_request(
         self, grant: AdmissionGrant, request: Request, is_served: bool, is_client_waiting: bool
     ) -> None:
-        """Releases what an admitted request used.
+        """Release the quota of an admitted request and record its outcome.
 
         Args:
-            grant: What `admit_request` returned.
-            request: The request at the policy.
-            is_served: Whether it was served.
-            is_client_waiting: Whether its client still waited.
+            grant: Grant that `admit_request` returned.
+            request: The request, as the routing policy knows it.
+            is_served: Whether the request was served.
+            is_client_waiting: Whether the client was still waiting.
         """
         now = self._clock()
         sending_time = request.size_kb / self._transfer_rate if self._transfer_rate else 0.0
         delay = max(0.0, now - request.arrived_at - sending_time)
         with self.lock:
-            text = self.controller.complete_request(now, grant, is_served, is_client_waiting, delay)
-        if text:
-            self._log_texts([text])
+            message = self.controller.complete_request(
+                now, grant, is_served, is_client_waiting, delay
+            )
+        if message:
+            self._log_messages([message])
 
-    # For management
+    # Methods for management
 
-    def apply_prepared(self, ready: PreparedAssignment) -> None:
-        """Puts a version in force that the caller has written to the file.
+    def apply_prepared(self, prepared: PreparedAssignment) -> None:
+        """Put a version in force that the caller has written to the assignment file.
 
         Raises:
-            ConfigError: If it cannot be used.
+            ConfigError: If the assignment cannot be used.
         """
         with self.lock:
-            texts = self.controller.replace_assignment(self._clock(), ready)
-        self._log_texts(texts)
+            messages = self.controller.replace_assignment(self._clock(), prepared)
+        self._log_messages(messages)
 
-    # In the service's thread
+    # Methods that run in the service's thread
 
     def _run(self) -> None:
         while not self._is_stopped.wait(STEP_INTERVAL / 1000.0):
             try:
                 self._step()
             except Exception as error:
-                # The thread's top: the version in force goes on, and the next step tries again.
+                # The version in force stays in use, and the next step tries again.
                 self._log.exception("cells", error)
 
     def _step(self) -> None:
         now = self._clock()
         caches = self._coordinator.ready_caches()
-        texts: list[str] = []
+        messages: list[str] = []
         with self.lock:
-            if self._have_changed(caches):
+            if self._have_caches_changed(caches):
                 self._caches = caches
-                texts += self.controller.update_caches(now, caches)
-            texts += self.controller.step(now)
+                messages += self.controller.update_caches(now, caches)
+            messages += self.controller.step(now)
         if now >= self._next_poll_at:
             self._next_poll_at = now + self.config.poll_interval
-            texts += self._poll_file(now)
-        self._log_texts(texts)
+            messages += self._poll_file(now)
+        self._log_messages(messages)
         if self._records is not None and now >= self._next_records_at:
             self._next_records_at = now + RECORDS_INTERVAL
             self._write_records(now, self._records)
 
-    def _have_changed(self, caches: Sequence[ReadyCache]) -> bool:
-        """Returns whether a cache was added, removed or replaced, or its fraction changed."""
+    def _have_caches_changed(self, caches: Sequence[ReadyCache]) -> bool:
+        """Return whether a cache was added, removed or replaced, or its capacity changed."""
         if len(caches) != len(self._caches):
             return True
         return any(
-            _has_changed(cache, previous)
+            _has_cache_changed(cache, previous)
             for cache, previous in zip(caches, self._caches, strict=True)
         )
 
     def _poll_file(self, now: float) -> list[str]:
-        """Puts a new version of the file in force; returns texts for the log.
+        """Put a new version of the assignment file in force and return messages for the log.
 
-        The identity is always read before the file: one that is replaced meanwhile is read again.
+        The identity is read before the content, so that the next poll detects a file that is
+        replaced in between.
         """
         identity = store.file_identity(self.config.assignment_file)
         if identity == self._file_identity:
@@ -219,7 +224,7 @@
                 return []
             if reason := rejection_reason(self.controller.assignment, assignment):
                 return [reason]
-            prepared = prepare_assignment(assignment)  # seconds for a large one, so without lock
+            prepared = prepare_assignment(assignment)  # may take seconds, so without the lock
             with self.lock:
                 return self.controller.replace_assignment(now, prepared)
         except ConfigError as error:
@@ -229,16 +234,16 @@
     def _write_records(self, now: float, records: DirectorRecords) -> None:
         with self.lock:
             status = self.controller.status(now)
-        texts = self._pending_texts
-        self._pending_texts = []
-        if change := records.write(status, texts):
-            self._log_texts([change])
-
-    def _log_texts(self, texts: list[str]) -> None:
-        for text in texts:
-            self._log.event("cells", text=text)
+        messages = self._pending_messages
+        self._pending_messages = []
+        if change := records.write(status, messages):
+            self._log_messages([change])
+
+    def _log_messages(self, messages: list[str]) -> None:
+        for message in messages:
+            self._log.event("cells", text=message)
         if self._records is not None:
-            self._pending_texts = [*self._pending_texts, *texts][-MAX_PENDING_TEXTS:]
+            self._pending_messages = [*self._pending_messages, *messages][-MAX_PENDING_MESSAGES:]
 
 
 def _director_capacity(config: CellsConfig, max_open_requests: int) -> DirectorCapacity:
@@ -253,7 +258,7 @@
     return DirectorRecords(config.records_folder, name) if config.records_folder else None
 
 
-def _has_changed(cache: ReadyCache, previous: ReadyCache) -> bool:
+def _has_cache_changed(cache: ReadyCache, previous: ReadyCache) -> bool:
     name, endpoint, fraction = cache
     previous_name, previous_endpoint, previous_fraction = previous
     return (
--- a/mulleinrelay/cells/status.py
+++ b/mulleinrelay/cells/status.py
@@ -1,7 +1,7 @@
-"""The state of cells at one director as plain figures, for operators.
+"""Status of the cells at one director, as plain data for operators.
 
-The keys are those of the records on disk, of `mulleinrelay cells show --json` and of gNMI; they are
-older than the terms of the code and stay.
+The keys appear in the records on disk, in the output of `mulleinrelay cells show --json` and in
+gNMI, so they must not change. Some differ from the names in the code.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from .admission_controller import AdmissionController
 
-MAX_REPORTED_TENANTS = 50  # those that were rejected most
+MAX_REPORTED_TENANTS = 50  # tenants with the most rejected requests
 
 
 def status_report(controller: "AdmissionController", now: float) -> dict[str, Any]:
-    """Returns the state of cells, migrations, rollouts and the most rejected tenants."""
+    """Return the state of cells, migrations, rollouts and the tenants with most rejections."""
     return {
         "version": controller.assignment.version,
         "at": round(now),
