--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -1,11 +1,11 @@
-"""Which side of a migration a request goes to; requests with side effects are sticky.
+"""Choice between the two cells of a migration; requests with side effects are sticky.
 
-A request with an idempotency key, or an unsafe one, goes to the cell whose nodes drop its
-repetitions, as long as that is certain, else nowhere. The cache of idempotency keys knows what this
-director has admitted. Of a client's retry whose first attempt went to another director only the
-clock tells: where that may have gone to the other cell, the request fails rather than run twice.
+A retry of an unsafe request, or of a request with an idempotency key, must go to the cell of its
+first attempt, whose endpoints drop duplicates. For requests that this director admitted, the cache
+of idempotency keys has the cell. If another director admitted the first attempt, its cell can only
+be derived from the clock. A retry fails if that cell is uncertain, because it could run twice.
 
-Pure and not thread-safe: the admission controller's lock guards the cache.
+Pure and not thread-safe: `CellService` holds its lock during each call.
 """
 
 from collections import OrderedDict
@@ -31,49 +31,54 @@
 
 
 class IdempotencyKeyCache:
-    """The cell that each idempotency key went to; the oldest are dropped when it is full.
+    """A cache of the cells to which requests with idempotency keys went.
+
+    When the cache is full, the oldest keys are dropped.
 
     Attributes:
-        max_entries: Keys that are kept at the most.
-        entries: By tenant and key, the oldest first.
-        dropped_until: Keys that would have expired up to this time were dropped for lack of space.
+        max_entries: Maximum number of keys.
+        entries: Entries by tenant and key, oldest first.
+        dropped_until: Latest expiry time of the keys that were dropped because the cache was full.
     """
 
     def __init__(self, max_entries: int) -> None:
-        """Starts empty."""
+        """Create an empty cache."""
         self.max_entries = max_entries
         self.entries: OrderedDict[tuple[str, str], _KeyEntry] = OrderedDict()
         self.dropped_until = 0.0
 
     def find_cell(self, tenant: str, idempotency_key: str, now: float) -> str | None:
-        """Returns the cell that a key went to; None if it is not known."""
+        """Return the cell of a key; None if the key is not known or has expired."""
         entry = self.entries.get((tenant, idempotency_key))
         return entry.cell if entry is not None and now < entry.expires_at else None
 
     def record(
         self, tenant: str, idempotency_key: str, cell: str, now: float, lifetime: float
     ) -> None:
-        """Notes the cell of a key for `lifetime` ms; drops what has expired or is too much."""
+        """Record the cell of a key for `lifetime` ms.
+
+        Expired keys are dropped first, and the oldest keys if the cache is full.
+        """
         while self.entries:
             oldest_key, oldest = next(iter(self.entries.items()))
-            is_alive = oldest.expires_at > now
-            if is_alive and len(self.entries) < self.max_entries:
+            is_valid = oldest.expires_at > now
+            if is_valid and len(self.entries) < self.max_entries:
                 break
-            if is_alive:
+            if is_valid:
                 self.dropped_until = max(self.dropped_until, oldest.expires_at)
             del self.entries[oldest_key]
         self.entries[tenant, idempotency_key] = _KeyEntry(cell, now + lifetime)
         self.entries.move_to_end((tenant, idempotency_key))
 
 
-@dataclass(slots=True, eq=False)  # not frozen: it is made for each request, which costs less
+@dataclass(slots=True, eq=False)  # not frozen: each request creates one, and frozen costs more
 class RequestHistory:
-    """What is known of a request's earlier attempts.
+    """The known facts about earlier attempts of a request.
 
     Attributes:
-        is_retry: Whether the client or this director has seen it before.
-        can_run_anywhere: Whether it need not stay with the nodes of one cell.
-        known_cell: The cell that its idempotency key went to; None if that is not known.
+        is_retry: Whether the request was sent before, according to the client or this director.
+        can_run_anywhere: Whether retries may run in another cell than the first attempt.
+        known_cell: Cell to which its idempotency key went; None if it is not known.
     """
 
     is_retry: bool
@@ -84,11 +89,11 @@
 def choose_side(
     migration: Migration, key: int, history: RequestHistory, now: float, clock_skew: float
 ) -> MigrationSide:
-    """Returns the side of a migration that a request for an object goes to.
+    """Return the side of a migration that a request for an object goes to.
 
-    Other directors may use any version of the file, also one without the migration or from before
-    it was paused or aborted: what one of them may have sent to the new cell is uncertain until
-    operators have ended the migration.
+    Other directors may use any version of the assignment file, even one without the migration or
+    from before a pause or an abort. The cell of an object that one of them may have sent to the
+    target cell is therefore uncertain until operators have ended the migration.
     """
     if history.known_cell == migration.source:
         return MigrationSide.SOURCE
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -1,4 +1,4 @@
-"""The assignment file on disk: written completely or not at all, by one writer at a time."""
+"""Storage of the assignment file: atomic writes, by one writer at a time."""
 
 import fcntl
 import os
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileIdentity:
-    """What changes when a file is replaced."""
+    """The metadata of a file that changes when the file is replaced."""
 
     inode: int
     modified_ns: int
@@ -23,7 +23,7 @@
 
 
 def load_assignment(path: str) -> Assignment:
-    """Reads the assignment file.
+    """Read and parse the assignment file.
 
     Raises:
         ConfigError: If the file cannot be read or used.
@@ -32,20 +32,20 @@
 
 
 def file_identity(path: str) -> FileIdentity | None:
-    """Returns the identity of a file; None if there is none."""
+    """Return the identity of a file; None if the file does not exist or cannot be accessed."""
     try:
-        status = os.stat(path)
+        file_status = os.stat(path)
     except OSError:
         return None
-    return FileIdentity(status.st_ino, status.st_mtime_ns, status.st_size)
+    return FileIdentity(file_status.st_ino, file_status.st_mtime_ns, file_status.st_size)
 
 
 @contextmanager
 def exclusive_writer(path: str) -> Iterator[None]:
-    """Keeps other writers out, so that two commands don't overwrite one another's change.
+    """Hold the write lock of the file, so that two writers don't overwrite each other's changes.
 
     Raises:
-        ConfigError: If another one writes the file, or its lock file cannot be opened.
+        ConfigError: If another writer holds the lock, or if the lock file cannot be opened.
     """
     try:
         lock_fd = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
@@ -55,49 +55,55 @@
         try:
             fcntl.flock(lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            raise ConfigError("another command is writing it", file=path) from error
+            raise ConfigError("another command is writing the file", file=path) from error
         yield
     finally:
         os.close(lock_fd)
 
 
 def save_assignment(path: str, assignment: Assignment, now: float, built_on: int) -> Assignment:
-    """Writes the next version; after a power cut the file is the old one or the new one.
+    """Write the next version of the assignment file.
 
-    To be called by the exclusive writer.
+    The write is atomic: after a power failure, the file has either the old or the new content. The
+    caller must hold the lock of `exclusive_writer`.
 
     Args:
-        path: The file.
-        assignment: Its content; version and time are set here.
-        now: The time that the new version bears.
-        built_on: The version that the change was made from; 0: there is no file yet.
+        path: Path of the file.
+        assignment: New content; its version and its time are replaced.
+        now: Time of the new version.
+        built_on: Version that the change is based on; 0 if there is no file yet.
 
     Returns:
-        The assignment as it was written.
+        The assignment that was written.
 
     Raises:
-        ConfigError: If the file has another version by now, or cannot be written.
+        ConfigError: If the file now has another version, or if it cannot be written.
     """
     version = load_assignment(path).version if os.path.exists(path) else 0
     if version != built_on:
         raise ConfigError(
-            f"holds version {version}, this change was built on {built_on}; do it again", file=path
+            f"holds version {version}, but the change was built on version {built_on}; repeat it",
+            file=path,
         )
     new = replace(assignment, version=version + 1, written_at=now)
     text = format_assignment(new)
     if parse_assignment(text) != new:
         raise ConfigError(
-            "what would be written does not read back; nothing was changed", file=path
+            "the formatted assignment does not parse to an equal one; nothing was changed",
+            file=path,
         )
     try:
         _replace_file(path, text)
     except OSError as error:
-        raise ConfigError(f"{error.strerror}; the old version stands", file=path) from error
+        raise ConfigError(f"{error.strerror}; the old version is kept", file=path) from error
     return new
 
 
 def _replace_file(path: str, text: str) -> None:
-    """Writes a file beside this one and renames it, with both on the disk before it returns."""
+    """Replace a file atomically by a temporary file that is written and then renamed.
+
+    The content and the rename are flushed to disk before the function returns.
+    """
     temporary_path = f"{path}.new"
     with open(temporary_path, "w", encoding="utf-8") as file:
         file.write(text)
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -1,7 +1,8 @@
-"""Whose request it is: by the client's own word, its address or the object's group; pure.
+"""Resolution of a request's tenant by its name, the client's address or the object's group; pure.
 
-Addresses and groups are found by bisection, so that a request costs little also with many thousand
-tenants. Not thread-safe: the admission controller's lock guards the cache of addresses.
+Addresses and groups are found by binary search, so that the cost per request is small even with
+thousands of tenants. Not thread-safe: `CellService` holds its lock during each call, which guards
+the cache of addresses.
 """
 
 import ipaddress
@@ -11,12 +12,12 @@
 from ..errors import ConfigError
 from .model import USE_DEFAULT_TENANT, Assignment
 
-MAX_CACHED_ADDRESSES = 4096  # clients' addresses whose tenant is kept
+MAX_CACHED_ADDRESSES = 4096  # client addresses with a cached tenant
 
 
 @dataclass(slots=True, frozen=True)
 class NamedRange:
-    """A range of numbers, both ends included, that belongs to a tenant."""
+    """A range of numbers that belongs to a tenant; both ends are inclusive."""
 
     first: int
     last: int
@@ -24,41 +25,42 @@
 
 
 class RangeIndex:
-    """Finds the tenant of a number by ranges that may contain one another, but never cross.
+    """An index that finds the tenant of a number by ranges.
 
-    The smallest range that contains a number wins.
+    Ranges may be nested but must not partially overlap. The smallest range that contains a number
+    determines the tenant.
     """
 
     def __init__(self, ranges: list[NamedRange], key: str) -> None:
-        """Builds the index.
+        """Build the index.
 
         Args:
-            ranges: The ranges of all tenants, in any order.
-            key: Key of the assignment file that they come from, for messages.
+            ranges: Ranges of all tenants, in any order.
+            key: Key of the assignment file that has the ranges, for error messages.
 
         Raises:
-            ConfigError: If two ranges cross, or two tenants have the same.
+            ConfigError: If two ranges partially overlap, or if two tenants have the same range.
         """
-        # From _starts[i] on, up to the next start, numbers belong to _tenants[i].
+        # Numbers from _starts[i] up to the next start (exclusive) belong to _tenants[i].
         self._starts: list[int] = []
         self._tenants: list[str] = []
-        enclosing: list[NamedRange] = []  # those that contain the present number, outermost first
+        enclosing: list[NamedRange] = []  # ranges that contain the current start, outermost first
         for entry in sorted(ranges, key=lambda entry: (entry.first, -entry.last)):
             while enclosing and enclosing[-1].last < entry.first:
                 self._end_innermost(enclosing)
             if enclosing and self._crosses(entry, enclosing[-1]):
                 raise ConfigError(
-                    f"crosses that of tenant {enclosing[-1].tenant}",
+                    f"a range crosses a range of tenant {enclosing[-1].tenant}",
                     section=f"tenant {entry.tenant}",
                     key=key,
                 )
-            self._begin(entry.first, entry.tenant)
+            self._start_range(entry.first, entry.tenant)
             enclosing.append(entry)
         while enclosing:
             self._end_innermost(enclosing)
 
     def find(self, number: int) -> str:
-        """Returns the tenant of a number; empty if no range contains it."""
+        """Return the tenant of a number; empty if no range contains the number."""
         index = bisect_right(self._starts, number) - 1
         return self._tenants[index] if index >= 0 else ""
 
@@ -69,8 +71,8 @@
         is_same_range = has_same_start and entry.last == enclosing.last
         return is_same_range and entry.tenant != enclosing.tenant
 
-    def _begin(self, number: int, tenant: str) -> None:
-        """Numbers from this one on belong to the tenant."""
+    def _start_range(self, number: int, tenant: str) -> None:
+        """Assign the numbers from this one on to the tenant."""
         if self._starts and self._starts[-1] == number:
             self._tenants[-1] = tenant
         else:
@@ -79,20 +81,20 @@
 
     def _end_innermost(self, enclosing: list[NamedRange]) -> None:
         ended = enclosing.pop()
-        self._begin(ended.last + 1, enclosing[-1].tenant if enclosing else "")
+        self._start_range(ended.last + 1, enclosing[-1].tenant if enclosing else "")
 
 
 class TenantResolver:
-    """Finds the tenant of a request by one version of the assignment."""
+    """A resolver that finds the tenant of a request in one version of the assignment."""
 
     def __init__(self, assignment: Assignment) -> None:
-        """Builds the indexes.
+        """Build the indexes of addresses and groups.
 
         Raises:
-            ConfigError: If ranges of two tenants cross.
+            ConfigError: If ranges of two tenants partially overlap or are equal.
         """
         self.assignment = assignment
-        networks: dict[int, list[NamedRange]] = {4: [], 6: []}  # by version of IP
+        networks: dict[int, list[NamedRange]] = {4: [], 6: []}  # by IP version
         groups: list[NamedRange] = []
         for tenant in assignment.tenants.values():
             for text in tenant.addresses:
@@ -108,9 +110,9 @@
         self._cached_addresses: dict[str, str] = {}
 
     def tenant_of_address(self, address: str) -> str:
-        """Returns the tenant whose ranges contain an address; empty if there is none.
+        """Return the tenant whose ranges contain an address; empty if there is none.
 
-        A text that is no address has no tenant. Answers are kept for the next request.
+        An invalid address has no tenant. Results are cached.
         """
         if not address:
             return ""
@@ -130,13 +132,14 @@
         return self._by_address[parsed.version].find(int(parsed))
 
     def resolve(self, tenant_name: str, address: str, group: int) -> str | None:
-        """Returns the tenant of a request; None: the request is to be rejected.
+        """Return the tenant of a request; None if the request must be rejected.
 
         Args:
-            tenant_name: As the client gave it; empty: it gave none. A name that is in no table is
-                unknown whatever else would fit: a typing error must not use another's quota.
-            address: Of the client.
-            group: Of the object.
+            tenant_name: Tenant that the client named; empty if the client named none. A request
+                with an unknown name has an unknown tenant even if its address or group matches,
+                so that a misspelled name does not use the quota of another tenant.
+            address: The client's address.
+            group: Group of the object.
         """
         tenants = self.assignment.tenants
         if tenant_name:
--- a/mulleinrelay/cells/tenant_state.py
+++ b/mulleinrelay/cells/tenant_state.py
@@ -1,6 +1,6 @@
-"""One tenant at this director: what it uses of its own quota, and of the cells that serve it.
+"""State of one tenant at this director: the usage of its quota and of the cells that serve it.
 
-Pure and not thread-safe: the admission controller's lock guards the state.
+Pure and not thread-safe: `CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -11,17 +11,17 @@
 from .retry_budget import ClientRetryBudget
 from .token_bucket import TokenBucket
 
-# ms for which looked-up shares are used after their last request. It is less than the time after
-# which `FairShares` drops an idle share, so that no dropped one is used.
-SHARES_REUSED_FOR = 30_000.0
+# Time (ms) after the last request for which cached shares are reused. It is shorter than
+# `FairShares.IDLE_TIMEOUT`, so that no dropped share is reused.
+SHARE_REUSE_TIME = 30_000.0
 
 
 @dataclass(slots=True, eq=False)
 class TenantCellLimits:
-    """A tenant's limits in one cell, looked up once as long as they are in use.
+    """A tenant's limits in one cell, cached to avoid a lookup for each request.
 
     Attributes:
-        cell_state: The cell's state here.
+        cell_state: State of the cell.
         share: The tenant's share of the cell's open requests.
         cell_share: The cell's share of the director's open requests.
     """
@@ -31,25 +31,25 @@
     cell_share: ConcurrencyShare
 
     def is_stale(self, now: float) -> bool:
-        """Returns whether a share may have been dropped and is to be looked up again."""
+        """Return whether a share may have been dropped, so that it must be looked up again."""
         return (
-            now > self.share.last_requested_at + SHARES_REUSED_FOR
-            or now > self.cell_share.last_requested_at + SHARES_REUSED_FOR
+            now > self.share.last_requested_at + SHARE_REUSE_TIME
+            or now > self.cell_share.last_requested_at + SHARE_REUSE_TIME
         )
 
 
 class TenantState:
-    """What one tenant uses of this director.
+    """The usage of this director by one tenant.
 
     Attributes:
-        limits: Its quota.
-        token_bucket: Its rate.
-        retry_budget: Its clients' retries.
-        open_body_kb: KB of bodies that its open requests brought.
-        rejected_count: Requests that were rejected.
-        admitted_count: Requests that were admitted.
-        last_used_at: When its last request came.
-        cell_limits: Its limits by cell.
+        limits: Quota of the tenant.
+        token_bucket: Token bucket of its rate.
+        retry_budget: Budget of its clients' retries.
+        open_body_kb: Size of the bodies of its open requests, KB.
+        rejected_count: Number of rejected requests.
+        admitted_count: Number of admitted requests.
+        last_used_at: Time of its last request.
+        cell_limits: Cached limits by cell.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
     )
 
     def __init__(self, limits: Limits) -> None:
-        """Starts with nothing used."""
+        """Create a state in which no quota is used."""
         self.set_limits(limits)
         self.open_body_kb = 0.0
         self.rejected_count = 0
@@ -72,13 +72,13 @@
         self.last_used_at = 0.0
 
     def set_limits(self, limits: Limits) -> None:
-        """Takes over a new quota, of which nothing is used yet."""
+        """Replace the quota; the usage of the rate and of the retry budget is reset."""
         self.limits = limits
         self.token_bucket = TokenBucket(limits.rate, limits.burst)
         self.retry_budget = ClientRetryBudget(limits.retry_ratio)
         self.cell_limits: dict[str, TenantCellLimits] = {}
 
     def has_space_for_body(self, body_kb: float) -> bool:
-        """Returns whether a request with such a body may be open besides the others."""
+        """Return whether the quota has room for the body of one more open request."""
         limit = self.limits.max_body_kb
         return not limit or self.open_body_kb + body_kb <= limit
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -1,55 +1,54 @@
-"""Request rates: a token bucket, and one that several parties share by weight.
+"""Request rates: a token bucket, and a token bucket that several parties share by weight.
 
-Pure: the time (ms) is passed in. Nothing queues here; a caller is told how long it has to wait and
-rejects the request. Not thread-safe: the admission controller's lock guards every bucket.
+Pure: the current time (ms) is an argument. Requests are not queued; the caller gets the time until
+the next token and rejects the request. Not thread-safe: `CellService` holds its lock during each
+call.
 """
 
 from dataclasses import dataclass
 
-# ms: sums of floating point numbers are not exact; a shorter wait is no wait.
+# ms; shorter waits are floating-point rounding errors and count as 0.
 ROUNDING_MARGIN = 1e-6
-MIN_RETRY_AFTER = 100.0  # ms: a shorter pause would let rejected clients come back at once
+MIN_RETRY_AFTER = 100.0  # ms; keeps rejected clients from retrying at once
 MAX_RETRY_AFTER = 5_000.0  # ms
-LONG_AGO = -1e12  # ms: a time before every other
+DISTANT_PAST = -1e12  # ms; initial value of times, earlier than any time of a clock
 
 
 class TokenBucket:
-    """A rate with a burst, by the generic cell rate algorithm (GCRA, ITU-T I.371).
-
-    The state is one number: when the bucket would be full again.
+    """A token bucket with a rate and a burst (generic cell rate algorithm, GCRA, ITU-T I.371).
 
     Attributes:
-        interval: Milliseconds between two requests at the rate; 0: no bound.
-        tolerance: Milliseconds by which requests may come ahead of the rate.
-        full_at: When the bucket is full again.
+        interval: Time between two requests at the rate, ms; 0 if the rate is not limited.
+        tolerance: Time by which a request may be ahead of the rate, ms.
+        full_at: Time when the bucket is full again; this is the whole state of the bucket.
     """
 
     __slots__ = ("full_at", "interval", "tolerance")
 
     def __init__(self, rate: float, burst: float) -> None:
-        """Makes a full bucket.
+        """Create a full bucket.
 
         Args:
-            rate: Requests a second; 0: no bound.
-            burst: Requests that may come at once; 0: what the rate brings in 100 ms. At least one
-                may always come.
+            rate: Requests per second; 0 if they are not limited.
+            burst: Number of requests that a full bucket allows at once, at least 1; 0 for the
+                number that the rate allows in 100 ms.
         """
         self.interval = 1000.0 / rate if rate > 0.0 else 0.0
         self.tolerance = self.interval * (max(1.0, burst or rate / 10.0) - 1.0)
         self.full_at = 0.0
 
     def wait_time(self, now: float) -> float:
-        """Returns 0 if a request may come now, else the milliseconds until one may."""
+        """Return the milliseconds until the next token; 0 if there is one now."""
         wait = self.full_at - self.tolerance - now
         return wait if wait > ROUNDING_MARGIN else 0.0
 
     def consume(self, now: float) -> None:
-        """Takes the token of one request."""
+        """Take one token."""
         if self.interval:
             self.full_at = max(self.full_at, now) + self.interval
 
     def with_rate(self, rate: float, burst: float) -> "TokenBucket":
-        """Returns a bucket of another rate that is as empty as this one."""
+        """Return a bucket with another rate and the same time until it is full."""
         bucket = TokenBucket(rate, burst)
         bucket.full_at = self.full_at
         return bucket
@@ -60,67 +59,71 @@
     """One party's share of a rate.
 
     Attributes:
-        weight: The share is in proportion to this.
-        bucket: Holds the guaranteed rate.
-        last_requested_at: When the party last asked for a token.
+        weight: Weight of the party; its guaranteed rate is in proportion to the weight.
+        bucket: Token bucket with the guaranteed rate.
+        last_requested_at: Time of the party's last request, admitted or not.
         consumed_count: Tokens taken since `used_rate` was last computed.
-        used_rate: Requests a second, smoothed.
+        used_rate: Smoothed number of admitted requests per second.
     """
 
     weight: float
     bucket: TokenBucket
-    last_requested_at: float = LONG_AGO
+    last_requested_at: float = DISTANT_PAST
     consumed_count: int = 0
     used_rate: float = 0.0
 
 
 class FairTokenBucket:
-    """A rate that parties share by weight.
+    """A rate that several parties share by weight.
 
-    Every active party has its guaranteed rate; what the others leave of the total is lent to
-    whoever comes first.
+    Each active party has a guaranteed rate. The part of the total rate that others leave unused is
+    lent in the order of requests.
     """
 
-    ACTIVE_WINDOW = 1_000.0  # ms: a party that asked within this time is active
-    RECOMPUTE_INTERVAL = 100.0  # ms: between two sums over all parties
-    IDLE_TIMEOUT = 60.0 * ACTIVE_WINDOW  # ms: an idle party is dropped then
-    BURST_S = 0.1  # seconds of a rate that may come at once
-    # Requests a second for each token that was taken a millisecond, halved by the smoothing.
-    SMOOTHED_PER_S = 500.0
-    # A party is taken to want so many times what it used lately, so that it can grow.
+    ACTIVE_WINDOW = 1_000.0  # ms for which a party stays active after a request
+    RECOMPUTE_INTERVAL = 100.0  # ms between two computations over all parties
+    IDLE_TIMEOUT = 60.0 * ACTIVE_WINDOW  # ms after which an idle party is dropped
+    BURST_S = 0.1  # seconds of a rate that are allowed at once
+    # Converts tokens per millisecond to requests per second (1000), times the weight of the newest
+    # value in the smoothing (0.5).
+    SMOOTHED_RATE_FACTOR = 500.0
+    # The expected rate of a party is this multiple of its used rate, so that it can grow.
     GROWTH_ALLOWANCE = 1.25
 
     def __init__(self, rate: float) -> None:
-        """Makes a full bucket of `rate` requests a second; 0: no bound."""
+        """Create a full bucket of `rate` requests per second; 0 if they are not limited."""
         self.rate = rate
         self.total_bucket = TokenBucket(rate, self.BURST_S * rate)
         self.shares: dict[str, BucketShare] = {}
-        self.computed_at = LONG_AGO
+        self.computed_at = DISTANT_PAST
         self.active_weight = 0.0
 
     def set_rate(self, rate: float) -> None:
-        """Changes the total rate; what has been used stays used."""
+        """Change the total rate; consumed tokens stay consumed."""
         if rate != self.rate:
             self.rate = rate
             self.total_bucket = self.total_bucket.with_rate(rate, self.BURST_S * rate)
-            self.computed_at = LONG_AGO
+            self.computed_at = DISTANT_PAST
 
     def share_for(self, name: str, weight: float) -> BucketShare:
-        """Returns the share of a party, which it gets with its first request."""
+        """Return the share of a party after setting its weight.
+
+        The share is created on the first call for a party.
+        """
         share = self.shares.get(name)
         if share is None:
             share = BucketShare(weight, TokenBucket(0.0, 0.0))
             self.shares[name] = share
-            self.computed_at = LONG_AGO
+            self.computed_at = DISTANT_PAST
         share.weight = weight
         return share
 
     def guaranteed_rate(self, share: BucketShare) -> float:
-        """Returns the requests a second that a party may always send."""
+        """Return the guaranteed rate of a party, requests per second."""
         return self.rate * share.weight / max(self.active_weight, share.weight)
 
     def wait_time(self, share: BucketShare, now: float) -> float:
-        """Notes the party's demand and returns the ms until its next request; 0: it may come."""
+        """Record the party's request and return the time until it is allowed, ms; 0 for now."""
         if not self.rate:
             return 0.0
         was_idle = now >= share.last_requested_at + self.ACTIVE_WINDOW
@@ -135,7 +138,7 @@
         )
 
     def consume(self, share: BucketShare, now: float) -> None:
-        """Takes the token of one request, from the party's own rate while that has some."""
+        """Take one token from the total, and one from the party's guaranteed rate if it has any."""
         if not self.rate:
             return
         if share.bucket.wait_time(now) == 0.0:
@@ -145,7 +148,7 @@
         self.total_bucket.full_at = min(self.total_bucket.full_at, now + self.ACTIVE_WINDOW)
 
     def reachable_rate(self, share: BucketShare) -> float:
-        """Returns what a party may reach: its guaranteed rate and what the others leave."""
+        """Return the rate that a party can reach with its guaranteed rate and unused rates."""
         used_by_others = sum(
             min(self.guaranteed_rate(other), self.GROWTH_ALLOWANCE * other.used_rate)
             for other in self.shares.values()
@@ -154,11 +157,11 @@
         return max(self.guaranteed_rate(share), self.rate - used_by_others)
 
     def _recompute(self, now: float) -> None:
-        """Renews used rates, drops idle parties and sets the guaranteed rates of active ones."""
+        """Update the used rates, drop idle parties and set the guaranteed rates of active ones."""
         elapsed = now - self.computed_at
         if elapsed >= self.RECOMPUTE_INTERVAL:
             for share in self.shares.values():
-                recent = self.SMOOTHED_PER_S * share.consumed_count / elapsed
+                recent = self.SMOOTHED_RATE_FACTOR * share.consumed_count / elapsed
                 share.used_rate = 0.5 * share.used_rate + recent
                 share.consumed_count = 0
             self.computed_at = now
@@ -179,5 +182,5 @@
 
 
 def bounded_retry_after(wait: float, maximum: float = MAX_RETRY_AFTER) -> float:
-    """Returns the Retry-After (ms) of a rejected request: the known wait, within bounds."""
+    """Return the Retry-After (ms) of a rejected request: the wait, limited to the bounds."""
     return min(max(wait, MIN_RETRY_AFTER), maximum)
--- a/mulleinrelay/cells/validation.py
+++ b/mulleinrelay/cells/validation.py
@@ -1,7 +1,7 @@
-"""Checks that the parts of an assignment fit together; pure.
+"""Validation of references and consistency within an assignment; pure.
 
 Each error names the section and the key of the assignment file, as in `[tenant acme] cell: no cell
-'north'`, also where the assignment comes from gNMI.
+'north'`, even if the assignment was set over gNMI.
 """
 
 from collections.abc import Container
@@ -12,12 +12,12 @@
 
 
 def validate_assignment(assignment: Assignment) -> None:
-    """Checks references, and that each cache, tenant and cell stands where it may.
+    """Check that references exist and that the parts of an assignment do not contradict each other.
 
     Raises:
-        ConfigError: If the parts do not fit together.
+        ConfigError: If a check fails.
     """
-    _validate_head(assignment)
+    _validate_assignment_section(assignment)
     _validate_cells(assignment)
     _validate_tenants(assignment)
     _validate_migrations(assignment)
@@ -30,19 +30,19 @@
         raise ConfigError(f"no {kind} {name!r}", section=section, key=key)
 
 
-def _validate_head(assignment: Assignment) -> None:
+def _validate_assignment_section(assignment: Assignment) -> None:
     if not assignment.cells:
-        raise ConfigError("one cell at the least is wanted", section="cell NAME")
+        raise ConfigError("at least one cell is required", section="cell NAME")
     if not any(cell.weight for cell in assignment.cells.values()):
         raise ConfigError(
-            "one cell at the least must have more than 0", section="cell NAME", key="weight"
+            "at least one cell must have a weight above 0", section="cell NAME", key="weight"
         )
     if assignment.default_tenant:
         name = assignment.default_tenant
         _require_known("assignment", "default_tenant", "tenant", name, assignment.tenants)
     elif assignment.unknown_tenant_policy == USE_DEFAULT_TENANT:
         raise ConfigError(
-            "wanted where unknown = default_tenant", section="assignment", key="default_tenant"
+            "required if unknown = default_tenant", section="assignment", key="default_tenant"
         )
 
 
@@ -54,11 +54,11 @@
             _require_known(section, "neighbours", "cell", other, assignment.cells)
             if other == name:
                 raise ConfigError(
-                    "a cell is no neighbour of its own", section=section, key="neighbours"
+                    "a cell cannot be its own neighbour", section=section, key="neighbours"
                 )
         for cache in cell.caches:
             if cache in cell_of_cache:
-                reason = f"{cache} stands in cell {cell_of_cache[cache]} already"
+                reason = f"{cache} already belongs to cell {cell_of_cache[cache]}"
                 raise ConfigError(reason, section=section, key="caches")
             cell_of_cache[cache] = name
 
@@ -69,7 +69,7 @@
         if tenant.cell:
             _require_known(section, "cell", "cell", tenant.cell, assignment.cells)
         elif assignment.placement_method == TABLE:
-            raise ConfigError(f"wanted where how = {TABLE}", section=section, key="cell")
+            raise ConfigError(f"required if how = {TABLE}", section=section, key="cell")
 
 
 def _validate_migrations(assignment: Assignment) -> None:
@@ -79,13 +79,13 @@
         _require_known(section, "from", "cell", migration.source, assignment.cells)
         _require_known(section, "to", "cell", migration.target, assignment.cells)
         if migration.source == migration.target:
-            raise ConfigError("the same cell as from", section=section, key="to")
+            raise ConfigError("the same cell as in the key from", section=section, key="to")
         if not migration.tenants:
-            raise ConfigError("one at the least is wanted", section=section, key="tenants")
+            raise ConfigError("at least one tenant is required", section=section, key="tenants")
         for tenant in migration.tenants:
             _require_known(section, "tenants", "tenant", tenant, assignment.tenants)
             if tenant in migration_of:
-                reason = f"{tenant} is moved by {migration_of[tenant]} already"
+                reason = f"{tenant} is already moved by {migration_of[tenant]}"
                 raise ConfigError(reason, section=section, key="tenants")
             migration_of[tenant] = name
         _validate_order_of_times(section, migration)
@@ -95,7 +95,7 @@
     for key, time, earliest in (
         ("held_at", migration.paused_at, migration.starts_at),
         ("aborted_at", migration.aborted_at, migration.starts_at),
-        # Without a pause there is nothing to resume: no time is late enough.
+        # Without a pause there is nothing to resume: every time is too early.
         ("resumed_at", migration.resumed_at, migration.paused_at or NUMBER_LIMIT),
     ):
         if time and time < earliest:
@@ -112,5 +112,5 @@
         for cell in names:
             _require_known(section, key, "cell", cell, assignment.cells)
             if cell in seen:
-                raise ConfigError(f"{cell} stands there twice", section=section, key=key)
+                raise ConfigError(f"{cell} is listed twice", section=section, key=key)
             seen.add(cell)
--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of cells."""
+"""Helpers and fixtures for the tests of cells."""
 
 import json
 
@@ -35,13 +35,13 @@
 def make_assignment(
     cells=("north", "south"),
     tenants=("acme", "beta", "shared"),
-    moves=(),
+    migrations=(),
     version=1,
-    releases=(),
+    rollouts=(),
     tenant_limits=None,
     **changes,
 ) -> Assignment:
-    """Makes an assignment of two cells; tenants are in the first, but `beta` in the last."""
+    """Return an assignment of two cells; tenants are in the first cell, `beta` is in the last."""
     cells = [Cell(cell) if isinstance(cell, str) else cell for cell in cells]
     cells_by_name = {cell.name: cell for cell in cells}
     tenants_by_name = {}
@@ -55,8 +55,8 @@
         1000.0,
         cells_by_name,
         tenants_by_name,
-        {move.name: move for move in moves},
-        {release.name: release for release in releases},
+        {migration.name: migration for migration in migrations},
+        {rollout.name: rollout for rollout in rollouts},
         **({"default_tenant": "shared"} | changes),
     )
 
@@ -80,7 +80,7 @@
 
 
 class ControllerFixture:
-    """A controller with named caches, and a clock that stands until moved."""
+    """An admission controller with named caches and a clock that the test advances."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
             capacity or DirectorCapacity(100.0),
             can_bypass,
         )
-        self.texts = self.update_caches(caches)
+        self.messages = self.update_caches(caches)
 
     def update_caches(self, caches, fractions=None):
         fractions = fractions or {}
@@ -123,7 +123,7 @@
         )
 
     def count_admitted(self, count, **request):
-        """Returns how many of `count` requests are admitted; they stay open."""
+        """Return how many of `count` requests are admitted; the admitted requests stay open."""
         grants = [self.admit(key=key, **request) for key in range(count)]
         return sum(isinstance(grant, AdmissionGrant) for grant in grants)
 
@@ -134,22 +134,31 @@
 
 
 class DirectorsFixture:
-    """Whole directors with one assignment file, before the same stand-ins; the block stops them."""
+    """Complete directors with one assignment file and the same stand-ins; stopped on exit."""
 
     def __init__(
-        self, folder, held, plan=HIT_ANSWER, directors=1, open_most=0, rate=0.0, **changes
+        self,
+        folder,
+        assignment,
+        plan=HIT_ANSWER,
+        director_count=1,
+        open_most=0,
+        rate=0.0,
+        **changes,
     ):
         self.path = folder / "assignment.ini"
-        self.path.write_text(format_assignment(held))
+        self.path.write_text(format_assignment(assignment))
         plans = plan if isinstance(plan, list) else [plan] * len(ENDPOINTS)
-        self.endpoints = [StandInEndpoint(each) for each in plans]
-        self.bus, self.sinks, self.callers = StandInEventStream(), [], []
-        self.services: list[Director] = []
-        for number in range(directors):
-            whole = platform_configuration(
-                [node.address for node in self.endpoints], self.bus.address, **changes
+        self.endpoints = [StandInEndpoint(endpoint_plan) for endpoint_plan in plans]
+        self.event_stream, self.logs, self.clients = StandInEventStream(), [], []
+        self.directors: list[Director] = []
+        for number in range(director_count):
+            platform_config = platform_configuration(
+                [endpoint.address for endpoint in self.endpoints],
+                self.event_stream.address,
+                **changes,
             )
-            own = CellsConfig(
+            cells_config = CellsConfig(
                 True,
                 str(self.path),
                 "tenant",
@@ -159,28 +168,28 @@
                 rate,
                 5_000.0,
             )
-            self.sinks.append(LogRecorder())
-            start = parse_config(json.dumps(whole | {"name": f"n{number}"}))
-            self.services.append(Director(start, self.sinks[-1], own))
+            self.logs.append(LogRecorder())
+            director_config = parse_config(json.dumps(platform_config | {"name": f"n{number}"}))
+            self.directors.append(Director(director_config, self.logs[-1], cells_config))
 
     def __enter__(self) -> "DirectorsFixture":
-        for service in self.services:
-            service.start()
+        for director in self.directors:
+            director.start()
         return self
 
-    def caller(self, number=0):
-        self.callers.append(StandInClient(self.services[number].listener.listener.getsockname()))
-        return self.callers[-1]
+    def connect_client(self, number=0):
+        self.clients.append(StandInClient(self.directors[number].listener.listener.getsockname()))
+        return self.clients[-1]
 
-    def heard(self, word="PULL"):
+    def commands_by_endpoint(self, word="PULL"):
         return commands_by_endpoint(self.endpoints, word)
 
     def __exit__(self, *_):
-        for service in self.services:
-            service.stop()
-        for caller in self.callers:
-            caller.close()
-        for service in self.services:
-            service.wait()
-        for each in (*self.endpoints, self.bus):
-            each.close()
+        for director in self.directors:
+            director.stop()
+        for client in self.clients:
+            client.close()
+        for director in self.directors:
+            director.wait()
+        for server in (*self.endpoints, self.event_stream):
+            server.close()
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""Admission at one director: quotas, lost cells, rollouts."""
+"""Admission at one director: quotas, lost cells, connections, restarts."""
 
 import itertools
 from dataclasses import replace
@@ -23,23 +23,23 @@
     DirectorCapacity,
 )
 
-TWO = (
+TWO_CELLS = (
     Cell("north", caches=("s-01", "s-02"), failover_cells=("south",), failover_quota=0.2),
     Cell("south", caches=("s-03", "s-04")),
 )
-ALL = ("s-01", "s-02", "s-03", "s-04")
+ALL_CACHES = ("s-01", "s-02", "s-03", "s-04")
 
 
 def test_flooding_tenant_leaves_the_other_cell_its_share():
-    fixture = ControllerFixture(make_assignment(TWO))
-    fixture.complete(fixture.admit("beta"))  # has asked lately
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
+    fixture.complete(fixture.admit("beta"))  # the cell's demand is recent
     fixture.now += 100.0
     assert fixture.count_admitted(1000) <= 100
     assert fixture.count_admitted(25, tenant_name="beta") == 25
 
 
 def test_flooding_tenant_leaves_tenants_of_its_cell_their_share():
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     fixture.complete(fixture.admit("shared"))
     fixture.now += 100.0
     fixture.count_admitted(1000)
@@ -47,22 +47,25 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "asked", "admitted"),
+    ("limits", "request_fields", "admitted"),
     [
         (Limits(rate=10.0, burst=5), {}, 5),
         (Limits(max_open_requests=7), {}, 7),
         (Limits(max_body_kb=100.0), {"body": 48_000}, 2),
         (Limits(retry_ratio=0.0), {"is_retry": True}, 10),
+        # A body counts as further open requests: 80 / (1 + 46.9 / 16) are admitted.
         (Limits(), {"body": 48_000}, 20),
     ],
-)  # a body counts as further requests: 80 / (1 + 46.9 / 16)
-def test_quota_of_a_tenant_is_enforced(limits, asked, admitted):
-    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=limits))
-    assert fixture.count_admitted(50, **asked) == admitted
+)
+def test_quota_of_a_tenant_is_enforced(limits, request_fields, admitted):
+    fixture = ControllerFixture(make_assignment(TWO_CELLS, tenant_limits=limits))
+    assert fixture.count_admitted(50, **request_fields) == admitted
 
 
 def test_completing_a_request_twice_releases_it_once():
-    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(max_open_requests=1)))
+    fixture = ControllerFixture(
+        make_assignment(TWO_CELLS, tenant_limits=Limits(max_open_requests=1))
+    )
     grant = fixture.admit()
     assert isinstance(fixture.admit(), AdmissionRejection)
     fixture.complete(grant)
@@ -87,33 +90,37 @@
 def test_rejected_retry_that_may_have_run_is_not_never_executed(
     request_class, is_retry, is_never_executed
 ):
-    fixture = ControllerFixture(make_assignment(TWO, tenant_limits=Limits(rate=0.001, burst=1)))
+    fixture = ControllerFixture(
+        make_assignment(TWO_CELLS, tenant_limits=Limits(rate=0.001, burst=1))
+    )
     fixture.admit()
     rejection = fixture.admit(request_class=request_class, is_retry=is_retry)
     assert rejection.is_never_executed == is_never_executed and rejection.retry_after_ms > 0.0
 
 
-def test_concurrency_limit_of_a_slow_cell_falls_and_the_others_stays():
-    fixture = ControllerFixture(make_assignment(TWO))
-    words = []
+def test_concurrency_limit_of_a_slow_cell_falls_and_that_of_the_other_cell_stays():
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
+    messages = []
     for turn in range(600):
         fixture.now += 10.0
         slow = fixture.admit(key=turn)
-        words.append(fixture.complete(slow, delay=5.0 if turn < 100 else 300.0))
+        messages.append(fixture.complete(slow, delay=5.0 if turn < 100 else 300.0))
         fixture.complete(fixture.admit("beta", key=turn), delay=5.0)
     cell_states = fixture.controller.cell_quotas.cell_states
     assert (
         cell_states["north"].concurrency_limit.current < 30.0
         and cell_states["south"].concurrency_limit.current == 100.0
     )
-    assert any(word.startswith("cell north: concurrency limit reduced to ") for word in words)
+    assert any(
+        message.startswith("cell north: concurrency limit reduced to ") for message in messages
+    )
 
 
-# A lost cell
+# Lost cells
 
 
 def test_lost_cell_uses_the_failover_quota_and_no_more():
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     assert "cell north lost" in fixture.update_caches(("s-03", "s-04"))
     grants = [
         grant for key in range(100) if isinstance(grant := fixture.admit(key=key), AdmissionGrant)
@@ -125,72 +132,82 @@
 
 @pytest.mark.parametrize(("capacity_fraction", "admitted"), [(1.0, 20), (0.5, 10), (0.0, 0)])
 def test_failover_cell_that_warms_up_admits_less(capacity_fraction, admitted):
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     fixture.update_caches(("s-03", "s-04"), {"s-03": capacity_fraction, "s-04": capacity_fraction})
     assert fixture.count_admitted(100) == admitted
 
 
 @pytest.mark.parametrize(
-    ("cells", "why"),
+    ("cells", "reason"),
     [
-        ((TWO[0], replace(TWO[1], failover_cells=("north",))), "lost"),
-        ((replace(TWO[0], failover_cells=()), TWO[1]), "lost"),
+        ((TWO_CELLS[0], replace(TWO_CELLS[1], failover_cells=("north",))), "lost"),
+        ((replace(TWO_CELLS[0], failover_cells=()), TWO_CELLS[1]), "lost"),
     ],
 )
-def test_requests_without_a_failover_cell_are_rejected(cells, why):
+def test_requests_without_a_failover_cell_are_rejected(cells, reason):
     fixture = ControllerFixture(make_assignment(cells))
     fixture.update_caches(() if cells[0].failover_cells else ("s-03",))
     rejection = fixture.admit()
-    assert why in rejection.reason and rejection.is_never_executed
+    assert reason in rejection.reason and rejection.is_never_executed
 
 
 @pytest.mark.parametrize(
-    ("request_class", "is_retry", "kind"),
+    ("request_class", "is_retry", "is_never_executed"),
     [(ORDER, False, True), (ORDER, True, False), (PAY, False, None), (ORDER_ALL, False, None)],
 )
-def test_requests_sticky_to_a_lost_cell_do_not_fail_over(request_class, is_retry, kind):
-    fixture = ControllerFixture(make_assignment(TWO))
+def test_requests_sticky_to_a_lost_cell_do_not_fail_over(
+    request_class, is_retry, is_never_executed
+):
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     fixture.update_caches(("s-03", "s-04"))
     fixture.now = 1e6
-    found = fixture.admit(request_class=request_class, idempotency_key="r", is_retry=is_retry)
-    assert (found.is_never_executed if isinstance(found, AdmissionRejection) else None) == kind
+    decision = fixture.admit(request_class=request_class, idempotency_key="r", is_retry=is_retry)
+    assert (
+        decision.is_never_executed if isinstance(decision, AdmissionRejection) else None
+    ) == is_never_executed
 
 
 def test_request_that_bypasses_caches_needs_none():
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     fixture.update_caches(())
     assert isinstance(fixture.admit(request_class=ORDER_ALL, idempotency_key="r"), AdmissionGrant)
 
 
 def test_objects_return_one_by_one_when_a_cell_recovers():
     fixture = ControllerFixture(
-        make_assignment(TWO, tenants=(Tenant("acme", "north"), "beta", "shared")),
+        make_assignment(TWO_CELLS, tenants=(Tenant("acme", "north"), "beta", "shared")),
         capacity=DirectorCapacity(1e6),
     )
     fixture.update_caches(("s-03", "s-04"))
-    assert "cell north back" in fixture.update_caches(ALL)
-    shares = []
+    assert "cell north back" in fixture.update_caches(ALL_CACHES)
+    home_fractions = []
     for _ in range(6):
-        shares.append(sum(fixture.admit(key=key).cell == "north" for key in range(500)) / 500)
+        home_fractions.append(
+            sum(fixture.admit(key=key).cell == "north" for key in range(500)) / 500
+        )
         fixture.now += 2_000.0
-    assert shares[0] == 0.0 and shares[-1] == 1.0 and shares == sorted(shares)
-    assert max(after - before for before, after in itertools.pairwise(shares)) < 0.3
+    assert (
+        home_fractions[0] == 0.0
+        and home_fractions[-1] == 1.0
+        and home_fractions == sorted(home_fractions)
+    )
+    assert max(after - before for before, after in itertools.pairwise(home_fractions)) < 0.3
 
 
 def test_each_tenant_has_its_own_retry_budget():
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     budgets = [
-        fixture.admit(told, key=key).pool.retry_budget
-        for told in ("acme", "shared")
+        fixture.admit(tenant, key=key).pool.retry_budget
+        for tenant in ("acme", "shared")
         for key in (1, 2)
     ]
     assert budgets[0] is budgets[1] and budgets[2] is budgets[3] and budgets[0] is not budgets[2]
 
 
 def test_unusable_assignment_changes_nothing():
-    fixture = ControllerFixture(make_assignment(TWO))
+    fixture = ControllerFixture(make_assignment(TWO_CELLS))
     crossing = make_assignment(
-        TWO,
+        TWO_CELLS,
         (
             Tenant("acme", "north", groups=((0, 5),)),
             Tenant("beta", "south", groups=((3, 9),)),
@@ -211,18 +228,19 @@
         Tenant("acme", "north", addresses=("10.0.0.0/8",), limits=Limits(max_connections=3)),
         "shared",
     )
-    controller = ControllerFixture(make_assignment(TWO, tenants)).controller
+    controller = ControllerFixture(make_assignment(TWO_CELLS, tenants)).controller
     assert controller.can_admit_connection("10.2.3.4", open_connections) == can_admit
     assert controller.can_admit_connection("11.2.3.4", 1000)
 
 
 def test_director_restarted_in_a_migration_follows_the_clock_and_fails_uncertain_retries():
-    held = replace(
-        make_assignment(TWO, moves=(make_migration(starts_at=100_000.0),)), written_at=90_000.0
+    assignment = replace(
+        make_assignment(TWO_CELLS, migrations=(make_migration(starts_at=100_000.0),)),
+        written_at=90_000.0,
     )
-    before, after = ControllerFixture(held), ControllerFixture(held)
+    before, after = ControllerFixture(assignment), ControllerFixture(assignment)
     before.now = after.now = 103_000.0
-    cells = [[one.admit(key=key).cell for key in range(50)] for one in (before, after)]
+    cells = [[fixture.admit(key=key).cell for key in range(50)] for fixture in (before, after)]
     assert cells[0] == cells[1] and len(set(cells[0])) == 2
     assert not after.admit(
         request_class=ORDER, idempotency_key="r", is_retry=True
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -1,4 +1,4 @@
-"""Assignment files: what is accepted, and that they are written completely or not at all."""
+"""Assignment files: parsing, errors and atomic writes."""
 
 import os
 from dataclasses import replace
@@ -15,8 +15,8 @@
 from mulleinrelay.cells.parser import parse_assignment
 from mulleinrelay.errors import ConfigError
 
-HEAD = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
-WHOLE = HEAD + "[cell north]\n[cell south]\n[tenant acme]\n"
+ASSIGNMENT_SECTION = "[assignment]\nform = 1\nversion = 1\nwritten = 5\ndefault_tenant = acme\n"
+MINIMAL = ASSIGNMENT_SECTION + "[cell north]\n[cell south]\n[tenant acme]\n"
 
 
 @pytest.mark.parametrize(
@@ -24,77 +24,82 @@
     [
         ("", "[assignment]: the section is missing"),
         ("nonsense", "the file: "),
-        (HEAD, "[cell NAME]: one cell"),
-        (HEAD + "[cell north]\nweight = 0\n[tenant acme]", "[cell NAME] weight"),
-        (WHOLE.replace("form = 1", "form = 2"), "[assignment] form: this program reads form 1"),
-        (WHOLE.replace("version = 1", "version = 1.5"), "[assignment] version: a whole number"),
-        (WHOLE.replace("version = 1", ""), "[assignment] version: the key is missing"),
-        (WHOLE + "rate = -1", "[tenant acme] rate: a number of 0 or more"),
-        (WHOLE + "rate = nan", "[tenant acme] rate: a number"),
-        (WHOLE + "rate = fast", "[tenant acme] rate: a number"),
-        (WHOLE + "speed = 3", "[tenant acme] speed: an unknown key"),
-        (WHOLE + "cell = east", "[tenant acme] cell: no cell 'east'"),
-        (WHOLE + "addresses = 10.0.0.1/8", "[tenant acme] addresses: 10.0.0.1/8 has host bits set"),
-        (WHOLE + "groups = 7-300", "[tenant acme] groups: '7-300' is no group"),
-        (WHOLE + "groups = 9-7", "[tenant acme] groups"),
-        (WHOLE + "[tenant a b]", "[tenant a b]: an unknown section"),
-        (WHOLE + "[tenant acme]", "the file: "),
-        (WHOLE + "[place x]", "[place x]: an unknown section"),
-        (WHOLE.replace("default_tenant = acme", ""), "[assignment] default_tenant: wanted"),
-        (WHOLE.replace("= acme", "= gone"), "[assignment] default_tenant: no tenant 'gone'"),
-        (WHOLE + "[cell east]\nneighbours = west", "[cell east] neighbours: no cell 'west'"),
+        (ASSIGNMENT_SECTION, "[cell NAME]: at least one cell"),
+        (ASSIGNMENT_SECTION + "[cell north]\nweight = 0\n[tenant acme]", "[cell NAME] weight"),
+        (MINIMAL.replace("form = 1", "form = 2"), "[assignment] form: this program reads form 1"),
+        (MINIMAL.replace("version = 1", "version = 1.5"), "[assignment] version: a whole number"),
+        (MINIMAL.replace("version = 1", ""), "[assignment] version: the key is missing"),
+        (MINIMAL + "rate = -1", "[tenant acme] rate: a number of 0 or more"),
+        (MINIMAL + "rate = nan", "[tenant acme] rate: a number"),
+        (MINIMAL + "rate = fast", "[tenant acme] rate: a number"),
+        (MINIMAL + "speed = 3", "[tenant acme] speed: an unknown key"),
+        (MINIMAL + "cell = east", "[tenant acme] cell: no cell 'east'"),
         (
-            WHOLE + "[cell east]\nneighbours = east",
-            "[cell east] neighbours: a cell is no neighbour",
+            MINIMAL + "addresses = 10.0.0.1/8",
+            "[tenant acme] addresses: 10.0.0.1/8 has host bits set",
         ),
+        (MINIMAL + "groups = 7-300", "[tenant acme] groups: '7-300' is not a group"),
+        (MINIMAL + "groups = 9-7", "[tenant acme] groups"),
+        (MINIMAL + "[tenant a b]", "[tenant a b]: an unknown section"),
+        (MINIMAL + "[tenant acme]", "the file: "),
+        (MINIMAL + "[place x]", "[place x]: an unknown section"),
+        (MINIMAL.replace("default_tenant = acme", ""), "[assignment] default_tenant: required"),
+        (MINIMAL.replace("= acme", "= gone"), "[assignment] default_tenant: no tenant 'gone'"),
+        (MINIMAL + "[cell east]\nneighbours = west", "[cell east] neighbours: no cell 'west'"),
         (
-            WHOLE + "[cell a]\ncaches = s-1\n[cell b]\ncaches = s-1",
-            "[cell b] caches: s-1 stands in cell a",
+            MINIMAL + "[cell east]\nneighbours = east",
+            "[cell east] neighbours: a cell cannot be its own neighbour",
         ),
-        (WHOLE + "[cell a]\ncaches = s-1 s-1", "[cell a] caches: a name occurs twice"),
-        (WHOLE + "[cell a]\nreserve = 1.5", "[cell a] reserve: a number from 0 to 1"),
         (
-            WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = north\nstarts = 1\nwarm_ms = 1\n"
+            MINIMAL + "[cell a]\ncaches = s-1\n[cell b]\ncaches = s-1",
+            "[cell b] caches: s-1 already belongs to cell a",
+        ),
+        (MINIMAL + "[cell a]\ncaches = s-1 s-1", "[cell a] caches: a name occurs twice"),
+        (MINIMAL + "[cell a]\nreserve = 1.5", "[cell a] reserve: a number from 0 to 1"),
+        (
+            MINIMAL
+            + "[move m]\ntenants = acme\nfrom = north\nto = north\nstarts = 1\nwarm_ms = 1\n"
             "shift_ms = 1\ndrain_ms = 1",
-            "[move m] to: the same cell",
+            "[move m] to: the same cell as in the key from",
         ),
         (
-            WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9\nwarm_ms = 1\n"
+            MINIMAL
+            + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9\nwarm_ms = 1\n"
             "shift_ms = 1\ndrain_ms = 1\naborted_at = 3",
             "[move m] aborted_at: before",
         ),
         (
-            WHOLE + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9",
+            MINIMAL + "[move m]\ntenants = acme\nfrom = north\nto = south\nstarts = 9",
             "[move m] warm_ms: the key is missing",
         ),
         (
-            WHOLE + "[release r]\ncanary = north\nwaves = south; north\nstarts = 1\nwave_ms = 1",
-            "[release r] waves: north stands there twice",
+            MINIMAL + "[release r]\ncanary = north\nwaves = south; north\nstarts = 1\nwave_ms = 1",
+            "[release r] waves: north is listed twice",
         ),
         (
-            WHOLE.replace("written = 5", "written = 5\nhow = table"),
-            "[tenant acme] cell: wanted where how = table",
+            MINIMAL.replace("written = 5", "written = 5\nhow = table"),
+            "[tenant acme] cell: required if how = table",
         ),
         (
-            WHOLE.replace("written = 5", "written = 5\nhow = luck"),
+            MINIMAL.replace("written = 5", "written = 5\nhow = luck"),
             "[assignment] how: one of rendezvous, table",
         ),
     ],
 )
 def test_error_names_its_key(text, message):
-    with pytest.raises(ConfigError) as fault:
+    with pytest.raises(ConfigError) as raised:
         parse_assignment(text)
-    assert str(fault.value).startswith(message)
+    assert str(raised.value).startswith(message)
 
 
 NAME = st.text("abcz019_.:-", min_size=1, max_size=12)
-FIGURE = st.floats(0, 1e6).map(lambda value: round(value, 3))
-LIMITS = st.builds(Limits, FIGURE, FIGURE, FIGURE, FIGURE, FIGURE, st.integers(0, 1000))
+NUMBER = st.floats(0, 1e6).map(lambda value: round(value, 3))
+LIMITS = st.builds(Limits, NUMBER, NUMBER, NUMBER, NUMBER, NUMBER, st.integers(0, 1000))
 TENANTS = st.builds(
     Tenant,
     NAME,
     st.sampled_from(["", "north", "south"]),
-    FIGURE.map(lambda value: value / 2.0 + 0.5),
+    NUMBER.map(lambda value: value / 2.0 + 0.5),
     st.sampled_from([(), ("10.0.0.0/8",), ("10.1.0.0/16", "fd00::/8")]),
     st.sampled_from([(), ((3, 3),), ((0, 9), (40, 255))]),
     LIMITS,
@@ -106,10 +111,10 @@
     st.lists(TENANTS, max_size=6, unique_by=lambda tenant: tenant.name),
     LIMITS,
     st.integers(0, 10**9),
-    FIGURE,
+    NUMBER,
 )
-def test_formatted_assignment_reads_back(tenants, limits, version, written):
-    held = make_assignment(
+def test_parsing_a_formatted_assignment_returns_an_equal_one(tenants, limits, version, written):
+    assignment = make_assignment(
         (Cell("north", 2.5, ("s-1",), 1, ("south",), 0.25, 500.0, limits), "south"),
         (*tenants, Tenant("shared", "south")),
         (make_migration(tenants=("shared",), source="south", target="north"),),
@@ -117,8 +122,8 @@
         (Rollout("r1", "north", (("south",),), 5.0, 9.0, limits),),
         limits=limits,
     )
-    held = replace(held, written_at=written)
-    assert parse_assignment(format_assignment(held)) == held
+    assignment = replace(assignment, written_at=written)
+    assert parse_assignment(format_assignment(assignment)) == assignment
 
 
 @pytest.mark.parametrize(
@@ -134,14 +139,14 @@
     ],
 )
 def test_error_in_the_cells_file_names_its_key(text, message):
-    with pytest.raises(ConfigError) as fault:
+    with pytest.raises(ConfigError) as raised:
         parse_cells_config(text, "/somewhere")
-    assert str(fault.value).startswith(message)
+    assert str(raised.value).startswith(message)
 
 
 def test_example_files_can_be_used():
-    own = load_cells_config("deploy/cells.ini")
-    assert not own.enabled and store.load_assignment(own.assignment_file).tenants[
+    config = load_cells_config("deploy/cells.ini")
+    assert not config.enabled and store.load_assignment(config.assignment_file).tenants[
         "acme"
     ].groups == (
         (0, 15),
@@ -170,10 +175,9 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, step, fail)
-    with pytest.raises(ConfigError, match="the old version stands"):
+    with pytest.raises(ConfigError, match="the old version is kept"):
         store.save_assignment(path, make_assignment(), 2.0, 1)
     monkeypatch.undo()
     assert store.load_assignment(path).version == 1
-    assert (
-        store.save_assignment(path, make_assignment(), 3.0, 1).version == 2
-    )  # what was left lying about is in nobody's way
+    # The temporary file that the failed write left does not prevent the next write.
+    assert store.save_assignment(path, make_assignment(), 3.0, 1).version == 2
--- a/tests/cells/test_cells_commands.py
+++ b/tests/cells/test_cells_commands.py
@@ -1,4 +1,4 @@
-"""`mulleinrelay cells`, `lab` and `check`: what they say, write and exit with."""
+"""Commands `mulleinrelay cells`, `check` and `lab`: output, files and exit codes."""
 
 import json
 
@@ -21,13 +21,13 @@
     return str(file)
 
 
-def call(path, *arguments):
-    done = CliRunner().invoke(main, ["cells", *arguments, "--file", path])
-    return done.exit_code, done.output
+def invoke(path, *arguments):
+    result = CliRunner().invoke(main, ["cells", *arguments, "--file", path])
+    return result.exit_code, result.output
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "told"),
+    ("arguments", "code", "expected"),
     [
         (("show",), 0, "version 1, 3 tenants in 2 cells"),
         (("explain", "acme"), 0, "cell: north"),
@@ -35,7 +35,7 @@
         (("explain", "xyz", "--tenant", "acme"), 2, "16 hex digits"),
         (("move", "acme", "--to", "east", "--shift-ms", "1"), 3, "there is no cell east"),
         (("move", "acme", "--to", "south"), 2, "either --shift-ms, or"),
-        (("move", "acme", "--to", "south", "--rate", "5"), 2, "go together"),
+        (("move", "acme", "--to", "south", "--rate", "5"), 2, "must be given together"),
         (
             (
                 "plan",
@@ -50,7 +50,7 @@
                 "9",
             ),
             3,
-            "can't bear",
+            "cannot serve",
         ),
         (
             (
@@ -95,74 +95,83 @@
         (("show", "--bad"), 2, "No such option"),
     ],
 )
-def test_output_and_exit_code_of_a_command(path, arguments, code, told):
-    found = call(path, *arguments)
-    assert found[0] == code and told in found[1]
+def test_output_and_exit_code_of_a_command(path, arguments, code, expected):
+    result = invoke(path, *arguments)
+    assert result[0] == code and expected in result[1]
     assert store.load_assignment(path).version == 1
 
 
-def test_a_migration_and_a_rollout_by_commands(path):
-    assert call(path, "move", "acme", "--to", "south", "--name", "m1", "--shift-ms", "3000")[0] == 0
-    assert call(path, "move", "acme", "--to", "south", "--shift-ms", "3000")[0] == 3
-    shown = json.loads(call(path, "show", "--json")[1])
-    assert shown["moves"]["m1"]["stage"] == "planned" and shown["version"] == 2
-    assert "move: name m1" in call(path, "explain", "00000000000000ab", "--tenant", "acme")[1]
-    assert call(path, "hold", "m1")[0] == call(path, "resume", "m1")[0] == 0
-    assert call(path, "abort", "m1")[0] == 0
+def test_commands_run_a_migration_and_a_rollout(path):
     assert (
-        call(path, "release", "r1", "--canary", "north", "--wave", "south", "--rate", "9")[0] == 0
+        invoke(path, "move", "acme", "--to", "south", "--name", "m1", "--shift-ms", "3000")[0] == 0
     )
-    assert call(path, "release", "r1", "--canary", "north")[0] == 3
-    assert call(path, "keep", "r1")[0] == 0
-    held = store.load_assignment(path)
-    assert held.version == 7 and held.tenants["beta"].limits.rate == 9.0 and not held.rollouts
-    told = [line.split()[2] for line in call(path, "log")[1].splitlines()]
-    lines = json.loads(call(path, "log", "--json")[1])["lines"]
-    assert len(told) == len(lines) == 6 and [line["director"] for line in lines] == ["staff"] * 6
+    assert invoke(path, "move", "acme", "--to", "south", "--shift-ms", "3000")[0] == 3
+    output = json.loads(invoke(path, "show", "--json")[1])
+    assert output["moves"]["m1"]["stage"] == "planned" and output["version"] == 2
+    assert "move: name m1" in invoke(path, "explain", "00000000000000ab", "--tenant", "acme")[1]
+    assert invoke(path, "hold", "m1")[0] == invoke(path, "resume", "m1")[0] == 0
+    assert invoke(path, "abort", "m1")[0] == 0
+    assert (
+        invoke(path, "release", "r1", "--canary", "north", "--wave", "south", "--rate", "9")[0] == 0
+    )
+    assert invoke(path, "release", "r1", "--canary", "north")[0] == 3
+    assert invoke(path, "keep", "r1")[0] == 0
+    assignment = store.load_assignment(path)
+    assert (
+        assignment.version == 7
+        and assignment.tenants["beta"].limits.rate == 9.0
+        and not assignment.rollouts
+    )
+    events = [line.split()[2] for line in invoke(path, "log")[1].splitlines()]
+    lines = json.loads(invoke(path, "log", "--json")[1])["lines"]
+    assert len(events) == len(lines) == 6 and [line["director"] for line in lines] == ["staff"] * 6
 
 
 def test_show_and_log_include_directors_records(path, tmp_path):
     folder = str(tmp_path / "records")
     fixture = ControllerFixture()
     for name in ("n1", "n2"):
-        kept = records.DirectorRecords(folder, name)
+        director_records = records.DirectorRecords(folder, name)
         assert (
-            kept.write(
+            director_records.write(
                 fixture.controller.status(1.0) | {"version": 1 if name == "n1" else 9},
                 ["cell north lost"],
             )
             == ""
         )
-    (tmp_path / "records" / "n3.json").write_text("{")  # cut off by a kill of an older program
+    (tmp_path / "records" / "n3.json").write_text("{")  # truncated when an older program was killed
     (tmp_path / "records" / "n3.jsonl").write_text('{"at": 1.0, "te')
-    shown = call(path, "show", "--records", folder)[1]
+    output = invoke(path, "show", "--records", folder)[1]
     assert (
-        "director n1: version 1, told" in shown
-        and "director n2: version 9 (NOT the file's version)" in shown
+        "director n1: version 1, told" in output
+        and "director n2: version 9 (NOT the file's version)" in output
     )
-    assert call(path, "log", "--records", folder)[1].count("cell north lost") == 2
-    assert call(path, "show", "--records", str(tmp_path / "none"))[0] == 2
+    assert invoke(path, "log", "--records", folder)[1].count("cell north lost") == 2
+    assert invoke(path, "show", "--records", str(tmp_path / "none"))[0] == 2
 
 
 def test_unwritable_records_are_reported_once(tmp_path):
     (tmp_path / "records").write_text("a file")
-    kept = records.DirectorRecords(str(tmp_path / "records"), "n1")
-    assert kept.write({}, []).startswith("records cannot be written") and kept.write({}, []) == ""
+    director_records = records.DirectorRecords(str(tmp_path / "records"), "n1")
+    assert (
+        director_records.write({}, []).startswith("records cannot be written")
+        and director_records.write({}, []) == ""
+    )
     (tmp_path / "records").unlink()
-    assert kept.write({}, []) == "records are written again"
+    assert director_records.write({}, []) == "records are written again"
 
 
 def test_records_log_is_rotated(tmp_path, monkeypatch):
     monkeypatch.setattr(records, "MAX_LOG_BYTES", 200)
-    kept = records.DirectorRecords(str(tmp_path), "n1")
+    director_records = records.DirectorRecords(str(tmp_path), "n1")
     for number in range(20):
-        kept.write({}, [f"word {number}"])
+        director_records.write({}, [f"word {number}"])
     lines = records.read_logs(str(tmp_path))
     assert lines[-1]["text"] == "word 19" and len(lines) < 20
 
 
 @pytest.mark.parametrize(
-    ("text", "code", "told"),
+    ("text", "code", "expected"),
     [
         ("[cells]\n", 0, "cells: off, no assignment"),
         ("[cells]\nassignment = assignment.ini", 0, "2 cells"),
@@ -170,18 +179,19 @@
         ("[cells]\nspeed = 1", 2, "[cells] speed"),
     ],
 )
-def test_check_reads_the_cells_file(path, tmp_path, text, code, told):
+def test_check_reads_the_cells_file(path, tmp_path, text, code, expected):
     (tmp_path / "cells.ini").write_text(text)
-    done = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ["check", "--cells", str(tmp_path / "cells.ini")], env={"LB_CONFIG": ""}
     )
-    assert done.exit_code == code and told in done.output
+    assert result.exit_code == code and expected in result.output
 
 
 @pytest.mark.parametrize(
-    ("name", "code", "told"), [("none.ini", 2, "No such file"), ("bad.ini", 2, "[fleet] caches")]
+    ("name", "code", "expected"),
+    [("none.ini", 2, "No such file"), ("bad.ini", 2, "[fleet] caches")],
 )
-def test_lab_reports_a_faulty_scenario_file(tmp_path, name, code, told):
+def test_lab_reports_an_unusable_scenario_file(tmp_path, name, code, expected):
     (tmp_path / "bad.ini").write_text("[assignment]\ndefault_tenant = a\n[cell c]\n[tenant a]\n")
-    done = CliRunner().invoke(main, ["lab", str(tmp_path / name)])
-    assert done.exit_code == code and told in done.output
+    result = CliRunner().invoke(main, ["lab", str(tmp_path / name)])
+    assert result.exit_code == code and expected in result.output
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -1,4 +1,4 @@
-"""The hard cases on real sockets: a flood, a move, an order in flight, a small lab."""
+"""End-to-end tests on real sockets: a flood, migrations, requests in flight, a small lab."""
 
 import dataclasses
 import threading
@@ -17,8 +17,8 @@
 
 SERVED, REJECTED, FAILED = 0, 1, 2
 FILLED = (b"DONE", b"why=MISS,entity=aa,issued=1,delay=5", b"bytes")
-TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
-EVER = 10.0**14  # a move that never ends by itself: its clock stands
+TWO_CELLS = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
+NEVER_DONE_MS = 10.0**14  # drain duration of a migration that does not end during a test
 
 
 @pytest.fixture(autouse=True)
@@ -26,180 +26,211 @@
     monkeypatch.setattr(director_module, "NEW_CALLS_S", 0.0)
 
 
-def halfway(share=0.5, **changes):
-    """A move that has long begun and is held when that share has gone over."""
+def make_paused_migration(fraction=0.5, **changes):
+    """Return a migration that is paused at the given migrated fraction."""
     return make_migration(
         starts_at=1_000.0,
         warm_up_duration=0.0,
         shift_duration=1_000.0,
-        drain_duration=EVER,
+        drain_duration=NEVER_DONE_MS,
         warm_up_fraction=0.0,
-        paused_at=1_000.0 + 1_000.0 * share,
+        paused_at=1_000.0 + 1_000.0 * fraction,
         **changes,
     )
 
 
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
-    # The flooder's requests are never answered by its cache, so all that it may have open stays
-    # open; where the machine is so slow that some of them are given up meanwhile, as many may
-    # follow, and no more.
-    def silent(fields):
+    # The cache never answers the flooding tenant's requests, so all admitted requests stay open. On
+    # a slow machine some of them time out during the test; the same number may then be admitted in
+    # addition, and no more.
+    def answer_others(fields):
         return None if fields["name"].startswith("f") else HIT_ANSWER
 
-    ended, settle = [], CellService.complete_request
+    ended, complete_request = [], CellService.complete_request
 
-    def noted(warden, grant, request, *how):
+    def record_completion(service, grant, request, *outcome):
         if request.object_id >> 60 == 0xF:
             ended.append(request)
-        settle(warden, grant, request, *how)
+        complete_request(service, grant, request, *outcome)
 
-    monkeypatch.setattr(CellService, "complete_request", noted)
-    with DirectorsFixture(tmp_path, make_assignment(TWO), plan=silent, open_most=64) as running:
-        others = running.caller()
+    monkeypatch.setattr(CellService, "complete_request", record_completion)
+    with DirectorsFixture(
+        tmp_path, make_assignment(TWO_CELLS), plan=answer_others, open_most=64
+    ) as running:
+        others = running.connect_client()
         others.send(tenant="beta")
         assert others.read_answer()[1] == SERVED
-        callers = [running.caller() for _ in range(8)]
+        clients = [running.connect_client() for _ in range(8)]
         for number in range(30):
-            for caller in callers:
-                caller.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
+            for client in clients:
+                client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.read_answer()[1] == SERVED
-        held = [entry for entry in running.heard()["s-01"] if entry[2]["name"].startswith("f")]
-        assert 0 < len(held) <= 64 + len(ended)  # each is noted before it makes room
+        flood = [
+            entry
+            for entry in running.commands_by_endpoint()["s-01"]
+            if entry[2]["name"].startswith("f")
+        ]
+        # A completion is recorded before its quota is released.
+        assert 0 < len(flood) <= 64 + len(ended)
         assert (
-            sum(len(sent) for name, sent in running.heard().items() if name in ("s-02", "s-03"))
+            sum(
+                len(sent)
+                for name, sent in running.commands_by_endpoint().items()
+                if name in ("s-02", "s-03")
+            )
             == 41
         )
-        for (
-            caller
-        ) in callers:  # one answer each, those that were held at the end of their client's time
-            assert [caller.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
+        # Each request gets one answer; open requests are rejected when their client's time is up.
+        for client in clients:
+            assert [client.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
 def test_two_directors_migrate_the_same_objects_and_the_old_cache_fills(tmp_path):
-    # South lacks everything at first and tells so; what north has answered lately, it is to give as
-    # a sibling.
+    # The caches of south report misses at first. The director must name the cache of north, which
+    # has served the objects before, as the fill source.
 
     plans = [HIT_ANSWER, FILLED, FILLED, FILLED, FILLED, FILLED]
     objects = [f"{number:016x}" for number in range(40)]
-    with DirectorsFixture(tmp_path, make_assignment(TWO), plan=plans, directors=2) as running:
+    with DirectorsFixture(
+        tmp_path, make_assignment(TWO_CELLS), plan=plans, director_count=2
+    ) as running:
         for number in (0, 1):
-            caller = running.caller(number)
+            client = running.connect_client(number)
             for entity in objects:
-                caller.send(tenant="acme", entity=entity)
-                assert caller.read_answer()[1] == SERVED
-        assert len(running.heard()["s-01"]) == 80
+                client.send(tenant="acme", entity=entity)
+                assert client.read_answer()[1] == SERVED
+        assert len(running.commands_by_endpoint()["s-01"]) == 80
         running.path.write_text(
             format_assignment(
-                dataclasses.replace(make_assignment(TWO, moves=(halfway(),)), version=2)
+                dataclasses.replace(
+                    make_assignment(TWO_CELLS, migrations=(make_paused_migration(),)), version=2
+                )
             )
         )
         assert wait_for(
             lambda: all(
-                one.cell_service.controller.assignment.version == 2 for one in running.services
+                director.cell_service.controller.assignment.version == 2
+                for director in running.directors
             )
         )
-        went = []
+        migrated = []
         for number in (0, 1):
-            before = {name: len(attempts) for name, attempts in running.heard().items()}
-            caller = running.caller(number)
+            before = {
+                name: len(attempts) for name, attempts in running.commands_by_endpoint().items()
+            }
+            client = running.connect_client(number)
             for entity in objects:
-                caller.send(tenant="acme", entity=entity)
-                assert caller.read_answer()[1] == SERVED
-            new = {name: attempts[before[name] :] for name, attempts in running.heard().items()}
-            went.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
+                client.send(tenant="acme", entity=entity)
+                assert client.read_answer()[1] == SERVED
+            new = {
+                name: attempts[before[name] :]
+                for name, attempts in running.commands_by_endpoint().items()
+            }
+            migrated.append({entry[2]["name"] for name in ("s-02", "s-03") for entry in new[name]})
             sources = {entry[2]["miss"] for name in ("s-02", "s-03") for entry in new[name]}
             assert sources == {"s-01"}
-        assert went[0] == went[1] and 5 < len(went[0]) < 35
+        assert migrated[0] == migrated[1] and 5 < len(migrated[0]) < 35
 
 
-@pytest.mark.parametrize(("where", "answer"), [(0, SERVED), (1, FAILED)])
-def test_request_in_flight_at_a_migration_runs_in_one_cell_only(where, answer, tmp_path):
-    answered = threading.Event()
+@pytest.mark.parametrize(("director_index", "answer"), [(0, SERVED), (1, FAILED)])
+def test_request_in_flight_at_a_migration_runs_in_one_cell_only(director_index, answer, tmp_path):
+    may_answer = threading.Event()
 
-    def held(fields):
-        answered.wait(10.0)
+    def answer_later(fields):
+        may_answer.wait(10.0)
         return HIT_ANSWER
 
     with DirectorsFixture(
         tmp_path,
-        make_assignment(TWO),
-        plan=[held, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER],
-        directors=2,
+        make_assignment(TWO_CELLS),
+        plan=[answer_later, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER, HIT_ANSWER],
+        director_count=2,
     ) as running:
-        for one in running.services:
-            one.config.request_classes["order"].key_scope = "cell"
-            one.config.request_classes["order"].is_uncacheable = False
-            one.cell_service.controller.placement.uncertain_until = 0.0
-        first = running.caller()
+        for director in running.directors:
+            director.config.request_classes["order"].key_scope = "cell"
+            director.config.request_classes["order"].is_uncacheable = False
+            director.cell_service.controller.placement.uncertain_until = 0.0
+        first = running.connect_client()
         first.send("order", tenant="acme", nonce="n1", patience="2900")
-        assert wait_for(lambda: running.heard()["s-01"])
+        assert wait_for(lambda: running.commands_by_endpoint()["s-01"])
         running.path.write_text(
             format_assignment(
-                dataclasses.replace(make_assignment(TWO, moves=(halfway(1.0),)), version=2)
+                dataclasses.replace(
+                    make_assignment(TWO_CELLS, migrations=(make_paused_migration(1.0),)), version=2
+                )
             )
         )
         assert wait_for(
             lambda: all(
-                one.cell_service.controller.assignment.version == 2 for one in running.services
+                director.cell_service.controller.assignment.version == 2
+                for director in running.directors
             )
         )
-        again = running.caller(where)
-        again.send("order", tenant="acme", nonce="n1", redo="1", patience="2900")
-        if where == 1:
-            assert again.read_answer()[1] == answer
-        answered.set()
+        retrying = running.connect_client(director_index)
+        retrying.send("order", tenant="acme", nonce="n1", redo="1", patience="2900")
+        if director_index == 1:
+            assert retrying.read_answer()[1] == answer
+        may_answer.set()
         assert first.read_answer()[1] == SERVED
-        if where == 0:
-            assert again.read_answer()[1] == answer
-        fresh = running.caller(where)
-        fresh.send("order", tenant="acme", nonce="n2")
-        assert fresh.read_answer()[1] == SERVED
-        ran = {
+        if director_index == 0:
+            assert retrying.read_answer()[1] == answer
+        other = running.connect_client(director_index)
+        other.send("order", tenant="acme", nonce="n2")
+        assert other.read_answer()[1] == SERVED
+        caches_that_ran_it = {
             name
-            for name, sent in running.heard().items()
+            for name, sent in running.commands_by_endpoint().items()
             for entry in sent
             if entry[2].get("dedupe") == "n1"
         }
-        assert ran == {"s-01"}
+        assert caches_that_ran_it == {"s-01"}
         assert [
-            entry[2]["dedupe"] for name in ("s-02", "s-03") for entry in running.heard()[name]
+            entry[2]["dedupe"]
+            for name in ("s-02", "s-03")
+            for entry in running.commands_by_endpoint()[name]
         ] == ["n2"]
 
 
-def test_drain_during_a_migration_holds_for_both_cells(tmp_path):
-    with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(),))) as running:
-        director = running.services[0]
+def test_drain_during_a_migration_applies_to_both_cells(tmp_path):
+    with DirectorsFixture(
+        tmp_path, make_assignment(TWO_CELLS, migrations=(make_paused_migration(),))
+    ) as running:
+        director = running.directors[0]
         director.event_stream.apply(2, endpoint_list_update(running, "DRAINING", "s-01", "s-02"))
         assert wait_for(lambda: len(director.coordinator.ready_caches()) == 1)
-        caller = running.caller()
+        client = running.connect_client()
         for number in range(40):
-            caller.send(tenant="acme", entity=f"{number:016x}")
-            caller.read_answer()
-        heard = running.heard()
-        assert not heard["s-01"] and not heard["s-02"] and heard["s-03"]
-        assert not {entry[2].get("miss") for entry in heard["s-03"]} & {"s-01", "s-02"}
-
-
-def test_purge_during_a_migration_holds_for_the_old_cells_copies(tmp_path):
-    with DirectorsFixture(tmp_path, make_assignment(TWO, moves=(halfway(1.0),))) as running:
-        caller = running.caller()
-        caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.read_answer()[1] == SERVED
-        director = running.services[0]
+            client.send(tenant="acme", entity=f"{number:016x}")
+            client.read_answer()
+        commands = running.commands_by_endpoint()
+        assert not commands["s-01"] and not commands["s-02"] and commands["s-03"]
+        assert not {entry[2].get("miss") for entry in commands["s-03"]} & {"s-01", "s-02"}
+
+
+def test_purge_during_a_migration_applies_to_copies_in_the_source_cell(tmp_path):
+    with DirectorsFixture(
+        tmp_path, make_assignment(TWO_CELLS, migrations=(make_paused_migration(1.0),))
+    ) as running:
+        client = running.connect_client()
+        client.send(tenant="acme", entity="00000000000000ab")
+        assert client.read_answer()[1] == SERVED
+        director = running.directors[0]
         director.event_stream.apply(
             2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}}
         )
-        caller.send(tenant="acme", entity="00000000000000ab")
-        assert caller.read_answer()[1] == SERVED
+        client.send(tenant="acme", entity="00000000000000ab")
+        assert client.read_answer()[1] == SERVED
         last = [
-            sent[-1] for name, sent in running.heard().items() if name in ("s-02", "s-03") and sent
+            sent[-1]
+            for name, sent in running.commands_by_endpoint().items()
+            if name in ("s-02", "s-03") and sent
         ][-1]
         assert 0.0 < float(last[2]["within"]) < 5_000.0 and last[2].get("miss") != "s-01"
 
 
-LAB = """
+SCENARIO = """
 [lab]
 seconds = 3
 directors = 2
@@ -237,17 +268,20 @@
 
 
 def test_small_lab_counts_each_answer_once():
-    found = Lab(parse_scenario(LAB)).run()
-    assert [deed["wrong"] for deed in found["deeds"]] == ["", ""]
+    report = Lab(parse_scenario(SCENARIO)).run()
+    assert [deed["wrong"] for deed in report["deeds"]] == ["", ""]
     assert (
-        found["orders_run_twice"] == found["total"]["answers_twice"] == found["total"]["bad"] == 0
+        report["orders_run_twice"]
+        == report["total"]["answers_twice"]
+        == report["total"]["bad"]
+        == 0
     )
-    assert found["total"]["served"] > 0 and found["orders_run"] > 0
-    assert found["nodes"]["s-4"]["asked"] > 0
+    assert report["total"]["served"] > 0 and report["orders_run"] > 0
+    assert report["nodes"]["s-4"]["asked"] > 0
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected"),
     [
         (("caches = s-1 s-2 s-3 s-4", ""), "[fleet] caches"),
         (("what = kill", "what = melt"), "[deed d1] what"),
@@ -257,16 +291,16 @@
         (("[fleet]", "[fleet]\nspeed = 1"), "[fleet] speed"),
     ],
 )
-def test_error_in_a_scenario_names_its_key(change, told):
-    with pytest.raises(ConfigError) as fault:
-        parse_scenario(LAB.replace(*change, 1))
-    assert str(fault.value).startswith(told)
+def test_error_in_a_scenario_names_its_key(change, expected):
+    with pytest.raises(ConfigError) as raised:
+        parse_scenario(SCENARIO.replace(*change, 1))
+    assert str(raised.value).startswith(expected)
 
 
 def test_director_does_not_start_with_an_unusable_assignment(tmp_path):
     (tmp_path / "cells.ini").write_text("[cells]\nenabled = yes\nassignment = none.ini\n")
     with (
-        DirectorsFixture(tmp_path, make_assignment(TWO)) as running,
+        DirectorsFixture(tmp_path, make_assignment(TWO_CELLS)) as running,
         pytest.raises(ConfigError, match=r"none\.ini"),
     ):
-        build_director(running.services[0].config, running.sinks[0], str(tmp_path / "cells.ini"))
+        build_director(running.directors[0].config, running.logs[0], str(tmp_path / "cells.ini"))
--- a/tests/cells/test_concurrency_limit.py
+++ b/tests/cells/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on a cell's open requests."""
+"""Adaptive limit on a cell's open requests."""
 
 import pytest
 
@@ -15,9 +15,8 @@
         limit.record_open(90.0)
         limit.record_completion(now, delay)
     assert (limit.current < 60.0) == is_reduced
-    for _ in range(
-        8000
-    ):  # what is slow for good becomes the baseline after a while, and the limit rises again
+    # A permanently slower delay becomes the baseline after a while, and the limit rises again.
+    for _ in range(8000):
         now += 10.0
         limit.record_open(limit.current)
         limit.record_completion(now, delays[-1])
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -8,16 +8,17 @@
 from mulleinrelay.cells.fair_share import FairShares
 
 
-def flood(shares, asks, rounds=400):
-    """Each party asks for so many each ms; what it got stays open for 50 ms. Gives the mean that
-    each held.
+def simulate_demand(shares, demand, rounds=400):
+    """Return the mean number of open requests of each party.
+
+    Each party sends its number of requests per millisecond; an admitted request is open for 50 ms.
     """
-    mean_open, open_requests = dict.fromkeys(asks, 0.0), []
+    mean_open, open_requests = dict.fromkeys(demand, 0.0), []
     for now in range(rounds):
         for ends_at, share in [entry for entry in open_requests if entry[0] <= now]:
             shares.release(share)
             open_requests.remove((ends_at, share))
-        for name, (weight, count) in asks.items():
+        for name, (weight, count) in demand.items():
             share = shares.share_for(name, weight)
             for _ in range(count):
                 if shares.request(share, float(now)):
@@ -28,21 +29,22 @@
 
 
 @pytest.mark.parametrize(
-    ("asks", "minimums", "maximums"),
+    ("demand", "minimums", "maximums"),
     [
-        ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),  # alone it may have all
+        # A single party may use the whole capacity.
+        ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),
         ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
         ({"acme": (1.0, 20), "beta": (3.0, 20)}, {"beta": 70.0}, {"acme": 45.0}),
         ({"acme": (1.0, 20), "beta": (1.0, 0)}, {"acme": 80.0}, {"beta": 0.0}),
     ],
 )
-def test_shares_are_fair_and_unused_shares_are_lent(asks, minimums, maximums):
-    mean_open = flood(FairShares(100.0), asks)
+def test_shares_are_fair_and_unused_shares_are_lent(demand, minimums, maximums):
+    mean_open = simulate_demand(FairShares(100.0), demand)
     assert all(mean_open[name] >= bound for name, bound in minimums.items())
     assert all(mean_open[name] <= bound for name, bound in maximums.items())
 
 
-def test_a_lender_that_comes_back_is_admitted_at_once():
+def test_a_lender_that_resumes_is_admitted_at_once():
     shares = FairShares(100.0)
     beta, acme = shares.share_for("beta", 1.0), shares.share_for("acme", 1.0)
     assert shares.request(beta, 0.0)
@@ -60,7 +62,7 @@
 
 
 class FairSharesMachine(RuleBasedStateMachine):
-    """Sums stay true, and no more is open than the capacity and its overcommitment."""
+    """State machine: sums stay correct, and open requests within the overcommitted capacity."""
 
     def __init__(self):
         super().__init__()
@@ -71,30 +73,29 @@
         weight=st.sampled_from([1.0, 2.0, 5.0]),
         amount=st.sampled_from([1.0, 3.0]),
     )
-    def ask(self, name, weight, amount):
+    def request(self, name, weight, amount):
         share = self.shares.share_for(name, weight)
         if self.shares.request(share, self.now, amount):
             self.shares.acquire(share, amount)
             self.open_requests.append((share, amount))
 
     @rule(index=st.integers(0, 50))
-    def give(self, index):
+    def release(self, index):
         if self.open_requests:
             self.shares.release(*self.open_requests.pop(index % len(self.open_requests)))
 
     @rule(step=st.sampled_from([1.0, 30.0, 500.0, 3_000.0, 90_000.0]))
-    def pass_time(self, step):
+    def advance_time(self, step):
         self.now += step
 
     @invariant()
-    def sums_are_true(self):
+    def sums_are_correct(self):
         assert self.shares.open == pytest.approx(sum(amount for _, amount in self.open_requests))
-        assert (
-            self.shares.open <= 10.0 * 1.25 + 4 * 3.0
-        )  # one request of each party besides, at the most
+        # Each of the four parties may exceed the capacity by one request of up to 3 slots.
+        assert self.shares.open <= 10.0 * 1.25 + 4 * 3.0
 
     @invariant()
-    def nobody_is_forgotten_with_requests_open(self):
+    def parties_with_open_requests_are_kept(self):
         assert all(share in self.shares.shares.values() for share, _ in self.open_requests)
 
 
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -1,6 +1,9 @@
-"""A search over small states: two directors on different versions of a file while boxes drain, die,
-come back cold and objects are purged in the middle of a move. Rules 3 to 5 hold in every one; rule
-2 is searched in test_moves.
+"""Exhaustive search for violations of the rules 3 to 5 during a migration.
+
+Two directors use different versions of the assignment while a cache drains, is lost or restarts
+with a cold cache, or an object is purged. Rule 3: no attempt uses a draining or lost cache. Rule 4:
+a cache in slow start is not overloaded. Rule 5: no copy from before a purge is served. Rule 2 is
+searched in test_migrations.
 """
 
 import itertools
@@ -17,69 +20,78 @@
 from mulleinrelay.policy.model import CacheStatus, EndpointState, Outcome
 
 CACHES = ("s-01", "s-02", "s-03")
-TWO = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
-MOVE = make_migration(
+TWO_CELLS = (Cell("north", caches=("s-01",)), Cell("south", caches=("s-02", "s-03")))
+MIGRATION = make_migration(
     starts_at=101_000.0, warm_up_duration=500.0, shift_duration=2_000.0, drain_duration=1_500.0
 )
-ABORTED = replace(MOVE, aborted_at=102_500.0)
+ABORTED = replace(MIGRATION, aborted_at=102_500.0)
 VERSIONS = [
-    make_assignment(TWO),
-    make_assignment(TWO, moves=(MOVE,), version=2),
-    make_assignment(TWO, moves=(ABORTED,), version=3),
+    make_assignment(TWO_CELLS),
+    make_assignment(TWO_CELLS, migrations=(MIGRATION,), version=2),
+    make_assignment(TWO_CELLS, migrations=(ABORTED,), version=3),
 ]
-BOXES = [(what, box) for what in ("drain", "cold", "gone") for box in CACHES]
-TROUBLES = [*BOXES, ("purge", "")]
-WHEN = (101_200.0, 102_000.0, 103_200.0)
-END, STEP, WORK = 106_000.0, 200.0, 50.0  # ms; a request of 400 KB at 8 KB/ms
-COLD_FROM, COLD_FOR, SPAN = 0.2, 17_000.0, 1_500.0  # as the stage's settings tell
+CACHE_FAULTS = [(kind, cache) for kind in ("drain", "cold", "gone") for cache in CACHES]
+FAULTS = [*CACHE_FAULTS, ("purge", "")]
+FAULT_TIMES = (101_200.0, 102_000.0, 103_200.0)
+# ms; WORK is the time that a request of 400 KB takes at 8 KB/ms.
+END, STEP, WORK = 106_000.0, 200.0, 50.0
+# Slow start, as in the settings of the helpers: initial fraction, duration and window (ms).
+INITIAL_FRACTION, SLOW_START_DURATION, OVERLOAD_WINDOW = 0.2, 17_000.0, 1_500.0
 
 
-class Side:
-    """One director with its controller, on a clock that stands until it is set.
+class SimulatedDirector:
+    """A coordinator and an admission controller whose clock the test sets.
 
     Attempts are answered at once.
     """
 
     def __init__(self, version):
-        self.stage = CoordinatorFixture()
-        self.stage.coordinator.settings.director_count = (
-            self.stage.coordinator.settings.local_director_count
+        self.coordinator_fixture = CoordinatorFixture()
+        self.coordinator_fixture.coordinator.settings.director_count = (
+            self.coordinator_fixture.coordinator.settings.local_director_count
         ) = 2
-        director = self.stage.coordinator.router
-        director.cache_slow_start_quota.fraction = director.parent_slow_start_quota.fraction = (
-            0.5  # as such terms at its start would have it
+        router = self.coordinator_fixture.coordinator.router
+        router.cache_slow_start_quota.fraction = router.parent_slow_start_quota.fraction = (
+            0.5  # as if the settings had named two directors from the start
+        )
+        self.controller_fixture = ControllerFixture(version)
+        self.fault_times = {}
+
+    def inject_fault(self, now, kind, cache):
+        self.coordinator_fixture.now = now
+        if kind == "purge":
+            self.fault_times["purge"] = now
+            return self.coordinator_fixture.coordinator.apply_purge(0xABC, 0, now)
+        row = next(
+            entry for entry in self.coordinator_fixture.endpoint_updates if entry.name == cache
         )
-        self.fixture = ControllerFixture(version)
-        self.told = {}
-
-    def strike(self, now, what, box):
-        self.stage.now = now
-        if what == "purge":
-            self.told["purge"] = now
-            return self.stage.coordinator.apply_purge(0xABC, 0, now)
-        row = next(entry for entry in self.stage.endpoint_updates if entry.name == box)
         state = {
             "drain": EndpointState.DRAINING,
             "cold": EndpointState.READY,
             "gone": EndpointState.GONE,
-        }[what]
-        self.told[what, box] = now
-        changed = replace(row, state=state, started_at=now if what == "cold" else row.started_at)
-        self.stage.coordinator.update_endpoints([changed], False)
+        }[kind]
+        self.fault_times[kind, cache] = now
+        changed = replace(row, state=state, started_at=now if kind == "cold" else row.started_at)
+        self.coordinator_fixture.coordinator.update_endpoints([changed], False)
         return None
 
-    def requests(self, now):
-        """One request of each of some objects; gives the orders that went out."""
-        self.stage.now = self.fixture.now = now
-        coordinator, controller = self.stage.coordinator, self.fixture.controller
+    def send_requests(self, now):
+        """Send one request for each of some objects, and yield the attempts."""
+        self.coordinator_fixture.now = self.controller_fixture.now = now
+        coordinator, controller = (
+            self.coordinator_fixture.coordinator,
+            self.controller_fixture.controller,
+        )
         caches = coordinator.ready_caches()
         controller.update_caches(now, caches)
         for key in (0xABC, 0xDEF, 0x123, 0x9999):
-            grant = self.fixture.admit(key=key)
+            grant = self.controller_fixture.admit(key=key)
             if not hasattr(grant, "pool"):
                 continue
-            case = self.stage.settings.request_classes[0]
-            request = coordinator.accept(case, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool)
+            request_class = self.coordinator_fixture.settings.request_classes[0]
+            request = coordinator.accept(
+                request_class, key, 0, 1, 400.0, 3_000.0, False, pool=grant.pool
+            )
             while (step := coordinator.next_step(request)) is not None:
                 if isinstance(step, SendAttempt):
                     yield step
@@ -90,62 +102,64 @@
                     )
                 elif not isinstance(step, CancelAttempt):
                     break
-            self.fixture.complete(grant)
+            self.controller_fixture.complete(grant)
 
 
-def exceeds_slow_start(spent, started_at):
-    """Whether both directors together sent a cache more, over any span, than it could serve."""
-    for at, _ in spent:
-        load = sum(work for other, work in spent if at - SPAN < other <= at)
-        fraction = COLD_FROM + (1.0 - COLD_FROM) * (at - started_at) / COLD_FOR
-        if load > 4.0 * fraction * SPAN:
+def exceeds_slow_start(sent, started_at):
+    """Return whether the directors together overloaded a cache in slow start in any window."""
+    for at, _ in sent:
+        load = sum(work for other, work in sent if at - OVERLOAD_WINDOW < other <= at)
+        fraction = (
+            INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * (at - started_at) / SLOW_START_DURATION
+        )
+        if load > 4.0 * fraction * OVERLOAD_WINDOW:
             return True
     return False
 
 
-def play(versions, what, box, when):
-    """Gives the rules that were broken."""
-    sides, broken, spent = [Side(version) for version in versions], set(), []
+def run_case(versions, kind, cache, fault_at):
+    """Return the rules that were broken."""
+    directors, broken, sent = [SimulatedDirector(version) for version in versions], set(), []
     now = 100_400.0
     while now < END:
-        if now <= when < now + STEP:
-            for side in sides:
-                side.strike(now, what, box)
-        for side in sides:
-            for order in side.requests(now):
-                named = {order.address.name, order.fill_source}
-                if what in ("drain", "gone") and when <= now and box in named:
+        if now <= fault_at < now + STEP:
+            for director in directors:
+                director.inject_fault(now, kind, cache)
+        for director in directors:
+            for step in director.send_requests(now):
+                used = {step.address.name, step.fill_source}
+                if kind in ("drain", "gone") and fault_at <= now and cache in used:
                     broken.add(3)
-                if what == "cold" and when <= now and box in named:
-                    spent.append((now, WORK))
-                is_purged = what == "purge" and order.attempt.request.object_id == 0xABC
-                if is_purged and when <= now and not 0.0 < order.max_age <= now - when + 1.0:
+                if kind == "cold" and fault_at <= now and cache in used:
+                    sent.append((now, WORK))
+                is_purged = kind == "purge" and step.attempt.request.object_id == 0xABC
+                if is_purged and fault_at <= now and not 0.0 < step.max_age <= now - fault_at + 1.0:
                     broken.add(5)
         now += STEP
-    if exceeds_slow_start(spent, when):
+    if exceeds_slow_start(sent, fault_at):
         broken.add(4)
     return broken
 
 
-def search(troubles=TROUBLES):
-    found, played = set(), 0
+def search(faults=FAULTS):
+    broken, case_count = set(), 0
     for versions in itertools.product(VERSIONS, VERSIONS):
-        for (what, box), when in itertools.product(troubles, WHEN):
-            found |= play(versions, what, box, when)
-            played += 1
-    return found, played
+        for (kind, cache), fault_at in itertools.product(faults, FAULT_TIMES):
+            broken |= run_case(versions, kind, cache, fault_at)
+            case_count += 1
+    return broken, case_count
 
 
 PROCESS_JOBS = {"moves": (search,)}
 
 
 def test_no_rule_is_broken_in_a_migration_whatever_fails(process_job_result):
-    found, played = process_job_result("moves")
-    assert played == 270 and not found
+    broken, case_count = process_job_result("moves")
+    assert case_count == 270 and not broken
 
 
 @pytest.mark.parametrize(
-    ("rule", "fault", "troubles"),
+    ("rule", "bug", "faults"),
     [
         (
             3,
@@ -178,7 +192,7 @@
         ),
     ],
 )
-def test_search_finds_an_injected_fault(rule, fault, troubles, monkeypatch):
-    owner, name, make = fault
+def test_search_finds_an_injected_bug(rule, bug, faults, monkeypatch):
+    owner, name, make = bug
     monkeypatch.setattr(owner, name, make(getattr(owner, name)))
-    assert rule in search(troubles)[0]
+    assert rule in search(faults)[0]
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -1,4 +1,4 @@
-"""The course of a migration, and a search over directors that use different versions of it."""
+"""Stages of a migration, and a search over directors that use different versions of it."""
 
 import itertools
 from dataclasses import replace
@@ -32,15 +32,15 @@
 ]
 
 
-@pytest.mark.parametrize(("now", "stage", "share"), STAGES)
-def test_migration_follows_the_clock(now, stage, share):
+@pytest.mark.parametrize(("now", "stage", "fraction"), STAGES)
+def test_migration_follows_the_clock(now, stage, fraction):
     assert migrations.stage_at(make_migration(), now) == stage and migrations.migrated_fraction(
         make_migration(), now
-    ) == pytest.approx(share)
+    ) == pytest.approx(fraction)
 
 
 @pytest.mark.parametrize(
-    ("turn", "now", "stage", "share"),
+    ("change", "now", "stage", "fraction"),
     [
         ({"aborted_at": 13_000.0}, 13_000.0, MigrationStage.ROLLING_BACK, 0.525),
         ({"aborted_at": 13_000.0}, 14_000.0, MigrationStage.ROLLING_BACK, 0.275),
@@ -58,10 +58,12 @@
         ),
     ],
 )
-def test_migration_can_be_paused_resumed_and_aborted(turn, now, stage, share):
-    assert migrations.stage_at(make_migration(**turn), now) == stage
+def test_migration_can_be_paused_resumed_and_aborted(change, now, stage, fraction):
+    assert migrations.stage_at(make_migration(**change), now) == stage
     if stage != MigrationStage.DONE:
-        assert migrations.migrated_fraction(make_migration(**turn), now) == pytest.approx(share)
+        assert migrations.migrated_fraction(make_migration(**change), now) == pytest.approx(
+            fraction
+        )
 
 
 @settings(max_examples=200, deadline=None)
@@ -74,7 +76,7 @@
     st.integers(0, 2**64 - 1),
 )
 def test_migrated_fraction_never_jumps(warm, shift, drain, aborted_at, now, key):
-    held = make_migration(
+    migration = make_migration(
         warm_up_duration=warm,
         shift_duration=shift,
         drain_duration=drain,
@@ -82,19 +84,21 @@
     )
     step = 10.0
     before, after = (
-        migrations.migrated_fraction(held, now),
-        migrations.migrated_fraction(held, now + step),
+        migrations.migrated_fraction(migration, now),
+        migrations.migrated_fraction(migration, now + step),
+    )
+    steepest = max(1.0 / shift, migration.warm_up_fraction / warm if warm else 0.0) * step
+    assert (
+        abs(after - before) <= steepest + (migration.warm_up_fraction if not warm else 0.0) + 1e-9
     )
-    steepest = max(1.0 / shift, held.warm_up_fraction / warm if warm else 0.0) * step
-    assert abs(after - before) <= steepest + (held.warm_up_fraction if not warm else 0.0) + 1e-9
-    if not aborted_at:  # what has gone over stays over
-        assert not migrations.is_migrated(held, key, before) or migrations.is_migrated(
-            held, key, after
+    if not aborted_at:  # migrated objects stay migrated
+        assert not migrations.is_migrated(migration, key, before) or migrations.is_migrated(
+            migration, key, after
         )
 
 
-@pytest.mark.parametrize(("capacity", "bears"), [(300.0, True), (130.0, False)])
-def test_shift_is_as_long_as_the_receiving_caches_need(capacity, bears):
+@pytest.mark.parametrize(("capacity", "is_sufficient"), [(300.0, True), (130.0, False)])
+def test_shift_is_as_long_as_the_receiving_caches_need(capacity, is_sufficient):
     demand = MigrationDemand(
         rate=100.0,
         load=20.0,
@@ -103,77 +107,84 @@
         hit_ratio=0.95,
         object_count=2_000.0,
     )
-    found = migrations.min_shift_duration(demand)
-    assert (found is not None) == bears
-    if bears:
-        held = make_migration(shift_duration=found)
-        peak = max(point.utilization for point in migrations.project_load(held, demand))
+    duration = migrations.min_shift_duration(demand)
+    assert (duration is not None) == is_sufficient
+    if is_sufficient:
+        migration = make_migration(shift_duration=duration)
+        peak = max(point.utilization for point in migrations.project_load(migration, demand))
         assert 0.5 < peak <= migrations.TARGET_UTILIZATION + 0.01
-        cut = make_migration(warm_up_duration=0.0, shift_duration=1.0)  # all at once
-        assert max(point.utilization for point in migrations.project_load(cut, demand)) > 1.0
+        # All objects at once overload the receiving caches.
+        abrupt = make_migration(warm_up_duration=0.0, shift_duration=1.0)
+        assert max(point.utilization for point in migrations.project_load(abrupt, demand)) > 1.0
 
 
-# A client's try at one director and its retry at another, which go by different versions and clocks
+# A client's first attempt and its retry at two directors with different versions and clocks
 
-SPREAD, SKEW, HORIZON = 400.0, 100.0, 600.0
+PROPAGATION, SKEW, HORIZON = 400.0, 100.0, 600.0  # ms
 KEYS = [
     next(
         key
-        for key in itertools.count(place * 100_000)
-        if place / 5.0
+        for key in itertools.count(index * 100_000)
+        if index / 5.0
         <= combine_hashes(key, migrations.MIGRATION_SALT) / HASH_RANGE
-        < place / 5.0 + 0.1
+        < index / 5.0 + 0.1
     )
-    for place in range(5)
+    for index in range(5)
 ]
 
 
 def histories():
-    """Versions of the file, (written at, charter) each, as staff's commands write them."""
+    """Yield sequences of versions as operators' commands write them.
+
+    Each item is a name and a list of (time of the write, assignment).
+    """
     base = (
         make_assignment(
-            propagation_time=SPREAD, clock_skew=SKEW, retry_horizon=HORIZON, written_at=None
+            propagation_time=PROPAGATION, clock_skew=SKEW, retry_horizon=HORIZON, written_at=None
         )
         if False
         else replace(
             make_assignment(),
-            propagation_time=SPREAD,
+            propagation_time=PROPAGATION,
             clock_skew=SKEW,
             retry_horizon=HORIZON,
             written_at=0.0,
         )
     )
-    spans = edits.StageDurations(200.0, 800.0, 200.0)
-    begun = replace(edits.start_migration(base, "m1", ("acme",), "south", 0.0, spans), version=2)
-    yield "plain", [(0.0, begun)]
+    durations = edits.StageDurations(200.0, 800.0, 200.0)
+    started = replace(
+        edits.start_migration(base, "m1", ("acme",), "south", 0.0, durations), version=2
+    )
+    yield "plain", [(0.0, started)]
     for at in (300.0, 800.0, 1_100.0):
-        aborted = replace(edits.abort_migration(begun, "m1", at), version=3, written_at=at)
-        yield f"aborted {at}", [(0.0, begun), (at, aborted)]
-        held = replace(edits.pause_migration(begun, "m1", at), version=3, written_at=at)
-        yield f"held {at}", [(0.0, begun), (at, held)]
+        aborted = replace(edits.abort_migration(started, "m1", at), version=3, written_at=at)
+        yield f"aborted {at}", [(0.0, started), (at, aborted)]
+        paused = replace(edits.pause_migration(started, "m1", at), version=3, written_at=at)
+        yield f"paused {at}", [(0.0, started), (at, paused)]
         resumed = replace(
-            edits.resume_migration(held, "m1", at + 900.0), version=4, written_at=at + 900.0
+            edits.resume_migration(paused, "m1", at + 900.0), version=4, written_at=at + 900.0
         )
-        yield f"resumed {at}", [(0.0, begun), (at, held), (at + 900.0, resumed)]
+        yield f"resumed {at}", [(0.0, started), (at, paused), (at + 900.0, resumed)]
+
 
+class SimulatedDirector:
+    """A director that reads each version `lag` ms late and whose clock is wrong by `skew` ms.
 
-class Reader:
-    """A director that reads each version so late, by a clock that differs; one that is lost to the
-    world never reads more than the first `most`.
+    A partitioned director never reads more than the first `max_versions` versions.
     """
 
-    def __init__(self, base, history, lag, skew, most):
-        self.base, self.history, self.lag, self.skew, self.most = (
+    def __init__(self, base, history, lag, skew, max_versions):
+        self.base, self.history, self.lag, self.skew, self.max_versions = (
             base,
-            history[:most],
+            history[:max_versions],
             lag,
             skew,
-            most,
+            max_versions,
         )
         self.placements = {}
 
-    def spot(self, now, key, request_class, repeated):
-        read = [held for at, held in self.history if at + self.lag <= now]
+    def place(self, now, key, request_class, is_retry):
+        read = [assignment for at, assignment in self.history if at + self.lag <= now]
         version = read[-1] if read else self.base
         placement = self.placements.get(version.version)
         if placement is None:
@@ -181,82 +192,90 @@
             placement.update_caches(
                 0.0, [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
             )
-            placement.uncertain_until = 0.0  # what a restart leaves unproven is another matter
+            placement.uncertain_until = 0.0  # disables the uncertainty after a restart
         return placement.place(
-            now + self.skew, PlacementRequest("acme", key, request_class, "r", repeated)
+            now + self.skew, PlacementRequest("acme", key, request_class, "r", is_retry)
         )
 
 
-def search(request_class, histories_=histories):
-    """Every try and retry. The try may have come to a director that is lost to the world, the retry
-    to one that has read what was written SPREAD ago. Gives those that ran in two cells, and how
-    many were tried and failed.
+def search(request_class, make_histories=histories):
+    """Return the retries that ran in another cell, the number of retries and of failed ones.
+
+    The search covers first attempts at any director, also at a partitioned one, and retries at
+    directors that have read all versions written more than PROPAGATION ago.
     """
-    broken, tried, off = [], 0, 0
+    broken, retry_count, failed_count = [], 0, 0
     base = replace(
         make_assignment(),
-        propagation_time=SPREAD,
+        propagation_time=PROPAGATION,
         clock_skew=SKEW,
         retry_horizon=HORIZON,
         written_at=-1e6,
     )
-    for name, history in histories_():
-        readers = [
-            Reader(base, history, lag, skew, most)
-            for lag in (0.0, SPREAD)
+    for name, history in make_histories():
+        directors = [
+            SimulatedDirector(base, history, lag, skew, max_versions)
+            for lag in (0.0, PROPAGATION)
             for skew in (-SKEW / 2, SKEW / 2)
-            for most in range(len(history) + 1)
+            for max_versions in range(len(history) + 1)
         ]
-        for one, other in itertools.product(
-            readers, [held for held in readers if held.most == len(history)]
+        for first_director, retry_director in itertools.product(
+            directors,
+            [director for director in directors if director.max_versions == len(history)],
         ):
-            for first in range(400, 3_000, 200):
+            for first_at in range(400, 3_000, 200):
                 for key in KEYS:
-                    ran = one.spot(float(first), key, request_class, False)
-                    assert not isinstance(ran, PlacementFailure)  # a first try always has a place
+                    first = first_director.place(float(first_at), key, request_class, False)
+                    assert not isinstance(first, PlacementFailure)  # first attempts never fail
                     for later in (1.0, 300.0, HORIZON):
-                        tried += 1
-                        again = other.spot(first + later, key, request_class, True)
-                        if isinstance(again, PlacementFailure):
-                            held, off = history[0][1].migrations["m1"], off + 1
+                        retry_count += 1
+                        retry = retry_director.place(first_at + later, key, request_class, True)
+                        if isinstance(retry, PlacementFailure):
+                            migration, failed_count = (
+                                history[0][1].migrations["m1"],
+                                failed_count + 1,
+                            )
                             assert migrations.is_migrated(
-                                held,
+                                migration,
                                 key,
-                                migrations.max_published_fraction(held, first + later + 2.0 * SKEW),
+                                migrations.max_published_fraction(
+                                    migration, first_at + later + 2.0 * SKEW
+                                ),
                             )
-                        elif again.cell != ran.cell:
-                            broken.append((name, first, later, ran.cell, again.cell))
-    return broken, tried, off
+                        elif retry.cell != first.cell:
+                            broken.append((name, first_at, later, first.cell, retry.cell))
+    return broken, retry_count, failed_count
 
 
 def test_no_sticky_request_runs_in_two_cells_whatever_versions_directors_use():
-    broken, tried, off = search(ORDER)
-    assert tried > 50_000 and not broken
-    assert 0 < off < tried  # only what may have gone over fails
+    broken, retry_count, failed_count = search(ORDER)
+    assert retry_count > 50_000 and not broken
+    # Only retries for objects that may have migrated fail.
+    assert 0 < failed_count < retry_count
 
 
-def test_keys_known_to_every_node_are_never_failed():
+def test_requests_with_keys_known_to_all_endpoints_never_fail():
     assert search(ORDER_ALL)[2] == 0
 
 
 @pytest.mark.parametrize(
-    "fault",
+    "bug",
     [
-        lambda held, key, history, now, clock_skew: (
+        lambda migration, key, history, now, clock_skew: (
             sticky_routing.MigrationSide.TARGET
-            if migrations.is_migrated(held, key, migrations.migrated_fraction(held, now))
+            if migrations.is_migrated(migration, key, migrations.migrated_fraction(migration, now))
             else sticky_routing.MigrationSide.SOURCE
-        ),  # a retry goes by the share of the moment, as a first try does
+        ),  # places a retry by the current fraction, like a first attempt
     ],
 )
-def test_search_finds_an_injected_fault(fault, monkeypatch):
-    monkeypatch.setattr("mulleinrelay.cells.placement.choose_side", fault)
+def test_search_finds_an_injected_bug(bug, monkeypatch):
+    monkeypatch.setattr("mulleinrelay.cells.placement.choose_side", bug)
     assert search(ORDER, lambda: itertools.islice(histories(), 2))[0]
 
 
 def test_retry_at_the_same_director_goes_to_the_cell_that_ran_it():
-    held = replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
-    fixture = ControllerFixture(held)
+    assignment = replace(make_assignment(migrations=(make_migration(),)), written_at=-1e6)
+    fixture = ControllerFixture(assignment)
     fixture.now = 10_100.0
     first = {
         key: fixture.admit(key=key, request_class=ORDER, idempotency_key=f"r{key}").cell
@@ -271,14 +290,14 @@
     assert "south" in {
         fixture.admit(key=key, request_class=ORDER, idempotency_key=f"n{key}").cell for key in KEYS
     }
-    strange = fixture.admit(
+    unknown = fixture.admit(
         key=KEYS[0], request_class=ORDER, idempotency_key="other", is_retry=True
     )
-    assert not strange.is_never_executed  # failed: another director may have run it
+    assert not unknown.is_never_executed  # fails, because another director may have run it
 
 
 @pytest.mark.parametrize(
-    ("now", "cell", "takes_over", "fills"),
+    ("now", "cell", "is_failover", "can_fill"),
     [
         (9_000.0, "north", False, False),
         (14_999.0, "south", True, True),
@@ -286,67 +305,70 @@
         (17_500.0, "south", False, False),
     ],
 )
-def test_old_caches_fill_and_take_over_until_the_migration_is_done(now, cell, takes_over, fills):
-    fixture = ControllerFixture(make_assignment(moves=(make_migration(),)))
+def test_source_caches_fill_and_fail_over_until_the_migration_is_done(
+    now, cell, is_failover, can_fill
+):
+    fixture = ControllerFixture(make_assignment(migrations=(make_migration(),)))
     fixture.now = now
     pool = fixture.admit(key=KEYS[0]).pool
-    old = fixture.controller.placement.caches_by_cell["north"]
+    source_caches = fixture.controller.placement.caches_by_cell["north"]
     assert fixture.admit(key=KEYS[0]).cell == cell
-    assert (set(pool.failover_caches) == set(old)) == takes_over and (
-        set(pool.migration_sources) == set(old)
-    ) == fills
+    assert (set(pool.failover_caches) == set(source_caches)) == is_failover and (
+        set(pool.migration_sources) == set(source_caches)
+    ) == can_fill
 
 
-def every_cell(fixture, count):
+def serve_requests(fixture, count):
+    """Complete `count` requests and yield the cell of each."""
     for key in range(count):
         grant = fixture.admit(key=key)
         fixture.complete(grant)
         yield grant.cell
 
 
-def cells_of(fixture, count):
-    return set(every_cell(fixture, count))
+def serving_cells(fixture, count):
+    return set(serve_requests(fixture, count))
 
 
 def test_lost_target_cell_falls_back_to_the_source_and_recovers_gradually():
-    two = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
+    cells = (Cell("north", caches=("s-01", "s-02")), Cell("south", caches=("s-03", "s-04")))
     fixture = ControllerFixture(
-        make_assignment(two, moves=(make_migration(drain_duration=60_000.0),))
+        make_assignment(cells, migrations=(make_migration(drain_duration=60_000.0),))
     )
-    south = fixture.controller.placement.caches_by_cell["south"]
+    south_caches = fixture.controller.placement.caches_by_cell["south"]
     fixture.now = 16_000.0
-    assert cells_of(fixture, 200) == {"south"}
-    words = fixture.update_caches(
-        [name for name in ("s-01", "s-02", "s-03", "s-04") if name not in south]
+    assert serving_cells(fixture, 200) == {"south"}
+    messages = fixture.update_caches(
+        [name for name in ("s-01", "s-02", "s-03", "s-04") if name not in south_caches]
     )
-    assert "cell south lost" in words
-    shares = []
-    assert cells_of(fixture, 200) == {"north"}
+    assert "cell south lost" in messages
+    fractions = []
+    assert serving_cells(fixture, 200) == {"north"}
     fixture.update_caches(["s-01", "s-02", "s-03", "s-04"])
     for _ in range(5):
-        shares.append(sum(cell == "south" for cell in every_cell(fixture, 300)) / 300)
+        fractions.append(sum(cell == "south" for cell in serve_requests(fixture, 300)) / 300)
         fixture.now += 2_500.0
     assert (
-        shares == sorted(shares)
-        and shares[0] < 0.05
-        and 0.3 < shares[2] < 0.7
-        and shares[-1] == 1.0
+        fractions == sorted(fractions)
+        and fractions[0] < 0.05
+        and 0.3 < fractions[2] < 0.7
+        and fractions[-1] == 1.0
     )
-    assert max(after - before for before, after in itertools.pairwise(shares)) < 0.35
+    assert max(after - before for before, after in itertools.pairwise(fractions)) < 0.35
 
 
 def test_retries_are_uncertain_after_a_change_during_a_migration():
     fixture = ControllerFixture(
-        replace(make_assignment(moves=(make_migration(),)), written_at=-1e6)
+        replace(make_assignment(migrations=(make_migration(),)), written_at=-1e6)
     )
     fixture.now = 13_000.0
     other = replace(
-        make_assignment(moves=(make_migration(name="m2", starts_at=12_900.0),)),
+        make_assignment(migrations=(make_migration(name="m2", starts_at=12_900.0),)),
         version=2,
         written_at=-1e6,
     )
-    words = fixture.controller.replace_assignment(fixture.now, other)
-    assert any("without a move" in word for word in words)
+    messages = fixture.controller.replace_assignment(fixture.now, other)
+    assert any("without a move" in message for message in messages)
     assert not fixture.admit(
         key=KEYS[4], request_class=ORDER, idempotency_key="x", is_retry=True
     ).is_never_executed
--- a/tests/cells/test_operator_edits.py
+++ b/tests/cells/test_operator_edits.py
@@ -1,4 +1,4 @@
-"""Operators' edits of a migration in any order: files read back, and few objects move at once."""
+"""Edits of a migration in any order: files can be parsed, and few objects move at once."""
 
 from dataclasses import replace
 
@@ -13,99 +13,107 @@
 from mulleinrelay.cells.placement import Placement
 from mulleinrelay.cells.placement_types import PlacementRequest
 
-SPANS = edits.StageDurations(500.0, 2_000.0, 500.0)
+DURATIONS = edits.StageDurations(500.0, 2_000.0, 500.0)
 CACHES = [(name, name, 1.0) for name in ("s-01", "s-02", "s-03", "s-04")]
 KEYS = range(0, 4_000, 40)
 
 
 class OperatorMachine(RuleBasedStateMachine):
-    """One file, and one director that reads each version at once and looks up all the time."""
+    """State machine: one assignment, and one director that uses each version at once."""
 
     @initialize()
-    def begin(self):
-        self.now, self.count = 100_000.0, 0
-        self.held = replace(
+    def start_director(self):
+        self.now, self.migration_count = 100_000.0, 0
+        self.assignment = replace(
             make_assignment(),
             propagation_time=300.0,
             clock_skew=50.0,
             retry_horizon=400.0,
             written_at=0.0,
         )
-        self.placement = Placement(self.held, True)
+        self.placement = Placement(self.assignment, True)
         self.placement.update_caches(self.now, CACHES)
-        self.cells = self.look()
-        self.looked = self.now
+        self.cells = self.place_all()
+        self.checked_at = self.now
 
-    def look(self):
+    def place_all(self):
         requests = [PlacementRequest("acme", key, PAGES, "", False) for key in KEYS]
         return [self.placement.place(self.now, request).cell for request in requests]
 
-    def change(self, make):
+    def apply_edit(self, edit):
         try:
-            new = make(self.held)
+            new = edit(self.assignment)
         except edits.EditRejectedError:
             return
-        if new != self.held:
-            new = replace(new, version=self.held.version + 1, written_at=self.now)
+        if new != self.assignment:
+            new = replace(new, version=self.assignment.version + 1, written_at=self.now)
             assert parse_assignment(format_assignment(new)) == new
-            self.held = new
+            self.assignment = new
             self.placement.replace_assignment(
-                self.now, new, {name: one.cell for name, one in new.tenants.items()}
+                self.now, new, {name: tenant.cell for name, tenant in new.tenants.items()}
             )
 
     @rule(cell=st.sampled_from(["north", "south"]))
     def start(self, cell):
-        self.count += 1
-        name = f"m{self.count}"
-        self.change(
-            lambda held: edits.start_migration(held, name, ("acme",), cell, self.now, SPANS)
+        self.migration_count += 1
+        name = f"m{self.migration_count}"
+        self.apply_edit(
+            lambda assignment: edits.start_migration(
+                assignment, name, ("acme",), cell, self.now, DURATIONS
+            )
         )
 
     @rule()
     def hold(self):
-        self.change(
-            lambda held: edits.pause_migration(held, next(iter(held.migrations), "none"), self.now)
+        self.apply_edit(
+            lambda assignment: edits.pause_migration(
+                assignment, next(iter(assignment.migrations), "none"), self.now
+            )
         )
 
     @rule()
     def resume(self):
-        self.change(
-            lambda held: edits.resume_migration(held, next(iter(held.migrations), "none"), self.now)
+        self.apply_edit(
+            lambda assignment: edits.resume_migration(
+                assignment, next(iter(assignment.migrations), "none"), self.now
+            )
         )
 
     @rule()
     def abort(self):
-        self.change(
-            lambda held: edits.abort_migration(held, next(iter(held.migrations), "none"), self.now)
+        self.apply_edit(
+            lambda assignment: edits.abort_migration(
+                assignment, next(iter(assignment.migrations), "none"), self.now
+            )
         )
 
     @rule()
     def end(self):
-        self.change(lambda held: edits.end_migrations(held, self.now)[0])
+        self.apply_edit(lambda assignment: edits.end_migrations(assignment, self.now)[0])
 
-    @rule(span=st.sampled_from([10.0, 100.0, 100.0, 400.0, 1_500.0]))
-    def pass_time(self, span):
-        self.now += span
+    @rule(duration=st.sampled_from([10.0, 100.0, 100.0, 400.0, 1_500.0]))
+    def advance_time(self, duration):
+        self.now += duration
 
     @invariant()
     def few_objects_change_cells_at_once(self):
-        cells, span = self.look(), self.now - self.looked
-        changed = sum(one != other for one, other in zip(cells, self.cells, strict=True))
-        mean = len(KEYS) * span / SPANS.shift  # warm is slower
+        cells, elapsed = self.place_all(), self.now - self.checked_at
+        changed = sum(cell != previous for cell, previous in zip(cells, self.cells, strict=True))
+        mean = len(KEYS) * elapsed / DURATIONS.shift  # the warm-up is slower
         assert changed <= mean + 4.0 * mean**0.5 + 4.0
-        self.cells, self.looked = cells, self.now
+        self.cells, self.checked_at = cells, self.now
 
     @invariant()
     def migrated_objects_follow_the_clock(self):
-        for held in self.held.migrations.values():
-            share = migrations.migrated_fraction(held, self.now)
-            found = sum(cell == held.target for cell in self.look()) / len(KEYS)
-            assert abs(found - share) < 0.2
-            if migrations.stage_at(held, self.now) in (
+        for migration in self.assignment.migrations.values():
+            expected = migrations.migrated_fraction(migration, self.now)
+            fraction = sum(cell == migration.target for cell in self.place_all()) / len(KEYS)
+            assert abs(fraction - expected) < 0.2
+            if migrations.stage_at(migration, self.now) in (
                 migrations.MigrationStage.PLANNED,
                 migrations.MigrationStage.ABORTED,
             ):
-                assert found == 0.0
+                assert fraction == 0.0
 
 
 TestOperatorMachine = OperatorMachine.TestCase
--- a/tests/cells/test_rollouts.py
+++ b/tests/cells/test_rollouts.py
@@ -1,4 +1,4 @@
-"""New limits that reach one cell first, then others wave by wave."""
+"""Rollouts of new limits to a canary cell first, then to other cells in waves."""
 
 from dataclasses import replace
 
@@ -9,45 +9,47 @@
 from mulleinrelay.cells.admission_controller import DirectorCapacity
 from mulleinrelay.cells.model import Rollout
 
-THREE = (
+THREE_CELLS = (
     Cell("north", caches=("s-01",)),
     Cell("south", caches=("s-02",)),
     Cell("east", caches=("s-03",)),
 )
-RELEASE = Rollout("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
+ROLLOUT = Rollout("r1", "north", (("south",), ("east",)), 20_000.0, 5_000.0, Limits(rate=50.0))
 
 
-def play(course, until, north, others, now=0.0):
-    """So many requests a cell each 100 ms, with the share and delay that `north` and `others` give
-    at that time.
+def run_rollout(state, until, north, others, now=0.0):
+    """Record ten requests per cell every 100 ms, and return the logged phases with their times.
+
+    `north` and `others` return the success rate and the delay of requests at a given time.
     """
-    words = []
+    phases = []
     while now < until:
         for cell in ("north", "south", "east"):
-            share, delay = (north if cell == "north" else others)(now)
+            success_rate, delay = (north if cell == "north" else others)(now)
             for turn in range(10):
-                course.record(now, cell, turn < 10 * share, delay)
-        if word := course.advance(now):
-            words.append((now, word))
+                state.record(now, cell, turn < 10 * success_rate, delay)
+        if phase := state.advance(now):
+            phases.append((now, phase))
         now += 100.0
-    return words
+    return phases
 
 
-WELL = lambda now: (1.0, 20.0)  # noqa: E731
+HEALTHY = lambda now: (1.0, 20.0)  # noqa: E731
 
 
 @pytest.mark.parametrize(
-    ("north", "others", "ends"),
+    ("north", "others", "last_phase"),
     [
-        (WELL, WELL, "everywhere"),
-        (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), WELL, "taken back"),
-        (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), WELL, "taken back"),
+        (HEALTHY, HEALTHY, "everywhere"),
+        (lambda now: (0.8 if now > 21_000 else 1.0, 20.0), HEALTHY, "taken back"),
+        (lambda now: (1.0, 80.0 if now > 21_000 else 20.0), HEALTHY, "taken back"),
         (
             lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
             lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
             "halted",
         ),
-        (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),  # it was no better before
+        # The canary was no better before the rollout.
+        (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),
         (
             lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
             lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
@@ -60,17 +62,19 @@
         ),
     ],
 )
-def test_rollout_proceeds_halts_or_is_rolled_back(north, others, ends):
-    course = rollouts.RolloutState(RELEASE)
-    words = play(course, 90_000.0, north, others)
-    assert words[0] == (20_000.0, "canary") and words[-1][1].startswith(ends)
-    assert course.is_in_force("east") == (ends == "everywhere")
+def test_rollout_proceeds_halts_or_is_rolled_back(north, others, last_phase):
+    state = rollouts.RolloutState(ROLLOUT)
+    phases = run_rollout(state, 90_000.0, north, others)
+    assert phases[0] == (20_000.0, "canary") and phases[-1][1].startswith(last_phase)
+    assert state.is_in_force("east") == (last_phase == "everywhere")
 
 
 def test_rollout_is_in_force_in_cells_it_has_reached():
     fixture = ControllerFixture(
         make_assignment(
-            THREE, (Tenant("acme", "north"), Tenant("beta", "south"), "shared"), releases=(RELEASE,)
+            THREE_CELLS,
+            (Tenant("acme", "north"), Tenant("beta", "south"), "shared"),
+            rollouts=(ROLLOUT,),
         ),
         capacity=DirectorCapacity(1000.0),
     )
@@ -82,26 +86,26 @@
         < 10
         < fixture.count_admitted(20, tenant_name="beta") + 1
     )
-    taken_back = replace(
+    rolled_back = replace(
         fixture.controller.assignment,
         version=2,
-        rollouts={"r1": replace(RELEASE, is_rolled_back=True)},
+        rollouts={"r1": replace(ROLLOUT, is_rolled_back=True)},
     )
-    fixture.controller.replace_assignment(fixture.now, taken_back)
+    fixture.controller.replace_assignment(fixture.now, rolled_back)
     assert "taken back (by staff)" in fixture.controller.step(fixture.now)[0]
     assert fixture.controller.tenant_states["acme"].limits.rate == 0.0
 
 
 def test_rollout_of_shuffle_shards_fills_from_the_other_caches():
-    one = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
-    release = replace(RELEASE, shuffle_shards=1, limits=Limits(), waves=())
-    fixture = ControllerFixture(make_assignment(one, releases=(release,)))
+    cells = (Cell("north", caches=("s-01", "s-02", "s-03")), Cell("south", caches=("s-04",)))
+    rollout = replace(ROLLOUT, shuffle_shards=1, limits=Limits(), waves=())
+    fixture = ControllerFixture(make_assignment(cells, rollouts=(rollout,)))
     assert len(fixture.admit().pool.caches) == 3
     fixture.now = 20_000.0
     fixture.controller.step(fixture.now)
     pool = fixture.admit().pool
     assert len(pool.caches) == 1 and set(pool.migration_sources) == {"s-01", "s-02", "s-03"}
-    kept = edits.adopt_rollout(fixture.controller.assignment, "r1")
-    assert kept.cells["north"].shuffle_shards == 1 and kept.cells["south"].shuffle_shards == 0
-    fixture.controller.replace_assignment(fixture.now, replace(kept, version=2))
+    adopted = edits.adopt_rollout(fixture.controller.assignment, "r1")
+    assert adopted.cells["north"].shuffle_shards == 1 and adopted.cells["south"].shuffle_shards == 0
+    fixture.controller.replace_assignment(fixture.now, replace(adopted, version=2))
     assert set(fixture.admit().pool.caches) == set(pool.caches)
--- a/tests/cells/test_tenant_resolution.py
+++ b/tests/cells/test_tenant_resolution.py
@@ -1,4 +1,4 @@
-"""Whose request it is: by name, address or group."""
+"""Resolution of a request's tenant by name, address or group."""
 
 import pytest
 from cells_fixtures import Tenant, make_assignment
@@ -44,18 +44,18 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "other"),
+    ("first", "second"),
     [
         ({"groups": ((0, 9),)}, {"groups": ((5, 12),)}),
         ({"groups": ((0, 9),)}, {"groups": ((0, 9),)}),
         ({"addresses": ("10.0.0.0/8",)}, {"addresses": ("10.0.0.0/8",)}),
     ],
 )
-def test_crossing_ranges_are_rejected(one, other):
+def test_crossing_ranges_are_rejected(first, second):
     with pytest.raises(ConfigError, match="crosses"):
         TenantResolver(
             make_assignment(
-                tenants=(Tenant("acme", "north", **one), Tenant("beta", "north", **other))
+                tenants=(Tenant("acme", "north", **first), Tenant("beta", "north", **second))
             )
         )
 
@@ -67,14 +67,14 @@
 )
 def test_smallest_network_wins(networks, last):
     tenants = {}
-    for size, place in networks:
-        text = f"10.0.0.{(place * 16) & (0xFF << size) & 0xFF}/{32 - size}"
+    for size, index in networks:
+        text = f"10.0.0.{(index * 16) & (0xFF << size) & 0xFF}/{32 - size}"
         tenants.setdefault(text, Tenant(f"t{len(tenants)}", "north", addresses=(text,)))
     resolver = TenantResolver(make_assignment(tenants=(*tenants.values(), "shared")))
-    holds = [
+    matches = [
         (int(text.rpartition("/")[2]), tenant.name)
         for text, tenant in tenants.items()
         if int(text.split(".")[3].split("/")[0]) >> (32 - int(text.rpartition("/")[2]))
         == last >> (32 - int(text.rpartition("/")[2]))
     ]
-    assert resolver.tenant_of_address(f"10.0.0.{last}") == (max(holds)[1] if holds else "")
+    assert resolver.tenant_of_address(f"10.0.0.{last}") == (max(matches)[1] if matches else "")
--- a/tests/cells/test_token_bucket.py
+++ b/tests/cells/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Rates: a token bucket, one shared by weight, and Retry-After."""
+"""Token buckets: a single one, one that parties share by weight, and Retry-After."""
 
 import pytest
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asks", "minimum"),
+    ("demand", "minimums"),
     [
         ({"acme": (1.0, 4)}, {"acme": 950}),
         ({"acme": (1.0, 4), "beta": (1.0, 4)}, {"acme": 450, "beta": 450}),
@@ -35,20 +35,20 @@
         ({"acme": (3.0, 4), "beta": (1.0, 4)}, {"acme": 680, "beta": 220}),
     ],
 )
-def test_rate_is_shared_by_weight_and_unused_rate_is_lent(asks, minimum):
-    bucket, consumed = FairTokenBucket(1000.0), dict.fromkeys(asks, 0)
-    due = dict.fromkeys(asks, 0.0)
+def test_rate_is_shared_by_weight_and_unused_rate_is_lent(demand, minimums):
+    bucket, consumed = FairTokenBucket(1000.0), dict.fromkeys(demand, 0)
+    pending = dict.fromkeys(demand, 0.0)
     for now in range(2000):
-        for name, (weight, per_ms) in asks.items():
-            due[name] += per_ms
+        for name, (weight, per_ms) in demand.items():
+            pending[name] += per_ms
             share = bucket.share_for(name, weight)
-            while due[name] >= 1.0:
-                due[name] -= 1.0
+            while pending[name] >= 1.0:
+                pending[name] -= 1.0
                 if not bucket.wait_time(share, float(now)):
                     bucket.consume(share, float(now))
-                    consumed[name] += now >= 1000  # the first second settles
+                    consumed[name] += now >= 1000  # the first second is not counted
     assert (
-        all(consumed[name] >= bound for name, bound in minimum.items())
+        all(consumed[name] >= bound for name, bound in minimums.items())
         and sum(consumed.values()) <= 1150
     )
 
