--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -1,7 +1,7 @@
 """Conversion between the cell assignment and the `assignment` container of the YANG model. Pure.
 
-The leaf names below are the model's and known to clients; beside each stands the field that it
-goes to. In the tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings.
+The tables below map leaf names of the YANG model, which clients use, to fields of this program's
+classes. In a tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings.
 """
 
 import ipaddress
@@ -23,16 +23,16 @@
 from ..errors import ConfigError
 from .tree import Tree
 
-MAX_GROUP = 255  # groups of objects are one byte
+MAX_GROUP = 255  # the group of an object is one byte
 
 PLACEMENT_METHOD_LEAF = "how"
-ASSIGNMENT_NUMBERS = {
+ASSIGNMENT_FIELDS_BY_LEAF = {
     "load-bound": "load_bound",
     "spread": "propagation_time",
     "skew": "clock_skew",
     "horizon": "retry_horizon",
 }
-MIGRATION_NUMBERS = {
+MIGRATION_FIELDS_BY_LEAF = {
     "starts": "starts_at",
     "warm-for": "warm_up_duration",
     "shift-for": "shift_duration",
@@ -42,13 +42,13 @@
     "resumed-at": "resumed_at",
     "aborted-at": "aborted_at",
 }
-ROLLOUT_NUMBERS = {
+ROLLOUT_FIELDS_BY_LEAF = {
     "starts": "starts_at",
     "wave-for": "wave_duration",
     "drop-most": "max_success_drop",
     "slower-most": "max_slowdown",
 }
-CONNECTIONS_LEAF = "connections"  # the one limit that is an integer
+CONNECTIONS_LEAF = "connections"  # the only limit that is an integer
 DECIMAL64_LEAVES = {
     "weight",
     "reserve",
@@ -63,7 +63,7 @@
     "retries",
 }
 UINT64_LEAVES = {"starts", "held-at", "resumed-at", "aborted-at"}
-DEFAULT_NUMBERS = {  # of leaves that a tree leaves out, as the YANG module has them
+DEFAULTS_BY_LEAF = {  # values of leaves that a tree omits; the YANG module has the same defaults
     "warm-for": 10_000.0,
     "drain-for": 30_000.0,
     "warm-share": 0.05,
@@ -77,7 +77,7 @@
 
 
 def format_decimal64(value: float) -> str:
-    """Returns a decimal64 of six fraction digits in canonical form (RFC 7950, section 9.3.2)."""
+    """Format a decimal64 with up to six fraction digits (canonical form, RFC 7950, 9.3.2)."""
     text = f"{value:.6f}".rstrip("0")
     return text + "0" if text.endswith(".") else text
 
@@ -86,9 +86,9 @@
 
 
 def assignment_to_tree(assignment: Assignment) -> Tree:
-    """Returns the content of the `assignment` container; empty lists are left out."""
+    """Return an assignment as content of the `assignment` container, without empty lists."""
     tree: Tree = {PLACEMENT_METHOD_LEAF: assignment.placement_method}
-    tree |= _numbers_to_tree(assignment, ASSIGNMENT_NUMBERS)
+    tree |= _numbers_to_tree(assignment, ASSIGNMENT_FIELDS_BY_LEAF)
     rejects_unknown = assignment.unknown_tenant_policy == REJECT
     tree["unknown"] = "reject" if rejects_unknown else "default-tenant"
     if assignment.default_tenant:
@@ -96,7 +96,7 @@
     tree["limits"] = _limits_to_tree(assignment.limits)
     tree["cell"] = [_cell_to_tree(cell) for cell in assignment.cells.values()]
     tree["tenant"] = [_tenant_to_tree(tenant) for tenant in assignment.tenants.values()]
-    tree["move"] = [_migration_to_tree(one) for one in assignment.migrations.values()]
+    tree["move"] = [_migration_to_tree(migration) for migration in assignment.migrations.values()]
     tree["release"] = [_rollout_to_tree(rollout) for rollout in assignment.rollouts.values()]
     return {name: value for name, value in tree.items() if value != []}
 
@@ -111,7 +111,9 @@
         "limits": _limits_to_tree(cell.limits),
     }
     return (
-        tree | _list_if_any("cache", cell.caches) | _list_if_any("neighbour", cell.failover_cells)
+        tree
+        | _optional_list("cache", cell.caches)
+        | _optional_list("neighbour", cell.failover_cells)
     )
 
 
@@ -124,7 +126,7 @@
     if tenant.cell:
         tree["cell"] = tenant.cell
     groups = [f"{first}-{last}" if first != last else str(first) for first, last in tenant.groups]
-    return tree | _list_if_any("address", tenant.addresses) | _list_if_any("group", groups)
+    return tree | _optional_list("address", tenant.addresses) | _optional_list("group", groups)
 
 
 def _migration_to_tree(migration: Migration) -> Tree:
@@ -134,7 +136,7 @@
         "from": migration.source,
         "to": migration.target,
     }
-    return tree | _numbers_to_tree(migration, MIGRATION_NUMBERS)
+    return tree | _numbers_to_tree(migration, MIGRATION_FIELDS_BY_LEAF)
 
 
 def _rollout_to_tree(rollout: Rollout) -> Tree:
@@ -146,7 +148,7 @@
         "limits": _limits_to_tree(rollout.limits),
     }
     waves = [{"number": number, "cell": list(cells)} for number, cells in enumerate(rollout.waves)]
-    return tree | _list_if_any("wave", waves) | _numbers_to_tree(rollout, ROLLOUT_NUMBERS)
+    return tree | _optional_list("wave", waves) | _numbers_to_tree(rollout, ROLLOUT_FIELDS_BY_LEAF)
 
 
 def _limits_to_tree(limits: Limits) -> Tree:
@@ -154,7 +156,7 @@
 
 
 def _limit_leaves() -> dict[str, str]:
-    """Returns the fields of limits by their leaves, which are the INI keys with hyphens."""
+    """Return the fields of `Limits` by leaf name, which is the INI key with hyphens."""
     return {key.replace("_", "-"): field for key, field in LIMIT_FIELDS_BY_KEY.items()}
 
 
@@ -170,7 +172,7 @@
     return str(int(value)) if leaf in UINT64_LEAVES else int(value)
 
 
-def _list_if_any(name: str, values: Iterable[Any]) -> Tree:
+def _optional_list(name: str, values: Iterable[Any]) -> Tree:
     items = list(values)
     return {name: items} if items else {}
 
@@ -179,16 +181,16 @@
 
 
 def assignment_from_tree(tree: Tree, version: int, written_at: float) -> Assignment:
-    """Builds the assignment from a container that the YANG model has found valid.
+    """Build an assignment from an `assignment` container that the YANG model has validated.
 
     Args:
-        tree: Content of the `assignment` container.
-        version: Number of the new version.
-        written_at: Unix milliseconds.
+        tree: Content of the container.
+        version: Version of the new assignment.
+        written_at: Time of the change, in Unix milliseconds.
 
     Raises:
-        ConfigError: If parts of it do not fit together, or are of a form that the model cannot
-            check.
+        ConfigError: If the assignment is inconsistent, or a value is malformed in a way that the
+            model cannot check.
     """
     limits = _limits_from_tree(tree, Limits())
     assignment = Assignment(
@@ -205,16 +207,18 @@
         limits=limits,
         default_tenant=tree.get("default-tenant", ""),
         unknown_tenant_policy=REJECT if tree.get("unknown") == "reject" else USE_DEFAULT_TENANT,
-        **_given_attributes(tree),
+        **_assignment_attributes(tree),
     )
     validate_assignment(assignment)
     return assignment
 
 
-def _given_attributes(tree: Tree) -> dict[str, Any]:
-    """Returns the attributes of the assignment itself that the tree has, by field."""
+def _assignment_attributes(tree: Tree) -> dict[str, Any]:
+    """Return the values of the assignment's own leaves that the tree has, by field name."""
     attributes: dict[str, Any] = {
-        field: float(tree[leaf]) for leaf, field in ASSIGNMENT_NUMBERS.items() if leaf in tree
+        field: float(tree[leaf])
+        for leaf, field in ASSIGNMENT_FIELDS_BY_LEAF.items()
+        if leaf in tree
     }
     if PLACEMENT_METHOD_LEAF in tree:
         attributes["placement_method"] = tree[PLACEMENT_METHOD_LEAF]
@@ -240,7 +244,7 @@
         name=name,
         cell=entry.get("cell", ""),
         weight=float(entry.get("weight", 1.0)),
-        addresses=tuple(_checked_network(name, text) for text in entry.get("address", ())),
+        addresses=tuple(_validate_network(name, text) for text in entry.get("address", ())),
         groups=tuple(_parse_group_range(name, text) for text in entry.get("group", ())),
         limits=_limits_from_tree(entry, default_limits),
     )
@@ -252,7 +256,7 @@
         tenants=tuple(entry["tenant"]),
         source=entry["from"],
         target=entry["to"],
-        **_numbers_from_tree(entry, MIGRATION_NUMBERS),
+        **_numbers_from_tree(entry, MIGRATION_FIELDS_BY_LEAF),
     )
 
 
@@ -265,7 +269,7 @@
         waves=tuple(tuple(wave["cell"]) for wave in waves),
         is_rolled_back=bool(entry.get("taken-back", False)),
         shuffle_shards=int(entry.get("shuffle", -1)),
-        **_numbers_from_tree(entry, ROLLOUT_NUMBERS),
+        **_numbers_from_tree(entry, ROLLOUT_FIELDS_BY_LEAF),
     )
 
 
@@ -282,13 +286,13 @@
 
 def _numbers_from_tree(entry: Tree, fields_by_leaf: dict[str, str]) -> dict[str, Any]:
     return {
-        field: float(entry.get(leaf, DEFAULT_NUMBERS.get(leaf, 0.0)))
+        field: float(entry.get(leaf, DEFAULTS_BY_LEAF.get(leaf, 0.0)))
         for leaf, field in fields_by_leaf.items()
     }
 
 
-def _checked_network(tenant: str, text: str) -> str:
-    """Returns the text of an address range unchanged; raises ConfigError if it is none."""
+def _validate_network(tenant: str, text: str) -> str:
+    """Return the text of an address range unchanged; raise ConfigError if it is not valid."""
     try:
         ipaddress.ip_network(text)
     except ValueError as error:
@@ -297,7 +301,7 @@
 
 
 def _parse_group_range(tenant: str, text: str) -> tuple[int, int]:
-    """Parses `3` or `3-9`; returns the first and the last group."""
+    """Parse a group such as `3`, or a range such as `3-9`; return the first and last group."""
     match = GROUP_RANGE_PATTERN.fullmatch(text)
     if match is not None:
         first = int(match[1])
@@ -305,5 +309,5 @@
         if first <= last <= MAX_GROUP:
             return first, last
     raise ConfigError(
-        f"tenant {tenant}: group {text!r} is no group or range of groups from 0 to {MAX_GROUP}"
+        f"tenant {tenant}: group {text!r} is not a group or a range of groups from 0 to {MAX_GROUP}"
     )
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -1,4 +1,4 @@
-"""Which caller may do what: roles by the names in client certificates. Pure."""
+"""Authorization of callers: roles by the names in client certificates. Pure."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class Role(IntEnum):
-    """What a caller may do; each role includes those below it."""
+    """The permissions of a caller; each role includes the roles with lower values."""
 
     NONE = 0
     READ = 1
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True, frozen=True)
 class AuthorizationPolicy:
-    """Roles of callers.
+    """The roles of callers.
 
     Attributes:
         roles_by_name: Roles by common name or subject alternative name.
-        anonymous_role: Role of callers without a certificate, who can only come over loopback.
+        anonymous_role: Role of callers without a certificate, which can connect by loopback only.
     """
 
     roles_by_name: dict[str, Role]
     anonymous_role: Role = Role.NONE
 
     def role_of(self, names: Sequence[str]) -> Role:
-        """Returns the highest role of a caller whose certificate has these names."""
+        """Return the highest role of the names in a caller's certificate."""
         if not names:
             return self.anonymous_role
         return max((self.roles_by_name.get(name, Role.NONE) for name in names), default=Role.NONE)
 
 
 def required_role(paths: Sequence[Path]) -> Role:
-    """Returns the role that a change of these paths requires."""
+    """Return the role that is required to change the paths."""
     if paths and all(_is_drain(path) for path in paths):
         return Role.DRAIN
     return Role.CONFIGURE
--- a/mulleinrelay/management/builder.py
+++ b/mulleinrelay/management/builder.py
@@ -1,4 +1,4 @@
-"""Puts the management of one director together from its parts."""
+"""Assembly of the management of one director."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .datastore_file import DatastoreFile
 from .gnmi_server import GnmiServer
 from .participants import AssignmentParticipant, DrainParticipant
-from .service import ManagementParts, ManagementService
+from .service import ManagementComponents, ManagementService
 from .state_view import StateView
 from .yang_model import YangModel
 
@@ -29,20 +29,20 @@
     clock: Callable[[], float],
     log: StructuredLog,
 ) -> GnmiServer:
-    """Builds the gNMI server of a director, with all of management behind it.
+    """Build the gNMI server of a director with its management service.
 
     Args:
         config: Settings of management.
         director_config: Settings of the director.
-        coordinator: The director's requests and endpoints; gets the drains as its overrides.
-        cell_service: The director's cells; None: they are off.
-        clock: Unix milliseconds.
-        log: Where management logs.
+        coordinator: The director's coordinator, whose overrides are set to the drains.
+        cell_service: The director's cells; None if cells are off.
+        clock: Returns the time in Unix milliseconds.
+        log: Receives the log events of management.
 
     Raises:
         DatastoreFileError: If the stored datastore cannot be used.
-        CommitRejectedError: If what is stored cannot be applied.
-        RuntimeError: If the server cannot listen.
+        CommitRejectedError: If the stored configuration cannot be applied.
+        RuntimeError: If the server cannot listen on its address.
         OSError: If a certificate cannot be read.
     """
 
@@ -51,12 +51,12 @@
             return {}
         return caches_by_cell(cell_service.controller.assignment, caches)
 
-    drains = DrainParticipant(coordinator, group_caches)
-    parts = ManagementParts(
+    drain_participant = DrainParticipant(coordinator, group_caches)
+    components = ManagementComponents(
         datastore_file=DatastoreFile(config.state_dir),
         model=YangModel(),
-        drains=drains,
-        assignment=AssignmentParticipant(cell_service, clock),
-        state_view=StateView(director_config, coordinator, cell_service, drains),
+        drain_participant=drain_participant,
+        assignment_participant=AssignmentParticipant(cell_service, clock),
+        state_view=StateView(director_config, coordinator, cell_service, drain_participant),
     )
-    return GnmiServer(config, ManagementService(parts, clock, log), log)
+    return GnmiServer(config, ManagementService(components, clock, log), log)
--- a/mulleinrelay/management/certificates.py
+++ b/mulleinrelay/management/certificates.py
@@ -1,4 +1,4 @@
-"""The gNMI server's certificates, read again from their files when these change."""
+"""TLS certificates of the gNMI server, reloaded when their files change."""
 
 import os
 from typing import Any
@@ -10,20 +10,20 @@
 
 
 class ServerCertificates:
-    """Certificate, key and clients' authority of the server."""
+    """The server's certificate, its key, and the certificate authority of the clients."""
 
     def __init__(self, config: ManagementConfig, log: StructuredLog) -> None:
-        """Takes the paths from the configuration.
+        """Record the current versions of the files that the configuration names.
 
         Raises:
             OSError: If one of the files cannot be read.
         """
         self._config = config
         self._log = log
-        self._stamps = self._read_stamps()
+        self._file_versions = self._read_file_versions()
 
     def credentials(self) -> grpc.ServerCredentials:
-        """Returns credentials that follow the files and require a certificate of each client.
+        """Return credentials that require client certificates and are reloaded with the files.
 
         Raises:
             OSError: If one of the files cannot be read.
@@ -32,8 +32,8 @@
             self._read_files(), self._reload, require_client_authentication=True
         )
 
-    def _read_stamps(self) -> list[tuple[int, int]]:
-        """Returns inode and modification time of each file, which tell whether it was replaced."""
+    def _read_file_versions(self) -> list[tuple[int, int]]:
+        """Return inode and modification time of each file; they change when a file is replaced."""
         paths = (self._config.certificate, self._config.key, self._config.clients_ca)
         stats = [os.stat(path) for path in paths]
         return [(stat.st_ino, stat.st_mtime_ns) for stat in stats]
@@ -49,18 +49,19 @@
         )
 
     def _reload(self) -> Any:
-        """Returns the new certificates, None to stay with the old; grpc calls it at each handshake.
+        """Return the new certificates, or None to keep the old ones.
 
-        Files that are half replaced cannot be used; the old certificates stay until they can.
+        gRPC calls this function in each TLS handshake. While the files are only partly replaced
+        they do not match each other and cannot be loaded, so the old certificates stay in use.
         """
         try:
-            stamps = self._read_stamps()
-            if stamps == self._stamps:
+            file_versions = self._read_file_versions()
+            if file_versions == self._file_versions:
                 return None
             configuration = self._read_files()
         except (OSError, ValueError) as error:
             self._log.event("management", text=f"certificates not reloaded: {error}")
             return None
-        self._stamps = stamps
-        self._log.event("management", text="certificates read again")
+        self._file_versions = file_versions
+        self._log.event("management", text="certificates reloaded")
         return configuration
--- a/mulleinrelay/management/command_output.py
+++ b/mulleinrelay/management/command_output.py
@@ -1,4 +1,4 @@
-"""Runs an operation on one or several directors and prints the results, for `mulleinrelay ctl`."""
+"""Running of operations on directors and printing of results, for `mulleinrelay ctl`."""
 
 import json
 import sys
@@ -10,23 +10,23 @@
 
 from .gnmi_client import ConnectionOptions, GnmiCallError, GnmiTarget
 
-EXIT_DONE = 0
-EXIT_UNREACHED = 1
-EXIT_MISUSED = 2
+EXIT_OK = 0
+EXIT_UNREACHABLE = 1
+EXIT_USAGE_ERROR = 2
 EXIT_REJECTED = 3
-UNREACHED_CODES = ("UNAVAILABLE", "DEADLINE_EXCEEDED", "CANCELLED", "UNKNOWN")
+UNREACHABLE_CODES = ("UNAVAILABLE", "DEADLINE_EXCEEDED", "CANCELLED", "UNKNOWN")
 
 Result = TypeVar("Result")
 
 
 @dataclass(slots=True, frozen=True)
 class CommandSettings:
-    """The options of `ctl` itself; click's context holds them for its commands.
+    """The options of the command group `ctl`, which its commands get from click's context.
 
     Attributes:
-        addresses: Directors as host:port.
+        addresses: The directors' addresses as host:port.
         as_json: Whether to print JSON.
-        options: How the directors are reached.
+        options: The options of the connections to the directors.
     """
 
     addresses: tuple[str, ...]
@@ -34,25 +34,25 @@
     options: ConnectionOptions
 
 
-def exit_code_of(error: Exception) -> int:
-    """Returns whether a director could not be reached, or (any other error) rejected the call."""
-    is_unreached = isinstance(error, GnmiCallError) and error.code in UNREACHED_CODES
-    return EXIT_UNREACHED if is_unreached else EXIT_REJECTED
+def exit_code_for(error: Exception) -> int:
+    """Return the exit code for an error: director unreachable or, otherwise, call rejected."""
+    is_unreachable = isinstance(error, GnmiCallError) and error.code in UNREACHABLE_CODES
+    return EXIT_UNREACHABLE if is_unreachable else EXIT_REJECTED
 
 
-def run_on_each(
+def run_on_each_director(
     settings: CommandSettings,
     operation: Callable[[GnmiTarget], Result],
     show: Callable[[str, Result], None],
 ) -> NoReturn:
-    """Runs an operation on each director in turn, prints the results and exits.
+    """Run an operation on each director in turn, print the results and exit.
 
     Args:
-        settings: The directors and the form of the output.
-        operation: What to do with one director; its result must fit into JSON.
-        show: Prints the address and result of one director, unless JSON is wanted.
+        settings: The directors and the output format.
+        operation: The operation on one director; its result must be serializable as JSON.
+        show: Prints the address and result of one director; not called for JSON output.
     """
-    exit_code = EXIT_DONE
+    exit_code = EXIT_OK
     results: dict[str, Result] = {}
     errors: dict[str, GnmiCallError] = {}
     for address in settings.addresses:
@@ -63,11 +63,11 @@
             results[address] = operation(target)
         except GnmiCallError as error:
             errors[address] = error
-            exit_code = max(exit_code, exit_code_of(error))
+            exit_code = max(exit_code, exit_code_for(error))
         finally:
             target.close()
     if settings.as_json:
-        click.echo(json.dumps(_as_json(settings.addresses, results, errors)))
+        click.echo(json.dumps(_results_as_json(settings.addresses, results, errors)))
     else:
         for address in dict.fromkeys(settings.addresses):
             if failed := errors.get(address):
@@ -82,10 +82,10 @@
         return GnmiTarget(address, options)
     except OSError as error:
         click.echo(f"mulleinrelay: {error.filename}: {error.strerror}", err=True)
-        sys.exit(EXIT_MISUSED)
+        sys.exit(EXIT_USAGE_ERROR)
 
 
-def _as_json(
+def _results_as_json(
     addresses: tuple[str, ...], results: dict[str, Any], errors: dict[str, GnmiCallError]
 ) -> dict[str, Any]:
     output: dict[str, Any] = {}
@@ -99,13 +99,13 @@
 
 
 def show_version(address: str, version: int) -> None:
-    """Prints which version a director runs."""
-    click.echo(f"{address}: version {version} runs")
+    """Print the version that a director runs."""
+    click.echo(f"{address}: running version {version}")
 
 
 def show_table(title: str, rows: list[dict[str, Any]]) -> None:
-    """Prints rows as a table; its columns are all keys in the order of their first use."""
-    # Imported here, as other output does not need it
+    """Print rows as a table whose columns are all keys of the rows, in order of first use."""
+    # Imported here, as most commands do not print tables.
     from rich.console import Console
     from rich.table import Table
 
@@ -117,5 +117,5 @@
 
 
 def format_value(value: Any) -> str:
-    """Returns a text as it is, anything else as JSON."""
+    """Return a string unchanged and any other value as JSON."""
     return value if isinstance(value, str) else json.dumps(value)
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -1,6 +1,6 @@
-"""The INI file of management: where it listens, who may do what, what it stores.
+"""The INI file of management: the server's address, roles, stored files and limits.
 
-Pure but for `load_management_config`.
+Only `load_management_config` does I/O.
 """
 
 import os
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True, frozen=True)
 class ManagementConfig:
-    """Settings of management.
+    """The settings of management.
 
     Attributes:
         enabled: Whether management is on.
-        listen: Address of the gNMI server, as host:port; port 0 picks a free one.
-        state_dir: Folder of the datastore file; empty: nothing is stored.
-        certificate: Path of the server's certificate; empty: no TLS.
+        listen: Address of the gNMI server, as host:port; port 0 lets the system choose a free port.
+        state_dir: Folder of the datastore file; if empty, the datastore is not stored.
+        certificate: Path of the server's certificate; empty for no TLS.
         key: Path of the certificate's private key.
-        clients_ca: Path of the authority that signs clients' certificates.
-        authorization: Roles of callers.
-        max_subscribers: Subscribe calls that may be open at a time.
-        max_queued_updates: Updates that may wait for one subscriber.
-        max_message_kb: Largest message that is taken, in KiB.
-        max_concurrent_calls: Other calls that may run at a time.
+        clients_ca: Path of the certificate authority that signs the clients' certificates.
+        authorization: The roles of callers.
+        max_subscribers: Maximum number of open Subscribe calls.
+        max_queued_updates: Maximum number of updates in the queue of one subscriber.
+        max_message_kb: Maximum size of a received message, in KiB.
+        max_concurrent_calls: Maximum number of concurrent calls other than Subscribe.
     """
 
     enabled: bool
@@ -46,15 +46,15 @@
 
     @property
     def has_tls(self) -> bool:
-        """Whether the server has a certificate and requires one of its clients."""
+        """Whether the server uses TLS, and so requires certificates of its clients."""
         return bool(self.certificate)
 
 
 def parse_management_config(text: str, folder: str) -> ManagementConfig:
-    """Parses the file's text; relative paths in it are taken from `folder`.
+    """Parse the text of the file; relative paths in it are relative to `folder`.
 
     Raises:
-        ConfigError: If the text is no INI, or a section or key cannot be used.
+        ConfigError: If the text is not valid INI, or a section or key is unknown or invalid.
     """
     sections = parse_sections(text)
     reject_unknown_sections(sections, SECTIONS)
@@ -82,20 +82,23 @@
 
 
 def load_management_config(path: str) -> ManagementConfig:
-    """Reads and parses the file.
+    """Read and parse the file.
 
     Raises:
-        ConfigError: If the file cannot be read or used.
+        ConfigError: If the file cannot be read or is not valid.
     """
     return load_ini(path, parse_management_config)
 
 
 def _listen_address(section: IniSection) -> str:
-    """Returns host:port. `IniSection.address` does not fit: here port 0 may be given."""
+    """Return the listening address as host:port.
+
+    `IniSection.address` cannot be used, as it does not accept port 0.
+    """
     listen = section.text("listen", DEFAULT_LISTEN)
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise section.error("listen", "host:port is wanted")
+        raise section.error("listen", "host:port is required")
     return listen
 
 
@@ -104,22 +107,28 @@
     return os.path.join(folder, value) if value else ""
 
 
-def _authorization(values: dict[str, str], is_loopback_open: bool) -> AuthorizationPolicy:
-    """Builds the policy from the [roles] section, whose keys are names in certificates."""
+def _authorization(values: dict[str, str], allows_insecure_loopback: bool) -> AuthorizationPolicy:
+    """Build the policy from the section [roles], whose keys are names in certificates."""
     roles = IniSection("roles", values)
     roles_by_name = {name: ROLES_BY_NAME[roles.choice(name, ROLES_BY_NAME, "")] for name in values}
-    return AuthorizationPolicy(roles_by_name, Role.CONFIGURE if is_loopback_open else Role.NONE)
+    return AuthorizationPolicy(
+        roles_by_name, Role.CONFIGURE if allows_insecure_loopback else Role.NONE
+    )
 
 
 def _check_transport_security(config: ManagementConfig, section: IniSection) -> None:
-    """Raises ConfigError unless there is TLS, or access without it is limited and asked for."""
-    given = [bool(config.certificate), bool(config.key), bool(config.clients_ca)]
-    if any(given) and not all(given):
+    """Raise ConfigError unless the server has TLS, or listens on loopback as explicitly allowed.
+
+    The three TLS files must be configured together. A server without TLS may listen on loopback
+    only, and only with `insecure_loopback`.
+    """
+    tls_paths_given = [bool(config.certificate), bool(config.key), bool(config.clients_ca)]
+    if any(tls_paths_given) and not all(tls_paths_given):
         raise section.error("certificate", "certificate, key and clients_ca go together")
-    if not config.enabled or any(given):
+    if not config.enabled or any(tls_paths_given):
         return
     host = config.listen.rpartition(":")[0]
     if not host.strip("[]").startswith(LOOPBACK_PREFIXES):
-        raise section.error("listen", "without a certificate it listens on loopback only")
+        raise section.error("listen", "without a certificate the server listens on loopback only")
     if not section.flag("insecure_loopback", False):
-        raise section.error("insecure_loopback", "yes is wanted to listen without a certificate")
+        raise section.error("insecure_loopback", "must be yes to listen without a certificate")
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -1,10 +1,11 @@
 """The configuration datastore: running configuration, confirmed commits, rollback, history. Pure.
 
-A commit goes through all participants or none, as in two-phase commit: each participant prepares
-and may reject, the new version is stored, and only then does each participant commit. If one of
-them fails even then, those that have committed are undone in reverse order.
+A commit is applied by all participants or by none, as in two-phase commit. First each participant
+prepares the change and may reject it, then the new version is stored, and then each participant
+commits. If a participant fails to commit, the commits of the participants before it are undone in
+reverse order.
 
-Times are Unix milliseconds and passed in.
+Times are in Unix milliseconds and are passed in by the caller.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,46 +15,46 @@
 from .errors import CommitRejectedError, ErrorCode
 from .tree import Tree
 
-MAX_VERSIONS = 50  # of the history; older ones are dropped
-MAX_CONFIRM_TIMEOUT = 86_400_000.0  # ms: a day
+MAX_VERSIONS = 50  # in the history; older versions are dropped
+MAX_CONFIRM_TIMEOUT = 86_400_000.0  # ms; one day
 
 Undo = Callable[[], None]
 
 
 class Participant(Protocol):
-    """A part of the running program that commits change."""
+    """A part of the running program that applies committed configurations."""
 
     name: str
 
     def prepare(self, old: Tree, new: Tree) -> Any:
-        """Checks a change and computes what its commit needs; changes nothing.
+        """Check a change and compute the data that its commit needs, without side effects.
 
         Raises:
-            CommitRejectedError: If the change cannot be made.
+            CommitRejectedError: If the change cannot be applied.
         """
 
     def persisted_version(self, prepared: Any) -> int:
-        """Returns the version that the participant's own file will have after this commit.
+        """Return the version that the participant's own file will have after the commit.
 
-        After a crash it tells whether the commit was carried out. 0 if the participant stores
-        nothing itself.
+        After a crash, a comparison with the version in the file shows whether the participant had
+        committed. Participants without a file return 0.
         """
 
     def commit(self, prepared: Any) -> Undo:
-        """Applies a prepared change; returns what undoes it."""
+        """Apply a prepared change; return a function that undoes it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Version:
-    """One committed configuration. Its tree is never changed.
+    """A committed configuration. Its tree must not be modified.
 
     Attributes:
-        number: Counts up by one with each commit.
+        number: The version's number, which increases by one with each commit.
         tree: The configuration.
-        committed_at: When, in Unix milliseconds.
+        committed_at: Time of the commit, in Unix milliseconds.
         author: Name of the client; empty for the director itself.
         comment: What was changed or why, for the history.
-        participant_versions: By participant's name what `persisted_version` gave.
+        participant_versions: The result of `persisted_version`, by name of the participant.
     """
 
     number: int
@@ -65,11 +66,11 @@
 
 
 class ConfirmRequest(NamedTuple):
-    """A client's wish that its commit is rolled back unless it confirms it in time.
+    """A client's request to roll its commit back unless the client confirms the commit in time.
 
     Attributes:
         commit_id: The client's name for the commit.
-        timeout: Milliseconds to the rollback.
+        timeout: Milliseconds until the rollback.
     """
 
     commit_id: str
@@ -78,20 +79,20 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitRequest:
-    """A commit as it is asked for.
+    """A request for a commit.
 
     Attributes:
         tree: The new configuration.
         author: Name of the client; empty for the director itself.
-        comment: For the history.
-        built_on: Number of the version that the client has seen; None: any.
-        confirm: Set if the client must confirm the commit.
+        comment: Comment for the history.
+        expected_version: Number of the version that must be running; None for any.
+        confirm: The confirmation that the commit requires; None if it requires none.
     """
 
     tree: Tree
     author: str
     comment: str
-    built_on: int | None = None
+    expected_version: int | None = None
     confirm: ConfirmRequest | None = None
 
 
@@ -101,8 +102,8 @@
 
     Attributes:
         commit_id: The client's name for the commit.
-        deadline: When it is rolled back, in Unix milliseconds.
-        rollback_tree: The configuration from before the commit.
+        deadline: Time of the rollback, in Unix milliseconds.
+        rollback_tree: The configuration that the rollback restores.
     """
 
     commit_id: str
@@ -112,7 +113,12 @@
 
 @dataclass(slots=True)
 class DatastoreState:
-    """All that outlives a restart: the versions, the running one last, and a pending commit."""
+    """The state that is kept across restarts.
+
+    Attributes:
+        versions: The history; the last version is the running one.
+        pending_confirmation: The confirmed commit that is pending; None if there is none.
+    """
 
     versions: list[Version]
     pending_confirmation: PendingConfirmation | None = None
@@ -128,9 +134,9 @@
 
     Attributes:
         validate: Returns a tree in canonical form; raises CommitRejectedError if it is not valid.
-        participants: Those that each commit goes through, in the order of their commits.
-        persist: Stores a state; raises CommitRejectedError if it cannot.
-        state: The present state.
+        participants: The participants of each commit, in the order in which they commit.
+        persist: Stores a state; raises CommitRejectedError if it cannot be stored.
+        state: The current state.
     """
 
     validate: Callable[[Tree], Tree]
@@ -140,25 +146,27 @@
 
     @property
     def running(self) -> Version:
-        """The running configuration."""
+        """The running version."""
         return self.state.versions[-1]
 
     def commit(self, now: float, request: CommitRequest) -> Version:
-        """Makes a tree the running configuration.
+        """Make a tree the running configuration.
 
-        A tree that changes nothing makes no version, unless it is to be confirmed.
+        No new version is created if the tree equals the running one and the commit requires no
+        confirmation.
 
         Returns:
             The version that is running now.
 
         Raises:
-            CommitRejectedError: If the commit is not made; nothing is changed then.
+            CommitRejectedError: If the commit is rejected or fails; nothing is changed then.
         """
         running = self.running
         pending = self.state.pending_confirmation
-        if request.built_on is not None and request.built_on != running.number:
+        if request.expected_version is not None and request.expected_version != running.number:
             raise CommitRejectedError(
-                f"built on version {request.built_on}, but version {running.number} is running",
+                f"built on version {request.expected_version}, "
+                f"but version {running.number} is running",
                 ErrorCode.STALE,
             )
         if request.confirm is not None:
@@ -180,47 +188,52 @@
                 f"change {pending.commit_id} still wants its confirmation", ErrorCode.BUSY
             )
         if not 0.0 < timeout <= MAX_CONFIRM_TIMEOUT:
-            raise CommitRejectedError(f"a confirmation within {timeout:g} ms can't be waited for")
+            raise CommitRejectedError(
+                f"confirmation timeout is {timeout:g} ms; it must be above 0 and at most a day"
+            )
 
     def confirm(self, commit_id: str) -> None:
-        """Keeps a confirmed commit.
+        """Confirm the pending commit, so that it is kept.
 
         Raises:
-            CommitRejectedError: If no such commit is pending, or the state cannot be stored.
+            CommitRejectedError: If no commit with that id is pending, or the state cannot be
+                stored.
         """
-        self._pending_commit(commit_id)
+        self._require_pending(commit_id)
         state = DatastoreState(self.state.versions)
         self.persist(state)
         self.state = state
 
     def cancel(self, now: float, commit_id: str, author: str) -> Version:
-        """Rolls a confirmed commit back at once; returns the version that this makes.
+        """Roll back the pending commit at once; return the version that the rollback created.
 
         Raises:
-            CommitRejectedError: If no such commit is pending, or it cannot be rolled back.
+            CommitRejectedError: If no commit with that id is pending, or the rollback fails.
         """
-        pending = self._pending_commit(commit_id)
-        return self._roll_back(now, pending, author, f"change {commit_id} was cancelled")
+        pending = self._require_pending(commit_id)
+        return self._roll_back_pending(now, pending, author, f"change {commit_id} was cancelled")
 
     def roll_back_expired(self, now: float) -> Version | None:
-        """Rolls a commit back that was not confirmed in time.
+        """Roll back the pending commit if its deadline has passed.
 
         Returns:
-            The version that this makes; None if no deadline has passed.
+            The version that the rollback created; None if no commit has expired.
 
         Raises:
-            CommitRejectedError: If it cannot be rolled back.
+            CommitRejectedError: If the rollback fails.
         """
         pending = self.state.pending_confirmation
         if pending is None or now < pending.deadline:
             return None
-        return self._roll_back(now, pending, "", f"change {pending.commit_id} was not confirmed")
+        return self._roll_back_pending(
+            now, pending, "", f"change {pending.commit_id} was not confirmed"
+        )
 
     def rollback(self, now: float, number: int, author: str) -> Version:
-        """Makes an older version's tree the running configuration, as a new version.
+        """Commit the tree of an older version as a new version.
 
         Raises:
-            CommitRejectedError: If the history has no such version, or the commit is not made.
+            CommitRejectedError: If the history has no such version, or the commit is rejected.
         """
         for version in self.state.versions:
             if version.number == number:
@@ -231,7 +244,7 @@
             f"there is no version {number}; kept are {first} to {self.running.number}"
         )
 
-    def _pending_commit(self, commit_id: str) -> PendingConfirmation:
+    def _require_pending(self, commit_id: str) -> PendingConfirmation:
         pending = self.state.pending_confirmation
         if pending is None:
             raise CommitRejectedError(f"no change {commit_id} wants a confirmation")
@@ -241,18 +254,18 @@
             )
         return pending
 
-    def _roll_back(
+    def _roll_back_pending(
         self, now: float, pending: PendingConfirmation, author: str, comment: str
     ) -> Version:
         new = Version(self.running.number + 1, pending.rollback_tree, now, author, comment)
         return self._commit_version(new, None)
 
     def _commit_version(self, new: Version, pending: PendingConfirmation | None) -> Version:
-        """Takes a version through all participants and the store, or through none.
+        """Prepare a version with all participants, store it, and let the participants commit.
 
-        It is stored before any participant commits, together with the version that each
-        participant's own file will have: after a crash in between, the participants are brought
-        up to it at the next start.
+        The version is stored before any participant commits, together with the version that each
+        participant's own file will have. If the program crashes between these steps, the
+        participants are updated to the stored version at the next start.
         """
         old_tree = self.running.tree
         prepared = [
@@ -278,8 +291,8 @@
             for participant, change in prepared:
                 undos.append(participant.commit(change))
         except Exception as error:
-            # Whatever fails in a participant, the others must not keep their part of the change;
-            # the director keeps running on the old version
+            # After any kind of failure in one participant, the others must not keep their part of
+            # the change. The director keeps running on the old version.
             for undo in reversed(undos):
                 undo()
             self.persist(self.state)
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -1,9 +1,9 @@
 """The datastore on disk: one file with a format version, a length and a checksum.
 
-The file is replaced as a whole: if the program is killed at any point of a write, either the old
-or the new content stands. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`, the rest
-a JSON object whose `trees` are referred to by index, so that trees that several versions share
-are stored once.
+The file is replaced atomically: if the program is killed during a write, the file has either the
+old or the new content. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`. After it
+follows a JSON object. The other members of the object refer to its list `trees` by index, so that a
+tree that several versions share is stored once.
 """
 
 import os
@@ -19,15 +19,15 @@
 
 MAGIC = b"mulleinrelay-datastore"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 256_000_000  # a wrong file of any size must not fill the memory
+MAX_FILE_BYTES = 256_000_000  # a larger file is not a datastore and could exhaust the memory
 
 
 class DatastoreFileError(StoreError):
-    """A datastore file that cannot be used; the text says why and what to do."""
+    """A datastore file that cannot be used; the text gives the reason."""
 
 
 def encode_state(state: DatastoreState) -> bytes:
-    """Returns the content of the file."""
+    """Return the content of the datastore file for a state."""
     table = _TreeTable()
     versions = [
         [
@@ -50,14 +50,14 @@
 
 
 class _TreeTable:
-    """Distinct trees in the order of their first use."""
+    """The distinct trees of a state, in the order of their first use."""
 
     def __init__(self) -> None:
         self.trees: list[Tree] = []
-        self._indexes: dict[int, int] = {}  # by id() of the tree
+        self._indexes: dict[int, int] = {}  # indexes in `trees`, by id() of the tree
 
     def index_of(self, tree: Tree) -> int:
-        """Returns the tree's index, and adds the tree if it is not in the table yet."""
+        """Return the index of a tree, after adding the tree if it is not in the table yet."""
         if id(tree) not in self._indexes:
             self._indexes[id(tree)] = len(self.trees)
             self.trees.append(tree)
@@ -65,12 +65,12 @@
 
 
 def decode_state(data: bytes) -> DatastoreState:
-    """Returns the state that is stored in the content of a file.
+    """Return the state that the content of a datastore file represents.
 
     Raises:
-        DatastoreFileError: If it is no datastore, damaged, or of a newer format.
+        DatastoreFileError: If the content is not a datastore, damaged, or of a newer format.
     """
-    body = _checked_body(data)
+    body = _extract_body(data)
     try:
         content = orjson.loads(body)
         trees = content["trees"]
@@ -93,51 +93,58 @@
                 rollback_tree=trees[unconfirmed[2]],
             )
     except (ValueError, KeyError, TypeError, IndexError) as error:
-        raise DatastoreFileError(f"holds something else than a datastore: {error}") from error
+        raise DatastoreFileError(f"its content is not a datastore: {error}") from error
     if not versions:
-        raise DatastoreFileError("holds no version")
+        raise DatastoreFileError("contains no version")
     return DatastoreState(versions, pending)
 
 
-def _checked_body(data: bytes) -> bytes:
-    """Checks the first line and returns what follows it."""
+def _extract_body(data: bytes) -> bytes:
+    """Check the first line; return the bytes after it."""
     header, _, body = data.partition(b"\n")
     fields = header.split(b" ")
     if len(fields) != 4 or fields[0] != MAGIC:
-        raise DatastoreFileError("is no datastore of this program")
+        raise DatastoreFileError("is not a datastore of this program")
     try:
         format_version = int(fields[1])
         length = int(fields[2])
         checksum = int(fields[3], 16)
     except ValueError as error:
-        raise DatastoreFileError("its head can't be read") from error
+        raise DatastoreFileError("its first line cannot be parsed") from error
     if format_version > FORMAT_VERSION:
         raise DatastoreFileError(
-            f"has form {format_version}; this program reads up to {FORMAT_VERSION}: use a newer one"
+            f"has format {format_version}, but this program reads formats up to {FORMAT_VERSION}: "
+            "use a newer version of the program"
         )
     if len(body) != length or zlib.crc32(body) != checksum:
-        raise DatastoreFileError("is damaged (its checksum differs)")
+        raise DatastoreFileError("is damaged: its length or checksum does not match")
     return body
 
 
 class DatastoreFile:
-    """The file `datastore` in a folder; without a folder nothing is stored."""
+    """The file `datastore` in a folder; without a folder, nothing is stored."""
 
     def __init__(self, folder: str) -> None:
-        """Takes the folder, which is made with the first write; empty: nothing is stored."""
+        """Set the path of the file.
+
+        Args:
+            folder: The folder, which is created by the first write; if empty, nothing is stored.
+        """
         self.path = os.path.join(folder, "datastore") if folder else ""
 
     def load(self) -> DatastoreState | None:
-        """Returns the stored state; None if there is none yet.
+        """Return the stored state; None if nothing has been stored yet.
 
         Raises:
-            DatastoreFileError: If the file cannot be read or used.
+            DatastoreFileError: If the file cannot be read or is not a valid datastore.
         """
         if not self.path:
             return None
         try:
             if os.path.getsize(self.path) > MAX_FILE_BYTES:
-                raise DatastoreFileError(f"{self.path}: over {MAX_FILE_BYTES // 1_000_000} MB")
+                raise DatastoreFileError(
+                    f"{self.path}: is larger than {MAX_FILE_BYTES // 1_000_000} MB"
+                )
             with open(self.path, "rb") as file:
                 return decode_state(file.read())
         except FileNotFoundError:
@@ -148,10 +155,10 @@
             raise DatastoreFileError(f"{self.path}: {error}") from error
 
     def save(self, state: DatastoreState) -> None:
-        """Replaces the stored state.
+        """Replace the stored state.
 
         Raises:
-            CommitRejectedError: If it cannot be written; what cannot be stored is not committed.
+            CommitRejectedError: If the file cannot be written, so that the commit must be rejected.
         """
         if not self.path:
             return
@@ -171,7 +178,7 @@
 
 
 def _sync_folder(folder: str) -> None:
-    """Makes the replacement of the file outlive a power cut, where the file system lets it."""
+    """Flush the folder, so that the replacement of the file survives a power failure."""
     try:
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -179,5 +186,6 @@
         finally:
             os.close(descriptor)
     except OSError:
-        # The new file stands; only a power cut in the next moments could still undo that
+        # Some file systems do not support this. The file has been replaced already; only a power
+        # failure in the next moments could still undo the replacement.
         pass
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -1,11 +1,15 @@
-"""Drains that operators ask for, laid over the endpoint list. Pure.
+"""Drains that operators request, applied on top of the endpoint list. Pure.
 
-A drain names an endpoint. Once it meets the endpoint in the list it applies to that incarnation, or
-to every one if asked so. An incarnation is the address and the start time together: an endpoint
-that restarted, or that the list gives at another address, has a new one. Another endpoint at the
-same address has another name and is never affected.
+A drain names an endpoint. By default it applies to one incarnation of the endpoint: the incarnation
+that the endpoint list has when the drain is set or, if the list does not have the endpoint yet, the
+first incarnation that the list names. A drain may also apply to every incarnation.
 
-Nothing here locks: `RequestCoordinator` calls it under its own lock. Times are Unix milliseconds.
+An incarnation is identified by address and start time, so an endpoint that has restarted or has
+another address in the list has a new incarnation. Another endpoint at the same address has another
+name and is never affected.
+
+This module uses no locks: `RequestCoordinator` calls it while holding its own lock. Times are in
+Unix milliseconds.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,36 +19,36 @@
 from ..policy.model import EndpointState, EndpointUpdate
 from .tree import Tree
 
-# ms that the list may say ready for a drained endpoint before that is worth a log line
+# ms for which the list may show a drained endpoint as ready before the contradiction is logged
 CONTRADICTION_GRACE_PERIOD = 10_000.0
 
 
 class DrainScope(StrEnum):
-    """Which incarnations of an endpoint a drain applies to, by their names in the YANG model."""
+    """The incarnations that a drain applies to; the values are names of the YANG model."""
 
     CURRENT_INCARNATION = "this-life"
     EVERY_INCARNATION = "every-life"
 
 
 class DrainPhase(StrEnum):
-    """What has become of a drain, by the names in the YANG model."""
+    """The phases of a drain; the values are names of the YANG model."""
 
-    WAITING = "waiting"
-    """The list has not had the endpoint yet."""
+    PENDING = "waiting"
+    """The endpoint list has not had the endpoint yet."""
     ACTIVE = "binding"
-    """The endpoint gets no new requests."""
+    """The drain is in force: the endpoint gets no new requests."""
     ENDED = "over"
-    """The incarnation that the drain applied to is gone."""
+    """The endpoint list has another incarnation than the one that the drain applied to."""
 
 
 @dataclass(slots=True, frozen=True)
 class DrainRequest:
-    """One drain as operators have configured it.
+    """A drain as configured by operators.
 
     Attributes:
         endpoint: Name of the endpoint.
-        scope: Which incarnations it applies to.
-        forced: Whether it may leave a zone or cell without caches.
+        scope: The incarnations that the drain applies to.
+        forced: Whether the drain may leave a zone or cell without caches.
     """
 
     endpoint: str
@@ -54,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointIncarnation:
-    """One run of an endpoint: its address and its start in Unix milliseconds."""
+    """An incarnation of an endpoint, identified by address and start time (Unix milliseconds)."""
 
     address: tuple[str, int]
     started_at: float
@@ -62,19 +66,21 @@
 
 @dataclass(slots=True)
 class DrainStatus:
-    """One drain and what has become of it.
+    """A drain and its current state.
 
     Attributes:
-        request: The drain as it is configured.
-        phase: What has become of it.
-        phase_since: When the phase began.
-        incarnation: That it was first met in; None: it has not been met yet.
-        contradicted_since: Since when the list says ready meanwhile; 0: it does not.
-        is_contradiction_reported: Whether `take_contradicted` has given the drain already.
+        request: The drain as configured.
+        phase: The phase of the drain.
+        phase_since: Start of the phase.
+        incarnation: The incarnation that the drain applies to; None if the endpoint list has not
+            had the endpoint yet.
+        contradicted_since: Time since which the list shows the drained endpoint as ready; 0 if it
+            does not.
+        is_contradiction_reported: Whether `take_contradicted` has returned the drain already.
     """
 
     request: DrainRequest
-    phase: DrainPhase = DrainPhase.WAITING
+    phase: DrainPhase = DrainPhase.PENDING
     phase_since: float = 0.0
     incarnation: EndpointIncarnation | None = None
     contradicted_since: float = 0.0
@@ -82,7 +88,7 @@
 
 
 def requested_drains(tree: Tree) -> dict[str, DrainRequest]:
-    """Returns the drains that a configuration asks for, by endpoint."""
+    """Return the drains that a configuration requests, by endpoint."""
     entries = tree.get("fleet", {}).get("drains", {}).get("drain", [])
     return {
         entry["box"]: DrainRequest(
@@ -98,70 +104,71 @@
 
 @dataclass(slots=True)
 class DrainIntent:
-    """All drains, and the endpoint list as it was received last; both by endpoint's name."""
+    """All drains and the last received endpoint list, both by name of the endpoint."""
 
-    drains: dict[str, DrainStatus] = field(default_factory=dict)
+    statuses: dict[str, DrainStatus] = field(default_factory=dict)
     endpoint_updates: dict[str, EndpointUpdate] = field(default_factory=dict)
 
     def copy(self) -> "DrainIntent":
-        """Returns a copy that later changes of this one do not reach."""
+        """Return a copy that is independent of later changes."""
         return DrainIntent(
-            {name: replace(status) for name, status in self.drains.items()},
+            {name: replace(status) for name, status in self.statuses.items()},
             dict(self.endpoint_updates),
         )
 
     def set_requests(self, now: float, requests: Mapping[str, DrainRequest]) -> list[str]:
-        """Replaces the configured drains.
+        """Replace the configured drains.
 
         Returns:
             The endpoints whose effective state may have changed.
         """
-        affected = [name for name in self.drains if name not in requests]
+        affected = [name for name in self.statuses if name not in requests]
         for name in affected:
-            del self.drains[name]
+            del self.statuses[name]
         for name, request in requests.items():
-            status = self.drains.get(name)
+            status = self.statuses.get(name)
             if status is not None and status.request == request:
                 continue
             if status is None or status.phase == DrainPhase.ENDED:
-                self.drains[name] = DrainStatus(request, phase_since=now)
+                self.statuses[name] = DrainStatus(request, phase_since=now)
             else:
-                self.drains[name] = replace(status, request=request)
+                self.statuses[name] = replace(status, request=request)
             affected.append(name)
         for name in affected:
-            self._apply_endpoint(now, name)
+            self._update_status(now, name)
         return affected
 
     def update_endpoints(
-        self, now: float, entries: Iterable[EndpointUpdate], is_full: bool
+        self, now: float, entries: Iterable[EndpointUpdate], is_full_snapshot: bool
     ) -> None:
-        """Takes over an update of the endpoint list.
+        """Apply an update of the endpoint list.
 
         Args:
-            now: Present time.
+            now: The current time.
             entries: New or changed entries.
-            is_full: Whether `entries` is the complete list.
+            is_full_snapshot: Whether `entries` is the complete list.
         """
-        if is_full:
+        if is_full_snapshot:
             self.endpoint_updates = {}
         for entry in entries:
             if entry.state == EndpointState.GONE:
                 self.endpoint_updates.pop(entry.name, None)
             else:
                 self.endpoint_updates[entry.name] = entry
-            self._apply_endpoint(now, entry.name)
-        if is_full:
-            for name in self.drains:
-                self._apply_endpoint(now, name)
-
-    def _apply_endpoint(self, now: float, name: str) -> None:
-        """Brings the status of an endpoint's drain up to what the list says."""
-        status = self.drains.get(name)
+            self._update_status(now, entry.name)
+        if is_full_snapshot:
+            for name in self.statuses:
+                self._update_status(now, name)
+
+    def _update_status(self, now: float, name: str) -> None:
+        """Update the status of an endpoint's drain from the endpoint list."""
+        status = self.statuses.get(name)
         if status is None or status.phase == DrainPhase.ENDED:
             return
         entry = self.endpoint_updates.get(name)
         if entry is None:
-            # The incarnation may still run: a list that was interrupted names it again
+            # The drain does not end here: the incarnation may still be running, and the list may
+            # name it again after an interruption of the event stream.
             status.contradicted_since = 0.0
             return
         incarnation = EndpointIncarnation(entry.address, entry.started_at)
@@ -181,25 +188,25 @@
             status.contradicted_since = now
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """Returns the state of an endpoint that this director goes by."""
-        status = self.drains.get(entry.name)
+        """Return the state that this director uses for an endpoint, after applying its drain."""
+        status = self.statuses.get(entry.name)
         is_active = status is not None and status.phase == DrainPhase.ACTIVE
         if is_active and entry.state == EndpointState.READY:
             return EndpointState.DRAINING
         return entry.state
 
     def take_contradicted(self, now: float) -> list[DrainStatus]:
-        """Returns drains that the list has contradicted for long, each of them only once."""
-        found = [
+        """Return the drains that the list has contradicted for the grace period, each only once."""
+        contradicted = [
             status
-            for status in self.drains.values()
+            for status in self.statuses.values()
             if status.contradicted_since
             and now > status.contradicted_since + CONTRADICTION_GRACE_PERIOD
             and not status.is_contradiction_reported
         ]
-        for status in found:
+        for status in contradicted:
             status.is_contradiction_reported = True
-        return found
+        return contradicted
 
 
 def drain_rejection_reason(
@@ -209,33 +216,37 @@
     is_cache: Callable[[EndpointUpdate], bool],
     caches_by_cell: Mapping[str, Iterable[str]],
 ) -> str:
-    """Returns why new drains are rejected; empty if they are not.
+    """Return the reason why new drains are rejected; empty if they are accepted.
 
-    They are if a zone or cell that has ready caches now would have none. Forced drains are always
-    let through.
+    They are rejected if a zone or cell that has ready caches now would have none left. Forced
+    drains are always accepted.
 
     Args:
         endpoints: The endpoint list, by name.
         active_drains: Endpoints that are drained already.
-        requests: The drains that are asked for, old and new, by endpoint.
-        is_cache: Whether an endpoint is a cache that this director sends requests to.
-        caches_by_cell: Names of caches by cell.
+        requests: The requested drains, old and new, by endpoint.
+        is_cache: Returns whether an endpoint is a cache that this director sends requests to.
+        caches_by_cell: Names of caches, by cell.
     """
-    active = set(active_drains)
-    new = {name for name, request in requests.items() if name not in active and not request.forced}
-    if not new:
+    drained_already = set(active_drains)
+    new_drains = {
+        name
+        for name, request in requests.items()
+        if name not in drained_already and not request.forced
+    }
+    if not new_drains:
         return ""
-    drained = set(requests) | active
+    drained = set(requests) | drained_already
     ready = {name for name, entry in endpoints.items() if entry.state == EndpointState.READY}
     caches_by_zone: dict[int, set[str]] = {}
     for name in ready:
         if is_cache(endpoints[name]):
             caches_by_zone.setdefault(endpoints[name].zone, set()).add(name)
     for zone, caches in sorted(caches_by_zone.items()):
-        if new & caches and caches <= drained:
+        if new_drains & caches and caches <= drained:
             return f"location {zone} would be left without caches: {', '.join(sorted(caches))}"
-    for cell, names in sorted(caches_by_cell.items()):
-        caches = ready.intersection(names)
-        if new & caches and caches <= drained:
+    for cell, cell_caches in sorted(caches_by_cell.items()):
+        caches = ready.intersection(cell_caches)
+        if new_drains & caches and caches <= drained:
             return f"cell {cell} would be left without caches: {', '.join(sorted(caches))}"
     return ""
--- a/mulleinrelay/management/edits.py
+++ b/mulleinrelay/management/edits.py
@@ -1,4 +1,4 @@
-"""The edits that a commit consists of. Pure."""
+"""The edits of a commit. Pure."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
 
 class EditOperation(StrEnum):
-    """The operations of a gNMI Set."""
+    """The edit operations of a gNMI Set request."""
 
     DELETE = "delete"
     REPLACE = "replace"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Edit:
-    """One operation of a commit; `value` is the JSON value, none for a delete."""
+    """One edit of a commit; `value` is a JSON value, and None for a delete."""
 
     operation: EditOperation
     path: Path
@@ -30,10 +30,10 @@
 
 
 def apply_edit(schema: SchemaNode, tree: Tree, edit: Edit) -> None:
-    """Applies an edit to a tree.
+    """Apply an edit to a tree.
 
     Raises:
-        PathError: If the edit does not fit the model; the tree may then be changed in part.
+        PathError: If the edit does not fit the model. The tree may be partly changed then.
     """
     match edit.operation:
         case EditOperation.DELETE:
@@ -45,7 +45,7 @@
 
 
 def describe_edits(edits: list[Edit]) -> str:
-    """Returns what the edits do, for the history."""
+    """Return a short description of the edits for the history."""
     described = ", ".join(
         f"{edit.operation} {format_path(edit.path)}" for edit in edits[:MAX_EDITS_IN_COMMENT]
     )
--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a management request, each with a code that the gNMI server turns into a status."""
+"""Errors of management requests, with codes that the gNMI server maps to gRPC statuses."""
 
 from enum import StrEnum
 
@@ -6,38 +6,38 @@
 
 
 class ErrorCode(StrEnum):
-    """Why a request is rejected."""
+    """The reasons for rejecting a request."""
 
     INVALID = "invalid"
-    """The request, or the configuration that it asks for, is not valid."""
+    """The request, or the configuration that it would result in, is not valid."""
     STALE = "stale"
-    """The change is based on a version that is no longer the running one."""
+    """The change is based on a version that is no longer running."""
     BUSY = "busy"
-    """A confirmed commit is still waiting for its confirmation."""
+    """A confirmed commit has not been confirmed yet, so no other one can be made."""
     FAILED = "failed"
     """The change is valid, but this director could not apply or store it."""
     NOT_FOUND = "not found"
     """The path names a node that the model or the tree does not have."""
     UNIMPLEMENTED = "unimplemented"
-    """The protocol has it, this server does not."""
+    """The protocol defines the feature, but this server does not support it."""
 
 
 class RequestError(MulleinrelayError):
-    """A management request that is not carried out.
+    """A management request that was rejected or failed.
 
     Attributes:
-        code: The reason's kind.
+        code: The kind of the error.
     """
 
     def __init__(self, message: str, code: ErrorCode = ErrorCode.INVALID) -> None:
-        """Builds the error from the text that the client sees and the kind of the reason."""
+        """Create the error from the text that is sent to the client and the kind of the error."""
         super().__init__(message)
         self.code = code
 
 
 class PathError(RequestError):
-    """A path, or the value for it, that cannot be parsed or does not fit the model."""
+    """A path, or a value at a path, that cannot be parsed or does not fit the model."""
 
 
 class CommitRejectedError(RequestError):
-    """A commit that is not made; the running configuration stays as it was."""
+    """A commit that was rejected or failed; the running configuration is unchanged."""
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -1,4 +1,4 @@
-"""A gNMI client for the command line and for tests: one target each."""
+"""A gNMI client for the command line and for tests."""
 
 import json
 from collections.abc import Callable, Iterator, Sequence
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionOptions:
-    """How targets are reached.
+    """The options of a connection to a target.
 
     Attributes:
-        ca: Path of the authority that signs targets' certificates.
-        certificate: Path of our certificate; empty: no TLS.
-        key: Path of its private key.
-        server_name: Name in the target's certificate, where that is not its address.
-        timeout_s: Seconds that a call may take.
+        ca: Path of the certificate authority that signs the targets' certificates.
+        certificate: Path of the client certificate; empty for no TLS.
+        key: Path of the private key of the client certificate.
+        server_name: Name in the target's certificate, if it differs from the target's address.
+        timeout_s: Timeout of a call, in seconds.
     """
 
     ca: str = ""
@@ -37,29 +37,29 @@
 
 
 class GnmiCallError(MulleinrelayError):
-    """A call that did not succeed.
+    """A failed gNMI call.
 
     Attributes:
-        code: Name of the gRPC status.
+        code: Name of the gRPC status code.
     """
 
     def __init__(self, text: str, code: str) -> None:
-        """Takes the details and the name of the status."""
+        """Create the error from the details and the code name of the gRPC status."""
         super().__init__(text)
         self.code = code
 
 
 class WatchEventKind(StrEnum):
-    """What a subscription brings."""
+    """The kinds of events of a subscription."""
 
     UPDATE = "update"
     DELETE = "delete"
     SYNC = "sync"
-    """All values from before the subscription have been sent."""
+    """All values that existed when the subscription began have been sent."""
 
 
 class WatchEvent(NamedTuple):
-    """One event of a subscription; a delete has no value, a sync no path either."""
+    """An event of a subscription. A delete has no value; a sync has neither path nor value."""
 
     kind: WatchEventKind
     path: Path | None
@@ -70,11 +70,11 @@
     """A connection to one gNMI server."""
 
     def __init__(self, address: str, options: ConnectionOptions) -> None:
-        """Prepares the channel, which connects with the first call.
+        """Create the channel, which connects at the first call.
 
         Args:
-            address: host:port of the server.
-            options: Certificates and time limit.
+            address: Address of the server, as host:port.
+            options: Certificates and timeout.
 
         Raises:
             OSError: If a certificate cannot be read.
@@ -91,14 +91,14 @@
             self.channel = grpc.insecure_channel(address, channel_options)
 
     def get(self, path: Path, kind: int = gnmi.ALL) -> list[PathValue]:
-        """Returns the nodes that a path matches.
+        """Return the nodes that a path matches.
 
         Args:
-            path: The path; it may have wildcards.
+            path: The path, which may have wildcards.
             kind: `gnmi.ALL`, `gnmi.CONFIG` or `gnmi.STATE`.
 
         Raises:
-            GnmiCallError: If the call does not succeed.
+            GnmiCallError: If the call fails.
         """
         request = gnmi.GetRequest(path=[path_to_message(path)], type=kind, encoding=gnmi.JSON_IETF)
         response = self._call("Get", request)
@@ -116,75 +116,78 @@
         deletes: Sequence[Path] = (),
         updates: Sequence[tuple[Path, Any]] = (),
         replaces: Sequence[tuple[Path, Any]] = (),
-        within: float | None = None,
-        name: str = "",
-        extra: dict[str, Any] | None = None,
+        confirm_timeout_s: float | None = None,
+        commit_id: str = "",
+        extension_values: dict[str, Any] | None = None,
     ) -> int:
-        """Commits a change: all of it or nothing.
+        """Commit all given changes, or none of them.
 
         Args:
             deletes: Paths to delete.
-            updates: Values to merge in, by path.
-            replaces: Values to put in place of what is there, by path.
-            within: Seconds within which it must be confirmed; None: no confirmed commit.
-            name: Name of the confirmed commit.
-            extra: The object of the server's own extension: `built_on`, `rollback`, `why`.
+            updates: Paths and the values to merge into their nodes.
+            replaces: Paths and the values to replace their nodes with.
+            confirm_timeout_s: Seconds within which the commit must be confirmed; None for a commit
+                that needs no confirmation.
+            commit_id: Id for confirming the commit.
+            extension_values: Members of the server's own extension: `built_on`, `rollback`, `why`.
 
         Returns:
             Number of the version that is running now.
 
         Raises:
-            GnmiCallError: If the call does not succeed.
+            GnmiCallError: If the call fails.
         """
         request = gnmi.SetRequest(
             delete=[path_to_message(path) for path in deletes],
             replace=[_update_message(path, value) for path, value in replaces],
             update=[_update_message(path, value) for path, value in updates],
         )
-        if within is not None:
+        if confirm_timeout_s is not None:
             commit = request.extension.add().commit
-            commit.id = name
-            commit.commit.rollback_duration.seconds = int(within)
-            commit.commit.rollback_duration.nanos = int(within % 1 * NANOSECONDS_PER_SECOND)
-        if extra:
+            commit.id = commit_id
+            commit.commit.rollback_duration.seconds = int(confirm_timeout_s)
+            commit.commit.rollback_duration.nanos = int(
+                confirm_timeout_s % 1 * NANOSECONDS_PER_SECOND
+            )
+        if extension_values:
             extension = request.extension.add().registered_ext
             extension.id = gnmi.EXPERIMENTAL_EXTENSION_ID
-            extension.msg = json.dumps(extra).encode()
-        return _version_of(self._call("Set", request))
+            extension.msg = json.dumps(extension_values).encode()
+        return _version_from_response(self._call("Set", request))
 
     def confirm(self, commit_id: str) -> int:
-        """Keeps a confirmed commit; returns the version that is running.
+        """Confirm a pending commit; return the running version.
 
         Raises:
-            GnmiCallError: If the call does not succeed.
+            GnmiCallError: If the call fails.
         """
         request = gnmi.SetRequest()
         commit = request.extension.add().commit
         commit.id = commit_id
         commit.confirm.SetInParent()
-        return _version_of(self._call("Set", request))
+        return _version_from_response(self._call("Set", request))
 
     def cancel(self, commit_id: str) -> int:
-        """Rolls a confirmed commit back; returns the version that is running then.
+        """Roll back a pending commit; return the version that is running afterwards.
 
         Raises:
-            GnmiCallError: If the call does not succeed.
+            GnmiCallError: If the call fails.
         """
         request = gnmi.SetRequest()
         commit = request.extension.add().commit
         commit.id = commit_id
         commit.cancel.SetInParent()
-        return _version_of(self._call("Set", request))
+        return _version_from_response(self._call("Set", request))
 
     def watch(self, paths: Sequence[Path], updates_only: bool = False) -> Iterator[WatchEvent]:
-        """Yields what changes below the paths until the channel is closed.
+        """Yield the values at the paths and their changes until the channel is closed.
 
         Args:
-            paths: Paths; they may have wildcards.
-            updates_only: Whether to leave out the values from before.
+            paths: The paths, which may have wildcards.
+            updates_only: Whether to leave out the values from before the subscription.
 
         Raises:
-            GnmiCallError: If the call ends with another status than OK.
+            GnmiCallError: If the call ends with a status other than OK.
         """
         request = gnmi.SubscribeRequest(
             subscribe=gnmi.SubscriptionList(
@@ -199,12 +202,12 @@
         )
         try:
             for response in self._method("Subscribe")(iter([request])):
-                yield from _events_of(response)
+                yield from _events_from_response(response)
         except grpc.RpcError as error:
             raise _call_error(error) from error
 
     def close(self) -> None:
-        """Closes the channel and ends all calls on it."""
+        """Close the channel and end all calls on it."""
         self.channel.close()
 
     def _call(self, name: str, request: Message) -> Message:
@@ -239,13 +242,13 @@
 
 
 def _update_message(path: Path, value: Any) -> Message:
-    # Unlike the server's, the client's JSON has spaces; servers take either
+    # Unlike the JSON of our server, this JSON contains spaces, which servers accept as well.
     data = json.dumps(value).encode()
     return gnmi.Update(path=path_to_message(path), val=gnmi.TypedValue(json_ietf_val=data))
 
 
-def _version_of(response: Message) -> int:
-    """Returns the version that the server's own extension names; 0 if there is none."""
+def _version_from_response(response: Message) -> int:
+    """Return the version in the server's own extension; 0 if the response has no such extension."""
     for extension in response.extension:
         if extension.WhichOneof("ext") == "registered_ext":
             version: int = json.loads(extension.registered_ext.msg)["version"]
@@ -253,7 +256,7 @@
     return 0
 
 
-def _events_of(response: Message) -> Iterator[WatchEvent]:
+def _events_from_response(response: Message) -> Iterator[WatchEvent]:
     if response.WhichOneof("response") == "sync_response":
         yield WatchEvent(WatchEventKind.SYNC, None, None)
     for path in response.update.delete:
--- a/mulleinrelay/management/gnmi_conversion.py
+++ b/mulleinrelay/management/gnmi_conversion.py
@@ -1,6 +1,7 @@
 """Conversion between gNMI messages and this program's paths and values. Pure.
 
-gNMI's message classes are made at import and have no static types, hence `Message`.
+The message classes of gNMI are built at import time and have no static types; `Message` stands for
+any of them in annotations.
 """
 
 import json
@@ -11,7 +12,7 @@
 from .paths import Path, PathElement, normalize_path
 from .schema import MODULE_NAME
 
-Message = Any  # one of the classes of gnmi_messages
+Message = Any  # an instance of one of the classes of gnmi_messages
 
 SUPPORTED_ENCODINGS = (gnmi.JSON, gnmi.JSON_IETF)
 KNOWN_ORIGINS = ("", MODULE_NAME, "rfc7951")
@@ -21,61 +22,62 @@
 JSON_KINDS = ("json_ietf_val", "json_val")
 
 
-def checked_encoding(encoding: int) -> int:
-    """Returns the encoding; raises PathError if the server does not have it."""
+def require_supported_encoding(encoding: int) -> int:
+    """Return the encoding unchanged; raise PathError if the server does not support it."""
     if encoding not in SUPPORTED_ENCODINGS:
-        raise PathError("encodings here are JSON and JSON_IETF", ErrorCode.UNIMPLEMENTED)
+        raise PathError("supported encodings are JSON and JSON_IETF", ErrorCode.UNIMPLEMENTED)
     return encoding
 
 
 def path_from_message(message: Message, prefix: Message | None = None) -> Path:
-    """Returns the path of a message, after the elements of a prefix.
+    """Return the path of a message, appended to the path of a prefix if there is one.
 
     Raises:
-        PathError: If its origin or form is not known, or an element has no usable name.
+        PathError: If the origin or form of a path is not supported, or an element has no valid
+            name.
     """
     elements: list[PathElement] = []
-    for source in (prefix, message):
-        if source is None:
+    for part in (prefix, message):
+        if part is None:
             continue
-        if source.origin not in KNOWN_ORIGINS:
-            raise PathError(f"origin {source.origin!r}: only {MODULE_NAME} is known here")
-        if source.element:
-            raise PathError("the field element is of an old form; elem is wanted")
-        elements += _elements_of(source)
+        if part.origin not in KNOWN_ORIGINS:
+            raise PathError(f"origin {part.origin!r} is unknown; only {MODULE_NAME} is supported")
+        if part.element:
+            raise PathError("the field element is obsolete; use elem")
+        elements += _elements_from_message(part)
     return normalize_path(tuple(elements))
 
 
 def path_from_response(message: Message) -> Path:
-    """Returns the path of a server's message, whatever its origin.
+    """Return the path of a message from a server; its origin is ignored.
 
     Raises:
-        PathError: If an element has no usable name.
+        PathError: If an element has no valid name.
     """
-    return normalize_path(tuple(_elements_of(message)))
+    return normalize_path(tuple(_elements_from_message(message)))
 
 
-def _elements_of(message: Message) -> list[PathElement]:
+def _elements_from_message(message: Message) -> list[PathElement]:
     return [PathElement(elem.name, tuple(sorted(elem.key.items()))) for elem in message.elem]
 
 
 def path_to_message(path: Path) -> Message:
-    """Returns the message of a path."""
+    """Return a path as a gNMI message."""
     return gnmi.PathMessage(elem=[gnmi.PathElem(name=name, key=dict(keys)) for name, keys in path])
 
 
 def value_from_message(message: Message) -> Any:
-    """Returns the JSON value of a TypedValue.
+    """Return the JSON value of a TypedValue.
 
     Raises:
-        PathError: If it is no JSON or of a kind that has none.
+        PathError: If the value is not valid JSON, or is of a kind that is not supported.
     """
     kind = message.WhichOneof("value")
     if kind in JSON_KINDS:
         try:
             return json.loads(getattr(message, kind))
         except (ValueError, RecursionError) as error:
-            raise PathError("a value that is no JSON") from error
+            raise PathError("a value is not valid JSON") from error
     if kind in SCALAR_KINDS:
         return getattr(message, kind)
     if kind in FLOAT_KINDS:
@@ -84,13 +86,13 @@
         return _format_decimal(message.decimal_val.digits, message.decimal_val.precision)
     if kind == "leaflist_val":
         return [value_from_message(element) for element in message.leaflist_val.element]
-    raise PathError(f"a value of the kind {kind or 'none'} can't be taken")
+    raise PathError(f"a value of the kind {kind or 'none'} is not supported")
 
 
 def _format_decimal(digits: int, precision: int) -> str:
-    """Returns `digits` with `precision` of them after the point."""
+    """Return the number `digits` as text with `precision` digits after the decimal point."""
     if precision > MAX_DECIMAL_DIGITS:
-        raise PathError(f"a decimal of more than {MAX_DECIMAL_DIGITS} digits after the point")
+        raise PathError(f"a decimal has more than {MAX_DECIMAL_DIGITS} digits after the point")
     sign = "-" if digits < 0 else ""
     text = str(abs(digits)).rjust(precision + 1, "0")
     point = len(text) - precision
@@ -98,13 +100,13 @@
 
 
 def value_to_message(value: Any, encoding: int, has_module_names: bool = False) -> Message:
-    """Returns the TypedValue of a JSON value.
+    """Return a JSON value as a TypedValue.
 
     Args:
         value: The value.
         encoding: `gnmi.JSON` or `gnmi.JSON_IETF`.
-        has_module_names: Whether the top-level members of an object get the module's name, as
-            RFC 7951 wants in JSON_IETF.
+        has_module_names: Whether the names of the top-level members of an object get the module
+            name as prefix, which RFC 7951 requires in JSON_IETF.
     """
     if has_module_names and isinstance(value, dict) and encoding == gnmi.JSON_IETF:
         value = {f"{MODULE_NAME}:{name}": member for name, member in value.items()}
--- a/mulleinrelay/management/gnmi_extensions.py
+++ b/mulleinrelay/management/gnmi_extensions.py
@@ -1,7 +1,8 @@
-"""The extensions of a gNMI Set that this server knows.
+"""The extensions of a gNMI Set request that this server supports. Pure.
 
-These are gNMI's commit extension (confirmed commits) and, as a registered extension with the
-experimental id, a JSON object with any of `built_on`, `rollback` and `why`. Pure.
+One is gNMI's commit extension, for confirmed commits. The other is the server's own: a registered
+extension with the experimental id, whose content is a JSON object with any of the members
+`built_on`, `rollback` and `why`.
 """
 
 import json
@@ -13,52 +14,53 @@
 from .datastore import ConfirmRequest
 from .errors import PathError
 
-MAX_COMMENT_LENGTH = 256  # characters; the history keeps up to 50 of them
+MAX_COMMENT_LENGTH = 256  # characters; the history stores a comment for each of its 50 versions
 
 
 @dataclass(slots=True)
 class SetExtensions:
-    """What the extensions of a Set ask for.
+    """The content of the extensions of a Set request.
 
     Attributes:
         commit_id: The client's name for a confirmed commit.
-        confirm_timeout: Milliseconds within which it must be confirmed; None: no confirmed commit.
-        is_confirmation: Whether the Set keeps the confirmed commit.
-        is_cancellation: Whether the Set rolls it back.
-        built_on: Version that the client has seen; None: any.
-        rollback_version: Version to return to; None: no rollback.
-        comment: For the history.
+        confirm_timeout: Milliseconds within which the client must confirm the commit; None if the
+            request makes no confirmed commit.
+        is_confirmation: Whether the request confirms the pending commit.
+        is_cancellation: Whether the request rolls the pending commit back.
+        expected_version: Number of the version that must be running; None for any.
+        rollback_version: Number of the version to restore; None if the request is no rollback.
+        comment: Comment for the history.
     """
 
     commit_id: str = ""
     confirm_timeout: float | None = None
     is_confirmation: bool = False
     is_cancellation: bool = False
-    built_on: int | None = None
+    expected_version: int | None = None
     rollback_version: int | None = None
     comment: str = ""
 
     @property
     def confirm_request(self) -> ConfirmRequest | None:
-        """What the datastore is asked for; None if the commit needs no confirmation."""
+        """The confirmation that the commit requires; None if it requires none."""
         if self.confirm_timeout is None:
             return None
         return ConfirmRequest(self.commit_id, self.confirm_timeout)
 
 
 def parse_set_extensions(messages: Iterable[Any]) -> SetExtensions:
-    """Reads the extensions of a Set; those that it does not know are ignored.
+    """Parse the extensions of a Set request; unknown extensions are ignored.
 
     Raises:
-        PathError: If one of them cannot be read.
+        PathError: If a known extension cannot be parsed.
     """
     extensions = SetExtensions()
     for message in messages:
         kind = message.WhichOneof("ext")
         if kind == "commit":
-            _read_commit(extensions, message.commit)
+            _parse_commit_extension(extensions, message.commit)
         elif kind == "registered_ext" and _is_experimental(message.registered_ext):
-            _read_object(extensions, message.registered_ext.msg)
+            _parse_json_extension(extensions, message.registered_ext.msg)
     return extensions
 
 
@@ -66,10 +68,10 @@
     return bool(message.id == gnmi.EXPERIMENTAL_EXTENSION_ID)
 
 
-def _read_commit(extensions: SetExtensions, message: Any) -> None:
+def _parse_commit_extension(extensions: SetExtensions, message: Any) -> None:
     action = message.WhichOneof("action")
     if not message.id:
-        raise PathError("a commit wants an id")
+        raise PathError("a commit extension must have an id")
     extensions.commit_id = message.id
     extensions.is_confirmation = action == "confirm"
     extensions.is_cancellation = action == "cancel"
@@ -78,11 +80,11 @@
         extensions.confirm_timeout = duration.seconds * 1000.0 + duration.nanos / 1e6
 
 
-def _read_object(extensions: SetExtensions, text: bytes) -> None:
+def _parse_json_extension(extensions: SetExtensions, text: bytes) -> None:
     try:
         values = json.loads(text)
-        extensions.built_on = int(values["built_on"]) if "built_on" in values else None
+        extensions.expected_version = int(values["built_on"]) if "built_on" in values else None
         extensions.rollback_version = int(values["rollback"]) if "rollback" in values else None
         extensions.comment = str(values.get("why", ""))[:MAX_COMMENT_LENGTH]
     except (ValueError, TypeError, AttributeError, KeyError) as error:
-        raise PathError("the extension wants an object with built_on, rollback or why") from error
+        raise PathError("the extension must be an object with built_on, rollback or why") from error
--- a/mulleinrelay/management/gnmi_messages.py
+++ b/mulleinrelay/management/gnmi_messages.py
@@ -1,8 +1,8 @@
-"""The messages of gNMI, made at import from the published field numbers.
+"""The message classes of gNMI, built at import time from the published field numbers.
 
-The sources are gnmi.proto 0.10 and gnmi_ext.proto. The classes live in a descriptor pool of their
-own, so that no generated code is kept and no other package's classes are in the way. They have no
-static types.
+The sources are gnmi.proto 0.10 and gnmi_ext.proto. As the classes are built at import time, the
+project contains no generated code. They have a descriptor pool of their own, so that they cannot
+conflict with the classes of other packages. They have no static types.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 
 VERSION = "0.10.0"
 
-# Numbers of descriptor.proto's FieldDescriptorProto.Type and .Label
+# Values of FieldDescriptorProto.Type and FieldDescriptorProto.Label in descriptor.proto
 SCALAR_TYPES = {
     "double": 1,
     "float": 2,
@@ -27,7 +27,8 @@
 LABEL_OPTIONAL = 1
 LABEL_REPEATED = 3
 
-# Fields of messages as `name=number type`, `*` before a repeated type, `name/oneof=...` in a oneof
+# Fields of messages as `name=number type`, with `*` before the type of a repeated field, and as
+# `name/oneof=number type` for a field of a oneof
 EXTENSION_MESSAGES = {
     "Extension": "registered_ext/ext=1 RegisteredExtension, commit/ext=4 Commit",
     "RegisteredExtension": "id=1 ExtensionID, msg=2 bytes",
@@ -92,14 +93,15 @@
 def _file_descriptor(
     package: str, messages: dict[str, str], enums: dict[str, dict[str, int]], imports: list[str]
 ) -> descriptor_pb2.FileDescriptorProto:
-    """Builds the descriptor of a .proto file from the tables above."""
+    """Build the descriptor of a .proto file from tables of messages and enums."""
     file = descriptor_pb2.FileDescriptorProto(
         name=f"{package}.proto", package=package, syntax="proto3", dependency=imports
     )
     for name, values in enums.items():
         enum = file.enum_type.add(name=name)
         for value, number in values.items():
-            # Values of all enums of a package share one scope, so each has its enum's name
+            # The values of all enums of a package share one scope, so the name of the enum is
+            # put in front of the name of the value to make it unique.
             enum.value.add(name=f"{name}_{value}", number=number)
     for name, fields in messages.items():
         message = file.message_type.add(name=name)
@@ -111,7 +113,7 @@
 
 
 def _add_field(message: Any, text: str, package: str, enums: dict[str, dict[str, int]]) -> None:
-    """Adds a field to a message's descriptor, and its oneof where that is new."""
+    """Add a field to a message's descriptor, and its oneof if the message lacks it."""
     declaration, type_name = text.split(" ")
     full_name, number = declaration.split("=")
     name, _, oneof = full_name.partition("/")
@@ -138,7 +140,7 @@
 
 
 def _add_key_map(message: Any) -> None:
-    """Adds the entry type of `map<string, string> key` to PathElem."""
+    """Add the entry type of the field `map<string, string> key` to PathElem."""
     entry = message.nested_type.add(name="KeyEntry")
     entry.options.map_entry = True
     for number, name in enumerate(("key", "value"), 1):
@@ -146,8 +148,8 @@
 
 
 POOL = descriptor_pool.DescriptorPool()
-for _known in (any_pb2, duration_pb2):
-    POOL.AddSerializedFile(_known.DESCRIPTOR.serialized_pb)
+for _dependency in (any_pb2, duration_pb2):
+    POOL.AddSerializedFile(_dependency.DESCRIPTOR.serialized_pb)
 POOL.Add(
     _file_descriptor(
         "gnmi_ext", EXTENSION_MESSAGES, EXTENSION_ENUMS, ["google/protobuf/duration.proto"]
@@ -183,7 +185,7 @@
 ModelData = _message_class("gnmi.ModelData")
 Extension = _message_class("gnmi_ext.Extension")
 
-# Numbers of the enums' values: Encoding
+# Numbers of enum values: Encoding
 JSON = 0
 ASCII = 3
 JSON_IETF = 4
@@ -205,10 +207,10 @@
 REPLACE = 2
 UPDATE = 3
 UNION_REPLACE = 4
-# ExtensionID of registered extensions that are not registered with OpenConfig
+# ExtensionID of extensions that are not registered with OpenConfig
 EXPERIMENTAL_EXTENSION_ID = 999
 
-# Classes of request and response by the name of the method
+# Classes of request and response, by name of the method
 METHODS = {
     "Capabilities": (CapabilityRequest, CapabilityResponse),
     "Get": (GetRequest, GetResponse),
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -1,4 +1,4 @@
-"""The gNMI server on grpcio: Capabilities, Get, Set and Subscribe."""
+"""The gNMI server, based on grpcio, with Capabilities, Get, Set and Subscribe."""
 
 import json
 import threading
@@ -19,9 +19,9 @@
 from .gnmi_conversion import (
     SUPPORTED_ENCODINGS,
     Message,
-    checked_encoding,
     path_from_message,
     path_to_message,
+    require_supported_encoding,
     value_from_message,
     value_to_message,
 )
@@ -31,9 +31,9 @@
 from .service import DataKind, ManagementService
 
 SERVICE_NAME = "gnmi.gNMI"
-STACK_BYTES = 1_048_576  # the model's checks nest deeper than what serves clients' requests
+WORKER_STACK_BYTES = 1_048_576  # validation nests deeper than the other threads of the program
 POOL_START_TIMEOUT_S = 10.0
-STOP_TIMEOUT_S = 1.0  # for calls that are open when the server stops
+STOP_TIMEOUT_S = 1.0  # time for open calls to end when the server stops
 STOP_MARGIN_S = 0.5
 STATUS_CODES = {
     ErrorCode.INVALID: grpc.StatusCode.INVALID_ARGUMENT,
@@ -57,24 +57,24 @@
 
 
 class GnmiServicer:
-    """Answers gNMI calls. Thread-safe: grpc calls it in several threads at a time."""
+    """Handlers of gNMI calls. Thread-safe, as gRPC calls them in several threads at a time."""
 
     def __init__(self, config: ManagementConfig, management: ManagementService) -> None:
-        """Takes the limits and roles, and the service that does the work."""
+        """Store the settings, with limits and roles, and the service that executes the calls."""
         self._config = config
         self._management = management
         self._streams_lock = threading.Lock()  # guards _open_streams
         self._open_streams = 0
 
     def handlers(self) -> grpc.GenericRpcHandler:
-        """Returns the handlers that a grpc server wants."""
+        """Return the handlers of all methods for registration at a gRPC server."""
         unary = {"Capabilities": self.capabilities, "Get": self.get, "Set": self.set}
         handlers = {name: _unary_handler(name, method) for name, method in unary.items()}
         handlers["Subscribe"] = _stream_handler("Subscribe", self.subscribe)
         return grpc.method_handlers_generic_handler(SERVICE_NAME, handlers)
 
     def capabilities(self, request: Message, context: grpc.ServicerContext) -> Message:
-        """Returns the model, the encodings and the version of gNMI."""
+        """Return the supported model and encodings and the version of gNMI."""
         self._authorize(context, Role.READ)
         model = gnmi.ModelData(
             name=MODULE_NAME, organization="mulleinrelay", version=MODULE_REVISION
@@ -86,32 +86,33 @@
         )
 
     def get(self, request: Message, context: grpc.ServicerContext) -> Message:
-        """Returns a notification for each path; without one, the whole tree."""
+        """Return a notification for each path or, without paths, one for the whole tree."""
         self._authorize(context, Role.READ)
-        encoding = checked_encoding(request.encoding)
+        encoding = require_supported_encoding(request.encoding)
         kind = DATA_KINDS.get(request.type, DataKind.ALL)
         response = gnmi.GetResponse()
         for message in request.path or [gnmi.PathMessage()]:
             notification = response.notification.add(timestamp=time.time_ns())
             if request.HasField("prefix"):
                 notification.prefix.target = request.prefix.target
-            wanted = path_from_message(message, request.prefix)
-            for path, value in self._management.read([wanted], kind):
+            requested_path = path_from_message(message, request.prefix)
+            for path, value in self._management.read([requested_path], kind):
                 notification.update.add(
                     path=path_to_message(path), val=value_to_message(value, encoding, True)
                 )
         return response
 
     def set(self, request: Message, context: grpc.ServicerContext) -> Message:
-        """Commits all edits or none; or confirms, cancels or rolls back."""
-        edits = _edits_of(request)
+        """Commit all edits or none; or confirm, cancel or roll back, as the extensions request."""
+        edits = _edits_from_request(request)
         if request.union_replace:
             raise PathError(
-                "union_replace: there is one origin here; use replace", ErrorCode.UNIMPLEMENTED
+                "union_replace is not supported, as there is only one origin; use replace",
+                ErrorCode.UNIMPLEMENTED,
             )
         extensions = parse_set_extensions(request.extension)
         author = self._authorize(context, _role_for_set(edits, extensions))
-        self._carry_out(edits, extensions, author)
+        self._execute(edits, extensions, author)
         response = gnmi.SetResponse(
             timestamp=time.time_ns(),
             response=[
@@ -121,40 +122,46 @@
                 for edit in edits
             ],
         )
-        version = response.extension.add().registered_ext
-        version.id = gnmi.EXPERIMENTAL_EXTENSION_ID
+        version_extension = response.extension.add().registered_ext
+        version_extension.id = gnmi.EXPERIMENTAL_EXTENSION_ID
         number = self._management.datastore.running.number
-        version.msg = json.dumps({"version": number}).encode()
+        version_extension.msg = json.dumps({"version": number}).encode()
         return response
 
-    def _carry_out(self, edits: list[Edit], extensions: SetExtensions, author: str) -> None:
+    def _execute(self, edits: list[Edit], extensions: SetExtensions, author: str) -> None:
         if extensions.is_confirmation:
             self._management.confirm(extensions.commit_id)
         elif extensions.is_cancellation:
             self._management.cancel(extensions.commit_id, author)
         elif extensions.rollback_version is not None:
-            self._management.rollback(extensions.rollback_version, author, extensions.built_on)
+            self._management.rollback(
+                extensions.rollback_version, author, extensions.expected_version
+            )
         else:
             self._management.apply_edits(
-                edits, author, extensions.built_on, extensions.confirm_request, extensions.comment
+                edits,
+                author,
+                extensions.expected_version,
+                extensions.confirm_request,
+                extensions.comment,
             )
 
     def subscribe(
         self, requests: Iterator[Message], context: grpc.ServicerContext
     ) -> Iterator[Message]:
-        """Yields notifications until the call ends; at most `max_subscribers` may be open."""
+        """Yield notifications until the call ends; at most `max_subscribers` may be open."""
         self._authorize(context, Role.READ)
         with self._streams_lock:
             if self._open_streams >= self._config.max_subscribers:
                 context.abort(
                     grpc.StatusCode.RESOURCE_EXHAUSTED,
-                    f"{self._open_streams} streams are open; no more are taken",
+                    f"{self._open_streams} streams are open, which is the limit",
                 )
             self._open_streams += 1
         try:
             first = next(requests, None)
             if first is None or first.WhichOneof("request") != "subscribe":
-                raise PathError("the first message of a stream is to subscribe")
+                raise PathError("the first message of a stream must be a subscribe request")
             call = SubscribeCall(
                 self._management, first.subscribe, context, self._config.max_queued_updates
             )
@@ -164,21 +171,21 @@
                 self._open_streams -= 1
 
     def _authorize(self, context: grpc.ServicerContext, required: Role) -> str:
-        """Returns the caller's name; ends the call if its role is too low."""
-        names = _names_in_certificate(context)
+        """Return the caller's name; abort the call if the caller's role is insufficient."""
+        names = _certificate_names(context)
         role = self._config.authorization.role_of(names)
         if role < required:
             caller = names[0] if names else "a caller without a certificate"
             allowed = role.name.lower() if role else "do nothing"
             context.abort(
                 grpc.StatusCode.PERMISSION_DENIED,
-                f"{caller} may {allowed}; {required.name.lower()} is wanted",
+                f"{caller} may {allowed}; {required.name.lower()} is required",
             )
         return names[0] if names else context.peer()
 
 
-def _names_in_certificate(context: grpc.ServicerContext) -> list[str]:
-    """Returns common name and alternative names of the caller; none without a certificate."""
+def _certificate_names(context: grpc.ServicerContext) -> list[str]:
+    """Return common name and alternative names in the caller's certificate; empty without one."""
     properties = context.auth_context()
     names = [
         *properties.get("x509_common_name", ()),
@@ -187,8 +194,8 @@
     return [name.decode(errors="replace") for name in names]
 
 
-def _edits_of(request: Message) -> list[Edit]:
-    """Returns the edits of a SetRequest in the order of the specification (section 3.4.3)."""
+def _edits_from_request(request: Message) -> list[Edit]:
+    """Return the edits of a SetRequest in the order that the specification sets (section 3.4.3)."""
     edits = [
         Edit(EditOperation.DELETE, path_from_message(message, request.prefix))
         for message in request.delete
@@ -208,12 +215,12 @@
         return Role.CONFIGURE
     if edits:
         return required_role([edit.path for edit in edits])
-    return Role.DRAIN  # confirms or cancels
+    return Role.DRAIN  # a confirmation or cancellation
 
 
 @contextmanager
-def _status_of_errors(context: grpc.ServicerContext) -> Iterator[None]:
-    """Ends the call with the status that belongs to a RequestError."""
+def _abort_on_request_error(context: grpc.ServicerContext) -> Iterator[None]:
+    """Abort the call with the matching gRPC status if a RequestError is raised."""
     try:
         yield
     except RequestError as error:
@@ -224,7 +231,7 @@
     name: str, method: Callable[[Message, grpc.ServicerContext], Message]
 ) -> grpc.RpcMethodHandler:
     def call(request: Message, context: grpc.ServicerContext) -> Message:
-        with _status_of_errors(context):
+        with _abort_on_request_error(context):
             return method(request, context)
 
     request_class, response_class = gnmi.METHODS[name]
@@ -237,7 +244,7 @@
     name: str, method: Callable[[Iterator[Message], grpc.ServicerContext], Iterator[Message]]
 ) -> grpc.RpcMethodHandler:
     def call(requests: Iterator[Message], context: grpc.ServicerContext) -> Iterator[Message]:
-        with _status_of_errors(context):
+        with _abort_on_request_error(context):
             yield from method(requests, context)
 
     request_class, response_class = gnmi.METHODS[name]
@@ -247,20 +254,20 @@
 
 
 class GnmiServer:
-    """The listening server.
+    """The gNMI server of a director.
 
     Attributes:
-        management: The service that answers; stopped with the server.
-        port: The port that it listens on.
+        management: The service that executes the calls; it is stopped with the server.
+        port: The port that the server listens on.
     """
 
     def __init__(
         self, config: ManagementConfig, management: ManagementService, log: StructuredLog
     ) -> None:
-        """Binds the address.
+        """Create the server and bind its address.
 
         Raises:
-            RuntimeError: If it cannot listen there.
+            RuntimeError: If the server cannot listen on its address.
             OSError: If a certificate cannot be read.
         """
         self.management = management
@@ -285,10 +292,11 @@
             raise RuntimeError(f"management: cannot listen on {config.listen}")
 
     def start(self) -> None:
-        """Starts the pool's threads, with a stack that the model's checks fit into, and listens."""
-        previous_size = threading.stack_size(STACK_BYTES)
+        """Start the worker threads, with a stack large enough for validation, and listen."""
+        previous_size = threading.stack_size(WORKER_STACK_BYTES)
         try:
-            # Each worker waits at the barrier, so that the pool has to make all of them now
+            # The stack size applies to threads that are started now. Each worker waits at the
+            # barrier, so that the pool must start all workers here.
             barrier = threading.Barrier(self._worker_count + 1)
             for _ in range(self._worker_count):
                 self._pool.submit(barrier.wait)
@@ -298,6 +306,6 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Ends management and all calls; waits a little for those that are open."""
+        """Stop management and the server; wait for a short time for open calls to end."""
         self.management.stop()
         self._server.stop(STOP_TIMEOUT_S).wait(STOP_TIMEOUT_S + STOP_MARGIN_S)
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -1,4 +1,4 @@
-"""The responses of one gNMI Subscribe call: ONCE, POLL and STREAM."""
+"""The responses of one gNMI Subscribe call in the modes ONCE, POLL and STREAM."""
 
 import time
 from collections.abc import Iterable, Iterator, Sequence
@@ -11,9 +11,9 @@
 from .errors import ErrorCode, PathError
 from .gnmi_conversion import (
     Message,
-    checked_encoding,
     path_from_message,
     path_to_message,
+    require_supported_encoding,
     value_to_message,
 )
 from .paths import ANY_ELEMENT, ANY_ELEMENTS, Path, covers
@@ -22,58 +22,59 @@
 from .tree import PathValue, TreeDifference, iter_leaves
 
 MIN_SAMPLE_INTERVAL_S = 1.0  # each sample reads the state of all endpoints
-MAX_WAIT_S = 1.0  # after so long a stream looks whether its client is still there
-MIN_WAIT_S = 0.01
-MAX_UPDATES_PER_MESSAGE = 500  # keeps a message well below the 4 MB that clients take by default
+MAX_QUEUE_WAIT_S = 1.0  # a stream checks at this interval whether its client is still connected
+MIN_QUEUE_WAIT_S = 0.01
+MAX_UPDATES_PER_MESSAGE = 500  # keeps messages well below 4 MB, the default limit of clients
 NANOSECONDS_PER_SECOND = 1e9
 
 
 @dataclass(slots=True)
 class _PeriodicRead:
-    """A path that is sent at intervals: a SAMPLE subscription, or a heartbeat."""
+    """A path whose values are sent periodically: a SAMPLE subscription or a heartbeat."""
 
     path: Path
     interval_s: float
-    due_at: float = 0.0  # time.monotonic()
+    due_at: float = 0.0  # in the time of time.monotonic()
 
 
 class SubscribeCall:
-    """Answers one Subscribe call in the thread that serves it."""
+    """A Subscribe call; its responses are generated in the thread that serves the call."""
 
     def __init__(
         self, management: ManagementService, request: Message, context: Any, queue_capacity: int
     ) -> None:
-        """Reads the SubscriptionList of a call.
+        """Parse the SubscriptionList of a call.
 
         Args:
-            management: Whose tree is subscribed to.
+            management: The service whose tree is subscribed to.
             request: The SubscriptionList.
             context: The call's grpc.ServicerContext.
-            queue_capacity: Updates that may wait for this client.
+            queue_capacity: Maximum number of updates in the queue of this client.
 
         Raises:
-            PathError: If an encoding or path cannot be used, or there is no path.
+            PathError: If the encoding or a path is not valid, or there is no path.
         """
         self._management = management
         self._request = request
         self._context = context
         self._queue_capacity = queue_capacity
-        self._encoding = checked_encoding(request.encoding)
+        self._encoding = require_supported_encoding(request.encoding)
         self._paths = [
             path_from_message(subscription.path, request.prefix)
             for subscription in request.subscription
         ]
         if not self._paths:
-            raise PathError("a subscription wants a path")
+            raise PathError("a subscription must have a path")
 
     def responses(self, requests: Iterator[Message]) -> Iterator[Message]:
-        """Yields the responses until the call ends.
+        """Yield the responses until the call ends.
 
         Args:
-            requests: Further requests of the call; only POLL has any.
+            requests: Further requests of the call; only the mode POLL has any.
 
         Raises:
-            PathError: If the model or the tree has no such node, or a request is no poll.
+            PathError: If the model or the tree has no node at a path, or a further request is not
+                a poll.
         """
         if self._request.mode == gnmi.STREAM:
             yield from self._stream()
@@ -82,16 +83,16 @@
         else:
             for request in requests:
                 if request.WhichOneof("request") != "poll":
-                    raise PathError("a poll is wanted")
+                    raise PathError("expected a poll request")
                 yield from self._snapshot()
 
     def _snapshot(self) -> Iterator[Message]:
-        """Yields all values, unless the client wants updates only, and the end of them."""
+        """Yield all values, unless the client requested updates only, and a sync response."""
         if not self._request.updates_only:
-            yield from self._values(self._paths)
+            yield from self._read_values(self._paths)
         yield gnmi.SubscribeResponse(sync_response=True)
 
-    def _values(self, paths: list[Path]) -> Iterator[Message]:
+    def _read_values(self, paths: list[Path]) -> Iterator[Message]:
         schema = self._management.schema
         for path, value in self._management.read(paths, DataKind.ALL):
             if isinstance(value, dict | list):
@@ -112,39 +113,41 @@
             except PathError as error:
                 if error.code != ErrorCode.NOT_FOUND:
                     raise
-                # Nothing is there yet; the client gets it once it is
+                # The node does not exist yet; the client is notified when it is created.
                 yield gnmi.SubscribeResponse(sync_response=True)
-            yield from self._follow(subscriber)
+            yield from self._stream_changes(subscriber)
         finally:
             self._management.unsubscribe(subscriber)
 
     def _check_paths(self) -> None:
-        """Raises PathError for a path that can never match: its client would wait for ever."""
+        """Raise PathError for a path that can never match, as its client would wait forever."""
         for path in self._paths:
             if not any(element.name in (ANY_ELEMENT, ANY_ELEMENTS) for element in path):
                 self._management.schema.find(path)
 
-    def _follow(self, subscriber: Subscriber) -> Iterator[Message]:
-        """Yields changes, samples and heartbeats until the client ends the call."""
-        on_change = self._on_change_paths()
+    def _stream_changes(self, subscriber: Subscriber) -> Iterator[Message]:
+        """Yield changes, samples and heartbeats until the client ends the call."""
+        patterns = self._change_patterns()
         periodic = self._periodic_reads()
-        began = time.monotonic()
-        for read in periodic:
-            read.due_at = began + read.interval_s
+        started_at = time.monotonic()
+        for entry in periodic:
+            entry.due_at = started_at + entry.interval_s
         while self._context.is_active() and not subscriber.is_closed:
-            soonest = min((read.due_at for read in periodic), default=time.monotonic() + MAX_WAIT_S)
-            wait_s = max(MIN_WAIT_S, min(MAX_WAIT_S, soonest - time.monotonic()))
+            next_due_at = min(
+                (entry.due_at for entry in periodic), default=time.monotonic() + MAX_QUEUE_WAIT_S
+            )
+            wait_s = max(MIN_QUEUE_WAIT_S, min(MAX_QUEUE_WAIT_S, next_due_at - time.monotonic()))
             for difference in subscriber.take(wait_s):
-                yield from self._changes(difference, on_change)
+                yield from self._change_responses(difference, patterns)
             if subscriber.dropped_count:
                 self._context.abort(
                     grpc.StatusCode.RESOURCE_EXHAUSTED,
-                    f"{subscriber.dropped_count} changes were lost: "
-                    "this client takes them too slowly",
+                    f"{subscriber.dropped_count} updates were dropped: "
+                    "the client reads them too slowly",
                 )
-            yield from self._due_reads(periodic)
+            yield from self._read_due(periodic)
 
-    def _on_change_paths(self) -> list[Path]:
+    def _change_patterns(self) -> list[Path]:
         return [
             path
             for subscription, path in zip(self._request.subscription, self._paths, strict=True)
@@ -152,7 +155,7 @@
         ]
 
     def _periodic_reads(self) -> list[_PeriodicRead]:
-        """Returns the SAMPLE subscriptions, then the heartbeats of the others."""
+        """Return the SAMPLE subscriptions, then the heartbeats of the other subscriptions."""
         samples = []
         heartbeats = []
         for subscription, path in zip(self._request.subscription, self._paths, strict=True):
@@ -164,18 +167,20 @@
                 heartbeats.append(_PeriodicRead(path, interval_s))
         return samples + heartbeats
 
-    def _due_reads(self, periodic: list[_PeriodicRead]) -> Iterator[Message]:
+    def _read_due(self, periodic: list[_PeriodicRead]) -> Iterator[Message]:
         now = time.monotonic()
-        for read in periodic:
-            if now >= read.due_at:
-                read.due_at = now + read.interval_s
+        for entry in periodic:
+            if now >= entry.due_at:
+                entry.due_at = now + entry.interval_s
                 try:
-                    yield from self._values([read.path])
+                    yield from self._read_values([entry.path])
                 except PathError:
-                    continue  # the node is gone for now
+                    continue  # the node does not exist at present
 
-    def _changes(self, difference: TreeDifference, patterns: list[Path]) -> Iterator[Message]:
-        """Yields the part of a difference that is subscribed to."""
+    def _change_responses(
+        self, difference: TreeDifference, patterns: list[Path]
+    ) -> Iterator[Message]:
+        """Yield the part of a difference that the patterns cover."""
         changed = [
             update
             for update in difference.changed
@@ -195,7 +200,7 @@
 def _updates_to_response(
     updates: Iterable[PathValue], deleted: Sequence[Path], encoding: int
 ) -> Message:
-    """Returns the SubscribeResponse of one notification, with the present time."""
+    """Return a SubscribeResponse with one notification, stamped with the current time."""
     notification = gnmi.Notification(timestamp=time.time_ns())
     for path, value in updates:
         notification.update.add(path=path_to_message(path), val=value_to_message(value, encoding))
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -1,4 +1,4 @@
-"""The participants of commits at a running director: drains and the cell assignment."""
+"""The participants of commits in a running director: drains and the cell assignment."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 if TYPE_CHECKING:
     from ..cells.service import CellService
 
-CachesByCell = Callable[[list[str]], dict[str, list[str]]]  # of the caches that are given by name
+CacheGrouping = Callable[[list[str]], dict[str, list[str]]]  # from cache names to names by cell
 
 
 class DrainParticipant:
-    """Applies operators' drains over the endpoint list.
+    """A participant that applies the operators' drains on top of the endpoint list.
 
     Attributes:
-        intent: The drains; guarded by the coordinator's lock.
+        intent: The drains and their states; guarded by the coordinator's lock.
     """
 
     name = "drains"
 
-    def __init__(self, coordinator: RequestCoordinator, caches_by_cell: CachesByCell) -> None:
-        """Becomes the coordinator's overrides, with the endpoint list as it has it now.
+    def __init__(self, coordinator: RequestCoordinator, group_by_cell: CacheGrouping) -> None:
+        """Set the drains as the coordinator's overrides and load its current endpoint list.
 
         Args:
-            coordinator: Whose endpoints are drained.
-            caches_by_cell: Returns which of the given caches each cell has; empty without cells.
+            coordinator: The coordinator whose endpoints are drained.
+            group_by_cell: Groups names of caches by cell; returns an empty dict if cells are off.
         """
         self.coordinator = coordinator
-        self.caches_by_cell = caches_by_cell
+        self.group_by_cell = group_by_cell
         self.intent = DrainIntent()
         with coordinator.lock:
             coordinator.overrides = self.intent
@@ -56,52 +56,55 @@
             )
 
     def prepare(self, old: Tree, new: Tree) -> dict[str, DrainRequest]:
-        """Returns the drains that the new configuration asks for.
+        """Return the drains that the new configuration requests.
 
         Raises:
-            CommitRejectedError: If a new one would leave a zone or cell without caches.
+            CommitRejectedError: If a new drain would leave a zone or cell without caches.
         """
         requests = requested_drains(new)
         if requests == requested_drains(old):
             return requests
         if reason := self._rejection_reason(requests):
-            raise CommitRejectedError(f"{reason}; set forced to drain all the same")
+            raise CommitRejectedError(f"{reason}; set forced to drain anyway")
         return requests
 
     def _rejection_reason(self, requests: dict[str, DrainRequest]) -> str:
         with self.coordinator.lock:
             active = [
                 name
-                for name, status in self.intent.drains.items()
+                for name, status in self.intent.statuses.items()
                 if status.phase == DrainPhase.ACTIVE
             ]
             endpoints = dict(self.intent.endpoint_updates)
         caches = [name for name, entry in endpoints.items() if self._is_cache_of_zone(entry)]
         return drain_rejection_reason(
-            endpoints, active, requests, self._is_cache_of_zone, self.caches_by_cell(caches)
+            endpoints, active, requests, self._is_cache_of_zone, self.group_by_cell(caches)
         )
 
     def _is_cache_of_zone(self, entry: EndpointUpdate) -> bool:
-        """Whether it is a cache in the zone of this director, which sends requests to no others."""
+        """Return whether the endpoint is a cache in this director's zone.
+
+        A director sends requests to the caches of its own zone only.
+        """
         settings = self.coordinator.settings
         is_cache = entry.kind not in (settings.parent_kind, settings.origin_kind)
         return is_cache and entry.zone == settings.zone
 
     def persisted_version(self, prepared: dict[str, DrainRequest]) -> int:
-        """Returns 0: drains are stored in the datastore alone."""
+        """Return 0, as drains have no file apart from the datastore."""
         return 0
 
     def commit(self, prepared: dict[str, DrainRequest]) -> Undo:
-        """Applies the drains; returns what restores those from before."""
-        before: list[DrainIntent] = []
+        """Apply the drains; return a function that restores the previous drains."""
+        previous: list[DrainIntent] = []
 
         def apply(_: EndpointOverrides) -> list[str]:
-            before.append(self.intent.copy())
+            previous.append(self.intent.copy())
             return self.intent.set_requests(self.coordinator.clock(), prepared)
 
         def restore(_: EndpointOverrides) -> list[str]:
-            affected = set(self.intent.drains) | set(before[0].drains)
-            self.intent.drains = before[0].drains
+            affected = set(self.intent.statuses) | set(previous[0].statuses)
+            self.intent.statuses = previous[0].statuses
             return sorted(affected)
 
         self.coordinator.change_overrides(apply)
@@ -109,85 +112,93 @@
 
 
 class AssignmentParticipant:
-    """Applies the cell assignment, where cells are on, and writes it to the assignment file."""
+    """A participant that applies the cell assignment and writes it to the assignment file.
+
+    Without cells it rejects a configuration with an assignment.
+    """
 
     name = "assignment"
 
     def __init__(self, cell_service: CellService | None, clock: Callable[[], float]) -> None:
-        """Takes the running cells (None: cells are off) and the clock in Unix milliseconds."""
+        """Store the parts that later commits use.
+
+        Args:
+            cell_service: The running cells; None if cells are off.
+            clock: Returns the time in Unix milliseconds.
+        """
         self.cell_service = cell_service
         self.clock = clock
 
     @property
     def assignment(self) -> Assignment | None:
-        """The assignment that is in use; None without cells."""
+        """The assignment in use; None if cells are off."""
         return self.cell_service.controller.assignment if self.cell_service is not None else None
 
     def tree(self) -> Tree:
-        """Returns the assignment in use as the model has it; empty without cells."""
+        """Return the assignment in use as a tree of the YANG model; empty if cells are off."""
         assignment = self.assignment
         return assignment_to_tree(assignment) if assignment is not None else {}
 
     def prepare(self, old: Tree, new: Tree) -> PreparedAssignment | None:
-        """Builds the assignment that the new configuration asks for.
+        """Build the assignment that the new configuration requests.
 
         Returns:
-            The assignment, ready to be applied; None if it is the one in use.
+            The assignment, ready to be applied; None if it equals the one in use.
 
         Raises:
-            CommitRejectedError: If it cannot be used.
+            CommitRejectedError: If the requested assignment is not valid.
         """
-        wanted = new.get("fleet", {}).get("assignment")
-        present = self.assignment
-        if present is None:
-            if wanted:
+        requested = new.get("fleet", {}).get("assignment")
+        current = self.assignment
+        if current is None:
+            if requested:
                 raise CommitRejectedError("cells are off at this director (serve --cells)")
             return None
-        if wanted is None:
-            raise CommitRejectedError("the assignment can't be taken out while cells are on")
+        if requested is None:
+            raise CommitRejectedError("the assignment cannot be removed while cells are on")
         try:
-            assignment = assignment_from_tree(wanted, present.version + 1, round(self.clock()))
-            comparable = replace(assignment, version=present.version, written_at=present.written_at)
-            if comparable == present:
+            assignment = assignment_from_tree(requested, current.version + 1, round(self.clock()))
+            comparable = replace(assignment, version=current.version, written_at=current.written_at)
+            if comparable == current:
                 return None
             return prepare_assignment(assignment)
         except ConfigError as error:
             raise CommitRejectedError(str(error)) from error
 
     def persisted_version(self, prepared: PreparedAssignment | None) -> int:
-        """Returns the version that the assignment file has after the commit; 0 without cells."""
+        """Return the version of the assignment file after the commit; 0 if cells are off."""
         if prepared is not None:
             return prepared.assignment.version
-        present = self.assignment
-        return present.version if present is not None else 0
+        current = self.assignment
+        return current.version if current is not None else 0
 
     def commit(self, prepared: PreparedAssignment | None) -> Undo:
-        """Writes and applies the assignment; returns what restores the one from before.
+        """Write and apply the assignment; return a function that restores the previous one.
 
         Raises:
-            CommitRejectedError: If the file cannot be written, or another has written it meanwhile.
+            CommitRejectedError: If the file cannot be written, or has been changed in the meantime.
         """
-        before = self.assignment
-        if prepared is None or before is None:
+        previous = self.assignment
+        if prepared is None or previous is None:
             return lambda: None
         applied_version = prepared.assignment.version
-        self._apply(prepared, before.version)
+        self._apply(prepared, previous.version)
 
         def undo() -> None:
-            restored = replace(before, version=applied_version + 1)
+            restored = replace(previous, version=applied_version + 1)
             self._apply(prepare_assignment(restored), applied_version)
 
         return undo
 
-    def _apply(self, prepared: PreparedAssignment, built_on: int) -> None:
-        """Writes and applies an assignment, if the file still has the version `built_on`."""
+    def _apply(self, prepared: PreparedAssignment, expected_version: int) -> None:
+        """Write and apply an assignment, if the file still has the version `expected_version`."""
         if self.cell_service is None:
             return
         path = self.cell_service.config.assignment_file
         assignment = prepared.assignment
         try:
             with store.exclusive_writer(path):
-                store.save_assignment(path, assignment, assignment.written_at, built_on)
+                store.save_assignment(path, assignment, assignment.written_at, expected_version)
             self.cell_service.apply_prepared(prepared)
         except ConfigError as error:
             raise CommitRejectedError(str(error), ErrorCode.FAILED) from error
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -1,8 +1,9 @@
 """gNMI paths: parsing, formatting and matching. Pure.
 
-A path is a tuple of elements, each a name with the keys of a list entry. In reads, the name `*`
-matches any one element, `...` any number of elements, and the key value `*` any value (gNMI path
-conventions, wildcards in paths).
+A path is a tuple of elements. Each element has a name and, if it selects an entry of a list, the
+keys of the entry. In reads, the name `*` matches any single element, the name `...` matches any
+number of elements, and the key value `*` matches any value (see "wildcards in paths" in the gNMI
+path conventions).
 """
 
 from collections.abc import Sequence
@@ -10,8 +11,8 @@
 
 from .errors import PathError
 
-MAX_PATH_LENGTH = 4096  # characters of a path as text; a deep path with keys has a few hundred
-MAX_PATH_ELEMENTS = 32  # the model's deepest node has five
+MAX_PATH_LENGTH = 4096  # characters of a path as text; real paths have a few hundred at most
+MAX_PATH_ELEMENTS = 32  # the deepest node of the model has five
 ANY_ELEMENT = "*"
 ANY_ELEMENTS = "..."
 ANY_VALUE = "*"
@@ -20,7 +21,7 @@
 
 
 class PathElement(NamedTuple):
-    """One step of a path: a node's name and, for an entry of a list, its keys."""
+    """One element of a path: the name of a node and, for an entry of a list, its keys."""
 
     name: str
     keys: Keys = ()
@@ -37,15 +38,15 @@
 
 
 def parse_path(text: str) -> Path:
-    r"""Parses a path such as `/fleet/drains/drain[box=s-1]/scope`.
+    r"""Parse a path such as `/fleet/drains/drain[box=s-1]/scope`.
 
-    A `]` or `\` in the value of a key is written with a `\` before it.
+    A `]` or `\` in the value of a key must be escaped with a `\`.
 
     Raises:
-        PathError: If the text is no path or too long.
+        PathError: If the text is not a valid path or is too long.
     """
     if len(text) > MAX_PATH_LENGTH:
-        raise PathError(f"a path of {len(text)} characters; {MAX_PATH_LENGTH} at most")
+        raise PathError(f"path has {len(text)} characters; at most {MAX_PATH_LENGTH} are allowed")
     text = text.strip()
     elements: list[PathElement] = []
     position = 0
@@ -59,7 +60,7 @@
 
 
 def _parse_element(text: str, position: int) -> tuple[PathElement, int]:
-    """Parses the element at a position; returns it and the position after it."""
+    """Parse the element at a position; return the element and the position after it."""
     end = position
     while end < len(text) and text[end] not in "/[":
         end += 1
@@ -69,17 +70,17 @@
         key, end = _parse_key(text, end)
         keys.append(key)
     if end < len(text) and text[end] != "/":
-        raise PathError(f"{text!r}: a slash is wanted at {end}")
+        raise PathError(f"{text!r}: expected a slash at position {end}")
     if not name:
-        raise PathError(f"{text!r}: a name is wanted before the keys")
+        raise PathError(f"{text!r}: expected a name before the keys")
     return PathElement(name, tuple(sorted(keys))), end
 
 
 def _parse_key(text: str, position: int) -> tuple[tuple[str, str], int]:
-    """Parses the `[name=value]` at a position; returns the pair and the position after it."""
+    """Parse the `[name=value]` at a position; return the pair and the position after it."""
     equals = text.find("=", position)
     if equals < 0:
-        raise PathError(f"{text!r}: a key is written [name=value]")
+        raise PathError(f"{text!r}: a key must have the form [name=value]")
     name = text[position + 1 : equals].strip()
     value = ""
     position = equals + 1
@@ -89,26 +90,26 @@
         value += text[position]
         position += 1
     if position >= len(text) or not name:
-        raise PathError(f"{text!r}: a key is written [name=value]")
+        raise PathError(f"{text!r}: a key must have the form [name=value]")
     return (name, value), position + 1
 
 
 def normalize_path(path: Path) -> Path:
-    """Returns the path without the module's name before its elements.
+    """Return the path without module names in front of its elements' names.
 
     Raises:
-        PathError: If the path has too many elements, or one without a usable name.
+        PathError: If the path has too many elements, or an element has no valid name.
     """
     if len(path) > MAX_PATH_ELEMENTS:
-        raise PathError(f"a path of {len(path)} steps; {MAX_PATH_ELEMENTS} at most")
+        raise PathError(f"path has {len(path)} elements; at most {MAX_PATH_ELEMENTS} are allowed")
     normalized = tuple(PathElement(name.rpartition(":")[2], keys) for name, keys in path)
     if not all(name and name == name.strip() for name, _ in normalized):
-        raise PathError(f"{format_path(path)}: a step has no name, or spaces round it")
+        raise PathError(f"{format_path(path)}: an element has no name, or spaces around its name")
     return normalized
 
 
 def format_path(path: Path) -> str:
-    """Returns the path as text, in the form that `parse_path` reads."""
+    """Return the path as text, in the form that `parse_path` reads."""
     text = ""
     for name, keys in path:
         text += "/" + name
@@ -119,7 +120,7 @@
 
 
 def covers(pattern: Path, path: Path) -> bool:
-    """Returns whether a path lies at or below a pattern that may have wildcards."""
+    """Return whether a path is at or below a pattern, which may have wildcards."""
     if not pattern:
         return True
     element = pattern[0]
@@ -127,11 +128,11 @@
         return any(covers(pattern[1:], path[start:]) for start in range(len(path) + 1))
     if not path or element.name not in (ANY_ELEMENT, path[0].name):
         return False
-    return has_keys(path[0].keys, element.keys) and covers(pattern[1:], path[1:])
+    return keys_match(path[0].keys, element.keys) and covers(pattern[1:], path[1:])
 
 
-def has_keys(keys: Keys, pattern: Keys) -> bool:
-    """Returns whether an entry with these keys matches those of a pattern, which may be fewer."""
+def keys_match(keys: Keys, pattern: Keys) -> bool:
+    """Return whether the keys of an entry match all keys of a pattern; it may name only some."""
     if not pattern:
         return True
     values = dict(keys)
@@ -139,7 +140,7 @@
 
 
 def fleet_children(paths: Sequence[Path]) -> set[str] | None:
-    """Returns which children of /fleet the paths lead to; None if it may be any of them."""
+    """Return the children of /fleet that the paths lead to; None if they may lead to all."""
     children = set()
     for path in paths:
         if len(path) < 2 or path[0].name != "fleet":
--- a/mulleinrelay/management/schema.py
+++ b/mulleinrelay/management/schema.py
@@ -1,4 +1,4 @@
-"""The schema that trees and paths are checked against, without the YANG library. Pure."""
+"""The schema that trees and paths are checked against; independent of yangson. Pure."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class SchemaNode:
-    """One node of the YANG model.
+    """A node of the YANG model.
 
     Attributes:
         children: Data nodes below a container or list, by name.
-        keys: Names of a list's keys.
-        is_list: Whether it is a YANG list; in a tree a list of dicts.
-        is_leaf_list: Whether it is a leaf-list; in a tree a list of values.
-        is_state: Whether it is `config false`, which clients cannot set.
-        is_number_in_string: Whether its numbers are strings in JSON (RFC 7951: decimal64 and
-            64-bit integers).
+        keys: Names of the keys of a list.
+        is_list: Whether the node is a YANG list, which is a list of dicts in a tree.
+        is_leaf_list: Whether the node is a leaf-list, which is a list of values in a tree.
+        is_state: Whether the node is `config false`, so that clients cannot set it.
+        is_number_in_string: Whether the node's numbers are strings in JSON, as RFC 7951 requires
+            of decimal64 values and 64-bit integers.
     """
 
     children: dict[str, SchemaNode] = field(default_factory=dict)
@@ -33,14 +33,14 @@
     is_number_in_string: bool = False
 
     def entry(self) -> SchemaNode:
-        """Returns the node of a single entry of this list."""
+        """Return the schema of a single entry of this list."""
         return SchemaNode(self.children)
 
     def find(self, path: Path) -> SchemaNode:
-        """Returns the node at the end of a path without wildcards.
+        """Return the node at the end of a path without wildcards.
 
         Raises:
-            PathError: If the model has no such node or the keys are not the list's.
+            PathError: If the model has no such node, or an element has other keys than the list.
         """
         node = self
         for depth, (name, keys) in enumerate(path):
@@ -49,21 +49,22 @@
         return node
 
     def find_writable(self, path: Path) -> SchemaNode:
-        """Returns the node at the end of a path that a client wants to set.
+        """Return the node at the end of a path that a client sets.
 
         Raises:
-            PathError: As `find`, and if the node is state or a list's keys are missing on the way.
+            PathError: In the cases of `find`; if the node is state; or if the path leads through a
+                list without selecting an entry by its keys.
         """
         node = self
         for depth, (name, keys) in enumerate(path):
             prefix = path[: depth + 1]
             node = node._child(prefix, name)
             if node.is_state:
-                raise PathError(f"{format_path(prefix)}: is state and can't be set")
+                raise PathError(f"{format_path(prefix)}: is state and cannot be set")
             node._check_keys(prefix, keys)
             if node.is_list and not keys and depth < len(path) - 1:
                 names = ", ".join(node.keys)
-                raise PathError(f"{format_path(prefix)}: the key {names} is wanted")
+                raise PathError(f"{format_path(prefix)}: the key {names} is required")
         return node
 
     def _child(self, path: Path, name: str) -> SchemaNode:
@@ -75,4 +76,4 @@
         given = {key for key, _ in keys}
         if given and given != set(self.keys):
             names = ", ".join(self.keys) or "none"
-            raise PathError(f"{format_path(path)}: the keys are {names}")
+            raise PathError(f"{format_path(path)}: wrong keys; keys of this node: {names}")
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -1,7 +1,8 @@
-"""Management at a running director: one lock around the datastore, its participants and its model.
+"""The management service of a running director.
 
-A thread of its own rolls back commits that were not confirmed in time, follows the assignment
-file, and notifies subscribers of changes.
+One lock guards the datastore, its participants and the YANG model. A background thread rolls back
+commits that were not confirmed in time, imports changes of the cell assignment that were made
+outside management, and notifies subscribers of changes.
 """
 
 import threading
@@ -23,15 +24,15 @@
 from .tree import PathValue, Tree
 from .yang_model import YangModel
 
-STEP_INTERVAL = 250.0  # ms between steps of the thread: how late a rollback may come
-STATE_INTERVAL = 1_000.0  # ms between comparisons of state for subscribers
-MAX_EDITS = 10_000  # of one commit
+STEP_INTERVAL = 250.0  # ms between steps of the thread; a rollback is late by this at most
+STATE_INTERVAL = 1_000.0  # ms between checks for changed state that subscribers are sent
+MAX_EDITS_PER_COMMIT = 10_000
 LOG_EVENT = "management"
-ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions that take over what it says
+ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions imported from that file
 
 
 class DataKind(StrEnum):
-    """Which nodes a read gives."""
+    """The kinds of nodes that a read can select."""
 
     ALL = "all"
     CONFIG = "config"
@@ -39,95 +40,99 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ManagementParts:
-    """What the management of one director consists of."""
+class ManagementComponents:
+    """The components of one director's management."""
 
     datastore_file: DatastoreFile
     model: YangModel
-    drains: DrainParticipant
-    assignment: AssignmentParticipant
+    drain_participant: DrainParticipant
+    assignment_participant: AssignmentParticipant
     state_view: StateView
 
 
 class ManagementService:
-    """Reads and changes the configuration of a running director. Thread-safe.
+    """Access to the configuration and state of a running director. Thread-safe.
 
     Attributes:
-        datastore_lock: Guards `datastore`, the model, the subscribers with what was published to
-            them, and the assignment that the running version agrees with. It is taken before the
-            locks of the coordinator and the cells.
+        datastore_lock: Guards `datastore`, the model, the publisher with its subscribers, and
+            `_synced_assignment`. It is acquired before the locks of the coordinator and the cells.
     """
 
     def __init__(
-        self, parts: ManagementParts, clock: Callable[[], float], log: StructuredLog
+        self, components: ManagementComponents, clock: Callable[[], float], log: StructuredLog
     ) -> None:
-        """Takes over what is stored and applies it.
+        """Load the stored datastore and apply its running configuration.
 
         Args:
-            parts: The parts; the service owns them from now on.
-            clock: Unix milliseconds.
-            log: Where commits and drains are logged.
+            components: The components, which the service owns from now on.
+            clock: Returns the time in Unix milliseconds.
+            log: Receives the log events of commits and drains.
 
         Raises:
             DatastoreFileError: If the stored datastore cannot be used.
-            CommitRejectedError: If what is stored cannot be applied.
+            CommitRejectedError: If the stored configuration cannot be applied.
         """
-        self.drains = parts.drains
-        self.assignment = parts.assignment
-        self.state_view = parts.state_view
-        self.model = parts.model
-        self.schema = parts.model.schema
+        self.drain_participant = components.drain_participant
+        self.assignment_participant = components.assignment_participant
+        self.state_view = components.state_view
+        self.model = components.model
+        self.schema = components.model.schema
         self.clock = clock
         self.log = log
         self.datastore_lock = threading.RLock()
         self.datastore = Datastore(
-            parts.model.validate, [parts.assignment, parts.drains], parts.datastore_file.save
+            components.model.validate,
+            [components.assignment_participant, components.drain_participant],
+            components.datastore_file.save,
         )
         self._publisher = Publisher(self.schema)
-        self._followed_assignment: object = None  # that the running version agrees with
+        self._synced_assignment: object = None  # the assignment that `running` was compared with
         self._state_due_at = 0.0
-        self._logged_phases: dict[str, str] = {}  # of drains, by endpoint
+        self._logged_phases: dict[str, str] = {}  # last logged phase of each drain, by endpoint
         self._stopped = threading.Event()
-        stored = parts.datastore_file.load()
-        self._resume(stored if stored is not None else self.datastore.state)
+        stored = components.datastore_file.load()
+        self._restore(stored if stored is not None else self.datastore.state)
 
-    def _resume(self, state: DatastoreState) -> None:
-        """Takes over the stored state; the assignment is that of its own file."""
+    def _restore(self, state: DatastoreState) -> None:
+        """Adopt the stored state, but take the assignment from the assignment file."""
         self.datastore.state = state
         last = state.versions[-1]
         self._finish_interrupted_commit(last)
-        tree = self._with_assignment_in_use(last.tree)
-        self.drains.commit(self.drains.prepare(tree, tree))
+        tree = self._with_current_assignment(last.tree)
+        self.drain_participant.commit(self.drain_participant.prepare(tree, tree))
         if tree != last.tree:
             self.datastore.commit(self.clock(), CommitRequest(tree, "", ASSIGNMENT_FILE_COMMENT))
 
     def _finish_interrupted_commit(self, last: Version) -> None:
-        """Applies the last version's assignment if a crash came before its file was written."""
-        stored_version = last.participant_versions.get(self.assignment.name, 0)
-        in_use = self.assignment.assignment
-        if in_use is None or in_use.version >= stored_version:
+        """Apply the last version's assignment if a crash prevented writing the assignment file."""
+        stored_version = last.participant_versions.get(self.assignment_participant.name, 0)
+        current = self.assignment_participant.assignment
+        if current is None or current.version >= stored_version:
             return
         if "assignment" not in last.tree.get("fleet", {}):
             return
-        prepared = self.assignment.prepare({}, last.tree)
-        self.assignment.commit(prepared)
-        self.log.event(LOG_EVENT, text=f"version {last.number} brought to its end after a kill")
+        prepared = self.assignment_participant.prepare({}, last.tree)
+        self.assignment_participant.commit(prepared)
+        self.log.event(LOG_EVENT, text=f"version {last.number}: interrupted commit completed")
 
-    def _with_assignment_in_use(self, tree: Tree) -> Tree:
-        """Returns the tree, valid, with the assignment that the cells have now."""
+    def _with_current_assignment(self, tree: Tree) -> Tree:
+        """Return the validated tree with its assignment replaced by the one that the cells use."""
         fleet = {
             name: child for name, child in tree.get("fleet", {}).items() if name != "assignment"
         }
-        if assignment := self.assignment.tree():
+        if assignment := self.assignment_participant.tree():
             fleet["assignment"] = assignment
         return self.model.validate({"fleet": fleet}) if fleet else {}
 
     def start(self) -> None:
-        """Starts the thread."""
+        """Start the background thread."""
         threading.Thread(target=self._run, name="management", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread with its present step, without waiting for it, and all subscriptions."""
+        """Close all subscriptions and tell the thread to end after its current step.
+
+        Does not wait for the thread.
+        """
         self._stopped.set()
         for subscriber in list(self._publisher.subscribers):
             subscriber.close()
@@ -135,10 +140,10 @@
     # Reading
 
     def tree(self, children: set[str] | None = None, config_only: bool = False) -> Tree:
-        """Returns configuration and state.
+        """Return the running configuration together with the state.
 
         Args:
-            children: Children of /fleet that are wanted; None: all.
+            children: Names of the children of /fleet to return; None for all.
             config_only: Whether to leave out the state.
         """
         with self.datastore_lock:
@@ -162,14 +167,14 @@
         return self.state_view.tree(configuration, datastore, children)
 
     def read(self, paths: list[Path], kind: DataKind) -> list[PathValue]:
-        """Returns the nodes that the paths match.
+        """Return the nodes that the paths match.
 
         Raises:
-            PathError: If the model has no such node, or (`NOT_FOUND`) the tree has none for a path
-                without wildcards.
+            PathError: If the model has no node at a path, or (with the code `NOT_FOUND`) a path
+                without wildcards matches nothing in the tree.
         """
         with self.datastore_lock:
-            self._follow_assignment_file()
+            self._sync_assignment()
         tree = self.tree(fleet_children(paths), kind == DataKind.CONFIG)
         if kind == DataKind.STATE:
             tree = trees.select_state(self.schema, tree)
@@ -177,8 +182,8 @@
         for path in paths:
             matches = list(trees.read(self.schema, tree, path))
             if not matches and path and not any(element.has_wildcard for element in path):
-                self.schema.find(path)  # raises a more exact error if the path itself is wrong
-                raise PathError(f"{format_path(path)}: there is nothing", ErrorCode.NOT_FOUND)
+                self.schema.find(path)  # raises a more specific error if the path itself is wrong
+                raise PathError(f"{format_path(path)}: does not exist", ErrorCode.NOT_FOUND)
             found += matches
         return found
 
@@ -188,41 +193,46 @@
         self,
         edits: list[Edit],
         author: str,
-        built_on: int | None = None,
+        expected_version: int | None = None,
         confirm: ConfirmRequest | None = None,
         comment: str = "",
     ) -> Version:
-        """Commits all edits in their order, or none.
+        """Commit all edits in the given order, or none of them.
 
         Args:
             edits: The edits.
             author: Name of the client.
-            built_on: Number of the version that the client has seen; None: any.
-            confirm: Set if the client must confirm the commit.
-            comment: For the history; empty: the edits themselves.
+            expected_version: Number of the version that must be running; None for any.
+            confirm: The confirmation that the commit requires; None if it requires none.
+            comment: Comment for the history; if empty, a description of the edits.
 
         Returns:
             The version that is running now.
 
         Raises:
             PathError: If a path or value does not fit the model.
-            CommitRejectedError: If the commit is not made.
+            CommitRejectedError: If the commit is rejected.
         """
-        if len(edits) > MAX_EDITS:
-            raise CommitRejectedError(f"{len(edits)} edits in one change; {MAX_EDITS} at most")
+        if len(edits) > MAX_EDITS_PER_COMMIT:
+            raise CommitRejectedError(
+                f"{len(edits)} edits in one change; {MAX_EDITS_PER_COMMIT} at most"
+            )
         with self.datastore_lock:
-            self._follow_assignment_file()
+            self._sync_assignment()
             tree = self._editable_copy(edits)
             for edit in edits:
                 apply_edit(self.schema, tree, edit)
             comment = comment or describe_edits(edits)
-            request = CommitRequest(tree, author, comment, built_on, confirm)
+            request = CommitRequest(tree, author, comment, expected_version, confirm)
             version = self.datastore.commit(self.clock(), request)
-        self._report_commit(version)
+        self._log_and_publish(version)
         return version
 
     def _editable_copy(self, edits: list[Edit]) -> Tree:
-        """Returns the running tree, with copies of only those children that the edits reach."""
+        """Return the running tree with deep copies of the children of /fleet that the edits change.
+
+        The other children are shared with the running version and must not be modified.
+        """
         tree = dict(self.datastore.running.tree)
         children = fleet_children([edit.path for edit in edits])
         tree["fleet"] = {
@@ -232,103 +242,118 @@
         return tree
 
     def confirm(self, commit_id: str) -> None:
-        """Keeps a confirmed commit; raises CommitRejectedError if none of that name is pending."""
+        """Confirm a pending commit, so that it is kept.
+
+        Raises:
+            CommitRejectedError: If no commit with that id is pending.
+        """
         with self.datastore_lock:
             self.datastore.confirm(commit_id)
         self.log.event(LOG_EVENT, text=f"commit {commit_id} confirmed")
 
     def cancel(self, commit_id: str, author: str) -> Version:
-        """Rolls a confirmed commit back; raises CommitRejectedError if it cannot be."""
+        """Roll back a pending commit at once.
+
+        Returns:
+            The version that the rollback created.
+
+        Raises:
+            CommitRejectedError: If no commit with that id is pending, or the rollback fails.
+        """
         with self.datastore_lock:
             version = self.datastore.cancel(self.clock(), commit_id, author)
-        self._report_commit(version)
+        self._log_and_publish(version)
         return version
 
-    def rollback(self, number: int, author: str, built_on: int | None = None) -> Version:
-        """Makes an older version's tree the running one, as a new version.
+    def rollback(self, number: int, author: str, expected_version: int | None = None) -> Version:
+        """Commit the tree of an older version as a new version.
 
         Raises:
-            CommitRejectedError: If the history has no such version, or the commit is not made.
+            CommitRejectedError: If the history has no such version, or the commit is rejected.
         """
         with self.datastore_lock:
-            self._follow_assignment_file()
+            self._sync_assignment()
             running = self.datastore.running.number
-            if built_on is not None and built_on != running:
+            if expected_version is not None and expected_version != running:
                 raise CommitRejectedError(
-                    f"built on version {built_on}, but {running} is running", ErrorCode.STALE
+                    f"built on version {expected_version}, but {running} is running",
+                    ErrorCode.STALE,
                 )
             version = self.datastore.rollback(self.clock(), number, author)
-        self._report_commit(version)
+        self._log_and_publish(version)
         return version
 
-    def _report_commit(self, version: Version) -> None:
+    def _log_and_publish(self, version: Version) -> None:
         text = f"version {version.number}: {version.comment}"
         self.log.event(LOG_EVENT, text=text, by=version.author)
         self._publish()
 
-    def _follow_assignment_file(self) -> None:
-        """Makes a version of an assignment that others have written; the cells have it already."""
-        in_use = self.assignment.assignment
-        if in_use is self._followed_assignment:  # a large table is not compared for nothing
+    def _sync_assignment(self) -> None:
+        """Commit the assignment that the cells use, if it was changed outside management."""
+        current = self.assignment_participant.assignment
+        if current is self._synced_assignment:  # saves comparing a large tenant table
             return
         running = self.datastore.running
-        tree = self._with_assignment_in_use(running.tree)
-        self._followed_assignment = in_use
+        tree = self._with_current_assignment(running.tree)
+        self._synced_assignment = current
         if tree != running.tree:
             self.datastore.commit(self.clock(), CommitRequest(tree, "", ASSIGNMENT_FILE_COMMENT))
 
-    # In the thread
+    # In the background thread
 
     def _run(self) -> None:
         while not self._stopped.wait(STEP_INTERVAL / 1000.0):
             try:
                 self.step()
             except Exception as error:
-                # The thread's top: the next step tries again, gNMI calls are served meanwhile
+                # Nothing above this frame handles the exception. The thread keeps running: the next
+                # step tries again, and gNMI calls are served in the meantime.
                 self.log.exception("management", error)
 
     def step(self) -> None:
-        """Rolls back what was not confirmed in time, follows the assignment file, publishes."""
+        """Roll back an expired commit, import the assignment, log drains and notify subscribers."""
         now = self.clock()
         rolled_back = None
         with self.datastore_lock:
             try:
                 rolled_back = self.datastore.roll_back_expired(now)
-                self._follow_assignment_file()
+                self._sync_assignment()
             except CommitRejectedError as error:
                 rolled_back = None
-                self.log.event(LOG_EVENT, text=f"cannot roll back: {error}")
+                self.log.event(
+                    LOG_EVENT, text=f"rollback or import of the assignment failed: {error}"
+                )
         if rolled_back is not None:
-            self._report_commit(rolled_back)
+            self._log_and_publish(rolled_back)
         self._log_drains(now)
         if now >= self._state_due_at:
             self._state_due_at = now + STATE_INTERVAL
             self._publish()
 
     def _log_drains(self, now: float) -> None:
-        """Logs drains that the endpoint list contradicts or that have entered another phase."""
-        for status in self.drains.intent.take_contradicted(now):
+        """Log the drains that the endpoint list contradicts and those whose phase has changed."""
+        for status in self.drain_participant.intent.take_contradicted(now):
             seconds = (now - status.contradicted_since) / 1000.0
             self.log.event(
                 LOG_EVENT,
                 text=f"drain of {status.request.endpoint} is active, but the endpoint list has "
-                f"said ready for {seconds:.0f} s",
+                f"shown it as ready for {seconds:.0f} s",
             )
-        for endpoint, status in list(self.drains.intent.drains.items()):
+        for endpoint, status in list(self.drain_participant.intent.statuses.items()):
             phase = status.phase.value
             if self._logged_phases.get(endpoint) != phase:
                 self._logged_phases[endpoint] = phase
-                self.log.event(LOG_EVENT, text=f"drain of {endpoint} {phase}")
+                self.log.event(LOG_EVENT, text=f"drain of {endpoint}: phase {phase}")
 
     # Subscriptions
 
     def subscribe(self, paths: list[Path], capacity: int) -> Subscriber:
-        """Adds a subscriber to changes below these paths; `unsubscribe` removes it.
+        """Add a subscriber to changes below the paths; `unsubscribe` removes it.
 
         Args:
-            paths: What it subscribes to. It also gets changes of nodes beside them, from which
-                `SubscribeCall` selects.
-            capacity: Updates that may wait for it.
+            paths: The subscribed paths. The subscriber gets all changes below the same children of
+                /fleet; `SubscribeCall` selects those that its paths match.
+            capacity: Maximum number of updates in its queue.
         """
         subscriber = Subscriber(fleet_children(paths), capacity)
         with self.datastore_lock:
@@ -338,26 +363,26 @@
         return subscriber
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Removes a subscriber."""
+        """Remove a subscriber."""
         with self.datastore_lock:
             if subscriber in self._publisher.subscribers:
                 self._publisher.subscribers.remove(subscriber)
 
     def _publish(self) -> None:
-        """Notifies all subscribers of what differs from what was published last."""
+        """Send all subscribers the differences from the tree that was published last."""
         with self.datastore_lock:
             subscribers = list(self._publisher.subscribers)
             if not subscribers:
                 return
-            children = self._publisher.wanted_children()
-            difference = self._publisher.advance(self.tree(children), children)
+            children = self._publisher.subscribed_children()
+            difference = self._publisher.update_snapshot(self.tree(children), children)
         if difference.changed or difference.deleted:
             for subscriber in subscribers:
                 subscriber.put(difference)
 
 
 def _commit_entry(version: Version) -> Tree:
-    """Returns the entry of the datastore's history, by its names in the YANG model."""
+    """Return a version as an entry of the list `commit` in the YANG model."""
     return {
         "version": str(version.number),
         "at": str(int(version.committed_at)),
--- a/mulleinrelay/management/state_view.py
+++ b/mulleinrelay/management/state_view.py
@@ -1,4 +1,4 @@
-"""The state of a running director as the YANG model's `config false` nodes."""
+"""The state of a running director as `config false` nodes of the YANG model."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class StateView:
-    """Reads what a director knows of its endpoints, drains and cells."""
+    """A view of the state of a director's endpoints, drains and cells."""
 
     def __init__(
         self,
         config: DirectorConfig,
         coordinator: RequestCoordinator,
         cell_service: CellService | None,
-        drains: DrainParticipant,
+        drain_participant: DrainParticipant,
     ) -> None:
-        """Takes the parts that it reads; `cell_service` is None without cells."""
+        """Store the sources of the state; `cell_service` is None if cells are off."""
         self.coordinator = coordinator
         self.cell_service = cell_service
-        self.drains = drains
+        self.drain_participant = drain_participant
         self._zone_names = {number: name for name, number in config.zones.items()}
         self._kind_names = {number: name for name, number in config.kinds.items()}
         self._request_classes = [
@@ -51,37 +51,40 @@
         ]
 
     def tree(self, running: Tree, datastore: Tree, children: set[str] | None) -> Tree:
-        """Returns configuration and state together.
+        """Return the configuration together with the state.
 
         Args:
-            running: The running configuration, already reduced to `children`; it is not changed.
-            datastore: Content of the `datastore` container.
-            children: Children of /fleet that are wanted; None: all.
+            running: The running configuration, already reduced to `children`; it is not modified.
+            datastore: Content of the container `datastore`.
+            children: Names of the children of /fleet to return; None for all.
         """
         now = self.coordinator.clock()
         fleet = dict(running.get("fleet", {}))
         endpoints: list[Tree] = []
         if children is None or children & {"boxes", "drains"}:
-            endpoints = self._endpoints()
+            endpoints = self._endpoint_states()
         if drains := fleet.get("drains", {}).get("drain"):
             attempts = {entry["name"]: entry["attempts-out"] for entry in endpoints}
             fleet["drains"] = {
                 "drain": [
-                    drain | {"state": self._drain(now, drain["box"], attempts)} for drain in drains
+                    drain | {"state": self._drain_state(now, drain["box"], attempts)}
+                    for drain in drains
                 ]
             }
         if self.cell_service is not None and "assignment" in fleet:
-            fleet["assignment"] = self._assignment(self.cell_service, now, fleet["assignment"])
+            fleet["assignment"] = self._assignment_with_state(
+                self.cell_service, now, fleet["assignment"]
+            )
         state: Tree = {
             "boxes": {"box": endpoints},
             "purges": {"binding": self.coordinator.active_purge_count()},
             "request-classes": {"request-class": self._request_classes},
             "datastore": datastore,
         }
-        wanted = {name: child for name, child in state.items() if _is_wanted(name, children)}
-        return {"fleet": fleet | wanted}
+        requested = {name: child for name, child in state.items() if _is_requested(name, children)}
+        return {"fleet": fleet | requested}
 
-    def _endpoints(self) -> list[Tree]:
+    def _endpoint_states(self) -> list[Tree]:
         entries = []
         for entry, state, endpoint, delay, warm_up_progress in self.coordinator.endpoint_states():
             host, port = entry.address
@@ -102,9 +105,9 @@
             entries.append(tree)
         return entries
 
-    def _drain(self, now: float, endpoint: str, attempts: dict[str, int]) -> Tree:
-        """Returns the state of a drain; `attempts`: those in flight, by endpoint."""
-        status = self.drains.intent.drains.get(endpoint)
+    def _drain_state(self, now: float, endpoint: str, attempts: dict[str, int]) -> Tree:
+        """Return the state of a drain; `attempts` has the attempts in flight by endpoint."""
+        status = self.drain_participant.intent.statuses.get(endpoint)
         if status is None:
             return {"phase": "waiting"}
         contradicted_for = 0
@@ -117,8 +120,8 @@
             "attempts-out": attempts.get(endpoint, 0),
         }
 
-    def _assignment(self, cell_service: CellService, now: float, tree: Tree) -> Tree:
-        """Returns the assignment with the state of its cells, migrations and rollouts."""
+    def _assignment_with_state(self, cell_service: CellService, now: float, tree: Tree) -> Tree:
+        """Return the assignment together with the state of its cells, migrations and rollouts."""
         with cell_service.lock:
             status = cell_service.controller.status(now)
             assignment = cell_service.controller.assignment
@@ -139,12 +142,12 @@
         return {name: value for name, value in with_state.items() if value != []}
 
 
-def _is_wanted(name: str, children: set[str] | None) -> bool:
+def _is_requested(name: str, children: set[str] | None) -> bool:
     return children is None or name in children
 
 
 def _with_state(entry: Tree, state_by_name: dict[str, Tree]) -> Tree:
-    """Adds the state to a list entry; one that the director does not have yet gets none."""
+    """Return a list entry with its state, or unchanged if the director has no state for it yet."""
     name = entry["name"]
     return entry | {"state": state_by_name[name]} if name in state_by_name else entry
 
@@ -157,7 +160,7 @@
 
 
 def _cell_state(status: dict[str, Any]) -> Tree:
-    """Returns the state of a cell from its part of the controller's status."""
+    """Return the state of a cell, given its entry in the status of the admission controller."""
     return {
         "lost": status["lost"],
         "open": format_decimal64(status["open"]),
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -1,4 +1,4 @@
-"""Subscribers to changes of the tree: a bounded update queue each, and what was published last."""
+"""Subscribers to changes of the tree, with bounded update queues, and their publisher."""
 
 import threading
 from dataclasses import dataclass, field
@@ -9,17 +9,17 @@
 
 @dataclass(slots=True, eq=False)
 class Subscriber:
-    """One client that is notified of changes. Thread-safe.
+    """A client that is notified of changes. Thread-safe.
 
     An update that does not fit into the queue is dropped and counted.
 
     Attributes:
-        fleet_children: Children of /fleet that it subscribes to; None: all.
-        capacity: Updates that may wait.
-        queue: Updates that wait; guarded by `condition`, as are the next two.
-        dropped_count: Updates that did not fit.
-        is_closed: Whether the call has ended.
-        condition: Notified when an update is queued or the subscriber closed.
+        fleet_children: Names of the subscribed children of /fleet; None for all.
+        capacity: Maximum number of updates in the queue.
+        queue: Pending updates; guarded by `condition`, as are the next two attributes.
+        dropped_count: Number of updates that were dropped.
+        is_closed: Whether the subscription has ended.
+        condition: Notified when an update is queued and when the subscriber is closed.
     """
 
     fleet_children: set[str] | None
@@ -30,7 +30,7 @@
     condition: threading.Condition = field(default_factory=threading.Condition)
 
     def put(self, update: TreeDifference) -> None:
-        """Queues an update, or counts it as dropped."""
+        """Queue an update, or count it as dropped if the queue is full."""
         with self.condition:
             if len(self.queue) >= self.capacity:
                 self.dropped_count += 1
@@ -39,7 +39,10 @@
             self.condition.notify()
 
     def take(self, timeout_s: float) -> list[TreeDifference]:
-        """Removes and returns all updates that wait; waits for one if there are none."""
+        """Remove and return all pending updates, after waiting for one if there are none.
+
+        The result is empty if none was queued in time or the subscriber was closed.
+        """
         with self.condition:
             if not self.queue and not self.is_closed:
                 self.condition.wait(timeout_s)
@@ -48,31 +51,31 @@
             return updates
 
     def close(self) -> None:
-        """Wakes the thread that waits in `take`."""
+        """Mark the subscriber as closed and wake the thread that waits in `take`."""
         with self.condition:
             self.is_closed = True
             self.condition.notify()
 
 
 class Publisher:
-    """All subscribers, and the tree as they have seen it last. Not thread-safe.
+    """The subscribers and the tree that was published last. Not thread-safe.
 
     Attributes:
-        subscribers: Those that are notified of changes.
+        subscribers: The subscribers that are notified of changes.
     """
 
     def __init__(self, schema: SchemaNode) -> None:
-        """Starts without subscribers; `reset` gives it the tree that the first one reads."""
+        """Create a publisher; `reset` must be called before the first subscriber is added."""
         self._schema = schema
         self.subscribers: list[Subscriber] = []
-        self._fleet: Tree = {}
+        self._published_fleet: Tree = {}
 
     def reset(self, tree: Tree) -> None:
-        """Takes over a complete tree."""
-        self._fleet = dict(tree.get("fleet", {}))
+        """Set the tree that later changes are compared with."""
+        self._published_fleet = dict(tree.get("fleet", {}))
 
-    def wanted_children(self) -> set[str] | None:
-        """Returns the children of /fleet that any of the subscribers wants; None: all."""
+    def subscribed_children(self) -> set[str] | None:
+        """Return the children of /fleet that any subscriber is subscribed to; None for all."""
         children: set[str] = set()
         for subscriber in self.subscribers:
             if subscriber.fleet_children is None:
@@ -80,22 +83,22 @@
             children |= subscriber.fleet_children
         return children
 
-    def advance(self, tree: Tree, children: set[str] | None) -> TreeDifference:
-        """Takes over some children of /fleet and returns what differs from before.
+    def update_snapshot(self, tree: Tree, children: set[str] | None) -> TreeDifference:
+        """Replace some children of /fleet in the published tree; return the differences.
 
         Args:
-            tree: The present tree, with these children only.
-            children: Which they are; None: all.
+            tree: The current tree, reduced to these children.
+            children: Names of the children to replace; None for all.
         """
         new_fleet = tree.get("fleet", {})
         old_fleet = {
             name: child
-            for name, child in self._fleet.items()
+            for name, child in self._published_fleet.items()
             if children is None or name in children
         }
         difference = diff_trees(self._schema, {"fleet": old_fleet}, tree)
         for name in old_fleet:
             if name not in new_fleet:
-                del self._fleet[name]
-        self._fleet |= new_fleet
+                del self._published_fleet[name]
+        self._published_fleet |= new_fleet
         return difference
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -1,7 +1,7 @@
-"""Configuration and state trees: read by path, edit, compare. Pure.
+"""Trees of configuration and state: reading by path, editing, comparing. Pure.
 
-A tree is the JSON encoding of YANG data (RFC 7951) with the module's names left out: dicts for
-containers, lists of dicts for YANG lists, lists of values for leaf-lists.
+A tree is the JSON encoding of YANG data (RFC 7951) without module names: containers are dicts, YANG
+lists are lists of dicts, and leaf-lists are lists of values.
 """
 
 from collections.abc import Iterator
@@ -10,16 +10,16 @@
 from typing import Any, NamedTuple
 
 from .errors import ErrorCode, PathError
-from .paths import ANY_ELEMENT, ANY_ELEMENTS, Keys, Path, PathElement, format_path, has_keys
+from .paths import ANY_ELEMENT, ANY_ELEMENTS, Keys, Path, PathElement, format_path, keys_match
 from .schema import SchemaNode
 
-MAX_TREE_DEPTH = 32  # levels; the model has five, much deeper input would exhaust the stack
+MAX_TREE_DEPTH = 32  # levels; the model has five, and much deeper input exhausts the stack
 
-Tree = dict[str, Any]  # JSON object; its values are as the YANG model says
+Tree = dict[str, Any]  # a JSON object whose members are defined by the YANG model
 
 
 class PathValue(NamedTuple):
-    """A node of a tree with its path."""
+    """A node of a tree and its path."""
 
     path: Path
     value: Any
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True)
 class TreeDifference:
-    """What turns one tree into another.
+    """The differences between an old and a new tree.
 
     Attributes:
-        changed: Leaves that are new or have another value.
-        deleted: Paths of leaves that are gone.
+        changed: Leaves that are new or have another value, with their new values.
+        deleted: Paths of leaves that the new tree does not have.
     """
 
     changed: list[PathValue] = field(default_factory=list)
@@ -42,67 +42,69 @@
 
 
 class _Pattern(NamedTuple):
-    """The elements of a path that are still to be matched.
+    """The elements of a path that have not been matched yet.
 
-    Below a wildcard, nodes may lack a child that the path names; elsewhere that is an error.
+    Below a wildcard, the schema may lack a child that the path names, as the wildcard also matches
+    other kinds of nodes. Elsewhere a child that the schema lacks is an error.
     """
 
-    rest: Path
+    remaining: Path
     is_below_wildcard: bool = False
 
 
 def read(schema: SchemaNode, tree: Any, path: Path) -> Iterator[PathValue]:
-    """Yields all nodes that a path matches, each with its own path; none is no error.
+    """Yield all nodes that a path matches, each with its own path.
 
-    A list that is named without keys gives each of its entries.
+    A path to a list without keys matches each entry of the list. It is not an error if the path
+    matches nothing in the tree.
 
     Raises:
-        PathError: If the model has no such node.
+        PathError: If the model has no node at the path.
     """
     yield from _read(schema, tree, _Pattern(path), ())
 
 
 def _read(schema: SchemaNode, tree: Any, pattern: _Pattern, parent: Path) -> Iterator[PathValue]:
-    """Yields what the pattern matches below `tree`, whose schema and path are given."""
-    if not pattern.rest:
+    """Yield the nodes that the pattern matches in `tree`, whose path is `parent`."""
+    if not pattern.remaining:
         yield PathValue(parent, tree)
         return
     if not isinstance(tree, dict):
         return
-    element = pattern.rest[0]
-    after = pattern.rest[1:]
+    element = pattern.remaining[0]
+    tail = pattern.remaining[1:]
     if element.name == ANY_ELEMENTS:
-        yield from _read(schema, tree, _Pattern(after, True), parent)
-        deeper = _Pattern(pattern.rest, True)
+        yield from _read(schema, tree, _Pattern(tail, True), parent)
+        unchanged_pattern = _Pattern(pattern.remaining, True)
         for child in tree:
-            yield from _read_child(schema, tree, PathElement(child), deeper, parent)
+            yield from _read_child(schema, tree, PathElement(child), unchanged_pattern, parent)
     elif element.name == ANY_ELEMENT:
         for child in tree:
-            named = PathElement(child, element.keys)
-            yield from _read_child(schema, tree, named, _Pattern(after, True), parent)
+            child_element = PathElement(child, element.keys)
+            yield from _read_child(schema, tree, child_element, _Pattern(tail, True), parent)
     elif element.name in schema.children or not pattern.is_below_wildcard:
         _check_element(schema, element, parent)
         if element.name in tree:
-            below = _Pattern(after, pattern.is_below_wildcard)
-            yield from _read_child(schema, tree, element, below, parent)
+            child_pattern = _Pattern(tail, pattern.is_below_wildcard)
+            yield from _read_child(schema, tree, element, child_pattern, parent)
 
 
 def _check_element(schema: SchemaNode, element: PathElement, parent: Path) -> None:
-    """Raises PathError if the schema has no such child, or the child no such key."""
+    """Raise PathError if the schema has no such child or the child lacks one of the keys."""
     if element.name not in schema.children:
         raise PathError(
             f"{format_path((*parent, element))}: the model has no such node", ErrorCode.NOT_FOUND
         )
-    known = schema.children[element.name].keys
-    unknown = sorted(key for key, _ in element.keys if key not in known)
-    if unknown:
-        raise PathError(f"{format_path((*parent, element))}: no key {unknown[0]}")
+    valid_keys = schema.children[element.name].keys
+    unknown_keys = sorted(key for key, _ in element.keys if key not in valid_keys)
+    if unknown_keys:
+        raise PathError(f"{format_path((*parent, element))}: no key {unknown_keys[0]}")
 
 
 def _read_child(
     schema: SchemaNode, tree: Tree, element: PathElement, pattern: _Pattern, parent: Path
 ) -> Iterator[PathValue]:
-    """Yields what the pattern matches below the child, or the list's entries, that are named."""
+    """Yield the matches of the pattern in the child, or in the list entries, at `element`."""
     child = schema.children.get(element.name)
     if child is None:
         return
@@ -112,23 +114,23 @@
             yield from _read(child, tree[element.name], pattern, path)
         return
     for entry in tree[element.name]:
-        keys = _keys_of(child, entry)
-        if has_keys(keys, element.keys):
+        keys = _entry_keys(child, entry)
+        if keys_match(keys, element.keys):
             path = (*parent, PathElement(element.name, keys))
             yield from _read(child, entry, pattern, path)
 
 
 def iter_leaves(schema: SchemaNode, tree: Any, parent: Path = ()) -> Iterator[PathValue]:
-    """Yields every leaf and leaf-list below a node, each with its path.
+    """Yield every leaf and leaf-list at or below a node, each with its path.
 
     Args:
-        schema: Schema of the node.
+        schema: The schema of the node.
         tree: The node.
-        parent: Path of the node.
+        parent: The path of the node.
     """
     if schema.is_list and isinstance(tree, list):
         for entry in tree:
-            path = (*parent[:-1], PathElement(parent[-1].name, _keys_of(schema, entry)))
+            path = (*parent[:-1], PathElement(parent[-1].name, _entry_keys(schema, entry)))
             yield from iter_leaves(schema.entry(), entry, path)
     elif schema.children and isinstance(tree, dict):
         for name, value in tree.items():
@@ -141,7 +143,7 @@
 
 
 def select_state(schema: SchemaNode, tree: Any) -> Any:
-    """Returns only what is `config false`, with the keys of the lists that lead to it."""
+    """Return a tree of the `config false` nodes alone, with the keys of the lists above them."""
     if schema.is_state or not isinstance(tree, dict):
         return tree
     selected: Tree = {}
@@ -169,23 +171,23 @@
 
 @cache
 def _container_element(name: str) -> PathElement:
-    """Returns the element of a node without keys.
+    """Return the path element of a node without keys.
 
-    Only for names of the model, which are few: each stays cached. Building all of them anew made
-    comparing ten thousand tenants slower by half.
+    The cache is not bounded, so the function must be called only with names of the model, which are
+    few. Without the cache, comparing ten thousand tenants took half as long again.
     """
     return PathElement(name)
 
 
 def find_entry(entries: list[Tree], keys: Keys) -> Tree | None:
-    """Returns the first entry of a list that has these keys."""
+    """Return the first entry of a list that has these keys; None if there is none."""
     for entry in entries:
         if all(str(entry.get(key)) == value for key, value in keys):
             return entry
     return None
 
 
-def _keys_of(schema: SchemaNode, entry: Tree) -> Keys:
+def _entry_keys(schema: SchemaNode, entry: Tree) -> Keys:
     return tuple((key, str(entry[key])) for key in schema.keys)
 
 
@@ -193,10 +195,12 @@
 
 
 def delete(schema: SchemaNode, tree: Tree, path: Path) -> None:
-    """Removes a node; one that is not there is no error (gNMI specification, section 3.4.6).
+    """Remove a node, if it exists.
+
+    Deleting a node that does not exist is not an error (gNMI specification, section 3.4.6).
 
     Raises:
-        PathError: If the model has no such node or clients cannot set it.
+        PathError: If the model has no such node, or clients cannot set it.
     """
     if not path:
         tree.clear()
@@ -220,20 +224,24 @@
 
 
 def replace(schema: SchemaNode, tree: Tree, path: Path, value: Any) -> None:
-    """Puts a value in place of a node; raises PathError as `update` does."""
+    """Replace a node by a value.
+
+    Raises:
+        PathError: In the cases of `update`.
+    """
     delete(schema, tree, path)
     update(schema, tree, path, value)
 
 
 def update(schema: SchemaNode, tree: Tree, path: Path, value: Any) -> None:
-    """Merges a value into a node.
+    """Merge a value into a node.
 
-    Of containers and list entries only what the value names is changed; leaves and leaf-lists are
-    replaced.
+    In containers and list entries, only the members that the value names are changed. Leaves and
+    leaf-lists are replaced.
 
     Raises:
-        PathError: If the model has no such node, clients cannot set it, or the value has another
-            form. The tree may then be changed in part.
+        PathError: If the model has no such node, clients cannot set it, or the value does not fit
+            the node. The tree may be partly changed then.
     """
     target_schema = schema.find_writable(path)
     value = strip_module_names(value)
@@ -246,20 +254,20 @@
         if node.is_list and keys:
             target = _find_or_add_entry(target.setdefault(name, []), keys)
         elif is_last and not is_container:
-            target[name] = _merged(node, target.get(name), value, path)
+            target[name] = _merge_node(node, target.get(name), value, path)
             return
         else:
             target = target.setdefault(name, {})
     if not isinstance(value, dict):
-        raise PathError(f"{format_path(path)}: an object is wanted")
-    for key, given in path[-1].keys if path else ():
-        if str(value.get(key, given)) != given:
-            raise PathError(f"{format_path(path)}: the value has another {key}")
-    _merge(target_schema, target, value, path)
+        raise PathError(f"{format_path(path)}: expected an object")
+    for key, expected in path[-1].keys if path else ():
+        if str(value.get(key, expected)) != expected:
+            raise PathError(f"{format_path(path)}: the path and the value differ in the key {key}")
+    _merge_object(target_schema, target, value, path)
 
 
 def _find_or_add_entry(entries: list[Tree], keys: Keys) -> Tree:
-    """Returns the entry with these keys; a new one has them as its only leaves."""
+    """Return the entry with these keys; if there is none, add one with the keys alone."""
     entry = find_entry(entries, keys)
     if entry is None:
         entry = dict(keys)
@@ -267,8 +275,8 @@
     return entry
 
 
-def _merge(schema: SchemaNode, target: Tree, value: Tree, path: Path) -> None:
-    """Merges an object into the container or list entry at `path`."""
+def _merge_object(schema: SchemaNode, target: Tree, value: Tree, path: Path) -> None:
+    """Merge an object into the container or list entry at `path`."""
     for name, child_value in value.items():
         child_path = (*path, PathElement(name))
         child = schema.children.get(name)
@@ -277,43 +285,43 @@
                 f"{format_path(child_path)}: the model has no such node", ErrorCode.NOT_FOUND
             )
         if child.is_state:
-            raise PathError(f"{format_path(child_path)}: is state and can't be set")
-        target[name] = _merged(child, target.get(name), child_value, child_path)
+            raise PathError(f"{format_path(child_path)}: is state and cannot be set")
+        target[name] = _merge_node(child, target.get(name), child_value, child_path)
 
 
-def _merged(schema: SchemaNode, old: Any, value: Any, path: Path) -> Any:
-    """Returns the node at `path` after a value has been merged into it."""
+def _merge_node(schema: SchemaNode, old: Any, value: Any, path: Path) -> Any:
+    """Return the node at `path` as it is after merging a value into it."""
     if len(path) > MAX_TREE_DEPTH:
-        raise PathError(f"{format_path(path)}: nested too deep")
+        raise PathError(f"{format_path(path)}: nested too deeply")
     if schema.is_list:
-        return _merged_list(schema, old, value, path)
+        return _merge_list(schema, old, value, path)
     if schema.children:
         if not isinstance(value, dict):
-            raise PathError(f"{format_path(path)}: an object is wanted")
+            raise PathError(f"{format_path(path)}: expected an object")
         target = old if old is not None else {}
-        _merge(schema, target, value, path)
+        _merge_object(schema, target, value, path)
         return target
     if isinstance(value, dict) or (isinstance(value, list) and not schema.is_leaf_list):
-        raise PathError(f"{format_path(path)}: a single value is wanted")
+        raise PathError(f"{format_path(path)}: expected a single value")
     if schema.is_number_in_string and _is_number(value):
-        return repr(value)  # clients may write 0.5 where RFC 7951 wants "0.5"
+        return repr(value)  # accepts the number 0.5 where RFC 7951 requires the string "0.5"
     return value
 
 
-def _merged_list(schema: SchemaNode, old: list[Tree] | None, value: Any, path: Path) -> list[Tree]:
+def _merge_list(schema: SchemaNode, old: list[Tree] | None, value: Any, path: Path) -> list[Tree]:
     if not isinstance(value, list) or not all(isinstance(entry, dict) for entry in value):
-        raise PathError(f"{format_path(path)}: a list of objects is wanted")
+        raise PathError(f"{format_path(path)}: expected a list of objects")
     entries = old if old is not None else []
     for new_entry in value:
         keys = tuple((key, str(new_entry[key])) for key in schema.keys if key in new_entry)
         if len(keys) != len(schema.keys):
             names = ", ".join(schema.keys)
-            raise PathError(f"{format_path(path)}: each entry wants its key {names}")
+            raise PathError(f"{format_path(path)}: each entry must have the key {names}")
         entry = find_entry(entries, keys)
         if entry is None:
             entry = {}
             entries.append(entry)
-        _merge(schema, entry, new_entry, (*path[:-1], PathElement(path[-1].name, keys)))
+        _merge_object(schema, entry, new_entry, (*path[:-1], PathElement(path[-1].name, keys)))
     return entries
 
 
@@ -322,13 +330,13 @@
 
 
 def strip_module_names(value: Any, depth: int = 0) -> Any:
-    """Returns a deep copy without the module's name before member names.
+    """Return a deep copy of a JSON value without module names in front of member names.
 
     Raises:
-        PathError: If the value is nested too deep.
+        PathError: If the value is nested too deeply.
     """
     if depth > MAX_TREE_DEPTH:
-        raise PathError("a value that is nested too deep")
+        raise PathError("a value is nested too deeply")
     if isinstance(value, dict):
         return {
             str(name).rpartition(":")[2]: strip_module_names(member, depth + 1)
@@ -343,14 +351,14 @@
 
 
 def diff_trees(schema: SchemaNode, old: Any, new: Any) -> TreeDifference:
-    """Returns which leaves of a node differ from one tree to another."""
+    """Return the leaves of a node that differ between two trees."""
     difference = TreeDifference()
     _diff(schema, old, new, (), difference)
     return difference
 
 
 def _diff(schema: SchemaNode, old: Any, new: Any, path: Path, difference: TreeDifference) -> None:
-    if old is new:  # most of a large tree is the same object from one commit to the next
+    if old is new:  # successive versions share most of a large tree
         return
     if schema.is_list and isinstance(old or [], list) and isinstance(new or [], list):
         old_entries = _entries_by_keys(schema, old)
@@ -380,4 +388,4 @@
 
 
 def _entries_by_keys(schema: SchemaNode, entries: list[Tree] | None) -> dict[Keys, Tree]:
-    return {_keys_of(schema, entry): entry for entry in entries or ()}
+    return {_entry_keys(schema, entry): entry for entry in entries or ()}
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -1,4 +1,4 @@
-"""The YANG module, read and checked with the library yangson."""
+"""The YANG module, parsed and validated with the library yangson."""
 
 import json
 import os
@@ -29,8 +29,8 @@
         ],
     }
 }
-NOTIFICATION_NAME = "drain-changed"  # stands among the data nodes in yangson, but holds no data
-MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's checks of references are too slow
+NOTIFICATION_NAME = "drain-changed"  # yangson lists notifications among the data nodes
+MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's reference checks are too slow
 MAX_ERROR_LENGTH = 500  # characters
 
 
@@ -42,56 +42,58 @@
     """
 
     def __init__(self) -> None:
-        """Parses the module."""
+        """Parse the YANG module from the folder `yang`."""
         self._data_model = DataModel(json.dumps(YANG_LIBRARY), (MODULE_FOLDER,))
-        self._valid_children: Tree = {}  # children of /fleet as they were last found valid
-        self.schema = _schema_node(self._data_model.schema, False)
+        self._valid_children: Tree = {}  # children of /fleet, as last validated
+        self.schema = _convert_schema_node(self._data_model.schema, False)
 
     def validate(self, tree: Tree) -> Tree:
-        """Returns a configuration in canonical form, without state.
+        """Return a configuration in canonical form, without state.
 
-        Children of /fleet do not refer to one another, so one that is as it last was is not checked
-        again: a drain costs the same beside a table of ten thousand tenants.
+        Children of /fleet do not refer to one another, so a child that is unchanged since the last
+        validation is not validated again. A commit of a drain therefore costs the same with an
+        assignment of ten thousand tenants as with a small one.
 
         Raises:
-            CommitRejectedError: If it is not valid; the text says where and why.
+            CommitRejectedError: If the configuration is not valid; the text says where and why.
         """
         if not tree:
             return tree
         fleet = tree.get("fleet") if len(tree) == 1 else None
         if not isinstance(fleet, dict):
-            return self._validate_all(tree)
-        valid: Tree = {}
+            return self._validate_tree(tree)
+        validated_fleet: Tree = {}
         for name, child in fleet.items():
-            known = self._valid_children.get(name)
-            if known is None or known != child:
-                known = self._validate_all({"fleet": {name: child}})["fleet"].get(name)
-            if known is not None:
-                valid[name] = known
-        self._valid_children = valid
-        return {"fleet": valid}
-
-    def _validate_all(self, tree: Tree) -> Tree:
+            validated = self._valid_children.get(name)
+            if validated is None or validated != child:
+                validated = self._validate_tree({"fleet": {name: child}})["fleet"].get(name)
+            if validated is not None:
+                validated_fleet[name] = validated
+        self._valid_children = validated_fleet
+        return {"fleet": validated_fleet}
+
+    def _validate_tree(self, tree: Tree) -> Tree:
         try:
             root = self._data_model.from_raw(
                 {f"{MODULE_NAME}:{name}": value for name, value in tree.items()}
             )
-            # Each step upwards out of a long list costs its length. Beyond some length references
-            # are left to `cells.validation.validate_assignment`, which checks the same
+            # In yangson, moving from an entry of a list to its parent takes time proportional to
+            # the length of the list. The references of a long list are therefore not checked here:
+            # `cells.validation.validate_assignment` checks them too.
             is_large = _tenant_count(tree) > MAX_TENANTS_FOR_REFERENCES
             scope = ValidationScope.syntax if is_large else ValidationScope.all
             root.validate(scope, ContentType.config)
         except YangsonException as error:
             raise CommitRejectedError(_error_text(error)) from error
         except (TypeError, ValueError, AttributeError, KeyError) as error:
-            # yangson raises these for values of a form that it does not expect
-            raise CommitRejectedError(f"a value can't be read: {error}") from error
-        valid: Tree = strip_module_names(root.raw_value())
-        return valid
+            # yangson raises these errors for values whose JSON type it does not expect.
+            raise CommitRejectedError(f"a value cannot be parsed: {error}") from error
+        canonical_tree: Tree = strip_module_names(root.raw_value())
+        return canonical_tree
 
 
 def _tenant_count(tree: Tree) -> int:
-    """Returns the number of tenants in a tree that has not been checked yet."""
+    """Return the number of tenants in a tree that has not been validated yet."""
     fleet = tree["fleet"] if isinstance(tree.get("fleet"), dict) else {}
     assignment = fleet.get("assignment")
     if not isinstance(assignment, dict):
@@ -104,15 +106,17 @@
     return " ".join(str(error).split()).replace(f"{MODULE_NAME}:", "")[:MAX_ERROR_LENGTH]
 
 
-def _schema_node(node: Any, is_state: bool) -> SchemaNode:
-    """Converts a node of yangson's schema, and all below it."""
+def _convert_schema_node(node: Any, is_state: bool) -> SchemaNode:
+    """Convert a node of yangson's schema and all nodes below it."""
     is_list = isinstance(node, ListNode)
     is_leaf = isinstance(node, LeafNode | LeafListNode)
     children = {}
     if not is_leaf:
         for child in getattr(node, "children", ()):
             if isinstance(child, DataNode) and child.name != NOTIFICATION_NAME:
-                children[child.name] = _schema_node(child, is_state or child.config is False)
+                children[child.name] = _convert_schema_node(
+                    child, is_state or child.config is False
+                )
     return SchemaNode(
         children=children,
         keys=tuple(key[0] for key in node.keys) if is_list else (),
--- a/tests/management/gnmi_calls.py
+++ b/tests/management/gnmi_calls.py
@@ -1,4 +1,4 @@
-"""gNMI calls without our own client: raw messages over a plain channel."""
+"""gNMI calls with raw messages over a plain channel, without our own client."""
 
 import grpc
 
@@ -6,7 +6,7 @@
 
 
 def call(director, name, message):
-    """Calls a method; Subscribe takes a list of messages and returns all responses."""
+    """Call a method; for Subscribe, send a list of messages and return all responses."""
     request_class, response_class = gnmi.METHODS[name]
     with grpc.insecure_channel(director.address) as channel:
         if name == "Subscribe":
@@ -20,8 +20,8 @@
         )(message)
 
 
-def subscribe(mode, path, **options):
-    """The first message of a Subscribe call."""
+def subscribe_request(mode, path, **options):
+    """Return the first message of a Subscribe call."""
     elems = [gnmi.PathElem(name=name) for name in path.strip("/").split("/")]
     return gnmi.SubscribeRequest(
         subscribe=gnmi.SubscriptionList(
