--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -1,4 +1,4 @@
-"""A whole director with gNMI in front of stand-in endpoints, for the tests of management."""
+"""A complete director with a gNMI server and stand-in endpoints, for the tests of management."""
 
 import json
 from unittest import mock
@@ -35,11 +35,11 @@
 
 
 def drain(target, endpoint, **leaves):
-    """Commits a drain; returns the version."""
+    """Commit a drain; return the version."""
     return target.set(updates=[(drain_path(endpoint), leaves)])
 
 
-def assignment() -> Assignment:
+def new_assignment() -> Assignment:
     return Assignment(
         1,
         1000.0,
@@ -53,20 +53,20 @@
 
 
 class ManagedDirector:
-    """One director on loopback with management, and cells if asked for; ended with the block."""
+    """A director on loopback with management and optional cells; the with block stops it."""
 
     def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER):
         self.folder = folder
         self.endpoints = [StandInEndpoint(plan) for _ in ENDPOINTS]
         self.event_stream = StandInEventStream()
         self.log = LogRecorder()
-        self.callers = []
+        self.clients = []
         self.targets = []
         self.assignment_path = folder / "assignment.ini"
         cells_config = None
         if cells:
             if not self.assignment_path.exists():
-                self.assignment_path.write_text(format_assignment(assignment()))
+                self.assignment_path.write_text(format_assignment(new_assignment()))
             cells_config = CellsConfig(
                 True, str(self.assignment_path), "tenant", 50.0, "", 0, 0.0, 5_000.0
             )
@@ -85,27 +85,27 @@
         return self
 
     def target(self, **options):
-        """A new gNMI connection."""
+        """Open a gNMI connection, which is closed with the director."""
         self.targets.append(GnmiTarget(self.address, ConnectionOptions(**options)))
         return self.targets[-1]
 
-    def caller(self):
-        """A new client that sends requests."""
-        self.callers.append(StandInClient(self.director.listener.listener.getsockname()))
-        return self.callers[-1]
+    def client(self):
+        """Connect a client that sends requests and is closed with the director."""
+        self.clients.append(StandInClient(self.director.listener.listener.getsockname()))
+        return self.clients[-1]
 
     def ready_caches(self):
         return [name for name, _, _ in self.director.coordinator.ready_caches()]
 
     def received_requests(self):
-        """What each endpoint has received."""
+        """Return the requests that each endpoint has received, by name."""
         return commands_by_endpoint(self.endpoints)
 
     def assignment_in_use(self):
         return self.director.cell_service.controller.assignment
 
     def update_endpoint(self, number, name, state="SERVING", started=0, port=None):
-        """Sends an update of one endpoint, as the event stream would."""
+        """Apply an update of one endpoint, as if the event stream had sent it."""
         index = next(index for index, row in enumerate(ENDPOINTS) if row[0] == name)
         row = {
             "id": name,
@@ -124,11 +124,11 @@
     def __exit__(self, *_):
         for target in self.targets:
             target.close()
-        # Without the second in which clients of a stopping director may still come
+        # A stopping director accepts new calls for one more second, which the tests need not wait.
         with mock.patch.object(director_module, "NEW_CALLS_S", 0.0):
             self.director.stop()
-            for caller in self.callers:
-                caller.close()
+            for client in self.clients:
+                client.close()
             self.director.wait()
         for server in (*self.endpoints, self.event_stream):
             server.close()
--- a/tests/management/test_authorization.py
+++ b/tests/management/test_authorization.py
@@ -1,4 +1,4 @@
-"""Roles by the names in certificates."""
+"""Roles of callers by the names in their certificates."""
 
 import pytest
 
@@ -24,5 +24,5 @@
         (["/"], Role.CONFIGURE),
     ],
 )
-def test_change_requires_drain_for_drains_and_configure_for_the_rest(texts, role):
+def test_change_of_drains_requires_role_drain_and_any_other_change_configure(texts, role):
     assert required_role([parse_path(text) for text in texts]) == role
--- a/tests/management/test_certificates.py
+++ b/tests/management/test_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of server and clients, and roles by their names."""
+"""Certificates of the server and the clients, and roles by the names in them."""
 
 import datetime
 
@@ -29,7 +29,7 @@
 
 
 def new_certificate(name, issuer=None):
-    """Certificate and key, signed by an issuer (certificate and key) or by itself."""
+    """Create a certificate and a key, signed by an issuer (certificate and key) or self-signed."""
     key = ec.generate_private_key(ec.SECP256R1())
     now = datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
@@ -93,7 +93,7 @@
             (reads, lambda: target.get(parse_path("/fleet/boxes"))),
             (drains, lambda: target.set(updates=[(drain_path("s-02"), {})])),
             (configures, lambda: target.set(updates=[(RATE_LIMIT, "5")])),
-            (configures, lambda: target.set(extra={"rollback": 1})),
+            (configures, lambda: target.set(extension_values={"rollback": 1})),
         ):
             if is_allowed:
                 act()
@@ -111,16 +111,16 @@
     write_all_certificates(tmp_path)
     with ManagedDirector(tmp_path, TLS_CONFIG) as director:
         director.target(**connection_options(tmp_path, "reader")).get(parse_path("/fleet/boxes"))
-        other = write_certificate(tmp_path, "other", new_certificate("other authority"))
-        write_certificate(tmp_path, "new-reader", new_certificate("reader", other))
-        (tmp_path / "ca.pem").write_bytes(b"no certificate")  # half of a renewal: the old ones stay
+        other_authority = write_certificate(tmp_path, "other", new_certificate("other authority"))
+        write_certificate(tmp_path, "new-reader", new_certificate("reader", other_authority))
+        (tmp_path / "ca.pem").write_bytes(b"no certificate")  # a partly replaced set is ignored
         (tmp_path / "old.pem").write_bytes((tmp_path / "other.pem").read_bytes())
-        write_certificate(tmp_path, "server", new_certificate("server", other))
+        write_certificate(tmp_path, "server", new_certificate("server", other_authority))
         (tmp_path / "ca.pem").write_bytes((tmp_path / "other.pem").read_bytes())
-        found = director.target(**connection_options(tmp_path, "new-reader", "other")).get(
+        boxes = director.target(**connection_options(tmp_path, "new-reader", "other")).get(
             parse_path("/fleet/boxes")
         )
-        assert found
+        assert boxes
         assert wait_for(
-            lambda: any("read again" in str(figures) for figures in director.log.fields)
+            lambda: any("certificates reloaded" in str(fields) for fields in director.log.fields)
         )
--- a/tests/management/test_ctl.py
+++ b/tests/management/test_ctl.py
@@ -1,4 +1,4 @@
-"""`mulleinrelay ctl` against a whole director."""
+"""`mulleinrelay ctl` with a complete director."""
 
 import json
 
@@ -13,20 +13,20 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """One director with cells for all tests here that leave it as it was."""
+    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
 
 def ctl(director, *arguments):
-    """Runs a command; returns its exit code and output."""
+    """Run a command; return its exit code and output."""
     result = CliRunner().invoke(main, ["ctl", "--target", director.address, *arguments])
     return result.exit_code, result.output
 
 
 def test_commands_read_change_and_compare_a_director(running, tmp_path):
     assert ctl(running, "drain", "s-02", "--reason", "smoke")[1].endswith(
-        "s-02 binding, 0 attempts out\n"
+        "s-02 binding, 0 attempts in flight\n"
     )
     code, output = ctl(running, "drain", "s-03")
     assert code == 3
@@ -45,7 +45,7 @@
     assert ctl(running, "confirm", "k1")[0] == 3
     file = tmp_path / "wanted.json"
     file.write_text(json.dumps(running.management.datastore.running.tree))
-    assert "0 others, 0 not in the file" in ctl(running, "diff", str(file))[1]
+    assert "0 with other values, 0 not in the file" in ctl(running, "diff", str(file))[1]
     number = running.management.datastore.running.number
     assert ctl(running, "set", f"{DRAIN}[box=zz]/reason=x", "--built-on", "1")[0] == 3
     assert ctl(running, "set", f"{DRAIN}[box=zz]/reason=x")[0] == 0
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -12,7 +12,7 @@
 
 
 class FakeParticipant:
-    """Keeps what it has committed; rejects a prepare or fails a commit if asked to."""
+    """A participant that stores the committed tree, and can reject a prepare or fail a commit."""
 
     def __init__(self, name, rejects=False, fails=False):
         self.name = name
@@ -22,7 +22,7 @@
 
     def prepare(self, old, new):
         if self.rejects:
-            raise CommitRejectedError(f"{self.name} won't")
+            raise CommitRejectedError(f"{self.name} rejected")
         return new
 
     def persisted_version(self, prepared):
@@ -30,24 +30,24 @@
 
     def commit(self, prepared):
         if self.fails:
-            raise ValueError(f"{self.name} broke")
-        before = self.committed
+            raise ValueError(f"{self.name} failed")
+        previous = self.committed
         self.committed = prepared
 
         def undo():
-            self.committed = before
+            self.committed = previous
 
         return undo
 
 
-def accept_unless_bad(tree):
+def reject_if_bad(tree):
     if tree.get("bad"):
-        raise CommitRejectedError("bad is no good")
+        raise CommitRejectedError("the tree has a member named bad")
     return tree
 
 
 def new_datastore(participants=(), persist=None):
-    return Datastore(accept_unless_bad, list(participants), persist or (lambda state: None))
+    return Datastore(reject_if_bad, list(participants), persist or (lambda state: None))
 
 
 def fail_to_persist(state):
@@ -76,9 +76,9 @@
 
 def test_commit_built_on_an_older_version_is_rejected():
     datastore = new_datastore()
-    datastore.commit(1.0, CommitRequest({"a": 1}, "one", "", built_on=0))
+    datastore.commit(1.0, CommitRequest({"a": 1}, "one", "", expected_version=0))
     with pytest.raises(CommitRejectedError, match="built on version 0, but version 1") as rejection:
-        datastore.commit(2.0, CommitRequest({"a": 2}, "two", "", built_on=0))
+        datastore.commit(2.0, CommitRequest({"a": 2}, "two", "", expected_version=0))
     assert rejection.value.code == "stale"
     assert datastore.running.tree == {"a": 1}
 
@@ -133,7 +133,7 @@
 
 
 class DatastoreMachine(RuleBasedStateMachine):
-    """In any order of calls, the participant has what is running, and so has the file."""
+    """Sequences of calls after which participant and file must match the datastore."""
 
     def __init__(self):
         super().__init__()
--- a/tests/management/test_datastore_file.py
+++ b/tests/management/test_datastore_file.py
@@ -1,4 +1,4 @@
-"""The file of the datastore: format, damage, kills."""
+"""The datastore file: format, damaged files, kills during writes."""
 
 import os
 import signal
@@ -34,7 +34,7 @@
 
 
 @given(st.integers(0, 2000), st.integers(0, 255), st.integers(0, 3))
-def test_damaged_file_is_rejected_unless_its_content_is_the_same(position, byte, damage):
+def test_damaged_file_is_rejected_unless_it_decodes_to_the_same_state(position, byte, damage):
     data = encode_state(STATE)
     position %= len(data)
     damaged = {
@@ -55,10 +55,13 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (b"mulleinrelay-datastore 9 0 00000000\n", "use a newer one"),
-        (b"", "no datastore"),
-        (b"x y\n{}", "no datastore"),
-        (b"mulleinrelay-datastore 1 2 %08x\n{}" % zlib.crc32(b"{}"), "something else"),
+        (b"mulleinrelay-datastore 9 0 00000000\n", "use a newer version of the program"),
+        (b"", "is not a datastore of this program"),
+        (b"x y\n{}", "is not a datastore of this program"),
+        (
+            b"mulleinrelay-datastore 1 2 %08x\n{}" % zlib.crc32(b"{}"),
+            "its content is not a datastore",
+        ),
     ],
     ids=["newer format", "empty", "another file", "another content"],
 )
--- a/tests/management/test_drain_intent.py
+++ b/tests/management/test_drain_intent.py
@@ -1,4 +1,4 @@
-"""Drains over the endpoint list."""
+"""Drains that are applied on top of the endpoint list."""
 
 import pytest
 
@@ -24,8 +24,8 @@
 EVERY = DrainScope.EVERY_INCARNATION
 
 
-def drained(scope=CURRENT, listed=None):
-    """An intent with a drain of s-1, set after the list was received."""
+def intent_with_drain(scope=CURRENT, listed=None):
+    """Return an intent with a drain of s-1, set after the endpoint list was received."""
     intent = DrainIntent()
     intent.update_endpoints(0.0, listed or [entry()], True)
     intent.set_requests(1.0, {"s-1": DrainRequest("s-1", scope)})
@@ -57,36 +57,36 @@
         "restarted and back",
     ],
 )
-def test_drain_applies_to_the_incarnation_it_met(scope, updates, phase, state):
-    intent = drained(scope)
+def test_drain_applies_to_the_incarnations_of_its_scope(scope, updates, phase, state):
+    intent = intent_with_drain(scope)
     for number, update in enumerate(updates):
         intent.update_endpoints(10.0 + number, [update], False)
-    assert intent.drains["s-1"].phase == phase
+    assert intent.statuses["s-1"].phase == phase
     assert intent.effective_state(updates[-1]) == state
 
 
-def test_drain_of_an_endpoint_that_is_not_listed_waits_for_it():
-    intent = drained(listed=[entry("s-2")])
-    assert intent.drains["s-1"].phase == DrainPhase.WAITING
+def test_drain_of_an_unlisted_endpoint_is_pending_until_it_is_listed():
+    intent = intent_with_drain(listed=[entry("s-2")])
+    assert intent.statuses["s-1"].phase == DrainPhase.PENDING
     intent.update_endpoints(5.0, [entry()], False)
     assert intent.effective_state(entry()) == EndpointState.DRAINING
 
 
 def test_drain_does_not_apply_to_another_endpoint_at_the_same_address():
-    intent = drained(EVERY)
+    intent = intent_with_drain(EVERY)
     intent.update_endpoints(5.0, [GONE, entry("s-9")], False)
     assert intent.effective_state(entry("s-9")) == EndpointState.READY
 
 
 def test_drain_that_the_list_contradicts_is_reported_once():
-    intent = drained()
+    intent = intent_with_drain()
     assert not intent.take_contradicted(CONTRADICTION_GRACE_PERIOD - 100.0)
     contradicted = intent.take_contradicted(CONTRADICTION_GRACE_PERIOD + 100.0)
     assert [status.request.endpoint for status in contradicted] == ["s-1"]
     assert not intent.take_contradicted(9e9)
-    agreed = drained()
-    agreed.update_endpoints(5.0, [LISTED_DRAINING], False)
-    assert not agreed.take_contradicted(9e9)
+    uncontradicted = intent_with_drain()
+    uncontradicted.update_endpoints(5.0, [LISTED_DRAINING], False)
+    assert not uncontradicted.take_contradicted(9e9)
 
 
 @pytest.mark.parametrize(
@@ -104,11 +104,11 @@
     listed = (entry(), entry("s-2"), entry("p-1", zone=0, kind=1))
     endpoints = {update.name: update for update in listed}
     for forced in (False, True):
-        found = drain_rejection_reason(
+        actual_reason = drain_rejection_reason(
             endpoints,
             active,
             {name: DrainRequest(name, forced=forced) for name in names},
             lambda update: update.kind == 0,
             cells,
         )
-        assert found.startswith(reason) if reason and not forced else found == ""
+        assert actual_reason.startswith(reason) if reason and not forced else actual_reason == ""
--- a/tests/management/test_gnmi_calls.py
+++ b/tests/management/test_gnmi_calls.py
@@ -1,8 +1,8 @@
-"""gNMI calls by raw messages, by published field numbers and by an independent client."""
+"""gNMI calls with raw messages, with published field numbers and with an independent client."""
 
 import grpc
 import pytest
-from gnmi_calls import call, subscribe
+from gnmi_calls import call, subscribe_request
 from managed_director import INSECURE_CONFIG, ManagedDirector, drain
 from pygnmi.client import gNMIclient
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """One director with cells for all tests here that leave it as it was."""
+    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
@@ -41,7 +41,7 @@
         ),
         ("Set", gnmi.SetRequest(union_replace=[{"path": {}}]), "UNIMPLEMENTED"),
         ("Subscribe", [gnmi.SubscribeRequest(poll={})], "INVALID_ARGUMENT"),
-        ("Subscribe", [subscribe(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
+        ("Subscribe", [subscribe_request(gnmi.STREAM, "/fleet/none")], "NOT_FOUND"),
     ],
 )
 def test_invalid_call_ends_with_its_status(running, name, message, code):
@@ -63,7 +63,7 @@
 
 
 def encode_field(number, wire_type, value):
-    """One protobuf field; `value` is bytes, or an integer for a varint."""
+    """Return an encoded protobuf field; `value` is bytes or, for a varint, an integer below 128."""
     tag = bytes([number << 3 | wire_type])
     if wire_type == LENGTH_DELIMITED:
         return tag + bytes([len(value)]) + value
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -1,4 +1,4 @@
-"""Changes over gNMI at a whole director."""
+"""Changes by gNMI in a complete director."""
 
 import threading
 import time
@@ -20,13 +20,13 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """One director with cells for all tests here that leave it as it was."""
+    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
 
 def snapshot(director):
-    """What a rejected change must leave as it is."""
+    """Return everything that a rejected change must leave unchanged."""
     datastore = director.management.datastore
     return (
         datastore.running,
@@ -38,30 +38,32 @@
     )
 
 
-def test_drained_endpoint_gets_no_new_requests_and_finishes_its_own(tmp_path):
-    may_answer = threading.Event()
+def test_drained_endpoint_gets_no_new_requests_and_finishes_those_in_flight(tmp_path):
+    answer_allowed = threading.Event()
 
-    def answer_late(fields):
+    def answer_when_allowed(fields):
         if fields["name"].endswith("ff"):
-            may_answer.wait(10.0)
+            answer_allowed.wait(10.0)
         return HIT_ANSWER
 
-    def has_late_request(attempts):
+    def has_delayed_request(attempts):
         return any(attempt[2]["name"].endswith("ff") for attempt in attempts)
 
-    with ManagedDirector(tmp_path, plan=answer_late) as director:
-        caller = director.caller()
+    with ManagedDirector(tmp_path, plan=answer_when_allowed) as director:
+        client = director.client()
         target = director.target()
         for number in range(12):
-            caller.send(entity=f"{number:016x}")
-            assert caller.read_answer()[1] == 0
-        late_caller = director.caller()
-        late_caller.send(entity="00000000000000ff")
-        assert wait_for(lambda: any(map(has_late_request, director.received_requests().values())))
+            client.send(entity=f"{number:016x}")
+            assert client.read_answer()[1] == 0
+        delayed_client = director.client()
+        delayed_client.send(entity="00000000000000ff")
+        assert wait_for(
+            lambda: any(map(has_delayed_request, director.received_requests().values()))
+        )
         endpoint = next(
             name
             for name, attempts in director.received_requests().items()
-            if has_late_request(attempts)
+            if has_delayed_request(attempts)
         )
         drain(target, endpoint, reason="smoke")
         before = len(director.received_requests()[endpoint])
@@ -69,11 +71,11 @@
         assert state["phase"] == "binding"
         assert state["attempts-out"] == 1
         for number in range(30):
-            caller.send(entity=f"{number + 100:016x}")
+            client.send(entity=f"{number + 100:016x}")
             if endpoint != "s-21":
-                assert caller.read_answer()[1] == 0
-        may_answer.set()
-        assert late_caller.read_answer()[1] == 0
+                assert client.read_answer()[1] == 0
+        answer_allowed.set()
+        assert delayed_client.read_answer()[1] == 0
         received = director.received_requests()
         assert len(received[endpoint]) == before
         fill_sources = {
@@ -85,17 +87,19 @@
         assert state_after == "ready"
 
 
-def test_drain_outlives_a_restart_and_updates_of_the_list(tmp_path):
+def test_drain_survives_a_restart_and_updates_of_the_endpoint_list(tmp_path):
     with ManagedDirector(tmp_path) as director:
         drain(director.target(), "s-02")
         with pytest.raises(GnmiCallError, match=r"to be confirmed|still wants|version"):
-            director.target().set(updates=[(drain_path("s-01"), {})], extra={"built_on": 0})
+            director.target().set(
+                updates=[(drain_path("s-01"), {})], extension_values={"built_on": 0}
+            )
         addresses = [endpoint.address for endpoint in director.endpoints]
     with ManagedDirector(tmp_path) as restarted:
         assert addresses
-        assert "s-02" in restarted.management.drains.intent.drains
+        assert "s-02" in restarted.management.drain_participant.intent.statuses
         assert restarted.ready_caches() == ["s-01", "s-03"]
-        restarted.update_endpoint(2, "s-02")  # the list says ready once more
+        restarted.update_endpoint(2, "s-02")  # the endpoint list shows it as ready again
         assert restarted.ready_caches() == ["s-01", "s-03"]
         restarted.update_endpoint(3, "s-02", started=5)  # another incarnation
         assert restarted.ready_caches() == ["s-01", "s-02", "s-03"]
@@ -103,9 +107,11 @@
 
 def test_unconfirmed_commit_is_rolled_back_after_a_restart(tmp_path):
     with ManagedDirector(tmp_path) as director:
-        director.target().set(updates=[(drain_path("s-02"), {})], within=0.4, name="c1")
+        director.target().set(
+            updates=[(drain_path("s-02"), {})], confirm_timeout_s=0.4, commit_id="c1"
+        )
         assert director.ready_caches() == ["s-01", "s-03"]
-        director.management.stop()  # as if killed before its time
+        director.management.stop()  # as if killed before the deadline
     time.sleep(0.4)
     with ManagedDirector(tmp_path) as restarted:
         assert wait_for(lambda: restarted.ready_caches() == ["s-01", "s-02", "s-03"])
@@ -156,14 +162,14 @@
     {"updates": [(parse_path("/fleet/assignment/cell[name=north]/weight"), "heavy")]},
     {"updates": [(parse_path("/fleet/datastore/version"), "7")]},
     {"replaces": [(parse_path("/"), {"fleet": {"x": 1}})]},
-    {"updates": [(drain_path("s-02"), {})], "extra": {"built_on": 999}},
-    {"updates": [], "extra": {"rollback": 999}},
-    {"updates": [], "extra": {"rollback": "x"}},
+    {"updates": [(drain_path("s-02"), {})], "extension_values": {"built_on": 999}},
+    {"updates": [], "extension_values": {"rollback": 999}},
+    {"updates": [], "extension_values": {"rollback": "x"}},
 ]
 
 
 @pytest.mark.parametrize("change", INVALID_CHANGES)
-def test_rejected_change_leaves_no_trace(running, change):
+def test_rejected_change_has_no_effect(running, change):
     target = running.target()
     if not (running.folder / "state" / "datastore").exists():
         target.set(updates=[(parse_path("/fleet/assignment/tenant[name=beta]/weight"), "2.0")])
@@ -204,7 +210,7 @@
     ),
     ANY_JSON,
 )
-def test_any_value_is_rejected_with_a_reason_or_committed(running, path, value):
+def test_arbitrary_value_is_rejected_with_an_error_or_committed(running, path, value):
     target = running.target()
     before = running.management.datastore.running
     rejection = None
@@ -219,7 +225,7 @@
     assert running.management.datastore.running is before
 
 
-def test_change_of_cells_takes_effect_and_is_written_to_their_file(tmp_path):
+def test_change_of_the_assignment_takes_effect_and_is_written_to_its_file(tmp_path):
     with ManagedDirector(tmp_path, cells=True) as director:
         target = director.target()
         target.set(
@@ -233,10 +239,10 @@
         assert (
             store.load_assignment(str(director.assignment_path)).tenants["acme"].limits.rate == 0.01
         )
-        caller = director.caller()
+        client = director.client()
         for _ in range(5):
-            caller.send(tenant="acme")
-        assert sorted(caller.read_answer()[1] for _ in range(5)) == [0, 0, 1, 1, 1]
+            client.send(tenant="acme")
+        assert sorted(client.read_answer()[1] for _ in range(5)) == [0, 0, 1, 1, 1]
         file = str(director.assignment_path)
         arguments = f"cells move acme --to south --name m1 --shift-ms 900 --file {file}"
         result = CliRunner().invoke(main, arguments.split())
@@ -249,7 +255,7 @@
         assert target.get(parse_path("/fleet/datastore/version"))[0].value == str(version)
 
 
-def test_participant_that_fails_to_commit_leaves_everything_as_it_was(running, monkeypatch):
+def test_failed_commit_of_a_participant_is_undone(running, monkeypatch):
     target = running.target()
     drain(target, "zz")
     target.set(deletes=[drain_path("zz")])
@@ -258,7 +264,7 @@
     def fail(prepared):
         raise OSError("no")
 
-    monkeypatch.setattr(running.management.drains, "commit", fail)
+    monkeypatch.setattr(running.management.drain_participant, "commit", fail)
     with pytest.raises(GnmiCallError) as error:
         target.set(
             updates=[
@@ -272,7 +278,7 @@
     assert before[:2] == after[:2]
     assert before[3] == after[3]
     assert before[5] == after[5]
-    assert after[4].tenants == before[4].tenants  # under a higher version of the file
+    assert after[4].tenants == before[4].tenants  # the file has a higher version
     assert wait_for(
         lambda: running.assignment_in_use() == store.load_assignment(str(running.assignment_path))
     )
@@ -289,51 +295,51 @@
                 (drain_path("s-9"), {}),
             ]
         )
-    # As if killed between the datastore and the assignment file
+    # As if killed after writing the datastore and before writing the assignment file
     director.assignment_path.write_bytes(first_file)
     with ManagedDirector(tmp_path, cells=True) as restarted:
         assert store.load_assignment(str(restarted.assignment_path)).tenants["acme"].weight == 3.0
-        assert "s-9" in restarted.management.drains.intent.drains
-        assert any("brought to its end" in str(figures) for figures in restarted.log.fields)
+        assert "s-9" in restarted.management.drain_participant.intent.statuses
+        assert any("interrupted commit completed" in str(fields) for fields in restarted.log.fields)
 
 
-def test_reloads_and_calls_that_time_out_leave_no_partial_change(tmp_path):
+def test_reloads_and_timeouts_leave_no_partial_change(tmp_path):
     with ManagedDirector(tmp_path, cells=True) as director:
-        has_ended = threading.Event()
+        is_finished = threading.Event()
 
-        def reload_all_the_time():
-            while not has_ended.is_set():
+        def reload_repeatedly():
+            while not is_finished.is_set():
                 director.director.reload(director.config)
 
-        reloader = threading.Thread(target=reload_all_the_time)
+        reloader = threading.Thread(target=reload_repeatedly)
         reloader.start()
         try:
-            hasty_target = director.target(timeout_s=0.004)
-            patient_target = director.target()
+            short_timeout_target = director.target(timeout_s=0.004)
+            default_timeout_target = director.target()
             for number in range(1, 40):
-                set_with_either(number, hasty_target, patient_target)
+                set_drain_and_limit(number, short_timeout_target, default_timeout_target)
                 with director.management.datastore_lock:
                     fleet = director.management.datastore.running.tree["fleet"]
                 drains = fleet.get("drains", {}).get("drain", [{"reason": "0"}])
                 tenants = {tenant["name"]: tenant for tenant in fleet["assignment"]["tenant"]}
                 assert float(drains[0]["reason"]) == float(tenants["acme"]["limits"]["rate"])
         finally:
-            has_ended.set()
+            is_finished.set()
             reloader.join()
 
 
-def set_with_either(number, hasty_target, patient_target):
-    """Sets a drain and a limit in one change; only odd numbers may time out."""
+def set_drain_and_limit(number, short_timeout_target, default_timeout_target):
+    """Set the drain's reason and a rate limit in one change; only odd numbers may time out."""
     changes = [
         (parse_path("/fleet/drains/drain[box=zz]/reason"), str(number)),
         (RATE_LIMIT, str(number)),
     ]
     if not number % 2:
-        patient_target.set(updates=changes)
+        default_timeout_target.set(updates=changes)
         return
     timeout = None
     try:
-        hasty_target.set(updates=changes)
+        short_timeout_target.set(updates=changes)
     except GnmiCallError as error:
         timeout = error
     assert timeout is None or timeout.code == "DEADLINE_EXCEEDED"
@@ -342,10 +348,10 @@
 def test_late_endpoint_updates_do_not_undo_a_drain(tmp_path):
     with ManagedDirector(tmp_path) as director:
         director.target().set(updates=[(drain_path("s-02"), {})])
-        for number in (2, 3):  # what the list said before it knew
+        for number in (2, 3):  # updates from before the drain
             director.update_endpoint(number, "s-02")
             assert director.ready_caches() == ["s-01", "s-03"]
         director.update_endpoint(4, "s-02", state="DRAINING")
         director.update_endpoint(5, "s-02", state="DELETED")
-        director.update_endpoint(6, "s-02", port=9)  # another machine under its name
+        director.update_endpoint(6, "s-02", port=9)  # another machine with the same name
         assert director.ready_caches() == ["s-01", "s-02", "s-03"]
--- a/tests/management/test_gnmi_subscriptions.py
+++ b/tests/management/test_gnmi_subscriptions.py
@@ -1,9 +1,9 @@
-"""Subscriptions at a whole director."""
+"""Subscriptions to a complete director."""
 
 import threading
 
 import pytest
-from gnmi_calls import call, subscribe
+from gnmi_calls import call, subscribe_request
 from helpers import wait_for
 from managed_director import INSECURE_CONFIG, ManagedDirector, drain, drain_path
 
@@ -14,16 +14,19 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """One director with cells for all tests here that leave it as it was."""
+    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
 
 def collect_events(target, paths, is_complete):
-    """Subscribes in a thread.
+    """Subscribe in a thread that collects the events in a list.
 
-    Returns the list that it fills (an error comes last, as ("error", code, text)) and the event
-    that it sets once `is_complete` is true of the list or the call has failed.
+    If the call fails, the last item of the list is ("error", code, text).
+
+    Returns:
+        The list, and a threading.Event that is set when `is_complete` returns true for the list or
+        the call has failed.
     """
     events = []
     done = threading.Event()
@@ -42,7 +45,7 @@
     return events, done
 
 
-def test_stream_notifies_of_changes_at_once(running):
+def test_stream_sends_changes_at_once(running):
     events, done = collect_events(
         running.target(),
         ["/fleet/drains", "/fleet/boxes/box[name=s-02]/state"],
@@ -60,7 +63,7 @@
     assert done.wait(5.0)
 
 
-def test_queue_of_a_subscriber_that_reads_nothing_is_bounded(running):
+def test_queue_of_a_subscriber_that_does_not_read_is_bounded(running):
     subscriber = running.management.subscribe([parse_path("/fleet/drains")], 3)
     for number in range(6):
         drain(running.target(), "zz", reason=f"r{number}")
@@ -74,25 +77,30 @@
     with ManagedDirector(tmp_path, INSECURE_CONFIG + "[limits]\nsubscribers = 1\n") as director:
         events, _ = collect_events(director.target(), ["/fleet/drains"], lambda _: False)
         assert wait_for(lambda: ("sync", None, None) in events)
-        others, done = collect_events(director.target(), ["/fleet/drains"], lambda _: False)
+        rejected_events, done = collect_events(
+            director.target(), ["/fleet/drains"], lambda _: False
+        )
         assert done.wait(5.0)
-        assert others[-1][:2] == ("error", "RESOURCE_EXHAUSTED")
+        assert rejected_events[-1][:2] == ("error", "RESOURCE_EXHAUSTED")
 
 
 @pytest.mark.parametrize(
-    ("requests", "has_updates", "syncs"),
+    ("requests", "has_updates", "sync_count"),
     [
-        ([subscribe(gnmi.ONCE, "/fleet/request-classes")], True, 1),
-        ([subscribe(gnmi.ONCE, "/fleet/request-classes", updates_only=True)], False, 1),
+        ([subscribe_request(gnmi.ONCE, "/fleet/request-classes")], True, 1),
+        ([subscribe_request(gnmi.ONCE, "/fleet/request-classes", updates_only=True)], False, 1),
         (
-            [subscribe(gnmi.POLL, "/fleet/request-classes"), *[gnmi.SubscribeRequest(poll={})] * 2],
+            [
+                subscribe_request(gnmi.POLL, "/fleet/request-classes"),
+                *[gnmi.SubscribeRequest(poll={})] * 2,
+            ],
             True,
             2,
         ),
     ],
     ids=["once", "once, updates only", "poll"],
 )
-def test_once_and_poll_send_updates_and_syncs(running, requests, has_updates, syncs):
+def test_once_and_poll_send_updates_and_syncs(running, requests, has_updates, sync_count):
     responses = call(running, "Subscribe", requests)
     assert any(len(response.update.update) for response in responses) == has_updates
-    assert sum(response.sync_response for response in responses) == syncs
+    assert sum(response.sync_response for response in responses) == sync_count
--- a/tests/management/test_paths.py
+++ b/tests/management/test_paths.py
@@ -1,4 +1,4 @@
-"""gNMI paths as text: parsing, formatting, matching."""
+"""gNMI paths: parsing, formatting, matching."""
 
 import pytest
 from hypothesis import given
@@ -33,7 +33,7 @@
 
 
 @given(st.text("/[]=\\ab*.: \n\0é", max_size=60))
-def test_any_text_is_a_path_or_an_error_with_a_message(text):
+def test_arbitrary_text_is_parsed_or_rejected_with_a_message(text):
     try:
         path = parse_path(text)
     except PathError as error:
@@ -67,5 +67,5 @@
         (["/fleet/*"], None),
     ],
 )
-def test_paths_lead_to_some_or_all_children_of_the_fleet(texts, children):
+def test_fleet_children_are_those_that_the_paths_lead_to(texts, children):
     assert fleet_children([parse_path(text) for text in texts]) == children
--- a/tests/management/test_tree.py
+++ b/tests/management/test_tree.py
@@ -1,4 +1,4 @@
-"""Trees: reading with wildcards, editing, comparing."""
+"""Trees of configuration and state: reading with wildcards, editing, comparing."""
 
 import pytest
 
@@ -51,7 +51,7 @@
         ("/fleet/cell[name=n]/cache", [["a"]]),
     ],
 )
-def test_read_gives_all_nodes_that_a_path_matches(text, values):
+def test_read_yields_all_nodes_that_a_path_matches(text, values):
     found = trees.read(SCHEMA, new_tree(), parse_path(text))
     assert [value for _, value in found] == values
 
@@ -160,7 +160,7 @@
     ]
 
 
-def test_selected_state_has_the_keys_of_its_lists_alone():
+def test_selected_state_contains_no_configuration_but_list_keys():
     tree = new_tree()
     tree["fleet"]["drains"]["drain"][0]["state"] = {"phase": "binding"}
     assert trees.select_state(SCHEMA, tree) == {
--- a/tests/management/test_yang_model.py
+++ b/tests/management/test_yang_model.py
@@ -1,4 +1,4 @@
-"""The YANG module itself."""
+"""The YANG module and its schema."""
 
 import os
 import subprocess
