--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -1,7 +1,7 @@
-"""Conversion between the cell assignment and the `assignment` container of the YANG model. Pure.
+"""Conversion between the cell assignment and the `assignment` container of the YANG model.
 
 The tables below map leaf names of the YANG model, which clients use, to fields of this program's
-classes. In a tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings.
+classes. In a tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings. Pure: no I/O.
 """
 
 import ipaddress
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -1,4 +1,4 @@
-"""Authorization of callers: roles by the names in client certificates. Pure."""
+"""Authorization of callers: roles by the names in client certificates. Pure: no I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -27,7 +27,7 @@
 DRAINS_PATH = parse_path("/fleet/drains")
 DATASTORE_PATH = parse_path("/fleet/datastore")
 DEFAULT_WATCHED_PATHS = ("/fleet/boxes", "/fleet/drains")
-END_TOLERANCE_S = 0.05  # an error of `watch` so shortly before its end is caused by the end itself
+END_TOLERANCE_S = 0.05  # an error of `watch` this close to its end is caused by the end itself
 
 
 @click.group()
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -1,11 +1,14 @@
-"""The configuration datastore: running configuration, confirmed commits, rollback, history. Pure.
+"""The configuration datastore: running configuration, confirmed commits, rollback, history.
 
 A commit is applied by all participants or by none, as in two-phase commit. First each participant
 prepares the change and may reject it, then the new version is stored, and then each participant
 commits. If a participant fails to commit, the commits of the participants before it are undone in
 reverse order.
 
-Times are in Unix milliseconds and are passed in by the caller.
+A confirmed commit, as NETCONF calls it (RFC 6241), is rolled back unless its client confirms it
+before a deadline. Only one such commit can be pending at a time.
+
+Pure: no I/O, no clock. Times are in Unix milliseconds and are passed in by the caller.
 """
 
 from collections.abc import Callable, Sequence
@@ -98,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingConfirmation:
-    """A confirmed commit that its client has not confirmed yet.
+    """A pending confirmed commit, which its client has not confirmed yet.
 
     Attributes:
         commit_id: The client's name for the commit.
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -1,9 +1,9 @@
 """The datastore on disk: one file with a format version, a length and a checksum.
 
 The file is replaced atomically: if the program is killed during a write, the file has either the
-old or the new content. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`. After it
-follows a JSON object. The other members of the object refer to its list `trees` by index, so that a
-tree that several versions share is stored once.
+old or the new content. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`, which is
+followed by a JSON object. The members of the object refer to the trees in its member `trees` by
+index, so that a tree that several versions share is stored once.
 """
 
 import os
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -1,4 +1,4 @@
-"""Drains that operators request, applied on top of the endpoint list. Pure.
+"""Drains that operators request, applied on top of the endpoint list.
 
 A drain names an endpoint. By default it applies to one incarnation of the endpoint: the incarnation
 that the endpoint list has when the drain is set or, if the list does not have the endpoint yet, the
@@ -8,8 +8,8 @@
 another address in the list has a new incarnation. Another endpoint at the same address has another
 name and is never affected.
 
-This module uses no locks: `RequestCoordinator` calls it while holding its own lock. Times are in
-Unix milliseconds.
+Pure: no I/O, no clock, no locks; `RequestCoordinator` calls this module while holding its own lock.
+Times are in Unix milliseconds.
 """
 
 from collections.abc import Callable, Iterable, Mapping
--- a/mulleinrelay/management/edits.py
+++ b/mulleinrelay/management/edits.py
@@ -1,4 +1,4 @@
-"""The edits of a commit. Pure."""
+"""The edits of a commit. Pure: no I/O."""
 
 from dataclasses import dataclass
 from enum import StrEnum
--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -13,7 +13,7 @@
     STALE = "stale"
     """The change is based on a version that is no longer running."""
     BUSY = "busy"
-    """A confirmed commit has not been confirmed yet, so no other one can be made."""
+    """A confirmed commit is still pending, so no other confirmed commit can be made."""
     FAILED = "failed"
     """The change is valid, but this director could not apply or store it."""
     NOT_FOUND = "not found"
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -242,7 +242,7 @@
 
 
 def _update_message(path: Path, value: Any) -> Message:
-    # Unlike the JSON of our server, this JSON contains spaces, which servers accept as well.
+    # Unlike the JSON that our server sends, this JSON has spaces, which servers must accept.
     data = json.dumps(value).encode()
     return gnmi.Update(path=path_to_message(path), val=gnmi.TypedValue(json_ietf_val=data))
 
--- a/mulleinrelay/management/gnmi_extensions.py
+++ b/mulleinrelay/management/gnmi_extensions.py
@@ -1,4 +1,4 @@
-"""The extensions of a gNMI Set request that this server supports. Pure.
+"""The extensions of a gNMI Set request that this server supports. Pure: no I/O.
 
 One is gNMI's commit extension, for confirmed commits. The other is the server's own: a registered
 extension with the experimental id, whose content is a JSON object with any of the members
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -34,7 +34,7 @@
 
     path: Path
     interval_s: float
-    due_at: float = 0.0  # in the time of time.monotonic()
+    due_at: float = 0.0  # on the clock of time.monotonic()
 
 
 class SubscribeCall:
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from ..cells.service import CellService
 
-CacheGrouping = Callable[[list[str]], dict[str, list[str]]]  # from cache names to names by cell
+CacheGrouping = Callable[[list[str]], dict[str, list[str]]]  # groups names of caches by cell
 
 
 class DrainParticipant:
@@ -120,7 +120,7 @@
     name = "assignment"
 
     def __init__(self, cell_service: CellService | None, clock: Callable[[], float]) -> None:
-        """Store the parts that later commits use.
+        """Store the cells that the assignment is applied to, and the clock.
 
         Args:
             cell_service: The running cells; None if cells are off.
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -1,4 +1,4 @@
-"""gNMI paths: parsing, formatting and matching. Pure.
+"""gNMI paths: parsing, formatting and matching. Pure: no I/O.
 
 A path is a tuple of elements. Each element has a name and, if it selects an entry of a list, the
 keys of the entry. In reads, the name `*` matches any single element, the name `...` matches any
--- a/mulleinrelay/management/schema.py
+++ b/mulleinrelay/management/schema.py
@@ -1,4 +1,4 @@
-"""The schema that trees and paths are checked against; independent of yangson. Pure."""
+"""The schema that trees and paths are checked against, independent of yangson. Pure: no I/O."""
 
 from __future__ import annotations
 
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -25,7 +25,7 @@
 from .yang_model import YangModel
 
 STEP_INTERVAL = 250.0  # ms between steps of the thread; a rollback is late by this at most
-STATE_INTERVAL = 1_000.0  # ms between checks for changed state that subscribers are sent
+STATE_INTERVAL = 1_000.0  # ms between checks for changed state to send to subscribers
 MAX_EDITS_PER_COMMIT = 10_000
 LOG_EVENT = "management"
 ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions imported from that file
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -1,4 +1,4 @@
-"""Trees of configuration and state: reading by path, editing, comparing. Pure.
+"""Trees of configuration and state: reading by path, editing, comparing. Pure: no I/O.
 
 A tree is the JSON encoding of YANG data (RFC 7951) without module names: containers are dicts, YANG
 lists are lists of dicts, and leaf-lists are lists of values.
--- a/tests/management/gnmi_calls.py
+++ b/tests/management/gnmi_calls.py
@@ -1,4 +1,4 @@
-"""gNMI calls with raw messages over a plain channel, without our own client."""
+"""gNMI calls with raw messages over a plain channel, without the client of this project."""
 
 import grpc
 
--- a/tests/management/test_ctl.py
+++ b/tests/management/test_ctl.py
@@ -43,7 +43,7 @@
     assert ctl(running, "set", "--within", "30", "--id", "k1", change)[0] == 0
     assert ctl(running, "confirm", "k1")[0] == 0
     assert ctl(running, "confirm", "k1")[0] == 3
-    file = tmp_path / "wanted.json"
+    file = tmp_path / "desired.json"
     file.write_text(json.dumps(running.management.datastore.running.tree))
     assert "0 with other values, 0 not in the file" in ctl(running, "diff", str(file))[1]
     number = running.management.datastore.running.number
