--- a/mulleinrelay/policy/__init__.py
+++ b/mulleinrelay/policy/__init__.py
@@ -1,5 +1,5 @@
-"""The routing decisions of a director, pure: time, randomness and events are passed in.
+"""Routing decisions of one director, without I/O: time, randomness and events are passed in.
 
-Hundreds of directors decide without talking to each other. Much of this package keeps them from
-acting in step and bounds what all of them together send.
+Hundreds of directors decide without communicating with each other. Much of this package keeps them
+from acting at the same moment, and bounds the load that all of them together cause.
 """
--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -1,7 +1,7 @@
-"""What goes out: the actions that the router asks its caller to carry out.
+"""Actions that the router asks its caller to carry out.
 
-Actions are typed calls on an `ActionSink`, made in order while an event is handled. They are calls
-and not objects since a busy director makes several for each request.
+Actions are typed method calls on an `ActionSink`, made in order while an event is handled. They are
+calls and not objects because a busy director makes several of them for each request.
 """
 
 from typing import NamedTuple, Protocol
@@ -11,15 +11,16 @@
 
 
 class SendOptions(NamedTuple):
-    """How an endpoint is to serve an attempt.
+    """Options that tell an endpoint how to serve an attempt.
 
     Attributes:
-        max_age: Age above which a cached copy must not be served, in ms; 0: any age.
+        max_age: Maximum age of a cached copy that may be served, in ms; 0: any age.
         retention_rank: How long the cache should keep the object: 0 (not at all), 1 or 2.
-        allow_coalescing: Whether it may wait for a fill of the same object that is under way.
-        only_if_cached: Whether the fill source is asked only for what it has cached.
-        store_at_parent: Whether the parent should keep what passes through it.
-        revalidate: Whether a copy past its freshness lifetime is to be revalidated.
+        allow_coalescing: Whether the cache may wait for a fill of the same object that is in
+            progress.
+        only_if_cached: Whether the fill source may answer only from its own cache.
+        store_at_parent: Whether the parent should store objects that pass through it.
+        revalidate: Whether a copy past its freshness lifetime must be revalidated.
     """
 
     max_age: float
@@ -31,28 +32,39 @@
 
 
 class ActionSink(Protocol):
-    """Carries out the router's decisions. Calls must not call the router back."""
+    """Interface through which the router's decisions are carried out.
+
+    Implementations must not call the router from these methods.
+    """
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
         """Send this attempt to its endpoint."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel this attempt; it is then reported as finished with `Outcome.CANCELLED`."""
+        """Cancel this attempt.
+
+        The caller then reports it as finished with `Outcome.CANCELLED`.
+        """
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Tell the client that a retry is safe, after this many ms (0: not said)."""
+        """Tell the client that a retry is safe.
+
+        Args:
+            request: The rejected request.
+            retry_after: Time in ms after which to retry; 0: not specified.
+        """
 
     def fail_request(self, request: Request) -> None:
         """Tell the client that its request failed and may have had its effect."""
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Hand in `TimerFired` for the subject after so many ms."""
+        """Hand a `TimerFired` event for the subject to the router after `delay` ms."""
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
-        """Send a health check; `HealthCheckFinished` reports its result."""
+        """Send a health check; a `HealthCheckFinished` event reports its result."""
 
     def subscribe_to_endpoints(self) -> None:
         """Subscribe to the endpoint list."""
 
     def log(self, text: str) -> None:
-        """Write a line about a change of the router's mode."""
+        """Log a change of the router's mode."""
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -1,17 +1,18 @@
-"""Admission thresholds: which requests a director accepts while it is itself the bottleneck.
+"""Admission control: which requests a director accepts while the director itself is overloaded.
 
-Once most directors of a location have failed, the remaining ones receive more than they can serve.
-Each of them then has to reject some requests at once, and has to choose which.
+If most directors of a location fail, the remaining ones receive more requests than they can serve.
+Each of them then has to reject some requests immediately, and has to choose which.
 
-What is measured is the *utilization* of the scarcest of three resources, from 0 (idle) to 1 (used
-up): pending requests, which memory bounds; upstream connections; and CPU time. A lack of CPU time
-shows as timers that fire late (`SchedulingDelay`). The caller passes in the largest of the three.
+The input is the *utilization* of the scarcest of three resources, from 0 (idle) to 1 (exhausted):
+pending requests, which are limited by memory; upstream connections; and CPU time. A lack of CPU
+time shows as timers that fire late (`SchedulingDelay`). The caller passes in the largest of the
+three.
 
-What is decided: all request classes share the resource until it runs short. The last part of it is
-reserved, first for requests that are not idempotent, because they have an effect, and then by
-priority weight (`AdmissionThresholds`). An idempotent retry counts as less urgent than a first
-attempt, since its latency objective has passed or is near. So neither requests of little weight nor
-retries starve the others.
+All request classes share the resource until it runs short. The last part of it is reserved, first
+for requests that are not idempotent, because they have an effect, and then by priority weight
+(`AdmissionThresholds`). An idempotent retry has a lower priority than a first attempt, because its
+latency objective has passed or is near. Therefore neither low-priority requests nor retries starve
+the others.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
@@ -20,76 +21,79 @@
 
 from .model import IDEMPOTENT, RequestClass
 
-# A timer that fires this late, in ms, means that the director has no CPU time left at all.
+# Timer delay in ms that counts as a CPU utilization of 1.
 SATURATION_DELAY = 400.0
-# A measured delay counts half after so many ms: a director that was stopped once recovers fast.
+# Half-life of a measured delay in ms. It is short so that a director that was suspended once
+# recovers quickly.
 DELAY_HALF_LIFE = 100.0
-# Delay alone never counts as a utilization of 1, so that non-idempotent requests are always
-# accepted: their threshold is exactly 1.
+# Upper bound of the utilization by delay. It is below 1, the threshold of non-idempotent requests,
+# so that delay alone never rejects these.
 MAX_DELAY_UTILIZATION = 0.99
-# The decay stops after so many half-lives, where nothing is left: keeps the power in range.
+# Maximum number of half-lives that are computed. After so many the delay is practically 0; the
+# bound keeps the power in range.
 MAX_DELAY_HALVINGS = 60.0
 
-# Fraction of the resource that each step reserves for the requests of the steps above.
+# Fraction of the resource that each step reserves for the requests of the steps above it.
 RESERVED_PER_STEP = 0.125
-# At most so many steps are subtracted: half of the resource stays open to every request class.
+# Maximum number of steps that are subtracted: half of the resource is available to every request
+# class.
 MAX_RESERVED_STEPS = 4
 
 
 class SchedulingDelay:
-    """How late this director's timers fire: it lacks CPU time, or its process was stopped."""
+    """Delay of this director's timers, caused by a lack of CPU time or a suspended process."""
 
     def __init__(self) -> None:
         self._delay = 0.0
         self._recorded_at = 0.0
 
     def record(self, now: float, delay: float) -> None:
-        """Records that a timer fired `delay` ms after it was due.
+        """Record that a timer fired `delay` ms after it was due.
 
-        A delay counts as at most `SATURATION_DELAY`, so that after a stop of any length the
-        director accepts requests again as soon as after a short one.
+        A delay counts as at most `SATURATION_DELAY`, so that a director accepts requests again as
+        soon after a long suspension as after a short one.
         """
         self._delay = max(min(delay, SATURATION_DELAY), self.remaining(now))
         self._recorded_at = now
 
     def remaining(self, now: float) -> float:
-        """The recorded delay in ms, decayed by `DELAY_HALF_LIFE`."""
+        """Return the recorded delay in ms, decayed by `DELAY_HALF_LIFE`."""
         halvings = max(0.0, now - self._recorded_at) / DELAY_HALF_LIFE
         return self._delay * 0.5 ** min(MAX_DELAY_HALVINGS, halvings)
 
     def utilization(self, now: float) -> float:
-        """The utilization of the CPU time, from 0 to `MAX_DELAY_UTILIZATION`."""
+        """Return the utilization of the CPU time, from 0 to `MAX_DELAY_UTILIZATION`."""
         return min(MAX_DELAY_UTILIZATION, self.remaining(now) / SATURATION_DELAY)
 
 
 def eviction_order(
     has_called: bool, has_sent_request: bool, is_within_call: bool, last_used_at: float
 ) -> tuple[bool, bool, bool, float]:
-    """Sort key of idle client connections; the connection with the smallest key is evicted first.
+    """Return the sort key of an idle client connection; the smallest key is evicted first.
 
-    The order is: connections that never sent a call; those that sent calls, but never a request
-    (for instance only health queries); those with the oldest last call; and at the very end those
-    that have sent calls before and are in the middle of sending one.
+    The order is: connections that never sent a call; connections that sent calls but no request
+    (for instance only health queries); connections with the oldest last call; and finally
+    connections that have sent calls before and are in the middle of sending another one.
 
-    This protects regular clients against floods of connections that are silent, only ask for our
-    health, or are only kept open, also where the regular clients were accepted after the flood.
+    This order protects regular clients against floods of connections that are silent, send only
+    health queries, or are merely kept open, even if the regular clients connected after the flood.
 
     Args:
-        has_called: A complete call of any kind has arrived on the connection.
-        has_sent_request: One of these calls was a request.
-        is_within_call: A part of a further call has arrived.
-        last_used_at: When it was opened, or its last call or response was complete, by any one
-            clock.
+        has_called: Whether a complete call of any kind was received on the connection.
+        has_sent_request: Whether one of these calls was a request.
+        is_within_call: Whether a further call was received in part.
+        last_used_at: Time when the connection was opened, or when its last call or response was
+            complete, by any clock that is the same for all connections.
     """
     return has_called, has_called and is_within_call, has_sent_request, last_used_at
 
 
 class AdmissionThresholds:
-    """Up to which utilization the requests of each request class are accepted.
+    """Utilization up to which the requests of each request class are accepted.
 
-    Each request class has a number of steps. Step 0 belongs to the requests that are not
-    idempotent; the priority weights of the idempotent classes follow in falling order. The
-    threshold of a class lies `RESERVED_PER_STEP` below 1 for each step.
+    Each request class has a number of steps. Non-idempotent requests have step 0; idempotent
+    classes have the following steps by descending priority weight. The threshold of a class is 1
+    minus `RESERVED_PER_STEP` for each of its steps.
     """
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
@@ -102,13 +106,15 @@
             self._steps[request_class] = first_step + weights.index(request_class.priority_weight)
 
     def can_admit(self, request_class: RequestClass, is_retry: bool, utilization: float) -> bool:
-        """Whether a request may be accepted now.
+        """Return whether a request may be accepted now.
 
         Args:
             request_class: The request's class, one of those given to the constructor.
-            is_retry: The client has sent this request before. An idempotent retry counts one step
-                lower; for all others the threshold stays, as their effect may depend on the retry.
-            utilization: Of the scarcest resource; 1 and above means that nothing of it is left.
+            is_retry: Whether the client has sent this request before. An idempotent retry counts
+                one step lower. The threshold of other requests is unchanged, as their effect may
+                depend on the retry.
+            utilization: Utilization of the scarcest resource; 1 and above means that it is
+                exhausted.
         """
         steps = self._steps[request_class]
         if is_retry and request_class.idempotency == IDEMPOTENT:
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -1,4 +1,7 @@
-"""What a finished attempt shows of its endpoint and its fill source; pure, times in ms."""
+"""Statistics that a finished attempt adds to its endpoint and its fill source.
+
+Pure; times in ms.
+"""
 
 from dataclasses import dataclass
 
@@ -12,11 +15,12 @@
 from .object_locations import ObjectLocations
 from .work_estimates import WorkEstimator
 
-MIN_WORK_FOR_LATENESS = 50.0  # ms; shorter answers' lateness is counted in percent of this
-MAX_LATENESS = 1000.0  # percent: one answer that a pause held up counts for less long
-REJECTED_LATENESS = 200.0  # percent that a hit would be late where an attempt was rejected
-CONNECT_FAILURE_WEIGHT = 2.0  # in failures
-RESET_WEIGHT = 1.0
+# Lower bound in ms of the transfer time that lateness is a percentage of.
+MIN_WORK_FOR_LATENESS = 50.0
+MAX_LATENESS = 1000.0  # percent; limits how long one answer that was delayed by a pause counts
+REJECTED_LATENESS = 200.0  # percent; lateness that a rejected attempt counts as
+CONNECT_FAILURE_WEIGHT = 2.0  # number of failures
+RESET_WEIGHT = 1.0  # number of failures
 
 RESPONSES = (Outcome.SERVED, Outcome.MISS, Outcome.REJECTED, Outcome.ERROR)
 HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)
@@ -30,10 +34,10 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecorder:
-    """Spreads an attempt's result over the objects that learn from it.
+    """Recorder of attempt results, which updates every object that uses them.
 
-    Owns nothing itself. The only one to change the endpoints' histograms, the object locations and
-    the origin's delay.
+    It owns no state. No other class changes the endpoints' histograms, the object locations and the
+    origin's delay.
     """
 
     endpoints: EndpointTable
@@ -44,7 +48,7 @@
     locations: ObjectLocations
 
     def record(self, event: AttemptFinished, now: float) -> None:
-        """Learns from an attempt that has ended."""
+        """Record the result of an attempt that has ended."""
         attempt = event.attempt
         endpoint = attempt.endpoint
         was_unreachable = endpoint.is_unreachable
@@ -68,14 +72,14 @@
         endpoint = attempt.endpoint
         status = event.cache_status
         self.health.record_result(endpoint, 0.0, None, now)
-        # Errors count only now: what no endpoint can give is the client's fault.
+        # Errors count only now: an error that every endpoint returns is caused by the request.
         for other in request.attempts:
             if other.outcome == Outcome.ERROR:
                 self.health.record_error(other, now)
         work = self.work.transfer_time(request, now)
         if status in HIT_STATUSES:
             self.work.record_response_time(request, event.elapsed, now)
-        # What an unreachable zone held up shows nothing of the cache's load.
+        # A delay caused by an unreachable zone says nothing about the cache's load.
         if status == CacheStatus.HIT and not was_unreachable:
             lateness = 100.0 * (event.elapsed - work) / max(work, MIN_WORK_FOR_LATENESS)
             endpoint.hit_lateness.add(now, min(lateness, MAX_LATENESS))
@@ -96,18 +100,19 @@
         )
         delay = max(event.first_byte_delay, event.elapsed - work * slowdown)
         is_origin = source is self.endpoints.origin
-        came_by_origin = event.cache_status == CacheStatus.FILLED_BY_ORIGIN
+        is_filled_by_origin = event.cache_status == CacheStatus.FILLED_BY_ORIGIN
         self.health.record_response(source, now)
-        if came_by_origin or is_origin:
+        if is_filled_by_origin or is_origin:
             self.fill_sources.origin_delay.add(now, delay)
-        if not came_by_origin or is_origin:  # else the delay is the origin's, not the parent's
+        # A parent's fill by the origin measures the delay of the origin, not of the parent.
+        if not is_filled_by_origin or is_origin:
             source.recent_delay.add(now, delay)
             source.usual_delay.add(now, delay)
         self.health.record_result(source, 0.0, None, now)
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         endpoint = attempt.endpoint
-        if outcome == Outcome.REJECTED:  # loaded, as late hits would show if any came
+        if outcome == Outcome.REJECTED:  # the endpoint is overloaded, as late hits would show
             endpoint.hit_lateness.add(now, REJECTED_LATENESS)
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             self.health.record_unreachable(endpoint, now)
@@ -116,8 +121,8 @@
                 endpoint, CONNECT_FAILURE_WEIGHT, EjectionReason.CONNECT_FAILED, now
             )
         elif outcome == Outcome.RESET and attempt.sent_at > endpoint.last_reset_at:
-            # Once for each connection that breaks: a malformed answer takes along all attempts on
-            # it. Of an endpoint that died, the next connection fails.
+            # Count one failure for each broken connection: one malformed answer ends all attempts
+            # on it. If the endpoint is dead, the next connection fails too.
             endpoint.last_reset_at = now
             self.health.record_result(endpoint, RESET_WEIGHT, EjectionReason.RESET, now)
 
@@ -135,9 +140,9 @@
             return
         if status == CacheStatus.ORIGIN_FAILED or source is self.endpoints.origin:
             self.fill_sources.origin_delay.add(now, attempt.timeout)
-        if status != CacheStatus.ORIGIN_FAILED:  # else it is no fault of the parent's
+        if status != CacheStatus.ORIGIN_FAILED:  # otherwise the parent did not fail
             source.recent_delay.add(now, attempt.timeout)
-        if status == CacheStatus.SOURCE_REJECTED:  # it lives and is loaded: its delay shows that
+        if status == CacheStatus.SOURCE_REJECTED:  # alive but overloaded, as its delay shows
             self.health.record_response(source, now)
         elif status == CacheStatus.SOURCE_FAILED:
             self.health.record_result(source, 1.0, EjectionReason.SOURCE_FAILED, now)
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -1,6 +1,6 @@
-"""Which cache serves a request: rendezvous hash, bounded load, more caches for hot objects.
+"""Selection of the cache that serves a request: rendezvous hash with bounded load.
 
-Pure; times in ms.
+Hot objects are spread over several caches. Pure; times in ms.
 """
 
 import math
@@ -18,13 +18,14 @@
 from .rendezvous_hash import rendezvous_order
 from .work_estimates import WorkEstimator
 
-MIN_EFFECTIVE_WEIGHT = 0.1  # below it the estimate of a slowdown would grow without bound
-MIN_SIGHTINGS_TO_RETAIN = 2  # of an object that is asked for again, and so kept for longer
+MIN_EFFECTIVE_WEIGHT = 0.1  # lower bound that keeps the slowdown estimate finite
+# Number of recent requests after which a cache keeps an object for longer.
+MIN_SIGHTINGS_TO_RETAIN = 2
 
 
 @dataclass(slots=True, eq=False)
 class CacheSelector:
-    """Chooses a request's cache.
+    """Selector of the cache that serves a request.
 
     Owns the popularity counts, which only `record_request` changes.
     """
@@ -38,17 +39,21 @@
     random: Random
 
     def record_request(self, request: Request, now: float) -> bool:
-        """Counts the request's object; whether a new counting window begins with it."""
+        """Count a request for its object.
+
+        Returns:
+            Whether a new counting window begins with this request.
+        """
         return self.popularity.record(now, (request.object_id, request.part))
 
     def choose(self, request: Request, now: float) -> TrackedEndpoint | None:
-        """The cache of the request.
+        """Choose the cache that serves the request.
 
-        A request with a pool goes to one of its caches, or where none of these may be sent to, to
-        one of its failover caches.
+        A request with a pool goes to one of the pool's caches, or to one of its failover caches if
+        none of the pool's caches is available.
 
         Returns:
-            None where no cache can serve it in time.
+            None if no cache can serve the request in time.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
@@ -59,10 +64,11 @@
         )
 
     def slowdown(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """By what factor a transfer from the endpoint is slowed, 1 or more.
+        """Return the factor by which a transfer from the endpoint is slowed, 1 or more.
 
-        Recent hits show it (one on time is added, as few are known). This director's own attempts
-        in flight there count as many times as there are directors in the zone.
+        The factor is derived from the lateness of recent hits. One hit without lateness is added
+        because few hits are known. This director's own attempts in flight to the endpoint are
+        multiplied by the number of directors in the zone.
         """
         lateness, hits = endpoint.hit_lateness.totals(now)
         weight = max(
@@ -71,14 +77,14 @@
         )
         directors = self.settings.local_director_count
         measured = 1.0 + 0.01 * lateness / (hits + 1.0)
-        own = (1 + len(endpoint.attempts_in_flight) * directors) / weight
-        return max(1.0, measured + (own - measured) / directors)
+        own_estimate = (1 + len(endpoint.attempts_in_flight) * directors) / weight
+        return max(1.0, measured + (own_estimate - measured) / directors)
 
     def retention_rank(self, request: Request, now: float) -> int:
-        """How long a cache should keep the object: 0 (not at all), 1 or 2.
+        """Return how long a cache should keep the object: 0 (not at all), 1 or 2.
 
-        Ranked by evidence that the object is wanted again, so that what is asked for once does not
-        displace the rest.
+        Objects with repeated requests rank higher, so that objects that are requested only once do
+        not displace them.
         """
         sightings = self.popularity.count((request.object_id, request.part))
         if sightings >= MIN_SIGHTINGS_TO_RETAIN:
@@ -107,7 +113,7 @@
         replica_count = self.popularity.cache_count((request.object_id, request.part))
         replicas = list(islice(eligible, replica_count))
         if len(replicas) > 1:
-            # Among equals each director takes its own, or all would take the first.
+            # Shuffle first, so that directors choose differently among replicas of equal slowdown.
             self.random.shuffle(replicas)
             replicas.sort(key=lambda cache: self.slowdown(cache, now))
         for cache in chain(replicas, eligible):
--- a/mulleinrelay/policy/decay.py
+++ b/mulleinrelay/policy/decay.py
@@ -1,17 +1,18 @@
 """Decay of counts, so that recent events count more than old ones.
 
-Counts are halved in steps, once in a half-life, rather than a little at each event: no power has to
-be computed for most events.
+Counts are halved once in a half-life instead of being reduced at every event. Most events then need
+no exponentiation.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
 
-# A longer time counts as so many halvings, which leave nothing: keeps the power in range.
+# Maximum number of halvings at once. After so many a count is practically 0; the bound keeps the
+# power in range.
 MAX_HALVINGS = 30
 
 
 class StepwiseDecay:
-    """Says when counts are to be halved, and how often."""
+    """Schedule of halvings for a set of counts."""
 
     __slots__ = ("_half_life", "_next_halving_at")
 
@@ -20,9 +21,10 @@
         self._next_halving_at = 0.0
 
     def take_factor(self, now: float) -> float:
-        """Returns the factor for counts that were last multiplied by this method's answer.
+        """Return the factor to multiply the counts with, and schedule the next halving.
 
-        It is 1 until the next halving is due; the one after it is due a half-life from `now`.
+        The factor covers the time since the previous call. It is 1 until the next halving is due;
+        the following halving is due a half-life after `now`.
         """
         if now < self._next_halving_at:
             return 1.0
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -1,6 +1,6 @@
-"""What an endpoint that warms up may be sent, by all directors together and by this one; pure.
+"""Admission of work to endpoints in slow start, within this director's share of the limit; pure.
 
-Times and work in ms. The budget of one endpoint is in `slow_start`.
+Times and work are in ms. The budget of a single endpoint is in `slow_start`.
 """
 
 from dataclasses import dataclass
@@ -10,19 +10,19 @@
 from .latency import TrackedEndpoint
 from .model import QuotaShare, ServiceSettings, SlowStartPolicy
 
-# Of what overloads an endpoint that warms up, the part that all directors share, and the most of
-# its capacity that this may be.
+# Fraction of the load that overloads an endpoint in slow start which all directors together may
+# use, and the maximum multiple of its capacity that this may be.
 OVERLOAD_FRACTION = 0.75
 MAX_CAPACITY_FACTOR = 1.25
 
 
 @dataclass(slots=True, eq=False)
 class SlowStartAdmission:
-    """Keeps endpoints that warm up within what they can do.
+    """Admission of work to endpoints in slow start.
 
-    Owns nothing itself: the budgets belong to the endpoints, and `try_admit` and `record_sent`
-    change them; the quota shares belong to the quota exchange, which changes their fractions, and
-    their peaks are noted here.
+    It owns no state. The budgets belong to the endpoints; `try_admit` and `record_sent` change
+    them. The quota shares belong to the quota exchange, which changes their fractions; `try_admit`
+    records their peaks.
     """
 
     settings: ServiceSettings
@@ -32,7 +32,7 @@
     parent_quota: QuotaShare
 
     def available_fraction(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """The fraction of its capacity that an endpoint has at the least; 1 once warmed up."""
+        """Return the minimum fraction of its capacity that an endpoint has; 1 after slow start."""
         if not endpoint.started_at or endpoint.kind == self.settings.origin_kind:
             return 1.0
         policy = self._policy(endpoint)
@@ -43,10 +43,11 @@
         )
 
     def try_admit(self, endpoint: TrackedEndpoint, work: float, now: float) -> bool:
-        """Whether the endpoint may be sent so much work now.
+        """Return whether the endpoint may be sent this much work now.
 
-        One that warms up gets this director's share of what it may be sent over any window of its
-        policy. May draw at random; the answer is the same for the same moment.
+        An endpoint in slow start receives from this director at most the director's share of the
+        load that its policy allows over any overload window. The method may draw random numbers;
+        within one moment, the answer for the same work stays the same.
         """
         fraction = self.available_fraction(endpoint, now)
         if fraction >= 1.0:
@@ -68,7 +69,7 @@
         return is_admitted
 
     def record_sent(self, endpoint: TrackedEndpoint, work: float, now: float) -> None:
-        """Counts work that is sent to an endpoint that warms up."""
+        """Record work that is sent to an endpoint in slow start."""
         endpoint.slow_start.spend(now, work)
 
     def _policy(self, endpoint: TrackedEndpoint) -> SlowStartPolicy:
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -1,33 +1,43 @@
-"""Which endpoints may be sent work: healthy ones with capacity, ejected ones as a trial; pure."""
+"""Filter of the endpoints that may be sent work: healthy ones, and ejected ones as a trial."""
 
 from collections.abc import Iterator, Sequence
 
 from .endpoint_capacity import SlowStartAdmission
 from .latency import TrackedEndpoint
 
-TRIAL_INTERVAL = 500.0  # ms between two trial requests to one endpoint: it is back within seconds
-TRIALS_PER_REQUEST = 0.05  # hundreds of directors must not swamp an endpoint with trials
-MAX_SAVED_TRIALS = 2.0
+# Interval in ms between two trial requests to one endpoint. A recovered endpoint is reinstated
+# within seconds.
+TRIAL_INTERVAL = 500.0
+# Trial requests that a request earns: few, so that hundreds of directors do not overload an
+# endpoint with trials.
+TRIALS_PER_REQUEST = 0.05
+MAX_SAVED_TRIALS = 2.0  # trial tokens
 
 
 class EndpointFilter:
-    """Passes the endpoints that may be sent work, and pays for trial requests.
+    """Filter of the endpoints that may be sent work, with a token bucket for trial requests.
 
-    Owns the trial tokens; changed by `earn_trial` and `try_trial`, which also moves the endpoint's
-    `next_trial_at`.
+    Owns the trial tokens, which `earn_trial` and `try_trial` change. `try_trial` also changes the
+    endpoint's `next_trial_at`.
     """
 
     def __init__(self, slow_start: SlowStartAdmission, trial_tokens: float) -> None:
-        """`trial_tokens`: at the start; a random number, so that directors start apart."""
+        """Create the filter.
+
+        Args:
+            slow_start: Admission of work to endpoints in slow start.
+            trial_tokens: Initial tokens; a random number, so that directors do not send their
+                trials at the same time.
+        """
         self._slow_start = slow_start
         self.trial_tokens = trial_tokens
 
     def earn_trial(self) -> None:
-        """Each request earns a part of a trial request."""
+        """Add the fraction of a trial token that each request earns."""
         self.trial_tokens = min(MAX_SAVED_TRIALS, self.trial_tokens + TRIALS_PER_REQUEST)
 
     def try_trial(self, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Spends a token on a trial request to the endpoint; whether it may go."""
+        """Spend a token on a trial request to the endpoint; return whether it may be sent."""
         if now < endpoint.next_trial_at or self.trial_tokens < 1.0:
             return False
         endpoint.next_trial_at = now + TRIAL_INTERVAL
@@ -37,10 +47,11 @@
     def eligible(
         self, endpoints: Sequence[TrackedEndpoint], work: float, now: float
     ) -> Iterator[TrackedEndpoint]:
-        """Yields the endpoints that may be sent so much work, in the order given.
+        """Yield the endpoints that may be sent this much work, in the given order.
 
-        Lazy on purpose: a trial is paid for only when its endpoint is asked for. Where none is
-        healthy, ejected endpoints follow without a trial.
+        The iteration is lazy, so that a trial token is spent only when the endpoint is requested
+        from the iterator. If no endpoint is eligible, ejected endpoints follow without spending a
+        token.
         """
         ejected = []
         has_eligible = False
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -1,7 +1,7 @@
-"""Which endpoints are ejected and reinstated, and which get health checks; pure, times in ms.
+"""Endpoint health: ejection, reinstatement and health checks; pure, times in ms.
 
-Brings together what the parts find: outlier detection by results, silence, the reachability of the
-zone as a whole, and the schedule of health checks.
+Combines outlier detection by results, silence of endpoints, the reachability of the zone as a
+whole, and the schedule of health checks.
 """
 
 from collections.abc import Callable
@@ -17,13 +17,16 @@
 from .outlier_detection import OutlierDetector
 from .zone_reachability import ZoneReachability
 
-MAX_SILENCE = 2.0  # overdue attempts, with nothing heard meanwhile, that make an endpoint silent
-# The first health check of a zone that counts as unreachable comes so soon: it may be reached.
+# Number of overdue attempts, without a response in between, after which an endpoint is considered
+# silent.
+MAX_SILENCE = 2.0
+# Maximum delay of the first health check of a zone that is considered unreachable. It is short
+# because the decision may be wrong.
 FIRST_ZONE_CHECK_DELAY = 250.0  # ms
 
 
 class EjectionReason(StrEnum):
-    """Why an endpoint's health was judged, as log lines have it."""
+    """Reason why an endpoint is ejected or reinstated, as written to log lines."""
 
     SILENT = "silent"
     CONNECT_FAILED = "connect_failed"
@@ -32,7 +35,7 @@
     SOURCE_FAILED = "source_failed"
 
 
-# What a health check that is answered disproves.
+# Reasons that are disproved by an answered health check.
 UNREACHABLE_REASONS = (
     EjectionReason.SILENT,
     EjectionReason.CONNECT_FAILED,
@@ -41,11 +44,11 @@
 
 
 class EndpointHealthMonitor:
-    """Judges the endpoints of one director.
+    """Health of the endpoints as seen by one director.
 
     Owns the schedule of health checks (`checks`), the reachability of the zone (`zone`), and the
-    fields of health of each endpoint: outlier detector, silence, ejection, last heard. Nobody else
-    changes these.
+    health fields of each endpoint: outlier detector, silence, ejection, time of the last response.
+    No other class changes these.
     """
 
     def __init__(
@@ -56,7 +59,15 @@
         random: Random,
         log: Callable[[str], None],
     ) -> None:
-        """`log` writes a line about each change."""
+        """Create the monitor.
+
+        Args:
+            settings: The settings of the service.
+            endpoints: The endpoints of the director.
+            checks: The schedule of health checks.
+            random: The director's source of randomness.
+            log: Called with a line for each change of an endpoint or the zone.
+        """
         self._settings = settings
         self._endpoints = endpoints
         self._random = random
@@ -65,7 +76,10 @@
         self.zone = ZoneReachability()
 
     def update_endpoints(self, has_local_start: bool) -> None:
-        """The endpoint table has changed: who has gone or started again gets no more checks."""
+        """Adjust to a change of the endpoint table.
+
+        Health checks of endpoints that were removed or restarted are cancelled.
+        """
         self.zone.update_caches(self._endpoints.caches, has_local_start)
         self.checks.cancel_pings_except(
             [
@@ -79,15 +93,15 @@
     def record_result(
         self, endpoint: TrackedEndpoint, failure: float, reason: EjectionReason | None, now: float
     ) -> None:
-        """An attempt's result: 0 for a success, or how much of a failure it is."""
+        """Record an attempt's result: 0 for a success, else the weight of the failure."""
         endpoint.outlier_detector.record(now, failure)
-        self._judge(endpoint, reason, now)
+        self._update_ejection(endpoint, reason, now)
 
     def record_error(self, attempt: Attempt, now: float) -> None:
-        """An attempt ended in an error that another endpoint could avoid.
+        """Record that an attempt ended in an error that another endpoint avoided.
 
-        The cache alone is to blame where a hit was due; else it and the fill source share the
-        blame by their failure fractions.
+        If a hit was expected, the failure counts for the cache alone. Otherwise it is divided
+        between the cache and the fill source in proportion to their failure fractions.
         """
         cache = attempt.endpoint
         source = attempt.fill_source
@@ -100,15 +114,25 @@
         self.record_result(cache, cache_fraction / total, EjectionReason.ERROR, now)
         self.record_result(source, source_fraction / total, EjectionReason.ERROR, now)
 
-    def record_silence(self, endpoint: TrackedEndpoint, signs: float, now: float) -> None:
-        """An attempt is overdue and nothing was heard of the endpoint since it was sent."""
-        endpoint.silence += signs
-        self._judge(endpoint, EjectionReason.SILENT, now)
+    def record_silence(
+        self, endpoint: TrackedEndpoint, overdue_attempts: float, now: float
+    ) -> None:
+        """Record that an attempt is overdue and its endpoint has been silent since it was sent.
+
+        Args:
+            endpoint: The silent endpoint.
+            overdue_attempts: Fraction of an overdue attempt that is added to the endpoint's
+                silence.
+            now: The current time in ms.
+        """
+        endpoint.silence += overdue_attempts
+        self._update_ejection(endpoint, EjectionReason.SILENT, now)
 
     def record_unreachable(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """The endpoint was not reached; with several caches in a row, the zone may not be.
+        """Record that the endpoint was not reached.
 
-        Then a few of them get health checks soon.
+        If several caches in a row were not reached, the zone is considered unreachable, and a few
+        of its caches get health checks soon.
         """
         if not self._settings.allows_health_checks or not self.zone.record_failure(now, endpoint):
             return
@@ -121,7 +145,10 @@
         )
 
     def record_response(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """The endpoint said something. This ends its silence, and that of an unreachable zone."""
+        """Record a response of the endpoint.
+
+        A response ends the endpoint's silence, and the outage of an unreachable zone.
+        """
         endpoint.last_heard_at = now
         unreachable_since = self.zone.record_response(now, endpoint)
         if unreachable_since is not None:
@@ -133,37 +160,42 @@
                     self.checks.cancel_pings(cache)
         if endpoint.silence:
             endpoint.silence = 0.0
-            self._judge(endpoint, None, now)
+            self._update_ejection(endpoint, None, now)
 
     def record_health_check(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """A health check was answered, which disproves that the endpoint is not reached."""
+        """Record that a health check was answered.
+
+        This reinstates the endpoint if it was ejected because it was unreachable.
+        """
         if endpoint.is_unreachable or (self.zone.is_unreachable and endpoint in self.zone.caches):
             self.reinstate(endpoint, now)
 
     def reinstate(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """Forgets what spoke against the endpoint."""
+        """Clear the endpoint's recorded failures and silence, and record a response."""
         endpoint.outlier_detector.clear_failures()
         endpoint.silence = endpoint.silence or MAX_SILENCE
         self.record_response(endpoint, now)
 
     def take_due_checks(self, now: float) -> list[TrackedEndpoint]:
-        """The endpoints that get a health check now; each is due again later."""
+        """Return the endpoints that get a health check now, and schedule their next one."""
         due: list[Any] = self.checks.take_due(now, self._endpoints.caches)
         return due
 
     def is_zone_lost(self) -> bool:
-        """Whether none of the zone's caches is reached, as far as it shows.
+        """Return whether none of the zone's caches appears to be reachable.
 
-        Seen before the endpoint list shows it, if it ever does; health checks bring the caches
-        back.
+        This is known before the endpoint list reports it, if it ever does. Health checks detect
+        when the caches are reachable again.
         """
         return self._settings.allows_health_checks and (
             self.zone.is_unreachable
             or all(cache.is_unreachable for cache in self._endpoints.caches)
         )
 
-    def _judge(self, endpoint: TrackedEndpoint, reason: EjectionReason | None, now: float) -> None:
-        """Ejects an endpoint that fails too often or has been silent too long, or reinstates it."""
+    def _update_ejection(
+        self, endpoint: TrackedEndpoint, reason: EjectionReason | None, now: float
+    ) -> None:
+        """Eject an endpoint that fails too often or is silent for too long, or reinstate it."""
         detector: OutlierDetector = endpoint.outlier_detector
         should_eject = endpoint.silence >= MAX_SILENCE or detector.is_outlier()
         if should_eject == endpoint.is_ejected:
@@ -185,7 +217,7 @@
         )
 
     def _sharing_directors(self, endpoint: TrackedEndpoint) -> int:
-        """How many directors may send health checks to the endpoint."""
+        """Return how many directors may send health checks to the endpoint."""
         if endpoint in self._endpoints.parents:
             return self._settings.director_count
         return self._settings.local_director_count
--- a/mulleinrelay/policy/endpoint_table.py
+++ b/mulleinrelay/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that are listed, sorted by what they are to this director; pure."""
+"""Endpoints of the endpoint list, sorted by their role for this director; pure."""
 
 from .events import EndpointEntry
 from .latency import TrackedEndpoint
@@ -6,15 +6,15 @@
 
 
 class EndpointTable:
-    """The endpoint list as this director uses it.
+    """Endpoint list as this director uses it.
 
-    Owns the fields below and the listed fields of each endpoint; changed only by `apply`.
+    Owns the attributes below and the listed fields of each endpoint; only `apply` changes them.
 
     Attributes:
-        known: All that are listed, and those gone that still have attempts in flight.
+        known: All listed endpoints, and removed endpoints that still have attempts in flight.
         caches: The ready caches of this director's zone.
         parents: The ready parents.
-        origin: The origin; None where it is not ready.
+        origin: The origin; None if it is not ready.
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
@@ -25,14 +25,14 @@
         self.origin: TrackedEndpoint | None = None
 
     def ready(self) -> list[TrackedEndpoint]:
-        """All endpoints that may be sent new work."""
+        """Return all endpoints that may be sent new work."""
         return [endpoint for endpoint in self.known if endpoint.is_ready]
 
     def apply(self, entries: list[EndpointEntry], is_full_snapshot: bool) -> bool:
-        """Takes over an update of the list.
+        """Apply an update of the endpoint list.
 
         Returns:
-            Whether an endpoint of this zone is new or has started again.
+            Whether an endpoint of this zone is new or has restarted.
         """
         if is_full_snapshot:
             for endpoint in self.known:
@@ -43,18 +43,18 @@
             if entry.started_at != endpoint.started_at or endpoint not in self.known:
                 endpoint.reset()
                 has_local_start |= entry.zone == self._settings.zone
-            self._take_over(entry)
+            self._copy_listed_fields(entry)
             self.known[endpoint] = None
         self.known = {
             endpoint: None
             for endpoint in self.known
             if endpoint.state != EndpointState.GONE or endpoint.attempts_in_flight
         }
-        self._sort()
+        self._assign_roles()
         return has_local_start
 
     @staticmethod
-    def _take_over(entry: EndpointEntry) -> None:
+    def _copy_listed_fields(entry: EndpointEntry) -> None:
         endpoint = entry.endpoint
         endpoint.state = entry.state
         endpoint.weight = entry.weight
@@ -63,7 +63,7 @@
         endpoint.advertised_cell = entry.advertised_cell
         endpoint.started_at = entry.started_at
 
-    def _sort(self) -> None:
+    def _assign_roles(self) -> None:
         settings = self._settings
         upstream_kinds = (settings.parent_kind, settings.origin_kind)
         ready = self.ready()
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -1,6 +1,7 @@
-"""What comes in: the events that a caller hands to `Router.handle`.
+"""Events that a caller hands to `Router.handle`.
 
-Events are immutable. They are handled in the order given; all events of one call share its time.
+Events are immutable. They are handled in the given order; all events of one call have the same
+time.
 """
 
 from dataclasses import dataclass
@@ -14,24 +15,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request has come and is to be routed."""
+    """A client's request was received and must be routed."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt has ended, whatever way.
+    """An attempt has ended, successfully or not.
 
     Attributes:
         attempt: The attempt.
         outcome: How it ended.
         elapsed: Time since it was sent.
-        is_request_complete: Whether its request needs no further answer, since this attempt or
-            another one gave it.
-        cache_status: What the endpoint reported of the answer's way.
-        first_byte_delay: What the endpoint reported as the fill source's delay; 0 where it didn't.
-        load: The load report that came with the answer, if any.
+        is_request_complete: Whether its request needs no further answer, because this attempt or
+            another one was answered.
+        cache_status: How the endpoint obtained the answer, as reported by the endpoint.
+        first_byte_delay: Delay of the fill source as reported by the endpoint; 0 if not reported.
+        load: The load report that was received with the answer; None if there was none.
     """
 
     attempt: Attempt
@@ -44,7 +45,7 @@
 
     @classmethod
     def cancelled(cls, attempt: Attempt, now: float) -> "AttemptFinished":
-        """The event of an attempt that was cancelled."""
+        """Return the event for an attempt that was cancelled."""
         return cls(
             attempt,
             Outcome.CANCELLED,
@@ -58,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer is due that was set for a request (its deadline) or an attempt (overdue check)."""
+    """A timer of a request (its deadline) or of an attempt (its overdue check) is due."""
 
     subject: Request | Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check was answered, or failed where not `is_healthy`."""
+    """A health check was answered, or failed (`is_healthy` is False)."""
 
     endpoint: TrackedEndpoint
     load: LoadReport | None
@@ -73,7 +74,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """The state of one endpoint in an update of the endpoint list."""
+    """State of one endpoint in an update of the endpoint list."""
 
     endpoint: TrackedEndpoint
     state: EndpointState
@@ -86,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The endpoint list has changed. With a full snapshot, endpoints without an entry are gone."""
+    """The endpoint list has changed.
+
+    After a full snapshot, endpoints without an entry are removed.
+    """
 
     entries: list[EndpointEntry]
     is_full_snapshot: bool
@@ -94,12 +98,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListFailed:
-    """The subscription to the endpoint list has broken; it is to be made anew."""
+    """The subscription to the endpoint list has failed and must be renewed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeReceived:
-    """An object, or with `object_id` 0 a group of objects, was purged `age` ms ago."""
+    """An object, or a group of objects if `object_id` is 0, was purged `age` ms ago."""
 
     object_id: int
     group: int
@@ -108,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client of a request has left; no answer is owed any more."""
+    """The client of a request has disconnected or cancelled; it needs no answer."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOpened:
-    """A connection to the endpoint came up, which proves that it is reached."""
+    """A connection to the endpoint was opened, which proves that the endpoint is reachable."""
 
     endpoint: TrackedEndpoint
 
@@ -134,7 +138,7 @@
 
 
 def request_of(event: Event) -> Request | None:
-    """The request that an event is about; None for events about endpoints or purges."""
+    """Return the request of an event; None if the event concerns endpoints or purges."""
     match event:
         case RequestReceived(request) | ClientLeft(request):
             return request
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -1,16 +1,16 @@
-"""Where a cache fills a miss from: load-aware network distance; pure, times in ms.
+"""Selection of a cache miss's fill source by load-aware network distance; pure, times in ms.
 
-The mechanism is that of "Distributed Content Delivery using Load-Aware Network Coordinates". What
-stands here for the paper's coordinates:
+The mechanism follows "Distributed Content Delivery using Load-Aware Network Coordinates". The
+paper's coordinates are replaced as follows:
 
-* Each endpoint's distance is a smoothed delay that its load raises, as measured by fills through it
-  (`TrackedEndpoint.recent_delay`); an endpoint that was not measured counts as the average.
-* A sibling cache of the zone that is believed to hold the object and is nearby comes first.
-* A parent that is far slower than its usual level, while the other parents are not, is passed over.
-* What is passed over is reached by trial fills, which measure it anew.
+* The distance of an endpoint is the smoothed delay of fills through it, which its load raises
+  (`TrackedEndpoint.recent_delay`). An endpoint without measurements has the average distance.
+* A sibling cache of the zone that is believed to hold the object and is nearby is preferred.
+* A parent that is far slower than its usual level, while the other parents are not, is skipped.
+* Skipped endpoints receive trial fills, which measure their delay again.
 
-Beyond the paper, a fill that would miss the request's latency objective because its source, the
-origin behind it or the zone's link is crowded is not begun.
+In addition to the paper, a fill is not started if it would miss the request's latency objective
+because its source, the origin behind the source, or the zone's link is congested.
 """
 
 from collections.abc import Iterator, Sequence
@@ -29,26 +29,37 @@
 from .rendezvous_hash import rendezvous_order
 from .work_estimates import WorkEstimator
 
-NEARBY_DELAY = 80.0  # ms; slower than its yardstick by more is far: above the noise of wide bins
-ORIGIN_TRIAL_FRACTION = 0.0125  # of fills: the origin is passed over by rule, its bytes are priced
-USUAL_WEIGHT = 0.4  # of one usual measurement beside the few recent ones of a parent
-MEDIAN_MULTIPLE = 1.2  # of the median delay that a fill must leave time for: half come later
-FILL_RATE_FACTOR = 2.0  # a fill may run so much faster than an answer; only above it a link slows
+# Difference in delay (ms) up to which an endpoint counts as nearby. It exceeds the noise of the
+# histogram's wide bins.
+NEARBY_DELAY = 80.0
+# Fraction of fills that are trial fills by the origin, which is otherwise skipped because its bytes
+# are priced.
+ORIGIN_TRIAL_FRACTION = 0.0125
+USUAL_WEIGHT = 0.4  # weight of one usual measurement next to a parent's few recent ones
+# Multiple of the median delay that must be left for a fill: half of the fills take longer than the
+# median.
+MEDIAN_MULTIPLE = 1.2
+# Rate of a fill relative to the rate of an answer. Congestion slows a fill only by the part above
+# this factor.
+FILL_RATE_FACTOR = 2.0
 LINK_REPORT_LIFETIME = 1500.0  # ms; an older report of the link's congestion is not used
 ORIGIN_DELAY_HALF_LIFE = 4000.0  # ms
 
 
 class FillChoice(NamedTuple):
-    """A fill source: the cache itself means that a miss is not filled."""
+    """Fill source of an attempt.
+
+    If the source is the cache itself, a miss is not filled.
+    """
 
     source: TrackedEndpoint | None
     only_if_cached: bool
 
 
 class LinkCongestion:
-    """The congestion of the zone's link as last reported.
+    """Congestion of the zone's link as last reported.
 
-    Owns the report; changed only by `record`.
+    Owns the report; only `record` changes it.
     """
 
     def __init__(self) -> None:
@@ -56,15 +67,16 @@
         self.reported_at = 0.0
 
     def record(self, congestion: float, now: float) -> None:
-        """Takes over a report."""
+        """Store a report."""
         self.congestion = congestion
         self.reported_at = now
 
     def slowdown(self, now: float) -> float:
-        """By what factor a fill from outside the zone is slowed; 1 without a fresh report.
+        """Return the factor by which a fill from outside the zone is slowed.
 
-        A fill that would be late is not begun: else a link that fills have congested stays so. It
-        rejects requests without need if the reports are wrong.
+        It is 1 without a recent report. A fill that would be late is not started, because a link
+        that is congested by fills would otherwise stay congested. If the reports are wrong,
+        requests are rejected unnecessarily.
         """
         if now - self.reported_at >= LINK_REPORT_LIFETIME:
             return 1.0
@@ -73,10 +85,10 @@
 
 @dataclass(slots=True, eq=False)
 class FillSourceSelector:
-    """Chooses where a miss is filled from.
+    """Selector of the source that a miss is filled from.
 
-    Owns `origin_delay`, the delay of fills by way of the origin, which `AttemptRecorder` adds to.
-    All else is read; trial tokens are spent through the endpoint filter.
+    Owns `origin_delay`, the delay of fills through the origin, which `AttemptRecorder` adds to. The
+    other objects are only read, except that the endpoint filter spends trial tokens.
     """
 
     settings: ServiceSettings
@@ -93,16 +105,17 @@
     )
 
     def choose(self, request: Request, cache: TrackedEndpoint | None, now: float) -> FillChoice:
-        """Where a miss of the request at the cache is filled from.
+        """Choose the source from which a miss of the request at the cache is filled.
 
         Args:
             request: The request.
-            cache: Its cache; None where it passes by the caches and is sent to the source itself.
-            now: The time.
+            cache: The request's cache; None if the request bypasses the caches and is sent directly
+                to the source.
+            now: The current time.
 
         Returns:
-            The source, and whether it is asked only for what it has cached. The source is the
-            cache itself where a fill would come too late, and None where there is no endpoint.
+            The source, and whether it may answer only from its own cache. The source is the cache
+                itself if a fill would be too late, and None if there is no endpoint.
         """
         work = self.work.slow_start_work(request, now)
         tried = {
@@ -132,14 +145,16 @@
     def choose_upstream(
         self, eligible: Iterator[TrackedEndpoint], now: float
     ) -> TrackedEndpoint | None:
-        """The first parent by its hash, the next where it is slower than usual, or the origin.
+        """Choose the parent that is first by its hash, a later one, or the origin.
 
-        The origin is taken where all parents are slower than it. A rise that all parents have in
-        common passes none over: the next ones lack the objects, and the origin would be asked.
+        A parent is skipped if its delay has risen by more than the average rise of all parents. A
+        rise that all parents have in common skips none of them, because the next parents lack the
+        objects and would fill them from the origin. The origin is chosen if all parents are slower
+        than it.
 
         Args:
-            eligible: The parents that may be sent to, lazily, in the object's order.
-            now: The time.
+            eligible: The parents that may be sent to, as a lazy iterator in the object's order.
+            now: The current time.
         """
         endpoints = self.endpoints
         origin = endpoints.origin
@@ -153,19 +168,22 @@
                 if self.endpoint_filter.try_trial(parent, now):
                     return parent
             return origin
-        rises = sum(self._rise(parent, now) for parent in endpoints.parents)
-        common_rise = max(0.0, rises / max(1, len(endpoints.parents)))
+        total_increase = sum(self._delay_increase(parent, now) for parent in endpoints.parents)
+        average_increase = max(0.0, total_increase / max(1, len(endpoints.parents)))
         first = None
         for parent in eligible:
             first = first or parent
-            if self._rise(
+            if self._delay_increase(
                 parent, now
-            ) <= common_rise + NEARBY_DELAY or self.endpoint_filter.try_trial(parent, now):
+            ) <= average_increase + NEARBY_DELAY or self.endpoint_filter.try_trial(parent, now):
                 return parent
         return first or origin
 
     def delay(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """The smoothed delay; an endpoint that was not measured gets the average of the others."""
+        """Return the smoothed delay of an endpoint in ms.
+
+        An endpoint without measurements gets the average of the other endpoints.
+        """
         mean = endpoint.recent_delay.mean(now)
         if mean is not None:
             return mean
@@ -177,7 +195,7 @@
         return sum(means) / len(means) if means else 0.0
 
     def is_believed_holder(self, cache: TrackedEndpoint, request: Request, now: float) -> bool:
-        """Whether the cache is believed to hold the object as it is since its last purge."""
+        """Return whether the cache is believed to hold the object as it is since its last purge."""
         return self.locations.is_believed_holder(
             cache, request, now, self.purges.last_purge(request)
         )
@@ -190,7 +208,7 @@
         work: float,
         now: float,
     ) -> TrackedEndpoint | None:
-        """Another cache of the zone that holds the object, or held it before a migration."""
+        """Return a sibling cache that holds the object, or that held it before a migration."""
         max_delay = self.delay(cache, now) + NEARBY_DELAY
         if not self.settings.allows_sibling_fills or self.is_believed_holder(cache, request, now):
             return None
@@ -221,10 +239,10 @@
         work: float,
         now: float,
     ) -> TrackedEndpoint | None:
-        """The cache that served an object before its tenant migrated, if it may be sent to.
+        """Return the cache that served an object before its tenant's migration, if it is available.
 
-        It is believed to hold the object though no recent answer shows it, which spares the origin.
-        It costs an attempt for objects that nobody has asked for lately.
+        The cache is assumed to hold the object even without a recent answer, which reduces the load
+        of the origin. For objects without recent requests this costs an additional attempt.
         """
         pool = request.pool
         if pool is None or not pool.migration_sources:
@@ -237,10 +255,10 @@
     def _rank_parents(
         self, request: Request, tried: set[TrackedEndpoint | None], now: float
     ) -> list[TrackedEndpoint]:
-        """The parents in the object's order, or by delay where the client waits less than that.
+        """Return the parents in the object's order, or by delay for an impatient client.
 
-        A client that waits less than its objective may still be served by a near parent, at the
-        cost of further copies.
+        If a client waits less than the latency objective, a near parent may still serve it in time,
+        at the cost of additional copies.
         """
         ranked = rendezvous_order(
             [parent for parent in self.endpoints.parents if parent not in tried],
@@ -257,24 +275,31 @@
             ranked.sort(key=lambda parent: self.delay(parent, now))
         return ranked
 
-    def _rise(self, parent: TrackedEndpoint, now: float) -> float:
-        """How far its delay has risen above its usual level, part of a usual measurement added."""
+    def _delay_increase(self, parent: TrackedEndpoint, now: float) -> float:
+        """Return by how much the parent's delay has risen above its usual level.
+
+        A fraction of a usual measurement is added to the recent ones.
+        """
         total, count = parent.recent_delay.totals(now)
         usual = parent.usual_delay.mean(now)
         return 0.0 if usual is None else (total - count * usual) / (count + USUAL_WEIGHT)
 
     def _is_source_suspect(self, attempt: Attempt) -> bool:
-        """Whether an attempt may have failed by its fill source, which is then not used again."""
+        """Return whether an attempt may have failed because of its fill source.
+
+        Such a source is not used again for the request.
+        """
         source = attempt.fill_source
         if attempt.outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT):
             return source is not None and source.last_heard_at < attempt.sent_at
         return attempt.outcome in (Outcome.ERROR, Outcome.REJECTED, Outcome.MISS)
 
     def _is_too_late(self, delays: DecayingHistogram, request: Request, now: float) -> bool:
-        """Whether a fill with such delays would miss the objective; what is cached must do then.
+        """Return whether a fill with these delays would miss the latency objective.
 
-        Else fills that come too late for anyone keep a crowded source crowded. It may be too strict
-        for short objectives far from all sources.
+        Then only cached objects are served. Otherwise, fills that are too late for any client would
+        keep an overloaded source overloaded. The rule may be too strict for short objectives far
+        from all sources.
         """
         expected = MEDIAN_MULTIPLE * delays.median(now) + self.work.transfer_time(request, now)
         return expected > self.work.objective_left(request, now)
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -1,16 +1,17 @@
 """Health checks: which endpoints a director pings or polls for a load report, and when.
 
-What one director sends adds up over hundreds of them: an endpoint that fails is suspected by all
-directors at once, and directors with hardly any requests would poll as often as busy ones. So:
+The health checks of hundreds of directors add up: all directors suspect a failed endpoint at the
+same time, and directors with few requests could poll as often as busy ones. Therefore:
 
 * Pings: a suspected endpoint is pinged until it answers. The more directors share the endpoint, the
-  longer the interval of each, so that the pings of all together stay bounded. Every interval has
-  random jitter, so that directors that start to suspect it together don't ping it together.
-* Load report polls: a director earns polls by its requests and spends them on a randomly chosen
-  endpoint, at a limited rate. One with hardly any requests still polls now and then.
+  longer the interval of each, so that the total rate of pings is bounded. Every interval has random
+  jitter, so that directors that suspect an endpoint at the same time do not ping it at the same
+  time.
+* Load report polls: a director earns polls by its requests and spends them on randomly chosen
+  endpoints, at a limited rate. A director with hardly any requests still polls occasionally.
 
-To the caller both are the same action: it sends the endpoint a health check, and passes on what
-the answer brings.
+Both are the same action for the caller: it sends the endpoint a health check, and passes the result
+to the router.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
 caller's clock. Not thread-safe.
@@ -21,56 +22,61 @@
 from dataclasses import dataclass
 from random import Random
 
-# Mean interval in ms at which one director pings a suspected endpoint that few directors share ...
+# Minimum of the mean interval in ms at which one director pings a suspected endpoint.
 MIN_PING_INTERVAL = 500.0
-# ... and what each director that shares it adds, where this is more: all of them together send it
-# 20 pings a second.
+# Mean interval in ms for each director that shares the endpoint, if this is more than the minimum:
+# all of them together send 20 pings a second.
 PING_INTERVAL_PER_DIRECTOR = 50.0
-# The first ping comes after a random part of the interval, of at least this fraction.
+# The first ping is sent after a random fraction of the interval, at least this one.
 MIN_FIRST_PING_FRACTION = 0.25
-# Every later interval is changed at random by up to this fraction of it.
+# Maximum fraction by which every later interval is randomly changed.
 PING_JITTER = 0.25
 
-# Between two polls of one director lie so many ms at the least.
+# Minimum interval in ms between two polls of one director.
 MIN_POLL_INTERVAL = 500.0
-# A director without requests still polls once in so many ms.
+# Interval in ms at which a director without requests polls.
 MAX_POLL_INTERVAL = 30_000.0
-# Polls that a request earns, and how many may be saved up.
+# Polls that a request earns, and the maximum number of saved polls.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
-# Cost of one poll a request, in priority weight, up to which a request earns that many polls.
+# Cost of one poll for each request, in priority weight. A higher cost reduces the polls that a
+# request earns.
 REFERENCE_POLL_COST = 0.014
 
 
 def ping_interval(sharing_directors: int) -> float:
-    """Mean ms between two pings of one director to an endpoint that so many directors share."""
+    """Return the mean interval in ms between two pings of one director to an endpoint.
+
+    Args:
+        sharing_directors: Number of directors that share the endpoint.
+    """
     return max(MIN_PING_INTERVAL, PING_INTERVAL_PER_DIRECTOR * sharing_directors)
 
 
 @dataclass(slots=True)
 class PingSchedule:
-    """When a suspected endpoint is pinged next, and the mean interval from then on, in ms."""
+    """Time of the next ping of a suspected endpoint, and the mean interval after it, in ms."""
 
     next_at: float
     interval: float
 
 
 class HealthCheckScheduler:
-    """Decides when one director sends pings and load report polls, and to which endpoints."""
+    """Scheduler of one director's pings and load report polls."""
 
     def __init__(
         self, now: float, random: Random, polls_load_reports: bool, poll_cost: float = 0.0
     ) -> None:
-        """Spreads the first polls at random, as directors may start together.
+        """Create the scheduler; first polls are at random times, as directors may start together.
 
-        The value of load reports falls as one over their rate, so the best rate falls with the
-        square root of the cost.
+        The benefit of load reports is inversely proportional to their rate, so the optimal rate is
+        inversely proportional to the square root of their cost.
 
         Args:
             now: The current time in ms.
             random: The director's source of randomness.
-            polls_load_reports: Endpoints report their load when polled; False: never poll.
-            poll_cost: Cost of one poll a request, in priority weight.
+            polls_load_reports: Whether endpoints report their load when polled; False: never poll.
+            poll_cost: Cost of one poll for each request, in priority weight.
         """
         cost_ratio = REFERENCE_POLL_COST / max(poll_cost, REFERENCE_POLL_COST)
         self._polls_per_request = POLLS_PER_REQUEST * math.sqrt(cost_ratio)
@@ -82,7 +88,7 @@
         self._forced_poll_at = now + MAX_POLL_INTERVAL * random.random()
 
     def record_request(self) -> None:
-        """A request has arrived; it earns a part of a poll."""
+        """Add the fraction of a poll that a received request earns."""
         self.saved_polls = min(MAX_SAVED_POLLS, self.saved_polls + self._polls_per_request)
 
     def schedule_pings(
@@ -92,15 +98,15 @@
         sharing_directors: int,
         first_within: float = math.inf,
     ) -> None:
-        """Pings a suspected endpoint regularly until `cancel_pings`.
+        """Schedule regular pings of a suspected endpoint until `cancel_pings`.
 
-        Where it is being pinged already, only an earlier first ping replaces the schedule.
+        If the endpoint is being pinged already, the schedule is replaced only by an earlier ping.
 
         Args:
             endpoint: The endpoint that is suspected to be unreachable.
             now: The current time in ms.
-            sharing_directors: Directors that may ping it.
-            first_within: The first ping comes after so many ms at the latest.
+            sharing_directors: Number of directors that may ping it.
+            first_within: Maximum time in ms until the first ping.
         """
         interval = ping_interval(sharing_directors)
         jitter = MIN_FIRST_PING_FRACTION + (1.0 - MIN_FIRST_PING_FRACTION) * self._random.random()
@@ -110,11 +116,11 @@
             self._pings[endpoint] = PingSchedule(now + delay, interval)
 
     def cancel_pings(self, endpoint: Hashable) -> None:
-        """The endpoint has answered, or need not be pinged any more for another reason."""
+        """Cancel the pings of an endpoint that has answered or no longer needs them."""
         self._pings.pop(endpoint, None)
 
     def cancel_pings_except(self, endpoints: Collection[Hashable]) -> None:
-        """Cancels the pings to all other endpoints."""
+        """Cancel the pings of all endpoints except these."""
         self._pings = {
             endpoint: schedule
             for endpoint, schedule in self._pings.items()
@@ -122,11 +128,12 @@
         }
 
     def take_due(self, now: float, endpoints: Sequence[Hashable]) -> list[Hashable]:
-        """Returns the endpoints to contact now, and schedules the next ping and poll.
+        """Return the endpoints to contact now, and schedule the next pings and poll.
 
         Args:
             now: The current time in ms.
-            endpoints: Those that may be polled for a load report; one at most is, picked at random.
+            endpoints: Endpoints that may be polled for a load report; at most one of them is
+                chosen, at random.
         """
         due = [endpoint for endpoint, schedule in self._pings.items() if now >= schedule.next_at]
         for endpoint in due:
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -1,18 +1,19 @@
-"""Whether another attempt, or a retry by the client, may follow those that there were.
+"""Rules for whether an attempt or a retry by the client may follow the earlier attempts.
 
 An idempotent request may run any number of times. A request with an idempotency key may be sent
-again as long as every endpoint remembers its key. Any other may be sent again only where all
+again as long as every endpoint remembers its key. Any other request may be sent again only if all
 earlier attempts provably never ran. Pure functions, times in ms.
 """
 
 from .deadlines import has_time_left
 from .model import IDEMPOTENT, KEYED, Attempt, Request
 
-KEY_RETENTION_MARGIN = 50.0  # ms; a retry goes out so long before its key may be forgotten
+# Time in ms before its key may be forgotten by which a retry must be sent.
+KEY_RETENTION_MARGIN = 50.0
 
 
 def may_have_run(request: Request) -> list[Attempt]:
-    """The attempts that may have had an effect, in the order sent."""
+    """Return the attempts that may have had an effect, in the order they were sent."""
     return [
         attempt
         for attempt in request.attempts
@@ -21,11 +22,11 @@
 
 
 def can_send(request: Request, now: float, starting: Attempt | None = None) -> bool:
-    """Whether an attempt may be sent now.
+    """Return whether an attempt may be sent now.
 
     Args:
         request: The request.
-        now: The time.
+        now: The current time.
         starting: The attempt that is about to be written and has not run; None for a new one.
     """
     if not has_time_left(request, now):
@@ -37,7 +38,7 @@
 
 
 def can_client_retry(request: Request, at: float) -> bool:
-    """Whether the client may be told that sending the request again at that time is safe."""
+    """Return whether it is safe for the client to send the request again at that time."""
     if request.request_class.idempotency == IDEMPOTENT:
         return True
     possibly_run = may_have_run(request)
@@ -45,7 +46,7 @@
 
 
 def _is_key_remembered(request: Request, possibly_run: list[Attempt], at: float) -> bool:
-    """Whether every endpoint still remembers the request's idempotency key at that time."""
+    """Return whether every endpoint still remembers the request's idempotency key at that time."""
     request_class = request.request_class
     forgotten_at = possibly_run[0].sent_at + request_class.key_retention - KEY_RETENTION_MARGIN
     return (
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -1,4 +1,4 @@
-"""What a director measures of each endpoint: decaying histograms and the endpoint's statistics."""
+"""Measurements of each endpoint by one director: decaying histograms and endpoint statistics."""
 
 from operator import mul
 
@@ -8,53 +8,58 @@
 
 BIN_COUNT = 11
 BIN_MIDDLES = [6.0 * 2.0**number for number in range(BIN_COUNT)]  # ms; the first bin is [4, 8)
-MAX_HALVINGS = 30  # more of them leave nothing in any case
-MIN_WEIGHT_FOR_MEAN = 0.1  # less is the rest of measurements long ago
+MAX_HALVINGS = 30  # bound of the power; after so many halvings a weight is practically 0
+MIN_WEIGHT_FOR_MEAN = 0.1  # a smaller weight is the remainder of old measurements
 MIN_HALF_WEIGHT_FOR_MEDIAN = 1.0  # two measurements
-RECENT_HALF_LIFE = 2000.0  # ms; delays by which endpoints are chosen
-USUAL_HALF_LIFE = 16_000.0  # ms; the level that recent delays are compared with
+RECENT_HALF_LIFE = 2000.0  # ms; for the delays by which endpoints are chosen
+USUAL_HALF_LIFE = 16_000.0  # ms; for the usual level that recent delays are compared with
 
 
 class DecayingHistogram:
-    """Weights in bins that double in width, halved from time to time.
+    """Histogram whose bins double in width and whose weights decay.
 
-    Decay happens when it is read or added to, in whole half-lives. Not thread-safe.
+    Weights are halved in whole half-lives, when the histogram is read or a measurement is added.
+    Not thread-safe.
     """
 
     __slots__ = ("half_life", "next_decay_at", "weights")
 
     def __init__(self, half_life: float) -> None:
-        """Starts empty; `half_life` in ms."""
+        """Create an empty histogram; `half_life` is in ms."""
         self.weights = [0.0] * BIN_COUNT
         self.half_life = half_life
         self.next_decay_at = 0.0
 
     def decay(self, now: float) -> None:
-        """Halves all weights once for each half-life that has passed."""
+        """Halve all weights once for each half-life that has passed."""
         if now >= self.next_decay_at:
             halvings = min(MAX_HALVINGS, 1 + int((now - self.next_decay_at) / self.half_life))
             self.weights = [weight * 0.5**halvings for weight in self.weights]
             self.next_decay_at = now + self.half_life
 
     def add(self, now: float, value: float) -> None:
-        """Adds one measurement."""
+        """Add one measurement."""
         self.decay(now)
         number = int(max(value, 1.0)).bit_length() - 3
         self.weights[min(BIN_COUNT - 1, max(0, number))] += 1.0
 
     def totals(self, now: float) -> tuple[float, float]:
-        """The weighted sum of the measurements and the sum of their weights."""
-        if now >= self.next_decay_at:  # asked here too, as this is called several times a request
+        """Return the weighted sum of the measurements and the sum of their weights."""
+        # Repeat the check of `decay` to save a call, since this method runs several times a request.
+        if now >= self.next_decay_at:
             self.decay(now)
         return sum(map(mul, self.weights, BIN_MIDDLES)), sum(self.weights)
 
     def mean(self, now: float) -> float | None:
-        """The mean; None where hardly anything was measured."""
+        """Return the mean; None if there are too few measurements."""
         total, weight = self.totals(now)
         return total / weight if weight >= MIN_WEIGHT_FOR_MEAN else None
 
     def median(self, now: float) -> float:
-        """The median, which a few outliers do not move; 0 while there are too few measurements."""
+        """Return the median; 0 if there are too few measurements.
+
+        Unlike the mean, the median is not moved by a few outliers.
+        """
         self.decay(now)
         half = sum(self.weights) / 2.0
         if half < MIN_HALF_WEIGHT_FOR_MEDIAN:
@@ -67,31 +72,32 @@
 
 
 class TrackedEndpoint(Endpoint):
-    """A cache, parent or the origin with what this director has measured of it.
+    """Cache, parent or origin with the measurements that this director has of it.
 
-    `EndpointTable` sets the listed fields and calls `reset` when an endpoint is new or has started
-    again. `EndpointHealthMonitor` changes the fields of health, `AttemptRecorder` the histograms,
-    `SlowStartAdmission` the slow-start budget, and the router the attempts in flight. All others
-    only read.
+    `EndpointTable` sets the listed fields and calls `reset` when an endpoint is new or has
+    restarted. `EndpointHealthMonitor` changes the health fields, `AttemptRecorder` the histograms,
+    `SlowStartAdmission` the slow-start budget, and the router the attempts in flight. All other
+    classes only read them.
 
     Attributes:
-        recent_delay: Delays as a fill source of the last seconds.
-        usual_delay: The same over a longer time.
-        hit_lateness: Hits: time beyond their transfer time, in percent of it.
-        outlier_detector: Its results as successes and failures.
-        last_heard_at: When it last said anything.
-        silence: Signs of silence since then; an overdue attempt adds up to one.
-        last_reset_at: When a connection to it last broke.
-        is_ejected: Whether it is sent nothing but trial requests.
+        recent_delay: Delays of the last seconds as a fill source.
+        usual_delay: Delays as a fill source over a longer time.
+        hit_lateness: Time that hits took beyond their transfer time, in percent of it.
+        outlier_detector: Successes and failures of the endpoint.
+        last_heard_at: Time of its last response.
+        silence: Number of attempts that became overdue since then; an overdue attempt adds at most
+            1 in steps.
+        last_reset_at: When a connection to it was last reset.
+        is_ejected: Whether it receives only trial requests.
         is_unreachable: Whether it was ejected because it was not reached.
         ejected_at: When it was last ejected or reinstated.
-        next_trial_at: When the next trial request may go.
+        next_trial_at: Earliest time of the next trial request.
         attempts_in_flight: Attempts that have not ended.
-        slow_start: What this director may send it while it warms up.
+        slow_start: Budget of this director for it during slow start.
     """
 
     def reset(self) -> None:
-        """Forgets all measurements."""
+        """Clear all measurements."""
         self.recent_delay = DecayingHistogram(RECENT_HALF_LIFE)
         self.usual_delay = DecayingHistogram(USUAL_HALF_LIFE)
         self.hit_lateness = DecayingHistogram(RECENT_HALF_LIFE)
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -1,8 +1,8 @@
-"""The types that the router and its callers share. No decision and no tuned value stands here.
+"""Types that the router and its callers share, without decisions or tuned values.
 
-A caller makes one `Router(now, seed, settings)` for each director and calls
-`router.handle(now, events, sink)` with what came in since the last call (see `events`, `actions`).
-Times are milliseconds, sizes KB.
+A caller creates one `Router(now, seed, settings)` for each director and calls `router.handle(now,
+events, sink)` with the events received since the last call (see `events` and `actions`). Times are
+milliseconds, sizes KB.
 """
 
 import math
@@ -18,11 +18,11 @@
 IDEMPOTENT = "idempotent"  # may run any number of times
 KEYED = "keyed"  # runs once as long as its idempotency key is remembered
 UNSAFE = "unsafe"  # must not be sent again once it may have run
-UNKNOWN_ADDRESS = ("", 0)  # of an endpoint of which an update has only the name and the state
+UNKNOWN_ADDRESS = ("", 0)  # of an endpoint whose update has only a name and a state
 
 
 class EndpointState(IntEnum):
-    """The state of an endpoint in the endpoint list."""
+    """State of an endpoint in the endpoint list."""
 
     READY = 0
     GONE = 1
@@ -30,7 +30,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended; the last four prove that it never ran."""
+    """Outcome of an attempt; the members from REJECTED on prove that it never ran."""
 
     SERVED = 0
     ERROR = 1
@@ -49,7 +49,7 @@
 
 
 class CacheStatus(IntEnum):
-    """How a cache came by its answer, where it reports it."""
+    """How a cache obtained its answer, if it reports this."""
 
     UNKNOWN = 0
     HIT = 1
@@ -66,32 +66,32 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """What the requests of one class need and may do."""
+    """Requirements and permissions of the requests of one class."""
 
     idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
     latency_objective: float
-    objective_stretch: float  # the objective grows by this multiple of the answer's sending time
+    objective_stretch: float  # the objective grows by this multiple of the answer's transfer time
     client_timeout: float
     key_retention: float  # how long an idempotency key is remembered
-    key_scope: str  # which endpoints remember it: "all", "zone" or "cell"
+    key_scope: str  # the endpoints that remember it: "all", "zone" or "cell"
     freshness_lifetime: float
-    is_uncacheable: bool  # it runs at the origin
-    priority_weight: float = 1.0  # of a request served in time
+    is_uncacheable: bool  # the request runs at the origin
+    priority_weight: float = 1.0  # value of a request that is served in time
 
 
 @dataclass(slots=True)
 class SlowStartPolicy:
-    """What an endpoint that has just started can take."""
+    """Load that an endpoint can serve while it warms up after its start."""
 
     initial_fraction: float  # of its capacity, at the start
     duration: float
     overload_window: float
-    overload_factor: float  # it fails when sent this multiple of its capacity over the window
+    overload_factor: float  # the endpoint fails above this multiple of its capacity over the window
 
 
 @dataclass(slots=True, eq=False)
 class ServiceSettings:
-    """What a director gets at its start about the service that it is part of."""
+    """Settings of the service, given to a director at its start."""
 
     request_classes: list[RequestClass]
     zone: int
@@ -99,60 +99,62 @@
     local_director_count: int  # in this director's zone
     parent_kind: int
     origin_kind: int
-    advertises_weights: bool  # the endpoint list has their sizes
-    transfer_rate: float  # KB a millisecond of one transfer; 0 where not known
+    advertises_weights: bool  # the endpoint list contains endpoint weights
+    transfer_rate: float  # KB per ms of one transfer; 0: unknown
     max_attempts: int
     allows_hedging: bool  # a request may have two attempts in flight
     allows_cancel: bool
     allows_health_checks: bool
-    allows_retry_after: bool  # a rejection says when to retry
+    allows_retry_after: bool  # a rejection specifies when to retry
     max_retry_after: float
     allows_cache_bypass: bool
     allows_coalescing: bool
     allows_sibling_fills: bool
     requires_subscription: bool
     load_report_fields: list[str]  # names of a load report's values
-    polls_load_reports: bool  # they come with health checks only
+    polls_load_reports: bool  # load reports are received with health checks only
     cache_slow_start: SlowStartPolicy
     parent_slow_start: SlowStartPolicy
     purge_propagation: float
-    health_check_cost: float = 0.0  # of one check a request, in priority weight; 0: not known
+    # Cost of one health check for each request, in priority weight; 0: unknown
+    health_check_cost: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A cache, a parent or the origin, as the endpoint list has it."""
+    """Cache, parent or origin as described by the endpoint list."""
 
     hash_key: int
     zone: int = -1
     kind: int = -1
-    advertised_cell: int = -1  # by the list; what a tenant is confined to is a CachePool
+    advertised_cell: int = -1  # by the endpoint list; a tenant's caches are in a CachePool instead
     weight: float = 1.0
     state: EndpointState = EndpointState.GONE
     started_at: float = 0.0
 
     @property
     def is_ready(self) -> bool:
-        """Whether it may be sent new work; one that is draining may not."""
+        """Whether the endpoint may be sent new work; a draining one may not."""
         return self.state == EndpointState.READY
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to an endpoint.
+    """One transmission of a request to an endpoint.
 
     Attributes:
         request: The request.
-        number: Its place among the request's attempts, from 0.
-        endpoint: Where it is sent.
-        fill_source: Where a miss is filled from; the endpoint itself where it is not.
-        sent_at: When it was decided.
-        timeout: How long after that it is given up.
+        number: Index among the request's attempts, from 0.
+        endpoint: The endpoint that it is sent to.
+        fill_source: The source that a miss is filled from; the endpoint itself if a miss is not
+            filled.
+        sent_at: When the attempt was decided.
+        timeout: Time after `sent_at` when the attempt is abandoned.
         outcome: How it ended; None while it is in flight.
         expects_hit: Whether the router believed that the endpoint holds the object.
-        purged_at: The object's last purge when it was decided; 0: none.
-        addresses: The caller's: where endpoint and source were found when it was decided.
-        entity_tag: The caller's: of the client's copy, as sent to the endpoint.
+        purged_at: Time of the object's last purge before the attempt was decided; 0: none.
+        addresses: Addresses of endpoint and source when the attempt was decided; set by the caller.
+        entity_tag: Entity tag of the client's copy, as sent to the endpoint; set by the caller.
     """
 
     request: "Request"
@@ -170,22 +172,23 @@
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Retries that may go now, for all requests that share the budget."""
+    """Token bucket of retries for all requests that share the budget."""
 
     tokens: float
 
 
 @dataclass(slots=True, eq=False)
 class QuotaShare:
-    """This director's share of a limit that directors have in common.
+    """This director's share of a limit that all directors have in common.
 
     Attributes:
         fraction: The share until `expires_at`.
-        expires_at: When a borrowed share ends, however long the director was stopped meanwhile.
+        expires_at: When a borrowed share expires, even if the director was suspended in the
+            meantime.
         fallback_fraction: The share after that.
         is_tracked: Whether the peaks are recorded.
-        peak_used: The largest share used since the peaks were last read.
-        peak_rejected: The largest share that was asked for in vain since then.
+        peak_used: Largest share used since the peaks were last read.
+        peak_rejected: Largest share that was requested and not granted since then.
     """
 
     fraction: float
@@ -196,19 +199,20 @@
     peak_rejected: float = 0.0
 
     def fraction_at(self, now: float) -> float:
-        """The share at that time."""
+        """Return the share at that time."""
         return self.fraction if now < self.expires_at else self.fallback_fraction
 
 
 @dataclass(slots=True, eq=False)
 class CachePool:
-    """What a request is confined to.
+    """Caches that a request is confined to.
 
     Attributes:
-        caches: The caches that it may go to.
-        failover_caches: Those that are taken where none of `caches` may be sent to.
-        migration_sources: Further caches that may fill it, since they served it before.
-        retry_budget: What pays for its retries, shared with other requests.
+        caches: The caches that the request may be sent to.
+        failover_caches: Caches that are used if none of `caches` is available.
+        migration_sources: Additional fill sources: caches that served the tenant before a
+            migration.
+        retry_budget: Budget for the request's retries, shared with other requests.
     """
 
     caches: dict[Endpoint, None]
@@ -219,14 +223,14 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request."""
+    """Request of a client."""
 
-    context: Any  # the caller's own
+    context: Any  # set and used by the caller only
     request_class: RequestClass
     object_id: int
     part: int
     group: int
-    size_kb: float  # KB; 0 where not known
+    size_kb: float  # KB; 0: unknown
     arrived_at: float
     deadline: float  # when the client stops waiting
     is_retry: bool = False
@@ -237,9 +241,9 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request as its client sent it.
+    """Request as it was received from the client.
 
-    Texts and body are forwarded with each attempt unchanged; the body is not copied.
+    Texts and body are forwarded unchanged with each attempt; the body is not copied.
     """
 
     request_class: str
@@ -249,16 +253,16 @@
     idempotency_key: str  # empty: none
     entity_tag: str  # of the client's copy; empty: none
     body: memoryview
-    remaining_time: float  # ms that the client waits
+    remaining_time: float  # ms until the client's deadline
     group: int
     size_kb: float
     is_retry: bool
-    tenant: str = ""  # as the client names it
+    tenant: str = ""  # as named by the client
 
 
 @dataclass(slots=True, eq=False)
 class EndpointAddress:
-    """Where an endpoint is found; one that starts again gets a new object."""
+    """Address of an endpoint; a restarted endpoint gets a new object."""
 
     name: str
     address: tuple[str, int]
@@ -281,7 +285,7 @@
 
 @dataclass(slots=True, eq=False)
 class SendAttempt:
-    """A step for the network code: send this attempt."""
+    """Step for the network code: send this attempt."""
 
     attempt: Attempt
     address: EndpointAddress
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -1,4 +1,4 @@
-"""When an attempt is overdue, and whose silence that shows; pure, times in ms."""
+"""Detection of overdue attempts and of silent endpoints; pure, times in ms."""
 
 from dataclasses import dataclass
 
@@ -9,16 +9,18 @@
 from .model import Attempt, Request
 from .work_estimates import WorkEstimator
 
-# Sign of silence (0.5: twice the time it was due to take) at which an attempt goes elsewhere.
-OVERDUE_SIGN = 0.5
-MIN_CHECK_DELAY = 150.0  # ms to an attempt's first check: less than the delays of a far source
-CHECK_MARGIN = 50.0  # ms; an attempt is checked so long before its last chance to go elsewhere
-RETRY_WORK_FACTOR = 1.2  # multiple of its sending time that a retry needs
+# Fraction of an overdue attempt at which its request is sent elsewhere. 0.5 means twice the
+# expected time.
+REROUTE_FRACTION = 0.5
+MIN_CHECK_DELAY = 150.0  # ms until an attempt's first check: less than the delay of a far source
+# Time in ms by which the first check precedes the latest time for a retry that meets the objective.
+CHECK_MARGIN = 50.0
+RETRY_WORK_FACTOR = 1.2  # multiple of its transfer time that is reserved for a retry
 
 
 @dataclass(slots=True, eq=False)
 class OverdueDetector:
-    """Finds attempts that should have ended. Owns nothing; silence is recorded by `health`."""
+    """Detector of overdue attempts. It owns no state; `health` records the silence."""
 
     work: WorkEstimator
     cache_selector: CacheSelector
@@ -26,7 +28,7 @@
     health: EndpointHealthMonitor
 
     def first_check_delay(self, request: Request, now: float) -> float:
-        """How long after it is sent an attempt is checked for the first time."""
+        """Return the time after sending an attempt when it is checked for the first time."""
         delay = (
             self.work.objective_left(request, now)
             - RETRY_WORK_FACTOR * self.work.transfer_time(request, now)
@@ -35,27 +37,27 @@
         return max(delay, MIN_CHECK_DELAY)
 
     def check(self, attempt: Attempt, now: float) -> bool:
-        """Records the silence of an attempt's endpoint and source where it is overdue.
+        """Record the silence of an attempt's endpoint and source if the attempt is overdue.
 
         Returns:
-            Whether the attempt is so late, with nothing heard of one of them since it was sent,
-            that its request goes elsewhere.
+            Whether the request must be sent elsewhere: the attempt is far overdue, and its endpoint
+                or source has been silent since it was sent.
         """
         silent = self._silent_endpoints(attempt)
         expected = self._expected_time(attempt, now)
-        sign = min(1.0, 0.5 * ((now - attempt.sent_at) / expected - 1.0))
-        if sign <= 0.0 or not silent:
+        overdue_fraction = min(1.0, 0.5 * ((now - attempt.sent_at) / expected - 1.0))
+        if overdue_fraction <= 0.0 or not silent:
             return False
         for endpoint in silent:
-            self.health.record_silence(endpoint, sign / len(silent), now)
-        if sign < OVERDUE_SIGN:
+            self.health.record_silence(endpoint, overdue_fraction / len(silent), now)
+        if overdue_fraction < REROUTE_FRACTION:
             return False
         if silent == [attempt.endpoint]:
             self.health.record_unreachable(attempt.endpoint, now)
         return True
 
     def _silent_endpoints(self, attempt: Attempt) -> list[TrackedEndpoint]:
-        """Those of an attempt that said nothing since it was sent."""
+        """Return the attempt's endpoint and source if they have been silent since it was sent."""
         involved = [attempt.endpoint]
         source = self._source_in_use(attempt)
         if source is not None:
@@ -63,7 +65,7 @@
         return [each for each in involved if each.last_heard_at < attempt.sent_at]
 
     def _expected_time(self, attempt: Attempt, now: float) -> float:
-        """How long the attempt was to take."""
+        """Return the expected duration of the attempt."""
         work = self.work.transfer_time(attempt.request, now)
         expected = work * self.cache_selector.slowdown(attempt.endpoint, now)
         source = self._source_in_use(attempt)
@@ -73,7 +75,7 @@
         return expected
 
     def _source_in_use(self, attempt: Attempt) -> TrackedEndpoint | None:
-        """The source that fills the attempt, where no hit is expected."""
+        """Return the source that fills the attempt; None if a hit is expected or none is set."""
         if attempt.expects_hit or attempt.fill_source is attempt.endpoint:
             return None
         return attempt.fill_source
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -1,16 +1,16 @@
 """Overload control: keeps retries and hedged requests from amplifying an overload.
 
-A request that is rejected comes back from its client, and an attempt that a full cache rejects is
-retried at the next cache. Together they can hold a fleet in overload after its cause has gone
-(retry amplification; a metastable failure). No director sees the fleet, but each one sees the
-fraction of its own requests that it rejects, and decides by that alone:
+A rejected request is retried by its client, and an attempt that a full cache rejects is retried at
+the next cache. Together these retries can keep a fleet overloaded after the cause of the overload
+has ended (retry amplification; a metastable failure). No director knows the state of the fleet, but
+each one knows the fraction of its own requests that it rejects, and decides by that alone:
 
-* Retry budget: each request earns a fraction of a further attempt (`retries_earned`). The more
-  requests are rejected, the less each earns, and from `NO_RETRY_FRACTION` on nothing.
+* Retry budget: each request earns a fraction of a retry (`retries_earned`). The more requests are
+  rejected, the less each earns; from `NO_RETRY_FRACTION` on it earns nothing.
 * Cost of a retry (`retry_cost`): a retry after an attempt that failed early is cheap, since that
-  attempt caused little work. A retry after a rejection has full cost however quick the rejection
-  was: it means that the endpoint is full, and that its siblings are about to be.
-* Retry-After (`retry_after`): rejected clients come back at random times around a short mean.
+  attempt caused little work. A retry after a rejection has the full cost however quick the
+  rejection was, because the endpoint is full, and its siblings probably will be soon.
+* Retry-After (`retry_after`): rejected clients retry at random times around a short mean.
 * Overload mode (`OverloadDetector.is_overloaded`): begins and ends with hysteresis; it is only
   logged.
 
@@ -19,16 +19,16 @@
 
 from .decay import StepwiseDecay
 
-# The counts of requests and rejections are halved once in so many ms.
+# The counts of requests and rejections are halved at this interval in ms.
 COUNT_HALF_LIFE = 2000.0
-# Overload mode begins above this fraction of rejected requests, and ends below the half of it.
+# Fraction of rejected requests above which overload mode begins; it ends below half of it.
 OVERLOAD_FRACTION = 0.1
-# Further attempts that a request earns while none is rejected.
+# Retries that a request earns while no request is rejected.
 RETRIES_PER_REQUEST = 0.15
-# Fraction of rejected requests from which on a request earns no further attempts.
+# Fraction of rejected requests from which on a request earns no retries.
 NO_RETRY_FRACTION = 0.5
-# Mean ms after which a rejected client retries. Short: its latency objective is running out, and a
-# lasting overload rejects it again at once.
+# Mean time in ms after which a rejected client retries. It is short because the request's latency
+# objective is near, and a continuing overload rejects the retry immediately.
 MEAN_RETRY_AFTER = 100.0
 # A failure within this fraction of the attempt's expected duration is early, and a retry after it
 # costs this fraction of a token.
@@ -37,12 +37,12 @@
 
 
 class OverloadDetector:
-    """Counts one director's requests and rejections of the last seconds.
+    """Counts of one director's requests and rejections in the last seconds.
 
     Attributes:
-        requests: Recent requests, older ones decayed.
-        rejected: Those of them that this director rejected.
-        is_overloaded: Overload mode is on.
+        requests: Decayed number of recent requests.
+        rejected: Decayed number of those requests that this director rejected.
+        is_overloaded: Whether overload mode is on.
     """
 
     def __init__(self) -> None:
@@ -52,10 +52,10 @@
         self._decay = StepwiseDecay(COUNT_HALF_LIFE)
 
     def record_request(self, now: float) -> bool:
-        """Counts a request that has arrived.
+        """Count a received request.
 
         Returns:
-            Whether `is_overloaded` has changed with it.
+            Whether `is_overloaded` has changed.
         """
         remaining = self._decay.take_factor(now)
         self.requests *= remaining
@@ -67,36 +67,36 @@
         return self.is_overloaded != was_overloaded
 
     def record_rejection(self) -> None:
-        """Counts a request that this director has rejected."""
+        """Count a request that this director has rejected."""
         self.rejected += 1.0
 
     def rejected_fraction(self) -> float:
-        """The fraction of recent requests that were rejected, from 0 to 1."""
+        """Return the fraction of recent requests that were rejected, from 0 to 1."""
         return min(1.0, self.rejected / max(1.0, self.requests))
 
     def retries_earned(self) -> float:
-        """How many further attempts a request adds to the retry budget now."""
+        """Return how many retries a request adds to the retry budget now."""
         return RETRIES_PER_REQUEST * max(0.0, 1.0 - self.rejected_fraction() / NO_RETRY_FRACTION)
 
 
 def retry_after(random_fraction: float, max_retry_after: float) -> float:
-    """The Retry-After in ms for a rejected client.
+    """Return the Retry-After in ms for a rejected client.
 
     Args:
-        random_fraction: A random number from 0 to 1, which keeps clients that are rejected together
-            from coming back together.
-        max_retry_after: The longest time that the platform allows, in ms.
+        random_fraction: A random number from 0 to 1, which prevents clients that are rejected
+            together from retrying together.
+        max_retry_after: The maximum time in ms that the platform allows.
     """
     return min(MEAN_RETRY_AFTER * (0.5 + random_fraction), max_retry_after)
 
 
 def retry_cost(was_rejected: bool, duration: float, expected_duration: float) -> float:
-    """How many tokens of the retry budget a retry costs.
+    """Return how many tokens of the retry budget a retry costs.
 
     Args:
-        was_rejected: The endpoint of the failed attempt rejected it, as it is full.
-        duration: After how many ms the attempt failed.
-        expected_duration: How many ms a successful attempt would have taken.
+        was_rejected: Whether the endpoint of the failed attempt rejected it because it is full.
+        duration: Time in ms after which the attempt failed.
+        expected_duration: Time in ms that a successful attempt would have taken.
     """
     if not was_rejected and duration < QUICK_FAILURE_FRACTION * expected_duration:
         return QUICK_FAILURE_COST
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -1,8 +1,8 @@
-"""Weighted rendezvous hashing, which all directors compute alike; pure.
+"""Weighted rendezvous hashing with the same result at all directors; pure.
 
-Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998); the weights by the
-logarithmic method of Schindelhauer and Schomaker (2005). An endpoint that is lost moves only its
-own objects.
+Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998); the weights use
+the logarithmic method of Schindelhauer and Schomaker (2005). If an endpoint is lost, only its own
+objects move to other endpoints.
 """
 
 import math
@@ -11,12 +11,12 @@
 from .endpoint_capacity import SlowStartAdmission
 from .latency import TrackedEndpoint
 
-MIN_WEIGHT = 1e-3  # an endpoint of no weight comes last, and its score stays finite
+MIN_WEIGHT = 1e-3  # keeps the score finite; an endpoint without weight comes last
 MASK_64 = 0xFFFFFFFFFFFFFFFF
 
 
 def hash_integers(*parts: int) -> int:
-    """A 64-bit hash of integers that is the same at every director."""
+    """Return a 64-bit hash of integers that is the same at every director."""
     state = 0x9E3779B97F4A7C15
     for part in parts:
         state = (state ^ part) * 0xBF58476D1CE4E5B9 & MASK_64
@@ -32,7 +32,11 @@
     slow_start: SlowStartAdmission,
     now: float,
 ) -> list[TrackedEndpoint]:
-    """The endpoints in the object's order, weighted by size and by how warm each is."""
+    """Return the endpoints in the object's order.
+
+    An endpoint is weighted by its capacity and by the fraction of it that is available in slow
+    start.
+    """
 
     def _score(endpoint: TrackedEndpoint) -> float:
         weight = endpoint.weight * slow_start.available_fraction(endpoint, now)
--- a/mulleinrelay/policy/retry_policy.py
+++ b/mulleinrelay/policy/retry_policy.py
@@ -1,7 +1,7 @@
-"""How many attempts a request may have: their number, errors and the retry budget; pure.
+"""Limits on the attempts of a request: their number, errors and the retry budget; pure.
 
-The budget keeps retries from feeding an overload: each request earns a part of a retry, less the
-more requests are rejected (see `overload`).
+The budget keeps retries from sustaining an overload: each request earns a fraction of a retry,
+which decreases as more requests are rejected (see `overload`).
 """
 
 from . import overload
@@ -9,15 +9,15 @@
 from .model import Outcome, Request, RetryBudget, ServiceSettings
 from .work_estimates import WorkEstimator
 
-MAX_SAVED_RETRIES = 8.0
-MAX_ERRORS = 2  # endpoints' errors that one request may have
-FULL_RETRY_COST = 1.0
+MAX_SAVED_RETRIES = 8.0  # maximum number of tokens in a budget
+MAX_ERRORS = 2  # endpoint errors after which a request gets no further attempt
+FULL_RETRY_COST = 1.0  # tokens
 
 
 class RetryPolicy:
-    """Whether and when a request gets another attempt.
+    """Rules for whether a request gets another attempt.
 
-    Owns the budget of requests without a pool; a pool brings its own. `earn` and `try_spend`
+    Owns the budget of requests without a pool; a pool has its own budget. `earn` and `try_spend`
     change the budgets.
     """
 
@@ -30,29 +30,33 @@
         self.local_budget = RetryBudget(MAX_SAVED_RETRIES)
 
     def budget_for(self, request: Request) -> RetryBudget:
-        """The budget that pays for the request's retries."""
+        """Return the budget that the request's retries are charged to."""
         return request.pool.retry_budget if request.pool else self.local_budget
 
     def earn(self, request: Request) -> None:
-        """A request has come and earns a part of a retry."""
+        """Add the fraction of a retry that a received request earns to its budget."""
         budget = self.budget_for(request)
         budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + self._overload.retries_earned())
 
     def may_attempt(self, request: Request, now: float) -> bool:
-        """Whether an attempt may follow those that there were, if the budget has it."""
+        """Return whether another attempt is permitted.
+
+        The retry budget is not considered.
+        """
         if len(request.attempts) >= self._settings.max_attempts:
             return False
         errors = sum(attempt.outcome == Outcome.ERROR for attempt in request.attempts)
         return errors < MAX_ERRORS and can_send(request, now)
 
     def can_afford_full_retry(self, request: Request) -> bool:
-        """Whether the budget has a retry at its full cost."""
+        """Return whether the budget has enough tokens for a retry at full cost."""
         return self.budget_for(request).tokens >= FULL_RETRY_COST
 
     def try_spend(self, request: Request, now: float) -> bool:
-        """Pays for the next attempt; whether the budget had it.
+        """Charge the next attempt to the budget; return whether it had enough tokens.
 
-        The first attempt is free, as is one after a miss, which is the ordinary way of a request.
+        The first attempt is free, and so is an attempt after a miss, since a miss is part of the
+        normal processing of a request.
         """
         if not request.attempts or request.attempts[-1].outcome == Outcome.MISS:
             return True
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -1,12 +1,12 @@
-"""All routing decisions of one director: typed events in, actions out.
+"""Routing decisions of one director: typed events in, actions out.
 
-The way of a request: `RequestReceived` routes it, which sends a first attempt to a cache. Each
-`AttemptFinished` either completes it or routes it again; `TimerFired` finds overdue attempts, and
-ends the request in time for its client. What is learnt of endpoints on the way is kept by the
-objects that the router is made of, each in a module of its own.
+Processing of a request: `RequestReceived` routes it, which sends a first attempt to a cache. Each
+`AttemptFinished` either completes the request or routes it again. `TimerFired` finds overdue
+attempts, and ends the request before its client's deadline. The objects that the router consists
+of, each in a module of its own, record what is learned about endpoints in the process.
 
-Pure: no sockets, files, threads or clocks; time comes with each call, in ms. Not thread-safe: the
-caller makes one call at a time.
+Pure: no sockets, files, threads or clocks; the time in ms is passed with each call. Not
+thread-safe: the caller makes one call at a time.
 """
 
 from collections.abc import Callable, Iterable
@@ -50,7 +50,7 @@
 
 
 class Route(NamedTuple):
-    """Where an attempt goes: its endpoint, and where a miss there is filled from."""
+    """Destination of an attempt: its endpoint and the source that a miss is filled from."""
 
     endpoint: TrackedEndpoint
     fill_source: TrackedEndpoint | None
@@ -58,15 +58,18 @@
 
 
 class Router:
-    """The decisions of one director.
+    """Decision maker of one director.
 
-    Owns the objects below, which share one random generator, and which requests are complete
-    (`Request.is_complete`, `Request.attempts`, `TrackedEndpoint.attempts_in_flight`). The two quota
-    shares are also changed by the quota exchange, under the caller's lock.
+    Owns the objects below, which share one random generator, and the progress of requests
+    (`Request.is_complete`, `Request.attempts`, `TrackedEndpoint.attempts_in_flight`). The quota
+    exchange also changes the two quota shares, under the caller's lock.
     """
 
     def __init__(self, now: float, seed: int, settings: ServiceSettings) -> None:
-        """Starts without endpoints. The same seed and calls give the same decisions."""
+        """Create a router without endpoints.
+
+        The same seed and calls give the same decisions.
+        """
         self.settings = settings
         self.random = Random(seed)
         self.cache_slow_start_quota = QuotaShare(1.0 / settings.local_director_count)
@@ -79,7 +82,8 @@
         self.link = LinkCongestion()
         self.retry_policy = RetryPolicy(settings, self.work, self.overload)
         self.slow_start = self._make_slow_start()
-        # First the scheduler draws at random, then the trial tokens: a seed's decisions need it so.
+        # The scheduler must draw its random numbers before the trial tokens are drawn: the
+        # decisions of a seed depend on this order.
         checks = HealthCheckScheduler(
             now, self.random, settings.polls_load_reports, settings.health_check_cost
         )
@@ -139,7 +143,7 @@
         )
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """The method that handles each type of event."""
+        """Return the method that handles each type of event."""
         return {
             RequestReceived: self._on_request,
             AttemptFinished: self._on_attempt_finished,
@@ -153,7 +157,7 @@
         }
 
     def handle(self, now: float, events: Iterable[Event], sink: ActionSink) -> None:
-        """Handles the events in order; decisions go to the sink at once."""
+        """Handle the events in order; decisions are passed to the sink immediately."""
         self._now = now
         self._sink = sink
         if not self._is_subscribed:
@@ -166,10 +170,10 @@
                 sink.check_health(endpoint)
 
     def can_begin(self, now: float, attempt: Attempt) -> bool:
-        """Whether an attempt that waited to be written may still go.
+        """Return whether an attempt that was waiting to be written may still be sent.
 
-        What was learnt since it was decided (drains, purges, other attempts) may forbid it. Then it
-        never ran, and its request is routed again.
+        Information received since the decision (drains, purges, other attempts) may forbid it. The
+        attempt then never ran, and its request is routed again.
         """
         self._now = max(self._now, now)
         request = attempt.request
@@ -235,7 +239,7 @@
         self.health.update_endpoints(has_local_start)
 
     def _on_endpoint_list_failed(self, event: EndpointListFailed) -> None:
-        self._is_subscribed = False  # subscribes with the next call
+        self._is_subscribed = False  # subscribes at the next call
 
     def _on_purge(self, event: PurgeReceived) -> None:
         self.purges.record(event.object_id, event.group, self._now - event.age)
@@ -250,10 +254,13 @@
         if load and endpoint in self.endpoints.caches and "crowding" in load:
             self.link.record(load["crowding"], self._now)
 
-    # The way of a request
+    # Routing of requests
 
     def _route(self, request: Request) -> None:
-        """Sends the next attempt, or ends the request where none may go."""
+        """Send the next attempt.
+
+        If none is permitted, wait for an attempt in flight or end the request.
+        """
         now = self._now
         if not self.retry_policy.may_attempt(request, now) or not self.retry_policy.try_spend(
             request, now
@@ -267,7 +274,7 @@
             self.send(request, route)
 
     def _choose_route(self, request: Request) -> Route | None:
-        """Where the next attempt goes; None where it can't be served in time."""
+        """Choose the route of the next attempt; return None if it cannot be served in time."""
         allows_bypass = self.settings.allows_cache_bypass
         is_write = request.request_class.is_uncacheable
         is_zone_lost = self.health.is_zone_lost()
@@ -280,14 +287,17 @@
             fill = self.fill_sources.choose(request, cache, self._now)
         if cache is not None:
             route = Route(cache, fill.source, fill.only_if_cached)
-            return None if self._has_missed_like(request, route) else route
+            return None if self._would_repeat_miss(request, route) else route
         has_caches = self.endpoints.caches and not is_write and not is_zone_lost
         if fill.source is None or not allows_bypass or has_caches:
             return None
         return Route(fill.source, fill.source, False)
 
-    def _has_missed_like(self, request: Request, route: Route) -> bool:
-        """Whether a route gives only what is cached, and such an attempt has missed before."""
+    def _would_repeat_miss(self, request: Request, route: Route) -> bool:
+        """Return whether a route without fill would repeat a miss.
+
+        The route serves only cached objects, and an earlier attempt of this kind has missed.
+        """
         caches = self.endpoints.caches
         is_filled = route.fill_source is not route.endpoint and (
             not route.only_if_cached or route.fill_source in caches
@@ -299,7 +309,7 @@
         )
 
     def send(self, request: Request, route: Route) -> None:
-        """Sends an attempt on its way."""
+        """Send an attempt on the route."""
         now = self._now
         endpoint = route.endpoint
         attempt = Attempt(
@@ -329,13 +339,13 @@
         )
 
     def _check_overdue(self, attempt: Attempt) -> None:
-        """Looks at an attempt that should have ended, and again later."""
+        """Check whether an attempt is overdue, and schedule the next check."""
         self._sink.schedule_timer(0.5 * (self._now - attempt.sent_at), attempt)
         if self.overdue.check(attempt, self._now):
-            self._replace_overdue(attempt)
+            self._hedge_or_cancel(attempt)
 
-    def _replace_overdue(self, attempt: Attempt) -> None:
-        """Hedges the last attempt, or cancels it where only one may be in flight."""
+    def _hedge_or_cancel(self, attempt: Attempt) -> None:
+        """Hedge the last attempt, or cancel it if only one attempt may be in flight."""
         request = attempt.request
         if attempt is not request.attempts[-1] or request.request_class.idempotency == UNSAFE:
             return
@@ -346,13 +356,13 @@
             and self.retry_policy.can_afford_full_retry(request)
             and self.retry_policy.may_attempt(request, self._now)
         ):
-            self._sink.cancel_attempt(attempt)  # else its answer is all that may come
+            self._sink.cancel_attempt(attempt)  # otherwise its answer is the only one possible
 
     def _wait_or_give_up(self, request: Request) -> None:
-        """No attempt may follow: waits for one in flight at a reachable endpoint, else gives up.
+        """Wait for an attempt in flight at a reachable endpoint; if there is none, end the request.
 
-        Waiting keeps an overload from growing, in which endpoints work for requests that were given
-        up; it costs late answers.
+        No further attempt is permitted. Ending the request early would increase an overload, since
+        endpoints would keep working on abandoned requests. The cost of waiting is late answers.
         """
         last = request.attempts[-1] if request.attempts else None
         if (
@@ -364,7 +374,7 @@
             self._give_up(request)
 
     def _give_up(self, request: Request) -> None:
-        """The final answer, at once: a rejection, with Retry-After, where a retry is safe."""
+        """End the request without an answer: reject it if a retry is safe, else fail it."""
         settings = self.settings
         retry_after = (
             overload.retry_after(self.random.random(), settings.max_retry_after)
@@ -379,7 +389,7 @@
         self._complete(request)
 
     def _complete(self, request: Request) -> None:
-        """No answer is owed any more: cancels what is in flight."""
+        """Complete the request and cancel its attempts in flight."""
         request.is_complete = True
         if self.settings.allows_cancel:
             for attempt in request.attempts:
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -1,25 +1,26 @@
-"""Slow start: how much of the load of an endpoint that is warming up one director may send it.
+"""Slow start: the load that one director may send to an endpoint that is warming up.
 
-An endpoint that has just started can serve only a fraction of its capacity, and fails if it is sent
-much more over a certain window. All directors together must stay below that, and none of them knows
-what the others send. So each director has an equal share of the endpoint's present capacity, and
-counts the work that it has sent within the window:
+An endpoint that has just started can serve only a fraction of its capacity, and fails if it
+receives much more over a certain window. All directors together must stay below that, and none of
+them knows what the others send. Therefore each director has an equal share of the endpoint's
+present capacity, and counts the work that it has sent within the window:
 
 * Deterministic part: a request is admitted while the work within the window fits into
   `DETERMINISTIC_FRACTION` of the director's share.
 * Probabilistic part: with hundreds of directors the share is less than one request, and the
-  deterministic part alone would leave the endpoint idle for as long as it is warming up. Beyond it
-  a director therefore draws, at random, a *permit* for one request. Permits come up like a Poisson
-  process, as often as `PROBABILISTIC_FRACTION` of the share pays for them. An unused one expires
-  soon, so that at a moment at which all directors want the same endpoint only few of them have one.
+  deterministic part alone would leave the endpoint idle while it is warming up. Beyond the
+  deterministic part, a director therefore draws a random *permit* for one request. Permits are
+  generated like a Poisson process, at the rate that `PROBABILISTIC_FRACTION` of the share allows.
+  An unused permit expires soon, so that if all directors select the same endpoint at one moment,
+  only few of them have a permit.
 
-With directors that draw independently, the work that all of them send within a window has a mean of
-at most `DETERMINISTIC_FRACTION` of what the endpoint can do, or
-`PROBABILISTIC_FRACTION * (1 + PERMIT_LIFETIME)` of it, and varies like a sum of independent
-requests.
+If directors draw independently, the work that all of them send within a window has a mean of at
+most `DETERMINISTIC_FRACTION` of the endpoint's capacity, or `PROBABILISTIC_FRACTION * (1 +
+PERMIT_LIFETIME)` of it, and has the variance of a sum of independent requests.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
-caller's clock; the work of a request is how many ms it takes to send its response. Not thread-safe.
+caller's clock; the work of a request is the time in ms that its response takes to send. Not
+thread-safe.
 """
 
 import math
@@ -28,15 +29,15 @@
 
 from .model import QuotaShare
 
-# Fraction of the endpoint's present capacity that all directors use together where each has room
-# for a request in its share.
+# Fraction of the endpoint's present capacity that all directors together use if the share of each
+# has room for a request.
 DETERMINISTIC_FRACTION = 0.8
-# The same where they depend on permits: requests that come by chance come in clusters.
+# The same if they depend on permits. It is lower because random requests occur in clusters.
 PROBABILISTIC_FRACTION = 0.4
-# Lifetime of a permit in windows. A director that rarely has a request must still have the permit
-# when the request comes.
+# Lifetime of a permit in windows. It is long enough for a director with few requests to still have
+# the permit when a request is received.
 PERMIT_LIFETIME = 1.0
-# Requests count as at least so much work (ms) when a permit is drawn: bounds the rate of permits.
+# Minimum work (ms) of a request when a permit is drawn, which limits the rate of permits.
 MIN_PERMIT_WORK = 1.0
 
 
@@ -49,29 +50,29 @@
 
 
 class SlowStartBudget:
-    """What one director may send to one endpoint that is warming up."""
+    """Budget of one director for one endpoint that is warming up."""
 
     def __init__(self) -> None:
         self._sent: list[SentWork] = []
         self._last_draw_at = -math.inf
         self._permit_expires_at = -math.inf
-        self._permitted_work = 0.0  # the size of the request that the last permit is for
+        self._permitted_work = 0.0  # work of the request that the last permit is for
 
     def spend(self, now: float, work: float) -> None:
-        """Records that an admitted request was sent; it uses up the permit, if there is one."""
+        """Record that an admitted request was sent; this uses up the permit, if there is one."""
         self._sent.append(SentWork(now, work))
         self._permit_expires_at = -math.inf
 
     def record_peaks(
         self, share: QuotaShare, work: float, is_admitted: bool, endpoint_work: float
     ) -> None:
-        """Records for the quota exchange which fraction of the endpoint this director needs.
+        """Record for the quota exchange which fraction of the endpoint this director needs.
 
         Args:
             share: This director's share, whose peaks are raised.
             work: Work of the request that was admitted or rejected.
-            is_admitted: What `try_admit` has answered for it.
-            endpoint_work: The work that the endpoint can do now over the window.
+            is_admitted: Result of `try_admit` for the request.
+            endpoint_work: Work that the endpoint can now do over the window.
         """
         fraction = (self._sent_work() + work) / (DETERMINISTIC_FRACTION * endpoint_work)
         if is_admitted:
@@ -82,15 +83,15 @@
     def try_admit(
         self, now: float, work: float, capacity_share: float, window: float, random: Random
     ) -> bool:
-        """Whether a request may be sent now; draws a permit for it where one is needed.
+        """Return whether a request may be sent now; draw a permit for it if one is needed.
 
-        The answer for one moment stays the same, however often it is asked for, until `spend`.
+        Within one moment, repeated calls return the same answer until `spend`.
 
         Args:
             now: The current time in ms.
             work: Work of the request.
             capacity_share: This director's share of the endpoint's present capacity, work per ms.
-            window: The ms over which the endpoint must not be sent too much.
+            window: Time in ms over which the endpoint must not be overloaded.
             random: The director's source of randomness.
         """
         self._sent = [sent for sent in self._sent if sent.sent_at >= now - window]
@@ -108,15 +109,15 @@
     def _draw_permit(
         self, now: float, work: float, unused_capacity: float, lifetime: float, random: Random
     ) -> bool:
-        """Draws whether a permit for `work` has come up since the last draw.
+        """Draw whether a permit for `work` was generated since the last draw.
 
-        A second draw in the same moment takes a random number, but never succeeds.
+        A second draw in the same moment uses a random number, but never succeeds.
 
         Args:
             now: The current time in ms.
             work: Work of the request.
             unused_capacity: Work per ms that permits may be drawn for.
-            lifetime: How many ms a permit can be used.
+            lifetime: Time in ms for which a permit is valid.
             random: The director's source of randomness.
         """
         elapsed = min(now - self._last_draw_at, lifetime)
@@ -126,7 +127,8 @@
         expected_permits = unused_capacity * elapsed / max(work, MIN_PERMIT_WORK)
         if random.random() >= 1.0 - math.exp(-expected_permits):
             return False
-        # It came up at a random moment since the last draw, and a part of its lifetime is over.
+        # The permit was generated at a random moment since the last draw, so a part of its lifetime
+        # has passed.
         self._permit_expires_at = now + lifetime - elapsed * random.random()
         self._permitted_work = work
         return True
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -1,12 +1,12 @@
-"""Reconnecting the event stream: how long to wait, and when to look up its address again.
+"""Reconnection of the event stream: backoff, and repeated look-up of its address.
 
-The event stream brings the endpoint list. A stream that ends usually ends for all directors at
-once, so that each one waits a random time before it reconnects. While connections fail, the wait
-grows exponentially up to `MAX_BACKOFF_S`.
+The event stream transfers the endpoint list. If it ends, it usually ends for all directors at the
+same time, so each director waits a random time before it reconnects. While connections fail, the
+wait grows exponentially up to `MAX_BACKOFF_S`.
 
-An address that refuses connections for a while may be out of date: the configuration may name
-another one, and the signal to reload it may have been lost. The configuration is then read again,
-at a limited rate.
+An address that keeps refusing connections may be out of date: the configuration may contain a new
+address, and the signal to reload it may have been lost. The configuration is then read again, at a
+limited rate.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are *seconds* of any one clock.
 Not thread-safe.
@@ -14,21 +14,22 @@
 
 from random import Random
 
-# Backoff after the first connection that brought no events, and the longest one.
+# Backoff after the first connection without events, and the maximum backoff.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-# A backoff is changed at random by up to this fraction of it.
+# Maximum fraction by which a backoff is randomly changed.
 BACKOFF_JITTER = 0.25
-# After a stream that brought events the directors reconnect spread over so long.
+# Time over which the reconnections after a stream with events are spread.
 RECONNECT_JITTER_S = 0.1
-# Refusals must have lasted so long before the address is looked up in the configuration.
+# Time for which connections must have been refused before the address is looked up in the
+# configuration.
 REFUSED_BEFORE_LOOKUP_S = 1.5
-# Time between two such look-ups; each costs a read of one small file.
+# Minimum time between two look-ups; each of them reads one small file.
 LOOKUP_INTERVAL_S = 2.0
 
 
 class ReconnectBackoff:
-    """The waits of one director before it connects its event stream again."""
+    """Backoff of one director before it reconnects its event stream."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -36,13 +37,13 @@
         self._refused_since: float | None = None
         self._next_lookup_at = 0.0
 
-    def record_end(self, now: float, has_brought_events: bool, is_refused: bool) -> float:
-        """Records that a connection has ended, or could not be opened.
+    def record_end(self, now: float, has_received_events: bool, is_refused: bool) -> float:
+        """Record that a connection has ended, or could not be opened.
 
         Args:
             now: The current time in seconds.
-            has_brought_events: At least one event came on the connection.
-            is_refused: The address refused the connection.
+            has_received_events: Whether at least one event was received on the connection.
+            is_refused: Whether the address refused the connection.
 
         Returns:
             The seconds to wait before the next connection.
@@ -51,7 +52,7 @@
             self._refused_since = None
         elif self._refused_since is None:
             self._refused_since = now
-        if has_brought_events:
+        if has_received_events:
             self._backoff_s = 0.0
             return RECONNECT_JITTER_S * self._random.random()
         self._backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2.0 * self._backoff_s))
@@ -59,15 +60,15 @@
         return self._backoff_s * jitter
 
     def reset(self) -> None:
-        """Begins anew, as the stream has moved to another address."""
+        """Reset the backoff, because the stream has moved to another address."""
         self._backoff_s = 0.0
         self._refused_since = None
 
     def begin_lookup_if_due(self, now: float) -> bool:
-        """Whether the caller is to look up the address in the configuration now.
+        """Return whether the caller must look up the address in the configuration now.
 
         True at most once in `LOOKUP_INTERVAL_S`, while the address has refused all connections for
-        `REFUSED_BEFORE_LOOKUP_S`. Protects against a reload signal that was lost.
+        `REFUSED_BEFORE_LOOKUP_S`. Protects against a lost reload signal.
         """
         if self._refused_since is None:
             return False
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -1,7 +1,7 @@
-"""How long answers take to send, and what that leaves of a latency objective; pure, times in ms.
+"""Estimates of transfer times and of the time left until a latency objective; pure, times in ms.
 
-The unit of work is the sending time of an answer over one transfer. Where no sizes are known, the
-median time that answers took stands in for it.
+The unit of work is the time of one transfer of an answer. If no sizes are known, the median of past
+response times is used instead.
 """
 
 import math
@@ -10,25 +10,29 @@
 from .latency import USUAL_HALF_LIFE, DecayingHistogram
 from .model import Request, ServiceSettings
 
-MIN_SIZES_FOR_MEAN = 20.0  # sizes after which a class's mean counts for all of its requests
-OVERSIZED_FACTOR = 4.0  # objects this many times their class's mean are not kept when first seen
-SHARED_OBJECTIVE_FRACTION = 0.4  # of its objective that a request may take: others come meanwhile
-LONE_OBJECTIVE_FRACTION = 0.3  # and so much more where this director is alone in its zone
-NOISE_SLOWDOWN = 1.2  # a cache or link slowed by less, within the noise of wide bins, takes all
+MIN_SIZES_FOR_MEAN = 20.0  # known sizes after which a class's mean is used for all of its requests
+# Objects larger than this multiple of their class's mean are not stored at their first request.
+OVERSIZED_FACTOR = 4.0
+# Fraction of its objective that a request may use, as other requests are received meanwhile.
+SHARED_OBJECTIVE_FRACTION = 0.4
+# Fraction that is added if this director is alone in its zone; it decreases with more directors.
+LONE_OBJECTIVE_FRACTION = 0.3
+# A smaller slowdown of a cache or link is within the noise of the histogram's wide bins.
+NOISE_SLOWDOWN = 1.2
 
 
 @dataclass(slots=True)
 class TransferTotals:
-    """Sum and number of the known sending times of a class."""
+    """Sum and number of the known transfer times of a class."""
 
     total: float = 0.0
     count: float = 0.0
 
 
 class WorkEstimator:
-    """Estimates of sending times by request class.
+    """Estimator of transfer times by request class.
 
-    Owns the totals and response times of each class; changed only by the `record_` methods.
+    Owns the totals and response times of each class; only the `record_` methods change them.
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
@@ -42,18 +46,22 @@
         )
 
     def record_request(self, request: Request) -> None:
-        """Counts the size of a request that has come, where it is known."""
+        """Count the size of a received request, if it is known."""
         if request.size_kb and self._transfer_rate:
             totals = self._transfers[request.request_class]
             totals.total += request.size_kb / self._transfer_rate
             totals.count += 1
 
     def record_response_time(self, request: Request, elapsed: float, now: float) -> None:
-        """An answer, other than one known to be filled, took so long."""
+        """Record the response time of an answer that is not known to be filled."""
         self._response_times[request.request_class].add(now, elapsed)
 
     def transfer_time(self, request: Request, now: float) -> float:
-        """The sending time of the request's answer: its own, else the mean of its class."""
+        """Return the transfer time of the request's answer.
+
+        If the size is unknown, it is the mean of the request's class. Without any known sizes, it
+        is the median response time of the class, or a quarter of the latency objective.
+        """
         if request.size_kb and self._transfer_rate:
             return request.size_kb / self._transfer_rate
         request_class = request.request_class
@@ -66,10 +74,11 @@
         return totals.total / totals.count
 
     def slow_start_work(self, request: Request, now: float) -> float:
-        """What a request counts as at an endpoint that warms up: the mean of its class.
+        """Return the work of a request at an endpoint in slow start: the mean of its class.
 
-        Small requests that counted by their own size added up to several times the limit. Where no
-        size is known, the time that answers took stands in, and before that the objective.
+        Many small requests that are counted by their own size add up to several times the limit. If
+        no sizes are known, the median response time is used, and if there is none, the latency
+        objective.
         """
         request_class = request.request_class
         totals = self._transfers[request_class]
@@ -83,14 +92,14 @@
         return max(self.transfer_time(request, now), mean)
 
     def is_oversized(self, request: Request, now: float) -> bool:
-        """Whether the answer is several times as large as the mean of its class."""
+        """Return whether the answer is several times as large as the mean of its class."""
         totals = self._transfers[request.request_class]
         if not totals.count:
             return False
         return self.transfer_time(request, now) > OVERSIZED_FACTOR * totals.total / totals.count
 
     def objective_left(self, request: Request, now: float) -> float:
-        """How long until the request misses its latency objective; negative once it has."""
+        """Return the time until the request misses its latency objective; negative after that."""
         request_class = request.request_class
         objective = min(
             request_class.client_timeout,
@@ -100,10 +109,10 @@
         return request.arrived_at + objective - now
 
     def max_slowdown(self, request: Request, now: float) -> float:
-        """By what factor the answer's transfer may be slowed.
+        """Return the factor by which the answer's transfer may be slowed.
 
-        Only a part of the objective is used, since further requests come meanwhile; large answers
-        are thus the first to be rejected.
+        Only a fraction of the objective is used, since further requests are received in the
+        meantime. Therefore large answers are the first to be rejected.
         """
         ratio = self.objective_left(request, now) / self.transfer_time(request, now)
         return max(self._objective_fraction * ratio, min(NOISE_SLOWDOWN, ratio))
