--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -1,10 +1,10 @@
-"""Pending requests between the threads of the network code and the router.
+"""Coordinator of pending requests, between the threads of the network code and the router.
 
-One lock guards the router and the state of every request; nothing here touches a socket. A request
-is accepted, its steps are carried out until its result, and whoever comes second (a late answer,
-the client's leaving, a timer) finds it complete. The thread whose call changed a request carries
-out its steps until there are none; only one thread does at a time, so that they are carried out in
-order and the result comes last.
+One lock guards the router and the state of every request; this module uses no sockets. A request is
+accepted, and its steps are carried out until it has a result. Later events (a late answer, a client
+that leaves, a timer) find the request complete and are ignored. The thread whose call changed a
+request carries out its steps until there are none. Only one thread at a time does this for a
+request, so that the steps are carried out in order and the result comes last.
 """
 
 import threading
@@ -61,23 +61,31 @@
     "Served",
 ]
 
-# A request without a result so long after its client's deadline is failed by the coordinator.
-RESULT_SLACK = 8.0  # ms
-IDLE_WAIT = 1000.0  # ms until the next call where no timer is set
+# Time in ms after the client's deadline when the coordinator fails a request without a result.
+RESULT_GRACE_PERIOD = 8.0  # ms
+IDLE_WAIT = 1000.0  # ms until the next call if no timer is set
 
 
 class RequestCoordinator:
-    """The network code's view of the router.
+    """Interface of the network code to the router.
 
     Thread-safe. `lock` guards the router with all its objects, the endpoint registry, and the
-    actions with pending requests, timers and health checks. Methods with an underscore are called
-    under the lock.
+    actions with pending requests, timers and health checks. Methods with an underscore must be
+    called while the lock is held.
     """
 
     def __init__(
         self, clock: Callable[[], float], seed: int, settings: ServiceSettings, log: StructuredLog
     ) -> None:
-        """`clock` gives ms; the same seed and calls give the same decisions."""
+        """Create a coordinator without requests and endpoints.
+
+        Args:
+            clock: Returns the time in ms.
+            seed: Seed of the router's random numbers. The same seed and calls give the same
+                decisions.
+            settings: The settings of the service.
+            log: The log of the director.
+        """
         self.clock = clock
         self.settings = settings
         self.lock = threading.Lock()
@@ -87,17 +95,18 @@
         router = Router(clock(), seed, settings)
         self._actions = PendingActions(self.registry, self._now, log, self._wake)
         self._driver = RouterDriver(router, self._actions, self._now, log)
-        self._timer_changed = threading.Condition(self.lock)  # an earlier timer or a health check
-        self._waiting_until = 0.0  # when the thread in `wait_until` wakes by itself; 0: none waits
+        # Notified about a new timer that is due earlier, and about a new health check.
+        self._timer_changed = threading.Condition(self.lock)
+        self._waiting_until = 0.0  # end of the wait in `wait_until`; 0: no thread is waiting
 
     @property
     def router(self) -> Router:
-        """The router; used under the lock."""
+        """The router; used while the lock is held."""
         return self._driver.router
 
     @property
     def pending_requests(self) -> dict[Request, PendingRequest]:
-        """The requests whose result has not been taken; read under the lock."""
+        """The requests whose result has not been taken; read while the lock is held."""
         return self._actions.requests
 
     # Requests
@@ -115,10 +124,22 @@
         has_capacity: bool = True,
         pool: CachePool | None = None,
     ) -> Request:
-        """Takes a request; the calling thread carries out its steps, and until then nobody else.
+        """Accept a request and let the router handle it.
 
-        `remaining_time` is ms until the client's deadline. Without `has_capacity` to see the
-        request through, the router ends it at once. With a pool it is confined to that.
+        The calling thread carries out the request's steps; until then no other thread does.
+
+        Args:
+            request_class: The request's class.
+            object_id: The requested object.
+            part: The requested part of the object.
+            group: The group that the object is purged with.
+            size_kb: Size of the answer in KB; 0: unknown.
+            remaining_time: Time in ms until the client's deadline.
+            is_retry: Whether the client has sent the request before.
+            context: Data of the caller, kept with the request.
+            has_capacity: Whether the director has the capacity for the request. If not, the router
+                ends it immediately.
+            pool: The caches that the request is confined to; None: all caches of the location.
         """
         now = self.clock()
         with self.lock:
@@ -136,17 +157,17 @@
             )
             self.pending_requests[request] = PendingRequest(threading.get_ident())
             self._actions.set_timer(
-                remaining_time + RESULT_SLACK, TimerKind.RESULT_OVERDUE, request
+                remaining_time + RESULT_GRACE_PERIOD, TimerKind.RESULT_OVERDUE, request
             )
             self._driver.handle(RequestReceived(request) if has_capacity else TimerFired(request))
         return request
 
     def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
-        """What is to be done next for the request; its result comes last, and once.
+        """Return the next step of the request; its result is the last step, and is returned once.
 
         Returns:
-            None where nothing is to be done, or where another thread carries out the steps, which
-            then takes those that have come meanwhile.
+            None if there is nothing to do, or if another thread carries out the request's steps.
+                That thread then also carries out the steps that were added in the meantime.
         """
         with self.lock:
             pending = self.pending_requests.get(request)
@@ -166,30 +187,33 @@
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: CacheStatus = CacheStatus.UNKNOWN,
-        waited: float = 0.0,
+        cache_status: CacheStatus = CacheStatus.UNKNOWN,
+        first_byte_delay: float = 0.0,
         load: LoadReport | None = None,
         answer: Any = None,
     ) -> None:
-        """Reports how an attempt ended. What comes for one that has ended is dropped.
+        """Report how an attempt ended; ignore the report if the attempt has ended already.
 
         Args:
             attempt: The attempt.
             outcome: How it ended.
-            note: What the endpoint reported of the answer's way.
-            waited: The fill source's delay in ms, as reported; 0 where it was not.
-            load: The load report that came with it.
-            answer: What the client gets where it was served.
+            cache_status: How the endpoint obtained the answer, as reported by the endpoint.
+            first_byte_delay: Delay of the fill source in ms, as reported; 0 if not reported.
+            load: The load report that was received with the answer; None if there was none.
+            answer: The answer that the client receives if the attempt was served.
         """
         with self.lock:
-            self._driver.finish_attempt(attempt, outcome, note, waited, load, answer)
+            self._driver.finish_attempt(
+                attempt, outcome, cache_status, first_byte_delay, load, answer
+            )
 
     def can_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt that was decided may still go out.
+        """Return whether an attempt may still be sent.
 
-        Asked when its first byte is to be written, which may be long after. What came between (a
-        drain, another machine at the address, a purge, the client's leaving, another answer) may
-        forbid it; it is then reported as not sent, and the router decides anew.
+        The caller asks when the first byte is about to be written, which may be long after the
+        decision. Later events (a drain, another machine at the address, a purge, a client that
+        left, another answer) may forbid it. The attempt is then reported as not sent, and the
+        router decides again.
         """
         with self.lock:
             pending = self.pending_requests.get(attempt.request)
@@ -202,12 +226,15 @@
             return has_same_addresses and self.router.can_begin(self.clock(), attempt)
 
     def can_health_check(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
-        """Whether an endpoint may get a health check there, when it is to be written."""
+        """Return whether a health check may be sent to the endpoint at this address.
+
+        The caller asks when the health check is about to be written.
+        """
         with self.lock:
             return self.registry.is_current(endpoint, address) and endpoint.is_ready
 
     def client_left(self, request: Request) -> None:
-        """The client has left."""
+        """Record that the client of the request has left."""
         with self.lock:
             pending = self.pending_requests.get(request)
             if pending is not None and pending.result is None:
@@ -215,16 +242,16 @@
                 self._driver.handle(ClientLeft(request))
 
     def discard(self, request: Request) -> None:
-        """Nobody carries out this request's steps any more.
+        """Remove the request, because no thread carries out its steps any more.
 
-        Whoever holds the connections of its attempts gives these up.
+        The caller must release the connections of the request's attempts.
         """
         self.client_left(request)
         with self.lock:
             self.pending_requests.pop(request, None)
 
     def finish_pending_requests(self) -> list[Request]:
-        """Gives all pending requests their result; returns those whose steps are to be done."""
+        """End all pending requests; return those whose steps must be carried out."""
         with self.lock:
             unfinished = [
                 request
@@ -236,33 +263,39 @@
         return unfinished
 
     def pending_count(self) -> int:
-        """The number of requests whose result has not been taken."""
+        """Return the number of requests whose result has not been taken."""
         return len(self.pending_requests)
 
     def cpu_utilization(self) -> float:
-        """0 where timers run when they are due, near 1 where this director itself is late."""
+        """Return the utilization of this director's CPU time.
+
+        It is 0 if timers run when they are due, and near 1 if they run late.
+        """
         return self.scheduling_delay.utilization(self.clock())
 
     # Endpoints
 
     @property
     def endpoints(self) -> dict[str, TrackedEndpoint]:
-        """The endpoints by name; read under the lock."""
+        """The endpoints by name; read while the lock is held."""
         return self.registry.endpoints
 
     @property
     def addresses(self) -> dict[TrackedEndpoint, EndpointAddress]:
-        """Where each endpoint is found; read under the lock."""
+        """The address of each endpoint; read while the lock is held."""
         return self.registry.addresses
 
     @property
     def endpoint_updates(self) -> dict[str, EndpointUpdate]:
-        """What the list said last of each endpoint, by name; read under the lock."""
+        """The latest entry of each endpoint in the endpoint list, by name.
+
+        Read while the lock is held.
+        """
         return self.registry.updates
 
     @property
     def overrides(self) -> EndpointOverrides | None:
-        """What operators want over the list; set under the lock."""
+        """Overrides of the endpoint list by operators; set while the lock is held."""
         return self.registry.overrides
 
     @overrides.setter
@@ -270,22 +303,31 @@
         self.registry.overrides = overrides
 
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
-        """The ready caches of this zone by name, each with the fraction of its capacity it has."""
+        """Return the zone's ready caches by name, with the available fraction of their capacity."""
         with self.lock:
             return self.registry.fractions_by_name(
                 self.router.endpoints.caches, self.router.slow_start, self.clock()
             )
 
-    def update_endpoints(self, entries: list[EndpointUpdate], whole: bool) -> None:
-        """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
+    def update_endpoints(self, entries: list[EndpointUpdate], is_full_snapshot: bool) -> None:
+        """Apply an update of the endpoint list.
+
+        Args:
+            entries: New or changed entries.
+            is_full_snapshot: Whether endpoints without an entry are removed.
+        """
         with self.lock:
-            self._driver.handle(self.registry.accept(self.clock(), entries, whole))
+            self._driver.handle(self.registry.accept(self.clock(), entries, is_full_snapshot))
             self.registry.drop_removed(self.router.endpoints.known)
 
-    def change_overrides(self, make: Callable[[EndpointOverrides], list[str]]) -> None:
-        """Operators' wishes change: `make` changes them and returns the names concerned."""
+    def change_overrides(self, change: Callable[[EndpointOverrides], list[str]]) -> None:
+        """Change the operators' overrides of the endpoint list.
+
+        Args:
+            change: Changes the overrides and returns the names of the affected endpoints.
+        """
         with self.lock:
-            event = self.registry.reapply(make)
+            event = self.registry.reapply(change)
             if event is not None:
                 self._driver.handle(event)
                 self.registry.drop_removed(self.router.endpoints.known)
@@ -293,31 +335,44 @@
     def endpoint_states(
         self,
     ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
-        """For operators, by name: what is listed, what this director goes by, and what it measured.
+        """Return the state of each endpoint for operators, by name.
 
         Returns:
-            A tuple for each endpoint: its entry, effective state, statistics, smoothed delay in ms
-            (None: not measured) and the fraction of its capacity that it has at the least.
+            A tuple for each endpoint: its entry in the endpoint list, the effective state at this
+                director, its statistics, the smoothed delay in ms (None: not measured) and the
+                minimum fraction of its capacity that is available.
         """
         with self.lock:
             return self.registry.states(self.router.slow_start, self.clock())
 
     def report_health_check(
-        self, node: TrackedEndpoint, load: LoadReport | None, well: bool = True
+        self, endpoint: TrackedEndpoint, load: LoadReport | None, is_healthy: bool = True
     ) -> None:
-        """Reports a health check's result: the load report, and whether it was answered."""
+        """Report the result of a health check.
+
+        Args:
+            endpoint: The endpoint.
+            load: The load report; None if there was none.
+            is_healthy: Whether the health check was answered.
+        """
         with self.lock:
-            self._driver.handle(HealthCheckFinished(node, load, well))
+            self._driver.handle(HealthCheckFinished(endpoint, load, is_healthy))
 
     # Purges
 
-    def apply_purge(self, key: int, group: int, at: float) -> None:
-        """An object (or with `key` 0 a group) was purged at that time."""
+    def apply_purge(self, object_id: int, group: int, purged_at: float) -> None:
+        """Apply the purge of an object or group.
+
+        Args:
+            object_id: The purged object; 0: the whole group.
+            group: The group.
+            purged_at: Time of the purge.
+        """
         with self.lock:
-            self._driver.handle(PurgeReceived(key, group, self.clock() - at))
+            self._driver.handle(PurgeReceived(object_id, group, self.clock() - purged_at))
 
     def active_purge_count(self) -> int:
-        """The number of purges that are remembered."""
+        """Return the number of purges in the router's history."""
         return len(self.router.purges)
 
     # Time
@@ -325,11 +380,11 @@
     def run_due_timers(
         self,
     ) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
-        """Runs the timers that are due.
+        """Run the timers that are due.
 
         Returns:
-            When to call again, the health checks to be sent, and the requests whose steps are to
-            be carried out.
+            When to call again, the health checks to send, and the requests whose steps must be
+                carried out.
         """
         with self.lock:
             now = self.clock()
@@ -354,7 +409,7 @@
             )
 
     def wait_until(self, until: float) -> None:
-        """Blocks until that time, or until an earlier timer or a health check is wanted."""
+        """Block until that time, or until an earlier timer or a health check is added."""
         with self.lock:
             self._waiting_until = until
             remaining = until - self.clock()
@@ -367,12 +422,12 @@
                 self._timer_changed.wait(remaining / 1000.0)
             self._waiting_until = 0.0
 
-    # Inside, under the lock
+    # Private methods, called while the lock is held
 
     def _now(self) -> float:
         return self.clock()
 
     def _wake(self, due: float) -> None:
-        """Wakes the thread in `wait_until` where something is due before it wakes by itself."""
+        """Wake the thread in `wait_until` if something is due before the end of its wait."""
         if due < self._waiting_until:
             self._timer_changed.notify_all()
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this director received it: names, addresses and overrides by operators.
+"""Registry of the endpoint list as received by this director: names, addresses and overrides.
 
 Not thread-safe; the coordinator guards it with its lock.
 """
@@ -14,25 +14,31 @@
 
 
 class EndpointOverrides(Protocol):
-    """What operators want of endpoints, over the list. Called under the coordinator's lock."""
+    """Operators' overrides of the endpoint list; called under the coordinator's lock."""
 
-    def update_endpoints(self, now: float, entries: list[EndpointUpdate], whole: bool) -> None:
-        """The list has changed; with a full snapshot, what has no entry is gone."""
+    def update_endpoints(
+        self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
+    ) -> None:
+        """Take note of an update of the endpoint list.
+
+        After a full snapshot, endpoints without an entry are removed.
+        """
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """The state that this director goes by."""
+        """Return the state of the endpoint that this director uses."""
 
 
 class EndpointRegistry:
-    """The endpoints by name, and where each is found.
+    """Endpoints by name, with the address of each.
 
-    Owns the fields below. `accept` and `reapply` change them, and `drop_removed` forgets endpoints.
+    Owns the attributes below. `accept` and `reapply` change them, and `drop_removed` removes
+    endpoints.
 
     Attributes:
-        endpoints: What the router knows each endpoint by, by name.
-        addresses: Where each is found; one that starts again gets a new address object.
-        updates: What the list said last of each endpoint; those gone are left out.
-        overrides: What operators want over the list; None without management.
+        endpoints: The router's endpoint objects, by name.
+        addresses: The address of each endpoint; a restarted endpoint gets a new address object.
+        updates: The latest entry of each endpoint, by name, except for removed endpoints.
+        overrides: Operators' overrides of the endpoint list; None without management.
     """
 
     def __init__(self) -> None:
@@ -44,8 +50,8 @@
     def accept(
         self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
     ) -> EndpointsUpdated:
-        """Takes over an update of the list; returns it as the router is to see it."""
-        complete = [known for entry in entries if (known := self._completed(entry)) is not None]
+        """Store an update of the endpoint list; return the event for the router."""
+        complete = [known for entry in entries if (known := self._fill_in(entry)) is not None]
         if is_full_snapshot:
             self.updates = {}
         for entry in complete:
@@ -58,28 +64,31 @@
         return self._router_update(complete, is_full_snapshot)
 
     def reapply(self, change: Callable[[EndpointOverrides], list[str]]) -> EndpointsUpdated | None:
-        """Changes the overrides; returns the endpoints concerned as the router is to see them.
+        """Change the overrides; return the event for the router with the affected endpoints.
 
         Args:
-            change: Changes the overrides and returns the names of the endpoints concerned.
+            change: Changes the overrides and returns the names of the affected endpoints.
 
         Returns:
-            None where no listed endpoint is concerned.
+            None if no listed endpoint is affected.
         """
         names = change(self.overrides)  # type: ignore[arg-type]  # set by the only caller
-        touched = [self.updates[name] for name in names if name in self.updates]
-        return self._router_update(touched, False) if touched else None
+        affected = [self.updates[name] for name in names if name in self.updates]
+        return self._router_update(affected, False) if affected else None
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """The state that this director goes by."""
+        """Return the state of the endpoint that this director uses."""
         return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
 
     def is_current(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
-        """Whether the endpoint is still listed at that address and has not started again."""
+        """Return whether the endpoint is listed at that address and has not restarted."""
         return self.addresses.get(endpoint) is address and not address.is_removed
 
     def drop_removed(self, still_known: dict[TrackedEndpoint, None]) -> None:
-        """Forgets those gone that the router has forgotten: they would add up with time."""
+        """Remove endpoints that are no longer listed or known to the router.
+
+        Without this, memory would grow with every replaced endpoint.
+        """
         for name, endpoint in list(self.endpoints.items()):
             if self.addresses[endpoint].is_removed and endpoint not in still_known:
                 del self.endpoints[name]
@@ -88,7 +97,7 @@
     def fractions_by_name(
         self, endpoints: list[TrackedEndpoint], slow_start: SlowStartAdmission, now: float
     ) -> list[tuple[str, TrackedEndpoint, float]]:
-        """The endpoints by name, each with the fraction of its capacity that it has."""
+        """Return the endpoints by name, each with the available fraction of its capacity."""
         named = [
             (
                 self.addresses[endpoint].name,
@@ -102,7 +111,12 @@
     def states(
         self, slow_start: SlowStartAdmission, now: float
     ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
-        """By name: entry, effective state, statistics, smoothed delay, fraction of capacity."""
+        """Return the state of each listed endpoint, sorted by name.
+
+        Returns:
+            A tuple for each endpoint: its entry, effective state, statistics, smoothed delay and
+                available fraction of its capacity.
+        """
         return [
             (
                 entry,
@@ -115,8 +129,12 @@
             if (endpoint := self.endpoints.get(name))
         ]
 
-    def _completed(self, entry: EndpointUpdate) -> EndpointUpdate | None:
-        """The entry with what it left out, as it was before; None where that is not known."""
+    def _fill_in(self, entry: EndpointUpdate) -> EndpointUpdate | None:
+        """Return the entry with omitted fields filled in from the previous entry.
+
+        Returns:
+            None if the entry has no address and there is no previous entry.
+        """
         known = self.updates.get(entry.name)
         is_gone = entry.state == EndpointState.GONE
         has_address = entry.address != UNKNOWN_ADDRESS
@@ -160,7 +178,7 @@
 
 
 def hash_key(name: str) -> int:
-    """The number of an endpoint in the rendezvous hash, the same at every director."""
+    """Return the number of an endpoint in the rendezvous hash, the same at every director."""
     digits = name.rpartition("-")[2]
     try:
         return int(digits, 16)
--- a/mulleinrelay/pending_requests.py
+++ b/mulleinrelay/pending_requests.py
@@ -1,4 +1,4 @@
-"""A pending request: its steps for the network code, and its result."""
+"""Pending requests: their steps for the network code, and their results."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,47 +9,47 @@
 
 @dataclass(slots=True, eq=False)
 class CancelAttempt:
-    """A step: cancel this attempt."""
+    """Step that cancels this attempt."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True, eq=False)
 class Served:
-    """A result: the client gets this answer."""
+    """Result of a request whose client receives this answer."""
 
-    answer: Any  # what the caller reported with the attempt
+    answer: Any  # the answer that the caller reported with the attempt
 
 
 @dataclass(slots=True, eq=False)
 class Rejected:
-    """A result: the request was not served, and a retry is safe."""
+    """Result of a request that was not served and may safely be retried."""
 
     retry_after_ms: float
 
 
 @dataclass(slots=True, eq=False)
 class Failed:
-    """A result: the request failed and may have had its effect."""
+    """Result of a request that failed and may have had its effect."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientGone:
-    """A result: the client is gone; no answer is owed."""
+    """Result of a request whose client has left; no answer is sent."""
 
 
 RequestResult = Served | Rejected | Failed | ClientGone
 
 
 class PendingRequest:
-    """A request whose result has not been taken yet.
+    """Request whose result has not been taken yet.
 
     Guarded by the coordinator's lock.
 
     Attributes:
-        next_steps: What is to be done for it, in order.
-        result: Its result; the first one stays.
-        owner_thread: The thread that carries out its steps; 0: none.
+        next_steps: The steps to carry out, in order.
+        result: The request's result; only the first result is stored.
+        owner_thread: Identifier of the thread that carries out the steps; 0: none.
     """
 
     __slots__ = ("next_steps", "owner_thread", "result")
@@ -60,16 +60,16 @@
         self.owner_thread = owner_thread
 
     def complete(self, result: RequestResult) -> None:
-        """Sets the result where there is none."""
+        """Set the result if there is none."""
         if self.result is None:
             self.result = result
 
     def has_work(self) -> bool:
-        """Whether somebody is to carry out its steps or take its result."""
+        """Return whether there are steps to carry out or a result to take."""
         return bool(self.next_steps) or self.result is not None
 
     def take_step(self) -> SendAttempt | CancelAttempt | None:
-        """Removes and returns the next step; sendings that are of no use any more are skipped."""
+        """Remove and return the next step; skip steps that send an attempt without use."""
         while self.next_steps:
             step = self.next_steps.popleft()
             if isinstance(step, CancelAttempt) or (
@@ -79,7 +79,7 @@
         return None
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancels an attempt: takes its sending back, or adds a step that cancels it."""
+        """Cancel an attempt: remove its pending send step, or add a step that cancels it."""
         for step in self.next_steps:
             if isinstance(step, SendAttempt) and step.attempt is attempt:
                 self.next_steps.remove(step)
--- a/mulleinrelay/router_actions.py
+++ b/mulleinrelay/router_actions.py
@@ -1,4 +1,4 @@
-"""What the router wants done: steps of pending requests, timers and health checks."""
+"""Store of the router's actions: steps of pending requests, timers and health checks."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class PendingActions:
-    """The router's `ActionSink`: keeps its actions until the network code carries them out.
+    """The router's `ActionSink`; stores its actions until the network code carries them out.
 
     Not thread-safe; the coordinator guards it with its lock.
 
     Attributes:
         requests: The pending requests; the coordinator adds and removes them.
-        timers: The timers, of the router's and the coordinator's own.
+        timers: The timers of the router and of the coordinator.
     """
 
     def __init__(
@@ -28,7 +28,15 @@
         log: StructuredLog,
         wake: Callable[[float], None],
     ) -> None:
-        """`wake` gets the time of each timer or health check, and wakes who waits for it."""
+        """Create an empty store.
+
+        Args:
+            registry: The endpoints and their addresses.
+            clock: Returns the time in ms.
+            log: The log of the director.
+            wake: Called with the time of each new timer or health check, to wake the waiting
+                thread.
+        """
         self._registry = registry
         self._clock = clock
         self._log = log
@@ -39,23 +47,23 @@
         self._cancelled: list[Attempt] = []
 
     def set_timer(self, delay: float, kind: TimerKind, subject: Request | Attempt) -> None:
-        """Sets a timer that is due in so many ms."""
+        """Set a timer that is due in `delay` ms."""
         due = self._clock() + delay
         self.timers.add(due, kind, subject)
         self._wake(due)
 
     def has_health_checks(self) -> bool:
-        """Whether health checks wait to be sent."""
+        """Return whether health checks are pending."""
         return bool(self._health_checks)
 
     def take_health_checks(self) -> list[tuple[TrackedEndpoint, EndpointAddress]]:
-        """Removes and returns the health checks that wait to be sent."""
+        """Remove and return the pending health checks."""
         health_checks = self._health_checks
         self._health_checks = []
         return health_checks
 
     def take_cancelled(self) -> list[Attempt]:
-        """Removes and returns the attempts that the router cancelled, to be reported back to it."""
+        """Remove and return the attempts that the router cancelled, to be reported back to it."""
         cancelled = self._cancelled
         self._cancelled = []
         return cancelled
@@ -63,7 +71,7 @@
     # ActionSink
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Adds a step that sends the attempt, and sets its timeout."""
+        """Add a step that sends the attempt, and set its timeout."""
         pending = self.requests.get(attempt.request)
         if pending is None:
             return
@@ -89,7 +97,7 @@
         self.set_timer(attempt.timeout, TimerKind.ATTEMPT_TIMEOUT, attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Adds a step that cancels the attempt, and reports it back."""
+        """Add a step that cancels the attempt, and report the cancellation back to the router."""
         if attempt.outcome is None:
             pending = self.requests.get(attempt.request)
             if pending is not None:
@@ -97,11 +105,11 @@
             self._cancelled.append(attempt)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Sets the request's result."""
+        """Set the request's result to a rejection."""
         self._complete(request, Rejected(retry_after))
 
     def fail_request(self, request: Request) -> None:
-        """Sets the request's result."""
+        """Set the request's result to a failure."""
         self._complete(request, Failed())
 
     def _complete(self, request: Request, result: RequestResult) -> None:
@@ -110,17 +118,17 @@
             pending.complete(result)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Sets a timer that calls the router."""
+        """Set a timer that calls the router."""
         self.set_timer(delay, TimerKind.ROUTER, subject)
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
-        """Has the thread that runs timers send a health check."""
+        """Add a health check, and wake the thread that sends it."""
         self._health_checks.append((endpoint, self._registry.addresses[endpoint]))
         self._wake(0.0)
 
     def subscribe_to_endpoints(self) -> None:
-        """The event stream is always read."""
+        """Do nothing, since the event stream is always read."""
 
     def log(self, text: str) -> None:
-        """Writes a line about a change of the router's mode."""
+        """Log a change of the router's mode."""
         self._log.event("mode", text=text)
--- a/mulleinrelay/router_driver.py
+++ b/mulleinrelay/router_driver.py
@@ -1,4 +1,4 @@
-"""Drives the router: hands it events, and what follows from its own actions."""
+"""Driver of the router: passes it events, and the events that follow from its own actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,13 +13,13 @@
 
 
 class RouterDriver:
-    """The router with what keeps its actions.
+    """Router together with the store of its actions.
 
     Not thread-safe; the coordinator guards it with its lock.
 
     Attributes:
         router: The router.
-        actions: Its actions that wait to be carried out.
+        actions: The router's pending actions.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
         self._log = log
 
     def handle(self, event: Event) -> None:
-        """Has the router handle an event, and then the attempts that it cancelled."""
+        """Let the router handle an event, and then report the attempts that it cancelled."""
         events: list[Event] = [event]
         while events:
             try:
                 self.router.handle(self._clock(), events, self.actions)
-            except Exception as error:  # the request fails; the director and its others go on
+            except Exception as error:  # only this request fails; the director continues
                 self._log.exception(f"router, {type(event).__name__}", error)
                 self._fail_request_of(event)
             cancelled = self.actions.take_cancelled()
@@ -60,7 +60,10 @@
         load: LoadReport | None = None,
         answer: Any = None,
     ) -> None:
-        """Ends an attempt, unless it has ended; a first served one brings the request's result."""
+        """End an attempt, unless it has ended already.
+
+        The first served attempt sets the request's result.
+        """
         if attempt.outcome is not None:
             return
         request = attempt.request
@@ -79,7 +82,7 @@
     def run_timer(
         self, kind: TimerKind, subject: Request | Attempt, pending: PendingRequest
     ) -> None:
-        """Does what a timer that is due was set for, unless its subject has ended."""
+        """Carry out the purpose of a due timer, unless its subject has ended."""
         if isinstance(subject, Request):
             if kind == TimerKind.RESULT_OVERDUE:
                 self._fail_overdue(subject, pending)
@@ -93,7 +96,7 @@
                 self.handle(TimerFired(subject))
 
     def _fail_overdue(self, request: Request, pending: PendingRequest) -> None:
-        """The router gave no result; the client must not wait in vain."""
+        """Fail a request without a result, so that its client does not wait any longer."""
         if pending.result is None:
             self._log.event("overdue", attempts=len(request.attempts))
             pending.complete(Failed())
--- a/mulleinrelay/timers.py
+++ b/mulleinrelay/timers.py
@@ -1,4 +1,4 @@
-"""The timers of pending requests, by due time."""
+"""Timers of pending requests, ordered by due time."""
 
 import heapq
 from enum import Enum
@@ -7,18 +7,18 @@
 
 
 class TimerKind(Enum):
-    """What is to be done when a timer is due."""
+    """Purpose of a timer."""
 
-    ATTEMPT_TIMEOUT = "attempt timeout"  # the attempt has had its time and is given up
-    RESULT_OVERDUE = "result overdue"  # the request must have its result by now
-    ROUTER = "router"  # the router wanted to be called
+    ATTEMPT_TIMEOUT = "attempt timeout"  # the attempt has timed out and is abandoned
+    RESULT_OVERDUE = "result overdue"  # the request should have its result by now
+    ROUTER = "router"  # the router scheduled a call
 
 
 class TimerQueue:
-    """Timers by due time; those due at the same time run in the order they were set.
+    """Queue of timers by due time; timers with the same due time run in the order they were set.
 
-    Owns the heap. Timers are not removed when their subject ends; whoever runs one checks that.
-    Not thread-safe; the coordinator guards it with its lock.
+    Owns the heap. Timers are not removed when their subject ends; the code that runs a timer checks
+    that. Not thread-safe; the coordinator guards it with its lock.
     """
 
     def __init__(self) -> None:
@@ -26,16 +26,16 @@
         self._count = 0
 
     def add(self, due: float, kind: TimerKind, subject: Request | Attempt) -> None:
-        """Sets a timer."""
+        """Set a timer."""
         self._count += 1
         heapq.heappush(self._timers, (due, self._count, kind, subject))
 
     def next_due(self) -> float | None:
-        """When the next timer is due; None where there is none."""
+        """Return when the next timer is due; None if there is none."""
         return self._timers[0][0] if self._timers else None
 
     def pop_due(self, now: float) -> tuple[TimerKind, Request | Attempt] | None:
-        """Removes the next timer and returns it if it is due; else None."""
+        """Remove and return the next timer if it is due; otherwise return None."""
         if not self._timers or self._timers[0][0] > now:
             return None
         _, _, kind, subject = heapq.heappop(self._timers)
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -1,7 +1,8 @@
-"""Frame codec of the simulator's wire: bytes to records and back.
+"""Frame codec of the simulator's wire protocol: decodes records and encodes replies.
 
-The wire's own words end here; the names of the codes are the terms of `policy/events.py` and
-`policy/actions.py`. A batch is a header, records of one size and a tail that holds what is longer.
+Only this module uses the protocol's own terms; the names of the codes are the terms of
+`policy/events.py` and `policy/actions.py`. A batch consists of a header, records of a fixed size,
+and a tail with data of variable length.
 """
 
 import struct
@@ -10,16 +11,16 @@
 
 from .errors import ProtocolError
 
-HEADER = struct.Struct("<IIdI")  # number of records, length, clock in ms, number of the batch
-HEADER_REST = 12  # bytes of the header that the length counts
+HEADER = struct.Struct("<IIdI")  # number of records, length, clock in ms, batch number
+HEADER_REST = 12  # bytes of the header that are included in the length
 REPLY_HEADER = struct.Struct("<III")
 REPLY_HEADER_REST = 4
-EVENT_SIZE = 56  # bytes of a record that comes in
-ACTION_SIZE = 40  # bytes of a record that goes out
+EVENT_SIZE = 56  # bytes of a received record
+ACTION_SIZE = 40  # bytes of a record in a reply
 ENDPOINT_ROW = struct.Struct("<HBf6sBdB")
 
-# Codes of records that come in
-SELECT_INSTANCE = 130  # the records that follow are for this instance
+# Codes of received records
+SELECT_INSTANCE = 130  # the following records are for this instance
 BEGIN = 10
 ENDPOINT_LIST = 20
 NEW_REQUEST = 30
@@ -48,11 +49,11 @@
     PURGE: struct.Struct("<xQHd"),
     ENDPOINT_ROWS: struct.Struct("<xHII"),
 }
-# Index of the field with the offset in the tail; the field after it has the length.
+# Index of the field that contains the offset in the tail; the field after it contains the length.
 TAIL_FIELDS = {BEGIN: 1, PEER_DATA: 1, ENDPOINT_ROWS: 1}
 
-# Codes of records that go out
-FOR_INSTANCE = 60  # the records that follow are of this instance
+# Codes of records in a reply
+FOR_INSTANCE = 60  # the following records are from this instance
 SEND_ATTEMPT = 10
 FORWARD = 30
 CANCEL_ATTEMPT = 130
@@ -80,14 +81,14 @@
     SUBSCRIBE: struct.Struct("<BB"),
 }
 
-Fields = tuple[Any, ...]  # of one record, as its struct unpacks them
-# One record that came in: its code and fields. A field that refers to the tail holds what stands
-# there. A plain tuple, as there are several for each request.
+Fields = tuple[Any, ...]  # of one record, as unpacked by its struct
+# One received record: its code and fields. A field that refers to the tail contains the referenced
+# data. It is a plain tuple for speed, as there are several for each request.
 Record = tuple[int, Fields]
 
 
 class Batch(NamedTuple):
-    """One batch that came in; the clock in ms."""
+    """One received batch; the clock is in ms."""
 
     clock: float
     number: int
@@ -95,29 +96,29 @@
 
 
 class WireError(ProtocolError):
-    """A frame that does not follow the wire page; the text says what was wrong and where."""
+    """Error for a frame that violates the protocol; the message contains cause and location."""
 
 
-def _read_exactly(stream: BinaryIO, size: int, what: str, allow_end: bool = False) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int, section: str, allow_end: bool = False) -> bytes:
     data = b""
     while len(data) < size:
-        more = stream.read(size - len(data))
-        if not more:
+        chunk = stream.read(size - len(data))
+        if not chunk:
             if allow_end and not data:
                 return b""
-            raise WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
-        data += more
+            raise WireError(f"input ended inside {section}: {len(data)} of {size} bytes")
+        data += chunk
     return data
 
 
 def read_frame(stream: BinaryIO) -> Batch | None:
-    """Reads one batch.
+    """Read one batch.
 
     Returns:
-        None when the input ended between batches.
+        None if the input ended between batches.
 
     Raises:
-        WireError: The input ended inside a batch, or a record is malformed.
+        WireError: If the input ended inside a batch, or a record is malformed.
     """
     header = _read_exactly(stream, HEADER.size, "a frame header", allow_end=True)
     if not header:
@@ -154,23 +155,23 @@
 
 
 class Reply:
-    """The actions of one reply, in the order written. Owns the records and the tail."""
+    """Actions of one reply, in the order written; owns the records and the tail."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = b""
 
     def add(self, code: int, *fields: Any) -> None:
-        """Adds a record."""
+        """Add a record."""
         self._records.append(ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def add_bytes(self, code: int, entry: bytes, *fields: Any) -> None:
-        """Adds a record that ends with a reference to bytes in the tail."""
+        """Add a record that ends with a reference to bytes in the tail."""
         self.add(code, *fields, len(self._tail), len(entry))
         self._tail += entry
 
     def frame(self, number: int) -> bytes:
-        """The reply to the batch with that number."""
+        """Return the encoded reply to the batch with that number."""
         body = b"".join(self._records) + self._tail
         header = REPLY_HEADER.pack(len(self._records), REPLY_HEADER_REST + len(body), number)
         return header + body
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: hosts directors, and turns wire records into events and actions back."""
+"""Simulator adapter: hosts directors, and converts wire records to events and actions back."""
 
 import gc
 import sys
@@ -39,8 +39,8 @@
     2: Outcome.MISS,
 }
 CACHE_STATUSES = {int(status): status for status in CacheStatus}
-HEALTHY = 0  # status of a health check that was answered
-DELTA_LIST = 2  # how a membership record is meant; any other is a full snapshot
+HEALTHY = 0  # status of an answered health check
+DELTA_LIST = 2  # kind of an endpoint list; kinds other than these two are full snapshots
 FAILED_LIST = 3
 RETRY_FLAG = 2  # of a new request
 # Flags of an attempt
@@ -51,17 +51,17 @@
 ADDRESS_SIZE = 6  # bytes
 
 
-EndpointRows = list[Any]  # of one endpoint list, as unpacked
+EndpointRows = list[Any]  # unpacked rows of one endpoint list
 
 
 class Instance:
-    """One director of the simulator and the router's `ActionSink`.
+    """One director of the simulator and its router's `ActionSink`.
 
-    Owns the numbers of its requests, endpoints and timers, and the events of the present batch.
+    Owns the numbers of its requests, endpoints and timers, and the events of the current batch.
     """
 
     def __init__(self, number: int) -> None:
-        """An instance that has not begun: it has no router yet."""
+        """Create an instance without a router; `begin` creates the router."""
         self.number = number
         self.reply = wire.Reply()
         self.router: Router | None = None
@@ -70,10 +70,12 @@
         self._timers: dict[int, Request | Attempt] = {}
         self._timer_count = 0
         self._events: list[Event] = []
-        self._touched: list[Request] = []  # requests that may be over with this batch
+        self._possibly_finished: list[
+            Request
+        ] = []  # requests that may be finished after this batch
         self._readers = {
             wire.NEW_REQUEST: self._read_request,
-            wire.ATTEMPT_FINISHED: self._read_answer,
+            wire.ATTEMPT_FINISHED: self._read_attempt_result,
             wire.TIMER_FIRED: self._read_timer,
             wire.CLIENT_LEFT: self._read_client_left,
             wire.HEALTH_CHECK_FINISHED: self._read_health_check,
@@ -82,10 +84,10 @@
         }
 
     def begin(self, now: float, fields: wire.Fields) -> None:
-        """Starts the router with the settings that the record brings.
+        """Create the router with the settings in the record.
 
         Raises:
-            wire.WireError: The settings cannot be used.
+            wire.WireError: If the settings are invalid.
         """
         try:
             settings = parse_service_settings_text(fields[1])
@@ -96,7 +98,7 @@
     def read(
         self, now: float, code: int, fields: wire.Fields, endpoint_lists: dict[int, EndpointRows]
     ) -> None:
-        """Takes one record as an event of this batch. Before the instance has begun, drops it."""
+        """Add one record to the events of this batch; ignore it if there is no router yet."""
         if code == wire.BEGIN:
             self.begin(now, fields)
         elif self.router is None:
@@ -107,7 +109,7 @@
             reader(self.router, now, fields)
 
     def handle(self, now: float) -> None:
-        """Has the router handle the events of this batch."""
+        """Let the router handle the events of this batch."""
         if self.router is not None:
             self.router.handle(now, self._events, self)
         self._events = []
@@ -116,10 +118,10 @@
     # Records
 
     def _read_request(self, router: Router, now: float, fields: wire.Fields) -> None:
-        number, case, _, object_id, remaining_time, size_kb, group, part, flags = fields
+        number, class_index, _, object_id, remaining_time, size_kb, group, part, flags = fields
         request = Request(
             number,
-            router.settings.request_classes[case],
+            router.settings.request_classes[class_index],
             object_id,
             int(part),
             int(group),
@@ -131,11 +133,11 @@
         self.requests[number] = request
         self._events.append(RequestReceived(request))
 
-    def _read_answer(self, router: Router, now: float, fields: wire.Fields) -> None:
+    def _read_attempt_result(self, router: Router, now: float, fields: wire.Fields) -> None:
         number, attempt_number, _, status, elapsed, is_complete, cache_status, *rest = fields
         first_byte_delay, value_count, *values = rest
         request = self.requests[number]
-        self._touched.append(request)
+        self._possibly_finished.append(request)
         self._events.append(
             AttemptFinished(
                 request.attempts[attempt_number],
@@ -154,7 +156,7 @@
     def _read_client_left(self, router: Router, now: float, fields: wire.Fields) -> None:
         request = self.requests.get(fields[0])
         if request is not None:
-            self._touched.append(request)
+            self._possibly_finished.append(request)
             self._events.append(ClientLeft(request))
 
     def _read_health_check(self, router: Router, now: float, fields: wire.Fields) -> None:
@@ -204,18 +206,18 @@
         return endpoint
 
     def _drop_finished(self) -> None:
-        """Forgets requests that are complete and have no attempt in flight."""
-        for request in self._touched:
+        """Remove requests that are complete and have no attempt in flight."""
+        for request in self._possibly_finished:
             if request.is_complete and all(
                 attempt.outcome is not None for attempt in request.attempts
             ):
                 self.requests.pop(request.context, None)
-        self._touched = []
+        self._possibly_finished = []
 
     # ActionSink
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Writes the attempt."""
+        """Write the attempt."""
         flags = (
             COALESCE * options.allow_coalescing
             + ONLY_IF_CACHED * options.only_if_cached
@@ -234,35 +236,35 @@
         )
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Writes the attempt's cancellation."""
+        """Write the attempt's cancellation."""
         self.reply.add(wire.CANCEL_ATTEMPT, attempt.request.context, attempt.number)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Writes the request's rejection."""
-        self._touched.append(request)
+        """Write the request's rejection."""
+        self._possibly_finished.append(request)
         self.reply.add(wire.REJECT_REQUEST, request.context, retry_after)
 
     def fail_request(self, request: Request) -> None:
-        """Writes the request's failure."""
-        self._touched.append(request)
+        """Write the request's failure."""
+        self._possibly_finished.append(request)
         self.reply.add(wire.FAIL_REQUEST, request.context)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Writes a timer."""
+        """Write a timer."""
         self._timer_count += 1
         self._timers[self._timer_count] = subject
         self.reply.add(wire.SCHEDULE_TIMER, self._timer_count, delay)
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
-        """Writes a health check."""
+        """Write a health check."""
         self.reply.add(wire.CHECK_HEALTH, _address(endpoint))
 
     def subscribe_to_endpoints(self) -> None:
-        """Writes the subscription to the endpoint list."""
+        """Write the subscription to the endpoint list."""
         self.reply.add(wire.SUBSCRIBE, 1)
 
     def log(self, text: str) -> None:
-        """Writes a log line."""
+        """Write a log line."""
         self.reply.add_bytes(wire.LOG, text.encode())
 
 
@@ -276,22 +278,22 @@
     return dict(zip(router.settings.load_report_fields, values[:count], strict=False))
 
 
-def answer_batch(
+def process_batch(
     now: float,
     records: list[wire.Record],
     instances: dict[int, Instance],
     endpoint_lists: dict[int, EndpointRows],
 ) -> wire.Reply:
-    """Plays one batch: each instance with a record handles its events, in the order of mention.
+    """Process one batch; each selected instance handles its events, in the order of selection.
 
     Args:
         now: The batch's time in ms.
         records: Code and fields of each record.
-        instances: The instances by number; those that are new are added.
-        endpoint_lists: The endpoint lists by number; those that the batch brings are added.
+        instances: The instances by number; new instances are added.
+        endpoint_lists: The endpoint lists by number; lists in the batch are added.
 
     Raises:
-        wire.WireError: A record stands before any select, or settings cannot be used.
+        wire.WireError: If a record precedes any instance selection, or settings are invalid.
     """
     reply = wire.Reply()
     selected: dict[int, Instance] = {}
@@ -307,7 +309,7 @@
             endpoint_lists[fields[0]] = fields[1]
             continue
         if current is None:
-            raise wire.WireError(f"a record of code {code} stands before any select")
+            raise wire.WireError(f"a record with code {code} precedes the selection of an instance")
         if code == wire.HALT or (code == wire.BEGIN and current.router is not None):
             current = Instance(current.number)
             instances[current.number] = selected[current.number] = current
@@ -323,27 +325,27 @@
     reply.add(wire.FOR_INSTANCE, instance.number)
     try:
         instance.handle(now)
-    except Exception as error:  # the router's failure is the wire's `fault`; other instances go on
+    except Exception as error:  # reported as the wire's `fault`; other instances continue
         text = " ".join(f"{type(error).__name__}: {error}".split())
         reply.add_bytes(wire.FAULT, text.encode())
 
 
 def serve(stream: BinaryIO, out: BinaryIO) -> None:
-    """Answers batches until the input ends.
+    """Answer batches until the input ends.
 
     Raises:
-        wire.WireError: The input does not follow the wire's format.
+        wire.WireError: If the input violates the wire protocol.
     """
     instances: dict[int, Instance] = {}
     endpoint_lists: dict[int, EndpointRows] = {}
     while (batch := wire.read_frame(stream)) is not None:
         now, number, records = batch
-        out.write(answer_batch(now, records, instances, endpoint_lists).frame(number))
+        out.write(process_batch(now, records, instances, endpoint_lists).frame(number))
         out.flush()
 
 
 def main() -> int:
-    """Serves on standard input and output; 2 where the input was malformed."""
+    """Serve on standard input and output; return 2 if the input was malformed."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,7 +4,7 @@
 import pytest
 
 from mulleinrelay import wire
-from mulleinrelay.wirehost import answer_batch, serve
+from mulleinrelay.wirehost import process_batch, serve
 
 EMPTY = bytes.fromhex("000000000c00000000000000206ec04001000000")
 SAMPLE = bytes.fromhex(
@@ -74,4 +74,4 @@
 )
 def test_start_settings_that_cannot_be_used_are_named(text, told):
     with pytest.raises(wire.WireError, match=told):
-        answer_batch(0.0, [(wire.SELECT_INSTANCE, (1,)), (wire.BEGIN, (1, text))], {}, {})
+        process_batch(0.0, [(wire.SELECT_INSTANCE, (1,)), (wire.BEGIN, (1, text))], {}, {})
