--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -45,7 +45,7 @@
 
     def totals(self, now: float) -> tuple[float, float]:
         """Return the weighted sum of the measurements and the sum of their weights."""
-        # Repeat the check of `decay` to save a call, since this method runs several times a request.
+        # Repeat the check of `decay` to save a call: this method runs several times for a request.
         if now >= self.next_decay_at:
             self.decay(now)
         return sum(map(mul, self.weights, BIN_MIDDLES)), sum(self.weights)
