--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,7 +8,7 @@
 )
 from mulleinrelay.policy.model import IDEMPOTENT, KEYED, UNSAFE, RequestClass
 
-CAPACITY = 80  # requests that may be pending
+CAPACITY = 80  # maximum number of pending requests
 
 
 def request_class(idempotency=IDEMPOTENT, priority_weight=1.0):
@@ -48,11 +48,11 @@
     admitted, is_retry, last_pending
 ):
     thresholds = AdmissionThresholds(ALL)
-    answers = [
+    is_admitted = [
         thresholds.can_admit(admitted, is_retry, pending / CAPACITY)
         for pending in (last_pending, last_pending + 1)
     ]
-    assert answers == [True, False]
+    assert is_admitted == [True, False]
 
 
 @pytest.mark.parametrize(
@@ -80,18 +80,20 @@
 
 
 def test_orders_are_admitted_during_a_flood_of_pages():
-    """Ten times as many pages as capacity, each pending for long: without the reserved part no
-    order would be admitted.
+    """Guards against a flood that leaves no capacity for orders.
+
+    Ten times as many pages as the capacity are received, and each of them stays pending. Without
+    the reserved part, no order would be admitted.
     """
     thresholds = AdmissionThresholds(ALL)
     pending = 0
-    orders = 0
+    admitted_orders = 0
     for number in range(800):
-        arriving = ORDER if number % 100 == 99 else PAGES
-        if thresholds.can_admit(arriving, False, pending / CAPACITY):
+        received = ORDER if number % 100 == 99 else PAGES
+        if thresholds.can_admit(received, False, pending / CAPACITY):
             pending += 1
-            orders += arriving is ORDER
-    assert orders == 8
+            admitted_orders += received is ORDER
+    assert admitted_orders == 8
 
 
 @pytest.mark.parametrize(
@@ -107,8 +109,9 @@
 def test_late_timers_reject_idempotent_requests_only_and_for_a_short_time(
     delay, elapsed, admits_pages, admits_orders
 ):
-    """Protects orders against a director that is short of CPU time, and all requests against being
-    rejected for long after a single stop.
+    """Guards orders against a lack of CPU time, and all requests against long rejections.
+
+    A single suspension of the director must not cause rejections for long.
     """
     scheduling_delay = SchedulingDelay()
     thresholds = AdmissionThresholds(ALL)
@@ -121,12 +124,12 @@
     ) == (admits_pages, admits_orders)
 
 
-# Each connection as: has_called, has_sent_request, is_within_call, last_used_at
+# Each connection is (has_called, has_sent_request, is_within_call, last_used_at).
 @pytest.mark.parametrize(
     ("connections", "evicted_first"),
     [
         pytest.param(
-            [(True, True, False, 5.0), (True, False, False, 9.0)], 1, id="only-asked-for-our-health"
+            [(True, True, False, 5.0), (True, False, False, 9.0)], 1, id="only-sent-health-queries"
         ),
         pytest.param(
             [(True, False, True, 5.0), (True, True, False, 9.0)], 1, id="request-before-open-call"
@@ -154,5 +157,5 @@
     ],
 )
 def test_eviction_order_of_client_connections(connections, evicted_first):
-    first = min(connections, key=lambda connection: eviction_order(*connection))
-    assert first == connections[evicted_first]
+    first_evicted = min(connections, key=lambda connection: eviction_order(*connection))
+    assert first_evicted == connections[evicted_first]
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -39,8 +39,9 @@
 
 @pytest.mark.parametrize(("mean_duration", "max_pings"), [(200.0, 0), (1200.0, 44), (4000.0, 44)])
 def test_slow_responses_cause_few_pings(mean_duration, max_pings):
-    """200 requests in turn on one connection of a healthy endpoint with slow responses: a fixed
-    silence alone would ping it 200 times.
+    """Guards against pings of a healthy endpoint whose responses are slow.
+
+    One connection serves 200 requests one after the other; a fixed silence would cause 200 pings.
     """
     backoff = PingBackoff()
     random = Random(1)
@@ -67,28 +68,32 @@
         (COSTLY_CONNECT_FACTOR * MAX_IDLE_TO_CACHE + 1, False, True, SHORT_IDLE_TIMEOUT),
     ],
 )
-def test_idle_timeout_is_long_only_where_all_directors_stay_within_the_bound(
+def test_idle_timeout_is_long_only_if_all_directors_stay_within_the_limit(
     sharing_directors, is_parent_or_origin, is_connect_costly, timeout
 ):
-    found = choose_idle_timeout(30_000.0, sharing_directors, is_parent_or_origin, is_connect_costly)
-    assert found == timeout
+    chosen_timeout = choose_idle_timeout(
+        30_000.0, sharing_directors, is_parent_or_origin, is_connect_costly
+    )
+    assert chosen_timeout == timeout
 
 
 @pytest.mark.parametrize("directors", [5, 12, 60, 600])
 def test_idle_connections_to_one_endpoint_stay_bounded_for_any_number_of_directors(directors):
-    """20 requests a second at one cache, unevenly spread, 60 ms each; counted every 50 ms for
-    30 s.
+    """Guards the limit of idle connections to one cache.
+
+    The cache receives 20 requests a second of 60 ms each, unevenly distributed over the directors.
+    Connections are counted every 50 ms for 30 s.
     """
     random = Random(directors)
     timeout = choose_idle_timeout(30_000.0, directors, False, False)
     weights = [random.lognormvariate(0.0, 1.0) for _ in range(directors)]
     closes_at = [0.0] * directors
-    most = 0
+    max_connections = 0
     for slot in range(600):
         now = 50.0 * slot
         closes_at[random.choices(range(directors), weights)[0]] = now + 60.0 + timeout
-        most = max(most, sum(end > now for end in closes_at))
-    assert most <= MAX_IDLE_TO_CACHE
+        max_connections = max(max_connections, sum(close_at > now for close_at in closes_at))
+    assert max_connections <= MAX_IDLE_TO_CACHE
 
 
 @pytest.mark.parametrize(("count", "evicted"), [(3, ""), (6, ""), (7, "b"), (8, "bc"), (20, "bca")])
--- a/tests/policy/test_decay.py
+++ b/tests/policy/test_decay.py
@@ -8,7 +8,7 @@
 @pytest.mark.parametrize(
     ("elapsed", "factor"),
     [
-        pytest.param(0.0, 1.0, id="at-once"),
+        pytest.param(0.0, 1.0, id="immediately"),
         pytest.param(999.0, 1.0, id="not-due"),
         pytest.param(1000.0, 0.5, id="due"),
         pytest.param(1999.0, 0.5, id="less-than-two-half-lives"),
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are ejected and reinstated, seen from the router."""
+"""Ejection and reinstatement of endpoints, tested through the router."""
 
 import pytest
 from helpers import CACHE, PARENT, RouterFixture
@@ -13,238 +13,254 @@
 from mulleinrelay.policy.model import Attempt, CacheStatus, EndpointState, Outcome
 
 
-def test_a_silent_cache_is_hedged_at_once_and_ejected_when_signs_add_up():
-    fleet = RouterFixture()
-    silent = fleet.receive_request(object_id=5).attempts[0].endpoint
+def test_a_silent_cache_is_hedged_and_ejected_after_repeated_silence():
+    fixture = RouterFixture()
+    silent_cache = fixture.receive_request(object_id=5).attempts[0].endpoint
     for _ in range(40):
-        attempt = fleet.receive_request(after=60).attempts[0]
-        if attempt.endpoint is not silent:
-            fleet.finish_attempt(attempt)
-        for delay, about in fleet.actions.take("schedule_timer"):
-            if about is attempt and attempt.endpoint is silent:
-                fleet.handle(TimerFired(attempt), after=delay)
+        attempt = fixture.receive_request(after=60).attempts[0]
+        if attempt.endpoint is not silent_cache:
+            fixture.finish_attempt(attempt)
+        for delay, subject in fixture.actions.take("schedule_timer"):
+            if subject is attempt and attempt.endpoint is silent_cache:
+                fixture.handle(TimerFired(attempt), after=delay)
                 assert (
                     len(attempt.request.attempts) == 2
-                    and attempt.request.attempts[1].endpoint is not silent
+                    and attempt.request.attempts[1].endpoint is not silent_cache
                 )
-        if silent.is_ejected:
+        if silent_cache.is_ejected:
             break
-    assert silent.is_ejected
+    assert silent_cache.is_ejected
 
 
 @pytest.mark.parametrize(
-    ("outcome", "another", "weight"),
+    ("outcome", "retry_outcome", "expected_failures"),
     [
-        (Outcome.RESET, None, 1.0),  # of all that was out on one link, once
+        (Outcome.RESET, None, 1.0),  # counted once for all attempts on one connection
         (Outcome.CONNECT_FAILED, None, 6.0),
         (Outcome.ERROR, None, 0.0),
-        (Outcome.ERROR, Outcome.ERROR, 0.0),  # what no node can give: the request's own fault
+        (Outcome.ERROR, Outcome.ERROR, 0.0),  # an error at every endpoint is caused by the request
         (Outcome.ERROR, Outcome.SERVED, 3.0),
     ],
 )
-def test_failures_are_weighted_by_what_they_show_of_the_endpoint(outcome, another, weight):
-    """Requests for unknown objects and malformed answers had healthy caches ejected."""
-    fleet = RouterFixture()
-    cache = fleet.caches[0]
+def test_failures_are_weighted_by_outcome_and_retry(outcome, retry_outcome, expected_failures):
+    """Guards against the ejection of healthy caches for errors that the requests caused.
+
+    Requests for unknown objects and malformed answers had this effect.
+    """
+    fixture = RouterFixture()
+    cache = fixture.caches[0]
     requests = []
     while len(requests) < 3:
-        request = fleet.receive_request()
+        request = fixture.receive_request()
         if request.attempts[0].endpoint is cache:
             requests.append(request)
         else:
-            fleet.finish_attempt(request.attempts[0])
+            fixture.finish_attempt(request.attempts[0])
     for request in requests:
-        request.attempts[0].expects_hit = True  # a hit was due, so that no source shares the blame
-        fleet.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
-        if another is not None:
-            fleet.finish_attempt(request.attempts[1], another)
-    assert cache.outlier_detector.failures == weight
-    assert all(request.is_complete for request in requests) or another is None
-
-
-@pytest.mark.parametrize(("broken", "well"), [("parents", "caches"), ("caches", "parents")])
-def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(broken, well):
-    """A failing parent shows as errors at every cache; unless blame is split, these are ejected."""
-    fleet = RouterFixture()
-    outlier = getattr(fleet, broken)[0]
+        # with an expected hit, the failure counts for the cache alone
+        request.attempts[0].expects_hit = True
+        fixture.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
+        if retry_outcome is not None:
+            fixture.finish_attempt(request.attempts[1], retry_outcome)
+    assert cache.outlier_detector.failures == expected_failures
+    assert all(request.is_complete for request in requests) or retry_outcome is None
+
+
+@pytest.mark.parametrize(
+    ("failing_group", "healthy_group"), [("parents", "caches"), ("caches", "parents")]
+)
+def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(failing_group, healthy_group):
+    """A failing parent causes errors at every cache; the failures must not eject the caches."""
+    fixture = RouterFixture()
+    outlier = getattr(fixture, failing_group)[0]
     for _ in range(150):
-        request = fleet.receive_request(after=20)
+        request = fixture.receive_request(after=20)
         attempt = request.attempts[0]
-        bad = outlier in (attempt.endpoint, attempt.fill_source)
-        fleet.finish_attempt(
+        is_failing = outlier in (attempt.endpoint, attempt.fill_source)
+        fixture.finish_attempt(
             attempt,
             *(
                 (Outcome.ERROR, CacheStatus.UNKNOWN)
-                if bad
+                if is_failing
                 else (Outcome.SERVED, CacheStatus.FILLED)
             ),
         )
         for attempt in request.attempts[1:]:
-            fleet.finish_attempt(attempt, cache_status=CacheStatus.FILLED)
-    assert outlier.is_ejected and not any(member.is_ejected for member in getattr(fleet, well))
+            fixture.finish_attempt(attempt, cache_status=CacheStatus.FILLED)
+    assert outlier.is_ejected and not any(
+        endpoint.is_ejected for endpoint in getattr(fixture, healthy_group)
+    )
 
 
 def test_a_slow_endpoint_that_answers_in_between_is_not_ejected():
-    """A fixed timeout took loaded endpoints for silent ones."""
-    fleet = RouterFixture()
+    """With a fixed timeout, overloaded endpoints were considered silent."""
+    fixture = RouterFixture()
     for _ in range(30):
-        attempt = fleet.receive_request(after=400).attempts[0]
-        fleet.handle(TimerFired(attempt), after=900)
-        fleet.finish_attempt(attempt, after=10)
+        attempt = fixture.receive_request(after=400).attempts[0]
+        fixture.handle(TimerFired(attempt), after=900)
+        fixture.finish_attempt(attempt, after=10)
         assert not attempt.endpoint.is_ejected or attempt.endpoint.silence >= 2.0
-    assert not any(member.is_ejected for member in fleet.caches)
+    assert not any(cache.is_ejected for cache in fixture.caches)
 
 
-@pytest.mark.parametrize(("requests", "most"), [(40, 3), (400, 22)])
-def test_trial_requests_are_earned_by_requests(requests, most):
-    """At two a second each, hundreds of directors swamped a dead parent with trials."""
-    fleet = RouterFixture()
-    fleet.parents[0].is_ejected = True
-    tried = 0
+@pytest.mark.parametrize(("requests", "max_trials"), [(40, 3), (400, 22)])
+def test_trial_requests_are_earned_by_requests(requests, max_trials):
+    """At two trials a second for each director, hundreds of directors overloaded a dead parent."""
+    fixture = RouterFixture()
+    fixture.parents[0].is_ejected = True
+    trials = 0
     for _ in range(requests):
-        attempt = fleet.receive_request(after=600).attempts[0]
-        tried += attempt.fill_source is fleet.parents[0]
-        fleet.finish_attempt(attempt)
-    assert 0 < tried <= most
+        attempt = fixture.receive_request(after=600).attempts[0]
+        trials += attempt.fill_source is fixture.parents[0]
+        fixture.finish_attempt(attempt)
+    assert 0 < trials <= max_trials
 
 
 def test_a_parent_that_fails_rare_fills_is_ejected():
-    """Results four seconds apart were forgotten before two of them could count."""
-    fleet = RouterFixture()
+    """Results four seconds apart must not expire before two of them are counted."""
+    fixture = RouterFixture()
     for _ in range(12):
-        request = fleet.receive_request(after=4000)
-        bad = request.attempts[0].fill_source is fleet.parents[0]
-        fleet.finish_attempt(
-            request.attempts[0], *((Outcome.REJECTED, CacheStatus.SOURCE_FAILED) if bad else ())
+        request = fixture.receive_request(after=4000)
+        is_failing = request.attempts[0].fill_source is fixture.parents[0]
+        fixture.finish_attempt(
+            request.attempts[0],
+            *((Outcome.REJECTED, CacheStatus.SOURCE_FAILED) if is_failing else ()),
         )
         for attempt in request.attempts[1:]:
-            fleet.finish_attempt(attempt)
-    assert fleet.parents[0].is_ejected
+            fixture.finish_attempt(attempt)
+    assert fixture.parents[0].is_ejected
 
 
 def test_a_fill_source_that_rejects_is_not_ejected():
-    """Loaded parents were ejected like dead ones, and the dead ones were used again."""
-    fleet = RouterFixture()
+    """Ejecting overloaded parents like dead ones led to requests to the dead ones."""
+    fixture = RouterFixture()
     for _ in range(30):
-        request = fleet.receive_request(after=30)
+        request = fixture.receive_request(after=30)
         for attempt in request.attempts:
-            fleet.finish_attempt(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
-    assert not any(parent.is_ejected for parent in fleet.parents)
+            fixture.finish_attempt(attempt, Outcome.REJECTED, CacheStatus.SOURCE_REJECTED)
+    assert not any(parent.is_ejected for parent in fixture.parents)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "well", "is_reinstated"),
+    ("outcome", "is_healthy", "is_reinstated"),
     [
         (Outcome.CONNECT_FAILED, True, True),
         (Outcome.CONNECT_FAILED, False, False),
-        (Outcome.ERROR, True, False),  # it was reached all the while
+        (Outcome.ERROR, True, False),  # the cache was reachable all the time
     ],
 )
 def test_an_answered_health_check_reinstates_only_an_unreachable_cache(
-    outcome, well, is_reinstated
+    outcome, is_healthy, is_reinstated
 ):
-    fleet = RouterFixture(allows_health_checks=True)
-    outlier = fleet.receive_request(object_id=77).attempts[0].endpoint
-    while not outlier.is_ejected:
-        fleet.router.health.record_result(
-            outlier, 2.0, EjectionReason(outcome.name.lower()), fleet.now
+    fixture = RouterFixture(allows_health_checks=True)
+    ejected_cache = fixture.receive_request(object_id=77).attempts[0].endpoint
+    while not ejected_cache.is_ejected:
+        fixture.router.health.record_result(
+            ejected_cache, 2.0, EjectionReason(outcome.name.lower()), fixture.now
         )
-    probed = []
-    for _ in range(40):  # any round asks whom it is time to ask
-        fleet.receive_request()
-        probed += fleet.actions.take("check_health")
-        fleet.now += 50.0
-    assert ((outlier,) in probed) is (outcome is Outcome.CONNECT_FAILED)
-    fleet.handle(HealthCheckFinished(outlier, None, well))
-    assert outlier.is_ejected is not is_reinstated
+    health_checks = []
+    for _ in range(40):  # due health checks are sent when any event is handled
+        fixture.receive_request()
+        health_checks += fixture.actions.take("check_health")
+        fixture.now += 50.0
+    assert ((ejected_cache,) in health_checks) is (outcome is Outcome.CONNECT_FAILED)
+    fixture.handle(HealthCheckFinished(ejected_cache, None, is_healthy))
+    assert ejected_cache.is_ejected is not is_reinstated
 
 
-@pytest.mark.parametrize("whose", [CACHE, PARENT])
+@pytest.mark.parametrize("kind", [CACHE, PARENT])
 @pytest.mark.parametrize("state", [EndpointState.GONE, EndpointState.DRAINING])
-@pytest.mark.parametrize("first", ["breaks", "leaves"])
-def test_an_endpoint_that_left_gets_no_health_check(first, state, whose):
-    """An attempt at an endpoint that had left broke afterwards: its address was not known."""
-    fleet = RouterFixture(allows_health_checks=True)
-    outlier = fleet.caches[0] if whose == CACHE else fleet.parents[0]
-    row = fleet.endpoint_entry(outlier, whose, 1 if whose == CACHE else 0, state=state)
-    if first == "leaves":
-        fleet.handle(EndpointsUpdated([row], False))
-    fleet.router.health.record_result(outlier, 4.0, EjectionReason.RESET, fleet.now)
-    if first == "breaks":
-        fleet.handle(EndpointsUpdated([row], False))
+@pytest.mark.parametrize("first_event", ["failure", "removal"])
+def test_a_removed_or_draining_endpoint_gets_no_health_check(first_event, state, kind):
+    """Guards against a health check for an endpoint without a known address.
+
+    It was sent if an attempt at an endpoint failed after the endpoint's removal.
+    """
+    fixture = RouterFixture(allows_health_checks=True)
+    endpoint = fixture.caches[0] if kind == CACHE else fixture.parents[0]
+    entry = fixture.endpoint_entry(endpoint, kind, 1 if kind == CACHE else 0, state=state)
+    if first_event == "removal":
+        fixture.handle(EndpointsUpdated([entry], False))
+    fixture.router.health.record_result(endpoint, 4.0, EjectionReason.RESET, fixture.now)
+    if first_event == "failure":
+        fixture.handle(EndpointsUpdated([entry], False))
     for _ in range(40):
-        fleet.receive_request(after=50.0)
-    assert fleet.actions.take("check_health") == []
+        fixture.receive_request(after=50.0)
+    assert fixture.actions.take("check_health") == []
 
 
 @pytest.mark.parametrize(
-    ("health_checks", "bypass", "whose"),
+    ("health_checks", "bypass", "kind"),
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
 def test_unreachable_caches_are_bypassed_until_a_health_check_is_answered(
-    health_checks, bypass, whose
+    health_checks, bypass, kind
 ):
-    fleet = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
-    for cache in fleet.caches:
-        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
-    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {whose}
-    fleet.handle(HealthCheckFinished(fleet.caches[1], None, True))
-    assert {fleet.receive_request().attempts[0].endpoint for _ in range(8)} == {fleet.caches[1]}
+    fixture = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
+    for cache in fixture.caches:
+        fixture.router.health.record_result(cache, 4.0, EjectionReason.RESET, fixture.now)
+    assert {fixture.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {kind}
+    fixture.handle(HealthCheckFinished(fixture.caches[1], None, True))
+    assert {fixture.receive_request().attempts[0].endpoint for _ in range(8)} == {fixture.caches[1]}
 
 
 def test_a_hit_delayed_by_an_outage_does_not_count_as_slowdown():
-    fleet = RouterFixture()
-    request = fleet.receive_request(object_id=77)
-    node = request.attempts[0].endpoint
-    fleet.router.health.record_result(node, 4.0, EjectionReason.RESET, fleet.now)
-    fleet.now += 5000.0
-    fleet.handle(
+    fixture = RouterFixture()
+    request = fixture.receive_request(object_id=77)
+    cache = request.attempts[0].endpoint
+    fixture.router.health.record_result(cache, 4.0, EjectionReason.RESET, fixture.now)
+    fixture.now += 5000.0
+    fixture.handle(
         AttemptFinished(
             request.attempts[0], Outcome.SERVED, 5000.0, True, CacheStatus.HIT, 0.0, None
         )
     )
-    assert fleet.router.cache_selector.slowdown(node, fleet.now) == 1.0
+    assert fixture.router.cache_selector.slowdown(cache, fixture.now) == 1.0
 
 
 @pytest.mark.parametrize(
-    ("health_checks", "bypass", "whose"),
+    ("health_checks", "bypass", "kind"),
     [(True, True, PARENT), (False, True, CACHE), (True, False, CACHE)],
 )
 def test_two_failures_in_a_row_mark_the_zone_unreachable_and_requests_bypass_it(
-    health_checks, bypass, whose
+    health_checks, bypass, kind
 ):
-    fleet = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
-    for cache in fleet.caches[:2]:
-        attempt = Attempt(fleet.receive_request(), 9, cache, cache, fleet.now, 9.0, Outcome.RESET)
-        fleet.router.recorder.record(
+    fixture = RouterFixture(allows_health_checks=health_checks, allows_cache_bypass=bypass)
+    for cache in fixture.caches[:2]:
+        attempt = Attempt(
+            fixture.receive_request(), 9, cache, cache, fixture.now, 9.0, Outcome.RESET
+        )
+        fixture.router.recorder.record(
             AttemptFinished(attempt, Outcome.RESET, 1.0, False, CacheStatus.UNKNOWN, 0.0, None),
-            fleet.now,
+            fixture.now,
         )
-    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {whose}
-    assert not any(cache.is_ejected for cache in fleet.caches)  # no judgement of each for itself
-    fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
-    assert {fleet.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
+    assert {fixture.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {kind}
+    assert not any(
+        cache.is_ejected for cache in fixture.caches
+    )  # no single cache is ejected for a zone outage
+    fixture.handle(HealthCheckFinished(fixture.caches[2], None, True), after=300.0)
+    assert {fixture.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
 
 def test_caches_ejected_in_an_outage_are_reinstated_by_the_first_response_of_any():
-    fleet = RouterFixture(allows_health_checks=True)
-    for cache in fleet.caches[:2]:
-        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
-    assert fleet.router.health.zone.is_unreachable and all(
-        cache.is_unreachable for cache in fleet.caches[:2]
+    fixture = RouterFixture(allows_health_checks=True)
+    for cache in fixture.caches[:2]:
+        fixture.router.health.record_result(cache, 4.0, EjectionReason.RESET, fixture.now)
+    assert fixture.router.health.zone.is_unreachable and all(
+        cache.is_unreachable for cache in fixture.caches[:2]
     )
-    asked = []
+    health_checks = []
     for _ in range(20):
-        fleet.receive_request(after=50.0)
-        asked += fleet.actions.take("check_health")
-    assert len(asked) >= 2  # a few are asked soon
-    fleet.handle(HealthCheckFinished(fleet.caches[2], None, True), after=300.0)
-    assert not any(cache.is_ejected for cache in fleet.caches)
+        fixture.receive_request(after=50.0)
+        health_checks += fixture.actions.take("check_health")
+    assert len(health_checks) >= 2  # a few caches are checked soon
+    fixture.handle(HealthCheckFinished(fixture.caches[2], None, True), after=300.0)
+    assert not any(cache.is_ejected for cache in fixture.caches)
 
 
 def test_a_health_check_of_a_parent_does_not_end_a_zone_outage():
-    fleet = RouterFixture(allows_health_checks=True)
-    for cache in fleet.caches[:2]:
-        fleet.router.health.record_result(cache, 4.0, EjectionReason.RESET, fleet.now)
-    fleet.handle(HealthCheckFinished(fleet.parents[0], None, True))
-    assert fleet.router.health.zone.is_unreachable
+    fixture = RouterFixture(allows_health_checks=True)
+    for cache in fixture.caches[:2]:
+        fixture.router.health.record_result(cache, 4.0, EjectionReason.RESET, fixture.now)
+    fixture.handle(HealthCheckFinished(fixture.parents[0], None, True))
+    assert fixture.router.health.zone.is_unreachable
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -1,4 +1,4 @@
-"""What an endpoint in slow start is sent by one director."""
+"""Work that one director sends to an endpoint in slow start."""
 
 import pytest
 from helpers import RouterFixture
@@ -9,112 +9,136 @@
 
 @pytest.mark.parametrize(("caches_start", "parents_start"), [(True, False), (False, True)])
 def test_an_endpoint_in_slow_start_gets_less_than_would_overload_it(caches_start, parents_start):
-    fleet = RouterFixture(
+    fixture = RouterFixture(
         cache_started_at=100000.0 * caches_start, parents_started_at=100000.0 * parents_start
     )
-    sent = dict.fromkeys([fleet.caches[0], *fleet.parents], 0.0)
+    sent = dict.fromkeys([fixture.caches[0], *fixture.parents], 0.0)
     for _ in range(300):
-        attempt = fleet.receive_request(size_kb=500.0, after=5).attempts[0]
-        for member in {attempt.endpoint, attempt.fill_source} & set(sent):
-            sent[member] += 50.0
-        fleet.finish_attempt(attempt, cache_status=CacheStatus.FILLED, first_byte=30.0)
-    member, rule = (
-        (fleet.caches[0], fleet.settings.cache_slow_start)
+        attempt = fixture.receive_request(size_kb=500.0, after=5).attempts[0]
+        for endpoint in {attempt.endpoint, attempt.fill_source} & set(sent):
+            sent[endpoint] += 50.0
+        fixture.finish_attempt(attempt, cache_status=CacheStatus.FILLED, first_byte=30.0)
+    endpoint, policy = (
+        (fixture.caches[0], fixture.settings.cache_slow_start)
         if caches_start
-        else (fleet.parents[0], fleet.settings.parent_slow_start)
+        else (fixture.parents[0], fixture.settings.parent_slow_start)
+    )
+    director_count, overload_factor = (1, 2.5) if caches_start else (3, 2.0)
+    assert (
+        sent[endpoint]
+        <= overload_factor * 6.0 * policy.initial_fraction * 1500.0 / director_count * 1.2
     )
-    sharers, multiple = (1, 2.5) if caches_start else (3, 2.0)
-    assert sent[member] <= multiple * 6.0 * rule.initial_fraction * 1500.0 / sharers * 1.2
 
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_small_requests_count_as_their_class_mean_during_slow_start(caches_start):
-    """Counted by their own size, many small requests added up to several times the limit."""
-    fleet = RouterFixture(
+    """Counted by their own size, many small requests add up to several times the limit."""
+    fixture = RouterFixture(
         cache_started_at=100_100.0 * caches_start, parents_started_at=100_100.0 * (not caches_start)
     )
-    cold = [fleet.caches[0]] if caches_start else fleet.parents
-    rule, sharers = (
-        (fleet.settings.cache_slow_start, 1)
+    warming_endpoints = [fixture.caches[0]] if caches_start else fixture.parents
+    policy, director_count = (
+        (fixture.settings.cache_slow_start, 1)
         if caches_start
-        else (fleet.settings.parent_slow_start, 3)
+        else (fixture.settings.parent_slow_start, 3)
     )
-    for number in range(40):  # before it starts: the mean is known
-        fleet.receive_request(size_kb=9100.0 if number % 10 == 0 else 100.0, after=2.0)
-    sent = {member: [] for member in cold}
+    for number in range(40):  # before the restart, so that the class's mean is known
+        fixture.receive_request(size_kb=9100.0 if number % 10 == 0 else 100.0, after=2.0)
+    sent = {endpoint: [] for endpoint in warming_endpoints}
     for number in range(600):
-        attempt = fleet.receive_request(
+        attempts = fixture.receive_request(
             size_kb=9100.0 if number % 10 == 0 else 100.0, after=5.0
         ).attempts
-        for member in {
-            held for each in attempt for held in (each.endpoint, each.fill_source)
+        for endpoint in {
+            used for attempt in attempts for used in (attempt.endpoint, attempt.fill_source)
         } & set(sent):
-            sent[member].append(fleet.now)
-        for each in attempt:
-            fleet.finish_attempt(each, cache_status=CacheStatus.FILLED, first_byte=30.0)
+            sent[endpoint].append(fixture.now)
+        for attempt in attempts:
+            fixture.finish_attempt(attempt, cache_status=CacheStatus.FILLED, first_byte=30.0)
     mean = 100.0
     for times in sent.values():
         for now in times:
-            warmth = (
-                rule.initial_fraction
-                + (1.0 - rule.initial_fraction) * (now - 100_100.0) / rule.duration
+            available_fraction = (
+                policy.initial_fraction
+                + (1.0 - policy.initial_fraction) * (now - 100_100.0) / policy.duration
+            )
+            number = (
+                policy.overload_factor
+                * 6.0
+                * available_fraction
+                * policy.overload_window
+                / mean
+                / director_count
             )
-            number = rule.overload_factor * 6.0 * warmth * rule.overload_window / mean / sharers
             assert (
-                sum(now - rule.overload_window <= at <= now for at in times)
+                sum(now - policy.overload_window <= sent_at <= now for sent_at in times)
                 <= number + 2.0 * number**0.5 + 2.0
             )
 
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
-    """A quarter of the objective stood for a sending time three times as long."""
-    fleet = RouterFixture(
+    """Guards against an estimate that is too small for answers of unknown size.
+
+    A quarter of the latency objective was used for transfer times three times as long.
+    """
+    fixture = RouterFixture(
         cache_started_at=100_000.0 * caches_start,
         parents_started_at=100_000.0 * (not caches_start),
         transfer_rate=0.0,
     )
-    cold = [fleet.caches[0]] if caches_start else fleet.parents
-    rule, sharers = (
-        (fleet.settings.cache_slow_start, 1)
+    warming_endpoints = [fixture.caches[0]] if caches_start else fixture.parents
+    policy, director_count = (
+        (fixture.settings.cache_slow_start, 1)
         if caches_start
-        else (fleet.settings.parent_slow_start, 3)
+        else (fixture.settings.parent_slow_start, 3)
     )
-    sent, sending = {member: [] for member in cold}, 400.0
+    sent, response_time = {endpoint: [] for endpoint in warming_endpoints}, 400.0
     for _ in range(1500):
-        for attempt in fleet.receive_request(size_kb=0.0, after=2.0).attempts:
-            for member in {attempt.endpoint, attempt.fill_source} & set(sent):
-                sent[member].append(fleet.now)
-            fleet.handle(
+        for attempt in fixture.receive_request(size_kb=0.0, after=2.0).attempts:
+            for endpoint in {attempt.endpoint, attempt.fill_source} & set(sent):
+                sent[endpoint].append(fixture.now)
+            fixture.handle(
                 AttemptFinished(
-                    attempt, Outcome.SERVED, sending, True, CacheStatus.UNKNOWN, 0.0, None
+                    attempt, Outcome.SERVED, response_time, True, CacheStatus.UNKNOWN, 0.0, None
                 )
             )
     for times in sent.values():
         for now in times:
-            warmth = (
-                rule.initial_fraction
-                + (1.0 - rule.initial_fraction) * (now - 100_000.0) / rule.duration
+            available_fraction = (
+                policy.initial_fraction
+                + (1.0 - policy.initial_fraction) * (now - 100_000.0) / policy.duration
+            )
+            number = (
+                policy.overload_factor
+                * 6.0
+                * available_fraction
+                * policy.overload_window
+                / response_time
+                / director_count
+            )
+            assert sum(now - policy.overload_window <= sent_at <= now for sent_at in times) <= max(
+                1.0, number
             )
-            number = rule.overload_factor * 6.0 * warmth * rule.overload_window / sending / sharers
-            assert sum(now - rule.overload_window <= at <= now for at in times) <= max(1.0, number)
     assert sum(map(len, sent.values()))
 
 
 def test_a_borrowed_slow_start_quota_expires():
-    """A director that was stopped must not go on with a quota that another has by now."""
-    fleet = RouterFixture(cache_started_at=100_000.0, local_director_count=4)
-    cold, share = fleet.caches[0], fleet.router.cache_slow_start_quota
+    """A director that was suspended must not use a quota that another director has by now."""
+    fixture = RouterFixture(cache_started_at=100_000.0, local_director_count=4)
+    warming_cache, share = fixture.caches[0], fixture.router.cache_slow_start_quota
     share.fraction, share.expires_at, share.fallback_fraction, share.is_tracked = (
         1.0,
         101_000.0,
         0.0,
         True,
     )
-    try_admit = fleet.router.slow_start.try_admit
-    room = [try_admit(cold, 100.0, fleet.now)]
+    try_admit = fixture.router.slow_start.try_admit
+    admissions = [try_admit(warming_cache, 100.0, fixture.now)]
     assert share.peak_used > 0.0 and share.peak_rejected == 0.0
-    fleet.now = 105_000.0
-    room.append(try_admit(cold, 100.0, fleet.now))
-    assert room == [True, False] and share.peak_rejected > 0.0
-    assert all(try_admit(cache, 100.0, fleet.now) for cache in fleet.caches[1:])  # warm ones
+    fixture.now = 105_000.0
+    admissions.append(try_admit(warming_cache, 100.0, fixture.now))
+    assert admissions == [True, False] and share.peak_rejected > 0.0
+    assert all(
+        try_admit(cache, 100.0, fixture.now) for cache in fixture.caches[1:]
+    )  # not in slow start
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -1,4 +1,4 @@
-"""Error rates of outlier ejection at directors that rarely meet an endpoint."""
+"""Error rates of outlier ejection at directors that send an endpoint few requests."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 class MonitoredEndpoint:
-    """One endpoint at one director; results come at random, `rate` a second."""
+    """Endpoint at one director with `rate` results a second at random times."""
 
     def __init__(self, rate, seed):
         self.health, self.random, self.rate, self.now = (
@@ -22,7 +22,7 @@
         )
         self.endpoint = TrackedEndpoint(5)
         self.endpoint.reset()
-        self.health.log = lambda text: None  # changes are counted by what the endpoint shows
+        self.health.log = lambda text: None  # the tests read `is_ejected` instead
 
     def record(self, is_failure):
         self.now += 1000.0 * self.random.expovariate(self.rate)
@@ -31,7 +31,7 @@
         return self.endpoint.is_ejected
 
     def results_until(self, is_ejected, failure_rate, limit=400):
-        """After how many results it is ejected, or is not any more."""
+        """Return after how many results the endpoint is ejected, or reinstated."""
         for number in range(1, limit):
             if self.record(self.random.random() < failure_rate) == is_ejected:
                 return number
@@ -40,32 +40,32 @@
 
 @pytest.mark.parametrize(("rate", "hours"), [(0.1, 1500), (1.0, 150)])
 def test_a_healthy_endpoint_is_ejected_less_than_once_in_a_thousand_hours(rate, hours):
-    """With one error in a thousand; two by chance are let pass in so short a test."""
-    monitored, shunned, before = MonitoredEndpoint(rate, 1), 0, False
+    """One result in a thousand is an error. Two random ejections are allowed in a short test."""
+    monitored, ejections, was_ejected = MonitoredEndpoint(rate, 1), 0, False
     for _ in range(int(3600 * hours * rate)):
-        now = monitored.record(monitored.random.random() < 0.001)
-        shunned += now and not before
-        before = now
-    assert shunned <= max(2, hours // 1000)
+        is_ejected = monitored.record(monitored.random.random() < 0.001)
+        ejections += is_ejected and not was_ejected
+        was_ejected = is_ejected
+    assert ejections <= max(2, hours // 1000)
 
 
 @pytest.mark.parametrize("rate", [0.1, 1.0, 5.0])
 @pytest.mark.parametrize(("failure_rate", "limit"), [(1.0, 4), (0.5, 16), (0.3, 40)])
 def test_an_outlier_is_ejected_within_so_many_results(rate, failure_rate, limit):
-    """Nineteen times in twenty, after twenty good ones."""
-    found = []
+    """The limit holds in nineteen of twenty runs, after twenty successes."""
+    result_counts = []
     for seed in range(100):
         monitored = MonitoredEndpoint(rate, seed)
         for _ in range(20):
             monitored.record(False)
-        found.append(monitored.results_until(True, failure_rate))
-    assert sorted(found)[94] <= limit
+        result_counts.append(monitored.results_until(True, failure_rate))
+    assert sorted(result_counts)[94] <= limit
 
 
 @pytest.mark.parametrize("rate", [0.1, 1.0, 5.0])
 @pytest.mark.parametrize("failures", [0, 20])
 def test_an_endpoint_that_recovers_is_reinstated(rate, failures):
-    """However long it was bad before."""
+    """The time to reinstatement does not depend on the number of earlier failures."""
     for seed in range(20):
         monitored = MonitoredEndpoint(rate, seed)
         monitored.results_until(True, 1.0)
@@ -74,13 +74,13 @@
         assert monitored.results_until(False, 0.0) <= 8
 
 
-def test_successes_of_long_ago_do_not_offset_new_failures():
-    """The sum of odds finds what a share of the last dozen does not."""
-    health = OutlierDetector()
+def test_old_successes_do_not_offset_new_failures():
+    """The sequential test detects failures that are too small a fraction of the recent outcomes."""
+    detector = OutlierDetector()
     for number in range(60):
-        health.record(1000.0 * number, 0.0)
+        detector.record(1000.0 * number, 0.0)
     for number in range(3):
-        health.record(60_000.0 + 200.0 * number, 1.0)
-    assert health.is_outlier()
-    health.has_alarm = False
-    assert not health.is_outlier()
+        detector.record(60_000.0 + 200.0 * number, 1.0)
+    assert detector.is_outlier()
+    detector.has_alarm = False
+    assert not detector.is_outlier()
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -16,9 +16,10 @@
 
 
 def checks_sent(directors, duration, rate=0.0, step=25.0, suspected=None):
-    """All pings and polls of these schedulers as (ms, endpoint).
+    """Return all pings and polls of these schedulers as (ms, endpoint).
 
-    Each director has `rate` requests a second; all suspect the same endpoint from the start.
+    Each director receives `rate` requests a second. All directors suspect the endpoint `suspected`
+    from the start.
     """
     sent = []
     requests_due = [0.0] * len(directors)
@@ -36,17 +37,17 @@
 
 
 @pytest.mark.parametrize(
-    ("sharing_directors", "most", "least"),
+    ("sharing_directors", "max_rate", "min_rate"),
     [(1, 2.7, 1.3), (10, 27, 13), (40, 27, 13), (300, 27, 12)],
 )
 def test_pings_to_a_suspected_endpoint_are_bounded_for_any_number_of_directors(
-    sharing_directors, most, least
+    sharing_directors, max_rate, min_rate
 ):
     sent = checks_sent(schedulers(sharing_directors), 30_000.0, suspected="a")
-    assert least <= len(sent) / 30.0 <= most
+    assert min_rate <= len(sent) / 30.0 <= max_rate
 
 
-def test_directors_that_suspect_an_endpoint_together_ping_it_spread_out():
+def test_pings_of_directors_that_suspect_an_endpoint_together_are_spread_out():
     sent = checks_sent(schedulers(100), 5_000.0, suspected="a")
     assert max(Counter(int(now / 100.0) for now, _ in sent).values()) <= 8
 
@@ -61,10 +62,13 @@
     assert checks_sent([scheduler], 3_000.0) == []
 
 
-@pytest.mark.parametrize(("few", "many", "rate"), [(30, 300, 400.0), (30, 300, 60.0)])
-def test_polls_grow_with_requests_and_not_with_directors(few, many, rate):
+@pytest.mark.parametrize(
+    ("few_directors", "many_directors", "rate"), [(30, 300, 400.0), (30, 300, 60.0)]
+)
+def test_polls_grow_with_requests_and_not_with_directors(few_directors, many_directors, rate):
     counts = [
-        len(checks_sent(schedulers(count, True), 20_000.0, rate / count)) for count in (few, many)
+        len(checks_sent(schedulers(count, True), 20_000.0, rate / count))
+        for count in (few_directors, many_directors)
     ]
     assert counts[1] <= 2.0 * counts[0]
 
@@ -78,17 +82,17 @@
     assert len(sent) <= 20_000.0 / MIN_POLL_INTERVAL + 1
 
 
-def test_no_polls_where_endpoints_report_no_load():
+def test_no_polls_are_sent_if_endpoints_report_no_load():
     assert checks_sent(schedulers(5), 20_000.0, 50.0) == []
 
 
-def test_polls_spread_out_unless_directors_share_a_seed():
-    spread_out, in_step = (
+def test_polls_are_spread_out_unless_directors_share_a_seed():
+    max_with_own_seeds, max_with_same_seed = (
         Counter(checks_sent(schedulers(50, True, same_seed), 20_000.0, 20.0)).most_common(1)[0][1]
         for same_seed in (False, True)
     )
-    assert spread_out <= 8
-    assert in_step == 50
+    assert max_with_own_seeds <= 8
+    assert max_with_same_seed == 50
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -14,7 +14,7 @@
 
 
 def detector_after(rejected_fraction, requests=400, interval=10.0, seed=1):
-    """A detector, and the time, after so many requests of which this fraction was rejected."""
+    """Return a detector and the time after some requests of which a fraction was rejected."""
     detector = OverloadDetector()
     random = Random(seed)
     now = 0.0
@@ -27,13 +27,15 @@
 
 
 @pytest.mark.parametrize(
-    ("rejected_fraction", "least", "most"),
+    ("rejected_fraction", "min_factor", "max_factor"),
     [(0.0, 1.0, 1.0), (0.1, 0.6, 0.95), (0.25, 0.3, 0.7), (0.6, 0.0, 0.0), (1.0, 0.0, 0.0)],
 )
-def test_request_earns_fewer_retries_the_more_are_rejected(rejected_fraction, least, most):
+def test_requests_earn_fewer_retries_if_more_are_rejected(
+    rejected_fraction, min_factor, max_factor
+):
     detector, _ = detector_after(rejected_fraction)
     earned = detector.retries_earned()
-    assert least * RETRIES_PER_REQUEST <= earned <= most * RETRIES_PER_REQUEST
+    assert min_factor * RETRIES_PER_REQUEST <= earned <= max_factor * RETRIES_PER_REQUEST
 
 
 @pytest.mark.parametrize("rejected_fraction", [0.2, 1.0])
@@ -50,22 +52,26 @@
 
 @pytest.mark.parametrize("failed_fraction", [0.3, 0.9, 1.0])
 @pytest.mark.parametrize("client_retries", [0, 3])
-def test_attempts_stay_bounded_whatever_clients_and_endpoints_do(failed_fraction, client_retries):
-    """The fleet-wide bound: clients that retry at once, endpoints that reject each attempt at once,
-    and a retry budget that is full at the start. Attempts per request stay below what a request
-    earns, and near one in an overload.
+def test_attempts_are_bounded_for_any_behaviour_of_clients_and_endpoints(
+    failed_fraction, client_retries
+):
+    """Guards the limit of the fleet's attempts in the worst case.
+
+    Clients retry immediately, endpoints reject each attempt immediately, and the retry budget is
+    full at the start. Attempts per request stay below the number that a request earns, and near one
+    in an overload.
     """
     detector = OverloadDetector()
     random = Random(2)
     now = 0.0
     tokens = 8.0
-    waiting = []
+    pending = []
     requests = 0
     attempts = 0
     for _ in range(2000):
-        waiting.append(0)
-        while waiting:
-            retries = waiting.pop()
+        pending.append(0)
+        while pending:
+            retries = pending.pop()
             now += 2.0
             requests += 1
             detector.record_request(now)
@@ -76,7 +82,7 @@
                 if tokens < cost:
                     detector.record_rejection()
                     if retries < client_retries:
-                        waiting.append(retries + 1)
+                        pending.append(retries + 1)
                     break
                 tokens -= cost
                 attempts += 1
@@ -113,12 +119,12 @@
     assert retry_cost(was_rejected, duration, 100.0) == cost
 
 
-def test_clients_that_are_rejected_together_retry_spread_out():
+def test_retries_of_clients_that_are_rejected_together_are_spread_out():
     random = Random(3)
     delays = [retry_after(random.random(), 1000.0) for _ in range(400)]
-    within_10_ms = [
+    retries_per_10_ms = [
         sum(slot <= delay < slot + 10.0 for delay in delays) for slot in range(0, 200, 10)
     ]
-    assert max(within_10_ms) <= 70
+    assert max(retries_per_10_ms) <= 70
     assert sum(delays) / 400.0 == pytest.approx(MEAN_RETRY_AFTER, rel=0.1)
     assert retry_after(0.9, 50.0) == 50.0
--- a/tests/policy/test_popularity.py
+++ b/tests/policy/test_popularity.py
@@ -8,8 +8,9 @@
 
 
 def popularity_after(rate, fraction, seconds, seed):
-    """The counts of a director with `rate` requests a second, `fraction` of them for one object and
-    the others for one of 1000 other objects.
+    """Return the counts of a director with `rate` requests a second.
+
+    The given fraction of the requests is for one object, the others are for 1000 other objects.
     """
     popularity = Popularity(0.0)
     random = Random(seed)
@@ -23,22 +24,28 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "fraction", "cache_counts", "times_in_100"),
+    ("rate", "fraction", "cache_counts", "min_runs_of_100"),
     [
-        # A request every three seconds at this director, but hot over the whole location.
-        pytest.param(4.0, 0.08, (2, 3, 4), 95, id="hot-over-the-location"),
-        pytest.param(4.0, 0.002, (1,), 95, id="requested-now-and-then"),
+        # One request every three seconds at this director, but hot in the whole location.
+        pytest.param(4.0, 0.08, (2, 3, 4), 95, id="hot-in-the-location"),
+        pytest.param(4.0, 0.002, (1,), 95, id="requested-occasionally"),
         pytest.param(100.0, 0.05, (3,), 85, id="two-and-a-half-hot-fractions"),
         pytest.param(100.0, 0.01, (1,), 100, id="below-the-hot-fraction"),
         pytest.param(0.1, 0.05, (1,), 95, id="hardly-any-requests"),
     ],
 )
-def test_cache_count_follows_the_fraction_of_requests(rate, fraction, cache_counts, times_in_100):
-    """Protects against objects that are hot over the location but rare at each director, and
-    against taking every object for hot.
+def test_cache_count_follows_the_fraction_of_requests(
+    rate, fraction, cache_counts, min_runs_of_100
+):
+    """Guards against wrong detection of hot objects.
+
+    An object that is hot in the whole location may be rare at each director. With few requests,
+    objects must not be considered hot by chance.
     """
-    found = [popularity_after(rate, fraction, 28.0, seed).cache_count(HOT) for seed in range(100)]
-    assert sum(count in cache_counts for count in found) >= times_in_100
+    found_counts = [
+        popularity_after(rate, fraction, 28.0, seed).cache_count(HOT) for seed in range(100)
+    ]
+    assert sum(count in cache_counts for count in found_counts) >= min_runs_of_100
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,11 +20,18 @@
     unevenness=0.0,
     restart_rate=0.0,
 ):
-    """What all directors send to one endpoint that is warming up, as (ms, work).
-
-    `capacity` is the endpoint's work per ms, `rate` the requests a second of each director,
-    `unevenness` how far these rates differ, `restart_rate` the restarts a second of all directors
-    together; a director that restarts has forgotten what it sent.
+    """Return the work that all directors send to one warming endpoint, as (ms, work).
+
+    Args:
+        directors: Number of directors.
+        capacity: The endpoint's work per ms.
+        rate: Mean requests a second of each director.
+        seed: Seed of all random numbers.
+        duration_s: Duration in seconds.
+        work: Returns the work of a request.
+        unevenness: Standard deviation of the logarithm of the directors' rates.
+        restart_rate: Restarts a second of all directors together. A restarted director does not
+            know what it sent before.
     """
     random = Random(seed)
     sent = []
@@ -44,8 +51,8 @@
     return sent
 
 
-def most_in_a_window(sent):
-    most = 0.0
+def peak_in_a_window(sent):
+    peak = 0.0
     total = 0.0
     first = 0
     for now, work in sent:
@@ -53,14 +60,14 @@
         while sent[first][0] < now - WINDOW:
             total -= sent[first][1]
             first += 1
-        most = max(most, total)
-    return most
+        peak = max(peak, total)
+    return peak
 
 
 def peaks(directors, capacity, rate):
-    """The most work in a window of each of five runs."""
+    """Return the maximum work in a window for each of five runs."""
     return [
-        most_in_a_window(sent_by_fleet(directors, capacity, rate, seed, 30.0)) for seed in range(5)
+        peak_in_a_window(sent_by_fleet(directors, capacity, rate, seed, 30.0)) for seed in range(5)
     ]
 
 
@@ -75,14 +82,14 @@
 
 @pytest.mark.parametrize(("directors", "rate"), FLEETS)
 @pytest.mark.parametrize("capacity", CAPACITIES)
-def test_all_directors_together_stay_below_what_fails_a_warming_endpoint(
+def test_all_directors_together_do_not_overload_a_warming_endpoint(
     directors, rate, capacity, process_job_result
 ):
-    """It fails at N + 3 root N + 3 requests of mean work, N being what it can do in the window."""
+    """The endpoint fails at N + 3 root N + 3 requests of mean work; it can do N in the window."""
     number = capacity * WINDOW / MEAN_WORK
-    found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
-    assert len(found) == 5
-    assert max(found) / MEAN_WORK < number + 3.0 * math.sqrt(number) + 3.0
+    peaks_found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
+    assert len(peaks_found) == 5
+    assert max(peaks_found) / MEAN_WORK < number + 3.0 * math.sqrt(number) + 3.0
 
 
 @pytest.mark.parametrize("directors", [20, 30])
@@ -91,8 +98,9 @@
 def test_few_dozen_directors_stay_within_the_budget_and_its_variance(
     directors, overload_factor, capacity
 ):
-    """The budget is N, of which the policy uses a part; 2 root N + 2 is its variance. Loads are
-    uneven, and each director restarts once a minute.
+    """The budget is N, of which the policy uses a part; the variance allows 2 root N + 2 more.
+
+    The directors' loads are uneven, and each director restarts once a minute.
     """
     usable = min(MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION * overload_factor) * capacity
     number = overload_factor * capacity * WINDOW / MEAN_WORK
@@ -100,15 +108,16 @@
         sent = sent_by_fleet(
             directors, usable, 20.0, seed, 20.0, unevenness=1.0, restart_rate=directors / 60.0
         )
-        assert most_in_a_window(sent) / MEAN_WORK <= number + 2.0 * math.sqrt(number) + 2.0
+        assert peak_in_a_window(sent) / MEAN_WORK <= number + 2.0 * math.sqrt(number) + 2.0
 
 
 @pytest.mark.parametrize(
     ("directors", "least_fraction"), [(5, 0.5), (60, 0.25), (200, 0.25), (600, 0.15)]
 )
 def test_warming_endpoint_is_used_for_any_number_of_directors(directors, least_fraction):
-    """Protects against shares so small that no request ever fits: the endpoint would be idle while
-    it is warming up.
+    """Guards against shares that are too small for any request.
+
+    The endpoint would then be idle while it is warming up.
     """
     capacity = 4.0
     sent = sent_by_fleet(directors, capacity, 300.0 / directors, 1)
@@ -126,7 +135,7 @@
     assert 0.2 < large / total < 0.9
 
 
-def test_few_permits_are_in_hand_when_all_directors_want_the_endpoint_at_once():
+def test_few_permits_exist_when_all_directors_select_the_endpoint_at_once():
     capacity = 4.0
     admitted = 0
     fleet = [(SlowStartBudget(), Random(number)) for number in range(200)]
--- a/tests/policy/test_stream_reconnect.py
+++ b/tests/policy/test_stream_reconnect.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("refusals", "lookups"),
+    ("refused_at", "expected_lookups"),
     [
         pytest.param([], [], id="no-refusal"),
         pytest.param([0.0, 1.0, 1.4], [], id="too-short"),
@@ -14,17 +14,17 @@
         pytest.param([10.0, 11.6, 12.0], [11.6], id="one-lookup"),
     ],
 )
-def test_address_that_keeps_refusing_is_looked_up_at_a_limited_rate(refusals, lookups):
+def test_address_that_keeps_refusing_is_looked_up_at_a_limited_rate(refused_at, expected_lookups):
     backoff = ReconnectBackoff(Random(1))
-    found = []
-    for now in refusals:
+    lookup_times = []
+    for now in refused_at:
         backoff.record_end(now, False, True)
         if backoff.begin_lookup_if_due(now):
-            found.append(now)
-    assert found == lookups
+            lookup_times.append(now)
+    assert lookup_times == expected_lookups
 
 
-def test_refusals_count_only_from_the_last_connection_on():
+def test_refusals_before_the_last_connection_do_not_count():
     backoff = ReconnectBackoff(Random(1))
     backoff.record_end(0.0, False, True)
     backoff.record_end(1.0, True, False)
@@ -33,15 +33,15 @@
     assert backoff.begin_lookup_if_due(2.7)
 
 
-def test_directors_that_lose_their_stream_together_reconnect_spread_out():
+def test_reconnections_of_directors_that_lose_their_stream_together_are_spread_out():
     waits = [ReconnectBackoff(Random(seed)).record_end(0.0, True, False) for seed in range(200)]
-    within_10_ms = [
-        sum(low <= 1000.0 * wait < low + 10 for wait in waits) for low in range(0, 100, 10)
+    reconnects_per_10_ms = [
+        sum(start <= 1000.0 * wait < start + 10 for wait in waits) for start in range(0, 100, 10)
     ]
-    assert max(within_10_ms) < 40
+    assert max(reconnects_per_10_ms) < 40
 
 
-def test_backoff_grows_to_its_maximum_and_begins_anew_after_events():
+def test_backoff_grows_to_its_maximum_and_is_reset_by_events():
     backoff = ReconnectBackoff(Random(3))
     waits = [backoff.record_end(now, False, True) for now in range(10)]
     assert waits[0] < 0.07
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -14,8 +14,9 @@
 
 
 def zone_after(cache_count, failures=(), start=0.0):
-    """A zone of which these caches fail, 100 ms apart; and whether the last failure made it
-    unreachable.
+    """Return a zone after these caches failed, 100 ms apart.
+
+    Also return whether the last failure made the zone unreachable.
     """
     zone = ZoneReachability()
     zone.update_caches(list(range(cache_count)), True)
@@ -33,12 +34,12 @@
         pytest.param(6, [1, 1, 1], False, id="the-same-cache-three-times"),
         pytest.param(20, [1, 2, 3, 4], False, id="less-than-a-quarter"),
         pytest.param(20, [1, 2, 3, 4, 5], True, id="a-quarter"),
-        pytest.param(1, [0], False, id="nothing-to-compare-a-single-cache-with"),
+        pytest.param(1, [0], False, id="single-cache"),
         pytest.param(6, [1, 99], False, id="cache-of-another-zone"),
         pytest.param(2, [0, 1], True, id="all-of-two"),
     ],
 )
-def test_how_many_caches_must_fail_in_a_row(cache_count, failures, is_unreachable):
+def test_number_of_caches_that_must_fail_in_a_row(cache_count, failures, is_unreachable):
     zone, has_become_unreachable = zone_after(cache_count, failures)
     assert zone.is_unreachable == has_become_unreachable == is_unreachable
 
@@ -50,7 +51,7 @@
     assert zone.record_failure(300.0, 3)
 
 
-def test_failures_far_apart_are_no_outage():
+def test_failures_far_apart_do_not_make_an_outage():
     zone, _ = zone_after(6, [1])
     assert not zone.record_failure(FAILURE_WINDOW + 1.0, 2)
     assert not zone.is_unreachable
@@ -71,8 +72,8 @@
     assert not zone.is_unreachable
 
 
-def test_false_alarm_doubles_the_caches_that_must_fail_until_it_is_forgotten():
-    """Protects against a zone that is bypassed again and again while its caches are only slow."""
+def test_false_alarm_doubles_the_caches_that_must_fail_until_it_expires():
+    """Guards against a zone that is bypassed repeatedly while its caches are only slow."""
     zone, _ = zone_after(8, [1, 2])
     assert zone.record_response(150.0, 1) == math.inf
     assert not zone.record_failure(200.0, 1)
@@ -81,7 +82,7 @@
     assert zone.record_failure(230.0, 4)
     zone.record_response(240.0, 1)
     assert not any(zone.record_failure(300.0 + cache, cache) for cache in range(7))
-    assert zone.record_failure(310.0, 7)  # all eight
+    assert zone.record_failure(310.0, 7)  # the last of all eight caches
     zone.record_response(10_000.0, 1)
     for elapsed in (FALSE_ALARM_LIFETIME, 2.0 * FALSE_ALARM_LIFETIME + 1.0):
         assert not zone.record_failure(10_000.0 + elapsed, 1)
@@ -118,15 +119,15 @@
     zone = ZoneReachability()
     zone.update_caches(list(range(5)), True)
     now = 0.0
-    silent_since = {}
+    failed_at = {}
     for is_failure, cache, elapsed in steps:
         now += elapsed
         if is_failure:
-            silent_since[cache] = now
+            failed_at[cache] = now
             if zone.record_failure(now, cache):
-                recent = [at for at in silent_since.values() if at > now - FAILURE_WINDOW]
+                recent = [time for time in failed_at.values() if time > now - FAILURE_WINDOW]
                 assert len(recent) >= 2
         else:
             zone.record_response(now, cache)
-            silent_since = {}
+            failed_at = {}
             assert not zone.is_unreachable
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,8 +6,8 @@
 from mulleinrelay import wire
 from mulleinrelay.wirehost import process_batch, serve
 
-EMPTY = bytes.fromhex("000000000c00000000000000206ec04001000000")
-SAMPLE = bytes.fromhex(
+EMPTY_BATCH = bytes.fromhex("000000000c00000000000000206ec04001000000")
+SAMPLE_BATCH = bytes.fromhex(
     "05000000"
     "24010000"
     "00000000206ec040"
@@ -27,7 +27,7 @@
 
 
 def test_a_batch_is_read_field_by_field():
-    clock, number, records = wire.read_frame(io.BytesIO(SAMPLE))
+    clock, number, records = wire.read_frame(io.BytesIO(SAMPLE_BATCH))
     assert (clock, number) == (8412.25, 12)
     assert [code for code, _ in records] == [130, 30, 70, 130, 60]
     assert records[1][1][4:8] == (240.0, 640.0, 11.0, 3.0) and records[2][1] == (77,)
@@ -35,11 +35,11 @@
 
 def test_an_empty_batch_and_the_end_of_input():
     out = io.BytesIO()
-    serve(io.BytesIO(EMPTY), out)
+    serve(io.BytesIO(EMPTY_BATCH), out)
     assert out.getvalue() == bytes.fromhex("000000000400000001000000")
 
 
-def test_a_reply_as_on_the_wire():
+def test_a_reply_is_encoded_in_the_wire_format():
     reply = wire.Reply()
     reply.add(wire.FOR_INSTANCE, 5)
     reply.add_bytes(wire.LOG, b"two servers known")
@@ -51,10 +51,10 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "told"),
+    ("frame", "message"),
     [
-        (EMPTY[:9], "input ended inside a frame header"),
-        (SAMPLE[:-5], "input ended inside batch 12"),
+        (EMPTY_BATCH[:9], "input ended inside a frame header"),
+        (SAMPLE_BATCH[:-5], "input ended inside batch 12"),
         (struct.pack("<IIdI", 1, 12, 0.0, 3), "too short for 1 records"),
         (struct.pack("<IIdI", 1, 68, 0.0, 3) + b"\x07" + b"\0" * 55, "unknown code 7"),
         (
@@ -64,14 +64,14 @@
         ),
     ],
 )
-def test_a_malformed_frame_is_named(frame, told):
-    with pytest.raises(wire.WireError, match=told):
+def test_a_malformed_frame_is_reported(frame, message):
+    with pytest.raises(wire.WireError, match=message):
         serve(io.BytesIO(frame), io.BytesIO())
 
 
 @pytest.mark.parametrize(
-    ("text", "told"), [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")]
+    ("settings", "message"), [(b"{}", "allowed: the key is missing"), (b"[", "cannot be read")]
 )
-def test_start_settings_that_cannot_be_used_are_named(text, told):
-    with pytest.raises(wire.WireError, match=told):
-        process_batch(0.0, [(wire.SELECT_INSTANCE, (1,)), (wire.BEGIN, (1, text))], {}, {})
+def test_invalid_start_settings_are_reported(settings, message):
+    with pytest.raises(wire.WireError, match=message):
+        process_batch(0.0, [(wire.SELECT_INSTANCE, (1,)), (wire.BEGIN, (1, settings))], {}, {})
