--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -56,7 +56,7 @@
             Whether the limit was reduced.
         """
         if now >= self._window_ends_at + self.WINDOW:
-            # The first sample, or the first after a pause, makes older samples obsolete.
+            # The first sample, or the first sample after a pause: older samples are obsolete.
             self._start_window(now)
         self._sample_count += 1
         self._total_delay += max(delay, self.MIN_DELAY)
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -95,7 +95,7 @@
 def find_failover_cell(
     availability: dict[str, CellAvailability], cell: Cell
 ) -> CellAvailability | None:
-    """Return the failover cell that serves a lost cell's tenants; None if none is available.
+    """Return the failover cell of a lost or recovering cell; None if none is available.
 
     A recovering cell serves no tenants of other cells, because some of its own objects are still
     served elsewhere.
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -23,7 +23,7 @@
 class Limits:
     """The quota of a tenant or a cell at each director.
 
-    A value of 0 means no limit, except for `burst` and `retry_ratio`.
+    A value of 0 means no limit of its own, except for `burst` and `retry_ratio`.
 
     Attributes:
         rate: Requests per second.
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -1,10 +1,10 @@
 """Rollouts of new limits to a canary cell first, then to other cells in waves; pure.
 
 Each director evaluates a rollout by its own requests, and halts it or rolls it back if it harms
-cells. The change in the cells that the rollout has reached, compared with the time before, is
-compared with the change in the cells without it. If both got worse, the rollout is not the cause
-and is only halted. A decline in the last wave also halts it, because no cell is left to compare
-with. Operators decide about a halted rollout.
+cells. To do so, it measures how success rate and delay have changed in the cells with the rollout,
+and in the cells without it. If both groups got worse, the rollout is not the cause and is only
+halted. A decline in the last wave also halts it, because no cell is left to compare with. Operators
+decide about a halted rollout.
 
 Not thread-safe: `CellService` holds its lock during each call.
 """
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -87,7 +87,7 @@
     # Converts tokens per millisecond to requests per second (1000), times the weight of the newest
     # value in the smoothing (0.5).
     SMOOTHED_RATE_FACTOR = 500.0
-    # The expected rate of a party is this multiple of its used rate, so that it can grow.
+    # A party is expected to use up to this multiple of its recent rate, so that its rate can grow.
     GROWTH_ALLOWANCE = 1.25
 
     def __init__(self, rate: float) -> None:
@@ -148,7 +148,7 @@
         self.total_bucket.full_at = min(self.total_bucket.full_at, now + self.ACTIVE_WINDOW)
 
     def reachable_rate(self, share: BucketShare) -> float:
-        """Return the rate that a party can reach with its guaranteed rate and unused rates."""
+        """Return the rate that a party can reach by borrowing what other parties leave unused."""
         used_by_others = sum(
             min(self.guaranteed_rate(other), self.GROWTH_ALLOWANCE * other.used_rate)
             for other in self.shares.values()
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -87,7 +87,7 @@
         (PAY, True, False),
     ],
 )
-def test_rejected_retry_that_may_have_run_is_not_never_executed(
+def test_rejection_says_never_executed_only_if_no_attempt_can_have_run(
     request_class, is_retry, is_never_executed
 ):
     fixture = ControllerFixture(
@@ -101,11 +101,11 @@
 def test_concurrency_limit_of_a_slow_cell_falls_and_that_of_the_other_cell_stays():
     fixture = ControllerFixture(make_assignment(TWO_CELLS))
     messages = []
-    for turn in range(600):
+    for index in range(600):
         fixture.now += 10.0
-        slow = fixture.admit(key=turn)
-        messages.append(fixture.complete(slow, delay=5.0 if turn < 100 else 300.0))
-        fixture.complete(fixture.admit("beta", key=turn), delay=5.0)
+        slow = fixture.admit(key=index)
+        messages.append(fixture.complete(slow, delay=5.0 if index < 100 else 300.0))
+        fixture.complete(fixture.admit("beta", key=index), delay=5.0)
     cell_states = fixture.controller.cell_quotas.cell_states
     assert (
         cell_states["north"].concurrency_limit.current < 30.0
--- a/tests/cells/test_cell_hashing.py
+++ b/tests/cells/test_cell_hashing.py
@@ -24,7 +24,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(NAMES, CELLS, st.floats(1.0, 3.0), st.randoms(use_true_random=False))
-def test_load_bound_is_kept_whatever_the_order(names, cells, bound, rng):
+def test_load_bound_is_kept_in_any_order_of_items(names, cells, bound, rng):
     items, bins = (
         dict.fromkeys(names, 1.0),
         {cell: 1.0 + index % 3 for index, cell in enumerate(cells)},
--- a/tests/cells/test_cells_on_directors.py
+++ b/tests/cells/test_cells_on_directors.py
@@ -39,7 +39,7 @@
         assert caches_with_requests(running) == caches
 
 
-def test_requests_over_the_rate_are_rejected_and_reach_no_node(tmp_path):
+def test_requests_over_the_rate_are_rejected_and_reach_no_endpoint(tmp_path):
     assignment = make_assignment(
         TWO_CELLS, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=3)), "beta", "shared")
     )
@@ -93,7 +93,7 @@
         director = running.directors[0]
         director.event_stream.apply(2, endpoint_list_update(running, "DRAINING", "s-01"))
         assert wait_for(
-            lambda: any("north lost" in str(figures) for figures in running.logs[0].fields)
+            lambda: any("north lost" in str(fields) for fields in running.logs[0].fields)
         )
         before = len(running.commands_by_endpoint()["s-01"])
         for number in range(10):
@@ -114,7 +114,7 @@
             else text
         )
         running.path.write_text(content)
-        assert wait_for(lambda: any(expected in str(figures) for figures in running.logs[0].fields))
+        assert wait_for(lambda: any(expected in str(fields) for fields in running.logs[0].fields))
         assert running.directors[0].cell_service.controller.assignment.version == 3
         running.path.write_text(
             format_assignment(dataclasses.replace(make_assignment(TWO_CELLS), version=4))
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -107,10 +107,11 @@
 
 def exceeds_slow_start(sent, started_at):
     """Return whether the directors together overloaded a cache in slow start in any window."""
-    for at, _ in sent:
-        load = sum(work for other, work in sent if at - OVERLOAD_WINDOW < other <= at)
+    for sent_at, _ in sent:
+        load = sum(work for earlier, work in sent if sent_at - OVERLOAD_WINDOW < earlier <= sent_at)
         fraction = (
-            INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * (at - started_at) / SLOW_START_DURATION
+            INITIAL_FRACTION
+            + (1.0 - INITIAL_FRACTION) * (sent_at - started_at) / SLOW_START_DURATION
         )
         if load > 4.0 * fraction * OVERLOAD_WINDOW:
             return True
@@ -153,7 +154,7 @@
 PROCESS_JOBS = {"moves": (search,)}
 
 
-def test_no_rule_is_broken_in_a_migration_whatever_fails(process_job_result):
+def test_no_rule_is_broken_in_a_migration_with_any_fault(process_job_result):
     broken, case_count = process_job_result("moves")
     assert case_count == 270 and not broken
 
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -362,12 +362,12 @@
         replace(make_assignment(migrations=(make_migration(),)), written_at=-1e6)
     )
     fixture.now = 13_000.0
-    other = replace(
+    new_assignment = replace(
         make_assignment(migrations=(make_migration(name="m2", starts_at=12_900.0),)),
         version=2,
         written_at=-1e6,
     )
-    messages = fixture.controller.replace_assignment(fixture.now, other)
+    messages = fixture.controller.replace_assignment(fixture.now, new_assignment)
     assert any("without a move" in message for message in messages)
     assert not fixture.admit(
         key=KEYS[4], request_class=ORDER, idempotency_key="x", is_retry=True
--- a/tests/cells/test_rollouts.py
+++ b/tests/cells/test_rollouts.py
@@ -26,8 +26,8 @@
     while now < until:
         for cell in ("north", "south", "east"):
             success_rate, delay = (north if cell == "north" else others)(now)
-            for turn in range(10):
-                state.record(now, cell, turn < 10 * success_rate, delay)
+            for index in range(10):
+                state.record(now, cell, index < 10 * success_rate, delay)
         if phase := state.advance(now):
             phases.append((now, phase))
         now += 100.0
--- a/tests/cells/test_tenant_resolution.py
+++ b/tests/cells/test_tenant_resolution.py
@@ -25,7 +25,7 @@
         ("", "11.0.0.0", 41, "shared"),
     ],
 )
-def test_resolves_the_tenant_of_a_request(tenant_name, address, group, tenant):
+def test_tenant_is_resolved_by_name_address_or_group(tenant_name, address, group, tenant):
     tenants = (
         Tenant("acme", "north", addresses=("10.1.0.0/16",)),
         Tenant("shared", "north"),
--- a/tests/cells/test_token_bucket.py
+++ b/tests/cells/test_token_bucket.py
@@ -9,7 +9,7 @@
     ("rate", "burst", "requests", "admitted"),
     [(10.0, 1, 100, 10), (10.0, 5, 100, 15), (0.0, 0, 100, 100)],
 )
-def test_admits_its_rate_and_its_burst(rate, burst, requests, admitted):
+def test_bucket_admits_its_rate_and_its_burst(rate, burst, requests, admitted):
     bucket, count = TokenBucket(rate, burst), 0
     for number in range(requests):
         now = number * 1000.0 / (requests - 1)
@@ -19,7 +19,7 @@
     assert count == admitted
 
 
-def test_returns_the_wait_until_the_next_request():
+def test_bucket_returns_the_wait_until_the_next_request():
     bucket = TokenBucket(10.0, 1)
     bucket.consume(0.0)
     wait = bucket.wait_time(30.0)
