--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -199,7 +199,7 @@
 
 
 def search(request_class, make_histories=histories):
-    """Return the retries that ran in another cell, the number of retries and of failed ones.
+    """Return the retries that ran in another cell, and how many retries were sent and failed.
 
     The search covers first attempts at any director, also at a partitioned one, and retries at
     directors that have read all versions written more than PROPAGATION ago.
@@ -261,11 +261,12 @@
 @pytest.mark.parametrize(
     "bug",
     [
+        # Places a retry by the current fraction, like a first attempt.
         lambda migration, key, history, now, clock_skew: (
             sticky_routing.MigrationSide.TARGET
             if migrations.is_migrated(migration, key, migrations.migrated_fraction(migration, now))
             else sticky_routing.MigrationSide.SOURCE
-        ),  # places a retry by the current fraction, like a first attempt
+        ),
     ],
 )
 def test_search_finds_an_injected_bug(bug, monkeypatch):
