--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -62,7 +62,7 @@
 ]
 
 # Time in ms after the client's deadline when the coordinator fails a request without a result.
-RESULT_GRACE_PERIOD = 8.0  # ms
+RESULT_GRACE_PERIOD = 8.0
 IDLE_WAIT = 1000.0  # ms until the next call if no timer is set
 
 
@@ -126,7 +126,8 @@
     ) -> Request:
         """Accept a request and let the router handle it.
 
-        The calling thread carries out the request's steps; until then no other thread does.
+        The request's steps are reserved for the calling thread until `next_step` returns None to
+        it.
 
         Args:
             request_class: The request's class.
@@ -167,7 +168,7 @@
 
         Returns:
             None if there is nothing to do, or if another thread carries out the request's steps.
-                That thread then also carries out the steps that were added in the meantime.
+            That thread then also carries out the steps that were added in the meantime.
         """
         with self.lock:
             pending = self.pending_requests.get(request)
@@ -339,8 +340,8 @@
 
         Returns:
             A tuple for each endpoint: its entry in the endpoint list, the effective state at this
-                director, its statistics, the smoothed delay in ms (None: not measured) and the
-                minimum fraction of its capacity that is available.
+            director, its statistics, the smoothed delay in ms (None: not measured) and the minimum
+            fraction of its capacity that is available.
         """
         with self.lock:
             return self.registry.states(self.router.slow_start, self.clock())
@@ -384,14 +385,14 @@
 
         Returns:
             When to call again, the health checks to send, and the requests whose steps must be
-                carried out.
+            carried out.
         """
         with self.lock:
             now = self.clock()
             first_due = self._actions.timers.next_due()
             if first_due is not None and first_due <= now:
                 self.scheduling_delay.record(now, now - first_due)
-            changed: dict[Request, None] = {}
+            requests_with_work: dict[Request, None] = {}
             while (timer := self._actions.timers.pop_due(now)) is not None:
                 kind, subject = timer
                 request = subject if isinstance(subject, Request) else subject.request
@@ -400,12 +401,12 @@
                     continue
                 self._driver.run_timer(kind, subject, pending)
                 if pending.has_work():
-                    changed[request] = None
+                    requests_with_work[request] = None
             next_due = self._actions.timers.next_due()
             return (
                 now + IDLE_WAIT if next_due is None else next_due,
                 self._actions.take_health_checks(),
-                list(changed),
+                list(requests_with_work),
             )
 
     def wait_until(self, until: float) -> None:
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -19,7 +19,7 @@
     def update_endpoints(
         self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
     ) -> None:
-        """Take note of an update of the endpoint list.
+        """Record an update of the endpoint list.
 
         After a full snapshot, endpoints without an entry are removed.
         """
@@ -51,17 +51,19 @@
         self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
     ) -> EndpointsUpdated:
         """Store an update of the endpoint list; return the event for the router."""
-        complete = [known for entry in entries if (known := self._fill_in(entry)) is not None]
+        full_entries = [
+            full_entry for entry in entries if (full_entry := self._fill_in(entry)) is not None
+        ]
         if is_full_snapshot:
             self.updates = {}
-        for entry in complete:
+        for entry in full_entries:
             if entry.state == EndpointState.GONE:
                 self.updates.pop(entry.name, None)
             else:
                 self.updates[entry.name] = entry
         if self.overrides is not None:
-            self.overrides.update_endpoints(now, complete, is_full_snapshot)
-        return self._router_update(complete, is_full_snapshot)
+            self.overrides.update_endpoints(now, full_entries, is_full_snapshot)
+        return self._router_update(full_entries, is_full_snapshot)
 
     def reapply(self, change: Callable[[EndpointOverrides], list[str]]) -> EndpointsUpdated | None:
         """Change the overrides; return the event for the router with the affected endpoints.
@@ -85,7 +87,7 @@
         return self.addresses.get(endpoint) is address and not address.is_removed
 
     def drop_removed(self, still_known: dict[TrackedEndpoint, None]) -> None:
-        """Remove endpoints that are no longer listed or known to the router.
+        """Remove endpoints that left the endpoint list and that the router no longer knows.
 
         Without this, memory would grow with every replaced endpoint.
         """
@@ -115,7 +117,7 @@
 
         Returns:
             A tuple for each endpoint: its entry, effective state, statistics, smoothed delay and
-                available fraction of its capacity.
+            available fraction of its capacity.
         """
         return [
             (
@@ -135,12 +137,12 @@
         Returns:
             None if the entry has no address and there is no previous entry.
         """
-        known = self.updates.get(entry.name)
+        previous = self.updates.get(entry.name)
         is_gone = entry.state == EndpointState.GONE
         has_address = entry.address != UNKNOWN_ADDRESS
-        if known is None:
+        if previous is None:
             return entry if has_address or is_gone else None
-        return entry if has_address and not is_gone else replace(known, state=entry.state)
+        return entry if has_address and not is_gone else replace(previous, state=entry.state)
 
     def _router_update(
         self, entries: list[EndpointUpdate], is_full_snapshot: bool
--- a/mulleinrelay/pending_requests.py
+++ b/mulleinrelay/pending_requests.py
@@ -69,7 +69,11 @@
         return bool(self.next_steps) or self.result is not None
 
     def take_step(self) -> SendAttempt | CancelAttempt | None:
-        """Remove and return the next step; skip steps that send an attempt without use."""
+        """Remove and return the next step.
+
+        Steps that would send an attempt that has ended, or an attempt of a completed request, are
+        skipped.
+        """
         while self.next_steps:
             step = self.next_steps.popleft()
             if isinstance(step, CancelAttempt) or (
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -104,7 +104,8 @@
         self.health.record_response(source, now)
         if is_filled_by_origin or is_origin:
             self.fill_sources.origin_delay.add(now, delay)
-        # A parent's fill by the origin measures the delay of the origin, not of the parent.
+        # If a parent filled the object from the origin, the delay is the origin's, not the
+        # parent's.
         if not is_filled_by_origin or is_origin:
             source.recent_delay.add(now, delay)
             source.usual_delay.add(now, delay)
--- a/mulleinrelay/policy/decay.py
+++ b/mulleinrelay/policy/decay.py
@@ -21,10 +21,10 @@
         self._next_halving_at = 0.0
 
     def take_factor(self, now: float) -> float:
-        """Return the factor to multiply the counts with, and schedule the next halving.
+        """Return the factor to multiply the counts with now.
 
-        The factor covers the time since the previous call. It is 1 until the next halving is due;
-        the following halving is due a half-life after `now`.
+        The caller must apply the factor of every call to the counts. The factor is 1 until the next
+        halving is due; after a halving, the next one is due a half-life after `now`.
         """
         if now < self._next_halving_at:
             return 1.0
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -165,7 +165,8 @@
     def record_health_check(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Record that a health check was answered.
 
-        This reinstates the endpoint if it was ejected because it was unreachable.
+        This reinstates the endpoint if it was ejected as unreachable, and ends an outage of its
+        zone.
         """
         if endpoint.is_unreachable or (self.zone.is_unreachable and endpoint in self.zone.caches):
             self.reinstate(endpoint, now)
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -115,7 +115,7 @@
 
         Returns:
             The source, and whether it may answer only from its own cache. The source is the cache
-                itself if a fill would be too late, and None if there is no endpoint.
+            itself if a fill would be too late, and None if there is no endpoint.
         """
         work = self.work.slow_start_work(request, now)
         tried = {
@@ -147,13 +147,14 @@
     ) -> TrackedEndpoint | None:
         """Choose the parent that is first by its hash, a later one, or the origin.
 
-        A parent is skipped if its delay has risen by more than the average rise of all parents. A
-        rise that all parents have in common skips none of them, because the next parents lack the
-        objects and would fill them from the origin. The origin is chosen if all parents are slower
-        than it.
+        A parent is skipped if its delay has risen by more than `NEARBY_DELAY` above the average
+        rise of all parents, unless a trial fill is due. A rise that all parents have in common
+        skips none of them, because the next parents lack the objects and would fill them from the
+        origin. If all parents are slower than the origin by more than `NEARBY_DELAY`, the origin is
+        chosen, or a parent as a trial.
 
         Args:
-            eligible: The parents that may be sent to, as a lazy iterator in the object's order.
+            eligible: The parents that may be sent to, as a lazy iterator in rendezvous order.
             now: The current time.
         """
         endpoints = self.endpoints
@@ -255,7 +256,7 @@
     def _rank_parents(
         self, request: Request, tried: set[TrackedEndpoint | None], now: float
     ) -> list[TrackedEndpoint]:
-        """Return the parents in the object's order, or by delay for an impatient client.
+        """Return the parents in rendezvous order, or by delay for an impatient client.
 
         If a client waits less than the latency objective, a near parent may still serve it in time,
         at the cost of additional copies.
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -40,8 +40,8 @@
     def add(self, now: float, value: float) -> None:
         """Add one measurement."""
         self.decay(now)
-        number = int(max(value, 1.0)).bit_length() - 3
-        self.weights[min(BIN_COUNT - 1, max(0, number))] += 1.0
+        bin_index = int(max(value, 1.0)).bit_length() - 3
+        self.weights[min(BIN_COUNT - 1, max(0, bin_index))] += 1.0
 
     def totals(self, now: float) -> tuple[float, float]:
         """Return the weighted sum of the measurements and the sum of their weights."""
@@ -64,9 +64,9 @@
         half = sum(self.weights) / 2.0
         if half < MIN_HALF_WEIGHT_FOR_MEDIAN:
             return 0.0
-        for number, weight in enumerate(self.weights):
+        for bin_index, weight in enumerate(self.weights):
             if half < weight:
-                return 4.0 * 2.0**number * (1.0 + half / weight)
+                return 4.0 * 2.0**bin_index * (1.0 + half / weight)
             half -= weight
         return 0.0
 
@@ -85,8 +85,8 @@
         hit_lateness: Time that hits took beyond their transfer time, in percent of it.
         outlier_detector: Successes and failures of the endpoint.
         last_heard_at: Time of its last response.
-        silence: Number of attempts that became overdue since then; an overdue attempt adds at most
-            1 in steps.
+        silence: Number of overdue attempts since then; an attempt that is only slightly overdue
+            counts as a fraction.
         last_reset_at: When a connection to it was last reset.
         is_ejected: Whether it receives only trial requests.
         is_unreachable: Whether it was ejected because it was not reached.
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -41,7 +41,7 @@
 
         Returns:
             Whether the request must be sent elsewhere: the attempt is far overdue, and its endpoint
-                or source has been silent since it was sent.
+            or source has been silent since it was sent.
         """
         silent = self._silent_endpoints(attempt)
         expected = self._expected_time(attempt, now)
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -32,7 +32,7 @@
     slow_start: SlowStartAdmission,
     now: float,
 ) -> list[TrackedEndpoint]:
-    """Return the endpoints in the object's order.
+    """Return the endpoints in the order of their rendezvous hash for the object.
 
     An endpoint is weighted by its capacity and by the fraction of it that is available in slow
     start.
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -356,7 +356,8 @@
             and self.retry_policy.can_afford_full_retry(request)
             and self.retry_policy.may_attempt(request, self._now)
         ):
-            self._sink.cancel_attempt(attempt)  # otherwise its answer is the only one possible
+            # a retry may follow; without one, wait for the answer
+            self._sink.cancel_attempt(attempt)
 
     def _wait_or_give_up(self, request: Request) -> None:
         """Wait for an attempt in flight at a reachable endpoint; if there is none, end the request.
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -32,7 +32,7 @@
 PING_SPACING = 1000.0
 # Minimum duration in ms after its detection; a shorter outage was a false alarm.
 MIN_OUTAGE = 1000.0
-# Each false alarm doubles the number of caches that must fail, up to so many times.
+# Maximum number of times that a false alarm doubles the number of caches that must fail.
 MAX_THRESHOLD_DOUBLINGS = 3
 # Time in ms after which one false alarm expires.
 FALSE_ALARM_LIFETIME = 30_000.0
@@ -106,8 +106,8 @@
 
         Returns:
             None if no outage has ended. Otherwise the time in ms from which on caches were ejected
-                because of the outage, and may be reinstated. It is infinite after a false alarm,
-                since each of these caches was then silent for its own reasons.
+            because of the outage, and may be reinstated. It is infinite after a false alarm, since
+            each of these caches was then silent for its own reasons.
         """
         if cache not in self.caches:
             return None
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -80,7 +80,7 @@
 
 
 def test_orders_are_admitted_during_a_flood_of_pages():
-    """Guards against a flood that leaves no capacity for orders.
+    """Guard against a flood that leaves no capacity for orders.
 
     Ten times as many pages as the capacity are received, and each of them stays pending. Without
     the reserved part, no order would be admitted.
@@ -109,7 +109,7 @@
 def test_late_timers_reject_idempotent_requests_only_and_for_a_short_time(
     delay, elapsed, admits_pages, admits_orders
 ):
-    """Guards orders against a lack of CPU time, and all requests against long rejections.
+    """Guard orders against a lack of CPU time, and all requests against long rejections.
 
     A single suspension of the director must not cause rejections for long.
     """
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -8,7 +8,7 @@
 
 
 def test_a_request_that_no_cache_can_serve_in_time_is_rejected_immediately():
-    """Without the limit, a burst of requests delays every transfer past its latency objective."""
+    """Guard against a burst of requests that delays every transfer past its latency objective."""
     fixture = RouterFixture()
     requests = [fixture.receive_request(size_kb=4000.0, after=0.0) for _ in range(200)]
     assert 10 < len([request for request in requests if not request.is_complete]) < 100
@@ -21,7 +21,10 @@
 def test_slowdown_is_measured_by_late_hits_and_not_by_attempts_times_directors(
     response_time, is_accepted
 ):
-    """With twenty directors, two attempts of one director in flight caused a rejection."""
+    """Guard against rejections by an estimate from few own attempts.
+
+    With twenty directors, the third request was rejected while two attempts were in flight.
+    """
     fixture = RouterFixture(local_director_count=20)
     for attempt in [fixture.receive_request(after=20).attempts[0] for _ in range(6)]:
         fixture.handle(
@@ -36,7 +39,10 @@
 
 @pytest.mark.parametrize("local_directors", [1, 30])
 def test_a_large_object_is_served_by_idle_caches(local_directors):
-    """It was rejected, as its own transfer time exceeds the usable fraction of the objective."""
+    """Guard against the rejection of large objects while caches are idle.
+
+    Their own transfer time exceeds the usable fraction of the latency objective.
+    """
     request = RouterFixture(local_director_count=local_directors).receive_request(size_kb=9000.0)
     assert request.attempts and not request.is_complete
 
@@ -75,7 +81,7 @@
 @pytest.mark.parametrize("local_directors", [1, 4, 200])
 @pytest.mark.parametrize("size_factor", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
 def test_noise_at_idle_caches_rejects_no_object_size(size_factor, local_directors):
-    """Large objects are served like others if the slowdown of caches is within the noise."""
+    """Guard against rejections of large objects while a slowdown is within the noise."""
     fixture = RouterFixture(local_director_count=local_directors)
     for _ in range(30):
         fixture.finish_attempt(fixture.receive_request(size_kb=1000.0).attempts[0], after=20.0)
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize(("mean_duration", "max_pings"), [(200.0, 0), (1200.0, 44), (4000.0, 44)])
 def test_slow_responses_cause_few_pings(mean_duration, max_pings):
-    """Guards against pings of a healthy endpoint whose responses are slow.
+    """Guard against pings of a healthy endpoint whose responses are slow.
 
     One connection serves 200 requests one after the other; a fixed silence would cause 200 pings.
     """
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("directors", [5, 12, 60, 600])
 def test_idle_connections_to_one_endpoint_stay_bounded_for_any_number_of_directors(directors):
-    """Guards the limit of idle connections to one cache.
+    """Guard the limit of idle connections to one cache.
 
     The cache receives 20 requests a second of 60 ms each, unevenly distributed over the directors.
     Connections are counted every 50 ms for 30 s.
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -43,7 +43,7 @@
     ],
 )
 def test_failures_are_weighted_by_outcome_and_retry(outcome, retry_outcome, expected_failures):
-    """Guards against the ejection of healthy caches for errors that the requests caused.
+    """Guard against the ejection of healthy caches for errors that the requests caused.
 
     Requests for unknown objects and malformed answers had this effect.
     """
@@ -57,7 +57,7 @@
         else:
             fixture.finish_attempt(request.attempts[0])
     for request in requests:
-        # with an expected hit, the failure counts for the cache alone
+        # With an expected hit, the failure counts for the cache alone
         request.attempts[0].expects_hit = True
         fixture.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if retry_outcome is not None:
@@ -93,7 +93,7 @@
 
 
 def test_a_slow_endpoint_that_answers_in_between_is_not_ejected():
-    """With a fixed timeout, overloaded endpoints were considered silent."""
+    """Guard against a fixed timeout, by which overloaded endpoints were considered silent."""
     fixture = RouterFixture()
     for _ in range(30):
         attempt = fixture.receive_request(after=400).attempts[0]
@@ -105,7 +105,10 @@
 
 @pytest.mark.parametrize(("requests", "max_trials"), [(40, 3), (400, 22)])
 def test_trial_requests_are_earned_by_requests(requests, max_trials):
-    """At two trials a second for each director, hundreds of directors overloaded a dead parent."""
+    """Guard against an overload of a dead parent by trial requests.
+
+    Hundreds of directors with two trials a second each caused this.
+    """
     fixture = RouterFixture()
     fixture.parents[0].is_ejected = True
     trials = 0
@@ -117,7 +120,10 @@
 
 
 def test_a_parent_that_fails_rare_fills_is_ejected():
-    """Results four seconds apart must not expire before two of them are counted."""
+    """Guard against results that expire before enough of them are counted.
+
+    Results four seconds apart expired before two of them could count.
+    """
     fixture = RouterFixture()
     for _ in range(12):
         request = fixture.receive_request(after=4000)
@@ -132,7 +138,10 @@
 
 
 def test_a_fill_source_that_rejects_is_not_ejected():
-    """Ejecting overloaded parents like dead ones led to requests to the dead ones."""
+    """Guard against the ejection of overloaded parents.
+
+    They were ejected like dead parents, and the dead parents received requests again.
+    """
     fixture = RouterFixture()
     for _ in range(30):
         request = fixture.receive_request(after=30)
@@ -172,7 +181,7 @@
 @pytest.mark.parametrize("state", [EndpointState.GONE, EndpointState.DRAINING])
 @pytest.mark.parametrize("first_event", ["failure", "removal"])
 def test_a_removed_or_draining_endpoint_gets_no_health_check(first_event, state, kind):
-    """Guards against a health check for an endpoint without a known address.
+    """Guard against a health check for an endpoint without a known address.
 
     It was sent if an attempt at an endpoint failed after the endpoint's removal.
     """
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -32,7 +32,10 @@
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_small_requests_count_as_their_class_mean_during_slow_start(caches_start):
-    """Counted by their own size, many small requests add up to several times the limit."""
+    """Guard against an overload by many small requests.
+
+    Counted by their own size, they add up to several times the limit.
+    """
     fixture = RouterFixture(
         cache_started_at=100_100.0 * caches_start, parents_started_at=100_100.0 * (not caches_start)
     )
@@ -78,7 +81,7 @@
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
-    """Guards against an estimate that is too small for answers of unknown size.
+    """Guard against an estimate that is too small for answers of unknown size.
 
     A quarter of the latency objective was used for transfer times three times as long.
     """
@@ -124,7 +127,10 @@
 
 
 def test_a_borrowed_slow_start_quota_expires():
-    """A director that was suspended must not use a quota that another director has by now."""
+    """Guard against the use of an expired quota by a director that was suspended.
+
+    Another director may have the quota by then.
+    """
     fixture = RouterFixture(cache_started_at=100_000.0, local_director_count=4)
     warming_cache, share = fixture.caches[0], fixture.router.cache_slow_start_quota
     share.fraction, share.expires_at, share.fallback_fraction, share.is_tracked = (
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -13,7 +13,7 @@
 def test_a_client_with_less_time_than_its_objective_gets_the_nearest_parent(
     remaining_time, is_nearest_expected
 ):
-    """Fills from far parents were too late for clients with a short deadline."""
+    """Guard against fills from far parents that are too late for clients with a short deadline."""
     fixture = RouterFixture()
     for parent, delay in zip(fixture.parents, (60.0, 30.0), strict=True):
         for _ in range(5):
@@ -48,7 +48,10 @@
 def test_a_congested_link_stops_fills_and_a_miss_is_rejected_immediately(
     congestion, report_age, is_filled
 ):
-    """Without the limit, fills for clients that had left kept a link congested for a day."""
+    """Guard against fills that keep the link congested.
+
+    Without the limit, fills for clients that had left kept a link congested for a day.
+    """
     fixture = RouterFixture()
     fixture.finish_attempt(
         fixture.receive_request().attempts[0], load_report={"crowding": congestion}
@@ -64,7 +67,10 @@
 def test_a_slow_origin_gets_no_more_fills_and_parents_serve_only_what_is_cached(
     origin_delay, only_if_cached
 ):
-    """Without the limit, fills that were too late for any client kept the origin overloaded."""
+    """Guard against fills that keep the origin overloaded.
+
+    Without the limit, the fills were too late for any client.
+    """
     fixture = RouterFixture()
     for index in range(30):
         is_filled_by_origin = index % 3 == 0
@@ -88,7 +94,7 @@
 
 
 def test_a_slow_parent_gets_only_trial_fills():
-    """Without the limit, fills waiting for slow parents used the capacity of caches for hits."""
+    """Guard against fills that wait for slow parents and use the capacity of caches for hits."""
     fixture = RouterFixture()
     fixture.router.random.random = lambda: 1.0
     for _ in range(20):
@@ -116,7 +122,10 @@
 def test_a_slow_parent_is_skipped_only_if_the_others_are_not_slow_too(
     slow_parents, is_first_chosen
 ):
-    """Skipping all slow parents led to parents without the objects, and to the origin."""
+    """Guard against skipping all parents if all of them are slow.
+
+    This led to parents without the objects, and to the origin.
+    """
     fixture = RouterFixture()
     serve_fills(fixture)
     for index in slow_parents:
--- a/tests/policy/test_popularity.py
+++ b/tests/policy/test_popularity.py
@@ -37,7 +37,7 @@
 def test_cache_count_follows_the_fraction_of_requests(
     rate, fraction, cache_counts, min_runs_of_100
 ):
-    """Guards against wrong detection of hot objects.
+    """Guard against wrong detection of hot objects.
 
     An object that is hot in the whole location may be rare at each director. With few requests,
     objects must not be considered hot by chance.
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -133,7 +133,10 @@
 def test_retries_keep_to_the_budget_and_cost_little_after_a_quick_failure(
     outcome, after, min_retries, max_retries
 ):
-    """Without the budget, each rejected attempt was followed by three or four more."""
+    """Guard against amplification of an overload by retries.
+
+    Without the budget, each rejected attempt was followed by three or four more.
+    """
     fixture, retries = RouterFixture(), 0
     for _ in range(30):
         request = fixture.receive_request()
@@ -146,7 +149,7 @@
 
 @pytest.mark.parametrize(("response_time", "is_in_time"), [(400.0, True), (90.0, False)])
 def test_without_sizes_an_attempt_is_overdue_by_past_response_times(response_time, is_in_time):
-    """Guards against a fixed estimate of the response time of answers without a known size.
+    """Guard against a fixed estimate of the response time of answers without a known size.
 
     Attempts were overdue after twice a quarter of their latency objective, and parents were
     ejected.
@@ -182,7 +185,7 @@
 def test_an_overdue_request_without_retry_budget_waits_for_a_reachable_endpoint(
     retry_tokens, is_reachable, attempts, is_given_up
 ):
-    """Otherwise endpoints work on requests that were rejected in the meantime."""
+    """Guard against endpoints that work on requests that were rejected in the meantime."""
     fixture = RouterFixture()
     request = fixture.receive_request()
     fixture.router.retry_policy.local_budget.tokens, request.attempts[0].endpoint.is_unreachable = (
@@ -212,7 +215,7 @@
 def test_an_attempt_that_waited_to_be_written_is_sent_only_within_its_time(
     idempotency, first_outcome, after, is_allowed
 ):
-    """A retry that waited for its connection reached an endpoint that had forgotten its key."""
+    """Guard against a retry that waits for its connection until its key is forgotten."""
     fixture = RouterFixture(idempotency)
     request = fixture.receive_request()
     if first_outcome is not None:
@@ -248,7 +251,7 @@
 def test_an_overdue_attempt_is_cancelled_only_if_a_retry_may_follow(
     idempotency, key_scope, retry_tokens, max_attempts, is_cancelled
 ):
-    """Guards against a cancellation that fails a write.
+    """Guard against a cancellation that fails a write.
 
     A write whose key is remembered only in one zone was cancelled and, as it may have run, failed.
     """
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -115,7 +115,7 @@
     ("directors", "least_fraction"), [(5, 0.5), (60, 0.25), (200, 0.25), (600, 0.15)]
 )
 def test_warming_endpoint_is_used_for_any_number_of_directors(directors, least_fraction):
-    """Guards against shares that are too small for any request.
+    """Guard against shares that are too small for any request.
 
     The endpoint would then be idle while it is warming up.
     """
