--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -89,7 +89,7 @@
             steps.append((f"{text} arrives", lambda world, at=index: world.arrive(at, True)))
             steps.append(
                 (
-                    f"{text} arrives and will be duplicated",
+                    f"{text} arrives, and a duplicate stays in transit",
                     lambda world, at=index: world.arrive(at, False),
                 )
             )
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -74,7 +74,7 @@
     assert any("arrives" in step for step in trace)
 
 
-def test_leases_are_exclusive_though_clocks_drift():
+def test_leases_are_exclusive_despite_clock_drift():
     """Prove it with z3 for all clock rates within MAX_CLOCK_DRIFT and for all delays.
 
     The borrower's lease expires before the owner unlocks the units. z3 must find no counter-example
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -70,14 +70,14 @@
             share.peak_rejected = max(share.peak_rejected, fraction)
 
     def max_utilization(self, since=0.0, window=WINDOW_MS):
-        """Return the maximum of the admitted requests in any window, relative to the limit."""
+        """Return the maximum number of requests admitted in any window, relative to the limit."""
         admitted = [at for at in self.admitted_at if at >= since]
-        first = 0
+        window_start = 0
         max_count = 0
         for index, at in enumerate(admitted):
-            while admitted[first] <= at - window:
-                first += 1
-            max_count = max(max_count, index - first + 1)
+            while admitted[window_start] <= at - window:
+                window_start += 1
+            max_count = max(max_count, index - window_start + 1)
         return max_count / (self.rate * window / 1000.0)
 
 
@@ -103,6 +103,7 @@
 
 
 def utilization_without_lending():
+    """Return the fraction of a limit that a fleet uses if each director keeps its own units."""
     fleet = LoadedFleet(30, uneven_demand(30, 900.0), 900.0, seed=2)
     for protocol in fleet.protocols.values():
         protocol.delegate.tick = lambda *_: []  # no director lends or borrows
@@ -124,7 +125,7 @@
     assert process_job_result("without lending") < 0.35
 
 
-def test_units_follow_within_two_seconds_when_the_load_moves():
+def test_units_move_within_seconds_when_the_load_moves():
     fleet = LoadedFleet(20, uneven_demand(20, 800.0), 800.0, seed=4)
     fleet.run_with_load(12)
     fleet.demand = fleet.demand[::-1]
@@ -135,11 +136,11 @@
     assert fleet.max_utilization() <= 1.0
 
 
-def inject(fleet, fault):
+def inject_fault(fleet, fault):
     if fault == "partition":
         fleet.block(range(4), range(4, 12))
         fleet.block(range(4, 12), range(4))
-    elif fault == "deaf":
+    elif fault == "one-way link":
         fleet.block(range(1, 12), [0])
     elif fault in ("killed", "restarted"):
         for number in range(0, 12, 3):
@@ -150,6 +151,7 @@
 
 
 def recover(fleet):
+    """Remove all injected faults."""
     fleet.unblock_all()
     for number in list(fleet.paused):
         fleet.resume(number)
@@ -160,7 +162,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault", ["loss", "partition", "killed", "paused", "restarted", "deaf", "drift"]
+    "fault", ["loss", "partition", "killed", "paused", "restarted", "one-way link", "drift"]
 )
 def test_limit_holds_in_every_window_despite_a_fault(fault):
     """Both sides of the partition are overloaded, as the demand is far above the limit."""
@@ -175,7 +177,7 @@
     )
     fleet.run_with_load(8)
     for _ in range(2):
-        inject(fleet, fault)
+        inject_fault(fleet, fault)
         fleet.demand = fleet.demand[1:] + fleet.demand[:1]
         fleet.run_with_load(0.4 if fault == "restarted" else 5)
         recover(fleet)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -31,7 +31,7 @@
 
 @given(st.lists(UPDATES, max_size=12), st.randoms(use_true_random=False))
 def test_order_and_repetition_of_updates_do_not_matter(updates, random):
-    """All members are added as alive first, as an unknown member that has departed is not added."""
+    """All members are added as alive first, as the table ignores unknown departed members."""
     known = [update(number, 0) for number in (2, 3, 4)]
     merged_tables = []
     for _ in range(2):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -193,7 +193,7 @@
     assert alive >= 0.97 * COUNT * (COUNT - 1)
 
 
-def test_killed_members_are_found_dead_and_their_restart_is_recognized(lab_run):
+def test_killed_members_are_declared_dead_and_their_restart_is_recognized(lab_run):
     audit, folder, _ = lab_run
     killed = affected_directors(audit, "killed")
     killed_at = fault_time(audit, "killed")
@@ -202,11 +202,11 @@
         for director, member, event in logged_events(audit, folder, killed_at, killed_at + 8.0)
         if event == "died"
     }
-    witnesses = (
+    observers = (
         {f"n{number}" for number in range(COUNT)} - killed - affected_directors(audit, "deaf")
     )
     assert all(
-        sum((director, member) in died for director in witnesses) >= 0.8 * len(witnesses)
+        sum((director, member) in died for director in observers) >= 0.8 * len(observers)
         for member in killed
     )
     restarted = {
@@ -231,7 +231,7 @@
     assert len(false_deaths) <= 1 and deaf
 
 
-def test_member_that_stops_leaves_and_is_not_found_dead(lab_run):
+def test_member_that_stops_leaves_and_is_not_declared_dead(lab_run):
     audit, folder, _ = lab_run
     ended = affected_directors(audit, "ended")
     unreliable = ended | affected_directors(audit, "deaf")
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("loss", "duplication", "jitter", "max_died"), NETWORKS)
-def test_no_running_member_is_found_dead_despite_loss_duplicates_and_reordering(
+def test_no_running_member_is_declared_dead_despite_loss_duplicates_and_reordering(
     loss, duplication, jitter, max_died, process_job_result
 ):
     active_counts, died_count = process_job_result(f"members, {[loss, duplication, jitter]}")
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("count", "killed"), [(12, 1), (60, 6), (60, 42)])
-def test_killed_members_are_found_dead_within_seconds(count, killed):
+def test_killed_members_are_declared_dead_within_seconds(count, killed):
     fleet = SimulatedFleet(count, 5)
     fleet.run(15)
     for number in range(count - killed, count):
@@ -114,13 +114,13 @@
     assert fleet.has_converged()
 
 
-@pytest.mark.parametrize("is_deaf", [True, False])
-def test_member_with_a_one_way_link_does_not_harm_the_others(is_deaf):
+@pytest.mark.parametrize("receives_nothing", [True, False])
+def test_member_with_a_one_way_link_does_not_harm_the_others(receives_nothing):
     """A member that receives or sends no datagrams must not have all others declared dead."""
     fleet = SimulatedFleet(20)
     fleet.run(10)
     others = [number for number in range(20) if number != 6]
-    fleet.block(others if is_deaf else [6], [6] if is_deaf else others)
+    fleet.block(others if receives_nothing else [6], [6] if receives_nothing else others)
     fleet.run(40)
     assert fleet.has_converged(others)
     assert not [event for event in fleet.events_of("died") if event[1] != 6 and event[2] != "n6"]
@@ -129,7 +129,7 @@
     assert fleet.has_converged()
 
 
-def test_leaving_member_is_not_found_dead():
+def test_leaving_member_is_not_declared_dead():
     fleet = SimulatedFleet(20)
     fleet.run(10)
     fleet.leave(3)
