--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -95,7 +95,7 @@
                 for target in at:
                     target.set(updates=[(path, {})])
                 time.sleep(0.3)
-                took.append(max(0.0, held.fleet.nodes[box].last_named_at - sent))
+                took.append(max(0.0, held.fleet.nodes[box].last_referenced_at - sent))
                 for target in at:
                     target.set(deletes=[path])
                 time.sleep(0.05)
@@ -103,7 +103,7 @@
         held.thread = threading.Thread(target=run)
         held.thread.start()
 
-    found = lab.run(before=work)
+    found = lab.run(on_load_started=work)
     lab.thread.join(5.0)
     lost.append(found["total"]["no_answer"] + found["total"]["cut_off"])
     return {
@@ -156,7 +156,7 @@
             target.set(updates=[(parse_path(f"{DRAIN}[box=s-5]/reason"), str(number))])
         told["set_per_s"] = round(100 / (time.perf_counter() - begun), 1)
 
-    lab.run(before=work)
+    lab.run(on_load_started=work)
     return told
 
 
@@ -205,7 +205,7 @@
             reason = next(
                 (one.get("reason") for one in held.get("drains", {}).get("drain", ())), None
             )
-            file = store.load_assignment(lab.assignment).tenants["acme"].weight
+            file = store.load_assignment(lab.assignment_path).tenants["acme"].weight
             seen += reason is not None
             half += reason is not None and not float(reason) + 1.0 == weight == file
             after.close()
@@ -290,7 +290,7 @@
         if streams:
             threading.Thread(target=gets, daemon=True).start()
 
-    lab.run(before=work)
+    lab.run(on_load_started=work)
     ended.set()
     return lab.load_generators[0].percentile(0.99, 1.5, 8.0), streams
 
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -81,7 +81,7 @@
     """One play of a scenario.
 
     Attributes:
-        assignment: Path of the assignment file that the directors share.
+        assignment_path: Path of the assignment file that the directors share.
         environment: The stand-ins on sockets; set by `run`, or by those who start directors alone.
         began: Start of the load in Unix ms.
         completed_steps: What was done, by the names of the output.
@@ -102,7 +102,7 @@
             self.temporary = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-")
             folder = self.temporary.name
         self.folder = folder
-        self.assignment = os.path.join(self.folder, "assignment.ini")
+        self.assignment_path = os.path.join(self.folder, "assignment.ini")
         self.fleet = build_node_fleet(scenario)
         self.directors: list[Director] = []
         self.load_generators: list[LoadGenerator] = []
@@ -112,13 +112,13 @@
     def run(
         self,
         live: Callable[["Lab", float], None] | None = None,
-        before: Callable[["Lab"], None] | None = None,
+        on_load_started: Callable[["Lab"], None] | None = None,
     ) -> dict[str, Any]:
         """Play, and return the figures.
 
         Args:
             live: Called twice a second with the lab and the seconds since the start.
-            before: Called when the load has started.
+            on_load_started: Called when the load has started.
 
         Raises:
             RuntimeError: A director was not ready in time.
@@ -127,8 +127,8 @@
         try:
             self.start_directors()
             self._start_load()
-            if before is not None:
-                before(self)
+            if on_load_started is not None:
+                on_load_started(self)
             cpu_before = [director.usage().cpu_s for director in self.directors]
             threading.Thread(target=self._run_steps, name="steps", daemon=True).start()
             self._follow(live)
@@ -174,9 +174,11 @@
 
     def change_assignment(self, make: Callable[[Assignment], Assignment]) -> Assignment:
         """Change the assignment file; returns what was saved."""
-        with store.exclusive_writer(self.assignment):
-            old = store.load_assignment(self.assignment)
-            return store.save_assignment(self.assignment, make(old), round(now_ms()), old.version)
+        with store.exclusive_writer(self.assignment_path):
+            old = store.load_assignment(self.assignment_path)
+            return store.save_assignment(
+                self.assignment_path, make(old), round(now_ms()), old.version
+            )
 
     def summary(self, cpu_s: float) -> dict[str, Any]:
         """Return the figures by the names of the command's output; `cpu_s`: of all directors."""
@@ -220,7 +222,7 @@
     def _write_cells_files(self) -> str:
         """Write the assignment and the file that names it; returns the latter's path."""
         scenario = self.scenario
-        with open(self.assignment, "w", encoding="utf-8") as file:
+        with open(self.assignment_path, "w", encoding="utf-8") as file:
             file.write(format_assignment(scenario.assignment))
         path = os.path.join(self.folder, "cells.ini")
         with open(path, "w", encoding="utf-8") as file:
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -73,7 +73,9 @@
         self.peak_load = 0.0  # as a multiple of the capacity
         self.overloaded_since = 0.0  # 0: not overloaded
         self.counts: Counter[str] = Counter()
-        self.last_named_at = 0.0  # when a command last named it, as its target or as a fill source
+        self.last_referenced_at = (
+            0.0  # when a command last named it, as its target or as a fill source
+        )
 
     def capacity_fraction(self, now: float) -> float:
         """Return the fraction of its capacity that the node has during and after slow start."""
@@ -198,10 +200,10 @@
         node = self.nodes[name]
         with self.lock:
             node.counts["asked"] += 1
-            node.last_named_at = now
+            node.last_referenced_at = now
             source = self.nodes.get(fields.get("miss", ""))
             if source is not None:
-                source.last_named_at = now
+                source.last_referenced_at = now
             if fields.get("lane", "") in self.write_classes:
                 return self._write(now, node, fields.get("dedupe", ""))
             command = _ReadCommand(
