--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -21,7 +21,7 @@
 from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.model.simulation import play as play_model
+from mulleinrelay.model.simulation import run_scenario as play_model
 
 from .versions import ROOT, unpack
 
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -163,9 +163,9 @@
         scenario = scenario.with_directors(options.directors)
     progress = show_fleet_progress if options.shows_progress else None
     if options.model:
-        from ..model.simulation import play as play_model
+        from ..model.simulation import run_scenario as run_simulated_scenario
 
-        _print_fleet_figures(play_model(scenario, progress), options.as_json)
+        _print_fleet_figures(run_simulated_scenario(scenario, progress), options.as_json)
         return
     from .fleet.audit import Audit
     from .fleet.observations import read_observations
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -324,6 +324,6 @@
         self.directors[number] = self._start_director(number)
 
 
-def play(scenario: FleetScenario, live: Progress | None = None) -> dict[str, Any]:
+def run_scenario(scenario: FleetScenario, live: Progress | None = None) -> dict[str, Any]:
     """Play a scenario and return the figures of the lab's audit."""
     return Audit(scenario, Simulation(scenario).run(live)).figures()
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.model.simulation import play
+from mulleinrelay.model.simulation import run_scenario
 
 SMALL = """
 [fleet lab]
@@ -56,19 +56,21 @@
 )
 def test_each_fault_causes_no_violation(fault, outcomes):
     text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
-    figures = play(parse_fleet_scenario(text))
+    figures = run_scenario(parse_fleet_scenario(text))
     assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
     assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
     assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_the_same_seed_gives_the_same_figures():
-    first, again = (play(parse_fleet_scenario(SMALL)) for _ in range(2))
-    assert first == again != play(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
+    first, again = (run_scenario(parse_fleet_scenario(SMALL)) for _ in range(2))
+    assert (
+        first == again != run_scenario(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
+    )
 
 
 def test_a_fleet_larger_than_the_lab_can_be_simulated():
-    figures = play(
+    figures = run_scenario(
         parse_fleet_scenario(SMALL.replace("seconds = 16", "seconds = 5")).with_directors(1000)
     )
     assert (
