--- a/mulleinrelay/model/__init__.py
+++ b/mulleinrelay/model/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet in simulated time.
+"""A discrete-event simulation of a fleet of directors and nodes.
 
-It joins the router itself, the stand-ins' nodes, and the fleet lab's scenarios and audit, at sizes
-that processes don't reach.
+It combines the real router, the simulated nodes of the stand-ins, and the scenarios and audit of
+the fleet lab. It reaches fleet sizes that are out of reach for one process per director.
 """
--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -1,4 +1,4 @@
-"""The clients of the simulation: their requests, retries and results."""
+"""Simulated clients: they send requests, retry them and record the outcomes."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -15,35 +15,49 @@
 if TYPE_CHECKING:
     from .simulation import Simulation
 
-CLIENT_DELAY_MS = 0.3  # one way between a client and a director, as on loopback
-MIN_TIME_FOR_TRY = 10.0  # ms of patience that must remain for a try
-MIN_PATIENCE_MS = 1.0
+CLIENT_DELAY_MS = 0.3  # one-way delay between a client and a director, as on loopback
+MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain to send a try
+MIN_PATIENCE_MS = 1.0  # directors require a positive patience
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request over its tries; times in ms. `director`: of the last try."""
+    """A client's request, which is sent as one or more tries. Times are in ms.
+
+    Attributes:
+        created_at: When the client decided to send the request.
+        deadline: When the client's patience ends.
+        plan: Content of the request.
+        last_director: Director that received the last try.
+        first_director: Director that received the first try.
+        tries: Number of tries so far.
+        is_complete: Whether the final outcome is recorded.
+    """
 
     number: int
-    asked_at: float
+    created_at: float
     deadline: float
     location: str
-    wanted: RequestPlan
-    director: int = NO_DIRECTOR
+    plan: RequestPlan
+    last_director: int = NO_DIRECTOR
     first_director: int = NO_DIRECTOR
     tries: int = 0
-    is_over: bool = False
+    is_complete: bool = False
 
 
 class SimulatedClients:
-    """All clients. Attributes: `excluded` are the directors that clients pass by."""
+    """The clients of all locations.
+
+    Attributes:
+        excluded_directors: Directors that clients don't choose, as they were found to have exited.
+    """
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
         self.scenario = simulation.scenario
         self.clock = simulation.clock
         self.observations = simulation.observations
-        self.excluded: set[int] = set()
+        self.excluded_directors: set[int] = set()
         self.loads = {
             location: LocationLoad(self.scenario, location) for location in self.scenario.locations
         }
@@ -52,11 +66,13 @@
     def start(self) -> None:
         """Schedule the first request of each location."""
         for load in self.loads.values():
-            self._send_new_at(self.simulation.began + 1000.0 * load.next_arrival_in_s(0.0), load)
+            self._send_new_at(
+                self.simulation.started_at + 1000.0 * load.next_arrival_in_s(0.0), load
+            )
 
     def on_result(self, request: PendingRequest, outcome: str, retry_after_ms: float) -> None:
-        """Retry after a rejection, else complete the request."""
-        if request.is_over:
+        """Process a director's result: retry if it is a rejection, else complete the request."""
+        if request.is_complete:
             return
         now = self.clock()
         retry_at = now + (retry_after_ms or DEFAULT_RETRY_DELAY)
@@ -67,19 +83,19 @@
         self.clock.call_at(now + CLIENT_DELAY_MS, lambda: self._complete(request, outcome))
 
     def on_disconnect(self, request: PendingRequest, number: int) -> None:
-        """Retry where the request class permits, as the director is dead.
+        """Process a lost connection to a director: retry if permitted, else complete the request.
 
-        After the time of failure detection, clients pass the director by.
+        If the director has exited, clients stop choosing it after the failure detection time.
         """
         simulation = self.simulation
         self.observations.others["cut"].append(
             DisconnectRecord(simulation.since_start_s(), number, 1)
         )
-        if simulation.directors[number].gone:
+        if simulation.directors[number].has_exited:
             detected_at = self.clock() + self.scenario.failure_detection_ms
-            self.clock.call_at(detected_at, lambda: self._exclude_dead(number))
+            self.clock.call_at(detected_at, lambda: self._exclude_if_exited(number))
         remaining = request.deadline - self.clock()
-        if can_retry_after_disconnect(self.scenario, request.wanted, request.tries, remaining):
+        if can_retry_after_disconnect(self.scenario, request.plan, request.tries, remaining):
             self._retry_at(self.clock() + DEFAULT_RETRY_DELAY, request)
             return
         self._complete(request, "cut off")
@@ -100,63 +116,65 @@
 
     def _send_try(self, request: PendingRequest) -> None:
         now = self.clock()
-        director = self.loads[request.location].draw_director(self.excluded)
-        if director is None or now > request.deadline - MIN_TIME_FOR_TRY:
+        director = self.loads[request.location].draw_director(self.excluded_directors)
+        if director is None or now > request.deadline - MIN_TIME_FOR_TRY_MS:
             self._complete(request, "nobody")
             return
         request.tries += 1
-        request.director = director
+        request.last_director = director
         if request.first_director == NO_DIRECTOR:
             request.first_director = director
-        tries = request.tries
-        missing_at = request.deadline + self.scenario.answer_grace_ms
-        self.clock.call_at(missing_at, lambda: self._expire(request, tries))
-        self.clock.call_at(now + CLIENT_DELAY_MS, lambda: self._arrive(request, director))
+        try_number = request.tries
+        expires_at = request.deadline + self.scenario.answer_grace_ms
+        self.clock.call_at(expires_at, lambda: self._expire_try(request, try_number))
+        self.clock.call_at(
+            now + CLIENT_DELAY_MS, lambda: self._deliver_to_director(request, director)
+        )
 
-    def _arrive(self, request: PendingRequest, number: int) -> None:
-        """A try has reached its director."""
+    def _deliver_to_director(self, request: PendingRequest, number: int) -> None:
+        """Deliver a try to its director, or report a disconnect if the director has exited."""
         simulation = self.simulation
-        if simulation.defer_if_stopped(number, lambda: self._arrive(request, number)):
+        if simulation.defer_if_stopped(number, lambda: self._deliver_to_director(request, number)):
             return
         director = simulation.directors[number]
-        if director.gone:
+        if director.has_exited:
             self.on_disconnect(request, number)
             return
-        director.ask(request, max(MIN_PATIENCE_MS, request.deadline - self.clock()))
+        director.receive_request(request, max(MIN_PATIENCE_MS, request.deadline - self.clock()))
 
     def _retry_at(self, due_at: float, request: PendingRequest) -> None:
         def retry() -> None:
-            if not request.is_over:
+            if not request.is_complete:
                 self._send_try(request)
 
         self.clock.call_at(due_at, retry)
 
-    def _expire(self, request: PendingRequest, tries: int) -> None:
-        """Complete a request whose answer is missing, where this try was its last."""
-        if request.is_over or request.tries != tries:
+    def _expire_try(self, request: PendingRequest, try_number: int) -> None:
+        """Complete a request without an answer, unless a further try was sent meanwhile."""
+        if request.is_complete or request.tries != try_number:
             return
         self.observations.others["none"].append(
-            (self.simulation.since_start_s(), request.director, request.asked_at)
+            (self.simulation.since_start_s(), request.last_director, request.created_at)
         )
         self._complete(request, "no answer")
 
-    def _exclude_dead(self, number: int) -> None:
-        if self.simulation.directors[number].gone:
-            self.excluded.add(number)
+    def _exclude_if_exited(self, number: int) -> None:
+        if self.simulation.directors[number].has_exited:
+            self.excluded_directors.add(number)
 
     def _complete(self, request: PendingRequest, outcome: str) -> None:
-        if request.is_over:
+        if request.is_complete:
             return
-        request.is_over = True
+        request.is_complete = True
         self.observations.requests.append(
             RequestRecord(
-                (request.asked_at - self.simulation.began) / 1000.0,
-                self.clock() - request.asked_at,
+                (request.created_at - self.simulation.started_at) / 1000.0,
+                self.clock() - request.created_at,
                 request.location,
                 request.first_director,
-                request.director,
-                request.wanted.request_class,
-                request.wanted.object_id,
+                request.last_director,
+                request.plan.request_class,
+                request.plan.object_id,
                 outcome,
                 request.tries,
             )
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -1,4 +1,4 @@
-"""One director of the model: the router, and what carries its actions out."""
+"""A simulated director: the real router with simulated connections and timers."""
 
 from collections import deque
 from typing import TYPE_CHECKING, Any
@@ -23,91 +23,115 @@
     from .clients import PendingRequest
     from .simulation import Simulation
 
-STATES = {
+ENDPOINT_STATES = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-GROUP_MASK = 0xFF  # of an object's number: the group that it is purged with
+PURGE_GROUP_MASK = 0xFF  # bits of an object's number that give its purge group
 
 
-class Modelled:
-    """One director and its router's `ActionSink`.
+class SimulatedDirector:
+    """A director, which is also the `ActionSink` of its router.
 
-    Owns its endpoints by name and its open requests. `world` brings attempts to endpoints and
-    results to clients; `gone` is set by it.
+    Attributes:
+        simulation: Carries attempts to nodes and results to clients.
+        endpoints: Endpoints by their name in the endpoint list.
+        open_requests: Requests without a result yet, with the client's request for each.
+        has_exited: Whether the director was killed or shut down. Set by the simulation, which then
+            replaces the director with a new one.
     """
 
     def __init__(
         self,
-        world: "Simulation",
+        simulation: "Simulation",
         number: int,
         settings: ServiceSettings,
-        zone_of: dict[str, int],
-        kinds: dict[str, int],
+        zone_numbers: dict[str, int],
+        kind_numbers: dict[str, int],
         seed: int,
     ) -> None:
-        """`zone_of` and `kinds` give the numbers of the names in the endpoint list."""
-        self.world = world
+        """Create a director without endpoints.
+
+        Args:
+            simulation: The simulation that the director belongs to.
+            number: Number of the director.
+            settings: Settings of the router.
+            zone_numbers: Number of each zone name in the endpoint list.
+            kind_numbers: Number of each node kind in the endpoint list.
+            seed: Seed of the router's random numbers.
+        """
+        self.simulation = simulation
         self.number = number
         self.settings = settings
-        self.zone_of = zone_of
-        self.kinds = kinds
-        self.router = Router(world.clock(), seed, settings)
+        self.zone_numbers = zone_numbers
+        self.kind_numbers = kind_numbers
+        self.router = Router(simulation.clock(), seed, settings)
         self.endpoints: dict[str, TrackedEndpoint] = {}
-        self.names: dict[TrackedEndpoint, str] = {}
-        self.open: dict[Request, PendingRequest] = {}
-        self.gone = False  # killed; a new one stands in its place
+        self.endpoint_names: dict[TrackedEndpoint, str] = {}
+        self.open_requests: dict[Request, PendingRequest] = {}
+        self.has_exited = False
         self._cancelled: deque[Attempt] = deque()
 
-    # Called by the world
+    # Called by the simulation
 
-    def list(self, rows: list[dict[str, Any]], whole: bool = False) -> None:
-        """The endpoint list has changed; with a full snapshot (`whole`) the rest is gone."""
-        self._handle(EndpointsUpdated([self._entry(row) for row in rows], whole))
+    def update_endpoints(self, rows: list[dict[str, Any]], is_full_snapshot: bool = False) -> None:
+        """Apply an endpoint update; a full snapshot removes all endpoints without a row."""
+        self._handle(
+            EndpointsUpdated([self._endpoint_entry(row) for row in rows], is_full_snapshot)
+        )
 
-    def ask(self, pending: "PendingRequest", left: float) -> None:
-        """A client sends a request and waits so many ms."""
-        now = self.world.clock()
-        wanted = pending.wanted
-        number = self.world.class_indices[wanted.request_class]
+    def receive_request(self, pending: "PendingRequest", remaining_ms: float) -> None:
+        """Accept a request of a client that waits for `remaining_ms`."""
+        now = self.simulation.clock()
+        plan = pending.plan
+        class_index = self.simulation.class_indices[plan.request_class]
         request = Request(
             pending,
-            self.settings.request_classes[number],
-            wanted.object_id,
+            self.settings.request_classes[class_index],
+            plan.object_id,
             0,
-            wanted.object_id & GROUP_MASK,
-            wanted.size_kb,
+            plan.object_id & PURGE_GROUP_MASK,
+            plan.size_kb,
             now,
-            now + left,
+            now + remaining_ms,
             pending.tries > 1,
         )
-        self.open[request] = pending
+        self.open_requests[request] = pending
         self._handle(RequestReceived(request))
 
-    def answered(self, attempt: Attempt, word: str, why: str, waited: float) -> None:
-        """An endpoint has answered an attempt."""
-        if not self.gone and attempt.outcome is None:
-            self.ended(
+    def receive_answer(
+        self, attempt: Attempt, word: str, reason: str, first_byte_delay: float
+    ) -> None:
+        """Process a node's answer to an attempt.
+
+        Args:
+            attempt: The answered attempt.
+            word: First word of the answer, which gives the outcome.
+            reason: How the node obtained the answer, as reported by the node.
+            first_byte_delay: Delay of the fill source in ms, as reported by the node.
+        """
+        if not self.has_exited and attempt.outcome is None:
+            self.finish_attempt(
                 attempt,
                 OUTCOME_BY_WORD[word.encode()],
-                CACHE_STATUS_BY_WORD.get(why, CacheStatus.UNKNOWN),
-                waited,
+                CACHE_STATUS_BY_WORD.get(reason, CacheStatus.UNKNOWN),
+                first_byte_delay,
             )
 
-    def ended(
+    def finish_attempt(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: CacheStatus = CacheStatus.UNKNOWN,
-        waited: float = 0.0,
+        cache_status: CacheStatus = CacheStatus.UNKNOWN,
+        first_byte_delay: float = 0.0,
     ) -> None:
-        """An attempt has ended; `waited` is the fill source's delay in ms, as reported."""
-        if self.gone or attempt.outcome is not None:
+        """Report the end of an attempt to the router, unless the attempt has already ended."""
+        if self.has_exited or attempt.outcome is not None:
             return
         request = attempt.request
         is_served = outcome == Outcome.SERVED
-        elapsed = self.world.clock() - attempt.sent_at
+        elapsed = self.simulation.clock() - attempt.sent_at
         if is_served and not request.is_complete:
             self._complete(request, "served", 0.0)
         self._handle(
@@ -116,130 +140,129 @@
                 outcome,
                 elapsed,
                 request.is_complete or is_served,
-                note,
-                waited,
+                cache_status,
+                first_byte_delay,
                 None,
             )
         )
 
-    def health_check_answered(self, name: str) -> None:
-        """An endpoint has answered a health check."""
+    def receive_health_check_answer(self, name: str) -> None:
+        """Process the answer of an endpoint to a health check."""
         self._handle(HealthCheckFinished(self.endpoints[name], {}))
 
-    def purged(self, object_id: int, age: float) -> None:
-        """An object was purged `age` ms ago."""
+    def receive_purge(self, object_id: int, age: float) -> None:
+        """Process the notification of a purge that took place `age` ms ago."""
         self._handle(PurgeReceived(object_id, 0, age))
 
-    def finish(self, request: Request) -> None:
-        """The director shuts down: the request gets its final answer."""
+    def finish_request(self, request: Request) -> None:
+        """Fire the timer of an open request, so that a shutdown gives it a final result."""
         self._handle(TimerFired(request))
 
-    # Inside
+    # Internal
 
     def _handle(self, event: Event) -> None:
-        """Has the router handle an event, and then each attempt that it cancelled."""
+        """Pass an event to the router, then one event for each attempt that it cancelled."""
         events: deque[Event] = deque([event])
         while events:
-            now = self.world.clock()
+            now = self.simulation.clock()
             self.router.handle(now, [events.popleft()], self)
             while self._cancelled:
                 attempt = self._cancelled.popleft()
                 if attempt.outcome is None:
                     events.append(AttemptFinished.cancelled(attempt, now))
 
-    def _entry(self, row: dict[str, Any]) -> EndpointEntry:
+    def _endpoint_entry(self, row: dict[str, Any]) -> EndpointEntry:
         name = row["id"]
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             endpoint = TrackedEndpoint(int(name.rpartition("-")[2], 16))
             self.endpoints[name] = endpoint
-            self.names[endpoint] = name
+            self.endpoint_names[endpoint] = name
         return EndpointEntry(
             endpoint,
-            STATES[row["state"]],
+            ENDPOINT_STATES[row["state"]],
             float(row["weight"]),
-            self.kinds[row["kind"]],
-            self.zone_of[row["zone"]],
+            self.kind_numbers[row["kind"]],
+            self.zone_numbers[row["zone"]],
             0,
             float(row["started_ms"]),
         )
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.outcome is None:
-            self.ended(attempt, Outcome.TIMEOUT)
+            self.finish_attempt(attempt, Outcome.TIMEOUT)
 
     def _fire_timer(self, subject: Request | Attempt) -> None:
         is_over = (
             subject.is_complete if isinstance(subject, Request) else subject.outcome is not None
         )
-        if not self.gone and not is_over:
+        if not self.has_exited and not is_over:
             self._handle(TimerFired(subject))
 
-    def _complete(self, request: Request, result: str, retry_after: float) -> None:
-        pending = self.open.pop(request, None)
+    def _complete(self, request: Request, outcome: str, retry_after: float) -> None:
+        pending = self.open_requests.pop(request, None)
         if pending is not None:
-            self.world.on_result(self, pending, result, retry_after)
+            self.simulation.on_result(self, pending, outcome, retry_after)
 
-    # ActionSink
+    # Methods of ActionSink
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Sends the attempt through the model's network, and sets its timeout."""
-        clock = self.world.clock
-        fields = _fields(attempt, options, self._source_name(attempt))
-        self.world.send_attempt(self, attempt, self.names[attempt.endpoint], fields)
+        """Send the attempt over the simulated network and schedule its timeout."""
+        clock = self.simulation.clock
+        fields = _command_fields(attempt, options, self._source_name(attempt))
+        self.simulation.send_attempt(self, attempt, self.endpoint_names[attempt.endpoint], fields)
         clock.call_at(clock() + attempt.timeout, lambda: self._time_out(attempt))
 
     def _source_name(self, attempt: Attempt) -> str:
         source = attempt.fill_source
-        return "" if source is None or source is attempt.endpoint else self.names[source]
+        return "" if source is None or source is attempt.endpoint else self.endpoint_names[source]
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Has the attempt reported back as cancelled."""
+        """Queue the attempt to be reported to the router as cancelled."""
         if attempt.outcome is None:
             self._cancelled.append(attempt)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Answers the client."""
+        """Tell the client that its request was rejected."""
         self._complete(request, "rejected", retry_after)
 
     def fail_request(self, request: Request) -> None:
-        """Answers the client."""
+        """Tell the client that its request failed."""
         self._complete(request, "failed", 0.0)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Sets a timer of the model's clock."""
-        clock = self.world.clock
+        """Schedule a timer on the simulated clock."""
+        clock = self.simulation.clock
         clock.call_at(clock() + delay, lambda: self._fire_timer(subject))
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
-        """Sends a health check through the model's network."""
-        self.world.check_health(self, self.names[endpoint])
+        """Send a health check over the simulated network."""
+        self.simulation.check_health(self, self.endpoint_names[endpoint])
 
     def subscribe_to_endpoints(self) -> None:
-        """The endpoint list is always read."""
+        """Do nothing, as the simulation sends endpoint updates without a subscription."""
 
     def log(self, text: str) -> None:
-        """The model writes no log."""
+        """Do nothing, as the simulation writes no log."""
 
 
-def _fields(attempt: Attempt, options: SendOptions, source_name: str) -> dict[str, str]:
-    """The attempt's fields as the stand-in endpoints read them."""
+def _command_fields(attempt: Attempt, options: SendOptions, source_name: str) -> dict[str, str]:
+    """Return the fields of the PULL command for an attempt, as simulated nodes read them."""
     request = attempt.request
-    wanted = request.context.wanted
+    plan = request.context.plan
     flags = {
         "collapse": options.allow_coalescing,
         "only-if-cached": options.only_if_cached,
         "no-store-up": not options.store_at_parent,
     }
     fields = {
-        "lane": wanted.request_class,
+        "lane": plan.request_class,
         "name": f"{request.object_id:016x}",
         "piece": "0",
         "miss": source_name,
         "prio": str(options.retention_rank),
         "f": "+".join(flag for flag, is_set in flags.items() if is_set),
-        "dedupe": wanted.idempotency_key
-        or f"mark-{request.context.number}-{request.context.tries}",
+        "dedupe": plan.idempotency_key or f"mark-{request.context.number}-{request.context.tries}",
     }
     if options.max_age > 0.0:
         fields["within"] = f"{max(1.0, options.max_age):.0f}"
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -1,4 +1,4 @@
-"""The paths of the simulation between directors and nodes, and what arrives at nodes."""
+"""The simulated network between directors and nodes, and the execution of commands at nodes."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 from ..policy.model import Attempt, Outcome
 from ..standins.node_kinds import CACHE
 from ..standins.node_protocol import decode_fields
-from .directors import Modelled
+from .directors import SimulatedDirector
 
 if TYPE_CHECKING:
     from .simulation import Simulation
 
-NODE_DELAY_MS = 0.5  # one way between a director and a node, as on loopback with the fault proxy
-MESSAGE_BYTES = 300  # of a command or an answer, for rules that limit the rate
-ERROR_DELAY_MS = 1.0
+NODE_DELAY_MS = 0.5  # one-way delay between a director and a node, as through the fault proxy
+MESSAGE_BYTES = 300  # assumed size of a command or an answer, for rules that limit the rate
+ERROR_DELAY_MS = 1.0  # until a node with injected errors answers
 
 
 @dataclass(frozen=True, slots=True)
 class _HeldMessage:
-    """A message that a cut holds back."""
+    """A message that is held until the cut of its path ends."""
 
     director: int
     node: str
@@ -33,13 +33,14 @@
 
 
 class SimulatedNetwork:
-    """Carries commands to nodes and answers back, by the network rules in force.
+    """The network, which carries commands and answers according to the active network rules.
 
     Attributes:
-        in_flight: Attempts by node, with their directors.
-        failing_for: Directors that get errors, by node.
-        slow_for: Directors for which a node is slower, and the factor, by node.
-        purge_notified_at: When a director was notified of an object's purge.
+        held_messages: Messages on paths that are cut.
+        in_flight: Attempts in flight and their directors, by node.
+        failing_for: Directors to which a node answers with errors, by node.
+        slow_for: Directors to which a node answers slowly, and the slowdown factor, by node.
+        purge_notified_at: Time at which a director was notified of an object's purge.
     """
 
     def __init__(self, simulation: "Simulation") -> None:
@@ -49,26 +50,31 @@
         self.observations = simulation.observations
         self.rules = ActiveRules()
         self.streams: dict[tuple[int, str, str], StreamState] = defaultdict(StreamState)
-        self.held: list[_HeldMessage] = []
-        self.in_flight: dict[str, dict[Attempt, Modelled]] = defaultdict(dict)
+        self.held_messages: list[_HeldMessage] = []
+        self.in_flight: dict[str, dict[Attempt, SimulatedDirector]] = defaultdict(dict)
         self.failing_for: dict[str, frozenset[int]] = {}
         self.slow_for: dict[str, tuple[frozenset[int], float]] = {}
         self.purge_notified_at: dict[tuple[int, str], float] = {}
 
     def send_attempt(
-        self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
+        self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """Send a command of a director to a node."""
+        """Send a director's command to a node."""
         self.in_flight[name][attempt] = director
         if self.rules.rules and self.rules.resets_path(
             self._path_kind(name), director.number, name
         ):
-            self._fail_later(director, attempt, name, Outcome.RESET)
+            self._fail_attempt_later(director, attempt, name, Outcome.RESET)
             return
-        self._carry(director.number, name, UP, lambda: self._reach(director, attempt, name, fields))
+        self._transmit(
+            director.number,
+            name,
+            UP,
+            lambda: self._execute_command(director, attempt, name, fields),
+        )
 
-    def check_health(self, director: Modelled, name: str) -> None:
-        """Poll a node's load report for a director."""
+    def check_health(self, director: SimulatedDirector, name: str) -> None:
+        """Send a director's health check to a node, which answers it if it is reachable."""
         since_start_s = self.simulation.since_start_s()
         record = HealthCheckRecord(since_start_s, director.number, name, "METER")
         self.observations.others["probe"].append(record)
@@ -77,43 +83,47 @@
             self.rules.cuts_path(path_kind, director.number, name, direction)
             for direction in (UP, DOWN)
         ):
-            return  # a cut holds the answer; the connection is ended meanwhile
+            return  # the answer would be held until after the connection has timed out
         node = self.fleet.nodes[name]
         if node.is_alive and not node.is_silent:
 
             def answer() -> None:
-                if not director.gone:
-                    director.health_check_answered(name)
+                if not director.has_exited:
+                    director.receive_health_check_answer(name)
 
             self.clock.call_at(self.clock() + 2.0 * NODE_DELAY_MS, answer)
 
-    def release_held(self) -> None:
-        """Send on what was held, after a change of the rules."""
-        held = self.held
-        self.held = []
+    def release_held_messages(self) -> None:
+        """Transmit the held messages again after a change of the rules."""
+        held = self.held_messages
+        self.held_messages = []
         for message in held:
-            self._carry(message.director, message.node, message.direction, message.deliver)
+            self._transmit(message.director, message.node, message.direction, message.deliver)
 
     def reset_attempts_at(self, name: str) -> None:
-        """End all attempts at a node that has crashed."""
+        """Reset all attempts in flight at a crashed node."""
         attempts = self.in_flight[name]
         self.in_flight[name] = {}
         for attempt, director in attempts.items():
-            self._end_later(director, attempt)
+            self._reset_attempt_later(director, attempt)
 
-    def _end_later(self, director: Modelled, attempt: Attempt) -> None:
+    def _reset_attempt_later(self, director: SimulatedDirector, attempt: Attempt) -> None:
         due_at = self.clock() + NODE_DELAY_MS
-        self.clock.call_at(due_at, lambda: director.ended(attempt, Outcome.RESET))
+        self.clock.call_at(due_at, lambda: director.finish_attempt(attempt, Outcome.RESET))
 
     def _path_kind(self, name: str) -> str:
         return "cache" if self.simulation.sites[name].kind == CACHE else "parent"
 
-    def _carry(self, director: int, name: str, direction: str, deliver: Callable[[], None]) -> None:
+    def _transmit(
+        self, director: int, name: str, direction: str, deliver: Callable[[], None]
+    ) -> None:
         path_kind = self._path_kind(name)
         if self.rules.cuts_path(path_kind, director, name, direction):
-            self.held.append(_HeldMessage(director, name, direction, deliver))
-            ping_fails_at = self.clock() + SILENCE_BEFORE_PING / 2.0 + PING_TIMEOUT
-            self.clock.call_at(ping_fails_at, lambda: self._fail_ping(director, name, direction))
+            self.held_messages.append(_HeldMessage(director, name, direction, deliver))
+            ping_times_out_at = self.clock() + SILENCE_BEFORE_PING / 2.0 + PING_TIMEOUT
+            self.clock.call_at(
+                ping_times_out_at, lambda: self._time_out_ping(director, name, direction)
+            )
             return
         due_at = self.clock() + NODE_DELAY_MS
         if self.rules.rules:
@@ -129,37 +139,39 @@
             )
         self.clock.call_at(due_at, deliver)
 
-    def _fail_ping(self, number: int, name: str, direction: str) -> None:
-        """End a connection that is still cut, as a director does where a ping is not answered.
+    def _time_out_ping(self, number: int, name: str, direction: str) -> None:
+        """Reset the attempts on a path that is still cut, as after a ping without an answer.
 
-        Its attempts are lost, and what was held never arrives.
+        A director then closes the connection, so the messages held on it are never processed.
         """
         if self.rules.cuts_path(self._path_kind(name), number, name, direction):
             for attempt, director in list(self.in_flight[name].items()):
                 if director.number == number:
-                    self._fail(director, attempt, name, Outcome.RESET)
+                    self._fail_attempt(director, attempt, name, Outcome.RESET)
 
-    def _fail_later(
-        self, director: Modelled, attempt: Attempt, name: str, outcome: Outcome
+    def _fail_attempt_later(
+        self, director: SimulatedDirector, attempt: Attempt, name: str, outcome: Outcome
     ) -> None:
         due_at = self.clock() + NODE_DELAY_MS
-        self.clock.call_at(due_at, lambda: self._fail(director, attempt, name, outcome))
+        self.clock.call_at(due_at, lambda: self._fail_attempt(director, attempt, name, outcome))
 
-    def _fail(self, director: Modelled, attempt: Attempt, name: str, outcome: Outcome) -> None:
+    def _fail_attempt(
+        self, director: SimulatedDirector, attempt: Attempt, name: str, outcome: Outcome
+    ) -> None:
         self.in_flight[name].pop(attempt, None)
-        director.ended(attempt, outcome)
+        director.finish_attempt(attempt, outcome)
 
-    def _reach(
-        self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
+    def _execute_command(
+        self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """A command has reached its node."""
+        """Execute a command at its node and schedule the answer."""
         node = self.fleet.nodes[name]
         number = director.number
         now = self.clock()
         if not node.is_alive:
-            self._fail_later(director, attempt, name, Outcome.CONNECT_FAILED)
+            self._fail_attempt_later(director, attempt, name, Outcome.CONNECT_FAILED)
             return
-        if attempt.outcome is not None or director.gone:
+        if attempt.outcome is not None or director.has_exited:
             self.in_flight[name].pop(attempt, None)
             return
         items: tuple[bytes, ...] = (b"BROKE", b"-", b"")
@@ -171,16 +183,16 @@
             due_at = reply.due_at
             is_outdated = self._is_outdated(number, fields, items[1], now)
         self._record_attempt(director, attempt, name, fields, items, is_outdated)
-        self._crash_overloaded({name, fields["miss"]} - {""})
+        self._record_crashes({name, fields["miss"]} - {""})
         if due_at is None or not node.is_alive:
             return
         directors, slowdown = self.slow_for.get(name, (frozenset[int](), 1.0))
         due_at = now + (due_at - now) * (slowdown if number in directors else 1.0)
-        self.clock.call_at(due_at, lambda: self._answer(director, attempt, name, items))
+        self.clock.call_at(due_at, lambda: self._send_answer(director, attempt, name, items))
 
     def _record_attempt(
         self,
-        director: Modelled,
+        director: SimulatedDirector,
         attempt: Attempt,
         name: str,
         fields: dict[str, str],
@@ -204,7 +216,7 @@
             )
         )
 
-    def _crash_overloaded(self, names: set[str]) -> None:
+    def _record_crashes(self, names: set[str]) -> None:
         for name in names:
             node = self.fleet.nodes[name]
             if not node.is_alive and node.state != "DELETED":
@@ -212,25 +224,30 @@
                 self.observations.others["fell"].append(record)
                 self.simulation.crash_node(name)
 
-    def _answer(
-        self, director: Modelled, attempt: Attempt, name: str, items: tuple[bytes, ...]
+    def _send_answer(
+        self, director: SimulatedDirector, attempt: Attempt, name: str, items: tuple[bytes, ...]
     ) -> None:
-        """A node sends its answer."""
+        """Send a node's answer, unless the attempt has ended or the node is silent."""
         if self.in_flight[name].pop(attempt, None) is None or self.fleet.nodes[name].is_silent:
             return
         fields = decode_fields(items[1])
 
         def deliver() -> None:
             if not self.simulation.defer_if_stopped(director.number, deliver):
-                waited = float(fields.get("delay", 0.0))
-                director.answered(attempt, items[0].decode(), fields.get("why", ""), waited)
+                first_byte_delay = float(fields.get("delay", 0.0))
+                director.receive_answer(
+                    attempt, items[0].decode(), fields.get("why", ""), first_byte_delay
+                )
 
-        self._carry(director.number, name, DOWN, deliver)
+        self._transmit(director.number, name, DOWN, deliver)
 
     def _is_outdated(
         self, director: int, fields: dict[str, str], answer: bytes, now: float
     ) -> bool:
-        """Whether it is an older copy than a purge that the director knew of for over a second."""
+        """Return whether the answer holds a purged copy although the director knew of the purge.
+
+        Only answers more than a second after the director's notification count.
+        """
         object_id = fields.get("name", "")
         issued = decode_fields(answer).get("issued")
         notified_at = self.purge_notified_at.get((director, object_id))
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -1,8 +1,9 @@
-"""The simulation: directors, clients, nodes, endpoint updates and faults in simulated time.
+"""A simulation of directors, clients, nodes, endpoint updates and faults.
 
-It leaves out: CPU and queues of directors, connections (an attempt that is cut off is held and
-arrives when the cut is over), streams with a limited rate. A director is notified of the caches of
-its own location, of all parents and of the origin; in the lab it is notified of all nodes.
+It does not simulate the CPU time and the queues of directors, nor streams with a limited rate, nor
+connections: an attempt on a cut path is held and arrives when the cut ends. A simulated director is
+notified of the caches of its own location, all parents and the origin; a director of the fleet lab
+is notified of all nodes.
 """
 
 import random
@@ -26,46 +27,47 @@
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from .clients import PendingRequest, SimulatedClients
 from .clock import Clock
-from .directors import Modelled
+from .directors import SimulatedDirector
 from .network import SimulatedNetwork
 
-LEAD_MS = 500.0  # before the first request
-END_GRACE_MS = 300.0  # beyond the last request's patience
-PROGRESS_MS = 500.0  # of simulated time between two calls of `live`
-SEED_FACTOR = 100_003  # spreads the directors' seeds of different scenarios
-SEED_STEP = 7919
+LEAD_MS = 500.0  # time before the first request
+END_GRACE_MS = 300.0  # after the patience of the last request has ended
+PROGRESS_MS = 500.0  # simulated time between two calls of `on_progress`
+SEED_FACTOR = 100_003  # keeps the directors' seeds of different scenarios apart
+SEED_STEP = 7919  # between the seeds of two directors of one scenario
 DEFAULT_SLOWDOWN = 10.0
 DEFAULT_UPDATE_DELAY_S = 9.0
-PURGE_DELAY_DIVISOR = 3.0  # purges come sooner than endpoint updates
-PURGED_OBJECT = f"{(1 << 32) + 1:016x}"  # the most popular of the objects that locations share
+PURGE_DELAY_DIVISOR = 3.0  # purge notifications arrive earlier than endpoint updates
+PURGED_OBJECT = f"{(1 << 32) + 1:016x}"  # most popular object of those shared by all locations
 
 Progress = Callable[[float, int, int], None]
 
 
 class Simulation:
-    """One play in simulated time.
+    """One run of a scenario in simulated time.
 
     Attributes:
-        began: Start of the play in ms.
-        class_indices: Position of each request class in the directors' settings.
-        stopped: Calls that wait until a stopped director goes on, by director.
-        late_by: Further delay of endpoint updates in ms, by director.
+        started_at: Time of the first possible request in ms.
+        rule_numbers: Numbers of the active network rules, by the name of their fault.
+        deferred_calls: Calls that run when a stopped director resumes, by director.
+        extra_update_delays: Extra delay of endpoint updates in ms, by director.
+        class_indices: Index of each request class in the directors' settings.
     """
 
     def __init__(self, scenario: FleetScenario) -> None:
         self.scenario = scenario
         self.clock = Clock()
-        self.began = self.clock.now + LEAD_MS
+        self.started_at = self.clock.now + LEAD_MS
         self.random = random.Random(f"{scenario.seed}-model")
         self.fleet = build_node_fleet(scenario)
         self.fleet.clock = self.clock
         self.sites = {site.name: site for site in scenario.node_sites()}
-        self.observations = Observations(self.began, scenario.seconds)
+        self.observations = Observations(self.started_at, scenario.seconds)
         self.network = SimulatedNetwork(self)
         self.clients = SimulatedClients(self)
-        self.rule_numbers: dict[str, int] = {}  # of network faults, by name
-        self.stopped: dict[int, list[Callable[[], None]]] = {}
-        self.late_by: dict[int, float] = {}
+        self.rule_numbers: dict[str, int] = {}
+        self.deferred_calls: dict[int, list[Callable[[], None]]] = {}
+        self.extra_update_delays: dict[int, float] = {}
         self.class_indices = {"pages": 0, "order": 1, "pay": 2}
         self.zone_numbers = {zone: number for number, zone in enumerate(scenario.zones())}
         self.kind_numbers = {CACHE: 0, PARENT: 1, ORIGIN: 2}
@@ -78,24 +80,24 @@
         self.director_starts = 0
         self.directors = [self._start_director(number) for number in range(scenario.directors)]
 
-    def run(self, live: Progress | None = None) -> Observations:
-        """Play, and return the records.
+    def run(self, on_progress: Progress | None = None) -> Observations:
+        """Run the scenario and return the records.
 
         Args:
-            live: Called now and then with the seconds since the start, and the requests completed
-                and served.
+            on_progress: Called twice per simulated second with the seconds since the start and the
+                numbers of completed and of served requests.
         """
         self.clients.start()
         for step in self.scenario.steps():
-            self._schedule(step)
+            self._schedule_fault(step)
         patience_ms = self.scenario.patience_ms
-        ends_at = self.began + 1000.0 * self.scenario.seconds + patience_ms + END_GRACE_MS
+        ends_at = self.started_at + 1000.0 * self.scenario.seconds + patience_ms + END_GRACE_MS
         while self.clock.now < ends_at:
             self.clock.run(min(ends_at, self.clock.now + PROGRESS_MS))
-            if live is not None:
+            if on_progress is not None:
                 requests = self.observations.requests
                 served = sum(request.outcome == "served" for request in requests)
-                live(self.since_start_s(), len(requests), served)
+                on_progress(self.since_start_s(), len(requests), served)
         executions = self.fleet.executions
         repeated = sum(times > 1 for times in executions.values())
         self.observations.others["effects"].append(
@@ -104,38 +106,42 @@
         return self.observations
 
     def since_start_s(self) -> float:
-        """Return the simulated seconds since the start."""
-        return (self.clock() - self.began) / 1000.0
+        """Return the simulated time since the start in seconds."""
+        return (self.clock() - self.started_at) / 1000.0
 
     def defer_if_stopped(self, number: int, call: Callable[[], None]) -> bool:
-        """Have a call wait where the director is stopped; returns whether it is."""
-        if number not in self.stopped:
+        """Defer a call if the director is stopped; return whether it was deferred."""
+        if number not in self.deferred_calls:
             return False
-        self.stopped[number].append(call)
+        self.deferred_calls[number].append(call)
         return True
 
     # Called by directors
 
     def on_result(
-        self, director: Modelled, pending: PendingRequest, outcome: str, retry_after_ms: float
+        self,
+        director: SimulatedDirector,
+        pending: PendingRequest,
+        outcome: str,
+        retry_after_ms: float,
     ) -> None:
-        """Bring a director's result to its client."""
+        """Pass a director's result to its client."""
         self.clients.on_result(pending, outcome, retry_after_ms)
 
     def send_attempt(
-        self, director: Modelled, attempt: Attempt, name: str, fields: dict[str, str]
+        self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """Bring a director's command to a node."""
+        """Pass a director's command to the network."""
         self.network.send_attempt(director, attempt, name, fields)
 
-    def check_health(self, director: Modelled, name: str) -> None:
-        """Bring a director's health check to a node."""
+    def check_health(self, director: SimulatedDirector, name: str) -> None:
+        """Pass a director's health check to the network."""
         self.network.check_health(director, name)
 
     # Nodes
 
     def crash_node(self, name: str) -> None:
-        """End a node: its attempts are reset, and directors are notified."""
+        """Crash a node: reset its attempts and notify the directors."""
         node = self.fleet.nodes[name]
         node.is_alive = False
         node.state = "DELETED"
@@ -163,38 +169,38 @@
         }
 
     def _publish_endpoint(self, name: str) -> None:
-        """Notify each director of a node's present state, after a delay of its own."""
+        """Notify each director of a node's current state, each after its own random delay."""
         row = self._endpoint_row(name)
         site = self.sites[name]
         for number in range(self.scenario.directors):
             if site.kind != CACHE or self.scenario.location_of(number) == site.zone:
                 delay = self.random.uniform(*self.scenario.update_delay_ms)
-                due_at = self.clock() + delay + self.late_by.get(number, 0.0)
-                self._notify_at(due_at, number, row)
+                due_at = self.clock() + delay + self.extra_update_delays.get(number, 0.0)
+                self._notify_director_at(due_at, number, row)
 
-    def _notify_at(self, due_at: float, number: int, row: dict[str, Any]) -> None:
-        self.clock.call_at(due_at, lambda: self._notify(number, row))
+    def _notify_director_at(self, due_at: float, number: int, row: dict[str, Any]) -> None:
+        self.clock.call_at(due_at, lambda: self._notify_director(number, row))
 
-    def _notify(self, number: int, row: dict[str, Any]) -> None:
+    def _notify_director(self, number: int, row: dict[str, Any]) -> None:
         director = self.directors[number]
-        if director.gone:
+        if director.has_exited:
             return
-        if self.defer_if_stopped(number, lambda: self._notify(number, row)):
+        if self.defer_if_stopped(number, lambda: self._notify_director(number, row)):
             return
         self.observations.others["told"].append(
             NotificationRecord(
                 self.since_start_s(), number, row["id"], row["state"], row["started_ms"]
             )
         )
-        director.list([row])
+        director.update_endpoints([row])
 
     # Directors
 
-    def _start_director(self, number: int) -> Modelled:
+    def _start_director(self, number: int) -> SimulatedDirector:
         self.director_starts += 1
         offset = 0 if self.scenario.has_same_seeds else SEED_STEP * self.director_starts
         location = self.scenario.location_of(number)
-        director = Modelled(
+        director = SimulatedDirector(
             self,
             number,
             self.settings[location],
@@ -207,15 +213,15 @@
             for site in self.sites.values()
             if site.kind != CACHE or site.zone == location
         ]
-        director.list(rows, whole=True)
+        director.update_endpoints(rows, is_full_snapshot=True)
         return director
 
     # Faults
 
-    def _schedule(self, step: ScenarioStep) -> None:
-        self.clock.call_at(self.began + 1000.0 * step.at_s, lambda: self._inject(step))
+    def _schedule_fault(self, step: ScenarioStep) -> None:
+        self.clock.call_at(self.started_at + 1000.0 * step.at_s, lambda: self._inject_fault(step))
 
-    def _inject(self, step: ScenarioStep) -> None:
+    def _inject_fault(self, step: ScenarioStep) -> None:
         self.observations.others["fault"].append(
             FaultRecord(
                 self.since_start_s(),
@@ -229,11 +235,11 @@
             )
         )
         if step.kind in PATH_FAULTS:
-            self._change_rules(step)
+            self._change_network_rules(step)
         elif step.kind == "late_list":
-            late_by = 1000.0 * (step.fault.amount or DEFAULT_UPDATE_DELAY_S)
+            extra_delay = 1000.0 * (step.fault.amount or DEFAULT_UPDATE_DELAY_S)
             for number in step.directors:
-                self.late_by[number] = late_by if step.is_start else 0.0
+                self.extra_update_delays[number] = extra_delay if step.is_start else 0.0
         elif step.kind == "purge" and step.is_start:
             self._purge(PURGED_OBJECT)
         elif step.kind in NODE_FAULTS:
@@ -243,7 +249,7 @@
             for number in step.directors:
                 self._inject_into_director(step, number)
 
-    def _change_rules(self, step: ScenarioStep) -> None:
+    def _change_network_rules(self, step: ScenarioStep) -> None:
         rules = self.network.rules.rules
         if step.is_start:
             number = len(self.rule_numbers) + 1
@@ -251,7 +257,7 @@
             rules[number] = rule_for(step)
         else:
             rules.pop(self.rule_numbers[step.name], None)
-            self.network.release_held()
+            self.network.release_held_messages()
 
     def _purge(self, object_id: str) -> None:
         now = self.clock()
@@ -263,12 +269,12 @@
             self._notify_of_purge_at(now + delay, director, object_id, now)
 
     def _notify_of_purge_at(
-        self, due_at: float, director: Modelled, object_id: str, purged_at: float
+        self, due_at: float, director: SimulatedDirector, object_id: str, purged_at: float
     ) -> None:
         def notify() -> None:
-            if not director.gone:
+            if not director.has_exited:
                 self.network.purge_notified_at[director.number, object_id] = self.clock()
-                director.purged(int(object_id, 16), self.clock() - purged_at)
+                director.receive_purge(int(object_id, 16), self.clock() - purged_at)
 
         self.clock.call_at(due_at, notify)
 
@@ -299,31 +305,31 @@
     def _inject_into_director(self, step: ScenarioStep, number: int) -> None:
         director = self.directors[number]
         if step.kind == "stop" and step.is_start:
-            self.stopped[number] = []
+            self.deferred_calls[number] = []
         elif step.kind == "stop":
-            for call in self.stopped.pop(number, []):
+            for call in self.deferred_calls.pop(number, []):
                 call()
         elif step.kind == "kill" and step.is_start:
-            director.gone = True
-            for pending in list(director.open.values()):
+            director.has_exited = True
+            for pending in list(director.open_requests.values()):
                 self.clients.on_disconnect(pending, number)
         elif step.kind == "kill":
             self.directors[number] = self._start_director(number)
-            self.clients.excluded.discard(number)
+            self.clients.excluded_directors.discard(number)
         elif step.kind == "restart" and step.is_start:
             self._restart_director(number)
 
     def _restart_director(self, number: int) -> None:
-        """Shut a director down gracefully: it finishes its pending requests, then starts anew."""
+        """Shut a director down gracefully: finish its open requests, then start a new director."""
         director = self.directors[number]
         record = DirectorRecord(self.since_start_s(), number)
         self.observations.others["term"].append(record)
-        for request in list(director.open):
-            director.finish(request)
-        director.gone = True
+        for request in list(director.open_requests):
+            director.finish_request(request)
+        director.has_exited = True
         self.directors[number] = self._start_director(number)
 
 
-def run_scenario(scenario: FleetScenario, live: Progress | None = None) -> dict[str, Any]:
-    """Play a scenario and return the figures of the lab's audit."""
-    return Audit(scenario, Simulation(scenario).run(live)).figures()
+def run_scenario(scenario: FleetScenario, on_progress: Progress | None = None) -> dict[str, Any]:
+    """Simulate a scenario and return the figures of the fleet lab's audit."""
+    return Audit(scenario, Simulation(scenario).run(on_progress)).figures()
