--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -173,7 +173,7 @@
             if look[0] >= scenario.warm_up_s and look[7] == "served"
         ]
         cpu, rss = zip(
-            *[(held[1], held[2]) for held in audit.observations.others["use"]], strict=True
+            *[(held[1], held[2]) for held in audit.observations.other_records["use"]], strict=True
         )
         found |= {
             "credit": figures["credit"],
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -111,7 +111,7 @@
     a living director in time.
     """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for at, _, what, begins, directors, *_ in heard.others["fault"]:
+    for at, _, what, begins, directors, *_ in heard.other_records["fault"]:
         if what == "kill":
             for director in directors:
                 if begins:
@@ -174,7 +174,7 @@
         ),
         None,
     )
-    rejected = heard.others["rejected"]
+    rejected = heard.other_records["rejected"]
     return {
         "credit_during_kill": round(during, 4),
         "bound_during_kill": round(most, 4),
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -46,7 +46,7 @@
         self.scenario = scenario
         self.observations = observations
         self.sites = {site.name: site for site in scenario.node_sites()}
-        self.faults: list[FaultRecord] = observations.others["fault"]
+        self.faults: list[FaultRecord] = observations.other_records["fault"]
         self.caches = self._audited_caches()
         self.seconds = range(int(scenario.warm_up_s), int(observations.seconds))
 
@@ -80,7 +80,9 @@
                 since = fault.at_s + self._recovery_s(fault.kind)
         if since < FOREVER_S:
             spans.append((since, FOREVER_S))
-        crashes = [crash.at_s for crash in self.observations.others["fell"] if crash.node == name]
+        crashes = [
+            crash.at_s for crash in self.observations.other_records["fell"] if crash.node == name
+        ]
         crashed_at = min(crashes, default=FOREVER_S)
         return [(first, min(last, crashed_at)) for first, last in spans if first < crashed_at]
 
@@ -112,7 +114,7 @@
 
     def count_violations(self) -> dict[str, int]:
         """Return the violations by rule; what the lab itself has done to directors is excused."""
-        others = self.observations.others
+        others = self.observations.other_records
         excused = self._excused_spans()
 
         def unexcused(record_type: str) -> list[Any]:
@@ -147,7 +149,7 @@
                     first = found[director][-1][0]
                     last = 1000.0 * fault.at_s + STOP_MARGIN_MS + self.scenario.patience_ms
                     found[director][-1] = (first, last)
-        for restart in self.observations.others["term"]:
+        for restart in self.observations.other_records["term"]:
             at = 1000.0 * restart.at_s
             found[restart.director].append((at + RESTART_FROM_MS, at + RESTART_TO_MS))
         return found
@@ -159,7 +161,7 @@
         DRAIN_GRACE_S had passed.
         """
         notifications: dict[tuple[int, str], list[NotificationRecord]] = defaultdict(list)
-        for record in self.observations.others["told"]:
+        for record in self.observations.other_records["told"]:
             notifications[record.director, record.node].append(record)
         violations = 0
         for attempt in self.observations.attempts:
@@ -193,13 +195,13 @@
         if what == "probes":
             counts = Counter(
                 (check.node, int(check.at_s))
-                for check in self.observations.others["probe"]
+                for check in self.observations.other_records["probe"]
                 if check.node in self.caches and check.at_s >= first
             )
             return evenness.percentile(counts.values(), 0.99)
         peak = 0
         open_connections: Counter[str] = Counter()
-        for record in sorted(self.observations.others["conn"]):
+        for record in sorted(self.observations.other_records["conn"]):
             open_connections[record.node] += record.change
             if record.node in self.caches and record.at_s >= first:
                 peak = max(peak, open_connections[record.node])
@@ -209,7 +211,7 @@
         """Return how far the health checks of a location meet one cache at a time; 1: a herd."""
         checks = [
             (check.at_s, check.node)
-            for check in self.observations.others["probe"]
+            for check in self.observations.other_records["probe"]
             if check.node in self.caches and check.at_s >= self.scenario.warm_up_s
         ]
         return evenness.concentration(checks, self.caches)
@@ -319,7 +321,7 @@
 
     def _count_figures(self, first_attempts: int) -> dict[str, Any]:
         observations = self.observations
-        others = observations.others
+        others = observations.other_records
         attempts = observations.attempts
         hits = sum(attempt.reason == "HIT" for attempt in attempts)
         reads = Counter(
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -131,7 +131,7 @@
         ready_after_s: Time until all directors were ready.
         attempts: By time.
         requests: In the order of the files.
-        others: Further records by type; those in RECORD_TYPES have its classes.
+        other_records: Further records by type; those in RECORD_TYPES have its classes.
     """
 
     started_at: float = 0.0
@@ -139,7 +139,7 @@
     ready_after_s: float = 0.0
     attempts: list[AttemptRecord] = field(default_factory=list)
     requests: list[RequestRecord] = field(default_factory=list)
-    others: dict[str, list[Any]] = field(default_factory=lambda: defaultdict(list))
+    other_records: dict[str, list[Any]] = field(default_factory=lambda: defaultdict(list))
 
 
 RECORD_TYPES: dict[str, Any] = {
@@ -172,7 +172,7 @@
     observations = Observations(*began[1:4])
     for record_type, *values in lines:
         if record_type == "began":
-            observations.others[record_type].append(tuple(values))
+            observations.other_records[record_type].append(tuple(values))
             continue
         if record_type not in TYPES_WITHOUT_TIME:
             values[0] = (values[0] - observations.started_at) / 1000.0
@@ -183,6 +183,6 @@
         elif record_type == "look":
             observations.requests.append(record)
         else:
-            observations.others[record_type].append(record)
+            observations.other_records[record_type].append(record)
     observations.attempts.sort(key=lambda attempt: attempt.at_s)
     return observations
--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -72,7 +72,7 @@
         After the time of failure detection, clients pass the director by.
         """
         simulation = self.simulation
-        self.observations.others["cut"].append(
+        self.observations.other_records["cut"].append(
             DisconnectRecord(simulation.since_start_s(), number, 1)
         )
         if simulation.directors[number].gone:
@@ -135,7 +135,7 @@
         """Complete a request whose answer is missing, where this try was its last."""
         if request.is_over or request.tries != tries:
             return
-        self.observations.others["none"].append(
+        self.observations.other_records["none"].append(
             (self.simulation.since_start_s(), request.director, request.asked_at)
         )
         self._complete(request, "no answer")
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -71,7 +71,7 @@
         """Poll a node's load report for a director."""
         since_start_s = self.simulation.since_start_s()
         record = HealthCheckRecord(since_start_s, director.number, name, "METER")
-        self.observations.others["probe"].append(record)
+        self.observations.other_records["probe"].append(record)
         path_kind = self._path_kind(name)
         if any(
             self.rules.cuts_path(path_kind, director.number, name, direction)
@@ -209,7 +209,7 @@
             node = self.fleet.nodes[name]
             if not node.is_alive and node.state != "DELETED":
                 record = NodeCrashRecord(self.simulation.since_start_s(), name)
-                self.observations.others["fell"].append(record)
+                self.observations.other_records["fell"].append(record)
                 self.simulation.crash_node(name)
 
     def _answer(
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -98,7 +98,7 @@
                 live(self.since_start_s(), len(requests), served)
         executions = self.fleet.executions
         repeated = sum(times > 1 for times in executions.values())
-        self.observations.others["effects"].append(
+        self.observations.other_records["effects"].append(
             ExecutionRecord(repeated, len(executions), self.fleet.origin_fetches)
         )
         return self.observations
@@ -181,7 +181,7 @@
             return
         if self.defer_if_stopped(number, lambda: self._notify(number, row)):
             return
-        self.observations.others["told"].append(
+        self.observations.other_records["told"].append(
             NotificationRecord(
                 self.since_start_s(), number, row["id"], row["state"], row["started_ms"]
             )
@@ -216,7 +216,7 @@
         self.clock.call_at(self.began + 1000.0 * step.at_s, lambda: self._inject(step))
 
     def _inject(self, step: ScenarioStep) -> None:
-        self.observations.others["fault"].append(
+        self.observations.other_records["fault"].append(
             FaultRecord(
                 self.since_start_s(),
                 step.name,
@@ -317,7 +317,7 @@
         """Shut a director down gracefully: it finishes its pending requests, then starts anew."""
         director = self.directors[number]
         record = DirectorRecord(self.since_start_s(), number)
-        self.observations.others["term"].append(record)
+        self.observations.other_records["term"].append(record)
         for request in list(director.open):
             director.finish(request)
         director.gone = True
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -183,11 +183,11 @@
         attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0
     ]
     assert back
-    assert audit.observations.others["term"] and audit.observations.others["again"]
+    assert audit.observations.other_records["term"] and audit.observations.other_records["again"]
     late = set(faults["late"][4])
     told = {
         director: at
-        for at, director, _, state, _ in reversed(audit.observations.others["told"])
+        for at, director, _, state, _ in reversed(audit.observations.other_records["told"])
         if state == "DELETED"
     }
     waits = [told[director] - faults["dead"][0] for director in told]
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -185,6 +185,9 @@
 
 
 def test_cold_caches_do_not_crash_while_directors_restart(audit):
-    assert not audit.observations.others["fell"] and len(audit.observations.others["again"]) >= 10
+    assert (
+        not audit.observations.other_records["fell"]
+        and len(audit.observations.other_records["again"]) >= 10
+    )
     results = outcomes(audit, fault_time(audit, "replaced", False) + 2.0, 32.0)
     assert results.count("served") > 0.5 * len(results) > 50
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -108,7 +108,7 @@
         for attempt in audit.observations.attempts
         if attempt.node in cold and 2.0 < attempt.at_s - back < 6.0
     ]  # all directors were notified
-    assert len(cold) == 4 and len(attempts) >= 4 and not audit.observations.others["fell"]
+    assert len(cold) == 4 and len(attempts) >= 4 and not audit.observations.other_records["fell"]
 
 
 def test_survivors_answer_most_requests_while_most_directors_are_dead(audit):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -262,7 +262,7 @@
         for attempt in audit.observations.attempts
         if attempt[2] in cold_caches and cold_at + 1.5 < attempt[0] < cold_at + 14.0
     ]
-    assert not audit.observations.others["fell"] and len(attempts) > 40
+    assert not audit.observations.other_records["fell"] and len(attempts) > 40
     usable_by_owned = [
         usable / owned
         for since, _, limit, usable, owned in observed["budget samples"]
