--- a/mulleinrelay/lab/fleet/__init__.py
+++ b/mulleinrelay/lab/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""A fleet on one machine: hundreds of directors as real processes, with faults between them.
+"""Fleet lab: hundreds of real director processes on one machine, with injected faults.
 
-Stand-ins take the place of everything around the directors, and an audit counts from the other
-side. Nothing of it serves.
+Stand-ins replace the clients, caches, parents, origin and event stream. The audit counts violations
+from the records of these stand-ins, never from what the directors report. No production code uses
+this package.
 """
--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -1,36 +1,41 @@
-"""Loopback addresses by director; pure.
+"""Loopback addresses of the directors; pure.
 
-Each director listens at one address of its own, and reaches everything else at a second one, so
-that a fault proxy knows by the address which director a connection belongs to.
+Each director has three addresses: it listens at the first, connects to nodes and the event stream
+through the second, and exchanges datagrams with other directors through the third. The fault
+proxies listen at the second and third, so the address of a connection or datagram identifies its
+director.
 """
 
-# Second octets of 127.X.high.low, where high and low are the director's number plus one
-OWN_NETWORK = 10
-FAR_NETWORK = 20
-PEER_NETWORK = 30
+# Second octet of an address 127.X.high.low; high and low are the bytes of the director's number + 1
+LISTEN_NETWORK = 10
+PROXY_NETWORK = 20
+ADVERTISED_NETWORK = 30
 
 NO_DIRECTOR = -1
 
 
-def own(director: int) -> str:
+def listen_address(director: int) -> str:
     """Return the address at which the director listens."""
-    return _address(OWN_NETWORK, director)
+    return _address(LISTEN_NETWORK, director)
 
 
-def far(director: int) -> str:
-    """Return the address at which this director finds nodes and the event stream."""
-    return _address(FAR_NETWORK, director)
+def proxy_address(director: int) -> str:
+    """Return the address at which the director reaches nodes and the event stream."""
+    return _address(PROXY_NETWORK, director)
 
 
-def peer(director: int) -> str:
-    """Return the address at which other directors send and receive this director's datagrams."""
-    return _address(PEER_NETWORK, director)
+def advertised_address(director: int) -> str:
+    """Return the address to which other directors send datagrams for this director.
+
+    The datagrams of this director reach the others from the same address.
+    """
+    return _address(ADVERTISED_NETWORK, director)
 
 
 def director_of(address: str) -> int:
-    """Return the director that an address belongs to, or NO_DIRECTOR."""
+    """Return the director to which an address belongs; NO_DIRECTOR if there is none."""
     parts = address.split(".")
-    networks = (str(OWN_NETWORK), str(FAR_NETWORK), str(PEER_NETWORK))
+    networks = (str(LISTEN_NETWORK), str(PROXY_NETWORK), str(ADVERTISED_NETWORK))
     if len(parts) != 4 or parts[0] != "127" or parts[1] not in networks:
         return NO_DIRECTOR
     return (int(parts[2]) << 8 | int(parts[3])) - 1
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -1,7 +1,7 @@
-"""The audit of a play: joins the records by time, counts violations and computes the figures.
+"""Audit of a play: counts violations and computes the figures from the records.
 
-Pure. It takes the records of nodes, event stream, clients and the lab; what directors say about
-themselves counts for nothing here.
+Pure. It uses the records of the nodes, the event stream, the clients and the lab, and ignores
+everything that directors report about themselves.
 """
 
 from collections import Counter, defaultdict
@@ -14,17 +14,18 @@
 from .observations import AttemptRecord, FaultRecord, NotificationRecord, Observations
 from .scenario import FleetScenario
 
-DRAIN_GRACE_S = 2.05  # from a notification to the last new attempt
-FAULT_MARGIN_S = 5.0  # from a fault's start, and from its end, that count as its time
-STOP_MARGIN_MS = 3000.0  # after a stop, within which a director may still be late
-KILL_LEAD_MS = 200.0  # before the recorded time of a stop or kill
-RESTART_FROM_MS = 700.0  # after a SIGTERM: a director first finishes its pending requests
+DRAIN_GRACE_S = 2.05  # after the notification of a drain, in which new attempts are allowed
+FAULT_MARGIN_S = 5.0  # after the start and after the end of a fault, counted as fault time
+STOP_MARGIN_MS = 3000.0  # after the end of a stop or kill, in which a director may be late
+KILL_LEAD_MS = 200.0  # a stop or kill may take effect this long before its recorded time
+# Excused period after a SIGTERM; it begins late, as a director first completes pending requests
+RESTART_FROM_MS = 700.0
 RESTART_TO_MS = 12_000.0
 FOREVER_S = 1e9
 FOREVER_MS = 1e12
-MIN_PARENT_FILLS = 20  # a second, or the parents' shares say nothing
-SETTLING_S = 4  # of each fault, left out of the parents' shares
-MISSED_OBJECTIVE = 0.1  # of its weight that a request served late earns
+MIN_PARENT_FILLS = 20  # per second; with fewer the parents' shares are not significant
+SETTLING_S = 4  # after the start of a fault, excluded from the parents' shares
+MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
 VIOLATIONS = (
     "requests_lost",
@@ -40,7 +41,14 @@
 
 
 class Audit:
-    """The audit of one play. Times are seconds from its start, if not named otherwise."""
+    """Audit of one play. Times are in seconds from its start unless a name has another unit.
+
+    Attributes:
+        sites: All nodes by name.
+        faults: Starts and ends of the injected faults, in the order of the records.
+        caches: All caches by name, with the periods in which they were healthy.
+        seconds: All whole seconds after the warm-up.
+    """
 
     def __init__(self, scenario: FleetScenario, observations: Observations) -> None:
         self.scenario = scenario
@@ -66,7 +74,10 @@
         }
 
     def _healthy_spans(self, name: str) -> list[Span]:
-        """When a cache was reached by all, at its speed and warm; with a margin after changes."""
+        """Return the periods in which a cache was reachable, warm and at its normal speed.
+
+        A period begins only after the recovery time of the preceding fault.
+        """
         spans: list[Span] = []
         since = 0.0
         for fault in self.faults:
@@ -92,7 +103,7 @@
         return FAULT_MARGIN_S
 
     def fault_seconds(self) -> set[int]:
-        """Return the seconds around the start and the end of a fault."""
+        """Return all seconds close to the start or the end of a fault."""
         found: set[int] = set()
         for fault in self.faults:
             found |= set(range(int(fault.at_s) - 1, int(fault.at_s + FAULT_MARGIN_S) + 1))
@@ -100,12 +111,12 @@
 
     def first_attempts(self) -> list[FirstAttempt]:
         """Return the first attempt of each read at a cache."""
-        known = set()
+        seen_commands = set()
         found = []
         for attempt in self.observations.attempts:
             is_read_at_cache = attempt.node in self.caches and attempt.request_class == "pages"
-            if is_read_at_cache and attempt.command_id not in known:
-                known.add(attempt.command_id)
+            if is_read_at_cache and attempt.command_id not in seen_commands:
+                seen_commands.add(attempt.command_id)
                 object_id = int(attempt.object_id, 16)
                 found.append(FirstAttempt(attempt.at_s, attempt.node, object_id))
         return found
@@ -113,7 +124,10 @@
     # Violations
 
     def count_violations(self) -> dict[str, int]:
-        """Return the violations by rule; what the lab itself has done to directors is excused."""
+        """Return the number of violations by rule.
+
+        Violations by a director are excused while the lab had killed, stopped or restarted it.
+        """
         others = self.observations.other_records
         excused = self._excused_spans()
 
@@ -137,7 +151,7 @@
         }
 
     def _excused_spans(self) -> dict[int, list[Span]]:
-        """By director the spans (ms) in which the lab had killed, stopped or restarted it."""
+        """Return by director the periods (ms) in which the lab had killed, stopped or restarted it."""
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
             if fault.kind not in ("stop", "kill"):
@@ -155,10 +169,10 @@
         return found
 
     def count_drain_violations(self) -> int:
-        """Count attempts to a node, or with it as fill source, that came too late.
+        """Count attempts that use a draining or deleted node too late.
 
-        That is, after the director had been notified that it drains or is gone, and
-        DRAIN_GRACE_S had passed.
+        Such an attempt goes to the node, or names it as fill source, more than DRAIN_GRACE_S after
+        the director was notified of the new state.
         """
         notifications: dict[tuple[int, str], list[NotificationRecord]] = defaultdict(list)
         for record in self.observations.other_records["told"]:
@@ -173,7 +187,7 @@
     # Load
 
     def parent_shares(self) -> dict[int, dict[str, float]]:
-        """Return by second the share of each parent among fills from parents."""
+        """Return by second the share of each parent in the fills from parents."""
         counts: dict[int, Counter[str]] = defaultdict(Counter)
         for attempt in self.observations.attempts:
             source = self.sites.get(attempt.fill_source)
@@ -185,14 +199,15 @@
             if fills.total() >= MIN_PARENT_FILLS
         }
 
-    def peak_of(self, what: str) -> float:
-        """Return the peak of one cache after the warm-up.
+    def peak_of(self, quantity: str) -> float:
+        """Return the peak of a single cache after the warm-up.
 
         Args:
-            what: `probes`, a second (99th percentile), or `connections`, at a time.
+            quantity: `probes` for health checks per second (99th percentile), or `connections` for
+                simultaneous connections (maximum).
         """
         first = self.scenario.warm_up_s
-        if what == "probes":
+        if quantity == "probes":
             counts = Counter(
                 (check.node, int(check.at_s))
                 for check in self.observations.other_records["probe"]
@@ -208,7 +223,10 @@
         return float(peak)
 
     def health_check_concentration(self) -> float:
-        """Return how far the health checks of a location meet one cache at a time; 1: a herd."""
+        """Return how strongly the health checks of a location concentrate on one cache at a time.
+
+        The value is 1 if all checks go to the same cache, which is a herd.
+        """
         checks = [
             (check.at_s, check.node)
             for check in self.observations.other_records["probe"]
@@ -217,22 +235,23 @@
         return evenness.concentration(checks, self.caches)
 
     def earned_weight(self) -> float:
-        """Return the priority weight earned after the warm-up, as a fraction of what was asked.
+        """Return the earned fraction of the priority weight of all requests after the warm-up.
 
-        A request earns its weight within its latency objective, and a part of it later.
+        A request earns its full weight if it is served within the latency objective, and the
+        fraction MISSED_OBJECTIVE_CREDIT if it is served later.
         """
-        asked = earned = 0.0
+        total = earned = 0.0
         for request in self.observations.requests:
             if request.at_s >= self.scenario.warm_up_s:
                 weight = PRIORITY_WEIGHTS[request.request_class]
-                asked += weight
+                total += weight
                 if request.outcome == "served":
                     is_in_time = request.duration_ms <= self.scenario.latency_objective_ms
-                    earned += weight if is_in_time else MISSED_OBJECTIVE * weight
-        return earned / asked if asked else 0.0
+                    earned += weight if is_in_time else MISSED_OBJECTIVE_CREDIT * weight
+        return earned / total if total else 0.0
 
     def fills_by_source(self) -> dict[str, int]:
-        """Return the fills by the kind of their source: sibling, parent, origin, none."""
+        """Return the number of fills by kind of source: sibling, parent, origin or none."""
         found: Counter[str] = Counter()
         for attempt in self.observations.attempts:
             if attempt.node in self.caches and attempt.reason != "HIT":
@@ -244,7 +263,7 @@
         return dict(found)
 
     def max_parent_share_change(self) -> float:
-        """Return the largest change of a parent's share; the start of each fault is left out."""
+        """Return the largest change of a parent's share, excluding SETTLING_S after each fault."""
         skipped = {
             second
             for fault in self.faults
@@ -254,7 +273,10 @@
         return round(evenness.max_share_change(self.parent_shares(), seconds), 3)
 
     def recovery_p99_s(self, loads: Loads) -> float | None:
-        """Return the 99th percentile of the time from healthy again to half of the fair share."""
+        """Return the 99th percentile of the time until a cache has half of its fair share again.
+
+        Each time starts when the cache is healthy again. None if no cache recovered in the play.
+        """
         found = []
         end_s = self.observations.seconds
         for name, cache in self.caches.items():
@@ -271,7 +293,7 @@
     # Figures
 
     def figures(self) -> dict[str, Any]:
-        """Return all figures by the names of the command's output."""
+        """Return all figures under the names that the lab command prints."""
         attempts = self.first_attempts()
         loads = evenness.by_second(attempts)
         found = {
@@ -315,7 +337,10 @@
         return evenness.percentile(evenness.known_load_ratios(loads, self.caches, seconds), 0.99)
 
     def _imbalance(self, loads: Loads, ideal: Loads, seconds: list[int]) -> float | None:
-        """The directors' 99th percentile of load ratios over that of the ideal assignment."""
+        """Return the 99th percentile of the load ratios, relative to the ideal assignment.
+
+        None if the ideal assignment has no known load ratio.
+        """
         ideal_p99 = self._ratio_p99(ideal, seconds)
         return round(self._ratio_p99(loads, seconds) / ideal_p99, 3) if ideal_p99 else None
 
@@ -324,9 +349,7 @@
         others = observations.other_records
         attempts = observations.attempts
         hits = sum(attempt.reason == "HIT" for attempt in attempts)
-        reads = Counter(
-            int(10 * read_observations[0]) for read_observations in others["read"]
-        )  # in tenths of a second
+        reads = Counter(int(10 * read[0]) for read in others["read"])  # by tenth of a second
         return {
             "first_attempts": first_attempts,
             "attempts": len(attempts),
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -46,7 +46,7 @@
 
     def __init__(self, setup: DirectorSetup, number: int, clock_step_ms: float | None) -> None:
         """Prepare without starting; the configuration is written to `config_path` by the lab."""
-        super().__init__((addresses.own(number), setup.port))
+        super().__init__((addresses.listen_address(number), setup.port))
         self.setup = setup
         self.number = number
         self.clock_step_ms = clock_step_ms
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -1,7 +1,8 @@
-"""How evenly load lies on caches; pure.
+"""Measures of how evenly load is distributed over caches; pure.
 
-Loads are counts of first attempts by cache and second; a cache's fair share of its location's load
-goes by capacity. A load ratio is the load over the fair share.
+A load is the number of first attempts at a cache in one second. The fair share of a cache is the
+part of its location's load that is proportional to its capacity. The load ratio is the load divided
+by the fair share.
 """
 
 import math
@@ -12,22 +13,22 @@
 
 from ...policy.rendezvous_hash import hash_integers
 
-HOT_FRACTION = 0.02  # of a location's recent requests: an object above it gets one more cache
-HOT_WINDOW_S = 10.0  # over which requests count as recent
-HOT_MIN_REQUESTS = 200  # fewer recent requests count as so many
-MIN_FAIR_RATE = 4.0  # requests a second that a cache must be due, or its ratio says nothing
+HOT_FRACTION = 0.02  # of a location's recent requests; each such fraction adds a cache
+HOT_WINDOW_S = 10.0  # period in which requests count as recent
+HOT_MIN_REQUESTS = 200  # minimum number of recent requests assumed for the fraction
+MIN_FAIR_RATE = 4.0  # requests per second; with a lower fair share the ratio is unknown
 OVERLOADED_RATIO = 2.0
 UNDERLOADED_RATIO = 0.5
 IDLE_RATIO = 0.2
 RECOVERY_WINDOW_S = 3
-SLOT_PHASES = 4  # starts of the slots that `concentration` tries
+SLOT_PHASES = 4  # phases of the slots that `concentration` tries
 
 Loads = dict[int, Counter[str]]  # by second and cache
 
 
 @dataclass(slots=True)
 class AuditedCache:
-    """A cache; its healthy spans are the times, in seconds, when it was reached and warm."""
+    """A cache with the periods, in seconds, in which it was reachable and warm."""
 
     name: str
     hash_key: int
@@ -36,7 +37,7 @@
     healthy_spans: list[tuple[float, float]]
 
     def is_healthy_in(self, second: int) -> bool:
-        """Return whether the cache was healthy for that whole second."""
+        """Return whether the cache was healthy for the whole second."""
         return any(first <= second and second + 1 <= last for first, last in self.healthy_spans)
 
 
@@ -50,7 +51,7 @@
 
 
 def percentile(values: Iterable[float], fraction: float) -> float:
-    """Return the percentile given as a fraction; 0 where there are no values."""
+    """Return the percentile for a fraction from 0 to 1; 0 if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
@@ -66,12 +67,12 @@
 def known_load_ratios(
     loads: Loads, caches: dict[str, AuditedCache], seconds: Iterable[int]
 ) -> list[float]:
-    """Return the load ratios of healthy caches in those seconds, where they are known."""
+    """Return all known load ratios of healthy caches in these seconds."""
     return [
         ratio
         for second in seconds
-        for known_load_ratios in load_ratios(loads, caches, second).values()
-        for ratio in known_load_ratios.values()
+        for ratios in load_ratios(loads, caches, second).values()
+        for ratio in ratios.values()
         if ratio is not None
     ]
 
@@ -81,7 +82,8 @@
 ) -> dict[str, dict[str, float | None]]:
     """Return the load ratio by location and healthy cache.
 
-    It is None where too few requests came. A location's load is divided among its healthy caches.
+    The fair shares divide a location's load among its healthy caches. The ratio is None if the fair
+    share of the cache is below MIN_FAIR_RATE.
     """
     found: dict[str, dict[str, float | None]] = {}
     for location, healthy in healthy_by_location(caches, second).items():
@@ -98,7 +100,7 @@
 def healthy_by_location(
     caches: dict[str, AuditedCache], second: int
 ) -> dict[str, list[AuditedCache]]:
-    """Return the caches by location that are healthy in that second."""
+    """Return the caches that are healthy in this second, by location."""
     found: dict[str, list[AuditedCache]] = defaultdict(list)
     for cache in caches.values():
         if cache.is_healthy_in(second):
@@ -109,11 +111,11 @@
 def ideal_assignment(
     attempts: list[FirstAttempt], caches: dict[str, AuditedCache]
 ) -> list[FirstAttempt]:
-    """Return the same requests as one who sees all of them would assign them under the design.
+    """Assign the same requests as a single director that receives all of them would do.
 
-    They go by the directors' hash. An object above HOT_FRACTION of its location's requests gets
-    one more cache for each such fraction, of which the one with the least load by capacity in this
-    second is taken.
+    The assignment uses the directors' hash. An object gets one additional cache for each
+    HOT_FRACTION of its location's recent requests. Each request goes to the object's cache with the
+    lowest load relative to its capacity in this second.
     """
     orders: dict[tuple[int, str], list[AuditedCache]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -152,7 +154,7 @@
 
 
 def rendezvous(caches: list[AuditedCache], object_id: int) -> list[AuditedCache]:
-    """Return the caches in the directors' order for an object (weighted rendezvous hashing)."""
+    """Return the caches in the order of the directors' weighted rendezvous hashing."""
     return sorted(
         caches,
         key=lambda cache: (
@@ -166,12 +168,13 @@
 ) -> list[int]:
     """Return the seconds with a herd.
 
-    That is, one cache has over twice its fair share while a peer of its location has under half.
+    In such a second one cache has more than OVERLOADED_RATIO of its fair share while another cache
+    of its location has less than UNDERLOADED_RATIO.
     """
     found = []
     for second in seconds:
-        for known_load_ratios in load_ratios(loads, caches, second).values():
-            known = [ratio for ratio in known_load_ratios.values() if ratio is not None]
+        for ratios in load_ratios(loads, caches, second).values():
+            known = [ratio for ratio in ratios.values() if ratio is not None]
             if known and max(known) > OVERLOADED_RATIO and min(known) < UNDERLOADED_RATIO:
                 found.append(second)
                 break
@@ -181,14 +184,17 @@
 def longest_idle_spans(
     loads: Loads, caches: dict[str, AuditedCache], seconds: list[int]
 ) -> dict[str, int]:
-    """Return by cache the longest run of seconds in which it was healthy and nearly idle."""
+    """Return by cache the length of the longest run of seconds that it was healthy but idle.
+
+    A cache is idle below IDLE_RATIO of its fair share.
+    """
     runs: Counter[str] = Counter()
     longest: dict[str, int] = dict.fromkeys(caches, 0)
     for second in seconds:
         ratio_by_cache = {
             name: ratio
-            for known_load_ratios in load_ratios(loads, caches, second).values()
-            for name, ratio in known_load_ratios.items()
+            for ratios in load_ratios(loads, caches, second).values()
+            for name, ratio in ratios.items()
         }
         for name in caches:
             ratio = ratio_by_cache.get(name)
@@ -199,7 +205,7 @@
 
 
 def max_share_change(shares: dict[int, dict[str, float]], seconds: Iterable[int]) -> float:
-    """Return the largest change of one member's share between neighbouring seconds."""
+    """Return the largest change of one node's share between consecutive seconds."""
     largest = 0.0
     for second in seconds:
         if second in shares and second - 1 in shares:
@@ -213,16 +219,17 @@
 def seconds_until_half_load(
     loads: Loads, caches: dict[str, AuditedCache], name: str, second: int, last: int
 ) -> float:
-    """Return the seconds until a cache has half of its fair share over three seconds.
+    """Return the seconds until a cache has half of its fair share.
 
-    Where it never has, that is the rest of the play.
+    The shares are taken over RECOVERY_WINDOW_S seconds. If the cache never reaches half, the result
+    is the time until `last`.
 
     Args:
-        loads: The loads.
+        loads: Loads by second and cache.
         caches: All caches by name.
-        name: The cache.
-        second: From when on.
-        last: End of the play.
+        name: Name of the cache.
+        second: Second at which the search starts.
+        last: Second at which the search ends.
     """
     cache = caches[name]
     for now in range(second, last - RECOVERY_WINDOW_S + 1):
@@ -240,7 +247,7 @@
 def _healthy_peers(
     caches: dict[str, AuditedCache], cache: AuditedCache, second: int
 ) -> list[AuditedCache]:
-    """The healthy caches of its location, and itself where it is not among them."""
+    """Return the healthy caches of the cache's location; the cache itself is always included."""
     peers = [
         other
         for other in caches.values()
@@ -252,7 +259,7 @@
 def slot_loads(
     attempts: list[tuple[float, str]], width_s: float, end_s: float
 ) -> tuple[list[str], list[list[int]]]:
-    """Count attempts by name and slot of time; returns the names and a row of counts for each."""
+    """Count attempts by name and time slot; return the names and a row of counts for each."""
     names = sorted({name for _, name in attempts})
     row_of = {name: row for row, name in enumerate(names)}
     edges = [width_s * slot for slot in range(1, int(end_s / width_s) + 1)]
@@ -271,17 +278,17 @@
     width_s: float = 0.5,
     min_checks: int = 6,
 ) -> float:
-    """Return the mean share of health checks in one slot and location that meet one cache.
+    """Return the mean share of the most checked cache in the health checks of a slot and location.
 
-    One over the location's caches is even; 1 is a herd. Directors in step change their cache at
-    moments of their own, so slots begin at several phases: cut in the middle, a herd of all
-    directors would show as half.
+    An even distribution gives one divided by the number of caches, and a herd gives 1. Synchronized
+    directors may change their cache in the middle of a slot, and a herd of all directors would then
+    give only a half. The slots are therefore tried at several phases, and the maximum counts.
 
     Args:
-        checks: When, in seconds, and which cache.
+        checks: Time in seconds and cache of each health check.
         caches: All caches by name.
         width_s: Width of a slot.
-        min_checks: Slots with fewer are left out.
+        min_checks: Slots with fewer health checks are ignored.
     """
     return max(
         _concentration(checks, caches, width_s, min_checks, width_s * phase / SLOT_PHASES)
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -170,7 +170,7 @@
 
     def _open_datagram_socket(self, director: int) -> socket.socket:
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        opened.bind((addresses.peer(director), self.datagram_port))
+        opened.bind((addresses.advertised_address(director), self.datagram_port))
         opened.setblocking(False)
         self.loop.selector.register(opened, READ, lambda _: self._on_datagrams(director, opened))
         return opened
@@ -183,7 +183,7 @@
             except OSError:
                 return
             sender = addresses.director_of(host)
-            is_own_address = host.startswith(f"127.{addresses.OWN_NETWORK}.")
+            is_own_address = host.startswith(f"127.{addresses.LISTEN_NETWORK}.")
             if sender in self.datagram_sockets and is_own_address:
                 self._forward_datagram(sender, receiver, data)
 
@@ -199,7 +199,7 @@
                 self.loop.call_at(later, lambda: self._send_datagram(sender, receiver, data))
 
     def _send_datagram(self, sender: int, receiver: int, data: bytes) -> None:
-        address = (addresses.own(receiver), self.datagram_port)
+        address = (addresses.listen_address(receiver), self.datagram_port)
         with contextlib.suppress(OSError):  # nobody listens there
             self.datagram_sockets[sender].sendto(data, address)
 
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -73,7 +73,7 @@
         event = self.events[index][1]
         if "topology" in event:
             rows = [
-                row | {"addr": f"{addresses.far(director)}:{self.far_ports[row['id']]}"}
+                row | {"addr": f"{addresses.proxy_address(director)}:{self.far_ports[row['id']]}"}
                 for row in event["topology"]["servers"]
             ]
             event = {"topology": event["topology"] | {"servers": rows}}
--- a/mulleinrelay/lab/fleet/heatmap.py
+++ b/mulleinrelay/lab/fleet/heatmap.py
@@ -1,4 +1,4 @@
-"""A picture of a play: load by cache over time, where a herd or an idle cache shows at a glance."""
+"""Heatmap of a play: the load of each cache over time, to make herds and idle caches visible."""
 
 from typing import Any
 
@@ -6,15 +6,18 @@
 from .evenness import slot_loads
 
 SLOT_S = 0.1
-SMOOTHED_SLOTS = 5  # half a second, as 100 ms of one cache hold few attempts
-MAX_RATIO = 8.0  # of load to fair share, and its inverse; beyond it colours don't differ
-MIN_FAIR_LOAD = 1e-9  # instead of 0 as a divisor
+SMOOTHED_SLOTS = 5  # half a second, as a cache gets only few attempts in 100 ms
+MAX_RATIO = 8.0  # of load to fair share; ratios above it and below its inverse are clipped
+MIN_FAIR_LOAD = 1e-9  # avoids division by 0
 COLOUR_TICKS = ["1/4", "1/2", "fair", "2", "4"]
 DOTS_PER_INCH = 110
 
 
 def draw(audit: Audit, path: str) -> None:
-    """Write a PNG: a row a cache, a column 100 ms; white is the fair share, red more, blue less."""
+    """Write the heatmap as a PNG file with a row per cache and a column per 100 ms.
+
+    White marks the fair share, red a higher load and blue a lower one.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -47,7 +50,7 @@
 
 
 def _load_ratios(audit: Audit, end_s: float) -> tuple[list[str], list[str], Any]:
-    """The names and locations of the caches by location, and an array of a row of ratios each."""
+    """Return the caches' names and locations, ordered by location, and a row of ratios for each."""
     import numpy
 
     attempts = [
@@ -74,7 +77,7 @@
 
 
 def _mark_faults(audit: Audit, axes: Any) -> None:
-    """Draw a line at the start (solid) and the first end (dotted) of each fault."""
+    """Draw a solid line at the start of each fault and a dotted line at its first end."""
     marked = set()
     for fault in audit.faults:
         if (fault.name, fault.is_start) in marked:
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -1,6 +1,7 @@
-"""The load of a fleet scenario: rates, objects and the directors asked, from file and seed.
+"""Load of a fleet scenario: arrival times, requested objects and chosen directors.
 
-Pure; time is passed in. The processes of the lab and the simulation draw the same load.
+Pure; time is passed in. The load depends only on the scenario and its seed, so the lab's processes
+and the simulation generate the same load.
 """
 
 import itertools
@@ -11,26 +12,26 @@
 from ...standins.client_protocol import DEFAULT_RETRY_DELAY
 from .scenario import LOAD_FAULTS, OBJECT_SIZE_KB, FaultInjection, FleetScenario
 
-# Request classes: reads, writes with an idempotency key, and writes without
+# Request classes: reads, writes with an idempotency key, and writes without one
 PAGES = "pages"
 ORDER = "order"
 PAY = "pay"
-OUTSIZED_KB = 40.0  # of a new object that is ten times the usual size
-HOT_OBJECT_ID = 0x77_0000_0001  # the object that a `hot` fault adds requests for
-SHARED_OBJECT_BASE = 1 << 32  # ids of objects that all locations request
-NEW_OBJECT_OFFSET = 1 << 28  # within a location's ids, of objects requested once
-IDLE_S = 0.05  # until the rate is looked up again where it is 0
-DRAWS = 8  # of a director, before one is chosen among those that are not passed by
+OUTSIZED_KB = 40.0  # size of an outsized object: ten times OBJECT_SIZE_KB
+HOT_OBJECT_ID = 0x77_0000_0001  # the object that a `hot` fault requests
+SHARED_OBJECT_BASE = 1 << 32  # first id of objects that are requested in all locations
+NEW_OBJECT_OFFSET = 1 << 28  # within a location's ids, for objects that are requested once
+IDLE_S = 0.05  # time until the rate is checked again while it is 0
+MAX_DIRECTOR_DRAWS = 8  # then the director is drawn uniformly from those not excluded
 
-DEFAULT_BURST = 1.5  # factor of the rate
-DEFAULT_SHIFT = 0.5  # fraction of the rate
-DEFAULT_HOT = 0.1  # fraction of requests
-DEFAULT_OUTSIZED = 0.02  # fraction of requests
+DEFAULT_BURST_FACTOR = 1.5  # of the rate
+DEFAULT_SHIFT_FRACTION = 0.5  # of the rate
+DEFAULT_HOT_FRACTION = 0.1  # of the requests
+DEFAULT_OUTSIZED_FRACTION = 0.02  # of the requests
 
 
 @dataclass(slots=True)
 class RequestPlan:
-    """One request to be sent; `idempotency_key` is empty where it has none."""
+    """One request to be sent; `idempotency_key` is empty if the request has none."""
 
     request_class: str
     object_id: int
@@ -41,9 +42,9 @@
 def can_retry_after_disconnect(
     scenario: FleetScenario, plan: RequestPlan, tries: int, remaining_ms: float
 ) -> bool:
-    """Return whether a client whose connection ended retries, with so much patience left.
+    """Return whether a client retries a request after the connection to the director ended.
 
-    It never does where the first try may have had an effect that no idempotency key covers.
+    A write without an idempotency key is never retried, as the director may have executed it.
     """
     return (
         plan.request_class != PAY
@@ -53,7 +54,7 @@
 
 
 class ObjectCatalogue:
-    """Objects by a Zipf law, some of them requested in all locations."""
+    """Objects of one location with a Zipf distribution; some are shared with other locations."""
 
     def __init__(self, scenario: FleetScenario, location: str) -> None:
         self.scenario = scenario
@@ -63,23 +64,26 @@
         self.new_numbers = itertools.count(1)
 
     def draw_object(
-        self, draw: random.Random, hot_fraction: float, outsized_fraction: float
+        self, rng: random.Random, hot_fraction: float, outsized_fraction: float
     ) -> tuple[int, float]:
-        """Return an object's id and its size in KB."""
-        chance = draw.random()
+        """Draw an object; return its id and its size in KB."""
+        chance = rng.random()
         if chance < hot_fraction:
             return HOT_OBJECT_ID, OBJECT_SIZE_KB
         if chance < hot_fraction + outsized_fraction:
             return self.first_id + NEW_OBJECT_OFFSET + next(self.new_numbers), OUTSIZED_KB
         weights = self.cumulative_weights
-        rank = min(bisect(weights, draw.random() * weights[-1]), len(weights) - 1)
-        is_shared = draw.random() < self.scenario.shared_fraction
+        rank = min(bisect(weights, rng.random() * weights[-1]), len(weights) - 1)
+        is_shared = rng.random() < self.scenario.shared_fraction
         base = SHARED_OBJECT_BASE if is_shared else self.first_id
         return base + rank + 1, OBJECT_SIZE_KB
 
 
 class LocationLoad:
-    """Requests of one location's clients. All draws come from one source, in a fixed order."""
+    """Requests of the clients of one location.
+
+    All random draws come from one generator in a fixed order, so a seed always gives the same load.
+    """
 
     def __init__(self, scenario: FleetScenario, location: str) -> None:
         self.scenario = scenario
@@ -97,7 +101,7 @@
         }
 
     def active_faults(self, since_start_s: float, kind: str) -> list[FaultInjection]:
-        """Return the faults of that kind at that time."""
+        """Return the faults of this kind that are active at this time."""
         return [
             fault
             for fault in self.faults
@@ -106,13 +110,13 @@
         ]
 
     def rate_at(self, since_start_s: float) -> float:
-        """Return the requests a second at that time."""
+        """Return the requests per second at this time."""
         rate = self.cumulative_rates[-1] if self.cumulative_rates else 0.0
         for fault in self.active_faults(since_start_s, "burst"):
             if fault.location in ("", self.location):
-                rate *= fault.amount or DEFAULT_BURST
+                rate *= fault.amount or DEFAULT_BURST_FACTOR
         for fault in self.active_faults(since_start_s, "shift"):
-            fraction = fault.amount or DEFAULT_SHIFT
+            fraction = fault.amount or DEFAULT_SHIFT_FRACTION
             if fault.location == self.location:
                 rate *= 1.0 - fraction
             elif fault.other_location == self.location:
@@ -120,34 +124,35 @@
         return rate
 
     def next_arrival_in_s(self, since_start_s: float) -> float:
-        """Draw the seconds until the next request."""
+        """Draw the time in seconds until the next request."""
         rate = self.rate_at(since_start_s)
         return self.random.expovariate(rate) if rate > 0.0 else IDLE_S
 
     def draw_request(self, since_start_s: float) -> RequestPlan:
         """Draw the next request."""
-        draw = self.random
+        rng = self.random
         hot_fraction = sum(
-            fault.amount or DEFAULT_HOT for fault in self.active_faults(since_start_s, "hot")
+            fault.amount or DEFAULT_HOT_FRACTION
+            for fault in self.active_faults(since_start_s, "hot")
         )
         outsized_fraction = sum(
-            fault.amount or DEFAULT_OUTSIZED
+            fault.amount or DEFAULT_OUTSIZED_FRACTION
             for fault in self.active_faults(since_start_s, "outsized")
         )
-        object_id, size_kb = self.catalogue.draw_object(draw, hot_fraction, outsized_fraction)
-        chance = draw.random()
+        object_id, size_kb = self.catalogue.draw_object(rng, hot_fraction, outsized_fraction)
+        chance = rng.random()
         if chance < self.scenario.order_fraction:
-            return RequestPlan(ORDER, object_id, OBJECT_SIZE_KB, f"{draw.getrandbits(128):032x}")
+            return RequestPlan(ORDER, object_id, OBJECT_SIZE_KB, f"{rng.getrandbits(128):032x}")
         if chance < self.scenario.order_fraction + self.scenario.unsafe_fraction:
             return RequestPlan(PAY, object_id, OBJECT_SIZE_KB, "")
         return RequestPlan(PAGES, object_id, size_kb, "")
 
     def draw_director(self, excluded: set[int]) -> int | None:
-        """Draw a director by its rate; those excluded are passed by. None: there is none left."""
+        """Draw a director weighted by its rate; None if all directors are excluded."""
         if not self.directors:
             return None
         weights = self.cumulative_rates
-        for _ in range(DRAWS):
+        for _ in range(MAX_DIRECTOR_DRAWS):
             index = bisect(weights, self.random.random() * weights[-1])
             director = self.directors[min(index, len(self.directors) - 1)]
             if director not in excluded:
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -175,7 +175,7 @@
 
     def connect(self, director: int) -> LoopConnection:
         """Begin to connect to a director."""
-        return self.loop.connect((addresses.own(director), self.port))
+        return self.loop.connect((addresses.listen_address(director), self.port))
 
     def on_command(self, command: Message) -> None:
         """Start the load at the time that the lab names."""
--- a/mulleinrelay/lab/fleet/network_rules.py
+++ b/mulleinrelay/lab/fleet/network_rules.py
@@ -1,9 +1,9 @@
-"""Network rules: what a fault proxy does with the traffic between directors and their targets.
+"""Network rules: the faults that a proxy applies to traffic between directors and their targets.
 
-Pure; time and random draws are passed in. A rule names directors, targets and what becomes of bytes
-and datagrams between them. All rules that match a path act together. TCP delivers its bytes in
-order and complete, so loss shows as the time of a retransmission; datagrams are lost, duplicated
-and reordered.
+Pure; time and the random generator are passed in. A rule selects paths by their kind, director and
+target, and defines the treatment of bytes and datagrams on these paths. If several rules match a
+path, all of them apply. TCP delivers all bytes in order, so loss on a connection appears as the
+delay of a retransmission; datagrams are lost, duplicated and reordered.
 """
 
 import random
@@ -12,34 +12,35 @@
 
 from .scenario import ScenarioStep
 
-RETRANSMISSION_MS = 200.0  # until lost bytes of a TCP connection come again
-MAX_STREAM_LOSS = 0.9  # probability; more would delay a stream without end
-REORDERING_MS = 50.0  # further delay, at most, of a datagram that is overtaken
-DUPLICATE_MS = 20.0  # between a datagram and its duplicate, at most
+RETRANSMISSION_MS = 200.0  # delay of lost bytes of a TCP connection
+MAX_STREAM_LOSS = 0.9  # probability; at 1 a stream would be delayed forever
+MAX_REORDERING_MS = 50.0  # additional delay of a datagram that is overtaken
+MAX_DUPLICATE_MS = 20.0  # delay of a duplicate after its datagram
 DEFAULT_LOSS = 0.1
 DEFAULT_DELAY_MS = 100.0
-DEFAULT_TRICKLE_KB = 1.0  # a second
+DEFAULT_TRICKLE_KB = 1.0  # per second
 UP = "up"  # from the director
 DOWN = "down"  # to the director
 
 
 @dataclass(slots=True)
 class NetworkRule:
-    """One rule.
+    """One rule: the paths that it matches, and the faults on these paths.
 
     Attributes:
-        path_kinds: Kinds of paths that it matches.
-        directors: Directors that it matches; empty: all.
-        targets: Targets that it matches; empty: all.
+        path_kinds: Matching kinds of paths.
+        directors: Matching directors; empty for all.
+        targets: Matching targets; empty for all.
         direction: up, down or both.
-        is_cut: Nothing passes; what was sent is delivered when the cut is over.
-        is_reset: Connections are reset, and new ones too.
-        delay_ms: Delay of all traffic.
-        jitter_ms: Random further delay.
-        loss: Probability.
-        duplication: Probability, for datagrams.
-        reordering: Probability, for datagrams.
-        bytes_per_s: Of one connection; 0: not limited.
+        is_cut: Whether no traffic passes. Bytes of a connection are held and delivered after the
+            cut; datagrams are lost.
+        is_reset: Whether existing and new connections are reset.
+        delay_ms: Fixed delay of all traffic.
+        jitter_ms: Maximum random delay in addition to the fixed delay.
+        loss: Probability of loss.
+        duplication: Probability that a datagram is duplicated.
+        reordering: Probability that a datagram is delayed beyond later ones.
+        bytes_per_s: Rate limit of each connection; 0 for no limit.
     """
 
     path_kinds: tuple[str, ...]
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """One direction of one connection: when its last bytes go on, and how many there were."""
+    """State of one direction of a connection: when its last bytes are due, and the bytes so far."""
 
     last_due_at: float = 0.0
     sent_bytes: int = 0
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class ActiveRules:
-    """The rules in force, by number. A path is its kind, a director and a target."""
+    """The active rules by number. A path consists of its kind, a director and a target."""
 
     rules: dict[int, NetworkRule] = field(default_factory=dict)
 
@@ -90,14 +91,14 @@
         ]
 
     def resets_path(self, path_kind: str, director: int, target: str) -> bool:
-        """Return whether connections on the path are reset."""
+        """Return whether connections on this path are reset."""
         return any(
             rule.is_reset and rule.applies_to(path_kind, director, target)
             for rule in self.rules.values()
         )
 
     def cuts_path(self, path_kind: str, director: int, target: str, direction: str) -> bool:
-        """Return whether nothing passes in that direction."""
+        """Return whether a cut blocks this direction of the path."""
         return any(rule.is_cut for rule in self.matching(path_kind, director, target, direction))
 
     def stream_due_at(
@@ -109,24 +110,24 @@
         now: float,
         length: int,
         stream: StreamState,
-        draw: random.Random,
+        rng: random.Random,
     ) -> float:
-        """Return when bytes that came now go on; never before those that came earlier.
+        """Return when bytes received now are due at the target; never before earlier bytes.
 
         Args:
             path_kind: Kind of the path.
-            director: The path's director.
-            target: The path's target.
+            director: Director of the path.
+            target: Target of the path.
             direction: UP or DOWN.
-            now: When the bytes came, in ms.
-            length: How many bytes they are.
-            stream: The direction of the connection; it is changed.
-            draw: Source of randomness.
+            now: Time in ms at which the bytes were received.
+            length: Number of bytes.
+            stream: State of this direction of the connection; it is updated.
+            rng: Source of randomness.
         """
         due_at = now
         for rule in self.matching(path_kind, director, target, direction):
-            due_at += rule.delay_ms + draw.random() * rule.jitter_ms
-            while rule.loss and draw.random() < min(rule.loss, MAX_STREAM_LOSS):
+            due_at += rule.delay_ms + rng.random() * rule.jitter_ms
+            while rule.loss and rng.random() < min(rule.loss, MAX_STREAM_LOSS):
                 due_at += RETRANSMISSION_MS
             if rule.bytes_per_s:
                 due_at = max(due_at, stream.last_due_at + 1000.0 * length / rule.bytes_per_s)
@@ -141,23 +142,23 @@
         target: str,
         direction: str,
         now: float,
-        draw: random.Random,
+        rng: random.Random,
     ) -> list[float]:
-        """Return when each copy of a datagram that came now goes on; none: it is lost."""
+        """Return when each copy of a datagram received now is due; empty if it is lost."""
         due_at = now
         copies = 1
         for rule in self.matching(path_kind, director, target, direction):
-            if rule.is_cut or rule.is_reset or draw.random() < rule.loss:
+            if rule.is_cut or rule.is_reset or rng.random() < rule.loss:
                 return []
-            due_at += rule.delay_ms + draw.random() * rule.jitter_ms
-            if draw.random() < rule.reordering:
-                due_at += REORDERING_MS * draw.random()
-            copies += draw.random() < rule.duplication
-        return [due_at + index * draw.random() * DUPLICATE_MS for index in range(copies)]
+            due_at += rule.delay_ms + rng.random() * rule.jitter_ms
+            if rng.random() < rule.reordering:
+                due_at += MAX_REORDERING_MS * rng.random()
+            copies += rng.random() < rule.duplication
+        return [due_at + index * rng.random() * MAX_DUPLICATE_MS for index in range(copies)]
 
 
 def rule_for(step: ScenarioStep) -> NetworkRule:
-    """Return the rule of a network fault."""
+    """Return the rule that implements a network fault."""
     fault = step.fault
     loss = (fault.amount or DEFAULT_LOSS) if fault.kind == "loss" else 0.0
     delay_ms = (fault.amount or DEFAULT_DELAY_MS) if fault.kind == "delay" else 0.0
@@ -178,8 +179,8 @@
     )
 
 
-# Keys of a rule on a fault proxy's control channel, with the attributes that hold them
-_PLAIN_KEYS = {
+# Keys of an encoded rule on a fault proxy's control channel, with the attributes of NetworkRule
+_ATTRIBUTES_BY_KEY = {
     "way": "direction",
     "cut": "is_cut",
     "reset": "is_reset",
@@ -193,20 +194,24 @@
 
 
 def encode_rule(rule: NetworkRule) -> dict[str, Any]:
-    """Return the JSON of a rule for a fault proxy's control channel."""
+    """Encode a rule as JSON for a fault proxy's control channel."""
     return {
         "kinds": list(rule.path_kinds),
         "directors": sorted(rule.directors),
         "targets": sorted(rule.targets),
-        **{key: getattr(rule, attribute) for key, attribute in _PLAIN_KEYS.items()},
+        **{key: getattr(rule, attribute) for key, attribute in _ATTRIBUTES_BY_KEY.items()},
     }
 
 
 def decode_rule(encoded: dict[str, Any]) -> NetworkRule:
-    """Return the rule that `encode_rule` encoded; keys but `kinds` may be missing."""
+    """Decode a rule from `encode_rule`; all keys except `kinds` are optional."""
     return NetworkRule(
         path_kinds=tuple(encoded["kinds"]),
         directors=frozenset(encoded.get("directors", ())),
         targets=frozenset(encoded.get("targets", ())),
-        **{attribute: encoded[key] for key, attribute in _PLAIN_KEYS.items() if key in encoded},
+        **{
+            attribute: encoded[key]
+            for key, attribute in _ATTRIBUTES_BY_KEY.items()
+            if key in encoded
+        },
     )
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -1,7 +1,8 @@
-"""What the processes of a play wrote down: records of nodes, event stream, clients and the lab.
+"""Records of a play, written by the processes of nodes, event stream, clients and the lab.
 
-Each process appends JSON lines to a file `*.records`; the first item of a line names its type.
-Times in the files are Unix ms; once read, they are seconds from the play's start.
+Each process appends lines of JSON to a file `*.records`; the first item of a line is the type of
+the record. Times in the files are in Unix ms; after reading they are in seconds from the start of
+the play.
 """
 
 import os
@@ -13,7 +14,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """A command that reached a node; `is_outdated`: it was answered with a purged copy."""
+    """A command that reached a node; `is_outdated` is 1 if the answer was a purged copy."""
 
     at_s: float
     director: int
@@ -43,7 +44,7 @@
 
 
 class FaultRecord(NamedTuple):
-    """The start or end of a fault; `error`: why it could not be injected, else empty."""
+    """The start or end of a fault; `error` is empty if it was injected."""
 
     at_s: float
     name: str
@@ -56,7 +57,7 @@
 
 
 class NotificationRecord(NamedTuple):
-    """An endpoint update that was sent to a director."""
+    """The state of one node in an endpoint update that was sent to a director."""
 
     at_s: float
     director: int
@@ -66,7 +67,7 @@
 
 
 class ConnectionRecord(NamedTuple):
-    """A connection of a director to a node that began (1) or ended (-1)."""
+    """A connection from a director to a node that was opened (`change` 1) or closed (-1)."""
 
     at_s: float
     director: int
@@ -84,7 +85,7 @@
 
 
 class DirectorRecord(NamedTuple):
-    """Something of one director that needs no more fields."""
+    """An event at one director without further fields."""
 
     at_s: float
     director: int
@@ -99,14 +100,14 @@
 
 
 class NodeCrashRecord(NamedTuple):
-    """A node that overload has ended."""
+    """A node that crashed under overload."""
 
     at_s: float
     node: str
 
 
 class UsageRecord(NamedTuple):
-    """A director's use of the machine over the play; it has no time."""
+    """Resource usage of a director over the whole play; the record has no time."""
 
     director: int
     cpu_s: float
@@ -114,7 +115,10 @@
 
 
 class ExecutionRecord(NamedTuple):
-    """Writes with several executions, writes, and fetches from the origin; it has no time."""
+    """Totals of writes and origin fetches over the whole play; the record has no time.
+
+    `repeated` counts the writes that were executed more than once.
+    """
 
     repeated: int
     executed: int
@@ -126,12 +130,12 @@
     """All records of a play.
 
     Attributes:
-        started_at: Start of the play in ms.
-        seconds: Its length.
-        ready_after_s: Time until all directors were ready.
-        attempts: By time.
-        requests: In the order of the files.
-        other_records: Further records by type; those in RECORD_TYPES have its classes.
+        started_at: Start of the play in Unix ms.
+        seconds: Length of the play.
+        ready_after_s: Time from the start of the first director until all were ready.
+        attempts: Attempts at nodes, ordered by time.
+        requests: Requests of clients, in the order of the files.
+        other_records: All other records by type, as tuples or as classes from RECORD_TYPES.
     """
 
     started_at: float = 0.0
@@ -162,7 +166,7 @@
 
 
 def read_observations(folder: str) -> Observations:
-    """Read all files of records in a folder; a last line that was cut short is left out."""
+    """Read all files of records in a folder; an incomplete last line is ignored."""
     lines: list[list[Any]] = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".records"):
--- a/mulleinrelay/lab/fleet/process_reaper.py
+++ b/mulleinrelay/lab/fleet/process_reaper.py
@@ -1,7 +1,7 @@
-"""A process that ends what a lab has left behind, by process id.
+"""Process that kills the remaining processes of a lab that was killed itself.
 
-It acts when its standard input ends before the line `done`, as it does when the lab is killed. The
-lab writes `+ID` for each process that it starts, and `-ID` for each that it has seen end.
+It acts if its standard input ends without the line `done`, which happens when the lab is killed.
+The lab writes `+ID` for each process that it starts, and `-ID` for each process that has ended.
 """
 
 import contextlib
@@ -14,10 +14,10 @@
 
 
 def main(folder: str = "") -> None:
-    """Follow the lab's processes; at its death kill them and remove the folder, where one is given.
+    """Track the lab's processes; if the lab dies, kill them and remove the folder.
 
     Args:
-        folder: The lab's temporary folder; empty where it is kept.
+        folder: Temporary folder of the lab; empty if the folder is to be kept.
     """
     processes: dict[int, psutil.Process] = {}
     for line in sys.stdin:
@@ -29,7 +29,7 @@
             processes.pop(process_id, None)
             continue
         with contextlib.suppress(psutil.NoSuchProcess):
-            # It knows its start time, so that a later process with the same id is spared.
+            # psutil compares start times, so a later process with the same id is not killed.
             processes[process_id] = psutil.Process(process_id)
     for process in processes.values():
         with contextlib.suppress(psutil.NoSuchProcess):
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -42,7 +42,7 @@
 def free_port(kind: int) -> int:
     """Return a port for all directors of a lab, each at its own address; other labs get others."""
     with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind((addresses.peer(0), 0))
+        probe.bind((addresses.advertised_address(0), 0))
         return probe.getsockname()[1]
 
 
@@ -228,7 +228,7 @@
             self.directors.append(director)
             endpoints.send({"known": number})
             platform = {
-                "bus": f"{addresses.far(number)}:{stream_port}",
+                "bus": f"{addresses.proxy_address(number)}:{stream_port}",
                 "known": {"offset": 1, "batch": [endpoints.receive()["words"]]},
                 "settings": settings[self.scenario.location_of(number)],
             }
@@ -265,7 +265,7 @@
         offset = 0 if scenario.has_same_seeds else number * SEED_STEP
         config = {
             "name": f"n{number}",
-            "listen": f"{addresses.own(number)}:{self.port}",
+            "listen": f"{addresses.listen_address(number)}:{self.port}",
             "seed": f"{scenario.seed * SEED_FACTOR + offset:x}",
             "bus": platform["bus"],
             "limits": {"memory_mb": scenario.memory_mb, "sockets": scenario.max_descriptors},
@@ -281,11 +281,13 @@
     def _fleet_file(self, number: int, location: str) -> str:
         port = self.datagram_port
         seeds = " ".join(
-            f"{addresses.peer(seed)}:{port}" for seed in range(min(SEEDS, self.scenario.directors))
+            f"{addresses.advertised_address(seed)}:{port}"
+            for seed in range(min(SEEDS, self.scenario.directors))
         )
         return (
             f"[fleet]\nenabled = yes\nname = lab\nkey = lab-{port:08}\nlocation = {location}\n"
-            f"listen = {addresses.own(number)}:{port}\nannounce = {addresses.peer(number)}:{port}\n"
+            f"listen = {addresses.listen_address(number)}:{port}\n"
+            f"announce = {addresses.advertised_address(number)}:{port}\n"
             f"seeds = {seeds}\nrecords = fleet\n"
             f"[budgets]\ncold = {'yes' if self.scenario.shares_quotas else 'no'}\n"
         )
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -1,7 +1,7 @@
-"""Fleet scenarios: which directors and nodes there are, their load, and the faults by time.
+"""Fleet scenarios: the directors and nodes, their load, and the schedule of faults.
 
-Pure: the same file and seed give the same directors, nodes, rates and steps. A wrong file raises a
-ConfigError that names the key.
+Pure: the same file and seed give the same directors, nodes, rates and steps. An invalid file raises
+a ConfigError that names the key.
 """
 
 import math
@@ -11,12 +11,12 @@
 from ...errors import ConfigError
 from ...standins.node_kinds import CACHE, ORIGIN, PARENT
 
-MAX_DIRECTORS = 5_000  # in simulated time
-MAX_CACHES = 2_000  # in simulated time
+MAX_DIRECTORS = 5_000  # in the simulation
+MAX_CACHES = 2_000  # in the simulation
 MAX_DIRECTOR_PROCESSES = 400
 MAX_CACHES_ON_SOCKETS = 400
 
-# Kinds of faults, by what they meet
+# Kinds of faults, by the component that they affect
 PATH_FAULTS = ("cut", "reset", "delay", "loss", "trickle")
 DIRECTOR_FAULTS = ("stop", "kill", "restart", "clock")
 NODE_FAULTS = (
@@ -33,34 +33,36 @@
 
 PATH_KINDS = ("cache", "parent", "stream", "director")
 DIRECTIONS = ("both", "up", "down")  # up: from the director
-CONCURRENT_ANSWERS = 4  # that a usual cache sends at a time, and its weight on the endpoint list
-OBJECT_SIZE_KB = 4.0  # of a usual object
+CONCURRENT_ANSWERS = 4  # of a normal cache; also its weight in the endpoint list
+OBJECT_SIZE_KB = 4.0  # of a normal object
 
 FIRST_NODE_NUMBER = 0x11
 NODE_NUMBER_FACTOR = 2654435761  # Knuth's multiplicative hash spreads the nodes' hash keys
-LARGE_FACTOR = 2.0  # capacity of a large cache, in usual ones
-PARENT_FACTOR = 4.0  # capacity of a parent or the origin, in usual caches
+LARGE_FACTOR = 2.0  # capacity of a large cache, relative to a normal one
+PARENT_FACTOR = 4.0  # capacity of a parent or the origin, relative to a normal cache
 
 
 @dataclass(slots=True)
 class FaultInjection:
-    """One fault as the scenario's file describes it.
+    """A fault as described in the scenario file.
 
     Attributes:
         kind: One of FAULT_KINDS.
-        at_s: When it begins, in seconds from the start.
-        duration_s: How long it lasts; 0: it doesn't end by itself.
-        fraction: Fraction of the directors or nodes that it may meet.
-        location: The only location that it meets; empty: all.
-        path_kinds: Kinds of paths that a network fault meets.
+        at_s: Start of the fault, in seconds from the start of the play.
+        duration_s: Duration of the fault; 0 if it does not end by itself.
+        fraction: Fraction of the eligible directors or nodes that is affected.
+        location: The only location that is affected; empty for all locations.
+        path_kinds: Kinds of paths that a network fault affects.
         direction: Direction of a network fault, one of DIRECTIONS.
-        amount: ms of delay or of a clock's step, factor of slowness, KB/s of a trickle, fraction
-            of requests or probability of loss, by kind; 0: the kind's default.
-        jitter_ms: Random delay beyond the delay.
-        spread_s: Time over which restarts or returns are spread.
-        director_fraction: Fraction of the directors that a node's fault shows itself to.
-        nodes: The nodes that it meets; empty: they are drawn.
-        other_location: Where load shifts to, or where the directors at a path's other end are.
+        amount: Size of the fault; 0 for the default of its kind. By kind: ms of delay or of a
+            clock step, seconds by which endpoint updates are late, slowdown factor, KB/s of a
+            trickle, probability of loss, fraction of the requests, or factor of the request rate.
+        jitter_ms: Maximum random delay in addition to the fixed delay.
+        spread_s: Period over which kills, restarts or starts after a kill are spread.
+        director_fraction: Fraction of the directors that observe the fault of a node.
+        nodes: The affected nodes; empty if they are drawn at random.
+        other_location: Location that receives shifted load, or location of the directors at the
+            other end of a path between directors.
     """
 
     name: str
@@ -81,7 +83,7 @@
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """The start or the end of a fault, with the directors and nodes that it meets."""
+    """The start or the end of a fault, with the directors and nodes that it affects."""
 
     at_s: float
     name: str
@@ -94,7 +96,10 @@
 
 @dataclass(slots=True)
 class NodeSite:
-    """One node: its zone is a location or a hub, its capacity a multiple of a usual cache's."""
+    """One node with its zone, which is a location or a hub.
+
+    `capacity_factor` is the capacity relative to a normal cache.
+    """
 
     name: str
     kind: str
@@ -104,54 +109,60 @@
 
 @dataclass(slots=True)
 class FleetScenario:
-    """A whole scenario; the defaults are those of the file. Capacities are in hits a second."""
+    """A complete fleet scenario. Capacities are in hits per second.
+
+    The defaults apply to keys that the scenario file does not set.
+    """
 
     name: str = "fleet"
     seconds: float = 30.0
-    warm_up_s: float = 6.0  # at the start, left out by the audit
+    warm_up_s: float = 6.0  # at the start; the audit excludes it from its figures
     seed: int = 1
 
     directors: int = 40
-    has_same_seeds: bool = False  # all directors with one seed: a herd planted for the audit
-    rate_spread: float = 1.0  # of the directors' load: sigma of a log-normal distribution
-    min_rate: float = 0.1  # requests a second of the least loaded director
-    has_membership: bool = False  # directors gossip with each other, through the fault proxy
-    shares_quotas: bool = False  # and lend each other slow-start quota
+    has_same_seeds: bool = False  # all directors share one seed, to provoke a herd
+    rate_spread: float = 1.0  # sigma of the log-normal distribution of the directors' load
+    min_rate: float = 0.1  # requests per second of the least loaded director
+    has_membership: bool = False  # directors gossip with each other through a fault proxy
+    shares_quotas: bool = False  # directors lend each other slow-start quota
     memory_mb: float = 96.0
     max_descriptors: int = 1024
     polls_load_reports: bool = False
 
     locations: tuple[str, ...] = ("north", "south")
-    caches: int = 6  # by location
+    caches: int = 6  # per location
     large_fraction: float = 0.5  # of the caches
     hubs: int = 2
-    parents: int = 2  # by hub
-    capacity: float = 60.0  # of a usual cache
-    fill_cost: float = 2.0  # in hits
+    parents: int = 2  # per hub
+    capacity: float = 60.0  # of a normal cache
+    fill_cost: float = 2.0  # load of a fill, in hits
     parent_ms: float = 8.0
-    hub_ms: float = 20.0  # to the other hub
+    hub_ms: float = 20.0  # latency to the other hub
     origin_ms: float = 30.0
     parent_capacity: float = 600.0
     origin_capacity: float = 1500.0
     max_copies: int = 4000
     parent_max_copies: int = 0
-    initial_fraction: float = 0.2  # of its capacity that a started node has
+    initial_fraction: float = 0.2  # of its capacity that a node has at its start
     slow_start_ms: float = 12_000.0
     parent_slow_start_ms: float = 12_000.0
     crashes_on_overload: bool = True
-    update_delay_ms: tuple[float, float] = (300.0, 1500.0)  # of endpoint updates, from and to
-
-    rate: float = 400.0  # requests a second over the fleet
-    objects: int = 1500  # by location
-    skew: float = 0.8  # exponent of the Zipf popularity
-    shared_fraction: float = 0.5  # of requests, for objects that all locations request
-    order_fraction: float = 0.05  # of requests, with an idempotency key
-    unsafe_fraction: float = 0.0  # of requests, neither idempotent nor with a key
+    update_delay_ms: tuple[float, float] = (
+        300.0,
+        1500.0,
+    )  # minimum and maximum delay of endpoint updates
+
+    rate: float = 400.0  # requests per second of the whole fleet
+    objects: int = 1500  # per location
+    skew: float = 0.8  # exponent of the Zipf distribution of popularity
+    shared_fraction: float = 0.5  # of requests, for objects that are requested in all locations
+    order_fraction: float = 0.05  # of requests: writes with an idempotency key
+    unsafe_fraction: float = 0.0  # of requests: writes without an idempotency key
     patience_ms: float = 2500.0
     latency_objective_ms: float = 500.0
     max_tries: int = 3
-    answer_grace_ms: float = 100.0  # beyond the patience, after which an answer is missing
-    failure_detection_ms: float = 1500.0  # until clients pass by a dead director
+    answer_grace_ms: float = 100.0  # after the patience; later the answer counts as missing
+    failure_detection_ms: float = 1500.0  # until clients avoid a dead director
 
     client_processes: int = 3
     proxy_processes: int = 2
@@ -159,12 +170,12 @@
 
     @property
     def hit_ms(self) -> float:
-        """Duration of a hit at an idle cache: its sending time."""
+        """Duration of a hit at an idle cache, which is the time to send the object."""
         return 1000.0 * CONCURRENT_ANSWERS / self.capacity
 
     @property
     def transfer_rate(self) -> float:
-        """KB a second of one transfer."""
+        """Rate of one transfer, in KB per second."""
         return 1000.0 * OBJECT_SIZE_KB / self.hit_ms
 
     def zones(self) -> list[str]:
@@ -182,7 +193,7 @@
         ]
 
     def node_sites(self) -> list[NodeSite]:
-        """Return all nodes; their names end in the digits that every director hashes."""
+        """Return all nodes; each name ends in the hexadecimal digits that all directors hash."""
         found = []
         number = FIRST_NODE_NUMBER
         for location in self.locations:
@@ -198,21 +209,24 @@
         return [*found, NodeSite("o-0000f1", ORIGIN, "hub0", PARENT_FACTOR)]
 
     def director_rates(self) -> list[float]:
-        """Return the requests a second of each director; before `min_rate` they sum to `rate`."""
-        draw = random.Random(f"{self.seed}-rates")
-        weights = [math.exp(draw.gauss(0.0, self.rate_spread)) for _ in range(self.directors)]
+        """Return the requests per second of each director.
+
+        The sum is `rate`, unless directors were raised to `min_rate`.
+        """
+        rng = random.Random(f"{self.seed}-rates")
+        weights = [math.exp(rng.gauss(0.0, self.rate_spread)) for _ in range(self.directors)]
         scale = self.rate / sum(weights)
         return [max(self.min_rate, weight * scale) for weight in weights]
 
     def steps(self) -> list[ScenarioStep]:
-        """Return the starts and ends of all faults by time."""
+        """Return the starts and ends of all faults, ordered by time."""
         found = []
         for fault in self.faults:
             found += _steps_of(self, fault, random.Random(f"{self.seed}-{fault.name}"))
         return sorted(found, key=lambda step: step.at_s)
 
     def with_directors(self, directors: int) -> "FleetScenario":
-        """Return the same scenario with so many directors under the same load.
+        """Return a copy with this number of directors under the same load.
 
         Raises:
             ConfigError: The number is out of range.
@@ -226,10 +240,10 @@
         return replace(self, directors=directors)
 
     def require_process_limits(self) -> "FleetScenario":
-        """Return itself.
+        """Return the scenario itself if it can be played with processes.
 
         Raises:
-            ConfigError: It is too large to be played with processes and sockets.
+            ConfigError: The scenario has too many directors or caches.
         """
         caches = self.caches * len(self.locations)
         for section, key, count, limit in (
@@ -238,7 +252,7 @@
         ):
             if count > limit:
                 raise ConfigError(
-                    f"{count} are more than the {limit} that sockets play; see --model",
+                    f"{count} exceeds the limit of {limit} for a play with processes; see --model",
                     section=section,
                     key=key,
                 )
@@ -250,12 +264,15 @@
 
 
 def _steps_of(
-    scenario: FleetScenario, fault: FaultInjection, draw: random.Random
+    scenario: FleetScenario, fault: FaultInjection, rng: random.Random
 ) -> list[ScenarioStep]:
-    """The steps of one fault. The order of the draws decides what a seed gives."""
-    directors, nodes = _draw_targets(scenario, fault, draw)
+    """Return the steps of one fault.
+
+    Reordering the random draws would change the steps that a seed gives.
+    """
+    directors, nodes = _draw_targets(scenario, fault, rng)
     if fault.kind in ("restart", "kill") and fault.spread_s > 0.0:
-        order = draw.sample(directors, len(directors))
+        order = rng.sample(directors, len(directors))
         starts = [
             ScenarioStep(
                 fault.at_s + fault.spread_s * index / len(order),
@@ -266,25 +283,25 @@
             )
             for index, director in enumerate(order)
         ]
-        return starts + _returns(fault, order)
+        return starts + _restarts_after_kill(fault, order)
     start = ScenarioStep(fault.at_s, fault.name, fault.kind, fault, directors, nodes)
     if fault.duration_s <= 0.0:
         return [start]
     if fault.kind == "kill":
-        return [start, *_returns(fault, list(directors))]
+        return [start, *_restarts_after_kill(fault, list(directors))]
     return [start, replace(start, at_s=fault.at_s + fault.duration_s, is_start=False)]
 
 
 def _draw_targets(
-    scenario: FleetScenario, fault: FaultInjection, draw: random.Random
+    scenario: FleetScenario, fault: FaultInjection, rng: random.Random
 ) -> tuple[tuple[int, ...], tuple[str, ...]]:
-    """Draw the directors and nodes that a fault meets."""
+    """Draw the directors and nodes that a fault affects."""
     candidates = [
         director
         for director in range(scenario.directors)
         if not fault.location or scenario.location_of(director) == fault.location
     ]
-    directors = tuple(sorted(draw.sample(candidates, round(fault.fraction * len(candidates)))))
+    directors = tuple(sorted(rng.sample(candidates, round(fault.fraction * len(candidates)))))
     nodes = fault.nodes
     if fault.kind in NODE_FAULTS:
         if not nodes:
@@ -294,16 +311,16 @@
                 if site.kind == CACHE and fault.location in ("", site.zone)
             ]
             count = max(1, round(fault.fraction * len(caches)))
-            nodes = tuple(sorted(draw.sample(caches, count)))
+            nodes = tuple(sorted(rng.sample(caches, count)))
         count = round(fault.director_fraction * scenario.directors)
-        directors = tuple(sorted(draw.sample(range(scenario.directors), count)))
+        directors = tuple(sorted(rng.sample(range(scenario.directors), count)))
     if fault.kind in PATH_FAULTS and fault.other_location:  # between directors of two locations
         nodes = tuple(str(director) for director in scenario.directors_in(fault.other_location))
     return directors, nodes
 
 
-def _returns(fault: FaultInjection, order: list[int]) -> list[ScenarioStep]:
-    """Starts of the directors that were killed, `duration_s` after each was."""
+def _restarts_after_kill(fault: FaultInjection, order: list[int]) -> list[ScenarioStep]:
+    """Return the restart of each killed director, `duration_s` after its kill."""
     if fault.kind != "kill" or fault.duration_s <= 0.0:
         return []
     return [
--- a/mulleinrelay/lab/fleet/scenario_parser.py
+++ b/mulleinrelay/lab/fleet/scenario_parser.py
@@ -1,4 +1,4 @@
-"""The parser of fleet scenarios' INI files; pure."""
+"""Parser for the INI files of fleet scenarios; pure."""
 
 from typing import Any
 
@@ -20,10 +20,14 @@
 
 
 def parse_fleet_scenario(text: str) -> FleetScenario:
-    """Parse a scenario. Raises ConfigError, whose text names the key."""
-    found = parse_sections(text)
-    lab, directors, nodes, load = (IniSection(title, found.pop(title, {})) for title in SECTIONS)
-    faults = [_parse_fault_section(title, values) for title, values in found.items()]
+    """Parse a scenario.
+
+    Raises:
+        ConfigError: The scenario is invalid; the message names the section and the key.
+    """
+    sections = parse_sections(text)
+    lab, directors, nodes, load = (IniSection(title, sections.pop(title, {})) for title in SECTIONS)
+    faults = [_parse_fault_section(title, values) for title, values in sections.items()]
     locations = nodes.names("locations", "north south")
     if not locations:
         raise nodes.error("locations", "names are wanted")
@@ -38,11 +42,11 @@
     for section in (lab, directors, nodes, load):
         section.reject_unknown_keys()
     if scenario.caches * len(locations) > MAX_CACHES:
-        raise nodes.error("caches", f"over {MAX_CACHES} in all")
+        raise nodes.error("caches", f"more than {MAX_CACHES} in all locations together")
     if scenario.warm_up_s >= scenario.seconds:
-        raise lab.error("warm_s", "less than `seconds` is wanted")
+        raise lab.error("warm_s", "a number less than `seconds` is wanted")
     if scenario.update_delay_ms[0] > scenario.update_delay_ms[1]:
-        raise nodes.error("notice_to_ms", "no less than notice_from_ms is wanted")
+        raise nodes.error("notice_to_ms", "a number of at least `notice_from_ms` is wanted")
     _check_faults(scenario)
     return scenario
 
@@ -158,13 +162,15 @@
         section = IniSection(f"fault {fault.name}", {})
         for key, location in (("location", fault.location), ("other", fault.other_location)):
             if location and location not in scenario.locations:
-                raise section.error(key, f"no location {location!r}")
+                raise section.error(key, f"location {location!r} does not exist")
         if unknown := sorted(set(fault.nodes) - names):
-            raise section.error("nodes", f"no node {unknown[0]!r}")
+            raise section.error("nodes", f"node {unknown[0]!r} does not exist")
         is_path_fault = fault.kind in PATH_FAULTS
         if is_path_fault and fault.other_location and fault.path_kinds != ("director",):
-            raise section.error("other", "of a path it goes with paths = director")
+            raise section.error("other", "a network fault with `other` needs `paths = director`")
         if fault.kind == "shift" and not (fault.location and fault.other_location):
-            raise section.error("other", "a shift wants `location` and `other`")
+            raise section.error("other", "a shift needs both `location` and `other`")
         if fault.at_s + fault.duration_s > scenario.seconds:
-            raise section.error("for", f"it ends after the play's {scenario.seconds:g} s")
+            raise section.error(
+                "for", f"the fault ends after the play, which lasts {scenario.seconds:g} s"
+            )
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -1,9 +1,9 @@
-"""The program with a wall clock that a signal steps.
+"""Runs the program with a wall clock that a signal steps.
 
-`python -m mulleinrelay.lab.fleet.stepped MS serve ...` is `python -m mulleinrelay serve ...` whose
-`time.time` is MS later from each SIGUSR1 on. Only the lab starts it, for the directors that a fault
-`clock` meets. The module keeps this name because the lab also starts it in earlier versions of the
-program, which it compares.
+`python -m mulleinrelay.lab.fleet.stepped MS serve ...` runs `python -m mulleinrelay serve ...`;
+each SIGUSR1 advances `time.time` by MS milliseconds. Only the lab starts it, for the directors that
+a `clock` fault affects. The module must keep its name: the lab also starts it from earlier versions
+of the program, to compare versions.
 """
 
 import signal
@@ -13,9 +13,10 @@
 
 
 def step_on_signal(step_s: float) -> None:
-    """Replace `time.time`; each SIGUSR1 steps it by `step_s` seconds.
+    """Replace `time.time` by a clock that each SIGUSR1 steps by `step_s` seconds.
 
-    To be called before any other thread starts, as these must inherit the blocked signal.
+    It must be called before any other thread starts, as all threads must inherit the blocked
+    signal.
     """
     real_time = time.time
     offset_s = [0.0]
@@ -26,11 +27,11 @@
         while signal.sigwait([signal.SIGUSR1]):
             offset_s[0] += step_s
 
-    threading.Thread(target=wait_for_signals, name="step", daemon=True).start()
+    threading.Thread(target=wait_for_signals, name="clock step", daemon=True).start()
 
 
 def main() -> None:
-    """Take the step from the first argument, and run the program with the others."""
+    """Read the step from the first argument, and run the program with the remaining ones."""
     step_on_signal(float(sys.argv.pop(1)) / 1000.0)
     from ...cli import main as program
 
--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -68,7 +68,7 @@
         self.process.send({"lift": self.rules})
 
     def connect(self, director=1):
-        made = socket.create_connection((addresses.far(director), self.port), timeout=2.0)
+        made = socket.create_connection((addresses.proxy_address(director), self.port), timeout=2.0)
         made.settimeout(0.4)
         return made
 
@@ -148,16 +148,16 @@
     gates = {}
     for director in (1, 2):
         gates[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        gates[director].bind((addresses.own(director), DATAGRAMS))
+        gates[director].bind((addresses.listen_address(director), DATAGRAMS))
         gates[director].settimeout(0.4)
     try:
-        gates[1].sendto(b"hail", (addresses.peer(2), DATAGRAMS))
-        assert gates[2].recvfrom(100) == (b"hail", (addresses.peer(1), DATAGRAMS))
-        gates[2].sendto(b"well", (addresses.peer(1), DATAGRAMS))
-        assert gates[1].recvfrom(100) == (b"well", (addresses.peer(2), DATAGRAMS))
+        gates[1].sendto(b"hail", (addresses.advertised_address(2), DATAGRAMS))
+        assert gates[2].recvfrom(100) == (b"hail", (addresses.advertised_address(1), DATAGRAMS))
+        gates[2].sendto(b"well", (addresses.advertised_address(1), DATAGRAMS))
+        assert gates[1].recvfrom(100) == (b"well", (addresses.advertised_address(2), DATAGRAMS))
         setup.rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
-        gates[1].sendto(b"lost", (addresses.peer(2), DATAGRAMS))
-        gates[2].sendto(b"comes", (addresses.peer(1), DATAGRAMS))
+        gates[1].sendto(b"lost", (addresses.advertised_address(2), DATAGRAMS))
+        gates[2].sendto(b"comes", (addresses.advertised_address(1), DATAGRAMS))
         assert gates[1].recv(100) == b"comes"
         with pytest.raises(TimeoutError):
             gates[2].recv(100)
--- a/tests/lab/test_fleet_scenario.py
+++ b/tests/lab/test_fleet_scenario.py
@@ -108,7 +108,11 @@
 
 @pytest.mark.parametrize("director", [0, 1, 254, 255, 256, 399, 4999])
 def test_each_address_of_a_director_leads_back_to_it(director):
-    held = [addresses.own(director), addresses.far(director), addresses.peer(director)]
+    held = [
+        addresses.listen_address(director),
+        addresses.proxy_address(director),
+        addresses.advertised_address(director),
+    ]
     assert [addresses.director_of(address) for address in held] == [director] * 3 and len(
         set(held)
     ) == 3
