--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -88,7 +88,7 @@
         If the director has exited, clients stop choosing it after the failure detection time.
         """
         simulation = self.simulation
-        self.observations.others["cut"].append(
+        self.observations.other_records["cut"].append(
             DisconnectRecord(simulation.since_start_s(), number, 1)
         )
         if simulation.directors[number].has_exited:
@@ -153,7 +153,7 @@
         """Complete a request without an answer, unless a further try was sent meanwhile."""
         if request.is_complete or request.tries != try_number:
             return
-        self.observations.others["none"].append(
+        self.observations.other_records["none"].append(
             (self.simulation.since_start_s(), request.last_director, request.created_at)
         )
         self._complete(request, "no answer")
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -100,7 +100,7 @@
                 on_progress(self.since_start_s(), len(requests), served)
         executions = self.fleet.executions
         repeated = sum(times > 1 for times in executions.values())
-        self.observations.others["effects"].append(
+        self.observations.other_records["effects"].append(
             ExecutionRecord(repeated, len(executions), self.fleet.origin_fetches)
         )
         return self.observations
@@ -187,7 +187,7 @@
             return
         if self.defer_if_stopped(number, lambda: self._notify_director(number, row)):
             return
-        self.observations.others["told"].append(
+        self.observations.other_records["told"].append(
             NotificationRecord(
                 self.since_start_s(), number, row["id"], row["state"], row["started_ms"]
             )
@@ -222,7 +222,7 @@
         self.clock.call_at(self.started_at + 1000.0 * step.at_s, lambda: self._inject_fault(step))
 
     def _inject_fault(self, step: ScenarioStep) -> None:
-        self.observations.others["fault"].append(
+        self.observations.other_records["fault"].append(
             FaultRecord(
                 self.since_start_s(),
                 step.name,
@@ -323,7 +323,7 @@
         """Shut a director down gracefully: finish its open requests, then start a new director."""
         director = self.directors[number]
         record = DirectorRecord(self.since_start_s(), number)
-        self.observations.others["term"].append(record)
+        self.observations.other_records["term"].append(record)
         for request in list(director.open_requests):
             director.finish_request(request)
         director.has_exited = True
