--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -39,7 +39,7 @@
 PEAKS_PER_WINDOW = 4  # intervals into which the last window is divided to track peak use
 MIN_LEASE_FRACTION = 0.05  # of an owner's units; smaller leases are not worth a datagram
 REQUEST_NUMBER_LIMIT = 1 << 40  # exclusive bound of the random first request number
-THOUSANDTHS_PER_LIMIT = 1000.0  # the status is in thousandths of the complete limit
+THOUSANDTHS_PER_LIMIT = 1000.0  # amounts in the status are in thousandths of the shared limit
 
 
 @dataclass(slots=True, frozen=True)
@@ -322,9 +322,10 @@
     # For operators
 
     def status(self, now: float) -> dict[str, object]:
-        """Return all limits as JSON objects, in thousandths of the complete limit.
+        """Return this director's state of all shared limits, as a JSON object for operators.
 
-        The keys appear in the records and in `--json` output and must not change.
+        Amounts are in thousandths of the limit that all directors share. The keys appear in the
+        records and in `--json` output and must not change.
         """
         return {
             "counts": dict(self.counts),
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -75,7 +75,7 @@
 
 
 def record_change(path: str, event: str, fields: dict[str, Any]) -> None:
-    """Append one JSON line to the log of operators' changes, which is next to the file."""
+    """Append a JSON line to `<path>.log`, the log of operators' changes to the file at `path`."""
     import structlog  # imported here because most commands do not need it and start faster
 
     with open(f"{path}.log", "ab") as file:
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -41,7 +41,7 @@
         folder: Folder that relative paths in the text start from.
 
     Raises:
-        ConfigError: If the text cannot be used.
+        ConfigError: If the text is not valid.
     """
     texts = parse_sections(text)
     reject_unknown_sections(texts, SECTIONS)
@@ -77,6 +77,6 @@
     """Read and parse the file.
 
     Raises:
-        ConfigError: If the file cannot be read or used.
+        ConfigError: If the file cannot be read or its content is invalid.
     """
     return load_ini(path, parse_cells_config)
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -256,7 +256,9 @@
 
 
 def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
-    """Make a rollout's limits the own limits of all tenants of its cells, and remove the rollout.
+    """Copy a rollout's limits to all tenants of its cells, and remove the rollout.
+
+    If the rollout sets the number of caches per tenant, the number is copied to its cells.
 
     Raises:
         EditRejectedError: If no rollout of this name is in force.
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -120,8 +120,8 @@
 def _reject_duplicate(known: Mapping[str, object], name: str, section: IniSection) -> None:
     """Raise ConfigError for a section that has the same kind and name as an earlier one.
 
-    The titles may differ in spaces, as `[cell a]` and `[cell  a]`, so that the INI parser accepts
-    both.
+    The INI parser does not detect such a duplicate if the titles differ in spaces, as `[cell a]`
+    and `[cell  a]`.
     """
     if name in known:
         raise ConfigError("a section of this kind and name occurs twice", section=section.title)
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -160,7 +160,11 @@
         old_homes: dict[str, str],
         old_migrations: dict[str, Migration],
     ) -> bool:
-        """Return whether objects of a tenant may change cells other than by a migration."""
+        """Return whether the new version changes the cell of a tenant's objects at once.
+
+        This is also the case if a migration had split the objects between two cells in the old
+        version, and the new version does not continue the migration unchanged.
+        """
         old = old_migrations.get(tenant)
         new = self.migrations_by_tenant.get(tenant)
         if old is not None and new is not None and migrations.is_equivalent(old, new, now):
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -266,7 +266,7 @@
 
 
 def shuffle_shards_by_cell(states: dict[str, RolloutState]) -> dict[str, int]:
-    """Return the number of caches per tenant, for the cells where a rollout in force sets it."""
+    """Return the number of caches per tenant that the rollouts in force set, by cell."""
     return {
         cell: state.rollout.shuffle_shards
         for state in states.values()
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -26,7 +26,7 @@
     """Read and parse the assignment file.
 
     Raises:
-        ConfigError: If the file cannot be read or used.
+        ConfigError: If the file cannot be read or its content is invalid.
     """
     return parse_assignment(read_text(path))
 
--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -27,7 +27,7 @@
     "lab": "mulleinrelay.lab.commands",
     "fleet": "mulleinrelay.membership.commands",
 }
-# Names of optional dependencies that differ from the name of the group.
+# Extras (optional dependencies) of command groups; the extra of any other group has its name.
 EXTRA_BY_GROUP = {"ctl": "management"}
 
 
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -110,7 +110,10 @@
         self.next_sync_at = now
 
     def sync_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Request a sync from a random active member, or from the seeds if no member is active."""
+        """Request a sync if the next one is due.
+
+        The request goes to a random active member, or to the seeds if no member is active.
+        """
         if now < self.next_sync_at:
             return []
         active = self._table.active_members()
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -43,8 +43,9 @@
     Attributes:
         address: Host and port of the stream.
         last_event_number: Number of the last applied event.
-        gap_at: Number of the last event before the most recent gap in the stream; -1 if the gap
-            was not in the stream but in the events of a configuration.
+        gap_at: Number of the last event before the most recent gap, which is reported only once; -1
+            if the gap was in the events of a configuration, since the stream may still have the
+            missing events.
         lock: Guards `last_event_number` while an event is applied.
         connection: The most recent socket; None before the first connection.
         read_configured_address: Function that returns the stream's address in the current
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Request of a client."""
+    """Request of a client as the router sees it, with its attempts and its progress."""
 
     context: Any  # set and used by the caller only
     request_class: RequestClass
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -9,8 +9,8 @@
 from .model import Attempt, Request
 from .work_estimates import WorkEstimator
 
-# Fraction of an overdue attempt at which its request is sent elsewhere. 0.5 means twice the
-# expected time.
+# Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. An
+# attempt has the fraction 0.5 at twice its expected time.
 REROUTE_FRACTION = 0.5
 MIN_CHECK_DELAY = 150.0  # ms until an attempt's first check: less than the delay of a far source
 # Time in ms by which the first check precedes the latest time for a retry that meets the objective.
@@ -57,7 +57,10 @@
         return True
 
     def _silent_endpoints(self, attempt: Attempt) -> list[TrackedEndpoint]:
-        """Return the attempt's endpoint and source if they have been silent since it was sent."""
+        """Return the endpoints of the attempt that have been silent since it was sent.
+
+        These can be the endpoint that the attempt was sent to, its fill source, or both.
+        """
         involved = [attempt.endpoint]
         source = self._source_in_use(attempt)
         if source is not None:
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Hashable
 
-# Fraction of recent requests for which an object is held by one more cache.
+# For each such fraction of the recent requests that an object receives, one more cache holds it.
 HOT_FRACTION = 0.02
 # Minimum number of requests for one more cache, so that a few random requests do not make an object
 # hot.
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -143,7 +143,7 @@
         )
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return the method that handles each type of event."""
+        """Return the handler methods by type of event."""
         return {
             RequestReceived: self._on_request,
             AttemptFinished: self._on_attempt_finished,
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -20,7 +20,7 @@
 ENDPOINT_ROW = struct.Struct("<HBf6sBdB")
 
 # Codes of received records
-SELECT_INSTANCE = 130  # the following records are for this instance
+SELECT_INSTANCE = 130  # selects the instance (director) that the following records are for
 BEGIN = 10
 ENDPOINT_LIST = 20
 NEW_REQUEST = 30
@@ -53,7 +53,7 @@
 TAIL_FIELDS = {BEGIN: 1, PEER_DATA: 1, ENDPOINT_ROWS: 1}
 
 # Codes of records in a reply
-FOR_INSTANCE = 60  # the following records are from this instance
+FOR_INSTANCE = 60  # names the instance (director) that the following records are from
 SEND_ATTEMPT = 10
 FORWARD = 30
 CANCEL_ATTEMPT = 130
@@ -88,7 +88,7 @@
 
 
 class Batch(NamedTuple):
-    """One received batch; the clock is in ms."""
+    """Received batch of records; `clock` is the simulated time in ms."""
 
     clock: float
     number: int
@@ -96,7 +96,7 @@
 
 
 class WireError(ProtocolError):
-    """Error for a frame that violates the protocol; the message contains cause and location."""
+    """Error for a frame that violates the protocol; the message has the cause and the location."""
 
 
 def _read_exactly(stream: BinaryIO, size: int, section: str, allow_end: bool = False) -> bytes:
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -1,4 +1,4 @@
-"""Simulator adapter: hosts directors, and converts wire records to events and actions back."""
+"""Simulator adapter: hosts directors, converts wire records to events, and actions to records."""
 
 import gc
 import sys
@@ -40,9 +40,10 @@
 }
 CACHE_STATUSES = {int(status): status for status in CacheStatus}
 HEALTHY = 0  # status of an answered health check
-DELTA_LIST = 2  # kind of an endpoint list; kinds other than these two are full snapshots
+# Kinds of an update of the endpoint list; an update of any other kind is a full snapshot.
+DELTA_LIST = 2
 FAILED_LIST = 3
-RETRY_FLAG = 2  # of a new request
+RETRY_FLAG = 2  # flag of a new request
 # Flags of an attempt
 COALESCE = 1
 ONLY_IF_CACHED = 2
@@ -217,7 +218,7 @@
     # ActionSink
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Write the attempt."""
+        """Add the attempt to the reply."""
         flags = (
             COALESCE * options.allow_coalescing
             + ONLY_IF_CACHED * options.only_if_cached
@@ -236,35 +237,35 @@
         )
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Write the attempt's cancellation."""
+        """Add the cancellation of the attempt to the reply."""
         self.reply.add(wire.CANCEL_ATTEMPT, attempt.request.context, attempt.number)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Write the request's rejection."""
+        """Add the rejection of the request to the reply."""
         self._possibly_finished.append(request)
         self.reply.add(wire.REJECT_REQUEST, request.context, retry_after)
 
     def fail_request(self, request: Request) -> None:
-        """Write the request's failure."""
+        """Add the failure of the request to the reply."""
         self._possibly_finished.append(request)
         self.reply.add(wire.FAIL_REQUEST, request.context)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Write a timer."""
+        """Add a timer to the reply; the simulator reports it when it is due."""
         self._timer_count += 1
         self._timers[self._timer_count] = subject
         self.reply.add(wire.SCHEDULE_TIMER, self._timer_count, delay)
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
-        """Write a health check."""
+        """Add a health check of the endpoint to the reply."""
         self.reply.add(wire.CHECK_HEALTH, _address(endpoint))
 
     def subscribe_to_endpoints(self) -> None:
-        """Write the subscription to the endpoint list."""
+        """Add the subscription to the endpoint list to the reply."""
         self.reply.add(wire.SUBSCRIBE, 1)
 
     def log(self, text: str) -> None:
-        """Write a log line."""
+        """Add a log line to the reply."""
         self.reply.add_bytes(wire.LOG, text.encode())
 
 
@@ -325,7 +326,7 @@
     reply.add(wire.FOR_INSTANCE, instance.number)
     try:
         instance.handle(now)
-    except Exception as error:  # reported as the wire's `fault`; other instances continue
+    except Exception as error:  # reported as a FAULT record; the other instances continue
         text = " ".join(f"{type(error).__name__}: {error}".split())
         reply.add_bytes(wire.FAULT, text.encode())
 
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -1,6 +1,6 @@
 """Quota exchanges in simulated fleets, over the simulated network of the membership tests.
 
-The use of the fleet stays within the limit in every window, and units move to the directors that
+The directors together stay within the limit in every window, and units move to the directors that
 receive the requests.
 """
 
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("demand", "minimums", "maximums"),
     [
-        # A single party may use the whole capacity.
+        # A tenant may use the whole capacity while no other tenant sends requests.
         ({"acme": (1.0, 20)}, {"acme": 80.0}, {"acme": 101.0}),
         ({"acme": (1.0, 20), "beta": (1.0, 20)}, {"acme": 40.0, "beta": 40.0}, {"acme": 60.0}),
         ({"acme": (1.0, 20), "beta": (3.0, 20)}, {"beta": 70.0}, {"acme": 45.0}),
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -52,7 +52,7 @@
         ) = 2
         router = self.coordinator_fixture.coordinator.router
         router.cache_slow_start_quota.fraction = router.parent_slow_start_quota.fraction = (
-            0.5  # as if the settings had named two directors from the start
+            0.5  # 1 / number of directors; the router was created before the number was set to 2
         )
         self.controller_fixture = ControllerFixture(version)
         self.fault_times = {}
--- a/tests/membership/test_membership_status.py
+++ b/tests/membership/test_membership_status.py
@@ -1,4 +1,4 @@
-"""The record for operators, whose keys are an interface: operators' scripts read them."""
+"""Tests of a director's status record, whose keys must not change: operators' scripts use them."""
 
 from simulated_fleet import SimulatedFleet
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -267,7 +267,8 @@
     [
         (False, 0.0, False, 1.5, False),
         (False, 0.0, False, 2.5, True),
-        (False, 900.0, False, 2.5, True),  # a call that arrives byte by byte
+        # The first call has been received byte by byte since 900 s.
+        (False, 900.0, False, 2.5, True),
         (True, 0.0, False, 4.5, False),
         (True, 0.0, False, 6.5, True),
         (True, 0.0, True, 6.5, False),
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -41,7 +41,8 @@
 def test_a_large_object_is_served_by_idle_caches(local_directors):
     """Guard against the rejection of large objects while caches are idle.
 
-    Their own transfer time exceeds the usable fraction of the latency objective.
+    A director may use only a fraction of the latency objective, and the transfer of a large object
+    takes longer than that even from an idle cache.
     """
     request = RouterFixture(local_director_count=local_directors).receive_request(size_kb=9000.0)
     assert request.attempts and not request.is_complete
--- a/tests/policy/test_popularity.py
+++ b/tests/policy/test_popularity.py
@@ -8,7 +8,7 @@
 
 
 def popularity_after(rate, fraction, seconds, seed):
-    """Return the counts of a director with `rate` requests a second.
+    """Return the popularity that a director counts in `seconds`, with `rate` requests a second.
 
     The given fraction of the requests is for one object, the others are for 1000 other objects.
     """
