--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -410,7 +410,7 @@
             )
 
     def wait_until(self, until: float) -> None:
-        """Block until that time, or until an earlier timer or a health check is added."""
+        """Block until the time `until`, or until an earlier timer or a health check is added."""
         with self.lock:
             self._waiting_until = until
             remaining = until - self.clock()
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -33,7 +33,7 @@
 # bound keeps the power in range.
 MAX_DELAY_HALVINGS = 60.0
 
-# Fraction of the resource that each step reserves for the requests of the steps above it.
+# Fraction of the resource that each step reserves for requests with a lower step number.
 RESERVED_PER_STEP = 0.125
 # Maximum number of steps that are subtracted: half of the resource is available to every request
 # class.
@@ -91,9 +91,9 @@
 class AdmissionThresholds:
     """Utilization up to which the requests of each request class are accepted.
 
-    Each request class has a number of steps. Non-idempotent requests have step 0; idempotent
-    classes have the following steps by descending priority weight. The threshold of a class is 1
-    minus `RESERVED_PER_STEP` for each of its steps.
+    Each request class has a step number: 0 for non-idempotent requests, then the following numbers
+    for idempotent classes by descending priority weight. The threshold of a class is 1 minus
+    `RESERVED_PER_STEP` times its step number.
     """
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
@@ -110,9 +110,9 @@
 
         Args:
             request_class: The request's class, one of those given to the constructor.
-            is_retry: Whether the client has sent this request before. An idempotent retry counts
-                one step lower. The threshold of other requests is unchanged, as their effect may
-                depend on the retry.
+            is_retry: Whether the client has sent this request before. The step number of an
+                idempotent retry is greater by one. The threshold of other requests is unchanged,
+                as their effect may depend on the retry.
             utilization: Utilization of the scarcest resource; 1 and above means that it is
                 exhausted.
         """
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -72,7 +72,8 @@
         endpoint = attempt.endpoint
         status = event.cache_status
         self.health.record_result(endpoint, 0.0, None, now)
-        # Errors count only now: an error that every endpoint returns is caused by the request.
+        # Count the errors of earlier attempts only now that another endpoint has served the
+        # request: an error that every endpoint returns is caused by the request.
         for other in request.attempts:
             if other.outcome == Outcome.ERROR:
                 self.health.record_error(other, now)
@@ -113,7 +114,7 @@
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         endpoint = attempt.endpoint
-        if outcome == Outcome.REJECTED:  # the endpoint is overloaded, as late hits would show
+        if outcome == Outcome.REJECTED:  # the endpoint is overloaded, so this counts as a late hit
             endpoint.hit_lateness.add(now, REJECTED_LATENESS)
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             self.health.record_unreachable(endpoint, now)
@@ -141,7 +142,7 @@
             return
         if status == CacheStatus.ORIGIN_FAILED or source is self.endpoints.origin:
             self.fill_sources.origin_delay.add(now, attempt.timeout)
-        if status != CacheStatus.ORIGIN_FAILED:  # otherwise the parent did not fail
+        if status != CacheStatus.ORIGIN_FAILED:  # a failure of the origin is not the parent's
             source.recent_delay.add(now, attempt.timeout)
         if status == CacheStatus.SOURCE_REJECTED:  # alive but overloaded, as its delay shows
             self.health.record_response(source, now)
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -86,8 +86,8 @@
 def connection_utilization(count: int, busy: int, max_connections: int) -> float:
     """Return the fraction of the director's connections that have attempts in flight.
 
-    It is 0 below `EVICTION_THRESHOLD`: while new connections may be opened, idle ones are no
-    shortage.
+    It is 0 below `EVICTION_THRESHOLD`: while new connections can be opened, connections are not
+    scarce.
     """
     if count < EVICTION_THRESHOLD * max_connections:
         return 0.0
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -10,8 +10,8 @@
 from .latency import TrackedEndpoint
 from .model import QuotaShare, ServiceSettings, SlowStartPolicy
 
-# Fraction of the load that overloads an endpoint in slow start which all directors together may
-# use, and the maximum multiple of its capacity that this may be.
+# All directors together send an endpoint in slow start at most this fraction of the load that
+# overloads it, and at most this multiple of its present capacity.
 OVERLOAD_FRACTION = 0.75
 MAX_CAPACITY_FACTOR = 1.25
 
@@ -32,7 +32,7 @@
     parent_quota: QuotaShare
 
     def available_fraction(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the minimum fraction of its capacity that an endpoint has; 1 after slow start."""
+        """Return the fraction of its capacity that an endpoint has at least; 1 after slow start."""
         if not endpoint.started_at or endpoint.kind == self.settings.origin_kind:
             return 1.0
         policy = self._policy(endpoint)
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -50,8 +50,8 @@
         """Yield the endpoints that may be sent this much work, in the given order.
 
         The iteration is lazy, so that a trial token is spent only when the endpoint is requested
-        from the iterator. If no endpoint is eligible, ejected endpoints follow without spending a
-        token.
+        from the iterator. If no endpoint is eligible, the ejected endpoints are yielded without
+        spending a token.
         """
         ejected = []
         has_eligible = False
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -35,12 +35,13 @@
 # Fraction of fills that are trial fills by the origin, which is otherwise skipped because its bytes
 # are priced.
 ORIGIN_TRIAL_FRACTION = 0.0125
-USUAL_WEIGHT = 0.4  # weight of one usual measurement next to a parent's few recent ones
+# Weight of the usual delay among a parent's recent measurements, which may be few.
+USUAL_WEIGHT = 0.4
 # Multiple of the median delay that must be left for a fill: half of the fills take longer than the
 # median.
 MEDIAN_MULTIPLE = 1.2
-# Rate of a fill relative to the rate of an answer. Congestion slows a fill only by the part above
-# this factor.
+# Rate of a fill as a multiple of the rate of an answer. Congestion below this factor does not slow
+# a fill.
 FILL_RATE_FACTOR = 2.0
 LINK_REPORT_LIFETIME = 1500.0  # ms; an older report of the link's congestion is not used
 ORIGIN_DELAY_HALF_LIFE = 4000.0  # ms
@@ -279,7 +280,8 @@
     def _delay_increase(self, parent: TrackedEndpoint, now: float) -> float:
         """Return by how much the parent's delay has risen above its usual level.
 
-        A fraction of a usual measurement is added to the recent ones.
+        The usual delay counts as one more recent measurement with the weight `USUAL_WEIGHT`, so
+        that a few measurements have little effect.
         """
         total, count = parent.recent_delay.totals(now)
         usual = parent.usual_delay.mean(now)
--- a/mulleinrelay/policy/freshness.py
+++ b/mulleinrelay/policy/freshness.py
@@ -38,7 +38,7 @@
         )
 
     def max_age(self, request: Request, now: float) -> float:
-        """Return the maximum age of a copy by the last purge; 0 if no purge is in force."""
+        """Return the maximum age of a copy made after the last purge; 0 if no purge is in force."""
         purged_at = self.last_purge(request)
         if not purged_at or now - purged_at > self._lifetime:
             return 0.0
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -39,8 +39,8 @@
 # Polls that a request earns, and the maximum number of saved polls.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
-# Cost of one poll for each request, in priority weight. A higher cost reduces the polls that a
-# request earns.
+# Cost of one poll per request, in priority weight, up to which a request earns `POLLS_PER_REQUEST`
+# polls. If a poll costs more, a request earns fewer polls.
 REFERENCE_POLL_COST = 0.014
 
 
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -8,7 +8,7 @@
 from .deadlines import has_time_left
 from .model import IDEMPOTENT, KEYED, Attempt, Request
 
-# Time in ms before its key may be forgotten by which a retry must be sent.
+# Minimum time in ms from the sending of a retry until its idempotency key may be forgotten.
 KEY_RETENTION_MARGIN = 50.0
 
 
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """Requirements and permissions of the requests of one class."""
+    """Properties that all requests of one class have in common."""
 
     idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
     latency_objective: float
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -239,7 +239,7 @@
         self.health.update_endpoints(has_local_start)
 
     def _on_endpoint_list_failed(self, event: EndpointListFailed) -> None:
-        self._is_subscribed = False  # subscribes at the next call
+        self._is_subscribed = False  # the next call of `handle` subscribes again
 
     def _on_purge(self, event: PurgeReceived) -> None:
         self.purges.record(event.object_id, event.group, self._now - event.age)
@@ -274,7 +274,7 @@
             self.send(request, route)
 
     def _choose_route(self, request: Request) -> Route | None:
-        """Choose the route of the next attempt; return None if it cannot be served in time."""
+        """Choose the route of the next attempt; return None if no route can serve it in time."""
         allows_bypass = self.settings.allows_cache_bypass
         is_write = request.request_class.is_uncacheable
         is_zone_lost = self.health.is_zone_lost()
@@ -356,7 +356,7 @@
             and self.retry_policy.can_afford_full_retry(request)
             and self.retry_policy.may_attempt(request, self._now)
         ):
-            # a retry may follow; without one, wait for the answer
+            # Cancel only if a retry may follow; otherwise the answer may still be received.
             self._sink.cancel_attempt(attempt)
 
     def _wait_or_give_up(self, request: Request) -> None:
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -32,7 +32,8 @@
 # Fraction of the endpoint's present capacity that all directors together use if the share of each
 # has room for a request.
 DETERMINISTIC_FRACTION = 0.8
-# The same if they depend on permits. It is lower because random requests occur in clusters.
+# The same fraction if the directors depend on permits. It is lower because random requests occur in
+# clusters.
 PROBABILISTIC_FRACTION = 0.4
 # Lifetime of a permit in windows. It is long enough for a director with few requests to still have
 # the permit when a request is received.
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class SentWork:
-    """Work that this director has sent to the endpoint."""
+    """Work of one request that this director has sent to the endpoint, and the time in ms."""
 
     sent_at: float
     work: float
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -76,9 +76,9 @@
     def slow_start_work(self, request: Request, now: float) -> float:
         """Return the work of a request at an endpoint in slow start: the mean of its class.
 
-        Many small requests that are counted by their own size add up to several times the limit. If
-        no sizes are known, the median response time is used, and if there is none, the latency
-        objective.
+        If small requests were counted by their own size, many of them would add up to several times
+        the limit. If no sizes are known, the median response time is used, and if there is none,
+        the latency objective.
         """
         request_class = request.request_class
         totals = self._transfers[request_class]
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -6,7 +6,7 @@
 
 The input is the set of caches that failed to respond most recently, without a response of any cache
 in between. If enough different caches have failed in this way, the zone is considered unreachable,
-and no single cache is ejected for it. A few caches are pinged, soon for the first time, as the
+and no single cache is ejected for it. A few caches are pinged, for the first time soon, because the
 decision may be wrong. The first response of any cache ends the outage, and the caches that were
 ejected for silence during the outage are reinstated. Every director receives that response at a
 different moment, so that directors do not return to the zone together.
@@ -27,10 +27,10 @@
 MIN_FAILED_CACHES = 2
 # Time in ms for which failures count. The requests of one director may be seconds apart.
 FAILURE_WINDOW = 5000.0
-# Interval in ms between pings to an unreachable zone. Each cache has an interval of its own, so the
-# number of pinged caches is chosen accordingly.
+# Interval in ms between pings to an unreachable zone. The interval between pings to one cache is
+# given, so this interval determines how many caches are pinged.
 PING_SPACING = 1000.0
-# Minimum duration in ms after its detection; a shorter outage was a false alarm.
+# Minimum time in ms from the detection of an outage to its end; a shorter outage was a false alarm.
 MIN_OUTAGE = 1000.0
 # Maximum number of times that a false alarm doubles the number of caches that must fail.
 MAX_THRESHOLD_DOUBLINGS = 3
@@ -105,9 +105,9 @@
         """Record that a cache has responded; this ends an outage.
 
         Returns:
-            None if no outage has ended. Otherwise the time in ms from which on caches were ejected
-            because of the outage, and may be reinstated. It is infinite after a false alarm, since
-            each of these caches was then silent for its own reasons.
+            None if no outage has ended. Otherwise the start of the outage in ms: caches that were
+            ejected since then may be reinstated. It is infinite after a false alarm, since each of
+            these caches was then silent for its own reasons.
         """
         if cache not in self.caches:
             return None
