--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -9,7 +9,7 @@
 - A connection whose client has disconnected, does not read or violates the protocol is shut down
   in both directions.
 
-After either, no received bytes are handled as a call.
+In both cases, bytes that are received later are not handled as calls.
 """
 
 import select
@@ -34,7 +34,7 @@
 # round trip.
 LINGER_S = 0.15
 MAX_PENDING_CALLS = 64  # read ahead on one connection
-# A first attempt does not check the socket again if it was read to its end this recently.
+# If the socket was read until it was empty this recently, a first attempt does not check it again.
 RECENT_READ_S = 0.02
 POLL_INTERVAL_S = 0.02  # between two reads while input is discarded
 MAX_PEEK_BYTES = 65_536  # of unread input that are searched for a cancellation
@@ -51,7 +51,7 @@
     Attributes:
         connection: The socket.
         address: The client's IP address.
-        admission_entry: Token from admission control, which is returned to it at the end.
+        admission_entry: Token from admission control, released when the connection ends.
         lock: Guards `open_requests`, `write_queue`, and the reading of calls.
         write_queue: Answers to be written.
         open_requests: Open requests by sequence number; None until the coordinator has accepted
@@ -306,7 +306,7 @@
     def has_client_left(self, sequence_number: int, is_first_attempt: bool = False) -> bool:
         """Return whether the client has closed the connection or cancelled this request.
 
-        This includes bytes that the connection's thread has not read yet.
+        Bytes that the connection's thread has not read yet are searched for a cancellation too.
 
         Args:
             sequence_number: Sequence number of the request.
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Origin of a request; the coordinator returns it with each step of the request.
+    """Client connection and call of a request; the coordinator returns it with each step.
 
     Attributes:
-        client: Connection for the answer.
-        sequence_number: The client's number of the call.
+        client: Connection on which the answer is sent.
+        sequence_number: Number of the call, chosen by the client.
         request: The request as received from the client.
         grant: Grant of admission control; None without admission control.
     """
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -193,7 +193,7 @@
         has_capacity = self.admission_thresholds.can_admit(
             request_class, request.is_retry, utilization
         )
-        queued_ms = 1000.0 * (time.monotonic() - read_at)  # behind calls received earlier
+        queued_ms = 1000.0 * (time.monotonic() - read_at)  # time spent behind earlier calls
         return self.coordinator.accept(
             request_class,
             int(request.object, 16),
@@ -275,7 +275,7 @@
             client.send_answer(number, thrift.failed_reply(number))
 
     def _enforce_unread_limit(self, client: ClientConnection) -> None:
-        """Close a connection that does not read, if unread answers fill too much memory."""
+        """Disconnect a client that does not read, if unread answers fill too much memory."""
         unread = self.count_unread_bytes()
         if unread > MAX_UNREAD_FRACTION * self.config.memory_mb * 1e6:
             self.log.event(
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -124,7 +124,7 @@
         return True
 
     def _next_head(self, mark: bytes) -> int | None:
-        """Return the number in a head line and skip the line; return None if it is incomplete."""
+        """Skip a head line and return its number; return None if the line is incomplete."""
         start = self.buffer.start + self.scanned_bytes
         head = bytes(self.buffer.view[start : min(self.buffer.end, start + MAX_HEAD_BYTES)])
         if head and head[:1] != mark:
@@ -154,7 +154,7 @@
         cache_status: How the cache obtained the answer.
         delay: Processing time at the endpoint, in ms.
         load_report: Figures by their names in the load report; None if there is no report.
-        is_healthy: Health that the endpoint reports in the answer to a health check.
+        is_healthy: Whether the endpoint reports that it is healthy, in a health check's answer.
     """
 
     request_id: str
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -192,7 +192,7 @@
     Attributes:
         method: Name of the method.
         kind: CALL or ONEWAY.
-        sequence_number: The client's number of the call, which the answer repeats.
+        sequence_number: Number of the call, chosen by the client and repeated in the answer.
         arguments: Reader that is positioned before the arguments.
         read_at: Time at which the call was read from the socket, in monotonic seconds.
     """
