--- a/mulleinrelay/membership/datagrams.py
+++ b/mulleinrelay/membership/datagrams.py
@@ -17,7 +17,7 @@
 
 
 class DatagramFactory:
-    """Builds the datagrams of one director from its member table."""
+    """Factory of one director's datagrams, with member updates from its member table."""
 
     def __init__(self, codec: DatagramCodec, table: MemberTable) -> None:
         self._codec = codec
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -23,7 +23,7 @@
 from .messages import Address, MemberId, MemberState, MemberUpdate, Message, MessageKind
 
 PING_INTERVAL_MS = 500.0
-PING_INTERVAL_JITTER = 0.2  # relative: each interval is 0.9 to 1.1 times as long
+PING_INTERVAL_JITTER = 0.2  # relative width: each interval is 0.9 to 1.1 times PING_INTERVAL_MS
 ACK_TIMEOUT_MS = 150.0  # until indirect pings are requested, at health score 0
 INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
 # Minimum suspicion timeout, in ping intervals per log10 of the fleet's size
@@ -71,7 +71,7 @@
 
 
 class FailureDetector:
-    """Pings the members of a table and updates their state.
+    """Failure detector that pings the members of a table and updates their states.
 
     Attributes:
         health_score: Local health, from 0 (healthy) to `MAX_HEALTH_SCORE`.
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -65,7 +65,7 @@
 
 
 class InvalidDatagramError(ProtocolError):
-    """A datagram that is dropped; the message is the value of the drop reason."""
+    """Error for a datagram that is dropped; the message is the value of the drop reason."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -136,7 +136,7 @@
 
 
 class DatagramCodec:
-    """Encodes and decodes the datagrams of one fleet."""
+    """Codec of the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
         self.fleet = fleet
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -25,10 +25,10 @@
     from ..budgets.quota_exchange import LimitDefinition, QuotaExchange
 
 RECORDS_INTERVAL_MS = 1_000.0  # between two writes of the records
-MAX_EVENTS = 200  # in the state record; also the most that one write adds to the log
+MAX_EVENTS = 200  # in the state record; also the maximum that one write adds to the log
 MAX_RECEIVE_WAIT_S = 0.5  # for one datagram; `stop` takes effect within this time
 MIN_RECEIVE_WAIT_S = 0.002  # keeps the thread from spinning while a tick is due
-MAX_DATAGRAMS_PER_STEP = 64  # that are read before the next tick
+MAX_DATAGRAMS_PER_STEP = 64  # read before the next tick
 ERROR_PAUSE_S = 0.1  # after an unexpected error; limits the load if the error repeats
 LOG_EVENT = "fleet"  # value of `event` in the log lines
 
@@ -125,7 +125,7 @@
 
 
 class MembershipService:
-    """Runs the membership protocol of this director.
+    """Service that runs the membership protocol of this director.
 
     Threads: the director's thread calls `start` and `stop`. Everything else runs in the service's
     own thread, except for the last log lines and records, which `stop` writes.
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -23,12 +23,12 @@
 MIN_INTERVAL_FACTOR = 0.75  # jitter: intervals are 0.75 to 1.25 times as long
 INTERVAL_FACTOR_RANGE = 0.5
 MAX_PAGES = 6  # in response to one request
-MAX_SEEDS = 3  # that are contacted at a time
+MAX_SEEDS = 3  # contacted at the same time
 DIGEST_MASK = 0xFFFFFFFF  # bits of a table's digest that messages carry
 
 
 class StateSync:
-    """Exchanges the table of one director with other directors.
+    """Synchronization of one director's member table with the tables of other directors.
 
     Attributes:
         next_sync_at: Time of the next sync request to an active member.
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -32,7 +32,7 @@
 SUSPECT_NOTIFICATIONS = 3  # expected number of directors that notify a suspect of its suspicion
 REFUTATION_FANOUT = 4  # members that receive a refutation immediately
 LEAVE_FANOUT = 6  # members that are notified immediately when this director leaves
-MAX_DATAGRAMS_PER_WINDOW = 400  # that are decoded; further datagrams are dropped
+MAX_DATAGRAMS_PER_WINDOW = 400  # decoded per RATE_WINDOW_MS; further datagrams are dropped
 RATE_WINDOW_MS = 1000.0
 
 
@@ -221,8 +221,8 @@
         """Ping a suspect, with a probability of `SUSPECT_NOTIFICATIONS` / fleet size.
 
         Each director that learns of the suspicion does so, so the suspect receives about
-        `SUSPECT_NOTIFICATIONS` pings. They inform it early, as it may have little time left to
-        refute the suspicion.
+        `SUSPECT_NOTIFICATIONS` pings. The pings inform the suspect early, as it may have little
+        time left to refute the suspicion.
         """
         if update.member_id == self.table.local.member_id:
             return []
