--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class GrantedLease:
-    """Lent units; locked for one more window after `locked_until`."""
+    """Lent units, which stay locked for one more window after `locked_until`."""
 
     units: int
     locked_until: float
@@ -201,7 +201,7 @@
         return now < expires_at
 
     def release(self, number: int) -> LeaseRelease | None:
-        """Release a borrowed lease; return the message for its lender, or None if unknown."""
+        """Release a borrowed lease; return the message for its lender, or None without a lease."""
         lease = self.borrowed.pop(number, None)
         return LeaseRelease(number) if lease is not None else None
 
--- a/mulleinrelay/budgets/lease_messages.py
+++ b/mulleinrelay/budgets/lease_messages.py
@@ -42,7 +42,7 @@
 
 
 class LeaseCodec:
-    """Encodes and decodes the messages of one payload."""
+    """Codec of the lease messages in one payload."""
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -1,8 +1,8 @@
 """Quota exchange: decides when a director borrows, lends, renews and releases quota units.
 
-No I/O; times in ms. Each limit has one `QuotaShare`. The exchange sets in it the fraction of the
-limit that the decision module may use; the decision module reports in it the fractions that it used
-and at which it rejected requests.
+No I/O; times in ms. Each limit has one `QuotaShare`. The exchange sets the fraction of the limit
+that the router may use. The router reports the largest fraction that it used, and the largest one
+at which it rejected requests.
 """
 
 import math
@@ -50,7 +50,7 @@
         name: Name of the limit, the same at all directors.
         owners: Number of directors that own the limit in equal parts.
         window: Milliseconds over which use is counted.
-        share: Interface to the decision module for this limit.
+        share: Interface to the router for this limit.
         location: Location of the directors that share the limit; empty for the whole fleet.
     """
 
@@ -81,7 +81,7 @@
     peak_started_at: float = 0.0
 
     def record_use(self, now: float) -> None:
-        """Update peaks and demand from the reports of the decision module since the last call."""
+        """Update peaks and demand from the reports of the router since the last call."""
         share = self.definition.share
         quarter = self.ledger.window / PEAKS_PER_WINDOW
         while now >= self.peak_started_at + quarter:
@@ -120,7 +120,7 @@
 class QuotaExchange:
     """Exchange of all limits that one director shares; the `Delegate` of its membership.
 
-    The membership's thread calls it, while other threads use the shares in the decision module.
+    The thread of membership calls the exchange, while other threads use the shares in the router.
     `lock` guards the shares; the class is otherwise not thread-safe.
     """
 
@@ -138,9 +138,9 @@
             now: Time in ms.
             random: Draws lenders and first request numbers.
             incarnation: Incarnation of this director.
-            clock_offset: Milliseconds by which the decision module's clock is ahead of this clock.
+            clock_offset: Milliseconds by which the router's clock is ahead of this clock.
             lock: Lock that is held while shares change. It keeps units from being lent while the
-                decision module admits a request with them.
+                router uses the units to admit a request.
         """
         self.limits: dict[str, SharedLimit] = {}
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
@@ -217,7 +217,7 @@
         return [(member_id, self._codec.encode(responses))] if responses else []
 
     def _update_share(self, now: float, limit: SharedLimit) -> None:
-        """Set the decision module's fraction, its expiry and the fallback fraction after it."""
+        """Set the router's fraction of the limit, its expiry and the fallback fraction after it."""
         share = limit.definition.share
         ledger = limit.ledger
         first_expiry = min(
