--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -61,7 +61,7 @@
     """Compute the indexes of an assignment; this takes seconds for a large assignment.
 
     Raises:
-        ConfigError: If the assignment cannot be used.
+        ConfigError: If the assignment is not consistent.
     """
     return PreparedAssignment(
         assignment, TenantResolver(assignment), checked_home_cells(assignment)
@@ -93,7 +93,7 @@
         """Create a controller that knows no cache yet.
 
         Raises:
-            ConfigError: If the assignment cannot be used.
+            ConfigError: If the assignment is not consistent.
         """
         self.capacity = capacity
         self.tenant_states: dict[str, TenantState] = {}
@@ -118,7 +118,7 @@
             Messages for the log.
 
         Raises:
-            ConfigError: If the assignment cannot be used; the old version then stays in force.
+            ConfigError: If the assignment is not consistent; the old version then stays in force.
         """
         if isinstance(assignment, PreparedAssignment):
             prepared = assignment
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class _BucketShares:
-    """The rates that a request uses: the cell's share, and the tenant's share of the cell's."""
+    """Shares for one request: the cell's of the director's rate, the tenant's of the cell's."""
 
     cell: BucketShare
     tenant: BucketShare
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -104,7 +104,7 @@
         The assignment that was written.
 
     Raises:
-        ConfigError: If the file cannot be used or written.
+        ConfigError: If the file is invalid, or cannot be read or written.
         EditRejectedError: If the change breaks a rule.
     """
     with store.exclusive_writer(path):
@@ -172,7 +172,7 @@
     migration = changed.migrations[PLANNED_NAME]
     placeholder_demand = MigrationDemand(
         0.0, 0.0, 1.0, 1.0, 1.0, 1.0
-    )  # does not affect the fractions
+    )  # the projection is then used only for its migrated fractions, which need no demand
     projection = migrations.project_load(migration, demand or placeholder_demand)
     peak_load = max(point.utilization for point in projection) if demand else None
     print_report(as_json, presentation.migration_plan(migration, durations, projection, peak_load))
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -68,8 +68,8 @@
             max_open_requests: Maximum number of open requests that the director's memory allows.
 
         Raises:
-            ConfigError: If the assignment file cannot be used; there is no earlier version to
-                fall back to.
+            ConfigError: If the assignment file cannot be read or is invalid; there is no earlier
+                version to fall back to.
         """
         self.config = config
         self.tenant_field = config.tenant_field
@@ -166,7 +166,7 @@
         """Put a version in force that the caller has written to the assignment file.
 
         Raises:
-            ConfigError: If the assignment cannot be used.
+            ConfigError: If the assignment is not consistent.
         """
         with self.lock:
             messages = self.controller.replace_assignment(self._clock(), prepared)
