--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -132,7 +132,7 @@
 
 
 def keys_match(keys: Keys, pattern: Keys) -> bool:
-    """Return whether the keys of an entry match all keys of a pattern; it may name only some."""
+    """Return whether an entry's keys match all keys of a pattern, which may name only some keys."""
     if not pattern:
         return True
     values = dict(keys)
