--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -75,10 +75,10 @@
 
 
 def test_leases_are_exclusive_despite_clock_drift():
-    """Prove it with z3 for all clock rates within MAX_CLOCK_DRIFT and for all delays.
+    """Prove with z3 that the borrower's lease expires before the owner unlocks the units.
 
-    The borrower's lease expires before the owner unlocks the units. z3 must find no counter-example
-    for this, but it must find one if the borrower uses the full lease duration.
+    The proof holds for all clock rates within MAX_CLOCK_DRIFT and for all delays. z3 must find no
+    counter-example, but it must find one if the borrower uses the full lease duration.
     """
     z3 = pytest.importorskip("z3")
     drift = z3.RealVal(str(MAX_CLOCK_DRIFT))
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -22,8 +22,8 @@
     """Simulated fleet whose directors also receive requests that are subject to one shared limit.
 
     `demand` contains the requests per second of each director, and `rate` the limit of the fleet in
-    requests per second. Like the decision module, a director admits a request if its fraction of
-    the limit allows it in the current window.
+    requests per second. Like the router, a director admits a request if its fraction of the limit
+    allows it in the current window.
     """
 
     def __init__(self, count, demand, rate, **network):
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -41,8 +41,8 @@
 
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
     # The cache never answers the flooding tenant's requests, so all admitted requests stay open. On
-    # a slow machine some of them time out during the test; the same number may then be admitted in
-    # addition, and no more.
+    # a slow machine some of them time out during the test; each of these, and nothing else, allows
+    # one more request to be admitted.
     def answer_others(fields):
         return None if fields["name"].startswith("f") else HIT_ANSWER
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -14,7 +14,7 @@
 
 
 def simulate_two_minutes(loss, duplication, jitter):
-    """Return the number of active members that each director sees, and that of died events."""
+    """Return the number of active members that each director sees, and of all `died` events."""
     fleet = SimulatedFleet(30, 3, loss, duplication, jitter)
     fleet.run(120)
     active = (MemberState.ALIVE, MemberState.SUSPECT)  # at any time some member may be suspect
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -188,8 +188,8 @@
     numbers, last_number, is_drained
 ):
     # Drains in a new configuration must be applied at once. Old or unnumbered events are skipped.
-    # Of an event after a gap, only the restrictions are applied, and the missing events are
-    # requested from the stream.
+    # If events are missing before an event, only its restrictions are applied, and the missing
+    # events are requested from the stream.
     with RunningDirector(
         event_stream=StandInEventStream([RESPONSE_HEAD, None], [RESPONSE_HEAD, None])
     ) as running:
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -21,7 +21,7 @@
 def test_slowdown_is_measured_by_late_hits_and_not_by_attempts_times_directors(
     response_time, is_accepted
 ):
-    """Guard against rejections by an estimate from few own attempts.
+    """Guard against rejections that are based on a few attempts of the director itself.
 
     With twenty directors, the third request was rejected while two attempts were in flight.
     """
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -55,11 +55,11 @@
 def test_attempts_are_bounded_for_any_behaviour_of_clients_and_endpoints(
     failed_fraction, client_retries
 ):
-    """Guard the limit of the fleet's attempts in the worst case.
+    """Guard the limit on the attempts per request in the worst case.
 
     Clients retry immediately, endpoints reject each attempt immediately, and the retry budget is
-    full at the start. Attempts per request stay below the number that a request earns, and near one
-    in an overload.
+    full at the start. The retries stay below the number that the requests earn, and in an overload
+    each request gets hardly more than one attempt.
     """
     detector = OverloadDetector()
     random = Random(2)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -85,7 +85,7 @@
 def test_all_directors_together_do_not_overload_a_warming_endpoint(
     directors, rate, capacity, process_job_result
 ):
-    """The endpoint fails at N + 3 root N + 3 requests of mean work; it can do N in the window."""
+    """An endpoint that can do N requests of mean work in a window fails at N + 3 root N + 3."""
     number = capacity * WINDOW / MEAN_WORK
     peaks_found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
     assert len(peaks_found) == 5
@@ -98,9 +98,10 @@
 def test_few_dozen_directors_stay_within_the_budget_and_its_variance(
     directors, overload_factor, capacity
 ):
-    """The budget is N, of which the policy uses a part; the variance allows 2 root N + 2 more.
+    """N requests of mean work in a window overload an endpoint; the policy uses a part of N.
 
-    The directors' loads are uneven, and each director restarts once a minute.
+    By chance, a window may have up to 2 root N + 2 requests more than N. The directors' loads are
+    uneven, and each director restarts once a minute.
     """
     usable = min(MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION * overload_factor) * capacity
     number = overload_factor * capacity * WINDOW / MEAN_WORK
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -15,7 +15,8 @@
 
 
 def test_drain_answers_open_requests(monkeypatch):
-    monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)  # of a drain of 3.7 s
+    # Open requests get a final answer 0.3 s after the beginning of the drain, which takes 3.7 s.
+    monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)
     with RunningDirector(None) as running:
         client = running.connect_client()
         client.send()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -43,7 +43,7 @@
     ],
 )
 def test_signal_before_the_program_handles_signals(signals, becomes_ready, tmp_path):
-    # A SIGHUP that is sent to all directors for a new configuration must not end those that are
+    # A SIGHUP that is sent to all directors for a new configuration must not end a director that is
     # just starting.
     file, project_root = tmp_path / "config.json", Path(PROJECT_ROOT)
     file.write_text(json.dumps(platform_configuration()))
--- a/tests/test_structured_log.py
+++ b/tests/test_structured_log.py
@@ -12,8 +12,8 @@
 
 
 def test_stalled_reader_of_the_log_blocks_no_other_thread():
-    # The director logs while it holds the decision module's lock, so a stalled reader of the log
-    # must not block it.
+    # The director logs while it holds the coordinator's lock, so a stalled reader of the log must
+    # not block the director.
     read_end, write_end = os.pipe()
     log, chunks = StructuredLog("n3", write_end), []
     burst = threading.Thread(
