--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -130,7 +130,7 @@
     """The quota of one lost cell's tenants in one failover cell."""
 
     def __init__(self) -> None:
-        """Create a quota of which nothing is used."""
+        """Create an unused quota."""
         self.open = 0
         self.rate = 0.0  # requests per second; 0 if not limited
         self.token_bucket = TokenBucket(0.0, 0.0)
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -173,7 +173,7 @@
 
 
 def _fill_empty_cells(caches_of_cell: dict[str, list[str]], weights: dict[str, float]) -> None:
-    """Move a cache of another cell to each cell that has none and would be lost."""
+    """Move a cache of another cell to each cell without caches, which would otherwise be lost."""
     for name in sorted(weights):
         if caches_of_cell[name]:
             continue
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -295,7 +295,7 @@
         side: MigrationSide,
         history: RequestHistory,
     ) -> _Route:
-        """Return the cell of a migrating object, and the other cell while it takes part."""
+        """Return the cell of a migrating object, and the migration's other cell if it is used."""
         is_in_progress = migrations.is_in_progress(migration, now)
         if side == MigrationSide.TARGET and is_in_progress and history.can_run_anywhere:
             home_fraction = self.availability[migration.target].home_fraction(now)
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -197,7 +197,7 @@
 
         Args:
             attempt: The attempt.
-            outcome: How it ended.
+            outcome: How the attempt ended.
             cache_status: How the endpoint obtained the answer, as reported by the endpoint.
             first_byte_delay: Delay of the fill source in ms, as reported; 0 if not reported.
             load: The load report that was received with the answer; None if there was none.
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -388,7 +388,7 @@
 
 
 def _extension_values(built_on: int | None, comment: str) -> dict[str, Any]:
-    """Return the JSON object of the director's own gNMI extension, without values not given."""
+    """Return the JSON object of the director's own gNMI extension; omit values not given."""
     values: dict[str, Any] = {}
     if built_on is not None:
         values["built_on"] = built_on
--- a/mulleinrelay/management/gnmi_messages.py
+++ b/mulleinrelay/management/gnmi_messages.py
@@ -185,29 +185,29 @@
 ModelData = _message_class("gnmi.ModelData")
 Extension = _message_class("gnmi_ext.Extension")
 
-# Numbers of enum values: Encoding
+# Values of the enum Encoding
 JSON = 0
 ASCII = 3
 JSON_IETF = 4
-# SubscriptionList.Mode
+# Values of the enum SubscriptionList.Mode
 STREAM = 0
 ONCE = 1
 POLL = 2
-# SubscriptionMode
+# Values of the enum SubscriptionMode
 TARGET_DEFINED = 0
 ON_CHANGE = 1
 SAMPLE = 2
-# GetRequest.DataType
+# Values of the enum GetRequest.DataType
 ALL = 0
 CONFIG = 1
 STATE = 2
 OPERATIONAL = 3
-# UpdateResult.Operation
+# Values of the enum UpdateResult.Operation
 DELETE = 1
 REPLACE = 2
 UPDATE = 3
 UNION_REPLACE = 4
-# ExtensionID of extensions that are not registered with OpenConfig
+# Value of the enum ExtensionID for extensions that are not registered with OpenConfig
 EXPERIMENTAL_EXTENSION_ID = 999
 
 # Classes of request and response, by name of the method
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -87,7 +87,7 @@
                 yield from self._snapshot()
 
     def _snapshot(self) -> Iterator[Message]:
-        """Yield all values, unless the client requested updates only, and a sync response."""
+        """Yield all values and a sync response; skip the values if only updates are requested."""
         if not self._request.updates_only:
             yield from self._read_values(self._paths)
         yield gnmi.SubscribeResponse(sync_response=True)
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -48,7 +48,7 @@
     NACK = 3  # the target of an indirect ping has not sent an ack in time
     SYNC_REQUEST = 4  # push/pull: carries a part of the sender's table and requests pages
     SYNC_PAGE = 5  # one page of the response to a sync request
-    USER_MESSAGE = 6  # carries `payload` for the delegate: quota leases
+    USER_MESSAGE = 6  # carries `payload` for the delegate, which exchanges quota leases
 
 
 class DropReason(StrEnum):
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -15,9 +15,9 @@
 from .object_locations import ObjectLocations
 from .work_estimates import WorkEstimator
 
-# Lower bound in ms of the transfer time that lateness is a percentage of.
+# Lower bound in ms of the transfer time by which lateness is divided to get a percentage.
 MIN_WORK_FOR_LATENESS = 50.0
-MAX_LATENESS = 1000.0  # percent; limits how long one answer that was delayed by a pause counts
+MAX_LATENESS = 1000.0  # percent; limits the effect of a single answer that a pause delayed
 REJECTED_LATENESS = 200.0  # percent; lateness that a rejected attempt counts as
 CONNECT_FAILURE_WEIGHT = 2.0  # number of failures
 RESET_WEIGHT = 1.0  # number of failures
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -100,10 +100,10 @@
     is_parent_or_origin: bool,
     is_connect_costly: bool,
 ) -> float:
-    """Return the time in ms after its last use when an idle connection to an endpoint is closed.
+    """Return the time in ms after which an idle connection to an endpoint is closed.
 
-    If one idle connection for each director stays within the endpoint's maximum, the timeout is
-    long. Otherwise it is so short that the endpoint has no more connections than there are requests
+    If one idle connection for each director stays within the endpoint's maximum, the time is long.
+    Otherwise it is so short that the endpoint has no more connections than there are requests
     in service plus requests received within the timeout, whatever the number of directors.
 
     Args:
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -46,8 +46,8 @@
         """Return whether the endpoint may be sent this much work now.
 
         An endpoint in slow start receives from this director at most the director's share of the
-        load that its policy allows over any overload window. The method may draw random numbers;
-        within one moment, the answer for the same work stays the same.
+        load that its policy allows over any overload window. The method may draw random numbers,
+        but calls with the same time and work return the same answer.
         """
         fraction = self.available_fraction(endpoint, now)
         if fraction >= 1.0:
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -26,9 +26,9 @@
 
     Attributes:
         attempt: The attempt.
-        outcome: How it ended.
-        elapsed: Time since it was sent.
-        is_request_complete: Whether its request needs no further answer, because this attempt or
+        outcome: How the attempt ended.
+        elapsed: Time in ms since the attempt was sent.
+        is_request_complete: Whether the request needs no further answer, because this attempt or
             another one was answered.
         cache_status: How the endpoint obtained the answer, as reported by the endpoint.
         first_byte_delay: Delay of the fill source as reported by the endpoint; 0 if not reported.
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -85,8 +85,8 @@
         hit_lateness: Time that hits took beyond their transfer time, in percent of it.
         outlier_detector: Successes and failures of the endpoint.
         last_heard_at: Time of its last response.
-        silence: Number of overdue attempts since then; an attempt that is only slightly overdue
-            counts as a fraction.
+        silence: Number of overdue attempts since the last response; an attempt that is only
+            slightly overdue counts as a fraction.
         last_reset_at: When a connection to it was last reset.
         is_ejected: Whether it receives only trial requests.
         is_unreachable: Whether it was ejected because it was not reached.
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -150,7 +150,7 @@
             filled.
         sent_at: When the attempt was decided.
         timeout: Time after `sent_at` when the attempt is abandoned.
-        outcome: How it ended; None while it is in flight.
+        outcome: How the attempt ended; None while it is in flight.
         expects_hit: Whether the router believed that the endpoint holds the object.
         purged_at: Time of the object's last purge before the attempt was decided; 0: none.
         addresses: Addresses of endpoint and source when the attempt was decided; set by the caller.
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -28,7 +28,7 @@
     health: EndpointHealthMonitor
 
     def first_check_delay(self, request: Request, now: float) -> float:
-        """Return the time after sending an attempt when it is checked for the first time."""
+        """Return the time in ms from the sending of an attempt to its first check."""
         delay = (
             self.work.objective_left(request, now)
             - RETRY_WORK_FACTOR * self.work.transfer_time(request, now)
@@ -78,7 +78,7 @@
         return expected
 
     def _source_in_use(self, attempt: Attempt) -> TrackedEndpoint | None:
-        """Return the source that fills the attempt; None if a hit is expected or none is set."""
+        """Return the source from which a fill is expected; None if no fill is expected."""
         if attempt.expects_hit or attempt.fill_source is attempt.endpoint:
             return None
         return attempt.fill_source
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -86,7 +86,7 @@
     ) -> bool:
         """Return whether a request may be sent now; draw a permit for it if one is needed.
 
-        Within one moment, repeated calls return the same answer until `spend`.
+        Repeated calls with the same time and work return the same answer until `spend` is called.
 
         Args:
             now: The current time in ms.
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -6,10 +6,10 @@
 
 The input is the set of caches that failed to respond most recently, without a response of any cache
 in between. If enough different caches have failed in this way, the zone is considered unreachable,
-and no single cache is ejected for it. A few caches are pinged, for the first time soon, because the
-decision may be wrong. The first response of any cache ends the outage, and the caches that were
-ejected for silence during the outage are reinstated. Every director receives that response at a
-different moment, so that directors do not return to the zone together.
+and no single cache is ejected for it. A few caches are pinged. Their first pings are sent soon,
+because the decision may be wrong. The first response of any cache ends the outage, and the caches
+that were ejected for silence during the outage are reinstated. Every director receives that
+response at a different moment, so that directors do not return to the zone together.
 
 An outage that ends within `MIN_OUTAGE` of its detection was a false alarm: the caches were only
 slow. The next outage then requires more caches to fail in a row.
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def allow_connecting(monkeypatch):
-    """Block upstream connections from opening until the event is set."""
+    """Block the opening of upstream connections until the returned event is set."""
     yield (resume := hold_calls(monkeypatch, UpstreamConnections, "_run"))
     resume.set()
 
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -206,7 +206,8 @@
 def test_broken_connection_is_closed_and_its_attempts_are_retried_elsewhere(plan, monkeypatch):
     # Requests must not wait until their deadline on a connection that stays open after an
     # incomplete answer or does not answer at all.
-    monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", 100.0)  # before the router's timer
+    # The ping must detect the fault before the router's timer does.
+    monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", 100.0)
     with RunningDirector() as running:
         client, caches = running.connect_client(), running.endpoints[:3]
         client.send(entity="00000000000000cd")
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -151,8 +151,8 @@
 def test_without_sizes_an_attempt_is_overdue_by_past_response_times(response_time, is_in_time):
     """Guard against a fixed estimate of the response time of answers without a known size.
 
-    Attempts were overdue after twice a quarter of their latency objective, and parents were
-    ejected.
+    The estimate was a quarter of the latency objective. Attempts were overdue after twice this
+    time, and parents were ejected.
     """
     fixture = RouterFixture(transfer_rate=0.0)
     for _ in range(8):
