--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -160,7 +160,11 @@
         old_homes: dict[str, str],
         old_migrations: dict[str, Migration],
     ) -> bool:
-        """Return whether objects of a tenant may change cells other than by a migration."""
+        """Return whether the new version changes the cell of a tenant's objects at once.
+
+        This is also the case if a migration had split the objects between two cells in the old
+        version, and the new version does not continue the migration unchanged.
+        """
         old = old_migrations.get(tenant)
         new = self.migrations_by_tenant.get(tenant)
         if old is not None and new is not None and migrations.is_equivalent(old, new, now):
@@ -291,7 +295,7 @@
         side: MigrationSide,
         history: RequestHistory,
     ) -> _Route:
-        """Return the cell of a migrating object, and the other cell while it takes part."""
+        """Return the cell of a migrating object, and the migration's other cell if it is used."""
         is_in_progress = migrations.is_in_progress(migration, now)
         if side == MigrationSide.TARGET and is_in_progress and history.can_run_anywhere:
             home_fraction = self.availability[migration.target].home_fraction(now)
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -48,7 +48,7 @@
     NACK = 3  # the target of an indirect ping has not sent an ack in time
     SYNC_REQUEST = 4  # push/pull: carries a part of the sender's table and requests pages
     SYNC_PAGE = 5  # one page of the response to a sync request
-    USER_MESSAGE = 6  # carries `payload` for the delegate: quota leases
+    USER_MESSAGE = 6  # carries `payload` for the delegate, which exchanges quota leases
 
 
 class DropReason(StrEnum):
@@ -65,7 +65,7 @@
 
 
 class InvalidDatagramError(ProtocolError):
-    """A datagram that is dropped; the message is the value of the drop reason."""
+    """Error for a datagram that is dropped; the message is the value of the drop reason."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -136,7 +136,7 @@
 
 
 class DatagramCodec:
-    """Encodes and decodes the datagrams of one fleet."""
+    """Codec of the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
         self.fleet = fleet
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -23,12 +23,12 @@
 MIN_INTERVAL_FACTOR = 0.75  # jitter: intervals are 0.75 to 1.25 times as long
 INTERVAL_FACTOR_RANGE = 0.5
 MAX_PAGES = 6  # in response to one request
-MAX_SEEDS = 3  # that are contacted at a time
+MAX_SEEDS = 3  # contacted at the same time
 DIGEST_MASK = 0xFFFFFFFF  # bits of a table's digest that messages carry
 
 
 class StateSync:
-    """Exchanges the table of one director with other directors.
+    """Synchronization of one director's member table with the tables of other directors.
 
     Attributes:
         next_sync_at: Time of the next sync request to an active member.
@@ -110,7 +110,10 @@
         self.next_sync_at = now
 
     def sync_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Request a sync from a random active member, or from the seeds if no member is active."""
+        """Request a sync if the next one is due.
+
+        The request goes to a random active member, or to the seeds if no member is active.
+        """
         if now < self.next_sync_at:
             return []
         active = self._table.active_members()
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -44,7 +44,7 @@
 VERSION_MASK = 0xFFFFFF00
 MAX_NESTING = 16
 MAX_FIELDS = 64  # in a client's string map
-MAX_BODY_BYTES = 48_000  # largest body of a write
+MAX_BODY_BYTES = 48_000  # of the body of a write request
 MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 MAX_GROUP = 255
 LENGTH_BYTES = 4  # before each frame
@@ -192,7 +192,7 @@
     Attributes:
         method: Name of the method.
         kind: CALL or ONEWAY.
-        sequence_number: The client's number of the call, which the answer repeats.
+        sequence_number: Number of the call, chosen by the client and repeated in the answer.
         arguments: Reader that is positioned before the arguments.
         read_at: Time at which the call was read from the socket, in monotonic seconds.
     """
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """Requirements and permissions of the requests of one class."""
+    """Properties that all requests of one class have in common."""
 
     idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
     latency_objective: float
@@ -150,7 +150,7 @@
             filled.
         sent_at: When the attempt was decided.
         timeout: Time after `sent_at` when the attempt is abandoned.
-        outcome: How it ended; None while it is in flight.
+        outcome: How the attempt ended; None while it is in flight.
         expects_hit: Whether the router believed that the endpoint holds the object.
         purged_at: Time of the object's last purge before the attempt was decided; 0: none.
         addresses: Addresses of endpoint and source when the attempt was decided; set by the caller.
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Request of a client."""
+    """Request of a client as the router sees it, with its attempts and its progress."""
 
     context: Any  # set and used by the caller only
     request_class: RequestClass
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -9,8 +9,8 @@
 from .model import Attempt, Request
 from .work_estimates import WorkEstimator
 
-# Fraction of an overdue attempt at which its request is sent elsewhere. 0.5 means twice the
-# expected time.
+# Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. An
+# attempt has the fraction 0.5 at twice its expected time.
 REROUTE_FRACTION = 0.5
 MIN_CHECK_DELAY = 150.0  # ms until an attempt's first check: less than the delay of a far source
 # Time in ms by which the first check precedes the latest time for a retry that meets the objective.
@@ -28,7 +28,7 @@
     health: EndpointHealthMonitor
 
     def first_check_delay(self, request: Request, now: float) -> float:
-        """Return the time after sending an attempt when it is checked for the first time."""
+        """Return the time in ms from the sending of an attempt to its first check."""
         delay = (
             self.work.objective_left(request, now)
             - RETRY_WORK_FACTOR * self.work.transfer_time(request, now)
@@ -57,7 +57,10 @@
         return True
 
     def _silent_endpoints(self, attempt: Attempt) -> list[TrackedEndpoint]:
-        """Return the attempt's endpoint and source if they have been silent since it was sent."""
+        """Return the endpoints of the attempt that have been silent since it was sent.
+
+        These can be the endpoint that the attempt was sent to, its fill source, or both.
+        """
         involved = [attempt.endpoint]
         source = self._source_in_use(attempt)
         if source is not None:
@@ -75,7 +78,7 @@
         return expected
 
     def _source_in_use(self, attempt: Attempt) -> TrackedEndpoint | None:
-        """Return the source that fills the attempt; None if a hit is expected or none is set."""
+        """Return the source from which a fill is expected; None if no fill is expected."""
         if attempt.expects_hit or attempt.fill_source is attempt.endpoint:
             return None
         return attempt.fill_source
