--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -162,7 +162,7 @@
 
     config = _load_or_exit(load_fleet_config, path)
     click.echo(
-        f"fleet: {_on_or_off(config.enabled)}, {config.fleet}, announced address "
+        f"fleet: {_on_or_off(config.enabled)}, {config.fleet}, heard at "
         f"{config.announce[0]}:{config.announce[1]}, {len(config.seeds)} seeds"
     )
 
