--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks of directors; the docstring of each module describes what it measures."""
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,8 +1,9 @@
-"""Measures the CPU of a request in one director: client listener and policy, without endpoints.
+"""Script that measures the CPU time of requests in one director, without endpoints.
 
-Run as a script with a folder that holds some version of the package (0.3 or later), so that
-versions can be compared: it plays as many requests as each line of its input says, and prints the
-CPU seconds that they took.
+The CPU time is that of the client listener and the routing policy. The first argument is a folder
+that holds a version of the package (0.3 or later), so that versions can be compared. The second
+argument is the path of a cells configuration, or empty. Each line of the standard input is a number
+of requests: the script plays them and prints the CPU seconds that they took.
 """
 
 import importlib
@@ -16,13 +17,13 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-OBJECTS = 300  # objects that the requests ask for in turn
-BATCH = 100  # requests between two reads of the answers: so many fit into the socket's buffer
+OBJECTS = 300  # number of different objects that are requested
+BATCH = 100  # requests between two reads of the answers, which must fit into the socket's buffer
 
 
 def configuration() -> dict:
-    """Returns the platform's configuration of the director, as LB_CONFIG would have it."""
-    case = {
+    """Return the platform's configuration of the director, in the format of LB_CONFIG."""
+    request_class = {
         "idempotency": "safe",
         "slo": 400.0,
         "deadline": 3000.0,
@@ -31,16 +32,16 @@
     }
     rows = [
         {
-            "id": f"s-{place:02}",
+            "id": f"s-{index:02}",
             "zone": zone,
             "kind": kind,
             "cell": 0,
             "state": "SERVING",
             "weight": 4,
             "started_ms": 0,
-            "addr": f"127.0.0.1:{place + 1}",
+            "addr": f"127.0.0.1:{index + 1}",
         }
-        for place, (zone, kind) in enumerate(
+        for index, (zone, kind) in enumerate(
             [("edge", "box")] * 5 + [("hub", "parent")] * 2 + [("hub", "origin")]
         )
     ]
@@ -72,7 +73,7 @@
             "myZone": 1,
             "registryMode": "automatic",
             "weights": "nominal",
-            "classes": [case | {"name": "pages"}],
+            "classes": [request_class | {"name": "pages"}],
             "domain": {
                 "collapses": True,
                 "countByZone": [0, 1],
@@ -93,8 +94,8 @@
     }
 
 
-def frame(number: int) -> memoryview:
-    """Returns the Thrift message of one request, without the length before it."""
+def request_message(number: int) -> memoryview:
+    """Return the Thrift message of one request, without its length prefix."""
     fields = {
         "route": "pages",
         "trace": f"{number:016x}",
@@ -121,23 +122,23 @@
     )
 
 
-class Quiet:
-    """A log that writes nothing, under the names of 0.3 and of today."""
+class NullLog:
+    """A log that writes nothing, with the method names of 0.3 and of the present version."""
 
     def event(self, *_, **__):
-        """Logs nothing."""
+        """Ignore the event."""
 
     exception = fault = event
 
 
 @dataclass
-class Parts:
-    """The parts of a director that the benchmark touches, whatever their names in that version."""
+class DirectorParts:
+    """The parts of a director that the benchmark uses; their names differ between versions."""
 
     director: Any
     listener: Any
     handle_call: Callable[[Any, Any], None]
-    upstream_field: str  # of the listener
+    upstream_field: str  # name of the listener's attribute
     report_outcome: Callable[..., None]
     run_due_timers: Callable[[], Any]
     served_from_cache: tuple[Any, Any]  # outcome and cache status
@@ -146,8 +147,8 @@
     encode_attempt: Callable[..., Any]
 
 
-def current_parts(cells: str) -> Parts:
-    """Starts a director of a version whose modules have today's names."""
+def current_parts(cells: str) -> DirectorParts:
+    """Create a director of a version whose modules have the present names."""
     from mulleinrelay.config.platform import parse_config
     from mulleinrelay.director import Director
     from mulleinrelay.net import resp, thrift
@@ -160,12 +161,12 @@
         from mulleinrelay.cells.config import load_cells_config
 
         cells_config = load_cells_config(cells)
-    director: Any = Director(config, cast(Any, Quiet()), cells_config)
-    for number, event in enumerate(config.known_events, 1):
-        director.event_stream.apply(number, event)
+    director: Any = Director(config, cast(Any, NullLog()), cells_config)
+    for offset, event in enumerate(config.known_events, 1):
+        director.event_stream.apply(offset, event)
     if cells:
         director.cell_service._step()
-    return Parts(
+    return DirectorParts(
         director,
         director.request_handler,
         director.request_handler.handle_call,
@@ -179,20 +180,20 @@
     )
 
 
-def parts_of_0_3(cells: str) -> Parts:
-    """Starts a director of 0.3, whose modules have other names."""
+def parts_0_3(cells: str) -> DirectorParts:
+    """Create a director of version 0.3, whose modules have other names."""
 
-    def module(name: str) -> Any:  # by name, as a type check of today's version knows none of them
+    def module(name: str) -> Any:  # a type check of the present version does not find these modules
         return importlib.import_module(f"mulleinrelay.{name}")
 
     config = module("configuration").decode(json.dumps(configuration()))
     own = module("cells.own").load_own(cells) if cells else None
-    director = module("net.service").Service(config, Quiet(), own)
-    for number, event in enumerate(config.events, 1):
-        director.bus.apply(number, event)
+    director = module("net.service").Service(config, NullLog(), own)
+    for offset, event in enumerate(config.events, 1):
+        director.bus.apply(offset, event)
     if cells:
         director.warden._step()
-    return Parts(
+    return DirectorParts(
         director,
         director.front,
         director.front._call,
@@ -207,70 +208,77 @@
 
 
 class AnsweringUpstream:
-    """Answers each attempt at once, as a cache that holds the object."""
+    """A stand-in for the upstream connections that answers each attempt at once with a hit."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: DirectorParts) -> None:
         self.parts = parts
         fields = {"is_not_modified": False, "kept": False, "body": bytes(400)}
         self.answer = type("Answer", (), fields)()
 
     def send(self, step: Any, request: Any) -> None:
-        """Encodes the attempt and reports its answer."""
+        """Encode the attempt and report its answer."""
         self.parts.encode_attempt(request, step, 1000.0)
         outcome, status = self.parts.served_from_cache
         self.parts.report_outcome(step.attempt, outcome, status, answer=self.answer)
 
     def cancel(self, attempt: Any) -> None:
-        """Nothing is cancelled here."""
+        """Do nothing, because each attempt has already been answered."""
 
     give_up = cancel
 
     def fullness(self) -> float:
-        """Returns that no connection is in use."""
+        """Return 0, because no connection is in use."""
         return 0.0
 
 
 def count_answers(connection: socket.socket) -> int:
-    """Reads the answers that have come: each holds the name of its method once."""
+    """Read the received answers, and return their number.
+
+    Each answer contains the name of its method exactly once.
+    """
     received = b""
     try:
-        while piece := connection.recv(1 << 20):
-            received += piece
+        while chunk := connection.recv(1 << 20):
+            received += chunk
     except BlockingIOError:
         pass
     return received.count(b"serve")
 
 
-def drive(cells: str) -> Callable[[int], float]:
-    """Returns a function that plays so many requests and returns the CPU seconds they took."""
+def make_player(cells: str) -> Callable[[int], float]:
+    """Return a function that plays a number of requests and returns the CPU seconds they took.
+
+    Args:
+        cells: Path of a cells configuration; empty: the director has no cells.
+    """
     try:
         parts = current_parts(cells)
     except ModuleNotFoundError as error:
         if error.name != "mulleinrelay.config":
             raise
-        parts = parts_of_0_3(cells)
+        parts = parts_0_3(cells)
     setattr(parts.listener, parts.upstream_field, AnsweringUpstream(parts))
-    ours, theirs = socket.socketpair()
-    client = parts.client_type(ours)
-    theirs.setblocking(False)
+    director_side, client_side = socket.socketpair()
+    client = parts.client_type(director_side)
+    client_side.setblocking(False)
     numbers = itertools.count(1)
 
     def play_batch(requests: int) -> float:
-        frames = [frame(next(numbers)) for _ in range(requests)]
-        begun = time.thread_time()
-        for each in frames:
-            call = parts.thrift.read_call(each)
+        messages = [request_message(next(numbers)) for _ in range(requests)]
+        began = time.thread_time()
+        for message in messages:
+            call = parts.thrift.read_call(message)
             call.read_at = time.monotonic()
             parts.handle_call(client, call)
         parts.run_due_timers()
-        return time.thread_time() - begun
+        return time.thread_time() - began
 
     def play(requests: int) -> float:
         used = 0.0
         while requests > 0:
             batch = min(requests, BATCH)
             used += play_batch(batch)
-            if (answers := count_answers(theirs)) != batch:
+            if (answers := count_answers(client_side)) != batch:
                 raise RuntimeError(f"{answers} of {batch} requests were answered")
             requests -= batch
         return used
@@ -280,6 +288,6 @@
 
 if __name__ == "__main__":
     sys.path.insert(0, sys.argv[1])
-    run = drive(sys.argv[2] if len(sys.argv) > 2 else "")
-    for line in sys.stdin:  # a number of requests a line
+    run = make_player(sys.argv[2] if len(sys.argv) > 2 else "")
+    for line in sys.stdin:  # each is a number of requests
         print(run(int(line)), flush=True)
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -33,7 +33,7 @@
 from mulleinrelay.policy.outlier_detection import OutlierDetector
 
 from . import recovery
-from .spread import head
+from .spread import scenario_head
 from .versions import ROOT, unpack
 
 CACHES = 8  # a location
@@ -257,7 +257,7 @@
 
 def play(name: str, directors: int, rate: float, seed: int, program: str) -> dict[str, Any]:
     seconds, faults = LOST[name]
-    text = head(name, directors, rate, seed, seconds, CACHES) + faults
+    text = scenario_head(name, directors, rate, seed, seconds, CACHES) + faults
     scenario = parse_fleet_scenario(text)
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-loss-") as folder:
         FleetLab(scenario, text, folder, program).run()
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,12 +1,13 @@
-"""Whether a fleet recovers by itself once a fault is over.
+"""Benchmark of whether a fleet recovers by itself after a fault has ended.
 
 `python -m benchmarks.recovery --json` prints one JSON object as the last line. Each fault is
-simulated at several lengths. The figure is how many seconds after its end the weight earned in two
-seconds is 0.95 of the calm one again, and stays so. A fault that leaves an overload behind (a
-metastable failure) shows as many seconds, or as none found.
+simulated with several durations. The main figure is the recovery time: the number of seconds from
+the end of the fault until the fraction of the weight that is earned within two seconds reaches 0.95
+of its value before the fault, and stays there. If a fault leaves an overload behind (a metastable
+failure), the recovery time is long or None.
 
-The simulation has no sockets, no CPU and no queues in directors: figures are of simulated time and
-of stand-ins.
+The simulation models no sockets, no CPU and no queues in directors: the figures are in simulated
+time, and caches and clients are stand-ins.
 """
 
 import json
@@ -22,12 +23,12 @@
 from mulleinrelay.model.simulation import Simulation
 
 FAULT_AT_S = 20
-AFTER_S = 16  # of the play after the fault's end
-WINDOW_S = 2  # over which earned weight is computed
-CALM_FROM_S = 14
-RECOVERED = 0.95  # of the calm fraction
-MISSED_OBJECTIVE = 0.1  # of its weight that a request served late earns
-HEAD = """
+AFTER_FAULT_S = 16  # simulated time after the end of the fault
+WINDOW_S = 2  # length of the spans for which the earned weight is computed
+CALM_FROM_S = 14  # until the start of the fault; the time before is the warm-up
+RECOVERED_FRACTION = 0.95  # of the fraction earned before the fault
+LATE_REQUEST_WEIGHT = 0.1  # fraction of its weight that a request earns if it is served late
+SCENARIO = """
 [fleet lab]
 name = recovery
 seconds = {seconds}
@@ -66,36 +67,53 @@
 def earned_fraction(
     observations: Observations, objective_ms: float, first_s: float, last_s: float
 ) -> float:
-    """Return the weight earned by requests of these seconds, as a fraction of what was asked."""
-    asked = earned = 0.0
+    """Return the weight earned by the requests of a span, as a fraction of their total weight.
+
+    The weight of a request is the priority of its class. A request earns all of it if it is served
+    within the latency objective. `first_s` and `last_s` are seconds since the start of the
+    simulation.
+    """
+    total = earned = 0.0
     for request in observations.requests:
         if first_s <= request.at_s < last_s:
             weight = PRIORITY_WEIGHTS[request.request_class]
-            asked += weight
+            total += weight
             if request.outcome == "served":
                 is_in_time = request.duration_ms <= objective_ms
-                earned += weight if is_in_time else MISSED_OBJECTIVE * weight
-    return earned / asked if asked else 0.0
+                earned += weight if is_in_time else LATE_REQUEST_WEIGHT * weight
+    return earned / total if total else 0.0
 
 
 def recovery_seconds(observations: Observations, objective_ms: float, end_s: int) -> int | None:
-    """Return the seconds from the fault's end to the recovery; None where there is none."""
+    """Return the seconds from the end of the fault to the recovery; None if there is none.
+
+    The spans are checked from the last to the first, because the fleet has recovered only when no
+    later span falls below the threshold.
+    """
     calm = earned_fraction(observations, objective_ms, CALM_FROM_S, FAULT_AT_S)
-    recovered_after = None
-    for second in range(AFTER_S - WINDOW_S, -1, -1):
+    recovered_after_s = None
+    for second in range(AFTER_FAULT_S - WINDOW_S, -1, -1):
         first_s = end_s + second
         fraction = earned_fraction(observations, objective_ms, first_s, first_s + WINDOW_S)
-        if fraction < RECOVERED * calm:
+        if fraction < RECOVERED_FRACTION * calm:
             break
-        recovered_after = second
-    return recovered_after
+        recovered_after_s = second
+    return recovered_after_s
 
 
 def play(name: str, length: int, directors: int, rate: float, seed: int) -> dict[str, Any]:
-    """Simulate one fault of so many seconds, and return its figures."""
+    """Simulate one fault, and return its figures.
+
+    Args:
+        name: Key of `FAULTS`.
+        length: Duration of the fault in s.
+        directors: Number of directors.
+        rate: Requests per second of all clients.
+        seed: Seed of the scenario.
+    """
     scenario = parse_fleet_scenario(
-        HEAD.format(
-            seconds=FAULT_AT_S + length + AFTER_S,
+        SCENARIO.format(
+            seconds=FAULT_AT_S + length + AFTER_FAULT_S,
             warm=CALM_FROM_S,
             seed=seed,
             rate=rate,
@@ -125,7 +143,7 @@
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--directors", type=click.IntRange(2, 2000), default=40, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=230.0, help="Requests a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=230.0, help="Requests per second.")
 @click.option(
     "--length",
     "lengths",
@@ -133,13 +151,19 @@
     type=click.IntRange(1, 60),
     default=(2, 8, 20),
     show_default=True,
-    help="s of trouble; may be given again.",
+    help="Duration of the fault in s; may be repeated.",
 )
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2), show_default=True)
 @click.option(
-    "--trouble", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone."
+    "--trouble",
+    "names",
+    multiple=True,
+    type=click.Choice(list(FAULTS)),
+    help="Faults to simulate; may be repeated. Default: all.",
+)
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=4, show_default=True, help="Number of processes."
 )
-@click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True, help="Processes.")
 def main(
     as_json: bool,
     directors: int,
@@ -149,9 +173,7 @@
     names: tuple[str, ...],
     jobs: int,
 ) -> None:
-    """Play troubles of several lengths in the model and tell how long the fleet takes
-    to come back.
-    """
+    """Simulate faults of several durations and print how long the fleet takes to recover."""
     cases = [
         (name, length, directors, rate, seed)
         for name in names or FAULTS
@@ -161,20 +183,22 @@
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(play, *zip(*cases, strict=True)))
     durations = [figures["back_s"] for figures in plays if figures["back_s"] is not None]
-    longest = max(durations, default=None)
-    never = len(plays) - len(durations)
+    longest_recovery_s = max(durations, default=None)
+    not_recovered = len(plays) - len(durations)
     if as_json:
         summary = {
             "directors": directors,
             "plays": plays,
-            "back_s_most": longest,
-            "never_back": never,
+            "back_s_most": longest_recovery_s,
+            "never_back": not_recovered,
         }
         click.echo(json.dumps(summary))
         return
     for figures in plays:
         click.echo("  ".join(f"{name} {value}" for name, value in figures.items()))
-    click.echo(f"back after {longest} s at the most; never: {never} of {len(plays)}")
+    click.echo(
+        f"back after {longest_recovery_s} s at the most; never: {not_recovered} of {len(plays)}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,11 +1,12 @@
-"""How evenly a fleet's load lies on caches, and what the fleet bears.
+"""Benchmark of how evenly a fleet of directors loads the caches, also during faults.
 
 `python -m benchmarks.spread --json` prints one JSON object as the last line, in under 8 minutes.
-`--version REV` plays each scenario by an earlier version as well, right after, before the same
-stand-ins: two fleets at a time would compete for the machine's cores.
+With `--version REV`, each scenario is also played with an earlier version and the same stand-ins.
+The two versions are played one after the other, because two fleets at the same time would compete
+for the machine's cores.
 
-Directors are real processes; nodes, clients and the network are stand-ins on this machine, and
-figures are of directors before these alone.
+Directors are real processes; nodes, clients and the network are stand-ins on this machine, and the
+figures hold for these stand-ins only.
 """
 
 import json
@@ -21,20 +22,22 @@
 from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
-from mulleinrelay.model.simulation import run_scenario as play_model
+from mulleinrelay.model.simulation import run_scenario as simulate_scenario
 
 from .versions import ROOT, unpack
 
 Figures = dict[str, Any]
 
-RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "answers_late")
-FEW = 30  # directors, for what grows with their number
-MANY = 300
-GROWTH_SECONDS = 20
-MIN_COMPARED = 1e-9  # instead of 0 as a divisor
+VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "answers_late")
+# Numbers of directors that are compared for the figures that grow with the number of directors
+FEW_DIRECTORS = 30
+MANY_DIRECTORS = 300
+GROWTH_SECONDS = 20  # duration of the scenarios that are compared
+MIN_DIVISOR = 1e-9  # avoids a division by zero
+# Figures of the simulation that are compared with those of the lab
 COMPARED = ("credit", "imbalance_p99", "attempts_by_request", "hit_share")
 
-HEAD = """
+SCENARIO_HEAD = """
 [fleet lab]
 name = {name}
 seconds = {seconds}
@@ -138,7 +141,7 @@
 }
 
 
-def head(
+def scenario_head(
     name: str,
     directors: int,
     rate: float,
@@ -147,8 +150,8 @@
     caches: int = 6,
     probes: bool = False,
 ) -> str:
-    """Return the text of a scenario without its faults; `caches`: by location."""
-    return HEAD.format(
+    """Return the text of a scenario without its faults; `caches` is the number per location."""
+    return SCENARIO_HEAD.format(
         name=name,
         directors=directors,
         rate=rate,
@@ -162,13 +165,20 @@
 def scenario_text(
     name: str, directors: int, rate: float, seed: int, seconds: int = 0, probes: bool = False
 ) -> str:
-    """Return the text of one of the scenarios; `seconds`: its length, where not its usual one."""
+    """Return the text of a scenario in `FAULTS`; `seconds` replaces its usual duration if not 0."""
     usual_seconds, faults = FAULTS[name]
-    return head(name, directors, rate, seed, seconds or usual_seconds, probes=probes) + faults
+    return (
+        scenario_head(name, directors, rate, seed, seconds or usual_seconds, probes=probes) + faults
+    )
 
 
 def play(text: str, program: str = ROOT) -> Figures:
-    """Play a scenario with processes; `program`: folder of the package that directors run."""
+    """Play a scenario with real directors, and return its figures.
+
+    Args:
+        text: The scenario.
+        program: Folder that holds the package that the directors run.
+    """
     scenario = parse_fleet_scenario(text)
     lab = FleetLab(scenario, text, program=program)
     try:
@@ -178,47 +188,59 @@
 
 
 def largest(plays: list[Figures], key: str) -> Any:
-    """Return the largest value of a figure; None where no play has it."""
+    """Return the largest value of a figure over all plays; None if no play has it."""
     return max((figures[key] for figures in plays if figures[key] is not None), default=None)
 
 
 def summary(plays: dict[str, Figures]) -> Figures:
-    """Return the figures over all plays, which are given by scenario."""
-    every = list(plays.values())
+    """Return the figures over all plays; the keys of `plays` are the names of the scenarios."""
+    all_figures = list(plays.values())
     with_faults = [figures for name, figures in plays.items() if name != "calm"]
     return {
         "calm_imbalance": plays["calm"]["calm_imbalance"] if "calm" in plays else None,
         "fault_imbalance": largest(with_faults, "fault_imbalance"),
-        "herd_seconds_calm": sum(figures["herd_seconds_calm"] for figures in every),
+        "herd_seconds_calm": sum(figures["herd_seconds_calm"] for figures in all_figures),
         "herd_seconds_fault_max": largest(with_faults, "herd_seconds_fault"),
-        "herd_seconds_all_seeing": largest(every, "herd_seconds_all_seeing"),
-        "idle_s_max": largest(every, "idle_s_max"),
-        "return_s_p99": largest(every, "return_s_p99"),
-        "parent_swing": largest(every, "parent_swing"),
-        **{rule: sum(figures[rule] for figures in every) for rule in RULES},
+        "herd_seconds_all_seeing": largest(all_figures, "herd_seconds_all_seeing"),
+        "idle_s_max": largest(all_figures, "idle_s_max"),
+        "return_s_p99": largest(all_figures, "return_s_p99"),
+        "parent_swing": largest(all_figures, "parent_swing"),
+        **{
+            violation: sum(figures[violation] for figures in all_figures)
+            for violation in VIOLATIONS
+        },
         "credit": {name: figures["credit"] for name, figures in plays.items()},
     }
 
 
-def growth(rate: float, seed: int) -> dict[str, float]:
-    """Return what one cache bears of many directors over what it bears of few, at the same load."""
-    few = play(scenario_text("calm", FEW, rate, seed, GROWTH_SECONDS, True))
-    many = play(scenario_text("calm", MANY, rate, seed, GROWTH_SECONDS, True))
+def measure_growth(rate: float, seed: int) -> dict[str, float]:
+    """Return how probes and connections per cache grow with the number of directors.
+
+    A figure is the value with `MANY_DIRECTORS` over the value with `FEW_DIRECTORS`, at the same
+    request rate.
+    """
+    few = play(scenario_text("calm", FEW_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
+    many = play(scenario_text("calm", MANY_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
     figures = {"ready_s_300": many["ready_s"]}
-    for what in ("probes", "connections"):
-        key = f"{what}_a_cache"
-        figures[f"{what}_growth"] = round(many[key] / max(1.0, few[key]), 3)
+    for counted in ("probes", "connections"):
+        key = f"{counted}_a_cache"
+        figures[f"{counted}_growth"] = round(many[key] / max(1.0, few[key]), 3)
     return figures
 
 
 def model_error(plays: dict[str, Figures], texts: dict[str, str]) -> dict[str, dict[str, float]]:
-    """Return the simulation's figures less the lab's, over the lab's, by scenario and figure."""
+    """Return the relative errors of the simulation against the lab, by scenario and figure.
+
+    Args:
+        plays: Figures of the lab by scenario.
+        texts: Texts of the scenarios.
+    """
     errors = {}
     for name, measured in plays.items():
         scenario = parse_fleet_scenario(texts[name])
-        simulated = play_model(replace(scenario, directors=measured["directors"]))
+        simulated = simulate_scenario(replace(scenario, directors=measured["directors"]))
         errors[name] = {
-            key: round((simulated[key] - measured[key]) / max(MIN_COMPARED, measured[key]), 3)
+            key: round((simulated[key] - measured[key]) / max(MIN_DIVISOR, measured[key]), 3)
             for key in COMPARED
         }
     return errors
@@ -227,36 +249,47 @@
 def play_all(
     texts: dict[str, str], version: str | None, shows_progress: bool
 ) -> tuple[dict[str, Figures], dict[str, Figures]]:
-    """Play all scenarios by the present program, and by an earlier version where one is given."""
-    ours: dict[str, Figures] = {}
-    theirs: dict[str, Figures] = {}
+    """Play all scenarios with the present program and, if a version is given, with that version.
+
+    Returns:
+        Figures of the present program by scenario, and figures of the earlier version.
+    """
+    present: dict[str, Figures] = {}
+    earlier: dict[str, Figures] = {}
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-before-") as folder:
         program = unpack(version, folder) if version else None
         for name, text in texts.items():
-            ours[name] = play(text)
-            played = [ours[name]]
+            present[name] = play(text)
+            scenario_figures = [present[name]]
             if program:
-                theirs[name] = play(text, program)
-                played.append(theirs[name])
+                earlier[name] = play(text, program)
+                scenario_figures.append(earlier[name])
             if shows_progress:
-                shown = (f"credit {one['credit']}, idle {one['idle_s_max']} s" for one in played)
-                click.echo(f"{name}: " + "; before: ".join(shown), err=True)
-    return ours, theirs
+                summaries = (
+                    f"credit {one['credit']}, idle {one['idle_s_max']} s"
+                    for one in scenario_figures
+                )
+                click.echo(f"{name}: " + "; before: ".join(summaries), err=True)
+    return present, earlier
 
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-@click.option("--version", help="An earlier version of our own, played in turn.")
+@click.option("--version", help="Git revision of an earlier version to compare with.")
 @click.option("--directors", type=click.IntRange(2, 400), default=200, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=800.0, help="Requests a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=800.0, help="Requests per second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--scenario", "names", multiple=True, type=click.Choice(list(FAULTS)), help="These alone."
+    "--scenario",
+    "names",
+    multiple=True,
+    type=click.Choice(list(FAULTS)),
+    help="Scenarios to play; may be repeated. Default: all.",
 )
-@click.option("--growth/--no-growth", "with_growth", default=True, help="30 directors against 300.")
 @click.option(
-    "--model/--no-model", "with_model", default=True, help="The same scenarios in the model."
+    "--growth/--no-growth", "with_growth", default=True, help="Compare 30 directors with 300."
 )
+@click.option("--model/--no-model", "with_model", default=True, help="Simulate the same scenarios.")
 def main(
     as_json: bool,
     version: str | None,
@@ -267,22 +300,24 @@
     with_growth: bool,
     with_model: bool,
 ) -> None:
-    """Play the scenarios of the even spread."""
+    """Play the scenarios and print how evenly the caches are loaded."""
     began = time.monotonic()
     texts = {name: scenario_text(name, directors, rate, seed) for name in names or FAULTS}
-    ours, theirs = play_all(texts, version, not as_json)
-    result: Figures = {"directors": directors} | summary(ours)
-    if theirs:
-        ratios = {name: round(ours[name]["credit"] / theirs[name]["credit"], 4) for name in ours}
+    present, earlier = play_all(texts, version, not as_json)
+    result: Figures = {"directors": directors} | summary(present)
+    if earlier:
+        ratios = {
+            name: round(present[name]["credit"] / earlier[name]["credit"], 4) for name in present
+        }
         result |= {
             "credit_ratio_vs_before": ratios,
             "credit_ratio_least": min(ratios.values()),
-            "before": summary(theirs),
+            "before": summary(earlier),
         }
     if with_growth:
-        result |= growth(rate / 2.0, seed)
+        result |= measure_growth(rate / 2.0, seed)
     if with_model:
-        errors = model_error(ours, texts)
+        errors = model_error(present, texts)
         largest_error = max(abs(error) for by_key in errors.values() for error in by_key.values())
         result |= {"model_vs_lab_error": errors, "model_vs_lab_error_most": largest_error}
     result["seconds"] = round(time.monotonic() - began, 1)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,4 +1,4 @@
-"""Earlier versions of this program, for comparison with the present one."""
+"""Earlier versions of this program, with which benchmarks compare the present one."""
 
 import io
 import os
@@ -9,11 +9,15 @@
 
 
 def unpack(version: str, folder: str) -> str:
-    """Write the package as it was at that version into a folder; returns the folder.
+    """Extract the package of an earlier version into a folder, and return the folder.
+
+    Args:
+        version: Git revision.
+        folder: Target folder; it is created if it does not exist.
 
     Raises:
-        OSError: Git isn't installed, or the folder can't be written.
-        CalledProcessError: The history doesn't have the version.
+        OSError: Git is not installed, or the folder cannot be written.
+        CalledProcessError: The repository does not contain the version.
     """
     command = ["git", "archive", version, "mulleinrelay"]
     archived = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -1,7 +1,7 @@
-"""Two ways to confine requests, compared in the router alone.
+"""Benchmark of two ways to confine requests to a cell: a router per cell, or a pool per request.
 
-One router for each cell, or one router with a pool for each request. Run by
-`python -m benchmarks.ways`; no sockets, simulated fills, under a minute.
+With a pool per request, one router serves all cells. `python -m benchmarks.ways` takes less than a
+minute. It calls the router alone, without sockets, and simulates the fills.
 """
 
 import json
@@ -40,26 +40,27 @@
 PARENTS = 4
 REQUESTS = 4_000
 OBJECTS = 3_000
-DURATION = 10_000.0  # ms that the requests take
+DURATION = 10_000.0  # ms over which the requests are spread
 CLIENT_TIMEOUT = 3_000.0  # ms
 SIZE_KB = 400.0
-SEND_TIME = 40.0  # ms of one answer of that size
-HIT_TIME = 5.0  # ms
+SEND_TIME = 40.0  # ms to send an answer of that size
+HIT_TIME = 5.0  # ms until a hit is answered
 WEIGHT = 4.0  # of each endpoint
 DIRECTORS = 3
-CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds
+CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds of endpoints
 PARENT_SLOW_START = SlowStartPolicy(0.06, 20_000.0, 1_500.0, 2.0)
-RESTARTED_PARENT = 10  # hash key of the parent that restarts just before the start
-RESTARTED_AT = 0.5
+RESTARTED_PARENT = 10  # hash key of the parent that is in slow start from the beginning
+RESTARTED_AT = 0.5  # ms
 
 
-class Sink:
-    """Keeps the attempts that are sent; all other actions are dropped."""
+class AttemptRecorder:
+    """An action sink that records the attempts that are sent and ignores all other actions."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
+        """Record the attempt."""
         self.attempts.append(attempt)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
@@ -68,14 +69,21 @@
 
 @dataclass
 class Figures:
-    """What is counted while the requests are played."""
+    """Counts of the fills by parents while the requests are played.
+
+    Attributes:
+        fills_by_parents: Number of misses that a parent fills.
+        recent_on_restarted: Times of the latest fills by the restarted parent.
+        peak_on_restarted: Highest load of the restarted parent by fills, as a multiple of this
+            director's share of the parent's capacity during slow start.
+    """
 
     fills_by_parents: int = 0
-    recent_on_restarted: deque[float] = field(default_factory=deque)  # times of fills there
-    peak_on_restarted: float = 0.0  # over this director's share of what it can do
+    recent_on_restarted: deque[float] = field(default_factory=deque)
+    peak_on_restarted: float = 0.0
 
     def record_fill(self, now: float, attempt: Attempt) -> None:
-        """Counts a miss by its fill source."""
+        """Count a miss if its fill source is a parent."""
         source = attempt.fill_source
         if source is None or source.kind != PARENT:
             return
@@ -93,7 +101,8 @@
         self.peak_on_restarted = max(self.peak_on_restarted, SEND_TIME * len(recent) / capacity)
 
 
-def settings() -> ServiceSettings:
+def make_settings() -> ServiceSettings:
+    """Return the settings of a router with one request class."""
     request_class = RequestClass(IDEMPOTENT, 500.0, 2.0, 3_000.0, 5_000.0, "all", 0.0, False)
     return ServiceSettings(
         request_classes=[request_class],
@@ -123,7 +132,7 @@
 
 
 def make_router(caches: list[TrackedEndpoint]) -> Router:
-    """A router before these caches, and parents and an origin of its own."""
+    """Return a router in front of these caches, with its own parents and its own origin."""
     entries = [
         EndpointEntry(cache, EndpointState.READY, WEIGHT, CACHE, 1, 0, 0.0) for cache in caches
     ]
@@ -133,19 +142,19 @@
         entries.append(EndpointEntry(parent, EndpointState.READY, WEIGHT, PARENT, 0, 0, started_at))
     origin = TrackedEndpoint(1)
     entries.append(EndpointEntry(origin, EndpointState.READY, WEIGHT, ORIGIN, 0, 0, 0.0))
-    router = Router(0.0, 7, settings())
-    router.handle(0.0, [EndpointsUpdated(entries, True)], Sink())
+    router = Router(0.0, 7, make_settings())
+    router.handle(0.0, [EndpointsUpdated(entries, True)], AttemptRecorder())
     return router
 
 
 def play_requests(routers: list[Router], pools: list[CachePool | None], random: Random) -> Figures:
-    """Plays the requests of all cells, one after the other; each attempt is answered at once.
+    """Play the requests, with the cells in turn; each attempt is answered at once.
 
-    An attempt is a hit where the cache was asked for the object before, else a fill.
+    An attempt is a hit if the cache was sent a request for the object before, otherwise a fill.
     """
     figures = Figures()
-    sink = Sink()
-    cached: set[tuple[int, int]] = set()
+    sink = AttemptRecorder()
+    copies: set[tuple[int, int]] = set()
     for number in range(REQUESTS):
         now = DURATION * number / REQUESTS
         cell = number % CELLS
@@ -164,8 +173,8 @@
         router.handle(now, [RequestReceived(request)], sink)
         for attempt in sink.attempts:
             copy = (attempt.endpoint.hash_key, request.object_id)
-            is_hit = copy in cached
-            cached.add(copy)
+            is_hit = copy in copies
+            copies.add(copy)
             if not is_hit:
                 figures.record_fill(now, attempt)
             router.handle(now + 5.0, [answer(attempt, is_hit)], sink)
@@ -174,13 +183,19 @@
 
 
 def answer(attempt: Attempt, is_hit: bool) -> AttemptFinished:
+    """Return the event for an attempt that was served."""
     elapsed = HIT_TIME if is_hit else SEND_TIME
     status = CacheStatus.HIT if is_hit else CacheStatus.FILLED
     return AttemptFinished(attempt, Outcome.SERVED, elapsed, True, status, 30.0, None)
 
 
-def set_up(split: bool) -> tuple[list[Router], list[CachePool | None]]:
-    """Router and pool of each cell; `split`: with routers of their own, else with pools."""
+def make_routers(split: bool) -> tuple[list[Router], list[CachePool | None]]:
+    """Return the router and the pool of each cell.
+
+    Args:
+        split: Whether each cell has its own router, and no pool. Otherwise all cells share one
+            router, and each has a pool.
+    """
     per_cell = CACHES // CELLS
     caches = [
         [TrackedEndpoint(100 + cell * CACHES + number) for number in range(per_cell)]
@@ -200,18 +215,21 @@
 
 
 def measure(split: bool) -> dict[str, float]:
-    """Figures of all cells together; memory is measured in a second play, which it slows."""
-    routers, pools = set_up(split)
-    begun = time.process_time()
+    """Return the figures of all cells together.
+
+    Memory is measured in a second run, because the measurement slows the run down.
+    """
+    routers, pools = make_routers(split)
+    began = time.process_time()
     figures = play_requests(routers, pools, Random(5))
-    used = time.process_time() - begun
+    cpu_s = time.process_time() - began
     tracemalloc.start()
-    play_requests(*set_up(split), Random(5))
+    play_requests(*make_routers(split), Random(5))
     memory = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     fills_per_parent = 1000.0 * figures.fills_by_parents / DURATION / PARENTS
     return {
-        "cpu_us_a_request": round(1e6 * used / REQUESTS),
+        "cpu_us_a_request": round(1e6 * cpu_s / REQUESTS),
         "readings_of_a_parent_a_second_and_instance": round(
             fills_per_parent / (CELLS if split else 1), 2
         ),
