--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,9 +1,13 @@
-"""What directors win by lending each other parts of cold limits, and what talk costs: `python -m
-benchmarks.budgets --json`, one JSON object as the last line, under 8 minutes. The same scenario is
-played with lending and with static parts, 60 directors as processes before stand-ins: few have most
-of the demand, all caches return cold, the fleet is cut in two for 10 s meanwhile, some are killed
-later. Fleets of 500 and 2,000 are played in simulated time, talk alone. Figures tell of our own
-stand-ins.
+"""Benchmark of the quota exchange between directors, and of its cost in datagrams and CPU time.
+
+`python -m benchmarks.budgets --json` prints one JSON object as the last line, in under 8 minutes.
+
+The limits of cold caches are divided among the directors. One scenario is played twice: with
+membership gossip and quotas that directors lend each other, and without gossip, where each director
+has a static share of each limit. In the scenario, 60 directors run as processes in front of
+stand-ins, and a few of them receive most of the requests. All caches return cold, the fleet is
+partitioned for 10 s in the meantime, and some directors are killed later. In fleets of 60, 500 and
+2,000 directors, the gossip alone is simulated. The figures hold for these stand-ins only.
 """
 
 import glob
@@ -78,152 +82,182 @@
 at = 30
 for = 5
 """
-RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-SPAN = 1.5  # s: the window of the limit on cold caches
-TOLD = 1.6  # s after its return by which all directors have been told of a cache
+# Figures that count violations
+VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
+LIMIT_WINDOW_S = 1.5  # window in which the requests to a cold cache are limited
+# Time from the return of a cache until all directors have received the endpoint update
+UPDATE_DELAY_S = 1.6
+
+
+def cold_cache_use(scenario: FleetScenario, audit: Audit) -> dict[str, float]:
+    """Return how far the directors used the limits of cold caches, and how far they exceeded them.
 
+    The limit of a cold cache is its capacity times its warm fraction, which grows during slow
+    start. Requests are counted, as the directors count them.
 
-def cold_use(scenario: FleetScenario, audit: Audit) -> dict[str, float]:
-    """Of what all may send cold caches, the part that they did; and the most in any window over
-    what those can do then. A cache's limit is its capacity as far as it is warm; requests count, as
-    with directors.
+    Returns:
+        `use_ratio`: The number of requests that were sent to cold caches, as a fraction of the
+            number that the limits allowed.
+        `overshoot_max`: The highest number of requests in a window, as a multiple of the number
+            that the limit at the end of the window allows.
     """
-    back = next(held[0] for held in audit.faults if held[1] == "cold" and not held[3])
-    names = next(held[5] for held in audit.faults if held[1] == "cold")
-    begins, ends = back + TOLD + 4.0, back + scenario.slow_start_ms / 1000.0 - 1.0
+    back = next(fault[0] for fault in audit.faults if fault[1] == "cold" and not fault[3])
+    names = next(fault[5] for fault in audit.faults if fault[1] == "cold")
+    begins, ends = back + UPDATE_DELAY_S + 4.0, back + scenario.slow_start_ms / 1000.0 - 1.0
     sent: dict[str, list[float]] = defaultdict(list)
     for attempt in audit.observations.attempts:
         if (
             attempt[2] in names
-            and back + TOLD < attempt[0] < back + scenario.slow_start_ms / 1000.0
+            and back + UPDATE_DELAY_S < attempt[0] < back + scenario.slow_start_ms / 1000.0
         ):
             sent[attempt[2]].append(attempt[0])
 
-    def able(name: str, at: float) -> float:
-        warmth = (
+    def limit(name: str, at: float) -> float:
+        warm_fraction = (
             scenario.initial_fraction
             + (1.0 - scenario.initial_fraction) * 1000.0 * (at - back) / scenario.slow_start_ms
         )
-        return scenario.capacity * audit.sites[name].capacity_factor * min(1.0, warmth)
+        return scenario.capacity * audit.sites[name].capacity_factor * min(1.0, warm_fraction)
 
-    used = allowed = most = 0.0
+    used = allowed = overshoot = 0.0
     for name in names:
-        held, first = sent[name], 0
-        used += sum(begins <= at < ends for at in held)
+        sent_at, first = sent[name], 0
+        used += sum(begins <= at < ends for at in sent_at)
         allowed += sum(
-            0.1 * able(name, begins + 0.1 * step) for step in range(int(10 * (ends - begins)))
+            0.1 * limit(name, begins + 0.1 * step) for step in range(int(10 * (ends - begins)))
         )
-        for place, at in enumerate(held):
-            while held[first] <= at - SPAN:
+        for last, at in enumerate(sent_at):
+            while sent_at[first] <= at - LIMIT_WINDOW_S:
                 first += 1
-            most = max(most, (place - first + 1) / (SPAN * able(name, at)))
-    return {"use_ratio": round(used / allowed, 4), "overshoot_max": round(most, 3)}
+            overshoot = max(overshoot, (last - first + 1) / (LIMIT_WINDOW_S * limit(name, at)))
+    return {"use_ratio": round(used / allowed, 4), "overshoot_max": round(overshoot, 3)}
 
 
-def found_dead(audit: Audit, folder: str) -> dict[str, Any]:
-    """From each director's own log: how long it took to call the killed dead, and whom it called so
-    who lived and was reached.
+def death_detection(audit: Audit, folder: str) -> dict[str, Any]:
+    """Return how soon killed directors were declared dead, and how often living ones were.
+
+    The figures come from the logs of the directors. While the fleet is partitioned, and for 6 s
+    afterwards, declaring an unreachable director dead is not counted as an error.
     """
-    began, lines = audit.observations.started_at / 1000.0, []
+    began, events = audit.observations.started_at / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
         with open(path, "rb") as file:
             for line in file:
                 if b'"fleet"' in line and line.endswith(b"\n"):
-                    lines.append(orjson.loads(line))
-    kill = next(held for held in audit.faults if held[1] == "killed" and held[3])
+                    events.append(orjson.loads(line))
+    kill = next(fault for fault in audit.faults if fault[1] == "killed" and fault[3])
     killed = {f"n{number}" for number in kill[4]}
-    cut = [held[0] for held in audit.faults if held[1] == "parted"]
-    after, wrong = {}, 0
-    for line in lines:
-        at, (member, _, what) = line["at"] - began, line["text"].partition(" ")
-        if what != "died":
+    partition = [fault[0] for fault in audit.faults if fault[1] == "parted"]
+    detected_after, false_deaths = {}, 0
+    for event in events:
+        at, (member, _, change) = event["at"] - began, event["text"].partition(" ")
+        if change != "died":
             continue
         if member in killed and kill[0] <= at < kill[0] + 12.0:
-            after.setdefault((line["director"], member), at - kill[0])
-        elif not cut[0] <= at < cut[1] + 6.0:
-            wrong += 1
+            detected_after.setdefault((event["director"], member), at - kill[0])
+        elif not partition[0] <= at < partition[1] + 6.0:
+            false_deaths += 1
     return {
-        "detect_s_p50": round(percentile(after.values(), 0.5), 2),
-        "detect_s_p99": round(percentile(after.values(), 0.99), 2),
-        "false_dead": wrong,
+        "detect_s_p50": round(percentile(detected_after.values(), 0.5), 2),
+        "detect_s_p99": round(percentile(detected_after.values(), 0.99), 2),
+        "false_dead": false_deaths,
     }
 
 
 def play(directors: int, rate: float, seed: int, talk: bool) -> dict[str, Any]:
+    """Play the scenario once, and return its figures.
+
+    Args:
+        directors: Number of directors.
+        rate: Requests per second of all clients.
+        seed: Seed of the scenario.
+        talk: Whether the directors exchange gossip and quotas.
+    """
     text = SCENARIO.format(directors=directors, rate=rate, seed=seed, talk="yes" if talk else "no")
     scenario = parse_fleet_scenario(text)
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-budgets-") as folder:
         states: dict[str, dict] = {}
 
-        def live(since: float, *_: int) -> None:
+        # Reads the states once, shortly before the end, while the directors are still running
+        def collect_states(since: float, *_: int) -> None:
             if since > scenario.seconds - 1.5 and not states:
                 states.update(
-                    {held["name"]: held for held in read_states(os.path.join(folder, "fleet"))}
+                    {state["name"]: state for state in read_states(os.path.join(folder, "fleet"))}
                     if os.path.isdir(os.path.join(folder, "fleet"))
                     else {"none": {}}
                 )
 
-        FleetLab(scenario, text, folder, ROOT).run(live)
+        FleetLab(scenario, text, folder, ROOT).run(collect_states)
         audit = Audit(scenario, read_observations(folder))
         figures = audit.figures()
-        found = {rule: figures[rule] for rule in RULES} | cold_use(scenario, audit)
-        looks = [
-            look
-            for look in audit.observations.requests
-            if look[0] >= scenario.warm_up_s and look[7] == "served"
+        result = {name: figures[name] for name in VIOLATIONS} | cold_cache_use(scenario, audit)
+        served_requests = [
+            request
+            for request in audit.observations.requests
+            if request[0] >= scenario.warm_up_s and request[7] == "served"
         ]
-        cpu, rss = zip(
-            *[(held[1], held[2]) for held in audit.observations.others["use"]], strict=True
+        cpu_s, resident_mb = zip(
+            *[(usage[1], usage[2]) for usage in audit.observations.others["use"]], strict=True
         )
-        found |= {
+        result |= {
             "credit": figures["credit"],
             "rejected": figures["outcomes"].get("rejected", 0),
-            "request_p99_ms": round(percentile((look[1] for look in looks), 0.99), 1),
-            "cpu_s": round(sum(cpu), 2),
-            "rss_mb": round(max(rss), 1),
+            "request_p99_ms": round(
+                percentile((request[1] for request in served_requests), 0.99), 1
+            ),
+            "cpu_s": round(sum(cpu_s), 2),
+            "rss_mb": round(max(resident_mb), 1),
         }
         if talk:
-            found |= found_dead(audit, folder)
-            sent = [
-                held["bytes_out"] / scenario.seconds
-                for held in states.values()
-                if "bytes_out" in held
+            result |= death_detection(audit, folder)
+            bytes_per_s = [
+                state["bytes_out"] / scenario.seconds
+                for state in states.values()
+                if "bytes_out" in state
             ]
-            found["bytes_per_director_s"] = round(sum(sent) / max(1, len(sent)))
-            found["records"] = len(glob.glob(os.path.join(folder, "fleet", "*.json")))
-    return found
+            result["bytes_per_director_s"] = round(sum(bytes_per_s) / max(1, len(bytes_per_s)))
+            result["records"] = len(glob.glob(os.path.join(folder, "fleet", "*.json")))
+    return result
 
 
-def fuzz(count: int, seed: int) -> int:
-    """Datagrams with some bits turned, cut short or made up: how many of so many are taken."""
+def count_accepted_datagrams(count: int, seed: int) -> int:
+    """Return how many of `count` corrupt datagrams the codec accepts.
+
+    A datagram has some bits flipped, is truncated, or consists of random bytes.
+    """
     import random
 
-    draw, codec, taken = random.Random(f"{seed}-fuzz"), DatagramCodec("lab", b"a key of ours"), 0
-    me = MemberUpdate("n1", "127.0.0.1", 7001, "north", 17, 0, MemberState.ALIVE)
-    good = [codec.encode(MessageKind(kind), kind, me, me, [me] * (2 * kind)) for kind in range(6)]
+    draw, codec, accepted = random.Random(f"{seed}-fuzz"), DatagramCodec("lab", b"a key of ours"), 0
+    member = MemberUpdate("n1", "127.0.0.1", 7001, "north", 17, 0, MemberState.ALIVE)
+    valid = [
+        codec.encode(MessageKind(kind), kind, member, member, [member] * (2 * kind))
+        for kind in range(6)
+    ]
     for number in range(count):
-        data = bytearray(draw.choice(good))
-        how = number % 3
-        if how == 0:
+        data = bytearray(draw.choice(valid))
+        corruption = number % 3
+        if corruption == 0:
             for _ in range(draw.randrange(1, 6)):
                 data[draw.randrange(len(data))] ^= 1 << draw.randrange(8)
-        elif how == 1:
+        elif corruption == 1:
             del data[draw.randrange(len(data)) :]
         else:
             data = bytearray(draw.randbytes(draw.randrange(1, 200)))
-        if bytes(data) in good:
+        if bytes(data) in valid:
             continue
         try:
             codec.decode(bytes(data))
-            taken += 1
+            accepted += 1
         except InvalidDatagramError:
             pass
-    return taken
+    return accepted
+
 
+def simulated_bytes_per_second(count: int, seconds: float) -> int:
+    """Return the bytes per second that one director sends in a simulated fleet without changes.
 
-def bytes_at(count: int, seconds: float) -> int:
-    """Bytes a second of one director in a calm fleet of that size that knows itself, in simulated
-    time.
+    At the start, each of the `count` directors knows all others. The bytes of the first 2 s are not
+    counted.
     """
     sys.path.insert(0, os.path.join(ROOT, "tests", "membership"))
     from simulated_fleet import SimulatedFleet
@@ -244,18 +278,24 @@
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--directors", type=click.IntRange(10, 400), default=60, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=500.0, help="Requests a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=500.0, help="Requests per second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--fuzzed", type=click.IntRange(0, 10**7), default=10**6, show_default=True, help="Datagrams."
+    "--fuzzed",
+    type=click.IntRange(0, 10**7),
+    default=10**6,
+    show_default=True,
+    help="Number of corrupt datagrams.",
+)
+@click.option(
+    "--sizes/--no-sizes", default=True, help="Simulate gossip in fleets of 60, 500 and 2,000."
 )
-@click.option("--sizes/--no-sizes", default=True, help="Fleets of 500 and 2,000 in simulated time.")
 def main(as_json: bool, directors: int, rate: float, seed: int, fuzzed: int, sizes: bool) -> None:
-    """Play lending against static parts, and tell what talk costs."""
+    """Compare lent quotas with static shares, and print the cost of the gossip."""
     began = time.monotonic()
-    shared, static = (play(directors, rate, seed, talk) for talk in (True, False))
-    told: dict[str, Any] = {"directors": directors} | shared
-    told |= {
+    lent, static = (play(directors, rate, seed, talk) for talk in (True, False))
+    result: dict[str, Any] = {"directors": directors} | lent
+    result |= {
         f"{key}_static": static[key]
         for key in (
             "use_ratio",
@@ -265,28 +305,33 @@
             "request_p99_ms",
             "cpu_s",
             "rss_mb",
-            *RULES,
+            *VIOLATIONS,
         )
     }
-    told |= {
-        "use_ratio_vs_static": round(shared["use_ratio"] / static["use_ratio"], 3),
-        "credit_ratio_vs_static": round(shared["credit"] / static["credit"], 4),
-        "request_p99_ratio": round(shared["request_p99_ms"] / static["request_p99_ms"], 3),
-        "cpu_ratio": round(shared["cpu_s"] / static["cpu_s"], 3),
-        "false_dead_per_hour": round(shared["false_dead"] * 3600.0 / 44.0, 1),
+    result |= {
+        "use_ratio_vs_static": round(lent["use_ratio"] / static["use_ratio"], 3),
+        "credit_ratio_vs_static": round(lent["credit"] / static["credit"], 4),
+        "request_p99_ratio": round(lent["request_p99_ms"] / static["request_p99_ms"], 3),
+        "cpu_ratio": round(lent["cpu_s"] / static["cpu_s"], 3),
+        "false_dead_per_hour": round(lent["false_dead"] * 3600.0 / 44.0, 1),
     }
-    told["bad_datagrams_accepted"], told["datagrams_fuzzed"] = fuzz(fuzzed, seed), fuzzed
+    result["bad_datagrams_accepted"], result["datagrams_fuzzed"] = (
+        count_accepted_datagrams(fuzzed, seed),
+        fuzzed,
+    )
     if sizes:
-        told["bytes_per_director_s_by_size"] = {
-            count: bytes_at(count, seconds)
+        result["bytes_per_director_s_by_size"] = {
+            count: simulated_bytes_per_second(count, seconds)
             for count, seconds in ((60, 20.0), (500, 10.0), (2000, 4.0))
         }
-        low, high = (told["bytes_per_director_s_by_size"][count] for count in (60, 2000))
-        told["bytes_growth_over_log"] = round(high / low / (math.log(2000) / math.log(60)), 3)
-    told["seconds"] = round(time.monotonic() - began, 1)
+        smallest, largest = (result["bytes_per_director_s_by_size"][count] for count in (60, 2000))
+        result["bytes_growth_over_log"] = round(
+            largest / smallest / (math.log(2000) / math.log(60)), 3
+        )
+    result["seconds"] = round(time.monotonic() - began, 1)
     if as_json:
-        return click.echo(json.dumps(told))
-    for key, value in told.items():
+        return click.echo(json.dumps(result))
+    for key, value in result.items():
         click.echo(f"{key:<30} {value}")
     return None
 
