--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -1,12 +1,17 @@
-"""What a fleet bears while most of it, or a location, is lost: `python -m benchmarks.loss --json`,
-one JSON object as the last line, under 8 minutes. `--version REV` plays each scenario by an earlier
-version of our own as well, right after, before the same stand-ins. Directors are real processes;
-the sweep of storms is played in the model, and the judgement of good caches drawn from its pure
-rule. A figure tells of directors before our stand-ins alone.
-
-The bound on what could be won during a kill is what the same clients would get if each request that
-reaches a living director within its goal were served: the directors that they try, the pause after
-a refused try and the front's notice are theirs and not a director's to change.
+"""Benchmark of what a fleet still serves while most directors, a location or a cache fail.
+
+`python -m benchmarks.loss --json` prints one JSON object as the last line, in under 8 minutes. With
+`--version REV`, each scenario is also played with an earlier version, right after the present one
+and in front of the same stand-ins.
+
+Directors are real processes. The sweep over faults of several durations is simulated, and the rate
+at which healthy caches are ejected is computed with random outcomes and the outlier detector alone.
+The figures hold for these stand-ins only.
+
+The bound on the credit during a kill is the credit that the same clients would earn if each request
+that reaches a living director within its latency objective were served. A director can change
+neither the directors that clients try, nor their pause after a rejected try, nor the time until
+clients notice that a director is dead.
 """
 
 import glob
@@ -36,8 +41,8 @@
 from .spread import scenario_head
 from .versions import ROOT, unpack
 
-CACHES = 8  # a location
-LOST = {
+CACHES = 8  # per location
+SCENARIOS = {  # duration in s, and faults
     "killed": (
         36,
         """
@@ -92,232 +97,290 @@
 """,
     ),
 }
-KILL_FROM, KILL_TO = 10.0, 24.5  # s: from the first kill to 5 s after the last return
-RULES = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-MEETINGS, ASKED = (
-    6,
-    3,
-)  # first attempts at the bad cache, requests in the cut, until a director can tell
-TAKES_MS = 150.0  # a hit and its ways: a try that begins later misses the goal
-GOOD_ERRS, GOOD_HOURS = 0.001, 2.0  # errors of a good cache; hours that are drawn
+KILL_FROM_S, KILL_TO_S = 10.0, 24.5  # from the first kill to 5 s after the last return
+# Figures that count violations
+VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
+# A director can only detect a fault if it has sent at least so many attempts to the bad cache, or
+# received at least so many requests during the partition
+MIN_ATTEMPTS, MIN_REQUESTS = 6, 3
+# Duration of a hit with network delays: a later try cannot meet the latency objective
+HIT_DURATION_MS = 150.0
+# Failure rate of a healthy cache, and the simulated hours for which outcomes are drawn
+HEALTHY_FAILURE_RATE, DRAWN_HOURS = 0.001, 2.0
 
 
-def credit(heard: Observations, goal: float, first: float, last: float) -> float:
-    return recovery.earned_fraction(heard, goal, first, last)
+def credit(observations: Observations, objective_ms: float, first_s: float, last_s: float) -> float:
+    """Return the weight earned by the requests of a span, as a fraction of their total weight."""
+    return recovery.earned_fraction(observations, objective_ms, first_s, last_s)
 
 
-def bound(scenario: FleetScenario, heard: Observations) -> float:
-    """Of the credit of requests asked during the kill, what one could win who serves all that reach
-    a living director in time.
+def credit_bound(scenario: FleetScenario, observations: Observations) -> float:
+    """Return the highest possible credit of the requests during the kill.
+
+    It is the credit if each request that reaches a living director in time is served.
     """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for at, _, what, begins, directors, *_ in heard.others["fault"]:
-        if what == "kill":
+    for at, _, kind, is_start, directors, *_ in observations.others["fault"]:
+        if kind == "kill":
             for director in directors:
-                if begins:
+                if is_start:
                     dead[director].append((at, float("inf")))
                 else:
                     dead[director][-1] = (dead[director][-1][0], at)
 
-    def gone(director: int, at: float, notice: float = 0.0) -> bool:
-        return any(first + notice <= at < last for first, last in dead.get(director, ()))
+    def is_dead(director: int, at: float, detection_s: float = 0.0) -> bool:
+        return any(first + detection_s <= at < last for first, last in dead.get(director, ()))
 
-    demands = {place: LocationLoad(scenario, place) for place in scenario.locations}
-    for demand in demands.values():
-        demand.random = random.Random(f"{scenario.seed}-bound")
-    asked = won = 0.0
-    for look in heard.requests:
-        if not KILL_FROM <= look[0] < KILL_TO:
+    loads = {location: LocationLoad(scenario, location) for location in scenario.locations}
+    for load in loads.values():
+        load.random = random.Random(f"{scenario.seed}-bound")
+    total = earned = 0.0
+    for request in observations.requests:
+        if not KILL_FROM_S <= request[0] < KILL_TO_S:
             continue
-        worth, now = PRIORITY_WEIGHTS[look[5]], look[0]
-        asked += worth
-        demand = demands[look[2]]
+        weight, now = PRIORITY_WEIGHTS[request[5]], request[0]
+        total += weight
+        load = loads[request[2]]
         for _ in range(scenario.max_tries):
-            away = {one for one in dead if gone(one, now, scenario.failure_detection_ms / 1000.0)}
-            director = demand.draw_director(away)
-            late = 1000.0 * (now - look[0]) + TAKES_MS > scenario.latency_objective_ms
-            if director is not None and not gone(director, now):
-                won += 0.1 * worth if late else worth
+            known_dead = {
+                killed
+                for killed in dead
+                if is_dead(killed, now, scenario.failure_detection_ms / 1000.0)
+            }
+            director = load.draw_director(known_dead)
+            is_late = 1000.0 * (now - request[0]) + HIT_DURATION_MS > scenario.latency_objective_ms
+            if director is not None and not is_dead(director, now):
+                earned += 0.1 * weight if is_late else weight
                 break
             now += DEFAULT_RETRY_DELAY / 1000.0
-    return won / asked if asked else 0.0
+    return earned / total if total else 0.0
+
 
+def mode_changes(folder: str, began: float) -> list[tuple[float, int, str]]:
+    """Return the changes of mode in the directors' logs: seconds since the start, director, text.
 
-def lines(folder: str, began: float) -> list[tuple[float, int, str]]:
-    """Changes of mode in the directors' logs: s since the start, director, text."""
-    found = []
+    Args:
+        folder: Folder of the logs.
+        began: Start of the play in Unix ms.
+    """
+    changes = []
     for path in glob.glob(os.path.join(folder, "n*.log")):
         number = int(os.path.basename(path)[1:-4])
         with open(path, "rb") as file:
             for line in file:
                 if b'"mode"' in line:
                     try:
-                        held = orjson.loads(line)
-                    except (
-                        orjson.JSONDecodeError
-                    ):  # of a director that was killed in the middle of it
-                        continue
-                    found.append((held["at"] - began / 1000.0, number, held["text"]))
-    return sorted(found)
-
-
-def killed(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
-    heard, goal = audit.observations, scenario.latency_objective_ms
-    calm = credit(heard, goal, scenario.warm_up_s, KILL_FROM)
-    during, most = credit(heard, goal, KILL_FROM, KILL_TO), bound(scenario, heard)
-    end = int(max(held[0] for held in audit.faults if held[2] == "kill" and not held[3])) + 1
-    back = next(
+                        event = orjson.loads(line)
+                    except orjson.JSONDecodeError:
+                        continue  # the director was killed while it wrote the line
+                    changes.append((event["at"] - began / 1000.0, number, event["text"]))
+    return sorted(changes)
+
+
+def kill_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
+    """Return the credit during the kill, its bound, and the time until the fleet recovered."""
+    observations, objective_ms = audit.observations, scenario.latency_objective_ms
+    calm = credit(observations, objective_ms, scenario.warm_up_s, KILL_FROM_S)
+    during, limit = (
+        credit(observations, objective_ms, KILL_FROM_S, KILL_TO_S),
+        credit_bound(scenario, observations),
+    )
+    end = int(max(fault[0] for fault in audit.faults if fault[2] == "kill" and not fault[3])) + 1
+    recovered_after_s = next(
         (
             second
-            for second in range(int(heard.seconds) - 1 - end)
-            if credit(heard, goal, end + second, end + second + 2) >= 0.95 * calm
+            for second in range(int(observations.seconds) - 1 - end)
+            if credit(observations, objective_ms, end + second, end + second + 2) >= 0.95 * calm
         ),
         None,
     )
-    rejected = heard.others["rejected"]
+    rejections = observations.others["rejected"]
     return {
         "credit_during_kill": round(during, 4),
-        "bound_during_kill": round(most, 4),
-        "credit_during_kill_over_bound": round(during / most, 4),
-        "recovered_s": back,
-        "rejected_without_pause": sum(held[2] <= 0.0 for held in rejected),
-        "rejected": len(rejected),
+        "bound_during_kill": round(limit, 4),
+        "credit_during_kill_over_bound": round(during / limit, 4),
+        "recovered_s": recovered_after_s,
+        "rejected_without_pause": sum(rejection[2] <= 0.0 for rejection in rejections),
+        "rejected": len(rejections),
     }
 
 
-def unreached(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
-    """Which directors of the location judged the cut as a cut, by what they did: they sent first
-    attempts of requests straight to a parent while it lasted; and which of them came back at which
-    second.
+def partition_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
+    """Return how many directors of the partitioned location detected the partition, and the credit.
+
+    A director has detected it if it sent attempts of requests directly to a parent during the
+    partition. The time until it used the caches again is also measured.
     """
-    first, last = (held[0] for held in audit.faults if held[1] == "unreached")
-    cut = set(next(held[4] for held in audit.faults if held[1] == "unreached"))
-    asked: dict[int, int] = defaultdict(int)
-    for look in audit.observations.requests:
-        if first < look[0] < last - 2.0 and look[5] == "pages":
-            asked[look[4]] += 1
-    passed, back = set(), {}
+    first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
+    partitioned = set(next(fault[4] for fault in audit.faults if fault[1] == "unreached"))
+    request_counts: dict[int, int] = defaultdict(int)
+    for request in audit.observations.requests:
+        if first < request[0] < last - 2.0 and request[5] == "pages":
+            request_counts[request[4]] += 1
+    detected, returned_after = set(), {}
     for attempt in audit.observations.attempts:
-        if attempt[1] in cut and attempt[3] == "pages":
+        if attempt[1] in partitioned and attempt[3] == "pages":
             if first < attempt[0] < last and audit.sites[attempt[2]].kind == PARENT:
-                passed.add(attempt[1])
+                detected.add(attempt[1])
             elif attempt[0] > last and attempt[2] in audit.caches:
-                back.setdefault(attempt[1], attempt[0] - last)
-    able = [one for one in cut if asked[one] >= ASKED]
-    goal = scenario.latency_objective_ms
+                returned_after.setdefault(attempt[1], attempt[0] - last)
+    counted = [director for director in partitioned if request_counts[director] >= MIN_REQUESTS]
+    objective_ms = scenario.latency_objective_ms
     return {
-        "zone_cut_judged_as_cut": round(sum(one in passed for one in able) / max(1, len(able)), 4),
-        "zone_cut_directors": len(able),
-        "zone_back_s_p50": round(percentile(back.values(), 0.5), 2),
-        "zone_back_s_p99": round(percentile(back.values(), 0.99), 2),
-        "credit_during_cut": round(credit(audit.observations, goal, first, last), 4),
+        "zone_cut_judged_as_cut": round(
+            sum(director in detected for director in counted) / max(1, len(counted)), 4
+        ),
+        "zone_cut_directors": len(counted),
+        "zone_back_s_p50": round(percentile(returned_after.values(), 0.5), 2),
+        "zone_back_s_p99": round(percentile(returned_after.values(), 0.99), 2),
+        "credit_during_cut": round(credit(audit.observations, objective_ms, first, last), 4),
     }
 
 
-def bad(
-    scenario: FleetScenario, audit: Audit, told: list[tuple[float, int, str]]
+def bad_cache_figures(
+    scenario: FleetScenario, audit: Audit, changes: list[tuple[float, int, str]]
 ) -> dict[str, Any]:
-    """When each director that met a bad cache often enough shunned it, by its log, and took it
-    back.
+    """Return when directors ejected the bad caches and reinstated them, by their logs.
+
+    A pair of a director and a bad cache is counted if the director sent the cache enough attempts,
+    or ejected it.
     """
-    fault = next(held for held in audit.faults if held[1] == "bad" and held[3])
+    fault = next(event for event in audit.faults if event[1] == "bad" and event[3])
     first = fault[0]
-    last = next(held[0] for held in audit.faults if held[1] == "bad" and not held[3])
+    last = next(event[0] for event in audit.faults if event[1] == "bad" and not event[3])
+    # By the hash key, which names a cache in the logs
     names = {name.rpartition("-")[2].lstrip("0"): name for name in fault[5]}
-    met: dict[tuple[int, str], int] = defaultdict(int)
+    attempt_counts: dict[tuple[int, str], int] = defaultdict(int)
     for attempt in audit.observations.attempts:
         if first <= attempt[0] < last and attempt[2] in fault[5]:
-            met[attempt[1], attempt[2]] += 1
-    found, returned = {}, {}
-    for at, director, text in told:
-        key, _, word = text.partition(" ")
+            attempt_counts[attempt[1], attempt[2]] += 1
+    ejected_after, reinstated_after = {}, {}
+    for at, director, text in changes:
+        key, _, change = text.partition(" ")
         if (name := names.get(key)) is None:
             continue
-        if first <= at < last and word.startswith("ejected"):
-            found.setdefault((director, name), at - first)
-        elif at >= last and word.startswith("reinstated") and (director, name) in found:
-            returned.setdefault((director, name), at - last)
-    able = {spot for spot, count in met.items() if count >= MEETINGS} | set(found)
-    wrong = sum(
+        if first <= at < last and change.startswith("ejected"):
+            ejected_after.setdefault((director, name), at - first)
+        elif at >= last and change.startswith("reinstated") and (director, name) in ejected_after:
+            reinstated_after.setdefault((director, name), at - last)
+    counted = {pair for pair, count in attempt_counts.items() if count >= MIN_ATTEMPTS} | set(
+        ejected_after
+    )
+    false_ejections = sum(
         first <= at < last and "ejected (error)" in text and text.split()[0] not in names
-        for at, _, text in told
+        for at, _, text in changes
     )
-    goal = scenario.latency_objective_ms
+    objective_ms = scenario.latency_objective_ms
     return {
-        "bad_cache_found_s_p50": round(percentile(found.values(), 0.5), 2),
-        "bad_cache_found_s_p99": round(percentile(found.values(), 0.99), 2),
-        "bad_cache_missed": len(able - set(found)),
-        "bad_cache_pairs": len(able),
-        "bad_cache_taken_back": len(returned),
-        "good_shunned_for_errors_beside_it": wrong,
-        "credit_during_bad": round(credit(audit.observations, goal, first, last), 4),
-        "credit_during_slow": round(credit(audit.observations, goal, 28.0, 36.0), 4),
+        "bad_cache_found_s_p50": round(percentile(ejected_after.values(), 0.5), 2),
+        "bad_cache_found_s_p99": round(percentile(ejected_after.values(), 0.99), 2),
+        "bad_cache_missed": len(counted - set(ejected_after)),
+        "bad_cache_pairs": len(counted),
+        "bad_cache_taken_back": len(reinstated_after),
+        "good_shunned_for_errors_beside_it": false_ejections,
+        "credit_during_bad": round(credit(audit.observations, objective_ms, first, last), 4),
+        "credit_during_slow": round(credit(audit.observations, objective_ms, 28.0, 36.0), 4),
     }
 
 
 def play(name: str, directors: int, rate: float, seed: int, program: str) -> dict[str, Any]:
-    seconds, faults = LOST[name]
+    """Play a scenario with real directors, and return its figures.
+
+    Args:
+        name: Key of `SCENARIOS`.
+        directors: Number of directors.
+        rate: Requests per second of all clients.
+        seed: Seed of the scenario.
+        program: Folder that holds the package that the directors run.
+    """
+    seconds, faults = SCENARIOS[name]
     text = scenario_head(name, directors, rate, seed, seconds, CACHES) + faults
     scenario = parse_fleet_scenario(text)
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-loss-") as folder:
         FleetLab(scenario, text, folder, program).run()
         audit = Audit(scenario, read_observations(folder))
-        told = lines(folder, audit.observations.started_at)
+        changes = mode_changes(folder, audit.observations.started_at)
     figures = audit.figures()
-    found = {rule: figures[rule] for rule in RULES} | {"credit": figures["credit"]}
+    result = {violation: figures[violation] for violation in VIOLATIONS} | {
+        "credit": figures["credit"]
+    }
     if name == "killed":
-        return found | killed(scenario, audit)
-    return found | (
-        unreached(scenario, audit) if name == "unreached" else bad(scenario, audit, told)
+        return result | kill_figures(scenario, audit)
+    return result | (
+        partition_figures(scenario, audit)
+        if name == "unreached"
+        else bad_cache_figures(scenario, audit, changes)
     )
 
 
-def good_shunned(directors: int, caches: int, rate: float, seed: int) -> float:
-    """Times an hour that a good cache, failing once in a thousand, is shunned somewhere in such a
-    fleet where each director meets each cache `rate` times a second.
+def healthy_ejections_per_hour(directors: int, caches: int, rate: float, seed: int) -> float:
+    """Return how often per hour any director of a fleet ejects a healthy cache.
+
+    The outcomes of the attempts are drawn with `HEALTHY_FAILURE_RATE`. Each director sends each
+    cache `rate` attempts per second.
     """
-    draw, shunned = random.Random(f"{seed}-good"), 0
+    draw, ejections = random.Random(f"{seed}-good"), 0
     for _ in range(directors * caches):
-        health, now, was = OutlierDetector(), 0.0, False
-        # Only what lies near an error can shun it, so the long spans of good outcomes are passed
-        # over
-        while now < GOOD_HOURS * 3_600_000.0:
-            now += 1000.0 * draw.expovariate(rate * GOOD_ERRS)
-            for errs in (*[False] * 15, True, *(draw.random() < GOOD_ERRS for _ in range(60))):
-                health.record(now, float(errs))
-                shunned, was = shunned + (health.is_outlier() and not was), health.is_outlier()
+        detector, now, was_outlier = OutlierDetector(), 0.0, False
+        # Only outcomes near a failure can lead to an ejection. Longer spans of successes are
+        # therefore skipped.
+        while now < DRAWN_HOURS * 3_600_000.0:
+            now += 1000.0 * draw.expovariate(rate * HEALTHY_FAILURE_RATE)
+            for failed in (
+                *[False] * 15,
+                True,
+                *(draw.random() < HEALTHY_FAILURE_RATE for _ in range(60)),
+            ):
+                detector.record(now, float(failed))
+                ejections, was_outlier = (
+                    ejections + (detector.is_outlier() and not was_outlier),
+                    detector.is_outlier(),
+                )
                 now += 1000.0 * draw.expovariate(rate)
-    return shunned / GOOD_HOURS
+    return ejections / DRAWN_HOURS
 
 
-def sweep(directors: int, seed: int, jobs: int) -> dict[str, Any]:
+def simulate_faults(directors: int, seed: int, jobs: int) -> dict[str, Any]:
+    """Simulate all faults of the recovery benchmark, and return the longest recovery time."""
     cases = [
         (name, length, directors, 230.0, seed) for name in recovery.FAULTS for length in (2, 8, 20)
     ]
     with ProcessPoolExecutor(jobs) as pool:
         plays = list(pool.map(recovery.play, *zip(*cases, strict=True)))
-    back = [found["back_s"] for found in plays if found["back_s"] is not None]
+    recovery_times = [figures["back_s"] for figures in plays if figures["back_s"] is not None]
     return {
-        "storm_recovered_s_max": max(back, default=None),
+        "storm_recovered_s_max": max(recovery_times, default=None),
         "storms": len(plays),
         "storms_never_over": [
-            f"{found['trouble']} {found['length']} s" for found in plays if found["back_s"] is None
+            f"{figures['trouble']} {figures['length']} s"
+            for figures in plays
+            if figures["back_s"] is None
         ],
     }
 
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-@click.option("--version", help="An earlier version of our own, played in turn.")
+@click.option("--version", help="Git revision of an earlier version to compare with.")
 @click.option("--directors", type=click.IntRange(10, 400), default=200, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0), default=600.0, help="Requests a second.")
+@click.option("--rate", type=click.FloatRange(1.0), default=600.0, help="Requests per second.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--scenario", "names", multiple=True, type=click.Choice(list(LOST)), help="These alone."
+    "--scenario",
+    "names",
+    multiple=True,
+    type=click.Choice(list(SCENARIOS)),
+    help="Scenarios to play; may be repeated. Default: all.",
 )
-@click.option("--sweep/--no-sweep", "with_sweep", default=True, help="Storms in the model.")
 @click.option(
-    "--jobs", type=click.IntRange(1, 64), default=6, show_default=True, help="For the sweep."
+    "--sweep/--no-sweep", "with_sweep", default=True, help="Simulate faults of several durations."
+)
+@click.option(
+    "--jobs",
+    type=click.IntRange(1, 64),
+    default=6,
+    show_default=True,
+    help="Number of processes of the sweep.",
 )
 def main(
     as_json: bool,
@@ -329,30 +392,30 @@
     with_sweep: bool,
     jobs: int,
 ) -> None:
-    """Play the loss of most directors, of a location, and a bad cache."""
+    """Play failures of directors, of a location and of caches, and print what was served."""
     began = time.monotonic()
-    told: dict[str, Any] = {"directors": directors, "rate": rate}
+    result: dict[str, Any] = {"directors": directors, "rate": rate}
     before: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-before-") as folder:
         program = unpack(version, folder) if version else None
         totals: dict[str, int] = defaultdict(int)
-        for name in names or LOST:
-            found = play(name, directors, rate, seed, ROOT)
-            for rule in RULES:
-                totals[rule] += found.pop(rule)
-            told |= found | {f"credit_{name}": found.pop("credit")}
+        for name in names or SCENARIOS:
+            figures = play(name, directors, rate, seed, ROOT)
+            for violation in VIOLATIONS:
+                totals[violation] += figures.pop(violation)
+            result |= figures | {f"credit_{name}": figures.pop("credit")}
             if program:
                 before |= {
-                    f"{key}_{name}" if key in (*RULES, "credit") else key: value
+                    f"{key}_{name}" if key in (*VIOLATIONS, "credit") else key: value
                     for key, value in play(name, directors, rate, seed, program).items()
                 }
-            click.echo(f"{name}: {found}", err=True)
-    told.pop("credit", None)
-    told |= dict(totals)
+            click.echo(f"{name}: {figures}", err=True)
+    result.pop("credit", None)
+    result |= dict(totals)
     if before:
-        told["before"] = before
-        told |= {
-            f"{key}_vs_before": round(told[key] / before[key], 4)
+        result["before"] = before
+        result |= {
+            f"{key}_vs_before": round(result[key] / before[key], 4)
             for key in (
                 "credit_during_kill",
                 "credit_during_cut",
@@ -361,14 +424,16 @@
             )
             if before.get(key)
         }
-    met = rate / directors / CACHES
-    told["good_cache_shunned_per_hour"] = good_shunned(directors, CACHES, met, seed)
+    attempt_rate = rate / directors / CACHES
+    result["good_cache_shunned_per_hour"] = healthy_ejections_per_hour(
+        directors, CACHES, attempt_rate, seed
+    )
     if with_sweep:
-        told |= sweep(directors, seed, jobs)
-    told["seconds"] = round(time.monotonic() - began, 1)
+        result |= simulate_faults(directors, seed, jobs)
+    result["seconds"] = round(time.monotonic() - began, 1)
     if as_json:
-        return click.echo(json.dumps(told))
-    for key, value in told.items():
+        return click.echo(json.dumps(result))
+    for key, value in result.items():
         click.echo(f"{key:<34} {value}")
     return None
 
