--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,8 +1,7 @@
-"""What cells cost and bring: `python -m benchmarks.cells --json`, one JSON object as the last line,
-under 3 minutes.
+"""Benchmark of what cells cost, and of how well they isolate tenants from each other.
 
-All nodes and clients are stand-ins of ours on this machine; a figure tells of directors before
-these alone.
+`python -m benchmarks.cells --json` prints one JSON object as the last line, in under 3 minutes. All
+nodes and clients are stand-ins on this machine, and the figures hold for these stand-ins only.
 """
 
 import json
@@ -25,10 +24,10 @@
 
 from .versions import ROOT, unpack
 
-BEFORE = "b88d23d"  # the version without cells
-TURNS, REQUESTS = 60, 100
+BASELINE_VERSION = "b88d23d"  # a version without cells
+ROUNDS, REQUESTS_PER_ROUND = 60, 100  # of a comparison of CPU time
 
-FLOOD = """
+FLOOD_SCENARIO = """
 [lab]
 seconds = 9
 directors = 2
@@ -72,7 +71,7 @@
 objects = 60
 """
 
-MOVE = """
+MIGRATION_SCENARIO = """
 [lab]
 seconds = {seconds}
 directors = 2
@@ -111,43 +110,73 @@
 """
 
 
-def flood(cells: bool, burst: float) -> dict:
-    lab = Lab(parse_scenario(FLOOD.format(cells="yes" if cells else "no", burst=burst)))
-    found = lab.run()
-    others = [one for one in lab.load_generators if one.load.tenant in ("gamma", "delta")]
+def play_flood(cells: bool, burst: float) -> dict:
+    """Play a scenario in which one tenant sends a burst, and return its figures.
+
+    Args:
+        cells: Whether the directors use cells.
+        burst: Requests per second of the tenant during the burst.
+
+    Returns:
+        The figures of the lab, and two about the tenants of the other cell: `others_share` is the
+        fraction of their requests that were served, and `others_p99` the 99th percentile of the
+        latency in ms.
+    """
+    lab = Lab(parse_scenario(FLOOD_SCENARIO.format(cells="yes" if cells else "no", burst=burst)))
+    figures = lab.run()
+    others = [
+        generator
+        for generator in lab.load_generators
+        if generator.load.tenant in ("gamma", "delta")
+    ]
     asked = served = 0
     delays = []
-    for one in others:
-        asked += sum(3.0 <= at < 8.5 for at in one.result.asked_at)
-        served += sum(3.0 <= at < 8.5 for at in one.result.served_at)
-        delays += [delay for at, delay in one.result.delays if 3.0 <= at < 8.5]
+    for generator in others:
+        asked += sum(3.0 <= at < 8.5 for at in generator.result.asked_at)
+        served += sum(3.0 <= at < 8.5 for at in generator.result.served_at)
+        delays += [delay for at, delay in generator.result.delays if 3.0 <= at < 8.5]
     delays.sort()
-    return found | {"others_share": served / asked, "others_p99": delays[int(0.99 * len(delays))]}
+    return figures | {"others_share": served / asked, "others_p99": delays[int(0.99 * len(delays))]}
 
 
-def move(what: str, seconds: float, spans: str, begins: float) -> dict:
-    """Figures from `begins` s on: the peak on the receiving caches, and fetches at the origin."""
-    lab, held = Lab(parse_scenario(MOVE.format(what=what, seconds=seconds, spans=spans))), {}
+def play_migration(kind: str, seconds: float, spans: str, begins: float) -> dict:
+    """Play a scenario in which a tenant is migrated, and return its figures.
 
-    def live(lab: Lab, since: float) -> None:
-        if since >= begins and not held:
+    Args:
+        kind: `move` for a gradual migration, `cut` for an immediate one.
+        seconds: Duration of the scenario.
+        spans: Settings of the stages of the migration.
+        begins: Time in s from which the peak load of the receiving caches and the fetches from the
+            origin are counted.
+    """
+    lab, before = (
+        Lab(parse_scenario(MIGRATION_SCENARIO.format(what=kind, seconds=seconds, spans=spans))),
+        {},
+    )
+
+    def reset_counts(lab: Lab, since: float) -> None:
+        if since >= begins and not before:
             for name in ("s-3", "s-4"):
                 lab.fleet.nodes[name].peak_load = 0.0
-            held["origin"] = lab.fleet.origin_fetches
+            before["origin"] = lab.fleet.origin_fetches
 
-    found = lab.run(live)
-    return found | {
+    figures = lab.run(reset_counts)
+    return figures | {
         "cold_peak": max(lab.fleet.nodes[name].peak_load for name in ("s-3", "s-4")),
-        "origin": lab.fleet.origin_fetches - held["origin"],
+        "origin": lab.fleet.origin_fetches - before["origin"],
     }
 
 
-class Driven:
-    """One version, or one way, of a director as a process that plays requests when it
-    is told to.
-    """
+class DirectorProcess:
+    """A director of one version in a process of its own, which plays requests on command."""
 
     def __init__(self, folder: str, cells: str = "") -> None:
+        """Start the process.
+
+        Args:
+            folder: Folder that holds the package of the version.
+            cells: Path of a cells configuration; empty: the director has no cells.
+        """
         script = os.path.join(ROOT, "benchmarks", "drive.py")
         self.process = subprocess.Popen(
             [sys.executable, script, folder, cells],
@@ -157,42 +186,66 @@
         )
 
     def play(self, requests: int) -> float:
+        """Play a number of requests, and return the CPU seconds that they took."""
         self.process.stdin.write(f"{requests}\n")
         self.process.stdin.flush()
         return float(self.process.stdout.readline())
 
-    def end(self) -> None:
+    def stop(self) -> None:
+        """End the process."""
         self.process.stdin.close()
         self.process.wait(10.0)
         self.process.stdout.close()
 
 
-def paired(one: tuple[str, str], other: tuple[str, str]) -> tuple[float, float]:
-    """CPU a request of the first over the second, and the first's in microseconds: two processes
-    that play in turn, a few requests at a time, so that what slows this machine slows both. The
-    median over the turns.
+def compare_cpu(first: tuple[str, str], second: tuple[str, str]) -> tuple[float, float]:
+    """Compare the CPU time of a request in two directors, and return the medians of all rounds.
+
+    The two processes play a few requests each in turn, so that other work on this machine slows
+    both of them equally.
+
+    Args:
+        first: Folder of the package and path of the cells configuration.
+        second: The same of the second director.
+
+    Returns:
+        The CPU time of the first director over that of the second, and the CPU time of a request
+        in the first director in microseconds.
     """
-    both = [Driven(*one), Driven(*other)]
-    for driven in both:
-        driven.play(500)
-    found = [[driven.play(REQUESTS) for driven in both] for _ in range(TURNS)]
-    for driven in both:
-        driven.end()
-    return statistics.median(a / b for a, b in found), statistics.median(
-        1e6 * a / REQUESTS for a, _ in found
+    both = [DirectorProcess(*first), DirectorProcess(*second)]
+    for director in both:
+        director.play(500)
+    rounds = [[director.play(REQUESTS_PER_ROUND) for director in both] for _ in range(ROUNDS)]
+    for director in both:
+        director.stop()
+    return statistics.median(a / b for a, b in rounds), statistics.median(
+        1e6 * a / REQUESTS_PER_ROUND for a, _ in rounds
     )
 
 
-def before(folder: str) -> str | None:
-    """The package as it was before cells; None where the history is not at hand."""
+def unpack_baseline(folder: str) -> str | None:
+    """Extract the version without cells, and return its folder; None if there is no history."""
     try:
-        return unpack(BEFORE, folder)
+        return unpack(BASELINE_VERSION, folder)
     except (OSError, subprocess.CalledProcessError):
         return None
 
 
-def costs(folder: str) -> dict:
-    scenario = parse_scenario(FLOOD.format(cells="yes", burst=25))
+def measure_cpu(folder: str) -> dict:
+    """Compare the CPU time of a request with cells, without cells, and when it is rejected.
+
+    Args:
+        folder: Empty folder for the configurations and the version without cells.
+
+    Returns:
+        `off_cpu_ratio`: The present version with cells disabled over the version without cells;
+            None if that version is not available.
+        `on_cpu_ratio`: Cells enabled over cells disabled.
+        `rejection_cost_ratio`: A rejected request over a served one.
+        `on_us_a_request`, `rejection_us`: CPU time in microseconds of a served and of a rejected
+            request.
+    """
+    scenario = parse_scenario(FLOOD_SCENARIO.format(cells="yes", burst=25))
     files = {}
     for name, limits in (("on", Limits()), ("closed", Limits(rate=1e-6, burst=1.0))):
         tenants = scenario.assignment.tenants | {
@@ -213,64 +266,70 @@
         files[name] = os.path.join(folder, f"{name}.ini")
         with open(files[name], "w", encoding="utf-8") as file:
             file.write(f"[cells]\nenabled = yes\nassignment = {name}-assignment.ini\n")
-    older = before(os.path.join(folder, "before"))
-    off = paired((ROOT, ""), (older, "")) if older else None
-    on, closed = (
-        paired((ROOT, files["on"]), (ROOT, "")),
-        paired((ROOT, files["closed"]), (ROOT, files["on"])),
+    baseline = unpack_baseline(os.path.join(folder, "before"))
+    off = compare_cpu((ROOT, ""), (baseline, "")) if baseline else None
+    on, rejected = (
+        compare_cpu((ROOT, files["on"]), (ROOT, "")),
+        compare_cpu((ROOT, files["closed"]), (ROOT, files["on"])),
     )
     return {
         "off_cpu_ratio": round(off[0], 4) if off else None,
         "on_cpu_ratio": round(on[0], 4),
-        "rejection_cost_ratio": round(closed[0], 4),
+        "rejection_cost_ratio": round(rejected[0], 4),
         "on_us_a_request": round(on[1], 1),
-        "rejection_us": round(closed[1], 1),
+        "rejection_us": round(rejected[1], 1),
     }
 
 
-def assignment() -> dict:
-    items, bins = (
+def measure_assignment() -> dict:
+    """Measure the assignment of 100,000 tenants to 100 cells.
+
+    Returns:
+        The fraction of the tenants that move when a cell is removed, and the duration of the
+        first assignment.
+    """
+    tenants, cells = (
         {f"tenant-{number}": 1.0 for number in range(100_000)},
         {f"c{n}": 1.0 for n in range(100)},
     )
-    begun = time.perf_counter()
-    first = assign_with_load_bound(items, bins, 1.25)
-    took = time.perf_counter() - begun
-    del bins["c17"]
-    second = assign_with_load_bound(items, bins, 1.25)
+    began = time.perf_counter()
+    before = assign_with_load_bound(tenants, cells, 1.25)
+    duration_s = time.perf_counter() - began
+    del cells["c17"]
+    after = assign_with_load_bound(tenants, cells, 1.25)
     return {
         "assign_100k_tenants_moved_share": round(
-            sum(first[name] != cell for name, cell in second.items()) / len(items), 5
+            sum(before[name] != cell for name, cell in after.items()) / len(tenants), 5
         ),
-        "assign_100k_s": round(took, 2),
+        "assign_100k_s": round(duration_s, 2),
     }
 
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option(
-    "--only", type=click.Choice(["flood", "move", "costs", "assignment"]), help="One part alone."
+    "--only", type=click.Choice(["flood", "move", "costs", "assignment"]), help="Run one part only."
 )
 def main(as_json: bool, only: str | None) -> None:
-    """What cells cost and bring, on this machine."""
-    found, runs = {}, []
+    """Measure what cells cost, and how well they isolate tenants, on this machine."""
+    result, runs = {}, []
 
-    def say(text: str) -> None:
+    def report_progress(text: str) -> None:
         click.echo(text, err=True)
 
     if only in (None, "assignment"):
-        say("100,000 tenants over 100 cells")
-        found |= assignment()
+        report_progress("assigning 100,000 tenants to 100 cells")
+        result |= measure_assignment()
     if only in (None, "costs"):
-        say("CPU a request, in pairs")
+        report_progress("comparing the CPU time of requests")
         with tempfile.TemporaryDirectory() as folder:
-            found |= costs(folder)
+            result |= measure_cpu(folder)
     if only in (None, "flood"):
-        say("a flood, with and without cells")
-        calm, flooded = flood(True, 25), flood(True, 500)
-        calm_off, flooded_off = flood(False, 25), flood(False, 500)
+        report_progress("playing a burst of one tenant, with and without cells")
+        calm, flooded = play_flood(True, 25), play_flood(True, 500)
+        calm_off, flooded_off = play_flood(False, 25), play_flood(False, 500)
         runs += [calm, flooded]
-        found |= {
+        result |= {
             "flood_others_ratio": round(flooded["others_share"] / calm["others_share"], 4),
             "flood_others_ratio_off": round(
                 flooded_off["others_share"] / calm_off["others_share"], 4
@@ -282,24 +341,27 @@
             ),
         }
     if only in (None, "move"):
-        say("a move, and a cut-over at once")
+        report_progress("playing a gradual and an immediate migration")
         demand = migrations.MigrationDemand(
             rate=80.0, load=20.0, capacity=300.0, fill_cost=4.0, hit_ratio=0.97, object_count=500.0
         )
-        shift = round(migrations.min_shift_duration(demand))
-        spans = f"warm_ms = 2000\nshift_ms = {shift}\ndrain_ms = 2000"
-        seconds = 8 + 1 + 2 + shift / 1000.0 + 3
-        moved, cut = move("move", seconds, spans, 8.0), move("cut", seconds, "", 8.0)
-        runs += [moved, cut]
-        found |= {
-            "move_cold_peak": round(moved["cold_peak"], 3),
-            "move_cut_cold_peak": round(cut["cold_peak"], 3),
-            "move_origin_fetches_ratio": round(moved["origin"] / max(1, cut["origin"]), 3),
-            "move_origin_fetches": [moved["origin"], cut["origin"]],
-            "move_shift_ms": shift,
+        shift_ms = round(migrations.min_shift_duration(demand))
+        spans = f"warm_ms = 2000\nshift_ms = {shift_ms}\ndrain_ms = 2000"
+        seconds = 8 + 1 + 2 + shift_ms / 1000.0 + 3
+        gradual, immediate = (
+            play_migration("move", seconds, spans, 8.0),
+            play_migration("cut", seconds, "", 8.0),
+        )
+        runs += [gradual, immediate]
+        result |= {
+            "move_cold_peak": round(gradual["cold_peak"], 3),
+            "move_cut_cold_peak": round(immediate["cold_peak"], 3),
+            "move_origin_fetches_ratio": round(gradual["origin"] / max(1, immediate["origin"]), 3),
+            "move_origin_fetches": [gradual["origin"], immediate["origin"]],
+            "move_shift_ms": shift_ms,
         }
     if runs:
-        found |= {
+        result |= {
             "orders_run_twice": sum(run["orders_run_twice"] for run in runs),
             "orders_run": sum(run["orders_run"] for run in runs),
             "requests_lost": sum(
@@ -311,9 +373,9 @@
             ],
         }
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(result))
     else:
-        for name, value in found.items():
+        for name, value in result.items():
             click.echo(f"{name:<36} {value}")
 
 
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -103,7 +103,8 @@
 # A director can only detect a fault if it has sent at least so many attempts to the bad cache, or
 # received at least so many requests during the partition
 MIN_ATTEMPTS, MIN_REQUESTS = 6, 3
-# Duration of a hit with network delays: a later try cannot meet the latency objective
+# Duration of a hit with network delays. A try that starts less than this before the end of the
+# latency objective is served late.
 HIT_DURATION_MS = 150.0
 # Failure rate of a healthy cache, and the simulated hours for which outcomes are drawn
 HEALTHY_FAILURE_RATE, DRAWN_HOURS = 0.001, 2.0
