--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -162,8 +162,8 @@
 
         cells_config = load_cells_config(cells)
     director: Any = Director(config, cast(Any, NullLog()), cells_config)
-    for offset, event in enumerate(config.known_events, 1):
-        director.event_stream.apply(offset, event)
+    for line_number, event in enumerate(config.known_events, 1):
+        director.event_stream.apply(line_number, event)
     if cells:
         director.cell_service._step()
     return DirectorParts(
@@ -189,8 +189,8 @@
     config = module("configuration").decode(json.dumps(configuration()))
     own = module("cells.own").load_own(cells) if cells else None
     director = module("net.service").Service(config, NullLog(), own)
-    for offset, event in enumerate(config.events, 1):
-        director.bus.apply(offset, event)
+    for line_number, event in enumerate(config.events, 1):
+        director.bus.apply(line_number, event)
     if cells:
         director.warden._step()
     return DirectorParts(
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,7 +1,7 @@
-"""What management brings and costs: `python -m benchmarks.management --json`, one JSON object as
-the last line.
+"""Benchmark of the management interface: drains, rejected and interrupted commits, and its cost.
 
-Directors are real processes on loopback; nodes and clients are stand-ins of ours.
+`python -m benchmarks.management --json` prints one JSON object as the last line. Directors are real
+processes on the loopback interface; nodes and clients are stand-ins.
 """
 
 import json
@@ -42,13 +42,14 @@
 objects = 400
 connections = 6
 """
-DRAIN = "/fleet/drains/drain"
-REFUSALS = [
+DRAIN_PATH = "/fleet/drains/drain"
+# Paths and values that a director must reject
+INVALID_UPDATES = [
     ("/fleet/none", 1),
     ("/fleet/boxes", {}),
-    (f"{DRAIN}[box=s 1]", {}),
-    (f"{DRAIN}[box=s-1]/scope", "never"),
-    (f"{DRAIN}[box=s-1]/forced", "maybe"),
+    (f"{DRAIN_PATH}[box=s 1]", {}),
+    (f"{DRAIN_PATH}[box=s-1]/scope", "never"),
+    (f"{DRAIN_PATH}[box=s-1]/forced", "maybe"),
     ("/fleet/drains", 3),
     ("/fleet", {"x": 1}),
     ("/fleet/datastore/version", "3"),
@@ -70,53 +71,77 @@
 ]
 
 
-def targets(lab: Lab) -> list[GnmiTarget]:
+def gnmi_targets(lab: Lab) -> list[GnmiTarget]:
+    """Return a connection to the management interface of each director."""
     return [GnmiTarget(director.gnmi_address, ConnectionOptions()) for director in lab.directors]
 
 
-def drains(count: int = 50, directors: int = 3) -> dict:
-    """From a Set's arrival at a director to the last attempt or fill source that this director
-    named the box for.
+def measure_drains(count: int = 50, directors: int = 3) -> dict:
+    """Drain random caches, and return how long directors still use a cache after the Set call.
+
+    The time ends when a node receives the last attempt whose destination or fill source is the
+    drained cache.
+
+    Args:
+        count: Number of drains.
+        directors: Number of directors.
     """
-    lab, took, lost = (
+    lab, durations_ms, lost = (
         Lab(parse_scenario(SCENARIO.format(seconds=max(8, count // 2 + 3), directors=directors))),
         [],
         [],
     )
 
-    def work(held: Lab) -> None:
-        def run() -> None:
-            chance, at = random.Random(3), targets(held)
+    def start_drains(running_lab: Lab) -> None:
+        def drain_caches() -> None:
+            draw, targets = random.Random(3), gnmi_targets(running_lab)
             time.sleep(1.0)
             for _ in range(count):
-                box = chance.choice([name for name in held.fleet.nodes if name.startswith("s-")])
-                path = parse_path(f"{DRAIN}[box={box}]")
-                sent = now_ms()
-                for target in at:
+                box = draw.choice(
+                    [name for name in running_lab.fleet.nodes if name.startswith("s-")]
+                )
+                path = parse_path(f"{DRAIN_PATH}[box={box}]")
+                sent_at = now_ms()
+                for target in targets:
                     target.set(updates=[(path, {})])
                 time.sleep(0.3)
-                took.append(max(0.0, held.fleet.nodes[box].last_referenced_at - sent))
-                for target in at:
+                durations_ms.append(
+                    max(0.0, running_lab.fleet.nodes[box].last_referenced_at - sent_at)
+                )
+                for target in targets:
                     target.set(deletes=[path])
                 time.sleep(0.05)
 
-        held.thread = threading.Thread(target=run)
-        held.thread.start()
+        running_lab.thread = threading.Thread(target=drain_caches)
+        running_lab.thread.start()
 
-    found = lab.run(on_load_started=work)
+    figures = lab.run(on_load_started=start_drains)
     lab.thread.join(5.0)
-    lost.append(found["total"]["no_answer"] + found["total"]["cut_off"])
+    lost.append(figures["total"]["no_answer"] + figures["total"]["cut_off"])
     return {
-        "drain_ms_max": round(max(took), 1),
-        "drain_ms_median": round(statistics.median(took), 1),
-        "drains": len(took),
+        "drain_ms_max": round(max(durations_ms), 1),
+        "drain_ms_median": round(statistics.median(durations_ms), 1),
+        "drains": len(durations_ms),
         "drain_requests_lost": lost[0],
     }
 
 
-def refusals(count: int = 200) -> dict:
-    """What 200 refused changes leave behind, in what runs, in state, in files and in the log."""
-    lab, told = (
+def measure_rejections(count: int = 200) -> dict:
+    """Send invalid Set calls, and return how many were rejected and what they changed.
+
+    Each call also contains a valid update, which must not be applied either. Afterwards, the rate
+    of valid Set calls is measured.
+
+    Args:
+        count: Number of invalid calls.
+
+    Returns:
+        `refused`: Number of rejected calls.
+        `refused_traces`: How many of five things the calls changed: the configuration, the state,
+            the datastore's file, the assignment file and the number of log lines.
+        `set_per_s`: Valid Set calls per second.
+    """
+    lab, result = (
         Lab(
             parse_scenario(
                 SCENARIO.format(seconds=6, directors=1).replace("rate = 150", "rate = 5")
@@ -125,44 +150,64 @@
         {},
     )
 
-    def work(held: Lab) -> None:
-        target = targets(held)[0]
-        target.set(updates=[(parse_path(f"{DRAIN}[box=s-6]"), {"reason": "before"})])
+    def send_changes(running_lab: Lab) -> None:
+        target = gnmi_targets(running_lab)[0]
+        target.set(updates=[(parse_path(f"{DRAIN_PATH}[box=s-6]"), {"reason": "before"})])
 
-        def shot() -> list:
+        def snapshot() -> list:
             config = target.get(parse_path("/"), 1)
             state = target.get(parse_path("/fleet/datastore"))
-            with open(os.path.join(held.folder, "state-n0", "datastore"), "rb") as file:
+            with open(os.path.join(running_lab.folder, "state-n0", "datastore"), "rb") as file:
                 data = file.read()
-            with open(os.path.join(held.folder, "n0.log"), "rb") as file:
-                lines = sum(b'"management"' in line for line in file)
-            return [config, state, data, store.load_assignment(held.assignment), lines]
-
-        time.sleep(0.6)  # the line on that drain is written by then
-        before, refused = shot(), 0
+            with open(os.path.join(running_lab.folder, "n0.log"), "rb") as file:
+                log_lines = sum(b'"management"' in line for line in file)
+            return [
+                config,
+                state,
+                data,
+                store.load_assignment(running_lab.assignment_path),
+                log_lines,
+            ]
+
+        time.sleep(0.6)  # by then, the log line of this drain has been written
+        before, rejected = snapshot(), 0
         for number in range(count):
-            path, value = REFUSALS[number % len(REFUSALS)]
+            path, value = INVALID_UPDATES[number % len(INVALID_UPDATES)]
             try:
                 target.set(
-                    updates=[(parse_path(f"{DRAIN}[box=s-5]"), {}), (parse_path(path), value)]
+                    updates=[(parse_path(f"{DRAIN_PATH}[box=s-5]"), {}), (parse_path(path), value)]
                 )
             except GnmiCallError:
-                refused += 1
-        told.update(
-            refused=refused, refused_traces=sum(a != b for a, b in zip(before, shot(), strict=True))
+                rejected += 1
+        result.update(
+            refused=rejected,
+            refused_traces=sum(a != b for a, b in zip(before, snapshot(), strict=True)),
         )
-        begun = time.perf_counter()
+        began = time.perf_counter()
         for number in range(100):
-            target.set(updates=[(parse_path(f"{DRAIN}[box=s-5]/reason"), str(number))])
-        told["set_per_s"] = round(100 / (time.perf_counter() - begun), 1)
+            target.set(updates=[(parse_path(f"{DRAIN_PATH}[box=s-5]/reason"), str(number))])
+        result["set_per_s"] = round(100 / (time.perf_counter() - began), 1)
+
+    lab.run(on_load_started=send_changes)
+    return result
 
-    lab.run(on_load_started=work)
-    return told
 
+def measure_kills(count: int) -> dict:
+    """Kill a director during commits, and return how often a commit was applied only in part.
 
-def kills(count: int) -> dict:
-    """A director killed at random points of commits that change a drain and a tenant together."""
-    chance, half, seen = random.Random(8), 0, 0
+    Each commit changes a drain and a tenant, and both contain the number of the commit. The
+    director is killed at a random time. After its restart, the numbers in its configuration and in
+    the assignment file are compared.
+
+    Args:
+        count: Number of kills.
+
+    Returns:
+        `half_applied`: Number of kills after which the numbers differed.
+        `kills`: Number of kills.
+        `kills_with_something_kept`: Number of kills before which at least one commit was applied.
+    """
+    draw, partly_applied, applied = random.Random(8), 0, 0
     scenario = parse_scenario(SCENARIO.format(seconds=1, directors=1))
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(scenario, folder)
@@ -170,53 +215,60 @@
 
         lab.environment = LoopbackEnvironment(lab.fleet)
         lab.start_directors()
-        for turn in range(count):
+        for round_number in range(count):
             director = lab.directors[-1]
-            target, number = GnmiTarget(director.gnmi_address, ConnectionOptions()), turn * 100
+            target, first = (
+                GnmiTarget(director.gnmi_address, ConnectionOptions()),
+                round_number * 100,
+            )
 
-            def write(target: GnmiTarget = target, number: int = number) -> None:
+            def commit_changes(target: GnmiTarget = target, first: int = first) -> None:
                 try:
                     for step in range(100):
                         target.set(
                             updates=[
-                                (parse_path(f"{DRAIN}[box=zz]/reason"), str(number + step)),
+                                (parse_path(f"{DRAIN_PATH}[box=zz]/reason"), str(first + step)),
                                 (
                                     parse_path("/fleet/assignment/tenant[name=acme]/weight"),
-                                    f"{number + step + 1}.0",
+                                    f"{first + step + 1}.0",
                                 ),
                             ]
                         )
                 except GnmiCallError:
                     pass
 
-            writer = threading.Thread(target=write)
+            writer = threading.Thread(target=commit_changes)
             writer.start()
-            time.sleep(0.02 + 0.12 * chance.random())
+            time.sleep(0.02 + 0.12 * draw.random())
             director.process.send_signal(signal.SIGKILL)
             director.process.wait()
             writer.join(10.0)
             target.close()
             lab.restart(director)
-            after = GnmiTarget(director.gnmi_address, ConnectionOptions())
-            held = dict(after.get(parse_path("/fleet"), 1))[parse_path("/fleet")]
+            restarted = GnmiTarget(director.gnmi_address, ConnectionOptions())
+            config = dict(restarted.get(parse_path("/fleet"), 1))[parse_path("/fleet")]
             weight = float(
-                next(one for one in held["assignment"]["tenant"] if one["name"] == "acme")["weight"]
+                next(
+                    tenant for tenant in config["assignment"]["tenant"] if tenant["name"] == "acme"
+                )["weight"]
             )
             reason = next(
-                (one.get("reason") for one in held.get("drains", {}).get("drain", ())), None
+                (drain.get("reason") for drain in config.get("drains", {}).get("drain", ())), None
+            )
+            stored_weight = store.load_assignment(lab.assignment_path).tenants["acme"].weight
+            applied += reason is not None
+            partly_applied += (
+                reason is not None and not float(reason) + 1.0 == weight == stored_weight
             )
-            file = store.load_assignment(lab.assignment_path).tenants["acme"].weight
-            seen += reason is not None
-            half += reason is not None and not float(reason) + 1.0 == weight == file
-            after.close()
+            restarted.close()
         for director in lab.directors:
             director.stop()
         lab.environment.close()
-    return {"half_applied": half, "kills": count, "kills_with_something_kept": seen}
+    return {"half_applied": partly_applied, "kills": count, "kills_with_something_kept": applied}
 
 
-def size() -> dict:
-    """A full Get at 2,000 boxes and 10,000 tenants."""
+def measure_full_get() -> dict:
+    """Return the median duration of a Get call for all data, with 2,000 caches, 10,000 tenants."""
     text = (
         SCENARIO.format(seconds=1, directors=1)
         .replace("caches = s-1 s-2 s-3 s-4 s-5 s-6", "caches = s-1")
@@ -246,29 +298,37 @@
         ]
         lab.start_directors()
         lab.environment.stream.publish({"topology": {"version": 9, "full": False, "servers": rows}})
-        target, took = (
+        target, durations_ms = (
             GnmiTarget(lab.directors[0].gnmi_address, ConnectionOptions(timeout_s=60.0)),
             [],
         )
         time.sleep(1.0)
         for _ in range(5):
-            begun = time.perf_counter()
-            whole = target.get(())
-            took.append(1000.0 * (time.perf_counter() - begun))
-        boxes = len(whole[0][1]["fleet"]["boxes"]["box"])
+            began = time.perf_counter()
+            response = target.get(())
+            durations_ms.append(1000.0 * (time.perf_counter() - began))
+        boxes = len(response[0][1]["fleet"]["boxes"]["box"])
         target.close()
         lab.directors[0].stop()
         lab.environment.close()
-    return {"get_full_ms": round(statistics.median(took)), "get_full_boxes": boxes}
+    return {"get_full_ms": round(statistics.median(durations_ms)), "get_full_boxes": boxes}
 
 
-def flood(streams: int) -> tuple[float, int]:
-    """p99 of requests, with so many streams and a flood of Gets."""
+def request_p99_ms(subscriptions: int) -> tuple[float, int]:
+    """Return the 99th percentile of the latency of client requests during management calls.
+
+    Args:
+        subscriptions: Number of open subscriptions. If it is not 0, Get calls are also sent
+            continuously.
+
+    Returns:
+        The percentile in ms, and the number of subscriptions.
+    """
     lab, ended = Lab(parse_scenario(SCENARIO.format(seconds=8, directors=1))), threading.Event()
 
-    def work(held: Lab) -> None:
-        def stream() -> None:
-            target = targets(held)[0]
+    def start_calls(running_lab: Lab) -> None:
+        def read_updates() -> None:
+            target = gnmi_targets(running_lab)[0]
             try:
                 for _ in target.watch([parse_path("/fleet")]):
                     if ended.is_set():
@@ -276,8 +336,8 @@
             except GnmiCallError:
                 pass
 
-        def gets() -> None:
-            target = targets(held)[0]
+        def send_gets() -> None:
+            target = gnmi_targets(running_lab)[0]
             try:
                 while not ended.is_set():
                     target.get(parse_path("/fleet/boxes"))
@@ -285,17 +345,18 @@
             except GnmiCallError:
                 pass
 
-        for _ in range(streams):
-            threading.Thread(target=stream, daemon=True).start()
-        if streams:
-            threading.Thread(target=gets, daemon=True).start()
+        for _ in range(subscriptions):
+            threading.Thread(target=read_updates, daemon=True).start()
+        if subscriptions:
+            threading.Thread(target=send_gets, daemon=True).start()
 
-    lab.run(on_load_started=work)
+    lab.run(on_load_started=start_calls)
     ended.set()
-    return lab.load_generators[0].percentile(0.99, 1.5, 8.0), streams
+    return lab.load_generators[0].percentile(0.99, 1.5, 8.0), subscriptions
 
 
-def rss(management: bool) -> float:
+def resident_mb(management: bool) -> float:
+    """Return the resident memory of an idle director in MB, with or without management."""
     text = SCENARIO.format(seconds=1, directors=1)
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(
@@ -307,31 +368,33 @@
         lab.start_directors()
         time.sleep(0.5)
         with open(f"/proc/{lab.directors[0].process.pid}/status", encoding="ascii") as file:
-            found = next(int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS"))
+            resident = next(
+                int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS")
+            )
         lab.directors[0].stop()
         lab.environment.close()
-    return round(found, 1)
+    return round(resident, 1)
 
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
 @click.option("--kills", "kill_count", type=int, default=60, show_default=True)
 def main(as_json: bool, kill_count: int) -> None:
-    """What management brings and costs, on this machine."""
-    found = drains()
-    found |= refusals()
-    found |= kills(kill_count)
-    found |= size()
-    calm, flooded = flood(0)[0], flood(20)[0]
-    found |= {
-        "request_p99_ratio": round(flooded / calm, 3),
-        "request_p99_ms": [round(calm, 1), round(flooded, 1)],
+    """Measure drains, rejected and interrupted commits, and the cost of management."""
+    result = measure_drains()
+    result |= measure_rejections()
+    result |= measure_kills(kill_count)
+    result |= measure_full_get()
+    calm, loaded = request_p99_ms(0)[0], request_p99_ms(20)[0]
+    result |= {
+        "request_p99_ratio": round(loaded / calm, 3),
+        "request_p99_ms": [round(calm, 1), round(loaded, 1)],
     }
-    found |= {"rss_mb": {"off": rss(False), "on": rss(True)}}
+    result |= {"rss_mb": {"off": resident_mb(False), "on": resident_mb(True)}}
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(result))
     else:
-        for name, value in found.items():
+        for name, value in result.items():
             click.echo(f"{name:<28} {value}")
 
 
