--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -84,7 +84,7 @@
 """
 # Figures that count violations
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-LIMIT_WINDOW_S = 1.5  # window in which the requests to a cold cache are limited
+LIMIT_WINDOW_S = 1.5  # window over which the requests to a cold cache are limited
 # Time from the return of a cache until all directors have received the endpoint update
 UPDATE_DELAY_S = 1.6
 
@@ -93,7 +93,7 @@
     """Return how far the directors used the limits of cold caches, and how far they exceeded them.
 
     The limit of a cold cache is its capacity times its warm fraction, which grows during slow
-    start. Requests are counted, as the directors count them.
+    start. Its unit is requests, as in the directors.
 
     Returns:
         `use_ratio`: The number of requests that were sent to cold caches, as a fraction of the
@@ -134,10 +134,10 @@
 
 
 def death_detection(audit: Audit, folder: str) -> dict[str, Any]:
-    """Return how soon killed directors were declared dead, and how often living ones were.
+    """Return how soon killed directors were declared dead, and how often others were by mistake.
 
     The figures come from the logs of the directors. While the fleet is partitioned, and for 6 s
-    afterwards, declaring an unreachable director dead is not counted as an error.
+    afterwards, declaring an unreachable director dead is not counted as a mistake.
     """
     began, events = audit.observations.started_at / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
@@ -178,7 +178,7 @@
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-budgets-") as folder:
         states: dict[str, dict] = {}
 
-        # Reads the states once, shortly before the end, while the directors are still running
+        # Reads the directors' states once, shortly before the end of the play
         def collect_states(since: float, *_: int) -> None:
             if since > scenario.seconds - 1.5 and not states:
                 states.update(
@@ -254,7 +254,7 @@
 
 
 def simulated_bytes_per_second(count: int, seconds: float) -> int:
-    """Return the bytes per second that one director sends in a simulated fleet without changes.
+    """Return the bytes per second that a director sends in a simulated fleet without changes.
 
     At the start, each of the `count` directors knows all others. The bytes of the first 2 s are not
     counted.
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -168,7 +168,7 @@
 
 
 class DirectorProcess:
-    """A director of one version in a process of its own, which plays requests on command."""
+    """A process that runs a director of some version and plays requests on command."""
 
     def __init__(self, folder: str, cells: str = "") -> None:
         """Start the process.
@@ -202,11 +202,11 @@
     """Compare the CPU time of a request in two directors, and return the medians of all rounds.
 
     The two processes play a few requests each in turn, so that other work on this machine slows
-    both of them equally.
+    both down equally.
 
     Args:
         first: Folder of the package and path of the cells configuration.
-        second: The same of the second director.
+        second: The same for the second director.
 
     Returns:
         The CPU time of the first director over that of the second, and the CPU time of a request
@@ -224,7 +224,11 @@
 
 
 def unpack_baseline(folder: str) -> str | None:
-    """Extract the version without cells, and return its folder; None if there is no history."""
+    """Extract the version without cells into a folder, and return the folder.
+
+    Returns:
+        The folder; None if Git or the version is not available.
+    """
     try:
         return unpack(BASELINE_VERSION, folder)
     except (OSError, subprocess.CalledProcessError):
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -100,8 +100,8 @@
 KILL_FROM_S, KILL_TO_S = 10.0, 24.5  # from the first kill to 5 s after the last return
 # Figures that count violations
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-# A director can only detect a fault if it has sent at least so many attempts to the bad cache, or
-# received at least so many requests during the partition
+# A director cannot detect a fault if it has sent a bad cache fewer attempts, or has received fewer
+# requests during the partition
 MIN_ATTEMPTS, MIN_REQUESTS = 6, 3
 # Duration of a hit with network delays. A try that starts less than this before the end of the
 # latency objective is served late.
@@ -209,8 +209,8 @@
 def partition_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Return how many directors of the partitioned location detected the partition, and the credit.
 
-    A director has detected it if it sent attempts of requests directly to a parent during the
-    partition. The time until it used the caches again is also measured.
+    A director has detected the partition if it sent attempts directly to a parent meanwhile. The
+    figures also include the time until the directors used the caches again.
     """
     first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
     partitioned = set(next(fault[4] for fault in audit.faults if fault[1] == "unreached"))
@@ -249,7 +249,7 @@
     fault = next(event for event in audit.faults if event[1] == "bad" and event[3])
     first = fault[0]
     last = next(event[0] for event in audit.faults if event[1] == "bad" and not event[3])
-    # By the hash key, which names a cache in the logs
+    # The logs name a cache by its hash key
     names = {name.rpartition("-")[2].lstrip("0"): name for name in fault[5]}
     attempt_counts: dict[tuple[int, str], int] = defaultdict(int)
     for attempt in audit.observations.attempts:
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -205,7 +205,7 @@
     Returns:
         `half_applied`: Number of kills after which the numbers differed.
         `kills`: Number of kills.
-        `kills_with_something_kept`: Number of kills before which at least one commit was applied.
+        `kills_with_something_kept`: Number of kills after which the configuration had the drain.
     """
     draw, partly_applied, applied = random.Random(8), 0, 0
     scenario = parse_scenario(SCENARIO.format(seconds=1, directors=1))
@@ -268,7 +268,11 @@
 
 
 def measure_full_get() -> dict:
-    """Return the median duration of a Get call for all data, with 2,000 caches, 10,000 tenants."""
+    """Measure Get calls for all data, with 2,000 caches and 10,000 tenants.
+
+    Returns:
+        The median duration in ms, and the number of caches in the response.
+    """
     text = (
         SCENARIO.format(seconds=1, directors=1)
         .replace("caches = s-1 s-2 s-3 s-4 s-5 s-6", "caches = s-1")
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -217,7 +217,7 @@
     """Return how probes and connections per cache grow with the number of directors.
 
     A figure is the value with `MANY_DIRECTORS` over the value with `FEW_DIRECTORS`, at the same
-    request rate.
+    request rate. `ready_s_300` is the time until all directors of the larger fleet were ready.
     """
     few = play(scenario_text("calm", FEW_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
     many = play(scenario_text("calm", MANY_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
@@ -266,8 +266,8 @@
                 scenario_figures.append(earlier[name])
             if shows_progress:
                 summaries = (
-                    f"credit {one['credit']}, idle {one['idle_s_max']} s"
-                    for one in scenario_figures
+                    f"credit {figures['credit']}, idle {figures['idle_s_max']} s"
+                    for figures in scenario_figures
                 )
                 click.echo(f"{name}: " + "; before: ".join(summaries), err=True)
     return present, earlier
