--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -151,7 +151,7 @@
         }
 
     def _excused_spans(self) -> dict[int, list[Span]]:
-        """Return by director the periods (ms) in which the lab had killed, stopped or restarted it."""
+        """Return by director the periods (ms) when the lab had killed, stopped or restarted it."""
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
             if fault.kind not in ("stop", "kill"):
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -1,7 +1,8 @@
-"""The control channel between the lab and its processes, and their files of records.
+"""Control channel between the lab and its processes, and the files of records that both write.
 
-Both are lines of JSON: commands on a process's standard input, messages on its standard output. A
-process ends when its standard input does, so that none outlives the lab.
+All of them consist of lines of JSON. The lab writes commands to the standard input of a process,
+and the process writes messages to its standard output. A process exits at the end of its standard
+input, so that none outlives the lab.
 """
 
 import contextlib
@@ -19,7 +20,7 @@
 STDIN = 0
 READ_SIZE = 1 << 20  # bytes
 RECORD_BUFFER_SIZE = 1 << 18  # bytes, so that writes are few and large
-MAX_ERROR_LINE = 300  # characters of a log's last line in an error
+MAX_ERROR_LINE_LENGTH = 300  # characters of a log's last line in an error message
 EXIT_TIMEOUT_S = 5.0
 STOP_TIMEOUT_S = 10.0
 KILL_TIMEOUT_S = 2.0
@@ -34,33 +35,33 @@
 
 
 def receive_first_message() -> Message:
-    """Wait for the lab's first command; it must be called before `receive_messages`.
+    """Wait for the lab's first command; must be called before `receive_messages`.
 
-    It reads byte by byte from the unbuffered file, so that nothing of the second command is lost.
+    It reads single bytes without a buffer, so that no part of the second command is lost.
     """
     line = bytearray()
     while not line.endswith(b"\n"):
-        piece = os.read(STDIN, 1)
-        if not piece:
+        chunk = os.read(STDIN, 1)
+        if not chunk:
             break
-        line += piece
+        line += chunk
     return orjson.loads(bytes(line))
 
 
 def receive_messages(loop: EventLoop, on_message: Callable[[Message], None]) -> None:
-    """Call `on_message` with each further command; the end of standard input stops the loop."""
+    """Call `on_message` with each later command; stop the loop at the end of standard input."""
     unread = b""
 
     def on_ready(_: int) -> None:
         nonlocal unread
         try:
-            piece = os.read(STDIN, READ_SIZE)
+            chunk = os.read(STDIN, READ_SIZE)
         except BlockingIOError:
             return
-        if not piece:
+        if not chunk:
             loop.is_stopped = True
             return
-        *lines, unread = (unread + piece).split(b"\n")
+        *lines, unread = (unread + chunk).split(b"\n")
         for line in lines:
             on_message(orjson.loads(line))
 
@@ -69,50 +70,51 @@
 
 
 def last_line(path: str) -> str:
-    """Return the last line of a log, shortened."""
+    """Return the last line of a log, truncated to MAX_ERROR_LINE_LENGTH characters."""
     with open(path, "rb") as file:
         lines = file.read().decode("utf-8", "replace").strip().splitlines()
-    return lines[-1][:MAX_ERROR_LINE] if lines else "it wrote nothing"
+    return lines[-1][:MAX_ERROR_LINE_LENGTH] if lines else "the log is empty"
 
 
 class RecordFile:
-    """A file of records, a JSON line each, written in large pieces. Not thread-safe by itself."""
+    """File of records with a line of JSON for each, written in large blocks. Not thread-safe."""
 
     def __init__(self, path: str) -> None:
         self.file: BinaryIO = open(path, "ab", buffering=RECORD_BUFFER_SIZE)  # noqa: SIM115 (close)
 
     def add(self, *record: Any) -> None:
-        """Append a record: its type and its values."""
+        """Append a record, which consists of its type and its values."""
         self.file.write(orjson.dumps(record) + b"\n")
 
     def flush(self) -> None:
-        """Write out what is buffered."""
+        """Write all buffered records to the file."""
         self.file.flush()
 
     def close(self) -> None:
-        """Write out what is buffered and close the file."""
+        """Write all buffered records to the file and close it."""
         self.file.close()
 
 
 class LabProcess:
-    """A process of the lab with its control channel, from the lab's side."""
+    """The lab's handle of one of its processes and of the control channel to it."""
 
     def __init__(
         self,
         module: str,
         log_path: str,
-        first: Message | None = None,
+        first_message: Message | None = None,
         *arguments: str,
         session: bool = False,
     ) -> None:
         """Start the process.
 
         Args:
-            module: Name of the module in this package that it runs.
-            log_path: File for its standard error.
-            first: Its first command.
-            arguments: Its command line.
-            session: Whether it gets a session of its own, so that a terminal's signals miss it.
+            module: Name of the module in this package that the process runs.
+            log_path: Path of the file for its standard error.
+            first_message: First command to the process, if any.
+            arguments: Command line arguments of the module.
+            session: Whether the process gets its own session, so that signals from the terminal
+                do not reach it.
         """
         self.log = open(log_path, "ab")  # noqa: SIM115 (closed by stop)
         self.process = subprocess.Popen(
@@ -126,35 +128,35 @@
         assert self.process.stdin is not None and self.process.stdout is not None
         self.stdin: IO[bytes] = self.process.stdin
         self.stdout: IO[bytes] = self.process.stdout
-        if first is not None:
-            self.send(first)
+        if first_message is not None:
+            self.send(first_message)
 
     def send(self, message: Message) -> None:
-        """Send a command. Raises RuntimeError where the process has ended."""
+        """Send a command. Raises RuntimeError if the process has ended."""
         try:
             self.send_line(orjson.dumps(message) + b"\n")
         except OSError as error:
             raise RuntimeError(
-                f"a process of the lab has gone ({error.strerror}); see {self.log.name}"
+                f"a lab process has ended ({error.strerror}); see {self.log.name}"
             ) from error
 
     def send_line(self, line: bytes) -> None:
-        """Send a line as it is. Raises OSError or ValueError where the process has ended."""
+        """Send a line unchanged. Raises OSError or ValueError if the process has ended."""
         self.stdin.write(line)
         self.stdin.flush()
 
     def receive(self) -> Message:
-        """Wait for its next message. Raises RuntimeError where it has ended."""
+        """Wait for the next message. Raises RuntimeError if the process has ended."""
         line = self.stdout.readline()
         if not line:
             code = self.process.wait(EXIT_TIMEOUT_S)
             raise RuntimeError(
-                f"a process of the lab ended with {code}: {last_line(self.log.name)}"
+                f"a lab process ended with exit code {code}: {last_line(self.log.name)}"
             )
         return orjson.loads(line)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """End its standard input; it writes its records and exits, or is killed."""
+        """Close the standard input, so that the process exits; kill it after `timeout_s`."""
         with contextlib.suppress(OSError):
             self.stdin.close()
         try:
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -1,4 +1,4 @@
-"""One director of a fleet lab as a process, with loopback addresses of its own."""
+"""A director process of the fleet lab, with its own loopback addresses."""
 
 import os
 import subprocess
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectorSetup:
-    """What all directors of a lab share.
+    """Settings that all directors of a lab share.
 
     Attributes:
-        folder: The lab's folder.
-        program: Folder that holds the package that they run.
-        port: Port of all directors, each at its own address.
-        has_membership: Whether they get a fleet file.
-        on_started: Called with the id of each process that was started.
-        on_ended: Called with the id of each process that was seen to end.
+        folder: Folder of the lab.
+        program: Folder that contains the package that the directors run.
+        port: Port for clients; the same for all directors, as each has its own address.
+        has_membership: Whether the directors get a fleet file and gossip with each other.
+        on_started: Called with the process id after the start of a process.
+        on_ended: Called with the process id after a process has ended.
     """
 
     folder: str
@@ -36,16 +36,18 @@
 
 
 class FleetDirector(DirectorProcess):
-    """One director of a fleet lab.
+    """One director of the fleet lab.
 
     Attributes:
-        starts: Number of starts so far: who waits for one must not speak for the next.
-        was_killed: Whether the lab has killed the present process.
-        clock_step_ms: Step of its wall clock at a fault `clock`; None: it has the real clock.
+        starts: Number of starts so far. A thread that waits for one start compares it, so that the
+            thread ignores any later start.
+        was_killed: Whether the lab has killed the current process.
+        clock_step_ms: Step of the director's wall clock at a `clock` fault; None if no such fault
+            affects the director.
     """
 
     def __init__(self, setup: DirectorSetup, number: int, clock_step_ms: float | None) -> None:
-        """Prepare without starting; the configuration is written to `config_path` by the lab."""
+        """Prepare a director without starting it; the lab writes the file at `config_path`."""
         super().__init__((addresses.listen_address(number), setup.port))
         self.setup = setup
         self.number = number
@@ -57,7 +59,7 @@
         self.was_killed = False
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a process for the director."""
         self.starts += 1
         self.was_killed = False
         command = [sys.executable, "-m", "mulleinrelay"]
@@ -80,22 +82,22 @@
         self.setup.on_started(self.process.pid)
 
     def is_ready(self) -> bool:
-        """Return whether it serves clients. Raises RuntimeError where it has ended."""
+        """Return whether it serves clients. Raises RuntimeError if its process has ended."""
         code = self.exit_code()
         if code is not None:
             raise RuntimeError(
-                f"director n{self.number} ended with {code}; see "
+                f"director n{self.number} ended with exit code {code}; see "
                 f"{self.log_path}: {last_line(self.log_path)}"
             )
         return self.accepts_connections()
 
     def signal(self, number: int) -> None:
-        """Send a signal, where it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until the process has ended; after `timeout_s` it is killed."""
+        """Wait until the process has ended; kill it after `timeout_s`."""
         if self.process is None:
             return
         try:
--- a/mulleinrelay/lab/fleet/endpoint_process.py
+++ b/mulleinrelay/lab/fleet/endpoint_process.py
@@ -1,4 +1,4 @@
-"""The process of a fleet lab that serves all nodes and the event stream, in one event loop."""
+"""Process of the fleet lab that serves all nodes and the event stream in one event loop."""
 
 import random
 from typing import Any
@@ -18,12 +18,12 @@
 from .scenario import FleetScenario
 from .scenario_parser import parse_fleet_scenario
 
-FLUSH_MS = 1000.0  # between writes of the records
+FLUSH_INTERVAL_MS = 1000.0  # of the file of records
 DEFAULT_SLOWDOWN = 10.0
 
 
 class EndpointProcess:
-    """All nodes, the event stream and the lab's commands to them."""
+    """All nodes and the event stream, controlled by commands of the lab."""
 
     def __init__(self, records_path: str, scenario: FleetScenario) -> None:
         self.scenario = scenario
@@ -38,21 +38,21 @@
         self.stream = FleetEventStream(
             self.loop, self.records, scenario.update_delay_ms, self.random
         )
-        self.loop.call_every(FLUSH_MS, self.records.flush)
+        self.loop.call_every(FLUSH_INTERVAL_MS, self.records.flush)
         receive_messages(self.loop, self.on_command)
 
     def ports(self) -> dict[str, int]:
-        """Return the ports of all nodes by name, and of the event stream as `stream`."""
+        """Return the ports of all nodes by name, and that of the event stream as `stream`."""
         ports = {name: server.port for name, server in self.servers.items()}
         return ports | {"stream": self.stream.port}
 
     def is_outdated(
         self, director: int | None, fields: dict[str, str], answer: bytes, now: float
     ) -> bool:
-        """Return whether an answer breaks a purge.
+        """Return whether an answer violates a purge.
 
-        That is, it is an older copy than a purge that this director was notified of over a second
-        ago.
+        It does if it is a copy from before a purge, and the director was notified of that purge
+        more than a second ago.
         """
         if director is None:
             return False
@@ -64,9 +64,9 @@
         return self.fleet.is_outdated(object_id, float(issued), now, notified_at)
 
     def on_command(self, command: Message) -> None:
-        """Execute a command of the lab; its keys say which."""
+        """Execute a command of the lab; its keys determine the kind of command."""
         if "far" in command:
-            self.stream.far_ports = command["far"]
+            self.stream.proxy_ports = command["far"]
             self.publish([site.name for site in self.scenario.node_sites()])
             send_message(began=True)
         elif "known" in command:
@@ -81,11 +81,11 @@
                 self._inject_fault(command, self.servers[name])
 
     def publish(self, names: list[str]) -> None:
-        """Publish an endpoint update for these nodes."""
+        """Publish an endpoint update with the current state of these nodes."""
         self.stream.publish_endpoints([self._endpoint_row(name) for name in names])
 
     def close(self) -> None:
-        """Write the last records."""
+        """Write the totals of all nodes, and close the file of records."""
         for server in self.servers.values():
             node = server.node
             self.records.add("node", node.spec.name, round(node.peak_load, 3), dict(node.counts))
@@ -114,7 +114,7 @@
         self.stream.publish_purge(object_id, now)
 
     def _inject_fault(self, command: Message, server: NodeServer) -> None:
-        """Start or end a fault of one node; some faults show themselves to some directors only."""
+        """Start or end a fault of one node; some kinds can be limited to some of the directors."""
         kind = command["do"]
         is_start = command["begins"]
         directors = frozenset(command.get("directors", ()))
@@ -146,9 +146,11 @@
 
 def main() -> None:
     """Serve until the lab closes standard input."""
-    first = receive_first_message()
-    scenario = parse_fleet_scenario(first["scenario"]).with_directors(first["directors"])
-    process = EndpointProcess(first["records"], scenario)
+    first_message = receive_first_message()
+    scenario = parse_fleet_scenario(first_message["scenario"]).with_directors(
+        first_message["directors"]
+    )
+    process = EndpointProcess(first_message["records"], scenario)
     send_message(ports=process.ports())
     process.loop.run()
     process.close()
--- a/mulleinrelay/lab/fleet/fault_injector.py
+++ b/mulleinrelay/lab/fleet/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a fleet scenario at their times, into processes, nodes and paths."""
+"""Injects the scheduled faults of a fleet scenario into processes, nodes and paths."""
 
 import signal
 import threading
@@ -11,20 +11,26 @@
 from .scenario import NODE_FAULTS, PATH_FAULTS, ScenarioStep
 
 READY_TIMEOUT_S = 60.0
-READY_POLL_S = 0.05
+READY_POLL_INTERVAL_S = 0.05
 KILL_TIMEOUT_S = 5.0
 TERM_TIMEOUT_S = 8.0
 DEFAULT_UPDATE_DELAY_S = 9.0
-PURGED_OBJECT = f"{(1 << 32) + 1:016x}"  # the most popular of the objects that locations share
+PURGED_OBJECT = (
+    f"{(1 << 32) + 1:016x}"  # the most popular object that is requested in all locations
+)
 
 
 class FaultInjector:
-    """Injects faults on a thread of its own; restarts and returns have threads each.
+    """Injects the faults of a play, on its own thread.
+
+    Each restart of a director, and each wait until a director is ready, has a further thread.
 
     Attributes:
-        expected_down: Directors whose end is no crash: the lab has ended them, or their crash is
-            recorded. Changed by the injector's threads and the lab's.
-        stopped: Set when the play ends; all threads end then.
+        expected_down: Directors whose exit is not recorded as a crash, because the lab ended them
+            or because the crash is already recorded. Threads of the injector and of the lab change
+            it.
+        stopped: Set at the end of the play, to end all threads.
+        rule_numbers: Numbers of the active network rules by the name of their fault.
     """
 
     def __init__(
@@ -41,25 +47,30 @@
         self.records = records
         self.stopped = stopped
         self.expected_down: set[int] = set()
-        self.rule_numbers: dict[str, int] = {}  # of the faults that are under way
+        self.rule_numbers: dict[str, int] = {}
         self.last_rule_number = 0
 
-    def start(self, steps: list[ScenarioStep], began: float) -> None:
-        """Start the thread that carries out the steps; `began`: start of the play (Unix ms)."""
+    def start(self, steps: list[ScenarioStep], started_at: float) -> None:
+        """Start the thread that executes the steps.
+
+        Args:
+            steps: All steps of the play, ordered by time.
+            started_at: Start of the play in Unix ms; it may be in the future.
+        """
         threading.Thread(
-            target=self._run, args=(steps, began), name="fault injector", daemon=True
+            target=self._run, args=(steps, started_at), name="fault injector", daemon=True
         ).start()
 
-    def _run(self, steps: list[ScenarioStep], began: float) -> None:
+    def _run(self, steps: list[ScenarioStep], started_at: float) -> None:
         for step in steps:
-            wait_ms = began + 1000.0 * step.at_s - now_ms()
+            wait_ms = started_at + 1000.0 * step.at_s - now_ms()
             if wait_ms > 0.0 and self.stopped.wait(wait_ms / 1000.0):
                 return
-            at = now_ms()  # not after the step: many processes take a while to end
+            at = now_ms()  # before the step, as ending many processes takes time
             error = ""
             try:
                 self._inject(step)
-            except Exception as failure:  # recorded with the fault; the play goes on
+            except Exception as failure:  # recorded with the fault; the play continues
                 error = f"{type(failure).__name__}: {failure}"
             self.records.add(
                 "fault",
@@ -111,7 +122,7 @@
 
     def _inject_into_directors(self, step: ScenarioStep) -> None:
         directors = [self.directors[number] for number in step.directors]
-        if step.kind == "kill" and step.is_start:  # all at once, before any is waited for
+        if step.kind == "kill" and step.is_start:  # kill all before waiting for any of them
             for director in directors:
                 self.expected_down.add(director.number)
                 director.was_killed = True
@@ -145,7 +156,7 @@
             self.records.add("again", now_ms(), director.number)
 
     def _await_ready(self, director: FleetDirector) -> None:
-        """Wait on a thread until a start is done; from then on its end is a crash again."""
+        """Wait on a thread until the director is ready; from then on its exit counts as a crash."""
         threading.Thread(
             target=self._wait_until_ready,
             args=(director, director.starts),
@@ -154,8 +165,8 @@
         ).start()
 
     def _wait_until_ready(self, director: FleetDirector, start: int) -> None:
-        ends_at = time.monotonic() + READY_TIMEOUT_S
-        while not self.stopped.is_set() and time.monotonic() < ends_at:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while not self.stopped.is_set() and time.monotonic() < deadline:
             try:
                 is_ready = director.is_ready()
             except RuntimeError as error:
@@ -166,4 +177,4 @@
                 if director.starts == start and not director.was_killed:
                     self.expected_down.discard(director.number)
                 return
-            time.sleep(READY_POLL_S)
+            time.sleep(READY_POLL_INTERVAL_S)
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -1,8 +1,8 @@
-"""A fault proxy on the paths between directors and their targets: a process in user space.
+"""Fault proxy: a process that forwards traffic between directors and targets and injects faults.
 
-What it does with bytes and datagrams is decided in `network_rules.py`. It can't do all that a
-network does: a connection through a cut is accepted by the proxy, and only then stays silent; lost
-bytes show as a delay.
+`network_rules.py` decides the treatment of bytes and datagrams. As the proxy runs in user space, it
+cannot imitate a network in all respects: during a cut it still accepts connections, which then
+carry no data, and lost bytes of a connection appear as a delay.
 """
 
 import contextlib
@@ -17,12 +17,12 @@
 from .network_rules import DOWN, UP, ActiveRules, StreamState, decode_rule
 
 MAX_DATAGRAM_BYTES = 65_000
-DATAGRAMS_AT_A_TIME = 64
+MAX_DATAGRAMS_PER_WAKEUP = 64
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyTarget:
-    """What a proxy's listener leads to: the kind of its paths, and its address."""
+    """The target of a listener: its address and the kind of the paths to it."""
 
     path_kind: str
     address: tuple[str, int]
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Stream:
-    """One direction of a connection; `held` are the bytes that a cut holds back."""
+    """One direction of a connection; `held` contains the bytes that a cut holds back."""
 
     direction: str
     source: LoopConnection
@@ -40,26 +40,29 @@
 
 
 class ProxiedConnection:
-    """A director's connection, and the proxy's own to its target."""
+    """A director's connection to the proxy, and the proxy's connection to the target."""
 
     def __init__(
         self,
         proxy: "FaultProxy",
         target_name: str,
         director: int,
-        near: LoopConnection,
-        far: LoopConnection,
+        director_side: LoopConnection,
+        target_side: LoopConnection,
     ) -> None:
         self.proxy = proxy
         self.path = (proxy.targets[target_name].path_kind, director, target_name)
-        self.near = near
-        self.far = far
-        self.streams = [_Stream(UP, near, far), _Stream(DOWN, far, near)]
+        self.director_side = director_side
+        self.target_side = target_side
+        self.streams = [
+            _Stream(UP, director_side, target_side),
+            _Stream(DOWN, target_side, director_side),
+        ]
         for stream in self.streams:
             self._read_from(stream)
 
     def apply_rules(self) -> None:
-        """Follow a change of the rules."""
+        """Apply the changed rules: reset the connections, or send held bytes if the cut is over."""
         if self.proxy.rules.resets_path(*self.path):
             self.reset()
             return
@@ -71,9 +74,9 @@
                     self._forward(stream, data)
 
     def reset(self) -> None:
-        """End both connections with a TCP reset."""
-        self.near.close(reset=True)
-        self.far.close(reset=True)
+        """Close both connections with a TCP reset."""
+        self.director_side.close(reset=True)
+        self.target_side.close(reset=True)
         self.proxy.connections.pop(self, None)
 
     def _read_from(self, stream: _Stream) -> None:
@@ -84,10 +87,10 @@
         return self.proxy.rules.cuts_path(*self.path, stream.direction)
 
     def _forward(self, stream: _Stream, data: bytes | None) -> None:
-        """Send bytes on at their time; None: the source has closed its connection."""
+        """Forward bytes when they are due; None means that the source has closed its connection."""
         now = now_ms()
         if stream.held or self._is_cut(stream):
-            if data is None:  # one side has given up: what is held never arrives
+            if data is None:  # one side has closed its connection: held bytes are discarded
                 self.reset()
                 return
             stream.held.append(data)
@@ -108,39 +111,42 @@
 
 
 class FaultProxy:
-    """Listeners for all targets, and sockets for the datagrams of directors."""
+    """Proxy with a listener for each target and a socket for the datagrams to each director."""
 
-    def __init__(self, first: Message) -> None:
-        """Listen for the targets that the lab's first command names."""
+    def __init__(self, first_message: Message) -> None:
+        """Start to listen for the targets that the lab's first command names."""
         self.loop = EventLoop()
         self.rules = ActiveRules()
-        self.random = random.Random(first["seed"])
+        self.random = random.Random(first_message["seed"])
         self.connections: dict[ProxiedConnection, None] = {}
         self.targets = {
             target["name"]: ProxyTarget(target["kind"], (target["to"][0], target["to"][1]))
-            for target in first["targets"]
+            for target in first_message["targets"]
         }
         self.ports: dict[str, int] = {}
         self.listeners: dict[str, socket.socket] = {}
-        self.datagram_port = first.get("datagram_port", 0)
+        self.datagram_port = first_message.get("datagram_port", 0)
         self.datagram_sockets: dict[int, socket.socket] = {}
         for name in self.targets:
             self.listen(name)
-        for director in first.get("datagrams", ()):
+        for director in first_message.get("datagrams", ()):
             self.datagram_sockets[director] = self._open_datagram_socket(director)
         receive_messages(self.loop, self.on_command)
 
     def listen(self, name: str) -> None:
-        """Listen for a target at all loopback addresses; always at the same port."""
+        """Listen for a target at all loopback addresses; its port stays the same after a stop."""
         if name not in self.listeners:
             listener = self.loop.listen(
-                "", self.ports.get(name, 0), lambda made: self._on_connection(name, made), True
+                "",
+                self.ports.get(name, 0),
+                lambda accepted: self._on_connection(name, accepted),
+                True,
             )
             self.ports[name] = listener.getsockname()[1]
             self.listeners[name] = listener
 
     def on_command(self, command: Message) -> None:
-        """Execute a command of the lab; its keys say which."""
+        """Execute a command of the lab; its keys determine the kind of command."""
         if "deaf" in command:
             listener = self.listeners.pop(command["deaf"], None)
             if listener is not None:
@@ -159,36 +165,38 @@
     def _on_connection(self, name: str, accepted: socket.socket) -> None:
         target = self.targets[name]
         director = addresses.director_of(accepted.getsockname()[0])
-        near = LoopConnection(self.loop, accepted)
+        director_side = LoopConnection(self.loop, accepted)
         is_unknown = director == addresses.NO_DIRECTOR
         if is_unknown or self.rules.resets_path(target.path_kind, director, name):
-            near.close(reset=True)
+            director_side.close(reset=True)
             return
-        far = self.loop.connect(target.address)
-        far.write(b"@%d\n" % director)  # names the director to the target
-        self.connections[ProxiedConnection(self, name, director, near, far)] = None
+        target_side = self.loop.connect(target.address)
+        target_side.write(b"@%d\n" % director)  # identifies the director to the target
+        self.connections[ProxiedConnection(self, name, director, director_side, target_side)] = None
 
     def _open_datagram_socket(self, director: int) -> socket.socket:
-        opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        opened.bind((addresses.advertised_address(director), self.datagram_port))
-        opened.setblocking(False)
-        self.loop.selector.register(opened, READ, lambda _: self._on_datagrams(director, opened))
-        return opened
-
-    def _on_datagrams(self, receiver: int, opened: socket.socket) -> None:
-        """Forward datagrams for a director from the address at which it knows their senders."""
-        for _ in range(DATAGRAMS_AT_A_TIME):
+        datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        datagram_socket.bind((addresses.advertised_address(director), self.datagram_port))
+        datagram_socket.setblocking(False)
+        self.loop.selector.register(
+            datagram_socket, READ, lambda _: self._on_datagrams(director, datagram_socket)
+        )
+        return datagram_socket
+
+    def _on_datagrams(self, receiver: int, datagram_socket: socket.socket) -> None:
+        """Forward datagrams to a director, each from the advertised address of its sender."""
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
-                data, (host, _) = opened.recvfrom(MAX_DATAGRAM_BYTES)
+                data, (host, _) = datagram_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             sender = addresses.director_of(host)
-            is_own_address = host.startswith(f"127.{addresses.LISTEN_NETWORK}.")
-            if sender in self.datagram_sockets and is_own_address:
+            is_director_address = host.startswith(f"127.{addresses.LISTEN_NETWORK}.")
+            if sender in self.datagram_sockets and is_director_address:
                 self._forward_datagram(sender, receiver, data)
 
     def _forward_datagram(self, sender: int, receiver: int, data: bytes) -> None:
-        """Apply the rules that name the sender, then those that name the receiver."""
+        """Schedule a datagram by the rules for its sender and then by those for its receiver."""
         rules = self.rules
         for due_at in rules.datagram_due_times(
             "director", sender, str(receiver), UP, now_ms(), self.random
@@ -200,12 +208,12 @@
 
     def _send_datagram(self, sender: int, receiver: int, data: bytes) -> None:
         address = (addresses.listen_address(receiver), self.datagram_port)
-        with contextlib.suppress(OSError):  # nobody listens there
+        with contextlib.suppress(OSError):  # the receiver is not running
             self.datagram_sockets[sender].sendto(data, address)
 
 
 def main() -> None:
-    """Forward until the lab closes standard input."""
+    """Forward traffic until the lab closes standard input."""
     proxy = FaultProxy(receive_first_message())
     send_message(ports=proxy.ports)
     proxy.loop.run()
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -1,4 +1,4 @@
-"""The event stream of a fleet lab: endpoint updates and purges, each director with its delay."""
+"""Event stream of the fleet lab: endpoint updates and purges, with a delay for each director."""
 
 import random
 import socket
@@ -13,29 +13,30 @@
 from .control_channel import RecordFile
 from .node_server import read_director_line
 
-KEEP_ALIVE_MS = 1000.0
-POLL_MS = 20.0  # between two checks for events that are due
-PURGE_DELAY_DIVISOR = 3.0  # purges come sooner than endpoint updates
+KEEP_ALIVE_INTERVAL_MS = 1000.0
+POLL_INTERVAL_MS = 20.0  # between checks for events that are due
+PURGE_DELAY_DIVISOR = 3.0  # purges are delivered faster than endpoint updates
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: on\n\n"
 
 
 @dataclass(slots=True)
 class _Reader:
-    """A director's stream; `position` is the number of events that it has got."""
+    """A director's connection to the stream; `position` is the number of events sent so far."""
 
     director: int = addresses.NO_DIRECTOR
     position: int = 0
-    head: bytes = b""
+    request_head: bytes = b""
 
 
 class FleetEventStream:
-    """Serves the events to all directors; each gets an event after a random delay of its own.
+    """Sends all events to all directors, with a random delay for each event and director.
 
     Attributes:
-        events: When each event happened (ms), and its body.
-        late_by: Further delay in ms, by director.
-        purge_notified_at: When a director was first notified of an object's purge.
-        far_ports: Port of each node's fault proxy, by name.
+        events: Time in Unix ms and body of each event.
+        due_at: Time in Unix ms at which an event is due, by director and index of the event.
+        late_by: Additional delay in ms, by director.
+        purge_notified_at: Time of the first notification of a purge, by director and object.
+        proxy_ports: Port of the fault proxy of each node, by the node's name.
     """
 
     def __init__(
@@ -43,21 +44,21 @@
         loop: EventLoop,
         records: RecordFile,
         update_delay_ms: tuple[float, float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self.loop = loop
         self.records = records
         self.update_delay_ms = update_delay_ms
-        self.random = draw
+        self.random = rng
         self.events: list[tuple[float, dict[str, Any]]] = []
-        self.due_at: dict[tuple[int, int], float] = {}  # by director and event
+        self.due_at: dict[tuple[int, int], float] = {}
         self.late_by: dict[int, float] = {}
         self.purge_notified_at: dict[tuple[int, str], float] = {}
         self.readers: dict[LoopConnection, _Reader] = {}
-        self.far_ports: dict[str, int] = {}
+        self.proxy_ports: dict[str, int] = {}
         self.port: int = loop.listen("127.0.0.1", 0, self._on_connection).getsockname()[1]
-        loop.call_every(KEEP_ALIVE_MS, self._keep_alive)
-        loop.call_every(POLL_MS, self._send_due)
+        loop.call_every(KEEP_ALIVE_INTERVAL_MS, self._keep_alive)
+        loop.call_every(POLL_INTERVAL_MS, self._send_due)
 
     def publish_endpoints(self, rows: list[dict[str, Any]]) -> None:
         """Publish an endpoint update; the first one is a full snapshot."""
@@ -69,11 +70,11 @@
         self.events.append((now, {"ban": {"url": object_id, "ts": round(now)}}))
 
     def event_for(self, director: int, index: int) -> dict[str, Any]:
-        """Return one event as a director gets it: nodes are at its own addresses."""
+        """Return an event as sent to a director, with the director's own addresses of the nodes."""
         event = self.events[index][1]
         if "topology" in event:
             rows = [
-                row | {"addr": f"{addresses.proxy_address(director)}:{self.far_ports[row['id']]}"}
+                row | {"addr": f"{addresses.proxy_address(director)}:{self.proxy_ports[row['id']]}"}
                 for row in event["topology"]["servers"]
             ]
             event = {"topology": event["topology"] | {"servers": rows}}
@@ -87,9 +88,9 @@
             reader.director = director
 
         def on_data(data: bytes) -> None:
-            reader.head += data
-            if b"\r\n\r\n" in reader.head and connection not in self.readers:
-                self._begin(connection, reader)
+            reader.request_head += data
+            if b"\r\n\r\n" in reader.request_head and connection not in self.readers:
+                self._start_stream(connection, reader)
 
         def on_close() -> None:
             self.readers.pop(connection, None)
@@ -97,8 +98,10 @@
         connection.on_close = on_close
         read_director_line(connection, on_director, on_data)
 
-    def _begin(self, connection: LoopConnection, reader: _Reader) -> None:
-        reader.position = int(reader.head.lower().partition(b"last-event-id:")[2].split()[0])
+    def _start_stream(self, connection: LoopConnection, reader: _Reader) -> None:
+        reader.position = int(
+            reader.request_head.lower().partition(b"last-event-id:")[2].split()[0]
+        )
         self.records.add("read", now_ms(), reader.director, reader.position)
         connection.write(RESPONSE)
         self.readers[connection] = reader
@@ -128,9 +131,9 @@
     def _event_due_at(self, director: int, index: int) -> float:
         key = (director, index)
         if key not in self.due_at:
-            happened_at, event = self.events[index]
+            created_at, event = self.events[index]
             delay = 0.0 if index == 0 else self.random.uniform(*self.update_delay_ms)
-            self.due_at[key] = happened_at + (
+            self.due_at[key] = created_at + (
                 delay / PURGE_DELAY_DIVISOR if "ban" in event else delay
             )
         return self.due_at[key]
@@ -139,7 +142,7 @@
         if "ban" in event:
             self.purge_notified_at.setdefault((reader.director, event["ban"]["url"]), now)
             return
-        if reader.position == 0:  # the snapshot that directors start with
+        if reader.position == 0:  # the initial snapshot is not recorded
             return
         for row in event["topology"]["servers"]:
             self.records.add(
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -1,6 +1,7 @@
-"""A process with the clients of some locations: an open-loop load generator with its own retries.
+"""Load generator: a process that simulates the clients of some locations.
 
-The clients speak framed Thrift to directors. What they see is recorded, a line a request.
+The load is open-loop: requests arrive independently of the answers. The clients send framed Thrift
+to the directors and retry by themselves. The process writes a record for each request.
 """
 
 import random
@@ -33,38 +34,38 @@
 from .scenario import FleetScenario
 from .scenario_parser import parse_fleet_scenario
 
-IDLE_TIMEOUT_MS = 4000.0  # after which clients close a connection
-RECHECK_MS = 1000.0  # between health checks of a director that is passed by
+IDLE_TIMEOUT_MS = 4000.0  # of a connection, which the client then closes
+RECHECK_INTERVAL_MS = 1000.0  # between health checks of an excluded director
 HEALTH_TIMEOUT_MS = 1000.0
 HEALTH_FRAME_BYTES = 4096
-SWEEP_MS = 100.0  # between checks for missing answers and idle connections
-PROGRESS_MS = 1000.0  # between reports to the lab, and between writes of the records
-MIN_TIME_FOR_TRY = 10.0  # ms of patience that must remain for a try
-MAX_LATENESS = 1000.0  # ms; arrivals that a busy machine delays further are dropped
+SWEEP_INTERVAL_MS = 100.0  # between checks for missing answers and idle connections
+PROGRESS_INTERVAL_MS = 1000.0  # between reports to the lab, and between flushes of the records
+MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain for another try
+MAX_LATENESS_MS = 1000.0  # arrivals that a busy machine delays further are dropped
 END_GRACE_MS = 100.0
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request over its tries; times in Unix ms."""
+    """One request with all its tries; times are in Unix ms."""
 
-    asked_at: float
+    created_at: float
     deadline: float
     load: LocationLoad
     plan: RequestPlan
     tries: int = 0
-    is_over: bool = False
+    is_complete: bool = False
     first_director: int = addresses.NO_DIRECTOR
 
 
 class ClientSession:
-    """A connection to one director, and what is in flight on it."""
+    """A connection to one director with the calls in flight on it."""
 
     def __init__(self, generator: "LoadGenerator", director: int) -> None:
         self.generator = generator
         self.director = director
         self.in_flight: dict[int, PendingRequest] = {}
-        self.expired: set[int] = set()  # numbers of calls that were not answered in time
+        self.expired: set[int] = set()  # numbers of calls without an answer in time
         self.last_number = 0
         self.last_used = now_ms()
         self.frames = thrift.FrameDecoder(max_frame_bytes=MAX_FRAME_BYTES)
@@ -73,14 +74,14 @@
         self.connection.on_close = self._on_close
 
     def send(self, request: PendingRequest, now: float, fields: dict[str, str]) -> None:
-        """Send one try of a request."""
+        """Send one try of a request on this connection."""
         self.last_number += 1
         self.last_used = now
         self.in_flight[self.last_number] = request
         self.connection.write(encode_serve_call(self.last_number, fields))
 
     def expire_unanswered(self, now: float) -> None:
-        """Give up requests whose answer is missing."""
+        """Complete all requests whose answer is overdue."""
         for number, request in list(self.in_flight.items()):
             if now > request.deadline + self.generator.scenario.answer_grace_ms:
                 del self.in_flight[number]
@@ -88,17 +89,17 @@
                 self.generator.on_missing_answer(request, self.director)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the connection has been unused for so long that clients close it."""
+        """Return whether the connection has been unused for longer than IDLE_TIMEOUT_MS."""
         return not self.in_flight and now > self.last_used + IDLE_TIMEOUT_MS
 
     def _on_data(self, data: bytes) -> None:
         view = memoryview(data)
         while len(view):
-            room = self.frames.writable_view()
-            taken = min(len(room), len(view))
-            room[:taken] = view[:taken]
-            view = view[taken:]
-            for frame in self.frames.decode(taken):
+            buffer = self.frames.writable_view()
+            count = min(len(buffer), len(view))
+            buffer[:count] = view[:count]
+            view = view[count:]
+            for frame in self.frames.decode(count):
                 self._on_reply(decode_reply(frame))
 
     def _on_reply(self, reply: ServerReply) -> None:
@@ -113,9 +114,9 @@
 
 
 class HealthCheck:
-    """One health check of a director, on a connection of its own.
+    """One health check of a director on a separate connection.
 
-    The generator's `on_health` is called with the result.
+    The result is passed to the generator's `on_health`.
     """
 
     def __init__(self, generator: "LoadGenerator", director: int) -> None:
@@ -129,8 +130,8 @@
         generator.loop.call_at(now_ms() + HEALTH_TIMEOUT_MS, self._on_timeout)
 
     def _on_data(self, data: bytes) -> None:
-        room = self.frames.writable_view()
-        room[: len(data)] = data
+        buffer = self.frames.writable_view()
+        buffer[: len(data)] = data
         for frame in self.frames.decode(len(data)):
             is_healthy = is_healthy_reply(frame)
             self.connection.close()
@@ -144,54 +145,59 @@
 
 
 class LoadGenerator:
-    """The clients of some locations, in one event loop.
+    """All clients of some locations, in one event loop.
 
     Attributes:
-        excluded: Directors that clients pass by, as they were found to be unhealthy.
+        started_at: Start of the play in Unix ms.
+        ends_at: End of the play in Unix ms, after which no new requests are sent.
+        sessions: Open connections by director.
+        excluded: Unhealthy directors, which clients avoid.
+        requests_created: Number of requests so far.
+        requests_served: Number of requests that were served so far.
     """
 
-    def __init__(self, first: Message, scenario: FleetScenario) -> None:
-        """Prepare; requests begin when the lab says so.
+    def __init__(self, first_message: Message, scenario: FleetScenario) -> None:
+        """Prepare the clients; the load starts at the lab's next command.
 
         Args:
-            first: The lab's first command.
-            scenario: The scenario that it names.
+            first_message: First command of the lab.
+            scenario: Scenario that this command contains.
         """
         self.scenario = scenario
         self.loop = EventLoop()
-        self.records = RecordFile(first["records"])
-        self.port: int = first["port"]
-        self.began = 0.0
+        self.records = RecordFile(first_message["records"])
+        self.port: int = first_message["port"]
+        self.started_at = 0.0
         self.ends_at = 0.0
-        self.random = random.Random(f"{scenario.seed}-clients-{first['locations']}")
-        self.loads = [LocationLoad(scenario, location) for location in first["locations"]]
+        self.random = random.Random(f"{scenario.seed}-clients-{first_message['locations']}")
+        self.loads = [LocationLoad(scenario, location) for location in first_message["locations"]]
         self.sessions: dict[int, list[ClientSession]] = {}
         self.excluded: set[int] = set()
         self.trace_number = 0
-        self.trace_base = self.random.getrandbits(31) << 32
-        self.asked = 0
-        self.served = 0
+        self.first_trace = self.random.getrandbits(31) << 32
+        self.requests_created = 0
+        self.requests_served = 0
         receive_messages(self.loop, self.on_command)
 
     def connect(self, director: int) -> LoopConnection:
-        """Begin to connect to a director."""
+        """Start to connect to a director."""
         return self.loop.connect((addresses.listen_address(director), self.port))
 
     def on_command(self, command: Message) -> None:
-        """Start the load at the time that the lab names."""
+        """Schedule the start of the load at the time that the command contains."""
         if "began" not in command:
             return
-        self.began = command["began"]
-        self.ends_at = self.began + 1000.0 * self.scenario.seconds
+        self.started_at = command["began"]
+        self.ends_at = self.started_at + 1000.0 * self.scenario.seconds
         for load in self.loads:
-            self._send_new_at(self.began + 1000.0 * load.next_arrival_in_s(0.0), load)
-        self.loop.call_every(SWEEP_MS, self._sweep)
-        self.loop.call_every(PROGRESS_MS, self._report_progress)
-        self.loop.call_every(PROGRESS_MS, self.records.flush)
+            self._schedule_requests(self.started_at + 1000.0 * load.next_arrival_in_s(0.0), load)
+        self.loop.call_every(SWEEP_INTERVAL_MS, self._sweep)
+        self.loop.call_every(PROGRESS_INTERVAL_MS, self._report_progress)
+        self.loop.call_every(PROGRESS_INTERVAL_MS, self.records.flush)
 
     def on_reply(self, request: PendingRequest, director: int, reply: ServerReply) -> None:
-        """Retry after a rejection, else complete the request."""
-        if request.is_over:
+        """Retry a rejected request while tries and patience remain, or complete the request."""
+        if request.is_complete:
             return
         now = now_ms()
         if reply.outcome == ReplyOutcome.REJECTED and request.tries < self.scenario.max_tries:
@@ -203,16 +209,20 @@
         self._complete(request, director, reply.outcome.value)
 
     def on_missing_answer(self, request: PendingRequest, director: int) -> None:
-        """Complete a request that a director hasn't answered in time."""
-        self.records.add("none", now_ms(), director, request.asked_at)
+        """Complete a request that a director has not answered in time."""
+        self.records.add("none", now_ms(), director, request.created_at)
         self._complete(request, director, "no answer")
 
     def on_unexpected_reply(self, session: ClientSession, is_late: bool) -> None:
-        """Record a reply to a call that is not in flight: a late or a second one."""
+        """Record a reply to a call that is not in flight: a late or duplicate reply."""
         self.records.add("late" if is_late else "twice", now_ms(), session.director)
 
     def on_disconnect(self, session: ClientSession) -> None:
-        """Retry what was in flight as the request classes permit, and check the director."""
+        """Handle a closed connection.
+
+        The requests in flight are retried if their class permits it. A health check of the director
+        follows after the failure detection time.
+        """
         now = now_ms()
         director = session.director
         if session in self.sessions.get(director, ()):
@@ -228,36 +238,39 @@
             self.loop.call_at(check_at, lambda: self._check_health(director))
 
     def on_health(self, director: int, is_healthy: bool) -> None:
-        """Pass by a director until it is healthy."""
+        """Exclude an unhealthy director until a later health check succeeds."""
         if is_healthy:
             self.excluded.discard(director)
         else:
             self.excluded.add(director)
-            self.loop.call_at(now_ms() + RECHECK_MS, lambda: self._check_health(director))
+            self.loop.call_at(now_ms() + RECHECK_INTERVAL_MS, lambda: self._check_health(director))
 
-    def _send_new_at(self, due_at: float, load: LocationLoad) -> None:
-        self.loop.call_at(due_at, lambda: self._send_new(load))
+    def _schedule_requests(self, due_at: float, load: LocationLoad) -> None:
+        self.loop.call_at(due_at, lambda: self._send_due_requests(load))
 
-    def _send_new(self, load: LocationLoad) -> None:
-        """Send the requests that are due; what this process is late for goes out together."""
+    def _send_due_requests(self, load: LocationLoad) -> None:
+        """Send all requests that are due, and schedule the next one.
+
+        If the process is late, several requests are sent at once.
+        """
         now = now_ms()
         due_at = now
         while due_at <= now:
-            since_start_s = (due_at - self.began) / 1000.0
+            since_start_s = (due_at - self.started_at) / 1000.0
             if due_at >= self.ends_at:
                 return
-            self.asked += 1
+            self.requests_created += 1
             deadline = now + self.scenario.patience_ms
             self._send_try(PendingRequest(now, deadline, load, load.draw_request(since_start_s)))
             due_at += 1000.0 * load.next_arrival_in_s(since_start_s)
-            if due_at < now - MAX_LATENESS:
+            if due_at < now - MAX_LATENESS_MS:
                 due_at = now
-        self._send_new_at(due_at, load)
+        self._schedule_requests(due_at, load)
 
     def _send_try(self, request: PendingRequest) -> None:
         now = now_ms()
         director = request.load.draw_director(self.excluded)
-        if director is None or now > request.deadline - MIN_TIME_FOR_TRY:
+        if director is None or now > request.deadline - MIN_TIME_FOR_TRY_MS:
             self._complete(
                 request, addresses.NO_DIRECTOR if director is None else director, "nobody"
             )
@@ -266,13 +279,13 @@
         if request.first_director == addresses.NO_DIRECTOR:
             request.first_director = director
         self.trace_number += 1
-        self._session(director).send(request, now, self._fields(request, now))
+        self._session(director).send(request, now, self._call_fields(request, now))
 
-    def _fields(self, request: PendingRequest, now: float) -> dict[str, str]:
+    def _call_fields(self, request: PendingRequest, now: float) -> dict[str, str]:
         plan = request.plan
         fields = {
             "route": plan.request_class,
-            "trace": f"{self.trace_base + self.trace_number:016x}",
+            "trace": f"{self.first_trace + self.trace_number:016x}",
             "patience": f"{max(MIN_PATIENCE_MS, request.deadline - now):.0f}",
             "entity": f"{plan.object_id:016x}",
             "nth": "0",
@@ -302,15 +315,15 @@
             self._complete(request, director, "cut off")
 
     def _complete(self, request: PendingRequest, director: int, outcome: str) -> None:
-        if request.is_over:
+        if request.is_complete:
             return
-        request.is_over = True
+        request.is_complete = True
         now = now_ms()
-        self.served += outcome == ReplyOutcome.SERVED
+        self.requests_served += outcome == ReplyOutcome.SERVED
         self.records.add(
             "look",
-            request.asked_at,
-            now - request.asked_at,
+            request.created_at,
+            now - request.created_at,
             request.load.location,
             request.first_director,
             director,
@@ -324,10 +337,10 @@
         HealthCheck(self, director)
 
     def _report_progress(self) -> None:
-        send_message(asked=self.asked, served=self.served)
+        send_message(asked=self.requests_created, served=self.requests_served)
 
     def _sweep(self) -> None:
-        """Give up unanswered requests, close idle connections, and stop after the play's end."""
+        """Complete overdue requests, close idle connections, and stop after the end of the play."""
         now = now_ms()
         for sessions in list(self.sessions.values()):
             for session in list(sessions):
@@ -341,10 +354,12 @@
 
 
 def main() -> None:
-    """Generate load until the play's end, or until the lab closes standard input."""
-    first = receive_first_message()
-    scenario = parse_fleet_scenario(first["scenario"]).with_directors(first["directors"])
-    generator = LoadGenerator(first, scenario)
+    """Generate load until the end of the play, or until the lab closes standard input."""
+    first_message = receive_first_message()
+    scenario = parse_fleet_scenario(first_message["scenario"]).with_directors(
+        first_message["directors"]
+    )
+    generator = LoadGenerator(first_message, scenario)
     send_message(ready=True)
     generator.loop.run()
     generator.records.close()
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -1,7 +1,7 @@
-"""One node of a fleet lab on a socket, in the event loop of the endpoint process.
+"""A node of the fleet lab, served on a socket in the event loop of the endpoint process.
 
-What a node stores and can bear is decided in `standins/nodes.py`. Each connection begins with a
-line that names its director.
+`standins/nodes.py` models the content and the capacity of a node. Each connection begins with a
+line that identifies its director.
 """
 
 import random
@@ -19,31 +19,33 @@
 from .control_channel import send_message
 from .scenario import CONCURRENT_ANSWERS, FleetScenario, NodeSite
 
-RECEIVE_BUFFER_SIZE = 4096  # bytes, at first
-ANSWER_DELAY_MS = 1.0  # of health checks and errors
+RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
+ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
+# Load relative to the capacity at which a node crashes, and the time that it must last
 CACHE_CRASH_LOAD = 2.5
 PARENT_CRASH_LOAD = 2.0
 CRASH_AFTER_MS = 1500.0
-PURGE_DELAY_MS = (200.0, 3000.0)  # until a node drops its copy: half of what it may take
+PURGE_DELAY_MS = (200.0, 3000.0)  # until a node drops its copy; at most half of the allowed time
 PARENT_WEIGHT = 4 * CONCURRENT_ANSWERS
 
 
 class Recorder(Protocol):
-    """Where records go."""
+    """Destination of the records."""
 
     def add(self, *record: object) -> None:
-        """Append a record: its type and its values."""
+        """Append a record, which consists of its type and its values."""
 
 
 @dataclass(slots=True)
 class NodeContext:
-    """What all nodes of the process share.
+    """Objects that all nodes of the process share.
 
     Attributes:
         servers: All nodes by name.
-        is_outdated: Whether an answer is older than a purge that the director knows of; called
-            with the director, the command's fields, the answer's second item and the time.
+        is_outdated: Returns whether an answer violates a purge of which the director was notified.
+            The arguments are the director, the command's fields, the second item of the answer and
+            the time.
     """
 
     loop: EventLoop
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Session:
-    """A director's connection; `director` is None until its first line has come."""
+    """A connection from a director; `director` is None until the first line is received."""
 
     connection: LoopConnection
     director: int | None = None
@@ -66,7 +68,7 @@
 
 
 def build_node_fleet(scenario: FleetScenario) -> NodeFleet:
-    """Build all nodes of the scenario, with nothing stored."""
+    """Build all nodes of the scenario, with empty stores."""
     nodes = {site.name: SimulatedNode(_node_spec(scenario, site)) for site in scenario.node_sites()}
     return NodeFleet(nodes, set(WRITE_CLASSES))
 
@@ -130,34 +132,37 @@
     on_director: Callable[[int], None],
     on_data: Callable[[bytes], None],
 ) -> None:
-    """Read the first line of a connection, which a fault proxy sends.
+    """Read the first line of a connection, by which the fault proxy identifies the director.
 
     Args:
-        connection: A connection that was accepted.
-        on_director: Called once with the director that the line names.
-        on_data: Called with all bytes after the line.
+        connection: Accepted connection.
+        on_director: Called once with the number of the director.
+        on_data: Called with all bytes after the first line.
     """
-    head = b""
+    first_bytes = b""
 
-    def on_head(data: bytes) -> None:
-        nonlocal head
-        head += data
-        line, newline, rest = head.partition(b"\n")
+    def on_first_bytes(data: bytes) -> None:
+        nonlocal first_bytes
+        first_bytes += data
+        line, newline, remaining = first_bytes.partition(b"\n")
         if newline:
             connection.on_data = on_data
             on_director(int(line[1:]))
-            if rest and not connection.is_closed:
-                on_data(rest)
+            if remaining and not connection.is_closed:
+                on_data(remaining)
 
-    connection.on_data = on_head
+    connection.on_data = on_first_bytes
 
 
 class NodeServer:
-    """One node: its listener, its connections, and the faults that it shows to some directors.
+    """One node with its listener, its connections, and the faults that only some directors observe.
 
     Attributes:
+        sessions: All accepted connections, including those whose first line is not yet received.
+            All of them must be closed when the node crashes: a command on a connection that
+            outlived the node would be counted as another crash of the node.
         failing_for: Directors that get errors.
-        slow_for: Directors for which it is slower, by `slowdown`.
+        slow_for: Directors whose answers take longer by the factor `slowdown`.
     """
 
     def __init__(self, context: NodeContext, node: SimulatedNode, zone: str) -> None:
@@ -166,8 +171,6 @@
         self.zone = zone
         self.port = 0
         self.listener: socket.socket | None = None
-        # All accepted connections are kept, also before their first line: one that outlived the
-        # node would have a command on it count as the node's crash.
         self.sessions: dict[LoopConnection, _Session] = {}
         self.failing_for: frozenset[int] = frozenset()
         self.slow_for: frozenset[int] = frozenset()
@@ -175,13 +178,13 @@
         self.listen()
 
     def listen(self) -> None:
-        """Listen at the node's port; does nothing where it does so already."""
+        """Start to listen at the node's port, unless the node already listens."""
         if self.listener is None:
             self.listener = self.context.loop.listen("127.0.0.1", self.port, self._on_connection)
             self.port = self.listener.getsockname()[1]
 
     def crash(self) -> None:
-        """End the node as a process that is killed ends: its connections are reset."""
+        """Stop the node like a killed process: close its listener and reset its connections."""
         self.node.is_alive = False
         if self.listener is not None:
             self.context.loop.stop_listening(self.listener)
@@ -192,7 +195,7 @@
         send_message(deaf=self.node.spec.name)
 
     def restart(self) -> None:
-        """Start the node again, cold and empty."""
+        """Restart the node with an empty store; its slow start begins again."""
         node = self.node
         node.reset()
         node.started_at = now_ms()
@@ -222,31 +225,31 @@
     def _on_data(self, session: _Session, data: bytes) -> None:
         view = memoryview(data)
         while len(view) and not session.connection.is_closed:
-            room = session.arrays.writable_view()
-            taken = min(len(room), len(view))
-            room[:taken] = view[:taken]
-            view = view[taken:]
-            for items in session.arrays.decode(taken):
+            buffer = session.arrays.writable_view()
+            count = min(len(buffer), len(view))
+            buffer[:count] = view[:count]
+            view = view[count:]
+            for items in session.arrays.decode(count):
                 self._on_command(session, [bytes(item) for item in items])
                 if session.connection.is_closed:
                     return
 
     def _on_command(self, session: _Session, items: list[bytes]) -> None:
-        word = items[0]
+        command_name = items[0]
         command_id = items[1]
-        if word == b"KILL":
+        if command_name == b"KILL":
             session.cancelled.add(command_id)
-        elif word == b"PULL":
+        elif command_name == b"PULL":
             self._pull(session, command_id, items[2])
         else:
-            self._check_health(session, command_id, word)
+            self._check_health(session, command_id, command_name)
 
-    def _check_health(self, session: _Session, command_id: bytes, word: bytes) -> None:
+    def _check_health(self, session: _Session, command_id: bytes, command_name: bytes) -> None:
         now = now_ms()
-        self._record("probe", session.director, self.node.spec.name, word.decode(), at=now)
+        self._record("probe", session.director, self.node.spec.name, command_name.decode(), at=now)
         if self.node.is_silent:
             return
-        report = self._load_report(now) if word == b"METER" else b"-"
+        report = self._load_report(now) if command_name == b"METER" else b"-"
         self._answer(session, command_id, (b"FIT", report), now + ANSWER_DELAY_MS)
 
     def _load_report(self, now: float) -> bytes:
@@ -268,7 +271,7 @@
         stale_answers = fleet.stale_answers
         reply = fleet.handle_pull(self.node.spec.name, fields)
         is_outdated = self.context.is_outdated(session.director, fields, reply.items[1], now)
-        fleet.stale_answers = stale_answers  # counted by director, from when each was notified
+        fleet.stale_answers = stale_answers  # counted per director, from its notification on
         self._record_attempt(session, fields, command_id, reply, now, is_outdated)
         if not self.node.is_alive:
             self._record("fell", self.node.spec.name, at=now)
@@ -333,22 +336,24 @@
     nodes: list[SimulatedNode],
     object_id: str,
     now: float,
-    draw: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Remove copies of an object older than `now` from the nodes, each at a random time.
+    """Remove copies of an object that are older than `now` from all nodes.
+
+    Each node removes its copy after a random delay.
 
     Args:
         call_at: Schedules a function at a time in ms.
-        nodes: The nodes, in the order of the draws.
-        object_id: The object.
-        now: When it is purged.
-        draw: Source of randomness.
+        nodes: The nodes; their order determines the order of the random draws.
+        object_id: Id of the object.
+        now: Time of the purge in ms.
+        rng: Source of randomness.
     """
     copy_key = (object_id, "0")
     for node in nodes:
 
-        def drop(node: SimulatedNode = node) -> None:
+        def drop_copy(node: SimulatedNode = node) -> None:
             if node.copies.get(copy_key, now) < now:
                 node.copies.pop(copy_key, None)
 
-        call_at(now + draw.uniform(*PURGE_DELAY_MS), drop)
+        call_at(now + rng.uniform(*PURGE_DELAY_MS), drop_copy)
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,7 +1,7 @@
-"""Plays a fleet scenario with processes.
+"""Plays a fleet scenario with real processes.
 
-Directors are real processes; nodes, fault proxies and load generators are processes of the lab.
-Whatever happens, none of them is left behind.
+The directors are processes of the program under test; the nodes, fault proxies and load generators
+are processes of the lab. All of them are ended after a play, even if the lab fails or is killed.
 """
 
 import contextlib
@@ -26,53 +26,63 @@
 from .fault_injector import READY_TIMEOUT_S, FaultInjector
 from .scenario import FleetScenario
 
-CONCURRENT_STARTS = 24  # directors that start at the same time
-READY_POLL_S = 0.02
-PROGRESS_POLL_S = 0.1
-LEAD_S = 1.0  # from all directors being ready to the first request
+MAX_CONCURRENT_STARTS = 24  # of directors
+READY_POLL_INTERVAL_S = 0.02
+PROGRESS_POLL_INTERVAL_S = 0.1
+LEAD_S = 1.0  # from the readiness of all directors to the first request
 EXIT_TIMEOUT_S = 5.0
 REAPER_TIMEOUT_S = 3.0
-SEEDS = 3  # directors that a director asks for members first
-SEED_FACTOR = 100_003  # spreads the directors' seeds of different scenarios
-SEED_STEP = 7919
+MEMBERSHIP_SEEDS = 3  # directors that a starting director contacts to join the fleet
+# Constants that separate the random seeds of different scenarios and of different directors
+SCENARIO_SEED_FACTOR = 100_003
+DIRECTOR_SEED_STEP = 7919
 
-Progress = Callable[[float, int, int], None]
+ProgressCallback = Callable[[float, int, int], None]
 
 
 def free_port(kind: int) -> int:
-    """Return a port for all directors of a lab, each at its own address; other labs get others."""
+    """Return a free port for all directors of this lab.
+
+    The directors share the port, as each has its own address. Concurrent labs get different ports.
+    """
     with socket.socket(socket.AF_INET, kind) as probe:
         probe.bind((addresses.advertised_address(0), 0))
         return probe.getsockname()[1]
 
 
 class ProcessReaper:
-    """The process that ends all others if the lab is killed. Thread-safe: `lock` guards its input.
+    """The lab's handle of the process that kills all others if the lab is killed.
 
-    Where it has gone itself, the lab ends its processes alone.
+    Thread-safe: `lock` guards the input of the process. If the reaper itself has ended, the lab
+    continues without it.
     """
 
     def __init__(self, log_path: str, folder: str) -> None:
-        """Start it; it removes `folder`, where it is not empty, after it has ended the others."""
+        """Start the reaper process.
+
+        Args:
+            log_path: Path of the file for its standard error.
+            folder: Folder that the reaper removes if the lab is killed; empty for none.
+        """
         self.lock = threading.Lock()
         self.process = LabProcess("process_reaper", log_path, None, folder, session=True)
 
     def add(self, process_id: int) -> None:
-        """Have it end this process if the lab is killed."""
+        """Register a process, which the reaper kills if the lab is killed."""
         self._send(f"+{process_id}\n")
 
     def remove(self, process_id: int) -> None:
-        """Have it leave this process alone, as it has ended."""
+        """Remove a process that has ended."""
         self._send(f"-{process_id}\n")
 
     def stop(self) -> None:
-        """End it; nothing is left to be ended."""
+        """End the reaper after all other processes have ended."""
         with self.lock:
             self.process.stdin.write(b"done\n")
         self.process.stop(REAPER_TIMEOUT_S)
 
     def _send(self, line: str) -> None:
-        with self.lock, contextlib.suppress(OSError, ValueError):  # it has gone
+        with self.lock, contextlib.suppress(OSError, ValueError):  # the reaper has ended
             self.process.send_line(line.encode())
 
 
@@ -80,8 +90,9 @@
     """One play of a fleet scenario.
 
     Attributes:
-        error: Why the play has failed; empty: it hasn't.
-        stopped: Set at the end of the play; the lab's threads end then.
+        proxy_by_target: The fault proxy of each target, by the target's name.
+        error: Reason for the failure of the play; empty if it has not failed.
+        stopped: Set at the end of the play, to end the lab's threads.
     """
 
     def __init__(
@@ -90,19 +101,19 @@
         """Prepare a play.
 
         Args:
-            scenario: What to play.
-            text: The scenario's file, which the lab's processes parse again.
-            folder: Where configurations, logs and records are kept; None: a temporary folder.
-            program: Folder that holds the package that the directors run, so that earlier
-                versions can be played.
+            scenario: The scenario to play.
+            text: Text of the scenario file, which the lab's processes parse again.
+            folder: Folder for configurations, logs and records; None for a temporary folder.
+            program: Folder that contains the package that the directors run, which may be an
+                earlier version.
 
         Raises:
-            ConfigError: The scenario is too large to be played with processes.
+            ConfigError: The scenario has too many directors or caches for a play with processes.
         """
         self.scenario = scenario.require_process_limits()
         self.text = text
         self.program = program
-        self.is_kept = folder is not None
+        self.keeps_folder = folder is not None
         self.folder = folder or tempfile.mkdtemp(prefix="mulleinrelay-fleet-")
         os.makedirs(self.folder, exist_ok=True)
         self.port = free_port(socket.SOCK_STREAM)
@@ -111,35 +122,35 @@
         self.directors: list[FleetDirector] = []
         self.proxies: list[LabProcess] = []
         self.load_generators: list[LabProcess] = []
-        self.proxy_of: dict[str, LabProcess] = {}
+        self.proxy_by_target: dict[str, LabProcess] = {}
         self.records: RecordFile | None = None
         self.error = ""
         self.stopped = threading.Event()
 
     def run(
         self,
-        live: Progress | None = None,
-        before: Callable[["FleetLab"], None] | None = None,
+        on_progress: ProgressCallback | None = None,
+        on_ready: Callable[["FleetLab"], None] | None = None,
     ) -> str:
-        """Play, and return the folder of the records.
+        """Play the scenario, and return the folder of the records.
 
         Args:
-            live: Called now and then with the seconds since the start, and the requests asked and
-                served.
-            before: Called when all processes are ready, before the load starts.
+            on_progress: Called periodically with the seconds since the start and the numbers of
+                requests created and served.
+            on_ready: Called when all processes are ready, before the load starts.
 
         Raises:
-            RuntimeError: It could not be played.
+            RuntimeError: The scenario could not be played.
         """
-        folder = "" if self.is_kept else self.folder
+        folder = "" if self.keeps_folder else self.folder
         self.reaper = ProcessReaper(self.path("keeper.log"), folder)
         try:
             records = RecordFile(self.path("lab.records"))
             self.records = records
             injector = self._start(records)
-            if before is not None:
-                before(self)
-            self._play(records, injector, live)
+            if on_ready is not None:
+                on_ready(self)
+            self._play(records, injector, on_progress)
         finally:
             self._stop()
         if self.error:
@@ -151,8 +162,8 @@
         return os.path.join(self.folder, name)
 
     def remove_folder(self) -> None:
-        """Remove the folder, where it is temporary; its records have been read."""
-        if not self.is_kept:
+        """Remove the folder if it is temporary; call this after reading its records."""
+        if not self.keeps_folder:
             shutil.rmtree(self.folder, ignore_errors=True)
 
     # Start
@@ -162,22 +173,22 @@
         endpoints = self._start_process(
             "endpoint_process", "hosts", common | {"records": self.path("hosts.records")}
         )
-        far_ports = self._start_proxies(endpoints.receive()["ports"])
-        endpoints.send({"far": far_ports})
+        proxy_ports = self._start_proxies(endpoints.receive()["ports"])
+        endpoints.send({"far": proxy_ports})
         endpoints.receive()
-        self._start_directors(endpoints, far_ports["stream"])
+        self._start_directors(endpoints, proxy_ports["stream"])
         self._start_load_generators(common)
         self._start_thread("endpoints", lambda: self._follow_endpoints(endpoints))
         return FaultInjector(self.directors, endpoints, self.proxies, records, self.stopped)
 
-    def _start_process(self, module: str, name: str, first: Message) -> LabProcess:
-        process = LabProcess(module, self.path(f"{name}.log"), first, session=True)
+    def _start_process(self, module: str, name: str, first_message: Message) -> LabProcess:
+        process = LabProcess(module, self.path(f"{name}.log"), first_message, session=True)
         self.processes.append(process)
         self.reaper.add(process.process.pid)
         return process
 
     def _start_proxies(self, ports: dict[str, int]) -> dict[str, int]:
-        """Start the fault proxies; returns their port for each target."""
+        """Start the fault proxies; return the proxy port of each target by its name."""
         path_kinds = {
             site.name: "cache" if site.kind == CACHE else "parent"
             for site in self.scenario.node_sites()
@@ -188,20 +199,20 @@
         ]
         count = self.scenario.proxy_processes
         for index in range(count):
-            first: Message = {
+            first_message: Message = {
                 "seed": f"{self.scenario.seed}-relay-{index}",
                 "targets": targets[index::count],
             }
             if index == 0:
-                first["datagrams"] = list(range(self.scenario.directors))
-                first["datagram_port"] = self.datagram_port
-            self.proxies.append(self._start_process("fault_proxy", f"relay-{index}", first))
-        far_ports = {}
+                first_message["datagrams"] = list(range(self.scenario.directors))
+                first_message["datagram_port"] = self.datagram_port
+            self.proxies.append(self._start_process("fault_proxy", f"relay-{index}", first_message))
+        proxy_ports = {}
         for proxy in self.proxies:
             for name, port in proxy.receive()["ports"].items():
-                self.proxy_of[name] = proxy
-                far_ports[name] = port
-        return far_ports
+                self.proxy_by_target[name] = proxy
+                proxy_ports[name] = port
+        return proxy_ports
 
     def _start_directors(self, endpoints: LabProcess, stream_port: int) -> None:
         """Write the configurations of all directors and start them."""
@@ -236,37 +247,37 @@
         self._await_directors()
 
     def _await_directors(self) -> None:
-        """Start the directors, some at a time, and wait until all are ready."""
-        began = time.monotonic()
-        waiting = list(self.directors)
+        """Start the directors, MAX_CONCURRENT_STARTS at a time, and wait until all are ready."""
+        started_at = time.monotonic()
+        pending = list(self.directors)
         starting: list[FleetDirector] = []
-        while waiting or starting:
-            while waiting and len(starting) < CONCURRENT_STARTS:
-                starting.append(waiting.pop(0))
+        while pending or starting:
+            while pending and len(starting) < MAX_CONCURRENT_STARTS:
+                starting.append(pending.pop(0))
                 starting[-1].start()
             starting = [director for director in starting if not director.is_ready()]
-            if time.monotonic() > began + READY_TIMEOUT_S:
-                missing = len(waiting) + len(starting)
+            if time.monotonic() > started_at + READY_TIMEOUT_S:
+                missing = len(pending) + len(starting)
                 raise RuntimeError(
                     f"{missing} directors were not ready within {READY_TIMEOUT_S:.0f} s"
                 )
-            time.sleep(READY_POLL_S)
-        self.ready_after_s = time.monotonic() - began
+            time.sleep(READY_POLL_INTERVAL_S)
+        self.ready_after_s = time.monotonic() - started_at
 
     def _write_config(self, director: FleetDirector, platform: Message) -> None:
-        """Write the configuration of a director, and its fleet file where it has one.
+        """Write the configuration of a director, and its fleet file if the scenario has membership.
 
         Args:
-            director: Whose configuration it is.
-            platform: The part that comes from the platform.
+            director: The director.
+            platform: The part of the configuration that a platform provides.
         """
         scenario = self.scenario
         number = director.number
-        offset = 0 if scenario.has_same_seeds else number * SEED_STEP
+        offset = 0 if scenario.has_same_seeds else number * DIRECTOR_SEED_STEP
         config = {
             "name": f"n{number}",
             "listen": f"{addresses.listen_address(number)}:{self.port}",
-            "seed": f"{scenario.seed * SEED_FACTOR + offset:x}",
+            "seed": f"{scenario.seed * SCENARIO_SEED_FACTOR + offset:x}",
             "bus": platform["bus"],
             "limits": {"memory_mb": scenario.memory_mb, "sockets": scenario.max_descriptors},
             "known": platform["known"],
@@ -282,7 +293,7 @@
         port = self.datagram_port
         seeds = " ".join(
             f"{addresses.advertised_address(seed)}:{port}"
-            for seed in range(min(SEEDS, self.scenario.directors))
+            for seed in range(min(MEMBERSHIP_SEEDS, self.scenario.directors))
         )
         return (
             f"[fleet]\nenabled = yes\nname = lab\nkey = lab-{port:08}\nlocation = {location}\n"
@@ -298,12 +309,12 @@
             locations = self.scenario.locations[index::count]
             if not locations:
                 continue
-            first = common | {
+            first_message = common | {
                 "locations": list(locations),
                 "port": self.port,
                 "records": self.path(f"clients-{index}.records"),
             }
-            generator = self._start_process("load_process", f"clients-{index}", first)
+            generator = self._start_process("load_process", f"clients-{index}", first_message)
             self.load_generators.append(generator)
         for generator in self.load_generators:
             generator.receive()
@@ -315,25 +326,27 @@
 
     # Play
 
-    def _play(self, records: RecordFile, injector: FaultInjector, live: Progress | None) -> None:
-        began = now_ms() + 1000.0 * LEAD_S
-        records.add("began", began, self.scenario.seconds, round(self.ready_after_s, 2))
+    def _play(
+        self, records: RecordFile, injector: FaultInjector, on_progress: ProgressCallback | None
+    ) -> None:
+        started_at = now_ms() + 1000.0 * LEAD_S
+        records.add("began", started_at, self.scenario.seconds, round(self.ready_after_s, 2))
         cpu_before = [director.usage().cpu_s for director in self.directors]
         for generator in self.load_generators:
-            generator.send({"began": began})
+            generator.send({"began": started_at})
         progress: dict[LabProcess, Message] = {}
-        followers = [
+        load_threads = [
             self._start_thread("load", partial(self._follow_load, generator, progress))
             for generator in self.load_generators
         ]
-        injector.start(self.scenario.steps(), began)
-        while any(follower.is_alive() for follower in followers) and not self.error:
-            time.sleep(PROGRESS_POLL_S)
-            if live is not None:
+        injector.start(self.scenario.steps(), started_at)
+        while any(thread.is_alive() for thread in load_threads) and not self.error:
+            time.sleep(PROGRESS_POLL_INTERVAL_S)
+            if on_progress is not None:
                 messages = list(progress.values())
-                asked = sum(message.get("asked", 0) for message in messages)
+                created = sum(message.get("asked", 0) for message in messages)
                 served = sum(message.get("served", 0) for message in messages)
-                live((now_ms() - began) / 1000.0, asked, served)
+                on_progress((now_ms() - started_at) / 1000.0, created, served)
             self._record_crashes(records, injector)
         for director, before in zip(self.directors, cpu_before, strict=True):
             usage = director.usage()
@@ -341,11 +354,11 @@
             records.add("use", director.number, cpu_s, round(usage.resident_mb, 1))
 
     def _follow_endpoints(self, endpoints: LabProcess) -> None:
-        """Have the proxies refuse connections to a node that has crashed, until it is back."""
+        """Tell the proxies to refuse connections to a crashed node until it has restarted."""
         try:
             while True:
-                for word, name in endpoints.receive().items():
-                    self.proxy_of[name].send({word: name})
+                for command, name in endpoints.receive().items():
+                    self.proxy_by_target[name].send({command: name})
         except RuntimeError as error:
             if not self.stopped.is_set():
                 self.error = str(error)
@@ -359,7 +372,7 @@
                 self.error = str(error)
 
     def _record_crashes(self, records: RecordFile, injector: FaultInjector) -> None:
-        """Record the directors that have ended without the lab's doing."""
+        """Record the directors that have ended although the lab did not end them."""
         for director in self.directors:
             code = director.exit_code()
             if code is not None and director.number not in injector.expected_down:
@@ -368,7 +381,7 @@
                 records.add("crash", now_ms(), director.number, code, line)
 
     def _stop(self) -> None:
-        """End every process, by its id."""
+        """End all directors and all processes of the lab."""
         self.stopped.set()
         for director in self.directors:
             director.signal(signal.SIGCONT)
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -127,7 +127,7 @@
     scenario = parse_fleet_scenario(TROUBLED)
     lab = FleetLab(scenario, TROUBLED, folder)
     alive = []
-    lab.run(before=lambda lab: alive.extend(processes_of(folder)))
+    lab.run(on_ready=lambda lab: alive.extend(processes_of(folder)))
     return folder, Audit(scenario, read_observations(folder)), alive
 
 
