--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""A fault proxy as a process, with real sockets on both sides."""
+"""The fault proxy as a process, with real sockets on both sides."""
 
 import socket
 import threading
@@ -10,14 +10,18 @@
 from mulleinrelay.lab.fleet.control_channel import LabProcess
 from mulleinrelay.lab.fleet.network_rules import NetworkRule, encode_rule
 
-DATAGRAMS = 7461
+DATAGRAM_PORT = 7461
 
 
 class EchoServer:
-    """A target that says back what it hears, and keeps the line that names the director."""
+    """A target that echoes all bytes and keeps the lines that identify the directors."""
 
     def __init__(self):
-        self.listener, self.named, self.heard = socket.create_server(("127.0.0.1", 0)), [], []
+        self.listener, self.director_lines, self.received = (
+            socket.create_server(("127.0.0.1", 0)),
+            [],
+            [],
+        )
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
@@ -26,17 +30,17 @@
                 connection, _ = self.listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self._talk, args=(connection,), daemon=True).start()
+            threading.Thread(target=self._echo, args=(connection,), daemon=True).start()
 
-    def _talk(self, connection):
-        head = b""
-        while not head.endswith(b"\n"):
-            head += connection.recv(1)
-        self.named.append(head)
+    def _echo(self, connection):
+        line = b""
+        while not line.endswith(b"\n"):
+            line += connection.recv(1)
+        self.director_lines.append(line)
         try:
-            while piece := connection.recv(65536):
-                self.heard.append(piece)
-                connection.sendall(piece)
+            while chunk := connection.recv(65536):
+                self.received.append(chunk)
+                connection.sendall(chunk)
         except OSError:
             pass
         connection.close()
@@ -44,7 +48,7 @@
 
 class ProxySetup:
     def __init__(self, tmp_path):
-        self.echo, self.rules = EchoServer(), 0
+        self.echo, self.last_rule = EchoServer(), 0
         self.process = LabProcess(
             "fault_proxy",
             str(tmp_path / "relay.log"),
@@ -54,35 +58,37 @@
                     {"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}
                 ],
                 "datagrams": [1, 2],
-                "datagram_port": DATAGRAMS,
+                "datagram_port": DATAGRAM_PORT,
             },
         )
         self.port = self.process.receive()["ports"]["c-1"]
 
-    def rule(self, rule):
-        self.rules += 1
-        self.process.send({"rule": self.rules, "held": encode_rule(rule)})
+    def add_rule(self, rule):
+        self.last_rule += 1
+        self.process.send({"rule": self.last_rule, "held": encode_rule(rule)})
         time.sleep(0.1)
 
-    def lift(self):
-        self.process.send({"lift": self.rules})
+    def remove_rule(self):
+        self.process.send({"lift": self.last_rule})
 
     def connect(self, director=1):
-        made = socket.create_connection((addresses.proxy_address(director), self.port), timeout=2.0)
-        made.settimeout(0.4)
-        return made
+        connection = socket.create_connection(
+            (addresses.proxy_address(director), self.port), timeout=2.0
+        )
+        connection.settimeout(0.4)
+        return connection
 
 
 @pytest.fixture
 def setup(tmp_path):
-    made = ProxySetup(tmp_path)
-    yield made
-    made.process.stop()
-    made.echo.listener.close()
+    proxy_setup = ProxySetup(tmp_path)
+    yield proxy_setup
+    proxy_setup.process.stop()
+    proxy_setup.echo.listener.close()
 
 
 def exchange(connection, text):
-    """What comes back: the text, nothing within 0.4 s, or the connection's end."""
+    """Return the answer: the text, None if nothing is received in 0.4 s, or b"" if closed."""
     try:
         connection.sendall(text)
         return connection.recv(100)
@@ -92,41 +98,41 @@
         return b""
 
 
-def test_bytes_pass_and_the_target_learns_the_director(setup):
+def test_bytes_are_forwarded_and_the_target_learns_the_director(setup):
     assert (
         exchange(setup.connect(1), b"one") == b"one"
         and exchange(setup.connect(300), b"two") == b"two"
     )
-    assert sorted(setup.echo.named) == [b"@1\n", b"@300\n"]
+    assert sorted(setup.echo.director_lines) == [b"@1\n", b"@300\n"]
 
 
-@pytest.mark.parametrize(("way", "heard"), [("both", []), ("up", []), ("down", [b"lost"])])
-def test_bytes_held_by_a_cut_arrive_after_it(setup, way, heard):
-    mine, other = setup.connect(1), setup.connect(2)
-    assert exchange(mine, b"a") == b"a"
-    setup.rule(NetworkRule(("cache",), frozenset({1}), direction=way, is_cut=True))
-    assert exchange(mine, b"lost") is None and exchange(other, b"b") == b"b"
-    assert [piece for piece in setup.echo.heard if piece == b"lost"] == heard
+@pytest.mark.parametrize(("direction", "received"), [("both", []), ("up", []), ("down", [b"lost"])])
+def test_bytes_held_by_a_cut_arrive_after_it(setup, direction, received):
+    affected, other = setup.connect(1), setup.connect(2)
+    assert exchange(affected, b"a") == b"a"
+    setup.add_rule(NetworkRule(("cache",), frozenset({1}), direction=direction, is_cut=True))
+    assert exchange(affected, b"lost") is None and exchange(other, b"b") == b"b"
+    assert [chunk for chunk in setup.echo.received if chunk == b"lost"] == received
     assert exchange(setup.connect(1), b"new") is None
-    setup.lift()
-    assert mine.recv(100) == b"lost"
+    setup.remove_rule()
+    assert affected.recv(100) == b"lost"
 
 
 def test_a_reset_rule_ends_connections_and_rejects_new_ones(setup):
-    mine, other = setup.connect(1), setup.connect(2)
-    assert exchange(mine, b"a") == b"a" and exchange(other, b"b") == b"b"
-    setup.rule(NetworkRule(("cache",), frozenset({1}), is_reset=True))
+    affected, other = setup.connect(1), setup.connect(2)
+    assert exchange(affected, b"a") == b"a" and exchange(other, b"b") == b"b"
+    setup.add_rule(NetworkRule(("cache",), frozenset({1}), is_reset=True))
     assert (
-        exchange(mine, b"x") == b""
+        exchange(affected, b"x") == b""
         and exchange(setup.connect(1), b"y") == b""
         and exchange(other, b"z") == b"z"
     )
-    setup.lift()
+    setup.remove_rule()
     time.sleep(0.1)
     assert exchange(setup.connect(1), b"w") == b"w"
 
 
-def test_a_target_that_crashed_refuses_connections(setup):
+def test_connections_to_a_crashed_target_are_refused(setup):
     setup.process.send({"deaf": "c-1"})
     time.sleep(0.1)
     with pytest.raises(ConnectionRefusedError):
@@ -137,30 +143,36 @@
 
 
 def test_a_delay_applies_in_both_directions(setup):
-    mine = setup.connect()
-    assert exchange(mine, b"a") == b"a"
-    setup.rule(NetworkRule(("cache",), delay_ms=60.0))
-    begun = time.monotonic()
-    assert exchange(mine, b"b") == b"b" and time.monotonic() - begun >= 0.115
+    affected = setup.connect()
+    assert exchange(affected, b"a") == b"a"
+    setup.add_rule(NetworkRule(("cache",), delay_ms=60.0))
+    started_at = time.monotonic()
+    assert exchange(affected, b"b") == b"b" and time.monotonic() - started_at >= 0.115
 
 
 def test_datagrams_keep_their_sender_and_follow_rules(setup):
-    gates = {}
+    sockets = {}
     for director in (1, 2):
-        gates[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        gates[director].bind((addresses.listen_address(director), DATAGRAMS))
-        gates[director].settimeout(0.4)
+        sockets[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sockets[director].bind((addresses.listen_address(director), DATAGRAM_PORT))
+        sockets[director].settimeout(0.4)
     try:
-        gates[1].sendto(b"hail", (addresses.advertised_address(2), DATAGRAMS))
-        assert gates[2].recvfrom(100) == (b"hail", (addresses.advertised_address(1), DATAGRAMS))
-        gates[2].sendto(b"well", (addresses.advertised_address(1), DATAGRAMS))
-        assert gates[1].recvfrom(100) == (b"well", (addresses.advertised_address(2), DATAGRAMS))
-        setup.rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
-        gates[1].sendto(b"lost", (addresses.advertised_address(2), DATAGRAMS))
-        gates[2].sendto(b"comes", (addresses.advertised_address(1), DATAGRAMS))
-        assert gates[1].recv(100) == b"comes"
+        sockets[1].sendto(b"hail", (addresses.advertised_address(2), DATAGRAM_PORT))
+        assert sockets[2].recvfrom(100) == (
+            b"hail",
+            (addresses.advertised_address(1), DATAGRAM_PORT),
+        )
+        sockets[2].sendto(b"well", (addresses.advertised_address(1), DATAGRAM_PORT))
+        assert sockets[1].recvfrom(100) == (
+            b"well",
+            (addresses.advertised_address(2), DATAGRAM_PORT),
+        )
+        setup.add_rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
+        sockets[1].sendto(b"lost", (addresses.advertised_address(2), DATAGRAM_PORT))
+        sockets[2].sendto(b"comes", (addresses.advertised_address(1), DATAGRAM_PORT))
+        assert sockets[1].recv(100) == b"comes"
         with pytest.raises(TimeoutError):
-            gates[2].recv(100)
+            sockets[2].recv(100)
     finally:
-        for gate in gates.values():
-            gate.close()
+        for director_socket in sockets.values():
+            director_socket.close()
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,5 +1,7 @@
-"""Some forty processes with faults between them, judged by counts; and that nothing of a lab is
-left.
+"""A play with about forty processes and many faults, and the cleanup after a lab has ended.
+
+The play is checked by counts of records. The tests of the cleanup verify that no process and no
+folder of a lab remains, even if the lab is killed.
 """
 
 import os
@@ -17,9 +19,9 @@
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-# What depends on this machine's speed is left wide: answers, stops and drains have seconds to
-# spare.
-TROUBLED = """
+# Limits that depend on the speed of the machine are generous: answers, stops and drains have
+# several seconds more than they need.
+SCENARIO = """
 [fleet lab]
 seconds = 24
 warm_s = 4
@@ -118,14 +120,14 @@
 def processes_of(folder):
     found = []
     for process in psutil.process_iter(["pid", "cmdline"]):
-        if any(folder in word for word in process.info["cmdline"] or ()):
+        if any(folder in argument for argument in process.info["cmdline"] or ()):
             found.append(process)
     return found
 
 
 def play(folder):
-    scenario = parse_fleet_scenario(TROUBLED)
-    lab = FleetLab(scenario, TROUBLED, folder)
+    scenario = parse_fleet_scenario(SCENARIO)
+    lab = FleetLab(scenario, SCENARIO, folder)
     alive = []
     lab.run(on_ready=lambda lab: alive.extend(processes_of(folder)))
     return folder, Audit(scenario, read_observations(folder)), alive
@@ -144,7 +146,7 @@
     figures = audit.figures()
     assert (
         len(alive) >= 34 and len(alive) + 5 >= 39
-    )  # with endpoints, proxies, load generators and reaper
+    )  # directors, endpoint process, proxies, load generators and reaper
     assert {rule: figures[rule] for rule in audit.count_violations()} == dict.fromkeys(
         audit.count_violations(), 0
     )
@@ -152,90 +154,106 @@
     assert figures["requests"] > 1200 and figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
-def test_each_fault_shows_in_the_records_of_nodes_and_stream(troubled):
+def test_each_fault_is_visible_in_the_records_of_nodes_and_stream(troubled):
     _, audit, _ = troubled
     attempts, faults = (
         audit.observations.attempts,
         {fault[1]: fault for fault in audit.faults if fault[3]},
     )
-    cut, killed = (
+    cut_directors, killed = (
         set(faults["cutoff"][4]),
         [fault for fault in audit.faults if fault[1] == "many" and fault[3]],
     )
-    during = [
+    during_cut = [
         attempt
         for attempt in attempts
         if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8
     ]
-    north = {name for name, box in audit.caches.items() if box.location == "north"}
-    assert during and not [
-        attempt for attempt in during if attempt[1] in cut and attempt[2] in north
+    north = {name for name, cache in audit.caches.items() if cache.location == "north"}
+    assert during_cut and not [
+        attempt for attempt in during_cut if attempt[1] in cut_directors and attempt[2] in north
     ]
-    errs = set(faults["half"][4])
+    with_errors = set(faults["half"][4])
     assert {
         attempt[1] for attempt in attempts if attempt[7] == "BROKE" and attempt[8] == ""
-    } <= errs
+    } <= with_errors
     dead = set(killed[0][4])
     assert len(dead) == 24
-    gone = [attempt for attempt in attempts if killed[0][0] + 0.5 < attempt[0] < killed[0][0] + 3.5]
-    assert gone and not [attempt for attempt in gone if attempt[1] in dead]
-    back = [
+    while_dead = [
+        attempt for attempt in attempts if killed[0][0] + 0.5 < attempt[0] < killed[0][0] + 3.5
+    ]
+    assert while_dead and not [attempt for attempt in while_dead if attempt[1] in dead]
+    after_restart = [
         attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0
     ]
-    assert back
+    assert after_restart
     assert audit.observations.other_records["term"] and audit.observations.other_records["again"]
     late = set(faults["late"][4])
-    told = {
+    notified_at = {
         director: at
         for at, director, _, state, _ in reversed(audit.observations.other_records["told"])
         if state == "DELETED"
     }
-    waits = [told[director] - faults["dead"][0] for director in told]
-    assert [wait for director, wait in zip(told, waits, strict=True) if director in late] > [2.9]
+    delays = [notified_at[director] - faults["dead"][0] for director in notified_at]
+    assert [
+        delay for director, delay in zip(notified_at, delays, strict=True) if director in late
+    ] > [2.9]
     assert (
-        min(wait for director, wait in zip(told, waits, strict=True) if director not in late) < 2.5
+        min(
+            delay
+            for director, delay in zip(notified_at, delays, strict=True)
+            if director not in late
+        )
+        < 2.5
     )
 
 
-def test_load_shifts_and_a_silent_cache_comes_back(troubled):
+def test_load_shifts_and_a_silent_cache_is_used_again(troubled):
     _, audit, _ = troubled
     faults = {(fault[1], fault[3]): fault for fault in audit.faults}
     first, last = faults["moved", True][0], faults["moved", False][0]
-    asked = [look[2] for look in audit.observations.requests if first + 0.2 < look[0] < last - 0.2]
-    assert asked.count("south") > 3 * asked.count("north") > 0
-    (mute,) = faults["mute", True][5]
-    since = faults["mute", False][0]
+    locations = [
+        request[2]
+        for request in audit.observations.requests
+        if first + 0.2 < request[0] < last - 0.2
+    ]
+    assert locations.count("south") > 3 * locations.count("north") > 0
+    (silent_cache,) = faults["mute", True][5]
+    ended_at = faults["mute", False][0]
     assert any(
-        attempt[2] == mute and attempt[0] > since for attempt in audit.observations.attempts
-    )  # it is back
+        attempt[2] == silent_cache and attempt[0] > ended_at
+        for attempt in audit.observations.attempts
+    )  # it is used again
 
 
-def test_no_process_is_left_after_a_play(troubled):
+def test_no_process_remains_after_a_play(troubled):
     folder, _, alive = troubled
     assert not [process for process in alive if process.is_running()] and not processes_of(folder)
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_no_process_or_folder_is_left_of_a_lab_that_is_killed(number, tmp_path):
-    path, temporary = tmp_path / "small.ini", tmp_path / "tmp"
-    path.write_text("[fleet lab]\nseconds = 60\n[directors]\ncount = 6\n[load]\nrate = 20\n")
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_no_process_or_folder_of_a_killed_lab_remains(signal_number, tmp_path):
+    scenario_path, temporary = tmp_path / "small.ini", tmp_path / "tmp"
+    scenario_path.write_text(
+        "[fleet lab]\nseconds = 60\n[directors]\ncount = 6\n[load]\nrate = 20\n"
+    )
     temporary.mkdir()
     program = subprocess.Popen(
-        [sys.executable, "-m", "mulleinrelay", "lab", str(path), "--quiet"],
+        [sys.executable, "-m", "mulleinrelay", "lab", str(scenario_path), "--quiet"],
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         env=os.environ | {"TMPDIR": str(temporary)},
         preexec_fn=lambda: signal.signal(
             signal.SIGINT, signal.SIG_DFL
-        ),  # a shell's background job ignores it,
+        ),  # background jobs of a shell ignore SIGINT
     )
-    end, held = time.monotonic() + 30.0, []
-    while len(held) < 7 and time.monotonic() < end:  # six directors and the reaper name the folder
+    deadline, lab_processes = time.monotonic() + 30.0, []
+    while len(lab_processes) < 7 and time.monotonic() < deadline:  # six directors and the reaper
         time.sleep(0.1)
-        held = processes_of(str(temporary))
+        lab_processes = processes_of(str(temporary))
     others = psutil.Process(program.pid).children(recursive=True)
-    program.send_signal(number)
+    program.send_signal(signal_number)
     program.wait(30.0)
     program.stderr.close()
     assert len(others) >= 10
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -1,6 +1,8 @@
-"""Most of some forty processes are killed, come back together and are killed again; a location's
-caches are not reached; caches return cold while directors restart; clocks are stepped. Judged by
-counts at caches and clients.
+"""A play with about forty processes that suffers large losses.
+
+Most directors are killed, restarted together and killed again. The caches of a location are
+unreachable for some time, caches restart cold while directors restart, and clocks are stepped. The
+play is checked by counts at caches and clients.
 """
 
 import pytest
@@ -11,7 +13,7 @@
 from mulleinrelay.lab.fleet.scenario import PARENT
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
-LOSSES = """
+SCENARIO = """
 [fleet lab]
 seconds = 32
 warm_s = 4
@@ -86,8 +88,8 @@
 
 
 def play(folder):
-    FleetLab(parse_fleet_scenario(LOSSES), LOSSES, folder).run()
-    return Audit(parse_fleet_scenario(LOSSES), read_observations(folder))
+    FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder).run()
+    return Audit(parse_fleet_scenario(SCENARIO), read_observations(folder))
 
 
 THREAD_JOBS = {"losses": play}
@@ -118,11 +120,14 @@
 
 def test_no_violations(audit):
     assert {rule: count for rule, count in audit.count_violations().items() if count} == {}
-    assert all(not fault.error for fault in audit.faults)  # each was injected
+    assert all(not fault.error for fault in audit.faults)  # all faults were injected
 
 
 def test_requests_bypass_the_caches_of_an_unreachable_location(audit):
-    """Each cache was once detected by itself, with a request or two lost for each."""
+    """Directors must detect the loss of a whole location.
+
+    If they detect each unreachable cache separately, one or two requests are lost per cache.
+    """
     first, last, affected = (
         fault_time(audit, "unreached"),
         fault_time(audit, "unreached", False),
@@ -142,14 +147,14 @@
 
 def test_directors_use_the_caches_again_after_the_cut(audit):
     last, affected = fault_time(audit, "unreached", False), faulty_directors(audit, "unreached")
-    back = {
+    returned = {
         attempt.director
         for attempt in audit.observations.attempts
         if last < attempt.at_s < fault_time(audit, "killed") + 6.0
         and attempt.director in affected
         and attempt.node in audit.caches
     }
-    assert len(back) > 0.5 * len(affected)
+    assert len(returned) > 0.5 * len(affected)
 
 
 def test_orders_retried_at_other_directors_after_a_kill_run_once(audit):
@@ -159,22 +164,22 @@
         for request in audit.observations.requests
         if first - 1.0 < request.at_s < first + 4.0 and request.request_class == "order"
     ]
-    moved = [
+    retried_elsewhere = [
         order
         for order in orders
         if order.tries > 1 and order.first_director != order.director and order.outcome == "served"
     ]
-    assert len(moved) >= 5 and audit.count_violations()["orders_run_twice"] == 0
+    assert len(retried_elsewhere) >= 5 and audit.count_violations()["orders_run_twice"] == 0
 
 
 def test_most_requests_are_served_between_and_after_two_kills(audit):
-    again, back = fault_time(audit, "again"), fault_time(audit, "again", False)
+    second_kill, second_restart = fault_time(audit, "again"), fault_time(audit, "again", False)
     survivors = (
         set(range(34)) - faulty_directors(audit, "again") - faulty_directors(audit, "killed")
     )
-    results = outcomes(audit, again, back, survivors)
+    results = outcomes(audit, second_kill, second_restart, survivors)
     assert results.count("served") > 0.8 * len(results) > 10
-    results = outcomes(audit, back + 1.5, fault_time(audit, "stopped"))
+    results = outcomes(audit, second_restart + 1.5, fault_time(audit, "stopped"))
     assert results.count("served") > 0.8 * len(results) > 10
 
 
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -1,5 +1,7 @@
-"""Some forty processes of which most are lost, caches that are all slow, and half that return cold;
-judged by counts at caches and clients.
+"""A play with about forty processes: slow caches, cold caches, and the loss of most directors.
+
+All caches are slow for some time, half of them restart cold, and most directors are killed. The
+play is checked by counts at caches and clients.
 """
 
 import pytest
@@ -9,7 +11,7 @@
 from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
-LOST = """
+SCENARIO = """
 [fleet lab]
 seconds = 26
 warm_s = 4
@@ -52,8 +54,8 @@
 
 
 def play(folder):
-    FleetLab(parse_fleet_scenario(LOST), LOST, folder).run()
-    return Audit(parse_fleet_scenario(LOST), read_observations(folder))
+    FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder).run()
+    return Audit(parse_fleet_scenario(SCENARIO), read_observations(folder))
 
 
 THREAD_JOBS = {"lost": play}
@@ -75,49 +77,60 @@
 
 
 def test_slow_caches_get_no_overload_of_retries(audit):
-    """Requests once went from full cache to full cache, with over two attempts a request."""
+    """Requests that are retried at one full cache after another amplify the load.
+
+    Without a limit there were more than two attempts per request.
+    """
     first, last = fault(audit, "slow").at_s, fault(audit, "slow", False).at_s + 2.0
     attempts = [
         attempt
         for attempt in audit.observations.attempts
         if attempt.node in audit.caches and first < attempt.at_s < last
     ]
-    asked = sum(
+    tries = sum(
         request.tries for request in audit.observations.requests if first < request.at_s < last
-    )  # with the clients' retries
-    assert 0 < len(attempts) < 1.5 * asked
+    )  # including the retries of clients
+    assert 0 < len(attempts) < 1.5 * tries
 
 
 def test_requests_are_served_again_after_the_slowness(audit):
-    end = fault(audit, "slow", False).at_s
+    ended_at = fault(audit, "slow", False).at_s
     outcomes = [
         request.outcome
         for request in audit.observations.requests
-        if end + 2.5 < request.at_s < end + 4.5
+        if ended_at + 2.5 < request.at_s < ended_at + 4.5
     ]
     assert outcomes.count("served") > 0.8 * len(outcomes) > 50
 
 
 def test_caches_that_restart_cold_are_used_and_do_not_crash(audit):
-    """With quotas of less than one request, 17 directors share each cold cache, and none of them
-    would send it anything during its whole slow start.
+    """17 directors share each cold cache, so the quota of each is less than one request.
+
+    A director that never uses a quota below one request would send nothing to the cache during its
+    whole slow start.
     """
-    back, cold = fault(audit, "cold", False).at_s, set(fault(audit, "cold").nodes)
+    restarted_at, cold_caches = fault(audit, "cold", False).at_s, set(fault(audit, "cold").nodes)
     attempts = [
         attempt
         for attempt in audit.observations.attempts
-        if attempt.node in cold and 2.0 < attempt.at_s - back < 6.0
-    ]  # all directors were notified
-    assert len(cold) == 4 and len(attempts) >= 4 and not audit.observations.other_records["fell"]
+        if attempt.node in cold_caches and 2.0 < attempt.at_s - restarted_at < 6.0
+    ]  # after the notification of all directors
+    assert (
+        len(cold_caches) == 4
+        and len(attempts) >= 4
+        and not audit.observations.other_records["fell"]
+    )
 
 
 def test_survivors_answer_most_requests_while_most_directors_are_dead(audit):
     first, last = fault(audit, "killed").at_s, fault(audit, "killed", False).at_s
     dead = set(fault(audit, "killed").directors)
-    taken = [
+    at_survivors = [
         request
         for request in audit.observations.requests
         if first < request.at_s < last and request.director not in dead
     ]
-    answered = [request for request in taken if request.outcome in ("served", "rejected", "failed")]
-    assert len(dead) == 24 and len(taken) > 30 and len(answered) == len(taken)
+    answered = [
+        request for request in at_survivors if request.outcome in ("served", "rejected", "failed")
+    ]
+    assert len(dead) == 24 and len(at_survivors) > 30 and len(answered) == len(at_survivors)
--- a/tests/lab/test_network_rules.py
+++ b/tests/lab/test_network_rules.py
@@ -14,7 +14,7 @@
     encode_rule,
 )
 
-CACHES = ("cache",)
+CACHE_PATHS = ("cache",)
 
 
 def rules_of(*rules):
@@ -24,11 +24,11 @@
 @pytest.mark.parametrize(
     ("rule", "director", "target", "applies"),
     [
-        (NetworkRule(CACHES), 3, "c-1", True),
+        (NetworkRule(CACHE_PATHS), 3, "c-1", True),
         (NetworkRule(("parent",)), 3, "c-1", False),
-        (NetworkRule(CACHES, frozenset({4})), 3, "c-1", False),
-        (NetworkRule(CACHES, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
-        (NetworkRule(CACHES, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
+        (NetworkRule(CACHE_PATHS, frozenset({4})), 3, "c-1", False),
+        (NetworkRule(CACHE_PATHS, frozenset({3}), frozenset({"c-2"})), 3, "c-1", False),
+        (NetworkRule(CACHE_PATHS, frozenset({3}), frozenset({"c-1", "c-2"})), 3, "c-1", True),
     ],
 )
 def test_a_rule_applies_to_its_paths_only(rule, director, target, applies):
@@ -36,10 +36,10 @@
 
 
 @pytest.mark.parametrize(
-    ("way", "up", "down"), [("both", True, True), ("up", True, False), ("down", False, True)]
+    ("direction", "up", "down"), [("both", True, True), ("up", True, False), ("down", False, True)]
 )
-def test_a_cut_in_one_direction_lets_the_other_pass(way, up, down):
-    rules = rules_of(NetworkRule(CACHES, direction=way, is_cut=True))
+def test_a_cut_in_one_direction_lets_the_other_pass(direction, up, down):
+    rules = rules_of(NetworkRule(CACHE_PATHS, direction=direction, is_cut=True))
     assert (
         rules.cuts_path("cache", 1, "c-1", UP) is up
         and rules.cuts_path("cache", 1, "c-1", DOWN) is down
@@ -54,37 +54,37 @@
     st.floats(0, 1),
     st.sampled_from([0.0, 1000.0, 1e6]),
 )
-def test_stream_bytes_keep_their_order_and_never_come_early(pieces, delay, jitter, loss, rate):
-    rules, stream, draw = (
+def test_stream_bytes_keep_their_order_and_are_never_early(chunks, delay, jitter, loss, rate):
+    rules, stream, rng = (
         rules_of(
-            NetworkRule(CACHES, delay_ms=delay, jitter_ms=jitter, loss=loss, bytes_per_s=rate)
+            NetworkRule(CACHE_PATHS, delay_ms=delay, jitter_ms=jitter, loss=loss, bytes_per_s=rate)
         ),
         StreamState(),
         random.Random(1),
     )
     now = last = 0.0
-    for step, length in pieces:
+    for step, length in chunks:
         now += step
-        due = rules.stream_due_at("cache", 1, "c-1", UP, now, length, stream, draw)
-        assert due >= now + delay and due >= last
-        last = due
-    assert stream.sent_bytes == sum(length for _, length in pieces)
+        due_at = rules.stream_due_at("cache", 1, "c-1", UP, now, length, stream, rng)
+        assert due_at >= now + delay and due_at >= last
+        last = due_at
+    assert stream.sent_bytes == sum(length for _, length in chunks)
 
 
 def test_a_rate_limit_spreads_bytes_over_time():
-    rules, stream, draw = (
+    rules, stream, rng = (
         rules_of(NetworkRule(("stream",), bytes_per_s=1000.0)),
         StreamState(last_due_at=100.0),
         random.Random(1),
     )
-    dues = [
-        rules.stream_due_at("stream", 1, "stream", DOWN, 100.0, 500, stream, draw) for _ in range(4)
+    due_times = [
+        rules.stream_due_at("stream", 1, "stream", DOWN, 100.0, 500, stream, rng) for _ in range(4)
     ]
-    assert dues == [600.0, 1100.0, 1600.0, 2100.0]
+    assert due_times == [600.0, 1100.0, 1600.0, 2100.0]
 
 
 @pytest.mark.parametrize(
-    ("rule", "low", "high"),
+    ("rule", "minimum", "maximum"),
     [
         (NetworkRule(("director",), loss=0.5), 350, 650),
         (NetworkRule(("director",), duplication=0.5), 1350, 1650),
@@ -94,26 +94,27 @@
         (NetworkRule(("director",), direction="down", loss=1.0), 1000, 1000),
     ],
 )
-def test_datagrams_are_lost_and_duplicated(rule, low, high):
-    rules, draw = rules_of(rule), random.Random(1)
+def test_datagrams_are_lost_and_duplicated(rule, minimum, maximum):
+    rules, rng = rules_of(rule), random.Random(1)
     assert (
-        low
-        <= sum(
-            len(rules.datagram_due_times("director", 1, "2", UP, 5.0, draw)) for _ in range(1000)
-        )
-        <= high
+        minimum
+        <= sum(len(rules.datagram_due_times("director", 1, "2", UP, 5.0, rng)) for _ in range(1000))
+        <= maximum
     )
 
 
 def test_datagrams_are_reordered():
-    rules, draw = (
+    rules, rng = (
         rules_of(NetworkRule(("director",), reordering=0.5, delay_ms=10.0)),
         random.Random(1),
     )
-    dues = [
-        rules.datagram_due_times("director", 1, "2", UP, float(now), draw)[0] for now in range(200)
+    due_times = [
+        rules.datagram_due_times("director", 1, "2", UP, float(now), rng)[0] for now in range(200)
     ]
-    assert dues != sorted(dues) and min(due - now for now, due in enumerate(dues)) >= 10.0
+    assert (
+        due_times != sorted(due_times)
+        and min(due_at - now for now, due_at in enumerate(due_times)) >= 10.0
+    )
 
 
 def test_a_rule_is_the_same_after_encoding_and_decoding():
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -1,4 +1,4 @@
-"""A herd that is planted in the program must be found by the audit, from the other side."""
+"""Plays of a modified program that causes herds, which the audit must detect from the records."""
 
 import os
 import shutil
@@ -11,7 +11,7 @@
 from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
-SMALL = """
+SCENARIO = """
 [fleet lab]
 seconds = 9
 warm_s = 2
@@ -30,55 +30,59 @@
 objects = 400
 late_ms = 5000
 """
-IN_STEP = (
+# Each replacement consists of a module, the original text and the new text. The first one makes all
+# directors check the same cache at the same time, the second one makes them select the same cache.
+SYNCHRONIZED_HEALTH_CHECKS = (
     "policy/health_checks.py",
     "self._random.choice(endpoints)",
     "endpoints[int(now / 500.0) % len(endpoints)]",
 )
-ONE_CLOCK = (
+SYNCHRONIZED_SELECTION = (
     "policy/rendezvous_hash.py",
     "(hash_integers(object_id, part, endpoint.hash_key) + 1)",
     "(hash_integers(int(now / 3000.0), endpoint.hash_key) + 1)",
 )
 
 
-def played(folder, plant=None):
+def play(folder, replacement=None):
     program = ROOT
-    if plant is not None:
+    if replacement is not None:
         program = os.path.join(folder, "program")
         shutil.copytree(os.path.join(ROOT, "mulleinrelay"), os.path.join(program, "mulleinrelay"))
-        path = os.path.join(program, "mulleinrelay", plant[0])
+        path = os.path.join(program, "mulleinrelay", replacement[0])
         with open(path, encoding="utf-8") as file:
             text = file.read()
-        assert text.count(plant[1]) == 1
+        assert text.count(replacement[1]) == 1
         with open(path, "w", encoding="utf-8") as file:
-            file.write(text.replace(plant[1], plant[2]))
-    text = SMALL.replace("[directors]", "[directors]\none_seed = yes") if plant else SMALL
+            file.write(text.replace(replacement[1], replacement[2]))
+    text = (
+        SCENARIO.replace("[directors]", "[directors]\none_seed = yes") if replacement else SCENARIO
+    )
     scenario = parse_fleet_scenario(text)
     lab = FleetLab(scenario, text, os.path.join(folder, "play"), program)
     return Audit(scenario, read_observations(lab.run())).figures()
 
 
 THREAD_JOBS = {
-    "none-planted": played,
-    "planted-probes": lambda folder: played(folder, IN_STEP),
-    "planted-herd": lambda folder: played(folder, ONE_CLOCK),
+    "none-planted": play,
+    "planted-probes": lambda folder: play(folder, SYNCHRONIZED_HEALTH_CHECKS),
+    "planted-herd": lambda folder: play(folder, SYNCHRONIZED_SELECTION),
 }
 
 
 @pytest.mark.parametrize(
-    ("play", "herd", "idle", "probes"),
+    ("job", "has_herd", "has_idle_cache", "has_health_check_herd"),
     [
         ("none-planted", False, False, False),
         ("planted-probes", False, False, True),
         ("planted-herd", True, True, False),
     ],
 )
-def test_a_planted_herd_is_found_and_none_where_there_is_none(
-    play, herd, idle, probes, thread_job_result
+def test_a_herd_is_detected_only_if_the_program_causes_one(
+    job, has_herd, has_idle_cache, has_health_check_herd, thread_job_result
 ):
-    figures = thread_job_result(play)
-    assert (figures["herd_seconds_calm"] > 3) is herd
-    assert (figures["idle_s_max"] > 2) is idle
-    assert (figures["probes_together"] > 0.6) is probes
+    figures = thread_job_result(job)
+    assert (figures["herd_seconds_calm"] > 3) is has_herd
+    assert (figures["idle_s_max"] > 2) is has_idle_cache
+    assert (figures["probes_together"] > 0.6) is has_health_check_herd
     assert figures["rules_broken"] == 0
