--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -83,7 +83,7 @@
     Attributes:
         assignment_path: Path of the assignment file that the directors share.
         environment: The stand-ins on sockets; set by `run`, or by those who start directors alone.
-        began: Start of the load in Unix ms.
+        started_at: Start of the load in Unix ms.
         completed_steps: What was done, by the names of the output.
     """
 
@@ -107,7 +107,7 @@
         self.directors: list[Director] = []
         self.load_generators: list[LoadGenerator] = []
         self.completed_steps: list[dict[str, Any]] = []
-        self.began = 0.0
+        self.started_at = 0.0
 
     def run(
         self,
@@ -244,10 +244,10 @@
             time.sleep(READY_POLL_S)
 
     def _start_load(self) -> None:
-        self.began = now_ms() + LEAD_MS
+        self.started_at = now_ms() + LEAD_MS
         addresses = [director.address for director in self.directors]
         self.load_generators = [
-            LoadGenerator(load, addresses, self.scenario.seed, self.began)
+            LoadGenerator(load, addresses, self.scenario.seed, self.started_at)
             for load in self.scenario.loads
         ]
         for generator in self.load_generators:
@@ -256,7 +256,7 @@
     def _follow(self, live: Callable[["Lab", float], None] | None) -> None:
         """Wait until the load has ended and its last answers have come."""
         seconds = self.scenario.seconds
-        while (since_start_s := (now_ms() - self.began) / 1000.0) < seconds:
+        while (since_start_s := (now_ms() - self.started_at) / 1000.0) < seconds:
             time.sleep(min(PROGRESS_S, max(0.01, seconds - since_start_s)))
             for generator in self.load_generators:
                 generator.expire_unanswered()
@@ -282,7 +282,7 @@
 
     def _run_steps(self) -> None:
         for step in self.scenario.steps:
-            wait_ms = self.began + step.at_s * 1000.0 - now_ms()
+            wait_ms = self.started_at + step.at_s * 1000.0 - now_ms()
             if wait_ms > 0.0:
                 time.sleep(wait_ms / 1000.0)
             error = ""
@@ -295,7 +295,7 @@
                     "name": step.name,
                     "what": step.kind,
                     "wrong": error,
-                    "at": round((now_ms() - self.began) / 1000.0, 3),
+                    "at": round((now_ms() - self.started_at) / 1000.0, 3),
                 }
             )
 
--- a/mulleinrelay/standins/__init__.py
+++ b/mulleinrelay/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins on loopback for the systems that a director talks to.
+"""Stand-ins for the systems that a director communicates with, all on loopback.
 
-These are caches, parents, the origin, the event stream and clients, written from the forms of the
-protocol. Their capacities and delays are invented, and so is everything measured with them.
+They stand in for caches, parents, the origin, the event stream and clients, and are written from
+the description of the protocol. Their capacities and delays are invented, so any figure that is
+measured with them applies to the stand-ins alone.
 """
--- a/mulleinrelay/standins/client_protocol.py
+++ b/mulleinrelay/standins/client_protocol.py
@@ -1,4 +1,7 @@
-"""Calls of clients to directors in framed Thrift, as both load generators send them; pure."""
+"""Client calls to directors in framed Thrift, as both load generators send them.
+
+The module encodes and decodes; it does no input or output.
+"""
 
 import enum
 import struct
@@ -6,19 +9,19 @@
 
 from ..net import thrift
 
-DEFAULT_RETRY_DELAY = 100.0  # ms before a retry where the rejection names no delay
-MAX_IN_FLIGHT = 32  # requests on one connection
-MAX_FRAME_BYTES = 300_000  # of a reply
+DEFAULT_RETRY_DELAY = 100.0  # ms until a retry if the rejection specifies no delay
+MAX_IN_FLIGHT = 32  # requests per connection
+MAX_FRAME_BYTES = 300_000  # per reply
 HEALTH_METHOD = b"isWell"
 SERVE_METHOD = b"serve"
-MIN_PATIENCE_MS = 1.0  # directors want a positive patience
+MIN_PATIENCE_MS = 1.0  # directors require a positive patience
 
 _MAP_OF_STRINGS = b"\x0b\x0b"
 _STOP = b"\x00"
 
 
 class ReplyOutcome(enum.StrEnum):
-    """What a reply says; the values are the words of the labs' figures and records."""
+    """The outcome that a reply reports; the labs' figures and records contain the values."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -31,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReply:
-    """A director's reply to the call with that number; `retry_after_ms` is 0 where not given."""
+    """A director's reply to the call `number`; `retry_after_ms` is 0 if not specified."""
 
     number: int
     outcome: ReplyOutcome
@@ -39,7 +42,7 @@
 
 
 def encode_serve_call(number: int, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """Encode a call of `serve` with string fields and a body as one frame."""
+    """Return a frame with a call of `serve` that has string fields and a body."""
     pairs = b"".join(
         struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
     )
@@ -60,7 +63,7 @@
 
 
 def encode_health_call() -> bytes:
-    """Encode a call that asks a director whether it is well, as one frame."""
+    """Return a frame with a call that asks whether the director is healthy."""
     message = (
         struct.pack(">Ii", thrift.VERSION | thrift.CALL, len(HEALTH_METHOD))
         + HEALTH_METHOD
@@ -72,12 +75,16 @@
 
 
 def is_healthy_reply(frame: memoryview) -> bool:
-    """Return whether the reply to a health call is true."""
+    """Return whether the reply to a health call says that the director is healthy."""
     return bytes(frame[-5:]).find(b"\x01") >= 0
 
 
 def decode_reply(frame: memoryview) -> ServerReply:
-    """Decode the reply to a `serve` call. Raises ThriftError."""
+    """Decode the reply to a `serve` call.
+
+    Raises:
+        ThriftError: The frame is not a valid reply.
+    """
     reader = thrift.ValueReader(frame)
     kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
     reader.read_binary()
--- a/mulleinrelay/standins/clock.py
+++ b/mulleinrelay/standins/clock.py
@@ -4,5 +4,5 @@
 
 
 def now_ms() -> float:
-    """Return the wall clock in Unix milliseconds."""
+    """Return the wall clock time in Unix milliseconds."""
     return time.time() * 1000.0
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -1,7 +1,6 @@
-"""Threaded servers for the stand-ins: nodes over RESP, and the event stream.
+"""Threaded servers for the stand-ins: nodes that speak RESP, and the event stream.
 
-`LoopbackEnvironment` joins them for the tests of processes and the small lab; faults are injected
-into it by name.
+`LoopbackEnvironment` combines them for process tests and the lab of tenants, and injects faults.
 """
 
 import contextlib
@@ -20,17 +19,17 @@
 from .nodes import NodeFleet, SimulatedNode
 from .timer import Timer
 
-MAX_HEAD_BYTES = 8192  # of an HTTP request
-KEEP_ALIVE_S = 0.5  # between comments on an event stream without events
-RESTART_S = 0.05  # between a node's end and its next start
-SLOWDOWN = 10.0  # of a node with the fault `slow`
+MAX_HEAD_BYTES = 8192  # of the head of an HTTP request
+KEEP_ALIVE_S = 0.5  # interval of comments on an idle event stream
+RESTART_DELAY_S = 0.05  # between a node's stop and its next start
+SLOWDOWN = 10.0  # factor for a node with the fault `slow`
 
 
 class ThreadedServer:
-    """A TCP server on loopback with a thread for each connection.
+    """A TCP server on loopback with one thread per connection.
 
-    `lock` guards `connections`. The threads are daemons; `close` ends them by closing their
-    sockets.
+    `lock` guards `connections`. The threads are daemon threads; `close` ends them by shutting
+    their sockets down.
     """
 
     def __init__(self) -> None:
@@ -41,7 +40,7 @@
         self.listen()
 
     def listen(self) -> None:
-        """Listen at `address`; the first call takes a free port, later calls take it again."""
+        """Listen at `address`; the first call selects a free port, and later calls reuse it."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
@@ -51,11 +50,11 @@
         threading.Thread(target=self._accept, args=(listener,), daemon=True).start()
 
     def serve_connection(self, connection: socket.socket) -> None:
-        """Serve one connection until it ends; runs on the connection's own thread."""
+        """Serve a connection until it ends; called on the connection's own thread."""
         raise NotImplementedError
 
     def close(self, reset: bool = False) -> None:
-        """Stop listening and end all connections, with TCP resets where `reset` is set."""
+        """Stop listening and end all connections, with TCP resets if `reset` is set."""
         if self.listener is not None:
             with contextlib.suppress(OSError):
                 self.listener.shutdown(socket.SHUT_RDWR)
@@ -83,7 +82,7 @@
         try:
             self.serve_connection(connection)
         except (OSError, ValueError, resp.RespError):
-            pass  # the peer has gone or doesn't follow the protocol; its connection ends
+            pass  # the peer has closed the connection or violated the protocol
         finally:
             with self.lock:
                 self.connections.pop(connection, None)
@@ -91,7 +90,7 @@
 
 
 class NodeServer(ThreadedServer):
-    """One cache, parent or the origin on a socket."""
+    """A TCP server for one node: a cache, a parent or the origin."""
 
     def __init__(self, fleet: NodeFleet, node: SimulatedNode, timer: Timer) -> None:
         self.fleet = fleet
@@ -100,79 +99,80 @@
         super().__init__()
 
     def serve_connection(self, connection: socket.socket) -> None:
-        """Answer commands until the connection ends or a command makes the node crash."""
+        """Answer commands until the connection ends or the node crashes under its load."""
         arrays = resp.ArrayDecoder()
         session = _NodeSession(connection)
         while (length := connection.recv_into(arrays.writable_view())) > 0:
             for items in arrays.decode(length):
                 word, command_id, *rest = [bytes(item) for item in items]
                 if word == b"PULL":
-                    self._pull(session, command_id, rest[0])
+                    self._handle_pull(session, command_id, rest[0])
                     if not self.node.is_alive:
                         self.close(reset=True)
                         return
                 elif word == b"KILL":
                     session.cancelled.add(command_id)
                 elif not self.node.is_silent:
-                    session.answer(command_id, (b"FIT", b"-"))
+                    session.send_answer(command_id, (b"FIT", b"-"))
 
-    def _pull(self, session: "_NodeSession", command_id: bytes, fields: bytes) -> None:
+    def _handle_pull(self, session: "_NodeSession", command_id: bytes, fields: bytes) -> None:
         reply = self.fleet.handle_pull(self.node.spec.name, decode_fields(fields))
         if self.node.is_alive and reply.due_at is not None:
-            self.timer.call_at(reply.due_at, lambda: session.answer(command_id, reply.items))
+            self.timer.call_at(reply.due_at, lambda: session.send_answer(command_id, reply.items))
 
 
 class _NodeSession:
-    """Answers on one connection; `write_lock` keeps each answer in one piece."""
+    """One connection to a node; `write_lock` keeps concurrent answers from interleaving."""
 
     def __init__(self, connection: socket.socket) -> None:
         self.connection = connection
         self.cancelled = CancelledCommands()
         self.write_lock = threading.Lock()
 
-    def answer(self, command_id: bytes, items: tuple[bytes, ...]) -> None:
+    def send_answer(self, command_id: bytes, items: tuple[bytes, ...]) -> None:
         if command_id not in self.cancelled:
             with self.write_lock:
                 self.connection.sendall(resp.command(command_id, *items))
 
 
 class EventStreamServer(ThreadedServer):
-    """The event stream: stores all events, and sends each reader those after its last one.
+    """A server of the event stream, which stores all events and sends them to each reader.
 
-    `has_events` guards `events`.
+    A reader receives the events after the last one that it names in its request. `new_events`
+    guards `events`.
     """
 
     def __init__(self) -> None:
         self.events: list[bytes] = []
-        self.has_events = threading.Condition()
+        self.new_events = threading.Condition()
         self.is_stopped = False
         super().__init__()
 
     def publish(self, event: dict[str, Any]) -> None:
-        """Append an event and send it to all readers."""
-        with self.has_events:
+        """Store an event and wake the threads that send it to the readers."""
+        with self.new_events:
             number = len(self.events) + 1
             body = orjson.dumps({"offset": number} | event)
             self.events.append(b"id: %d\ndata: %s\n\n" % (number, body))
-            self.has_events.notify_all()
+            self.new_events.notify_all()
 
     def serve_connection(self, connection: socket.socket) -> None:
-        """Send the events after the request's Last-Event-ID as they come."""
+        """Send the events after the request's Last-Event-ID, including those published later."""
         head = b""
         while b"\r\n\r\n" not in head and len(head) < MAX_HEAD_BYTES:
-            piece = connection.recv(4096)
-            if not piece:
+            data = connection.recv(4096)
+            if not data:
                 return
-            head += piece
+            head += data
         position = int(head.lower().partition(b"last-event-id:")[2].split()[0])
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         while not self.is_stopped:
-            with self.has_events:
+            with self.new_events:
                 if position >= len(self.events):
-                    self.has_events.wait(KEEP_ALIVE_S)
-                pieces = self.events[position:]
+                    self.new_events.wait(KEEP_ALIVE_S)
+                unsent = self.events[position:]
                 position = len(self.events)
-            connection.sendall(b"".join(pieces) or b": on\n\n")
+            connection.sendall(b"".join(unsent) or b": on\n\n")
 
     def close(self, reset: bool = False) -> None:
         """Stop listening and end all streams."""
@@ -181,7 +181,7 @@
 
 
 class LoopbackEnvironment:
-    """A fleet of nodes on sockets and its event stream, with faults by name."""
+    """Servers for a fleet of nodes and its event stream, with fault injection."""
 
     def __init__(self, fleet: NodeFleet) -> None:
         self.fleet = fleet
@@ -190,11 +190,11 @@
         self.servers = {
             name: NodeServer(fleet, node, self.timer) for name, node in fleet.nodes.items()
         }
-        self.version = 0
+        self.endpoints_version = 0
         self.publish_endpoints(fleet.nodes)
 
     def endpoint_row(self, name: str) -> dict[str, Any]:
-        """Return the entry of a node in the endpoint list."""
+        """Return a node's entry in the endpoint list."""
         node = self.fleet.nodes[name]
         host, port = self.servers[name].address
         return {
@@ -209,19 +209,25 @@
         }
 
     def publish_endpoints(self, names: Iterable[str]) -> None:
-        """Publish an endpoint update for these nodes; the first one is a full snapshot."""
+        """Publish an endpoint update for these nodes; the first update is a full snapshot."""
         rows = [self.endpoint_row(name) for name in names]
-        self.version += 1
+        self.endpoints_version += 1
         self.stream.publish(
-            {"topology": {"version": self.version, "full": self.version == 1, "servers": rows}}
+            {
+                "topology": {
+                    "version": self.endpoints_version,
+                    "full": self.endpoints_version == 1,
+                    "servers": rows,
+                }
+            }
         )
 
     def inject_fault(self, fault: str, name: str) -> None:
-        """Inject a fault into a node, or end one.
+        """Start or end a fault of a node, or purge an object.
 
         Args:
             fault: kill, revive, cold, slow, silent, well, drain, ready or purge.
-            name: The node; with purge, the object.
+            name: Name of the node; with purge, the id of the object.
         """
         if fault == "purge":
             self.fleet.purged_at[name] = now_ms()
@@ -241,14 +247,14 @@
         if fault in ("kill", "cold"):
             self.servers[name].close(reset=True)
         if fault in ("revive", "cold"):
-            time.sleep(RESTART_S)
+            time.sleep(RESTART_DELAY_S)
             node.is_alive = True
             self.servers[name].listen()
         if fault in ("revive", "cold", "drain", "ready"):
             self.publish_endpoints([name])
 
     def close(self) -> None:
-        """End the timer and all servers."""
+        """Stop the timer and close all servers."""
         self.timer.stop()
         for server in (*self.servers.values(), self.stream):
             server.close()
--- a/mulleinrelay/standins/event_loop.py
+++ b/mulleinrelay/standins/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop for thousands of connections in one thread.
+"""An event loop that serves thousands of connections in one thread.
 
 The nodes, fault proxies and load generators of the fleet lab run on it.
 """
@@ -14,18 +14,21 @@
 
 from .clock import now_ms
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing sends a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: close sends a TCP reset
 READ_SIZE = 65_536  # bytes
-MAX_UNSENT_BYTES = 8_000_000  # that a peer may leave unread before its connection is closed
-MAX_SELECT_S = 0.25  # between two checks of the timers
-ACCEPTS_AT_A_TIME = 64
+MAX_UNSENT_BYTES = 8_000_000  # per connection; beyond this the connection is closed
+MAX_SELECT_S = 0.25  # maximum time between two checks of the timers
+MAX_ACCEPTS_PER_EVENT = 64
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 
 
 class EventLoop:
-    """Calls functions when sockets are ready and when timers are due. Not thread-safe."""
+    """A loop that calls functions when sockets are ready and when timers are due.
+
+    Not thread-safe.
+    """
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
@@ -47,7 +50,7 @@
         self.call_at(now_ms() + interval, repeat)
 
     def run(self) -> None:
-        """Run until `is_stopped` is set by one of the functions called."""
+        """Run until one of the called functions sets `is_stopped`."""
         while not self.is_stopped:
             now = now_ms()
             while self.timers and self.timers[0][0] <= now and not self.is_stopped:
@@ -63,28 +66,28 @@
         host: str,
         port: int,
         on_connection: Callable[[socket.socket], None],
-        everywhere: bool = False,
+        on_all_addresses: bool = False,
         backlog: int = 1024,
     ) -> socket.socket:
-        """Listen and return the listening socket.
+        """Start to listen and return the listening socket.
 
         Args:
-            host: Address to listen at; not used with `everywhere`.
-            port: Port to listen at; 0: any free one.
-            on_connection: Called with each accepted, non-blocking connection.
-            everywhere: Listen at all loopback addresses, and on that device alone.
-            backlog: Connections that may wait to be accepted.
+            host: Address to listen at; ignored if `on_all_addresses` is set.
+            port: Port to listen at; 0: any free port.
+            on_connection: Called with each accepted connection, which is non-blocking.
+            on_all_addresses: Whether to listen at all addresses of the loopback device.
+            backlog: Maximum number of connections that wait to be accepted.
         """
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if everywhere:
+        if on_all_addresses:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")
-        listener.bind(("" if everywhere else host, port))
+        listener.bind(("" if on_all_addresses else host, port))
         listener.listen(backlog)
         listener.setblocking(False)
 
         def accept(_: int) -> None:
-            for _ in range(ACCEPTS_AT_A_TIME):
+            for _ in range(MAX_ACCEPTS_PER_EVENT):
                 try:
                     connection, _ = listener.accept()
                 except OSError:
@@ -102,7 +105,7 @@
         listener.close()
 
     def connect(self, address: tuple[str, int]) -> "LoopConnection":
-        """Begin to connect; a failure shows as the end of the connection."""
+        """Start to connect; if this fails, the connection's `on_close` is called."""
         connection = socket.socket()
         connection.setblocking(False)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -115,7 +118,7 @@
 
     Attributes:
         on_data: Called with the bytes received.
-        on_close: Called once when the peer or an error has ended the connection; not after `close`.
+        on_close: Called once when the peer or an error ends the connection; not called by `close`.
     """
 
     def __init__(self, loop: EventLoop, connection: socket.socket) -> None:
@@ -130,7 +133,7 @@
         loop.selector.register(connection, self.mask, self._on_ready)
 
     def write(self, data: bytes | memoryview) -> None:
-        """Send bytes, now or when the peer reads. Does nothing on a closed connection."""
+        """Send bytes, or queue them until the socket accepts them; ignore them if closed."""
         if self.is_closed or not data:
             return
         if not self.unsent:
@@ -139,18 +142,18 @@
             except (BlockingIOError, InterruptedError):
                 pass
             except OSError:
-                self._end()
+                self._close_and_notify()
                 return
         if len(data):
             self.unsent.append(memoryview(data))
             self.unsent_bytes += len(data)
             if self.unsent_bytes > MAX_UNSENT_BYTES:
-                self._end()
+                self._close_and_notify()
                 return
             self._update_mask()
 
     def close(self, reset: bool = False) -> None:
-        """Close from this side, with a TCP reset where `reset` is set; `on_close` is not called."""
+        """Close the connection without calling `on_close`; send a TCP reset if `reset` is set."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -161,7 +164,7 @@
         self.connection.close()
         self.unsent.clear()
 
-    def _end(self) -> None:
+    def _close_and_notify(self) -> None:
         if not self.is_closed:
             self.close()
             self.on_close()
@@ -185,20 +188,20 @@
             if data:
                 self.on_data(data)
             else:
-                self._end()
+                self._close_and_notify()
 
     def _send_unsent(self) -> None:
         while self.unsent:
-            piece = self.unsent.popleft()
+            chunk = self.unsent.popleft()
             try:
-                sent = self.connection.send(piece)
+                sent = self.connection.send(chunk)
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError:
-                self._end()
+                self._close_and_notify()
                 return
             self.unsent_bytes -= sent
-            if sent < len(piece):
-                self.unsent.appendleft(piece[sent:])
+            if sent < len(chunk):
+                self.unsent.appendleft(chunk[sent:])
                 break
         self._update_mask()
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -1,7 +1,8 @@
-"""An open-loop load generator that speaks framed Thrift to directors, with retries of its own.
+"""An open-loop load generator that sends requests in framed Thrift to directors.
 
-It counts from the client's side: a request is served if any of its tries is, within the patience
-that runs from its first try.
+It retries rejected requests. Each sending of a request is a try. Results are those that a client
+sees: a request is served if any of its tries is served before its client's patience ends. The
+patience starts with the first try.
 """
 
 import contextlib
@@ -28,12 +29,12 @@
 from .clock import now_ms
 
 DEFAULT_MAX_TRIES = 3
-GRACE_MS = 60.0  # beyond a request's patience, after which its answer is missing
-MIN_TIME_FOR_TRY = 5.0  # ms of patience that must remain for a further try
+GRACE_MS = 60.0  # after a request's patience, until its answer counts as missing
+MIN_TIME_FOR_TRY_MS = 5.0  # patience that must remain to send a try
 CONNECT_TIMEOUT_S = 1.0
-MAX_IDLE_MS = 20.0  # between two checks for due requests
+MAX_IDLE_MS = 20.0  # maximum time between two checks for due requests
 MIN_WAIT_S = 0.0005
-MAX_LATENESS = 1_000.0  # ms; arrivals that a busy machine delays further are dropped
+MAX_LATENESS_MS = 1_000.0  # requests that a busy machine delays by more are not sent
 STOP_TIMEOUT_S = 2.0
 
 
@@ -42,11 +43,12 @@
     """The load of one tenant.
 
     Attributes:
-        rate: Requests a second.
+        rate: Requests per second.
+        object_count: Number of different objects.
         order_fraction: Fraction of requests with an idempotency key.
         skew: Exponent of the Zipf popularity of objects.
-        patience: How long a client waits from its first try, in ms.
-        bursts: From and to, in seconds from the start, and the rate meanwhile.
+        patience: How long a client waits for an answer after its first try, in ms.
+        bursts: Start and end in seconds since the start of the load, and the rate between them.
     """
 
     tenant: str
@@ -60,7 +62,7 @@
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
 
     def rate_at(self, since_start_s: float) -> float:
-        """Return the requests a second at that time."""
+        """Return the number of requests per second at that time."""
         for starts_s, ends_s, rate in self.bursts:
             if starts_s <= since_start_s < ends_s:
                 return rate
@@ -69,29 +71,29 @@
 
 @dataclass(slots=True, eq=False)
 class LoadResult:
-    """What a tenant's clients have seen; times in seconds from the start.
+    """Results of a tenant's requests. Times are in seconds since the start of the load.
 
     Attributes:
-        counts: By outcome, in the words of the lab's figures.
-        delays: When the request was first sent, and its delay in ms.
-        asked_at: When each request was first sent.
-        served_at: When each request that was served had first been sent.
+        counts: Number of events by the name that the lab's figures use.
+        delays: For each served request, the time of its first try and its delay in ms.
+        first_sent_at: Time of the first try of each request.
+        served_at: Time of the first try of each served request.
     """
 
     counts: Counter[str] = field(default_factory=Counter)
     delays: list[tuple[float, float]] = field(default_factory=list)
-    asked_at: list[float] = field(default_factory=list)
+    first_sent_at: list[float] = field(default_factory=list)
     served_at: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request of a client, over its tries; `first_due` is its first try's time (ms)."""
+    """A client's request over all its tries; `first_due_at` is the time of the first try in ms."""
 
-    first_due: float
+    first_due_at: float
     fields: dict[str, str]
     tries: int = 0
-    is_over: bool = False
+    is_complete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,10 +103,10 @@
 
 
 class ClientSession:
-    """A connection to one director, opened when it is first needed.
+    """A connection to one director, opened on first use and reopened after a disconnect.
 
-    Thread-safe: `lock` guards all fields after it. Replies are read by a thread for each
-    connection, which ends with the connection.
+    Thread-safe: `lock` guards all fields that are set after it. One thread per connection reads
+    the replies until the connection ends.
     """
 
     def __init__(self, generator: "LoadGenerator", address: tuple[str, int]) -> None:
@@ -112,12 +114,12 @@
         self.address = address
         self.lock = threading.Lock()
         self.in_flight: dict[int, _Try] = {}
-        self.answered: set[int] = set()
+        self.answered_numbers: set[int] = set()
         self.numbers = itertools.count(1)
         self.socket: socket.socket | None = None
 
     def send(self, request: PendingRequest, now: float) -> bool:
-        """Send a try; returns False where nothing was sent, as the connection can't take it."""
+        """Send a try and return whether it was sent; a full or broken connection sends nothing."""
         with self.lock:
             if len(self.in_flight) >= MAX_IN_FLIGHT:
                 return False
@@ -125,7 +127,7 @@
             if connection is None:
                 return False
             number = next(self.numbers)
-            remaining = request.first_due + self.generator.load.patience - now
+            remaining = request.first_due_at + self.generator.load.patience - now
             fields = request.fields | {
                 "trace": self.generator.next_trace_id(),
                 "patience": f"{max(remaining, MIN_PATIENCE_MS):.0f}",
@@ -142,7 +144,7 @@
             return True
 
     def expire_unanswered(self, now: float) -> int:
-        """Give up requests whose answer is missing; returns how many they are."""
+        """Give up requests whose answer is missing, and return their number."""
         with self.lock:
             expired = [
                 number
@@ -150,11 +152,11 @@
                 if now > pending.deadline + GRACE_MS
             ]
             for number in expired:
-                self.in_flight.pop(number).request.is_over = True
+                self.in_flight.pop(number).request.is_complete = True
         return len(expired)
 
     def close(self) -> None:
-        """Close the connection; its reader then counts what was in flight as cut off."""
+        """Close the connection; the reader thread then counts the requests in flight as cut off."""
         with self.lock:
             if self.socket is not None:
                 with contextlib.suppress(OSError):
@@ -170,7 +172,7 @@
         connection.settimeout(None)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.in_flight = {}
-        self.answered = set()
+        self.answered_numbers = set()
         self.numbers = itertools.count(1)
         threading.Thread(target=self._read_replies, args=(connection,), daemon=True).start()
         return connection
@@ -188,26 +190,27 @@
     def _on_reply(self, reply: ServerReply) -> None:
         with self.lock:
             answered = self.in_flight.pop(reply.number, None)
-            is_repeated = reply.number in self.answered
-            self.answered.add(reply.number)
+            is_repeated = reply.number in self.answered_numbers
+            self.answered_numbers.add(reply.number)
         request = None if answered is None else answered.request
         self.generator.on_reply(request, reply, is_repeated)
 
     def _discard_connection(self) -> None:
-        """Count what was in flight as cut off: it gets no answer."""
+        """Discard the connection and count its requests in flight as cut off."""
         in_flight = self.in_flight
         self.in_flight = {}
         self.socket = None
         for lost in in_flight.values():
             self.generator.count("cut off")
-            lost.request.is_over = True
+            lost.request.is_complete = True
 
 
 class LoadGenerator:
-    """The clients of one tenant: Poisson arrivals from a seed, at random connections.
+    """The clients of one tenant, whose requests form a Poisson process.
 
-    Thread-safe: `lock` guards `result` and `retries`. One thread sends the requests, and one for
-    each connection reads replies.
+    Each request goes to a random connection. All random numbers are drawn from the seed.
+    Thread-safe: `lock` guards `result` and `retries`. One thread sends the requests, and one thread
+    per connection reads the replies.
     """
 
     trace_ids = itertools.count(1)
@@ -217,25 +220,25 @@
         load: TenantLoad,
         directors: list[tuple[str, int]],
         seed: int,
-        began: float,
-        keyed: str = "order",
-        pure: str = "pages",
+        started_at: float,
+        keyed_class: str = "order",
+        read_class: str = "pages",
     ) -> None:
-        """Prepare without sending.
+        """Prepare the load without sending any request.
 
         Args:
-            load: What to send.
-            directors: Addresses of directors.
-            seed: Of all random draws, together with the tenant's name.
-            began: When the first request may be sent, in Unix ms.
-            keyed: Request class of requests with an idempotency key.
-            pure: Request class of reads.
+            load: Load of the tenant.
+            directors: Addresses of the directors.
+            seed: Seed of all random numbers, together with the tenant's name.
+            started_at: Start of the load in Unix ms.
+            keyed_class: Request class of requests with an idempotency key.
+            read_class: Request class of reads.
         """
         self.load = load
         self.random = random.Random(f"{seed}-{load.tenant}")
-        self.began = began
-        self.keyed = keyed
-        self.pure = pure
+        self.started_at = started_at
+        self.keyed_class = keyed_class
+        self.read_class = read_class
         self.result = LoadResult()
         self.lock = threading.Lock()
         self.retries: list[tuple[float, int, PendingRequest]] = []  # heap by time, then order
@@ -256,7 +259,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Send no more requests; those in flight may still be answered."""
+        """Stop sending; requests in flight may still be answered."""
         self.stopped.set()
         self.thread.join(STOP_TIMEOUT_S)
 
@@ -266,16 +269,16 @@
             session.close()
 
     def next_trace_id(self) -> str:
-        """Return an id that no other try of this process has."""
+        """Return a trace id that is unique in this process."""
         return f"{next(self.trace_ids) & 0xFFFFFFFFFFFFFFFF:016x}"
 
     def count(self, event: str) -> None:
-        """Count an event among the figures."""
+        """Increment the counter of an event."""
         with self.lock:
             self.result.counts[event] += 1
 
     def expire_unanswered(self) -> None:
-        """Count the requests whose answers are missing by now; to be called now and then."""
+        """Count the requests whose answers are missing; must be called regularly."""
         now = now_ms()
         expired = sum(session.expire_unanswered(now) for session in self.sessions)
         if expired:
@@ -288,7 +291,7 @@
         """Count a reply, and schedule a retry after a rejection.
 
         Args:
-            request: The request that it answers; None where none is in flight.
+            request: The request that the reply answers; None if the request is not in flight.
             reply: The director's reply.
             is_repeated: Whether the same call was answered before.
         """
@@ -301,52 +304,57 @@
                 counts["answers late"] += 1
                 return
             counts[reply.outcome.value] += 1
-            if reply.outcome == ReplyOutcome.SERVED and not request.is_over:
-                request.is_over = True
-                since_start_s = (request.first_due - self.began) / 1000.0
+            if reply.outcome == ReplyOutcome.SERVED and not request.is_complete:
+                request.is_complete = True
+                since_start_s = (request.first_due_at - self.started_at) / 1000.0
                 self.result.served_at.append(since_start_s)
-                self.result.delays.append((since_start_s, now - request.first_due))
+                self.result.delays.append((since_start_s, now - request.first_due_at))
             elif reply.outcome == ReplyOutcome.REJECTED and request.tries < self.load.max_tries:
                 due_at = now + (reply.retry_after_ms or DEFAULT_RETRY_DELAY)
                 heapq.heappush(self.retries, (due_at, next(self.order), request))
 
-    def served_fraction(self, first: float, last: float) -> float:
-        """Return the served fraction of requests first sent from `first` to `last` (s)."""
+    def served_fraction(self, first_s: float, last_s: float) -> float:
+        """Return the served fraction of the requests first sent in a time range.
+
+        The range is given in seconds since the start of the load; 1 if it has no requests.
+        """
         with self.lock:
-            asked = sum(first <= at < last for at in self.result.asked_at)
-            served = sum(first <= at < last for at in self.result.served_at)
-        return served / asked if asked else 1.0
+            sent = sum(first_s <= sent_at < last_s for sent_at in self.result.first_sent_at)
+            served = sum(first_s <= sent_at < last_s for sent_at in self.result.served_at)
+        return served / sent if sent else 1.0
 
-    def percentile(self, part: float, first: float, last: float) -> float:
-        """Return that percentile of delays in ms; 0 where there are none.
+    def percentile(self, fraction: float, first_s: float, last_s: float) -> float:
+        """Return a percentile of the delays in ms; 0 if there are none.
 
         Args:
-            part: The percentile as a fraction.
-            first: Requests first sent from then, in seconds from the start.
-            last: Requests first sent before then.
+            fraction: The percentile as a fraction.
+            first_s: Start of the range of first tries, in seconds since the start of the load.
+            last_s: End of that range.
         """
         with self.lock:
-            delays = sorted(delay for at, delay in self.result.delays if first <= at < last)
-        return delays[min(len(delays) - 1, int(part * len(delays)))] if delays else 0.0
+            delays = sorted(
+                delay for sent_at, delay in self.result.delays if first_s <= sent_at < last_s
+            )
+        return delays[min(len(delays) - 1, int(fraction * len(delays)))] if delays else 0.0
 
     def _run(self) -> None:
-        due_at = max(now_ms(), self.began)
+        due_at = max(now_ms(), self.started_at)
         while not self.stopped.is_set():
             now = now_ms()
-            rate = self.load.rate_at((now - self.began) / 1000.0)
+            rate = self.load.rate_at((now - self.started_at) / 1000.0)
             if rate <= 0.0:
                 due_at = now + MAX_IDLE_MS
             while due_at <= now and rate > 0.0:
                 self._send_new(due_at)
                 due_at += self.random.expovariate(rate) * 1000.0
-                if due_at < now - MAX_LATENESS:
+                if due_at < now - MAX_LATENESS_MS:
                     due_at = now
             next_retry_at = self._send_retries(now)
             wakes_at = min(due_at, next_retry_at, now + MAX_IDLE_MS)
             self.stopped.wait(max(MIN_WAIT_S, (wakes_at - now_ms()) / 1000.0))
 
     def _send_retries(self, now: float) -> float:
-        """Send the retries that are due; returns when the next one is."""
+        """Send the retries that are due, and return when the next retry is due."""
         with self.lock:
             due = []
             while self.retries and self.retries[0][0] <= now:
@@ -360,7 +368,7 @@
         rank = self._draw_rank()
         is_order = self.random.random() < self.load.order_fraction
         fields = {
-            "route": self.keyed if is_order else self.pure,
+            "route": self.keyed_class if is_order else self.read_class,
             "entity": f"{self.first_object_id + rank:016x}",
             "nth": "0",
             "batch": "0",
@@ -371,7 +379,7 @@
             fields["nonce"] = f"{self.random.getrandbits(128):032x}"
         with self.lock:
             self.result.counts["asked"] += 1
-            self.result.asked_at.append((due_at - self.began) / 1000.0)
+            self.result.first_sent_at.append((due_at - self.started_at) / 1000.0)
         self._send(PendingRequest(due_at, fields))
 
     def _draw_rank(self) -> int:
@@ -381,13 +389,13 @@
 
     def _send(self, request: PendingRequest) -> None:
         now = now_ms()
-        if now > request.first_due + self.load.patience - MIN_TIME_FOR_TRY:
+        if now > request.first_due_at + self.load.patience - MIN_TIME_FOR_TRY_MS:
             self.count("gave up")
             return
         request.tries += 1
-        first = self.random.randrange(len(self.sessions))
-        for step in range(len(self.sessions)):
-            if self.sessions[(first + step) % len(self.sessions)].send(request, now):
+        first_index = self.random.randrange(len(self.sessions))
+        for offset in range(len(self.sessions)):
+            if self.sessions[(first_index + offset) % len(self.sessions)].send(request, now):
                 self.count("tries")
                 return
         self.count("no line")
--- a/mulleinrelay/standins/node_kinds.py
+++ b/mulleinrelay/standins/node_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of nodes, by the names that the platform's settings and endpoint lists use."""
+"""Kinds of nodes, under the names that platform settings and endpoint lists use."""
 
 CACHE = "box"
 PARENT = "parent"
--- a/mulleinrelay/standins/node_protocol.py
+++ b/mulleinrelay/standins/node_protocol.py
@@ -1,21 +1,24 @@
-"""What both node servers share of the protocol between directors and nodes; pure."""
+"""Parts of the protocol between directors and nodes that both node servers use.
 
-MAX_CANCELLED = 10_000  # ids that a connection remembers; then all of them are dropped
+The module does no input or output.
+"""
+
+MAX_CANCELLED = 10_000  # ids that are kept per connection; all are dropped beyond this
 
 
 def decode_fields(text: bytes | memoryview) -> dict[str, str]:
-    """Decode `key=value,key=value`; parts without `=` are left out."""
+    """Decode `key=value,key=value`; parts without `=` are ignored."""
     return dict(pair.split("=", 1) for pair in str(text, "ascii").split(",") if "=" in pair)
 
 
 class CancelledCommands:
-    """Ids of the commands that a director has cancelled on one connection."""
+    """Ids of the commands that a director cancelled on one connection."""
 
     def __init__(self) -> None:
         self.ids: set[bytes] = set()
 
     def add(self, command_id: bytes) -> None:
-        """Remember that the command needs no answer."""
+        """Record that the command needs no answer."""
         self.ids.add(command_id)
         if len(self.ids) > MAX_CANCELLED:
             self.ids.clear()
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -1,8 +1,8 @@
 """Simulated caches, parents and an origin that share one clock.
 
-A node's state is what it stores, how much work is queued at it and which requests it has executed.
-Nothing here knows of sockets; the servers in `environment.py` and `lab/fleet/hosts.py` and the
-simulation in `model/` pass commands in and carry the replies out.
+The state of a node consists of its stored copies, its queued work and the writes that it has
+executed. The module uses no sockets: the servers in `environment.py` and
+`lab/fleet/node_server.py` and the simulation in `model/` pass commands in and send the replies.
 """
 
 import threading
@@ -13,12 +13,12 @@
 from .clock import now_ms
 from .node_kinds import ORIGIN
 
-MAX_QUEUED_WORK_MS = 1_000.0  # beyond this much queued work a node rejects commands as full
-LOAD_WINDOW_MS = 1_000.0  # span over which a node's load is computed
-REJECT_DELAY_MS = 1.0  # until a rejection goes out
-PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification, within which old copies are allowed
+MAX_QUEUED_WORK_MS = 1_000.0  # a node with more queued work rejects commands
+LOAD_WINDOW_MS = 1_000.0  # time window over which a node's load is computed
+REJECT_DELAY_MS = 1.0  # until a rejection is sent
+PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification, while old copies are allowed
 
-CopyKey = tuple[str, str]  # object and its part
+CopyKey = tuple[str, str]  # id of an object and of its part
 
 
 @dataclass(slots=True, eq=False)
@@ -26,16 +26,16 @@
     """Properties of one node. Times are in ms.
 
     Attributes:
-        capacity: Hits a second.
-        fill_cost: Cost of a fill in hits.
-        answer_delay: Delay of each answer beyond the work itself.
-        initial_fraction: Fraction of the capacity that a node has when it has just started.
+        capacity: Capacity in hits per second.
+        fill_cost: Cost of a fill, in hits.
+        answer_delay: Delay that is added to the work of each answer.
+        initial_fraction: Fraction of its capacity that a node has right after a start.
         slow_start_duration: Time from a start until the node has its full capacity.
-        max_copies: Copies that fit in, the oldest are evicted first; 0: any number.
-        crashes_on_overload: Whether too much load for too long ends the node.
-        crash_load: Load, as a multiple of the present capacity, above which it may crash.
-        crash_after: How long the load must be above `crash_load`.
-        crashes_when_warm: Whether it may also crash after its slow start.
+        max_copies: Maximum number of stored copies, the oldest are evicted first; 0: no maximum.
+        crashes_on_overload: Whether a node that is overloaded for too long crashes.
+        crash_load: Load above which a node is overloaded, as a multiple of its current capacity.
+        crash_after: How long a node must be overloaded before it crashes.
+        crashes_when_warm: Whether a node can also crash after its slow start.
     """
 
     name: str
@@ -55,21 +55,21 @@
 
 
 class SimulatedNode:
-    """State of one node. All fields are guarded by the lock of its fleet."""
+    """The state of one node. The lock of its fleet guards all fields."""
 
     def __init__(self, spec: NodeSpec) -> None:
         self.spec = spec
         self.copies: dict[CopyKey, float] = {}  # when the origin issued each copy
         self.fills_in_progress: dict[CopyKey, float] = {}  # when each fill ends
         self.idempotency_keys: dict[str, float] = {}  # when each key expires
-        self.free_at = 0.0  # when the queued work is done
-        self.started_at = 0.0  # 0: has always been running
+        self.free_at = 0.0  # when all queued work is done
+        self.started_at = 0.0  # 0: never restarted
         self.slowdown = 1.0  # factor on the duration of work and on the answer delay
         self.is_alive = True
         self.is_silent = False
         self.state = "SERVING"
-        self.recent_work: deque[tuple[float, float]] = deque()  # when, units
-        self.window_load = 0.0  # units within the last LOAD_WINDOW_MS
+        self.recent_work: deque[tuple[float, float]] = deque()  # time and units
+        self.window_load = 0.0  # units of work within the last LOAD_WINDOW_MS
         self.peak_load = 0.0  # as a multiple of the capacity
         self.overloaded_since = 0.0  # 0: not overloaded
         self.counts: Counter[str] = Counter()
@@ -78,7 +78,7 @@
         )
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the fraction of its capacity that the node has during and after slow start."""
+        """Return the fraction of its capacity that the node has now; it is 1 after slow start."""
         spec = self.spec
         if not self.started_at or not spec.slow_start_duration:
             return 1.0
@@ -86,9 +86,9 @@
         return min(1.0, spec.initial_fraction + gained)
 
     def accept_work(self, now: float, units: float) -> float | None:
-        """Queue work and return when it is done, or None where the node is full.
+        """Queue work and return when it is done; None if the node is overloaded and rejects it.
 
-        The load counts in both cases, and may crash the node.
+        Rejected work counts as load too. The load may crash the node.
         """
         capacity_per_ms = self.spec.capacity * self.capacity_fraction(now) / 1000.0
         self._record_load(now, units, capacity_per_ms)
@@ -115,14 +115,14 @@
                 self.is_alive = False
 
     def store_copy(self, copy_key: CopyKey, issued_at: float) -> None:
-        """Store a copy as the newest one, and evict the oldest one where there are too many."""
+        """Store a copy as the newest one, and evict the oldest one if there are too many."""
         self.copies.pop(copy_key, None)
         self.copies[copy_key] = issued_at
         if self.spec.max_copies and len(self.copies) > self.spec.max_copies:
             del self.copies[next(iter(self.copies))]
 
     def reset(self) -> None:
-        """Forget everything stored and queued, as a restart does."""
+        """Discard all stored copies, idempotency keys and queued work, as a restart does."""
         self.copies.clear()
         self.fills_in_progress.clear()
         self.idempotency_keys.clear()
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """A reply to a command: its items, and when it goes out (ms); None: never."""
+    """The items of a reply to a command, and when it is sent in ms; None: it is never sent."""
 
     items: tuple[bytes, ...]
     due_at: float | None
@@ -142,10 +142,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReadCommand:
-    """A read as a node understands it."""
+    """The decoded fields of a read command."""
 
     copy_key: CopyKey
-    max_age: float  # ms; 0: any
+    max_age: float  # maximum age of a copy in ms; 0: no maximum
     source: SimulatedNode | None
     flags: frozenset[str]
     stores_copy: bool
@@ -156,12 +156,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _SourceCopy:
-    """What a fill source gives.
+    """A copy that a fill source provides.
 
     Attributes:
-        ready_at: When the copy has arrived; None: the source doesn't give one.
+        ready_at: When the copy arrives; None if the source provides no copy.
         issued_at: When the origin issued the copy.
-        is_from_origin: Whether the origin was asked for it.
+        is_from_origin: Whether the copy was fetched from the origin for this fill.
     """
 
     ready_at: float | None
@@ -171,16 +171,18 @@
 
 @dataclass(slots=True, eq=False)
 class NodeFleet:
-    """All nodes by name, and counts of what ran at any of them.
+    """All nodes by name, and counters over all nodes.
 
-    Thread-safe: `lock` guards all fields below it and the state of all nodes.
+    Thread-safe: `lock` guards the counters, `purged_at` and the state of all nodes.
 
     Attributes:
-        write_classes: Request classes that have an effect.
-        key_retention: How long an idempotency key is remembered, in ms.
-        executions: Executions of writes by idempotency key.
-        purged_at: Objects, and when each was last purged.
-        stale_answers: Answers older than a purge that was notified over a second before.
+        write_classes: Request classes whose requests are writes.
+        key_retention: How long a node remembers an idempotency key, in ms.
+        body: Body of all successful answers to reads.
+        executions: Number of executed writes by idempotency key.
+        origin_fetches: Number of reads that reached the origin.
+        purged_at: Time of the last purge of each purged object.
+        stale_answers: Number of answers with a copy that was purged more than a second before.
     """
 
     nodes: dict[str, SimulatedNode]
@@ -195,7 +197,7 @@
     clock: Callable[[], float] = now_ms
 
     def handle_pull(self, name: str, fields: dict[str, str]) -> Reply:
-        """Execute one PULL command at the node `name`; its answer says when it goes out."""
+        """Execute a PULL command at the node `name` and return the reply with its send time."""
         now = self.clock()
         node = self.nodes[name]
         with self.lock:
@@ -218,13 +220,13 @@
     def is_outdated(
         self, object_id: str, issued_at: float, now: float, notified_at: float | None = None
     ) -> bool:
-        """Return whether a copy is older than a purge notified over a second before `now`.
+        """Return whether a copy is older than a purge that was notified over a second ago.
 
         Args:
-            object_id: The object that may have been purged.
+            object_id: Id of the object.
             issued_at: When the origin issued the copy.
-            now: When the copy is answered with.
-            notified_at: When the reader was notified; None: at the purge itself.
+            now: When the copy is sent in an answer.
+            notified_at: When the director was notified of the purge; None: when it took place.
         """
         purged_at = self.purged_at.get(object_id)
         if purged_at is None:
@@ -235,11 +237,11 @@
     def _write(self, now: float, node: SimulatedNode, idempotency_key: str) -> Reply:
         done_at = node.accept_work(now, 1.0)
         if done_at is None:
-            return _full(now)
+            return _overloaded_reply(now)
         if not idempotency_key or now > node.idempotency_keys.get(idempotency_key, 0.0):
             self.executions[idempotency_key] += 1
             node.idempotency_keys[idempotency_key] = now + self.key_retention
-        return _reply(node, done_at, (b"DONE", b"why=MISS_ORIGIN", b"taken"))
+        return _timed_reply(node, done_at, (b"DONE", b"why=MISS_ORIGIN", b"taken"))
 
     def _read(self, now: float, node: SimulatedNode, command: _ReadCommand) -> Reply:
         issued_at = node.copies.get(command.copy_key)
@@ -250,12 +252,12 @@
             node.counts["hits"] += 1
             return self._serve(now, node, command.copy_key, issued_at, "HIT")
         if command.source is None:
-            return _reply(node, now, (b"LACK", b"why=NO_FILL", b""))
+            return _timed_reply(node, now, (b"LACK", b"why=NO_FILL", b""))
         fill_ends_at = node.fills_in_progress.get(command.copy_key, 0.0)
         if "collapse" in command.flags and fill_ends_at > now and command.copy_key in node.copies:
             copied_at = node.copies[command.copy_key]
-            items = self._success(command.copy_key, copied_at, now, "COLLAPSED", 0.0)
-            return _reply(node, fill_ends_at, items)
+            items = self._success_items(command.copy_key, copied_at, now, "COLLAPSED", 0.0)
+            return _timed_reply(node, fill_ends_at, items)
         return self._fill(now, node, command.source, command)
 
     def _serve(
@@ -263,8 +265,10 @@
     ) -> Reply:
         done_at = node.accept_work(now, 1.0)
         if done_at is None:
-            return _full(now)
-        return _reply(node, done_at, self._success(copy_key, issued_at, now, reason, 0.0))
+            return _overloaded_reply(now)
+        return _timed_reply(
+            node, done_at, self._success_items(copy_key, issued_at, now, reason, 0.0)
+        )
 
     def _fill(
         self, now: float, node: SimulatedNode, source: SimulatedNode, command: _ReadCommand
@@ -272,27 +276,29 @@
         node.counts["fills"] += 1
         done_at = node.accept_work(now, node.spec.fill_cost)
         if done_at is None:
-            return _full(now)
+            return _overloaded_reply(now)
         if not source.is_alive:
-            return _reply(node, done_at, (b"BROKE", b"why=UP_DOWN", b""))
+            return _timed_reply(node, done_at, (b"BROKE", b"why=UP_DOWN", b""))
         fetched = self._fetch(now, source, command)
         if fetched.ready_at is None:
-            return _reply(node, done_at, (b"LACK", b"why=UP_MISS", b""))
+            return _timed_reply(node, done_at, (b"LACK", b"why=UP_MISS", b""))
         ends_at = max(done_at, fetched.ready_at)
         if command.stores_copy:
             node.store_copy(command.copy_key, fetched.issued_at)
             node.fills_in_progress[command.copy_key] = ends_at
         reason = "MISS_ORIGIN" if fetched.is_from_origin else "MISS"
-        waited = fetched.ready_at - now
-        items = self._success(command.copy_key, fetched.issued_at, now, reason, waited)
-        return _reply(node, ends_at, items)
+        fill_delay = fetched.ready_at - now
+        items = self._success_items(command.copy_key, fetched.issued_at, now, reason, fill_delay)
+        return _timed_reply(node, ends_at, items)
 
     def _fetch(self, now: float, source: SimulatedNode, command: _ReadCommand) -> _SourceCopy:
         issued_at = source.copies.get(command.copy_key)
         is_origin = source.spec.kind == ORIGIN
         if not is_origin and issued_at is not None and command.is_fresh(issued_at, now):
             source.counts["gave"] += 1
-            return _SourceCopy(_arrival(source, source.accept_work(now, 1.0)), issued_at, False)
+            return _SourceCopy(
+                _arrival_time(source, source.accept_work(now, 1.0)), issued_at, False
+            )
         if "only-if-cached" in command.flags:
             return _SourceCopy(None, 0.0, False)
         self.origin_fetches += 1
@@ -304,27 +310,27 @@
             origin.accept_work(now, 1.0)
             if "no-store-up" not in command.flags:
                 source.store_copy(command.copy_key, now)
-        return _SourceCopy(_arrival(source, done_at, origin_delay), now, True)
+        return _SourceCopy(_arrival_time(source, done_at, origin_delay), now, True)
 
-    def _success(
-        self, copy_key: CopyKey, issued_at: float, now: float, reason: str, waited: float
+    def _success_items(
+        self, copy_key: CopyKey, issued_at: float, now: float, reason: str, fill_delay: float
     ) -> tuple[bytes, ...]:
         if self.is_outdated(copy_key[0], issued_at, now):
             self.stale_answers += 1
-        text = f"why={reason},entity=t{copy_key[0]},issued={issued_at:.0f},delay={waited:.1f}"
+        text = f"why={reason},entity=t{copy_key[0]},issued={issued_at:.0f},delay={fill_delay:.1f}"
         return (b"DONE", text.encode(), self.body)
 
 
-def _arrival(
-    source: SimulatedNode, done_at: float | None, further_delay: float = 0.0
+def _arrival_time(
+    source: SimulatedNode, done_at: float | None, extra_delay: float = 0.0
 ) -> float | None:
-    return None if done_at is None else done_at + source.spec.answer_delay + further_delay
+    return None if done_at is None else done_at + source.spec.answer_delay + extra_delay
 
 
-def _full(now: float) -> Reply:
+def _overloaded_reply(now: float) -> Reply:
     return Reply((b"WAIT", b"-", b""), now + REJECT_DELAY_MS)
 
 
-def _reply(node: SimulatedNode, done_at: float, items: tuple[bytes, ...]) -> Reply:
+def _timed_reply(node: SimulatedNode, done_at: float, items: tuple[bytes, ...]) -> Reply:
     due_at = None if node.is_silent else done_at + node.slowdown * node.spec.answer_delay
     return Reply(items, due_at)
--- a/mulleinrelay/standins/timer.py
+++ b/mulleinrelay/standins/timer.py
@@ -1,4 +1,4 @@
-"""A thread that runs functions at given times."""
+"""A timer that calls functions at given times on a thread of its own."""
 
 import contextlib
 import heapq
@@ -10,9 +10,9 @@
 
 
 class Timer:
-    """One thread that calls functions at their times.
+    """A thread that calls each scheduled function when it is due.
 
-    Thread-safe. `condition` guards `calls` and `is_stopped`.
+    Thread-safe: `condition` guards `calls` and `is_stopped`.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
                 self.condition.notify()
 
     def stop(self) -> None:
-        """End the thread; calls that are not due yet are dropped."""
+        """Stop the thread and drop the calls that are not due yet."""
         with self.condition:
             self.is_stopped = True
             self.condition.notify()
