--- a/mulleinrelay/lab/__init__.py
+++ b/mulleinrelay/lab/__init__.py
@@ -1,4 +1,4 @@
-"""A lab on loopback: stand-ins, directors as processes, load, and faults by a scenario.
+"""A lab that runs directors as processes on loopback, with stand-ins, load and injected faults.
 
-Nothing of it serves.
+A scenario file defines the run. A director that serves clients imports none of these modules.
 """
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -1,4 +1,4 @@
-"""`mulleinrelay lab`: plays a scenario on loopback and prints the figures."""
+"""The command `mulleinrelay lab`, which runs a scenario on loopback and prints the figures."""
 
 import os
 import sys
@@ -12,8 +12,8 @@
 from .runner import Lab
 from .scenario import Scenario, parse_scenario
 
-EXIT_NOT_PLAYED = 1
-EXIT_WRONG_SCENARIO = 2
+EXIT_RUN_FAILED = 1
+EXIT_INVALID_SCENARIO = 2
 FLEET_SECTION = "[fleet lab]"
 
 Figures = dict[str, Any]
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LabOptions:
-    """The command's options; see its help."""
+    """The options of the command, as its help text describes them."""
 
     as_json: bool
     quiet: bool
@@ -32,20 +32,20 @@
 
     @property
     def shows_progress(self) -> bool:
-        """Whether live figures are written to standard error."""
+        """Whether figures are written to standard error during the run."""
         return not self.quiet and not self.as_json
 
     @property
-    def is_for_fleets(self) -> bool:
-        """Whether an option is given that goes with fleet scenarios only."""
+    def has_fleet_option(self) -> bool:
+        """Whether an option is set that applies to fleet scenarios only."""
         return self.directors is not None or self.plot is not None or self.model
 
 
 def show_progress(lab: Lab, since_start_s: float) -> None:
-    """Write the live figures of a lab of tenants."""
-    first = max(0.0, since_start_s - 3.0)
+    """Write figures during a run of the lab of tenants."""
+    first_s = max(0.0, since_start_s - 3.0)
     fractions = " ".join(
-        f"{generator.load.tenant} {generator.served_fraction(first, since_start_s - 1.0):.2f}"
+        f"{generator.load.tenant} {generator.served_fraction(first_s, since_start_s - 1.0):.2f}"
         for generator in lab.load_generators
     )
     busiest = max(lab.fleet.nodes.values(), key=lambda node: node.window_load)
@@ -56,23 +56,25 @@
 
 
 def show_fleet_progress(since_start_s: float, asked: int, served: int) -> None:
-    """Write the live figures of a fleet lab."""
+    """Write figures during a run of the fleet lab."""
     sys.stderr.write(f"\r{since_start_s:6.1f} s  asked {asked}  served {served}   ")
     sys.stderr.flush()
 
 
 @click.command()
 @click.argument("path", metavar="SCENARIO.ini")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
-@click.option("--quiet", is_flag=True, help="No live figures.")
-@click.option("--keep", metavar="FOLDER", help="Where configurations, logs and records are left.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of a table.")
+@click.option("--quiet", is_flag=True, help="Print no figures during the run.")
 @click.option(
-    "--directors", type=int, help="So many directors under the same load (fleet scenarios)."
+    "--keep", metavar="FOLDER", help="Keep configurations, logs and records in this folder."
 )
 @click.option(
-    "--plot", metavar="FILE.png", help="Load by cache over time as a picture (fleet scenarios)."
+    "--directors", type=int, help="Number of directors, under the same load (fleet scenarios)."
 )
-@click.option("--model", is_flag=True, help="Play it in simulated time (fleet scenarios).")
+@click.option(
+    "--plot", metavar="FILE.png", help="Plot the load of each cache over time (fleet scenarios)."
+)
+@click.option("--model", is_flag=True, help="Run the scenario in simulated time (fleet scenarios).")
 def lab(
     path: str,
     as_json: bool,
@@ -82,38 +84,38 @@
     plot: str | None,
     model: bool,
 ) -> None:
-    """Play SCENARIO.ini: stand-ins, directors and load on loopback; ends by itself.
+    """Run SCENARIO.ini: start stand-ins, directors and load on loopback, and stop them at its end.
 
-    A file with a section [fleet lab] is a fleet scenario: hundreds of directors, faults between
-    processes. All servers and clients are stand-ins of ours: figures tell of directors before these
-    alone. Exit codes: 0 played, 1 it could not be, 2 the scenario is wrong.
+    A file with a section [fleet lab] is a fleet scenario: hundreds of directors, with faults
+    between processes. All servers and clients are stand-ins, so the figures hold for directors with
+    these stand-ins only. Exit codes: 0 success; 1 the scenario could not be run; 2 it is invalid.
     """
     options = LabOptions(as_json, quiet, keep, directors, plot, model)
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
         if FLEET_SECTION in text:
-            play_fleet(text, options)
+            run_fleet_scenario(text, options)
             return
-        if options.is_for_fleets:
+        if options.has_fleet_option:
             raise click.UsageError(
                 "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
             )
         scenario = parse_scenario(text)
     except (ConfigError, UnicodeDecodeError) as error:
-        _exit(f"{path}: {error}", EXIT_WRONG_SCENARIO)
+        _exit(f"{path}: {error}", EXIT_INVALID_SCENARIO)
     except OSError as error:
-        _exit(f"{path}: {error.strerror}", EXIT_WRONG_SCENARIO)
-    _play_tenants(scenario, options)
+        _exit(f"{path}: {error.strerror}", EXIT_INVALID_SCENARIO)
+    _run_tenant_scenario(scenario, options)
 
 
-def _play_tenants(scenario: Scenario, options: LabOptions) -> None:
+def _run_tenant_scenario(scenario: Scenario, options: LabOptions) -> None:
     if options.keep is not None:
         os.makedirs(options.keep, exist_ok=True)
     try:
         figures = Lab(scenario, options.keep).run(show_progress if options.shows_progress else None)
     except RuntimeError as error:
-        _exit(str(error), EXIT_NOT_PLAYED)
+        _exit(str(error), EXIT_RUN_FAILED)
     if options.as_json:
         click.echo(orjson.dumps(figures))
         return
@@ -149,11 +151,11 @@
         click.echo(f"{step['at']:8.2f} s {step['name']}: {step['what']} {step['wrong']}")
 
 
-def play_fleet(text: str, options: LabOptions) -> None:
-    """Play a fleet scenario and print its figures.
+def run_fleet_scenario(text: str, options: LabOptions) -> None:
+    """Run a fleet scenario and print its figures.
 
     Raises:
-        ConfigError: The scenario is wrong.
+        ConfigError: The scenario is invalid.
         OSError: A file can't be written.
     """
     from .fleet.scenario_parser import parse_fleet_scenario
@@ -179,7 +181,7 @@
 
             draw(audit, options.plot)
     except RuntimeError as error:
-        _exit(str(error), EXIT_NOT_PLAYED)
+        _exit(str(error), EXIT_RUN_FAILED)
     finally:
         fleet_lab.remove_folder()
     if progress is not None:
@@ -195,10 +197,11 @@
         if name != "faults":
             click.echo(f"{name:<24} {value}")
     for fault in figures.get("faults", ()):
-        word = "begins" if fault["begins"] else "ends"
-        met = f"{fault['directors']} directors, nodes {', '.join(fault['nodes']) or 'none'}"
+        action = "begins" if fault["begins"] else "ends"
+        affected = f"{fault['directors']} directors, nodes {', '.join(fault['nodes']) or 'none'}"
         click.echo(
-            f"{fault['at']:8.2f} s {fault['name']}: {fault['what']} {word}; {met} {fault['wrong']}"
+            f"{fault['at']:8.2f} s {fault['name']}: {fault['what']} {action}; {affected} "
+            f"{fault['wrong']}"
         )
 
 
--- a/mulleinrelay/lab/director.py
+++ b/mulleinrelay/lab/director.py
@@ -1,4 +1,4 @@
-"""One director of the lab of tenants as a process."""
+"""The process of a director in the lab of tenants."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 from .director_process import DirectorProcess, director_environment
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 UNSET_VARIABLES = ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT")
 TERM_TIMEOUT_S = 8.0
 KILL_TIMEOUT_S = 2.0
@@ -24,7 +24,7 @@
 
 
 class Director(DirectorProcess):
-    """One director of the lab; `gnmi_address` is empty where it serves no gNMI."""
+    """A director of the lab of tenants; `gnmi_address` is empty if it does not serve gNMI."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         cells_file: str | None,
         has_management: bool,
     ) -> None:
-        """Write its configuration into the folder and start it.
+        """Write the director's configuration into the folder and start its process.
 
         Args:
-            name: Its name, and that of its files.
-            folder: The lab's folder.
-            platform: The platform's settings, without its name and address.
-            cells_file: The file of the section [cells]; None: it has no cells.
-            has_management: Whether it serves gNMI.
+            name: Name of the director and of its files.
+            folder: Folder of the lab.
+            platform: Settings from the platform, without the director's name and address.
+            cells_file: Path of the file with the section [cells]; None: the director has no cells.
+            has_management: Whether the director serves gNMI.
         """
         super().__init__(("127.0.0.1", free_port()))
         self.name = name
@@ -59,26 +59,30 @@
         self.start()
 
     def start(self) -> None:
-        """Start a process."""
-        self.log = open(self.log_path, "ab")  # noqa: SIM115 (closed with the process)
+        """Start the director's process; may be called again after the process has ended."""
+        self.log = open(self.log_path, "ab")  # noqa: SIM115 (closed by `stop`)
         self.process: subprocess.Popen[bytes] = subprocess.Popen(
             self.command,
             stderr=self.log,
             stdout=self.log,
-            env=director_environment(ROOT, UNSET_VARIABLES),
+            env=director_environment(PROJECT_ROOT, UNSET_VARIABLES),
         )
 
     def is_ready(self) -> bool:
-        """Return whether it serves clients. Raises RuntimeError where it has ended."""
+        """Return whether the director serves clients.
+
+        Raises:
+            RuntimeError: The process has ended.
+        """
         if self.accepts_connections():
             return True
         code = self.process.poll()
         if code is not None:
-            raise RuntimeError(f"a director ended with {code}; see {self.log.name}")
+            raise RuntimeError(f"director {self.name} exited with code {code}; see {self.log.name}")
         return False
 
     def stop(self) -> None:
-        """Have it shut down gracefully; where that takes too long, it is killed."""
+        """Shut the director down gracefully, or kill it if that takes too long."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -1,4 +1,4 @@
-"""What both labs share of a director as a process: environment, readiness, resource usage."""
+"""The parts of a director's process that both labs use: environment, readiness, usage."""
 
 import os
 import socket
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 CONNECT_TIMEOUT_S = 0.2
-MAX_MALLOC_ARENAS = "2"  # so that resident memory is that of the program, not of the allocator
+MAX_MALLOC_ARENAS = "2"  # more arenas would add unused memory to the resident memory
 
-# Fields of /proc/PID/stat after the command's name, see proc(5)
+# Positions of the fields of /proc/PID/stat after the command name; see proc(5)
 STAT_USER_TICKS = 11
 STAT_SYSTEM_TICKS = 12
 STAT_RESIDENT_PAGES = 21
@@ -17,22 +17,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """CPU time so far and resident memory (in 10^6 bytes); both 0 once the process has ended."""
+    """CPU time so far and resident memory in 10^6 bytes; both are 0 after the process has ended."""
 
     cpu_s: float = 0.0
     resident_mb: float = 0.0
 
 
 class DirectorProcess:
-    """A director as a process, which may be started several times; base of both labs' handles."""
+    """A director's process, which can be started several times; base class for both labs."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Keep the address at which the director listens for clients."""
+        """Set the address at which the director listens for clients; the process starts later."""
         self.address = address
         self.process: subprocess.Popen[bytes] | None = None
 
     def accepts_connections(self) -> bool:
-        """Return whether the director listens for clients."""
+        """Return whether the director accepts connections of clients."""
         try:
             socket.create_connection(self.address, timeout=CONNECT_TIMEOUT_S).close()
         except OSError:
@@ -40,11 +40,11 @@
         return True
 
     def exit_code(self) -> int | None:
-        """Return the exit code; None where it runs or was never started."""
+        """Return the exit code; None if the process is running or was never started."""
         return None if self.process is None else self.process.poll()
 
     def usage(self) -> ProcessUsage:
-        """Return what the process has used so far."""
+        """Return the CPU time and memory that the process has used so far."""
         if self.process is None:
             return ProcessUsage()
         try:
@@ -58,11 +58,11 @@
 
 
 def director_environment(program: str, unset: Iterable[str]) -> dict[str, str]:
-    """Return the environment of a director.
+    """Return the environment variables for a director's process.
 
     Args:
-        program: Folder that holds the package it runs.
-        unset: Variables that must not reach it.
+        program: Folder that contains the package `mulleinrelay`.
+        unset: Names of variables that the director must not inherit.
     """
     environment = os.environ | {"MALLOC_ARENA_MAX": MAX_MALLOC_ARENAS, "PYTHONPATH": program}
     for name in unset:
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a platform would give a director of a lab."""
+"""The settings that the platform would send to a director of a lab."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,12 +6,12 @@
 from ..standins.node_kinds import CACHE, ORIGIN, PARENT
 from .fleet.scenario import FleetScenario
 
-MIN_SLOW_START_MS = 1.0  # the platform wants a positive duration
-PURGE_MS = 1000.0  # that a purge may take, in a lab of tenants
-FLEET_PURGE_MS = 6000.0  # the same in a fleet lab
+MIN_SLOW_START_MS = 1.0  # the settings require a positive duration
+MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the lab of tenants
+MAX_FLEET_PURGE_MS = 6000.0  # maximum duration of a purge in the fleet lab
 
-_BASE_CLASS = {"memorySpan": 6000.0, "group": "all"}
-_ALLOWED = {
+_REQUEST_CLASS_DEFAULTS = {"memorySpan": 6000.0, "group": "all"}
+_ALLOWED_FEATURES = {
     "cancel": True,
     "connIdle": 30000.0,
     "connectTimeout": 400.0,
@@ -26,18 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """What differs between the settings of directors. Times in ms.
+    """The settings that differ between directors. Times are in ms.
 
     Attributes:
-        zones: Names of hubs and locations.
-        own_zone: Index of this director's.
+        zones: Names of all zones, which are hubs and locations.
+        own_zone: Index of the director's own zone.
         directors_by_zone: Number of directors in each zone.
-        initial_fraction: Fraction of its capacity that a started node has.
-        slow_start_ms: Slow start of caches; 0: none.
-        parent_slow_start_ms: Slow start of parents; None: as caches.
-        has_unsafe_class: Whether there is a request class `pay` beside `pages` and `order`.
-        transfer_rate: KB a second of one transfer.
-        purge_ms: That a purge may take.
+        initial_fraction: Fraction of its capacity that a node has right after a start.
+        slow_start_ms: Duration of the slow start of caches; 0: none.
+        parent_slow_start_ms: Duration of the slow start of parents; None: the same as for caches.
+        latency_objective_ms: Latency objective of each request class.
+        patience_ms: How long clients wait for an answer.
+        has_unsafe_class: Whether there is a request class `pay` in addition to `pages` and `order`.
+        polls_load_reports: Whether directors poll caches for load reports.
+        transfer_rate: Rate of one transfer in KB per second.
+        purge_ms: Maximum duration of a purge.
     """
 
     zones: list[str]
@@ -51,15 +54,15 @@
     has_unsafe_class: bool = False
     polls_load_reports: bool = False
     transfer_rate: float = 8000.0
-    purge_ms: float = PURGE_MS
+    purge_ms: float = MAX_PURGE_MS
 
 
 def platform_settings(options: PlatformOptions) -> dict[str, Any]:
-    """Return the settings in the platform's form."""
+    """Return the settings in the format of the platform."""
     classes = _request_classes(options)
     polls = options.polls_load_reports
     return {
-        "allowed": dict(_ALLOWED),
+        "allowed": dict(_ALLOWED_FEATURES),
         "azs": options.zones,
         "shapes": [CACHE, PARENT, ORIGIN],
         "balancers": sum(options.directors_by_zone),
@@ -67,7 +70,7 @@
         "registryMode": "automatic",
         "weights": "nominal",
         "classes": classes,
-        "domain": _domain(options, classes),
+        "domain": _cache_settings(options, classes),
         "report": {
             "how": "probe" if polls else "none",
             "columns": ["util", "inflight"] if polls else [],
@@ -80,7 +83,7 @@
     }
 
 
-def _domain(options: PlatformOptions, classes: list[dict[str, Any]]) -> dict[str, Any]:
+def _cache_settings(options: PlatformOptions, classes: list[dict[str, Any]]) -> dict[str, Any]:
     parent_slow_start_ms = options.parent_slow_start_ms
     if parent_slow_start_ms is None:
         parent_slow_start_ms = options.slow_start_ms
@@ -101,20 +104,20 @@
 
 
 def _request_classes(options: PlatformOptions) -> list[dict[str, Any]]:
-    base = {
+    defaults = {
         "idempotency": "safe",
         "slo": options.latency_objective_ms,
         "deadline": options.patience_ms,
-        **_BASE_CLASS,
+        **_REQUEST_CLASS_DEFAULTS,
     }
-    classes = [base | {"name": "pages"}, base | {"name": "order", "idempotency": "keyed"}]
+    classes = [defaults | {"name": "pages"}, defaults | {"name": "order", "idempotency": "keyed"}]
     if options.has_unsafe_class:
-        classes.append(base | {"name": "pay", "idempotency": "unsafe"})
+        classes.append(defaults | {"name": "pay", "idempotency": "unsafe"})
     return classes
 
 
 def fleet_platform_settings(scenario: FleetScenario, location: str) -> dict[str, Any]:
-    """Return the settings of a fleet's directors in that location."""
+    """Return the settings of the directors in a location of the fleet lab."""
     zones = scenario.zones()
     directors_by_zone = [
         len(scenario.directors_in(zone)) if zone in scenario.locations else 0 for zone in zones
@@ -132,6 +135,6 @@
             has_unsafe_class=scenario.unsafe_fraction > 0.0,
             polls_load_reports=scenario.polls_load_reports,
             transfer_rate=scenario.transfer_rate,
-            purge_ms=FLEET_PURGE_MS,
+            purge_ms=MAX_FLEET_PURGE_MS,
         )
     )
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario of tenants: the stand-ins in this process, each director as one of its own."""
+"""The runner of the lab of tenants: stand-ins in this process, each director in its own process."""
 
 import json
 import os
@@ -23,15 +23,15 @@
 
 READY_TIMEOUT_S = 15.0
 READY_POLL_S = 0.02
-LEAD_MS = 200.0  # from all directors being ready to the first request
-PROGRESS_S = 0.5  # between two calls of `live`
-END_GRACE_S = 0.1  # beyond the longest patience, for the last answers
+LEAD_MS = 200.0  # between readiness of all directors and the first request
+PROGRESS_INTERVAL_S = 0.5  # between two calls of `on_progress`
+END_GRACE_S = 0.1  # after the longest patience, for the last answers
 MEMORY_MB = 128
 MAX_DESCRIPTORS = 1024
 LOCATION = "edge"
 HUB = "hub"
-PARENT_FACTOR = 10.0  # capacity of a parent, in caches
-TOTALS = (
+PARENT_CAPACITY_FACTOR = 10.0  # capacity of a parent as a multiple of a cache's capacity
+TOTALLED_COUNTS = (
     "asked",
     "tries",
     "served",
@@ -46,7 +46,7 @@
 
 
 def build_node_fleet(scenario: Scenario) -> NodeFleet:
-    """Build all nodes of the scenario, with nothing stored."""
+    """Build all nodes of the scenario, without stored copies."""
     specs = [
         NodeSpec(
             name,
@@ -66,7 +66,7 @@
             f"p-{number}",
             PARENT,
             HUB,
-            PARENT_FACTOR * scenario.capacity,
+            PARENT_CAPACITY_FACTOR * scenario.capacity,
             1.0,
             scenario.fill_delay,
             max_copies=scenario.parent_max_copies,
@@ -78,29 +78,30 @@
 
 
 class Lab:
-    """One play of a scenario.
+    """One run of a scenario.
 
     Attributes:
-        assignment_path: Path of the assignment file that the directors share.
-        environment: The stand-ins on sockets; set by `run`, or by those who start directors alone.
+        assignment_path: Path of the assignment file that all directors read.
+        environment: Servers of the stand-ins. `run` sets it; a caller that uses only
+            `start_directors` must set it before.
         started_at: Start of the load in Unix ms.
-        completed_steps: What was done, by the names of the output.
+        completed_steps: Records of the steps that were run, with the keys of the output.
     """
 
     environment: LoopbackEnvironment
 
     def __init__(self, scenario: Scenario, folder: str | None = None) -> None:
-        """Prepare a play.
+        """Prepare a run without starting any process.
 
         Args:
-            scenario: What to play.
-            folder: Where configurations, logs and records are kept; None: a temporary folder.
+            scenario: Scenario to run.
+            folder: Folder for configurations, logs and records; None: a temporary folder.
         """
         self.scenario = scenario
-        self.temporary: tempfile.TemporaryDirectory[str] | None = None
+        self.temporary_folder: tempfile.TemporaryDirectory[str] | None = None
         if not folder:
-            self.temporary = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-")
-            folder = self.temporary.name
+            self.temporary_folder = tempfile.TemporaryDirectory(prefix="mulleinrelay-lab-")
+            folder = self.temporary_folder.name
         self.folder = folder
         self.assignment_path = os.path.join(self.folder, "assignment.ini")
         self.fleet = build_node_fleet(scenario)
@@ -111,17 +112,17 @@
 
     def run(
         self,
-        live: Callable[["Lab", float], None] | None = None,
+        on_progress: Callable[["Lab", float], None] | None = None,
         on_load_started: Callable[["Lab"], None] | None = None,
     ) -> dict[str, Any]:
-        """Play, and return the figures.
+        """Run the scenario and return the figures.
 
         Args:
-            live: Called twice a second with the lab and the seconds since the start.
-            on_load_started: Called when the load has started.
+            on_progress: Called twice per second with the lab and the seconds since the start.
+            on_load_started: Called with the lab when the load has started.
 
         Raises:
-            RuntimeError: A director was not ready in time.
+            RuntimeError: A director ended or was not ready in time.
         """
         self.environment = LoopbackEnvironment(self.fleet)
         try:
@@ -129,19 +130,19 @@
             self._start_load()
             if on_load_started is not None:
                 on_load_started(self)
-            cpu_before = [director.usage().cpu_s for director in self.directors]
+            cpu_s_at_start = [director.usage().cpu_s for director in self.directors]
             threading.Thread(target=self._run_steps, name="steps", daemon=True).start()
-            self._follow(live)
+            self._wait_for_load_end(on_progress)
             cpu_s = sum(
-                director.usage().cpu_s - earlier
-                for director, earlier in zip(self.directors, cpu_before, strict=True)
+                director.usage().cpu_s - cpu_s_before
+                for director, cpu_s_before in zip(self.directors, cpu_s_at_start, strict=True)
             )
             return self.summary(cpu_s)
         finally:
             self._stop()
 
     def start_directors(self) -> None:
-        """Start all directors and wait until they serve."""
+        """Start all directors and wait until they serve clients."""
         scenario = self.scenario
         cells_file = self._write_cells_files() if scenario.cells else None
         host, port = self.environment.stream.address
@@ -167,27 +168,34 @@
         self._wait_until_ready()
 
     def restart(self, director: Director) -> None:
-        """Start a director that has ended once more, as it was."""
+        """Restart a director that has ended, with the same configuration."""
         director.log.close()
         director.start()
         self._wait_until_ready()
 
-    def change_assignment(self, make: Callable[[Assignment], Assignment]) -> Assignment:
-        """Change the assignment file; returns what was saved."""
+    def change_assignment(self, edit: Callable[[Assignment], Assignment]) -> Assignment:
+        """Apply an edit to the assignment file and return the saved assignment."""
         with store.exclusive_writer(self.assignment_path):
             old = store.load_assignment(self.assignment_path)
             return store.save_assignment(
-                self.assignment_path, make(old), round(now_ms()), old.version
+                self.assignment_path, edit(old), round(now_ms()), old.version
             )
 
     def summary(self, cpu_s: float) -> dict[str, Any]:
-        """Return the figures by the names of the command's output; `cpu_s`: of all directors."""
+        """Return the figures of the run with the keys of the output.
+
+        Args:
+            cpu_s: CPU time of all directors during the load, in seconds.
+        """
         fleet = self.fleet
         tenants = {
             generator.load.tenant: self._tenant_figures(generator)
             for generator in self.load_generators
         }
-        total = {name: sum(tenant.get(name, 0) for tenant in tenants.values()) for name in TOTALS}
+        total = {
+            name: sum(tenant.get(name, 0) for tenant in tenants.values())
+            for name in TOTALLED_COUNTS
+        }
         answered = total["served"] + total["rejected"] + total["failed"]
         return {
             "tenants": tenants,
@@ -220,7 +228,7 @@
         }
 
     def _write_cells_files(self) -> str:
-        """Write the assignment and the file that names it; returns the latter's path."""
+        """Write the assignment file and the cells file; return the cells file's path."""
         scenario = self.scenario
         with open(self.assignment_path, "w", encoding="utf-8") as file:
             file.write(format_assignment(scenario.assignment))
@@ -236,11 +244,12 @@
     def _wait_until_ready(self) -> None:
         ends_at = time.monotonic() + READY_TIMEOUT_S
         while True:
-            are_ready = [director.is_ready() for director in self.directors]  # raises for any
+            # `is_ready` raises an error if the director has ended.
+            are_ready = [director.is_ready() for director in self.directors]
             if all(are_ready):
                 return
             if time.monotonic() > ends_at:
-                raise RuntimeError(f"a director was not ready within {READY_TIMEOUT_S:.0f} s")
+                raise RuntimeError(f"not all directors were ready within {READY_TIMEOUT_S:.0f} s")
             time.sleep(READY_POLL_S)
 
     def _start_load(self) -> None:
@@ -253,15 +262,15 @@
         for generator in self.load_generators:
             generator.start()
 
-    def _follow(self, live: Callable[["Lab", float], None] | None) -> None:
-        """Wait until the load has ended and its last answers have come."""
+    def _wait_for_load_end(self, on_progress: Callable[["Lab", float], None] | None) -> None:
+        """Wait until the load has ended and its last answers are received or overdue."""
         seconds = self.scenario.seconds
         while (since_start_s := (now_ms() - self.started_at) / 1000.0) < seconds:
-            time.sleep(min(PROGRESS_S, max(0.01, seconds - since_start_s)))
+            time.sleep(min(PROGRESS_INTERVAL_S, max(0.01, seconds - since_start_s)))
             for generator in self.load_generators:
                 generator.expire_unanswered()
-            if live is not None:
-                live(self, since_start_s)
+            if on_progress is not None:
+                on_progress(self, since_start_s)
         for generator in self.load_generators:
             generator.stop()
         time.sleep(max(load.patience for load in self.scenario.loads) / 1000.0 + END_GRACE_S)
@@ -275,10 +284,10 @@
         for director in self.directors:
             director.stop()
         self.environment.close()
-        if self.temporary is not None:
-            self.temporary.cleanup()
+        if self.temporary_folder is not None:
+            self.temporary_folder.cleanup()
 
-    # Steps, on a thread of their own
+    # Steps of the scenario; they run on their own thread
 
     def _run_steps(self) -> None:
         for step in self.scenario.steps:
@@ -288,8 +297,8 @@
             error = ""
             try:
                 self._run_step(step)
-            except Exception as failure:  # shown in the summary; the play goes on
-                error = str(failure)
+            except Exception as caught:  # reported in the summary; the run continues
+                error = str(caught)
             self.completed_steps.append(
                 {
                     "name": step.name,
@@ -301,10 +310,10 @@
 
     def _run_step(self, step: ScenarioStep) -> None:
         if step.kind == "move":
-            spans = edits.StageDurations(step.warm_up_ms, step.shift_ms, step.drain_ms)
+            durations = edits.StageDurations(step.warm_up_ms, step.shift_ms, step.drain_ms)
             self.change_assignment(
                 lambda old: edits.start_migration(
-                    old, step.name, step.tenants, step.target, now_ms(), spans
+                    old, step.name, step.tenants, step.target, now_ms(), durations
                 )
             )
         elif step.kind == "abort":
@@ -316,8 +325,11 @@
 
 
 def cut_over(assignment: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
-    """Place the tenants in another cell at once, for comparison with a migration."""
-    moved: dict[str, Tenant] = {
+    """Return an assignment that places the tenants in another cell at once.
+
+    Scenarios use it for comparison with a migration.
+    """
+    placed: dict[str, Tenant] = {
         name: replace(assignment.tenants[name], cell=target) for name in tenants
     }
-    return replace(assignment, tenants=assignment.tenants | moved)
+    return replace(assignment, tenants=assignment.tenants | placed)
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -1,6 +1,7 @@
-"""Scenarios of the lab of tenants; pure.
+"""Scenarios of the lab of tenants and the parser of their INI files.
 
-The sections [cell NAME], [tenant NAME], [limits] and others are those of an assignment file.
+A scenario file consists of the lab's own sections and of the sections of an assignment file, such
+as [cell NAME], [tenant NAME] and [limits].
 """
 
 from dataclasses import dataclass, field
@@ -14,8 +15,8 @@
 
 NODE_FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
 STEP_KINDS = (*NODE_FAULTS, "move", "cut", "abort")
-OWN_SECTIONS = ("lab", "fleet", "director")
-OTHER_NODE_PREFIXES = "po"  # names of parents and of the origin, which scenarios don't list
+LAB_SECTIONS = ("lab", "fleet", "director")
+UNLISTED_NODE_PREFIXES = "po"  # first letters of parents and the origin; scenarios don't list them
 ASSIGNMENT_DEFAULTS = {
     "form": "1",
     "version": "1",
@@ -30,17 +31,18 @@
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """A fault of a node or a change of the assignment.
+    """A step of a scenario: a fault of a node or a change of the assignment.
 
     Attributes:
-        at_s: When it happens, in seconds from the start.
-        kind: One of STEP_KINDS.
-        node: The node of a fault; with `purge`, the object.
+        name: Name of the step.
+        at_s: Time of the step in seconds since the start of the load.
+        kind: Kind of the step, one of STEP_KINDS.
+        node: Name of the node with the fault; with `purge`, the id of the object.
         tenants: Tenants that are migrated.
-        target: The cell that they are migrated to; with `abort`, the migration.
-        warm_up_ms: Warm-up of the migration.
-        shift_ms: Shift of the migration.
-        drain_ms: Drain of the migration.
+        target: Cell to which the tenants are migrated; with `abort`, the name of the migration.
+        warm_up_ms: Duration of the migration's warm-up stage.
+        shift_ms: Duration of the migration's shift stage.
+        drain_ms: Duration of the migration's drain stage.
     """
 
     name: str
@@ -56,14 +58,19 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """A scenario. Capacities are in hits a second, delays in ms.
+    """A scenario. Capacities are in hits per second, delays in ms.
 
     Attributes:
-        cells: Whether directors get an assignment.
-        management: Whether directors serve gNMI.
-        initial_fraction: Fraction of its capacity that a started cache has.
-        max_open_requests: Limit of each director; 0: none.
-        rate: Requests a second that each director admits; 0: any number.
+        seconds: Duration of the load.
+        directors: Number of directors.
+        cells: Whether the directors use an assignment.
+        management: Whether the directors serve gNMI.
+        caches: Names of the caches.
+        parents: Number of parents.
+        fill_cost: Cost of a fill at a cache, in hits.
+        initial_fraction: Fraction of its capacity that a cache has right after a start.
+        max_open_requests: Maximum number of open requests per director; 0: no maximum.
+        rate: Requests per second that each director admits; 0: no limit.
     """
 
     seconds: float
@@ -91,13 +98,17 @@
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Parse a scenario. Raises ConfigError, whose text names the key."""
-    found = parse_sections(text)
-    lab, fleet, director = (IniSection(title, found.pop(title, {})) for title in OWN_SECTIONS)
+    """Parse a scenario.
+
+    Raises:
+        ConfigError: The scenario is invalid; the message names the section and, if there is one, the key.
+    """
+    sections = parse_sections(text)
+    lab, fleet, director = (IniSection(title, sections.pop(title, {})) for title in LAB_SECTIONS)
     loads: list[TenantLoad] = []
     steps: list[ScenarioStep] = []
     assignment_sections: Sections = {}
-    for title, values in found.items():
+    for title, values in sections.items():
         kind, _, name = title.partition(" ")
         section = IniSection(title, values)
         if kind == "load":
@@ -111,11 +122,11 @@
     assignment = _parse_assignment(assignment_sections)
     caches = fleet.names("caches")
     if not caches:
-        raise fleet.error("caches", "names of caches are wanted")
+        raise fleet.error("caches", "at least one cache name is required")
     scenario = Scenario(
-        **_lab_fields(lab),
+        **_parse_lab_fields(lab),
         caches=caches,
-        **_fleet_fields(fleet),
+        **_parse_fleet_fields(fleet),
         max_open_requests=director.integer("open_most", 0),
         rate=director.number("rate", 0.0),
         assignment=assignment,
@@ -130,17 +141,17 @@
 
 
 def _parse_assignment(sections: Sections) -> Assignment:
-    """Parse the sections of the assignment, with defaults for its head."""
+    """Parse the sections of the assignment; the keys of [assignment] have defaults."""
     sections.setdefault("assignment", {})
     sections["assignment"] = ASSIGNMENT_DEFAULTS | sections["assignment"]
-    texts = (
+    section_texts = (
         f"[{title}]\n" + "\n".join(f"{key} = {value}" for key, value in values.items())
         for title, values in sections.items()
     )
-    return parse_assignment("\n".join(texts))
+    return parse_assignment("\n".join(section_texts))
 
 
-def _lab_fields(section: IniSection) -> dict[str, Any]:
+def _parse_lab_fields(section: IniSection) -> dict[str, Any]:
     return {
         "seconds": section.number("seconds", 10.0, 600.0, 1.0),
         "directors": section.integer("directors", 1, 8) or 1,
@@ -150,7 +161,7 @@
     }
 
 
-def _fleet_fields(section: IniSection) -> dict[str, Any]:
+def _parse_fleet_fields(section: IniSection) -> dict[str, Any]:
     return {
         "parents": section.integer("parents", 2, 16),
         "capacity": section.number("capacity", 400.0, 1e6, 1.0),
@@ -167,25 +178,29 @@
 
 
 def _check_loads(scenario: Scenario, loads: list[TenantLoad]) -> None:
-    is_strict = scenario.cells and scenario.assignment.unknown_tenant_policy == "reject"
+    rejects_unknown = scenario.cells and scenario.assignment.unknown_tenant_policy == "reject"
     for load in loads:
-        if is_strict and load.tenant not in scenario.assignment.tenants:
-            raise ConfigError("no such tenant", section=f"load {load.tenant}")
+        if rejects_unknown and load.tenant not in scenario.assignment.tenants:
+            raise ConfigError(
+                f"tenant {load.tenant!r} is not in the assignment", section=f"load {load.tenant}"
+            )
 
 
 def _check_steps(scenario: Scenario, steps: list[ScenarioStep]) -> None:
     for step in steps:
-        is_listed = step.node in scenario.caches or step.node[:1] in OTHER_NODE_PREFIXES
-        if step.node and step.kind != "purge" and not is_listed:
-            raise ConfigError(f"no cache {step.node!r}", section=f"deed {step.name}", key="node")
+        exists = step.node in scenario.caches or step.node[:1] in UNLISTED_NODE_PREFIXES
+        if step.node and step.kind != "purge" and not exists:
+            raise ConfigError(
+                f"node {step.node!r} does not exist", section=f"deed {step.name}", key="node"
+            )
 
 
 def _parse_load(section: IniSection, tenant: str) -> TenantLoad:
     bursts = []
     if section.number("burst_rate", 0.0):
-        starts_s = section.number("burst_at")
-        ends_s = section.number("burst_until")
-        bursts = [(starts_s, ends_s, section.number("burst_rate"))]
+        burst_starts_s = section.number("burst_at")
+        burst_ends_s = section.number("burst_until")
+        bursts = [(burst_starts_s, burst_ends_s, section.number("burst_rate"))]
     return TenantLoad(
         tenant=tenant,
         rate=section.number("rate"),
