--- a/tests/lab/test_node_server.py
+++ b/tests/lab/test_node_server.py
@@ -1,4 +1,4 @@
-"""A node server of the fleet lab and its connections, driven by hand."""
+"""A node server of the fleet lab, whose event loop the test runs step by step."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 from mulleinrelay.net import resp
 from mulleinrelay.standins.event_loop import EventLoop
 
-SMALL = """
+SCENARIO = """
 [fleet lab]
 seconds = 9
 [directors]
@@ -21,10 +21,10 @@
 caches = 2
 falls = yes
 """
-PULL = resp.command(b"PULL", b"9b" * 8, b"lane=pages,name=ab,piece=0", b"")
+PULL_COMMAND = resp.command(b"PULL", b"9b" * 8, b"lane=pages,name=ab,piece=0", b"")
 
 
-class Recorder:
+class FakeRecorder:
     def __init__(self):
         self.records = []
 
@@ -32,34 +32,34 @@
         self.records.append(record)
 
 
-@pytest.mark.parametrize("is_named", [True, False])
-def test_a_node_that_crashes_closes_all_its_connections(is_named):
-    # A command on a connection that had been accepted, and whose first line came after the crash,
-    # was counted as one more crash of the node.
-    scenario = parse_fleet_scenario(SMALL)
+@pytest.mark.parametrize("has_director_line", [True, False])
+def test_crashed_node_closes_all_connections(has_director_line):
+    # The first line of a connection names the director. If the node crashed between accepting the
+    # connection and receiving that line, a later command counted as a second crash of the node.
+    scenario = parse_fleet_scenario(SCENARIO)
     fleet = build_node_fleet(scenario)
-    recorder = Recorder()
+    recorder = FakeRecorder()
     context = NodeContext(EventLoop(), fleet, recorder, lambda *_: False)
     site = next(iter(scenario.node_sites()))
     server = NodeServer(context, fleet.nodes[site.name], site.zone)
 
-    def turn(timeout_s):
+    def run_loop_once(timeout_s):
         for key, mask in context.loop.selector.select(timeout_s):
             key.data(mask)
 
-    caller = socket.create_connection(("127.0.0.1", server.port))
-    turn(1.0)
-    if is_named:
-        caller.sendall(b"*1\n")
-        turn(1.0)
+    client = socket.create_connection(("127.0.0.1", server.port))
+    run_loop_once(1.0)
+    if has_director_line:
+        client.sendall(b"*1\n")
+        run_loop_once(1.0)
     server.crash()
     with contextlib.suppress(ConnectionError):
-        caller.sendall((b"" if is_named else b"*1\n") + PULL)
+        client.sendall((b"" if has_director_line else b"*1\n") + PULL_COMMAND)
     for _ in range(3):
-        turn(0.05)
+        run_loop_once(0.05)
     record_types = [record[0] for record in recorder.records]
-    assert not server.sessions and record_types == (["conn", "conn"] if is_named else [])
+    assert not server.sessions and record_types == (["conn", "conn"] if has_director_line else [])
     with pytest.raises(ConnectionError):
         time.sleep(0.01)
-        caller.sendall(PULL)
-        caller.recv(1)
+        client.sendall(PULL_COMMAND)
+        client.recv(1)
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -1,5 +1,6 @@
-"""That no overload lives on after its cause, in the model; and that the measure would see one that
-does.
+"""Simulated fleets recover from an overload when its cause ends.
+
+A further test checks that the measurement detects a fleet that does not recover.
 """
 
 import pytest
@@ -7,47 +8,51 @@
 from benchmarks import recovery
 from mulleinrelay.policy import attempt_results, overload
 
-FEW, MANY = (
+SMALL_FLEET_FAULTS, LARGE_FLEET_FAULTS = (
     [("slow", 8), ("burst", 3), ("cut", 4)],
     [("slow", 0.0), ("burst", 0.0), ("unreached", 0.8)],
 )
 PROCESS_JOBS = {
-    f"{trouble}, {span} s": (recovery.play, trouble, span, 20, 220.0, 1) for trouble, span in FEW
+    f"{fault}, {length} s": (recovery.play, fault, length, 20, 220.0, 1)
+    for fault, length in SMALL_FLEET_FAULTS
 }
 PROCESS_JOBS |= {
-    f"{trouble}, many": (recovery.play, trouble, 5, 200, 230.0, 1) for trouble, _ in MANY
+    f"{fault}, many": (recovery.play, fault, 5, 200, 230.0, 1) for fault, _ in LARGE_FLEET_FAULTS
 }
 
 
-@pytest.mark.parametrize(("trouble", "length"), FEW)
-def test_the_fleet_is_back_within_ten_seconds(trouble, length, process_job_result):
-    found = process_job_result(f"{trouble}, {length} s")
-    assert found["calm"] > 0.95 and found["during"] < 0.7
-    assert found["back_s"] is not None and found["back_s"] <= 10
+@pytest.mark.parametrize(("fault", "length"), SMALL_FLEET_FAULTS)
+def test_the_fleet_recovers_within_ten_seconds(fault, length, process_job_result):
+    figures = process_job_result(f"{fault}, {length} s")
+    assert figures["calm"] > 0.95 and figures["during"] < 0.7
+    assert figures["back_s"] is not None and figures["back_s"] <= 10
 
 
-@pytest.mark.parametrize(("trouble", "during"), MANY)
-def test_a_fleet_of_directors_that_see_one_request_a_second_is_back_too(
-    trouble, during, process_job_result
+@pytest.mark.parametrize(("fault", "min_served_during"), LARGE_FLEET_FAULTS)
+def test_a_fleet_with_one_request_a_second_per_director_recovers_within_ten_seconds(
+    fault, min_served_during, process_job_result
 ):
-    """Guards against overdue requests that are rejected with their answers on the way: the fleet
-    never came back. And against a location that is not reached being found out cache by cache.
+    """Guard against two failures that kept or delayed a fleet from recovering.
+
+    Overdue requests were rejected while their answers were on the way, so that the fleet never
+    recovered; and an unreachable location was detected for each of its caches separately.
     """
-    found = process_job_result(f"{trouble}, many")
-    assert found["calm"] > 0.95 and found["during"] > during
-    assert found["back_s"] is not None and found["back_s"] <= 10
+    figures = process_job_result(f"{fault}, many")
+    assert figures["calm"] > 0.95 and figures["during"] > min_served_during
+    assert figures["back_s"] is not None and figures["back_s"] <= 10
 
 
-def test_a_planted_storm_is_found(monkeypatch, process_job_result):
-    """Directors that send on whatever was turned away, at no cost: the overload
-    outlives its cause.
-    """
+def test_a_retry_storm_delays_the_recovery(monkeypatch, process_job_result):
+    """Show that free and unlimited retries keep an overload going after its cause has ended."""
     monkeypatch.setattr(overload, "RETRIES_PER_REQUEST", 6.0)
     monkeypatch.setattr(overload, "NO_RETRY_FRACTION", 1e9)
     monkeypatch.setattr(overload, "retry_cost", lambda *_: 0.05)
     monkeypatch.setattr(attempt_results, "REJECTED_LATENESS", 0.0)
-    wild = recovery.play("slow", 8, 20, 220.0, 1)
+    with_free_retries = recovery.play("slow", 8, 20, 220.0, 1)
     monkeypatch.undo()
-    tame = process_job_result("slow, 8 s")
-    assert wild["attempts_by_request"] > 1.5 * tame["attempts_by_request"]
-    assert wild["back_s"] is None or wild["back_s"] >= tame["back_s"] + 2
+    with_retry_limits = process_job_result("slow, 8 s")
+    assert with_free_retries["attempts_by_request"] > 1.5 * with_retry_limits["attempts_by_request"]
+    assert (
+        with_free_retries["back_s"] is None
+        or with_free_retries["back_s"] >= with_retry_limits["back_s"] + 2
+    )
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -1,11 +1,11 @@
-"""The simulation plays the lab's scenarios, with the lab's audit."""
+"""The simulation runs scenarios of the fleet lab, and the lab's audit checks the records."""
 
 import pytest
 
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 from mulleinrelay.model.simulation import run_scenario
 
-SMALL = """
+SCENARIO = """
 [fleet lab]
 seconds = 16
 warm_s = 3
@@ -19,7 +19,7 @@
 rate = 120
 objects = 300
 """
-RULES = (
+VIOLATION_COUNTS = (
     "rules_broken",
     "requests_lost",
     "answers_twice",
@@ -55,23 +55,25 @@
     ],
 )
 def test_each_fault_causes_no_violation(fault, outcomes):
-    text = SMALL + ("[fault f]\nat = 6\n" + fault if fault else "")
+    text = SCENARIO + ("[fault f]\nat = 6\n" + fault if fault else "")
     figures = run_scenario(parse_fleet_scenario(text))
-    assert {rule: figures[rule] for rule in RULES} == dict.fromkeys(RULES, 0)
+    assert {name: figures[name] for name in VIOLATION_COUNTS} == dict.fromkeys(VIOLATION_COUNTS, 0)
     assert figures["requests"] > 1500 and set(figures["outcomes"]) <= outcomes
     assert figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
 def test_the_same_seed_gives_the_same_figures():
-    first, again = (run_scenario(parse_fleet_scenario(SMALL)) for _ in range(2))
+    first, second = (run_scenario(parse_fleet_scenario(SCENARIO)) for _ in range(2))
     assert (
-        first == again != run_scenario(parse_fleet_scenario(SMALL.replace("seed = 4", "seed = 5")))
+        first
+        == second
+        != run_scenario(parse_fleet_scenario(SCENARIO.replace("seed = 4", "seed = 5")))
     )
 
 
-def test_a_fleet_larger_than_the_lab_can_be_simulated():
+def test_a_fleet_of_1000_directors_can_be_simulated():
     figures = run_scenario(
-        parse_fleet_scenario(SMALL.replace("seconds = 16", "seconds = 5")).with_directors(1000)
+        parse_fleet_scenario(SCENARIO.replace("seconds = 16", "seconds = 5")).with_directors(1000)
     )
     assert (
         figures["directors"] == 1000 and figures["outcomes"]["served"] > 0.95 * figures["requests"]
