--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -99,7 +99,7 @@
             return
         if options.has_fleet_option:
             raise click.UsageError(
-                "--directors, --plot and --model are for fleet scenarios ([fleet lab])"
+                "--directors, --plot and --model require a fleet scenario (section [fleet lab])"
             )
         scenario = parse_scenario(text)
     except (ConfigError, UnicodeDecodeError) as error:
