--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -65,7 +65,9 @@
 @click.argument("path", metavar="SCENARIO.ini")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of a table.")
 @click.option("--quiet", is_flag=True, help="Do not show live figures.")
-@click.option("--keep", metavar="FOLDER", help="Keep configurations, logs and records here.")
+@click.option(
+    "--keep", metavar="FOLDER", help="Folder in which configurations, logs and records are kept."
+)
 @click.option(
     "--directors", type=int, help="Number of directors under the same load (fleet scenarios)."
 )
--- a/mulleinrelay/lab/fleet/scenario_parser.py
+++ b/mulleinrelay/lab/fleet/scenario_parser.py
@@ -42,7 +42,7 @@
     for section in (lab, directors, nodes, load):
         section.reject_unknown_keys()
     if scenario.caches * len(locations) > MAX_CACHES:
-        raise nodes.error("caches", f"more than {MAX_CACHES} in all locations together")
+        raise nodes.error("caches", f"expected at most {MAX_CACHES} in all locations together")
     if scenario.warm_up_s >= scenario.seconds:
         raise lab.error(
             "warm_s", f"expected a number less than `seconds`, found {scenario.warm_up_s:g}"
