--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -66,7 +66,7 @@
     def start(self) -> None:
         """Schedule the first request of each location."""
         for load in self.loads.values():
-            self._send_new_at(
+            self._schedule_new_request(
                 self.simulation.started_at + 1000.0 * load.next_arrival_in_s(0.0), load
             )
 
@@ -78,7 +78,7 @@
         retry_at = now + (retry_after_ms or DEFAULT_RETRY_DELAY)
         can_retry = request.tries < self.scenario.max_tries and retry_at < request.deadline
         if outcome == "rejected" and can_retry:
-            self._retry_at(retry_at, request)
+            self._schedule_retry(retry_at, request)
             return
         self.clock.call_at(now + CLIENT_DELAY_MS, lambda: self._complete(request, outcome))
 
@@ -96,14 +96,14 @@
             self.clock.call_at(detected_at, lambda: self._exclude_if_exited(number))
         remaining = request.deadline - self.clock()
         if can_retry_after_disconnect(self.scenario, request.plan, request.tries, remaining):
-            self._retry_at(self.clock() + DEFAULT_RETRY_DELAY, request)
+            self._schedule_retry(self.clock() + DEFAULT_RETRY_DELAY, request)
             return
         self._complete(request, "cut off")
 
-    def _send_new_at(self, due_at: float, load: LocationLoad) -> None:
-        self.clock.call_at(due_at, lambda: self._send_new(load))
+    def _schedule_new_request(self, due_at: float, load: LocationLoad) -> None:
+        self.clock.call_at(due_at, lambda: self._send_new_request(load))
 
-    def _send_new(self, load: LocationLoad) -> None:
+    def _send_new_request(self, load: LocationLoad) -> None:
         since_start_s = self.simulation.since_start_s()
         now = self.clock()
         if since_start_s >= self.scenario.seconds:
@@ -112,7 +112,7 @@
         deadline = now + self.scenario.patience_ms
         plan = load.draw_request(since_start_s)
         self._send_try(PendingRequest(self.request_count, now, deadline, load.location, plan))
-        self._send_new_at(now + 1000.0 * load.next_arrival_in_s(since_start_s), load)
+        self._schedule_new_request(now + 1000.0 * load.next_arrival_in_s(since_start_s), load)
 
     def _send_try(self, request: PendingRequest) -> None:
         now = self.clock()
@@ -142,7 +142,7 @@
             return
         director.receive_request(request, max(MIN_PATIENCE_MS, request.deadline - self.clock()))
 
-    def _retry_at(self, due_at: float, request: PendingRequest) -> None:
+    def _schedule_retry(self, due_at: float, request: PendingRequest) -> None:
         def retry() -> None:
             if not request.is_complete:
                 self._send_try(request)
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -246,7 +246,7 @@
     ) -> bool:
         """Return whether the answer holds a purged copy although the director knew of the purge.
 
-        Only answers more than a second after the director's notification count.
+        Answers within the first second after the director's notification don't count.
         """
         object_id = fields.get("name", "")
         issued = decode_fields(answer).get("issued")
--- a/mulleinrelay/standins/__init__.py
+++ b/mulleinrelay/standins/__init__.py
@@ -2,5 +2,5 @@
 
 They stand in for caches, parents, the origin, the event stream and clients, and are written from
 the description of the protocol. Their capacities and delays are invented, so any figure that is
-measured with them applies to the stand-ins alone.
+measured with them applies only to the stand-ins.
 """
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -34,7 +34,7 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_MS = 20.0  # maximum time between two checks for due requests
 MIN_WAIT_S = 0.0005
-MAX_LATENESS_MS = 1_000.0  # requests that a busy machine delays by more are not sent
+MAX_LATENESS_MS = 1_000.0  # requests that are overdue by more, on a busy machine, are dropped
 STOP_TIMEOUT_S = 2.0
 
 
@@ -74,7 +74,7 @@
     """Results of a tenant's requests. Times are in seconds since the start of the load.
 
     Attributes:
-        counts: Number of events by the name that the lab's figures use.
+        counts: Event counters, under the names that the lab's figures use.
         delays: For each served request, the time of its first try and its delay in ms.
         first_sent_at: Time of the first try of each request.
         served_at: Time of the first try of each served request.
@@ -345,7 +345,7 @@
             if rate <= 0.0:
                 due_at = now + MAX_IDLE_MS
             while due_at <= now and rate > 0.0:
-                self._send_new(due_at)
+                self._send_new_request(due_at)
                 due_at += self.random.expovariate(rate) * 1000.0
                 if due_at < now - MAX_LATENESS_MS:
                     due_at = now
@@ -364,7 +364,7 @@
             self._send(request)
         return next_at
 
-    def _send_new(self, due_at: float) -> None:
+    def _send_new_request(self, due_at: float) -> None:
         rank = self._draw_rank()
         is_order = self.random.random() < self.load.order_fraction
         fields = {
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -182,7 +182,7 @@
         executions: Number of executed writes by idempotency key.
         origin_fetches: Number of reads that reached the origin.
         purged_at: Time of the last purge of each purged object.
-        stale_answers: Number of answers with a copy that was purged more than a second before.
+        stale_answers: Number of answers with a copy that was purged over 1 s earlier.
     """
 
     nodes: dict[str, SimulatedNode]
@@ -231,8 +231,8 @@
         purged_at = self.purged_at.get(object_id)
         if purged_at is None:
             return False
-        known_at = purged_at if notified_at is None else notified_at
-        return now > known_at + PURGE_PROPAGATION_MS and issued_at < purged_at
+        effective_at = purged_at if notified_at is None else notified_at
+        return now > effective_at + PURGE_PROPAGATION_MS and issued_at < purged_at
 
     def _write(self, now: float, node: SimulatedNode, idempotency_key: str) -> Reply:
         done_at = node.accept_work(now, 1.0)
@@ -255,8 +255,8 @@
             return _timed_reply(node, now, (b"LACK", b"why=NO_FILL", b""))
         fill_ends_at = node.fills_in_progress.get(command.copy_key, 0.0)
         if "collapse" in command.flags and fill_ends_at > now and command.copy_key in node.copies:
-            copied_at = node.copies[command.copy_key]
-            items = self._success_items(command.copy_key, copied_at, now, "COLLAPSED", 0.0)
+            fill_issued_at = node.copies[command.copy_key]
+            items = self._success_items(command.copy_key, fill_issued_at, now, "COLLAPSED", 0.0)
             return _timed_reply(node, fill_ends_at, items)
         return self._fill(now, node, command.source, command)
 
