--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -27,6 +27,7 @@
 SETTLING_S = 4  # after the start of a fault, excluded from the parents' shares
 MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
+# Figures whose sum is the figure `rules_broken`
 VIOLATIONS = (
     "requests_lost",
     "answers_twice",
@@ -37,7 +38,7 @@
     "crashes",
 )
 
-Span = tuple[float, float]
+Span = tuple[float, float]  # start and end
 
 
 class Audit:
@@ -110,7 +111,7 @@
         return found
 
     def first_attempts(self) -> list[FirstAttempt]:
-        """Return the first attempt of each read at a cache."""
+        """Return the first attempt at a cache of each read request."""
         seen_commands = set()
         found = []
         for attempt in self.observations.attempts:
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -39,8 +39,8 @@
     """One director of the fleet lab.
 
     Attributes:
-        starts: Number of starts so far. A thread that waits for one start compares it, so that the
-            thread ignores any later start.
+        starts: Number of starts so far. A thread that waits until the director is ready compares
+            it to detect that the director was started again in the meantime.
         was_killed: Whether the lab has killed the current process.
         clock_step_ms: Step of the director's wall clock at a `clock` fault; None if no such fault
             affects the director.
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class FirstAttempt:
-    """The first attempt of one request."""
+    """The first attempt of one request at a cache."""
 
     at_s: float
     cache: str
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -201,10 +201,12 @@
         for due_at in rules.datagram_due_times(
             "director", sender, str(receiver), UP, now_ms(), self.random
         ):
-            for later in rules.datagram_due_times(
+            for receiver_due_at in rules.datagram_due_times(
                 "director", receiver, str(sender), DOWN, due_at, self.random
             ):
-                self.loop.call_at(later, lambda: self._send_datagram(sender, receiver, data))
+                self.loop.call_at(
+                    receiver_due_at, lambda: self._send_datagram(sender, receiver, data)
+                )
 
     def _send_datagram(self, sender: int, receiver: int, data: bytes) -> None:
         address = (addresses.listen_address(receiver), self.datagram_port)
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -190,7 +190,7 @@
             self.context.loop.stop_listening(self.listener)
             self.listener = None
         for connection in list(self.sessions):
-            self._forget(connection)
+            self._remove_session(connection)
             connection.close(reset=True)
         send_message(deaf=self.node.spec.name)
 
@@ -214,10 +214,10 @@
             session.director = director
             self._record("conn", director, self.node.spec.name, 1)
 
-        connection.on_close = lambda: self._forget(connection)
+        connection.on_close = lambda: self._remove_session(connection)
         read_director_line(connection, on_director, lambda data: self._on_data(session, data))
 
-    def _forget(self, connection: LoopConnection) -> None:
+    def _remove_session(self, connection: LoopConnection) -> None:
         session = self.sessions.pop(connection, None)
         if session is not None and session.director is not None:
             self._record("conn", session.director, self.node.spec.name, -1)
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -172,16 +172,16 @@
         if name.endswith(".records"):
             with open(os.path.join(folder, name), "rb") as file:
                 lines += [orjson.loads(line) for line in file if line.endswith(b"\n")]
-    began = next(line for line in lines if line[0] == "began")
-    observations = Observations(*began[1:4])
+    start_record = next(line for line in lines if line[0] == "began")
+    observations = Observations(*start_record[1:4])
     for record_type, *values in lines:
         if record_type == "began":
             observations.other_records[record_type].append(tuple(values))
             continue
         if record_type not in TYPES_WITHOUT_TIME:
             values[0] = (values[0] - observations.started_at) / 1000.0
-        make = RECORD_TYPES.get(record_type)
-        record: Any = tuple(values) if make is None else make(*values)
+        record_class = RECORD_TYPES.get(record_type)
+        record: Any = tuple(values) if record_class is None else record_class(*values)
         if record_type == "attempt":
             observations.attempts.append(record)
         elif record_type == "look":
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -133,16 +133,16 @@
     return folder, Audit(scenario, read_observations(folder)), alive
 
 
-THREAD_JOBS = {"troubled": play}
+THREAD_JOBS = {"many-faults": play}
 
 
 @pytest.fixture(scope="module")
-def troubled(thread_job_result):
-    return thread_job_result("troubled")
+def played(thread_job_result):
+    return thread_job_result("many-faults")
 
 
-def test_faults_between_forty_processes_cause_no_violation(troubled):
-    _, audit, alive = troubled
+def test_faults_between_forty_processes_cause_no_violation(played):
+    _, audit, alive = played
     figures = audit.figures()
     assert (
         len(alive) >= 34 and len(alive) + 5 >= 39
@@ -154,8 +154,8 @@
     assert figures["requests"] > 1200 and figures["outcomes"]["served"] > 0.6 * figures["requests"]
 
 
-def test_each_fault_is_visible_in_the_records_of_nodes_and_stream(troubled):
-    _, audit, _ = troubled
+def test_each_fault_is_visible_in_the_records_of_nodes_and_stream(played):
+    _, audit, _ = played
     attempts, faults = (
         audit.observations.attempts,
         {fault[1]: fault for fault in audit.faults if fault[3]},
@@ -208,8 +208,8 @@
     )
 
 
-def test_load_shifts_and_a_silent_cache_is_used_again(troubled):
-    _, audit, _ = troubled
+def test_load_shifts_and_a_silent_cache_is_used_again(played):
+    _, audit, _ = played
     faults = {(fault[1], fault[3]): fault for fault in audit.faults}
     first, last = faults["moved", True][0], faults["moved", False][0]
     locations = [
@@ -226,8 +226,8 @@
     )  # it is used again
 
 
-def test_no_process_remains_after_a_play(troubled):
-    folder, _, alive = troubled
+def test_no_process_remains_after_a_play(played):
+    folder, _, alive = played
     assert not [process for process in alive if process.is_running()] and not processes_of(folder)
 
 
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -64,18 +64,18 @@
 
 
 THREAD_JOBS = {
-    "none-planted": play,
-    "planted-probes": lambda folder: play(folder, SYNCHRONIZED_HEALTH_CHECKS),
-    "planted-herd": lambda folder: play(folder, SYNCHRONIZED_SELECTION),
+    "unmodified": play,
+    "synchronized-health-checks": lambda folder: play(folder, SYNCHRONIZED_HEALTH_CHECKS),
+    "synchronized-selection": lambda folder: play(folder, SYNCHRONIZED_SELECTION),
 }
 
 
 @pytest.mark.parametrize(
     ("job", "has_herd", "has_idle_cache", "has_health_check_herd"),
     [
-        ("none-planted", False, False, False),
-        ("planted-probes", False, False, True),
-        ("planted-herd", True, True, False),
+        ("unmodified", False, False, False),
+        ("synchronized-health-checks", False, False, True),
+        ("synchronized-selection", True, True, False),
     ],
 )
 def test_a_herd_is_detected_only_if_the_program_causes_one(
