--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -132,7 +132,7 @@
     asked = served = 0
     delays = []
     for generator in others:
-        asked += sum(3.0 <= at < 8.5 for at in generator.result.asked_at)
+        asked += sum(3.0 <= at < 8.5 for at in generator.result.first_sent_at)
         served += sum(3.0 <= at < 8.5 for at in generator.result.served_at)
         delays += [delay for at, delay in generator.result.delays if 3.0 <= at < 8.5]
     delays.sort()
