--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -25,7 +25,7 @@
 FAULT_AT_S = 20
 AFTER_FAULT_S = 16  # simulated time after the end of the fault
 WINDOW_S = 2  # length of the spans for which the earned weight is computed
-CALM_FROM_S = 14  # until the start of the fault; the time before is the warm-up
+CALM_FROM_S = 14  # end of the warm-up; the reference value is measured from here to the fault
 RECOVERED_FRACTION = 0.95  # of the fraction earned before the fault
 LATE_REQUEST_WEIGHT = 0.1  # fraction of its weight that a request earns if it is served late
 SCENARIO = """
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -16,7 +16,7 @@
         folder: Target folder; it is created if it does not exist.
 
     Raises:
-        OSError: Git is not installed, or the folder cannot be written.
+        OSError: If Git is not installed, or the folder cannot be written.
         CalledProcessError: The repository does not contain the version.
     """
     command = ["git", "archive", version, "mulleinrelay"]
--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -201,7 +201,11 @@
         return now < expires_at
 
     def release(self, number: int) -> LeaseRelease | None:
-        """Release a borrowed lease; return the message for its lender, or None without a lease."""
+        """Release the borrowed lease with this number.
+
+        Returns:
+            The message for the lender; None if no lease with this number is borrowed.
+        """
         lease = self.borrowed.pop(number, None)
         return LeaseRelease(number) if lease is not None else None
 
@@ -217,7 +221,7 @@
             borrower: Director that sent the request.
             incarnation: Incarnation of the borrower.
             request: The request.
-            used: See `lendable`.
+            used: Maximum number of units that this director used within the last window.
 
         Returns:
             The grant to send; None if the request gets no response.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -15,10 +15,10 @@
 from .model import Cell
 from .token_bucket import TokenBucket
 
-# Salt of the hash that orders returning objects. Without it, the objects that a cache ranks first
-# by hash would return first.
+# Salt of the hash that determines the order in which objects return to a recovered cell. Without
+# the salt, the objects that a cache ranks first by hash would return first.
 RECOVERY_SALT = 0x72657475726E
-WAIT_WITHOUT_QUOTA = 1_000.0  # ms; for requests that arrive while the caches have no capacity yet
+WAIT_WITHOUT_QUOTA = 1_000.0  # ms; wait time of a request while the caches have no capacity yet
 WAIT_FOR_OPEN_REQUEST = 200.0  # ms; typical time until an open request completes
 RATE_TOLERANCE = 0.01  # fraction; the rate is not updated for smaller changes
 
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -63,9 +63,10 @@
         capacity: Maximum number of open requests of all parties together.
         open: Number of open requests of all parties together.
         shares: Shares by party.
-        computed_at: Time when the following sums were computed.
+        computed_at: Time when `active_weight` and `reserved` were computed.
         active_weight: Sum of the weights of all active parties.
-        reserved: Sum of the parties' unmet demand within their guaranteed shares; not lent.
+        reserved: Capacity that is not lent: for each party its demand, up to its guaranteed share,
+            minus its open requests.
     """
 
     # ms; a party stays active for this time, and its demand is the peak of two such windows.
@@ -143,7 +144,7 @@
         self.open = total_open if total_open > ROUNDING_REMAINDER else 0.0
 
     def _unmet_demand(self, share: ConcurrencyShare, now: float) -> float:
-        """Return the party's demand within its guaranteed share that is not open yet."""
+        """Return the party's demand, up to its guaranteed share, minus its open requests."""
         wanted = min(share.demand(now, self.DEMAND_WINDOW), self.guaranteed(share))
         return max(0.0, wanted - share.open)
 
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -5,8 +5,8 @@
 
 The method is weighted rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998) with
 a bound on each cell's load (Mirrokni, Thorup and Zadimoghaddam, 2016). If a cell or cache is
-removed, only its own tenants move, and tenants that they push over a load bound. If one is added,
-only the tenants that prefer it move.
+removed, its own tenants move; other tenants move only if a cell would otherwise exceed its load
+bound. If one is added, only the tenants that prefer it move.
 """
 
 import math
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -17,8 +17,8 @@
 from .hashing import HASH_RANGE, combine_hashes
 from .model import Migration
 
-# Salt of the hash that orders migrating objects. Without it, the objects that a cache ranks first
-# by hash would migrate first.
+# Salt of the hash that determines the order in which objects migrate. Without the salt, the objects
+# that a cache ranks first by hash would migrate first.
 MIGRATION_SALT = 0x6D6F7665
 # Maximum fraction of the receiving caches' capacity that a migration may use. For a second, some
 # caches get half as much load again, because of chance and uneven hashing.
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -25,7 +25,7 @@
         """
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """Return the state of the endpoint that this director uses."""
+        """Return the state that this director uses for an endpoint, after applying overrides."""
 
 
 class EndpointRegistry:
@@ -79,7 +79,7 @@
         return self._router_update(affected, False) if affected else None
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """Return the state of the endpoint that this director uses."""
+        """Return the state that this director uses for an endpoint, after applying overrides."""
         return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
 
     def is_current(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -155,7 +155,7 @@
     """Run a fleet scenario and print its figures.
 
     Raises:
-        ConfigError: The scenario is invalid.
+        ConfigError: If the scenario is invalid.
         OSError: A file can't be written.
     """
     from .fleet.scenario_parser import parse_fleet_scenario
--- a/mulleinrelay/lab/director.py
+++ b/mulleinrelay/lab/director.py
@@ -72,7 +72,7 @@
         """Return whether the director serves clients.
 
         Raises:
-            RuntimeError: The process has ended.
+            RuntimeError: If the process has ended.
         """
         if self.accepts_connections():
             return True
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -122,7 +122,7 @@
             on_load_started: Called with the lab when the load has started.
 
         Raises:
-            RuntimeError: A director ended or was not ready in time.
+            RuntimeError: If a director ended or was not ready in time.
         """
         self.environment = LoopbackEnvironment(self.fleet)
         try:
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -101,7 +101,7 @@
     """Parse a scenario.
 
     Raises:
-        ConfigError: The scenario is invalid; the message names the section and the key, if any.
+        ConfigError: If the scenario is invalid; the message names the section and the key, if any.
     """
     sections = parse_sections(text)
     lab, fleet, director = (IniSection(title, sections.pop(title, {})) for title in LAB_SECTIONS)
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -186,6 +186,6 @@
         finally:
             os.close(descriptor)
     except OSError:
-        # Some file systems do not support this. The file has been replaced already; only a power
+        # Some file systems cannot flush a folder. The file has been replaced already; only a power
         # failure in the next moments could still undo the replacement.
         pass
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -130,7 +130,7 @@
         """Ping a suspect, so that it learns of the suspicion and can refute it."""
         return [self._ping(update, self._next_sequence_number())]
 
-    # Time
+    # Periodic checks
 
     def handle_pause(self, now: float) -> None:
         """Discard the pending pings and restart all suspicion timeouts after a pause.
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -103,7 +103,7 @@
         starts = range(0, len(updates), UPDATES_PER_DATAGRAM)
         return [updates[start : start + UPDATES_PER_DATAGRAM] for start in starts] or [[]]
 
-    # Time
+    # Scheduled syncs
 
     def sync_soon(self, now: float) -> None:
         """Schedule the next sync for now."""
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -245,7 +245,7 @@
             for (_, host, port), payload in payloads
         ]
 
-    # Time
+    # Periodic work
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
         """Do the work that is due; return the datagrams to send."""
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -176,9 +176,10 @@
             self.coordinator.update_endpoints(event.entries, event.is_full_snapshot)
 
     def _apply_known(self, known_events: Sequence[Any]) -> None:
-        """Apply the events of a configuration that follow directly after the last applied event.
+        """Apply events from a configuration file, in order, until an event number is missing.
 
-        The stream delivers the other events.
+        The stream delivers the missing event and the events after it. Until then, only the
+        restrictions in the known events after the gap are applied.
         """
         try:
             self._apply_in_order(
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -146,13 +146,13 @@
     def choose_upstream(
         self, eligible: Iterator[TrackedEndpoint], now: float
     ) -> TrackedEndpoint | None:
-        """Choose the parent that is first by its hash, a later one, or the origin.
+        """Choose a parent or the origin: usually the first parent in rendezvous order.
 
-        A parent is skipped if its delay has risen by more than `NEARBY_DELAY` above the average
-        rise of all parents, unless a trial fill is due. A rise that all parents have in common
-        skips none of them, because the next parents lack the objects and would fill them from the
-        origin. If all parents are slower than the origin by more than `NEARBY_DELAY`, the origin is
-        chosen, or a parent as a trial.
+        A parent is skipped if the increase of its delay over its usual delay exceeds the average
+        increase of all parents by more than `NEARBY_DELAY`, unless a trial fill is due. If the
+        delays of all parents increase equally, no parent is skipped, because the next parent in the
+        order lacks the object and would fill it from the origin. If every parent is slower than the
+        origin by more than `NEARBY_DELAY`, the origin is chosen, or a parent for a trial fill.
 
         Args:
             eligible: The parents that may be sent to, as a lazy iterator in rendezvous order.
@@ -278,7 +278,7 @@
         return ranked
 
     def _delay_increase(self, parent: TrackedEndpoint, now: float) -> float:
-        """Return by how much the parent's delay has risen above its usual level.
+        """Return the increase of the parent's recent delay over its usual delay, in ms.
 
         The usual delay counts as one more recent measurement with the weight `USUAL_WEIGHT`, so
         that a few measurements have little effect.
--- a/mulleinrelay/policy/freshness.py
+++ b/mulleinrelay/policy/freshness.py
@@ -31,7 +31,7 @@
         self._purged_at[target] = max(self._purged_at.get(target, 0.0), purged_at)
 
     def last_purge(self, request: Request) -> float:
-        """Return when the request's object or its group was last purged; 0: never."""
+        """Return when the request's object or its group was last purged; 0 if never."""
         return max(
             self._purged_at.get(("object", request.object_id), 0.0),
             self._purged_at.get(("group", request.group), 0.0),
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -294,9 +294,11 @@
         return Route(fill.source, fill.source, False)
 
     def _would_repeat_miss(self, request: Request, route: Route) -> bool:
-        """Return whether a route without fill would repeat a miss.
+        """Return whether the route would repeat the miss of an earlier attempt.
 
-        The route serves only cached objects, and an earlier attempt of this kind has missed.
+        A route serves only cached objects if its fill source is the endpoint itself, or a parent or
+        the origin that may answer only from its own cache. A fill from another cache of the
+        location counts as a fill, both for the route and for the earlier attempts.
         """
         caches = self.endpoints.caches
         is_filled = route.fill_source is not route.endpoint and (
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -38,7 +38,8 @@
 # Lifetime of a permit in windows. It is long enough for a director with few requests to still have
 # the permit when a request is received.
 PERMIT_LIFETIME = 1.0
-# Minimum work (ms) of a request when a permit is drawn, which limits the rate of permits.
+# Minimum work (ms) that is assumed for a request in the random draw of its permit. It limits the
+# rate of permits.
 MIN_PERMIT_WORK = 1.0
 
 
@@ -112,7 +113,7 @@
     ) -> bool:
         """Draw whether a permit for `work` was generated since the last draw.
 
-        A second draw in the same moment uses a random number, but never succeeds.
+        A second draw at the same time never succeeds, although it consumes a random number.
 
         Args:
             now: The current time in ms.
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -14,12 +14,13 @@
 
 from random import Random
 
-# Backoff after the first connection without events, and the maximum backoff.
+# Backoff after the first connection that delivered no events, and the maximum backoff.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 # Maximum fraction by which a backoff is randomly changed.
 BACKOFF_JITTER = 0.25
-# Time over which the reconnections after a stream with events are spread.
+# Maximum random delay before a director reconnects after a connection that delivered events. It
+# spreads the reconnections of directors whose connections end at the same time.
 RECONNECT_JITTER_S = 0.1
 # Time for which connections must have been refused before the address is looked up in the
 # configuration.
--- a/mulleinrelay/standins/client_protocol.py
+++ b/mulleinrelay/standins/client_protocol.py
@@ -83,7 +83,7 @@
     """Decode the reply to a `serve` call.
 
     Raises:
-        ThriftError: The frame is not a valid reply.
+        ThriftError: If the frame is not a valid reply.
     """
     reader = thrift.ValueReader(frame)
     kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -26,7 +26,7 @@
 from .policy.model import Attempt, CacheStatus, EndpointState, Outcome, Request
 from .policy.router import Router
 
-# Status codes of the wire
+# Outcome of an attempt by its status code in the protocol
 OUTCOMES = {
     0: Outcome.SERVED,
     5: Outcome.ERROR,
@@ -99,7 +99,10 @@
     def read(
         self, now: float, code: int, fields: wire.Fields, endpoint_lists: dict[int, EndpointRows]
     ) -> None:
-        """Add one record to the events of this batch; ignore it if there is no router yet."""
+        """Handle one record: create the router, or add an event to the current batch.
+
+        The record `BEGIN` creates the router; records before the first `BEGIN` are ignored.
+        """
         if code == wire.BEGIN:
             self.begin(now, fields)
         elif self.router is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -44,7 +44,7 @@
 
 CACHE, PARENT, ORIGIN = 0, 2, 3  # kinds of endpoints in RouterFixture
 HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")  # word, fields and body
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"  # of the event stream
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"  # start of the response that carries the event stream
 PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}  # data of an event
 PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -686,9 +686,10 @@
 
 
 class DirectorProcess:
-    """The program as a process, with this configuration file and limit of file descriptors.
+    """Process that runs `mulleinrelay serve` with a configuration file.
 
-    `log_lines` lists the logged lines, parsed from JSON.
+    `descriptors` is the process's limit of open file descriptors. `log_lines` lists the lines that
+    the process has logged, parsed from JSON.
     """
 
     def __init__(self, file, descriptors=1024):
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -16,7 +16,7 @@
 
 
 def checks_sent(directors, duration, rate=0.0, step=25.0, suspected=None):
-    """Return all pings and polls of these schedulers as (ms, endpoint).
+    """Return all pings and polls that the directors' schedulers send, as (ms, endpoint).
 
     Each director receives `rate` requests a second. All directors suspect the endpoint `suspected`
     from the start.
