--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -26,7 +26,8 @@
 DEFAULT_MEMORY_MB = 192
 DEFAULT_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 64
-# Multiple of the current capacity during slow start; more work overloads the endpoint.
+# Maximum work of an endpoint in slow start, as a multiple of its current capacity. More work
+# overloads the endpoint.
 DEFAULT_OVERLOAD_FACTOR = 2.0
 PORT_COUNT = 65_536
 REQUIRED = object()  # in place of a default: the key must be present
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -17,7 +17,7 @@
 
 BACKLOG = 1024  # connections that the kernel queues before they are accepted
 MAX_BAD_CALLS = 8  # consecutive invalid calls; one more closes the connection
-SPARE_DIVISOR = 16  # one in this many slots of the table is kept free in advance
+SPARE_DIVISOR = 16  # 1/16 of the connection table is kept free for new connections
 ACCEPT_RETRY_S = 0.05  # wait after a failed accept
 REMOVAL_WAIT_S = 0.02  # wait for a closed connection to release its file descriptor
 
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -200,7 +200,7 @@
     outcome = OUTCOME_BY_WORD.get(word)
     if outcome is None and word not in HEALTH_BY_WORD:
         raise RespError(f"an unknown word {word[:16]!r}")
-    if word == b"DONE" and len(items) < 4:  # would be taken for an empty object
+    if word == b"DONE" and len(items) < 4:  # otherwise read as an empty object
         raise RespError("an answer without the body of the object")
     try:
         answer = EndpointAnswer(
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -10,7 +10,7 @@
 BIN_MIDDLES = [6.0 * 2.0**number for number in range(BIN_COUNT)]  # ms; the first bin is [4, 8)
 MAX_HALVINGS = 30  # bound of the power; after so many halvings a weight is practically 0
 MIN_WEIGHT_FOR_MEAN = 0.1  # a smaller weight is the remainder of old measurements
-MIN_HALF_WEIGHT_FOR_MEDIAN = 1.0  # two measurements
+MIN_HALF_WEIGHT_FOR_MEDIAN = 1.0  # half of the weight of two measurements
 RECENT_HALF_LIFE = 2000.0  # ms; for the delays by which endpoints are chosen
 USUAL_HALF_LIFE = 16_000.0  # ms; for the usual level that recent delays are compared with
 
