--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -6,7 +6,7 @@
 director.
 """
 
-# Second octet of an address 127.X.high.low; high and low are the bytes of the director's number + 1
+# Octet X of an address 127.X.high.low; high and low are the bytes of the director's number plus 1
 LISTEN_NETWORK = 10
 PROXY_NETWORK = 20
 ADVERTISED_NETWORK = 30
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -24,7 +24,7 @@
 FOREVER_S = 1e9
 FOREVER_MS = 1e12
 MIN_PARENT_FILLS = 20  # per second; with fewer the parents' shares are not significant
-SETTLING_S = 4  # after the start of a fault, excluded from the parents' shares
+SETTLING_S = 4  # after the start or end of a fault, excluded from the parents' shares
 MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
 # Figures whose sum is the figure `rules_broken`
@@ -111,7 +111,7 @@
         return found
 
     def first_attempts(self) -> list[FirstAttempt]:
-        """Return the first attempt at a cache of each read request."""
+        """Return, for each read request, the first attempt at a cache."""
         seen_commands = set()
         found = []
         for attempt in self.observations.attempts:
@@ -127,7 +127,8 @@
     def count_violations(self) -> dict[str, int]:
         """Return the number of violations by rule.
 
-        Violations by a director are excused while the lab had killed, stopped or restarted it.
+        Violations by a director are excused if they happened while the lab had killed, stopped or
+        restarted the director.
         """
         others = self.observations.other_records
         excused = self._excused_spans()
@@ -152,7 +153,7 @@
         }
 
     def _excused_spans(self) -> dict[int, list[Span]]:
-        """Return by director the periods (ms) when the lab had killed, stopped or restarted it."""
+        """Return, by director, the periods (ms) in which its violations are excused."""
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
             if fault.kind not in ("stop", "kill"):
@@ -201,7 +202,7 @@
         }
 
     def peak_of(self, quantity: str) -> float:
-        """Return the peak of a single cache after the warm-up.
+        """Return the peak of a quantity at any single cache after the warm-up.
 
         Args:
             quantity: `probes` for health checks per second (99th percentile), or `connections` for
@@ -264,7 +265,10 @@
         return dict(found)
 
     def max_parent_share_change(self) -> float:
-        """Return the largest change of a parent's share, excluding SETTLING_S after each fault."""
+        """Return the largest change of a parent's share from one second to the next.
+
+        The first SETTLING_S seconds after the start or end of each fault are excluded.
+        """
         skipped = {
             second
             for fault in self.faults
@@ -276,7 +280,8 @@
     def recovery_p99_s(self, loads: Loads) -> float | None:
         """Return the 99th percentile of the time until a cache has half of its fair share again.
 
-        Each time starts when the cache is healthy again. None if no cache recovered in the play.
+        Each time starts when the cache is healthy again. The result is None if no cache became
+        healthy again during the play.
         """
         found = []
         end_s = self.observations.seconds
@@ -340,7 +345,7 @@
     def _imbalance(self, loads: Loads, ideal: Loads, seconds: list[int]) -> float | None:
         """Return the 99th percentile of the load ratios, relative to the ideal assignment.
 
-        None if the ideal assignment has no known load ratio.
+        The result is None if the ideal assignment has no known load ratio.
         """
         ideal_p99 = self._ratio_p99(ideal, seconds)
         return round(self._ratio_p99(loads, seconds) / ideal_p99, 3) if ideal_p99 else None
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -1,8 +1,8 @@
 """Control channel between the lab and its processes, and the files of records that both write.
 
-All of them consist of lines of JSON. The lab writes commands to the standard input of a process,
-and the process writes messages to its standard output. A process exits at the end of its standard
-input, so that none outlives the lab.
+Commands, messages and records are lines of JSON. The lab writes commands to the standard input of a
+process, and the process writes messages to its standard output. A process exits at the end of its
+standard input, so that no process outlives the lab.
 """
 
 import contextlib
@@ -37,7 +37,7 @@
 def receive_first_message() -> Message:
     """Wait for the lab's first command; must be called before `receive_messages`.
 
-    It reads single bytes without a buffer, so that no part of the second command is lost.
+    The bytes are read one by one without a buffer, so that no part of the second command is lost.
     """
     line = bytearray()
     while not line.endswith(b"\n"):
@@ -96,7 +96,7 @@
 
 
 class LabProcess:
-    """The lab's handle of one of its processes and of the control channel to it."""
+    """Handle with which the lab controls one of its processes over the control channel."""
 
     def __init__(
         self,
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -40,7 +40,7 @@
 
     Attributes:
         starts: Number of starts so far. A thread that waits until the director is ready compares
-            it to detect that the director was started again in the meantime.
+            this number to detect that the director was started again in the meantime.
         was_killed: Whether the lab has killed the current process.
         clock_step_ms: Step of the director's wall clock at a `clock` fault; None if no such fault
             affects the director.
@@ -82,7 +82,11 @@
         self.setup.on_started(self.process.pid)
 
     def is_ready(self) -> bool:
-        """Return whether it serves clients. Raises RuntimeError if its process has ended."""
+        """Return whether the director serves clients.
+
+        Raises:
+            RuntimeError: If the process of the director has ended.
+        """
         code = self.exit_code()
         if code is not None:
             raise RuntimeError(
--- a/mulleinrelay/lab/fleet/endpoint_process.py
+++ b/mulleinrelay/lab/fleet/endpoint_process.py
@@ -51,8 +51,8 @@
     ) -> bool:
         """Return whether an answer violates a purge.
 
-        It does if it is a copy from before a purge, and the director was notified of that purge
-        more than a second ago.
+        An answer violates a purge if it is a copy from before the purge, and the director was
+        notified of the purge more than a second ago.
         """
         if director is None:
             return False
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -13,7 +13,8 @@
 
 from ...policy.rendezvous_hash import hash_integers
 
-HOT_FRACTION = 0.02  # of a location's recent requests; each such fraction adds a cache
+# An object gets one more cache for each such fraction of its location's recent requests.
+HOT_FRACTION = 0.02
 HOT_WINDOW_S = 10.0  # period in which requests count as recent
 HOT_MIN_REQUESTS = 200  # minimum number of recent requests assumed for the fraction
 MIN_FAIR_RATE = 4.0  # requests per second; with a lower fair share the ratio is unknown
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True)
 class AuditedCache:
-    """A cache with the periods, in seconds, in which it was reachable and warm."""
+    """A cache with the periods, in seconds, in which it was reachable, warm and not slow."""
 
     name: str
     hash_key: int
@@ -111,7 +112,7 @@
 def ideal_assignment(
     attempts: list[FirstAttempt], caches: dict[str, AuditedCache]
 ) -> list[FirstAttempt]:
-    """Assign the same requests as a single director that receives all of them would do.
+    """Assign the requests to caches as a single director that receives all of them would do.
 
     The assignment uses the directors' hash. An object gets one additional cache for each
     HOT_FRACTION of its location's recent requests. Each request goes to the object's cache with the
@@ -184,7 +185,7 @@
 def longest_idle_spans(
     loads: Loads, caches: dict[str, AuditedCache], seconds: list[int]
 ) -> dict[str, int]:
-    """Return by cache the length of the longest run of seconds that it was healthy but idle.
+    """Return, by cache, the length in seconds of its longest period of being healthy but idle.
 
     A cache is idle below IDLE_RATIO of its fair share.
     """
@@ -221,8 +222,8 @@
 ) -> float:
     """Return the seconds until a cache has half of its fair share.
 
-    The shares are taken over RECOVERY_WINDOW_S seconds. If the cache never reaches half, the result
-    is the time until `last`.
+    Load and fair share are summed over RECOVERY_WINDOW_S seconds. If the cache never reaches half
+    of its fair share, the result is the time until `last`.
 
     Args:
         loads: Loads by second and cache.
@@ -278,7 +279,10 @@
     width_s: float = 0.5,
     min_checks: int = 6,
 ) -> float:
-    """Return the mean share of the most checked cache in the health checks of a slot and location.
+    """Return how strongly the health checks of a location concentrate on one cache at a time.
+
+    The result is the share of the most checked cache in the health checks of a time slot and
+    location, averaged over all slots and locations.
 
     An even distribution gives one divided by the number of caches, and a herd gives 1. Synchronized
     directors may change their cache in the middle of a slot, and a herd of all directors would then
--- a/mulleinrelay/lab/fleet/fault_injector.py
+++ b/mulleinrelay/lab/fleet/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the scheduled faults of a fleet scenario into processes, nodes and paths."""
+"""Injector of the scheduled faults of a fleet scenario into processes, nodes and paths."""
 
 import signal
 import threading
@@ -21,14 +21,14 @@
 
 
 class FaultInjector:
-    """Injects the faults of a play, on its own thread.
+    """Injector of the faults of a play, with its own thread.
 
     Each restart of a director, and each wait until a director is ready, has a further thread.
 
     Attributes:
         expected_down: Directors whose exit is not recorded as a crash, because the lab ended them
             or because the crash is already recorded. Threads of the injector and of the lab change
-            it.
+            this set.
         stopped: Set at the end of the play, to end all threads.
         rule_numbers: Numbers of the active network rules by the name of their fault.
     """
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -29,7 +29,7 @@
 
 
 class FleetEventStream:
-    """Sends all events to all directors, with a random delay for each event and director.
+    """Event stream to all directors, with a random delay for each event and director.
 
     Attributes:
         events: Time in Unix ms and body of each event.
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -21,7 +21,8 @@
 SHARED_OBJECT_BASE = 1 << 32  # first id of objects that are requested in all locations
 NEW_OBJECT_OFFSET = 1 << 28  # within a location's ids, for objects that are requested once
 IDLE_S = 0.05  # time until the rate is checked again while it is 0
-MAX_DIRECTOR_DRAWS = 8  # then the director is drawn uniformly from those not excluded
+# If all these draws give excluded directors, the others are drawn from with equal probability.
+MAX_DIRECTOR_DRAWS = 8
 
 DEFAULT_BURST_FACTOR = 1.5  # of the rate
 DEFAULT_SHIFT_FRACTION = 0.5  # of the rate
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -41,7 +41,7 @@
 SWEEP_INTERVAL_MS = 100.0  # between checks for missing answers and idle connections
 PROGRESS_INTERVAL_MS = 1000.0  # between reports to the lab, and between flushes of the records
 MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain for another try
-MAX_LATENESS_MS = 1000.0  # arrivals that a busy machine delays further are dropped
+MAX_LATENESS_MS = 1000.0  # arrivals that a busy machine delays for longer are dropped
 END_GRACE_MS = 100.0
 
 
@@ -65,7 +65,7 @@
         self.generator = generator
         self.director = director
         self.in_flight: dict[int, PendingRequest] = {}
-        self.expired: set[int] = set()  # numbers of calls without an answer in time
+        self.expired: set[int] = set()  # numbers of calls that were not answered in time
         self.last_number = 0
         self.last_used = now_ms()
         self.frames = thrift.FrameDecoder(max_frame_bytes=MAX_FRAME_BYTES)
--- a/mulleinrelay/lab/fleet/network_rules.py
+++ b/mulleinrelay/lab/fleet/network_rules.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """State of one direction of a connection: when its last bytes are due, and the bytes so far."""
+    """State of one direction of a connection: when its last bytes are due, and its byte count."""
 
     last_due_at: float = 0.0
     sent_bytes: int = 0
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -22,7 +22,7 @@
 RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
 ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
-# Load relative to the capacity at which a node crashes, and the time that it must last
+# Load at which a node crashes, relative to its capacity, and the time for which the load must last
 CACHE_CRASH_LOAD = 2.5
 PARENT_CRASH_LOAD = 2.0
 CRASH_AFTER_MS = 1500.0
@@ -271,7 +271,9 @@
         stale_answers = fleet.stale_answers
         reply = fleet.handle_pull(self.node.spec.name, fields)
         is_outdated = self.context.is_outdated(session.director, fields, reply.items[1], now)
-        fleet.stale_answers = stale_answers  # counted per director, from its notification on
+        # Undo the count of `handle_pull`. The audit counts outdated answers per director, from the
+        # director's notification on.
+        fleet.stale_answers = stale_answers
         self._record_attempt(session, fields, command_id, reply, now, is_outdated)
         if not self.node.is_alive:
             self._record("fell", self.node.spec.name, at=now)
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -44,7 +44,7 @@
 
 
 class FaultRecord(NamedTuple):
-    """The start or end of a fault; `error` is empty if it was injected."""
+    """The start or end of a fault; `error` is empty if the injection succeeded."""
 
     at_s: float
     name: str
@@ -92,7 +92,7 @@
 
 
 class DisconnectRecord(NamedTuple):
-    """Requests that were in flight when a client's connection ended."""
+    """The end of a client's connection, with the number of requests in flight on it."""
 
     at_s: float
     director: int
@@ -131,11 +131,12 @@
 
     Attributes:
         started_at: Start of the play in Unix ms.
-        seconds: Length of the play.
+        seconds: Length of the play in seconds.
         ready_after_s: Time from the start of the first director until all were ready.
         attempts: Attempts at nodes, ordered by time.
-        requests: Requests of clients, in the order of the files.
-        other_records: All other records by type, as tuples or as classes from RECORD_TYPES.
+        requests: Requests of clients, in the order in which the files of records contain them.
+        other_records: All other records by type: instances of the class in RECORD_TYPES, or tuples
+            if the type has no class there.
     """
 
     started_at: float = 0.0
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Plays a fleet scenario with real processes.
+"""Play of a fleet scenario with real processes.
 
 The directors are processes of the program under test; the nodes, fault proxies and load generators
 are processes of the lab. All of them are ended after a play, even if the lab fails or is killed.
@@ -51,7 +51,7 @@
 
 
 class ProcessReaper:
-    """The lab's handle of the process that kills all others if the lab is killed.
+    """Handle with which the lab controls the process that kills all others if the lab is killed.
 
     Thread-safe: `lock` guards the input of the process. If the reaper itself has ended, the lab
     continues without it.
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -34,7 +34,7 @@
 PATH_KINDS = ("cache", "parent", "stream", "director")
 DIRECTIONS = ("both", "up", "down")  # up: from the director
 CONCURRENT_ANSWERS = 4  # of a normal cache; also its weight in the endpoint list
-OBJECT_SIZE_KB = 4.0  # of a normal object
+OBJECT_SIZE_KB = 4.0  # of all objects except outsized ones
 
 FIRST_NODE_NUMBER = 0x11
 NODE_NUMBER_FACTOR = 2654435761  # Knuth's multiplicative hash spreads the nodes' hash keys
@@ -143,7 +143,7 @@
     origin_capacity: float = 1500.0
     max_copies: int = 4000
     parent_max_copies: int = 0
-    initial_fraction: float = 0.2  # of its capacity that a node has at its start
+    initial_fraction: float = 0.2  # fraction of its capacity that a node has when it starts
     slow_start_ms: float = 12_000.0
     parent_slow_start_ms: float = 12_000.0
     crashes_on_overload: bool = True
@@ -161,7 +161,7 @@
     patience_ms: float = 2500.0
     latency_objective_ms: float = 500.0
     max_tries: int = 3
-    answer_grace_ms: float = 100.0  # after the patience; later the answer counts as missing
+    answer_grace_ms: float = 100.0  # after the patience; an answer after that counts as missing
     failure_detection_ms: float = 1500.0  # until clients avoid a dead director
 
     client_processes: int = 3
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -1,4 +1,4 @@
-"""Runs the program with a wall clock that a signal steps.
+"""Launcher of the program with a wall clock that a signal steps.
 
 `python -m mulleinrelay.lab.fleet.stepped MS serve ...` runs `python -m mulleinrelay serve ...`;
 each SIGUSR1 advances `time.time` by MS milliseconds. Only the lab starts it, for the directors that
--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -214,7 +214,7 @@
 
 
 def _assignment_attributes(tree: Tree) -> dict[str, Any]:
-    """Return the fields of `Assignment` that single leaves of the tree set, by field name."""
+    """Return, by name, the fields of `Assignment` that are each set by one leaf of the tree."""
     attributes: dict[str, Any] = {
         field: float(tree[leaf])
         for leaf, field in ASSIGNMENT_FIELDS_BY_LEAF.items()
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -47,7 +47,7 @@
     """One run of a scenario in simulated time.
 
     Attributes:
-        started_at: Time of the first possible request in ms.
+        started_at: Start of the play in ms of simulated time; no request is sent earlier.
         rule_numbers: Numbers of the active network rules, by the name of their fault.
         deferred_calls: Calls that run when a stopped director resumes, by director.
         extra_update_delays: Extra delay of endpoint updates in ms, by director.
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -30,16 +30,17 @@
 # Since the last call. Clients that reuse their connections close idle ones after 4 s themselves.
 IDLE_TIMEOUT_S = 6.0
 DRAIN_PARTIAL_CALL_S = 1.0  # a drain waits this long for the rest of a call from a slow client
-# From the half-close to the full close. Calls that cross a half-close arrive within 50 ms and a
-# round trip.
+# From the half-close to the full close. Calls that the client sends before it notices the
+# half-close arrive within 50 ms plus one round trip.
 LINGER_S = 0.15
-MAX_PENDING_CALLS = 64  # read ahead on one connection
-# If the socket was read until it was empty this recently, a first attempt does not check it again.
+MAX_PENDING_CALLS = 64  # calls that are read ahead on one connection
+# Before a first attempt, the socket is not checked again if it was read until it was empty within
+# this time.
 RECENT_READ_S = 0.02
 POLL_INTERVAL_S = 0.02  # between two reads while input is discarded
-MAX_PEEK_BYTES = 65_536  # of unread input that are searched for a cancellation
-# On one connection. A client that reads never leaves this many, and each small answer has a high
-# overhead in memory.
+MAX_PEEK_BYTES = 65_536  # part of the unread input that is searched for a cancellation
+# On one connection. A client that reads its answers never has this many unread ones, and each small
+# answer has a high overhead in memory.
 MAX_UNREAD_ANSWERS = 256
 
 
@@ -54,8 +55,8 @@
         admission_entry: Token from admission control, released when the connection ends.
         lock: Guards `open_requests`, `write_queue`, and the reading of calls.
         write_queue: Answers to be written.
-        open_requests: Open requests by sequence number; None until the coordinator has accepted
-            the request.
+        open_requests: Open requests by sequence number; the value is None until the coordinator
+            has accepted the request.
         decoder: Decoder with the received bytes that are not decoded yet.
         pending_calls: Calls that were read but not answered; the first may be in progress.
         has_called: Whether a complete call was received.
@@ -146,8 +147,8 @@
     def _queue_frames(self, frames: Iterable[memoryview]) -> None:
         """Queue the calls in frames; the caller has held the lock since it read their bytes.
 
-        A thread that closes idle connections thus finds a call at every moment, either in the
-        kernel's receive buffer or in the queue.
+        A thread that closes idle connections can therefore find a received call at any time, either
+        in the kernel's receive buffer or in the queue.
         """
         now = time.monotonic()
         if self.write_queue.is_shut_down:
@@ -206,7 +207,7 @@
             time.sleep(POLL_INTERVAL_S)
         if self.has_called:
             self.half_close()
-            # Until the client closes the connection or the lingering close times out.
+            # Read until the client closes the connection or the lingering close times out.
             while self.connection.recv_into(self.decoder.writable_view()):
                 time.sleep(POLL_INTERVAL_S)  # limits the CPU time that a flood takes
 
@@ -346,7 +347,7 @@
             return b""
 
     def _is_closed_by_peer(self) -> bool:
-        """Return whether the client has closed its side, even if bytes before it are unread."""
+        """Return whether the client has closed its side, even if some of its bytes are unread."""
         try:
             poll = select.poll()
             poll.register(self.connection, select.POLLRDHUP)
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -92,7 +92,7 @@
         return not self.clients and not self.accept_thread.is_alive()
 
     def _accept_backlog(self, listener: socket.socket) -> None:
-        """Accept the connections in the kernel's backlog: their clients may have sent calls."""
+        """Accept the connections in the kernel's backlog, as their clients may have sent calls."""
         with contextlib.suppress(OSError):  # the backlog is empty
             listener.setblocking(False)
             while True:
@@ -189,9 +189,10 @@
             is_full = count >= max_clients
             closing = [client for client in self.clients if client.write_queue.is_shut_down]
             candidates: Sequence[ClientConnection] = ()
-            if count - len(closing) > eviction_threshold:  # the closing ones are not enough
+            # Evict only if the connections that are already closing do not free enough slots.
+            if count - len(closing) > eviction_threshold:
                 candidates = self._eviction_candidates()
-            # Evicts the first connection that is still idle. If the table is full, there is no
+            # Evict the first connection that is still idle. If the table is full, there is no
             # lingering close, because a new client is waiting for the slot.
             is_evicted = any(client.close_if_idle(lingers=not is_full) for client in candidates)
             if not is_full:
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -26,7 +26,7 @@
 # into 7 s.
 HEAD_TIMEOUT_S = 1.5
 LINE_TIMEOUT_S = 5.0  # from one complete line to the next, even if bytes trickle in between
-CATCH_UP_TIMEOUT_S = 0.25  # from the head; the server sends missed events right after it
+CATCH_UP_TIMEOUT_S = 0.25  # from the response head; the server sends missed events right after it
 RECEIVE_BYTES = 65_536  # buffer size of one read
 
 NumberedEvent = tuple[int | None, Any]  # number in the `id` line, and data parsed from JSON
@@ -43,9 +43,9 @@
     Attributes:
         address: Host and port of the stream.
         last_event_number: Number of the last applied event.
-        gap_at: Number of the last event before the most recent gap, which is reported only once; -1
-            if the gap was in the events of a configuration, since the stream may still have the
-            missing events.
+        gap_at: Number of the last event before the most recent gap, so that a gap is reported only
+            once. It is set to -1 after a gap in the events of a configuration file: the stream may
+            still have the missing events, so the same gap in the stream is reported again.
         lock: Guards `last_event_number` while an event is applied.
         connection: The most recent socket; None before the first connection.
         read_configured_address: Function that returns the stream's address in the current
@@ -121,7 +121,7 @@
     # Applying events
 
     def apply(self, line_number: int | None, data: Any, must_follow: bool = True) -> None:
-        """Apply one event; skip a known event, and log an unreadable one.
+        """Apply one event, unless it was applied before; log an event that cannot be read.
 
         Args:
             line_number: Number in the event's `id` line; None if it has none.
@@ -228,7 +228,7 @@
         """Wait for the backoff.
 
         Returns:
-            Why the wait ended early because of a new address; empty if it did not.
+            Reason for the log if a new address ended the wait early; empty otherwise.
         """
         now = time.monotonic()
         wait_s = self.reconnect_backoff.record_end(now, has_progressed, is_refused)
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -25,11 +25,11 @@
         return self.end - self.start
 
     def writable_view(self, message_length: int = 0) -> memoryview:
-        """Return the memory for the next bytes; allocate a new block if the current one is full.
+        """Return memory for the next received bytes, in a new block if the current one is full.
 
         Args:
             message_length: Length of the message that starts with the first unread byte, if it is
-                known. The complete message then fits into one block.
+                known. A new block is used if the complete message does not fit into the current one.
         """
         if self.end == len(self.view) or self.start + message_length > len(self.view):
             unread = self.view[self.start : self.end]
--- a/mulleinrelay/net/recent_request_ids.py
+++ b/mulleinrelay/net/recent_request_ids.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-IDS_PER_MB = 100  # in each of two sets, for each MB of the director's memory
+IDS_PER_MB = 100  # ids in each of the two sets, per MB of the director's memory
 KEPT_FOR_S = 5.0  # minimum time for which an id is remembered, unless a set is full
 
 
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Client connection and call of a request; the coordinator returns it with each step.
+    """Client connection and call of a request; the coordinator keeps it in `Request.context`.
 
     Attributes:
         client: Connection on which the answer is sent.
         sequence_number: Number of the call, chosen by the client.
         request: The request as received from the client.
-        grant: Grant of admission control; None without admission control.
+        grant: Grant from admission control; None if there is no admission control.
     """
 
     client: ClientConnection
@@ -36,7 +36,7 @@
     tenant_field: str
 
     def admit_connection(self, address: str) -> str | None:
-        """Count a connection from that address.
+        """Admit a connection from an address and count it, or reject it.
 
         Returns:
             A token to be released at the end of the connection; None if the address may not open
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -28,8 +28,8 @@
 
 MAX_OPEN_REQUESTS = 32  # on one connection
 REQUESTS_PER_MB = 8  # open requests per MB of memory; each takes some KB, its body up to 48 KB
-# Maximum fraction of the memory for answers that clients have not read. A client whose answer
-# exceeds it is disconnected.
+# Maximum fraction of the memory for answers that clients have not read. While it is exceeded, a
+# client that is sent an answer and does not read it at once is disconnected.
 MAX_UNREAD_FRACTION = 0.2
 
 
@@ -275,7 +275,7 @@
             client.send_answer(number, thrift.failed_reply(number))
 
     def _enforce_unread_limit(self, client: ClientConnection) -> None:
-        """Disconnect a client that does not read, if unread answers fill too much memory."""
+        """Disconnect a client that does not read, if all unread answers use too much memory."""
         unread = self.count_unread_bytes()
         if unread > MAX_UNREAD_FRACTION * self.config.memory_mb * 1e6:
             self.log.event(
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -59,12 +59,12 @@
         self._begin_array()
 
     def _begin_array(self) -> None:
-        self.missing_items = -1  # items of the array that are still to be read; -1 before its head
+        self.missing_items = -1  # items of the array still to be read; -1 until its head is read
         self.scanned_bytes = 0  # length of the part of the array that was scanned
         self.spans: list[tuple[int, int]] = []  # start and end offset of each scanned item
 
     def writable_view(self) -> memoryview:
-        """Return the memory for the next bytes."""
+        """Return the memory to which the next received bytes must be written."""
         return self.buffer.writable_view(self.expected_length)
 
     def decode(self, length: int) -> Iterator[list[memoryview]]:
@@ -170,8 +170,8 @@
     def outcome_for(self, entity_tag: str) -> Outcome:
         """Return the outcome of the attempt to which this answer belongs.
 
-        An attempt that receives the answer to a health check has failed with an error of the
-        endpoint. So has an attempt that receives "not modified" for another copy than the client's.
+        The outcome is ERROR, which means a failure of the endpoint, if this is an answer to a health
+        check, or if it says "not modified" about another copy than the client's.
 
         Args:
             entity_tag: Entity tag of the client's copy; empty if the client has none.
@@ -200,7 +200,7 @@
     outcome = OUTCOME_BY_WORD.get(word)
     if outcome is None and word not in HEALTH_BY_WORD:
         raise RespError(f"an unknown word {word[:16]!r}")
-    if word == b"DONE" and len(items) < 4:  # otherwise read as an empty object
+    if word == b"DONE" and len(items) < 4:  # must not be read as an empty object
         raise RespError("an answer without the body of the object")
     try:
         answer = EndpointAnswer(
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -55,7 +55,7 @@
         self.head = b""
         self.is_head_read = False
         self.is_chunked = False
-        self.chunk_bytes_left = 0  # missing bytes of the current chunk, with its line end
+        self.chunk_bytes_left = 0  # missing bytes of the current chunk, including its line end
         self.unread_chunks = b""
         self.partial_line = b""
         # Whether the last byte was a CR, which ends a line with or without a LF after it.
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -47,7 +47,7 @@
 MAX_BODY_BYTES = 48_000  # of the body of a write request
 MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 MAX_GROUP = 255
-LENGTH_BYTES = 4  # before each frame
+LENGTH_BYTES = 4  # of the length prefix of a frame
 
 I32_FORMAT = struct.Struct(">i")
 U32_FORMAT = struct.Struct(">I")
@@ -76,7 +76,7 @@
         self.expected_length = 0
 
     def writable_view(self) -> memoryview:
-        """Return the memory for the next bytes."""
+        """Return the memory to which the next received bytes must be written."""
         return self.buffer.writable_view(self.expected_length)
 
     def decode(self, length: int) -> Iterator[memoryview]:
--- a/mulleinrelay/net/upstream_connection.py
+++ b/mulleinrelay/net/upstream_connection.py
@@ -44,14 +44,15 @@
         last_received_at: Time of the last answer, or of the connect if there was none.
         write_queue: Commands to be written.
         in_flight: Attempts and health checks without an answer, by their ids on the wire.
-        abandoned: Attempts for which an answer, or a second answer, may still be received: the time
-            at which they were abandoned, by their ids on the wire.
+        abandoned: Time at which an attempt was abandoned, by its id on the wire; an answer, or a
+            second answer, to such an attempt may still be received.
         pinged_at: Send time of an unanswered ping; 0 if there is none.
-        ping_backoff: Time for which the connection may be silent before it is pinged.
+        ping_backoff: Rule for how long the connection may be silent before it is pinged.
         idle_timeout: Time after which the connection is closed if nothing is in flight.
-        suspect_since: Time at which the connection became suspect, because an attempt was
-            cancelled or stuck, or a health check expired, without any answer since; 0 if the
-            connection is not suspect. A suspect connection is not used for new attempts.
+        suspect_since: Time at which the connection became suspect; 0 if it is not suspect. A
+            connection becomes suspect if an attempt is cancelled or stuck, or a health check
+            expires, without an answer in the meantime. It is then not used for new attempts until
+            an answer is received.
     """
 
     def __init__(self, address: EndpointAddress, now: float, lock: threading.Lock) -> None:
@@ -98,7 +99,7 @@
             return False
 
     def silent_since(self) -> float:
-        """Return since when the connection is silent with attempts in flight.
+        """Return the time since which the connection is silent with attempts in flight.
 
         The result is infinity if no attempts are in flight.
         """
@@ -153,7 +154,7 @@
         self.pinged_at = 0.0
 
     def expects_answer(self, wire_id: str) -> bool:
-        """Return whether an answer under this id is expected although nothing is in flight."""
+        """Return whether an answer under an id that is not in flight is nevertheless expected."""
         return wire_id in self.abandoned or wire_id.startswith(HEALTH_CHECK_PREFIX)
 
     def mark_suspect(self, now: float) -> None:
@@ -188,8 +189,8 @@
     def can_close(self, now: float) -> bool:
         """Return whether the connection should be closed.
 
-        This is the case if nothing is in flight and the connection is idle or suspect, or its
-        endpoint was removed.
+        Two conditions must hold: nothing is in flight, and the connection is either idle, or
+        suspect, or belongs to a removed endpoint.
         """
         return not self.in_flight and (
             self.address.is_removed
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -67,8 +67,8 @@
         """Return the usable connection with the fewest items in flight; the caller holds the lock.
 
         An idle connection may have just been closed by the endpoint, so it is checked first. An
-        attempt written to a closed connection is lost, and it would be unknown whether it was
-        executed.
+        attempt written to a closed connection is lost, and nothing shows whether the endpoint has
+        executed it.
         """
         usable = (
             connection
--- a/mulleinrelay/standins/client_protocol.py
+++ b/mulleinrelay/standins/client_protocol.py
@@ -21,7 +21,7 @@
 
 
 class ReplyOutcome(enum.StrEnum):
-    """The outcome that a reply reports; the labs' figures and records contain the values."""
+    """Outcome that a reply reports; its values appear in the figures and records of the labs."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReply:
-    """A director's reply to the call `number`; `retry_after_ms` is 0 if not specified."""
+    """Reply of a director to one call.
+
+    `number` is the number of that call; `retry_after_ms` is 0 if the reply does not specify it.
+    """
 
     number: int
     outcome: ReplyOutcome
--- a/tests/management/test_certificates.py
+++ b/tests/management/test_certificates.py
@@ -113,7 +113,8 @@
         director.target(**connection_options(tmp_path, "reader")).get(parse_path("/fleet/boxes"))
         other_authority = write_certificate(tmp_path, "other", new_certificate("other authority"))
         write_certificate(tmp_path, "new-reader", new_certificate("reader", other_authority))
-        (tmp_path / "ca.pem").write_bytes(b"no certificate")  # a partly replaced set is ignored
+        # Files of which only some were replaced must not be loaded.
+        (tmp_path / "ca.pem").write_bytes(b"no certificate")
         (tmp_path / "old.pem").write_bytes((tmp_path / "other.pem").read_bytes())
         write_certificate(tmp_path, "server", new_certificate("server", other_authority))
         (tmp_path / "ca.pem").write_bytes((tmp_path / "other.pem").read_bytes())
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -237,7 +237,8 @@
 
 
 def test_removed_endpoints_are_forgotten():
-    # Otherwise, every replaced endpoint increases the memory of coordinator and router.
+    # If removed endpoints were kept, the memory of coordinator and router would grow with every
+    # replaced endpoint.
     fixture, entry = CoordinatorFixture(), None
     for number in range(50):
         removed, entry = (
@@ -334,7 +335,7 @@
 def test_a_health_check_is_handed_out_and_its_load_report_reaches_the_router():
     fixture = CoordinatorFixture(report={"how": "probe", "columns": ["x1"]})
     health_checks = []
-    while not health_checks:  # requests earn polls of load reports
+    while not health_checks:  # each request earns a fraction of a load report poll
         fixture.now += 100.0
         fixture.accept()
         _, health_checks, _ = fixture.coordinator.run_due_timers()
