--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class AuditedCache:
-    """A cache with the periods, in seconds, in which it was reachable, warm and not slow."""
+    """A cache with the periods, in seconds, in which it was warm and had no node fault."""
 
     name: str
     hash_key: int
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -29,7 +29,7 @@
 
         Args:
             message_length: Length of the message that starts with the first unread byte, if it is
-                known. A new block is used if the complete message does not fit into the current one.
+                known. A new block is also used if that message does not fit into the current one.
         """
         if self.end == len(self.view) or self.start + message_length > len(self.view):
             unread = self.view[self.start : self.end]
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -170,8 +170,8 @@
     def outcome_for(self, entity_tag: str) -> Outcome:
         """Return the outcome of the attempt to which this answer belongs.
 
-        The outcome is ERROR, which means a failure of the endpoint, if this is an answer to a health
-        check, or if it says "not modified" about another copy than the client's.
+        The outcome is ERROR, a failure of the endpoint, if this is an answer to a health check, or
+        if it says "not modified" about another copy than the client's.
 
         Args:
             entity_tag: Entity tag of the client's copy; empty if the client has none.
