--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -102,7 +102,7 @@
 
 
 def play(name: str, length: int, directors: int, rate: float, seed: int) -> dict[str, Any]:
-    """Simulate one fault, and return its figures.
+    """Simulate one fault; return its recovery time and the other measured figures.
 
     Args:
         name: Key of `FAULTS`.
--- a/mulleinrelay/cells/admission_types.py
+++ b/mulleinrelay/cells/admission_types.py
@@ -62,7 +62,7 @@
         tenant: The request's tenant.
         cell: Cell that serves the request.
         pool: Caches that the request is confined to.
-        slots: Size of the request in open requests; a body makes it larger than 1.
+        slots: Number of open requests that the request counts as: 1, and more if it has a body.
         body_kb: Size of the body, KB.
         tenant_state: State of the tenant, which counts the body.
         cell_state: State of the cell, which counts the outcome.
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class _BucketShares:
-    """Shares for one request: the cell's of the director's rate, the tenant's of the cell's."""
+    """The cell's share of the director's rate, and the tenant's share of the cell's rate."""
 
     cell: BucketShare
     tenant: BucketShare
@@ -68,7 +68,7 @@
         tenant_state: The tenant's usage of its quota.
         cell: Cell that is to serve the request.
         body_kb: Size of the body, KB.
-        slots: Size of the request in open requests; a body makes it larger than 1.
+        slots: Number of open requests that the request counts as: 1, and more if it has a body.
         failover: Terms of the failover; None if the home cell serves the request.
         limits: The tenant's limits in the cell; set by the check.
         bucket_shares: Shares of the rates; set by the check if a rate is limited.
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -77,10 +77,12 @@
     def follow_director_rate(
         self, now: float, director_bucket: FairTokenBucket, cell_share: BucketShare
     ) -> None:
-        """Set the rate that the tenants share to the cell's reachable part of the director's rate.
+        """Derive the rate of the cell from the director's rate.
 
-        This does nothing if the cell has a rate limit of its own, if the director's rate is not
-        limited, or if less than `FairTokenBucket.RECOMPUTE_INTERVAL` passed since the last update.
+        The new rate is the part of the director's rate that the cell can reach by borrowing; the
+        cell's tenants share it. The rate stays unchanged if the cell has a rate limit of its own,
+        if the director's rate is not limited, or if less than `FairTokenBucket.RECOMPUTE_INTERVAL`
+        has passed since the last update.
         """
         if self.limits.rate or not director_bucket.rate:
             return
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -68,7 +68,8 @@
         items: Load of each item.
         bins: Weight of each bin.
         bound: Maximum load of a bin, as a multiple (at least 1) of its share of the total load.
-            Only the last item of a bin may exceed it.
+            A bin below its maximum accepts an item of any load, so the last item of a bin may
+            exceed the maximum.
 
     Returns:
         The bin of each item; empty if there are no bins.
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -20,8 +20,8 @@
 # Salt of the hash that determines the order in which objects migrate. Without the salt, the objects
 # that a cache ranks first by hash would migrate first.
 MIGRATION_SALT = 0x6D6F7665
-# Maximum fraction of the receiving caches' capacity that a migration may use. For a second, some
-# caches get half as much load again, because of chance and uneven hashing.
+# Maximum load of the receiving caches during a migration, as a fraction of their capacity. The rest
+# is a reserve: by chance and uneven hashing, some caches get half as much load again for a second.
 TARGET_UTILIZATION = 0.65
 MIN_SHIFT_DURATION = 2_000.0  # ms
 PROJECTION_STEPS = 2_000  # points in time for which the load is projected
@@ -156,7 +156,8 @@
     """Return the stage of a migration at a point in time."""
     if migration.aborted_at and now >= migration.aborted_at:
         if _migration_time(migration, migration.aborted_at) >= completes_at(migration):
-            # The migration was done before the abort; another migration must return the tenants.
+            # The migration was done before the abort, so the abort has no effect. Only another
+            # migration can return the tenants to the source cell.
             return MigrationStage.DONE
         if migrated_fraction(migration, now) > 0.0:
             return MigrationStage.ROLLING_BACK
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -7,8 +7,8 @@
 from .fleet.scenario import FleetScenario
 
 MIN_SLOW_START_MS = 1.0  # the settings require a positive duration
-MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the lab of tenants
-MAX_FLEET_PURGE_MS = 6000.0  # maximum duration of a purge in the fleet lab
+MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the tenant lab (`lab.scenario`)
+MAX_FLEET_PURGE_MS = 6000.0  # the same in the fleet lab (`lab.fleet.scenario`)
 
 _REQUEST_CLASS_DEFAULTS = {"memorySpan": 6000.0, "group": "all"}
 _ALLOWED_FEATURES = {
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -114,7 +114,7 @@
     """Proxy with a listener for each target and a socket for the datagrams to each director."""
 
     def __init__(self, first_message: Message) -> None:
-        """Start to listen for the targets that the lab's first command names."""
+        """Open the listeners and datagram sockets that the lab's first message requests."""
         self.loop = EventLoop()
         self.rules = ActiveRules()
         self.random = random.Random(first_message["seed"])
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -1,5 +1,7 @@
 """Records of a play, written by the processes of nodes, event stream, clients and the lab.
 
+A play is one run of a fleet scenario.
+
 Each process appends lines of JSON to a file `*.records`; the first item of a line is the type of
 the record. Times in the files are in Unix ms; after reading they are in seconds from the start of
 the play.
@@ -127,14 +129,14 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All records of a play.
+    """All records of a play, which is one run of a fleet scenario.
 
     Attributes:
         started_at: Start of the play in Unix ms.
         seconds: Length of the play in seconds.
         ready_after_s: Time from the start of the first director until all were ready.
         attempts: Attempts at nodes, ordered by time.
-        requests: Requests of clients, in the order in which the files of records contain them.
+        requests: Requests of clients, in the order of the lines in the record files.
         other_records: All other records by type: instances of the class in RECORD_TYPES, or tuples
             if the type has no class there.
     """
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -210,7 +210,7 @@
         self.events.append(MemberEvent(kind, update))
 
     def _merge_local(self, update: MemberUpdate) -> bool:
-        """Refute an update of other directors about this director, if necessary.
+        """Refute another director's update about this director, if necessary.
 
         A suspicion is refuted with a greater refutation count. If the update has a greater
         incarnation than this director, the clock was set back before the last restart; this
--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -49,7 +49,8 @@
     """The clients of all locations.
 
     Attributes:
-        excluded_directors: Directors that clients don't choose, as they were found to have exited.
+        excluded_directors: Numbers of the directors that clients do not choose, because a client
+            found that the director has exited.
     """
 
     def __init__(self, simulation: "Simulation") -> None:
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -32,8 +32,8 @@
 # Difference in delay (ms) up to which an endpoint counts as nearby. It exceeds the noise of the
 # histogram's wide bins.
 NEARBY_DELAY = 80.0
-# Fraction of fills that are trial fills by the origin, which is otherwise skipped because its bytes
-# are priced.
+# Fraction of fills that go to the origin as trial fills, which measure its delay. Otherwise the
+# origin is used only if no parent is suitable, because each byte from the origin has a price.
 ORIGIN_TRIAL_FRACTION = 0.0125
 # Weight of the usual delay among a parent's recent measurements, which may be few.
 USUAL_WEIGHT = 0.4
