--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -10,8 +10,8 @@
 from .latency import TrackedEndpoint
 from .model import QuotaShare, ServiceSettings, SlowStartPolicy
 
-# All directors together send an endpoint in slow start at most this fraction of the load that
-# overloads it, and at most this multiple of its present capacity.
+# All directors together send an endpoint in slow start at most `OVERLOAD_FRACTION` of the load that
+# overloads it, and at most `MAX_CAPACITY_FACTOR` times its present capacity.
 OVERLOAD_FRACTION = 0.75
 MAX_CAPACITY_FACTOR = 1.25
 
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -24,8 +24,8 @@
 
 # Minimum of the mean interval in ms at which one director pings a suspected endpoint.
 MIN_PING_INTERVAL = 500.0
-# Mean interval in ms for each director that shares the endpoint, if this is more than the minimum:
-# all of them together send 20 pings a second.
+# Mean interval in ms for each director that shares the endpoint, if the product is more than the
+# minimum. All directors together then send an endpoint 20 pings a second.
 PING_INTERVAL_PER_DIRECTOR = 50.0
 # The first ping is sent after a random fraction of the interval, at least this one.
 MIN_FIRST_PING_FRACTION = 0.25
@@ -39,8 +39,8 @@
 # Polls that a request earns, and the maximum number of saved polls.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
-# Cost of one poll per request, in priority weight, up to which a request earns `POLLS_PER_REQUEST`
-# polls. If a poll costs more, a request earns fewer polls.
+# Cost of one poll for each request, in priority weight. Up to this cost, a request earns
+# `POLLS_PER_REQUEST` polls; if a poll costs more, a request earns fewer.
 REFERENCE_POLL_COST = 0.014
 
 
@@ -69,8 +69,9 @@
     ) -> None:
         """Create the scheduler; first polls are at random times, as directors may start together.
 
-        The benefit of load reports is inversely proportional to their rate, so the optimal rate is
-        inversely proportional to the square root of their cost.
+        The loss due to outdated load reports is inversely proportional to the rate of polls, and
+        their total cost is proportional to it. The optimal rate is therefore inversely proportional
+        to the square root of the cost of one poll.
 
         Args:
             now: The current time in ms.
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -12,7 +12,8 @@
 # Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. An
 # attempt has the fraction 0.5 at twice its expected time.
 REROUTE_FRACTION = 0.5
-MIN_CHECK_DELAY = 150.0  # ms until an attempt's first check: less than the delay of a far source
+# Minimum time in ms until an attempt's first check. It is shorter than the delay of a far source.
+MIN_CHECK_DELAY = 150.0
 # Time in ms by which the first check precedes the latest time for a retry that meets the objective.
 CHECK_MARGIN = 50.0
 RETRY_WORK_FACTOR = 1.2  # multiple of its transfer time that is reserved for a retry
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -30,8 +30,8 @@
 # Mean time in ms after which a rejected client retries. It is short because the request's latency
 # objective is near, and a continuing overload rejects the retry immediately.
 MEAN_RETRY_AFTER = 100.0
-# A failure within this fraction of the attempt's expected duration is early, and a retry after it
-# costs this fraction of a token.
+# A failure other than a rejection is early if it occurs within `QUICK_FAILURE_FRACTION` of the
+# attempt's expected duration. A retry after it costs `QUICK_FAILURE_COST` tokens.
 QUICK_FAILURE_FRACTION = 0.25
 QUICK_FAILURE_COST = 0.3
 
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -14,7 +14,8 @@
 
 from collections.abc import Hashable
 
-# For each such fraction of recent requests that an object receives, one more cache should hold it.
+# An object should be held by one more cache for each `HOT_FRACTION` of recent requests that are for
+# it.
 HOT_FRACTION = 0.02
 # Minimum number of requests for one more cache, so that a few random requests do not make an object
 # hot.
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -68,8 +68,8 @@
     def begin_lookup_if_due(self, now: float) -> bool:
         """Return whether the caller must look up the address in the configuration now.
 
-        True at most once in `LOOKUP_INTERVAL_S`, while the address has refused all connections for
-        `REFUSED_BEFORE_LOOKUP_S`. Protects against a lost reload signal.
+        A look-up is due if the address has refused all connections for `REFUSED_BEFORE_LOOKUP_S`,
+        but at most once in `LOOKUP_INTERVAL_S`. It replaces a reload signal that was lost.
         """
         if self._refused_since is None:
             return False
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -59,8 +59,9 @@
     def transfer_time(self, request: Request, now: float) -> float:
         """Return the transfer time of the request's answer.
 
-        If the size is unknown, it is the mean of the request's class. Without any known sizes, it
-        is the median response time of the class, or a quarter of the latency objective.
+        If the size is unknown, the mean transfer time of the request's class is used. If the class
+        has no known sizes, its median response time is used, and if there is none, a quarter of the
+        latency objective.
         """
         if request.size_kb and self._transfer_rate:
             return request.size_kb / self._transfer_rate
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -43,8 +43,8 @@
 
     Attributes:
         caches: The zone's caches, each identified by any hashable key; the values are unused.
-        recent_failures: Time in ms of the last failure of each cache since the last response of
-            any.
+        recent_failures: Time in ms of the last failure of each cache that has failed since the last
+            response of any cache.
     """
 
     def __init__(self) -> None:
