--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -95,7 +95,8 @@
         router = Router(clock(), seed, settings)
         self._actions = PendingActions(self.registry, self._now, log, self._wake)
         self._driver = RouterDriver(router, self._actions, self._now, log)
-        # Notified about a new timer that is due earlier, and about a new health check.
+        # Notified about a new health check, and about a new timer that is due before the end of the
+        # wait in `wait_until`.
         self._timer_changed = threading.Condition(self.lock)
         self._waiting_until = 0.0  # end of the wait in `wait_until`; 0: no thread is waiting
 
@@ -304,7 +305,7 @@
         self.registry.overrides = overrides
 
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
-        """Return the zone's ready caches by name, with the available fraction of their capacity."""
+        """Return the name, endpoint and available capacity fraction of the zone's ready caches."""
         with self.lock:
             return self.registry.fractions_by_name(
                 self.router.endpoints.caches, self.router.slow_start, self.clock()
@@ -336,7 +337,7 @@
     def endpoint_states(
         self,
     ) -> list[tuple[EndpointUpdate, EndpointState, TrackedEndpoint, float | None, float]]:
-        """Return the state of each endpoint for operators, by name.
+        """Return the state of each listed endpoint for operators, sorted by name.
 
         Returns:
             A tuple for each endpoint: its entry in the endpoint list, the effective state at this
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -99,7 +99,7 @@
     def fractions_by_name(
         self, endpoints: list[TrackedEndpoint], slow_start: SlowStartAdmission, now: float
     ) -> list[tuple[str, TrackedEndpoint, float]]:
-        """Return the endpoints by name, each with the available fraction of its capacity."""
+        """Return the endpoints, sorted by name, each with its available capacity fraction."""
         named = [
             (
                 self.addresses[endpoint].name,
