--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -26,7 +26,8 @@
         maximum: Upper bound of the party's open requests; 0 if there is none.
         open: Open requests, counted by their size.
         last_requested_at: Time of the party's last request, admitted or not.
-        window_peak: Highest demand in the current window: open and requested, by size.
+        window_peak: Highest demand in the current window: the size of the open requests together
+            with the new request.
         previous_peak: Highest demand in the previous window.
         window_ends_at: End of the current window.
     """
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -136,7 +136,8 @@
         wave_duration: Minimum time between two waves.
         limits: New limits of the tenants of the cells.
         max_success_drop: Tolerated drop of the success rate, beyond the drop in the other cells.
-        max_slowdown: Tolerated factor of the delay, beyond the slowdown of the other cells.
+        max_slowdown: Tolerated factor by which the delay grows, beyond the slowdown of the other
+            cells.
         is_rolled_back: Whether operators have rolled it back.
         shuffle_shards: Number of caches of each tenant, or `KEEP_SHUFFLE_SHARDS`.
     """
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -78,8 +78,8 @@
         availability: Availability of each cell.
         unsettled_until: For tenants that changed cells without a migration, the time until which
             the cell of their first attempts is uncertain.
-        uncertain_until: Time until which other directors may use the previous version, or this
-            director may have used it before a restart.
+        uncertain_until: Time until which a retry may follow a first attempt that was placed by the
+            previous version, at another director or at this director before a restart.
         retry_budgets: Budgets of the director's own retries, by tenant.
         shuffle_shards: Number of caches of each tenant, for the cells where a rollout sets it.
         stable_placements: Placements of tenants whose home cell is available and that do not
@@ -337,7 +337,7 @@
     def _place_at_home(self, tenant: str, route: _Route) -> CellPlacement:
         """Return the placement in the route's cell.
 
-        It is cached until the endpoint list or the assignment changes.
+        The placement is cached until the endpoint list or the assignment changes.
         """
         placement = self._placements.get((tenant, route.cell, route.other_cell))
         if placement is None:
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -276,7 +276,7 @@
 
 
 def limits_in_force(states: dict[str, RolloutState], cell: str, tenant_limits: Limits) -> Limits:
-    """Return the limits of a tenant: of the newest rollout in its cell, otherwise its own."""
+    """Return the limits of the newest rollout in force in a cell, else the tenant's own limits."""
     limits = tenant_limits
     for state in states.values():
         if state.is_in_force(cell):
