--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -152,7 +152,10 @@
 
 
 def _summarize_members(states: Iterable[Record]) -> list[Record]:
-    """Return all members by name and address, each with the number of directors per state seen."""
+    """Return all members, sorted by name and address.
+
+    Each member has the number of directors that see it in each state.
+    """
     found: dict[tuple[str, str], Record] = {}
     for state in states:
         _count_member(found, state, "itself")
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -238,7 +238,7 @@
         return outgoing
 
     def _suspect(self, now: float, ping: PendingPing, entry: MemberEntry) -> OutgoingDatagram:
-        """Suspect a member that has not acknowledged a ping, or confirm its suspicion.
+        """Suspect a member that sent no ack, or confirm the suspicion if it is suspect already.
 
         If none of the members that were asked for an indirect ping has sent a nack, the fault may
         be local. The health score then gets worse as well.
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -29,7 +29,7 @@
 
 # A longer time between two ticks means that the process was paused
 PAUSE_THRESHOLD_MS = 4.0 * PING_INTERVAL_MS
-SUSPECT_NOTIFICATIONS = 3  # expected number of directors that notify a suspect of its suspicion
+SUSPECT_NOTIFICATIONS = 3  # expected number of directors that notify a suspect of the suspicion
 REFUTATION_FANOUT = 4  # members that receive a refutation immediately
 LEAVE_FANOUT = 6  # members that are notified immediately when this director leaves
 MAX_DATAGRAMS_PER_WINDOW = 400  # decoded per RATE_WINDOW_MS; further datagrams are dropped
@@ -92,7 +92,8 @@
         self._codec = codec
         self._random = random
         self._datagrams = DatagramFactory(codec, table)
-        # Both draw random numbers when they are created, so their order matters
+        # The detector and the synchronization draw random numbers when they are created, so the
+        # order of the two matters
         self.detector = FailureDetector(now, table, self._datagrams, random)
         self._sync = StateSync(now, table, self._datagrams, seeds, random)
         self._last_tick_at = now
