--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -70,8 +70,9 @@
         ledger: Owned, lent and borrowed units of the limit.
         demand: Fraction of the limit that this director wants. It decays with
             `DEMAND_HALF_LIFE_MS`.
-        peaks: The largest fraction used in each quarter of the last window, the newest first.
-        peak_started_at: Start time of the newest quarter.
+        peaks: The largest fraction used in the current quarter of a window and in each of the
+            `PEAKS_PER_WINDOW` quarters before it, the newest first.
+        peak_started_at: Start time of the current quarter.
     """
 
     definition: LimitDefinition
