--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -31,7 +31,7 @@
 from .service import DataKind, ManagementService
 
 SERVICE_NAME = "gnmi.gNMI"
-WORKER_STACK_BYTES = 1_048_576  # validation nests deeper than the other threads of the program
+WORKER_STACK_BYTES = 1_048_576  # validation recurses deeper than the code of other threads
 POOL_START_TIMEOUT_S = 10.0
 STOP_TIMEOUT_S = 1.0  # time for open calls to end when the server stops
 STOP_MARGIN_S = 0.5
--- a/mulleinrelay/management/schema.py
+++ b/mulleinrelay/management/schema.py
@@ -52,7 +52,7 @@
         """Return the node at the end of a path that a client sets.
 
         Raises:
-            PathError: In the cases of `find`; if the node is state; or if the path leads through a
+            PathError: If `find` raises it; if the node is state; or if the path leads through a
                 list without selecting an entry by its keys.
         """
         node = self
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -24,7 +24,7 @@
 from .tree import PathValue, Tree
 from .yang_model import YangModel
 
-STEP_INTERVAL = 250.0  # ms between steps of the thread; a rollback is late by this at most
+STEP_INTERVAL = 250.0  # ms between steps of the thread, and so the maximum delay of a rollback
 STATE_INTERVAL = 1_000.0  # ms between checks for changed state to send to subscribers
 MAX_EDITS_PER_COMMIT = 10_000
 LOG_EVENT = "management"
@@ -131,7 +131,7 @@
     def stop(self) -> None:
         """Close all subscriptions and tell the thread to end after its current step.
 
-        Does not wait for the thread.
+        The method does not wait for the thread.
         """
         self._stopped.set()
         for subscriber in list(self._publisher.subscribers):
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -227,7 +227,7 @@
     """Replace a node by a value.
 
     Raises:
-        PathError: In the cases of `update`.
+        PathError: For the same reasons as in `update`.
     """
     delete(schema, tree, path)
     update(schema, tree, path, value)
