--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -37,7 +37,7 @@
     """Recorder of attempt results, which updates every object that uses them.
 
     It owns no state. No other class changes the endpoints' histograms, the object locations and the
-    origin's delay.
+    origin's delay, except that the router drops expired locations.
     """
 
     endpoints: EndpointTable
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -66,9 +66,9 @@
     def slowdown(self, endpoint: TrackedEndpoint, now: float) -> float:
         """Return the factor by which a transfer from the endpoint is slowed, 1 or more.
 
-        The factor is derived from the lateness of recent hits. One hit without lateness is added
-        because few hits are known. This director's own attempts in flight to the endpoint are
-        multiplied by the number of directors in the zone.
+        One estimate is the lateness of recent hits; one hit without lateness is added, because few
+        hits are known. The other is this director's own attempts in flight to the endpoint times
+        the number of directors in the zone; its weight in the result is one divided by that number.
         """
         lateness, hits = endpoint.hit_lateness.totals(now)
         weight = max(
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -75,9 +75,9 @@
     """Cache, parent or origin with the measurements that this director has of it.
 
     `EndpointTable` sets the listed fields and calls `reset` when an endpoint is new or has
-    restarted. `EndpointHealthMonitor` changes the health fields, `AttemptRecorder` the histograms,
-    `SlowStartAdmission` the slow-start budget, and the router the attempts in flight. All other
-    classes only read them.
+    restarted. `EndpointHealthMonitor` changes the health fields, `AttemptRecorder` the histograms
+    and `last_reset_at`, `SlowStartAdmission` the slow-start budget, and the router the attempts in
+    flight. `EndpointFilter` also changes `next_trial_at`. All other classes only read them.
 
     Attributes:
         recent_delay: Delays of the last seconds as a fill source.
