--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -50,7 +50,8 @@
         """Record the number and capacity of the ready caches.
 
         Returns:
-            "lost" or "back" if the cell was lost or came back, otherwise an empty string.
+            "lost" if this update made the cell lost, "back" if it ended the loss; otherwise an
+            empty string.
         """
         self.ready_caches = ready_caches
         self.total_capacity = total_capacity
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -274,7 +274,10 @@
         )
 
     def _is_uncertain(self, now: float, tenant: str, history: RequestHistory) -> bool:
-        """Return whether another director may have run the request in another cell."""
+        """Return whether the request must stay in the cell of its first attempt, which is unknown.
+
+        Another director, or this director before a restart, may have sent that attempt.
+        """
         if history.can_run_anywhere or not history.is_retry or history.known_cell is not None:
             return False
         return now < self.uncertain_until or now < self.unsettled_until.get(tenant, 0.0)
--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -1,9 +1,10 @@
-"""Choice between the two cells of a migration; requests with side effects are sticky.
+"""Choice between the two cells of a migration; requests with idempotency keys may be sticky.
 
-A retry of an unsafe request, or of a request with an idempotency key, must go to the cell of its
-first attempt, whose endpoints drop duplicates. For requests that this director admitted, the cache
-of idempotency keys has the cell. If another director admitted the first attempt, its cell can only
-be derived from the clock. A retry fails if that cell is uncertain, because it could run twice.
+If only the endpoints of one cell remember an idempotency key (`RequestClass.key_scope` is "cell"),
+a retry must go to the cell of the first attempt, whose endpoints drop duplicates. If this director
+admitted the first attempt, the cache of idempotency keys has the cell. If another director admitted
+it, the cell can only be derived from the clock. A retry fails if the cell is uncertain, because the
+request could run twice. All other retries may run in either cell.
 
 Pure and not thread-safe: `CellService` holds its lock during each call.
 """
