--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -92,7 +92,7 @@
         return value
 
     def names(self, key: str, default: str = "") -> tuple[str, ...]:
-        """Return distinct names that are separated by blanks or commas."""
+        """Return distinct names that are separated by spaces or commas."""
         names = tuple(self.text(key, default).replace(",", " ").split())
         for name in names:
             if not NAME_PATTERN.fullmatch(name):
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -250,7 +250,7 @@
         name: The director's name, for log lines and records.
         listen: Host and port for clients.
         seed: Seed of the random number generators.
-        memory_mb: Memory limit.
+        memory_mb: Memory limit of the director, MB.
         max_descriptors: Maximum number of file descriptors.
         event_stream_address: Host and port of the event stream.
         last_event_number: Number of the last event in `known_events`.
