--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -174,7 +174,7 @@
 
 
 def _fill_empty_cells(caches_of_cell: dict[str, list[str]], weights: dict[str, float]) -> None:
-    """Move a cache of another cell to each cell without caches, which would otherwise be lost."""
+    """Give each cell without caches a cache of another cell, so that the cell is not lost."""
     for name in sorted(weights):
         if caches_of_cell[name]:
             continue
--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -49,8 +49,8 @@
     """The clients of all locations.
 
     Attributes:
-        excluded_directors: Numbers of the directors that clients do not choose, because a client
-            found that the director has exited.
+        excluded_directors: Numbers of the directors that clients do not choose: directors that
+            have exited, from the end of the failure detection time on.
     """
 
     def __init__(self, simulation: "Simulation") -> None:
