--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -274,9 +274,9 @@
         )
 
     def _is_uncertain(self, now: float, tenant: str, history: RequestHistory) -> bool:
-        """Return whether the request must stay in the cell of its first attempt, which is unknown.
+        """Return whether a retry must go to the cell of its first attempt, but the cell is unknown.
 
-        Another director, or this director before a restart, may have sent that attempt.
+        Another director, or this director before a restart, may have used another cell.
         """
         if history.can_run_anywhere or not history.is_retry or history.known_cell is not None:
             return False
