--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -68,7 +68,8 @@
         items: Load of each item.
         bins: Weight of each bin.
         bound: Maximum load of a bin, as a multiple (at least 1) of its share of the total load.
-            Only the last item of a bin may exceed it.
+            A bin below its maximum accepts an item of any load, so the last item of a bin may
+            exceed the maximum.
 
     Returns:
         The bin of each item; empty if there are no bins.
@@ -173,7 +174,7 @@
 
 
 def _fill_empty_cells(caches_of_cell: dict[str, list[str]], weights: dict[str, float]) -> None:
-    """Move a cache of another cell to each cell without caches, which would otherwise be lost."""
+    """Give each cell without caches a cache of another cell, so that the cell is not lost."""
     for name in sorted(weights):
         if caches_of_cell[name]:
             continue
