--- a/mulleinrelay/lab/director.py
+++ b/mulleinrelay/lab/director.py
@@ -3,26 +3,20 @@
 import json
 import os
 import signal
-import socket
 import subprocess
 import sys
 from typing import Any
 
+from ..standins.reserved_port import ReservedPort
 from .director_process import DirectorProcess, director_environment
 
 PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+ADDRESS = "127.0.0.1"
 UNSET_VARIABLES = ("MULLEINRELAY_CELLS", "MULLEINRELAY_MANAGEMENT")
 TERM_TIMEOUT_S = 8.0
 KILL_TIMEOUT_S = 2.0
 
 
-def free_port() -> int:
-    """Return a port that is free on loopback."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
-
-
 class Director(DirectorProcess):
     """A director of the lab of tenants; `gnmi_address` is empty if it does not serve gNMI."""
 
@@ -43,17 +37,19 @@
             cells_file: Path of the file with the section [cells]; None: the director has no cells.
             has_management: Whether the director serves gNMI.
         """
-        super().__init__(("127.0.0.1", free_port()))
+        self.client_port = ReservedPort(ADDRESS)
+        self.gnmi_port = ReservedPort(ADDRESS) if has_management else None
+        super().__init__((ADDRESS, self.client_port.port))
         self.name = name
         self.gnmi_address = ""
         config_path = os.path.join(folder, f"{name}.json")
         with open(config_path, "w", encoding="utf-8") as file:
-            json.dump(platform | {"name": name, "listen": f"127.0.0.1:{self.address[1]}"}, file)
+            json.dump(platform | {"name": name, "listen": f"{ADDRESS}:{self.address[1]}"}, file)
         self.command = [sys.executable, "-m", "mulleinrelay", "serve", "--config", config_path]
         if cells_file:
             self.command += ["--cells", cells_file]
-        if has_management:
-            self.gnmi_address = f"127.0.0.1:{free_port()}"
+        if self.gnmi_port is not None:
+            self.gnmi_address = f"{ADDRESS}:{self.gnmi_port.port}"
             self.command += ["--management", self._write_management_file(folder)]
         self.log_path = os.path.join(folder, f"{name}.log")
         self.start()
@@ -82,7 +78,7 @@
         return False
 
     def stop(self) -> None:
-        """Shut the director down gracefully, or kill it if that takes too long."""
+        """Shut the director down gracefully, or kill it if that takes too long; free its ports."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -91,6 +87,9 @@
             self.process.kill()
             self.process.wait(KILL_TIMEOUT_S)
         self.log.close()
+        self.client_port.release()
+        if self.gnmi_port is not None:
+            self.gnmi_port.release()
 
     def _write_management_file(self, folder: str) -> str:
         path = os.path.join(folder, f"{self.name}-management.ini")
--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -3,7 +3,7 @@
 Each director has three addresses: it listens at the first, connects to nodes and the event stream
 through the second, and exchanges datagrams with other directors through the third. The fault
 proxies listen at the second and third, so the address of a connection or datagram identifies its
-director.
+director. A further address belongs to no director: labs reserve their ports there.
 """
 
 # Octet X of an address 127.X.high.low; high and low are the bytes of the director's number plus 1
@@ -11,6 +11,8 @@
 PROXY_NETWORK = 20
 ADVERTISED_NETWORK = 30
 
+RESERVATION_ADDRESS = "127.40.0.1"
+
 NO_DIRECTOR = -1
 
 
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -12,6 +12,7 @@
 
 from ...standins.clock import now_ms
 from ...standins.event_loop import READ, EventLoop, LoopConnection
+from ...standins.reserved_port import ReservedPort
 from . import addresses
 from .control_channel import Message, receive_first_message, receive_messages, send_message
 from .network_rules import DOWN, UP, ActiveRules, StreamState, decode_rule
@@ -123,7 +124,7 @@
             target["name"]: ProxyTarget(target["kind"], (target["to"][0], target["to"][1]))
             for target in first_message["targets"]
         }
-        self.ports: dict[str, int] = {}
+        self.reserved_ports = {name: ReservedPort("") for name in self.targets}
         self.listeners: dict[str, socket.socket] = {}
         self.datagram_port = first_message.get("datagram_port", 0)
         self.datagram_sockets: dict[int, socket.socket] = {}
@@ -134,16 +135,18 @@
         receive_messages(self.loop, self.on_command)
 
     def listen(self, name: str) -> None:
-        """Listen for a target at all loopback addresses; its port stays the same after a stop."""
+        """Listen for a target at all loopback addresses, at the port that is reserved for it."""
         if name not in self.listeners:
-            listener = self.loop.listen(
+            self.listeners[name] = self.loop.listen(
                 "",
-                self.ports.get(name, 0),
+                self.reserved_ports[name].port,
                 lambda accepted: self._on_connection(name, accepted),
                 True,
             )
-            self.ports[name] = listener.getsockname()[1]
-            self.listeners[name] = listener
+
+    def ports(self) -> dict[str, int]:
+        """Return the port of each target by the target's name."""
+        return {name: reserved.port for name, reserved in self.reserved_ports.items()}
 
     def on_command(self, command: Message) -> None:
         """Execute a command of the lab; its keys determine the kind of command."""
@@ -217,7 +220,7 @@
 def main() -> None:
     """Forward traffic until the lab closes standard input."""
     proxy = FaultProxy(receive_first_message())
-    send_message(ports=proxy.ports)
+    send_message(ports=proxy.ports())
     proxy.loop.run()
 
 
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -16,9 +16,11 @@
 from ...standins.node_kinds import CACHE, ORIGIN, PARENT
 from ...standins.node_protocol import CancelledCommands, decode_fields
 from ...standins.nodes import NodeFleet, NodeSpec, Reply, SimulatedNode
+from ...standins.reserved_port import ReservedPort
 from .control_channel import send_message
 from .scenario import CONCURRENT_ANSWERS, FleetScenario, NodeSite
 
+ADDRESS = "127.0.0.1"
 RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
 ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
@@ -169,7 +171,8 @@
         self.context = context
         self.node = node
         self.zone = zone
-        self.port = 0
+        self.reserved_port = ReservedPort(ADDRESS)
+        self.port = self.reserved_port.port
         self.listener: socket.socket | None = None
         self.sessions: dict[LoopConnection, _Session] = {}
         self.failing_for: frozenset[int] = frozenset()
@@ -180,8 +183,7 @@
     def listen(self) -> None:
         """Start to listen at the node's port, unless the node already listens."""
         if self.listener is None:
-            self.listener = self.context.loop.listen("127.0.0.1", self.port, self._on_connection)
-            self.port = self.listener.getsockname()[1]
+            self.listener = self.context.loop.listen(ADDRESS, self.port, self._on_connection)
 
     def crash(self) -> None:
         """Stop the node like a killed process: close its listener and reset its connections."""
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -19,6 +19,7 @@
 
 from ...standins.clock import now_ms
 from ...standins.node_kinds import CACHE
+from ...standins.reserved_port import ReservedPort
 from ..director_settings import fleet_platform_settings
 from . import addresses
 from .control_channel import ROOT, LabProcess, Message, RecordFile, last_line
@@ -40,16 +41,6 @@
 ProgressCallback = Callable[[float, int, int], None]
 
 
-def free_port(kind: int) -> int:
-    """Return a free port for all directors of this lab.
-
-    The directors share the port, as each has its own address. Concurrent labs get different ports.
-    """
-    with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind((addresses.advertised_address(0), 0))
-        return probe.getsockname()[1]
-
-
 class ProcessReaper:
     """Handle with which the lab controls the process that kills all others if the lab is killed.
 
@@ -116,8 +107,10 @@
         self.keeps_folder = folder is not None
         self.folder = folder or tempfile.mkdtemp(prefix="mulleinrelay-fleet-")
         os.makedirs(self.folder, exist_ok=True)
-        self.port = free_port(socket.SOCK_STREAM)
-        self.datagram_port = free_port(socket.SOCK_DGRAM)
+        # All directors use the same two ports, each at its own addresses. A fault proxy of this or
+        # a concurrent lab, which listens at all addresses, must not get them before the directors.
+        self.client_port = ReservedPort(addresses.RESERVATION_ADDRESS)
+        self.datagram_port = ReservedPort(addresses.RESERVATION_ADDRESS, socket.SOCK_DGRAM)
         self.processes: list[LabProcess] = []
         self.directors: list[FleetDirector] = []
         self.proxies: list[LabProcess] = []
@@ -205,7 +198,7 @@
             }
             if index == 0:
                 first_message["datagrams"] = list(range(self.scenario.directors))
-                first_message["datagram_port"] = self.datagram_port
+                first_message["datagram_port"] = self.datagram_port.port
             self.proxies.append(self._start_process("fault_proxy", f"relay-{index}", first_message))
         proxy_ports = {}
         for proxy in self.proxies:
@@ -225,7 +218,7 @@
         setup = DirectorSetup(
             self.folder,
             self.program,
-            self.port,
+            self.client_port.port,
             self.scenario.has_membership,
             self.reaper.add,
             self.reaper.remove,
@@ -276,7 +269,7 @@
         offset = 0 if scenario.has_same_seeds else number * DIRECTOR_SEED_STEP
         config = {
             "name": f"n{number}",
-            "listen": f"{addresses.listen_address(number)}:{self.port}",
+            "listen": f"{addresses.listen_address(number)}:{self.client_port.port}",
             "seed": f"{scenario.seed * SCENARIO_SEED_FACTOR + offset:x}",
             "bus": platform["bus"],
             "limits": {"memory_mb": scenario.memory_mb, "sockets": scenario.max_descriptors},
@@ -290,7 +283,7 @@
                 text_file.write(self._fleet_file(number, scenario.location_of(number)))
 
     def _fleet_file(self, number: int, location: str) -> str:
-        port = self.datagram_port
+        port = self.datagram_port.port
         seeds = " ".join(
             f"{addresses.advertised_address(seed)}:{port}"
             for seed in range(min(MEMBERSHIP_SEEDS, self.scenario.directors))
@@ -311,7 +304,7 @@
                 continue
             first_message = common | {
                 "locations": list(locations),
-                "port": self.port,
+                "port": self.client_port.port,
                 "records": self.path(f"clients-{index}.records"),
             }
             generator = self._start_process("load_process", f"clients-{index}", first_message)
@@ -393,4 +386,6 @@
             self.reaper.remove(process.process.pid)
         if self.records is not None:
             self.records.close()
+        self.client_port.release()
+        self.datagram_port.release()
         self.reaper.stop()
