--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -2,12 +2,13 @@
 
 A connection is closed in one of two ways:
 
-- A connection without outstanding answers is half-closed: its writing side is shut down, and bytes
-  that are still in flight are read and discarded until the client closes too or the lingering close
-  times out. Closing a socket that has unread bytes would reset the connection, and the last answer
-  could be lost.
-- A connection whose client has disconnected, does not read or violates the protocol is shut down
-  in both directions.
+- A connection on which a call was received is normally half-closed once no answer is outstanding:
+  its writing side is shut down, and the bytes that the client still sends are read and discarded
+  until the client closes too or the lingering close times out. Closing a socket that has unread
+  bytes would reset the connection, and the client could lose the last answer.
+- A connection is shut down in both directions at once if its client has disconnected or does not
+  read its answers, if no call was received on it, if a new client needs its slot, or if the
+  director stops.
 
 In both cases, bytes that are received later are not handled as calls.
 """
@@ -23,24 +24,27 @@
 from . import thrift
 from .write_queue import Piece, WriteQueue
 
-WRITE_TIMEOUT_S = 6.0  # a client that reads nothing for this long is disconnected
+# A client is disconnected if no byte of its queued answers can be written for this long.
+WRITE_TIMEOUT_S = 6.0
 # From connecting to the first complete call. The platform closes silent connections after 3 s.
 FIRST_CALL_TIMEOUT_S = 2.0
 REST_OF_CALL_TIMEOUT_S = 3.0  # from the first bytes of a call to its last
-# Since the last call. Clients that reuse their connections close idle ones after 4 s themselves.
+# Since the last call or answer. Clients that reuse their connections close idle ones after 4 s
+# themselves.
 IDLE_TIMEOUT_S = 6.0
 DRAIN_PARTIAL_CALL_S = 1.0  # a drain waits this long for the rest of a call from a slow client
 # From the half-close to the full close. Calls that the client sends before it notices the
 # half-close arrive within 50 ms plus one round trip.
 LINGER_S = 0.15
 MAX_PENDING_CALLS = 64  # calls that are read ahead on one connection
-# Before a first attempt, the socket is not checked again if it was read until it was empty within
-# this time.
+# Before the first attempt of a request is sent, the socket is not checked for a disconnect or a
+# cancellation if it was read until it was empty within this time.
 RECENT_READ_S = 0.02
 POLL_INTERVAL_S = 0.02  # between two reads while input is discarded
-MAX_PEEK_BYTES = 65_536  # part of the unread input that is searched for a cancellation
-# On one connection. A client that reads its answers never has this many unread ones, and each small
-# answer has a high overhead in memory.
+# Maximum part of the input in the kernel's receive buffer that is searched for a cancellation.
+MAX_PEEK_BYTES = 65_536
+# Queued pieces of answers on one connection. A client that reads its answers never has this many,
+# and each piece, however small, has a high overhead in memory.
 MAX_UNREAD_ANSWERS = 256
 
 
@@ -52,22 +56,27 @@
     Attributes:
         connection: The socket.
         address: The client's IP address.
-        admission_entry: Token from admission control, released when the connection ends.
-        lock: Guards `open_requests`, `write_queue`, and the reading of calls.
+        admission_entry: Token from admission control, released when the connection ends; empty if
+            there is no admission control.
+        lock: Guards `open_requests` and `write_queue`, and is held from the read of received bytes
+            until their calls are queued.
         write_queue: Answers to be written.
-        open_requests: Open requests by sequence number; the value is None until the coordinator
-            has accepted the request.
+        open_requests: Requests that were started and neither answered nor cancelled, by sequence
+            number; the value is None until the coordinator has accepted the request.
         decoder: Decoder with the received bytes that are not decoded yet.
-        pending_calls: Calls that were read but not answered; the first may be in progress.
-        has_called: Whether a complete call was received.
-        has_sent_request: Whether one of the calls was a request.
-        bad_call_count: Number of invalid calls since the last valid one.
+        pending_calls: Calls that were read but not handled; the first may be in progress. A call
+            that has become an open request is removed.
+        has_called: Whether a complete call was received, valid or not.
+        has_sent_request: Whether there has been an open request.
+        bad_call_count: Number of invalid calls since the last valid request.
         framing_error: Why the received bytes cannot be decoded any further; empty if they can.
-        last_used_at: Time of the connect, or of the last complete call or answer.
-        last_read_at: Time at which the socket was last read until it was empty.
+        last_used_at: Time of the last complete call or answer to a request; the time of the
+            connect before the first call.
+        last_read_at: Time at which the socket was last read until it was empty; 0 before that.
         partial_call_since: Arrival time of the first bytes of an incomplete call; 0 if there is
             none.
-        half_closed_at: Time of the half-close; 0 if there was none.
+        half_closed_at: Time of the half-close, or of the full close by `close_if_idle`; 0 if there
+            was neither.
     """
 
     def __init__(
@@ -113,9 +122,10 @@
         """Read the received bytes into `pending_calls`; block only if no call is pending.
 
         Returns:
-            False if the client has disconnected, or if the connection was half-closed and is read
-            to its end. The caller must not start the pending calls then. This way no call is
-            started for a client that sends many calls at once and disconnects.
+            True if a call is pending. False if the client has closed its side, if this side has
+            shut down the connection in both directions, or if a framing error follows the calls
+            that were handled. The caller must then handle no pending call, so that no call is
+            started for a client that has sent many calls at once and disconnected.
         """
         while len(self.pending_calls) < MAX_PENDING_CALLS:
             if not self.pending_calls and (self.framing_error or not self._wait_for_bytes()):
@@ -145,10 +155,11 @@
         return bool(self.connection.recv(1, socket.MSG_PEEK))
 
     def _queue_frames(self, frames: Iterable[memoryview]) -> None:
-        """Queue the calls in frames; the caller has held the lock since it read their bytes.
+        """Queue the calls in frames, or discard them if the connection was shut down.
 
-        A thread that closes idle connections can therefore find a received call at any time, either
-        in the kernel's receive buffer or in the queue.
+        The caller has held the lock since it read their bytes. A thread that closes idle
+        connections therefore always finds a received call: either in the kernel's receive buffer or
+        in the queue.
         """
         now = time.monotonic()
         if self.write_queue.is_shut_down:
@@ -171,8 +182,8 @@
     def _queue_call(self, call: thrift.MethodCall, now: float) -> None:
         """Queue a call, or apply a cancellation.
 
-        A cancellation of a pending call removes that call. Any other cancellation is queued before
-        all pending calls.
+        A cancellation of a pending request removes that request. Any other cancellation is queued
+        before all pending calls, unless its sequence number cannot be read.
         """
         call.read_at = now
         number = thrift.peek_cancelled_number(call) if call.method == "forget" else None
@@ -191,9 +202,10 @@
             self.pending_calls.appendleft(call)
 
     def discard_input(self) -> None:
-        """Close the connection after a framing error, once all earlier calls are answered.
+        """Half-close the connection after a framing error, once all earlier calls are answered.
 
-        Bytes that are received meanwhile are discarded.
+        Received bytes are discarded until the client closes the connection or the lingering close
+        times out. If no call was received, the method returns at once without a half-close.
         """
         while self.owes_answer():
             with self.lock:
@@ -228,7 +240,7 @@
     def remove_pending_call(self, call: thrift.MethodCall) -> None:
         """Remove a call from the head of the queue, if it is there; the caller holds the lock.
 
-        The call has become an open request or was answered.
+        The call has become an open request, was answered, or was a cancellation.
         """
         if self.pending_calls and self.pending_calls[0] is call:
             self.pending_calls.popleft()
@@ -250,7 +262,10 @@
             self.write_queue.shut_down()
 
     def owes_answer(self) -> bool:
-        """Return whether calls are pending, requests are open or answers are unwritten."""
+        """Return whether calls are pending, requests are open or answers are unwritten.
+
+        The result is False after the connection was shut down or half-closed.
+        """
         has_work = self.open_requests or self.pending_calls or self.write_queue.pending_bytes
         return bool(has_work) and not self.write_queue.is_shut_down
 
@@ -267,11 +282,12 @@
         Unread bytes may be a call.
 
         Args:
-            lingers: Whether to half-close the connection first. A connection on which no call was
-                received has no answer to lose and is always shut down at once.
+            lingers: Whether to half-close the connection and leave the full close to
+                `finish_lingering`. A connection on which no call was received has no answer to lose
+                and is always shut down at once.
 
         Returns:
-            Whether the connection was closed.
+            Whether this call has closed the connection.
         """
         with self.lock:
             is_idle = (
@@ -288,7 +304,7 @@
     def half_close(self) -> None:
         """Half-close the connection, even if bytes are unread.
 
-        Answers that were already written can still reach the client.
+        Written answers can still reach the client; queued ones are no longer written.
         """
         with self.lock:
             self.write_queue.shut_down(socket.SHUT_WR)
@@ -311,9 +327,9 @@
 
         Args:
             sequence_number: Sequence number of the request.
-            is_first_attempt: Whether this is the first attempt of the request. The connection's
-                thread normally starts it right after it has read the socket until it was empty,
-                so the socket is not checked again if that read is recent.
+            is_first_attempt: Whether the request's first attempt is about to be sent. The
+                connection's thread normally sends it right after it has read the socket until it
+                was empty, so the socket is not checked again if that read is recent.
         """
         with self.lock:
             if any(
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -16,10 +16,12 @@
 from .request_handler import RequestHandler
 
 BACKLOG = 1024  # connections that the kernel queues before they are accepted
-MAX_BAD_CALLS = 8  # consecutive invalid calls; one more closes the connection
+# Invalid calls without a valid request between them; one more closes the connection.
+MAX_BAD_CALLS = 8
 SPARE_DIVISOR = 16  # 1/16 of the connection table is kept free for new connections
 ACCEPT_RETRY_S = 0.05  # wait after a failed accept
-REMOVAL_WAIT_S = 0.02  # wait for a closed connection to release its file descriptor
+# Maximum wait for a closing connection to release its file descriptor, before the next check.
+REMOVAL_WAIT_S = 0.02
 
 
 class ClientListener:
@@ -28,9 +30,10 @@
     Attributes:
         listener: The listening socket; None before the start and after the drain has begun.
         lock: Guards `clients`.
-        clients: The open connections, as an ordered set.
+        clients: The connections, as an ordered set. A connection that is being closed is contained
+            until its thread ends.
         client_removed: Condition that is notified when a connection is removed from `clients`.
-        max_clients: Maximum number of open connections.
+        max_clients: Maximum number of connections in `clients`.
     """
 
     def __init__(
@@ -52,7 +55,7 @@
         request_handler.count_unread_bytes = self._count_unread_bytes
 
     def _count_unread_bytes(self) -> int:
-        """Return the total size of the answers that clients have not read."""
+        """Return the total size in bytes of the queued answers, which clients have not read."""
         with self.lock:
             return sum(client.write_queue.pending_bytes for client in self.clients)
 
@@ -70,10 +73,12 @@
         self.accept_thread.start()
 
     def drain(self) -> bool:
-        """Stop accepting connections and close the idle ones.
+        """Stop accepting connections, and close those without outstanding answers.
 
-        The caller repeats this until it returns True. Requests that arrive meanwhile are completed
-        first. No request is started on a connection that was closed.
+        The caller repeats the call until it returns True. Requests that arrive on an open
+        connection meanwhile are completed before it is closed, and a client that has sent a part of
+        a call has `DRAIN_PARTIAL_CALL_S` to send the rest. No request is started on a connection
+        that was closed.
 
         Returns:
             Whether all connections are closed.
@@ -99,7 +104,7 @@
                 self._admit_or_close(*listener.accept())
 
     def stop(self) -> None:
-        """Close all connections, even those with open requests."""
+        """Stop accepting connections and close all of them, even those with open requests."""
         self.drain()
         for client in list(self.clients):
             client.shut_down()
@@ -107,7 +112,8 @@
     def close_idle(self) -> None:
         """Close connections that are silent, idle or stuck in the middle of a call.
 
-        Otherwise they would fill the table, and their threads the memory.
+        Otherwise they would fill the table, and their threads the memory. Lingering closes that
+        have timed out are finished, too.
         """
         now = time.monotonic()
         for client in list(self.clients):
@@ -158,7 +164,11 @@
                 admission_control.release_connection(entry)
 
     def _register(self, connection: socket.socket, address: str, entry: str) -> bool:
-        """Add a connection to the table and start its thread; return False if the table is full."""
+        """Add a connection to the table and start its thread.
+
+        Returns:
+            False if the table is full. The connection is then closed.
+        """
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(connection, address, entry)
         with self.lock:
@@ -178,10 +188,12 @@
         return True
 
     def _make_room(self) -> bool:
-        """Evict idle connections if the table is nearly full; the caller holds the lock.
+        """Evict an idle connection if the table is nearly full; wait for a slot if it is full.
+
+        The caller holds the lock, which is released while this method waits.
 
         Returns:
-            False if the table is full and no connection can be evicted.
+            False if the table is full and no connection in it is idle or closing.
         """
         max_clients = self.max_clients
         eviction_threshold = max_clients - max(1, max_clients // SPARE_DIVISOR)
@@ -192,8 +204,8 @@
             # Evict only if the connections that are already closing do not free enough slots.
             if count - len(closing) > eviction_threshold:
                 candidates = self._eviction_candidates()
-            # Evict the first connection that is still idle. If the table is full, there is no
-            # lingering close, because a new client is waiting for the slot.
+            # Evict the first candidate that is still idle. If the table is full, it is closed
+            # without lingering, because a new client is waiting for the slot.
             is_evicted = any(client.close_if_idle(lingers=not is_full) for client in candidates)
             if not is_full:
                 return True
@@ -250,7 +262,7 @@
             client.discard_input()
 
     def _remove(self, client: ClientConnection) -> None:
-        """Close a connection that was read to its end, and cancel its open requests."""
+        """Close a connection whose thread ends, cancel its open requests, and free its slot."""
         client.shut_down()
         with client.lock:
             abandoned = [
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -22,8 +22,8 @@
 from . import sse
 
 SILENCE_TIMEOUT_S = 2.5  # without any bytes; the server sends a comment every second
-# From connecting to the complete head of the response. Three silent connections in a row must fit
-# into 7 s.
+# For the connect, and then again until the response head is complete. Three silent connections in a
+# row must fit into 7 s.
 HEAD_TIMEOUT_S = 1.5
 LINE_TIMEOUT_S = 5.0  # from one complete line to the next, even if bytes trickle in between
 CATCH_UP_TIMEOUT_S = 0.25  # from the response head; the server sends missed events right after it
@@ -43,9 +43,11 @@
     Attributes:
         address: Host and port of the stream.
         last_event_number: Number of the last applied event.
-        gap_at: Number of the last event before the most recent gap, so that a gap is reported only
-            once. It is set to -1 after a gap in the events of a configuration file: the stream may
-            still have the missing events, so the same gap in the stream is reported again.
+        gap_at: Number of the last event before the most recent gap; 0 if there was none. GapError
+            is raised only once for this gap: if the events are still missing after the reconnect,
+            they are skipped. After a gap in the events of a configuration file, the value is -1:
+            the stream may have the missing events, so a gap in the stream after the same event
+            raises GapError again.
         lock: Guards `last_event_number` while an event is applied.
         connection: The most recent socket; None before the first connection.
         read_configured_address: Function that returns the stream's address in the current
@@ -89,10 +91,12 @@
         self._wake()
 
     def wait_until_current(self) -> None:
-        """Wait for a limited time until missed events were received or cannot be received.
+        """Wait until missed events were probably received, or cannot be received.
 
-        With an outdated endpoint list, a new director would send its first requests to endpoints
-        that were announced as draining while it started.
+        The server sends missed events right after the response head. The wait therefore ends
+        `CATCH_UP_TIMEOUT_S` after the head, or earlier if there is no head or the first connection
+        has ended. With an outdated endpoint list, a new director would send its first requests to
+        endpoints that were announced as draining while it started.
         """
         if self.head_received.wait(HEAD_TIMEOUT_S):
             self.first_connection_ended.wait(CATCH_UP_TIMEOUT_S)
@@ -102,9 +106,9 @@
 
         Args:
             address: The new host and port.
-            known_events: Events that came with the address. They are applied at once, because the
-                stream may have been silent for a while and its thread may be waiting for an
-                address that does not answer.
+            known_events: Events from the same configuration file as the address. They are applied
+                at once, because the stream may take long to deliver them: the old connection may be
+                silent, and the stream's thread may be waiting for an address that does not answer.
         """
         self.address = address
         self._apply_known(known_events)
@@ -126,7 +130,8 @@
         Args:
             line_number: Number in the event's `id` line; None if it has none.
             data: Data of the event, parsed from JSON.
-            must_follow: Whether the number must follow directly after that of the last event.
+            must_follow: Whether the number must follow directly after that of the last event. If
+                not, missing events are ignored.
 
         Raises:
             GapError: If earlier events are missing; raised once for each gap.
@@ -159,10 +164,11 @@
             raise GapError(f"event {number} after {last}")
 
     def _apply_restrictions(self, data: Any) -> None:
-        """Apply the restrictions in an event after a gap: its purge, or its drained endpoints.
+        """Apply the restrictions in an event after a gap.
 
-        The event was announced, so the grace period for obeying it may have begun. The complete
-        event is applied later, after the missing events.
+        These are its purge, or the endpoints that it lists as draining or gone. The grace period
+        for obeying them may have begun when the event was announced. The complete event is applied
+        later, after the missing events.
         """
         # An error is logged when the complete event is applied.
         with contextlib.suppress(Exception):
@@ -179,7 +185,8 @@
         """Apply events from a configuration file, in order, until an event number is missing.
 
         The stream delivers the missing event and the events after it. Until then, only the
-        restrictions in the known events after the gap are applied.
+        restrictions in the known events after the gap are applied. Events without a number are
+        skipped.
         """
         try:
             self._apply_in_order(
@@ -191,7 +198,11 @@
             self.log.event("bad event", why=str(error))
 
     def _apply_in_order(self, events: list[NumberedEvent]) -> None:
-        """Apply a batch of events; after a gap, apply only the restrictions of the other events."""
+        """Apply a batch of events; after a gap, apply only the restrictions in the remaining ones.
+
+        Raises:
+            GapError: If events are missing; raised after the restrictions are applied.
+        """
         with self.lock:
             for position, (line_number, data) in enumerate(events):
                 try:
@@ -225,10 +236,14 @@
                 self.log.event("event stream reconnects", last=self.last_event_number, why=reason)
 
     def _wait_to_reconnect(self, has_progressed: bool, is_refused: bool) -> str:
-        """Wait for the backoff.
+        """Wait for the backoff, unless the configuration contains a new address.
+
+        Args:
+            has_progressed: Whether the ended connection has delivered new events.
+            is_refused: Whether the connection was refused.
 
         Returns:
-            Reason for the log if a new address ended the wait early; empty otherwise.
+            Reason for the log if there was no wait or it was ended early; empty otherwise.
         """
         now = time.monotonic()
         wait_s = self.reconnect_backoff.record_end(now, has_progressed, is_refused)
@@ -247,7 +262,7 @@
         try:
             return self.read_configured_address()
         except Exception as error:
-            # No state of the file may end the only thread that receives drains.
+            # No fault in the file may end this thread, the only one that receives drains.
             self.log.exception("event stream", error)
             return None
 
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -9,7 +9,7 @@
     """Memory for received bytes, of which a part may be unread.
 
     Attributes:
-        size: Size of a new block of memory, in bytes.
+        size: Minimum size of a new block of memory, in bytes.
         view: The block that is currently written.
         start: Offset of the first unread byte in `view`.
         end: Offset after the last unread byte in `view`; the receiver advances it.
@@ -28,8 +28,8 @@
         """Return memory for the next received bytes, in a new block if the current one is full.
 
         Args:
-            message_length: Length of the message that starts with the first unread byte, if it is
-                known. A new block is also used if that message does not fit into the current one.
+            message_length: Length of the message that starts with the first unread byte; 0 if it
+                is unknown. If the message does not fit into the current block, a new block is used.
         """
         if self.end == len(self.view) or self.start + message_length > len(self.view):
             unread = self.view[self.start : self.end]
--- a/mulleinrelay/net/recent_request_ids.py
+++ b/mulleinrelay/net/recent_request_ids.py
@@ -3,13 +3,16 @@
 import threading
 import time
 
-IDS_PER_MB = 100  # ids in each of the two sets, per MB of the director's memory
+IDS_PER_MB = 100  # maximum size of each of the two sets, per MB of the director's memory
 KEPT_FOR_S = 5.0  # minimum time for which an id is remembered, unless a set is full
 
 
 class RecentRequestIds:
     """Ids of recent requests. Each request has a new id, and so has a client's retry.
 
+    New ids are added to the current set. When this set is old or full, it becomes the previous set,
+    and the ids of the old previous set are forgotten.
+
     Rejecting known ids protects the director from clients that repeat a request without delay, and
     endpoints from confusing two requests. Only clients that violate the protocol are rejected.
     """
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -25,7 +25,7 @@
 
 
 class AdmissionControl(Protocol):
-    """Interface that admits or rejects connections and requests before the coordinator sees them.
+    """Interface for the admission of client connections, and of requests before the coordinator.
 
     An admitted request may be confined to a pool of caches. Thread-safe.
 
@@ -53,8 +53,9 @@
 
         Returns:
             A grant, which has a `pool` (CachePool) and is passed to `complete_request` at the end
-            of the request; or a rejection, which has no `pool` but has `retry_after_ms` and
-            `is_never_executed`.
+            of the request; or a rejection, which has no `pool`. A rejection has `retry_after_ms`,
+            the time before a retry, and `is_never_executed`: whether the client is told that the
+            request was not executed, rather than that it failed.
         """
 
     def complete_request(
@@ -66,6 +67,6 @@
             grant: The grant from `admit_request`.
             request: The request as the coordinator knows it.
             is_served: Whether the request was served.
-            is_client_waiting: Whether the client had neither disconnected nor cancelled the
+            is_client_waiting: Whether the client has neither disconnected nor cancelled the
                 request.
         """
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -1,7 +1,8 @@
 """Handling of client calls: each request is processed until its only answer is sent.
 
-The steps of a request run in the thread that caused them: the thread of its client connection, of
-an upstream connection, or of the timers. See `RequestHandler.run_request`.
+A step of a request sends or cancels an attempt, or is the request's result. It runs in the thread
+that caused it: the thread of the client connection, of an upstream connection, or of the timers.
+See `RequestHandler.run_request`.
 """
 
 import time
@@ -27,9 +28,9 @@
 from .upstream_connections import UpstreamConnections
 
 MAX_OPEN_REQUESTS = 32  # on one connection
-REQUESTS_PER_MB = 8  # open requests per MB of memory; each takes some KB, its body up to 48 KB
-# Maximum fraction of the memory for answers that clients have not read. While it is exceeded, a
-# client that is sent an answer and does not read it at once is disconnected.
+REQUESTS_PER_MB = 8  # pending requests per MB of memory; each takes some KB, its body up to 48 KB
+# Maximum fraction of the director's memory for answers that clients have not read. While it is
+# exceeded, a client that is sent an answer and does not read it at once is disconnected.
 MAX_UNREAD_FRACTION = 0.2
 
 
@@ -42,9 +43,10 @@
         admission_control: Admission control for connections and requests; None if there is none.
         upstream: Connections to endpoints, over which attempts are sent.
         is_healthy: The director's answer to health checks of clients.
-        max_requests: Maximum number of open requests that the memory allows.
-        count_unread_bytes: Function that returns the total size of the answers that clients have
-            not read; set by the listener.
+        max_requests: Maximum number of requests that the memory allows to be pending at the
+            coordinator.
+        count_unread_bytes: Function that returns the total size in bytes of the answers that
+            clients have not read; set by the listener.
     """
 
     def __init__(
@@ -161,7 +163,7 @@
         return True
 
     def _check_sequence_number(self, client: ClientConnection, number: int) -> None:
-        """Raise ThriftError if no request can be opened under this sequence number.
+        """Raise ThriftError if the sequence number is in use or too many requests are open.
 
         The check needs no lock, because only this thread adds open requests to the connection. If
         the number is in use, the open request is cancelled as well: the client could not tell to
@@ -193,7 +195,7 @@
         has_capacity = self.admission_thresholds.can_admit(
             request_class, request.is_retry, utilization
         )
-        queued_ms = 1000.0 * (time.monotonic() - read_at)  # time spent behind earlier calls
+        queued_ms = 1000.0 * (time.monotonic() - read_at)  # since the call was read
         return self.coordinator.accept(
             request_class,
             int(request.object, 16),
@@ -235,7 +237,8 @@
             while (step := self.coordinator.next_step(request)) is not None:
                 self._perform(step, context)
                 if isinstance(step, RequestResult):
-                    # Timers may hold the request for a while; its body must not stay in memory.
+                    # Timers may refer to the request for a while. The body, which the context
+                    # holds, must not stay in memory until then.
                     request.context = None
                     is_owed = not isinstance(step, ClientGone)
                     self._return_grant(context, request, isinstance(step, Served), is_owed)
@@ -275,7 +278,7 @@
             client.send_answer(number, thrift.failed_reply(number))
 
     def _enforce_unread_limit(self, client: ClientConnection) -> None:
-        """Disconnect a client that does not read, if all unread answers use too much memory."""
+        """Disconnect this client if the unread answers of all clients use too much memory."""
         unread = self.count_unread_bytes()
         if unread > MAX_UNREAD_FRACTION * self.config.memory_mb * 1e6:
             self.log.event(
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -149,12 +149,13 @@
         request_id: Id of the request, or tag of the health check.
         outcome: Outcome of the attempt; None for a health check.
         body: The object; empty if there is none.
-        is_not_modified: Whether the client's copy is current.
+        is_not_modified: Whether the endpoint answers that the client's copy is current.
         entity_tag: Entity tag of the copy to which the answer refers; empty if it is missing.
         cache_status: How the cache obtained the answer.
-        delay: Processing time at the endpoint, in ms.
+        delay: Delay of the fill source in ms, as reported by the endpoint; 0 if not reported.
         load_report: Figures by their names in the load report; None if there is no report.
-        is_healthy: Whether the endpoint reports that it is healthy, in a health check's answer.
+        is_healthy: Whether the endpoint reports that it is healthy; always True in an answer to an
+            attempt.
     """
 
     request_id: str
@@ -170,8 +171,8 @@
     def outcome_for(self, entity_tag: str) -> Outcome:
         """Return the outcome of the attempt to which this answer belongs.
 
-        The outcome is ERROR, a failure of the endpoint, if this is an answer to a health check, or
-        if it says "not modified" about another copy than the client's.
+        The outcome is ERROR, a failure of the endpoint, if the answer has the form of an answer to
+        a health check, or if it says "not modified" about another copy than the client's.
 
         Args:
             entity_tag: Entity tag of the client's copy; empty if the client has none.
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class ServerSentEvent:
-    """One event with its id (None if it has none) and its unparsed data."""
+    """One event: the number in its `id` line (None if it has none) and its unparsed data."""
 
     number: int | None
     data: str
@@ -47,7 +47,7 @@
     """Decoder of one HTTP response into events. Not thread-safe.
 
     Attributes:
-        line_count: Number of complete lines so far; the head counts as one.
+        line_count: Number of complete lines so far; the response head counts as one.
         is_finished: Whether the last chunk was received.
     """
 
@@ -189,7 +189,7 @@
 
     Attributes:
         object_id: The purged object; 0 if the group is purged.
-        group: The purged group; 0 if a single object is purged.
+        group: The purged group; not used if a single object is purged.
         issued_at: Time of the purge in Unix milliseconds; older copies must not be served.
     """
 
@@ -211,7 +211,11 @@
 
 
 def event_number(data: Any, line_number: int | None) -> int | None:
-    """Return the number in an event's data, or that of its `id` line if the data have none.
+    """Return the number in an event's data, or `line_number` if the data contain none.
+
+    Args:
+        data: Data of the event, parsed from JSON.
+        line_number: Number in the event's `id` line; None if it has none.
 
     Raises:
         ConfigError: If the event is not an object or its number is not an integer.
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -225,8 +225,8 @@
 
     Args:
         reader: Reader that is positioned before the arguments.
-        tenant_field: Name of the field with the tenant, which clients of our own installations
-            send; empty if there is none.
+        tenant_field: Name of the field in which clients of our own installations send their
+            tenant; empty if there is no such field.
 
     Raises:
         ThriftError: If the arguments cannot be read, or a field is missing or has a wrong format.
@@ -307,7 +307,10 @@
 
 
 def cancelled_numbers(received: bytes) -> set[int]:
-    """Return the sequence numbers in all complete `forget` calls within received bytes."""
+    """Return the sequence numbers in all complete `forget` calls among the received bytes.
+
+    The bytes must start at the beginning of a frame.
+    """
     decoder = FrameDecoder(len(received))
     decoder.writable_view()[:] = received
     numbers: set[int] = set()
@@ -379,7 +382,10 @@
 
 
 def rejected_reply(sequence_number: int, retry_after_ms: float) -> Pieces:
-    """Encode the answer to a request that was not executed; the client may retry."""
+    """Encode the answer to a request that was not executed, which the client may retry.
+
+    The answer names the time before the retry if `retry_after_ms` is positive.
+    """
     fields = {"pause": str(round(retry_after_ms))} if retry_after_ms > 0 else {}
     return declared_exception("serve", sequence_number, 1, fields)
 
--- a/mulleinrelay/net/upstream_connection.py
+++ b/mulleinrelay/net/upstream_connection.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from ..policy.router import TrackedEndpoint
 
-ABANDONED_FOR = 10_000.0  # ms; a late answer to a cancelled attempt is expected for this long
+ABANDONED_FOR = 10_000.0  # ms for which an answer to an abandoned attempt is expected
 PING_TIMEOUT = 100.0  # ms after which a connection is closed if a ping is not answered
 HEALTH_CHECK_TIMEOUT = 1000.0  # ms after which a health check without an answer expires
 HEALTH_CHECK_PREFIX = "probe-"  # prefix of the tags of health checks and pings on the wire
@@ -40,19 +40,23 @@
 
     Attributes:
         address: Address of the endpoint.
-        last_used_at: Time of the last send or receive.
-        last_received_at: Time of the last answer, or of the connect if there was none.
+        last_used_at: Time at which an attempt or health check was last sent or queued, or an answer
+            was last received.
+        last_received_at: Time of the last answer; before the first one, the time at which this
+            object was created.
         write_queue: Commands to be written.
         in_flight: Attempts and health checks without an answer, by their ids on the wire.
-        abandoned: Time at which an attempt was abandoned, by its id on the wire; an answer, or a
-            second answer, to such an attempt may still be received.
+        abandoned: Times at which attempts were abandoned, by their ids on the wire. An attempt is
+            abandoned if it is cancelled, or answered but not served. A late or second answer to it
+            may still be received, and must not be taken for an answer to another attempt.
         pinged_at: Send time of an unanswered ping; 0 if there is none.
         ping_backoff: Rule for how long the connection may be silent before it is pinged.
-        idle_timeout: Time after which the connection is closed if nothing is in flight.
+        idle_timeout: Duration in ms after `last_used_at` at which the connection is closed if
+            nothing is in flight.
         suspect_since: Time at which the connection became suspect; 0 if it is not suspect. A
-            connection becomes suspect if an attempt is cancelled or stuck, or a health check
-            expires, without an answer in the meantime. It is then not used for new attempts until
-            an answer is received.
+            connection becomes suspect if an attempt cannot be written in time, or if a health check
+            expires or an overdue attempt is cancelled and no answer was received since it was sent.
+            Nothing new is sent on a suspect connection until an answer is received.
     """
 
     def __init__(self, address: EndpointAddress, now: float, lock: threading.Lock) -> None:
@@ -101,7 +105,7 @@
     def silent_since(self) -> float:
         """Return the time since which the connection is silent with attempts in flight.
 
-        The result is infinity if no attempts are in flight.
+        The result is infinity if no attempts are in flight or the connection is not open yet.
         """
         first_sent_at = next(
             (
@@ -118,14 +122,19 @@
     def is_ping_overdue(self, now: float) -> bool:
         """Return whether a ping was not answered in time.
 
-        The timeout is doubled if bytes are unread, as the director may be late itself.
+        The timeout is doubled if bytes are unread: they may contain the answer, which the director
+        itself reads late.
         """
         if not self.pinged_at:
             return False
         return now > self.pinged_at + PING_TIMEOUT * (2.0 if self.has_unread_bytes() else 1.0)
 
     def needs_ping(self, now: float) -> bool:
-        """Return whether the connection has been silent for too long with attempts in flight."""
+        """Return whether a ping is due.
+
+        It is due if the connection has been silent for too long with attempts in flight, and no
+        earlier ping is unanswered.
+        """
         is_silent = now > self.silent_since() + self.ping_backoff.silence_before_ping(
             len(self.in_flight)
         )
@@ -137,7 +146,8 @@
         """Record that an answer was received.
 
         Args:
-            answered: The attempt or health check; None if the answer is to a ping or unknown.
+            answered: The attempt or health check that was answered; None if the answer is to a
+                ping, to an abandoned attempt, or to an unknown id.
             answer: The answer.
             now: The current time.
         """
@@ -146,7 +156,8 @@
         if isinstance(answered, Attempt):
             self.ping_backoff.record_response()
             if answer.outcome != Outcome.SERVED:
-                # A second answer must not be taken for the answer to the next attempt.
+                # A second answer must not be taken for the answer to the request's next attempt,
+                # which has the same id.
                 self.abandoned[answer.request_id] = now
         elif answered is None and self.pinged_at:
             self.ping_backoff.record_ping_answer()
@@ -154,7 +165,7 @@
         self.pinged_at = 0.0
 
     def expects_answer(self, wire_id: str) -> bool:
-        """Return whether an answer under an id that is not in flight is nevertheless expected."""
+        """Return whether an answer is expected although its id is not in flight."""
         return wire_id in self.abandoned or wire_id.startswith(HEALTH_CHECK_PREFIX)
 
     def mark_suspect(self, now: float) -> None:
@@ -162,7 +173,11 @@
         self.suspect_since = self.suspect_since or now
 
     def remove_overdue(self, now: float) -> None:
-        """Remove abandoned attempts and health checks whose answers are overdue."""
+        """Remove abandoned attempts and health checks whose answers are overdue.
+
+        The connection becomes suspect if nothing was received since a removed health check was
+        sent.
+        """
         self.abandoned = {
             wire_id: at for wire_id, at in self.abandoned.items() if now < at + ABANDONED_FOR
         }
@@ -173,7 +188,10 @@
                     self.mark_suspect(now)
 
     def withdraw_stuck_attempts(self, now: float, timeout: float) -> list[Attempt]:
-        """Remove and return attempts of which nothing could be written within the timeout."""
+        """Remove and return attempts of which nothing could be written within `timeout` ms.
+
+        If there are any, the connection becomes suspect.
+        """
         stuck = []
         for wire_id, attempt in list(self.in_flight.items()):
             if (
@@ -189,8 +207,8 @@
     def can_close(self, now: float) -> bool:
         """Return whether the connection should be closed.
 
-        Two conditions must hold: nothing is in flight, and the connection is either idle, or
-        suspect, or belongs to a removed endpoint.
+        Two conditions must hold: nothing is in flight, and the connection is suspect, has reached
+        its idle timeout, or belongs to a removed address.
         """
         return not self.in_flight and (
             self.address.is_removed
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -1,8 +1,9 @@
 """Connections to caches, parents and the origin.
 
-Calls do not block: data is written at once if possible, or else queued for the connection's own
-thread, which connects and writes the queue. Every attempt is reported to the coordinator exactly
-once: as answered, as not sent, or as lost with its connection.
+Calls do not block: data is written at once if possible, or else queued and written by another
+thread. That is the connection's own thread after it has connected, or later a thread of the write
+queue. Every attempt that is not cancelled is reported to the coordinator exactly once: as answered,
+as not sent, or as lost with its connection.
 """
 
 import errno
@@ -41,8 +42,9 @@
 
     Attributes:
         connect_timeout: Timeout for a connect, and for writing the first byte of an attempt.
-        shared_kinds: Kinds of endpoints that all directors share.
-        idle_timeouts: Idle timeouts of connections, by whether all directors share the endpoint.
+        shared_kinds: Kinds of endpoints that the directors of all locations share.
+        idle_timeouts: Idle timeouts of connections, by whether the endpoint's kind is one of
+            `shared_kinds`.
         run_request: Function that carries out the next steps of a request; set by the request
             handler.
         has_client_left: Function that returns whether the client of a request has disconnected or
@@ -50,8 +52,8 @@
             is the first one. Set by the request handler, and called with the lock held.
         connection_by_attempt: Connection and id on the wire of each attempt in flight; guarded by
             the lock.
-        failed_addresses: Addresses whose last connection failed, with the number of attempts lost
-            since then; guarded by the lock.
+        failed_addresses: Addresses to which no connection was opened since one failed, with the
+            number of attempts lost since that failure; guarded by the lock.
     """
 
     def __init__(
@@ -111,7 +113,7 @@
             if connection is None or connection.in_flight.pop(wire_id, None) is None:
                 return
             now = self.clock()
-            # A shorter silence does not indicate a fault of the connection.
+            # Silence for less than the connect timeout does not indicate a fault of the connection.
             is_overdue = now > attempt.sent_at + self.connect_timeout
             if connection.last_received_at < attempt.sent_at and is_overdue:
                 connection.mark_suspect(now)
@@ -147,8 +149,8 @@
 
         All attempts in flight on a closed connection are reported at once. The pings detect
         connections that stay open but no longer work, after a corrupt, truncated, endless or
-        missing answer. An endpoint that needs longer than PING_TIMEOUT to answer a ping loses the
-        connection.
+        missing answer. An endpoint that answers a ping after PING_TIMEOUT or later loses the
+        connection even if it works.
         """
         now = self.clock()
         with self.lock:
@@ -203,8 +205,8 @@
                     self.connection_by_attempt[item] = (connection, wire_id)
                 connection.write_queue.write(wire_id, pieces)
         if connection is None and isinstance(item, Attempt):
-            # The attempt is stale or no connection is available here. This is not a failure of the
-            # endpoint.
+            # The attempt is stale, or this director has no connection for it. This is not a failure
+            # of the endpoint.
             self._report(item, Outcome.NOT_SENT)
 
     def _connection_for(
@@ -237,8 +239,8 @@
     def _is_stale(self, item: InFlight, address: EndpointAddress) -> bool:
         """Return whether an attempt or health check must not be sent any more.
 
-        The caller holds the lock until the first byte is written, so that no cancellation, drain or
-        purge can be processed between this check and the write.
+        The caller holds the lock until the first byte is written, so that the attempt cannot be
+        cancelled between this check and the write.
         """
         if isinstance(item, HealthCheck):
             return not self._may_check_health(item, address)
@@ -247,7 +249,8 @@
         request = item.request
         is_first = not item.number
         if request.context is not None and self.has_client_left(request.context, is_first):
-            # The thread of the client's connection reports this as well, but possibly too late.
+            # The thread of the client's connection reports this as well, but possibly only after
+            # the attempt is written.
             self.coordinator.client_left(request)
         return not self.coordinator.can_begin(item)
 
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -37,9 +37,9 @@
         ]
 
     def fullness(self) -> float:
-        """Return the fraction of `max_connections` that is busy.
+        """Return the number of connections with items in flight, as a fraction of the maximum.
 
-        The result is 0 while the number of connections is below the eviction threshold.
+        The result is 0 while the total number of connections is below the eviction threshold.
         """
         with self.lock:
             if self.connection_count < connection_reuse.EVICTION_THRESHOLD * self.max_connections:
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -1,8 +1,8 @@
 """Non-blocking writes to a socket: bytes that cannot be written at once are queued.
 
 A thread writes the queue as soon as the socket is writable again. Before it writes the first byte
-of a queued message, it asks the owner of the queue whether the message is stale: the connect may
-have taken long, or the peer may not have read for a while.
+of a queued message, it asks the code that uses the queue whether the message is stale: the connect
+may have taken long, or the peer may not have read for a while.
 """
 
 import contextlib
@@ -16,9 +16,9 @@
 from typing import Generic, TypeVar
 
 Piece = memoryview | bytes
-Withdrawn = TypeVar("Withdrawn")  # the queue owner's representation of a withdrawn message
+Withdrawn = TypeVar("Withdrawn")  # what represents a withdrawn message to the user of the queue
 
-POLL_INTERVAL_MS = 250  # between two checks of a connection that is not writable
+POLL_INTERVAL_MS = 250  # maximum time between two checks of a socket that is not writable
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +40,7 @@
     """Queue of messages to be written to one connection.
 
     Attributes:
-        lock: Guards all other fields, and may also guard data of the queue's owner. It is not held
+        lock: Guards all other fields, and may also guard data of the queue's user. It is not held
             while a thread waits for the socket.
         connection: The socket; all messages are queued while it is None.
         pending: Queued pieces in the order of writing.
@@ -48,8 +48,8 @@
         is_writing: Whether a thread is writing the queue, so that no other thread may write.
         is_shut_down: Whether the queue was shut down and writes nothing more.
         find_stale: Callback that is called with the lock held before the first byte of a queued
-            message is written. It receives the message's owner, and returns the value for
-            `on_withdrawn` if the message must not be sent, or else None.
+            message is written. It receives the message's key (`PendingPiece.owner`). If the message
+            must not be sent, it returns the value for `on_withdrawn`, or else None.
         on_withdrawn: Callback that is called without the lock for each stale message.
     """
 
@@ -58,8 +58,8 @@
 
         Args:
             lock: Lock that guards the queue.
-            write_timeout_s: The connection is shut down if no byte could be written for this time;
-                None for no timeout.
+            write_timeout_s: The connection is shut down if no byte could be written for this time
+                in seconds; None for no timeout.
         """
         self.lock = lock
         self.write_timeout_s = write_timeout_s
@@ -74,7 +74,7 @@
     def write(self, owner: Hashable, pieces: list[Piece]) -> None:
         """Write as much of a message as possible and queue the remainder.
 
-        The caller holds the lock.
+        If the queue was shut down, the message is dropped. The caller holds the lock.
         """
         if self.is_shut_down:
             return
@@ -117,7 +117,7 @@
         """Set the connection after a successful connect, and write the queued messages.
 
         Returns:
-            False if the queue was shut down meanwhile.
+            False if the queue was shut down before; nothing is written then.
         """
         with self.lock:
             if self.is_shut_down:
@@ -160,7 +160,7 @@
                 self.connection.shutdown(how)
 
     def _write_pending(self) -> None:
-        """Write the queue until it is empty, in the writing thread.
+        """Write the queue until it is empty or shut down, in the writing thread.
 
         The caller must not hold the lock.
         """
@@ -190,7 +190,11 @@
                 self._wait_until_writable()
 
     def _withdraw_stale(self) -> list[Withdrawn]:
-        """Remove stale messages from the head of the queue; the caller holds the lock."""
+        """Remove stale messages from the head of the queue; the caller holds the lock.
+
+        Returns:
+            The values for `on_withdrawn`, one for each removed message.
+        """
         withdrawn = []
         while self.pending and not self.is_shut_down and self.pending[0].is_first:
             message = self.find_stale(self.pending[0].owner)
@@ -204,7 +208,7 @@
         """Write as much of the first piece as possible without blocking; the caller holds the lock.
 
         Returns:
-            False if the socket is not writable.
+            False if the socket is not writable. True after an error, which shuts down the queue.
         """
         entry = self.pending[0]
         assert self.connection is not None
