--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -27,7 +27,8 @@
     "lab": "mulleinrelay.lab.commands",
     "fleet": "mulleinrelay.membership.commands",
 }
-# Extras (optional dependencies) of command groups; the extra of any other group has its name.
+# Extras (optional dependencies) of command groups. The extra of a group that is not listed has the
+# name of the group.
 EXTRA_BY_GROUP = {"ctl": "management"}
 
 
--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -1,7 +1,7 @@
 """Parser of this project's INI files: cells, management, fleet, assignment and lab.
 
-`parse_sections` splits a text into sections. An `IniSection` then reads one section key by key,
-checks the format of each value, and finally rejects keys that were not read. Every error is a
+`parse_sections` splits a text into sections. An `IniSection` then reads one section key by key and
+checks the format of each value. It can finally reject keys that were not read. Every error is a
 `ConfigError` that names the section and the key, as in `[tenant acme] rate: expected a number of
 0 or more, found '-1'`.
 """
@@ -18,7 +18,8 @@
 Parsed = TypeVar("Parsed")
 
 NAME_PATTERN = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)
-NUMBER_LIMIT = 1e15  # exceeds all times in Unix milliseconds; as a maximum it means "no bound"
+# Exceeds all times in Unix milliseconds. Error messages do not name it as an upper bound.
+NUMBER_LIMIT = 1e15
 MAX_TEXT_BYTES = 64_000_000
 MAX_PORT = 65_535
 
@@ -116,7 +117,7 @@
 
 
 def parse_sections(text: str) -> dict[str, dict[str, str]]:
-    """Return the texts of each section by key, in the order of the file.
+    """Return the sections by title, in the order of the file; each maps keys to texts.
 
     Raises:
         ConfigError: If the text is too long or not a valid INI file.
@@ -155,7 +156,7 @@
 
 
 def load_ini(path: str, parse: Callable[[str, str], Parsed]) -> Parsed:
-    """Read and parse a file.
+    """Read a file and return its parsed content.
 
     Args:
         path: Path of the file.
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -82,7 +82,7 @@
         return ConfigError(reason, key=self.path_of(key))
 
     def read(self, key: str, form: ValueForm, default: Any = REQUIRED) -> Any:
-        """Return the value of a key, which must have one of the types of `form`."""
+        """Return the value of a key; the value must have one of the types of `form`."""
         value = self.values.get(key, default)
         if value is REQUIRED:
             raise self.error(key, "the key is missing")
@@ -120,7 +120,7 @@
         return self.read(key, LIST)
 
     def item(self, key: str, position: int, form: ValueForm) -> Any:
-        """Return the entry at a position of a required list."""
+        """Return one entry of a required list; the entry must have one of the types of `form`."""
         entries = self.items(key)
         if position >= len(entries):
             raise self.error(key, f"entry {position} is missing")
@@ -133,7 +133,7 @@
         return JsonSection(self.read(key, OBJECT), self.path_of(key))
 
     def optional_section(self, key: str) -> "JsonSection":
-        """Return an object, which is empty if the key is missing."""
+        """Return an object, or an empty one if the key is missing."""
         return self.section(key) if key in self.values else JsonSection({}, self.path_of(key))
 
     def sections(self, key: str) -> list["JsonSection"]:
@@ -151,13 +151,13 @@
         return host, int(port)
 
 
-# Keys of the initial fraction, the duration and the overload factor
+# Keys of the initial fraction, the duration and the overload factor of a slow start
 CACHE_SLOW_START_KEYS = ("coldFrom", "cold", "fallMultiple")
 PARENT_SLOW_START_KEYS = ("parentStartsAt", "parentWarmsIn", "parentLimitFactor")
 
 
 def parse_service_settings(start: JsonSection) -> ServiceSettings:
-    """Return the start settings in the terms of the policy.
+    """Return the start settings, which the platform passes to each director, as policy settings.
 
     Raises:
         ConfigError: If a key is missing or its value has a wrong type.
@@ -203,6 +203,7 @@
     """Read a slow start policy.
 
     `keys` are the keys of the initial fraction, the duration and the overload factor.
+    `overload_window` is in ms.
     """
     fraction_key, duration_key, factor_key = keys
     return SlowStartPolicy(
@@ -251,16 +252,16 @@
         listen: Host and port for clients.
         seed: Seed of the random number generators.
         memory_mb: Memory limit of the director, MB.
-        max_descriptors: Maximum number of file descriptors.
+        max_descriptors: Maximum number of file descriptors that the director may use.
         event_stream_address: Host and port of the event stream.
         last_event_number: Number of the last event in `known_events`.
-        known_events: Events from before the start, parsed from JSON.
+        known_events: Events of the event stream from before the start, parsed from JSON.
         settings: Settings of the service for the policy.
         request_classes: Request classes by their names on the wire.
         zones: Zone numbers by name.
         kinds: Numbers of the kinds of endpoints by name.
         connect_timeout: Timeout for a connect to an endpoint.
-        idle_timeout: Time after which endpoints close an idle connection.
+        idle_timeout: Time after which endpoints close an idle connection of a director.
         max_attempts_per_connection: Maximum number of attempts in flight on one connection.
         prefers_open_connections: Whether opening a connection to an endpoint costs more than
             keeping one open.
@@ -340,7 +341,7 @@
 
     Args:
         environment: Environment variables, of which LB_CONFIG names the file.
-        path: Path of the file; None to use LB_CONFIG.
+        path: Path of the file; None or empty to use LB_CONFIG.
 
     Raises:
         ConfigError: If no file is named, or the file cannot be read or is invalid.
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -1,6 +1,6 @@
 """One director from start to exit.
 
-It is independent of signals and environment variables, which `process` handles.
+This module is independent of signals and environment variables, which `process` handles.
 """
 
 import threading
@@ -24,7 +24,8 @@
     from .membership.config import FleetConfig
     from .membership.service import MembershipService
 
-# Fractions of the file descriptors. The others are for the event stream, management and files.
+# Fractions of the file descriptors for connections of clients and for upstream connections. The
+# remaining descriptors are for the event stream, management and files.
 CLIENT_FRACTION = 0.5
 UPSTREAM_FRACTION = 0.4
 
@@ -32,13 +33,13 @@
 PING_INTERVAL = 25.0  # ms between two searches for silent upstream connections
 TIMER_ERROR_WAIT_S = 0.05  # wait after an error in the thread of the timers
 
-# The platform ends a drain DRAIN_GRACE_S after the longest client timeout, of which at most
-# MAX_CLIENT_TIMEOUT_S count.
+# The platform limits the duration of a drain to the longest client timeout, of which at most
+# MAX_CLIENT_TIMEOUT_S count, plus DRAIN_GRACE_S. The limit is called the end of the drain here.
 NEW_CALLS_S = 1.0  # from the beginning of the drain; clients still send calls during this time
 MAX_CLIENT_TIMEOUT_S = 3.0
 DRAIN_GRACE_S = 0.7
 FINAL_ANSWERS_S = 0.5  # before the end of the drain, when all open requests get a final answer
-EXIT_S = 0.2  # before the end of the drain, when the process exits
+EXIT_S = 0.2  # before the end of the drain, when the director stops at the latest
 DRAIN_POLL_S = 0.02
 
 
@@ -57,9 +58,9 @@
     Attributes:
         phase: Current phase of the life cycle.
         stop_requested: Set by `stop`.
-        stopped: Set when the drain is finished.
+        stopped: Set when the drain is finished and all components are stopped.
         cell_service: Service that confines tenants to cells; None if it is off.
-        gnmi_server: Server for management by gNMI, built at the start; None if it is off.
+        gnmi_server: Server for management by gNMI; None before `start` builds it, or if it is off.
         membership: Service that communicates with other directors; None if it is off.
     """
 
@@ -86,7 +87,8 @@
         self.config = config
         self.log = log
         self.phase = Phase.STARTING
-        # Computed only once, so that steps of the system clock do not affect the timers.
+        # Unix milliseconds minus monotonic milliseconds. The difference is computed only once, so
+        # that steps of the system clock do not affect the timers.
         self.clock_offset = time.time() * 1000.0 - time.monotonic() * 1000.0
         self.stop_requested = threading.Event()
         self.stopped = threading.Event()
@@ -151,8 +153,11 @@
         """Start all components; return when the director is ready for requests.
 
         Raises:
-            OSError: If the address for clients cannot be listened on.
-            RuntimeError: If management cannot be started.
+            OSError: If the address for clients or for other directors cannot be listened on, or a
+                certificate of management cannot be read.
+            RuntimeError: If the address of management cannot be listened on.
+            StoreError: If the stored data of management cannot be read.
+            CommitRejectedError: If the stored configuration of management cannot be applied.
         """
         self.event_stream.start()
         if self.cell_service is not None:
@@ -169,7 +174,7 @@
     def reload(self, config: DirectorConfig) -> None:
         """Apply the parts of a new configuration that can change while the director runs.
 
-        These are the address of the event stream and the known events.
+        These are the address of the event stream and the known events. The other parts are ignored.
         """
         host, port = config.event_stream_address
         self.log.event("configuration read", bus=f"{host}:{port}")
@@ -209,7 +214,8 @@
                 and not self.coordinator.pending_count()
                 and not self.listener.has_pending_writes()
             )
-            # The drain goes on if another call has arrived, or if a connection is not closed yet.
+            # `drain` returns False if a connection is not closed yet, for example because another
+            # call has arrived. The drain then goes on.
             if is_idle and self.listener.drain():
                 return
             if elapsed >= duration - FINAL_ANSWERS_S:
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -14,7 +14,8 @@
 from .structured_log import StructuredLog
 
 THREAD_STACK_BYTES = 128 * 1024  # for each thread; only touched pages use memory
-# Waits before an invalid configuration is read again, as it may be only partly written.
+# Waits after each failed read of the configuration, which may be only partly written. The last wait
+# is followed by no further read.
 RETRY_WAITS_S = (0.05, 0.2, 0.0)
 
 EXIT_DONE = 0
@@ -73,10 +74,10 @@
 
 
 def _load_config_within_limits(path: str | None) -> DirectorConfig:
-    """Read the configuration and limit its file descriptors to the process limit.
+    """Read the configuration and reduce its `max_descriptors` to the limit of the process.
 
-    Without this limit, clients and upstream connections could use up all descriptors, and the event
-    stream would get none.
+    Otherwise clients and upstream connections could use up all descriptors, and the event stream
+    would get none.
     """
     config = load_config(os.environ, path)
     allowed_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -169,7 +170,10 @@
 
 
 def reload_configuration(director: Director, log: StructuredLog, path: str | None) -> None:
-    """Read the configuration again; keep the current one if all attempts fail."""
+    """Read the configuration again, several times if it is invalid, and apply it.
+
+    Keep the current one if all reads fail.
+    """
     reason = ""
     for wait_s in RETRY_WAITS_S:
         try:
