--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -36,7 +36,8 @@
 def test_no_request_starts_for_client_that_sent_many_and_disconnected(
     call_count, allow_client_reads
 ):
-    # Attempts must not start long after their client has closed its connection.
+    # The director reads the calls only after the client has closed its connection. It must not send
+    # attempts for them.
     with RunningDirector() as running:
         leaving_client, staying_client = running.connect_client(), running.connect_client()
         for number in range(call_count):
@@ -63,8 +64,8 @@
 
 @pytest.mark.parametrize("action", [*LEAVE_ACTIONS, "calls", "cancels another"])
 def test_no_retry_starts_if_disconnect_or_cancellation_is_still_unread(action, monkeypatch):
-    # If the director is short of CPU time, the threads of its upstream connections may run before
-    # the thread of the client.
+    # The thread of an upstream connection retries a rejected attempt. If the director is short of
+    # CPU time, this may happen before the client's thread reads the disconnect or the cancellation.
     has_left = threading.Event()
     resume_reading = hold_calls(
         monkeypatch, ClientConnection, "read_calls", lambda connection: connection.has_called
@@ -89,8 +90,8 @@
 
 @pytest.mark.parametrize("leave_action", ["forget", "close"])
 def test_nothing_is_sent_if_client_leaves_while_its_request_waits_for_the_coordinator(leave_action):
-    # The request was read, but its thread is delayed: here by the coordinator's lock, in production
-    # possibly by a lack of CPU time.
+    # The request was read, but the thread that starts it is delayed: here by the coordinator's
+    # lock, in production possibly by a lack of CPU time. The client leaves meanwhile.
     with RunningDirector() as running:
         client, other_client = running.connect_client(), running.connect_client()
         other_client.send()
@@ -114,6 +115,8 @@
 
 
 def test_cancellation_that_is_read_but_not_handled_prevents_retry(monkeypatch):
+    # A retry must not be sent after the client's thread has read the cancellation of the request,
+    # even if the thread has not handled the cancellation yet.
     has_left = threading.Event()
     resume = hold_calls(
         monkeypatch,
@@ -163,6 +166,8 @@
 
 
 def test_client_that_sends_unreadable_bytes_and_disconnects_is_removed():
+    # After unreadable bytes, the director waits until open requests are answered. The wait must end
+    # when the client disconnects.
     with RunningDirector(None) as running:
         client = running.connect_client()
         client.send()
@@ -174,8 +179,8 @@
 
 
 def test_result_before_request_is_registered_is_answered_once(monkeypatch):
-    # If the result comes before the request's sequence number is registered, the answer must not be
-    # dropped, and the number must not stay registered forever.
+    # Another thread finishes the request before the client's thread has stored it in
+    # `open_requests`. The answer must not be dropped, and the request must not stay open forever.
     accept = RequestCoordinator.accept
 
     def accept_and_finish(coordinator, *arguments, **keywords):
@@ -224,7 +229,7 @@
             call_frame("isWell", 9, b"\0"),
         )
         client.socket.sendall(cancel_frame(1) + unreadable_call + health_call)
-        # Cancellations of finished calls and invalid cancellations are ignored.
+        # Cancellations of finished calls and invalid cancellations are not answered.
         assert client.read_answer()[:2] == (9, 0)
 
 
@@ -267,7 +272,7 @@
     [
         (False, 0.0, False, 1.5, False),
         (False, 0.0, False, 2.5, True),
-        # The first call has been received byte by byte since 900 s.
+        # The first call is incomplete; its first bytes were received at 900 s.
         (False, 900.0, False, 2.5, True),
         (True, 0.0, False, 4.5, False),
         (True, 0.0, False, 6.5, True),
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -21,8 +21,8 @@
 
 
 def test_call_that_arrives_at_the_end_of_a_drain_is_answered(monkeypatch):
-    # A call may arrive between the check that no answer is outstanding and the close of the
-    # connections.
+    # A call may arrive after the check that no answer is outstanding and before the connections are
+    # closed. It must be answered before the drain ends.
     has_pending_writes, late_calls = ClientListener.has_pending_writes, []
 
     def send_late_call(listener):
@@ -74,8 +74,9 @@
 
 
 def test_call_that_crosses_half_close_is_neither_started_nor_reset():
-    # Closing the socket with unread bytes could lose the last answer. If the call was executed, the
-    # client's retry on a new connection would execute it twice.
+    # The client sends a second call before it notices the half-close. Closing the socket with
+    # unread bytes could lose the first answer. If the second call were executed, the client's retry
+    # on a new connection would execute it twice.
     with RunningDirector() as running:
         client = running.connect_client()
         client.send()
@@ -87,7 +88,7 @@
         (connection,) = running.director.listener.clients
         connection.close_if_idle()
         client.send()
-        time.sleep(0.02)  # time for the bytes to be read; an answer or a reset would arrive by now
+        time.sleep(0.02)  # enough for the director to read the call and to answer or reset
         assert client.read_answer() == (1, 0, {}, b"bytes")
         with pytest.raises(EOFError):
             client.read_answer()
@@ -160,6 +161,7 @@
 
 def test_flood_of_bad_calls_closes_the_connection_and_is_logged(allow_client_reads):
     # A client that floods its connection is never idle, because unread bytes are always pending.
+    # The connection must therefore be closed because of its bad calls.
     with RunningDirector() as running:
         flooding_client, other_client = running.connect_client(), running.connect_client()
         for _ in range(200):
@@ -237,7 +239,8 @@
 
 
 def test_flood_of_connections_evicts_no_active_client(monkeypatch):
-    # One closed connection must not admit many new ones, which would use up the descriptors.
+    # Several new connections must not be accepted for one that is evicted, or the descriptors would
+    # be used up.
     monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 0.5)
     with RunningDirector() as running:
         listener, max_count = running.director.listener, 0
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -383,8 +383,8 @@
 @pytest.mark.parametrize("step_size", [1, 2, 3, 1000])
 @pytest.mark.parametrize("line_end", [b"\n", b"\r\n", b"\r"])
 def test_lines_of_events_may_end_in_any_way(line_end, step_size):
-    # A line that ends with CR must be complete without the next byte, or its drain would be
-    # delayed.
+    # A line that ends with CR must be complete without the next byte. Otherwise a drain in the
+    # event would be delayed until more bytes arrive.
     decoder, events = sse.SseDecoder(), []
     data = (
         HEAD
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -97,7 +97,8 @@
 
 
 def test_drain_is_received_after_three_silent_connections(monkeypatch):
-    # Announced drains must be obeyed after 7 s. All times are scaled down to a tenth.
+    # A drain must be obeyed within 7 s of its announcement, even if three connections in a row are
+    # silent. All times are scaled down to a tenth.
     for name in ("SILENCE_TIMEOUT_S", "HEAD_TIMEOUT_S", "LINE_TIMEOUT_S"):
         monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
     with RunningDirector(
@@ -128,7 +129,7 @@
         snapshot = stream_event(
             number, endpoint_list_update(running, "SERVING", "s-03", "s-11", "s-21", full=True)
         )
-        # Later connections take the next scripts.
+        # Later connections take these scripts, one each.
         assert wait_for(lambda: running.event_stream.last_event_ids)
         running.event_stream.scripts += [
             [RESPONSE_HEAD, snapshot],
@@ -232,7 +233,8 @@
         running.director.reload(
             replace(running.director.config, event_stream_address=new_address, known_events=[drain])
         )
-        # The drain is applied while the stream's thread is blocked, as its grace period has begun.
+        # The drain's grace period has begun, so the drain is applied although the stream's thread
+        # is blocked.
         assert running.director.coordinator.endpoint_updates["s-01"].state == EndpointState.DRAINING
         allow_connecting.set()
         assert wait_for(lambda: running.director.event_stream.last_event_number == 3)
@@ -245,7 +247,7 @@
         stream = running.director.event_stream
         stream.read_configured_address = lambda: 1 / 0
         stream.reconnect_backoff.begin_lookup_if_due = lambda now: True
-        # The script is repeated, as the connection that `reconnect_to` closes may use one.
+        # The script is repeated, because a connection that `reconnect_to` closes may use up one.
         running.event_stream.scripts += [[RESPONSE_HEAD, stream_event(2, PURGE), None]] * 9
         stream.reconnect_to(stream.address)
         assert wait_for(
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -26,8 +26,8 @@
 
 def test_director_catches_up_before_it_is_healthy(monkeypatch):
     # Without catching up, the first requests would use an outdated endpoint list: the grace period
-    # of a drain that was announced during the start may be over. The stream sends nothing until the
-    # listener has answered a health check.
+    # of a drain that was announced during the start may be over. Here the stream sends nothing
+    # until the listener has answered a health check.
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.5)
     drain = stream_event(
         2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
@@ -136,7 +136,7 @@
             3 + 1,
             0,
         ),
-        # The missing events are never sent.
+        # The missing events are never sent; after the reconnect, the later events are applied.
         (
             [
                 [RESPONSE_HEAD, stream_event(4, PURGE)],
@@ -194,7 +194,7 @@
             1,
             0,
         ),
-        # An incomplete event, then the complete one
+        # The connection ends within an event, which is then sent again completely.
         (
             [
                 [RESPONSE_HEAD, stream_event(2, PURGE)[:-1]],
@@ -204,7 +204,7 @@
             1,
             0,
         ),
-        # Purges in a gap before a full snapshot
+        # Purges that are missing before a full snapshot are applied before it.
         (
             [
                 [RESPONSE_HEAD, stream_event(4, SNAPSHOT)],
@@ -256,7 +256,7 @@
     with RunningDirector(event_stream=event_stream_server) as running:
         assert wait_for(
             lambda: len(event_stream_server.last_event_ids) > len(last_event_ids)
-        )  # the director reconnects when the script becomes silent
+        )  # the director reconnects when the last script becomes silent
         assert event_stream_server.last_event_ids[: len(last_event_ids)] == last_event_ids
         assert (
             event_stream_server.last_event_ids[len(last_event_ids)]
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def allow_connecting(monkeypatch):
-    """Block the opening of upstream connections until the returned event is set."""
+    """Return an event; upstream connections are not opened until it is set."""
     yield (resume := hold_calls(monkeypatch, UpstreamConnections, "_run"))
     resume.set()
 
@@ -67,8 +67,8 @@
 def test_queued_attempt_obeys_later_endpoint_updates_and_purges(
     request_class, change, allow_connecting
 ):
-    # Queued attempts must not reach endpoints that were announced as draining or gone, nor accept
-    # copies from before a purge.
+    # Queued attempts must not be sent to endpoints that were meanwhile announced as draining or
+    # gone, and must not accept copies from before a purge.
     with RunningDirector() as running:
         client = running.connect_client()
         client.send(request_class)
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -172,7 +172,7 @@
         for _ in range(3):
             client.send(patience="500")
         number, result, fields = client.read_answer()[:3]
-        # Without capacity, the request is rejected at once.
+        # The third request is rejected at once, as there is no capacity for it.
         assert (number, result) == (3, 1) and 50 <= int(fields["pause"]) <= 150
         idle_client.socket.sendall(IS_WELL_CALL)
         assert idle_client.read_answer()[1] == 0
@@ -189,7 +189,7 @@
         page_client, order_client = running.connect_client(), running.connect_client()
         for _ in range(20):
             page_client.send(patience="3000")
-        assert [page_client.read_answer()[1] for _ in range(13)] == [1] * 13  # rejected at once
+        assert [page_client.read_answer()[1] for _ in range(13)] == [1] * 13  # the rejected pages
         assert running.director.coordinator.pending_count() == 7
         order_client.send("order", patience="3000")
         assert wait_for(lambda: running.director.coordinator.pending_count() == 8)
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -24,8 +24,9 @@
 
 
 def test_late_second_answer_is_not_taken_for_the_next_attempt():
-    # The second answer must not be taken for a miss of the running attempt, which would be
-    # repeated.
+    # An endpoint answers the first attempt twice. The second answer, a miss, arrives while the next
+    # attempt of the request is in flight under the same id. If it were taken for the answer to this
+    # attempt, the request would be attempted a third time.
     send_second = threading.Event()
 
     class TwoAnswersEndpoint(StandInEndpoint):
@@ -61,7 +62,8 @@
         assert wait_for(running.commands)
         (attempt,) = upstream.connection_by_attempt
         upstream.cancel(attempt)
-        # The health check follows the cancellation on the same connection.
+        # The health check follows a cancellation on the same connection. Once it is received, a
+        # cancellation has been received, too.
         upstream.check_health(attempt.endpoint, attempt.addresses[0][1])
         assert (
             wait_for(lambda: running.commands("METER"))
@@ -74,7 +76,8 @@
 def test_cancellation_that_cannot_be_written_closes_connection_without_hedging(
     allows_hedging,
 ):
-    # The next attempt must not overtake the cancellation of the first one.
+    # Without hedging, only one attempt may be in flight, so the next attempt must not overtake the
+    # cancellation of the first one.
     with RunningDirector(None, allowed={"mayDuplicate": allows_hedging}) as running:
         upstream, address = (
             running.director.upstream,
@@ -95,7 +98,8 @@
 
 
 def test_lack_of_descriptors_is_not_blamed_on_endpoints(monkeypatch):
-    # If idle clients use up the file descriptors, endpoints must not be ejected for it.
+    # If idle clients use up the director's file descriptors, no upstream connection can be opened.
+    # Endpoints must not be ejected for this.
     class SocketsExhausted:
         def __getattr__(self, name):
             return getattr(socket, name)
@@ -205,8 +209,8 @@
 @pytest.mark.parametrize("plan", ["cut", answer_nothing])
 def test_broken_connection_is_closed_and_its_attempts_are_retried_elsewhere(plan, monkeypatch):
     # Requests must not wait until their deadline on a connection that stays open after an
-    # incomplete answer or does not answer at all.
-    # The ping must detect the fault before the router's timer does.
+    # incomplete answer or does not answer at all. With this short silence before a ping, the ping
+    # detects the fault before the router's timer does.
     monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", 100.0)
     with RunningDirector() as running:
         client, caches = running.connect_client(), running.endpoints[:3]
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -17,7 +17,8 @@
 
 
 def test_attempt_that_could_not_be_written_is_withdrawn_in_time():
-    # A stalled connection must not send an attempt seconds later, after a drain or a purge.
+    # An attempt that is queued on a stalled connection must not be sent seconds later, possibly
+    # after a drain or a purge.
     with RunningDirector() as running:
         upstream, address = (
             running.director.upstream,
@@ -73,8 +74,8 @@
 
 
 def test_idle_connections_are_evicted_for_attempts_to_other_endpoints():
-    # When the limit of connections is reached, idle connections must not block new connections to
-    # other endpoints.
+    # When the director has as many upstream connections as it may, idle ones must not prevent new
+    # connections to other endpoints.
     with RunningDirector(HIT_ANSWER) as running:
         running.director.upstream.max_connections = 3
         client = running.connect_client()
