--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
-MAX_THREAD_JOBS = 3  # at a time; more fleets at once would be late
+MAX_THREAD_JOBS = 3  # at a time; more fleets at once would fall behind their schedules
 MAX_PROCESS_JOBS = 3  # at a time
 
 
@@ -31,14 +31,14 @@
 def skip_catch_up(monkeypatch):
     """Let directors start without waiting for missed events of the event stream.
 
-    The stand-in sends all events together with the head of the response.
+    The wait is not needed, because the stand-in sends all events together with the response head.
     """
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.0)
 
 
 @pytest.fixture
 def short_drains(monkeypatch):
-    """Let drains end at once if no request is open."""
+    """Let drains end as soon as no request is open, without a minimum wait for further calls."""
     monkeypatch.setattr(director, "NEW_CALLS_S", 0.0)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,9 +43,10 @@
 from mulleinrelay.policy.router import Router
 
 CACHE, PARENT, ORIGIN = 0, 2, 3  # kinds of endpoints in RouterFixture
-HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")  # word, fields and body
+# Answer of an endpoint after the request id: word, fields and body.
+HIT_ANSWER = (b"DONE", b"why=HIT,entity=aa,issued=1", b"bytes")
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"  # start of the response that carries the event stream
-PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}  # data of an event
+PURGE = {"ban": {"url": "00000000000000ab", "ts": 1}}  # data of an event of the event stream
 PROJECT_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
 
@@ -59,7 +60,7 @@
         return lambda *arguments: self.entries.append((name, arguments))
 
     def take(self, name):
-        """Remove all actions of this name and return their arguments."""
+        """Remove all recorded actions of this name and return their arguments."""
         taken = [arguments for action, arguments in self.entries if action == name]
         self.entries = [entry for entry in self.entries if entry[0] != name]
         return taken
@@ -68,7 +69,9 @@
 class RouterFixture:
     """Router with three caches, two parents and an origin, and a manual clock in ms.
 
-    The parameter `after` of a method is the time that passes before the event.
+    The constructor's `cache_started_at` is the start time of the first cache in ms (None: 0, long
+    before the clock's time), and `changes` replace settings of the service. The parameter `after`
+    of a method is the time in ms that passes before the event.
     """
 
     def __init__(
@@ -245,8 +248,9 @@
     """Return a director's configuration as parsed JSON.
 
     Args:
-        addresses: Addresses of the endpoints in the order of ENDPOINTS; empty for unused addresses.
-        event_stream_address: Address of the event stream.
+        addresses: Addresses of the endpoints in the order of ENDPOINTS; empty to use addresses at
+            which nothing listens.
+        event_stream_address: Address of the event stream; by default, nothing listens there.
         listen: Address for clients.
         changes: Changes of the start settings, as in `start_settings`.
     """
@@ -330,13 +334,16 @@
         return copy
 
     def run_to_result(self, request):
-        """Take the steps of a request until its result, and return the result."""
+        """Take the steps of a request without carrying them out, and return its result.
+
+        The return value is None if the request has no result yet.
+        """
         while isinstance(step := self.coordinator.next_step(request), SendAttempt | CancelAttempt):
             pass
         return step
 
     def advance_time(self, duration):
-        """Advance the clock and run each timer at its time."""
+        """Advance the clock by `duration` ms and run each timer when it is due."""
         end = self.now + duration
         while (due := self.coordinator.run_due_timers()[0]) <= end:
             self.now = max(self.now, due)
@@ -344,7 +351,7 @@
 
 
 def call_frame(method, number, arguments, kind=thrift.CALL):
-    """Encode a call with its frame length."""
+    """Encode a call as a frame with its length prefix."""
     name = method.encode()
     message = (
         struct.pack(">Ii", thrift.VERSION | kind, len(name))
@@ -356,7 +363,7 @@
 
 
 def serve_frame(number, fields, body=b""):
-    """Encode a request with its frame length."""
+    """Encode a request as a frame with its length prefix."""
     pairs = b"".join(
         struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
     )
@@ -417,8 +424,8 @@
 class StandInServer:
     """Server on a loopback port (0 for a free one) with a thread for each connection.
 
-    A subclass implements `serve_connection`, which ends with an OSError when the connection is
-    closed.
+    A subclass implements `serve_connection`, which runs in the connection's thread. It may raise
+    OSError when the connection is closed.
     """
 
     def __init__(self, port=0):
@@ -506,7 +513,8 @@
     """Event stream that serves each connection with the next script.
 
     A script is a list of byte strings to send. None in a script waits until the client closes the
-    connection. `last_event_ids` lists the event number in the request of each connection.
+    connection. If no script is left, only a response head is sent before this wait.
+    `last_event_ids` lists the event number in the request of each connection.
     """
 
     def __init__(self, *scripts, port=0):
@@ -609,7 +617,7 @@
     """Director on loopback with a StandInEndpoint for each of ENDPOINTS.
 
     It is a context manager: the director is started at the beginning of the block and drained at
-    the end.
+    the end. All endpoints have the same plan, and `changes` are passed to `platform_configuration`.
     """
 
     def __init__(self, plan=HIT_ANSWER, event_stream=None, **changes):
@@ -652,7 +660,7 @@
 
 
 def wait_for(condition, timeout_s=5.0):
-    """Wait until a condition is true or the timeout expires; return the last result."""
+    """Wait until a condition is true or the timeout expires; return the condition's last result."""
     end = time.monotonic() + timeout_s
     while not condition() and time.monotonic() < end:
         time.sleep(0.01)
@@ -669,8 +677,8 @@
 def hold_calls(monkeypatch, owner, name, condition=lambda *_, **__: True):
     """Block calls of a method until the returned event is set.
 
-    Only calls whose arguments fulfil the condition are blocked. The event has an attribute
-    `reached`, an event that is set when the first call is blocked.
+    Only calls whose arguments fulfil the condition are blocked, for at most 10 s each. The returned
+    event has an attribute `reached`, an event that is set when the first call is blocked.
     """
     resume, method = threading.Event(), getattr(owner, name)
     resume.reached = threading.Event()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -43,8 +43,8 @@
     ],
 )
 def test_signal_before_the_program_handles_signals(signals, becomes_ready, tmp_path):
-    # A SIGHUP that is sent to all directors for a new configuration must not end a director that is
-    # just starting.
+    # A SIGHUP that is sent to all directors because of a new configuration must not end a director
+    # that is just starting.
     file, project_root = tmp_path / "config.json", Path(PROJECT_ROOT)
     file.write_text(json.dumps(platform_configuration()))
     command = tomllib.loads((project_root / "deploy" / "balancer.toml").read_text())["run"]
@@ -165,6 +165,8 @@
 
 
 def test_moved_event_stream_is_found_without_a_signal(tmp_path):
+    # The signal to reload the configuration may be lost. A director whose event stream refuses
+    # connections must then read the new address itself.
     old_stream, new_stream = StandInEventStream(), StandInEventStream()
     file = tmp_path / "config.json"
     file.write_text(json.dumps(platform_configuration(event_stream_address=old_stream.address)))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("command", COMMANDS)
 def test_a_command_shows_the_same_for_stored_files(command, tmp_path, monkeypatch):
-    """The clock is set to the time of the records, and a fleet file names the stored records."""
+    """Run the command at the time of the records, with a fleet file that names their folder."""
     expected = EXPECTED["commands"][command]
     monkeypatch.setattr(time, "time", lambda: expected["at"])
     monkeypatch.chdir(DATA)
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -27,9 +27,9 @@
 def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
     configured_descriptors, descriptors, tmp_path
 ):
-    # The process limit may be lower than the configured one. When the event stream is available
-    # again, the director must have descriptors left for it, for upstream connections and for
-    # clients. Descriptors and threads of closed connections must be released.
+    # The limit of the process may be lower than the configured one. When the event stream becomes
+    # available, the director must have descriptors left for the stream, for upstream connections
+    # and for clients. Descriptors and threads of closed connections must be released.
     endpoints, stream_port, client_port = (
         [StandInEndpoint(HIT_ANSWER) for _ in ENDPOINTS],
         free_port(),
