--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -3,9 +3,9 @@
 A connection is closed in one of two ways:
 
 - A connection on which a call was received is normally half-closed once no answer is outstanding:
-  its writing side is shut down, and the bytes that the client still sends are read and discarded
-  until the client closes too or the lingering close times out. Closing a socket that has unread
-  bytes would reset the connection, and the client could lose the last answer.
+  its writing side is shut down, and the bytes that the client still sends are read and discarded.
+  This lingering close ends when the client closes too, or after `LINGER_S`. Closing a socket that
+  has unread bytes would reset the connection, and the client could lose the last answer.
 - A connection is shut down in both directions at once if its client has disconnected or does not
   read its answers, if no call was received on it, if a new client needs its slot, or if the
   director stops.
@@ -254,7 +254,7 @@
                 self._enforce_unread_limit()
 
     def _enforce_unread_limit(self) -> None:
-        """Shut down the connection if too many answers are unread; the caller holds the lock.
+        """Shut down the connection if too many pieces are queued; the caller holds the lock.
 
         Without this limit, small answers that the client does not read would fill the memory.
         """
@@ -277,7 +277,7 @@
             self.write_queue.shut_down()
 
     def close_if_idle(self, lingers: bool = True) -> bool:
-        """Close the connection unless an answer is outstanding or bytes are unread.
+        """Close the connection unless it is closed, an answer is outstanding or bytes are unread.
 
         Unread bytes may be a call.
 
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -81,7 +81,7 @@
         that was closed.
 
         Returns:
-            Whether all connections are closed.
+            Whether all connections are closed and the accept loop has ended.
         """
         if self.listener is not None:
             listener = self.listener
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -21,12 +21,12 @@
 from ..structured_log import StructuredLog
 from . import sse
 
-SILENCE_TIMEOUT_S = 2.5  # without any bytes; the server sends a comment every second
+SILENCE_TIMEOUT_S = 2.5  # without any bytes; the server sends a comment line every second
 # For the connect, and then again until the response head is complete. Three silent connections in a
 # row must fit into 7 s.
 HEAD_TIMEOUT_S = 1.5
 LINE_TIMEOUT_S = 5.0  # from one complete line to the next, even if bytes trickle in between
-CATCH_UP_TIMEOUT_S = 0.25  # from the response head; the server sends missed events right after it
+CATCH_UP_TIMEOUT_S = 0.25  # after the response head; the server sends missed events right after it
 RECEIVE_BYTES = 65_536  # buffer size of one read
 
 NumberedEvent = tuple[int | None, Any]  # number in the `id` line, and data parsed from JSON
@@ -48,7 +48,8 @@
             they are skipped. After a gap in the events of a configuration file, the value is -1:
             the stream may have the missing events, so a gap in the stream after the same event
             raises GapError again.
-        lock: Guards `last_event_number` while an event is applied.
+        lock: Held while events are applied, as the stream's thread and `reconnect_to` both apply
+            events and change `last_event_number`.
         connection: The most recent socket; None before the first connection.
         read_configured_address: Function that returns the stream's address in the current
             configuration file, or None if the file cannot be read.
@@ -94,9 +95,9 @@
         """Wait until missed events were probably received, or cannot be received.
 
         The server sends missed events right after the response head. The wait therefore ends
-        `CATCH_UP_TIMEOUT_S` after the head, or earlier if there is no head or the first connection
-        has ended. With an outdated endpoint list, a new director would send its first requests to
-        endpoints that were announced as draining while it started.
+        `CATCH_UP_TIMEOUT_S` after the head, when the first connection has ended, or after
+        `HEAD_TIMEOUT_S` without a head. With an outdated endpoint list, a new director would send
+        its first requests to endpoints that were announced as draining while it started.
         """
         if self.head_received.wait(HEAD_TIMEOUT_S):
             self.first_connection_ended.wait(CATCH_UP_TIMEOUT_S)
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -25,7 +25,7 @@
 
 
 class AdmissionControl(Protocol):
-    """Interface for the admission of client connections, and of requests before the coordinator.
+    """Interface that admits or rejects client connections, and requests before they are routed.
 
     An admitted request may be confined to a pool of caches. Thread-safe.
 
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, size: int = 65_536) -> None:
-        """Create a decoder whose buffer has blocks of `size` bytes."""
+        """Create a decoder whose buffer has blocks of at least `size` bytes."""
         self.buffer = ReceiveBuffer(size)
         # Length of the unread array up to the end of the incomplete item; 0 if it is unknown.
         self.expected_length = 0
@@ -151,7 +151,7 @@
         body: The object; empty if there is none.
         is_not_modified: Whether the endpoint answers that the client's copy is current.
         entity_tag: Entity tag of the copy to which the answer refers; empty if it is missing.
-        cache_status: How the cache obtained the answer.
+        cache_status: How the cache obtained the answer; UNKNOWN if not reported.
         delay: Delay of the fill source in ms, as reported by the endpoint; 0 if not reported.
         load_report: Figures by their names in the load report; None if there is no report.
         is_healthy: Whether the endpoint reports that it is healthy; always True in an answer to an
@@ -260,7 +260,7 @@
 
     Args:
         request: The request as received from the client.
-        step: Options of the attempt.
+        step: The attempt with its options.
         remaining_time: Time for which the client still waits, in ms.
     """
     fields = ",".join(
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -48,7 +48,7 @@
 
     Attributes:
         line_count: Number of complete lines so far; the response head counts as one.
-        is_finished: Whether the last chunk was received.
+        is_finished: Whether the last chunk was received; always False if the body is not chunked.
     """
 
     def __init__(self) -> None:
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -69,7 +69,10 @@
     """Decoder that splits received bytes into frames. Not thread-safe."""
 
     def __init__(self, size: int = 4096, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Create a decoder whose buffer has blocks of `size` bytes."""
+        """Create a decoder whose buffer has blocks of at least `size` bytes.
+
+        Frames of more than `max_frame_bytes`, without the length prefix, are invalid.
+        """
         self.buffer = ReceiveBuffer(size)
         self.max_frame_bytes = max_frame_bytes
         # Length of the first unread frame with its length prefix; 0 if it is unknown.
--- a/mulleinrelay/net/upstream_connection.py
+++ b/mulleinrelay/net/upstream_connection.py
@@ -51,12 +51,13 @@
             may still be received, and must not be taken for an answer to another attempt.
         pinged_at: Send time of an unanswered ping; 0 if there is none.
         ping_backoff: Rule for how long the connection may be silent before it is pinged.
-        idle_timeout: Duration in ms after `last_used_at` at which the connection is closed if
+        idle_timeout: Time in ms since `last_used_at` after which the connection is closed if
             nothing is in flight.
         suspect_since: Time at which the connection became suspect; 0 if it is not suspect. A
-            connection becomes suspect if an attempt cannot be written in time, or if a health check
-            expires or an overdue attempt is cancelled and no answer was received since it was sent.
-            Nothing new is sent on a suspect connection until an answer is received.
+            connection becomes suspect if an attempt cannot be written in time. It also becomes
+            suspect if a health check expires or an overdue attempt is cancelled, and no answer was
+            received since that check or attempt was sent. No attempt or health check is sent on a
+            suspect connection until an answer is received.
     """
 
     def __init__(self, address: EndpointAddress, now: float, lock: threading.Lock) -> None:
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -136,7 +136,7 @@
     def check_health(
         self, endpoint: "TrackedEndpoint", address: EndpointAddress, with_report: bool = True
     ) -> None:
-        """Send a health check, which requests a load report or is only a ping."""
+        """Send a health check; `with_report` requests a load report with the answer."""
         tag = self._next_tag()
         pieces: list[Piece] = [resp.health_check_command(tag, with_report)]
         self._send(address, tag, HealthCheck(endpoint, self.clock()), pieces)
@@ -227,7 +227,7 @@
         return connection
 
     def _may_ping(self, connection: UpstreamConnection) -> bool:
-        """Return whether health checks are allowed for all items in flight on a connection."""
+        """Return whether the endpoints of all items in flight on a connection may be checked."""
         return all(
             self._may_check_health(item, connection.address)
             for item in connection.in_flight.values()
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -37,8 +37,9 @@
         ]
 
     def fullness(self) -> float:
-        """Return the number of connections with items in flight, as a fraction of the maximum.
+        """Return the number of busy connections as a fraction of `max_connections`.
 
+        A connection is busy while attempts or health checks are in flight on it.
         The result is 0 while the total number of connections is below the eviction threshold.
         """
         with self.lock:
@@ -66,9 +67,9 @@
     ) -> UpstreamConnection | None:
         """Return the usable connection with the fewest items in flight; the caller holds the lock.
 
-        An idle connection may have just been closed by the endpoint, so it is checked first. An
-        attempt written to a closed connection is lost, and nothing shows whether the endpoint has
-        executed it.
+        Items are attempts and health checks. The endpoint may have just closed an idle connection,
+        so this is checked before the connection is used. An attempt written to a closed connection
+        is lost, and nothing shows whether the endpoint has executed it.
         """
         usable = (
             connection
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -46,11 +46,13 @@
         pending: Queued pieces in the order of writing.
         pending_bytes: Total size of the queued pieces.
         is_writing: Whether a thread is writing the queue, so that no other thread may write.
-        is_shut_down: Whether the queue was shut down and writes nothing more.
+        is_shut_down: Whether the connection was shut down in both directions or half-closed, so
+            that the queue writes nothing more.
         find_stale: Callback that is called with the lock held before the first byte of a queued
             message is written. It receives the message's key (`PendingPiece.owner`). If the message
             must not be sent, it returns the value for `on_withdrawn`, or else None.
-        on_withdrawn: Callback that is called without the lock for each stale message.
+        on_withdrawn: Callback that is called without the lock for each stale message, with the
+            value from `find_stale`.
     """
 
     def __init__(self, lock: threading.Lock, write_timeout_s: float | None = None) -> None:
@@ -151,8 +153,8 @@
     def shut_down(self, how: int = socket.SHUT_RDWR) -> None:
         """Shut down the connection and write nothing more; the caller holds the lock.
 
-        Threads that are blocked in a write wake up, and so do threads that are blocked in a read
-        unless `how` shuts down only the writing side.
+        A thread that waits until the socket is writable wakes up, and so does a thread that is
+        blocked in a read unless `how` shuts down only the writing side.
         """
         self.is_shut_down = True
         if self.connection is not None:
