--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -52,7 +52,7 @@
             events and change `last_event_number`.
         connection: The most recent socket; None before the first connection.
         read_configured_address: Function that returns the stream's address in the current
-            configuration file, or None if the file cannot be read.
+            configuration file, or None if the file cannot be read or is invalid.
         stop_requested: Set by `stop`.
         wake_up: Set to end the wait before the next connection.
         head_received: Set when a response head was received or the first connection has ended
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -161,7 +161,7 @@
 def configured_event_stream(path: str | None) -> tuple[str, int] | None:
     """Return the event stream's address in the current configuration file.
 
-    The result is None if the file cannot be read.
+    The result is None if the file cannot be read or is invalid.
     """
     try:
         return load_config(os.environ, path).event_stream_address
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -71,7 +71,7 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def process_job_result(request):
-    """Return a function that waits for the process job of a name and returns its result.
+    """Return a function that waits for the process job with a given name and returns its result.
 
     A test module lists its jobs in PROCESS_JOBS: each name has a function and its arguments. The
     function is called in another process.
@@ -84,7 +84,7 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def thread_job_result(request, tmp_path_factory):
-    """Return a function that waits for the thread job of a name and returns its result.
+    """Return a function that waits for the thread job with a given name and returns its result.
 
     A test module lists its jobs in THREAD_JOBS: each name has a function, which is called in a
     thread with the path of a temporary folder.
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -196,7 +196,8 @@
 
 
 def test_client_that_does_not_read_delays_no_other_client():
-    # No thread may block on one client, and its unread answers must not fill the memory.
+    # No thread may block on a client that does not read, and the unread answers of this client must
+    # not fill the memory.
     with RunningDirector((b"DONE", b"why=HIT", bytes(240_000))) as running:
         stalled_client, other_client = running.connect_client(), running.connect_client()
         listener = running.director.listener
