--- a/mulleinrelay/membership/broadcast_queue.py
+++ b/mulleinrelay/membership/broadcast_queue.py
@@ -13,15 +13,15 @@
 
 
 def transmit_limit(cluster_size: int) -> int:
-    """Return how often one update is sent in a fleet of this size."""
+    """Return how often an update is sent, for a fleet of `cluster_size` active members."""
     return math.ceil(RETRANSMIT_MULTIPLIER * math.log2(cluster_size + 1))
 
 
 class BroadcastQueue:
     """Members whose update is still to be sent, with the number of transmissions so far.
 
-    The queue holds only member ids. The caller looks the update up when it sends it, so that the
-    newest update is sent.
+    The queue holds member ids, not updates. The caller looks up a member's update when it sends the
+    update, so that the newest one is sent.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         return len(self._transmissions)
 
     def enqueue(self, member_id: MemberId) -> None:
-        """Add a member, or reset its number of transmissions."""
+        """Add a member; if it is queued already, set its number of transmissions to 0."""
         self._transmissions[member_id] = 0
 
     def discard(self, member_id: MemberId) -> None:
@@ -43,12 +43,18 @@
         self._transmissions.clear()
 
     def select(self, count: int, preferred: Iterable[MemberId] = ()) -> list[MemberId]:
-        """Return up to `count` members: the preferred ones, then those sent least."""
+        """Return up to `count` members: the preferred ones, then the queued ones sent least.
+
+        Preferred members need not be queued. No member is removed from the queue.
+        """
         ranked = sorted(self._transmissions, key=lambda member_id: self._transmissions[member_id])
         return list(dict.fromkeys([*preferred, *ranked]))[:count]
 
     def record_transmission(self, member_id: MemberId, limit: int) -> None:
-        """Count a transmission of a member's update, and remove the member at the limit."""
+        """Count a transmission of a member's update, and remove the member at the limit.
+
+        Members that are not queued are ignored.
+        """
         if member_id not in self._transmissions:
             return
         self._transmissions[member_id] += 1
--- a/mulleinrelay/membership/commands.py
+++ b/mulleinrelay/membership/commands.py
@@ -14,7 +14,7 @@
 
 EXIT_FAILED = 1
 EXIT_INVALID_FILE = 2
-MAX_RECORD_AGE_S = 5.0  # a running director writes its records each second
+MAX_RECORD_AGE_S = 5.0  # of a fresh record; a running director writes its records each second
 
 MEMBERS_HELP = """Show each member and how many directors see it as alive, suspect, dead or left.
 Differences show which part of the fleet receives no datagrams. Exit code 1 if no director writes
@@ -41,7 +41,7 @@
 @FROM
 @JSON
 def members(path: str, witness: str | None, as_json: bool) -> None:
-    """Show all members and how many directors see each of them in which state."""
+    """Show each member, and for each state the number of directors that see the member in it."""
     now = time.time()
     states = [
         state
@@ -74,7 +74,7 @@
 @FILE
 @JSON
 def budgets(path: str, as_json: bool) -> None:
-    """Show all shared limits and the units of each director."""
+    """Show each shared limit, and what each director may use, wants, owns, lends and borrows."""
     now = time.time()
     fresh = [state for state in read_states(_records_folder(path)) if _is_fresh(state, now)]
     limits = _limits_by_director(fresh)
@@ -129,7 +129,10 @@
 
 
 def _records_folder(path: str) -> str:
-    """Return the records folder of a configuration; exit if there is none."""
+    """Return the records folder that the fleet file at `path` names.
+
+    Exit with an error if the file is invalid, names no folder, or the folder does not exist.
+    """
     try:
         config = load_fleet_config(path)
     except ConfigError as error:
@@ -146,15 +149,16 @@
 
 
 def _is_fresh(state: Record, now: float) -> bool:
-    """Return whether a record was written by a director that is still running."""
+    """Return whether a director wrote its state record recently and has not left the fleet."""
     is_old = now - state.get("written", 0.0) > MAX_RECORD_AGE_S
     return not is_old and state.get("state") != "left"
 
 
 def _summarize_members(states: Iterable[Record]) -> list[Record]:
-    """Return all members, sorted by name and address.
+    """Return one summary for each member in the state records, sorted by name and address.
 
-    Each member has the number of directors that see it in each state.
+    `seen_by` has the number of directors that see the member, by state. A member's own state record
+    is counted there under `itself`.
     """
     found: dict[tuple[str, str], Record] = {}
     for state in states:
--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -1,6 +1,6 @@
-"""INI file with a director's membership settings: addresses, seeds, records (`--fleet FILE`).
+"""INI file with a director's membership settings (`--fleet FILE`).
 
-Its sections are `[fleet]` and `[budgets]`; deploy/fleet.ini explains each key.
+The file's sections are `[fleet]` and `[budgets]`; deploy/fleet.ini explains each key.
 """
 
 import os
@@ -19,7 +19,7 @@
 MIN_KEY_CHARS = 8
 DEFAULT_MAX_MEMBERS = 4_000
 MAX_MEMBERS_LIMIT = 100_000
-WILDCARD_HOSTS = ("0.0.0.0", "::")  # can be listened on, but not sent to
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # to listen on all interfaces; other directors cannot reach them
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,14 +29,17 @@
     Attributes:
         enabled: Whether the director takes part in membership.
         fleet: Name of the fleet; datagrams of other fleets are dropped.
-        key: Secret that all directors of the fleet share.
+        key: Secret that all directors of the fleet share. It may be empty if `enabled` is false.
         listen: Address at which datagrams are received.
         announce: Address at which other directors reach this director.
         location: Location (zone) of this director.
-        seeds: Addresses of the directors that are contacted while no other director is known.
-        max_members: Maximum number of members in the member table.
-        records_folder: Folder of the records for operators' commands; no records if empty.
-        shares_slow_start_quota: Whether directors lend each other units of the limits on cold
+        seeds: Addresses of directors through which this director joins the fleet. It keeps
+            contacting the seeds that are not active members; only the first `state_sync.MAX_SEEDS`
+            seeds are used.
+        max_members: Maximum number of other members in the member table, including departed ones.
+        records_folder: Folder of the records for operators' commands; if empty, no records are
+            written.
+        shares_slow_start_quota: Whether this director borrows and lends parts of the limits on cold
             caches and cold parents.
     """
 
@@ -56,8 +59,8 @@
     """Parse the text of the file.
 
     Args:
-        text: The text.
-        folder: Folder that relative paths in the text refer to.
+        text: Content of the file.
+        folder: Folder of the file, to which relative paths in the text refer.
 
     Raises:
         ConfigError: If the text is not a valid configuration.
--- a/mulleinrelay/membership/datagrams.py
+++ b/mulleinrelay/membership/datagrams.py
@@ -6,7 +6,7 @@
 from .messages import Address, DatagramCodec, MemberId, MemberState, MemberUpdate, MessageKind
 
 UPDATES_PER_DATAGRAM = 14  # usually the most that fit into MAX_DATAGRAM_BYTES
-NO_SEQUENCE_NUMBER = 0  # of a message that expects no response
+NO_SEQUENCE_NUMBER = 0  # number of a message that has neither a sequence number nor a digest
 
 
 class OutgoingDatagram(NamedTuple):
@@ -31,16 +31,17 @@
         target: MemberUpdate | None = None,
         recipient: MemberId | None = None,
     ) -> OutgoingDatagram:
-        """Return a message with piggybacked updates, and count the updates' transmission.
+        """Return a datagram with piggybacked updates, and count the updates' transmission.
 
         Args:
             address: Destination of the datagram.
             kind: Kind of the message.
-            number: Sequence number of the ping.
-            target: Member that an indirect ping is for.
-            recipient: Member at the destination, if known. If this director does not consider it
-                alive, the update about it goes first, so that the member can refute it ("buddy
-                system" of Lifeguard).
+            number: Sequence number of the ping that the message is, requests or answers;
+                `NO_SEQUENCE_NUMBER` if it does none of these.
+            target: Member to ping; None unless the kind is `INDIRECT_PING`.
+            recipient: Member at the destination; None if only the address is known. If this
+                director does not consider the member alive, the update about it goes first, so that
+                the member can refute it ("buddy system" of Lifeguard).
         """
         preferred = []
         if recipient is not None:
@@ -53,11 +54,18 @@
     def with_updates(
         self, address: Address, kind: MessageKind, number: int, updates: list[MemberUpdate]
     ) -> OutgoingDatagram:
-        """Return a message with only the given updates."""
+        """Return a datagram with the given updates instead of queued ones.
+
+        Args:
+            address: Destination of the datagram.
+            kind: Kind of the message.
+            number: Digest of the member table in a sync message, otherwise `NO_SEQUENCE_NUMBER`.
+            updates: The updates; the last ones are left out if they do not fit.
+        """
         return self._build(address, kind, number, None, updates)
 
     def with_payload(self, address: Address, payload: bytes) -> OutgoingDatagram:
-        """Return a message for the recipient's delegate."""
+        """Return a datagram with a payload for the recipient's delegate, without updates."""
         data = self._codec.encode(
             MessageKind.USER_MESSAGE, NO_SEQUENCE_NUMBER, self._table.local, None, [], payload
         )
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -4,14 +4,14 @@
 Group Membership Protocol", 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey:
 "Lifeguard: SWIM-ing with Situational Awareness", 2017):
 
-- In each period one member is pinged, in rounds of random order. If no ack arrives in time, other
-  members are asked to ping it as well (indirect ping). If no ack arrives then either, the member
-  becomes suspect.
+- A director pings one member per ping interval. Each round of pings goes through all active members
+  in a random order. If no ack arrives in time, other members are asked to ping the member as well
+  (indirect ping). If no ack arrives then either, the member becomes suspect.
 - A suspect that refutes the suspicion in time is alive again; otherwise it becomes dead. The
-  suspicion timeout grows with the logarithm of the fleet's size. It shrinks with each other
-  director that suspects the member too ("dynamic suspicion", Lifeguard IV-B).
-- A director that does not receive acks and nacks assumes that it is slow itself, and increases its
-  timeouts for all members ("local health multiplier", Lifeguard IV-A).
+  suspicion timeout grows with the logarithm of the fleet's size. It shrinks with each further
+  director that reports the member as suspect ("dynamic suspicion", Lifeguard IV-B).
+- A director that receives neither an ack nor a nack assumes that it may be slow itself, and
+  increases its timeouts for all members ("local health multiplier", Lifeguard IV-A).
 """
 
 import math
@@ -24,7 +24,7 @@
 
 PING_INTERVAL_MS = 500.0
 PING_INTERVAL_JITTER = 0.2  # relative width: each interval is 0.9 to 1.1 times PING_INTERVAL_MS
-ACK_TIMEOUT_MS = 150.0  # until indirect pings are requested, at health score 0
+ACK_TIMEOUT_MS = 150.0  # after which indirect pings are requested, at health score 0
 INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
 # Minimum suspicion timeout, in ping intervals per log10 of the fleet's size
 MIN_SUSPICION_INTERVALS = 1.5
@@ -56,9 +56,10 @@
         sent_at: Time at which the ping was sent.
         requester: Director that requested this indirect ping; None for this director's own ping.
         precedence: Precedence of the member's update when the ping was sent. The member becomes
-            suspect only if the update is still the same.
+            suspect only if its update has not changed since. Unused for an indirect ping.
         has_indirect_pings: Whether other members were asked to ping the member too.
-        nacks: Number of those members that reported that they have received no ack either.
+        nacks: Number of members that were asked for an indirect ping and sent a nack, as they have
+            received no ack either.
     """
 
     member_id: MemberId
@@ -74,8 +75,8 @@
     """Failure detector that pings the members of a table and updates their states.
 
     Attributes:
-        health_score: Local health, from 0 (healthy) to `MAX_HEALTH_SCORE`.
-        next_ping_at: Time of the next ping.
+        health_score: Score of this director's own health, from 0 (healthy) to `MAX_HEALTH_SCORE`.
+        next_ping_at: Time of the next ping of a round.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
         self.next_ping_at = now + PING_INTERVAL_MS * random.random()
 
     def next_wake_at(self, last_tick_at: float) -> float:
-        """Return the time of the next required tick."""
+        """Return the time of the next required tick, after a last tick at `last_tick_at`."""
         due_times = [self.next_ping_at]
         for ping in self._pending.values():
             if ping.requester is None and not ping.has_indirect_pings:
@@ -104,7 +105,11 @@
     # Received messages
 
     def handle_ack(self, message: Message) -> list[OutgoingDatagram]:
-        """Complete a ping; forward the ack of an indirect ping to its requester."""
+        """Complete a pending ping; other acks are ignored.
+
+        The ack of an indirect ping is forwarded to its requester. The ack of this director's own
+        ping improves its health score.
+        """
         ping = self._pending.pop(message.number, None)
         if ping is None:
             return []
@@ -114,7 +119,7 @@
         return []
 
     def handle_nack(self, message: Message) -> None:
-        """Record that a member which was asked for an indirect ping has received no ack."""
+        """Count a member that was asked for an indirect ping and has received no ack in time."""
         if ping := self._pending.get(message.number):
             ping.nacks += 1
 
@@ -135,7 +140,8 @@
     def handle_pause(self, now: float) -> None:
         """Discard the pending pings and restart all suspicion timeouts after a pause.
 
-        While this process was paused it received no acks, so the missing acks prove nothing.
+        While this process was paused it received no acks, so the missing acks prove nothing. The
+        pause also worsens the health score.
         """
         self._pending.clear()
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + PAUSE_HEALTH_PENALTY)
@@ -144,7 +150,12 @@
                 entry.state_since = now
 
     def check_pending_pings(self, now: float) -> list[OutgoingDatagram]:
-        """Request indirect pings for overdue acks; suspect members that still send no ack."""
+        """Handle pings whose ack is overdue.
+
+        After its own ping, this director first requests indirect pings. If there is still no ack
+        later, it suspects the member. After a ping for a requester, it sends the requester a nack.
+        This director's own pings of members that have departed since are dropped.
+        """
         outgoing = []
         for number, ping in list(self._pending.items()):
             entry = self._table.entries.get(ping.member_id)
@@ -184,7 +195,7 @@
         return outgoing
 
     def ping_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Ping the next member once per interval, and remove expired members from the table."""
+        """Ping the next member of the round, and remove expired members, once per interval."""
         if now < self.next_ping_at:
             return []
         jitter = 1.0 - 0.5 * PING_INTERVAL_JITTER + PING_INTERVAL_JITTER * self._random.random()
@@ -201,9 +212,10 @@
         return [self._ping(update, number)]
 
     def _next_to_ping(self) -> MemberEntry | None:
-        """Return the next active member of this round; each round has a new random order.
+        """Return the next active member of this round; None if no other member is active.
 
-        A member thus waits at most two rounds for its ping (SWIM, 4.3).
+        Each round has a new random order. A member thus waits at most two rounds for its ping
+        (SWIM, 4.3).
         """
         while self._ping_order:
             entry = self._table.entries.get(self._ping_order.pop())
@@ -218,7 +230,7 @@
     def _request_indirect_pings(
         self, ping: PendingPing, update: MemberUpdate
     ) -> list[OutgoingDatagram]:
-        """Ping the member again, and ask some random alive members to ping it too."""
+        """Ping the member again, and ask up to `INDIRECT_PINGS` alive members to ping it too."""
         others = [
             other
             for other in self._table.active_members()
@@ -240,8 +252,11 @@
     def _suspect(self, now: float, ping: PendingPing, entry: MemberEntry) -> OutgoingDatagram:
         """Suspect a member that sent no ack, or confirm the suspicion if it is suspect already.
 
-        If none of the members that were asked for an indirect ping has sent a nack, the fault may
-        be local. The health score then gets worse as well.
+        An alive member is not suspected if its update has changed since the ping. In each case the
+        member is pinged again, so that it learns of a suspicion.
+
+        If the fleet has further members but none has sent a nack, the fault may be local. The
+        health score then gets worse as well.
         """
         has_others = self._table.cluster_size() - 2 > 0
         if has_others and not ping.nacks:
@@ -262,11 +277,13 @@
         return ACK_TIMEOUT_MS * self._health_factor()
 
     def _suspicion_timeout(self, cluster_size: int, suspector_count: int) -> float:
-        """Return the time that a suspect has to refute the suspicion (Lifeguard, IV-B).
+        """Return the ms that a suspect has to refute the suspicion (Lifeguard, IV-B).
 
         Args:
-            cluster_size: Size of the fleet before this check declared any member dead.
-            suspector_count: Number of directors that suspect the member.
+            cluster_size: Number of active members before this check of all suspects declared any of
+                them dead.
+            suspector_count: Number of directors that have reported the member as suspect, at least
+                1; this director may be among them.
         """
         min_timeout = (
             MIN_SUSPICION_INTERVALS * max(1.0, math.log10(cluster_size)) * PING_INTERVAL_MS
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -1,9 +1,9 @@
 """Member table of one director: its view of all members. No I/O; times in ms.
 
-Updates are merged by precedence alone (incarnation, refutation count, state). The result is
-therefore independent of the order, the number and the path of the updates. A departed (dead or
-left) member stays in the table for `DEPARTED_RETENTION_MS`, so that an old update about it does not
-make it alive again.
+Of two updates about a member, the one with the greater precedence is kept (`precedence` of
+`MemberUpdate`). The result is therefore the same in whatever order, how often and through which
+directors the updates arrive. A departed (dead or left) member stays in the table for
+`DEPARTED_RETENTION_MS`, so that an old update about it does not make it alive again.
 """
 
 import hashlib
@@ -46,7 +46,12 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberEvent:
-    """A change of a member that is logged and recorded for operators."""
+    """A change of a member that is logged and recorded for operators.
+
+    Attributes:
+        kind: Kind of the change.
+        update: Update about the member, as it is after the change.
+    """
 
     kind: MemberEventKind
     update: MemberUpdate
@@ -58,10 +63,14 @@
 
     Attributes:
         update: The update with the greatest precedence so far.
-        state_since: Time at which the member entered its state.
-        suspected_by: Directors that suspect the member; empty unless it is suspect.
-        last_received_at: Time of the last datagram from the member; 0 if there was none.
-        suspect_pings_sent: Number of additional pings since the member became suspect.
+        state_since: Time at which the member entered its state or, if later, its incarnation. For
+            suspects, the end of a pause of this process since then.
+        suspected_by: Directors that have reported the member as suspect, also those that only
+            passed the suspicion on; empty unless the member is suspect.
+        last_received_at: Time of the last datagram from the member, without outdated datagrams; 0
+            if there was none.
+        suspect_pings_sent: Number of scheduled pings (`SUSPECT_PING_FRACTIONS`) since the member
+            became suspect.
     """
 
     update: MemberUpdate
@@ -82,13 +91,14 @@
     Attributes:
         local: This director's own state, as it is sent to other directors.
         entries: Entries of all other known members, including departed ones, by member id.
-        broadcasts: Members whose update is still to be sent.
+        broadcasts: Queue of the members, or this director, whose update is still to be sent.
         events: Events since the owner of the table last took them.
-        rejected_members: Number of updates about unknown members that did not fit into the table.
+        rejected_members: Number of updates about unknown members that were ignored because the
+            table was full.
     """
 
     def __init__(self, local: MemberUpdate, max_members: int, random: Random) -> None:
-        """Create a table of at most `max_members` entries; `random` draws the samples."""
+        """Create an empty table for at most `max_members` entries; `random` draws the samples."""
         self.local = local
         self.entries: dict[MemberId, MemberEntry] = {}
         self.broadcasts = BroadcastQueue()
@@ -101,8 +111,8 @@
 
     def cluster_size(self) -> int:
         """Return the number of active members, including this director."""
-        # States are compared inline here and below, without `is_active`, because this runs for each
-        # member at each datagram
+        # Here and in `active_members`, states are compared without the property `is_active`, whose
+        # call takes longer: this runs for each member at each datagram
         suspect = MemberState.SUSPECT
         return 1 + sum(entry.update.state <= suspect for entry in self.entries.values())
 
@@ -117,7 +127,10 @@
         return [entry.update for entry in self._random.sample(known, min(count, len(known)))]
 
     def digest(self) -> int:
-        """Return a number that is equal for tables with the same active members and states."""
+        """Return a hash that is equal for tables with the same updates of active members.
+
+        This director's own state counts as one of these updates.
+        """
         total = 0
         for update in [self.local, *self.active_members()]:
             total ^= _hash_update(update)
@@ -131,10 +144,12 @@
         Args:
             now: Time in ms.
             update: The update.
-            reporter: Director that sent the update.
+            reporter: Director that the update was received from; this director itself for its own
+                observation.
 
         Returns:
-            Whether the update changed the table.
+            Whether the update changed the table, which includes this director's own state and the
+            reporters of a suspicion.
         """
         if update.member_id == self.local.member_id:
             return self._merge_local(update)
@@ -149,7 +164,10 @@
         return True
 
     def set_state(self, now: float, member_id: MemberId, state: MemberState) -> None:
-        """Set the state of a member in its present incarnation, as seen by this director."""
+        """Set the state of a known member, as observed by this director.
+
+        Incarnation and refutation count stay the same, so a smaller state is ignored.
+        """
         update = msgspec.structs.replace(self.entries[member_id].update, state=state)
         self.merge(now, update, self.local.member_id)
 
@@ -172,7 +190,7 @@
         return True
 
     def _evict_departed(self) -> bool:
-        """Remove the member that departed first; return whether there was a departed member."""
+        """Remove the member that departed first; return whether any member had departed."""
         departed = [member_id for member_id, entry in self.entries.items() if not entry.is_active]
         if departed:
             self.remove(min(departed, key=lambda member_id: self.entries[member_id].state_since))
@@ -181,7 +199,10 @@
     def _confirm_suspicion(
         self, entry: MemberEntry, update: MemberUpdate, reporter: MemberId
     ) -> bool:
-        """Add a director that suspects the member, which shortens the suspicion timeout."""
+        """Record a further director that reports the suspicion; return whether there is one.
+
+        Each further director shortens the suspicion timeout.
+        """
         if update.state != MemberState.SUSPECT or reporter in entry.suspected_by:
             return False
         entry.suspected_by.add(reporter)
@@ -210,11 +231,11 @@
         self.events.append(MemberEvent(kind, update))
 
     def _merge_local(self, update: MemberUpdate) -> bool:
-        """Refute another director's update about this director, if necessary.
+        """Override another director's update about this director; return whether it was necessary.
 
-        A suspicion is refuted with a greater refutation count. If the update has a greater
-        incarnation than this director, the clock was set back before the last restart; this
-        director then takes the next greater incarnation.
+        A suspicion or a declaration of death is refuted with a greater refutation count. An update
+        with a greater incarnation than this director's means that the clock was set back before the
+        last restart. This director then takes the update's incarnation plus one.
         """
         local = self.local
         if update.incarnation > local.incarnation:
@@ -239,7 +260,7 @@
     # Removal
 
     def remove(self, member_id: MemberId) -> None:
-        """Remove a member from the table."""
+        """Remove a member, if it is known, from the table and from the queue of broadcasts."""
         self.entries.pop(member_id, None)
         self.broadcasts.discard(member_id)
 
@@ -257,7 +278,7 @@
 
         Args:
             count: Maximum number of updates in the datagram.
-            preferred: Members whose update precedes all others, even if it is not queued.
+            preferred: Members whose updates precede all others, even if they are not queued.
         """
         limit = transmit_limit(self.cluster_size())
         updates = []
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -31,7 +31,11 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; at equal incarnation, a greater value overrides a smaller one."""
+    """State of a member.
+
+    Of two updates with equal incarnation and refutation count, the greater state overrides the
+    smaller one.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -61,11 +65,11 @@
     OTHER_FLEET = "fleet"
     INVALID_UPDATE = "word"  # a member update with a value out of bounds
     OWN_DATAGRAM = "own"  # sent by this director itself
-    RATE_LIMITED = "too many"  # exceeds the number of datagrams that are read per second
+    RATE_LIMITED = "too many"  # exceeds the number of datagrams that are decoded per second
 
 
 class InvalidDatagramError(ProtocolError):
-    """Error for a datagram that is dropped; the message is the value of the drop reason."""
+    """Error for a datagram that is dropped; the error's text is the value of the drop reason."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -76,13 +80,15 @@
     """The state of one member as reported by a director ("alive", "suspect", "dead" message).
 
     Attributes:
-        name: Name of the director, `LB_NAME`.
-        host: Host at which other directors reach it.
-        port: UDP port at which other directors reach it.
+        name: Name of the director, from the platform's configuration.
+        host: Host at which other directors reach the director.
+        port: UDP port at which other directors reach the director.
         location: Location (zone) of the director.
-        incarnation: Unix milliseconds at which the director started. It grows with each restart.
-        refutation_count: Number of suspicions that the director has refuted in this incarnation.
-            Together with `incarnation` it is the incarnation number of the SWIM paper.
+        incarnation: Unix milliseconds at which the director started. It grows with each restart: if
+            the clock was set back, the director takes its previous incarnation plus one.
+        refutation_count: Number that the director increases in this incarnation to refute a
+            suspicion or a declaration of its death. Together with `incarnation` it corresponds to
+            the incarnation number of the SWIM paper.
         state: The state that the update asserts.
     """
 
@@ -96,7 +102,7 @@
 
     @property
     def member_id(self) -> MemberId:
-        """Identity of the member; not the name alone, which may be used twice by mistake."""
+        """Identity of the member. A name alone is not enough: it may be used twice by mistake."""
         return (self.name, self.host, self.port)
 
     @property
@@ -115,13 +121,14 @@
 
     Attributes:
         version: `PROTOCOL_VERSION` of the sender.
-        fleet: Name of the fleet.
+        fleet: Name of the sender's fleet.
         kind: Kind of the message.
-        number: Sequence number of a ping, which the response repeats. In `SYNC_REQUEST` and
-            `SYNC_PAGE`, the digest of the sender's table.
+        number: Sequence number of a ping or of a request for an indirect ping, which the ack or
+            nack repeats. In `SYNC_REQUEST` and `SYNC_PAGE`, the digest of the sender's table. In
+            other messages, 0.
         sender: The sender's own state.
         target: Member to ping; None unless the kind is `INDIRECT_PING`.
-        updates: Piggybacked member updates, or a page of the table.
+        updates: Piggybacked member updates or, in a sync message, a part of the sender's table.
         payload: Bytes for the delegate; empty unless the kind is `USER_MESSAGE`.
     """
 
@@ -157,16 +164,18 @@
         updates: list[MemberUpdate],
         payload: bytes = b"",
     ) -> bytes:
-        """Return a datagram of at most `MAX_DATAGRAM_BYTES`, with as many updates as fit.
+        """Return a datagram, without the updates that do not fit into `MAX_DATAGRAM_BYTES`.
+
+        Only updates are left out: a datagram with too long a payload exceeds the maximum.
 
         Args:
             kind: Kind of the message.
-            number: Sequence number or digest.
+            number: Sequence number or digest, as in `Message`.
             sender: The sender's own state.
-            target: Member to ping.
+            target: Member to ping; None unless the kind is `INDIRECT_PING`.
             updates: Updates in descending order of importance; the last ones are left out if they
                 do not fit.
-            payload: Bytes for the delegate.
+            payload: Bytes for the delegate; empty unless the kind is `USER_MESSAGE`.
         """
         while True:
             message = Message(
@@ -180,10 +189,11 @@
             updates = updates[:fitting_count]
 
     def decode(self, data: bytes) -> Message:
-        """Return the message of a datagram.
+        """Return the message in a datagram.
 
         Raises:
-            InvalidDatagramError: If it is not a datagram of this fleet with valid values.
+            InvalidDatagramError: If `data` is not a datagram of this fleet and version with valid
+                values.
         """
         if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             raise InvalidDatagramError(DropReason.INVALID_LENGTH)
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -1,6 +1,7 @@
 """Membership service: runs the protocol on a UDP socket in its own thread.
 
-It also writes the membership's log lines and records. Client requests never wait for this thread.
+The service also writes membership's log lines and records. Client requests do not wait for its
+thread, except while the quota exchange in that thread holds the coordinator's lock.
 """
 
 import socket
@@ -28,7 +29,7 @@
 MAX_EVENTS = 200  # in the state record; also the maximum that one write adds to the log
 MAX_RECEIVE_WAIT_S = 0.5  # for one datagram; `stop` takes effect within this time
 MIN_RECEIVE_WAIT_S = 0.002  # keeps the thread from spinning while a tick is due
-MAX_DATAGRAMS_PER_STEP = 64  # read before the next tick
+MAX_DATAGRAMS_PER_STEP = 64  # received between two ticks
 ERROR_PAUSE_S = 0.1  # after an unexpected error; limits the load if the error repeats
 LOG_EVENT = "fleet"  # value of `event` in the log lines
 
@@ -39,19 +40,19 @@
 
     Attributes:
         recent: The last `MAX_EVENTS` events, each with `at` (Unix seconds) and `text`.
-        unrecorded: Texts that are not in the log of the records yet.
+        unrecorded: Texts of events that have not been written to the director's log file yet.
     """
 
     recent: list[dict[str, object]] = field(default_factory=list)
     unrecorded: list[str] = field(default_factory=list)
 
     def add(self, at_s: float, text: str) -> None:
-        """Add an event."""
+        """Add an event that happened at `at_s`, in Unix seconds."""
         self.unrecorded.append(text)
         self.recent = [*self.recent, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
 
     def take_unrecorded(self) -> list[str]:
-        """Return the last `MAX_EVENTS` unrecorded texts, and clear all unrecorded texts."""
+        """Return the last `MAX_EVENTS` unrecorded texts, and clear all of them."""
         texts = self.unrecorded[-MAX_EVENTS:]
         self.unrecorded = []
         return texts
@@ -64,12 +65,15 @@
     incarnation: int,
     clock_offset: float,
 ) -> "QuotaExchange":
-    """Return the exchange for the limits on cold caches of this location and on cold parents.
+    """Return a quota exchange for the limits on cold caches and on cold parents.
+
+    The limit on cold caches is shared among the directors of this location, and the limit on cold
+    parents among all directors of the fleet.
 
     Args:
         config: Configuration of membership.
         coordinator: Owner of the limits and of the lock that guards them.
-        seed: Seed of the random numbers.
+        seed: Seed of the exchange's random numbers.
         incarnation: Incarnation of this director.
         clock_offset: Milliseconds by which the coordinator's clock is ahead of `_now`.
     """
@@ -107,14 +111,14 @@
 def build_protocol(
     config: FleetConfig, name: str, incarnation: int, seed: int, now: float
 ) -> SwimProtocol:
-    """Return the protocol of one director, without a delegate.
+    """Return a director's protocol, with an empty member table and without a delegate.
 
     Args:
         config: Configuration of membership.
         name: Name of the director.
         incarnation: Unix milliseconds at which the director started.
         seed: Seed of the random numbers.
-        now: Time in ms.
+        now: Time of membership's monotonic clock, in ms.
     """
     host, port = config.announce
     local = MemberUpdate(name, host, port, config.location, incarnation, 0, MemberState.ALIVE)
@@ -127,8 +131,8 @@
 class MembershipService:
     """Service that runs the membership protocol of this director.
 
-    Threads: the director's thread calls `start` and `stop`. Everything else runs in the service's
-    own thread, except for the last log lines and records, which `stop` writes.
+    Threads: the director's thread calls `start` and `stop`, and `stop` sends the last datagrams and
+    writes the last log lines and records. Everything else runs in the service's own thread.
     """
 
     def __init__(
@@ -146,10 +150,11 @@
             config: Configuration of membership.
             name: Name of this director.
             seed: Seed of the random numbers.
-            clock: Returns Unix milliseconds. It is read only here, for the incarnation and the
-                clock offset; the protocol uses a monotonic clock.
+            clock: Returns Unix milliseconds. It is called only here, for the incarnation and the
+                clock offset of the quota exchange; the protocol uses a monotonic clock.
             log: Log for membership events.
-            coordinator: Owner of the limits that are shared; None to share no limits.
+            coordinator: Owner of the limits that are shared; None to share no limits, even if the
+                configuration says so.
         """
         self.config = config
         self.log = log
@@ -175,7 +180,7 @@
         """Open the socket and start the thread.
 
         Raises:
-            OSError: If the address cannot be bound; its `filename` names the address.
+            OSError: If the address cannot be bound; the error's `filename` names the address.
         """
         udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -192,7 +197,10 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Notify some members that this director leaves, and end the thread."""
+        """Notify some members that this director leaves, write the last records, end the thread.
+
+        Nothing is done if the service is not running.
+        """
         if self._stopping.is_set() or self._socket is None or self._thread is None:
             return
         self._stopping.set()
@@ -219,7 +227,11 @@
                 self._stopping.wait(ERROR_PAUSE_S)
 
     def _tick(self, udp_socket: socket.socket) -> None:
-        """Run the protocol's tick, and set the socket's timeout for the first datagram."""
+        """Run the protocol's tick, log its events, and write the records if they are due.
+
+        The socket's timeout for the next datagram is set to the time until the next tick, within
+        bounds.
+        """
         with self.protocol_lock:
             now = _now()
             self._send(udp_socket, self.protocol.tick(now))
@@ -230,7 +242,7 @@
         udp_socket.settimeout(min(MAX_RECEIVE_WAIT_S, max(MIN_RECEIVE_WAIT_S, wait_s)))
 
     def _receive(self, udp_socket: socket.socket) -> None:
-        """Handle the pending datagrams; wait only for the first one."""
+        """Handle up to `MAX_DATAGRAMS_PER_STEP` datagrams; wait only for the first one."""
         for _ in range(MAX_DATAGRAMS_PER_STEP):
             try:
                 data, address = udp_socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
@@ -280,7 +292,11 @@
             self.log.event(LOG_EVENT, text=message)
 
     def status(self, now: float) -> dict:
-        """Return the record for operators; `now` is in ms of the protocol's clock."""
+        """Return the state record for operators.
+
+        Args:
+            now: Time of membership's monotonic clock, in ms.
+        """
         with self.protocol_lock:
             statistics = ServiceStatistics(
                 self.config.fleet, self._bytes_out, self._bytes_in, self._events.recent, time.time()
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -1,10 +1,13 @@
 """Push/pull synchronization of member tables (anti-entropy). No I/O; times in ms.
 
-As in hashicorp/memberlist, a director periodically exchanges its table with one other director, to
-get updates that gossip has missed. Tables are compared by digest; if the digests differ, the other
-director responds with pages of its table. After a network partition the two sides consider each
-other dead and do not ping each other any more. Sync requests therefore go to dead members and
-unknown seeds too.
+As in hashicorp/memberlist, a director periodically synchronizes its table with one other director,
+to get updates that gossip has missed. It sends a sync request with a part of its table and a digest
+(hash) of the whole table. If the other director's table has another digest, that director responds
+with pages of its table.
+
+During a network partition each side comes to consider the other side dead and stops pinging it.
+Sync requests therefore go to dead members and to inactive seeds too, so that the sides find each
+other again. A seed is inactive if no active member has its address.
 """
 
 import math
@@ -18,12 +21,12 @@
 ISOLATED_SYNC_INTERVAL_MS = 1_000.0  # while at most one other member is active
 INITIAL_SYNC_JITTER_MS = 100.0  # maximum delay of the first sync
 FOLLOW_UP_DELAY_MS = 250.0  # until the next sync if the tables still differ after a page
-FOLLOW_UP_BACKOFF = 1.2  # factor on the follow-up delay after a page without changes
-RECONNECT_INTERVAL_MS = 3_000.0  # between sync requests to dead members and unknown seeds
-MIN_INTERVAL_FACTOR = 0.75  # jitter: intervals are 0.75 to 1.25 times as long
+FOLLOW_UP_BACKOFF = 1.2  # factor on the follow-up delay after a page that changes nothing
+RECONNECT_INTERVAL_MS = 3_000.0  # between sync requests to dead members and inactive seeds
+MIN_INTERVAL_FACTOR = 0.75  # jitter: each interval is multiplied by 0.75 to 1.25
 INTERVAL_FACTOR_RANGE = 0.5
 MAX_PAGES = 6  # in response to one request
-MAX_SEEDS = 3  # contacted at the same time
+MAX_SEEDS = 3  # used of the configured seeds: the first ones, without this director
 DIGEST_MASK = 0xFFFFFFFF  # bits of a table's digest that messages carry
 
 
@@ -31,8 +34,9 @@
     """Synchronization of one director's member table with the tables of other directors.
 
     Attributes:
-        next_sync_at: Time of the next sync request to an active member.
-        next_reconnect_at: Time of the next sync requests to a dead member and an unknown seed.
+        next_sync_at: Time of the next sync request to an active member, or to the seeds if there is
+            none.
+        next_reconnect_at: Time of the next sync requests to a dead member and an inactive seed.
     """
 
     def __init__(
@@ -58,12 +62,13 @@
     # Received messages
 
     def handle_page(self, now: float, digest: int, has_changes: bool) -> None:
-        """Schedule an early next sync if the sender's table still differs from this table.
+        """Schedule an early next sync if a page's sender still has another table.
 
         Args:
             now: Time in ms.
             digest: Digest of the sender's table.
-            has_changes: Whether the page changed this table.
+            has_changes: Whether the page changed this director's table. If not, the delay until the
+                next sync grows.
         """
         if digest == self._digest():
             return
@@ -78,9 +83,14 @@
     ) -> list[OutgoingDatagram]:
         """Respond with pages of the table, unless the digests are equal.
 
-        The pages of a large table are random samples; further syncs transfer the remaining
-        members. If this director does not consider the sender alive, the update about the sender
-        goes first, so that the sender can refute it.
+        If the table does not fit into `MAX_PAGES`, each page is a random sample; further syncs
+        transfer the remaining members. If this director does not consider the sender alive, the
+        update about the sender goes first, so that the sender can refute it.
+
+        Args:
+            address: Address of the sender of the request.
+            sender: The sender.
+            digest: Digest of the sender's table.
         """
         local_digest = self._digest()
         if digest == local_digest:
@@ -106,13 +116,14 @@
     # Scheduled syncs
 
     def sync_soon(self, now: float) -> None:
-        """Schedule the next sync for now."""
+        """Make the next sync due at once."""
         self.next_sync_at = now
 
     def sync_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Request a sync if the next one is due.
+        """Return sync requests if the next sync is due.
 
-        The request goes to a random active member, or to the seeds if no member is active.
+        One request goes to a random active member or, if no other member is active, one to each
+        seed.
         """
         if now < self.next_sync_at:
             return []
@@ -124,7 +135,7 @@
         return [self._request(address, updates) for address in addresses]
 
     def reconnect_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Request a sync from one random dead member and one random seed that is not active."""
+        """Return sync requests to a random dead member and a random inactive seed, if due."""
         if now < self.next_reconnect_at:
             return []
         self.next_reconnect_at = now + RECONNECT_INTERVAL_MS * self._random_factor()
--- a/mulleinrelay/membership/status.py
+++ b/mulleinrelay/membership/status.py
@@ -1,8 +1,9 @@
 """Membership status of a director for operators, as JSON objects; no I/O.
 
-The keys appear in the records and in `--json` output and must not change. `life` is the
-incarnation, `denials` the refutation count, `unwell` the health score, and `heard_s` the number of
-seconds since the last datagram.
+The keys appear in the records and in `--json` output. They must not change, as operators' scripts
+read them. `life` is the incarnation, `denials` the refutation count, `unwell` the health score, and
+`refused` the number of rejected members. `for_s` is the number of seconds that a member has had its
+state, and `heard_s` the number of seconds since its last datagram; None if there was none.
 """
 
 from dataclasses import dataclass
@@ -16,13 +17,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceStatistics:
-    """Part of the status that the service provides.
+    """Part of the status that comes from the membership service, not from the protocol.
 
     Attributes:
         fleet: Name of the fleet.
         bytes_out: Total bytes of the datagrams sent.
         bytes_in: Total bytes of the datagrams received.
-        events: Recent events, each with `at` and `text`.
+        events: Recent events, each with `at` (Unix seconds) and `text`.
         written_at_s: Time at which the record is written, in Unix seconds.
     """
 
@@ -34,12 +35,12 @@
 
 
 def director_status(protocol: SwimProtocol, now: float, statistics: ServiceStatistics) -> dict:
-    """Return the record of one director.
+    """Return the state record of one director.
 
     Args:
-        protocol: Membership protocol of the director; the caller holds its lock.
+        protocol: Membership protocol of the director; the caller holds the lock that guards it.
         now: Time in ms of the protocol's clock.
-        statistics: Part of the status that the service provides.
+        statistics: Values that the protocol does not know.
     """
     table = protocol.table
     members = [_entry_status(entry, now) for entry in table.entries.values()]
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -39,7 +39,8 @@
 class Delegate(Protocol):
     """Component that exchanges its own messages between members (`Delegate` of memberlist).
 
-    Like the protocol it does no I/O. It is called with the same time and under the same lock.
+    A delegate does no I/O. The protocol calls it with times of the protocol's clock, and under the
+    lock that guards the protocol.
     """
 
     def next_wake_at(self) -> float:
@@ -48,33 +49,33 @@
     def tick(
         self, now: float, incarnation: int, members: list[tuple[MemberId, str]]
     ) -> list[tuple[MemberId, bytes]]:
-        """Do the work that is due; return payloads and their recipients.
+        """Do the work that is due; return the recipient and the payload of each message to send.
 
         Args:
             now: Time in ms.
             incarnation: Current incarnation of this director.
-            members: Alive members with their locations.
+            members: The other alive members with their locations.
         """
 
     def receive(
         self, now: float, member_id: MemberId, payload: bytes
     ) -> list[tuple[MemberId, bytes]]:
-        """Handle a payload from a trusted member; return payloads and their recipients."""
+        """Handle a payload from an alive or suspect member; return responses as `tick` does."""
 
     def status(self, now: float) -> dict[str, object]:
-        """Return the status for operators, as JSON objects."""
+        """Return the status for operators, as a JSON object."""
 
 
 class SwimProtocol:
     """SWIM protocol of one director.
 
-    `receive` and `tick` return the datagrams to send; events accumulate in the table. The class is
-    not thread-safe: the owner calls it under a lock.
+    `receive`, `tick` and `leave` return the datagrams to send. Member events accumulate in the
+    table until `take_events`. The class is not thread-safe: the owner calls it under a lock.
 
     Attributes:
         table: Member table of this director.
         detector: Failure detector of this director.
-        delegate: Receiver of user messages; they are ignored if it is None.
+        delegate: Component that sends and receives user messages; None to ignore received ones.
         dropped_datagrams: Number of datagrams dropped so far, by reason.
     """
 
@@ -92,8 +93,8 @@
         self._codec = codec
         self._random = random
         self._datagrams = DatagramFactory(codec, table)
-        # The detector and the synchronization draw random numbers when they are created, so the
-        # order of the two matters
+        # Both components draw random numbers when they are created. Another order would change the
+        # runs of simulations with a given seed.
         self.detector = FailureDetector(now, table, self._datagrams, random)
         self._sync = StateSync(now, table, self._datagrams, seeds, random)
         self._last_tick_at = now
@@ -115,11 +116,11 @@
     # Datagrams
 
     def receive(self, now: float, address: Address, data: bytes) -> list[OutgoingDatagram]:
-        """Handle one datagram.
+        """Handle one datagram; nothing is done after `leave`.
 
         Args:
             now: Time in ms.
-            address: Address of the sender.
+            address: Address that the datagram came from.
             data: Content of the datagram, not validated yet.
 
         Returns:
@@ -152,11 +153,13 @@
         self.table.merge(now, sender, sender.member_id)
         entry = self.table.entries.get(sender.member_id)
         is_trusted = False
+        # The second condition excludes delayed datagrams from before the sender's last restart or
+        # refutation
         if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
             entry.last_received_at = now
-            # A sender that this director considers dead is not trusted: its updates may be out of
-            # date, or wrong because it receives no datagrams. The reply tells the sender that it is
-            # considered dead, so that it can refute this.
+            # A sender that this director considers dead or left is not trusted: its updates may be
+            # out of date, or wrong because it receives no datagrams. The response to its ping or
+            # sync request tells the sender its state, so that it can refute it.
             is_trusted = entry.is_active
         outgoing: list[OutgoingDatagram] = []
         previous = self.table.local
@@ -171,7 +174,7 @@
     def _merge_updates(
         self, now: float, message: Message, is_trusted: bool, outgoing: list[OutgoingDatagram]
     ) -> bool:
-        """Merge the updates of a message, and notify suspects.
+        """Merge the updates of a message; ping some members that are newly reported as suspect.
 
         Args:
             now: Time in ms.
@@ -221,7 +224,7 @@
     def _notify_suspect(self, update: MemberUpdate) -> list[OutgoingDatagram]:
         """Ping a suspect, with a probability of `SUSPECT_NOTIFICATIONS` / fleet size.
 
-        Each director that learns of the suspicion does so, so the suspect receives about
+        Each director that learns of the suspicion does this, so the suspect receives about
         `SUSPECT_NOTIFICATIONS` pings. The pings inform the suspect early, as it may have little
         time left to refute the suspicion.
         """
@@ -274,13 +277,19 @@
         return self._wrap_payloads(self.delegate.tick(now, self.table.local.incarnation, members))
 
     def _handle_pause(self, now: float) -> None:
-        """Refresh the view of the other members, which is out of date after a pause."""
+        """Restart pings and suspicion timeouts, and schedule a sync.
+
+        After a pause of this process its view of the other members is out of date.
+        """
         self.detector.handle_pause(now)
         self._sync.sync_soon(now)
         self.table.events.append(MemberEvent(MemberEventKind.PAUSED, self.table.local))
 
     def leave(self) -> list[OutgoingDatagram]:
-        """Leave the fleet; return datagrams to some members, which spread the update."""
+        """Leave the fleet; return datagrams that tell some members, which spread the update.
+
+        From then on `receive` and `tick` do nothing.
+        """
         self.table.local = msgspec.structs.replace(self.table.local, state=MemberState.LEFT)
         self._has_left = True
         members = self.table.active_members()
