--- a/mulleinrelay/errors.py
+++ b/mulleinrelay/errors.py
@@ -1,7 +1,7 @@
 """Exceptions of the program that callers are expected to catch.
 
-Each message describes the error for an operator and is the same everywhere it is shown (command
-line, log line, gNMI status). An exception with a cause is raised `from` the cause.
+Each exception's text describes the error for an operator and is the same everywhere it is shown
+(command line, log line, gNMI status). An exception with a cause is raised `from` the cause.
 """
 
 
@@ -10,13 +10,14 @@
 
 
 class ConfigError(MulleinrelayError):
-    """An invalid configuration file, or an invalid part of one.
+    """Error for an invalid or unreadable configuration file, or for an invalid part of one.
 
     Attributes:
         reason: Description of the error for an operator.
-        file: Path of the file; empty if the caller knows it.
-        section: Title of the INI section; empty for JSON and for the whole file.
-        key: The key, or the path of keys in JSON; empty for a whole section or file.
+        file: Path of the file, or "the file" if the parser does not know the path; empty if section
+            or key show the place of the error, or the caller adds the path.
+        section: Title of the INI section; empty for JSON and for an error of the whole file.
+        key: The key, or the path of keys in JSON; empty for an error of a whole section or file.
     """
 
     def __init__(self, reason: str, *, file: str = "", section: str = "", key: str = "") -> None:
@@ -31,8 +32,8 @@
 
 
 class ProtocolError(MulleinrelayError):
-    """Bytes from a peer that violate the protocol."""
+    """Error for bytes from a peer that violate the protocol."""
 
 
 class StoreError(MulleinrelayError):
-    """A file with stored state that cannot be read or written."""
+    """Error for a file with stored state that cannot be read or written."""
--- a/mulleinrelay/records.py
+++ b/mulleinrelay/records.py
@@ -1,8 +1,8 @@
 """Records that directors write for operators' commands, in one folder for several directors.
 
 Each director has two files: `NAME.json` contains its present state, `NAME.jsonl` the log of its
-events. `NAME.jsonl.1` is the previous log after a rotation. The writer of a state defines its keys;
-the keys of a log line are `at` (Unix seconds) and `text`.
+events. `NAME.jsonl.1` is the previous log after a rotation. The caller that writes a state chooses
+its keys; the keys of a log line are `at` (Unix seconds) and `text`.
 """
 
 import os
@@ -23,10 +23,10 @@
 
 
 class DirectorRecords:
-    """Writes the records of one director.
+    """Writer of the records of one director.
 
-    Not thread-safe: only one thread may write. If the folder cannot be written, this is reported
-    once, and each further write tries again.
+    Not thread-safe: only one thread may write. While writes fail, each write tries again, but only
+    the first failure is reported.
     """
 
     def __init__(self, folder: str, name: str) -> None:
@@ -42,11 +42,11 @@
         self._last_error = ""
 
     def write(self, status: Record, log_texts: list[str]) -> str:
-        """Replace the state and append to the log.
+        """Replace the state and append to the log; log texts of a failed write are lost.
 
         Args:
             status: The new state.
-            log_texts: Texts of the new log lines.
+            log_texts: Texts of the new log lines, which all get the current time.
 
         Returns:
             A text to log if writing has started to fail or has recovered, otherwise "".
@@ -89,9 +89,10 @@
 
 
 def read_states(folder: str) -> list[Record]:
-    """Return the states of all directors in the folder by name, with the key `director` added.
+    """Return the states of all directors in the folder, sorted by file name.
 
-    Files that cannot be read are skipped.
+    Each state gets the key `director` with the director's name. Files that cannot be read or parsed
+    are skipped.
     """
     states = []
     for name in sorted(os.listdir(folder)):
@@ -107,13 +108,17 @@
 
 
 def read_logs(folder: str) -> list[Record]:
-    """Return the log lines of all directors in the folder by time, with the key `director` added.
+    """Return the log lines of all directors in the folder, sorted by time.
+
+    Each line gets the key `director` with the director's name. Lines that cannot be parsed are
+    skipped.
 
     Raises:
-        OSError: If a log cannot be read.
+        OSError: If the folder or a log cannot be read.
     """
     lines: list[Record] = []
-    # Reverse order puts a director's rotated log before its current log
+    # Reverse order puts a director's rotated log before its current log, so that lines of the same
+    # time stay in the order in which they were written
     for name in sorted(os.listdir(folder), reverse=True):
         director, _, suffix = name.partition(LOG_SUFFIX)
         is_log = director != name and suffix in ("", ROTATED_SUFFIX)
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -1,7 +1,7 @@
-"""Structured log: one JSON line per event, written by its own thread.
+"""Structured log: one JSON line per event, written by the log's own thread.
 
-If the reader of the log stalls, no other thread blocks: lines that do not fit into the queue are
-dropped and counted.
+If the reader of the log stalls, the threads that log events do not block: lines that do not fit
+into the queue are dropped and counted.
 """
 
 import os
@@ -20,9 +20,9 @@
 
 
 class StructuredLog:
-    """Writes events as JSON lines. Any thread may use it, and it never blocks.
+    """Log of events as JSON lines. Any thread may use it, and logging never blocks.
 
-    The counters are not guarded by a lock. Concurrent threads may count a line too few, which does
+    The counters are not guarded by a lock, so concurrent threads may count too few lines. That does
     no harm.
     """
 
@@ -36,8 +36,9 @@
         self.name = name
         self.descriptor = descriptor
         self.queued_lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-        self.dropped_count = 0  # since the last queued line
-        self.current_second = 0  # Unix second to which `counts_by_event` applies
+        self.dropped_count = 0  # lines dropped since a line was last queued
+        # Unix second in which the lines of `counts_by_event` were logged, including dropped ones
+        self.current_second = 0
         self.counts_by_event: dict[str, int] = {}
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
@@ -45,7 +46,9 @@
     def event(self, name: str, /, **fields: object) -> None:
         """Log an event with the given fields.
 
-        The line is dropped if the event exceeds its rate limit or the queue is full.
+        The line is dropped if the event has had `MAX_LINES_PER_EVENT_PER_S` lines in this second,
+        or if the queue is full. The next line that is queued has the number of dropped lines in the
+        field `dropped`.
         """
         now = time.time()
         if int(now) != self.current_second:
@@ -63,7 +66,12 @@
         self.queued_lines.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
     def exception(self, where: str, error: BaseException) -> None:
-        """Log an unexpected exception as the event `fault`, with the end of its traceback."""
+        """Log an unexpected exception as the event `fault`, with the end of its traceback.
+
+        Args:
+            where: Part of the program that caught the exception.
+            error: The exception.
+        """
         frames = traceback.extract_tb(error.__traceback__)[-MAX_TRACE_FRAMES:]
         self.event(
             "fault",
@@ -77,7 +85,7 @@
         )
 
     def close(self, timeout_s: float = 0.2) -> None:
-        """Stop the writing thread, and wait up to `timeout_s` for the pending lines."""
+        """End the writing thread after the queued lines; wait up to `timeout_s` for its end."""
         self.queued_lines.put(None)
         self.thread.join(timeout_s)
 
