--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -19,7 +19,14 @@
 class SimulatedFleet:
     """Simulated directors n0, n1, ..., which are identified by their number.
 
-    `now` is the simulated time in ms.
+    Attributes:
+        now: Simulated time in ms.
+        loss: Probability that a datagram is lost.
+        duplication: Probability that a datagram that is not lost arrives twice.
+        jitter: Maximum random part of a datagram's delay, in ms.
+        drift: Relative error of the fastest and the slowest clock.
+        sent: Number of datagrams sent by all directors, including lost ones.
+        events: (time, observer's number, event) of each event at any director.
     """
 
     def __init__(self, count, seed=1, loss=0.0, duplication=0.0, jitter=20.0, seeds=2, drift=0.0):
@@ -65,7 +72,7 @@
         return 1.0 + self.drift * ((number % 3) - 1)
 
     def clock(self, number):
-        """Return the time of a director's clock, which is up to `drift` fast or slow."""
+        """Return the time of a director's clock in ms, which differs by rate and by an offset."""
         return self.now * self._clock_rate(number) + CLOCK_OFFSET_MS * number
 
     def block(self, senders, receivers):
@@ -152,7 +159,8 @@
     def has_converged(self, among=None):
         """Return whether each running director sees exactly the other running ones as alive.
 
-        If `among` is given, only these directors count as running.
+        Killed and paused directors are not running. If `among` is given, only these directors are
+        considered.
         """
         running = set(among if among is not None else self.protocols) - self.killed - self.paused
         return all(self.members_seen_by(number) == running - {number} for number in running)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""Merged updates give the same table, independent of their order, number and path."""
+"""Tests of the member table; above all, the order and repetition of updates do not matter."""
 
 from random import Random
 
@@ -63,8 +63,8 @@
             {"incarnation": 3, "state": MemberState.DEAD},
             5,
             0,
-        ),  # update about an earlier incarnation
-        ({"incarnation": 9}, 10, 0),  # the clock was set back before the restart
+        ),  # an outdated update about an earlier incarnation
+        ({"incarnation": 9}, 10, 0),  # the clock was set back before this director's restart
     ],
 )
 def test_update_about_this_director_is_refuted_or_exceeded(changes, incarnation, refutation_count):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,5 +1,5 @@
 """Fourteen directors as processes, whose datagrams pass a relay that drops and delays them and
-partitions the fleet. The tests check the records that the directors wrote during and after the run.
+partitions the fleet. Most tests check the records that the directors wrote in one such run.
 """
 
 import json
@@ -94,9 +94,13 @@
 
 
 def run_scenario(folder):
-    """Return the audit, the folder, and the records during the partition and at the end."""
+    """Run the scenario; return its audit, the folder, and what was observed during the run.
+
+    Observed are the records during the partition, samples of the usable quota, and the output of
+    two commands at the end.
+    """
     lab = FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder)
-    observed = {"budget samples": []}  # (s, director, limit, usable, owned)
+    observed = {"budget samples": []}  # (s since the start, director, limit, usable, owned)
 
     def observe(since, *_):
         samples = observed["budget samples"]
@@ -146,12 +150,12 @@
 
 
 def affected_directors(audit, name):
-    """Return the directors that a fault of the scenario affected."""
+    """Return the names of the directors that a fault of the scenario affected."""
     return {f"n{number}" for number in next(fault[4] for fault in audit.faults if fault[1] == name)}
 
 
 def fault_time(audit, name, begins=True):
-    """Return the time in s at which a fault began, or ended."""
+    """Return the time of the run, in s, at which a fault began or (`begins` is false) ended."""
     return next(fault[0] for fault in audit.faults if fault[1] == name and fault[3] == begins)
 
 
@@ -251,8 +255,10 @@
 
 
 def test_quota_of_cold_caches_moves_to_busy_directors_and_no_cache_is_overloaded(lab_run):
-    """Count the attempts at the cold caches while three in four caches are cold, the fleet is
-    partitioned, and directors that hold leases are paused and killed.
+    """If two directors used the same units, cold caches would get too many attempts and fail.
+
+    Three in four caches are cold while the fleet is partitioned and directors that may hold leases
+    are paused.
     """
     audit, _, observed = lab_run
     cold_at = fault_time(audit, "cold", False)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -14,10 +14,11 @@
 
 
 def simulate_two_minutes(loss, duplication, jitter):
-    """Return the number of active members that each director sees, and of all `died` events."""
+    """Return how many active members each director sees, and how many `died` events there were."""
     fleet = SimulatedFleet(30, 3, loss, duplication, jitter)
     fleet.run(120)
-    active = (MemberState.ALIVE, MemberState.SUSPECT)  # at any time some member may be suspect
+    # Suspects count as well: a running member may be suspect for a moment
+    active = (MemberState.ALIVE, MemberState.SUSPECT)
     active_counts = [len(fleet.members_seen_by(number, active)) for number in range(30)]
     return active_counts, len(fleet.events_of("died"))
 
