--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -1,7 +1,8 @@
 """Conversion between the cell assignment and the `assignment` container of the YANG model.
 
-The tables below map leaf names of the YANG model, which clients use, to fields of this program's
-classes. In a tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings. Pure: no I/O.
+The tables below map leaf names of the YANG model, which gNMI clients use, to fields of the classes
+in `cells.model`. In a tree (RFC 7951 JSON), decimal64 values and 64-bit integers are strings. Pure:
+no I/O.
 """
 
 import ipaddress
@@ -77,7 +78,7 @@
 
 
 def format_decimal64(value: float) -> str:
-    """Format a decimal64 with up to six fraction digits (canonical form, RFC 7950, 9.3.2)."""
+    """Return a number as decimal64 with one to six fraction digits (canonical, RFC 7950, 9.3.2)."""
     text = f"{value:.6f}".rstrip("0")
     return text + "0" if text.endswith(".") else text
 
@@ -156,7 +157,7 @@
 
 
 def _limit_leaves() -> dict[str, str]:
-    """Return the fields of `Limits` by leaf name, which is the INI key with hyphens."""
+    """Return the fields of `Limits` by leaf name, which is the INI key with `-` instead of `_`."""
     return {key.replace("_", "-"): field for key, field in LIMIT_FIELDS_BY_KEY.items()}
 
 
@@ -214,7 +215,10 @@
 
 
 def _assignment_attributes(tree: Tree) -> dict[str, Any]:
-    """Return, by name, the fields of `Assignment` that are each set by one leaf of the tree."""
+    """Return the numbers and the placement method of a tree, by field of `Assignment`.
+
+    Leaves that the tree omits have no field in the result, so that the defaults of the class apply.
+    """
     attributes: dict[str, Any] = {
         field: float(tree[leaf])
         for leaf, field in ASSIGNMENT_FIELDS_BY_LEAF.items()
@@ -301,7 +305,11 @@
 
 
 def _parse_group_range(tenant: str, text: str) -> tuple[int, int]:
-    """Parse a group such as `3`, or a range such as `3-9`; return the first and last group."""
+    """Parse a group such as `3`, or a range such as `3-9`; return the first and last group.
+
+    Raises:
+        ConfigError: If the text is not valid, or a group is above `MAX_GROUP`.
+    """
     match = GROUP_RANGE_PATTERN.fullmatch(text)
     if match is not None:
         first = int(match[1])
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -25,21 +25,27 @@
 
     Attributes:
         roles_by_name: Roles by common name or subject alternative name.
-        anonymous_role: Role of callers without a certificate, which can connect by loopback only.
+        anonymous_role: Role of callers without a certificate; they can connect over loopback only.
     """
 
     roles_by_name: dict[str, Role]
     anonymous_role: Role = Role.NONE
 
     def role_of(self, names: Sequence[str]) -> Role:
-        """Return the highest role of the names in a caller's certificate."""
+        """Return the highest role of the names in a caller's certificate.
+
+        No names mean that the caller has no certificate. Names without a role have `Role.NONE`.
+        """
         if not names:
             return self.anonymous_role
         return max((self.roles_by_name.get(name, Role.NONE) for name in names), default=Role.NONE)
 
 
 def required_role(paths: Sequence[Path]) -> Role:
-    """Return the role that is required to change the paths."""
+    """Return the role that a change of the paths requires.
+
+    It is `DRAIN` if all paths are at or below /fleet/drains, otherwise `CONFIGURE`.
+    """
     if paths and all(_is_drain(path) for path in paths):
         return Role.DRAIN
     return Role.CONFIGURE
--- a/mulleinrelay/management/builder.py
+++ b/mulleinrelay/management/builder.py
@@ -34,7 +34,8 @@
     Args:
         config: Settings of management.
         director_config: Settings of the director.
-        coordinator: The director's coordinator, whose overrides are set to the drains.
+        coordinator: The director's coordinator; the drains become its overrides of the endpoint
+            list.
         cell_service: The director's cells; None if cells are off.
         clock: Returns the time in Unix milliseconds.
         log: Receives the log events of management.
--- a/mulleinrelay/management/certificates.py
+++ b/mulleinrelay/management/certificates.py
@@ -23,7 +23,7 @@
         self._file_versions = self._read_file_versions()
 
     def credentials(self) -> grpc.ServerCredentials:
-        """Return credentials that require client certificates and are reloaded with the files.
+        """Return credentials that require client certificates and follow changes of the files.
 
         Raises:
             OSError: If one of the files cannot be read.
--- a/mulleinrelay/management/command_output.py
+++ b/mulleinrelay/management/command_output.py
@@ -1,4 +1,4 @@
-"""Running of operations on directors and printing of results, for `mulleinrelay ctl`."""
+"""Execution of operations on directors, and printing of the results, for `mulleinrelay ctl`."""
 
 import json
 import sys
@@ -47,10 +47,13 @@
 ) -> NoReturn:
     """Run an operation on each director in turn, print the results and exit.
 
+    The exit code is the highest of all directors.
+
     Args:
         settings: The directors and the output format.
         operation: The operation on one director; its result must be serializable as JSON.
-        show: Prints the address and result of one director; not called for JSON output.
+        show: Prints the address and result of one director; not called for JSON output or for a
+            director whose call failed.
     """
     exit_code = EXIT_OK
     results: dict[str, Result] = {}
@@ -99,7 +102,7 @@
 
 
 def show_version(address: str, version: int) -> None:
-    """Print the version that a director runs."""
+    """Print the number of the configuration version that is running at a director."""
     click.echo(f"{address}: running version {version}")
 
 
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -27,7 +27,8 @@
 DRAINS_PATH = parse_path("/fleet/drains")
 DATASTORE_PATH = parse_path("/fleet/datastore")
 DEFAULT_WATCHED_PATHS = ("/fleet/boxes", "/fleet/drains")
-END_TOLERANCE_S = 0.05  # an error of `watch` this close to its end is caused by the end itself
+# `watch` ends by closing its connection; errors from this long before the end on come from that
+END_TOLERANCE_S = 0.05
 
 
 @click.group()
@@ -362,7 +363,7 @@
 
 
 def _change_argument(text: str) -> PathValue:
-    """Parse PATH=VALUE, where PATH may contain `=` in brackets."""
+    """Parse PATH=VALUE, where PATH may contain `=` in brackets; raise a usage error if invalid."""
     depth = 0
     for position, character in enumerate(text):
         if character == "[":
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -23,13 +23,15 @@
         listen: Address of the gNMI server, as host:port; port 0 lets the system choose a free port.
         state_dir: Folder of the datastore file; if empty, the datastore is not stored.
         certificate: Path of the server's certificate; empty for no TLS.
-        key: Path of the certificate's private key.
-        clients_ca: Path of the certificate authority that signs the clients' certificates.
+        key: Path of the certificate's private key; empty for no TLS.
+        clients_ca: Path of the certificate authority that signs the clients' certificates; empty
+            for no TLS.
         authorization: The roles of callers.
         max_subscribers: Maximum number of open Subscribe calls.
         max_queued_updates: Maximum number of updates in the queue of one subscriber.
         max_message_kb: Maximum size of a received message, in KiB.
-        max_concurrent_calls: Maximum number of concurrent calls other than Subscribe.
+        max_concurrent_calls: Number of concurrent calls that are allowed in addition to
+            `max_subscribers`.
     """
 
     enabled: bool
@@ -54,7 +56,8 @@
     """Parse the text of the file; relative paths in it are relative to `folder`.
 
     Raises:
-        ConfigError: If the text is not valid INI, or a section or key is unknown or invalid.
+        ConfigError: If the text is not valid INI, a section or key is unknown or invalid, or the
+            settings of TLS are incomplete or insecure.
     """
     sections = parse_sections(text)
     reject_unknown_sections(sections, SECTIONS)
@@ -108,7 +111,11 @@
 
 
 def _authorization(values: dict[str, str], allows_insecure_loopback: bool) -> AuthorizationPolicy:
-    """Build the policy from the section [roles], whose keys are names in certificates."""
+    """Build the policy from the section [roles], whose keys are names in certificates.
+
+    If insecure loopback connections are allowed, callers without a certificate have the role
+    `CONFIGURE`.
+    """
     roles = IniSection("roles", values)
     roles_by_name = {name: ROLES_BY_NAME[roles.choice(name, ROLES_BY_NAME, "")] for name in values}
     return AuthorizationPolicy(
@@ -120,7 +127,7 @@
     """Raise ConfigError unless the server has TLS, or listens on loopback as explicitly allowed.
 
     The three TLS files must be configured together. A server without TLS may listen on loopback
-    only, and only with `insecure_loopback`.
+    only, and only with `insecure_loopback`; this is not checked if management is off.
     """
     tls_paths_given = [bool(config.certificate), bool(config.key), bool(config.clients_ca)]
     if any(tls_paths_given) and not all(tls_paths_given):
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -2,11 +2,12 @@
 
 A commit is applied by all participants or by none, as in two-phase commit. First each participant
 prepares the change and may reject it, then the new version is stored, and then each participant
-commits. If a participant fails to commit, the commits of the participants before it are undone in
+commits. If a participant fails to commit, the commits of the earlier participants are undone in
 reverse order.
 
-A confirmed commit, as NETCONF calls it (RFC 6241), is rolled back unless its client confirms it
-before a deadline. Only one such commit can be pending at a time.
+A confirmed commit (the term of NETCONF, RFC 6241) is rolled back unless its client confirms it
+before a deadline. Until then it is pending. Only one confirmed commit can be pending at a time.
+Other commits that are made in the meantime are rolled back together with it.
 
 Pure: no I/O, no clock. Times are in Unix milliseconds and are passed in by the caller.
 """
@@ -39,8 +40,8 @@
     def persisted_version(self, prepared: Any) -> int:
         """Return the version that the participant's own file will have after the commit.
 
-        After a crash, a comparison with the version in the file shows whether the participant had
-        committed. Participants without a file return 0.
+        After a crash, a comparison of this version with the one in the file shows whether the
+        participant had committed. Participants without a file return 0.
         """
 
     def commit(self, prepared: Any) -> Undo:
@@ -57,7 +58,8 @@
         committed_at: Time of the commit, in Unix milliseconds.
         author: Name of the client; empty for the director itself.
         comment: What was changed or why, for the history.
-        participant_versions: The result of `persisted_version`, by name of the participant.
+        participant_versions: The result of `persisted_version` for this commit, by name of the
+            participant.
     """
 
     number: int
@@ -73,7 +75,7 @@
 
     Attributes:
         commit_id: The client's name for the commit.
-        timeout: Milliseconds until the rollback.
+        timeout: Milliseconds from the commit to the rollback.
     """
 
     commit_id: str
@@ -88,7 +90,8 @@
         tree: The new configuration.
         author: Name of the client; empty for the director itself.
         comment: Comment for the history.
-        expected_version: Number of the version that must be running; None for any.
+        expected_version: Number of the version that must be running, or the commit is rejected;
+            None for any version.
         confirm: The confirmation that the commit requires; None if it requires none.
     """
 
@@ -101,11 +104,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingConfirmation:
-    """A pending confirmed commit, which its client has not confirmed yet.
+    """A confirmed commit that is pending: its client has not confirmed it yet.
 
     Attributes:
         commit_id: The client's name for the commit.
-        deadline: Time of the rollback, in Unix milliseconds.
+        deadline: Time of the rollback unless the commit is confirmed before, in Unix milliseconds.
         rollback_tree: The configuration that the rollback restores.
     """
 
@@ -119,7 +122,7 @@
     """The state that is kept across restarts.
 
     Attributes:
-        versions: The history; the last version is the running one.
+        versions: The history, oldest version first; the last version is the running one.
         pending_confirmation: The confirmed commit that is pending; None if there is none.
     """
 
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -1,9 +1,10 @@
 """The datastore on disk: one file with a format version, a length and a checksum.
 
 The file is replaced atomically: if the program is killed during a write, the file has either the
-old or the new content. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`, which is
-followed by a JSON object. The members of the object refer to the trees in its member `trees` by
-index, so that a tree that several versions share is stored once.
+old or the new content. Its first line is `mulleinrelay-datastore FORMAT LENGTH CRC32`, where LENGTH
+and CRC32 are those of the JSON object that follows. The object's member `trees` lists the
+configurations. The other members refer to them by index, so that a tree that several versions share
+is stored once.
 """
 
 import os
@@ -50,7 +51,7 @@
 
 
 class _TreeTable:
-    """The distinct trees of a state, in the order of their first use."""
+    """The tree objects of a state, each once, in the order of their first use."""
 
     def __init__(self) -> None:
         self.trees: list[Tree] = []
@@ -100,7 +101,12 @@
 
 
 def _extract_body(data: bytes) -> bytes:
-    """Check the first line; return the bytes after it."""
+    """Return the bytes after the first line, which are checked against it.
+
+    Raises:
+        DatastoreFileError: If the first line is invalid or of a newer format, or the bytes have
+            another length or checksum.
+    """
     header, _, body = data.partition(b"\n")
     fields = header.split(b" ")
     if len(fields) != 4 or fields[0] != MAGIC:
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -8,8 +8,8 @@
 another address in the list has a new incarnation. Another endpoint at the same address has another
 name and is never affected.
 
-Pure: no I/O, no clock, no locks; `RequestCoordinator` calls this module while holding its own lock.
-Times are in Unix milliseconds.
+Pure: no I/O, no clock, no locks. Drains and endpoint list are changed only while the lock of
+`RequestCoordinator` is held. Times are in Unix milliseconds.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,7 +19,7 @@
 from ..policy.model import EndpointState, EndpointUpdate
 from .tree import Tree
 
-# ms for which the list may show a drained endpoint as ready before the contradiction is logged
+# ms for which the endpoint list may show a drained endpoint as ready before this is logged
 CONTRADICTION_GRACE_PERIOD = 10_000.0
 
 
@@ -72,10 +72,11 @@
         request: The drain as configured.
         phase: The phase of the drain.
         phase_since: Start of the phase.
-        incarnation: The incarnation that the drain applies to; None if the endpoint list has not
-            had the endpoint yet.
-        contradicted_since: Time since which the list shows the drained endpoint as ready; 0 if it
-            does not.
+        incarnation: The incarnation that the drain applies to; with the scope
+            `EVERY_INCARNATION`, the latest one in the endpoint list. None if the list has not had
+            the endpoint yet.
+        contradicted_since: Time since which the endpoint list shows the drained endpoint as ready;
+            0 if it does not.
         is_contradiction_reported: Whether `take_contradicted` has returned the drain already.
     """
 
@@ -88,7 +89,7 @@
 
 
 def requested_drains(tree: Tree) -> dict[str, DrainRequest]:
-    """Return the drains that a configuration requests, by endpoint."""
+    """Return the drains that a configuration requests, by name of the endpoint."""
     entries = tree.get("fleet", {}).get("drains", {}).get("drain", [])
     return {
         entry["box"]: DrainRequest(
@@ -119,6 +120,9 @@
     def set_requests(self, now: float, requests: Mapping[str, DrainRequest]) -> list[str]:
         """Replace the configured drains.
 
+        An unchanged drain keeps its status, even if it has ended. A changed drain continues from
+        its status or, if it has ended, starts anew.
+
         Returns:
             The endpoints whose effective state may have changed.
         """
@@ -145,7 +149,7 @@
 
         Args:
             now: The current time.
-            entries: New or changed entries.
+            entries: New or changed entries; an entry with the state `GONE` removes the endpoint.
             is_full_snapshot: Whether `entries` is the complete list.
         """
         if is_full_snapshot:
@@ -196,7 +200,10 @@
         return entry.state
 
     def take_contradicted(self, now: float) -> list[DrainStatus]:
-        """Return the drains that the list has contradicted for the grace period, each only once."""
+        """Return the drains that the endpoint list has contradicted for the grace period.
+
+        Each drain is returned only once.
+        """
         contradicted = [
             status
             for status in self.statuses.values()
@@ -218,13 +225,13 @@
 ) -> str:
     """Return the reason why new drains are rejected; empty if they are accepted.
 
-    They are rejected if a zone or cell that has ready caches now would have none left. Forced
-    drains are always accepted.
+    A new drain is rejected if it concerns a ready cache and all ready caches of this cache's zone
+    or cell would be drained. Forced drains are always accepted.
 
     Args:
         endpoints: The endpoint list, by name.
-        active_drains: Endpoints that are drained already.
-        requests: The requested drains, old and new, by endpoint.
+        active_drains: Names of the endpoints that are drained already.
+        requests: The requested drains, old and new, by name of the endpoint.
         is_cache: Returns whether an endpoint is a cache that this director sends requests to.
         caches_by_cell: Names of caches, by cell.
     """
--- a/mulleinrelay/management/edits.py
+++ b/mulleinrelay/management/edits.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Edit:
-    """One edit of a commit; `value` is a JSON value, and None for a delete."""
+    """One edit of a commit; `value` is a JSON value, or None for a delete."""
 
     operation: EditOperation
     path: Path
@@ -45,7 +45,7 @@
 
 
 def describe_edits(edits: list[Edit]) -> str:
-    """Return a short description of the edits for the history."""
+    """Return a description for the history: the first edits, without values, and how many more."""
     described = ", ".join(
         f"{edit.operation} {format_path(edit.path)}" for edit in edits[:MAX_EDITS_IN_COMMENT]
     )
--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -6,7 +6,7 @@
 
 
 class ErrorCode(StrEnum):
-    """The reasons for rejecting a request."""
+    """The reasons why a request is rejected or fails."""
 
     INVALID = "invalid"
     """The request, or the configuration that it would result in, is not valid."""
@@ -26,11 +26,11 @@
     """A management request that was rejected or failed.
 
     Attributes:
-        code: The kind of the error.
+        code: Reason for the rejection or failure.
     """
 
     def __init__(self, message: str, code: ErrorCode = ErrorCode.INVALID) -> None:
-        """Create the error from the text that is sent to the client and the kind of the error."""
+        """Create the error; `message` is the text that is sent to the client."""
         super().__init__(message)
         self.code = code
 
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -22,10 +22,12 @@
     """The options of a connection to a target.
 
     Attributes:
-        ca: Path of the certificate authority that signs the targets' certificates.
+        ca: Path of the certificate authority that signs the targets' certificates; unused without
+            TLS.
         certificate: Path of the client certificate; empty for no TLS.
-        key: Path of the private key of the client certificate.
-        server_name: Name in the target's certificate, if it differs from the target's address.
+        key: Path of the private key of the client certificate; unused without TLS.
+        server_name: Name in the target's certificate; empty if it is the host of the target's
+            address.
         timeout_s: Timeout of a call, in seconds.
     """
 
@@ -128,11 +130,12 @@
             replaces: Paths and the values to replace their nodes with.
             confirm_timeout_s: Seconds within which the commit must be confirmed; None for a commit
                 that needs no confirmation.
-            commit_id: Id for confirming the commit.
+            commit_id: Id under which the commit can be confirmed; unused without
+                `confirm_timeout_s`.
             extension_values: Members of the server's own extension: `built_on`, `rollback`, `why`.
 
         Returns:
-            Number of the version that is running now.
+            Number of the version that is running now; 0 if the server does not report it.
 
         Raises:
             GnmiCallError: If the call fails.
@@ -156,7 +159,7 @@
         return _version_from_response(self._call("Set", request))
 
     def confirm(self, commit_id: str) -> int:
-        """Confirm a pending commit; return the running version.
+        """Confirm a pending commit; return the number of the running version.
 
         Raises:
             GnmiCallError: If the call fails.
@@ -168,7 +171,7 @@
         return _version_from_response(self._call("Set", request))
 
     def cancel(self, commit_id: str) -> int:
-        """Roll back a pending commit; return the version that is running afterwards.
+        """Roll back a pending commit; return the number of the version that is running afterwards.
 
         Raises:
             GnmiCallError: If the call fails.
@@ -180,7 +183,7 @@
         return _version_from_response(self._call("Set", request))
 
     def watch(self, paths: Sequence[Path], updates_only: bool = False) -> Iterator[WatchEvent]:
-        """Yield the values at the paths and their changes until the channel is closed.
+        """Yield the values at the paths and their changes until the call ends.
 
         Args:
             paths: The paths, which may have wildcards.
@@ -242,7 +245,8 @@
 
 
 def _update_message(path: Path, value: Any) -> Message:
-    # Unlike the JSON that our server sends, this JSON has spaces, which servers must accept.
+    # Unlike the JSON that this program's server sends, this JSON has spaces, which servers must
+    # accept.
     data = json.dumps(value).encode()
     return gnmi.Update(path=path_to_message(path), val=gnmi.TypedValue(json_ietf_val=data))
 
--- a/mulleinrelay/management/gnmi_conversion.py
+++ b/mulleinrelay/management/gnmi_conversion.py
@@ -30,7 +30,7 @@
 
 
 def path_from_message(message: Message, prefix: Message | None = None) -> Path:
-    """Return the path of a message, appended to the path of a prefix if there is one.
+    """Return the path in a gNMI Path message, appended to the path in the prefix if there is one.
 
     Raises:
         PathError: If the origin or form of a path is not supported, or an element has no valid
@@ -49,7 +49,7 @@
 
 
 def path_from_response(message: Message) -> Path:
-    """Return the path of a message from a server; its origin is ignored.
+    """Return the path in a gNMI Path message from a server; the origin in it is ignored.
 
     Raises:
         PathError: If an element has no valid name.
@@ -69,6 +69,8 @@
 def value_from_message(message: Message) -> Any:
     """Return the JSON value of a TypedValue.
 
+    Floats and decimals become strings, which RFC 7951 requires of decimal64 values.
+
     Raises:
         PathError: If the value is not valid JSON, or is of a kind that is not supported.
     """
@@ -90,7 +92,13 @@
 
 
 def _format_decimal(digits: int, precision: int) -> str:
-    """Return the number `digits` as text with `precision` digits after the decimal point."""
+    """Return `digits` as text with the decimal point before the last `precision` digits.
+
+    If `precision` is 0, the text ends with `.0`.
+
+    Raises:
+        PathError: If `precision` is too high for a decimal64.
+    """
     if precision > MAX_DECIMAL_DIGITS:
         raise PathError(f"a decimal has more than {MAX_DECIMAL_DIGITS} digits after the point")
     sign = "-" if digits < 0 else ""
--- a/mulleinrelay/management/gnmi_extensions.py
+++ b/mulleinrelay/management/gnmi_extensions.py
@@ -1,8 +1,8 @@
 """The extensions of a gNMI Set request that this server supports. Pure: no I/O.
 
-One is gNMI's commit extension, for confirmed commits. The other is the server's own: a registered
-extension with the experimental id, whose content is a JSON object with any of the members
-`built_on`, `rollback` and `why`.
+The commit extension of gNMI makes, confirms and cancels confirmed commits. The server's own
+extension has the experimental id of registered extensions. Its content is a JSON object with any of
+the members `built_on`, `rollback` and `why`.
 """
 
 import json
@@ -22,14 +22,14 @@
     """The content of the extensions of a Set request.
 
     Attributes:
-        commit_id: The client's name for a confirmed commit.
+        commit_id: The client's name for a confirmed commit; empty without a commit extension.
         confirm_timeout: Milliseconds within which the client must confirm the commit; None if the
             request makes no confirmed commit.
         is_confirmation: Whether the request confirms the pending commit.
         is_cancellation: Whether the request rolls the pending commit back.
         expected_version: Number of the version that must be running; None for any.
         rollback_version: Number of the version to restore; None if the request is no rollback.
-        comment: Comment for the history.
+        comment: Comment for the history; empty for none.
     """
 
     commit_id: str = ""
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -31,10 +31,10 @@
 from .service import DataKind, ManagementService
 
 SERVICE_NAME = "gnmi.gNMI"
-WORKER_STACK_BYTES = 1_048_576  # validation recurses deeper than the code of other threads
+WORKER_STACK_BYTES = 1_048_576  # the validation of trees recurses deeper than other threads' code
 POOL_START_TIMEOUT_S = 10.0
 STOP_TIMEOUT_S = 1.0  # time for open calls to end when the server stops
-STOP_MARGIN_S = 0.5
+STOP_MARGIN_S = 0.5  # for which `stop` waits in addition to STOP_TIMEOUT_S
 STATUS_CODES = {
     ErrorCode.INVALID: grpc.StatusCode.INVALID_ARGUMENT,
     ErrorCode.STALE: grpc.StatusCode.ABORTED,
@@ -60,7 +60,7 @@
     """Handlers of gNMI calls. Thread-safe, as gRPC calls them in several threads at a time."""
 
     def __init__(self, config: ManagementConfig, management: ManagementService) -> None:
-        """Store the settings, with limits and roles, and the service that executes the calls."""
+        """Store the settings (limits and roles) and the service that executes the calls."""
         self._config = config
         self._management = management
         self._streams_lock = threading.Lock()  # guards _open_streams
@@ -103,7 +103,11 @@
         return response
 
     def set(self, request: Message, context: grpc.ServicerContext) -> Message:
-        """Commit all edits or none; or confirm, cancel or roll back, as the extensions request."""
+        """Commit all edits or none; or confirm, cancel or roll back, as the extensions request.
+
+        If the extensions request a confirmation, a cancellation or a rollback, edits in the same
+        request are not applied.
+        """
         edits = _edits_from_request(request)
         if request.union_replace:
             raise PathError(
@@ -149,7 +153,7 @@
     def subscribe(
         self, requests: Iterator[Message], context: grpc.ServicerContext
     ) -> Iterator[Message]:
-        """Yield notifications until the call ends; at most `max_subscribers` may be open."""
+        """Yield notifications until the call ends; reject the call above `max_subscribers`."""
         self._authorize(context, Role.READ)
         with self._streams_lock:
             if self._open_streams >= self._config.max_subscribers:
@@ -171,7 +175,10 @@
                 self._open_streams -= 1
 
     def _authorize(self, context: grpc.ServicerContext, required: Role) -> str:
-        """Return the caller's name; abort the call if the caller's role is insufficient."""
+        """Return the caller's name; abort the call if the caller's role is insufficient.
+
+        The name is the first one in the caller's certificate or, without one, the peer's address.
+        """
         names = _certificate_names(context)
         role = self._config.authorization.role_of(names)
         if role < required:
@@ -185,7 +192,7 @@
 
 
 def _certificate_names(context: grpc.ServicerContext) -> list[str]:
-    """Return common name and alternative names in the caller's certificate; empty without one."""
+    """Return the common name and the alternative names in the caller's certificate, if any."""
     properties = context.auth_context()
     names = [
         *properties.get("x509_common_name", ()),
@@ -195,7 +202,7 @@
 
 
 def _edits_from_request(request: Message) -> list[Edit]:
-    """Return the edits of a SetRequest in the order that the specification sets (section 3.4.3)."""
+    """Return the edits of a SetRequest in the order of the gNMI specification (section 3.4.3)."""
     edits = [
         Edit(EditOperation.DELETE, path_from_message(message, request.prefix))
         for message in request.delete
@@ -215,7 +222,7 @@
         return Role.CONFIGURE
     if edits:
         return required_role([edit.path for edit in edits])
-    return Role.DRAIN  # a confirmation or cancellation
+    return Role.DRAIN  # for a confirmation, a cancellation, or a request without edits
 
 
 @contextmanager
@@ -295,8 +302,8 @@
         """Start the worker threads, with a stack large enough for validation, and listen."""
         previous_size = threading.stack_size(WORKER_STACK_BYTES)
         try:
-            # The stack size applies to threads that are started now. Each worker waits at the
-            # barrier, so that the pool must start all workers here.
+            # The stack size applies to threads that are started before it is reset below. Each
+            # worker waits at the barrier, so that the pool must start all workers here.
             barrier = threading.Barrier(self._worker_count + 1)
             for _ in range(self._worker_count):
                 self._pool.submit(barrier.wait)
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -49,7 +49,7 @@
             management: The service whose tree is subscribed to.
             request: The SubscriptionList.
             context: The call's grpc.ServicerContext.
-            queue_capacity: Maximum number of updates in the queue of this client.
+            queue_capacity: Maximum number of updates that wait to be sent in a stream.
 
         Raises:
             PathError: If the encoding or a path is not valid, or there is no path.
@@ -87,7 +87,7 @@
                 yield from self._snapshot()
 
     def _snapshot(self) -> Iterator[Message]:
-        """Yield all values and a sync response; skip the values if only updates are requested."""
+        """Yield all values and a sync response; leave out the values if `updates_only` is set."""
         if not self._request.updates_only:
             yield from self._read_values(self._paths)
         yield gnmi.SubscribeResponse(sync_response=True)
@@ -120,13 +120,19 @@
             self._management.unsubscribe(subscriber)
 
     def _check_paths(self) -> None:
-        """Raise PathError for a path that can never match, as its client would wait forever."""
+        """Raise PathError for a path that can never match, as its client would wait forever.
+
+        Paths with a wildcard in place of a name are not checked.
+        """
         for path in self._paths:
             if not any(element.name in (ANY_ELEMENT, ANY_ELEMENTS) for element in path):
                 self._management.schema.find(path)
 
     def _stream_changes(self, subscriber: Subscriber) -> Iterator[Message]:
-        """Yield changes, samples and heartbeats until the client ends the call."""
+        """Yield changes, samples and heartbeats until the call ends or the subscriber is closed.
+
+        If updates were dropped from the subscriber's queue, the call is aborted.
+        """
         patterns = self._change_patterns()
         periodic = self._periodic_reads()
         started_at = time.monotonic()
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -34,7 +34,8 @@
     """A participant that applies the operators' drains on top of the endpoint list.
 
     Attributes:
-        intent: The drains and their states; guarded by the coordinator's lock.
+        intent: The drains and their states. They are changed under the coordinator's lock only;
+            management also reads them without it.
     """
 
     name = "drains"
@@ -56,7 +57,7 @@
             )
 
     def prepare(self, old: Tree, new: Tree) -> dict[str, DrainRequest]:
-        """Return the drains that the new configuration requests.
+        """Return the drains that the new configuration requests, by name of the endpoint.
 
         Raises:
             CommitRejectedError: If a new drain would leave a zone or cell without caches.
@@ -120,7 +121,7 @@
     name = "assignment"
 
     def __init__(self, cell_service: CellService | None, clock: Callable[[], float]) -> None:
-        """Store the cells that the assignment is applied to, and the clock.
+        """Store the sources of the assignment in use and of the time.
 
         Args:
             cell_service: The running cells; None if cells are off.
@@ -191,7 +192,12 @@
         return undo
 
     def _apply(self, prepared: PreparedAssignment, expected_version: int) -> None:
-        """Write and apply an assignment, if the file still has the version `expected_version`."""
+        """Write and apply an assignment.
+
+        Raises:
+            CommitRejectedError: If the file cannot be written or does not have the version
+                `expected_version`.
+        """
         if self.cell_service is None:
             return
         path = self.cell_service.config.assignment_file
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -12,7 +12,7 @@
 from .errors import PathError
 
 MAX_PATH_LENGTH = 4096  # characters of a path as text; real paths have a few hundred at most
-MAX_PATH_ELEMENTS = 32  # the deepest node of the model has five
+MAX_PATH_ELEMENTS = 32  # the path of the deepest node in the model has five
 ANY_ELEMENT = "*"
 ANY_ELEMENTS = "..."
 ANY_VALUE = "*"
@@ -132,7 +132,7 @@
 
 
 def keys_match(keys: Keys, pattern: Keys) -> bool:
-    """Return whether an entry's keys match all keys of a pattern, which may name only some keys."""
+    """Return whether an entry's keys match a pattern, which need not name all of the keys."""
     if not pattern:
         return True
     values = dict(keys)
@@ -140,7 +140,7 @@
 
 
 def fleet_children(paths: Sequence[Path]) -> set[str] | None:
-    """Return the children of /fleet that the paths lead to; None if they may lead to all."""
+    """Return the children of /fleet that the paths lead to; None if a path may lead to all."""
     children = set()
     for path in paths:
         if len(path) < 2 or path[0].name != "fleet":
--- a/mulleinrelay/management/schema.py
+++ b/mulleinrelay/management/schema.py
@@ -1,4 +1,4 @@
-"""The schema that trees and paths are checked against, independent of yangson. Pure: no I/O."""
+"""The schema that trees and paths are checked against. It needs no yangson. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     """A node of the YANG model.
 
     Attributes:
-        children: Data nodes below a container or list, by name.
-        keys: Names of the keys of a list.
+        children: Data nodes below a container or list, by name; empty for leaves and leaf-lists.
+        keys: Names of the keys of a list; empty for other nodes.
         is_list: Whether the node is a YANG list, which is a list of dicts in a tree.
         is_leaf_list: Whether the node is a leaf-list, which is a list of values in a tree.
         is_state: Whether the node is `config false`, so that clients cannot set it.
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -25,7 +25,7 @@
 from .yang_model import YangModel
 
 STEP_INTERVAL = 250.0  # ms between steps of the thread, and so the maximum delay of a rollback
-STATE_INTERVAL = 1_000.0  # ms between checks for changed state to send to subscribers
+STATE_INTERVAL = 1_000.0  # ms between searches for changes of the state, to send to subscribers
 MAX_EDITS_PER_COMMIT = 10_000
 LOG_EVENT = "management"
 ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions imported from that file
@@ -94,7 +94,10 @@
         self._restore(stored if stored is not None else self.datastore.state)
 
     def _restore(self, state: DatastoreState) -> None:
-        """Adopt the stored state, but take the assignment from the assignment file."""
+        """Adopt a stored state and apply its drains; take the assignment from the assignment file.
+
+        Only if the last commit was interrupted, its assignment is first written to that file.
+        """
         self.datastore.state = state
         last = state.versions[-1]
         self._finish_interrupted_commit(last)
@@ -104,7 +107,11 @@
             self.datastore.commit(self.clock(), CommitRequest(tree, "", ASSIGNMENT_FILE_COMMENT))
 
     def _finish_interrupted_commit(self, last: Version) -> None:
-        """Apply the last version's assignment if a crash prevented writing the assignment file."""
+        """Write and apply the last version's assignment if a crash prevented this.
+
+        That is the case if the assignment file has an older version than it would have after the
+        commit.
+        """
         stored_version = last.participant_versions.get(self.assignment_participant.name, 0)
         current = self.assignment_participant.assignment
         if current is None or current.version >= stored_version:
@@ -140,7 +147,7 @@
     # Reading
 
     def tree(self, children: set[str] | None = None, config_only: bool = False) -> Tree:
-        """Return the running configuration together with the state.
+        """Return the running configuration together with the state of the director.
 
         Args:
             children: Names of the children of /fleet to return; None for all.
@@ -167,7 +174,11 @@
         return self.state_view.tree(configuration, datastore, children)
 
     def read(self, paths: list[Path], kind: DataKind) -> list[PathValue]:
-        """Return the nodes that the paths match.
+        """Return the nodes that the paths match, in the order of the paths.
+
+        Args:
+            paths: The paths, which may have wildcards.
+            kind: The kind of nodes to return.
 
         Raises:
             PathError: If the model has no node at a path, or (with the code `NOT_FOUND`) a path
@@ -245,7 +256,8 @@
         """Confirm a pending commit, so that it is kept.
 
         Raises:
-            CommitRejectedError: If no commit with that id is pending.
+            CommitRejectedError: If no commit with that id is pending, or the datastore cannot be
+                stored.
         """
         with self.datastore_lock:
             self.datastore.confirm(commit_id)
@@ -268,8 +280,17 @@
     def rollback(self, number: int, author: str, expected_version: int | None = None) -> Version:
         """Commit the tree of an older version as a new version.
 
+        Args:
+            number: Number of the older version.
+            author: Name of the client.
+            expected_version: Number of the version that must be running; None for any.
+
+        Returns:
+            The version that is running now.
+
         Raises:
-            CommitRejectedError: If the history has no such version, or the commit is rejected.
+            CommitRejectedError: If the history has no such version, another version than the
+                expected one is running, or the commit is rejected.
         """
         with self.datastore_lock:
             self._sync_assignment()
@@ -306,8 +327,8 @@
             try:
                 self.step()
             except Exception as error:
-                # Nothing above this frame handles the exception. The thread keeps running: the next
-                # step tries again, and gNMI calls are served in the meantime.
+                # Top level of the thread: logs the exception and continues. The next step tries
+                # again, and gNMI calls are served in the meantime.
                 self.log.exception("management", error)
 
     def step(self) -> None:
@@ -331,7 +352,7 @@
             self._publish()
 
     def _log_drains(self, now: float) -> None:
-        """Log the drains that the endpoint list contradicts and those whose phase has changed."""
+        """Log drains that the endpoint list contradicts, and drains with a new phase."""
         for status in self.drain_participant.intent.take_contradicted(now):
             seconds = (now - status.contradicted_since) / 1000.0
             self.log.event(
@@ -353,7 +374,7 @@
         Args:
             paths: The subscribed paths. The subscriber gets all changes below the same children of
                 /fleet; `SubscribeCall` selects those that its paths match.
-            capacity: Maximum number of updates in its queue.
+            capacity: Maximum number of updates in the subscriber's queue.
         """
         subscriber = Subscriber(fleet_children(paths), capacity)
         with self.datastore_lock:
@@ -369,7 +390,7 @@
                 self._publisher.subscribers.remove(subscriber)
 
     def _publish(self) -> None:
-        """Send all subscribers the differences from the tree that was published last."""
+        """Queue the differences from the tree that was published last for all subscribers."""
         with self.datastore_lock:
             subscribers = list(self._publisher.subscribers)
             if not subscribers:
--- a/mulleinrelay/management/state_view.py
+++ b/mulleinrelay/management/state_view.py
@@ -106,7 +106,13 @@
         return entries
 
     def _drain_state(self, now: float, endpoint: str, attempts: dict[str, int]) -> Tree:
-        """Return the state of a drain; `attempts` has the attempts in flight by endpoint."""
+        """Return the state of an endpoint's drain.
+
+        Args:
+            now: Time in Unix milliseconds.
+            endpoint: Name of the endpoint.
+            attempts: Number of attempts in flight, by name of the endpoint.
+        """
         status = self.drain_participant.intent.statuses.get(endpoint)
         if status is None:
             return {"phase": "waiting"}
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -11,15 +11,17 @@
 class Subscriber:
     """A client that is notified of changes. Thread-safe.
 
-    An update that does not fit into the queue is dropped and counted.
+    An update is the difference between two successively published trees. An update that does not
+    fit into the queue is dropped and counted.
 
     Attributes:
         fleet_children: Names of the subscribed children of /fleet; None for all.
         capacity: Maximum number of updates in the queue.
-        queue: Pending updates; guarded by `condition`, as are the next two attributes.
+        queue: Pending updates.
         dropped_count: Number of updates that were dropped.
         is_closed: Whether the subscription has ended.
-        condition: Notified when an update is queued and when the subscriber is closed.
+        condition: Guards `queue`, `dropped_count` and `is_closed`. It is notified when an update
+            arrives and when the subscriber is closed.
     """
 
     fleet_children: set[str] | None
@@ -39,9 +41,10 @@
             self.condition.notify()
 
     def take(self, timeout_s: float) -> list[TreeDifference]:
-        """Remove and return all pending updates, after waiting for one if there are none.
+        """Remove and return all pending updates; if there are none, first wait for an update.
 
-        The result is empty if none was queued in time or the subscriber was closed.
+        The result is empty if no update was queued within `timeout_s` or before the subscriber was
+        closed.
         """
         with self.condition:
             if not self.queue and not self.is_closed:
@@ -71,11 +74,11 @@
         self._published_fleet: Tree = {}
 
     def reset(self, tree: Tree) -> None:
-        """Set the tree that later changes are compared with."""
+        """Set the tree that the next published tree is compared with."""
         self._published_fleet = dict(tree.get("fleet", {}))
 
     def subscribed_children(self) -> set[str] | None:
-        """Return the children of /fleet that any subscriber is subscribed to; None for all."""
+        """Return the children of /fleet that any subscriber has subscribed to; None for all."""
         children: set[str] = set()
         for subscriber in self.subscribers:
             if subscriber.fleet_children is None:
@@ -84,10 +87,10 @@
         return children
 
     def update_snapshot(self, tree: Tree, children: set[str] | None) -> TreeDifference:
-        """Replace some children of /fleet in the published tree; return the differences.
+        """Replace some children of /fleet in the published tree; return what has changed in them.
 
         Args:
-            tree: The current tree, reduced to these children.
+            tree: The current tree, reduced to `children`.
             children: Names of the children to replace; None for all.
         """
         new_fleet = tree.get("fleet", {})
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True)
 class TreeDifference:
-    """The differences between an old and a new tree.
+    """The leaves and leaf-lists that differ between an old and a new tree.
 
     Attributes:
-        changed: Leaves that are new or have another value, with their new values.
-        deleted: Paths of leaves that the new tree does not have.
+        changed: Leaves and leaf-lists that are new or have another value, with their new values.
+        deleted: Paths of the leaves and leaf-lists that only the old tree has.
     """
 
     changed: list[PathValue] = field(default_factory=list)
@@ -174,7 +174,7 @@
     """Return the path element of a node without keys.
 
     The cache is not bounded, so the function must be called only with names of the model, which are
-    few. Without the cache, comparing ten thousand tenants took half as long again.
+    few. Without the cache, comparing ten thousand tenants takes half as long again.
     """
     return PathElement(name)
 
@@ -197,10 +197,11 @@
 def delete(schema: SchemaNode, tree: Tree, path: Path) -> None:
     """Remove a node, if it exists.
 
-    Deleting a node that does not exist is not an error (gNMI specification, section 3.4.6).
+    A list whose last entry is removed is removed too. Deleting a node that does not exist is not an
+    error (gNMI specification, section 3.4.6).
 
     Raises:
-        PathError: If the model has no such node, or clients cannot set it.
+        PathError: If `SchemaNode.find_writable` raises it.
     """
     if not path:
         tree.clear()
@@ -240,8 +241,8 @@
     leaf-lists are replaced.
 
     Raises:
-        PathError: If the model has no such node, clients cannot set it, or the value does not fit
-            the node. The tree may be partly changed then.
+        PathError: If `SchemaNode.find_writable` raises it, or the value does not fit the node. The
+            tree may be partly changed then.
     """
     target_schema = schema.find_writable(path)
     value = strip_module_names(value)
@@ -351,7 +352,13 @@
 
 
 def diff_trees(schema: SchemaNode, old: Any, new: Any) -> TreeDifference:
-    """Return the leaves of a node that differ between two trees."""
+    """Return the leaves and leaf-lists that differ between two versions of a node.
+
+    Args:
+        schema: The schema of the node.
+        old: The old version of the node; None if there was none.
+        new: The new version of the node; None if there is none.
+    """
     difference = TreeDifference()
     _diff(schema, old, new, (), difference)
     return difference
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -29,7 +29,7 @@
         ],
     }
 }
-NOTIFICATION_NAME = "drain-changed"  # yangson lists notifications among the data nodes
+NOTIFICATION_NAME = "drain-changed"  # left out: yangson lists notifications among the data nodes
 MAX_TENANTS_FOR_REFERENCES = 500  # with more, yangson's reference checks are too slow
 MAX_ERROR_LENGTH = 500  # characters
 
@@ -48,7 +48,7 @@
         self.schema = _convert_schema_node(self._data_model.schema, False)
 
     def validate(self, tree: Tree) -> Tree:
-        """Return a configuration in canonical form, without state.
+        """Return a configuration in canonical form; state in the tree is an error.
 
         Children of /fleet do not refer to one another, so a child that is unchanged since the last
         validation is not validated again. A commit of a drain therefore costs the same with an
