--- a/tests/management/gnmi_calls.py
+++ b/tests/management/gnmi_calls.py
@@ -6,7 +6,10 @@
 
 
 def call(director, name, message):
-    """Call a method; for Subscribe, send a list of messages and return all responses."""
+    """Call a method and return its response.
+
+    For Subscribe, `message` is a list of messages, and all responses are returned as a list.
+    """
     request_class, response_class = gnmi.METHODS[name]
     with grpc.insecure_channel(director.address) as channel:
         if name == "Subscribe":
@@ -21,7 +24,7 @@
 
 
 def subscribe_request(mode, path, **options):
-    """Return the first message of a Subscribe call."""
+    """Return the first message of a Subscribe call; `options` are fields of SubscriptionList."""
     elems = [gnmi.PathElem(name=name) for name in path.strip("/").split("/")]
     return gnmi.SubscribeRequest(
         subscribe=gnmi.SubscriptionList(
--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -35,7 +35,7 @@
 
 
 def drain(target, endpoint, **leaves):
-    """Commit a drain; return the version."""
+    """Commit a drain with the given leaves; return the number of the version."""
     return target.set(updates=[(drain_path(endpoint), leaves)])
 
 
@@ -53,7 +53,11 @@
 
 
 class ManagedDirector:
-    """A director on loopback with management and optional cells; the with block stops it."""
+    """A director on loopback with management and optional cells, started by a with block.
+
+    The end of the block stops the director and closes its endpoints, clients and connections. The
+    files in `folder` are kept, so that another director can continue with them.
+    """
 
     def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER):
         self.folder = folder
@@ -98,14 +102,22 @@
         return [name for name, _, _ in self.director.coordinator.ready_caches()]
 
     def received_requests(self):
-        """Return the requests that each endpoint has received, by name."""
+        """Return the requests that the endpoints have received, by name of the endpoint."""
         return commands_by_endpoint(self.endpoints)
 
     def assignment_in_use(self):
         return self.director.cell_service.controller.assignment
 
     def update_endpoint(self, number, name, state="SERVING", started=0, port=None):
-        """Apply an update of one endpoint, as if the event stream had sent it."""
+        """Apply an update of one endpoint, as if the event stream had sent it.
+
+        Args:
+            number: Number of the event and version of the endpoint list.
+            name: Name of the endpoint.
+            state: The new state in the endpoint list.
+            started: Start time of the endpoint in Unix milliseconds; another one means a restart.
+            port: Another port than that of the stand-in; None for the stand-in's address.
+        """
         index = next(index for index, row in enumerate(ENDPOINTS) if row[0] == name)
         row = {
             "id": name,
--- a/tests/management/test_certificates.py
+++ b/tests/management/test_certificates.py
@@ -29,7 +29,10 @@
 
 
 def new_certificate(name, issuer=None):
-    """Create a certificate and a key, signed by an issuer (certificate and key) or self-signed."""
+    """Create a certificate and its key.
+
+    The certificate is signed by the issuer (its certificate and key) or, without one, self-signed.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
     now = datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
@@ -113,7 +116,7 @@
         director.target(**connection_options(tmp_path, "reader")).get(parse_path("/fleet/boxes"))
         other_authority = write_certificate(tmp_path, "other", new_certificate("other authority"))
         write_certificate(tmp_path, "new-reader", new_certificate("reader", other_authority))
-        # Files of which only some were replaced must not be loaded.
+        # While only some of the files are replaced, the director must not load them.
         (tmp_path / "ca.pem").write_bytes(b"no certificate")
         (tmp_path / "old.pem").write_bytes((tmp_path / "other.pem").read_bytes())
         write_certificate(tmp_path, "server", new_certificate("server", other_authority))
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -12,7 +12,7 @@
 
 
 class FakeParticipant:
-    """A participant that stores the committed tree, and can reject a prepare or fail a commit."""
+    """A participant that keeps the committed tree, and can reject a prepare or fail a commit."""
 
     def __init__(self, name, rejects=False, fails=False):
         self.name = name
@@ -139,7 +139,10 @@
 
 
 class DatastoreMachine(RuleBasedStateMachine):
-    """Sequences of calls after which participant and file must match the datastore."""
+    """Random calls of a datastore; after each, participant and file must have its running version.
+
+    A rejected or failed commit, a rollback or a restart must not leave them with another version.
+    """
 
     def __init__(self):
         super().__init__()
--- a/tests/management/test_drain_intent.py
+++ b/tests/management/test_drain_intent.py
@@ -25,7 +25,10 @@
 
 
 def intent_with_drain(scope=CURRENT, listed=None):
-    """Return an intent with a drain of s-1, set after the endpoint list was received."""
+    """Return an intent with a drain of s-1, which is set after the endpoint list was received.
+
+    The list has the entries `listed`, by default that of s-1 alone.
+    """
     intent = DrainIntent()
     intent.update_endpoints(0.0, listed or [entry()], True)
     intent.set_requests(1.0, {"s-1": DrainRequest("s-1", scope)})
--- a/tests/management/test_gnmi_calls.py
+++ b/tests/management/test_gnmi_calls.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
+    """Yield a director with cells for all tests of this module that need none of their own."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -20,13 +20,13 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
+    """Yield a director with cells for all tests of this module that need none of their own."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
 
 def snapshot(director):
-    """Return everything that a rejected change must leave unchanged."""
+    """Return everything that a rejected change must leave unchanged, in memory and in files."""
     datastore = director.management.datastore
     return (
         datastore.running,
@@ -111,7 +111,7 @@
             updates=[(drain_path("s-02"), {})], confirm_timeout_s=0.4, commit_id="c1"
         )
         assert director.ready_caches() == ["s-01", "s-03"]
-        director.management.stop()  # as if killed before the deadline
+        director.management.stop()  # as if killed before the deadline: nothing is rolled back
     time.sleep(0.4)
     with ManagedDirector(tmp_path) as restarted:
         assert wait_for(lambda: restarted.ready_caches() == ["s-01", "s-02", "s-03"])
@@ -278,7 +278,8 @@
     assert before[:2] == after[:2]
     assert before[3] == after[3]
     assert before[5] == after[5]
-    assert after[4].tenants == before[4].tenants  # the file has a higher version
+    # The undo restored the assignment with a higher version, so only the tenants are the same
+    assert after[4].tenants == before[4].tenants
     assert wait_for(
         lambda: running.assignment_in_use() == store.load_assignment(str(running.assignment_path))
     )
@@ -329,7 +330,10 @@
 
 
 def set_drain_and_limit(number, short_timeout_target, default_timeout_target):
-    """Set the drain's reason and a rate limit in one change; only odd numbers may time out."""
+    """Set the reason of a drain and a rate limit to `number` in one change.
+
+    If the number is odd, the client has a short timeout, and the change may time out.
+    """
     changes = [
         (parse_path("/fleet/drains/drain[box=zz]/reason"), str(number)),
         (RATE_LIMIT, str(number)),
@@ -348,10 +352,10 @@
 def test_late_endpoint_updates_do_not_undo_a_drain(tmp_path):
     with ManagedDirector(tmp_path) as director:
         director.target().set(updates=[(drain_path("s-02"), {})])
-        for number in (2, 3):  # updates from before the drain
+        for number in (2, 3):  # late updates, which show the endpoint as it was before the drain
             director.update_endpoint(number, "s-02")
             assert director.ready_caches() == ["s-01", "s-03"]
         director.update_endpoint(4, "s-02", state="DRAINING")
         director.update_endpoint(5, "s-02", state="DELETED")
-        director.update_endpoint(6, "s-02", port=9)  # another machine with the same name
+        director.update_endpoint(6, "s-02", port=9)  # another machine with this name
         assert director.ready_caches() == ["s-01", "s-02", "s-03"]
--- a/tests/management/test_gnmi_subscriptions.py
+++ b/tests/management/test_gnmi_subscriptions.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """Yield a director with cells, shared by the tests that leave its configuration unchanged."""
+    """Yield a director with cells for all tests of this module that need none of their own."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
@@ -25,8 +25,8 @@
     If the call fails, the last item of the list is ("error", code, text).
 
     Returns:
-        The list, and a threading.Event that is set when `is_complete` returns true for the list or
-        the call has failed.
+        The list, and a threading.Event that is set when `is_complete` returns true for the list, or
+        when the call has ended or failed.
     """
     events = []
     done = threading.Event()
