--- a/mulleinrelay/management/command_output.py
+++ b/mulleinrelay/management/command_output.py
@@ -47,7 +47,7 @@
 ) -> NoReturn:
     """Run an operation on each director in turn, print the results and exit.
 
-    The exit code is the highest of all directors.
+    The process exits with the highest exit code of all directors.
 
     Args:
         settings: The directors and the output format.
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -27,7 +27,8 @@
 DRAINS_PATH = parse_path("/fleet/drains")
 DATASTORE_PATH = parse_path("/fleet/datastore")
 DEFAULT_WATCHED_PATHS = ("/fleet/boxes", "/fleet/drains")
-# `watch` ends by closing its connection; errors from this long before the end on come from that
+# `watch` ends by closing its connection, which makes the call fail; errors are ignored from this
+# time before the end on
 END_TOLERANCE_S = 0.05
 
 
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -24,7 +24,7 @@
 
 
 class DatastoreFileError(StoreError):
-    """A datastore file that cannot be used; the text gives the reason."""
+    """Error for a datastore file that cannot be used; the text gives the reason."""
 
 
 def encode_state(state: DatastoreState) -> bytes:
--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -23,7 +23,7 @@
 
 
 class RequestError(MulleinrelayError):
-    """A management request that was rejected or failed.
+    """Error for a management request that was rejected or failed.
 
     Attributes:
         code: Reason for the rejection or failure.
@@ -36,8 +36,8 @@
 
 
 class PathError(RequestError):
-    """A path, or a value at a path, that cannot be parsed or does not fit the model."""
+    """Error for a path, or a value at a path, that cannot be parsed or does not fit the model."""
 
 
 class CommitRejectedError(RequestError):
-    """A commit that was rejected or failed; the running configuration is unchanged."""
+    """Error for a commit that was rejected or failed; the running configuration is unchanged."""
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -39,7 +39,7 @@
 
 
 class GnmiCallError(MulleinrelayError):
-    """A failed gNMI call.
+    """Error for a failed gNMI call.
 
     Attributes:
         code: Name of the gRPC status code.
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -153,7 +153,7 @@
     def subscribe(
         self, requests: Iterator[Message], context: grpc.ServicerContext
     ) -> Iterator[Message]:
-        """Yield notifications until the call ends; reject the call above `max_subscribers`."""
+        """Yield notifications until the call ends; abort it if `max_subscribers` calls are open."""
         self._authorize(context, Role.READ)
         with self._streams_lock:
             if self._open_streams >= self._config.max_subscribers:
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -34,8 +34,8 @@
     """A participant that applies the operators' drains on top of the endpoint list.
 
     Attributes:
-        intent: The drains and their states. They are changed under the coordinator's lock only;
-            management also reads them without it.
+        intent: The drains and their states. Drains and phases are changed under the coordinator's
+            lock only; management also reads them without that lock.
     """
 
     name = "drains"
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -96,7 +96,7 @@
     def _restore(self, state: DatastoreState) -> None:
         """Adopt a stored state and apply its drains; take the assignment from the assignment file.
 
-        Only if the last commit was interrupted, its assignment is first written to that file.
+        If the last commit was interrupted, its assignment is first written to that file.
         """
         self.datastore.state = state
         last = state.versions[-1]
@@ -372,8 +372,9 @@
         """Add a subscriber to changes below the paths; `unsubscribe` removes it.
 
         Args:
-            paths: The subscribed paths. The subscriber gets all changes below the same children of
-                /fleet; `SubscribeCall` selects those that its paths match.
+            paths: The subscribed paths. The subscriber gets all changes below the children of
+                /fleet that the paths of any subscriber lead to. `SubscribeCall` selects the changes
+                that its own paths match.
             capacity: Maximum number of updates in the subscriber's queue.
         """
         subscriber = Subscriber(fleet_children(paths), capacity)
--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -33,9 +33,9 @@
         listen: Address at which datagrams are received.
         announce: Address at which other directors reach this director.
         location: Location (zone) of this director.
-        seeds: Addresses of directors through which this director joins the fleet. It keeps
-            contacting the seeds that are not active members; only the first `state_sync.MAX_SEEDS`
-            seeds are used.
+        seeds: Addresses of directors through which this director joins the fleet. This director
+            keeps contacting the seeds that are not active members. Only the first
+            `state_sync.MAX_SEEDS` seeds are used.
         max_members: Maximum number of other members in the member table, including departed ones.
         records_folder: Folder of the records for operators' commands; if empty, no records are
             written.
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -152,9 +152,9 @@
     def check_pending_pings(self, now: float) -> list[OutgoingDatagram]:
         """Handle pings whose ack is overdue.
 
-        After its own ping, this director first requests indirect pings. If there is still no ack
-        later, it suspects the member. After a ping for a requester, it sends the requester a nack.
-        This director's own pings of members that have departed since are dropped.
+        If the ping was this director's own, it first requests indirect pings. If there is still no
+        ack later, it suspects the member, unless the member has departed. If the ping was for a
+        requester, the requester gets a nack.
         """
         outgoing = []
         for number, ping in list(self._pending.items()):
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -67,10 +67,10 @@
             suspects, the end of a pause of this process since then.
         suspected_by: Directors that have reported the member as suspect, also those that only
             passed the suspicion on; empty unless the member is suspect.
-        last_received_at: Time of the last datagram from the member, without outdated datagrams; 0
-            if there was none.
-        suspect_pings_sent: Number of scheduled pings (`SUSPECT_PING_FRACTIONS`) since the member
-            became suspect.
+        last_received_at: Time of the last datagram from the member; 0 if there was none. Late
+            datagrams from before its last restart or refutation do not count.
+        suspect_pings_sent: Number of the pings at `SUSPECT_PING_FRACTIONS` of the suspicion timeout
+            that were sent since the member became suspect.
     """
 
     update: MemberUpdate
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -40,7 +40,7 @@
 
     Attributes:
         recent: The last `MAX_EVENTS` events, each with `at` (Unix seconds) and `text`.
-        unrecorded: Texts of events that have not been written to the director's log file yet.
+        unrecorded: Texts of events that have not been written to the log of the records yet.
     """
 
     recent: list[dict[str, object]] = field(default_factory=list)
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -158,8 +158,8 @@
         if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
             entry.last_received_at = now
             # A sender that this director considers dead or left is not trusted: its updates may be
-            # out of date, or wrong because it receives no datagrams. The response to its ping or
-            # sync request tells the sender its state, so that it can refute it.
+            # out of date, or wrong because the sender receives no datagrams. The response to a ping
+            # or sync request tells the sender how it is seen, so that it can refute this.
             is_trusted = entry.is_active
         outgoing: list[OutgoingDatagram] = []
         previous = self.table.local
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -72,7 +72,7 @@
         return 1.0 + self.drift * ((number % 3) - 1)
 
     def clock(self, number):
-        """Return the time of a director's clock in ms, which differs by rate and by an offset."""
+        """Return the time of a director's clock in ms; the clocks differ in rate and offset."""
         return self.now * self._clock_rate(number) + CLOCK_OFFSET_MS * number
 
     def block(self, senders, receivers):
@@ -159,8 +159,8 @@
     def has_converged(self, among=None):
         """Return whether each running director sees exactly the other running ones as alive.
 
-        Killed and paused directors are not running. If `among` is given, only these directors are
-        considered.
+        Killed and paused directors do not count as running. If `among` is given, only its directors
+        do.
         """
         running = set(among if among is not None else self.protocols) - self.killed - self.paused
         return all(self.members_seen_by(number) == running - {number} for number in running)
