--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -24,7 +24,7 @@
 MIN_SAMPLE_INTERVAL_S = 1.0  # each sample reads the state of all endpoints
 MAX_QUEUE_WAIT_S = 1.0  # a stream checks at this interval whether its client is still connected
 MIN_QUEUE_WAIT_S = 0.01
-# gNMI updates, each a path and a value. Keeps messages well below 4 MB, the default limit of clients
+# gNMI updates, each a path and a value; keeps messages well below 4 MB, clients' default limit
 MAX_UPDATES_PER_MESSAGE = 500
 NANOSECONDS_PER_SECOND = 1e9
 
