--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -6,7 +6,7 @@
 
 
 class ErrorCode(StrEnum):
-    """The reasons for rejecting a request."""
+    """The reasons why a request is rejected or fails."""
 
     INVALID = "invalid"
     """The request, or the configuration that it would result in, is not valid."""
@@ -23,21 +23,21 @@
 
 
 class RequestError(MulleinrelayError):
-    """A management request that was rejected or failed.
+    """Error for a management request that was rejected or failed.
 
     Attributes:
-        code: The kind of the error.
+        code: Reason for the rejection or failure.
     """
 
     def __init__(self, message: str, code: ErrorCode = ErrorCode.INVALID) -> None:
-        """Create the error from the text that is sent to the client and the kind of the error."""
+        """Create the error; `message` is the text that is sent to the client."""
         super().__init__(message)
         self.code = code
 
 
 class PathError(RequestError):
-    """A path, or a value at a path, that cannot be parsed or does not fit the model."""
+    """Error for a path, or a value at a path, that cannot be parsed or does not fit the model."""
 
 
 class CommitRejectedError(RequestError):
-    """A commit that was rejected or failed; the running configuration is unchanged."""
+    """Error for a commit that was rejected or failed; the running configuration is unchanged."""
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -24,7 +24,8 @@
 MIN_SAMPLE_INTERVAL_S = 1.0  # each sample reads the state of all endpoints
 MAX_QUEUE_WAIT_S = 1.0  # a stream checks at this interval whether its client is still connected
 MIN_QUEUE_WAIT_S = 0.01
-MAX_UPDATES_PER_MESSAGE = 500  # keeps messages well below 4 MB, the default limit of clients
+# gNMI updates, each a path and a value; keeps messages well below 4 MB, clients' default limit
+MAX_UPDATES_PER_MESSAGE = 500
 NANOSECONDS_PER_SECOND = 1e9
 
 
@@ -49,7 +50,7 @@
             management: The service whose tree is subscribed to.
             request: The SubscriptionList.
             context: The call's grpc.ServicerContext.
-            queue_capacity: Maximum number of updates in the queue of this client.
+            queue_capacity: Maximum number of updates that wait to be sent in a stream.
 
         Raises:
             PathError: If the encoding or a path is not valid, or there is no path.
@@ -87,7 +88,7 @@
                 yield from self._snapshot()
 
     def _snapshot(self) -> Iterator[Message]:
-        """Yield all values and a sync response; skip the values if only updates are requested."""
+        """Yield all values and a sync response; leave out the values if `updates_only` is set."""
         if not self._request.updates_only:
             yield from self._read_values(self._paths)
         yield gnmi.SubscribeResponse(sync_response=True)
@@ -120,13 +121,19 @@
             self._management.unsubscribe(subscriber)
 
     def _check_paths(self) -> None:
-        """Raise PathError for a path that can never match, as its client would wait forever."""
+        """Raise PathError for a path that can never match, as its client would wait forever.
+
+        Paths with a wildcard in place of a name are not checked.
+        """
         for path in self._paths:
             if not any(element.name in (ANY_ELEMENT, ANY_ELEMENTS) for element in path):
                 self._management.schema.find(path)
 
     def _stream_changes(self, subscriber: Subscriber) -> Iterator[Message]:
-        """Yield changes, samples and heartbeats until the client ends the call."""
+        """Yield changes, samples and heartbeats until the call ends or the subscriber is closed.
+
+        If updates were dropped from the subscriber's queue, the call is aborted.
+        """
         patterns = self._change_patterns()
         periodic = self._periodic_reads()
         started_at = time.monotonic()
