--- a/mulleinrelay/standins/client_protocol.py
+++ b/mulleinrelay/standins/client_protocol.py
@@ -1,6 +1,6 @@
-"""Client calls to directors in framed Thrift, as both load generators send them.
+"""Encoding of client calls to directors in framed Thrift, and decoding of the replies.
 
-The module encodes and decodes; it does no input or output.
+The load generators of both labs use this module. It does no input or output.
 """
 
 import enum
@@ -10,7 +10,7 @@
 from ..net import thrift
 
 DEFAULT_RETRY_DELAY = 100.0  # ms until a retry if the rejection specifies no delay
-MAX_IN_FLIGHT = 32  # requests per connection
+MAX_IN_FLIGHT = 32  # unanswered requests per connection
 MAX_FRAME_BYTES = 300_000  # per reply
 HEALTH_METHOD = b"isWell"
 SERVE_METHOD = b"serve"
@@ -21,7 +21,10 @@
 
 
 class ReplyOutcome(enum.StrEnum):
-    """Outcome that a reply reports; its values appear in the figures and records of the labs."""
+    """Outcome that a reply reports; its values appear in the figures and records of the labs.
+
+    INVALID is a Thrift exception or a result that the protocol does not define.
+    """
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -36,7 +39,10 @@
 class ServerReply:
     """Reply of a director to one call.
 
-    `number` is the number of that call; `retry_after_ms` is 0 if the reply does not specify it.
+    Attributes:
+        number: Sequence number of the call.
+        outcome: Outcome that the reply reports.
+        retry_after_ms: Delay before a retry that a rejection asks for; 0 if it asks for none.
     """
 
     number: int
@@ -45,7 +51,13 @@
 
 
 def encode_serve_call(number: int, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """Return a frame with a call of `serve` that has string fields and a body."""
+    """Return a frame with a call of `serve`.
+
+    Args:
+        number: Sequence number of the call on its connection.
+        fields: String fields of the request.
+        body: Body of the request; empty for a read.
+    """
     pairs = b"".join(
         struct.pack(">i", len(text)) + text.encode() for pair in fields.items() for text in pair
     )
@@ -87,6 +99,7 @@
 
     Raises:
         ThriftError: If the frame is not a valid reply.
+        ValueError: If the delay before a retry is not a number.
     """
     reader = thrift.ValueReader(frame)
     kind = struct.unpack(">I", reader.read_bytes(4))[0] & 0xFF
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -1,6 +1,7 @@
 """Threaded servers for the stand-ins: nodes that speak RESP, and the event stream.
 
-`LoopbackEnvironment` combines them for process tests and the lab of tenants, and injects faults.
+`LoopbackEnvironment` runs these servers for process tests and for the lab of tenants
+(`lab/runner.py`), and injects faults into them.
 """
 
 import contextlib
@@ -21,8 +22,8 @@
 
 MAX_HEAD_BYTES = 8192  # of the head of an HTTP request
 KEEP_ALIVE_S = 0.5  # interval of comments on an idle event stream
-RESTART_DELAY_S = 0.05  # between a node's stop and its next start
-SLOWDOWN = 10.0  # factor for a node with the fault `slow`
+RESTART_DELAY_S = 0.05  # until a restarted node listens again
+SLOWDOWN = 10.0  # multiplies the work time and the answer delay of a node with the fault `slow`
 
 
 class ThreadedServer:
@@ -138,8 +139,8 @@
 class EventStreamServer(ThreadedServer):
     """A server of the event stream, which stores all events and sends them to each reader.
 
-    A reader receives the events after the last one that it names in its request. `new_events`
-    guards `events`.
+    A reader names the last event that it has received in the header Last-Event-ID of its request,
+    and receives all later events. `new_events` guards `events`.
     """
 
     def __init__(self) -> None:
@@ -181,7 +182,12 @@
 
 
 class LoopbackEnvironment:
-    """Servers for a fleet of nodes and its event stream, with fault injection."""
+    """Servers for a fleet of nodes and its event stream, with fault injection.
+
+    Attributes:
+        fleet: State of the nodes that the servers serve.
+        endpoints_version: Version of the endpoint update that was published last.
+    """
 
     def __init__(self, fleet: NodeFleet) -> None:
         self.fleet = fleet
@@ -226,8 +232,10 @@
         """Start or end a fault of a node, or purge an object.
 
         Args:
-            fault: kill, revive, cold, slow, silent, well, drain, ready or purge.
-            name: Name of the node; with purge, the id of the object.
+            fault: `kill` stops a node; `revive` starts it again without stored copies; `cold` does
+                both. `slow` and `silent` (no answers) last until `well`, and a draining that
+                `drain` announces until `ready`. `purge` purges an object.
+            name: Name of the node; with `purge`, the id of the object.
         """
         if fault == "purge":
             self.fleet.purged_at[name] = now_ms()
--- a/mulleinrelay/standins/event_loop.py
+++ b/mulleinrelay/standins/event_loop.py
@@ -41,7 +41,10 @@
         heapq.heappush(self.timers, (due_at, next(self.order), call))
 
     def call_every(self, interval: float, call: Callable[[], None]) -> None:
-        """Call `call` every `interval` ms, until the loop stops."""
+        """Call `call` until the loop stops, each time `interval` ms after the previous call ended.
+
+        The first call is made after one interval.
+        """
 
         def repeat() -> None:
             call()
@@ -105,7 +108,10 @@
         listener.close()
 
     def connect(self, address: tuple[str, int]) -> "LoopConnection":
-        """Start to connect; if this fails, the connection's `on_close` is called."""
+        """Start to connect, and return the connection at once.
+
+        If the connection cannot be established, its `on_close` is called later.
+        """
         connection = socket.socket()
         connection.setblocking(False)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -118,7 +124,8 @@
 
     Attributes:
         on_data: Called with the bytes received.
-        on_close: Called once when the peer or an error ends the connection; not called by `close`.
+        on_close: Called once when the peer, an error or more than MAX_UNSENT_BYTES of unsent data
+            ends the connection. `close` does not call it.
     """
 
     def __init__(self, loop: EventLoop, connection: socket.socket) -> None:
@@ -133,7 +140,10 @@
         loop.selector.register(connection, self.mask, self._on_ready)
 
     def write(self, data: bytes | memoryview) -> None:
-        """Send bytes, or queue them until the socket accepts them; ignore them if closed."""
+        """Send bytes, or queue them until the socket accepts them.
+
+        Bytes are ignored if the connection is closed. Too many queued bytes end it.
+        """
         if self.is_closed or not data:
             return
         if not self.unsent:
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -1,8 +1,8 @@
 """An open-loop load generator that sends requests in framed Thrift to directors.
 
 It retries rejected requests. Each sending of a request is a try. Results are those that a client
-sees: a request is served if any of its tries is served before its client's patience ends. The
-patience starts with the first try.
+sees: a request is served if any of its tries is answered with success before the client gives up.
+A client gives up GRACE_MS after the end of its patience, which starts when the first try is due.
 """
 
 import contextlib
@@ -29,12 +29,13 @@
 from .clock import now_ms
 
 DEFAULT_MAX_TRIES = 3
-GRACE_MS = 60.0  # after a request's patience, until its answer counts as missing
+GRACE_MS = 60.0  # from the end of a request's patience until its answer counts as missing
 MIN_TIME_FOR_TRY_MS = 5.0  # patience that must remain to send a try
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_MS = 20.0  # maximum time between two checks for due requests
 MIN_WAIT_S = 0.0005
-MAX_LATENESS_MS = 1_000.0  # requests that are overdue by more, on a busy machine, are dropped
+# If a busy machine delays a new request by more than this, all overdue requests are skipped.
+MAX_LATENESS_MS = 1_000.0
 STOP_TIMEOUT_S = 2.0
 
 
@@ -48,7 +49,9 @@
         order_fraction: Fraction of requests with an idempotency key.
         skew: Exponent of the Zipf popularity of objects.
         patience: How long a client waits for an answer after its first try, in ms.
-        bursts: Start and end in seconds since the start of the load, and the rate between them.
+        max_tries: Maximum number of tries of a request, including the first.
+        bursts: For each burst, its start and end in seconds since the start of the load, and the
+            requests per second that replace `rate` between them.
     """
 
     tenant: str
@@ -62,7 +65,7 @@
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
 
     def rate_at(self, since_start_s: float) -> float:
-        """Return the number of requests per second at that time."""
+        """Return the requests per second at this time, in seconds since the start of the load."""
         for starts_s, ends_s, rate in self.bursts:
             if starts_s <= since_start_s < ends_s:
                 return rate
@@ -75,9 +78,10 @@
 
     Attributes:
         counts: Event counters, under the names that the lab's figures use.
-        delays: For each served request, the time of its first try and its delay in ms.
+        delays: For each served request, the time of its first try, and the ms from then until the
+            answer.
         first_sent_at: Time of the first try of each request.
-        served_at: Time of the first try of each served request.
+        served_at: Time of the first try (not of the answer) of each served request.
     """
 
     counts: Counter[str] = field(default_factory=Counter)
@@ -88,7 +92,13 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A client's request over all its tries; `first_due_at` is the time of the first try in ms."""
+    """A client's request over all its tries.
+
+    Attributes:
+        first_due_at: When the first try is due, in Unix ms.
+        tries: Number of tries so far.
+        is_complete: Whether the request was served, or a try got no answer or was cut off.
+    """
 
     first_due_at: float
     fields: dict[str, str]
@@ -99,14 +109,14 @@
 @dataclass(frozen=True, slots=True)
 class _Try:
     request: PendingRequest
-    deadline: float  # Unix ms
+    deadline: float  # when the client's patience ends, in Unix ms
 
 
 class ClientSession:
     """A connection to one director, opened on first use and reopened after a disconnect.
 
-    Thread-safe: `lock` guards all fields that are set after it. One thread per connection reads
-    the replies until the connection ends.
+    Thread-safe: `lock` guards `in_flight`, `answered_numbers`, `numbers` and `socket`. One thread
+    per connection reads the replies until the connection ends.
     """
 
     def __init__(self, generator: "LoadGenerator", address: tuple[str, int]) -> None:
@@ -119,7 +129,10 @@
         self.socket: socket.socket | None = None
 
     def send(self, request: PendingRequest, now: float) -> bool:
-        """Send a try and return whether it was sent; a full or broken connection sends nothing."""
+        """Send a try and return whether it was sent.
+
+        Nothing is sent if MAX_IN_FLIGHT tries have no answer yet, or if the connection fails.
+        """
         with self.lock:
             if len(self.in_flight) >= MAX_IN_FLIGHT:
                 return False
@@ -144,7 +157,7 @@
             return True
 
     def expire_unanswered(self, now: float) -> int:
-        """Give up requests whose answer is missing, and return their number."""
+        """Give up the tries whose answer is missing, and return their number."""
         with self.lock:
             expired = [
                 number
@@ -208,7 +221,8 @@
 class LoadGenerator:
     """The clients of one tenant, whose requests form a Poisson process.
 
-    Each request goes to a random connection. All random numbers are drawn from the seed.
+    Each try goes to a random connection, or to the next one that can send it. All random numbers
+    are drawn from the seed.
     Thread-safe: `lock` guards `result` and `retries`. One thread sends the requests, and one thread
     per connection reads the replies.
     """
@@ -278,7 +292,7 @@
             self.result.counts[event] += 1
 
     def expire_unanswered(self) -> None:
-        """Count the requests whose answers are missing; must be called regularly."""
+        """Give up the tries whose answers are missing, and count them; must be called regularly."""
         now = now_ms()
         expired = sum(session.expire_unanswered(now) for session in self.sessions)
         if expired:
@@ -291,9 +305,10 @@
         """Count a reply, and schedule a retry after a rejection.
 
         Args:
-            request: The request that the reply answers; None if the request is not in flight.
+            request: The request that the reply answers; None if the generator has given up the try,
+                or has received a reply to it before.
             reply: The director's reply.
-            is_repeated: Whether the same call was answered before.
+            is_repeated: Whether the same call was answered before on this connection.
         """
         now = now_ms()
         with self.lock:
@@ -316,7 +331,8 @@
     def served_fraction(self, first_s: float, last_s: float) -> float:
         """Return the served fraction of the requests first sent in a time range.
 
-        The range is given in seconds since the start of the load; 1 if it has no requests.
+        The range is given in seconds since the start of the load. The fraction is 1 if no request
+        was sent in the range.
         """
         with self.lock:
             sent = sum(first_s <= sent_at < last_s for sent_at in self.result.first_sent_at)
@@ -327,7 +343,7 @@
         """Return a percentile of the delays in ms; 0 if there are none.
 
         Args:
-            fraction: The percentile as a fraction.
+            fraction: The percentile as a fraction: 0.5 for the median.
             first_s: Start of the range of first tries, in seconds since the start of the load.
             last_s: End of that range.
         """
@@ -354,7 +370,10 @@
             self.stopped.wait(max(MIN_WAIT_S, (wakes_at - now_ms()) / 1000.0))
 
     def _send_retries(self, now: float) -> float:
-        """Send the retries that are due, and return when the next retry is due."""
+        """Send the retries that are due, and return when the next retry is due.
+
+        If no retry is waiting, return the time MAX_IDLE_MS from now.
+        """
         with self.lock:
             due = []
             while self.retries and self.retries[0][0] <= now:
--- a/mulleinrelay/standins/node_protocol.py
+++ b/mulleinrelay/standins/node_protocol.py
@@ -1,9 +1,9 @@
-"""Parts of the protocol between directors and nodes that both node servers use.
+"""Parts of the protocol between directors and nodes, for the node servers of both labs.
 
 The module does no input or output.
 """
 
-MAX_CANCELLED = 10_000  # ids that are kept per connection; all are dropped beyond this
+MAX_CANCELLED = 10_000  # ids per connection; one more, and all ids are dropped
 
 
 def decode_fields(text: bytes | memoryview) -> dict[str, str]:
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -16,7 +16,7 @@
 MAX_QUEUED_WORK_MS = 1_000.0  # a node with more queued work rejects commands
 LOAD_WINDOW_MS = 1_000.0  # time window over which a node's load is computed
 REJECT_DELAY_MS = 1.0  # until a rejection is sent
-PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification, while old copies are allowed
+PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification; until then, old copies are allowed
 
 CopyKey = tuple[str, str]  # id of an object and of its part
 
@@ -25,12 +25,16 @@
 class NodeSpec:
     """Properties of one node. Times are in ms.
 
+    Work is measured in hits: the unit is the work of one answer from a stored copy.
+
     Attributes:
-        capacity: Capacity in hits per second.
-        fill_cost: Cost of a fill, in hits.
-        answer_delay: Delay that is added to the work of each answer.
-        initial_fraction: Fraction of its capacity that a node has right after a start.
-        slow_start_duration: Time from a start until the node has its full capacity.
+        kind: One of the kinds in `node_kinds.py`.
+        capacity: Work that the node can do, in hits per second.
+        fill_cost: Work of a fill, in hits.
+        answer_delay: Time from the end of the work for an answer until the answer is sent.
+        weight: Weight of the node in the endpoint list.
+        initial_fraction: Fraction of its capacity that a node has right after a restart.
+        slow_start_duration: Time from a restart until the node has its full capacity again.
         max_copies: Maximum number of stored copies, the oldest are evicted first; 0: no maximum.
         crashes_on_overload: Whether a node that is overloaded for too long crashes.
         crash_load: Load above which a node is overloaded, as a multiple of its current capacity.
@@ -55,7 +59,7 @@
 
 
 class SimulatedNode:
-    """The state of one node. The lock of its fleet guards all fields."""
+    """The state of one node. The lock of its fleet guards all fields. Times are in ms."""
 
     def __init__(self, spec: NodeSpec) -> None:
         self.spec = spec
@@ -68,17 +72,19 @@
         self.is_alive = True
         self.is_silent = False
         self.state = "SERVING"
-        self.recent_work: deque[tuple[float, float]] = deque()  # time and units
-        self.window_load = 0.0  # units of work within the last LOAD_WINDOW_MS
-        self.peak_load = 0.0  # as a multiple of the capacity
+        self.recent_work: deque[tuple[float, float]] = deque()  # time in ms, work in hits
+        self.window_load = 0.0  # work within the last LOAD_WINDOW_MS, in hits
+        self.peak_load = 0.0  # as a multiple of the capacity that the node had at the time
         self.overloaded_since = 0.0  # 0: not overloaded
         self.counts: Counter[str] = Counter()
-        self.last_referenced_at = (
-            0.0  # when a command last named it, as its target or as a fill source
-        )
+        # When a command last named this node, as its target or as a fill source.
+        self.last_referenced_at = 0.0
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the fraction of its capacity that the node has now; it is 1 after slow start."""
+        """Return the fraction of its capacity that the node has at `now`.
+
+        The fraction is 1 if the node was never restarted, or if its slow start is over.
+        """
         spec = self.spec
         if not self.started_at or not spec.slow_start_duration:
             return 1.0
@@ -86,9 +92,10 @@
         return min(1.0, spec.initial_fraction + gained)
 
     def accept_work(self, now: float, units: float) -> float | None:
-        """Queue work and return when it is done; None if the node is overloaded and rejects it.
+        """Queue `units` hits of work and return when the work is done; None if it is rejected.
 
-        Rejected work counts as load too. The load may crash the node.
+        Work is rejected if more than MAX_QUEUED_WORK_MS of work is queued already. Rejected work
+        counts as load too. The load may crash the node.
         """
         capacity_per_ms = self.spec.capacity * self.capacity_fraction(now) / 1000.0
         self._record_load(now, units, capacity_per_ms)
@@ -122,7 +129,10 @@
             del self.copies[next(iter(self.copies))]
 
     def reset(self) -> None:
-        """Discard all stored copies, idempotency keys and queued work, as a restart does."""
+        """Discard all stored copies, fills, idempotency keys, queued work and recorded load.
+
+        A restarted process has lost all of them. The counters and the peak load remain.
+        """
         self.copies.clear()
         self.fills_in_progress.clear()
         self.idempotency_keys.clear()
@@ -134,7 +144,12 @@
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """The items of a reply to a command, and when it is sent in ms; None: it is never sent."""
+    """The reply to a command.
+
+    Attributes:
+        items: Items of the reply after the id of the command.
+        due_at: When the reply is sent, in ms of the fleet's clock; None if it is never sent.
+    """
 
     items: tuple[bytes, ...]
     due_at: float | None
@@ -146,9 +161,9 @@
 
     copy_key: CopyKey
     max_age: float  # maximum age of a copy in ms; 0: no maximum
-    source: SimulatedNode | None
+    source: SimulatedNode | None  # the fill source; None: a miss is not filled
     flags: frozenset[str]
-    stores_copy: bool
+    stores_copy: bool  # whether the node stores the copy that a fill provides
 
     def is_fresh(self, issued_at: float, now: float) -> bool:
         return not self.max_age or now - issued_at <= self.max_age
@@ -156,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SourceCopy:
-    """A copy that a fill source provides.
+    """The answer of a fill source to a fill. Times are in ms.
 
     Attributes:
         ready_at: When the copy arrives; None if the source provides no copy.
@@ -179,10 +194,12 @@
         write_classes: Request classes whose requests are writes.
         key_retention: How long a node remembers an idempotency key, in ms.
         body: Body of all successful answers to reads.
-        executions: Number of executed writes by idempotency key.
+        executions: Number of executed writes by idempotency key; the empty key counts all writes
+            without a key.
         origin_fetches: Number of reads that reached the origin.
         purged_at: Time of the last purge of each purged object.
         stale_answers: Number of answers with a copy that was purged over 1 s earlier.
+        clock: Function that returns the time in ms.
     """
 
     nodes: dict[str, SimulatedNode]
@@ -226,7 +243,8 @@
             object_id: Id of the object.
             issued_at: When the origin issued the copy.
             now: When the copy is sent in an answer.
-            notified_at: When the director was notified of the purge; None: when it took place.
+            notified_at: When the director was notified of the purge; None if this time is unknown,
+                so that the time of the purge itself is used.
         """
         purged_at = self.purged_at.get(object_id)
         if purged_at is None:
@@ -237,7 +255,7 @@
     def _write(self, now: float, node: SimulatedNode, idempotency_key: str) -> Reply:
         done_at = node.accept_work(now, 1.0)
         if done_at is None:
-            return _overloaded_reply(now)
+            return _rejection_reply(now)
         if not idempotency_key or now > node.idempotency_keys.get(idempotency_key, 0.0):
             self.executions[idempotency_key] += 1
             node.idempotency_keys[idempotency_key] = now + self.key_retention
@@ -265,7 +283,7 @@
     ) -> Reply:
         done_at = node.accept_work(now, 1.0)
         if done_at is None:
-            return _overloaded_reply(now)
+            return _rejection_reply(now)
         return _timed_reply(
             node, done_at, self._success_items(copy_key, issued_at, now, reason, 0.0)
         )
@@ -276,7 +294,7 @@
         node.counts["fills"] += 1
         done_at = node.accept_work(now, node.spec.fill_cost)
         if done_at is None:
-            return _overloaded_reply(now)
+            return _rejection_reply(now)
         if not source.is_alive:
             return _timed_reply(node, done_at, (b"BROKE", b"why=UP_DOWN", b""))
         fetched = self._fetch(now, source, command)
@@ -327,7 +345,7 @@
     return None if done_at is None else done_at + source.spec.answer_delay + extra_delay
 
 
-def _overloaded_reply(now: float) -> Reply:
+def _rejection_reply(now: float) -> Reply:
     return Reply((b"WAIT", b"-", b""), now + REJECT_DELAY_MS)
 
 
