--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -42,7 +42,7 @@
 
 
 def show_progress(lab: Lab, since_start_s: float) -> None:
-    """Write figures during a run of the lab of tenants."""
+    """Write the figures of the last seconds of a run of the lab of tenants to standard error."""
     first_s = max(0.0, since_start_s - 3.0)
     fractions = " ".join(
         f"{generator.load.tenant} {generator.served_fraction(first_s, since_start_s - 1.0):.2f}"
@@ -56,7 +56,7 @@
 
 
 def show_fleet_progress(since_start_s: float, asked: int, served: int) -> None:
-    """Write figures during a run of the fleet lab."""
+    """Write the numbers of requests of a run of the fleet lab so far to standard error."""
     sys.stderr.write(f"\r{since_start_s:6.1f} s  asked {asked}  served {served}   ")
     sys.stderr.flush()
 
@@ -152,11 +152,12 @@
 
 
 def run_fleet_scenario(text: str, options: LabOptions) -> None:
-    """Run a fleet scenario and print its figures.
+    """Run a fleet scenario, with processes or in simulated time, and print its figures.
 
     Raises:
         ConfigError: If the scenario is invalid.
-        OSError: A file can't be written.
+        OSError: If a file cannot be written.
+        SystemExit: If a play with processes fails.
     """
     from .fleet.scenario_parser import parse_fleet_scenario
 
--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -1,4 +1,8 @@
-"""The parts of a director's process that both labs use: environment, readiness, usage."""
+"""The parts of a director's process that both labs use.
+
+They are its environment variables, the checks whether it runs and accepts connections, and its
+resource usage.
+"""
 
 import os
 import socket
@@ -17,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """CPU time so far and resident memory in 10^6 bytes; both are 0 after the process has ended."""
+    """CPU time so far and resident memory in 10^6 bytes; both are 0 if there is no process."""
 
     cpu_s: float = 0.0
     resident_mb: float = 0.0
@@ -44,7 +48,7 @@
         return None if self.process is None else self.process.poll()
 
     def usage(self) -> ProcessUsage:
-        """Return the CPU time and memory that the process has used so far."""
+        """Return the CPU time that the process has used so far, and its memory now."""
         if self.process is None:
             return ProcessUsage()
         try:
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -7,8 +7,8 @@
 from .fleet.scenario import FleetScenario
 
 MIN_SLOW_START_MS = 1.0  # the settings require a positive duration
-MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the tenant lab (`lab.scenario`)
-MAX_FLEET_PURGE_MS = 6000.0  # the same in the fleet lab (`lab.fleet.scenario`)
+MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the lab of tenants
+MAX_FLEET_PURGE_MS = 6000.0  # maximum duration of a purge in the fleet lab
 
 _REQUEST_CLASS_DEFAULTS = {"memorySpan": 6000.0, "group": "all"}
 _ALLOWED_FEATURES = {
@@ -30,9 +30,9 @@
 
     Attributes:
         zones: Names of all zones, which are hubs and locations.
-        own_zone: Index of the director's own zone.
-        directors_by_zone: Number of directors in each zone.
-        initial_fraction: Fraction of its capacity that a node has right after a start.
+        own_zone: Index of the director's own zone in `zones`.
+        directors_by_zone: Number of directors in each zone, in the order of `zones`.
+        initial_fraction: Fraction of its capacity that a node has when its slow start begins.
         slow_start_ms: Duration of the slow start of caches; 0: none.
         parent_slow_start_ms: Duration of the slow start of parents; None: the same as for caches.
         latency_objective_ms: Latency objective of each request class.
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -24,7 +24,7 @@
 READY_TIMEOUT_S = 15.0
 READY_POLL_S = 0.02
 LEAD_MS = 200.0  # between readiness of all directors and the first request
-PROGRESS_INTERVAL_S = 0.5  # between two calls of `on_progress`
+PROGRESS_INTERVAL_S = 0.5  # between two calls of `on_progress` and two counts of missing answers
 END_GRACE_S = 0.1  # after the longest patience, for the last answers
 MEMORY_MB = 128
 MAX_DESCRIPTORS = 1024
@@ -78,14 +78,16 @@
 
 
 class Lab:
-    """One run of a scenario.
+    """One run of a scenario of the lab of tenants.
 
     Attributes:
-        assignment_path: Path of the assignment file that all directors read.
+        assignment_path: Path of the assignment file, which all directors read if the scenario has
+            cells.
         environment: Servers of the stand-ins. `run` sets it; a caller that uses only
             `start_directors` must set it before.
         started_at: Start of the load in Unix ms.
-        completed_steps: Records of the steps that were run, with the keys of the output.
+        completed_steps: Records of the steps that were run, also of those that failed, with the
+            keys of the output.
     """
 
     environment: LoopbackEnvironment
@@ -118,11 +120,14 @@
         """Run the scenario and return the figures.
 
         Args:
-            on_progress: Called twice per second with the lab and the seconds since the start.
-            on_load_started: Called with the lab when the load has started.
+            on_progress: Called twice per second with the lab and the seconds since the start of the
+                load.
+            on_load_started: Called with the lab when the load generators have been started. The
+                first request follows LEAD_MS later.
 
         Raises:
-            RuntimeError: If a director ended or was not ready in time.
+            RuntimeError: If a director ended before all were ready, or was not ready within
+                READY_TIMEOUT_S.
         """
         self.environment = LoopbackEnvironment(self.fleet)
         try:
@@ -142,7 +147,11 @@
             self._stop()
 
     def start_directors(self) -> None:
-        """Start all directors and wait until they serve clients."""
+        """Start all directors and wait until they serve clients.
+
+        Raises:
+            RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
+        """
         scenario = self.scenario
         cells_file = self._write_cells_files() if scenario.cells else None
         host, port = self.environment.stream.address
@@ -168,7 +177,13 @@
         self._wait_until_ready()
 
     def restart(self, director: Director) -> None:
-        """Restart a director that has ended, with the same configuration."""
+        """Restart a director that has ended, and wait until all directors serve clients.
+
+        The director keeps its configuration.
+
+        Raises:
+            RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
+        """
         director.log.close()
         director.start()
         self._wait_until_ready()
@@ -325,9 +340,9 @@
 
 
 def cut_over(assignment: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
-    """Return an assignment that places the tenants in another cell at once.
+    """Return an assignment that places the tenants in the cell `target` at once.
 
-    Scenarios use it for comparison with a migration.
+    A scenario's step `cut` uses this function, to compare its effect with that of a migration.
     """
     placed: dict[str, Tenant] = {
         name: replace(assignment.tenants[name], cell=target) for name in tenants
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -16,7 +16,8 @@
 NODE_FAULTS = ("kill", "revive", "cold", "slow", "silent", "well", "drain", "ready", "purge")
 STEP_KINDS = (*NODE_FAULTS, "move", "cut", "abort")
 LAB_SECTIONS = ("lab", "fleet", "director")
-UNLISTED_NODE_PREFIXES = "po"  # first letters of parents and the origin; scenarios don't list them
+# First letters of the names of parents and the origin, which a scenario file does not list
+UNLISTED_NODE_PREFIXES = "po"
 ASSIGNMENT_DEFAULTS = {
     "form": "1",
     "version": "1",
@@ -36,10 +37,11 @@
     Attributes:
         name: Name of the step.
         at_s: Time of the step in seconds since the start of the load.
-        kind: Kind of the step, one of STEP_KINDS.
+        kind: One of STEP_KINDS. `move` starts a migration of tenants, `abort` aborts it, and `cut`
+            moves tenants to another cell at once. The other kinds are faults of a node.
         node: Name of the node with the fault; with `purge`, the id of the object.
-        tenants: Tenants that are migrated.
-        target: Cell to which the tenants are migrated; with `abort`, the name of the migration.
+        tenants: Tenants that `move` or `cut` moves.
+        target: Cell to which the tenants are moved; with `abort`, the name of the migration.
         warm_up_ms: Duration of the migration's warm-up stage.
         shift_ms: Duration of the migration's shift stage.
         drain_ms: Duration of the migration's drain stage.
@@ -61,14 +63,22 @@
     """A scenario. Capacities are in hits per second, delays in ms.
 
     Attributes:
-        seconds: Duration of the load.
+        seconds: Duration of the load, in seconds.
         directors: Number of directors.
-        cells: Whether the directors use an assignment.
+        seed: Seed of the load; the directors get this and the following numbers as seeds.
+        cells: Whether the directors use `assignment`.
         management: Whether the directors serve gNMI.
         caches: Names of the caches.
         parents: Number of parents.
+        capacity: Capacity of a cache. That of a parent is PARENT_CAPACITY_FACTOR times as high.
         fill_cost: Cost of a fill at a cache, in hits.
-        initial_fraction: Fraction of its capacity that a cache has right after a start.
+        hit_delay: Answer delay of a cache.
+        fill_delay: Answer delay of a parent.
+        origin_delay: Answer delay of the origin.
+        initial_fraction: Fraction of its capacity that a cache has right after a restart.
+        slow_start_duration: Time from a restart until a cache has its full capacity again, in ms.
+        crashes_on_overload: Whether a cache that is overloaded for too long crashes.
+        parent_max_copies: Maximum number of copies that a parent stores; 0: no maximum.
         max_open_requests: Maximum number of open requests per director; 0: no maximum.
         rate: Requests per second that each director admits; 0: no limit.
     """
@@ -141,7 +151,10 @@
 
 
 def _parse_assignment(sections: Sections) -> Assignment:
-    """Parse the sections of the assignment; the keys of [assignment] have defaults."""
+    """Parse the sections of the assignment.
+
+    Keys that are missing in [assignment] get the values in ASSIGNMENT_DEFAULTS.
+    """
     sections.setdefault("assignment", {})
     sections["assignment"] = ASSIGNMENT_DEFAULTS | sections["assignment"]
     section_texts = (
