--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -14,16 +14,17 @@
 from .observations import AttemptRecord, FaultRecord, NotificationRecord, Observations
 from .scenario import FleetScenario
 
-DRAIN_GRACE_S = 2.05  # after the notification of a drain, in which new attempts are allowed
+DRAIN_GRACE_S = 2.05  # after the notification of a drain; until then, new attempts are allowed
 FAULT_MARGIN_S = 5.0  # after the start and after the end of a fault, counted as fault time
-STOP_MARGIN_MS = 3000.0  # after the end of a stop or kill, in which a director may be late
+# After the end of a stop or kill, its excused period lasts this long plus the patience.
+STOP_MARGIN_MS = 3000.0
 KILL_LEAD_MS = 200.0  # a stop or kill may take effect this long before its recorded time
 # Excused period after a SIGTERM; it begins late, as a director first completes pending requests
 RESTART_FROM_MS = 700.0
 RESTART_TO_MS = 12_000.0
 FOREVER_S = 1e9
 FOREVER_MS = 1e12
-MIN_PARENT_FILLS = 20  # per second; with fewer the parents' shares are not significant
+MIN_PARENT_FILLS = 20  # in a second; with fewer, the parents' shares are not significant
 SETTLING_S = 4  # after the start or end of a fault, excluded from the parents' shares
 MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
@@ -42,7 +43,7 @@
 
 
 class Audit:
-    """Audit of one play. Times are in seconds from its start unless a name has another unit.
+    """Audit of one play. Times are in seconds from the start of the play unless noted otherwise.
 
     Attributes:
         sites: All nodes by name.
@@ -75,9 +76,10 @@
         }
 
     def _healthy_spans(self, name: str) -> list[Span]:
-        """Return the periods in which a cache was reachable, warm and at its normal speed.
+        """Return the periods in which a cache was healthy: reachable, warm and at normal speed.
 
-        A period begins only after the recovery time of the preceding fault.
+        A period begins only after the recovery time of the preceding fault. After its first crash,
+        a cache does not count as healthy any more.
         """
         spans: list[Span] = []
         since = 0.0
@@ -104,7 +106,10 @@
         return FAULT_MARGIN_S
 
     def fault_seconds(self) -> set[int]:
-        """Return all seconds close to the start or the end of a fault."""
+        """Return the seconds close to the start or the end of a fault.
+
+        They reach from one second before it to FAULT_MARGIN_S after it.
+        """
         found: set[int] = set()
         for fault in self.faults:
             found |= set(range(int(fault.at_s) - 1, int(fault.at_s + FAULT_MARGIN_S) + 1))
@@ -127,8 +132,8 @@
     def count_violations(self) -> dict[str, int]:
         """Return the number of violations by rule.
 
-        Violations by a director are excused if they happened while the lab had killed, stopped or
-        restarted the director.
+        A lost request or a late answer is excused if it happened while the lab had killed, stopped
+        or restarted the director. Other violations are never excused.
         """
         others = self.observations.other_records
         excused = self._excused_spans()
@@ -153,7 +158,10 @@
         }
 
     def _excused_spans(self) -> dict[int, list[Span]]:
-        """Return, by director, the periods (ms) in which its violations are excused."""
+        """Return, by director, the periods in which lost requests and late answers are excused.
+
+        Their times are in ms from the start of the play.
+        """
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
             if fault.kind not in ("stop", "kill"):
@@ -189,7 +197,11 @@
     # Load
 
     def parent_shares(self) -> dict[int, dict[str, float]]:
-        """Return by second the share of each parent in the fills from parents."""
+        """Return, by second, the share of each parent in the fills from parents.
+
+        Parents without fills in a second, and seconds with fewer than MIN_PARENT_FILLS, are left
+        out.
+        """
         counts: dict[int, Counter[str]] = defaultdict(Counter)
         for attempt in self.observations.attempts:
             source = self.sites.get(attempt.fill_source)
@@ -253,7 +265,10 @@
         return earned / total if total else 0.0
 
     def fills_by_source(self) -> dict[str, int]:
-        """Return the number of fills by kind of source: sibling, parent, origin or none."""
+        """Return the number of attempts at caches that were not hits, by kind of fill source.
+
+        The kinds are sibling, parent and origin, and none if the attempt names no fill source.
+        """
         found: Counter[str] = Counter()
         for attempt in self.observations.attempts:
             if attempt.node in self.caches and attempt.reason != "HIT":
@@ -280,8 +295,8 @@
     def recovery_p99_s(self, loads: Loads) -> float | None:
         """Return the 99th percentile of the time until a cache has half of its fair share again.
 
-        Each time starts when the cache is healthy again. The result is None if no cache became
-        healthy again during the play.
+        Each time starts when the cache is healthy again. Caches that become healthy in the last
+        4 s of the play are left out. The result is None if no other cache became healthy again.
         """
         found = []
         end_s = self.observations.seconds
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -1,8 +1,8 @@
 """Control channel between the lab and its processes, and the files of records that both write.
 
 Commands, messages and records are lines of JSON. The lab writes commands to the standard input of a
-process, and the process writes messages to its standard output. A process exits at the end of its
-standard input, so that no process outlives the lab.
+process, and the process writes messages to its standard output. A process that reads commands exits
+at the end of its standard input, so that it does not outlive the lab.
 """
 
 import contextlib
@@ -110,8 +110,8 @@
 
         Args:
             module: Name of the module in this package that the process runs.
-            log_path: Path of the file for its standard error.
-            first_message: First command to the process, if any.
+            log_path: Path of the file for the process's standard error.
+            first_message: First command to the process; None to send none yet.
             arguments: Command line arguments of the module.
             session: Whether the process gets its own session, so that signals from the terminal
                 do not reach it.
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectorSetup:
-    """Settings that all directors of a lab share.
+    """Settings that all directors of a play share.
 
     Attributes:
         folder: Folder of the lab.
         program: Folder that contains the package that the directors run.
-        port: Port for clients; the same for all directors, as each has its own address.
+        port: Port for clients. All directors use the same port, as each has its own address.
         has_membership: Whether the directors get a fleet file and gossip with each other.
         on_started: Called with the process id after the start of a process.
         on_ended: Called with the process id after a process has ended.
@@ -47,7 +47,11 @@
     """
 
     def __init__(self, setup: DirectorSetup, number: int, clock_step_ms: float | None) -> None:
-        """Prepare a director without starting it; the lab writes the file at `config_path`."""
+        """Prepare a director without starting it.
+
+        Before the first start, the lab must write the files at `config_path` and, if the directors
+        have membership, at `fleet_path`.
+        """
         super().__init__((addresses.listen_address(number), setup.port))
         self.setup = setup
         self.number = number
@@ -59,7 +63,7 @@
         self.was_killed = False
 
     def start(self) -> None:
-        """Start a process for the director."""
+        """Start a process for the director; no earlier process of the director may be running."""
         self.starts += 1
         self.was_killed = False
         command = [sys.executable, "-m", "mulleinrelay"]
--- a/mulleinrelay/lab/fleet/endpoint_process.py
+++ b/mulleinrelay/lab/fleet/endpoint_process.py
@@ -53,6 +53,13 @@
 
         An answer violates a purge if it is a copy from before the purge, and the director was
         notified of the purge more than a second ago.
+
+        Args:
+            director: Director that gets the answer; None if its connection has not named it yet,
+                so that the answer violates no purge.
+            fields: Fields of the command.
+            answer: Second item of the answer, which contains the time of the copy.
+            now: Time of the answer in Unix ms.
         """
         if director is None:
             return False
@@ -85,7 +92,7 @@
         self.stream.publish_endpoints([self._endpoint_row(name) for name in names])
 
     def close(self) -> None:
-        """Write the totals of all nodes, and close the file of records."""
+        """Write the totals of each node and of the whole fleet, and close the file of records."""
         for server in self.servers.values():
             node = server.node
             self.records.add("node", node.spec.name, round(node.peak_load, 3), dict(node.counts))
@@ -114,7 +121,11 @@
         self.stream.publish_purge(object_id, now)
 
     def _inject_fault(self, command: Message, server: NodeServer) -> None:
-        """Start or end a fault of one node; some kinds can be limited to some of the directors."""
+        """Start or end a fault of one node.
+
+        The kinds `node_slow` and `node_errors` can be limited to some directors, which are then the
+        only ones to observe the fault.
+        """
         kind = command["do"]
         is_start = command["begins"]
         directors = frozenset(command.get("directors", ()))
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -1,8 +1,8 @@
 """Measures of how evenly load is distributed over caches; pure.
 
-A load is the number of first attempts at a cache in one second. The fair share of a cache is the
-part of its location's load that is proportional to its capacity. The load ratio is the load divided
-by the fair share.
+A load is the number of read requests whose first attempt at a cache went to this cache in one
+second. The fair share of a healthy cache is the part of its location's load that is proportional to
+its capacity. The load ratio is the load divided by the fair share.
 """
 
 import math
@@ -13,23 +13,34 @@
 
 from ...policy.rendezvous_hash import hash_integers
 
-# An object gets one more cache for each such fraction of its location's recent requests.
+# In the ideal assignment, an object gets one more cache for each such fraction of its location's
+# recent requests.
 HOT_FRACTION = 0.02
 HOT_WINDOW_S = 10.0  # period in which requests count as recent
-HOT_MIN_REQUESTS = 200  # minimum number of recent requests assumed for the fraction
+HOT_MIN_REQUESTS = (
+    200  # with fewer recent requests, the fraction is computed as if there were these
+)
 MIN_FAIR_RATE = 4.0  # requests per second; with a lower fair share the ratio is unknown
 OVERLOADED_RATIO = 2.0
 UNDERLOADED_RATIO = 0.5
 IDLE_RATIO = 0.2
-RECOVERY_WINDOW_S = 3
-SLOT_PHASES = 4  # phases of the slots that `concentration` tries
+RECOVERY_WINDOW_S = 3  # over which load and fair share are summed in `seconds_until_half_load`
+SLOT_PHASES = 4  # number of start times of the first slot that `concentration` tries
 
 Loads = dict[int, Counter[str]]  # by second and cache
 
 
 @dataclass(slots=True)
 class AuditedCache:
-    """A cache with the periods, in seconds, in which it was warm and had no node fault."""
+    """A cache with the periods in which it was healthy.
+
+    A cache is healthy if it is warm, that is after its slow start, and has no node fault.
+
+    Attributes:
+        hash_key: Number that the directors hash to choose a cache for an object.
+        capacity: Capacity relative to a normal cache.
+        healthy_spans: Start and end of each period, in seconds from the start of the play.
+    """
 
     name: str
     hash_key: int
@@ -44,7 +55,7 @@
 
 @dataclass(slots=True)
 class FirstAttempt:
-    """The first attempt of one request at a cache."""
+    """The first attempt of one read request at a cache; `at_s` counts from the play's start."""
 
     at_s: float
     cache: str
@@ -81,7 +92,7 @@
 def load_ratios(
     loads: Loads, caches: dict[str, AuditedCache], second: int
 ) -> dict[str, dict[str, float | None]]:
-    """Return the load ratio by location and healthy cache.
+    """Return the load ratios in a second, by location and healthy cache.
 
     The fair shares divide a location's load among its healthy caches. The ratio is None if the fair
     share of the cache is below MIN_FAIR_RATE.
@@ -114,9 +125,10 @@
 ) -> list[FirstAttempt]:
     """Assign the requests to caches as a single director that receives all of them would do.
 
-    The assignment uses the directors' hash. An object gets one additional cache for each
-    HOT_FRACTION of its location's recent requests. Each request goes to the object's cache with the
-    lowest load relative to its capacity in this second.
+    The assignment uses the directors' hash. An object has one cache, and one more for each
+    HOT_FRACTION of its location's recent requests. Each request goes to the object's cache that has
+    the lowest load, relative to its capacity, in the second of the request. A request is left out
+    if no cache of its location is healthy.
     """
     orders: dict[tuple[int, str], list[AuditedCache]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -169,8 +181,8 @@
 ) -> list[int]:
     """Return the seconds with a herd.
 
-    In such a second one cache has more than OVERLOADED_RATIO of its fair share while another cache
-    of its location has less than UNDERLOADED_RATIO.
+    In such a second the load ratio of one cache is above OVERLOADED_RATIO, while that of another
+    cache in the same location is below UNDERLOADED_RATIO.
     """
     found = []
     for second in seconds:
@@ -187,7 +199,7 @@
 ) -> dict[str, int]:
     """Return, by cache, the length in seconds of its longest period of being healthy but idle.
 
-    A cache is idle below IDLE_RATIO of its fair share.
+    A cache is idle if its load ratio is known and below IDLE_RATIO.
     """
     runs: Counter[str] = Counter()
     longest: dict[str, int] = dict.fromkeys(caches, 0)
@@ -260,7 +272,16 @@
 def slot_loads(
     attempts: list[tuple[float, str]], width_s: float, end_s: float
 ) -> tuple[list[str], list[list[int]]]:
-    """Count attempts by name and time slot; return the names and a row of counts for each."""
+    """Count attempts by name and time slot.
+
+    Args:
+        attempts: Time in seconds, and name of the cache, of each attempt.
+        width_s: Width of a slot in seconds.
+        end_s: End of the last slot; later attempts are not counted.
+
+    Returns:
+        The names in alphabetical order, and a row for each name with the count in each slot.
+    """
     names = sorted({name for _, name in attempts})
     row_of = {name: row for row, name in enumerate(names)}
     edges = [width_s * slot for slot in range(1, int(end_s / width_s) + 1)]
@@ -286,13 +307,14 @@
 
     An even distribution gives one divided by the number of caches, and a herd gives 1. Synchronized
     directors may change their cache in the middle of a slot, and a herd of all directors would then
-    give only a half. The slots are therefore tried at several phases, and the maximum counts.
+    give only a half. The share is therefore computed with several start times of the slots, and the
+    result is the maximum. It is 0 if there are too few health checks.
 
     Args:
         checks: Time in seconds and cache of each health check.
         caches: All caches by name.
-        width_s: Width of a slot.
-        min_checks: Slots with fewer health checks are ignored.
+        width_s: Width of a slot in seconds.
+        min_checks: A slot with fewer health checks of a location is ignored for this location.
     """
     return max(
         _concentration(checks, caches, width_s, min_checks, width_s * phase / SLOT_PHASES)
--- a/mulleinrelay/lab/fleet/fault_injector.py
+++ b/mulleinrelay/lab/fleet/fault_injector.py
@@ -14,10 +14,9 @@
 READY_POLL_INTERVAL_S = 0.05
 KILL_TIMEOUT_S = 5.0
 TERM_TIMEOUT_S = 8.0
-DEFAULT_UPDATE_DELAY_S = 9.0
-PURGED_OBJECT = (
-    f"{(1 << 32) + 1:016x}"  # the most popular object that is requested in all locations
-)
+DEFAULT_UPDATE_DELAY_S = 9.0  # additional delay of all events at a fault `late_list`
+# Id of the most popular of the objects that are requested in all locations
+PURGED_OBJECT = f"{(1 << 32) + 1:016x}"
 
 
 class FaultInjector:
@@ -26,9 +25,9 @@
     Each restart of a director, and each wait until a director is ready, has a further thread.
 
     Attributes:
-        expected_down: Directors whose exit is not recorded as a crash, because the lab ended them
-            or because the crash is already recorded. Threads of the injector and of the lab change
-            this set.
+        expected_down: Numbers of the directors whose exit is not recorded as a crash, because the
+            lab ended them or because the crash is already recorded. Threads of the injector and of
+            the lab change this set.
         stopped: Set at the end of the play, to end all threads.
         rule_numbers: Numbers of the active network rules by the name of their fault.
     """
@@ -66,7 +65,7 @@
             wait_ms = started_at + 1000.0 * step.at_s - now_ms()
             if wait_ms > 0.0 and self.stopped.wait(wait_ms / 1000.0):
                 return
-            at = now_ms()  # before the step, as ending many processes takes time
+            at = now_ms()  # taken before the step, as ending many processes takes time
             error = ""
             try:
                 self._inject(step)
@@ -156,7 +155,10 @@
             self.records.add("again", now_ms(), director.number)
 
     def _await_ready(self, director: FleetDirector) -> None:
-        """Wait on a thread until the director is ready; from then on its exit counts as a crash."""
+        """Start a thread that waits until the director is ready.
+
+        From then on, the director is not expected to be down, so its exit counts as a crash.
+        """
         threading.Thread(
             target=self._wait_until_ready,
             args=(director, director.starts),
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -62,7 +62,7 @@
             self._read_from(stream)
 
     def apply_rules(self) -> None:
-        """Apply the changed rules: reset the connections, or send held bytes if the cut is over."""
+        """Apply the changed rules: reset both connections, or send held bytes if a cut is over."""
         if self.proxy.rules.resets_path(*self.path):
             self.reset()
             return
@@ -87,10 +87,13 @@
         return self.proxy.rules.cuts_path(*self.path, stream.direction)
 
     def _forward(self, stream: _Stream, data: bytes | None) -> None:
-        """Forward bytes when they are due; None means that the source has closed its connection."""
+        """Forward bytes when the rules let them pass, and hold them during a cut.
+
+        If `data` is None, the source has closed its connection, and both connections are reset.
+        """
         now = now_ms()
         if stream.held or self._is_cut(stream):
-            if data is None:  # one side has closed its connection: held bytes are discarded
+            if data is None:  # the held bytes are discarded
                 self.reset()
                 return
             stream.held.append(data)
@@ -184,7 +187,10 @@
         return datagram_socket
 
     def _on_datagrams(self, receiver: int, datagram_socket: socket.socket) -> None:
-        """Forward datagrams to a director, each from the advertised address of its sender."""
+        """Forward datagrams to a director, each from the advertised address of its sender.
+
+        Datagrams from an address at which no director listens are dropped.
+        """
         for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
                 data, (host, _) = datagram_socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -196,7 +202,10 @@
                 self._forward_datagram(sender, receiver, data)
 
     def _forward_datagram(self, sender: int, receiver: int, data: bytes) -> None:
-        """Schedule a datagram by the rules for its sender and then by those for its receiver."""
+        """Schedule the delivery of a datagram.
+
+        The rules for its sender apply first, and then those for its receiver.
+        """
         rules = self.rules
         for due_at in rules.datagram_due_times(
             "director", sender, str(receiver), UP, now_ms(), self.random
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -21,7 +21,14 @@
 
 @dataclass(slots=True)
 class _Reader:
-    """A director's connection to the stream; `position` is the number of events sent so far."""
+    """A director's connection to the stream.
+
+    Attributes:
+        director: Number of the director; NO_DIRECTOR until the first line is received.
+        position: Number of events that the director has: those up to its Last-Event-ID, and those
+            sent since.
+        request_head: Head of the HTTP request, as far as it is received.
+    """
 
     director: int = addresses.NO_DIRECTOR
     position: int = 0
@@ -32,10 +39,12 @@
     """Event stream to all directors, with a random delay for each event and director.
 
     Attributes:
-        events: Time in Unix ms and body of each event.
-        due_at: Time in Unix ms at which an event is due, by director and index of the event.
-        late_by: Additional delay in ms, by director.
-        purge_notified_at: Time of the first notification of a purge, by director and object.
+        events: Creation time in Unix ms and body of each event.
+        due_at: Time in Unix ms at which an event is due, by director and index of the event. It
+            does not include the delay in `late_by`.
+        late_by: Additional delay of all events in ms, by director.
+        purge_notified_at: Time in Unix ms at which a director was first notified of a purge of an
+            object, by director and object.
         proxy_ports: Port of the fault proxy of each node, by the node's name.
     """
 
@@ -70,7 +79,14 @@
         self.events.append((now, {"ban": {"url": object_id, "ts": round(now)}}))
 
     def event_for(self, director: int, index: int) -> dict[str, Any]:
-        """Return an event as sent to a director, with the director's own addresses of the nodes."""
+        """Return an event as it is sent to a director.
+
+        The addresses in an endpoint update are those at which this director reaches the nodes.
+
+        Args:
+            director: Number of the director.
+            index: Index of the event in `events`.
+        """
         event = self.events[index][1]
         if "topology" in event:
             rows = [
--- a/mulleinrelay/lab/fleet/heatmap.py
+++ b/mulleinrelay/lab/fleet/heatmap.py
@@ -77,7 +77,7 @@
 
 
 def _mark_faults(audit: Audit, axes: Any) -> None:
-    """Draw a solid line at the start of each fault and a dotted line at its first end."""
+    """Draw a solid line at the first start of each fault, and a dotted line at its first end."""
     marked = set()
     for fault in audit.faults:
         if (fault.name, fault.is_start) in marked:
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -20,8 +20,9 @@
 HOT_OBJECT_ID = 0x77_0000_0001  # the object that a `hot` fault requests
 SHARED_OBJECT_BASE = 1 << 32  # first id of objects that are requested in all locations
 NEW_OBJECT_OFFSET = 1 << 28  # within a location's ids, for objects that are requested once
-IDLE_S = 0.05  # time until the rate is checked again while it is 0
-# If all these draws give excluded directors, the others are drawn from with equal probability.
+IDLE_S = 0.05  # interval between requests while the rate is 0
+# After this many draws of excluded directors, one of the other directors is drawn, all with equal
+# probability.
 MAX_DIRECTOR_DRAWS = 8
 
 DEFAULT_BURST_FACTOR = 1.5  # of the rate
@@ -46,6 +47,12 @@
     """Return whether a client retries a request after the connection to the director ended.
 
     A write without an idempotency key is never retried, as the director may have executed it.
+
+    Args:
+        scenario: The scenario.
+        plan: The request.
+        tries: Number of tries of the request so far.
+        remaining_ms: Time until the client's patience ends, in ms.
     """
     return (
         plan.request_class != PAY
@@ -67,7 +74,14 @@
     def draw_object(
         self, rng: random.Random, hot_fraction: float, outsized_fraction: float
     ) -> tuple[int, float]:
-        """Draw an object; return its id and its size in KB."""
+        """Draw an object; return its id and its size in KB.
+
+        Args:
+            rng: Source of randomness.
+            hot_fraction: Fraction of the requests that are for the object HOT_OBJECT_ID.
+            outsized_fraction: Fraction of the requests that are for an outsized object, a new one
+                each time.
+        """
         chance = rng.random()
         if chance < hot_fraction:
             return HOT_OBJECT_ID, OBJECT_SIZE_KB
@@ -84,6 +98,7 @@
     """Requests of the clients of one location.
 
     All random draws come from one generator in a fixed order, so a seed always gives the same load.
+    `since_start_s` is a time in seconds since the start of the play.
     """
 
     def __init__(self, scenario: FleetScenario, location: str) -> None:
@@ -125,12 +140,12 @@
         return rate
 
     def next_arrival_in_s(self, since_start_s: float) -> float:
-        """Draw the time in seconds until the next request."""
+        """Draw the time in seconds until the next request; IDLE_S if the rate is 0."""
         rate = self.rate_at(since_start_s)
         return self.random.expovariate(rate) if rate > 0.0 else IDLE_S
 
     def draw_request(self, since_start_s: float) -> RequestPlan:
-        """Draw the next request."""
+        """Draw the request that is sent at this time."""
         rng = self.random
         hot_fraction = sum(
             fault.amount or DEFAULT_HOT_FRACTION
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -41,8 +41,9 @@
 SWEEP_INTERVAL_MS = 100.0  # between checks for missing answers and idle connections
 PROGRESS_INTERVAL_MS = 1000.0  # between reports to the lab, and between flushes of the records
 MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain for another try
-MAX_LATENESS_MS = 1000.0  # arrivals that a busy machine delays for longer are dropped
-END_GRACE_MS = 100.0
+# If a busy machine delays a new request by more than this, all overdue requests are skipped.
+MAX_LATENESS_MS = 1000.0
+END_GRACE_MS = 100.0  # until the process stops, after the last answers are received or overdue
 
 
 @dataclass(slots=True, eq=False)
@@ -50,7 +51,7 @@
     """One request with all its tries; times are in Unix ms."""
 
     created_at: float
-    deadline: float
+    deadline: float  # when the client's patience ends
     load: LocationLoad
     plan: RequestPlan
     tries: int = 0
@@ -81,7 +82,7 @@
         self.connection.write(encode_serve_call(self.last_number, fields))
 
     def expire_unanswered(self, now: float) -> None:
-        """Complete all requests whose answer is overdue."""
+        """Complete all requests whose answer on this connection is overdue."""
         for number, request in list(self.in_flight.items()):
             if now > request.deadline + self.generator.scenario.answer_grace_ms:
                 del self.in_flight[number]
@@ -89,7 +90,7 @@
                 self.generator.on_missing_answer(request, self.director)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the connection has been unused for longer than IDLE_TIMEOUT_MS."""
+        """Return whether no call is in flight and none was sent in the last IDLE_TIMEOUT_MS."""
         return not self.in_flight and now > self.last_used + IDLE_TIMEOUT_MS
 
     def _on_data(self, data: bytes) -> None:
@@ -214,14 +215,20 @@
         self._complete(request, director, "no answer")
 
     def on_unexpected_reply(self, session: ClientSession, is_late: bool) -> None:
-        """Record a reply to a call that is not in flight: a late or duplicate reply."""
+        """Record a reply to a call that is not in flight.
+
+        Args:
+            session: Connection on which the reply was received.
+            is_late: Whether the call was given up before; otherwise the reply is a duplicate.
+        """
         self.records.add("late" if is_late else "twice", now_ms(), session.director)
 
     def on_disconnect(self, session: ClientSession) -> None:
         """Handle a closed connection.
 
-        The requests in flight are retried if their class permits it. A health check of the director
-        follows after the failure detection time.
+        The requests in flight are retried if their class, tries and patience permit it, and are
+        completed otherwise. A health check of the director follows after the failure detection
+        time, unless the director is excluded already.
         """
         now = now_ms()
         director = session.director
@@ -249,9 +256,9 @@
         self.loop.call_at(due_at, lambda: self._send_due_requests(load))
 
     def _send_due_requests(self, load: LocationLoad) -> None:
-        """Send all requests that are due, and schedule the next one.
+        """Send all new requests that are due, and schedule the next one.
 
-        If the process is late, several requests are sent at once.
+        Several requests are due if the intervals between them have passed in the meantime.
         """
         now = now_ms()
         due_at = now
--- a/mulleinrelay/lab/fleet/network_rules.py
+++ b/mulleinrelay/lab/fleet/network_rules.py
@@ -14,8 +14,8 @@
 
 RETRANSMISSION_MS = 200.0  # delay of lost bytes of a TCP connection
 MAX_STREAM_LOSS = 0.9  # probability; at 1 a stream would be delayed forever
-MAX_REORDERING_MS = 50.0  # additional delay of a datagram that is overtaken
-MAX_DUPLICATE_MS = 20.0  # delay of a duplicate after its datagram
+MAX_REORDERING_MS = 50.0  # maximum additional delay of a datagram, so that later ones overtake it
+MAX_DUPLICATE_MS = 20.0  # maximum delay of the first duplicate after its datagram
 DEFAULT_LOSS = 0.1
 DEFAULT_DELAY_MS = 100.0
 DEFAULT_TRICKLE_KB = 1.0  # per second
@@ -30,16 +30,18 @@
     Attributes:
         path_kinds: Matching kinds of paths.
         directors: Matching directors; empty for all.
-        targets: Matching targets; empty for all.
-        direction: up, down or both.
+        targets: Names of the matching targets; empty for all. A target is a node, the event stream,
+            or a director under its number.
+        direction: Direction in which the faults apply: up (from the director), down or both. A
+            reset ignores it.
         is_cut: Whether no traffic passes. Bytes of a connection are held and delivered after the
             cut; datagrams are lost.
         is_reset: Whether existing and new connections are reset.
         delay_ms: Fixed delay of all traffic.
         jitter_ms: Maximum random delay in addition to the fixed delay.
-        loss: Probability of loss.
+        loss: Probability that a datagram, or a block of bytes on a connection, is lost.
         duplication: Probability that a datagram is duplicated.
-        reordering: Probability that a datagram is delayed beyond later ones.
+        reordering: Probability that a datagram is delayed, so that later ones overtake it.
         bytes_per_s: Rate limit of each connection; 0 for no limit.
     """
 
@@ -57,7 +59,7 @@
     bytes_per_s: float = 0.0
 
     def applies_to(self, path_kind: str, director: int, target: str) -> bool:
-        """Return whether the rule matches a path, in either direction."""
+        """Return whether the rule matches a path, whatever the direction of the rule."""
         return (
             path_kind in self.path_kinds
             and (not self.directors or director in self.directors)
@@ -67,10 +69,10 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """State of one direction of a connection: when its last bytes are due, and its byte count."""
+    """State of one direction of a connection."""
 
-    last_due_at: float = 0.0
-    sent_bytes: int = 0
+    last_due_at: float = 0.0  # when the last bytes are due, in ms
+    sent_bytes: int = 0  # number of bytes so far, including those that are not due yet
 
 
 @dataclass(slots=True)
@@ -91,7 +93,7 @@
         ]
 
     def resets_path(self, path_kind: str, director: int, target: str) -> bool:
-        """Return whether connections on this path are reset."""
+        """Return whether a rule resets the connections on this path."""
         return any(
             rule.is_reset and rule.applies_to(path_kind, director, target)
             for rule in self.rules.values()
@@ -112,7 +114,7 @@
         stream: StreamState,
         rng: random.Random,
     ) -> float:
-        """Return when bytes received now are due at the target; never before earlier bytes.
+        """Return when bytes received now are due at the other end; never before earlier bytes.
 
         Args:
             path_kind: Kind of the path.
@@ -121,7 +123,7 @@
             direction: UP or DOWN.
             now: Time in ms at which the bytes were received.
             length: Number of bytes.
-            stream: State of this direction of the connection; it is updated.
+            stream: State of this direction of the connection, which the method updates.
             rng: Source of randomness.
         """
         due_at = now
@@ -144,7 +146,7 @@
         now: float,
         rng: random.Random,
     ) -> list[float]:
-        """Return when each copy of a datagram received now is due; empty if it is lost."""
+        """Return when each copy of a datagram received now is due, in ms; empty if it is lost."""
         due_at = now
         copies = 1
         for rule in self.matching(path_kind, director, target, direction):
@@ -158,7 +160,10 @@
 
 
 def rule_for(step: ScenarioStep) -> NetworkRule:
-    """Return the rule that implements a network fault."""
+    """Return the rule that implements a network fault.
+
+    A fault `loss` also duplicates and reorders datagrams, with the same probability.
+    """
     fault = step.fault
     loss = (fault.amount or DEFAULT_LOSS) if fault.kind == "loss" else 0.0
     delay_ms = (fault.amount or DEFAULT_DELAY_MS) if fault.kind == "delay" else 0.0
@@ -179,7 +184,7 @@
     )
 
 
-# Keys of an encoded rule on a fault proxy's control channel, with the attributes of NetworkRule
+# Attribute of NetworkRule by its key in an encoded rule on a fault proxy's control channel
 _ATTRIBUTES_BY_KEY = {
     "way": "direction",
     "cut": "is_cut",
@@ -194,7 +199,7 @@
 
 
 def encode_rule(rule: NetworkRule) -> dict[str, Any]:
-    """Encode a rule as JSON for a fault proxy's control channel."""
+    """Encode a rule as an object that can be sent as JSON on a fault proxy's control channel."""
     return {
         "kinds": list(rule.path_kinds),
         "directors": sorted(rule.directors),
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -22,11 +22,14 @@
 RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
 ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
-# Load at which a node crashes, relative to its capacity, and the time for which the load must last
+# A node crashes during its slow start if its load, relative to its capacity at the time, is above
+# this limit for CRASH_AFTER_MS.
 CACHE_CRASH_LOAD = 2.5
 PARENT_CRASH_LOAD = 2.0
 CRASH_AFTER_MS = 1500.0
-PURGE_DELAY_MS = (200.0, 3000.0)  # until a node drops its copy; at most half of the allowed time
+# Minimum and maximum time from a purge until a node drops its copy; the maximum is half of the time
+# that the directors' settings allow (MAX_FLEET_PURGE_MS).
+PURGE_DELAY_MS = (200.0, 3000.0)
 PARENT_WEIGHT = 4 * CONCURRENT_ANSWERS
 
 
@@ -44,8 +47,8 @@
     Attributes:
         servers: All nodes by name.
         is_outdated: Returns whether an answer violates a purge of which the director was notified.
-            The arguments are the director, the command's fields, the second item of the answer and
-            the time.
+            The arguments are the director (None if unknown), the command's fields, the second item
+            of the answer and the time.
     """
 
     loop: EventLoop
@@ -161,8 +164,8 @@
         sessions: All accepted connections, including those whose first line is not yet received.
             All of them must be closed when the node crashes: a command on a connection that
             outlived the node would be counted as another crash of the node.
-        failing_for: Directors that get errors.
-        slow_for: Directors whose answers take longer by the factor `slowdown`.
+        failing_for: Directors that get an error for each command PULL.
+        slow_for: Directors whose answers to PULL take longer by the factor `slowdown`.
     """
 
     def __init__(self, context: NodeContext, node: SimulatedNode, zone: str) -> None:
@@ -184,7 +187,10 @@
             self.port = self.listener.getsockname()[1]
 
     def crash(self) -> None:
-        """Stop the node like a killed process: close its listener and reset its connections."""
+        """Stop the node like a killed process: close its listener and reset its connections.
+
+        The lab is told, so that the fault proxy refuses connections to the node.
+        """
         self.node.is_alive = False
         if self.listener is not None:
             self.context.loop.stop_listening(self.listener)
@@ -195,7 +201,10 @@
         send_message(deaf=self.node.spec.name)
 
     def restart(self) -> None:
-        """Restart the node with an empty store; its slow start begins again."""
+        """Restart the node without stored copies; its slow start begins again.
+
+        The lab is told, so that the fault proxy accepts connections to the node again.
+        """
         node = self.node
         node.reset()
         node.started_at = now_ms()
@@ -261,6 +270,7 @@
     def _pull(self, session: _Session, command_id: bytes, encoded_fields: bytes) -> None:
         now = now_ms()
         fields = decode_fields(encoded_fields)
+        # Under one empty key, all writes without an idempotency key would count as repetitions.
         fields.setdefault("dedupe", "mark-" + command_id.decode())
         if session.director in self.failing_for:
             self._record_attempt(session, fields, command_id, Reply((b"BROKE", b"-"), None), now)
@@ -340,7 +350,7 @@
     now: float,
     rng: random.Random,
 ) -> None:
-    """Remove copies of an object that are older than `now` from all nodes.
+    """Make all nodes remove their copies of an object that are older than `now`.
 
     Each node removes its copy after a random delay.
 
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -2,9 +2,9 @@
 
 A play is one run of a fleet scenario.
 
-Each process appends lines of JSON to a file `*.records`; the first item of a line is the type of
-the record. Times in the files are in Unix ms; after reading they are in seconds from the start of
-the play.
+Each process appends lines of JSON to a file `*.records`. The first item of a line is the type of
+the record, and the second one is its time, unless the type has no time. This time is in Unix ms in
+the file; after reading, it is in seconds from the start of the play.
 """
 
 import os
@@ -16,32 +16,32 @@
 
 
 class AttemptRecord(NamedTuple):
-    """A command that reached a node; `is_outdated` is 1 if the answer was a purged copy."""
+    """An attempt at a node: a command PULL that reached the node."""
 
     at_s: float
     director: int
     node: str
     request_class: str
     object_id: str  # in hexadecimal
-    fill_source: str
-    flags: str
-    answer: str
-    reason: str
-    is_outdated: int
+    fill_source: str  # empty if the command names none
+    flags: str  # joined by `+`
+    answer: str  # first item of the answer, which tells success from failure
+    reason: str  # field `why` of the answer; empty if the answer has none
+    is_outdated: int  # 1 if the answer violates a purge, as `EndpointProcess.is_outdated` defines
     command_id: str
 
 
 class RequestRecord(NamedTuple):
-    """A client's request over all its tries."""
+    """A client's request over all its tries, from its creation until its outcome is known."""
 
-    at_s: float
+    at_s: float  # of the creation
     duration_ms: float
     location: str
-    first_director: int
-    director: int
+    first_director: int  # of the first try; NO_DIRECTOR if there was no try
+    director: int  # the last one that was drawn; NO_DIRECTOR if all were excluded
     request_class: str
     object_id: int
-    outcome: str
+    outcome: str  # a ReplyOutcome, or `no answer`, `cut off` or `nobody` (no try was possible)
     tries: int
 
 
@@ -59,13 +59,16 @@
 
 
 class NotificationRecord(NamedTuple):
-    """The state of one node in an endpoint update that was sent to a director."""
+    """The state of one node in an endpoint update that was sent to a director.
+
+    The initial snapshot has no such records.
+    """
 
     at_s: float
     director: int
     node: str
     state: str
-    started_ms: float
+    started_ms: float  # last restart of the node in Unix ms; 0 if there was none
 
 
 class ConnectionRecord(NamedTuple):
@@ -87,18 +90,18 @@
 
 
 class DirectorRecord(NamedTuple):
-    """An event at one director without further fields."""
+    """An event at one director; the type of the record is the kind of event."""
 
     at_s: float
     director: int
 
 
 class DisconnectRecord(NamedTuple):
-    """The end of a client's connection, with the number of requests in flight on it."""
+    """The end of a client's connection while requests were in flight on it."""
 
     at_s: float
     director: int
-    requests: int
+    requests: int  # number of requests in flight
 
 
 class NodeCrashRecord(NamedTuple):
@@ -109,21 +112,18 @@
 
 
 class UsageRecord(NamedTuple):
-    """Resource usage of a director over the whole play; the record has no time."""
+    """Resource usage of a director; the record has no time."""
 
     director: int
-    cpu_s: float
-    resident_mb: float
+    cpu_s: float  # during the play; too low if the director was restarted
+    resident_mb: float  # at the end of the play; 0 if the director is not running
 
 
 class ExecutionRecord(NamedTuple):
-    """Totals of writes and origin fetches over the whole play; the record has no time.
-
-    `repeated` counts the writes that were executed more than once.
-    """
+    """Totals of writes and origin fetches over the whole play; the record has no time."""
 
-    repeated: int
-    executed: int
+    repeated: int  # writes that were executed more than once
+    executed: int  # writes that were executed at least once
     origin_fetches: int
 
 
@@ -169,7 +169,7 @@
 
 
 def read_observations(folder: str) -> Observations:
-    """Read all files of records in a folder; an incomplete last line is ignored."""
+    """Read all files of records in a folder; the incomplete last line of a file is ignored."""
     lines: list[list[Any]] = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".records"):
--- a/mulleinrelay/lab/fleet/process_reaper.py
+++ b/mulleinrelay/lab/fleet/process_reaper.py
@@ -1,6 +1,6 @@
 """Process that kills the remaining processes of a lab that was killed itself.
 
-It acts if its standard input ends without the line `done`, which happens when the lab is killed.
+It does so if its standard input ends without the line `done`, which happens when the lab is killed.
 The lab writes `+ID` for each process that it starts, and `-ID` for each process that has ended.
 """
 
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -51,17 +51,18 @@
 
 
 class ProcessReaper:
-    """Handle with which the lab controls the process that kills all others if the lab is killed.
+    """Handle with which the lab controls the reaper process.
 
-    Thread-safe: `lock` guards the input of the process. If the reaper itself has ended, the lab
-    continues without it.
+    The reaper kills all other processes of the lab if the lab itself is killed. If the reaper has
+    ended, the lab continues without it. Thread-safe: `lock` guards the standard input of the
+    reaper.
     """
 
     def __init__(self, log_path: str, folder: str) -> None:
         """Start the reaper process.
 
         Args:
-            log_path: Path of the file for its standard error.
+            log_path: Path of the file for the reaper's standard error.
             folder: Folder that the reaper removes if the lab is killed; empty for none.
         """
         self.lock = threading.Lock()
@@ -72,11 +73,11 @@
         self._send(f"+{process_id}\n")
 
     def remove(self, process_id: int) -> None:
-        """Remove a process that has ended."""
+        """Tell the reaper that a process has ended, so that it is not killed."""
         self._send(f"-{process_id}\n")
 
     def stop(self) -> None:
-        """End the reaper after all other processes have ended."""
+        """End the reaper; must be called after all other processes have ended."""
         with self.lock:
             self.process.stdin.write(b"done\n")
         self.process.stop(REAPER_TIMEOUT_S)
@@ -90,7 +91,10 @@
     """One play of a fleet scenario.
 
     Attributes:
-        proxy_by_target: The fault proxy of each target, by the target's name.
+        proxy_by_target: The fault proxy of each target, by the target's name. A target is a node
+            or the event stream.
+        ready_after_s: Time from the start of the first director until all were ready. It is set
+            when all directors are ready.
         error: Reason for the failure of the play; empty if it has not failed.
         stopped: Set at the end of the play, to end the lab's threads.
     """
@@ -135,8 +139,8 @@
         """Play the scenario, and return the folder of the records.
 
         Args:
-            on_progress: Called periodically with the seconds since the start and the numbers of
-                requests created and served.
+            on_progress: Called periodically with the seconds since the start of the play (negative
+                before it) and the numbers of requests created and served so far.
             on_ready: Called when all processes are ready, before the load starts.
 
         Raises:
@@ -247,7 +251,13 @@
         self._await_directors()
 
     def _await_directors(self) -> None:
-        """Start the directors, MAX_CONCURRENT_STARTS at a time, and wait until all are ready."""
+        """Start all directors, and wait until they are ready.
+
+        At most MAX_CONCURRENT_STARTS directors that were started are not ready yet at any time.
+
+        Raises:
+            RuntimeError: If a director ended, or if not all were ready within READY_TIMEOUT_S.
+        """
         started_at = time.monotonic()
         pending = list(self.directors)
         starting: list[FleetDirector] = []
@@ -269,7 +279,8 @@
 
         Args:
             director: The director.
-            platform: The part of the configuration that a platform provides.
+            platform: The event stream's address, the initial events and the settings, under the
+                keys of the configuration.
         """
         scenario = self.scenario
         number = director.number
@@ -372,7 +383,7 @@
                 self.error = str(error)
 
     def _record_crashes(self, records: RecordFile, injector: FaultInjector) -> None:
-        """Record the directors that have ended although the lab did not end them."""
+        """Record the directors that have ended although the lab did not end them, each once."""
         for director in self.directors:
             code = director.exit_code()
             if code is not None and director.number not in injector.expected_down:
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -1,7 +1,7 @@
 """Fleet scenarios: the directors and nodes, their load, and the schedule of faults.
 
-Pure: the same file and seed give the same directors, nodes, rates and steps. An invalid file raises
-a ConfigError that names the key.
+Pure: the same scenario, which contains the seed, always gives the same nodes, rates and steps. Too
+many directors or caches raise a ConfigError that names the key in the scenario file.
 """
 
 import math
@@ -13,8 +13,8 @@
 
 MAX_DIRECTORS = 5_000  # in the simulation
 MAX_CACHES = 2_000  # in the simulation
-MAX_DIRECTOR_PROCESSES = 400
-MAX_CACHES_ON_SOCKETS = 400
+MAX_DIRECTOR_PROCESSES = 400  # in a play with processes
+MAX_CACHES_ON_SOCKETS = 400  # in a play with processes
 
 # Kinds of faults, by the component that they affect
 PATH_FAULTS = ("cut", "reset", "delay", "loss", "trickle")
@@ -39,7 +39,9 @@
 FIRST_NODE_NUMBER = 0x11
 NODE_NUMBER_FACTOR = 2654435761  # Knuth's multiplicative hash spreads the nodes' hash keys
 LARGE_FACTOR = 2.0  # capacity of a large cache, relative to a normal one
-PARENT_FACTOR = 4.0  # capacity of a parent or the origin, relative to a normal cache
+# `capacity_factor` of parents and the origin. Their capacity is set by `parent_capacity` and
+# `origin_capacity`.
+PARENT_FACTOR = 4.0
 
 
 @dataclass(slots=True)
@@ -50,17 +52,22 @@
         kind: One of FAULT_KINDS.
         at_s: Start of the fault, in seconds from the start of the play.
         duration_s: Duration of the fault; 0 if it does not end by itself.
-        fraction: Fraction of the eligible directors or nodes that is affected.
+        fraction: Fraction that is affected: of the caches in `location` if the kind is one of
+            NODE_FAULTS, else of the directors in `location`.
         location: The only location that is affected; empty for all locations.
-        path_kinds: Kinds of paths that a network fault affects.
+        path_kinds: Kinds of paths, from PATH_KINDS, that a network fault affects. The kinds of
+            network faults are PATH_FAULTS.
         direction: Direction of a network fault, one of DIRECTIONS.
         amount: Size of the fault; 0 for the default of its kind. By kind: ms of delay or of a
-            clock step, seconds by which endpoint updates are late, slowdown factor, KB/s of a
-            trickle, probability of loss, fraction of the requests, or factor of the request rate.
+            clock step, seconds by which the events of the event stream are late, slowdown factor,
+            KB/s of a trickle, probability of loss, fraction of the requests, or factor of the
+            request rate.
         jitter_ms: Maximum random delay in addition to the fixed delay.
-        spread_s: Period over which kills, restarts or starts after a kill are spread.
-        director_fraction: Fraction of the directors that observe the fault of a node.
-        nodes: The affected nodes; empty if they are drawn at random.
+        spread_s: Period in seconds over which kills, restarts or starts after a kill are spread;
+            0 if they are simultaneous.
+        director_fraction: Fraction of the directors that observe the fault of a node, if its kind
+            can be limited to some directors.
+        nodes: Names of the affected nodes; empty if they are drawn at random.
         other_location: Location that receives shifted load, or location of the directors at the
             other end of a path between directors.
     """
@@ -83,7 +90,18 @@
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """The start or the end of a fault, with the directors and nodes that it affects."""
+    """The start or the end of a fault. A fault that is spread has a start for each director.
+
+    Attributes:
+        at_s: Time of the step, in seconds from the start of the play.
+        name: Name of the fault.
+        kind: Kind of the fault.
+        directors: Directors that the fault affects. Of a fault of a node, those that observe it.
+        nodes: Names of the nodes that the fault affects. Of a network fault between directors, the
+            numbers of the directors at the other end.
+        is_start: True for the start and False for the end. The end of a kill is a new start of the
+            director.
+    """
 
     at_s: float
     name: str
@@ -98,7 +116,7 @@
 class NodeSite:
     """One node with its zone, which is a location or a hub.
 
-    `capacity_factor` is the capacity relative to a normal cache.
+    `capacity_factor` is the capacity of a cache relative to a normal cache.
     """
 
     name: str
@@ -122,11 +140,11 @@
     directors: int = 40
     has_same_seeds: bool = False  # all directors share one seed, to provoke a herd
     rate_spread: float = 1.0  # sigma of the log-normal distribution of the directors' load
-    min_rate: float = 0.1  # requests per second of the least loaded director
+    min_rate: float = 0.1  # requests per second that every director gets at least
     has_membership: bool = False  # directors gossip with each other through a fault proxy
     shares_quotas: bool = False  # directors lend each other slow-start quota
-    memory_mb: float = 96.0
-    max_descriptors: int = 1024
+    memory_mb: float = 96.0  # memory limit in each director's configuration
+    max_descriptors: int = 1024  # limit of sockets in each director's configuration
     polls_load_reports: bool = False
 
     locations: tuple[str, ...] = ("north", "south")
@@ -136,21 +154,19 @@
     parents: int = 2  # per hub
     capacity: float = 60.0  # of a normal cache
     fill_cost: float = 2.0  # load of a fill, in hits
-    parent_ms: float = 8.0
-    hub_ms: float = 20.0  # latency to the other hub
-    origin_ms: float = 30.0
+    parent_ms: float = 8.0  # answer delay of a parent
+    hub_ms: float = 20.0  # latency to the other hub; read from the file, but not simulated
+    origin_ms: float = 30.0  # answer delay of the origin
     parent_capacity: float = 600.0
     origin_capacity: float = 1500.0
-    max_copies: int = 4000
-    parent_max_copies: int = 0
-    initial_fraction: float = 0.2  # fraction of its capacity that a node has when it starts
-    slow_start_ms: float = 12_000.0
+    max_copies: int = 4000  # stored at a cache; 0: no maximum
+    parent_max_copies: int = 0  # stored at a parent; 0: no maximum
+    initial_fraction: float = 0.2  # fraction of its capacity that a node has after a restart
+    slow_start_ms: float = 12_000.0  # of a cache
     parent_slow_start_ms: float = 12_000.0
-    crashes_on_overload: bool = True
-    update_delay_ms: tuple[float, float] = (
-        300.0,
-        1500.0,
-    )  # minimum and maximum delay of endpoint updates
+    crashes_on_overload: bool = True  # caches and parents, during their slow start only
+    # Minimum and maximum delay of endpoint updates
+    update_delay_ms: tuple[float, float] = (300.0, 1500.0)
 
     rate: float = 400.0  # requests per second of the whole fleet
     objects: int = 1500  # per location
@@ -161,8 +177,8 @@
     patience_ms: float = 2500.0
     latency_objective_ms: float = 500.0
     max_tries: int = 3
-    answer_grace_ms: float = 100.0  # after the patience; an answer after that counts as missing
-    failure_detection_ms: float = 1500.0  # until clients avoid a dead director
+    answer_grace_ms: float = 100.0  # from the end of the patience until an answer counts as missing
+    failure_detection_ms: float = 1500.0  # from a lost connection until clients check the director
 
     client_processes: int = 3
     proxy_processes: int = 2
@@ -170,7 +186,7 @@
 
     @property
     def hit_ms(self) -> float:
-        """Duration of a hit at an idle cache, which is the time to send the object."""
+        """Duration in ms of a hit at an idle cache, which is the time to send the object."""
         return 1000.0 * CONCURRENT_ANSWERS / self.capacity
 
     @property
@@ -211,7 +227,7 @@
     def director_rates(self) -> list[float]:
         """Return the requests per second of each director.
 
-        The sum is `rate`, unless directors were raised to `min_rate`.
+        The sum is `rate`, or more if the rates of some directors had to be raised to `min_rate`.
         """
         rng = random.Random(f"{self.seed}-rates")
         weights = [math.exp(rng.gauss(0.0, self.rate_spread)) for _ in range(self.directors)]
@@ -295,7 +311,7 @@
 def _draw_targets(
     scenario: FleetScenario, fault: FaultInjection, rng: random.Random
 ) -> tuple[tuple[int, ...], tuple[str, ...]]:
-    """Draw the directors and nodes that a fault affects."""
+    """Draw the directors and nodes of a fault's steps; see `ScenarioStep`."""
     candidates = [
         director
         for director in range(scenario.directors)
@@ -320,7 +336,14 @@
 
 
 def _restarts_after_kill(fault: FaultInjection, order: list[int]) -> list[ScenarioStep]:
-    """Return the restart of each killed director, `duration_s` after its kill."""
+    """Return the restart of each killed director, `duration_s` after its kill.
+
+    Return nothing if the fault is no kill, or has no duration: such directors stay down.
+
+    Args:
+        fault: The fault.
+        order: Killed directors in the order of their kills.
+    """
     if fault.kind != "kill" or fault.duration_s <= 0.0:
         return []
     return [
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -15,8 +15,8 @@
 def step_on_signal(step_s: float) -> None:
     """Replace `time.time` by a clock that each SIGUSR1 steps by `step_s` seconds.
 
-    It must be called before any other thread starts, as all threads must inherit the blocked
-    signal.
+    This function must be called before any other thread starts. SIGUSR1 must be blocked in every
+    thread, and a thread inherits its blocked signals from the thread that starts it.
     """
     real_time = time.time
     offset_s = [0.0]
