--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -47,6 +47,7 @@
 
 def audit_of(tmp_path, *lines):
     records = [["began", STARTED_AT, 20.0, 1.0], ["effects", 0, 0, 0], *lines]
+    # The last line is incomplete, as a killed process can leave it; it must be ignored.
     (tmp_path / "a.records").write_text(
         "".join(json.dumps(line) + "\n" for line in records) + '["cut short'
     )
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -115,9 +115,10 @@
 
 @pytest.mark.parametrize("offset_s", [0.0, 0.1, 0.2, 0.25, 0.3, 0.45])
 def test_a_herd_of_health_checks_is_found_at_any_phase(offset_s):
-    """Directors may change their cache in the middle of slots.
+    """Directors may change the cache that they check in the middle of a slot.
 
-    With slots of one phase only, a CI run then measured 0.553 where a test requires 0.6.
+    The slot then has checks of two caches, and a herd looks half as strong. When all slots began
+    at one phase, a CI run measured 0.553 for a herd, and a test requires more than 0.6.
     """
     rng = Random(1)
     checks = [
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -223,7 +223,7 @@
     assert any(
         attempt[2] == silent_cache and attempt[0] > ended_at
         for attempt in audit.observations.attempts
-    )  # it is used again
+    )
 
 
 def test_no_process_remains_after_a_play(played):
@@ -246,7 +246,7 @@
         env=os.environ | {"TMPDIR": str(temporary)},
         preexec_fn=lambda: signal.signal(
             signal.SIGINT, signal.SIG_DFL
-        ),  # background jobs of a shell ignore SIGINT
+        ),  # a shell makes its background jobs ignore SIGINT, and the lab would inherit that
     )
     deadline, lab_processes = time.monotonic() + 30.0, []
     while len(lab_processes) < 7 and time.monotonic() < deadline:  # six directors and the reaper
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -126,7 +126,7 @@
 def test_requests_bypass_the_caches_of_an_unreachable_location(audit):
     """Directors must detect the loss of a whole location.
 
-    If they detect each unreachable cache separately, one or two requests are lost per cache.
+    If a director detects each unreachable cache separately, it loses one or two requests per cache.
     """
     first, last, affected = (
         fault_time(audit, "unreached"),
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -77,9 +77,9 @@
 
 
 def test_slow_caches_get_no_overload_of_retries(audit):
-    """Requests that are retried at one full cache after another amplify the load.
+    """Requests that directors retry at one full cache after another amplify the load.
 
-    Without a limit there were more than two attempts per request.
+    Without a limit of these retries, there were more than two attempts per request.
     """
     first, last = fault(audit, "slow").at_s, fault(audit, "slow", False).at_s + 2.0
     attempts = [
@@ -104,9 +104,9 @@
 
 
 def test_caches_that_restart_cold_are_used_and_do_not_crash(audit):
-    """17 directors share each cold cache, so the quota of each is less than one request.
+    """17 directors share each cold cache, so the quota of each director is less than one request.
 
-    A director that never uses a quota below one request would send nothing to the cache during its
+    Directors that never use a quota below one request would send nothing to the cache during its
     whole slow start.
     """
     restarted_at, cold_caches = fault(audit, "cold", False).at_s, set(fault(audit, "cold").nodes)
@@ -114,7 +114,7 @@
         attempt
         for attempt in audit.observations.attempts
         if attempt.node in cold_caches and 2.0 < attempt.at_s - restarted_at < 6.0
-    ]  # after the notification of all directors
+    ]  # by 2 s after the restart, all directors are notified of it
     assert (
         len(cold_caches) == 4
         and len(attempts) >= 4
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -30,8 +30,9 @@
 objects = 400
 late_ms = 5000
 """
-# Each replacement consists of a module, the original text and the new text. The first one makes all
-# directors check the same cache at the same time, the second one makes them select the same cache.
+# A replacement in the program consists of a module, the original text and the new text.
+# SYNCHRONIZED_HEALTH_CHECKS makes all directors check the same cache at a time, and
+# SYNCHRONIZED_SELECTION makes them select the same cache for all objects at a time.
 SYNCHRONIZED_HEALTH_CHECKS = (
     "policy/health_checks.py",
     "self._random.choice(endpoints)",
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -1,6 +1,7 @@
 """Simulated fleets recover from an overload when its cause ends.
 
-A further test checks that the measurement detects a fleet that does not recover.
+A further test modifies the retry limits, and checks that the measurement shows a late or missing
+recovery.
 """
 
 import pytest
@@ -32,10 +33,11 @@
 def test_a_fleet_with_one_request_a_second_per_director_recovers_within_ten_seconds(
     fault, min_served_during, process_job_result
 ):
-    """Guard against two failures that kept or delayed a fleet from recovering.
+    """Guard against two failures that prevented or delayed the recovery of a fleet.
 
-    Overdue requests were rejected while their answers were on the way, so that the fleet never
-    recovered; and an unreachable location was detected for each of its caches separately.
+    First, overdue requests were rejected while their answers were on the way, so that the fleet
+    never recovered. Second, directors detected an unreachable location only cache by cache, which
+    delayed the recovery.
     """
     figures = process_job_result(f"{fault}, many")
     assert figures["calm"] > 0.95 and figures["during"] > min_served_during
