--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -5,9 +5,10 @@
 The limits of cold caches are divided among the directors. One scenario is played twice: with
 membership gossip and quotas that directors lend each other, and without gossip, where each director
 has a static share of each limit. In the scenario, 60 directors run as processes in front of
-stand-ins, and a few of them receive most of the requests. All caches return cold, the fleet is
-partitioned for 10 s in the meantime, and some directors are killed later. In fleets of 60, 500 and
-2,000 directors, the gossip alone is simulated. The figures hold for these stand-ins only.
+stand-ins, and a few of them receive most of the requests. All caches restart cold, the fleet is
+partitioned for 10 s of their slow start, and some directors are killed after the partition. In
+fleets of 60, 500 and 2,000 directors, the gossip alone is simulated. The figures hold for these
+stand-ins only.
 """
 
 import glob
@@ -85,7 +86,7 @@
 # Figures that count violations
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
 LIMIT_WINDOW_S = 1.5  # window over which the requests to a cold cache are limited
-# Time from the return of a cache until all directors have received the endpoint update
+# Time from the restart of a cache until all directors have received the endpoint update
 UPDATE_DELAY_S = 1.6
 
 
@@ -93,13 +94,15 @@
     """Return how far the directors used the limits of cold caches, and how far they exceeded them.
 
     The limit of a cold cache is its capacity times its warm fraction, which grows during slow
-    start. Its unit is requests, as in the directors.
+    start. It is in attempts per second: a fill counts as much as a hit, as in the directors.
 
     Returns:
-        `use_ratio`: The number of requests that were sent to cold caches, as a fraction of the
-            number that the limits allowed.
-        `overshoot_max`: The highest number of requests in a window, as a multiple of the number
-            that the limit at the end of the window allows.
+        `use_ratio`: The number of attempts that reached cold caches, as a fraction of the number
+            that the limits allowed. The first 4 s after UPDATE_DELAY_S and the last second of the
+            slow start are excluded.
+        `overshoot_max`: The highest number of attempts that reached a cold cache within
+            LIMIT_WINDOW_S, as a multiple of the number that its limit at the end of this window
+            allows.
     """
     back = next(fault[0] for fault in audit.faults if fault[1] == "cold" and not fault[3])
     names = next(fault[5] for fault in audit.faults if fault[1] == "cold")
@@ -134,10 +137,11 @@
 
 
 def death_detection(audit: Audit, folder: str) -> dict[str, Any]:
-    """Return how soon killed directors were declared dead, and how often others were by mistake.
+    """Return how soon killed directors were declared dead, and how often directors were by mistake.
 
-    The figures come from the logs of the directors. While the fleet is partitioned, and for 6 s
-    afterwards, declaring an unreachable director dead is not counted as a mistake.
+    The figures come from the logs of the directors. Declaring a killed director dead is no mistake
+    in the first 12 s after the kill. Declaring any director dead is not counted as a mistake while
+    the fleet is partitioned and for 6 s afterwards.
     """
     began, events = audit.observations.started_at / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
@@ -178,7 +182,8 @@
     with tempfile.TemporaryDirectory(prefix="mulleinrelay-budgets-") as folder:
         states: dict[str, dict] = {}
 
-        # Reads the directors' states once, shortly before the end of the play
+        # Reads the directors' states once, shortly before the end of the play. Directors without
+        # membership write none; the entry `none` then marks that the reading is done.
         def collect_states(since: float, *_: int) -> None:
             if since > scenario.seconds - 1.5 and not states:
                 states.update(
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -118,9 +118,9 @@
         burst: Requests per second of the tenant during the burst.
 
     Returns:
-        The figures of the lab, and two about the tenants of the other cell: `others_share` is the
-        fraction of their requests that were served, and `others_p99` the 99th percentile of the
-        latency in ms.
+        The figures of the lab, and two about gamma and delta, the tenants of the other cell during
+        the burst. `others_share` is the fraction of their requests that were served, and
+        `others_p99` the 99th percentile of the latency of these in ms.
     """
     lab = Lab(parse_scenario(FLOOD_SCENARIO.format(cells="yes" if cells else "no", burst=burst)))
     figures = lab.run()
@@ -145,9 +145,14 @@
     Args:
         kind: `move` for a gradual migration, `cut` for an immediate one.
         seconds: Duration of the scenario.
-        spans: Settings of the stages of the migration.
-        begins: Time in s from which the peak load of the receiving caches and the fetches from the
-            origin are counted.
+        spans: Lines of the scenario with the durations of the migration's stages; empty for `cut`.
+        begins: Time in seconds since the start of the load, from which `cold_peak` and `origin`
+            count.
+
+    Returns:
+        The figures of the lab, and two more: `cold_peak` is the highest load of a cache in the cell
+        that receives the tenant, as a multiple of its capacity, and `origin` the number of fetches
+        from the origin.
     """
     lab, before = (
         Lab(parse_scenario(MIGRATION_SCENARIO.format(what=kind, seconds=seconds, spans=spans))),
@@ -199,18 +204,19 @@
 
 
 def compare_cpu(first: tuple[str, str], second: tuple[str, str]) -> tuple[float, float]:
-    """Compare the CPU time of a request in two directors, and return the medians of all rounds.
+    """Compare the CPU time of a request in two directors.
 
     The two processes play a few requests each in turn, so that other work on this machine slows
     both down equally.
 
     Args:
-        first: Folder of the package and path of the cells configuration.
-        second: The same for the second director.
+        first: Folder of the first director's package, and path of its cells configuration (empty:
+            no cells).
+        second: Folder and path for the second director.
 
     Returns:
         The CPU time of the first director over that of the second, and the CPU time of a request
-        in the first director in microseconds.
+        in the first director in microseconds. Both are medians of all rounds.
     """
     both = [DirectorProcess(*first), DirectorProcess(*second)]
     for director in both:
@@ -242,12 +248,13 @@
         folder: Empty folder for the configurations and the version without cells.
 
     Returns:
-        `off_cpu_ratio`: The present version with cells disabled over the version without cells;
-            None if that version is not available.
-        `on_cpu_ratio`: Cells enabled over cells disabled.
-        `rejection_cost_ratio`: A rejected request over a served one.
+        `off_cpu_ratio`: CPU time with the present version and cells disabled, over that with the
+            version without cells; None if that version is not available.
+        `on_cpu_ratio`: CPU time with cells enabled over that with cells disabled.
+        `rejection_cost_ratio`: CPU time of a rejected request over that of a served one, with cells
+            enabled.
         `on_us_a_request`, `rejection_us`: CPU time in microseconds of a served and of a rejected
-            request.
+            request, with cells enabled.
     """
     scenario = parse_scenario(FLOOD_SCENARIO.format(cells="yes", burst=25))
     files = {}
@@ -289,8 +296,8 @@
     """Measure the assignment of 100,000 tenants to 100 cells.
 
     Returns:
-        The fraction of the tenants that move when a cell is removed, and the duration of the
-        first assignment.
+        The fraction of the tenants that move when a cell is removed, including its own tenants,
+        and the duration of the first assignment in seconds.
     """
     tenants, cells = (
         {f"tenant-{number}": 1.0 for number in range(100_000)},
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,9 +1,10 @@
 """Script that measures the CPU time of requests in one director, without endpoints.
 
-The CPU time is that of the client listener and the routing policy. The first argument is a folder
-that holds a version of the package (0.3 or later), so that versions can be compared. The second
-argument is the path of a cells configuration, or empty. Each line of the standard input is a number
-of requests: the script plays them and prints the CPU seconds that they took.
+The CPU time covers the decoding of a request, the client listener, the routing policy, and the
+encoding of the attempts and of the answer. The first argument is a folder that holds a version of
+the package (0.3 or later), so that versions can be compared. The second argument is the path of a
+cells configuration; it is empty or missing if the director has no cells. Each line of the standard
+input is a number of requests: the script plays them and prints the CPU seconds that they took.
 """
 
 import importlib
@@ -18,7 +19,7 @@
 from typing import Any, cast
 
 OBJECTS = 300  # number of different objects that are requested
-BATCH = 100  # requests between two reads of the answers, which must fit into the socket's buffer
+BATCH = 100  # requests whose answers are read together, and must fit into the socket's buffer
 
 
 def configuration() -> dict:
@@ -138,17 +139,21 @@
     director: Any
     listener: Any
     handle_call: Callable[[Any, Any], None]
-    upstream_field: str  # name of the listener's attribute
+    upstream_field: str  # name of the listener's attribute that holds the upstream connections
     report_outcome: Callable[..., None]
     run_due_timers: Callable[[], Any]
-    served_from_cache: tuple[Any, Any]  # outcome and cache status
+    served_from_cache: tuple[Any, Any]  # outcome and cache status of a hit
     client_type: type
     thrift: Any
     encode_attempt: Callable[..., Any]
 
 
 def current_parts(cells: str) -> DirectorParts:
-    """Create a director of a version whose modules have the present names."""
+    """Create a director of a version whose modules have the present names, and return its parts.
+
+    Args:
+        cells: Path of a cells configuration; empty: the director has no cells.
+    """
     from mulleinrelay.config.platform import parse_config
     from mulleinrelay.director import Director
     from mulleinrelay.net import resp, thrift
@@ -181,9 +186,14 @@
 
 
 def parts_0_3(cells: str) -> DirectorParts:
-    """Create a director of version 0.3, whose modules have other names."""
+    """Create a director of version 0.3, whose modules have other names, and return its parts.
+
+    Args:
+        cells: Path of a cells configuration; empty: the director has no cells.
+    """
 
-    def module(name: str) -> Any:  # a type check of the present version does not find these modules
+    # The present version does not contain these modules, so a type check would reject imports.
+    def module(name: str) -> Any:
         return importlib.import_module(f"mulleinrelay.{name}")
 
     config = module("configuration").decode(json.dumps(configuration()))
@@ -289,5 +299,5 @@
 if __name__ == "__main__":
     sys.path.insert(0, sys.argv[1])
     run = make_player(sys.argv[2] if len(sys.argv) > 2 else "")
-    for line in sys.stdin:  # each is a number of requests
+    for line in sys.stdin:
         print(run(int(line)), flush=True)
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -42,7 +42,7 @@
 from .versions import ROOT, unpack
 
 CACHES = 8  # per location
-SCENARIOS = {  # duration in s, and faults
+SCENARIOS = {  # duration in seconds, and faults, by scenario
     "killed": (
         36,
         """
@@ -97,16 +97,16 @@
 """,
     ),
 }
-KILL_FROM_S, KILL_TO_S = 10.0, 24.5  # from the first kill to 5 s after the last return
+KILL_FROM_S, KILL_TO_S = 10.0, 24.5  # from the first kill to 5 s after the last restart
 # Figures that count violations
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-# A director cannot detect a fault if it has sent a bad cache fewer attempts, or has received fewer
-# requests during the partition
+# A director with fewer attempts at a bad cache, or with fewer requests during a partition, is not
+# counted, because it cannot detect the fault.
 MIN_ATTEMPTS, MIN_REQUESTS = 6, 3
 # Duration of a hit with network delays. A try that starts less than this before the end of the
 # latency objective is served late.
 HIT_DURATION_MS = 150.0
-# Failure rate of a healthy cache, and the simulated hours for which outcomes are drawn
+# Fraction of attempts at a healthy cache that fail, and the hours for which outcomes are drawn
 HEALTHY_FAILURE_RATE, DRAWN_HOURS = 0.001, 2.0
 
 
@@ -116,9 +116,10 @@
 
 
 def credit_bound(scenario: FleetScenario, observations: Observations) -> float:
-    """Return the highest possible credit of the requests during the kill.
+    """Return the highest possible credit of the requests from KILL_FROM_S to KILL_TO_S.
 
-    It is the credit if each request that reaches a living director in time is served.
+    It is the credit if each request that reaches a living director is served. A request that
+    reaches one too late for the latency objective earns a tenth of its weight.
     """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, kind, is_start, directors, *_ in observations.other_records["fault"]:
@@ -179,7 +180,11 @@
 
 
 def kill_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
-    """Return the credit during the kill, its bound, and the time until the fleet recovered."""
+    """Return the credit during the kill, its bound, and the time until the fleet recovered.
+
+    This time starts with the last restart. It ends with the first two seconds whose credit reaches
+    0.95 of the credit before the kill; it is None if there are none.
+    """
     observations, objective_ms = audit.observations, scenario.latency_objective_ms
     calm = credit(observations, objective_ms, scenario.warm_up_s, KILL_FROM_S)
     during, limit = (
@@ -207,10 +212,11 @@
 
 
 def partition_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
-    """Return how many directors of the partitioned location detected the partition, and the credit.
+    """Return the fraction of directors that detected the partition, and the credit during it.
 
-    A director has detected the partition if it sent attempts directly to a parent meanwhile. The
-    figures also include the time until the directors used the caches again.
+    Directors of the partitioned location with at least MIN_REQUESTS reads are counted. A director
+    has detected the partition if it sent attempts directly to a parent meanwhile. The figures also
+    include the time until the directors used the caches again.
     """
     first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
     partitioned = set(next(fault[4] for fault in audit.faults if fault[1] == "unreached"))
@@ -243,13 +249,13 @@
 ) -> dict[str, Any]:
     """Return when directors ejected the bad caches and reinstated them, by their logs.
 
-    A pair of a director and a bad cache is counted if the director sent the cache enough attempts,
-    or ejected it.
+    A pair of a director and a bad cache is counted if the director sent the cache at least
+    MIN_ATTEMPTS attempts, or ejected it.
     """
     fault = next(event for event in audit.faults if event[1] == "bad" and event[3])
     first = fault[0]
     last = next(event[0] for event in audit.faults if event[1] == "bad" and not event[3])
-    # The logs name a cache by its hash key
+    # The logs name a cache by its hash key: the end of its name, without leading zeros.
     names = {name.rpartition("-")[2].lstrip("0"): name for name in fault[5]}
     attempt_counts: dict[tuple[int, str], int] = defaultdict(int)
     for attempt in audit.observations.attempts:
@@ -342,7 +348,13 @@
 
 
 def simulate_faults(directors: int, seed: int, jobs: int) -> dict[str, Any]:
-    """Simulate all faults of the recovery benchmark, and return the longest recovery time."""
+    """Simulate all faults of the recovery benchmark with three durations each.
+
+    Returns:
+        `storm_recovered_s_max`: The longest recovery time; None if the fleet never recovered.
+        `storms`: Number of simulations.
+        `storms_never_over`: Faults after which the fleet did not recover, with their durations.
+    """
     cases = [
         (name, length, directors, 230.0, seed) for name in recovery.FAULTS for length in (2, 8, 20)
     ]
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -77,10 +77,10 @@
 
 
 def measure_drains(count: int = 50, directors: int = 3) -> dict:
-    """Drain random caches, and return how long directors still use a cache after the Set call.
+    """Drain random caches, and return how long directors still use a cache after its drain.
 
-    The time ends when a node receives the last attempt whose destination or fill source is the
-    drained cache.
+    The time starts before the Set calls that drain the cache at all directors. It ends when a node
+    receives the last attempt whose destination or fill source is the drained cache.
 
     Args:
         count: Number of drains.
@@ -169,7 +169,7 @@
                 log_lines,
             ]
 
-        time.sleep(0.6)  # by then, the log line of this drain has been written
+        time.sleep(0.6)  # afterwards, the log line of the drain above has been written
         before, rejected = snapshot(), 0
         for number in range(count):
             path, value = INVALID_UPDATES[number % len(INVALID_UPDATES)]
@@ -268,7 +268,7 @@
 
 
 def measure_full_get() -> dict:
-    """Measure Get calls for all data, with 2,000 caches and 10,000 tenants.
+    """Measure Get calls for all data, with 2,000 more caches and 10,000 more tenants.
 
     Returns:
         The median duration in ms, and the number of caches in the response.
@@ -360,7 +360,7 @@
 
 
 def resident_mb(management: bool) -> float:
-    """Return the resident memory of an idle director in MB, with or without management."""
+    """Return the resident memory of an idle director in MiB, with or without management."""
     text = SCENARIO.format(seconds=1, directors=1)
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,10 +1,12 @@
 """Benchmark of whether a fleet recovers by itself after a fault has ended.
 
 `python -m benchmarks.recovery --json` prints one JSON object as the last line. Each fault is
-simulated with several durations. The main figure is the recovery time: the number of seconds from
-the end of the fault until the fraction of the weight that is earned within two seconds reaches 0.95
-of its value before the fault, and stays there. If a fault leaves an overload behind (a metastable
-failure), the recovery time is long or None.
+simulated with several durations.
+
+Each request has a weight, which the fleet earns by serving the request in time. The fleet has
+recovered when the fraction earned in two seconds reaches 0.95 of its value before the fault, and
+stays there. The main figure is the recovery time, in seconds from the end of the fault. If a fault
+leaves an overload behind (a metastable failure), the recovery time is long or None.
 
 The simulation models no sockets, no CPU and no queues in directors: the figures are in simulated
 time, and caches and clients are stand-ins.
@@ -70,8 +72,13 @@
     """Return the weight earned by the requests of a span, as a fraction of their total weight.
 
     The weight of a request is the priority of its class. A request earns all of it if it is served
-    within the latency objective. `first_s` and `last_s` are seconds since the start of the
-    simulation.
+    within the latency objective, and LATE_REQUEST_WEIGHT of it if it is served later.
+
+    Args:
+        observations: Records of the play.
+        objective_ms: Latency objective in ms.
+        first_s: Start of the span, in seconds from the start of the play.
+        last_s: End of the span. Requests count by the time at which they are created.
     """
     total = earned = 0.0
     for request in observations.requests:
@@ -89,6 +96,11 @@
 
     The spans are checked from the last to the first, because the fleet has recovered only when no
     later span falls below the threshold.
+
+    Args:
+        observations: Records of the play.
+        objective_ms: Latency objective in ms.
+        end_s: End of the fault, in seconds from the start of the play.
     """
     calm = earned_fraction(observations, objective_ms, CALM_FROM_S, FAULT_AT_S)
     recovered_after_s = None
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -29,10 +29,10 @@
 Figures = dict[str, Any]
 
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "answers_late")
-# Numbers of directors that are compared for the figures that grow with the number of directors
+# Numbers of directors of the two fleets that `measure_growth` compares
 FEW_DIRECTORS = 30
 MANY_DIRECTORS = 300
-GROWTH_SECONDS = 20  # duration of the scenarios that are compared
+GROWTH_SECONDS = 20  # duration of the scenario for both fleets
 MIN_DIVISOR = 1e-9  # avoids a division by zero
 # Figures of the simulation that are compared with those of the lab
 COMPARED = ("credit", "imbalance_p99", "attempts_by_request", "hit_share")
@@ -58,6 +58,7 @@
 rate = {rate}
 objects = 2000
 """
+# Usual duration in seconds, and faults, by scenario
 FAULTS = {
     "calm": (24, ""),
     "cut": (
@@ -188,7 +189,7 @@
 
 
 def largest(plays: list[Figures], key: str) -> Any:
-    """Return the largest value of a figure over all plays; None if no play has it."""
+    """Return the largest value of a figure over all plays; None if it is None in all of them."""
     return max((figures[key] for figures in plays if figures[key] is not None), default=None)
 
 
@@ -216,8 +217,9 @@
 def measure_growth(rate: float, seed: int) -> dict[str, float]:
     """Return how probes and connections per cache grow with the number of directors.
 
-    A figure is the value with `MANY_DIRECTORS` over the value with `FEW_DIRECTORS`, at the same
-    request rate. `ready_s_300` is the time until all directors of the larger fleet were ready.
+    A growth is the peak at a single cache with `MANY_DIRECTORS` over that with `FEW_DIRECTORS`, at
+    the same request rate. `ready_s_300` is the time until all directors of the larger fleet were
+    ready.
     """
     few = play(scenario_text("calm", FEW_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
     many = play(scenario_text("calm", MANY_DIRECTORS, rate, seed, GROWTH_SECONDS, True))
@@ -233,7 +235,7 @@
 
     Args:
         plays: Figures of the lab by scenario.
-        texts: Texts of the scenarios.
+        texts: Text of each scenario by its name.
     """
     errors = {}
     for name, measured in plays.items():
@@ -251,8 +253,14 @@
 ) -> tuple[dict[str, Figures], dict[str, Figures]]:
     """Play all scenarios with the present program and, if a version is given, with that version.
 
+    Args:
+        texts: Text of each scenario by its name.
+        version: Git revision of an earlier version; None for no comparison.
+        shows_progress: Whether some figures are written to standard error after each scenario.
+
     Returns:
-        Figures of the present program by scenario, and figures of the earlier version.
+        Figures by scenario of the present program, and those of the earlier version (empty if there
+        is no comparison).
     """
     present: dict[str, Figures] = {}
     earlier: dict[str, Figures] = {}
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -43,13 +43,14 @@
 DURATION = 10_000.0  # ms over which the requests are spread
 CLIENT_TIMEOUT = 3_000.0  # ms
 SIZE_KB = 400.0
-SEND_TIME = 40.0  # ms to send an answer of that size
+SEND_TIME = 40.0  # ms to send an answer of SIZE_KB, and until a fill is answered
 HIT_TIME = 5.0  # ms until a hit is answered
 WEIGHT = 4.0  # of each endpoint
 DIRECTORS = 3
 CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds of endpoints
 PARENT_SLOW_START = SlowStartPolicy(0.06, 20_000.0, 1_500.0, 2.0)
-RESTARTED_PARENT = 10  # hash key of the parent that is in slow start from the beginning
+# Hash key of the first parent of each router, which is in slow start from the beginning
+RESTARTED_PARENT = 10
 RESTARTED_AT = 0.5  # ms
 
 
@@ -148,9 +149,15 @@
 
 
 def play_requests(routers: list[Router], pools: list[CachePool | None], random: Random) -> Figures:
-    """Play the requests, with the cells in turn; each attempt is answered at once.
+    """Play the requests, with the cells in turn.
 
-    An attempt is a hit if the cache was sent a request for the object before, otherwise a fill.
+    Each attempt is answered before the next request is played. It is a hit if an attempt for the
+    same object was sent to the same cache before, otherwise a fill.
+
+    Args:
+        routers: Router of each cell.
+        pools: Pool of each cell; None if the cell has its own router.
+        random: Source of randomness, for the choice of the objects.
     """
     figures = Figures()
     sink = AttemptRecorder()
@@ -215,7 +222,7 @@
 
 
 def measure(split: bool) -> dict[str, float]:
-    """Return the figures of all cells together.
+    """Return the figures of all cells together; `split` has the meaning as in `make_routers`.
 
     Memory is measured in a second run, because the measurement slows the run down.
     """
