--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -137,7 +137,7 @@
     """The parts of a director that the benchmark uses; their names differ between versions."""
 
     director: Any
-    listener: Any
+    listener: Any  # the object that handles the calls of clients
     handle_call: Callable[[Any, Any], None]
     upstream_field: str  # name of the listener's attribute that holds the upstream connections
     report_outcome: Callable[..., None]
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -112,7 +112,7 @@
 def healthy_by_location(
     caches: dict[str, AuditedCache], second: int
 ) -> dict[str, list[AuditedCache]]:
-    """Return the caches that are healthy in this second, by location."""
+    """Return the caches that are healthy for the whole second, by location."""
     found: dict[str, list[AuditedCache]] = defaultdict(list)
     for cache in caches.values():
         if cache.is_healthy_in(second):
@@ -260,7 +260,10 @@
 def _healthy_peers(
     caches: dict[str, AuditedCache], cache: AuditedCache, second: int
 ) -> list[AuditedCache]:
-    """Return the healthy caches of the cache's location; the cache itself is always included."""
+    """Return the healthy caches of the cache's location.
+
+    The cache itself is always included, so that its fair share is defined in any second.
+    """
     peers = [
         other
         for other in caches.values()
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -40,7 +40,12 @@
 
 
 class ProxiedConnection:
-    """A director's connection to the proxy, and the proxy's connection to the target."""
+    """A director's connection to the proxy, and the proxy's connection to the target.
+
+    Attributes:
+        path: The path that the rules match: its kind, the director and the name of the target.
+        streams: Both directions, each of which reads from one connection and writes to the other.
+    """
 
     def __init__(
         self,
@@ -114,7 +119,13 @@
 
 
 class FaultProxy:
-    """Proxy with a listener for each target and a socket for the datagrams to each director."""
+    """Proxy with a listener for each target and a socket for the datagrams to each director.
+
+    Attributes:
+        ports: Port of each target's listener, by the target's name, also while it is closed.
+        listeners: Open listeners by the target's name.
+        datagram_sockets: Sockets at the advertised addresses of the directors, by director.
+    """
 
     def __init__(self, first_message: Message) -> None:
         """Open the listeners and datagram sockets that the lab's first message requests."""
--- a/mulleinrelay/lab/fleet/heatmap.py
+++ b/mulleinrelay/lab/fleet/heatmap.py
@@ -14,9 +14,10 @@
 
 
 def draw(audit: Audit, path: str) -> None:
-    """Write the heatmap as a PNG file with a row per cache and a column per 100 ms.
+    """Write the heatmap as a PNG file with a column per 100 ms.
 
-    White marks the fair share, red a higher load and blue a lower one.
+    Each cache that was sent any attempt has a row. White marks the fair share, red a higher load
+    and blue a lower one.
     """
     import matplotlib
 
@@ -50,7 +51,11 @@
 
 
 def _load_ratios(audit: Audit, end_s: float) -> tuple[list[str], list[str], Any]:
-    """Return the caches' names and locations, ordered by location, and a row of ratios for each."""
+    """Return the caches' names and locations, ordered by location, and a row of ratios for each.
+
+    A ratio is the smoothed load in a slot over the fair share. The fair shares divide the load of a
+    location among all its caches, whether they are healthy or not.
+    """
     import numpy
 
     attempts = [
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -111,6 +111,7 @@
         self.rates = [rates[director] for director in self.directors]
         self.cumulative_rates = list(itertools.accumulate(self.rates))
         self.faults = [fault for fault in scenario.faults if fault.kind in LOAD_FAULTS]
+        # Requests per second of each location without faults
         self.total_by_location = {
             name: sum(rates[director] for director in scenario.directors_in(name))
             for name in scenario.locations
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -55,8 +55,8 @@
     load: LocationLoad
     plan: RequestPlan
     tries: int = 0
-    is_complete: bool = False
-    first_director: int = addresses.NO_DIRECTOR
+    is_complete: bool = False  # whether the outcome is known and recorded
+    first_director: int = addresses.NO_DIRECTOR  # director of the first try
 
 
 class ClientSession:
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -161,6 +161,8 @@
     """One node with its listener, its connections, and the faults that only some directors observe.
 
     Attributes:
+        port: Port of the node, which stays the same after a restart.
+        listener: Listening socket; None while the node is down.
         sessions: All accepted connections, including those whose first line is not yet received.
             All of them must be closed when the node crashes: a command on a connection that
             outlived the node would be counted as another crash of the node.
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -52,9 +52,9 @@
     name: str
     kind: str
     is_start: bool
-    directors: list[int]
-    nodes: list[str]
-    location: str
+    directors: list[int]  # affected directors; see `ScenarioStep`
+    nodes: list[str]  # affected nodes; see `ScenarioStep`
+    location: str  # the only affected location; empty for all locations
     error: str
 
 
@@ -86,7 +86,7 @@
     at_s: float
     director: int
     node: str
-    command: str
+    command: str  # name of the command
 
 
 class DirectorRecord(NamedTuple):
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -91,6 +91,10 @@
     """One play of a fleet scenario.
 
     Attributes:
+        program: Folder that contains the package that the directors run.
+        keeps_folder: Whether the folder remains after the play; otherwise it is temporary.
+        port: Port at which all directors listen for clients.
+        datagram_port: Port at which directors and fault proxy receive datagrams.
         proxy_by_target: The fault proxy of each target, by the target's name. A target is a node
             or the event stream.
         ready_after_s: Time from the start of the first director until all were ready. It is set
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -133,7 +133,7 @@
     """
 
     name: str = "fleet"
-    seconds: float = 30.0
+    seconds: float = 30.0  # length of the play, during which clients send new requests
     warm_up_s: float = 6.0  # at the start; the audit excludes it from its figures
     seed: int = 1
 
@@ -145,7 +145,7 @@
     shares_quotas: bool = False  # directors lend each other slow-start quota
     memory_mb: float = 96.0  # memory limit in each director's configuration
     max_descriptors: int = 1024  # limit of sockets in each director's configuration
-    polls_load_reports: bool = False
+    polls_load_reports: bool = False  # directors poll caches for load reports
 
     locations: tuple[str, ...] = ("north", "south")
     caches: int = 6  # per location
@@ -176,12 +176,12 @@
     unsafe_fraction: float = 0.0  # of requests: writes without an idempotency key
     patience_ms: float = 2500.0
     latency_objective_ms: float = 500.0
-    max_tries: int = 3
+    max_tries: int = 3  # of a request, including the first
     answer_grace_ms: float = 100.0  # from the end of the patience until an answer counts as missing
     failure_detection_ms: float = 1500.0  # from a lost connection until clients check the director
 
-    client_processes: int = 3
-    proxy_processes: int = 2
+    client_processes: int = 3  # load generators
+    proxy_processes: int = 2  # fault proxies
     faults: list[FaultInjection] = field(default_factory=list)
 
     @property
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -64,19 +64,21 @@
     def __init__(self, spec: NodeSpec) -> None:
         self.spec = spec
         self.copies: dict[CopyKey, float] = {}  # when the origin issued each copy
-        self.fills_in_progress: dict[CopyKey, float] = {}  # when each fill ends
-        self.idempotency_keys: dict[str, float] = {}  # when each key expires
+        # When the last fill of each copy ends, and when each idempotency key expires. Entries whose
+        # time is past remain until a restart.
+        self.fills_in_progress: dict[CopyKey, float] = {}
+        self.idempotency_keys: dict[str, float] = {}
         self.free_at = 0.0  # when all queued work is done
         self.started_at = 0.0  # 0: never restarted
         self.slowdown = 1.0  # factor on the duration of work and on the answer delay
         self.is_alive = True
-        self.is_silent = False
-        self.state = "SERVING"
+        self.is_silent = False  # True: the node executes commands, but sends no results
+        self.state = "SERVING"  # as the endpoint list announces it
         self.recent_work: deque[tuple[float, float]] = deque()  # time in ms, work in hits
         self.window_load = 0.0  # work within the last LOAD_WINDOW_MS, in hits
         self.peak_load = 0.0  # as a multiple of the capacity that the node had at the time
         self.overloaded_since = 0.0  # 0: not overloaded
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # events, under the names that the labs' figures use
         # When a command last named this node, as its target or as a fill source.
         self.last_referenced_at = 0.0
 
@@ -214,7 +216,7 @@
     clock: Callable[[], float] = now_ms
 
     def handle_pull(self, name: str, fields: dict[str, str]) -> Reply:
-        """Execute a PULL command at the node `name` and return the reply with its send time."""
+        """Execute a PULL command with these fields at the node `name`, and return the reply."""
         now = self.clock()
         node = self.nodes[name]
         with self.lock:
