--- a/mulleinrelay/lab/fleet/heatmap.py
+++ b/mulleinrelay/lab/fleet/heatmap.py
@@ -54,7 +54,7 @@
     """Return the caches' names and locations, ordered by location, and a row of ratios for each.
 
     A ratio is the smoothed load in a slot over the fair share. The fair shares divide the load of a
-    location among all its caches, whether they are healthy or not.
+    location among all its caches that have a row, whether they are healthy or not.
     """
     import numpy
 
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -233,8 +233,8 @@
 
         Args:
             fault: `kill` stops a node; `revive` starts it again without stored copies; `cold` does
-                both. `slow` and `silent` (no answers) last until `well`, and a draining that
-                `drain` announces until `ready`. `purge` purges an object.
+                both. `slow` and `silent` (no answers) last until `well`. `drain` announces that
+                the node is draining, and `ready` that it serves again. `purge` purges an object.
             name: Name of the node; with `purge`, the id of the object.
         """
         if fault == "purge":
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -157,7 +157,7 @@
             return True
 
     def expire_unanswered(self, now: float) -> int:
-        """Give up the tries whose answer is missing, and return their number."""
+        """Give up the tries whose answer is missing, and their requests; return their number."""
         with self.lock:
             expired = [
                 number
