--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -73,7 +73,7 @@
         self._send(f"+{process_id}\n")
 
     def remove(self, process_id: int) -> None:
-        """Tell the reaper that a process has ended, so that it is not killed."""
+        """Tell the reaper that a process has ended."""
         self._send(f"-{process_id}\n")
 
     def stop(self) -> None:
