--- a/mulleinrelay/cells/__init__.py
+++ b/mulleinrelay/cells/__init__.py
@@ -5,7 +5,7 @@
 Pure modules, lowest layer first:
 
 - `model`, `validation`, `parser` and `formatter`: the assignment file and its content.
-- `hashing` and `tenant_resolution`: the cell of a tenant, and the tenant of a request.
+- `hashing` and `tenant_resolution`: the home cell of a tenant, and the tenant of a request.
 - `token_bucket`, `retry_budget`, `concurrency_limit` and `fair_share`: quotas.
 - `migrations`, `sticky_routing`, `failover` and `rollouts`: changes over time.
 - `placement` and `admission_controller`: the decision about one request.
--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -49,7 +49,7 @@
     Attributes:
         assignment: The assignment.
         tenant_resolver: Index that finds the tenant of a request.
-        homes: Home cells by tenant.
+        homes: Name of each tenant's home cell, by tenant; tenants without a cell are missing.
     """
 
     assignment: Assignment
@@ -72,15 +72,16 @@
     """Admission control of one director, by the assignment in force.
 
     Attributes:
-        assignment: The version in force.
+        assignment: The assignment in force.
         tenant_resolver: Index that finds the tenant of a request.
         placement: Component that finds the cell and the caches of a request.
         capacity: Capacity of this director.
-        tenant_states: Usage of quotas by tenant.
-        unknown_tenant: Usage by requests whose tenant is unknown.
-        cell_quotas: Usage of this director by its cells.
-        rollout_states: States of the rollouts, by name.
-        migration_stages: Last logged stage of each migration, by name.
+        tenant_states: States of the tenants that have sent requests, by tenant.
+        unknown_tenant: State that counts the rejected requests of unknown tenants.
+        cell_quotas: Quotas of the cells at this director, and their usage.
+        rollout_states: States of the rollouts, by name of the rollout.
+        migration_stages: Last logged stage of each migration, by name of the migration; `PLANNED`
+            if no stage was logged yet.
     """
 
     def __init__(
@@ -112,13 +113,16 @@
     ) -> list[str]:
         """Put a new version of the assignment in force.
 
-        The usage of tenants and cells and the known idempotency keys are kept.
+        Open requests stay counted, and idempotency keys stay known. A tenant whose limits change
+        gets a full token bucket and a full retry budget. A cell whose limits change gets its
+        highest concurrency limit.
 
         Returns:
             Messages for the log.
 
         Raises:
-            ConfigError: If the assignment is not consistent; the old version then stays in force.
+            ConfigError: If an assignment that is not prepared is not consistent; the old version
+                then stays in force.
         """
         if isinstance(assignment, PreparedAssignment):
             prepared = assignment
@@ -162,11 +166,11 @@
         return rollouts.limits_in_force(self.rollout_states, home, tenant_limits)
 
     def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
-        """Replace the list of ready caches in this location and return messages for the log."""
+        """Replace the list of ready caches in this zone and return messages for the log."""
         return self.placement.update_caches(now, caches)
 
     def step(self, now: float) -> list[str]:
-        """Advance migrations and rollouts; to be called several times a second.
+        """Log new stages of migrations, and advance rollouts; to be called several times a second.
 
         Returns:
             Messages for the log.
@@ -215,8 +219,12 @@
     ) -> AdmissionGrant | AdmissionRejection:
         """Admit or reject a request.
 
-        The caller must pass the grant of an admitted request to `complete_request` later. Rejected
-        requests count as demand of their tenant; only admitted requests consume quota.
+        The caller must pass the grant of an admitted request to `complete_request` later. Only
+        admitted requests consume quota. A request that `CellQuotas.check` rejects still counts as
+        demand of its tenant and cell.
+
+        The retry budget of the tenant's clients limits only retries of idempotent requests. Every
+        other admitted request counts as a first attempt, which earns a fraction of a retry.
         """
         tenant = self.tenant_resolver.resolve(request.tenant_name, request.address, request.group)
         if tenant is None:
@@ -262,8 +270,10 @@
             now: The current time.
             grant: The grant of the request.
             is_served: Whether the request was served.
-            is_client_waiting: Whether the client was still waiting.
-            delay: Time until the answer, ms, without the time of sending it.
+            is_client_waiting: Whether the client had neither disconnected nor cancelled the
+                request. If it had, no outcome is counted for the cell and the rollouts.
+            delay: Time from the request's arrival to its answer, ms, without the time of sending
+                the answer.
 
         Returns:
             A message for the log if the cell's concurrency limit was reduced, else an empty string.
@@ -315,7 +325,8 @@
 
     def _add_tenant_state(self, tenant: str) -> TenantState:
         if len(self.tenant_states) >= MAX_TENANT_STATES:
-            # The grants hold the quota of open requests, so dropping a state loses none of it.
+            # Open requests stay counted in the cells, and their grants still refer to the dropped
+            # state. The tenant's next request gets a new state with unused quotas.
             states_by_last_use = sorted(
                 self.tenant_states.items(), key=lambda item: item[1].last_used_at
             )
@@ -353,11 +364,11 @@
 
 
 def _is_never_executed(request: AdmissionRequest) -> bool:
-    """Return whether the client can repeat a rejected request without running it twice.
+    """Return whether the client can repeat a rejected request without harm.
 
-    The director has sent no attempt of the rejected request. If the request is a retry, its first
-    attempt may have run; this is harmless if the request is idempotent, or if all endpoints know
-    its idempotency key.
+    The director sends no attempt of a rejected request. If the request is a retry, its first
+    attempt may have run. This is harmless if the request is idempotent, or if all endpoints know
+    its idempotency key and so drop duplicates.
     """
     request_class = request.request_class
     is_known_everywhere = request_class.idempotency == KEYED and request_class.key_scope == "all"
--- a/mulleinrelay/cells/admission_types.py
+++ b/mulleinrelay/cells/admission_types.py
@@ -16,12 +16,12 @@
     Attributes:
         tenant_name: Tenant that the client named; empty if the client named none.
         address: The client's address.
-        group: Group of the object.
+        group: Group of the object, 0 to 255.
         key: Object id, a number or hexadecimal digits, which are parsed only if needed.
         request_class: Request class, with the rules for repeating a request.
         idempotency_key: Idempotency key; empty if there is none.
-        is_retry: Whether the client has sent the request before.
-        body_bytes: Size of the body.
+        is_retry: Whether the client has sent the request before, according to the client.
+        body_bytes: Size of the body; 0 if there is none.
     """
 
     tenant_name: str
@@ -45,8 +45,9 @@
     Attributes:
         reason: Reason in words.
         retry_after_ms: Time after which the client may retry, ms.
-        is_never_executed: Whether the request certainly has not run. If so, the client is told
-            that the request was rejected, otherwise that it failed.
+        is_never_executed: Whether the client can repeat the request without harm: it has not run,
+            or a second run has no effect. If so, the client is told that the request was rejected,
+            otherwise that it failed.
     """
 
     reason: str
@@ -68,7 +69,7 @@
         cell_state: State of the cell, which counts the outcome.
         share: The tenant's share of the cell's open requests.
         cell_share: The cell's share of the director's open requests.
-        failover_quota: Quota in the failover cell; None if the home cell serves the request.
+        failover_quota: Quota in the failover cell; None if the request has not failed over.
         is_completed: Whether the quota has been released.
     """
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -17,7 +17,8 @@
 from .token_bucket import BucketShare, FairTokenBucket
 
 WAIT_FOR_BODIES = 1_000.0  # ms: Retry-After while bodies of open requests fill the tenant's quota
-# Used fraction of a cell's capacity above which its tenants lend less.
+# Used fraction of the capacity that a cell's tenants share. Above it, this capacity is set below
+# the cell's limit, so that the tenants lend less.
 RESTRICT_LENDING_ABOVE = 0.5
 
 
@@ -69,10 +70,12 @@
         cell: Cell that is to serve the request.
         body_kb: Size of the body, KB.
         slots: Number of open requests that the request counts as: 1, and more if it has a body.
-        failover: Terms of the failover; None if the home cell serves the request.
-        limits: The tenant's limits in the cell; set by the check.
-        bucket_shares: Shares of the rates; set by the check if a rate is limited.
-        failover_quota: Quota in the failover cell; set by the check if there is a failover.
+        failover: Terms of the failover; None if the request does not fail over.
+        limits: The tenant's limits in the cell; None until `CellQuotas.check` sets them.
+        bucket_shares: Shares of the rates. `CellQuotas.check` sets them; they stay None if neither
+            the director's nor the cell's rate is limited.
+        failover_quota: Quota in the failover cell. `CellQuotas.check` sets it when it finds that
+            the request fits; it stays None if the request does not fail over.
     """
 
     tenant: str
@@ -105,7 +108,10 @@
         self.cell_rates = FairTokenBucket(capacity.rate)
 
     def set_cells(self, cells: dict[str, Cell]) -> None:
-        """Replace the cells by those of a new assignment; open requests stay counted."""
+        """Replace the cells by those of a new assignment.
+
+        Cells that stay keep their state, and their open requests stay counted.
+        """
         states = {}
         for name, cell in cells.items():
             state = self.cell_states.get(name)
@@ -119,7 +125,8 @@
     def check(self, now: float, candidate: AdmissionCandidate) -> ExceededLimit | None:
         """Return the first limit that a request would exceed; None if it fits into all limits.
 
-        The request's demand is recorded at each limit that is checked, even if it is rejected.
+        Each rate and each share that is checked records the request's demand, even if the request
+        is rejected. The candidate keeps the found limits and shares for `acquire`.
         """
         limits = self._limits(now, candidate)
         candidate.limits = limits
@@ -135,6 +142,9 @@
             now: The current time.
             candidate: The checked request.
             pool: The caches that the request is confined to.
+
+        Raises:
+            ValueError: If the request was not checked.
         """
         limits = candidate.limits
         if limits is None:
@@ -206,7 +216,10 @@
     def _wait_for_rates(
         self, now: float, candidate: AdmissionCandidate, limits: TenantCellLimits
     ) -> float:
-        """Return the milliseconds until the rates allow the request; 0 if they allow it now."""
+        """Return the time (ms) until the director's and the cell's rate allow the request.
+
+        The time is 0 if both rates allow the request now or are not limited.
+        """
         cell_state = limits.cell_state
         if not self.cell_rates.rate and not cell_state.limits.rate:
             return 0.0
@@ -228,8 +241,8 @@
         shares = cell_state.shares
         cell_state.concurrency_limit.record_open(shares.open + slots)
         if shares.open + slots > RESTRICT_LENDING_ABOVE * shares.capacity:
-            # Reduces the capacity that tenants share, so that a lender that resumes and exceeds
-            # the capacity by OVERCOMMIT stays within the cell's limit.
+            # Keeps the capacity that tenants share below the cell's limit. A lender that resumes
+            # may exceed the capacity by OVERCOMMIT, and then still stays within the limit.
             reachable = self.cell_shares.reachable(limits.cell_share, now)
             limit = min(cell_state.concurrency_limit.current, reachable)
             shares.capacity = limit / (1.0 + FairShares.OVERCOMMIT)
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -37,11 +37,11 @@
         token_bucket: The cell's rate, shared by its tenants.
         concurrency_limit: Adaptive limit on the cell's open requests.
         shares: The tenants' shares of the cell's open requests.
-        failover_quotas: Quotas of the tenants of lost cells, by lost cell.
-        served_count: Number of requests that were served in time.
+        failover_quotas: Quotas that the tenants of lost cells have in this cell, by lost cell.
+        served_count: Number of served requests whose client was still waiting.
         completed_count: Number of completed requests whose client was still waiting.
-        rejected_count: Number of requests that were rejected because of a limit of the cell.
-        rate_updated_at: Time when the rate was last derived from the director's rate.
+        rejected_count: Number of requests that `CellQuotas.check` rejected in this cell.
+        rate_updated_at: Time when the cell's rate was last derived from the director's rate.
     """
 
     def __init__(self, capacity: DirectorCapacity, limits: Limits) -> None:
@@ -63,7 +63,10 @@
         return min(capacity.max_open_requests, cell_maximum)
 
     def set_limits(self, capacity: DirectorCapacity, limits: Limits) -> None:
-        """Replace the limits; open requests stay counted."""
+        """Replace the limits; open requests stay counted.
+
+        The concurrency limit starts again at its maximum.
+        """
         self.limits = limits
         self.token_bucket.set_rate(limits.rate)
         maximum = self._max_open_requests(capacity, limits)
@@ -71,7 +74,7 @@
         self.shares.capacity = maximum
 
     def failover_quota(self, lost_cell: str) -> FailoverQuota:
-        """Return the quota of a lost cell's tenants in this cell; create it on the first call."""
+        """Return the quota that a lost cell's tenants have in this cell; create it if needed."""
         return self.failover_quotas.setdefault(lost_cell, FailoverQuota())
 
     def follow_director_rate(
--- a/mulleinrelay/cells/command_options.py
+++ b/mulleinrelay/cells/command_options.py
@@ -29,19 +29,20 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationOptions:
-    """The options of `plan` and `move`, under the names that click derives from them.
+    """The options of `plan` and `move`; click derives the names from the options.
 
     Attributes:
         warm_ms: Duration of the warm-up.
         shift_ms: Duration of the shift; None if it is to be computed from the demand.
         drain_ms: Duration of the drain.
-        rate: Requests per second of the tenants; None if the demand is not known.
+        rate: Requests per second of the tenants at their peak; None if the demand is not known.
         capacity: Capacity of the receiving caches, in hits per second; None if the demand is not
             known.
         load: Present load of the receiving caches, in hits per second.
-        fill_cost: Cost of a fill, in hits.
-        hit_share: Hit ratio once the caches are warm.
-        objects: Number of objects of the tenants; None if the demand is not known.
+        fill_cost: Cost of a fill, as a multiple of the cost of a hit.
+        hit_share: Hit ratio once the caches are warm, 0 to 1.
+        objects: Number of the tenants' objects that are requested within a few minutes; None if
+            the demand is not known.
     """
 
     warm_ms: float
@@ -55,10 +56,10 @@
     objects: float | None
 
     def demand(self) -> MigrationDemand | None:
-        """Return the demand on the receiving caches; None if no option gives it.
+        """Return the demand on the receiving caches; None if it is not known.
 
         Raises:
-            click.UsageError: If only some of the options of the demand are given.
+            click.UsageError: If some, but not all, of --rate, --capacity and --objects are given.
         """
         if self.rate is None and self.capacity is None and self.objects is None:
             return None
@@ -74,7 +75,7 @@
         )
 
     def durations(self, demand: MigrationDemand | None) -> edits.StageDurations:
-        """Return the durations of the stages; the shift is given or computed from the demand.
+        """Return the durations of the stages; without --shift-ms, the demand gives the shift.
 
         Raises:
             click.UsageError: If neither the duration of the shift nor a demand is given.
@@ -92,7 +93,8 @@
 def migration_options(command: Command) -> Command:
     """Add the options of `MigrationOptions` to a command.
 
-    The help text lists the options in reverse order: click puts the last added option first.
+    The help text lists the options in the reverse order of the loop, because click puts the option
+    that was added last first.
     """
     for name, default, text in (
         ("--drain-ms", 30_000.0, "Time after the shift in which the old caches still fill misses."),
@@ -114,15 +116,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutOptions:
-    """The options of `release`, under the names that click derives from them.
+    """The options of `release`; click derives the names from the options.
 
     Attributes:
-        waves: Cells of each wave, separated by spaces or commas.
+        waves: One text for each wave: the names of its cells, separated by spaces or commas.
         wave_ms: Minimum time between two waves.
         rate: Requests per second of a tenant; 0 if they are not limited.
         open_most: Maximum number of open requests of a tenant; 0 if it is not limited.
         retries: Retries that clients may send for each first attempt.
-        shuffle: Number of caches of each tenant; None to keep the number of the cell.
+        shuffle: Number of caches of each tenant; 0 for all caches of the cell, None to keep the
+            number that the cell has.
     """
 
     waves: tuple[str, ...]
@@ -133,7 +136,7 @@
     shuffle: int | None
 
     def rollout(self, assignment: Assignment, name: str, canary: str, now: float) -> Rollout:
-        """Return the rollout; it starts when all directors have read the assignment file."""
+        """Return the rollout; it starts once all directors have read the assignment file."""
         return Rollout(
             name,
             canary,
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -76,7 +76,7 @@
 
 def record_change(path: str, event: str, fields: dict[str, Any]) -> None:
     """Append a JSON line to `<path>.log`, the log of operators' changes to the file at `path`."""
-    import structlog  # imported here because most commands do not need it and start faster
+    import structlog  # imported here, because most commands do not need it and start faster then
 
     with open(f"{path}.log", "ab") as file:
         log = structlog.wrap_logger(
@@ -92,20 +92,22 @@
 def change_assignment(
     path: str, event: str, edit: Callable[[Assignment], Assignment], **fields: Any
 ) -> Assignment:
-    """Write the next version of the assignment and record its author in the log.
+    """Write the next version of the assignment, and log the change with its author.
 
     Args:
         path: Path of the assignment file.
         event: Kind of the change, for the log.
-        edit: Function that returns the next version for the present one.
+        edit: Function that takes the present version and returns the next one.
         fields: Further fields for the log.
 
     Returns:
         The assignment that was written.
 
     Raises:
-        ConfigError: If the file is invalid, or cannot be read or written.
+        ConfigError: If the file is invalid or cannot be read or written, or if another command is
+            writing it.
         EditRejectedError: If the change breaks a rule.
+        OSError: If the log cannot be written; the new version has then been written already.
     """
     with store.exclusive_writer(path):
         old = store.load_assignment(path)
@@ -170,9 +172,9 @@
         durations = options.durations(demand)
         changed = edits.start_migration(assignment, PLANNED_NAME, tenants, target, now, durations)
     migration = changed.migrations[PLANNED_NAME]
-    placeholder_demand = MigrationDemand(
-        0.0, 0.0, 1.0, 1.0, 1.0, 1.0
-    )  # the projection is then used only for its migrated fractions, which need no demand
+    # Used if the demand is not known: only the migrated fractions of the projection are then shown,
+    # and they do not depend on the demand.
+    placeholder_demand = MigrationDemand(0.0, 0.0, 1.0, 1.0, 1.0, 1.0)
     projection = migrations.project_load(migration, demand or placeholder_demand)
     peak_load = max(point.utilization for point in projection) if demand else None
     print_report(as_json, presentation.migration_plan(migration, durations, projection, peak_load))
@@ -319,7 +321,10 @@
 
 
 def _operator_changes(path: str) -> list[dict[str, Any]]:
-    """Return the changes that `record_change` wrote; unreadable lines are skipped."""
+    """Return the changes that `record_change` wrote, as lines for the output of `log`.
+
+    Unreadable lines are skipped; without a log there are no changes.
+    """
     try:
         with open(f"{path}.log", "rb") as file:
             texts = list(file)
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -16,19 +16,19 @@
         minimum: Lower bound of the limit.
         maximum: Upper bound of the limit.
         current: Present limit.
-        baseline_delay: Delay of the cell without load, ms; 0 if it is not known yet.
+        baseline_delay: Estimated mean delay of the cell without load, ms; 0 if it is not known yet.
     """
 
-    WINDOW = 250.0  # ms over which delays are averaged
+    WINDOW = 250.0  # ms over which delays are averaged, or longer until there are enough samples
     MIN_SAMPLES = 8  # served requests that a window needs before it can end
     DECREASE_FACTOR = 0.9  # factor of the limit per window with high delays
     INCREASE_FRACTION = 0.05  # fraction of the limit added per window, at least one request
     # A window is slow if its mean delay exceeds SLOW_RATIO times the baseline plus SLOW_MARGIN.
     SLOW_RATIO = 2.0
-    SLOW_MARGIN = 5.0  # ms; with a very short baseline, a small change makes no window slow
+    SLOW_MARGIN = 5.0  # ms; keeps small changes of a very short baseline from being slow windows
     USED_FRACTION = 0.7  # fraction of the limit that must have been open before the limit grows
     BASELINE_DRIFT = 0.01  # fraction by which the baseline rises per window
-    MIN_DELAY = 1.0  # ms; shorter delays are within the clock's noise
+    MIN_DELAY = 1.0  # ms; shorter delays count as this, because they are within the clock's noise
 
     def __init__(self, minimum: float, maximum: float) -> None:
         """Create a limit that starts at its maximum."""
@@ -42,7 +42,7 @@
         self._peak_open = 0.0
 
     def record_open(self, open_count: float) -> None:
-        """Record the number of open requests, including the new one."""
+        """Record the number of open requests, including the request that is being checked."""
         self._peak_open = max(self._peak_open, open_count)
 
     def record_completion(self, now: float, delay: float) -> bool:
@@ -50,13 +50,15 @@
 
         Args:
             now: The current time.
-            delay: Time until the answer, ms, without the time of sending it.
+            delay: Time from the request's arrival to its answer, ms, without the time of sending
+                the answer.
 
         Returns:
             Whether the limit was reduced.
         """
         if now >= self._window_ends_at + self.WINDOW:
-            # The first sample, or the first sample after a pause: older samples are obsolete.
+            # There is no window yet, or it ended a whole window ago with too few samples, which
+            # are obsolete now.
             self._start_window(now)
         self._sample_count += 1
         self._total_delay += max(delay, self.MIN_DELAY)
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -15,11 +15,11 @@
     Attributes:
         enabled: Whether tenants are confined to cells.
         assignment_file: Path of the assignment file; empty if there is none.
-        tenant_field: Key of a request's fields that names the tenant; empty if there is none.
+        tenant_field: Name of the request field with the client's tenant; empty if there is none.
         poll_interval: Time between two checks of the assignment file for changes, ms.
         records_folder: Folder for this director's records; empty if none are written.
         max_open_requests: Maximum number of open requests; 0 if only memory limits them.
-        rate: Requests per second that this director can serve; 0 if they are not limited.
+        rate: Maximum number of requests per second; 0 if it is not limited.
         max_retry_after: Longest Retry-After of a rejected request, ms.
     """
 
@@ -34,7 +34,7 @@
 
 
 def parse_cells_config(text: str, folder: str) -> CellsConfig:
-    """Parse the text of the file.
+    """Parse the text of `cells.ini`.
 
     Args:
         text: Text of the file.
@@ -74,7 +74,7 @@
 
 
 def load_cells_config(path: str) -> CellsConfig:
-    """Read and parse the file.
+    """Read and parse the file `cells.ini` at a path.
 
     Raises:
         ConfigError: If the file cannot be read or its content is invalid.
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -44,11 +44,13 @@
         target: Name of the target cell.
         now: The current time.
         durations: Durations of the stages.
-        starts_in: Delay of the start, ms. The migration does not start before every director has
-            read it.
+        starts_in: Minimum time until the start, ms. The migration never starts before all directors
+            have read it.
 
     Raises:
-        EditRejectedError: If the tenants cannot migrate together or are already migrating.
+        EditRejectedError: If the name is in use, if the target or a tenant does not exist, if a
+            tenant already migrates, or if the tenants are not all in one cell other than the
+            target.
     """
     if name in assignment.migrations:
         raise EditRejectedError(f"move {name} already exists")
@@ -66,7 +68,11 @@
 
 
 def _common_home(assignment: Assignment, tenants: tuple[str, ...]) -> str:
-    """Return the home cell that all tenants share; none of them may be migrating."""
+    """Return the home cell that all tenants share.
+
+    Raises:
+        EditRejectedError: If a tenant does not exist or migrates, or if the home cells differ.
+    """
     homes = home_cells(assignment)
     for tenant in tenants:
         if tenant not in assignment.tenants:
@@ -95,7 +101,7 @@
 def durations_for_demand(
     demand: migrations.MigrationDemand, warm_up: float, drain: float
 ) -> StageDurations:
-    """Return the durations of the shortest migration that the receiving caches can serve.
+    """Return the durations, with the shortest shift that the receiving caches can serve.
 
     Raises:
         EditRejectedError: If the receiving caches cannot serve the tenants at all.
@@ -112,7 +118,7 @@
 
 
 def rejection_reason(old: Assignment, new: Assignment) -> str:
-    """Return why a new version must not be put in force; empty if it may be."""
+    """Return why a new version must not replace an old one; empty if it may."""
     is_older = new.version < old.version
     is_same_version_changed = new.version == old.version and new != old
     if is_older or is_same_version_changed:
@@ -149,10 +155,11 @@
 
 
 def pause_migration(assignment: Assignment, name: str, now: float) -> Assignment:
-    """Pause a migration; its migrated fraction stays the same until it is resumed.
+    """Pause a migration; from the pause on, its migrated fraction stays the same until it resumes.
 
     Raises:
-        EditRejectedError: If the migration cannot be paused.
+        EditRejectedError: If the migration does not exist, is aborted or already paused, is about
+            to be resumed, or is done before the pause can take effect.
     """
     migration = _required_migration(assignment, name)
     pauses_at = _effective_at(assignment, migration, now)
@@ -163,7 +170,8 @@
     if migration.paused_at and now < migration.resumed_at:
         wait = migration.resumed_at - now
         raise EditRejectedError(f"move {name} is about to be resumed; wait {wait:.0f} ms")
-    if migration.paused_at:  # a migration stores one pause: the earlier pause delays the start
+    if migration.paused_at:
+        # A migration stores only one pause, so an earlier pause is stored as a later start.
         starts_at = migration.starts_at + migration.resumed_at - migration.paused_at
         migration = replace(migration, starts_at=starts_at, resumed_at=0.0)
     running = replace(migration, paused_at=0.0)
@@ -176,7 +184,7 @@
     """Resume a paused migration.
 
     Raises:
-        EditRejectedError: If the migration is not paused.
+        EditRejectedError: If the migration does not exist, is not paused or is aborted.
     """
     migration = _required_migration(assignment, name)
     if not migration.paused_at or migration.resumed_at or migration.aborted_at:
@@ -188,10 +196,11 @@
 def abort_migration(assignment: Assignment, name: str, now: float) -> Assignment:
     """Abort a migration; its objects return to the source cell.
 
-    A migration that has not started at any director is removed at once.
+    A migration that starts only after all directors have read the new version is removed instead.
 
     Raises:
-        EditRejectedError: If the migration is aborted or done.
+        EditRejectedError: If the migration does not exist, is already aborted, or is done before
+            the abort can take effect.
     """
     migration = _required_migration(assignment, name)
     if migration.aborted_at:
@@ -209,7 +218,7 @@
 
 
 def end_migrations(assignment: Assignment, now: float) -> tuple[Assignment, list[str]]:
-    """Remove ended migrations once no retry of a client can depend on them.
+    """Remove the migrations that are done or rolled back, once no client's retry depends on them.
 
     The entries of their tenants then name the cell in which the migration ended.
 
@@ -235,7 +244,7 @@
     """Add a rollout.
 
     Raises:
-        EditRejectedError: If there is a rollout of the same name.
+        EditRejectedError: If a rollout of this name exists.
     """
     if rollout.name in assignment.rollouts:
         raise EditRejectedError(f"release {rollout.name} already exists")
@@ -243,10 +252,10 @@
 
 
 def roll_back(assignment: Assignment, name: str) -> Assignment:
-    """Roll back a rollout in all cells.
+    """Roll back a rollout in all cells; it stays in the assignment.
 
     Raises:
-        EditRejectedError: If there is no rollout of this name.
+        EditRejectedError: If no rollout of this name exists.
     """
     if name not in assignment.rollouts:
         raise EditRejectedError(
@@ -258,27 +267,28 @@
 
 
 def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
-    """Copy a rollout's limits to all tenants of its cells, and remove the rollout.
+    """Copy a rollout's limits to all tenants whose home is one of its cells, and remove it.
 
-    If the rollout sets the number of caches per tenant, the number is copied to its cells.
+    If the rollout sets the number of caches per tenant, this number is copied to its cells. All
+    its cells count, also those of waves that have not started.
 
     Raises:
-        EditRejectedError: If no rollout of this name is in force.
+        EditRejectedError: If no rollout of this name exists, or if operators have rolled it back.
     """
     if name not in assignment.rollouts or assignment.rollouts[name].is_rolled_back:
         raise EditRejectedError(f"release {name} does not exist or was rolled back")
     rollout = assignment.rollouts[name]
     homes = home_cells(assignment)
-    reached = {rollout.canary, *(cell for wave in rollout.waves for cell in wave)}
+    rollout_cells = {rollout.canary, *(cell for wave in rollout.waves for cell in wave)}
     tenants = {
-        key: replace(tenant, limits=rollout.limits) if homes.get(key) in reached else tenant
+        key: replace(tenant, limits=rollout.limits) if homes.get(key) in rollout_cells else tenant
         for key, tenant in assignment.tenants.items()
     }
     cells = assignment.cells
     if rollout.shuffle_shards >= 0:
         shards = rollout.shuffle_shards
         cells = {
-            key: replace(cell, shuffle_shards=shards) if key in reached else cell
+            key: replace(cell, shuffle_shards=shards) if key in rollout_cells else cell
             for key, cell in cells.items()
         }
     others = {key: other for key, other in assignment.rollouts.items() if key != name}
--- a/mulleinrelay/cells/explanations.py
+++ b/mulleinrelay/cells/explanations.py
@@ -1,6 +1,7 @@
 """Explanations for operators why a tenant or an object belongs to its cell; pure.
 
-`mulleinrelay cells explain --json` prints the keys of these dicts, so they must not change.
+`mulleinrelay cells explain --json` prints the returned dicts, so their keys must not change.
+Failover is not considered, because only the directors know which cells are lost.
 """
 
 from . import migrations
@@ -11,7 +12,7 @@
 
 
 def explain_tenant(assignment: Assignment, tenant: str, now: float) -> dict[str, object]:
-    """Return a tenant's cell and the data that decides on it.
+    """Return a tenant's home cell, the data that decides on it, and its limits and migration.
 
     Raises:
         EditRejectedError: If there is no such tenant.
@@ -57,7 +58,9 @@
 
 
 def explain_object(assignment: Assignment, tenant: str, key: int, now: float) -> dict[str, object]:
-    """Return the current cell of a tenant's object and the data that decides on it.
+    """Return the current cell of a tenant's object, and the data that decides on it.
+
+    Before an object migrates, its cell is the tenant's home cell.
 
     Raises:
         EditRejectedError: If there is no such tenant.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -18,7 +18,8 @@
 # Salt of the hash that determines the order in which objects return to a recovered cell. Without
 # the salt, the objects that a cache ranks first by hash would return first.
 RECOVERY_SALT = 0x72657475726E
-WAIT_WITHOUT_QUOTA = 1_000.0  # ms; wait time of a request while the caches have no capacity yet
+# ms; wait time of a request while the quota is 0 or the failover cell's caches have no capacity yet
+WAIT_WITHOUT_QUOTA = 1_000.0
 WAIT_FOR_OPEN_REQUEST = 200.0  # ms; typical time until an open request completes
 RATE_TOLERANCE = 0.01  # fraction; the rate is not updated for smaller changes
 
@@ -29,12 +30,12 @@
 
     Attributes:
         cell: The cell.
-        ready_caches: Number of the cell's ready caches in this location.
+        ready_caches: Number of the cell's ready caches in this director's zone.
         total_capacity: Sum of the capacity fractions of these caches; equal to `ready_caches` if
             none is in slow start.
-        is_lost: Whether no cache is ready.
-        recovering_since: Start of the recovery; 0 if the cell has not been lost, or if all objects
-            have returned.
+        is_lost: Whether no cache was ready at the last update; False before the first update.
+        recovering_since: Time when the recovery began; 0 while the cell is not recovering. The
+            recovery ends when `home_fraction` returns 1.
         has_been_ready: Whether a cache was ever ready. The first ready cache after the director's
             start begins no recovery.
     """
@@ -68,9 +69,9 @@
         return "back"
 
     def home_fraction(self, now: float) -> float:
-        """Return the fraction of its objects that the cell serves itself.
+        """Return the fraction of its objects that the cell serves itself, 0 to 1.
 
-        A fraction of 1 ends the recovery.
+        The fraction rises from 0 to 1 during a recovery. The call that finds 1 ends the recovery.
         """
         if self.is_lost:
             return 0.0
@@ -82,12 +83,12 @@
         return min(fraction, 1.0)
 
     def capacity_fraction(self) -> float:
-        """Return the mean capacity fraction of the cell's ready caches, 0 to 1."""
+        """Return the mean capacity fraction of the cell's ready caches, 0 to 1; 0 without any."""
         return self.total_capacity / self.ready_caches if self.ready_caches else 0.0
 
 
 def is_served_at_home(key: int, home_fraction: float) -> bool:
-    """Return whether the home cell serves an object at a given home fraction."""
+    """Return whether a cell serves an object itself at a home fraction (see `home_fraction`)."""
     if home_fraction >= 1.0:
         return True
     return home_fraction > 0.0 and combine_hashes(key, RECOVERY_SALT) / HASH_RANGE < home_fraction
@@ -96,7 +97,7 @@
 def find_failover_cell(
     availability: dict[str, CellAvailability], cell: Cell
 ) -> CellAvailability | None:
-    """Return the failover cell of a lost or recovering cell; None if none is available.
+    """Return the first available failover cell of a lost or recovering cell; None if none is.
 
     A recovering cell serves no tenants of other cells, because some of its own objects are still
     served elsewhere.
@@ -128,12 +129,18 @@
 
 
 class FailoverQuota:
-    """The quota of one lost cell's tenants in one failover cell."""
+    """The quota of one lost cell's tenants in one failover cell.
+
+    Attributes:
+        open: Number of these tenants' open requests.
+        rate: Requests per second of the token bucket; 0 if they are not limited.
+        token_bucket: Token bucket of these tenants' requests.
+    """
 
     def __init__(self) -> None:
         """Create an unused quota."""
         self.open = 0
-        self.rate = 0.0  # requests per second; 0 if not limited
+        self.rate = 0.0
         self.token_bucket = TokenBucket(0.0, 0.0)
 
     def wait_time(self, now: float, quota: float, cell_limits: FailoverCellLimits) -> float:
@@ -141,7 +148,7 @@
 
         Args:
             now: The current time.
-            quota: The lost cell's failover quota, a fraction of the failover cell's limits.
+            quota: Fraction of the failover cell's limits that the lost cell's tenants may use.
             cell_limits: Limits of the failover cell; a changed rate updates the token bucket.
         """
         fraction = quota * cell_limits.capacity_fraction
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -1,10 +1,12 @@
 """Weighted fair shares of a number of open requests.
 
-Each active party (a cell or a tenant) has a guaranteed share in proportion to its weight. Unused
-shares are lent to other parties. A lender that sends requests again is admitted at once up to its
-guaranteed share, even if this exceeds the capacity by up to `FairShares.OVERCOMMIT`; nothing more
-is lent until the borrowers' requests have completed. Requests are short, so a lender soon regains
-its share.
+The parties are cells or tenants. A party is active while it has open requests, and for
+`FairShares.DEMAND_WINDOW` after each request. Each active party has a guaranteed share in
+proportion to its weight. Unused shares are lent to other parties.
+
+A lender that sends requests again is admitted at once up to its guaranteed share, even if this
+exceeds the capacity by up to `FairShares.OVERCOMMIT`. Nothing more is lent until enough of the
+borrowers' requests have completed. Requests are short, so a lender soon regains its share.
 
 Pure and not thread-safe: `CellService` holds its lock during each call.
 """
@@ -24,10 +26,10 @@
     Attributes:
         weight: Weight of the party; its guaranteed share is in proportion to the weight.
         maximum: Upper bound of the party's open requests; 0 if there is none.
-        open: Open requests, counted by their size.
+        open: Total size of the party's open requests; a request without a body has the size 1.
         last_requested_at: Time of the party's last request, admitted or not.
-        window_peak: Highest demand in the current window: the size of the open requests together
-            with the new request.
+        window_peak: Highest demand in the current window. The demand is the size of the open
+            requests together with the new request.
         previous_peak: Highest demand in the previous window.
         window_ends_at: End of the current window.
     """
@@ -51,7 +53,10 @@
         self.window_peak = max(self.window_peak, self.open + amount)
 
     def demand(self, now: float, window: float) -> float:
-        """Return the party's highest demand in the current and the previous window."""
+        """Return the party's highest demand in the current and the previous window.
+
+        The result is never less than the size of the open requests.
+        """
         if now >= self.window_ends_at + window:
             return self.open
         return max(self.open, self.window_peak, self.previous_peak)
@@ -61,20 +66,22 @@
     """A capacity of open requests that several parties share.
 
     Attributes:
-        capacity: Maximum number of open requests of all parties together.
-        open: Number of open requests of all parties together.
+        capacity: Maximum total size of the open requests of all parties.
+        open: Total size of the open requests of all parties.
         shares: Shares by party.
-        computed_at: Time when `active_weight` and `reserved` were computed.
+        computed_at: Time when `active_weight` and `reserved` were last computed; `DISTANT_PAST` if
+            the next request must compute them.
         active_weight: Sum of the weights of all active parties.
-        reserved: Capacity that is not lent: for each party its demand, up to its guaranteed share,
-            minus its open requests.
+        reserved: Capacity that is not lent. It is the sum of each party's demand, up to its
+            guaranteed share, minus its open requests.
     """
 
-    # ms; a party stays active for this time, and its demand is the peak of two such windows.
+    # ms; a party stays active for this time after a request. Its demand is the peak of the current
+    # and the previous window of this length.
     DEMAND_WINDOW = 1_000.0
     OVERCOMMIT = 0.25  # fraction of the capacity by which a resuming lender may exceed it
     RECOMPUTE_INTERVAL = 50.0  # ms between two computations of the sums over all parties
-    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms after which an idle party is dropped
+    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms after its last request, when an idle party is dropped
 
     def __init__(self, capacity: float) -> None:
         """Create shares of a capacity, without any party."""
@@ -102,7 +109,7 @@
         return share
 
     def guaranteed(self, share: ConcurrencyShare) -> float:
-        """Return the number of requests that the party may always have open, at least 1."""
+        """Return the part of the capacity that the party's weight gives it, at least 1."""
         return max(1.0, self.capacity * share.weight / max(self.active_weight, share.weight))
 
     def request(self, share: ConcurrencyShare, now: float, amount: float = 1.0) -> bool:
@@ -127,7 +134,10 @@
         return total + self._reserved_for_others(share, now) <= self.capacity
 
     def reachable(self, share: ConcurrencyShare, now: float) -> float:
-        """Return the number of requests that the party could have open now."""
+        """Return the capacity that the party could use now: its guaranteed share, or more by loan.
+
+        The loan is the capacity that other parties neither use nor demand.
+        """
         used_by_others = self.open - share.open
         lendable = self.capacity - used_by_others - self._reserved_for_others(share, now)
         return max(self.guaranteed(share), lendable)
@@ -153,7 +163,7 @@
         return max(0.0, self.reserved - self._unmet_demand(share, now))
 
     def _recompute(self, now: float) -> None:
-        """Recompute the sums over the active parties, and drop parties after `IDLE_TIMEOUT`."""
+        """Recompute `active_weight` and `reserved`, and drop parties after `IDLE_TIMEOUT`."""
         self.computed_at = now
         self.active_weight = 0.0
         for name, share in list(self.shares.items()):
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -5,8 +5,8 @@
 
 The method is weighted rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998) with
 a bound on each cell's load (Mirrokni, Thorup and Zadimoghaddam, 2016). If a cell or cache is
-removed, its own tenants move; other tenants move only if a cell would otherwise exceed its load
-bound. If one is added, only the tenants that prefer it move.
+removed, its tenants move. If a cell or cache is added, the tenants that prefer it move. Other
+tenants move only if a cell would otherwise exceed its load bound.
 """
 
 import math
@@ -133,10 +133,10 @@
 
 
 def home_cells(assignment: Assignment) -> dict[str, str]:
-    """Return the home cell of each tenant, regardless of migrations.
+    """Return each tenant's home cell: the cell that it belongs to when it does not migrate.
 
-    A tenant whose entry names a cell belongs to that cell and does not count towards the load
-    bound. With the placement method `table`, tenants whose entries name no cell have none.
+    A tenant whose entry names a cell belongs to that cell, and does not count towards the load
+    bound. With the placement method `table`, tenants whose entries name no cell are missing.
     """
     tenants = assignment.tenants
     named = {name: tenant.cell for name, tenant in tenants.items() if tenant.cell}
@@ -148,10 +148,11 @@
 
 
 def caches_by_cell(assignment: Assignment, caches: Iterable[str]) -> dict[str, list[str]]:
-    """Return the sorted names of each cell's caches, given the caches of one location.
+    """Return the sorted names of each cell's caches, given the names of one zone's caches.
 
-    Caches that no cell names are distributed by hash among the cells that name no caches, at least
-    one for each cell if there are enough. Without such cells, these caches belong to no cell.
+    Caches that no cell names are distributed by hash among the cells that name no caches and have
+    a weight above 0. Each of these cells gets at least one cache if there are enough. Without such
+    cells, the unnamed caches belong to no cell.
     """
     present = sorted(set(caches))
     caches_of_cell = {
@@ -174,7 +175,14 @@
 
 
 def _fill_empty_cells(caches_of_cell: dict[str, list[str]], weights: dict[str, float]) -> None:
-    """Give each cell without caches a cache of another cell, so that the cell is not lost."""
+    """Give each cell without caches a cache of another cell, so that the cell is not lost.
+
+    The other cell is the one with the most caches for its weight, if it has more than one cache.
+
+    Args:
+        caches_of_cell: Names of the caches by cell; they are updated.
+        weights: Weights of the cells that take part, by cell.
+    """
     for name in sorted(weights):
         if caches_of_cell[name]:
             continue
@@ -190,10 +198,10 @@
 
 
 def shuffle_shard(tenant: str, caches: list[str], count: int) -> list[str]:
-    """Return the `count` caches of a tenant (shuffle sharding); all caches if `count` is 0.
+    """Return the `count` caches of a tenant (shuffle sharding).
 
-    Two tenants share all of their caches with a probability of 1 in (n choose count), where n is
-    the number of caches.
+    If `count` is 0 or there are not more caches, all caches are returned. Two tenants have exactly
+    the same caches with a probability of 1 in (n choose count), where n is the number of caches.
     """
     if not 0 < count < len(caches):
         return list(caches)
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -3,12 +3,15 @@
     planned -> warm -> shift -> drain -> done
     warm, shift or drain, after an abort: back -> aborted
 
-The migrated fraction rises slowly to `warm_up_fraction` during the warm-up, and to 1 during the
-shift. Objects migrate one by one in the order of their hash: directors whose clocks differ slightly
-disagree about a few objects only, and a migrated object stays migrated. Until the migration is
-done, the old cell's caches fill misses as sibling caches, and serve requests that cannot be sent to
-the new caches. After an abort, the fraction falls only as fast as it rises during the shift,
-because the old caches may have dropped objects in the meantime.
+The migrated fraction is the fraction of the objects that belong to the target cell. It rises slowly
+to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by one in
+the order of their hash, so a migrated object stays migrated, and directors whose clocks differ
+slightly disagree about a few objects only.
+
+Until the migration is done, the source cell's caches fill misses of the target cell's caches as
+sibling caches, and serve requests that cannot be sent to the target cell's caches. After an abort,
+the fraction falls only about as fast as it rises during the shift, because the source cell's caches
+may have dropped objects in the meantime.
 """
 
 from dataclasses import dataclass
@@ -20,8 +23,9 @@
 # Salt of the hash that determines the order in which objects migrate. Without the salt, the objects
 # that a cache ranks first by hash would migrate first.
 MIGRATION_SALT = 0x6D6F7665
-# Maximum load of the receiving caches during a migration, as a fraction of their capacity. The rest
-# is a reserve: by chance and uneven hashing, some caches get half as much load again for a second.
+# Maximum load of the receiving caches (those of the target cell) during a migration, as a fraction
+# of their capacity. The rest is a reserve: by chance and uneven hashing, some caches get 1.5 times
+# the mean load for a second.
 TARGET_UTILIZATION = 0.65
 MIN_SHIFT_DURATION = 2_000.0  # ms
 PROJECTION_STEPS = 2_000  # points in time for which the load is projected
@@ -47,12 +51,12 @@
     """The demand of a migration on the receiving caches.
 
     Attributes:
-        rate: Requests per second of the tenants.
-        load: Present load of the caches, in hits per second.
-        capacity: Capacity of all caches together, in hits per second.
-        fill_cost: Cost of a fill, in hits.
-        hit_ratio: Hit ratio once the caches are warm.
-        object_count: Number of objects that the tenants request.
+        rate: Requests per second of the migrating tenants.
+        load: Present load of the receiving caches, in hits per second.
+        capacity: Capacity of all receiving caches together, in hits per second.
+        fill_cost: Cost of a fill, as a multiple of the cost of a hit.
+        hit_ratio: Hit ratio once the caches are warm, 0 to 1.
+        object_count: Number of objects that the migrating tenants request.
     """
 
     rate: float
@@ -68,9 +72,9 @@
     """The projected load of the receiving caches at one point in time of a migration.
 
     Attributes:
-        elapsed: Time since the start, ms.
-        fraction: Migrated fraction.
-        utilization: Load divided by the capacity.
+        elapsed: Time since the start of the migration, ms.
+        fraction: Migrated fraction, 0 to 1.
+        utilization: Load divided by the capacity; more than 1 if the caches are overloaded.
     """
 
     elapsed: float
@@ -106,7 +110,7 @@
 
 
 def migrated_fraction(migration: Migration, now: float) -> float:
-    """Return the fraction of the objects that belong to the target cell, 0 to 1."""
+    """Return the fraction of the objects that belong to the target cell at `now`, 0 to 1."""
     if not migration.aborted_at or now < migration.aborted_at:
         return _planned_fraction(migration, _migration_time(migration, now))
     reached = _planned_fraction(migration, _migration_time(migration, migration.aborted_at))
@@ -124,7 +128,10 @@
 
 
 def ends_at(migration: Migration) -> float | None:
-    """Return the time at which the migration is done or rolled back; None while it is paused."""
+    """Return the time at which the migration is done or rolled back.
+
+    The time is None if a pause keeps the migration from completing and no resumption is set.
+    """
     if migration.aborted_at:
         reached = migrated_fraction(migration, migration.aborted_at)
         return migration.aborted_at + reached * _rollback_duration(migration)
@@ -136,9 +143,10 @@
 
 
 def is_equivalent(first: Migration, second: Migration, now: float) -> bool:
-    """Return whether two versions of a migration are in the same state now.
+    """Return whether two versions of a migration place each object in the same cell now.
 
-    Their future courses may differ.
+    The tenants, cells, durations and the warm-up fraction must be equal too. Names, starts, pauses
+    and aborts may differ, and with them the future courses.
     """
     return (
         first.tenants == second.tenants
@@ -197,18 +205,19 @@
 
 
 def max_published_fraction(migration: Migration, now: float) -> float:
-    """Return the largest migrated fraction up to now in any version of the assignment file.
+    """Return the largest migrated fraction up to now of all versions that have this start.
 
-    Versions with a pause or an abort have smaller fractions.
+    Versions with a pause or an abort have smaller fractions. An earlier start is not considered;
+    `edits.pause_migration` replaces it at a second pause.
     """
     return _planned_fraction(migration, now)
 
 
 def project_load(migration: Migration, demand: MigrationDemand) -> list[ProjectedLoad]:
-    """Return the load of the receiving caches over the course of a migration.
+    """Return the load of the receiving caches, from the start until shortly after the shift.
 
-    A migrated object is filled when it is first requested in its new cell. Until then requests for
-    it are misses; requests for other objects have the usual hit ratio.
+    A migrated object is filled when it is first requested in the target cell, so this request is
+    a miss. All other requests have the usual hit ratio.
     """
     duration = migration.warm_up_duration + migration.shift_duration + PROJECTION_MARGIN
     step = max(1.0, duration / PROJECTION_STEPS)
@@ -232,13 +241,14 @@
 
 
 def min_shift_duration(demand: MigrationDemand) -> float | None:
-    """Return the shortest shift (ms) that keeps the load below `TARGET_UTILIZATION`.
+    """Return the shortest shift (ms) that keeps the load within `TARGET_UTILIZATION`.
 
     The load is highest at the end of the shift, when all requests go to the receiving caches and
     the last objects still have to be filled.
 
     Returns:
-        The duration; None if the caches cannot serve the tenants even when they are warm.
+        The duration, at least `MIN_SHIFT_DURATION`; None if the caches cannot serve the tenants
+        even when they are warm.
     """
     spare = TARGET_UTILIZATION * demand.capacity - demand.load - demand.rate
     usual_fills = demand.rate * (1.0 - demand.hit_ratio)
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -8,9 +8,9 @@
 
 FILE_FORMAT_VERSION = 1  # files with another format version are rejected
 
-# Placement methods for tenants whose entries name no cell (key `how`).
-TABLE = "table"
-RENDEZVOUS = "rendezvous"
+# Placement methods of tenants (key `how`).
+TABLE = "table"  # each tenant's entry must name a cell
+RENDEZVOUS = "rendezvous"  # tenants whose entries name no cell are placed by hash
 
 # Policies for requests of unknown tenants (key `unknown`).
 USE_DEFAULT_TENANT = "default_tenant"
@@ -23,14 +23,15 @@
 class Limits:
     """The quota of a tenant or a cell at each director.
 
-    A value of 0 means no limit of its own, except for `burst` and `retry_ratio`.
+    A value of 0 means no limit of its own, except for `burst` and `retry_ratio`. For a cell, only
+    `rate` and `max_open_requests` have an effect.
 
     Attributes:
         rate: Requests per second.
         burst: Requests that may arrive at once; 0 for the number that the rate allows in 100 ms.
         max_open_requests: Maximum number of open requests.
         max_body_kb: Maximum size of the bodies of all open requests together, KB.
-        retry_ratio: Retries that clients may send for each first attempt.
+        retry_ratio: Retries of idempotent requests that clients may send for each first attempt.
         max_connections: Maximum number of connections from the tenant's address ranges.
     """
 
@@ -49,14 +50,14 @@
     Attributes:
         name: Name of the cell.
         weight: Weight in the placement of tenants and caches by hash; 0 places none in the cell.
-        caches: Names of the cell's caches. If it is empty, the cell gets caches by hash from those
-            that no cell names.
+        caches: Names of the cell's caches; empty if the cell gets caches by hash, from those that
+            no cell names.
         shuffle_shards: Number of caches of each tenant, chosen by the tenant's hash; 0 for all
             caches of the cell.
         failover_cells: Cells that serve the tenants if the cell is lost, in order of preference.
         failover_quota: Fraction of a failover cell's limits that all tenants of the lost cell may
             use together.
-        return_duration: Time over which the objects return to the cell after it was lost.
+        return_duration: Time over which the objects return to the cell when it is no longer lost.
         limits: Limits of the cell.
     """
 
@@ -78,8 +79,8 @@
         name: Name of the tenant.
         cell: Name of the home cell; empty if the tenant is placed by hash.
         weight: Load of the tenant in the placement, and its weight in the shares of its cell.
-        addresses: CIDR ranges of its clients.
-        groups: Ranges of its object groups; both ends are inclusive.
+        addresses: CIDR ranges of the tenant's clients.
+        groups: Ranges of the tenant's object groups; both ends are inclusive.
         limits: Quota of the tenant.
     """
 
@@ -103,10 +104,10 @@
         starts_at: Time of the start.
         warm_up_duration: Time in which the first few objects migrate.
         shift_duration: Time after the warm-up in which all other objects migrate.
-        drain_duration: Time after the shift in which the old cell's caches still fill misses.
+        drain_duration: Time after the shift in which the source cell's caches still fill misses.
         warm_up_fraction: Fraction of the objects that migrate during the warm-up.
-        paused_at: Time of the pause; 0 if there is none.
-        resumed_at: Time of the resumption; 0 if there is none.
+        paused_at: Time of the latest pause; 0 if there is none.
+        resumed_at: Time at which this pause ends; 0 if no resumption is set.
         aborted_at: Time of the abort, from which objects return; 0 if there is none.
     """
 
@@ -134,12 +135,15 @@
         waves: Names of the cells of each wave after the canary.
         starts_at: Time at which the rollout reaches the canary.
         wave_duration: Minimum time between two waves.
-        limits: New limits of the tenants of the cells.
-        max_success_drop: Tolerated drop of the success rate, beyond the drop in the other cells.
-        max_slowdown: Tolerated factor by which the delay grows, beyond the slowdown of the other
-            cells.
-        is_rolled_back: Whether operators have rolled it back.
-        shuffle_shards: Number of caches of each tenant, or `KEEP_SHUFFLE_SHARDS`.
+        limits: New limits of the tenants whose home is one of the cells.
+        max_success_drop: Tolerated drop of the success rate (0 to 1), beyond the drop in the cells
+            without the rollout.
+        max_slowdown: Tolerated factor by which the mean delay grows, beyond the factor in the cells
+            without the rollout.
+        is_rolled_back: Whether operators have rolled it back; rollbacks by directors are not
+            stored here.
+        shuffle_shards: Number of caches of each tenant; 0 for all caches of the cell, or
+            `KEEP_SHUFFLE_SHARDS`.
     """
 
     name: str
@@ -163,11 +167,13 @@
         written_at: Time at which the version was written.
         cells: Cells by name.
         tenants: Tenants by name.
-        migrations: Migrations by name. Ended migrations stay until operators remove them.
+        migrations: Migrations by name. Migrations that are done or rolled back stay until
+            operators remove them.
         rollouts: Rollouts by name, oldest first.
         limits: Default limits of tenants.
         placement_method: `TABLE` or `RENDEZVOUS`.
-        load_bound: Maximum load of a cell, as a multiple of its share of the tenants' load.
+        load_bound: Maximum load of a cell in the placement by hash, as a multiple of the cell's
+            share of the tenants' load.
         default_tenant: Tenant whose quota is used by requests of unknown tenants; empty if there
             is none.
         unknown_tenant_policy: `USE_DEFAULT_TENANT` or `REJECT`.
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,7 +1,7 @@
 """Placement of requests: the cell and the caches that a tenant's request goes to; pure.
 
-The placement combines home cells, migrations, lost cells and idempotency keys. The caches of this
-director are opaque: each has a name, an endpoint and a capacity fraction (0 to 1).
+The placement combines home cells, migrations, lost cells and idempotency keys. The ready caches of
+this director's zone are opaque: each has a name, an endpoint and a capacity fraction (0 to 1).
 
 Not thread-safe: `CellService` holds its lock during each call.
 """
@@ -18,17 +18,19 @@
 from .placement_types import CellPlacement, PlacementFailure, PlacementRequest, ReadyCache
 from .sticky_routing import IdempotencyKeyCache, MigrationSide, RequestHistory, choose_side
 
-INITIAL_RETRY_TOKENS = 2.0  # retries of a new tenant; its requests earn more
-# Tenants with a cached placement or a retry budget; a full cache is cleared and refilled on demand.
+# Retries that the director may send for a tenant at first; the tenant's requests earn more.
+INITIAL_RETRY_TOKENS = 2.0
+# Maximum number of cached placements, and of cached retry budgets; a full cache is cleared and
+# refilled on demand.
 MAX_CACHED_TENANTS = 20_000
 MAX_IDEMPOTENCY_KEYS = 20_000
 
 
 @dataclass(slots=True, eq=False)  # not frozen: each request creates one, and frozen costs more
 class _Route:
-    """The cell of an object, and the other cell of its migration.
+    """The cell of an object, and the other cell of its tenant's migration.
 
-    The other cell is empty if there is no migration or if the other cell takes no part in it.
+    The other cell is empty if no migration is in progress, or if the other cell has no ready cache.
     """
 
     cell: str
@@ -36,7 +38,10 @@
 
 
 def _only_cell(now: float, home: str, migration: Migration | None) -> str | None:
-    """Return the cell of all objects of a tenant; None while a migration splits them."""
+    """Return the cell of all objects of a tenant; None from a migration's start to its end.
+
+    During this time, the objects may be in two cells.
+    """
     if migration is None:
         return home
     stage = migrations.stage_at(migration, now)
@@ -68,22 +73,25 @@
     """The placement of requests by the assignment in force.
 
     Attributes:
-        assignment: The version in force.
+        assignment: The assignment in force.
         can_bypass_caches: Whether uncacheable requests bypass the caches.
-        homes: Home cells by tenant.
+        homes: Name of each tenant's home cell, by tenant; tenants without a cell are missing.
         migrations_by_tenant: Migrations by tenant; tenants without a migration are missing.
         idempotency_keys: Cells to which the requests with idempotency keys went.
-        caches: Ready caches in this location, sorted by name.
+        caches: Ready caches in this director's zone, sorted by name.
         caches_by_cell: Names of these caches by cell.
-        availability: Availability of each cell.
+        availability: Availability of each cell, by cell.
         unsettled_until: For tenants that changed cells without a migration, the time until which
             the cell of their first attempts is uncertain.
-        uncertain_until: Time until which a retry may follow a first attempt that was placed by the
-            previous version, at another director or at this director before a restart.
+        uncertain_until: Time until which a retry may follow a first attempt that was placed by a
+            version older than this placement's first version. Another director, or this director
+            before a restart, may have placed it.
         retry_budgets: Budgets of the director's own retries, by tenant.
-        shuffle_shards: Number of caches of each tenant, for the cells where a rollout sets it.
-        stable_placements: Placements of tenants whose home cell is available and that do not
-            migrate; all idempotent requests of such a tenant have the same placement.
+        shuffle_shards: Number of caches of each tenant by cell, for the cells where a rollout sets
+            it.
+        stable_placements: Cached placements by tenant, for tenants that do not migrate and whose
+            home cell is neither lost nor recovering. All idempotent requests of such a tenant have
+            the same placement.
     """
 
     def __init__(
@@ -94,7 +102,7 @@
         Args:
             assignment: The first version of the assignment.
             can_bypass_caches: Whether uncacheable requests bypass the caches.
-            homes: Home cells by tenant; None to compute them.
+            homes: Name of each tenant's home cell, by tenant; None to compute them.
 
         Raises:
             ConfigError: If a tenant's home is not the source cell of its migration.
@@ -123,12 +131,15 @@
     def replace_assignment(
         self, now: float, assignment: Assignment, homes: dict[str, str]
     ) -> list[str]:
-        """Put a new version in force; tenants that change cells without a migration do so at once.
+        """Put a new version in force.
+
+        Tenants that change cells without a migration do so at once. For a while, the cell of their
+        earlier attempts is then uncertain.
 
         Args:
             now: The current time.
             assignment: The new version.
-            homes: Home cells in the new version, by tenant.
+            homes: Name of each tenant's home cell in the new version, by tenant.
 
         Returns:
             Messages for the log about changes of cells.
@@ -173,14 +184,17 @@
         return old_cell is None or old_cell != _only_cell(now, self.homes[tenant], new)
 
     def set_shuffle_shards(self, shuffle_shards: dict[str, int]) -> None:
-        """Set the number of caches per tenant by cell; negative numbers are ignored."""
+        """Set the number of caches of each tenant, by cell; negative numbers are ignored.
+
+        A changed number drops all cached placements.
+        """
         shuffle_shards = {cell: count for cell, count in shuffle_shards.items() if count >= 0}
         if shuffle_shards != self.shuffle_shards:
             self.shuffle_shards = shuffle_shards
             self._drop_placements()
 
     def update_caches(self, now: float, caches: Iterable[ReadyCache]) -> list[str]:
-        """Replace the list of ready caches in this location and return messages for the log."""
+        """Replace the list of ready caches in this zone and return messages for the log."""
         self.caches = sorted(caches, key=lambda entry: entry[0])
         return self._update_availability(now)
 
@@ -221,7 +235,7 @@
     # The placement of one request
 
     def place(self, now: float, request: PlacementRequest) -> CellPlacement | PlacementFailure:
-        """Return the cell and the caches of a request, or the reason why there is no cell."""
+        """Return the cell and the caches of a request, or the reason why it cannot be placed."""
         tenant = request.tenant
         home = self.homes.get(tenant)
         if home is None:
@@ -247,7 +261,10 @@
     def record_admission(
         self, now: float, request: PlacementRequest, placement: CellPlacement
     ) -> None:
-        """Record the cell of an admitted request with an idempotency key, for its retries."""
+        """Record the cell of an admitted request with an idempotency key, for its retries.
+
+        Other requests are not recorded.
+        """
         request_class = request.request_class
         if request.idempotency_key and request_class.idempotency == KEYED:
             lifetime = (
@@ -276,7 +293,9 @@
     def _is_uncertain(self, now: float, tenant: str, history: RequestHistory) -> bool:
         """Return whether a retry must go to the cell of its first attempt, but the cell is unknown.
 
-        Another director, or this director before a restart, may have used another cell.
+        This is so for some time after this placement's first version was written, and after the
+        tenant changed cells without a migration. Another director, or this director before a
+        restart, may then have used another cell.
         """
         if history.can_run_anywhere or not history.is_retry or history.known_cell is not None:
             return False
@@ -298,7 +317,10 @@
         side: MigrationSide,
         history: RequestHistory,
     ) -> _Route:
-        """Return the cell of a migrating object, and the migration's other cell if it is used."""
+        """Return the route of an object whose tenant has a migration.
+
+        The other cell is set if the migration is in progress and the other cell has a ready cache.
+        """
         is_in_progress = migrations.is_in_progress(migration, now)
         if side == MigrationSide.TARGET and is_in_progress and history.can_run_anywhere:
             home_fraction = self.availability[migration.target].home_fraction(now)
@@ -319,28 +341,29 @@
         availability = self.availability[route.cell]
         needs_no_cache = request.request_class.is_uncacheable and self.can_bypass_caches
         if needs_no_cache:
-            return self._place_at_home(request.tenant, route)
+            return self._place_in_cell(request.tenant, route)
         if not history.can_run_anywhere:
             if not availability.is_lost:
-                return self._place_at_home(request.tenant, route)
+                return self._place_in_cell(request.tenant, route)
             is_retry = history.is_retry
             return PlacementFailure.MAY_HAVE_RUN if is_retry else PlacementFailure.CELL_LOST
         if failover.is_served_at_home(request.key, availability.home_fraction(now)):
-            return self._place_at_home(request.tenant, route)
+            return self._place_in_cell(request.tenant, route)
         failover_cell = failover.find_failover_cell(self.availability, availability.cell)
         if failover_cell is not None:
-            at_failover_cell = self._place_at_home(request.tenant, _Route(failover_cell.cell.name))
+            at_failover_cell = self._place_in_cell(request.tenant, _Route(failover_cell.cell.name))
             return CellPlacement(
                 failover_cell.cell.name, at_failover_cell.pool, failed_over_from=route.cell
             )
         if availability.is_lost:
             return PlacementFailure.CELL_LOST
-        return self._place_at_home(request.tenant, route)
+        return self._place_in_cell(request.tenant, route)
 
-    def _place_at_home(self, tenant: str, route: _Route) -> CellPlacement:
+    def _place_in_cell(self, tenant: str, route: _Route) -> CellPlacement:
         """Return the placement in the route's cell.
 
-        The placement is cached until the endpoint list or the assignment changes.
+        The placement is cached until the ready caches, the assignment or the shuffle shards change,
+        or until the cache of placements is full.
         """
         placement = self._placements.get((tenant, route.cell, route.other_cell))
         if placement is None:
@@ -355,23 +378,25 @@
         caches = self._shard(tenant, cells[route.cell])
         other_caches = self._shard(tenant, cells[route.other_cell]) if route.other_cell else {}
         migration = self.migrations_by_tenant.get(tenant)
-        is_from_old_cell = migration is not None and migration.source == route.other_cell
+        is_migrated = migration is not None and migration.source == route.other_cell
         is_aborted = migration is not None and migration.aborted_at > 0.0
-        can_fill = is_from_old_cell or is_aborted  # after an abort, migrated objects return
+        # After an abort, migrated objects return, so the target cell's caches may fill too.
+        can_fill = is_migrated or is_aborted
         if route.cell in self.shuffle_shards:
-            # The rollout changes the tenant's caches; the previous caches fill the new ones.
+            # A rollout changes which caches of the cell the tenant uses. The caches that the tenant
+            # used before may fill the new ones, so all caches of the cell are fill sources.
             all_caches = self.caches_by_cell[route.cell]
             other_caches = other_caches | {self._endpoints[name]: None for name in all_caches}
             can_fill = True
         return CachePool(
             caches,
-            failover_caches=other_caches if is_from_old_cell else {},
+            failover_caches=other_caches if is_migrated else {},
             migration_sources=other_caches if can_fill else {},
             retry_budget=self.retry_budget(tenant),
         )
 
     def _shard(self, tenant: str, cell: Cell) -> dict[Endpoint, None]:
-        """Return the tenant's caches in a cell."""
+        """Return the endpoints of the tenant's ready caches in a cell."""
         count = self.shuffle_shards.get(cell.name, cell.shuffle_shards)
         names = shuffle_shard(tenant, self.caches_by_cell[cell.name], count)
         return {self._endpoints[name]: None for name in names}
--- a/mulleinrelay/cells/placement_types.py
+++ b/mulleinrelay/cells/placement_types.py
@@ -5,8 +5,8 @@
 
 from ..policy.model import CachePool, Endpoint, RequestClass
 
-# A ready cache in this location: name, endpoint and capacity fraction (less than 1 during slow
-# start).
+# A ready cache in this director's zone: name, endpoint and capacity fraction (0 to 1; less than 1
+# during slow start).
 ReadyCache = tuple[str, Endpoint, float]
 
 
@@ -27,7 +27,7 @@
         key: Object id.
         request_class: Request class, with the rules for repeating a request.
         idempotency_key: Idempotency key; empty if there is none.
-        is_retry: Whether the client has sent the request before.
+        is_retry: Whether the client has sent the request before, according to the client.
     """
 
     tenant: str
@@ -44,7 +44,8 @@
     Attributes:
         cell: Cell that serves the request.
         pool: Caches that the request is confined to.
-        failed_over_from: Lost cell that the request belongs to; empty if there is no failover.
+        failed_over_from: Lost or recovering cell that the request belongs to, if a failover cell
+            serves it; otherwise empty.
     """
 
     cell: str
--- a/mulleinrelay/cells/presentation.py
+++ b/mulleinrelay/cells/presentation.py
@@ -15,7 +15,7 @@
 from .model import Assignment, Migration
 
 MAX_LISTED_TENANTS = 8  # tenants per cell in the text output
-PLAN_POINTS = 10  # points in time of a migration that `plan` shows
+PLAN_POINTS = 10  # approximate number of points in time of a migration that `plan` shows
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
 
     Args:
         assignment: Content of the assignment file.
-        states: States of the directors from their records.
+        states: States of the directors from their records; empty if no records are read.
         now: The current time.
     """
     homes = home_cells(assignment)
@@ -127,7 +127,10 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value as text: the items of a list, or the keys and values of a dict."""
+    """Return a value as text, such as the items of a list or the keys and values of a dict.
+
+    An empty list or dict gives "none".
+    """
     if isinstance(value, list):
         return " ".join(str(item) for item in value) or "none"
     if isinstance(value, dict):
@@ -150,7 +153,8 @@
         migration: The planned migration.
         durations: Durations of its stages.
         projection: Projected load over time.
-        peak_load: Highest projected load; None if the demand, and so the load, is not known.
+        peak_load: Highest projected load, as a multiple of the capacity of the receiving caches;
+            None if the demand, and so the load, is not known.
     """
     has_load = peak_load is not None
     points = _plan_points(projection, has_load)
@@ -216,7 +220,7 @@
     """Return the output of `log`.
 
     Args:
-        lines: Log lines; the key `at` is the time in Unix seconds.
+        lines: Log lines with the keys `at` (Unix seconds), `director` and `text`.
     """
     return Report({"lines": lines}, [_history_line(line) for line in lines])
 
--- a/mulleinrelay/cells/retry_budget.py
+++ b/mulleinrelay/cells/retry_budget.py
@@ -8,7 +8,13 @@
 
 
 class ClientRetryBudget:
-    """The number of retries that the clients of one tenant may still send."""
+    """The number of retries that the clients of one tenant may still send.
+
+    Attributes:
+        balance: Retries that are left; fractions add up to further retries.
+        earn_ratio: Number of retries that each first attempt earns.
+        maximum: Maximum balance.
+    """
 
     __slots__ = ("balance", "earn_ratio", "maximum")
 
@@ -28,7 +34,7 @@
         self.balance = min(self.maximum, self.balance + self.earn_ratio)
 
     def can_retry(self) -> bool:
-        """Return whether the balance allows a retry."""
+        """Return whether the balance allows one more retry."""
         return self.balance >= 1.0
 
     def consume(self) -> None:
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -1,10 +1,11 @@
 """Rollouts of new limits to a canary cell first, then to other cells in waves; pure.
 
 Each director evaluates a rollout by its own requests, and halts it or rolls it back if it harms
-cells. To do so, it measures how success rate and delay have changed in the cells with the rollout,
-and in the cells without it. If both groups got worse, the rollout is not the cause and is only
-halted. A decline in the last wave also halts it, because no cell is left to compare with. Operators
-decide about a halted rollout.
+cells. To do so, the director measures how success rate and delay have changed in the cells with the
+rollout, and in the cells without it. If both groups got worse, the rollout is not the cause and is
+only halted. If too few requests go to cells without the rollout, or no such cell is left in the
+last wave, a decline also only halts the rollout. A halted rollout continues when the cells recover;
+until then, operators can decide about it.
 
 Not thread-safe: `CellService` holds its lock during each call.
 """
@@ -23,7 +24,7 @@
 SIGNIFICANCE = 2.0
 DELAY_NOISE = 5.0  # ms; added to both delays of a comparison, so that small changes have no effect
 # Assumed change of the cells without the rollout if they have too few requests. The values are
-# larger than any real change, so that nothing is attributed to the rollout.
+# larger than any real change, so that no decline is attributed to the rollout.
 UNKNOWN_DROP = 1.0
 UNKNOWN_SLOWDOWN = 1e9
 NOT_STARTED = -1  # number of the wave before the start; the canary is wave 0
@@ -54,10 +55,11 @@
     """Statistics of the requests of one cell; older requests have less weight.
 
     Attributes:
-        served: Number of served requests.
-        total: Number of requests.
-        total_delay: Sum of the delays of the served requests, ms.
-        halves_at: Time when the counts are next halved; 0 if no request was counted yet.
+        served: Weighted number of served requests.
+        total: Weighted number of requests.
+        total_delay: Weighted sum of the delays of the served requests, ms.
+        halves_at: Time from which the next request first halves the numbers; 0 if no request was
+            counted yet.
     """
 
     served: float = 0.0
@@ -96,8 +98,9 @@
     """The change of the requests of some cells between two periods.
 
     Attributes:
-        drop: Drop of the success rate.
-        slowdown: Mean delay divided by the earlier mean delay.
+        drop: Drop of the success rate; negative if the rate rose.
+        slowdown: Mean delay divided by the earlier mean delay, with `DELAY_NOISE` added to both;
+            1 if no request was served in one of the periods.
     """
 
     drop: float
@@ -109,15 +112,16 @@
     """The state of one rollout at this director.
 
     Attributes:
-        rollout: Rollout in the assignment in force.
-        current: Statistics by cell since the start of the current wave.
-        before_rollout: Statistics by cell from before the rollout reached the cell.
-        reached_at: Time when the rollout reached each cell.
-        baseline: Statistics of all cells from before the start of the rollout.
+        rollout: The rollout, as the assignment in force describes it.
+        current: Statistics by cell since the settling time of the current wave; before the rollout
+            starts, since the director read it.
+        before_rollout: For each cell that the rollout has reached, its statistics from before.
+        reached_at: Time when the rollout reached a cell, by cell.
+        baseline: Statistics by cell from before the rollout started in any cell.
         wave: Number of the current wave; `NOT_STARTED` before the start, 0 for the canary.
-        wave_started_at: Start of the current wave.
+        wave_started_at: Time when the current wave started; 0 before the first.
         is_halted: Whether the rollout is halted until operators intervene or the cells recover.
-        rollback_reason: Reason of the rollback; empty if it was not rolled back.
+        rollback_reason: Reason of the rollback; empty if the rollout was not rolled back.
     """
 
     rollout: Rollout
@@ -131,7 +135,7 @@
     rollback_reason: str = ""
 
     def cells_by_wave(self) -> list[tuple[str, ...]]:
-        """Return the cells of the canary and of each wave."""
+        """Return the cells of each wave; the canary is the first wave."""
         return [(self.rollout.canary,), *self.rollout.waves]
 
     def reached_cells(self) -> list[str]:
@@ -139,7 +143,7 @@
         return [cell for wave_cells in self.cells_by_wave()[: self.wave + 1] for cell in wave_cells]
 
     def is_in_force(self, cell: str) -> bool:
-        """Return whether a cell uses the rollout's limits."""
+        """Return whether a cell uses the rollout's limits and shuffle shards."""
         return not self.rollback_reason and cell in self.reached_at
 
     def phase(self) -> RolloutPhase:
@@ -155,7 +159,7 @@
         return RolloutPhase.CANARY if self.wave == 0 else RolloutPhase.WAVES
 
     def record(self, now: float, cell: str, is_served: bool, delay: float) -> None:
-        """Count a request of a cell; `delay` is in ms."""
+        """Count a request of a cell, unless in a settling time; `delay` is in ms."""
         if self.wave >= 0 and now < self.wave_started_at + SETTLING_TIME:
             return
         self.current.setdefault(cell, CellStatistics()).add(now, is_served, delay)
@@ -164,7 +168,8 @@
         """Start the next wave, halt or roll back, if due; to be called several times a second.
 
         Returns:
-            The new phase for the log; empty if the phase is unchanged.
+            The new phase for the log, with the reason if it is a rollback; empty if the phase is
+            unchanged.
         """
         previous = self.phase()
         if not self.rollback_reason:
@@ -186,7 +191,11 @@
         return self.wave >= len(self.rollout.waves)
 
     def _start_wave(self, now: float, wave: int) -> None:
-        """Start a wave and reset the statistics of all cells."""
+        """Start a wave: keep the statistics of its cells for comparison, and reset all statistics.
+
+        For a cell with too few requests since the last wave, the statistics from before the rollout
+        are kept instead.
+        """
         if wave == 0:
             self.baseline = {cell: replace(statistics) for cell, statistics in self.current.items()}
         self.wave = wave
@@ -266,7 +275,7 @@
 
 
 def shuffle_shards_by_cell(states: dict[str, RolloutState]) -> dict[str, int]:
-    """Return the number of caches per tenant that the rollouts in force set, by cell."""
+    """Return the number of caches of each tenant that the rollouts in force set, by cell."""
     return {
         cell: state.rollout.shuffle_shards
         for state in states.values()
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -31,7 +31,8 @@
 
 STEP_INTERVAL = 100.0  # ms between two steps of the thread
 RECORDS_INTERVAL = 1_000.0  # ms between two writes of the records
-MIN_CAPACITY_CHANGE = 0.05  # smaller changes of a capacity fraction are ignored
+# Smaller changes of a capacity fraction are ignored, unless the fraction reaches or leaves 1.
+MIN_CAPACITY_CHANGE = 0.05
 MAX_PENDING_MESSAGES = 1_000  # log messages that wait for the next write of the records
 
 
@@ -40,10 +41,10 @@
 
     Attributes:
         config: Settings from `cells.ini`.
-        tenant_field: Key of a request's fields that names the tenant; empty if there is none.
+        tenant_field: Name of the request field with the client's tenant; empty if there is none.
         lock: Lock that guards `connections`, and `controller` with all its parts. Only the
             service's thread and `apply_prepared` replace the assignment.
-        controller: Admission controller.
+        controller: Admission controller, which holds the assignment in force.
         connections: Number of open connections by tenant; the empty name counts the connections
             from addresses without a tenant.
     """
@@ -65,7 +66,8 @@
             coordinator: Request coordinator, which lists the ready caches.
             clock: Clock that returns Unix milliseconds.
             log: Log for events named `cells`.
-            max_open_requests: Maximum number of open requests that the director's memory allows.
+            max_open_requests: Maximum number of open requests that the director's memory allows;
+                `cells.ini` may set a lower one.
 
         Raises:
             ConfigError: If the assignment file cannot be read or is invalid; there is no earlier
@@ -91,7 +93,7 @@
         self._is_stopped = threading.Event()
 
     def start(self) -> None:
-        """Read the ready caches and start the thread."""
+        """Do the first step, so that the ready caches are known, and start the thread."""
         self._log_messages([f"version {self.controller.assignment.version}"])
         self._step()
         threading.Thread(target=self._run, name="cells", daemon=True).start()
@@ -106,7 +108,8 @@
         """Count a new connection if the limit of its tenant allows it.
 
         Returns:
-            The tenant, empty if the address has none; None if the tenant's limit is reached.
+            The tenant; empty if the address belongs to no tenant. None if the limit of the tenant
+            is reached.
         """
         with self.lock:
             tenant = self.controller.tenant_resolver.tenant_of_address(address)
@@ -148,7 +151,8 @@
             grant: Grant that `admit_request` returned.
             request: The request, as the routing policy knows it.
             is_served: Whether the request was served.
-            is_client_waiting: Whether the client was still waiting.
+            is_client_waiting: Whether the client had neither disconnected nor cancelled the
+                request.
         """
         now = self._clock()
         sending_time = request.size_kb / self._transfer_rate if self._transfer_rate else 0.0
@@ -163,11 +167,7 @@
     # Methods for management
 
     def apply_prepared(self, prepared: PreparedAssignment) -> None:
-        """Put a version in force that the caller has written to the assignment file.
-
-        Raises:
-            ConfigError: If the assignment is not consistent.
-        """
+        """Put a prepared version in force that the caller has written to the assignment file."""
         with self.lock:
             messages = self.controller.replace_assignment(self._clock(), prepared)
         self._log_messages(messages)
@@ -200,7 +200,11 @@
             self._write_records(now, self._records)
 
     def _have_caches_changed(self, caches: Sequence[ReadyCache]) -> bool:
-        """Return whether a cache was added, removed or replaced, or its capacity changed."""
+        """Return whether the ready caches have changed since the last update of the controller.
+
+        They have changed if a cache was added, removed or replaced, or if the capacity fraction of
+        a cache changed enough (see `MIN_CAPACITY_CHANGE`).
+        """
         if len(caches) != len(self._caches):
             return True
         return any(
@@ -211,7 +215,8 @@
     def _poll_file(self, now: float) -> list[str]:
         """Put a new version of the assignment file in force and return messages for the log.
 
-        The identity is read before the content, so that the next poll detects a file that is
+        If the file is unusable, the version in force stays and the message says why. The identity
+        of the file is read before its content, so that the next poll detects a file that is
         replaced in between.
         """
         identity = store.file_identity(self.config.assignment_file)
@@ -220,7 +225,7 @@
         self._file_identity = identity
         try:
             assignment = store.load_assignment(self.config.assignment_file)
-            if assignment == self.controller.assignment:  # written by `apply_prepared`'s caller
+            if assignment == self.controller.assignment:  # `apply_prepared` put it in force
                 return []
             if reason := rejection_reason(self.controller.assignment, assignment):
                 return [reason]
--- a/mulleinrelay/cells/status.py
+++ b/mulleinrelay/cells/status.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from .admission_controller import AdmissionController
 
-MAX_REPORTED_TENANTS = 50  # tenants with the most rejected requests
+MAX_REPORTED_TENANTS = 50  # only the tenants with the most rejected requests are reported
 
 
 def status_report(controller: "AdmissionController", now: float) -> dict[str, Any]:
-    """Return the state of cells, migrations, rollouts and the tenants with most rejections."""
+    """Return the states of cells, migrations, rollouts and the tenants with most rejections."""
     return {
         "version": controller.assignment.version,
         "at": round(now),
--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -1,10 +1,11 @@
 """Choice between the two cells of a migration; requests with idempotency keys may be sticky.
 
-If only the endpoints of one cell remember an idempotency key (`RequestClass.key_scope` is "cell"),
-a retry must go to the cell of the first attempt, whose endpoints drop duplicates. If this director
-admitted the first attempt, the cache of idempotency keys has the cell. If another director admitted
-it, the cell can only be derived from the clock. A retry fails if the cell is uncertain, because the
-request could run twice. All other retries may run in either cell.
+A request is sticky if only the endpoints of one cell remember its idempotency key
+(`RequestClass.key_scope` is "cell"). Its retries must go to the cell of its first attempt, whose
+endpoints drop duplicates. If this director admitted the first attempt, the cache of idempotency
+keys has the cell. If another director admitted it, the cell can only be derived from the clock. If
+the cell is uncertain, a retry fails, because the request could run twice. Retries of requests that
+are not sticky may run in either cell.
 
 Pure and not thread-safe: `CellService` holds its lock during each call.
 """
@@ -39,7 +40,8 @@
     Attributes:
         max_entries: Maximum number of keys.
         entries: Entries by tenant and key, oldest first.
-        dropped_until: Latest expiry time of the keys that were dropped because the cache was full.
+        dropped_until: Latest expiry time of all keys that were dropped because the cache was full;
+            0 if there are none.
     """
 
     def __init__(self, max_entries: int) -> None:
@@ -58,7 +60,7 @@
     ) -> None:
         """Record the cell of a key for `lifetime` ms.
 
-        Expired keys are dropped first, and the oldest keys if the cache is full.
+        Before that, the oldest key is dropped as long as it has expired or the cache is full.
         """
         while self.entries:
             oldest_key, oldest = next(iter(self.entries.items()))
@@ -78,8 +80,10 @@
 
     Attributes:
         is_retry: Whether the request was sent before, according to the client or this director.
-        can_run_anywhere: Whether retries may run in another cell than the first attempt.
-        known_cell: Cell to which its idempotency key went; None if it is not known.
+        can_run_anywhere: Whether retries may run in another cell than the first attempt, because
+            the request is not sticky.
+        known_cell: Cell to which this director sent the request's idempotency key; None if it is
+            not known.
     """
 
     is_retry: bool
@@ -92,9 +96,17 @@
 ) -> MigrationSide:
     """Return the side of a migration that a request for an object goes to.
 
-    Other directors may use any version of the assignment file, even one without the migration or
-    from before a pause or an abort. The cell of an object that one of them may have sent to the
-    target cell is therefore uncertain until operators have ended the migration.
+    A sticky retry whose cell is not known goes to the source cell if no director can have sent its
+    object to the target cell; otherwise it goes nowhere. Other directors may use any version of the
+    assignment file, even one without the migration or from before a pause or an abort. The cell of
+    a migrated object is therefore uncertain until operators have ended the migration.
+
+    Args:
+        migration: The migration of the request's tenant.
+        key: Object id.
+        history: Known facts about earlier attempts of the request.
+        now: The current time.
+        clock_skew: Maximum difference between the clocks of two directors, ms.
     """
     if history.known_cell == migration.source:
         return MigrationSide.SOURCE
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileIdentity:
-    """The metadata of a file that changes when the file is replaced."""
+    """The metadata of a file; they differ if the file was replaced in the meantime."""
 
     inode: int
     modified_ns: int
@@ -70,14 +70,15 @@
     Args:
         path: Path of the file.
         assignment: New content; its version and its time are replaced.
-        now: Time of the new version.
-        built_on: Version that the change is based on; 0 if there is no file yet.
+        now: Time of the new version, Unix ms.
+        built_on: Version that the change is based on; 0 if there was no file yet.
 
     Returns:
         The assignment that was written.
 
     Raises:
-        ConfigError: If the file now has another version, or if it cannot be written.
+        ConfigError: If the file now has another version than `built_on`, is invalid or cannot be
+            written, or if the new text would not parse to an equal assignment.
     """
     version = load_assignment(path).version if os.path.exists(path) else 0
     if version != built_on:
@@ -104,6 +105,10 @@
     """Replace a file atomically by a temporary file that is written and then renamed.
 
     The content and the rename are flushed to disk before the function returns.
+
+    Raises:
+        OSError: If the file cannot be written; unless only the last flush fails, the old content
+            is kept.
     """
     temporary_path = f"{path}.new"
     with open(temporary_path, "w", encoding="utf-8") as file:
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -25,10 +25,10 @@
 
 
 class RangeIndex:
-    """An index that finds the tenant of a number by ranges.
+    """An index that finds the tenant of a number: an IP address or an object group.
 
-    Ranges may be nested but must not partially overlap. The smallest range that contains a number
-    determines the tenant.
+    Each tenant has ranges of numbers. Ranges may be nested but must not partially overlap. The
+    smallest range that contains a number determines the tenant.
     """
 
     def __init__(self, ranges: list[NamedRange], key: str) -> None:
@@ -41,10 +41,11 @@
         Raises:
             ConfigError: If two ranges partially overlap, or if two tenants have the same range.
         """
-        # Numbers from _starts[i] up to the next start (exclusive) belong to _tenants[i].
+        # Numbers from _starts[i] up to the next start (exclusive) belong to _tenants[i]; an empty
+        # name means no tenant.
         self._starts: list[int] = []
         self._tenants: list[str] = []
-        enclosing: list[NamedRange] = []  # ranges that contain the current start, outermost first
+        enclosing: list[NamedRange] = []  # ranges that have not ended yet, outermost first
         for entry in sorted(ranges, key=lambda entry: (entry.first, -entry.last)):
             while enclosing and enclosing[-1].last < entry.first:
                 self._end_innermost(enclosing)
@@ -72,7 +73,7 @@
         return is_same_range and entry.tenant != enclosing.tenant
 
     def _start_range(self, number: int, tenant: str) -> None:
-        """Assign the numbers from this one on to the tenant."""
+        """Assign the numbers from `number` on to a tenant, up to the start of the next call."""
         if self._starts and self._starts[-1] == number:
             self._tenants[-1] = tenant
         else:
@@ -110,9 +111,10 @@
         self._cached_addresses: dict[str, str] = {}
 
     def tenant_of_address(self, address: str) -> str:
-        """Return the tenant whose ranges contain an address; empty if there is none.
+        """Return the tenant with the smallest range that contains an address.
 
-        An invalid address has no tenant. Results are cached.
+        The result is empty if no range contains the address or if the address is invalid. Results
+        are cached.
         """
         if not address:
             return ""
@@ -134,6 +136,9 @@
     def resolve(self, tenant_name: str, address: str, group: int) -> str | None:
         """Return the tenant of a request; None if the request must be rejected.
 
+        If the client named no tenant, the address decides, then the group. A request of an unknown
+        tenant is handled as one of the default tenant or rejected, by the assignment's policy.
+
         Args:
             tenant_name: Tenant that the client named; empty if the client named none. A request
                 with an unknown name has an unknown tenant even if its address or group matches,
--- a/mulleinrelay/cells/tenant_state.py
+++ b/mulleinrelay/cells/tenant_state.py
@@ -43,13 +43,13 @@
 
     Attributes:
         limits: Quota of the tenant.
-        token_bucket: Token bucket of its rate.
-        retry_budget: Budget of its clients' retries.
-        open_body_kb: Size of the bodies of its open requests, KB.
+        token_bucket: Token bucket of the tenant's rate.
+        retry_budget: Budget of the retries of the tenant's clients.
+        open_body_kb: Total size of the bodies of the tenant's open requests, KB.
         rejected_count: Number of rejected requests.
         admitted_count: Number of admitted requests.
-        last_used_at: Time of its last request.
-        cell_limits: Cached limits by cell.
+        last_used_at: Time of the tenant's last request, admitted or not; 0 before the first.
+        cell_limits: The tenant's cached limits in each cell, by cell.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
         self.last_used_at = 0.0
 
     def set_limits(self, limits: Limits) -> None:
-        """Replace the quota; the usage of the rate and of the retry budget is reset."""
+        """Replace the quota; the token bucket and the retry budget are full again."""
         self.limits = limits
         self.token_bucket = TokenBucket(limits.rate, limits.burst)
         self.retry_budget = ClientRetryBudget(limits.retry_ratio)
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -20,7 +20,7 @@
     Attributes:
         interval: Time between two requests at the rate, ms; 0 if the rate is not limited.
         tolerance: Time by which a request may be ahead of the rate, ms.
-        full_at: Time when the bucket is full again; this is the whole state of the bucket.
+        full_at: Time when the bucket is full again; it is the only value that requests change.
     """
 
     __slots__ = ("full_at", "interval", "tolerance")
@@ -76,8 +76,17 @@
 class FairTokenBucket:
     """A rate that several parties share by weight.
 
-    Each active party has a guaranteed rate. The part of the total rate that others leave unused is
-    lent in the order of requests.
+    A party is active for `ACTIVE_WINDOW` after each request. Each active party has a guaranteed
+    rate in proportion to its weight. The part of the total rate that parties leave unused is lent
+    to whichever party sends the next request.
+
+    Attributes:
+        rate: Total rate, requests per second; 0 if it is not limited.
+        total_bucket: Token bucket with the total rate.
+        shares: Shares by party.
+        computed_at: Time when the used rates were last computed; `DISTANT_PAST` if the next request
+            must compute the guaranteed rates.
+        active_weight: Sum of the weights of all active parties.
     """
 
     ACTIVE_WINDOW = 1_000.0  # ms for which a party stays active after a request
@@ -119,11 +128,14 @@
         return share
 
     def guaranteed_rate(self, share: BucketShare) -> float:
-        """Return the guaranteed rate of a party, requests per second."""
+        """Return the part of the total rate that a party's weight gives it, requests per second."""
         return self.rate * share.weight / max(self.active_weight, share.weight)
 
     def wait_time(self, share: BucketShare, now: float) -> float:
-        """Record the party's request and return the time until it is allowed, ms; 0 for now."""
+        """Record the party's request and return the time until it is allowed, ms.
+
+        The time is 0 if the request is allowed now, by the guaranteed rate or by a loan.
+        """
         if not self.rate:
             return 0.0
         was_idle = now >= share.last_requested_at + self.ACTIVE_WINDOW
@@ -138,7 +150,10 @@
         )
 
     def consume(self, share: BucketShare, now: float) -> None:
-        """Take one token from the total, and one from the party's guaranteed rate if it has any."""
+        """Take one token from the total, and one from the party's guaranteed rate if it has one.
+
+        Guaranteed requests may overdraw the total. It is full again after `ACTIVE_WINDOW` at most.
+        """
         if not self.rate:
             return
         if share.bucket.wait_time(now) == 0.0:
@@ -148,7 +163,10 @@
         self.total_bucket.full_at = min(self.total_bucket.full_at, now + self.ACTIVE_WINDOW)
 
     def reachable_rate(self, share: BucketShare) -> float:
-        """Return the rate that a party can reach by borrowing what other parties leave unused."""
+        """Return the rate (requests per second) that a party can reach by borrowing unused rates.
+
+        It is at least the guaranteed rate.
+        """
         used_by_others = sum(
             min(self.guaranteed_rate(other), self.GROWTH_ALLOWANCE * other.used_rate)
             for other in self.shares.values()
@@ -157,7 +175,10 @@
         return max(self.guaranteed_rate(share), self.rate - used_by_others)
 
     def _recompute(self, now: float) -> None:
-        """Update the used rates, drop idle parties and set the guaranteed rates of active ones."""
+        """Drop idle parties, and set the guaranteed rates of the active ones.
+
+        The used rates are updated only if `RECOMPUTE_INTERVAL` has passed.
+        """
         elapsed = now - self.computed_at
         if elapsed >= self.RECOMPUTE_INTERVAL:
             for share in self.shares.values():
@@ -182,5 +203,8 @@
 
 
 def bounded_retry_after(wait: float, maximum: float = MAX_RETRY_AFTER) -> float:
-    """Return the Retry-After (ms) of a rejected request: the wait, limited to the bounds."""
+    """Return the Retry-After (ms) of a rejected request.
+
+    This is the wait, but at least `MIN_RETRY_AFTER` and at most `maximum`.
+    """
     return min(max(wait, MIN_RETRY_AFTER), maximum)
