--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -1,4 +1,8 @@
-"""Simulated clients: they send requests, retry them and record the outcomes."""
+"""Simulated clients, which send requests, retry them and record the outcomes.
+
+A client sends each request as one or more tries, each to one director. An attempt, in contrast, is
+what a director sends to a node.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -16,7 +20,7 @@
     from .simulation import Simulation
 
 CLIENT_DELAY_MS = 0.3  # one-way delay between a client and a director, as on loopback
-MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain to send a try
+MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain when a try is sent
 MIN_PATIENCE_MS = 1.0  # directors require a positive patience
 
 
@@ -25,11 +29,15 @@
     """A client's request, which is sent as one or more tries. Times are in ms.
 
     Attributes:
-        created_at: When the client decided to send the request.
-        deadline: When the client's patience ends.
+        number: Number of the request in the simulation, from 1.
+        created_at: Time when the client decided to send the request.
+        deadline: Time when the client's patience ends.
+        location: Location of the client.
         plan: Content of the request.
-        last_director: Director that received the last try.
-        first_director: Director that received the first try.
+        last_director: Number of the director to which the last try was sent; `NO_DIRECTOR` if no
+            try was sent yet.
+        first_director: Number of the director to which the first try was sent; `NO_DIRECTOR` if no
+            try was sent yet.
         tries: Number of tries so far.
         is_complete: Whether the final outcome is recorded.
     """
@@ -49,8 +57,10 @@
     """The clients of all locations.
 
     Attributes:
-        excluded_directors: Numbers of the directors that clients do not choose: directors that
-            have exited, from the end of the failure detection time on.
+        excluded_directors: Numbers of the directors that clients do not choose, because their exit
+            was detected; a director that starts again is removed.
+        loads: Load of each location, by location.
+        request_count: Number of requests that were created.
     """
 
     def __init__(self, simulation: "Simulation") -> None:
@@ -72,7 +82,16 @@
             )
 
     def on_result(self, request: PendingRequest, outcome: str, retry_after_ms: float) -> None:
-        """Process a director's result: retry if it is a rejection, else complete the request."""
+        """Process a director's result: retry a rejected request if possible, else complete it.
+
+        A retry is possible if a try is left and the retry is due before the deadline.
+
+        Args:
+            request: The request.
+            outcome: "served", "rejected" or "failed".
+            retry_after_ms: Time after which a rejected request may be retried; 0 for
+                `DEFAULT_RETRY_DELAY`.
+        """
         if request.is_complete:
             return
         now = self.clock()
@@ -86,7 +105,12 @@
     def on_disconnect(self, request: PendingRequest, number: int) -> None:
         """Process a lost connection to a director: retry if permitted, else complete the request.
 
-        If the director has exited, clients stop choosing it after the failure detection time.
+        If the director has exited, clients stop choosing it after the failure detection time,
+        unless it has started again by then.
+
+        Args:
+            request: The request that was open at the director or sent to it.
+            number: Number of the director.
         """
         simulation = self.simulation
         self.observations.other_records["cut"].append(
@@ -133,7 +157,10 @@
         )
 
     def _deliver_to_director(self, request: PendingRequest, number: int) -> None:
-        """Deliver a try to its director, or report a disconnect if the director has exited."""
+        """Deliver a try to its director, or report a disconnect if the director has exited.
+
+        If the director is stopped, the delivery is deferred until it resumes.
+        """
         simulation = self.simulation
         if simulation.defer_if_stopped(number, lambda: self._deliver_to_director(request, number)):
             return
@@ -151,7 +178,10 @@
         self.clock.call_at(due_at, retry)
 
     def _expire_try(self, request: PendingRequest, try_number: int) -> None:
-        """Complete a request without an answer, unless a further try was sent meanwhile."""
+        """Complete a request whose last try got no answer in time.
+
+        Nothing is done if the request is complete or if a further try was sent in the meantime.
+        """
         if request.is_complete or request.tries != try_number:
             return
         self.observations.other_records["none"].append(
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -1,4 +1,4 @@
-"""A simulated director: the real router with simulated connections and timers."""
+"""A simulated director: the real router with simulated messages and timers."""
 
 from collections import deque
 from typing import TYPE_CHECKING, Any
@@ -28,18 +28,21 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-PURGE_GROUP_MASK = 0xFF  # bits of an object's number that give its purge group
+PURGE_GROUP_MASK = 0xFF  # bits of an object id that give the object's group
 
 
 class SimulatedDirector:
     """A director, which is also the `ActionSink` of its router.
 
     Attributes:
-        simulation: Carries attempts to nodes and results to clients.
+        simulation: The simulation, which carries attempts to nodes and results to clients.
         endpoints: Endpoints by their name in the endpoint list.
-        open_requests: Requests without a result yet, with the client's request for each.
-        has_exited: Whether the director was killed or shut down. Set by the simulation, which then
-            replaces the director with a new one.
+        endpoint_names: Names in the endpoint list, by endpoint.
+        open_requests: The router's requests that have no result yet, and for each of them the
+            client's request.
+        has_exited: Whether the director was killed or shut down. The simulation sets it, and
+            replaces the director with a new one: after a kill when the fault ends, after a shutdown
+            at once.
     """
 
     def __init__(
@@ -57,8 +60,8 @@
             simulation: The simulation that the director belongs to.
             number: Number of the director.
             settings: Settings of the router.
-            zone_numbers: Number of each zone name in the endpoint list.
-            kind_numbers: Number of each node kind in the endpoint list.
+            zone_numbers: Number of each zone, by the zone's name in the endpoint list.
+            kind_numbers: Number of each kind of node, by the kind's name in the endpoint list.
             seed: Seed of the router's random numbers.
         """
         self.simulation = simulation
@@ -82,7 +85,7 @@
         )
 
     def receive_request(self, pending: "PendingRequest", remaining_ms: float) -> None:
-        """Accept a request of a client that waits for `remaining_ms`."""
+        """Pass a client's request to the router; the client waits for `remaining_ms` more."""
         now = self.simulation.clock()
         plan = pending.plan
         class_index = self.simulation.class_indices[plan.request_class]
@@ -103,13 +106,15 @@
     def receive_answer(
         self, attempt: Attempt, word: str, reason: str, first_byte_delay: float
     ) -> None:
-        """Process a node's answer to an attempt.
+        """Process a node's answer, unless the attempt has ended or the director has exited.
 
         Args:
             attempt: The answered attempt.
             word: First word of the answer, which gives the outcome.
-            reason: How the node obtained the answer, as reported by the node.
-            first_byte_delay: Delay of the fill source in ms, as reported by the node.
+            reason: How the node obtained the answer, as reported by the node; empty if not
+                reported.
+            first_byte_delay: Delay of the fill source in ms, as reported by the node; 0 if not
+                reported.
         """
         if not self.has_exited and attempt.outcome is None:
             self.finish_attempt(
@@ -126,7 +131,10 @@
         cache_status: CacheStatus = CacheStatus.UNKNOWN,
         first_byte_delay: float = 0.0,
     ) -> None:
-        """Report the end of an attempt to the router, unless the attempt has already ended."""
+        """Report the end of an attempt to the router, and complete its request if it was served.
+
+        Nothing is done if the attempt has already ended or the director has exited.
+        """
         if self.has_exited or attempt.outcome is not None:
             return
         request = attempt.request
@@ -151,7 +159,7 @@
         self._handle(HealthCheckFinished(self.endpoints[name], {}))
 
     def receive_purge(self, object_id: int, age: float) -> None:
-        """Process the notification of a purge that took place `age` ms ago."""
+        """Process the notification of a purge of an object that took place `age` ms ago."""
         self._handle(PurgeReceived(object_id, 0, age))
 
     def finish_request(self, request: Request) -> None:
@@ -218,7 +226,7 @@
         return "" if source is None or source is attempt.endpoint else self.endpoint_names[source]
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Queue the attempt to be reported to the router as cancelled."""
+        """Queue the attempt, so that it is reported to the router as cancelled after this event."""
         if attempt.outcome is None:
             self._cancelled.append(attempt)
 
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -18,13 +18,20 @@
     from .simulation import Simulation
 
 NODE_DELAY_MS = 0.5  # one-way delay between a director and a node, as through the fault proxy
-MESSAGE_BYTES = 300  # assumed size of a command or an answer, for rules that limit the rate
-ERROR_DELAY_MS = 1.0  # until a node with injected errors answers
+MESSAGE_BYTES = 300  # assumed size of a command or an answer, for rules that limit bytes per second
+ERROR_DELAY_MS = 1.0  # time until a node with injected errors answers
 
 
 @dataclass(frozen=True, slots=True)
 class _HeldMessage:
-    """A message that is held until the cut of its path ends."""
+    """A message that is held until the cut of its path ends.
+
+    Attributes:
+        director: Number of the director.
+        node: Name of the node.
+        direction: `UP` from the director to the node, `DOWN` back.
+        deliver: Function that delivers the message.
+    """
 
     director: int
     node: str
@@ -35,12 +42,18 @@
 class SimulatedNetwork:
     """The network, which carries commands and answers according to the active network rules.
 
+    A path is the connection of one director to one node.
+
     Attributes:
+        rules: The active network rules.
+        streams: State of each direction of a path, by director number, node name and direction.
         held_messages: Messages on paths that are cut.
-        in_flight: Attempts in flight and their directors, by node.
-        failing_for: Directors to which a node answers with errors, by node.
-        slow_for: Directors to which a node answers slowly, and the slowdown factor, by node.
-        purge_notified_at: Time at which a director was notified of an object's purge.
+        in_flight: Attempts in flight and their directors, by node name.
+        failing_for: Numbers of the directors to which a node answers with errors, by node name.
+        slow_for: Numbers of the directors to which a node answers slowly, and the factor of the
+            slowdown, by node name.
+        purge_notified_at: Time at which a director was notified of the purge of an object, by
+            director number and object id.
     """
 
     def __init__(self, simulation: "Simulation") -> None:
@@ -59,7 +72,7 @@
     def send_attempt(
         self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """Send a director's command to a node."""
+        """Send a director's command to a node; the attempt is reset if a rule resets the path."""
         self.in_flight[name][attempt] = director
         if self.rules.rules and self.rules.resets_path(
             self._path_kind(name), director.number, name
@@ -74,7 +87,11 @@
         )
 
     def check_health(self, director: SimulatedDirector, name: str) -> None:
-        """Send a director's health check to a node, which answers it if it is reachable."""
+        """Send a director's health check to a node.
+
+        The node answers unless it has crashed, is silent or its path is cut. Rules that delay
+        messages have no effect on health checks.
+        """
         since_start_s = self.simulation.since_start_s()
         record = HealthCheckRecord(since_start_s, director.number, name, "METER")
         self.observations.other_records["probe"].append(record)
@@ -94,7 +111,10 @@
             self.clock.call_at(self.clock() + 2.0 * NODE_DELAY_MS, answer)
 
     def release_held_messages(self) -> None:
-        """Transmit the held messages again after a change of the rules."""
+        """Transmit the held messages again after a change of the rules.
+
+        Messages on paths that are still cut are held again.
+        """
         held = self.held_messages
         self.held_messages = []
         for message in held:
@@ -140,9 +160,10 @@
         self.clock.call_at(due_at, deliver)
 
     def _time_out_ping(self, number: int, name: str, direction: str) -> None:
-        """Reset the attempts on a path that is still cut, as after a ping without an answer.
+        """Reset the director's attempts at a node if their path is still cut.
 
-        A director then closes the connection, so the messages held on it are never processed.
+        This stands for a ping without an answer, after which a director closes the connection. The
+        messages that are held on it then have no effect, because their attempts have ended.
         """
         if self.rules.cuts_path(self._path_kind(name), number, name, direction):
             for attempt, director in list(self.in_flight[name].items()):
@@ -164,7 +185,11 @@
     def _execute_command(
         self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """Execute a command at its node and schedule the answer."""
+        """Execute a command at its node and schedule the answer.
+
+        A crashed node gives no answer: the attempt fails. A command whose attempt or director has
+        ended is dropped.
+        """
         node = self.fleet.nodes[name]
         number = director.number
         now = self.clock()
@@ -227,7 +252,7 @@
     def _send_answer(
         self, director: SimulatedDirector, attempt: Attempt, name: str, items: tuple[bytes, ...]
     ) -> None:
-        """Send a node's answer, unless the attempt has ended or the node is silent."""
+        """Send a node's answer, unless the attempt is no longer in flight or the node is silent."""
         if self.in_flight[name].pop(attempt, None) is None or self.fleet.nodes[name].is_silent:
             return
         fields = decode_fields(items[1])
@@ -244,9 +269,9 @@
     def _is_outdated(
         self, director: int, fields: dict[str, str], answer: bytes, now: float
     ) -> bool:
-        """Return whether the answer holds a purged copy although the director knew of the purge.
+        """Return whether an answer contains a copy from before a purge that the director knows of.
 
-        Answers within the first second after the director's notification don't count.
+        Within the first second after the director's notification, such answers are allowed.
         """
         object_id = fields.get("name", "")
         issued = decode_fields(answer).get("issued")
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -1,9 +1,10 @@
 """A simulation of directors, clients, nodes, endpoint updates and faults.
 
-It does not simulate the CPU time and the queues of directors, nor streams with a limited rate, nor
-connections: an attempt on a cut path is held and arrives when the cut ends. A simulated director is
-notified of the caches of its own location, all parents and the origin; a director of the fleet lab
-is notified of all nodes.
+It does not simulate the CPU time and the queues of directors, the sizes of messages, or
+connections. Rules that limit bytes per second count each message as `network.MESSAGE_BYTES`. An
+attempt on a cut path is held and arrives when the cut ends, unless it has been reset by then, as
+after a ping without an answer. A simulated director is notified of the caches of its own location,
+all parents and the origin; a director of the fleet lab is notified of all nodes.
 """
 
 import random
@@ -31,12 +32,12 @@
 from .network import SimulatedNetwork
 
 LEAD_MS = 500.0  # time before the first request
-END_GRACE_MS = 300.0  # after the patience of the last request has ended
+END_GRACE_MS = 300.0  # simulated time after the patience of the last request has ended
 PROGRESS_MS = 500.0  # simulated time between two calls of `on_progress`
 SEED_FACTOR = 100_003  # keeps the directors' seeds of different scenarios apart
-SEED_STEP = 7919  # between the seeds of two directors of one scenario
-DEFAULT_SLOWDOWN = 10.0
-DEFAULT_UPDATE_DELAY_S = 9.0
+SEED_STEP = 7919  # difference of the seeds of two directors that start one after the other
+DEFAULT_SLOWDOWN = 10.0  # factor of a node's slowdown if the fault gives none
+DEFAULT_UPDATE_DELAY_S = 9.0  # extra delay of endpoint updates if the fault gives none
 PURGE_DELAY_DIVISOR = 3.0  # purge notifications arrive earlier than endpoint updates
 PURGED_OBJECT = f"{(1 << 32) + 1:016x}"  # most popular object of those shared by all locations
 
@@ -47,11 +48,16 @@
     """One run of a scenario in simulated time.
 
     Attributes:
-        started_at: Start of the play in ms of simulated time; no request is sent earlier.
-        rule_numbers: Numbers of the active network rules, by the name of their fault.
-        deferred_calls: Calls that run when a stopped director resumes, by director.
-        extra_update_delays: Extra delay of endpoint updates in ms, by director.
-        class_indices: Index of each request class in the directors' settings.
+        started_at: Start of the scenario in ms of simulated time; no request is sent earlier.
+        network: The network between directors and nodes.
+        clients: The clients of all locations.
+        rule_numbers: Number of the network rule of each fault that has started, by fault name.
+        deferred_calls: Calls that run when a stopped director resumes, by director number; running
+            directors are missing.
+        extra_update_delays: Extra delay of endpoint updates in ms, by director number.
+        class_indices: Index of each request class in the directors' settings, by class name.
+        director_starts: Number of directors that were started, with those that replace others.
+        directors: The present directors, by number.
     """
 
     def __init__(self, scenario: FleetScenario) -> None:
@@ -84,8 +90,8 @@
         """Run the scenario and return the records.
 
         Args:
-            on_progress: Called twice per simulated second with the seconds since the start and the
-                numbers of completed and of served requests.
+            on_progress: Function that is called twice per simulated second, with the seconds since
+                the start and the numbers of completed and of served requests; None to call none.
         """
         self.clients.start()
         for step in self.scenario.steps():
@@ -110,7 +116,11 @@
         return (self.clock() - self.started_at) / 1000.0
 
     def defer_if_stopped(self, number: int, call: Callable[[], None]) -> bool:
-        """Defer a call if the director is stopped; return whether it was deferred."""
+        """Defer a call until a stopped director resumes.
+
+        Returns:
+            Whether the call was deferred; False if the director is not stopped.
+        """
         if number not in self.deferred_calls:
             return False
         self.deferred_calls[number].append(call)
@@ -169,7 +179,10 @@
         }
 
     def _publish_endpoint(self, name: str) -> None:
-        """Notify each director of a node's current state, each after its own random delay."""
+        """Notify directors of a node's current state, each after its own random delay.
+
+        A cache is only announced to the directors of its location, other nodes to all directors.
+        """
         row = self._endpoint_row(name)
         site = self.sites[name]
         for number in range(self.scenario.directors):
