--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -41,7 +41,11 @@
     tenant_limits=None,
     **changes,
 ) -> Assignment:
-    """Return an assignment of two cells; tenants are in the first cell, `beta` is in the last."""
+    """Return an assignment.
+
+    Cells and tenants are given as objects or by name. A tenant that is given by name is placed in
+    the first cell, but `beta` in the last cell. `changes` are further fields of the assignment.
+    """
     cells = [Cell(cell) if isinstance(cell, str) else cell for cell in cells]
     cells_by_name = {cell.name: cell for cell in cells}
     tenants_by_name = {}
@@ -80,7 +84,7 @@
 
 
 class ControllerFixture:
-    """An admission controller with named caches and a clock that the test advances."""
+    """An admission controller with caches given by name, and a clock that the test sets."""
 
     def __init__(
         self,
@@ -134,7 +138,11 @@
 
 
 class DirectorsFixture:
-    """Complete directors with one assignment file and the same stand-ins; stopped on exit."""
+    """Complete directors that share one assignment file and the same stand-ins.
+
+    The directors start when the context is entered and stop when it is left. `plan` is the answer
+    plan of all stand-in endpoints, or a list with a plan for each.
+    """
 
     def __init__(
         self,
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -32,7 +32,7 @@
 
 def test_flooding_tenant_leaves_the_other_cell_its_share():
     fixture = ControllerFixture(make_assignment(TWO_CELLS))
-    fixture.complete(fixture.admit("beta"))  # the cell's demand is recent
+    fixture.complete(fixture.admit("beta"))  # so that the other cell has recent demand
     fixture.now += 100.0
     assert fixture.count_admitted(1000) <= 100
     assert fixture.count_admitted(25, tenant_name="beta") == 25
@@ -53,7 +53,8 @@
         (Limits(max_open_requests=7), {}, 7),
         (Limits(max_body_kb=100.0), {"body": 48_000}, 2),
         (Limits(retry_ratio=0.0), {"is_retry": True}, 10),
-        # A body counts as further open requests: 80 / (1 + 46.9 / 16) are admitted.
+        # A body counts as further open requests: 46.9 KB / 16 KB for each request. The tenants
+        # share a capacity of 100 / 1.25 = 80, so 80 / (1 + 46.9 / 16) requests are admitted.
         (Limits(), {"body": 48_000}, 20),
     ],
 )
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -190,5 +190,5 @@
         store.save_assignment(path, make_assignment(), 2.0, 1)
     monkeypatch.undo()
     assert store.load_assignment(path).version == 1
-    # The temporary file that the failed write left does not prevent the next write.
+    # The failed write left its temporary file, which must not prevent the next write.
     assert store.save_assignment(path, make_assignment(), 3.0, 1).version == 2
--- a/tests/cells/test_cells_commands.py
+++ b/tests/cells/test_cells_commands.py
@@ -143,7 +143,8 @@
             )
             == ""
         )
-    (tmp_path / "records" / "n3.json").write_text("{")  # truncated when an older program was killed
+    # Records that were truncated when an older version of the program was killed must be skipped.
+    (tmp_path / "records" / "n3.json").write_text("{")
     (tmp_path / "records" / "n3.jsonl").write_text('{"at": 1.0, "te')
     output = invoke(path, "show", "--records", folder)[1]
     assert (
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -40,9 +40,10 @@
 
 
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
-    # The cache never answers the flooding tenant's requests, so all admitted requests stay open. On
-    # a slow machine some of them time out during the test; each of these, and nothing else, allows
-    # one more request to be admitted.
+    # Guards against a flooding tenant that leaves no open requests for the tenants of other cells.
+    # The cache never answers the flooding tenant's requests, so all admitted ones stay open. On a
+    # slow machine, some of them time out during the test. Only a request that timed out allows one
+    # more request to be admitted.
     def answer_others(fields):
         return None if fields["name"].startswith("f") else HIT_ANSWER
 
@@ -72,7 +73,7 @@
             for entry in running.commands_by_endpoint()["s-01"]
             if entry[2]["name"].startswith("f")
         ]
-        # A completion is recorded before its quota is released.
+        # A completion is recorded before its quota is released, so `ended` is never too short.
         assert 0 < len(flood) <= 64 + len(ended)
         assert (
             sum(
@@ -82,14 +83,14 @@
             )
             == 41
         )
-        # Each request gets one answer; open requests are rejected when their client's time is up.
+        # Each request gets one answer: it is rejected at once, or when its client's time is up.
         for client in clients:
             assert [client.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
 def test_two_directors_migrate_the_same_objects_and_the_old_cache_fills(tmp_path):
-    # The caches of south report misses at first. The director must name the cache of north, which
-    # has served the objects before, as the fill source.
+    # The caches of south report each request as a miss that they filled. The directors must name
+    # the cache of north, which served the objects before the migration, as the fill source.
 
     plans = [HIT_ANSWER, FILLED, FILLED, FILLED, FILLED, FILLED]
     objects = [f"{number:016x}" for number in range(40)]
--- a/tests/cells/test_edits.py
+++ b/tests/cells/test_edits.py
@@ -1,4 +1,4 @@
-"""Edits of an assignment by operators, and the rejection of edits that break a rule."""
+"""Edits of migrations by operators: rejected edits, and the removal of ended migrations."""
 
 from dataclasses import replace
 
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -9,9 +9,10 @@
 
 
 def simulate_demand(shares, demand, rounds=400):
-    """Return the mean number of open requests of each party.
+    """Return the mean number of open requests of each party, after `rounds` ms.
 
-    Each party sends its number of requests per millisecond; an admitted request is open for 50 ms.
+    `demand` gives the weight of each party and its number of requests per millisecond. An admitted
+    request stays open for 50 ms.
     """
     mean_open, open_requests = dict.fromkeys(demand, 0.0), []
     for now in range(rounds):
@@ -62,7 +63,11 @@
 
 
 class FairSharesMachine(RuleBasedStateMachine):
-    """State machine: sums stay correct, and open requests within the overcommitted capacity."""
+    """State machine that sends and completes requests of four parties in any order.
+
+    The sum of the open requests must stay correct and within its bound. A party with open requests
+    must not be dropped, because its next share would not count them.
+    """
 
     def __init__(self):
         super().__init__()
@@ -91,7 +96,8 @@
     @invariant()
     def sums_are_correct(self):
         assert self.shares.open == pytest.approx(sum(amount for _, amount in self.open_requests))
-        # Each of the four parties may exceed the capacity by one request of up to 3 slots.
+        # 1.25 is the overcommitted capacity. Beyond it, each of the four parties without open
+        # requests may still open one request of up to 3 slots.
         assert self.shares.open <= 10.0 * 1.25 + 4 * 3.0
 
     @invariant()
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -1,9 +1,13 @@
-"""Exhaustive search for violations of the rules 3 to 5 during a migration.
+"""Exhaustive search for violations of three rules during a migration.
 
-Two directors use different versions of the assignment while a cache drains, is lost or restarts
-with a cold cache, or an object is purged. Rule 3: no attempt uses a draining or lost cache. Rule 4:
-a cache in slow start is not overloaded. Rule 5: no copy from before a purge is served. Rule 2 is
-searched in test_migrations.
+Two directors use any two versions of the assignment while a cache drains, is lost or restarts
+empty, or while an object is purged.
+
+- Rule 3: no attempt uses a draining or lost cache.
+- Rule 4: a cache in slow start is not overloaded.
+- Rule 5: no copy from before a purge is served.
+
+The search for sticky requests that run in two cells (rule 2) is in test_migrations.
 """
 
 import itertools
@@ -33,7 +37,8 @@
 CACHE_FAULTS = [(kind, cache) for kind in ("drain", "cold", "gone") for cache in CACHES]
 FAULTS = [*CACHE_FAULTS, ("purge", "")]
 FAULT_TIMES = (101_200.0, 102_000.0, 103_200.0)
-# ms; WORK is the time that a request of 400 KB takes at 8 KB/ms.
+# ms: end of the simulated time, time between two rounds of requests, and work of one request, which
+# is the time that 400 KB take at 8 KB/ms.
 END, STEP, WORK = 106_000.0, 200.0, 50.0
 # Slow start, as in the settings of the helpers: initial fraction, duration and window (ms).
 INITIAL_FRACTION, SLOW_START_DURATION, OVERLOAD_WINDOW = 0.2, 17_000.0, 1_500.0
@@ -42,7 +47,7 @@
 class SimulatedDirector:
     """A coordinator and an admission controller whose clock the test sets.
 
-    Attempts are answered at once.
+    All attempts are answered at once. `fault_times` has the time of each injected fault.
     """
 
     def __init__(self, version):
@@ -52,7 +57,7 @@
         ) = 2
         router = self.coordinator_fixture.coordinator.router
         router.cache_slow_start_quota.fraction = router.parent_slow_start_quota.fraction = (
-            0.5  # 1 / number of directors; the router was created before the number was set to 2
+            0.5  # 1 / 2 directors; the router was created before the number of directors was set
         )
         self.controller_fixture = ControllerFixture(version)
         self.fault_times = {}
@@ -76,7 +81,7 @@
         return None
 
     def send_requests(self, now):
-        """Send one request for each of some objects, and yield the attempts."""
+        """Send one request for each of four objects, and yield the attempts of all of them."""
         self.coordinator_fixture.now = self.controller_fixture.now = now
         coordinator, controller = (
             self.coordinator_fixture.coordinator,
@@ -106,7 +111,11 @@
 
 
 def exceeds_slow_start(sent, started_at):
-    """Return whether the directors together overloaded a cache in slow start in any window."""
+    """Return whether the directors together overloaded a cache in slow start in any window.
+
+    `sent` lists the time and the work (ms) of each attempt at the cache since it started at
+    `started_at`.
+    """
     for sent_at, _ in sent:
         load = sum(work for earlier, work in sent if sent_at - OVERLOAD_WINDOW < earlier <= sent_at)
         fraction = (
@@ -119,7 +128,7 @@
 
 
 def run_case(versions, kind, cache, fault_at):
-    """Return the rules that were broken."""
+    """Simulate one fault at two directors, and return the numbers of the rules that were broken."""
     directors, broken, sent = [SimulatedDirector(version) for version in versions], set(), []
     now = 100_400.0
     while now < END:
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -1,4 +1,4 @@
-"""Stages of a migration, and a search over directors that use different versions of it."""
+"""Stages of a migration, and a search for requests that run in two cells during a migration."""
 
 import itertools
 from dataclasses import replace
@@ -134,9 +134,9 @@
 
 
 def histories():
-    """Yield sequences of versions as operators' commands write them.
+    """Yield the versions that the operators' commands write in several courses of a migration.
 
-    Each item is a name and a list of (time of the write, assignment).
+    Each item is the name of the course and a list of (time of the write, assignment).
     """
     base = (
         make_assignment(
@@ -170,7 +170,8 @@
 class SimulatedDirector:
     """A director that reads each version `lag` ms late and whose clock is wrong by `skew` ms.
 
-    A partitioned director never reads more than the first `max_versions` versions.
+    The director uses `base` until it reads the first version of `history`. A partitioned director
+    never reads more than the first `max_versions` versions.
     """
 
     def __init__(self, base, history, lag, skew, max_versions):
@@ -199,10 +200,11 @@
 
 
 def search(request_class, make_histories=histories):
-    """Return the retries that ran in another cell, and how many retries were sent and failed.
+    """Return the retries that ran in another cell than their first attempt.
 
-    The search covers first attempts at any director, also at a partitioned one, and retries at
-    directors that have read all versions written more than PROPAGATION ago.
+    The numbers of all retries and of the failed retries are returned too. The search covers first
+    attempts at any director, also at a partitioned one, and retries at directors that have read
+    all versions written more than PROPAGATION ago.
     """
     broken, retry_count, failed_count = [], 0, 0
     base = replace(
@@ -250,7 +252,8 @@
 def test_no_sticky_request_runs_in_two_cells_whatever_versions_directors_use():
     broken, retry_count, failed_count = search(ORDER)
     assert retry_count > 50_000 and not broken
-    # Only retries for objects that may have migrated fail.
+    # Some retries fail; `search` checks that these are only retries for objects that may have
+    # migrated.
     assert 0 < failed_count < retry_count
 
 
@@ -294,7 +297,7 @@
     unknown = fixture.admit(
         key=KEYS[0], request_class=ORDER, idempotency_key="other", is_retry=True
     )
-    assert not unknown.is_never_executed  # fails, because another director may have run it
+    assert not unknown.is_never_executed  # the retry fails: another director may have run the first
 
 
 @pytest.mark.parametrize(
--- a/tests/cells/test_operator_edits.py
+++ b/tests/cells/test_operator_edits.py
@@ -1,4 +1,7 @@
-"""Edits of a migration in any order: files can be parsed, and few objects move at once."""
+"""Edits of migrations in any order.
+
+Each resulting assignment file must be valid, and only a few objects may change cells at a time.
+"""
 
 from dataclasses import replace
 
@@ -19,7 +22,11 @@
 
 
 class OperatorMachine(RuleBasedStateMachine):
-    """State machine: one assignment, and one director that uses each version at once."""
+    """State machine that edits one assignment; one director uses each version at once.
+
+    The invariants guard against edits after which many objects change cells at once, and against
+    objects that migrate faster or slower than the clock says.
+    """
 
     @initialize()
     def start_director(self):
@@ -99,7 +106,8 @@
     def few_objects_change_cells_at_once(self):
         cells, elapsed = self.place_all(), self.now - self.checked_at
         changed = sum(cell != previous for cell, previous in zip(cells, self.cells, strict=True))
-        mean = len(KEYS) * elapsed / DURATIONS.shift  # the warm-up is slower
+        # The expected number at the speed of the shift; the warm-up is slower.
+        mean = len(KEYS) * elapsed / DURATIONS.shift
         assert changed <= mean + 4.0 * mean**0.5 + 4.0
         self.cells, self.checked_at = cells, self.now
 
--- a/tests/cells/test_rollouts.py
+++ b/tests/cells/test_rollouts.py
@@ -20,7 +20,8 @@
 def run_rollout(state, until, north, others, now=0.0):
     """Record ten requests per cell every 100 ms, and return the logged phases with their times.
 
-    `north` and `others` return the success rate and the delay of requests at a given time.
+    `north` and `others` are functions that return the success rate and the delay (ms) of requests
+    at a given time, in the cell `north` and in the other cells.
     """
     phases = []
     while now < until:
@@ -48,7 +49,8 @@
             lambda now: (0.8 if now > 21_000 else 1.0, 20.0),
             "halted",
         ),
-        # The canary was no better before the rollout.
+        # The success rate of the canary is lower than that of the other cells, but it was no better
+        # before the rollout.
         (lambda now: (0.8, 20.0), lambda now: (1.0, 20.0), "everywhere"),
         (
             lambda now: (1.0, 80.0 if now > 21_000 else 20.0),
--- a/tests/cells/test_token_bucket.py
+++ b/tests/cells/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets: a single one, one that parties share by weight, and Retry-After."""
+"""Token buckets of one party and of several parties that share a rate, and Retry-After."""
 
 import pytest
 
