--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -208,7 +208,7 @@
 
         Args:
             address: The client's address.
-            open_connections: Number of open connections of the address's tenant.
+            open_connections: Number of open connections from all addresses of the same tenant.
         """
         tenant = self.tenant_resolver.tenant_of_address(address)
         limit = self._limits_of(tenant).max_connections if tenant else 0
@@ -248,7 +248,8 @@
         candidate = self._build_candidate(request, tenant, state, placement)
         if exceeded := self.cell_quotas.check(now, candidate):
             return self._reject(state, request, exceeded.reason, exceeded.wait)
-        if placement_request is not None:  # None: idempotent, so retries may run in any cell
+        # A request with a stable placement is idempotent, so its retries may run in any cell.
+        if placement_request is not None:
             self.placement.record_admission(now, placement_request, placement)
         if uses_retry_budget:
             state.retry_budget.consume()
@@ -271,7 +272,7 @@
             grant: The grant of the request.
             is_served: Whether the request was served.
             is_client_waiting: Whether the client had neither disconnected nor cancelled the
-                request. If it had, no outcome is counted for the cell and the rollouts.
+                request. If False, the outcome is not counted for the cell and the rollouts.
             delay: Time from the request's arrival to its answer, ms, without the time of sending
                 the answer.
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -37,10 +37,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FailoverTerms:
-    """The terms on which a failover cell serves the tenants of a lost cell.
+    """The terms on which a failover cell serves the tenants of a lost or recovering cell.
 
     Attributes:
-        lost_cell: Name of the lost cell.
+        lost_cell: Name of the lost or recovering cell.
         quota: Fraction of the failover cell's limits that these tenants may use.
         failover_capacity_fraction: Capacity fraction of the failover cell's caches, 0 to 1; less
             than 1 during slow start.
@@ -72,8 +72,8 @@
         slots: Number of open requests that the request counts as: 1, and more if it has a body.
         failover: Terms of the failover; None if the request does not fail over.
         limits: The tenant's limits in the cell; None until `CellQuotas.check` sets them.
-        bucket_shares: Shares of the rates. `CellQuotas.check` sets them; they stay None if neither
-            the director's nor the cell's rate is limited.
+        bucket_shares: The cell's and the tenant's shares of the rates. `CellQuotas.check` sets
+            them; they stay None if neither the director's nor the cell's rate is limited.
         failover_quota: Quota in the failover cell. `CellQuotas.check` sets it when it finds that
             the request fits; it stays None if the request does not fail over.
     """
@@ -126,7 +126,8 @@
         """Return the first limit that a request would exceed; None if it fits into all limits.
 
         Each rate and each share that is checked records the request's demand, even if the request
-        is rejected. The candidate keeps the found limits and shares for `acquire`.
+        is rejected. The candidate keeps the found limits and shares for `acquire`. A rejection is
+        counted in the state of the cell.
         """
         limits = self._limits(now, candidate)
         candidate.limits = limits
--- a/mulleinrelay/cells/command_options.py
+++ b/mulleinrelay/cells/command_options.py
@@ -29,7 +29,9 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationOptions:
-    """The options of `plan` and `move`; click derives the names from the options.
+    """The values of the options of `plan` and `move`.
+
+    Each attribute has the name that click derives from its option, such as `warm_ms` for --warm-ms.
 
     Attributes:
         warm_ms: Duration of the warm-up.
@@ -116,14 +118,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutOptions:
-    """The options of `release`; click derives the names from the options.
+    """The values of the options of `release`.
+
+    Each attribute has the name that click derives from its option, such as `wave_ms` for --wave-ms.
 
     Attributes:
         waves: One text for each wave: the names of its cells, separated by spaces or commas.
         wave_ms: Minimum time between two waves.
         rate: Requests per second of a tenant; 0 if they are not limited.
         open_most: Maximum number of open requests of a tenant; 0 if it is not limited.
-        retries: Retries that clients may send for each first attempt.
+        retries: Retries of idempotent requests that clients may send for each first attempt.
         shuffle: Number of caches of each tenant; 0 for all caches of the cell, None to keep the
             number that the cell has.
     """
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -21,7 +21,7 @@
 
     WINDOW = 250.0  # ms over which delays are averaged, or longer until there are enough samples
     MIN_SAMPLES = 8  # served requests that a window needs before it can end
-    DECREASE_FACTOR = 0.9  # factor of the limit per window with high delays
+    DECREASE_FACTOR = 0.9  # factor by which the limit changes after a window with high delays
     INCREASE_FRACTION = 0.05  # fraction of the limit added per window, at least one request
     # A window is slow if its mean delay exceeds SLOW_RATIO times the baseline plus SLOW_MARGIN.
     SLOW_RATIO = 2.0
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -1,10 +1,10 @@
 """Failover of the tenants of a lost cell to another cell, and their return; pure.
 
-A cell is lost at this director while none of its caches here is ready. Its tenants go to the first
-failover cell that is available, within the failover quota: a fraction of that cell's limits on open
-requests and on the rate, scaled by the capacity fraction of its caches during slow start. When the
-lost cell recovers, its tenants' objects return one by one over `return_duration`, so that the load
-of neither cell jumps.
+A cell is lost at this director while none of its caches in the director's zone is ready. Its
+tenants go to the first failover cell that is available, within the failover quota. The quota is a
+fraction of the failover cell's limits on open requests and on the rate, scaled by the capacity
+fraction of the failover cell's caches during slow start. When the lost cell recovers, its tenants'
+objects return one by one over `return_duration`, so that the load of neither cell jumps.
 
 Not thread-safe: `CellService` holds its lock during each call.
 """
@@ -51,7 +51,7 @@
         """Record the number and capacity of the ready caches.
 
         Returns:
-            "lost" if this update made the cell lost, "back" if it ended the loss; otherwise an
+            "lost" if this update made the cell lost, "back" if it began a recovery; otherwise an
             empty string.
         """
         self.ready_caches = ready_caches
@@ -97,10 +97,10 @@
 def find_failover_cell(
     availability: dict[str, CellAvailability], cell: Cell
 ) -> CellAvailability | None:
-    """Return the first available failover cell of a lost or recovering cell; None if none is.
+    """Return the failover cell that serves a lost or recovering cell; None if none is available.
 
-    A recovering cell serves no tenants of other cells, because some of its own objects are still
-    served elsewhere.
+    The first available one in the order of preference is chosen. A recovering cell serves no
+    tenants of other cells, because some of its own objects are still served elsewhere.
     """
     for name in cell.failover_cells:
         failover_cell = availability.get(name)
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -81,7 +81,7 @@
     DEMAND_WINDOW = 1_000.0
     OVERCOMMIT = 0.25  # fraction of the capacity by which a resuming lender may exceed it
     RECOMPUTE_INTERVAL = 50.0  # ms between two computations of the sums over all parties
-    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms after its last request, when an idle party is dropped
+    IDLE_TIMEOUT = 60.0 * DEMAND_WINDOW  # ms from its last request until an idle party is dropped
 
     def __init__(self, capacity: float) -> None:
         """Create shares of a capacity, without any party."""
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -118,7 +118,7 @@
 
 
 def completes_at(migration: Migration) -> float:
-    """Return the time at which the migration is done, on its own clock (see `_migration_time`)."""
+    """Return the time at which the migration is done if it is neither paused nor aborted."""
     return (
         migration.starts_at
         + migration.warm_up_duration
@@ -196,7 +196,10 @@
 
 
 def is_in_progress(migration: Migration, now: float) -> bool:
-    """Return whether both cells of the migration serve its tenants."""
+    """Return whether the migration has started and is neither done nor rolled back.
+
+    Both of its cells serve its tenants during this time.
+    """
     return stage_at(migration, now) not in (
         MigrationStage.PLANNED,
         MigrationStage.DONE,
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -1,8 +1,8 @@
 """Cells at a running director: a thread-safe wrapper of the admission controller.
 
-A thread polls the assignment file and the list of ready caches, advances migrations and rollouts,
-and writes this director's records. Client threads call the four methods of `AdmissionControl` (see
-`net.request_context`).
+A thread polls the assignment file and the list of ready caches, logs new stages of migrations,
+advances rollouts, and writes this director's records. Client threads call the four methods of
+`AdmissionControl` (see `net.request_context`).
 """
 
 import threading
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -92,7 +92,7 @@
         """Build the indexes of addresses and groups.
 
         Raises:
-            ConfigError: If ranges of two tenants partially overlap or are equal.
+            ConfigError: If two ranges partially overlap, or if two tenants have the same range.
         """
         self.assignment = assignment
         networks: dict[int, list[NamedRange]] = {4: [], 6: []}  # by IP version
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -1,8 +1,8 @@
 """Request rates: a token bucket, and a token bucket that several parties share by weight.
 
-Pure: the current time (ms) is an argument. Requests are not queued; the caller gets the time until
-the next token and rejects the request. Not thread-safe: `CellService` holds its lock during each
-call.
+Requests are not queued: if there is no token now, the caller gets the time until the next one and
+rejects the request. Pure: the current time (ms) is an argument. Not thread-safe: `CellService`
+holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -91,7 +91,7 @@
 
     ACTIVE_WINDOW = 1_000.0  # ms for which a party stays active after a request
     RECOMPUTE_INTERVAL = 100.0  # ms between two computations over all parties
-    IDLE_TIMEOUT = 60.0 * ACTIVE_WINDOW  # ms after which an idle party is dropped
+    IDLE_TIMEOUT = 60.0 * ACTIVE_WINDOW  # ms from its last request until an idle party is dropped
     BURST_S = 0.1  # seconds of a rate that are allowed at once
     # Converts tokens per millisecond to requests per second (1000), times the weight of the newest
     # value in the smoothing (0.5).
@@ -152,7 +152,8 @@
     def consume(self, share: BucketShare, now: float) -> None:
         """Take one token from the total, and one from the party's guaranteed rate if it has one.
 
-        Guaranteed requests may overdraw the total. It is full again after `ACTIVE_WINDOW` at most.
+        Guaranteed requests may overdraw the total bucket, which is full again after at most
+        `ACTIVE_WINDOW`.
         """
         if not self.rate:
             return
--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -57,8 +57,8 @@
     """The clients of all locations.
 
     Attributes:
-        excluded_directors: Numbers of the directors that clients do not choose, because their exit
-            was detected; a director that starts again is removed.
+        excluded_directors: Numbers of the directors that clients do not choose, from the detection
+            of their exit until they start again.
         loads: Load of each location, by location.
         request_count: Number of requests that were created.
     """
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -1,6 +1,6 @@
 """A simulation of directors, clients, nodes, endpoint updates and faults.
 
-It does not simulate the CPU time and the queues of directors, the sizes of messages, or
+The simulation leaves out the CPU time and the queues of directors, the sizes of messages, and
 connections. Rules that limit bytes per second count each message as `network.MESSAGE_BYTES`. An
 attempt on a cut path is held and arrives when the cut ends, unless it has been reset by then, as
 after a ping without an answer. A simulated director is notified of the caches of its own location,
@@ -56,7 +56,7 @@
             directors are missing.
         extra_update_delays: Extra delay of endpoint updates in ms, by director number.
         class_indices: Index of each request class in the directors' settings, by class name.
-        director_starts: Number of directors that were started, with those that replace others.
+        director_starts: Number of directors that were started, including those that replace others.
         directors: The present directors, by number.
     """
 
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -96,8 +96,8 @@
     @invariant()
     def sums_are_correct(self):
         assert self.shares.open == pytest.approx(sum(amount for _, amount in self.open_requests))
-        # 1.25 is the overcommitted capacity. Beyond it, each of the four parties without open
-        # requests may still open one request of up to 3 slots.
+        # 10.0 * 1.25 is the overcommitted capacity. Beyond it, each of the four parties may still
+        # open one request of up to 3 slots if it has none open.
         assert self.shares.open <= 10.0 * 1.25 + 4 * 3.0
 
     @invariant()
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -113,7 +113,7 @@
         migration = make_migration(shift_duration=duration)
         peak = max(point.utilization for point in migrations.project_load(migration, demand))
         assert 0.5 < peak <= migrations.TARGET_UTILIZATION + 0.01
-        # All objects at once overload the receiving caches.
+        # If all objects migrated at once, the receiving caches would be overloaded.
         abrupt = make_migration(warm_up_duration=0.0, shift_duration=1.0)
         assert max(point.utilization for point in migrations.project_load(abrupt, demand)) > 1.0
 
@@ -121,6 +121,8 @@
 # A client's first attempt and its retry at two directors with different versions and clocks
 
 PROPAGATION, SKEW, HORIZON = 400.0, 100.0, 600.0  # ms
+# Five object ids that migrate one after the other: when the migrated fraction reaches a value from
+# 0 to 0.1, from 0.2 to 0.3, and so on up to 0.8 to 0.9.
 KEYS = [
     next(
         key
