--- a/mulleinrelay/policy/__init__.py
+++ b/mulleinrelay/policy/__init__.py
@@ -1,5 +1,5 @@
 """Routing decisions of one director, without I/O: time, randomness and events are passed in.
 
-Hundreds of directors decide without communicating with each other. Much of this package keeps them
-from acting at the same moment, and bounds the load that all of them together cause.
+Hundreds of directors decide without communicating with each other. Much of this package therefore
+keeps them from acting at the same moment, and bounds the load that all of them together cause.
 """
--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -15,11 +15,12 @@
 
     Attributes:
         max_age: Maximum age of a cached copy that may be served, in ms; 0: any age.
-        retention_rank: How long the cache should keep the object: 0 (not at all), 1 or 2.
+        retention_rank: How long the cache should keep the object: 0 (not at all), 1, or 2 (longer).
         allow_coalescing: Whether the cache may wait for a fill of the same object that is in
             progress.
-        only_if_cached: Whether the fill source may answer only from its own cache.
-        store_at_parent: Whether the parent should store objects that pass through it.
+        only_if_cached: Whether the fill source may answer only from its own cache, and not fill the
+            object itself.
+        store_at_parent: Whether a parent through which the object is filled should store it.
         revalidate: Whether a copy past its freshness lifetime must be revalidated.
     """
 
@@ -38,7 +39,7 @@
     """
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Send this attempt to its endpoint."""
+        """Send this attempt to its endpoint; the options are forwarded with it."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel this attempt.
@@ -47,15 +48,15 @@
         """
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Tell the client that a retry is safe.
+        """Reject the request: tell the client that it was not served and that a retry is safe.
 
         Args:
             request: The rejected request.
-            retry_after: Time in ms after which to retry; 0: not specified.
+            retry_after: Time in ms after which the client should retry; 0: not specified.
         """
 
     def fail_request(self, request: Request) -> None:
-        """Tell the client that its request failed and may have had its effect."""
+        """Fail the request: tell the client that it was not served but may have had its effect."""
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
         """Hand a `TimerFired` event for the subject to the router after `delay` ms."""
@@ -67,4 +68,4 @@
         """Subscribe to the endpoint list."""
 
     def log(self, text: str) -> None:
-        """Log a change of the router's mode."""
+        """Log a change of overload mode, or of the state of an endpoint or the zone."""
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -23,20 +23,21 @@
 
 # Timer delay in ms that counts as a CPU utilization of 1.
 SATURATION_DELAY = 400.0
-# Half-life of a measured delay in ms. It is short so that a director that was suspended once
-# recovers quickly.
+# Half-life of a measured delay in ms. It is short so that a director that was suspended once soon
+# accepts all requests again.
 DELAY_HALF_LIFE = 100.0
-# Upper bound of the utilization by delay. It is below 1, the threshold of non-idempotent requests,
-# so that delay alone never rejects these.
+# Upper bound of the utilization that is derived from the timer delay. It is below 1, the threshold
+# of non-idempotent requests, so that delay alone never rejects these.
 MAX_DELAY_UTILIZATION = 0.99
-# Maximum number of half-lives that are computed. After so many the delay is practically 0; the
-# bound keeps the power in range.
+# Maximum number of half-lives that are computed. After so many half-lives the delay is practically
+# 0; the bound keeps the power in range.
 MAX_DELAY_HALVINGS = 60.0
 
-# Fraction of the resource that each step reserves for requests with a lower step number.
+# Fraction of the resource that each step (see `AdmissionThresholds`) reserves for requests with a
+# lower step number.
 RESERVED_PER_STEP = 0.125
-# Maximum number of steps that are subtracted: half of the resource is available to every request
-# class.
+# Maximum number of steps that lower a threshold, so that half of the resource is available to every
+# request class.
 MAX_RESERVED_STEPS = 4
 
 
@@ -57,7 +58,7 @@
         self._recorded_at = now
 
     def remaining(self, now: float) -> float:
-        """Return the recorded delay in ms, decayed by `DELAY_HALF_LIFE`."""
+        """Return the recorded delay in ms, halved once for each `DELAY_HALF_LIFE` since then."""
         halvings = max(0.0, now - self._recorded_at) / DELAY_HALF_LIFE
         return self._delay * 0.5 ** min(MAX_DELAY_HALVINGS, halvings)
 
@@ -71,9 +72,10 @@
 ) -> tuple[bool, bool, bool, float]:
     """Return the sort key of an idle client connection; the smallest key is evicted first.
 
-    The order is: connections that never sent a call; connections that sent calls but no request
-    (for instance only health queries); connections with the oldest last call; and finally
-    connections that have sent calls before and are in the middle of sending another one.
+    The order is: connections that never sent a complete call; connections that sent calls but no
+    request (for instance only health queries); connections that sent requests; and finally
+    connections that have sent calls before and are in the middle of sending another one. Within
+    each of these groups, the connection with the oldest last use is first.
 
     This order protects regular clients against floods of connections that are silent, send only
     health queries, or are merely kept open, even if the regular clients connected after the flood.
@@ -83,7 +85,7 @@
         has_sent_request: Whether one of these calls was a request.
         is_within_call: Whether a further call was received in part.
         last_used_at: Time when the connection was opened, or when its last call or response was
-            complete, by any clock that is the same for all connections.
+            complete. Any clock may be used that is the same for all connections.
     """
     return has_called, has_called and is_within_call, has_sent_request, last_used_at
 
@@ -91,9 +93,10 @@
 class AdmissionThresholds:
     """Utilization up to which the requests of each request class are accepted.
 
-    Each request class has a step number: 0 for non-idempotent requests, then the following numbers
-    for idempotent classes by descending priority weight. The threshold of a class is 1 minus
-    `RESERVED_PER_STEP` times its step number.
+    Each request class has a step number. Non-idempotent classes have 0. Idempotent classes have the
+    following numbers by descending priority weight, or the numbers from 0 if all classes are
+    idempotent; classes of equal weight share a number. The threshold of a class is 1 minus
+    `RESERVED_PER_STEP` times its step number, of which at most `MAX_RESERVED_STEPS` count.
     """
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
@@ -111,8 +114,8 @@
         Args:
             request_class: The request's class, one of those given to the constructor.
             is_retry: Whether the client has sent this request before. The step number of an
-                idempotent retry is greater by one. The threshold of other requests is unchanged,
-                as their effect may depend on the retry.
+                idempotent retry is greater by one. The threshold of a non-idempotent retry is
+                unchanged, as the request's effect may depend on the retry.
             utilization: Utilization of the scarcest resource; 1 and above means that it is
                 exhausted.
         """
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -19,8 +19,8 @@
 MIN_WORK_FOR_LATENESS = 50.0
 MAX_LATENESS = 1000.0  # percent; limits the effect of a single answer that a pause delayed
 REJECTED_LATENESS = 200.0  # percent; lateness that a rejected attempt counts as
-CONNECT_FAILURE_WEIGHT = 2.0  # number of failures
-RESET_WEIGHT = 1.0  # number of failures
+CONNECT_FAILURE_WEIGHT = 2.0  # number of failures that a failed connect counts as
+RESET_WEIGHT = 1.0  # number of failures that a reset connection counts as
 
 RESPONSES = (Outcome.SERVED, Outcome.MISS, Outcome.REJECTED, Outcome.ERROR)
 HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)
@@ -36,8 +36,8 @@
 class AttemptRecorder:
     """Recorder of attempt results, which updates every object that uses them.
 
-    It owns no state. No other class changes the endpoints' histograms, the object locations and the
-    origin's delay, except that the router drops expired locations.
+    It owns no state. Only this class adds to the endpoints' histograms and to the origin's delay,
+    and only this class changes the object locations, of which the router drops the expired ones.
     """
 
     endpoints: EndpointTable
@@ -72,7 +72,7 @@
         endpoint = attempt.endpoint
         status = event.cache_status
         self.health.record_result(endpoint, 0.0, None, now)
-        # Count the errors of earlier attempts only now that another endpoint has served the
+        # The errors of earlier attempts count only now that another endpoint has served the
         # request: an error that every endpoint returns is caused by the request.
         for other in request.attempts:
             if other.outcome == Outcome.ERROR:
@@ -80,7 +80,7 @@
         work = self.work.transfer_time(request, now)
         if status in HIT_STATUSES:
             self.work.record_response_time(request, event.elapsed, now)
-        # A delay caused by an unreachable zone says nothing about the cache's load.
+        # The delay of an answer from a cache that was unreachable says nothing about its load.
         if status == CacheStatus.HIT and not was_unreachable:
             lateness = 100.0 * (event.elapsed - work) / max(work, MIN_WORK_FOR_LATENESS)
             endpoint.hit_lateness.add(now, min(lateness, MAX_LATENESS))
@@ -123,8 +123,9 @@
                 endpoint, CONNECT_FAILURE_WEIGHT, EjectionReason.CONNECT_FAILED, now
             )
         elif outcome == Outcome.RESET and attempt.sent_at > endpoint.last_reset_at:
-            # Count one failure for each broken connection: one malformed answer ends all attempts
-            # on it. If the endpoint is dead, the next connection fails too.
+            # Count one failure for each broken connection and not for each attempt on it, since a
+            # single malformed answer ends them all. If the endpoint is dead, the next connection
+            # fails too.
             endpoint.last_reset_at = now
             self.health.record_result(endpoint, RESET_WEIGHT, EjectionReason.RESET, now)
 
@@ -142,9 +143,9 @@
             return
         if status == CacheStatus.ORIGIN_FAILED or source is self.endpoints.origin:
             self.fill_sources.origin_delay.add(now, attempt.timeout)
-        if status != CacheStatus.ORIGIN_FAILED:  # a failure of the origin is not the parent's
+        if status != CacheStatus.ORIGIN_FAILED:  # a failed origin must not count as a slow parent
             source.recent_delay.add(now, attempt.timeout)
-        if status == CacheStatus.SOURCE_REJECTED:  # alive but overloaded, as its delay shows
+        if status == CacheStatus.SOURCE_REJECTED:  # the source is alive but overloaded
             self.health.record_response(source, now)
         elif status == CacheStatus.SOURCE_FAILED:
             self.health.record_result(source, 1.0, EjectionReason.SOURCE_FAILED, now)
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -19,7 +19,7 @@
 from .work_estimates import WorkEstimator
 
 MIN_EFFECTIVE_WEIGHT = 0.1  # lower bound that keeps the slowdown estimate finite
-# Number of recent requests after which a cache keeps an object for longer.
+# Number of recent requests for an object from which on a cache keeps the object for longer.
 MIN_SIGHTINGS_TO_RETAIN = 2
 
 
@@ -53,7 +53,8 @@
         none of the pool's caches is available.
 
         Returns:
-            None if no cache can serve the request in time.
+            The cache; None if no cache is available, or if all are too slow to serve the request in
+            time.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
@@ -66,9 +67,11 @@
     def slowdown(self, endpoint: TrackedEndpoint, now: float) -> float:
         """Return the factor by which a transfer from the endpoint is slowed, 1 or more.
 
-        One estimate is the lateness of recent hits; one hit without lateness is added, because few
-        hits are known. The other is this director's own attempts in flight to the endpoint times
-        the number of directors in the zone; its weight in the result is one divided by that number.
+        Two estimates are averaged. The first is the mean lateness of recent hits; one hit without
+        lateness is added, because few hits are known. The second assumes that every director in the
+        zone has as many attempts in flight to the endpoint as this one, and divides the sum by the
+        endpoint's available capacity. Its weight in the average is one divided by the number of
+        directors.
         """
         lateness, hits = endpoint.hit_lateness.totals(now)
         weight = max(
@@ -81,10 +84,10 @@
         return max(1.0, measured + (own_estimate - measured) / directors)
 
     def retention_rank(self, request: Request, now: float) -> int:
-        """Return how long a cache should keep the object: 0 (not at all), 1 or 2.
+        """Return how long a cache should keep the object: 0 (not at all), 1, or 2 (longer).
 
-        Objects with repeated requests rank higher, so that objects that are requested only once do
-        not displace them.
+        Objects with repeated requests have rank 2, so that objects that are requested only once do
+        not displace them. Of the other objects, those that are oversized for their class have 0.
         """
         sightings = self.popularity.count((request.object_id, request.part))
         if sightings >= MIN_SIGHTINGS_TO_RETAIN:
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -22,9 +22,9 @@
 # Silence in ms before a ping, divided by 1 + attempts in flight: if many responses are due, the
 # first of them should be received sooner.
 SILENCE_BEFORE_PING = 1500.0
-# Lower bound of that silence in ms.
+# Lower bound in ms of the silence before a ping, without backoff.
 MIN_SILENCE_BEFORE_PING = 100.0
-# Maximum number of doublings of the silence before a ping: at most 16 times.
+# Maximum number of doublings of the silence before a ping, which makes it 16 times as long.
 MAX_BACKOFF_DOUBLINGS = 4.0
 # Doublings that each response to an attempt removes.
 BACKOFF_DECAY_PER_RESPONSE = 0.2
@@ -34,11 +34,12 @@
 IDLE_TIMEOUT_FRACTION = 0.5
 # Maximum number of idle connections to one cache, summed over all directors.
 MAX_IDLE_TO_CACHE = 12
-# The same for a parent or the origin, which the directors of all locations share.
+# Maximum number of idle connections to one parent or to the origin, summed over the directors of
+# all locations, which share these endpoints.
 MAX_IDLE_TO_PARENT_OR_ORIGIN = 48
-# Multiple of these maximums that applies if opening a connection costs more than keeping it.
+# Factor on these maximums if opening a connection costs more than keeping an idle one open.
 COSTLY_CONNECT_FACTOR = 8
-# Idle timeout in ms if more directors than the maximum share an endpoint.
+# Idle timeout in ms if one idle connection for each director would exceed the maximum.
 SHORT_IDLE_TIMEOUT = 50.0
 
 # Fraction of the director's connection limit above which idle connections are evicted.
@@ -46,7 +47,7 @@
 
 
 class PingBackoff:
-    """Silence that one connection with attempts in flight may have before it is pinged."""
+    """Time without responses after which one connection with attempts in flight is pinged."""
 
     def __init__(self) -> None:
         self._doublings = 0.0
@@ -59,19 +60,20 @@
     def record_ping_answer(self) -> None:
         """Record that a ping was answered while attempts are in flight.
 
-        The endpoint is alive but slow, so the silence before the next ping doubles.
+        The endpoint is alive but slow, so the silence before the next ping doubles, up to
+        `MAX_BACKOFF_DOUBLINGS` times.
         """
         self._doublings = min(MAX_BACKOFF_DOUBLINGS, self._doublings + 1.0)
 
     def record_response(self) -> None:
-        """Record that an attempt was answered."""
+        """Record that an attempt was answered, which shortens the silence before the next ping."""
         self._doublings = max(0.0, self._doublings - BACKOFF_DECAY_PER_RESPONSE)
 
 
 def connections_to_evict(
     idle: list[tuple[float, Connection]], count: int, max_connections: int
 ) -> list[Connection]:
-    """Return the idle connections to close, those idle for longest first.
+    """Return the idle connections to close now, those idle for longest first.
 
     Args:
         idle: The idle connections, each as (time of its last use, connection).
@@ -84,10 +86,15 @@
 
 
 def connection_utilization(count: int, busy: int, max_connections: int) -> float:
-    """Return the fraction of the director's connections that have attempts in flight.
+    """Return the fraction of the connection limit that busy connections use.
 
-    It is 0 below `EVICTION_THRESHOLD`: while new connections can be opened, connections are not
-    scarce.
+    The result is 0 while fewer connections than `EVICTION_THRESHOLD` of the limit are open:
+    connections are not scarce while new ones can be opened.
+
+    Args:
+        count: Number of connections of this director, idle or not.
+        busy: Number of these connections that have attempts in flight.
+        max_connections: The director's connection limit.
     """
     if count < EVICTION_THRESHOLD * max_connections:
         return 0.0
@@ -102,14 +109,15 @@
 ) -> float:
     """Return the time in ms after which an idle connection to an endpoint is closed.
 
-    If one idle connection for each director stays within the endpoint's maximum, the time is long.
-    Otherwise it is so short that the endpoint has no more connections than there are requests
-    in service plus requests received within the timeout, whatever the number of directors.
+    If one idle connection for each director stays within the endpoint's maximum, the time is
+    `IDLE_TIMEOUT_FRACTION` of the endpoint's own timeout. Otherwise it is at most
+    `SHORT_IDLE_TIMEOUT`. The endpoint then has no more connections than there are requests in
+    service plus requests received within the timeout, whatever the number of directors.
 
     Args:
         endpoint_idle_timeout: Time in ms after which the endpoint itself closes an idle connection.
         sharing_directors: Number of directors that may keep a connection to this endpoint.
-        is_parent_or_origin: Whether the endpoint is shared by all locations, and is not a cache.
+        is_parent_or_origin: Whether the endpoint is a parent or the origin, and not a cache.
         is_connect_costly: Whether opening a connection costs more than keeping one open.
     """
     max_idle = MAX_IDLE_TO_PARENT_OR_ORIGIN if is_parent_or_origin else MAX_IDLE_TO_CACHE
@@ -124,11 +132,11 @@
 def is_local_resource_shortage(error_number: int | None) -> bool:
     """Return whether opening a connection failed because this director lacks a resource.
 
-    Such a failure (descriptors, memory or ports) says nothing about the endpoint, and must not
+    A failure for lack of descriptors, memory or ports says nothing about the endpoint, and must not
     count as one of the endpoint's failures.
 
     Args:
-        error_number: The `errno` of the failure; None if there is none.
+        error_number: The `errno` of the failure; None if the failure has no `errno`.
     """
     return error_number in (
         errno.EMFILE,
--- a/mulleinrelay/policy/decay.py
+++ b/mulleinrelay/policy/decay.py
@@ -6,13 +6,13 @@
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
 
-# Maximum number of halvings at once. After so many a count is practically 0; the bound keeps the
-# power in range.
+# Maximum number of halvings at once. After so many halvings a count is practically 0; the bound
+# keeps the power in range.
 MAX_HALVINGS = 30
 
 
 class StepwiseDecay:
-    """Schedule of halvings for a set of counts."""
+    """Schedule of halvings for a set of counts, which the caller keeps."""
 
     __slots__ = ("_half_life", "_next_halving_at")
 
@@ -21,10 +21,11 @@
         self._next_halving_at = 0.0
 
     def take_factor(self, now: float) -> float:
-        """Return the factor to multiply the counts with now.
+        """Return the factor that the caller must multiply all counts of the set with now.
 
-        The caller must apply the factor of every call to the counts. The factor is 1 until the next
-        halving is due; after a halving, the next one is due a half-life after `now`.
+        The factor is 1 until a halving is due. Otherwise it is 0.5 for each half-life that has
+        passed, and the next halving is due a half-life after `now`. The caller must apply the
+        factor of every call, since each factor is returned only once.
         """
         if now < self._next_halving_at:
             return 1.0
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -1,6 +1,6 @@
-"""Admission of work to endpoints in slow start, within this director's share of the limit; pure.
+"""Admission of work to endpoints in slow start, within this director's share of their capacity.
 
-Times and work are in ms. The budget of a single endpoint is in `slow_start`.
+Pure; times and work are in ms. Module `slow_start` has the budget of a single endpoint.
 """
 
 from dataclasses import dataclass
@@ -20,9 +20,8 @@
 class SlowStartAdmission:
     """Admission of work to endpoints in slow start.
 
-    It owns no state. The budgets belong to the endpoints; `try_admit` and `record_sent` change
-    them. The quota shares belong to the quota exchange, which changes their fractions; `try_admit`
-    records their peaks.
+    It owns no state. Each endpoint holds its budget, which `try_admit` and `record_sent` change.
+    The quota exchange sets the fractions of the two quota shares; `try_admit` records their peaks.
     """
 
     settings: ServiceSettings
@@ -32,7 +31,11 @@
     parent_quota: QuotaShare
 
     def available_fraction(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the fraction of its capacity that an endpoint has at least; 1 after slow start."""
+        """Return the minimum fraction of its capacity that an endpoint has now.
+
+        The fraction grows linearly during slow start and is 1 afterwards. It is always 1 for the
+        origin, and for an endpoint whose start time is unknown.
+        """
         if not endpoint.started_at or endpoint.kind == self.settings.origin_kind:
             return 1.0
         policy = self._policy(endpoint)
@@ -43,11 +46,11 @@
         )
 
     def try_admit(self, endpoint: TrackedEndpoint, work: float, now: float) -> bool:
-        """Return whether the endpoint may be sent this much work now.
+        """Return whether the endpoint may be sent this much work now; always True after slow start.
 
         An endpoint in slow start receives from this director at most the director's share of the
-        load that its policy allows over any overload window. The method may draw random numbers,
-        but calls with the same time and work return the same answer.
+        load that the endpoint's policy allows over any overload window. The method may draw random
+        numbers, but until `record_sent`, calls with the same time and work return the same answer.
         """
         fraction = self.available_fraction(endpoint, now)
         if fraction >= 1.0:
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -5,18 +5,21 @@
 from .endpoint_capacity import SlowStartAdmission
 from .latency import TrackedEndpoint
 
-# Interval in ms between two trial requests to one endpoint. A recovered endpoint is reinstated
-# within seconds.
+# Minimum interval in ms between two trial requests of this director to one endpoint. It is short,
+# so that a recovered endpoint is reinstated within seconds.
 TRIAL_INTERVAL = 500.0
-# Trial requests that a request earns: few, so that hundreds of directors do not overload an
-# endpoint with trials.
+# Trial tokens that a request earns: few, so that hundreds of directors do not overload an endpoint
+# with trial requests.
 TRIALS_PER_REQUEST = 0.05
-MAX_SAVED_TRIALS = 2.0  # trial tokens
+MAX_SAVED_TRIALS = 2.0  # maximum number of trial tokens
 
 
 class EndpointFilter:
     """Filter of the endpoints that may be sent work, with a token bucket for trial requests.
 
+    A trial request is a client's request or a fill that is sent to an endpoint which is otherwise
+    avoided (ejected or slow), to find out whether the endpoint has recovered. Each costs a token.
+
     Owns the trial tokens, which `earn_trial` and `try_trial` change. `try_trial` also changes the
     endpoint's `next_trial_at`.
     """
@@ -26,8 +29,8 @@
 
         Args:
             slow_start: Admission of work to endpoints in slow start.
-            trial_tokens: Initial tokens; a random number, so that directors do not send their
-                trials at the same time.
+            trial_tokens: Initial number of trial tokens; random, so that directors do not send
+                their trial requests at the same time.
         """
         self._slow_start = slow_start
         self.trial_tokens = trial_tokens
@@ -37,7 +40,7 @@
         self.trial_tokens = min(MAX_SAVED_TRIALS, self.trial_tokens + TRIALS_PER_REQUEST)
 
     def try_trial(self, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Spend a token on a trial request to the endpoint; return whether it may be sent."""
+        """Return whether a trial request may be sent to the endpoint now; if so, spend a token."""
         if now < endpoint.next_trial_at or self.trial_tokens < 1.0:
             return False
         endpoint.next_trial_at = now + TRIAL_INTERVAL
@@ -49,8 +52,9 @@
     ) -> Iterator[TrackedEndpoint]:
         """Yield the endpoints that may be sent this much work, in the given order.
 
-        The iteration is lazy, so that a trial token is spent only when the endpoint is requested
-        from the iterator. If no endpoint is eligible, the ejected endpoints are yielded without
+        An ejected endpoint is yielded only as a trial request. The iteration is lazy, so that the
+        token is spent only when the endpoint is requested from the iterator. If no endpoint is
+        yielded in this way, the ejected endpoints that slow start permits are yielded without
         spending a token.
         """
         ejected = []
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -1,7 +1,8 @@
 """Endpoint health: ejection, reinstatement and health checks; pure, times in ms.
 
-Combines outlier detection by results, silence of endpoints, the reachability of the zone as a
-whole, and the schedule of health checks.
+An *ejected* endpoint receives only trial requests until it is reinstated. The module combines
+outlier detection by results, silence of endpoints, the reachability of the zone as a whole, and the
+schedule of health checks.
 """
 
 from collections.abc import Callable
@@ -17,16 +18,16 @@
 from .outlier_detection import OutlierDetector
 from .zone_reachability import ZoneReachability
 
-# Number of overdue attempts, without a response in between, after which an endpoint is considered
+# Number of overdue attempts, without a response in between, after which an endpoint is ejected as
 # silent.
 MAX_SILENCE = 2.0
-# Maximum delay of the first health check of a zone that is considered unreachable. It is short
-# because the decision may be wrong.
+# Maximum delay of the first health checks of caches in a zone that is considered unreachable. It is
+# short because the decision may be wrong.
 FIRST_ZONE_CHECK_DELAY = 250.0  # ms
 
 
 class EjectionReason(StrEnum):
-    """Reason why an endpoint is ejected or reinstated, as written to log lines."""
+    """Reason why an endpoint is ejected, as written to log lines."""
 
     SILENT = "silent"
     CONNECT_FAILED = "connect_failed"
@@ -35,7 +36,8 @@
     SOURCE_FAILED = "source_failed"
 
 
-# Reasons that are disproved by an answered health check.
+# Reasons that an answered health check disproves. An endpoint ejected for one of them counts as
+# unreachable.
 UNREACHABLE_REASONS = (
     EjectionReason.SILENT,
     EjectionReason.CONNECT_FAILED,
@@ -48,7 +50,8 @@
 
     Owns the schedule of health checks (`checks`), the reachability of the zone (`zone`), and the
     health fields of each endpoint: outlier detector, silence, ejection, time of the last response.
-    No other class changes these.
+    Other classes do not change these fields, except that `EndpointTable` resets those of a new or
+    restarted endpoint.
     """
 
     def __init__(
@@ -66,7 +69,8 @@
             endpoints: The endpoints of the director.
             checks: The schedule of health checks.
             random: The director's source of randomness.
-            log: Called with a line for each change of an endpoint or the zone.
+            log: Called with a line for each ejection and reinstatement, and when the zone becomes
+                unreachable or reachable again.
         """
         self._settings = settings
         self._endpoints = endpoints
@@ -78,7 +82,12 @@
     def update_endpoints(self, has_local_start: bool) -> None:
         """Adjust to a change of the endpoint table.
 
-        Health checks of endpoints that were removed or restarted are cancelled.
+        Pings are cancelled for endpoints that need none any more: those that are not ready, and
+        those that are not ejected, for instance after a restart, unless their zone is unreachable.
+
+        Args:
+            has_local_start: Whether an endpoint of this zone is new or has restarted. The zone is
+                then considered reachable again.
         """
         self.zone.update_caches(self._endpoints.caches, has_local_start)
         self.checks.cancel_pings_except(
@@ -93,15 +102,23 @@
     def record_result(
         self, endpoint: TrackedEndpoint, failure: float, reason: EjectionReason | None, now: float
     ) -> None:
-        """Record an attempt's result: 0 for a success, else the weight of the failure."""
+        """Record the result of an attempt, and update whether the endpoint is ejected.
+
+        Args:
+            endpoint: The attempt's endpoint or its fill source.
+            failure: 0 for a success, else the weight of the failure.
+            reason: The reason of an ejection for this failure; None for a success.
+            now: The current time in ms.
+        """
         endpoint.outlier_detector.record(now, failure)
         self._update_ejection(endpoint, reason, now)
 
     def record_error(self, attempt: Attempt, now: float) -> None:
-        """Record that an attempt ended in an error that another endpoint avoided.
+        """Record the error of an attempt whose request another endpoint has then served.
 
-        If a hit was expected, the failure counts for the cache alone. Otherwise it is divided
-        between the cache and the fill source in proportion to their failure fractions.
+        If a hit was expected or there is no other fill source, the failure counts for the cache
+        alone. Otherwise it is divided between the cache and the fill source in proportion to their
+        failure fractions.
         """
         cache = attempt.endpoint
         source = attempt.fill_source
@@ -117,19 +134,19 @@
     def record_silence(
         self, endpoint: TrackedEndpoint, overdue_attempts: float, now: float
     ) -> None:
-        """Record that an attempt is overdue and its endpoint has been silent since it was sent.
+        """Record an overdue attempt for an endpoint that has been silent since it was sent.
 
         Args:
-            endpoint: The silent endpoint.
-            overdue_attempts: Fraction of an overdue attempt that is added to the endpoint's
-                silence.
+            endpoint: The silent endpoint: the attempt's endpoint or its fill source.
+            overdue_attempts: Number of overdue attempts that is added to the endpoint's silence; a
+                fraction, from 0 to 1.
             now: The current time in ms.
         """
         endpoint.silence += overdue_attempts
         self._update_ejection(endpoint, EjectionReason.SILENT, now)
 
     def record_unreachable(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """Record that the endpoint was not reached.
+        """Record that the endpoint was not reached; do nothing if health checks are not allowed.
 
         If several caches in a row were not reached, the zone is considered unreachable, and a few
         of its caches get health checks soon.
@@ -147,7 +164,9 @@
     def record_response(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Record a response of the endpoint.
 
-        A response ends the endpoint's silence, and the outage of an unreachable zone.
+        A response ends the endpoint's silence. A cache's response also ends the outage of an
+        unreachable zone, and the caches that were ejected as unreachable during the outage are
+        reinstated.
         """
         endpoint.last_heard_at = now
         unreachable_since = self.zone.record_response(now, endpoint)
@@ -174,19 +193,21 @@
     def reinstate(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Clear the endpoint's recorded failures and silence, and record a response."""
         endpoint.outlier_detector.clear_failures()
+        # `record_response` ends the ejection only of an endpoint with a silence above 0.
         endpoint.silence = endpoint.silence or MAX_SILENCE
         self.record_response(endpoint, now)
 
     def take_due_checks(self, now: float) -> list[TrackedEndpoint]:
-        """Return the endpoints that get a health check now, and schedule their next one."""
+        """Return the endpoints that get a health check now, and schedule the next health checks."""
         due: list[Any] = self.checks.take_due(now, self._endpoints.caches)
         return due
 
     def is_zone_lost(self) -> bool:
-        """Return whether none of the zone's caches appears to be reachable.
+        """Return whether none of the zone's caches appears to be reachable, or none is ready.
 
-        This is known before the endpoint list reports it, if it ever does. Health checks detect
-        when the caches are reachable again.
+        The director notices an outage before the endpoint list reports it, if the list ever does.
+        Without health checks the result is False, because only these detect when the caches are
+        reachable again.
         """
         return self._settings.allows_health_checks and (
             self.zone.is_unreachable
@@ -196,7 +217,11 @@
     def _update_ejection(
         self, endpoint: TrackedEndpoint, reason: EjectionReason | None, now: float
     ) -> None:
-        """Eject an endpoint that fails too often or is silent for too long, or reinstate it."""
+        """Eject an endpoint that fails too often or is silent for too long; else reinstate it.
+
+        Pings of an endpoint begin when it is ejected as unreachable, and end when it is reinstated.
+        `reason` is the reason of an ejection; None after a success or response.
+        """
         detector: OutlierDetector = endpoint.outlier_detector
         should_eject = endpoint.silence >= MAX_SILENCE or detector.is_outlier()
         if should_eject == endpoint.is_ejected:
@@ -218,7 +243,7 @@
         )
 
     def _sharing_directors(self, endpoint: TrackedEndpoint) -> int:
-        """Return how many directors may send health checks to the endpoint."""
+        """Return the number of directors that may send health checks to the endpoint."""
         if endpoint in self._endpoints.parents:
             return self._settings.director_count
         return self._settings.local_director_count
--- a/mulleinrelay/policy/endpoint_table.py
+++ b/mulleinrelay/policy/endpoint_table.py
@@ -8,12 +8,13 @@
 class EndpointTable:
     """Endpoint list as this director uses it.
 
-    Owns the attributes below and the listed fields of each endpoint; only `apply` changes them.
+    Owns the attributes below, and the fields of each endpoint that are copied from the endpoint
+    list. Only `apply` changes them.
 
     Attributes:
         known: All listed endpoints, and removed endpoints that still have attempts in flight.
         caches: The ready caches of this director's zone.
-        parents: The ready parents.
+        parents: The ready parents of all zones.
         origin: The origin; None if it is not ready.
     """
 
@@ -29,7 +30,11 @@
         return [endpoint for endpoint in self.known if endpoint.is_ready]
 
     def apply(self, entries: list[EndpointEntry], is_full_snapshot: bool) -> bool:
-        """Apply an update of the endpoint list.
+        """Apply an update of the endpoint list; clear the measurements of restarted endpoints.
+
+        Args:
+            entries: New or changed entries.
+            is_full_snapshot: Whether endpoints without an entry are removed.
 
         Returns:
             Whether an endpoint of this zone is new or has restarted.
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -1,7 +1,7 @@
 """Events that a caller hands to `Router.handle`.
 
-Events are immutable. They are handled in the given order; all events of one call have the same
-time.
+Events are immutable. The events of one call are handled in the given order, and all have the time
+of the call.
 """
 
 from dataclasses import dataclass
@@ -28,10 +28,11 @@
         attempt: The attempt.
         outcome: How the attempt ended.
         elapsed: Time in ms since the attempt was sent.
-        is_request_complete: Whether the request needs no further answer, because this attempt or
-            another one was answered.
+        is_request_complete: Whether the request is complete: this attempt has served it, or it was
+            complete before (served, rejected or failed, or its client has left).
         cache_status: How the endpoint obtained the answer, as reported by the endpoint.
-        first_byte_delay: Delay of the fill source as reported by the endpoint; 0 if not reported.
+        first_byte_delay: Time in ms until the fill source's first byte, as reported by the
+            endpoint; 0 if not reported.
         load: The load report that was received with the answer; None if there was none.
     """
 
@@ -45,7 +46,7 @@
 
     @classmethod
     def cancelled(cls, attempt: Attempt, now: float) -> "AttemptFinished":
-        """Return the event for an attempt that was cancelled."""
+        """Return the event for an attempt that is cancelled at the time `now`."""
         return cls(
             attempt,
             Outcome.CANCELLED,
@@ -59,14 +60,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of a request (its deadline) or of an attempt (its overdue check) is due."""
+    """A timer is due: the final response of a request, or the overdue check of an attempt.
+
+    A request that is not complete then ends without an answer. A caller may hand over this event
+    before the timer is due, to end a request immediately.
+    """
 
     subject: Request | Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check was answered, or failed (`is_healthy` is False)."""
+    """A health check was answered, or failed (`is_healthy` is False).
+
+    `load` is None if no load report was received.
+    """
 
     endpoint: TrackedEndpoint
     load: LoadReport | None
@@ -74,7 +82,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """State of one endpoint in an update of the endpoint list."""
+    """State of one endpoint in an update of the endpoint list (see the fields of `Endpoint`)."""
 
     endpoint: TrackedEndpoint
     state: EndpointState
@@ -89,7 +97,7 @@
 class EndpointsUpdated:
     """The endpoint list has changed.
 
-    After a full snapshot, endpoints without an entry are removed.
+    If the update is a full snapshot, endpoints without an entry are removed.
     """
 
     entries: list[EndpointEntry]
@@ -112,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client of a request has disconnected or cancelled; it needs no answer."""
+    """The client of a request no longer waits for an answer."""
 
     request: Request
 
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -5,7 +5,8 @@
 
 * The distance of an endpoint is the smoothed delay of fills through it, which its load raises
   (`TrackedEndpoint.recent_delay`). An endpoint without measurements has the average distance.
-* A sibling cache of the zone that is believed to hold the object and is nearby is preferred.
+* A sibling cache (another cache of the zone) is preferred if it is believed to hold the object and
+  is nearby.
 * A parent that is far slower than its usual level, while the other parents are not, is skipped.
 * Skipped endpoints receive trial fills, which measure their delay again.
 
@@ -29,19 +30,20 @@
 from .rendezvous_hash import rendezvous_order
 from .work_estimates import WorkEstimator
 
-# Difference in delay (ms) up to which an endpoint counts as nearby. It exceeds the noise of the
-# histogram's wide bins.
+# Difference in delay (ms) up to which an endpoint counts as nearby, or as not slower than another.
+# It exceeds the noise of the histogram's wide bins.
 NEARBY_DELAY = 80.0
 # Fraction of fills that go to the origin as trial fills, which measure its delay. Otherwise the
 # origin is used only if no parent is suitable, because each byte from the origin has a price.
 ORIGIN_TRIAL_FRACTION = 0.0125
-# Weight of the usual delay among a parent's recent measurements, which may be few.
+# Weight with which a parent's usual delay counts as one more recent measurement, since there may be
+# few of these.
 USUAL_WEIGHT = 0.4
-# Multiple of the median delay that must be left for a fill: half of the fills take longer than the
-# median.
+# Multiple of the median delay that must be left for a fill. It exceeds 1 because half of the fills
+# take longer than the median.
 MEDIAN_MULTIPLE = 1.2
-# Rate of a fill as a multiple of the rate of an answer. Congestion below this factor does not slow
-# a fill.
+# Transfer rate of a fill as a multiple of that of an answer. Congestion up to this factor leaves a
+# fill at least as fast as the answer.
 FILL_RATE_FACTOR = 2.0
 LINK_REPORT_LIFETIME = 1500.0  # ms; an older report of the link's congestion is not used
 ORIGIN_DELAY_HALF_LIFE = 4000.0  # ms
@@ -50,7 +52,10 @@
 class FillChoice(NamedTuple):
     """Fill source of an attempt.
 
-    If the source is the cache itself, a miss is not filled.
+    Attributes:
+        source: The endpoint that a miss is filled from; the cache itself if a miss is not filled;
+            None if there is no endpoint.
+        only_if_cached: Whether the source may answer only from its own cache.
     """
 
     source: TrackedEndpoint | None
@@ -58,9 +63,14 @@
 
 
 class LinkCongestion:
-    """Congestion of the zone's link as last reported.
+    """Congestion of the link from outside into the zone, as a cache of the zone last reported it.
 
     Owns the report; only `record` changes it.
+
+    Attributes:
+        congestion: Value `crowding` of the load report: how many times as long transfers over the
+            link take; 0 before the first report.
+        reported_at: Time of the report in ms.
     """
 
     def __init__(self) -> None:
@@ -68,16 +78,16 @@
         self.reported_at = 0.0
 
     def record(self, congestion: float, now: float) -> None:
-        """Store a report."""
+        """Store a report that was received now."""
         self.congestion = congestion
         self.reported_at = now
 
     def slowdown(self, now: float) -> float:
-        """Return the factor by which a fill from outside the zone is slowed.
+        """Return the factor by which a fill from outside the zone is slowed, 1 or more.
 
-        It is 1 without a recent report. A fill that would be late is not started, because a link
-        that is congested by fills would otherwise stay congested. If the reports are wrong,
-        requests are rejected unnecessarily.
+        It is 1 without a recent report. The router does not start a fill that the slowdown would
+        make late, because a link that is congested by fills would otherwise stay congested. If the
+        reports are wrong, requests are therefore rejected unnecessarily.
         """
         if now - self.reported_at >= LINK_REPORT_LIFETIME:
             return 1.0
@@ -88,8 +98,9 @@
 class FillSourceSelector:
     """Selector of the source that a miss is filled from.
 
-    Owns `origin_delay`, the delay of fills through the origin, which `AttemptRecorder` adds to. The
-    other objects are only read, except that the endpoint filter spends trial tokens.
+    Owns `origin_delay`, the delays in ms of fills by the origin, directly or through a parent;
+    `AttemptRecorder` adds to it. The other objects are only read, except that a choice may spend
+    trial tokens and draw permits of slow start.
     """
 
     settings: ServiceSettings
@@ -116,7 +127,8 @@
 
         Returns:
             The source, and whether it may answer only from its own cache. The source is the cache
-            itself if a fill would be too late, and None if there is no endpoint.
+            itself if a fill would be too late or no other source is available, and None if there is
+            neither a cache nor a source.
         """
         work = self.work.slow_start_work(request, now)
         tried = {
@@ -157,6 +169,10 @@
         Args:
             eligible: The parents that may be sent to, as a lazy iterator in rendezvous order.
             now: The current time.
+
+        Returns:
+            The parent or origin. If all eligible parents would be skipped, it is the first of them;
+            if there are none, it is the origin, or None without a ready origin.
         """
         endpoints = self.endpoints
         origin = endpoints.origin
@@ -182,9 +198,10 @@
         return first or origin
 
     def delay(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the smoothed delay of an endpoint in ms.
+        """Return the smoothed delay in ms of fills through an endpoint.
 
-        An endpoint without measurements gets the average of the other endpoints.
+        An endpoint without measurements gets the average of the other endpoints; 0 if no endpoint
+        has measurements.
         """
         mean = endpoint.recent_delay.mean(now)
         if mean is not None:
@@ -197,7 +214,7 @@
         return sum(means) / len(means) if means else 0.0
 
     def is_believed_holder(self, cache: TrackedEndpoint, request: Request, now: float) -> bool:
-        """Return whether the cache is believed to hold the object as it is since its last purge."""
+        """Return whether the cache is believed to hold a copy newer than its last purge."""
         return self.locations.is_believed_holder(
             cache, request, now, self.purges.last_purge(request)
         )
@@ -210,7 +227,11 @@
         work: float,
         now: float,
     ) -> TrackedEndpoint | None:
-        """Return a sibling cache that holds the object, or that held it before a migration."""
+        """Return a sibling cache that holds the object, or that held it before a migration.
+
+        The result is None if there is no such cache, if sibling fills are not allowed, or if a hit
+        is expected at the request's own cache.
+        """
         max_delay = self.delay(cache, now) + NEARBY_DELAY
         if not self.settings.allows_sibling_fills or self.is_believed_holder(cache, request, now):
             return None
@@ -241,10 +262,11 @@
         work: float,
         now: float,
     ) -> TrackedEndpoint | None:
-        """Return the cache that served an object before its tenant's migration, if it is available.
+        """Return the cache that served the object before its tenant's migration.
 
         The cache is assumed to hold the object even without a recent answer, which reduces the load
-        of the origin. For objects without recent requests this costs an additional attempt.
+        of the origin. For objects without recent requests this costs an additional attempt. The
+        result is None if the cache is not available or was tried before.
         """
         pool = request.pool
         if pool is None or not pool.migration_sources:
@@ -257,10 +279,11 @@
     def _rank_parents(
         self, request: Request, tried: set[TrackedEndpoint | None], now: float
     ) -> list[TrackedEndpoint]:
-        """Return the parents in rendezvous order, or by delay for an impatient client.
+        """Return the untried parents in rendezvous order, or by delay if the client is impatient.
 
-        If a client waits less than the latency objective, a near parent may still serve it in time,
-        at the cost of additional copies.
+        A client is impatient if it stops waiting before the latency objective ends and has not sent
+        the request before. A near parent may still serve it in time, at the cost of additional
+        copies.
         """
         ranked = rendezvous_order(
             [parent for parent in self.endpoints.parents if parent not in tried],
@@ -288,7 +311,7 @@
         return 0.0 if usual is None else (total - count * usual) / (count + USUAL_WEIGHT)
 
     def _is_source_suspect(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may have failed because of its fill source.
+        """Return whether an attempt may have failed, or not ended, because of its fill source.
 
         Such a source is not used again for the request.
         """
@@ -300,9 +323,9 @@
     def _is_too_late(self, delays: DecayingHistogram, request: Request, now: float) -> bool:
         """Return whether a fill with these delays would miss the latency objective.
 
-        Then only cached objects are served. Otherwise, fills that are too late for any client would
-        keep an overloaded source overloaded. The rule may be too strict for short objectives far
-        from all sources.
+        The caller does not start such a fill and serves only cached objects: fills that are too
+        late for any client would keep an overloaded source overloaded. The rule may be too strict
+        for short objectives far from all sources.
         """
         expected = MEDIAN_MULTIPLE * delays.median(now) + self.work.transfer_time(request, now)
         return expected > self.work.objective_left(request, now)
--- a/mulleinrelay/policy/freshness.py
+++ b/mulleinrelay/policy/freshness.py
@@ -6,8 +6,8 @@
 from .model import Request
 
 PURGE_MARGIN = 3.0  # ms by which a copy must be younger than the purge
-PURGE_LIFETIME_FACTOR = 20.0  # multiple of its propagation time for which a purge is in force
-MIN_MAX_AGE = 0.01  # ms; 0 would mean any age on the wire
+PURGE_LIFETIME_FACTOR = 20.0  # a purge is in force for this multiple of its propagation time
+MIN_MAX_AGE = 0.01  # ms; a maximum age of 0 would permit copies of any age
 
 
 class PurgeHistory:
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, propagation: float) -> None:
-        """Create an empty history; `propagation` is how long a purge takes to reach all caches."""
+        """Create an empty history; a purge takes `propagation` ms to reach all caches."""
         self._lifetime = PURGE_LIFETIME_FACTOR * propagation
         self._purged_at: dict[tuple[str, int], float] = {}
 
@@ -31,14 +31,18 @@
         self._purged_at[target] = max(self._purged_at.get(target, 0.0), purged_at)
 
     def last_purge(self, request: Request) -> float:
-        """Return when the request's object or its group was last purged; 0 if never."""
+        """Return when the request's object or its group was last purged; 0 if not in history."""
         return max(
             self._purged_at.get(("object", request.object_id), 0.0),
             self._purged_at.get(("group", request.group), 0.0),
         )
 
     def max_age(self, request: Request, now: float) -> float:
-        """Return the maximum age of a copy made after the last purge; 0 if no purge is in force."""
+        """Return the maximum age in ms of a copy that may be served; 0: any age.
+
+        While a purge is in force, only copies made after the last purge may be served, and none
+        past its freshness lifetime. Otherwise the result is 0.
+        """
         purged_at = self.last_purge(request)
         if not purged_at or now - purged_at > self._lifetime:
             return 0.0
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -3,10 +3,10 @@
 The health checks of hundreds of directors add up: all directors suspect a failed endpoint at the
 same time, and directors with few requests could poll as often as busy ones. Therefore:
 
-* Pings: a suspected endpoint is pinged until it answers. The more directors share the endpoint, the
-  longer the interval of each, so that the total rate of pings is bounded. Every interval has random
-  jitter, so that directors that suspect an endpoint at the same time do not ping it at the same
-  time.
+* Pings: an endpoint that is suspected to be unreachable is pinged until it answers. The more
+  directors share the endpoint, the longer the interval of each, so that the total rate of pings is
+  bounded. Every interval has random jitter, so that directors that suspect an endpoint at the same
+  time do not ping it at the same time.
 * Load report polls: a director earns polls by its requests and spends them on randomly chosen
   endpoints, at a limited rate. A director with hardly any requests still polls occasionally.
 
@@ -24,23 +24,23 @@
 
 # Minimum of the mean interval in ms at which one director pings a suspected endpoint.
 MIN_PING_INTERVAL = 500.0
-# Mean interval in ms for each director that shares the endpoint, if the product is more than the
-# minimum. All directors together then send an endpoint 20 pings a second.
+# The mean interval in ms is this times the number of directors that share the endpoint, but at
+# least the minimum. All directors together therefore send an endpoint at most 20 pings a second.
 PING_INTERVAL_PER_DIRECTOR = 50.0
 # The first ping is sent after a random fraction of the interval, at least this one.
 MIN_FIRST_PING_FRACTION = 0.25
-# Maximum fraction by which every later interval is randomly changed.
+# Maximum fraction by which every later interval is randomly lengthened or shortened.
 PING_JITTER = 0.25
 
 # Minimum interval in ms between two polls of one director.
 MIN_POLL_INTERVAL = 500.0
-# Interval in ms at which a director without requests polls.
+# Maximum interval in ms between two polls; a director without requests polls at this interval.
 MAX_POLL_INTERVAL = 30_000.0
 # Polls that a request earns, and the maximum number of saved polls.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
-# Cost of one poll for each request, in priority weight. Up to this cost, a request earns
-# `POLLS_PER_REQUEST` polls; if a poll costs more, a request earns fewer.
+# Cost of sending one poll with each request, in priority weight. Up to this cost, a request earns
+# `POLLS_PER_REQUEST` polls; if polls cost more, a request earns fewer.
 REFERENCE_POLL_COST = 0.014
 
 
@@ -70,14 +70,14 @@
         """Create the scheduler; first polls are at random times, as directors may start together.
 
         The loss due to outdated load reports is inversely proportional to the rate of polls, and
-        their total cost is proportional to it. The optimal rate is therefore inversely proportional
-        to the square root of the cost of one poll.
+        the total cost of polls is proportional to their rate. The optimal rate is therefore
+        inversely proportional to the square root of the cost of one poll.
 
         Args:
             now: The current time in ms.
             random: The director's source of randomness.
             polls_load_reports: Whether endpoints report their load when polled; False: never poll.
-            poll_cost: Cost of one poll for each request, in priority weight.
+            poll_cost: Cost of sending one poll with each request, in priority weight; 0: unknown.
         """
         cost_ratio = REFERENCE_POLL_COST / max(poll_cost, REFERENCE_POLL_COST)
         self._polls_per_request = POLLS_PER_REQUEST * math.sqrt(cost_ratio)
@@ -101,13 +101,14 @@
     ) -> None:
         """Schedule regular pings of a suspected endpoint until `cancel_pings`.
 
-        If the endpoint is being pinged already, the schedule is replaced only by an earlier ping.
+        If pings of the endpoint are scheduled already, the schedule is replaced only if the new
+        first ping is earlier than the next scheduled one.
 
         Args:
             endpoint: The endpoint that is suspected to be unreachable.
             now: The current time in ms.
             sharing_directors: Number of directors that may ping it.
-            first_within: Maximum time in ms until the first ping.
+            first_within: Maximum time in ms until the first ping; at most the mean interval counts.
         """
         interval = ping_interval(sharing_directors)
         jitter = MIN_FIRST_PING_FRACTION + (1.0 - MIN_FIRST_PING_FRACTION) * self._random.random()
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -1,14 +1,15 @@
 """Rules for whether an attempt or a retry by the client may follow the earlier attempts.
 
 An idempotent request may run any number of times. A request with an idempotency key may be sent
-again as long as every endpoint remembers its key. Any other request may be sent again only if all
-earlier attempts provably never ran. Pure functions, times in ms.
+again as long as every endpoint remembers its key. Any request may be sent again if all earlier
+attempts provably never ran; for a request of another kind this is the only case. Pure functions,
+times in ms.
 """
 
 from .deadlines import has_time_left
 from .model import IDEMPOTENT, KEYED, Attempt, Request
 
-# Minimum time in ms from the sending of a retry until its idempotency key may be forgotten.
+# Minimum time in ms from the sending of a retry until endpoints may forget its idempotency key.
 KEY_RETENTION_MARGIN = 50.0
 
 
@@ -22,12 +23,13 @@
 
 
 def can_send(request: Request, now: float, starting: Attempt | None = None) -> bool:
-    """Return whether an attempt may be sent now.
+    """Return whether an attempt may be sent now without a second effect, and before the deadline.
 
     Args:
         request: The request.
         now: The current time.
-        starting: The attempt that is about to be written and has not run; None for a new one.
+        starting: The attempt that is about to be written and therefore has not run; None if the
+            attempt does not exist yet.
     """
     if not has_time_left(request, now):
         return False
@@ -38,7 +40,7 @@
 
 
 def can_client_retry(request: Request, at: float) -> bool:
-    """Return whether it is safe for the client to send the request again at that time."""
+    """Return whether it is safe for the client to send the request again at the time `at`."""
     if request.request_class.idempotency == IDEMPOTENT:
         return True
     possibly_run = may_have_run(request)
@@ -46,7 +48,11 @@
 
 
 def _is_key_remembered(request: Request, possibly_run: list[Attempt], at: float) -> bool:
-    """Return whether every endpoint still remembers the request's idempotency key at that time."""
+    """Return whether every endpoint still remembers the request's idempotency key at `at`.
+
+    The key is remembered from the first attempt that may have run. The result is False for a
+    request without a key, and for a key that only a zone or a cell remembers.
+    """
     request_class = request.request_class
     forgotten_at = possibly_run[0].sent_at + request_class.key_retention - KEY_RETENTION_MARGIN
     return (
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -7,19 +7,21 @@
 from .slow_start import SlowStartBudget
 
 BIN_COUNT = 11
-BIN_MIDDLES = [6.0 * 2.0**number for number in range(BIN_COUNT)]  # ms; the first bin is [4, 8)
+# In the unit of the measurements. The first bin is [4, 8), and also counts smaller values; the last
+# bin also counts larger ones.
+BIN_MIDDLES = [6.0 * 2.0**number for number in range(BIN_COUNT)]
 MAX_HALVINGS = 30  # bound of the power; after so many halvings a weight is practically 0
-MIN_WEIGHT_FOR_MEAN = 0.1  # a smaller weight is the remainder of old measurements
+MIN_WEIGHT_FOR_MEAN = 0.1  # a smaller total weight is the remainder of old measurements
 MIN_HALF_WEIGHT_FOR_MEDIAN = 1.0  # half of the weight of two measurements
-RECENT_HALF_LIFE = 2000.0  # ms; for the delays by which endpoints are chosen
-USUAL_HALF_LIFE = 16_000.0  # ms; for the usual level that recent delays are compared with
+RECENT_HALF_LIFE = 2000.0  # ms; of the delays by which endpoints are chosen
+USUAL_HALF_LIFE = 16_000.0  # ms; of the usual level that recent delays are compared with
 
 
 class DecayingHistogram:
     """Histogram whose bins double in width and whose weights decay.
 
-    Weights are halved in whole half-lives, when the histogram is read or a measurement is added.
-    Not thread-safe.
+    Each measurement adds 1 to the weight of its bin. Weights are halved in whole half-lives, when
+    the histogram is read or a measurement is added. Not thread-safe.
     """
 
     __slots__ = ("half_life", "next_decay_at", "weights")
@@ -44,7 +46,10 @@
         self.weights[min(BIN_COUNT - 1, max(0, bin_index))] += 1.0
 
     def totals(self, now: float) -> tuple[float, float]:
-        """Return the weighted sum of the measurements and the sum of their weights."""
+        """Return the weighted sum of the measurements and the sum of their weights.
+
+        Each measurement counts as the middle of its bin.
+        """
         # Repeat the check of `decay` to save a call: this method runs several times for a request.
         if now >= self.next_decay_at:
             self.decay(now)
@@ -74,30 +79,32 @@
 class TrackedEndpoint(Endpoint):
     """Cache, parent or origin with the measurements that this director has of it.
 
-    `EndpointTable` sets the listed fields and calls `reset` when an endpoint is new or has
+    `EndpointTable` sets the fields of `Endpoint`, and calls `reset` when an endpoint is new or has
     restarted. `EndpointHealthMonitor` changes the health fields, `AttemptRecorder` the histograms
     and `last_reset_at`, `SlowStartAdmission` the slow-start budget, and the router the attempts in
-    flight. `EndpointFilter` also changes `next_trial_at`. All other classes only read them.
+    flight. `EndpointFilter` also changes `next_trial_at`. All other classes only read the endpoint.
+
+    Times are ms and are 0 before the first such event since the last `reset`.
 
     Attributes:
-        recent_delay: Delays of the last seconds as a fill source.
-        usual_delay: Delays as a fill source over a longer time.
+        recent_delay: Delays in ms of fills through the endpoint, over the last seconds.
+        usual_delay: The same delays over a longer time.
         hit_lateness: Time that hits took beyond their transfer time, in percent of it.
-        outlier_detector: Successes and failures of the endpoint.
-        last_heard_at: Time of its last response.
+        outlier_detector: Recent successes and failures of the endpoint.
+        last_heard_at: Time of the endpoint's last response.
         silence: Number of overdue attempts since the last response; an attempt that is only
             slightly overdue counts as a fraction.
-        last_reset_at: When a connection to it was last reset.
-        is_ejected: Whether it receives only trial requests.
-        is_unreachable: Whether it was ejected because it was not reached.
-        ejected_at: When it was last ejected or reinstated.
+        last_reset_at: Time of the last reset of a connection that counted as a failure.
+        is_ejected: Whether the endpoint receives only trial requests.
+        is_unreachable: Whether the endpoint is ejected because it was not reached.
+        ejected_at: Time when the endpoint was last ejected or reinstated.
         next_trial_at: Earliest time of the next trial request.
-        attempts_in_flight: Attempts that have not ended.
-        slow_start: Budget of this director for it during slow start.
+        attempts_in_flight: Attempts at the endpoint that have not ended; the values are unused.
+        slow_start: Budget of this director for the endpoint during slow start.
     """
 
     def reset(self) -> None:
-        """Clear all measurements."""
+        """Clear all attributes above, since the endpoint is new or has restarted."""
         self.recent_delay = DecayingHistogram(RECENT_HALF_LIFE)
         self.usual_delay = DecayingHistogram(USUAL_HALF_LIFE)
         self.hit_lateness = DecayingHistogram(RECENT_HALF_LIFE)
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -1,8 +1,8 @@
 """Types that the router and its callers share, without decisions or tuned values.
 
 A caller creates one `Router(now, seed, settings)` for each director and calls `router.handle(now,
-events, sink)` with the events received since the last call (see `events` and `actions`). Times are
-milliseconds, sizes KB.
+events, sink)` with the events received since the last call (see `events` and `actions`). Times and
+durations are milliseconds, sizes KB.
 """
 
 import math
@@ -18,7 +18,8 @@
 IDEMPOTENT = "idempotent"  # may run any number of times
 KEYED = "keyed"  # runs once as long as its idempotency key is remembered
 UNSAFE = "unsafe"  # must not be sent again once it may have run
-UNKNOWN_ADDRESS = ("", 0)  # of an endpoint whose update has only a name and a state
+# Address in an update that has only the endpoint's name and state
+UNKNOWN_ADDRESS = ("", 0)
 
 
 class EndpointState(IntEnum):
@@ -30,7 +31,7 @@
 
 
 class Outcome(IntEnum):
-    """Outcome of an attempt; the members from REJECTED on prove that it never ran."""
+    """Outcome of an attempt; REJECTED and all later members prove that the attempt never ran."""
 
     SERVED = 0
     ERROR = 1
@@ -49,7 +50,7 @@
 
 
 class CacheStatus(IntEnum):
-    """How a cache obtained its answer, if it reports this."""
+    """How an endpoint obtained its answer, or why it gave none; UNKNOWN if not reported."""
 
     UNKNOWN = 0
     HIT = 1
@@ -72,10 +73,10 @@
     latency_objective: float
     objective_stretch: float  # the objective grows by this multiple of the answer's transfer time
     client_timeout: float
-    key_retention: float  # how long an idempotency key is remembered
-    key_scope: str  # the endpoints that remember it: "all", "zone" or "cell"
-    freshness_lifetime: float
-    is_uncacheable: bool  # the request runs at the origin
+    key_retention: float  # how long endpoints remember an idempotency key
+    key_scope: str  # the endpoints that remember the key: "all", "zone" or "cell"
+    freshness_lifetime: float  # age up to which a copy is served unchecked; 0: no revalidation
+    is_uncacheable: bool  # the request must run at the origin
     priority_weight: float = 1.0  # value of a request that is served in time
 
 
@@ -83,9 +84,9 @@
 class SlowStartPolicy:
     """Load that an endpoint can serve while it warms up after its start."""
 
-    initial_fraction: float  # of its capacity, at the start
-    duration: float
-    overload_window: float
+    initial_fraction: float  # fraction of its capacity that the endpoint has at its start
+    duration: float  # time after which it has its whole capacity
+    overload_window: float  # time over which its load is averaged
     overload_factor: float  # the endpoint fails above this multiple of its capacity over the window
 
 
@@ -96,9 +97,9 @@
     request_classes: list[RequestClass]
     zone: int
     director_count: int
-    local_director_count: int  # in this director's zone
-    parent_kind: int
-    origin_kind: int
+    local_director_count: int  # directors in this director's zone, 1 or more
+    parent_kind: int  # `Endpoint.kind` of parents
+    origin_kind: int  # `Endpoint.kind` of the origin
     advertises_weights: bool  # the endpoint list contains endpoint weights
     transfer_rate: float  # KB per ms of one transfer; 0: unknown
     max_attempts: int
@@ -107,16 +108,16 @@
     allows_health_checks: bool
     allows_retry_after: bool  # a rejection specifies when to retry
     max_retry_after: float
-    allows_cache_bypass: bool
-    allows_coalescing: bool
-    allows_sibling_fills: bool
-    requires_subscription: bool
-    load_report_fields: list[str]  # names of a load report's values
+    allows_cache_bypass: bool  # an attempt may go directly to a parent or the origin
+    allows_coalescing: bool  # a cache may wait for a fill of the same object in progress
+    allows_sibling_fills: bool  # a miss may be filled from another cache of the zone
+    requires_subscription: bool  # the router must subscribe to the endpoint list
+    load_report_fields: list[str]  # names of a load report's values, in their order
     polls_load_reports: bool  # load reports are received with health checks only
     cache_slow_start: SlowStartPolicy
     parent_slow_start: SlowStartPolicy
-    purge_propagation: float
-    # Cost of one health check for each request, in priority weight; 0: unknown
+    purge_propagation: float  # time until a purge has reached all caches
+    # Cost of sending one health check with each request, in priority weight; 0: unknown
     health_check_cost: float = 0.0
 
 
@@ -124,17 +125,18 @@
 class Endpoint:
     """Cache, parent or origin as described by the endpoint list."""
 
-    hash_key: int
+    hash_key: int  # number of the endpoint in the rendezvous hash
     zone: int = -1
-    kind: int = -1
-    advertised_cell: int = -1  # by the endpoint list; a tenant's caches are in a CachePool instead
-    weight: float = 1.0
+    kind: int = -1  # cache kinds are all numbers but the settings' `parent_kind` and `origin_kind`
+    # Cell in the endpoint list; not used to choose a tenant's caches, which are in a `CachePool`
+    advertised_cell: int = -1
+    weight: float = 1.0  # capacity: number of transfers served at full speed at the same time
     state: EndpointState = EndpointState.GONE
-    started_at: float = 0.0
+    started_at: float = 0.0  # time of the endpoint's start; 0: unknown
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint may be sent new work; a draining one may not."""
+        """Whether the endpoint may be sent new work; a draining endpoint may not."""
         return self.state == EndpointState.READY
 
 
@@ -145,16 +147,17 @@
     Attributes:
         request: The request.
         number: Index among the request's attempts, from 0.
-        endpoint: The endpoint that it is sent to.
-        fill_source: The source that a miss is filled from; the endpoint itself if a miss is not
-            filled.
-        sent_at: When the attempt was decided.
-        timeout: Time after `sent_at` when the attempt is abandoned.
-        outcome: How the attempt ended; None while it is in flight.
-        expects_hit: Whether the router believed that the endpoint holds the object.
-        purged_at: Time of the object's last purge before the attempt was decided; 0: none.
-        addresses: Addresses of endpoint and source when the attempt was decided; set by the caller.
-        entity_tag: Entity tag of the client's copy, as sent to the endpoint; set by the caller.
+        endpoint: The endpoint that the attempt is sent to.
+        fill_source: The endpoint that a miss is filled from; `endpoint` itself if a miss is not
+            filled; None if the request is uncacheable and there is no origin.
+        sent_at: When the router decided on the attempt, which may be before it is written.
+        timeout: Time in ms after `sent_at` when the attempt is abandoned.
+        outcome: How the attempt ended; None until the router has handled its end.
+        expects_hit: Whether the router believed, at `sent_at`, that the endpoint holds the object.
+        purged_at: Time of the last purge of the object or its group before `sent_at`; 0: none.
+        addresses: Endpoint and fill source, each with its address at `sent_at`; set by the caller.
+        entity_tag: Entity tag of the client's copy, as sent to the endpoint; empty: none. Set by
+            the caller.
     """
 
     request: "Request"
@@ -174,7 +177,7 @@
 class RetryBudget:
     """Token bucket of retries for all requests that share the budget."""
 
-    tokens: float
+    tokens: float  # a retry at full cost takes one token
 
 
 @dataclass(slots=True, eq=False)
@@ -182,13 +185,13 @@
     """This director's share of a limit that all directors have in common.
 
     Attributes:
-        fraction: The share until `expires_at`.
-        expires_at: When a borrowed share expires, even if the director was suspended in the
-            meantime.
-        fallback_fraction: The share after that.
-        is_tracked: Whether the peaks are recorded.
-        peak_used: Largest share used since the peaks were last read.
-        peak_rejected: Largest share that was requested and not granted since then.
+        fraction: The share until `expires_at`, as a fraction of the limit.
+        expires_at: When a borrowed part of the share expires. The time is stored here so that the
+            part also expires while the director is suspended; infinite: never.
+        fallback_fraction: The share from `expires_at` on.
+        is_tracked: Whether the router records `peak_used` and `peak_rejected`.
+        peak_used: Largest share used since the quota exchange last read and cleared the peaks.
+        peak_rejected: Largest share that a rejected request would have needed since then.
     """
 
     fraction: float
@@ -199,20 +202,22 @@
     peak_rejected: float = 0.0
 
     def fraction_at(self, now: float) -> float:
-        """Return the share at that time."""
+        """Return the share at the time `now`, as a fraction of the limit."""
         return self.fraction if now < self.expires_at else self.fallback_fraction
 
 
 @dataclass(slots=True, eq=False)
 class CachePool:
-    """Caches that a request is confined to.
+    """Caches that a request of a tenant is confined to.
+
+    Only the keys of the dictionaries are used.
 
     Attributes:
         caches: The caches that the request may be sent to.
         failover_caches: Caches that are used if none of `caches` is available.
         migration_sources: Additional fill sources: caches that served the tenant before a
             migration.
-        retry_budget: Budget for the request's retries, shared with other requests.
+        retry_budget: Budget for the request's retries, shared by all requests of the tenant.
     """
 
     caches: dict[Endpoint, None]
@@ -228,13 +233,13 @@
     context: Any  # set and used by the caller only
     request_class: RequestClass
     object_id: int
-    part: int
-    group: int
-    size_kb: float  # KB; 0: unknown
+    part: int  # requested part of the object; a cache is chosen for each part separately
+    group: int  # the group that the object is purged with
+    size_kb: float  # size of the answer; 0: unknown
     arrived_at: float
     deadline: float  # when the client stops waiting
-    is_retry: bool = False
-    is_complete: bool = False
+    is_retry: bool = False  # the client has sent the request before
+    is_complete: bool = False  # no further attempt is sent
     attempts: list[Attempt] = field(default_factory=list)
     pool: CachePool | None = None  # None: all caches of the location
 
@@ -243,7 +248,7 @@
 class ClientRequest:
     """Request as it was received from the client.
 
-    Texts and body are forwarded unchanged with each attempt; the body is not copied.
+    Strings and body are forwarded unchanged with each attempt; the body is not copied.
     """
 
     request_class: str
@@ -251,22 +256,22 @@
     object: str
     part: str
     idempotency_key: str  # empty: none
-    entity_tag: str  # of the client's copy; empty: none
+    entity_tag: str  # entity tag of the client's copy; empty: none
     body: memoryview
     remaining_time: float  # ms until the client's deadline
     group: int
-    size_kb: float
+    size_kb: float  # size of the answer; 0: unknown
     is_retry: bool
-    tenant: str = ""  # as named by the client
+    tenant: str = ""  # as named by the client; empty: none
 
 
 @dataclass(slots=True, eq=False)
 class EndpointAddress:
     """Address of an endpoint; a restarted endpoint gets a new object."""
 
-    name: str
-    address: tuple[str, int]
-    is_removed: bool = False
+    name: str  # of the endpoint
+    address: tuple[str, int]  # host and port
+    is_removed: bool = False  # the endpoint has restarted or is no longer listed
 
 
 @dataclass(slots=True, eq=False)
@@ -274,7 +279,7 @@
     """One endpoint in an update of the endpoint list."""
 
     name: str
-    address: tuple[str, int]
+    address: tuple[str, int]  # host and port; `UNKNOWN_ADDRESS`: only `state` is valid
     state: EndpointState
     weight: float
     kind: int
@@ -285,10 +290,10 @@
 
 @dataclass(slots=True, eq=False)
 class SendAttempt:
-    """Step for the network code: send this attempt."""
+    """Step for the network code: send this attempt, with the options of `SendOptions`."""
 
     attempt: Attempt
-    address: EndpointAddress
+    address: EndpointAddress  # of the attempt's endpoint
     fill_source: str  # name of the endpoint that a miss is filled from; empty: no fill
     max_age: float
     retention_rank: int
--- a/mulleinrelay/policy/object_locations.py
+++ b/mulleinrelay/policy/object_locations.py
@@ -9,29 +9,29 @@
 class ObjectLocations:
     """Caches that are believed to hold each part of an object.
 
-    Owns the times of the answers; only its own methods change them.
+    Owns the times of the caches' answers; only its own methods change them.
     """
 
     def __init__(self) -> None:
         self._seen_at: dict[tuple[int, int], dict[TrackedEndpoint, float]] = {}
 
     def record(self, cache: TrackedEndpoint, request: Request, now: float) -> None:
-        """Record that the cache has answered with the object."""
+        """Record that the cache has answered with the requested part of the object."""
         self._seen_at.setdefault((request.object_id, request.part), {})[cache] = now
 
     def remove(self, cache: TrackedEndpoint | None, request: Request) -> None:
-        """Record that the cache is no longer believed to hold the object."""
+        """Record that the cache is no longer believed to hold the part; ignore None."""
         self._seen_at.get((request.object_id, request.part), {}).pop(cache, None)  # type: ignore[arg-type]
 
     def is_believed_holder(
         self, cache: TrackedEndpoint, request: Request, now: float, purged_at: float
     ) -> bool:
-        """Return whether the cache gave an answer recently and after the object's last purge."""
+        """Return whether the cache answered within `LOCATION_LIFETIME` and after `purged_at`."""
         seen_at = self._seen_at.get((request.object_id, request.part), {}).get(cache, 0.0)
         return seen_at > max(now - LOCATION_LIFETIME, purged_at)
 
     def drop_expired(self, now: float) -> None:
-        """Remove the objects that no cache is believed to hold."""
+        """Remove the parts for which no cache has answered within `LOCATION_LIFETIME`."""
         self._seen_at = {
             key: holders
             for key, holders in self._seen_at.items()
--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -8,10 +8,10 @@
 * Sequential test: with hundreds of directors, each of them sends an endpoint a request every few
   seconds and knows few outcomes. The failures of an endpoint that fails half of the time are then
   hidden by the successes that are counted with them. Therefore a cumulative sum of log-likelihood
-  ratios (CUSUM; Page 1954, after Wald's sequential probability ratio test) is also computed. Every
-  outcome adds the logarithm of how much likelier it is from an endpoint that fails at
-  `OUTLIER_FAILURE_RATE` than from one that fails at `HEALTHY_FAILURE_RATE`. The sum never falls
-  below zero, so that old successes do not offset new failures.
+  ratios (CUSUM; Page 1954, after Wald's sequential probability ratio test) is also computed, the
+  *evidence*. Every outcome adds the logarithm of how much likelier it is from an endpoint that
+  fails at `OUTLIER_FAILURE_RATE` than from one that fails at `HEALTHY_FAILURE_RATE`. The sum never
+  falls below zero, so that old successes do not offset new failures.
 
 Error rates, as measured by the tests of outlier detection: an endpoint that fails once in a
 thousand attempts is considered an outlier less than once in a thousand hours by each director that
@@ -26,10 +26,11 @@
 
 from .decay import MAX_HALVINGS, StepwiseDecay
 
-# The counts of outcomes are halved at this interval in ms, and when their sum exceeds the maximum.
+# The counts of outcomes are halved at this interval in ms, and when their sum exceeds `MAX_COUNT`.
 COUNT_HALF_LIFE = 16_000.0
 MAX_COUNT = 12.0
-# Number of failures, and their fraction of all outcomes, that make an endpoint an outlier.
+# An endpoint is an outlier if it has at least this many failures, and they are more than this
+# fraction of all outcomes.
 MIN_FAILURES = 1.5
 MAX_FAILURE_FRACTION = 0.4
 
@@ -39,16 +40,16 @@
 # Evidence that one failure adds and that one success removes (natural logarithms).
 FAILURE_EVIDENCE = math.log(OUTLIER_FAILURE_RATE / HEALTHY_FAILURE_RATE)
 SUCCESS_EVIDENCE = math.log((1.0 - HEALTHY_FAILURE_RATE) / (1.0 - OUTLIER_FAILURE_RATE))
-# Evidence at which the sequential test raises its alarm, and the maximum of the evidence.
+# Evidence at which the sequential test raises its alarm; also the upper bound of the evidence.
 ALARM_EVIDENCE = 10.0
-# Decrease of the evidence that ends the alarm: six successes in a row.
+# Decrease of the evidence below `ALARM_EVIDENCE` that ends the alarm: six successes in a row.
 ALARM_HYSTERESIS = 3.0
 # Half-life of the evidence in ms.
 EVIDENCE_HALF_LIFE = 64_000.0
 
 
 class OutlierDetector:
-    """Outcomes of one endpoint, as seen by one director.
+    """Recent outcomes of one endpoint, as seen by one director.
 
     Attributes:
         successes: Decayed number of recent successes.
@@ -87,7 +88,7 @@
         self._update_evidence(now, failure)
 
     def clear_failures(self) -> None:
-        """Clear all failures, because the endpoint was shown to work."""
+        """Clear failures, evidence and alarm, because the endpoint was shown to work."""
         self.failures = 0.0
         self.evidence = 0.0
         self.has_alarm = False
@@ -100,9 +101,9 @@
         return self.failures >= MIN_FAILURES and self.failures > MAX_FAILURE_FRACTION * outcomes
 
     def failure_fraction(self) -> float:
-        """Return the fraction of failures, greater than 0 and less than 1.
+        """Return the fraction of failures among the recent outcomes, greater than 0 and below 1.
 
-        One more outcome that is half a failure is added, so that few outcomes have little effect.
+        One outcome that is half a failure is added, so that few outcomes have little effect.
         """
         return (self.failures + 0.5) / (self.successes + self.failures + 1.0)
 
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -9,14 +9,15 @@
 from .model import Attempt, Request
 from .work_estimates import WorkEstimator
 
-# Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. An
-# attempt has the fraction 0.5 at twice its expected time.
+# Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. It is
+# reached at twice the attempt's expected time.
 REROUTE_FRACTION = 0.5
 # Minimum time in ms until an attempt's first check. It is shorter than the delay of a far source.
 MIN_CHECK_DELAY = 150.0
-# Time in ms by which the first check precedes the latest time for a retry that meets the objective.
+# Time in ms by which the first check precedes the latest time at which a retry can still meet the
+# latency objective.
 CHECK_MARGIN = 50.0
-RETRY_WORK_FACTOR = 1.2  # multiple of its transfer time that is reserved for a retry
+RETRY_WORK_FACTOR = 1.2  # multiple of the answer's transfer time that is reserved for a retry
 
 
 @dataclass(slots=True, eq=False)
@@ -38,11 +39,15 @@
         return max(delay, MIN_CHECK_DELAY)
 
     def check(self, attempt: Attempt, now: float) -> bool:
-        """Record the silence of an attempt's endpoint and source if the attempt is overdue.
+        """Record the silence of an attempt's endpoint and fill source if the attempt is overdue.
+
+        The overdue fraction grows from 0 at the attempt's expected time to 1 at three times this
+        time. It is divided equally among the endpoints that have been silent since the attempt was
+        sent. If only the attempt's endpoint was silent, it may also count as not reached.
 
         Returns:
-            Whether the request must be sent elsewhere: the attempt is far overdue, and its endpoint
-            or source has been silent since it was sent.
+            Whether the request should be sent elsewhere: at least one of these endpoints is silent,
+            and the overdue fraction has reached `REROUTE_FRACTION`.
         """
         silent = self._silent_endpoints(attempt)
         expected = self._expected_time(attempt, now)
@@ -69,7 +74,7 @@
         return [each for each in involved if each.last_heard_at < attempt.sent_at]
 
     def _expected_time(self, attempt: Attempt, now: float) -> float:
-        """Return the expected duration of the attempt."""
+        """Return the expected duration of the attempt, from its sending to the complete answer."""
         work = self.work.transfer_time(attempt.request, now)
         expected = work * self.cache_selector.slowdown(attempt.endpoint, now)
         source = self._source_in_use(attempt)
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -9,7 +9,7 @@
   rejected, the less each earns; from `NO_RETRY_FRACTION` on it earns nothing.
 * Cost of a retry (`retry_cost`): a retry after an attempt that failed early is cheap, since that
   attempt caused little work. A retry after a rejection has the full cost however quick the
-  rejection was, because the endpoint is full, and its siblings probably will be soon.
+  rejection was, because the endpoint is full, and the other endpoints probably will be soon.
 * Retry-After (`retry_after`): rejected clients retry at random times around a short mean.
 * Overload mode (`OverloadDetector.is_overloaded`): begins and ends with hysteresis; it is only
   logged.
@@ -21,7 +21,8 @@
 
 # The counts of requests and rejections are halved at this interval in ms.
 COUNT_HALF_LIFE = 2000.0
-# Fraction of rejected requests above which overload mode begins; it ends below half of it.
+# Fraction of rejected requests above which overload mode begins; the mode ends at half of this
+# fraction.
 OVERLOAD_FRACTION = 0.1
 # Retries that a request earns while no request is rejected.
 RETRIES_PER_REQUEST = 0.15
@@ -31,17 +32,17 @@
 # objective is near, and a continuing overload rejects the retry immediately.
 MEAN_RETRY_AFTER = 100.0
 # A failure other than a rejection is early if it occurs within `QUICK_FAILURE_FRACTION` of the
-# attempt's expected duration. A retry after it costs `QUICK_FAILURE_COST` tokens.
+# attempt's expected duration. A retry after an early failure costs `QUICK_FAILURE_COST` tokens.
 QUICK_FAILURE_FRACTION = 0.25
 QUICK_FAILURE_COST = 0.3
 
 
 class OverloadDetector:
-    """Counts of one director's requests and rejections in the last seconds.
+    """Detector of overload, from one director's requests and rejections in the last seconds.
 
     Attributes:
         requests: Decayed number of recent requests.
-        rejected: Decayed number of those requests that this director rejected.
+        rejected: Decayed number of recent requests that this director rejected.
         is_overloaded: Whether overload mode is on.
     """
 
@@ -75,7 +76,7 @@
         return min(1.0, self.rejected / max(1.0, self.requests))
 
     def retries_earned(self) -> float:
-        """Return how many retries a request adds to the retry budget now."""
+        """Return how many retries, a fraction of one, a received request adds to its budget now."""
         return RETRIES_PER_REQUEST * max(0.0, 1.0 - self.rejected_fraction() / NO_RETRY_FRACTION)
 
 
@@ -83,8 +84,8 @@
     """Return the Retry-After in ms for a rejected client.
 
     Args:
-        random_fraction: A random number from 0 to 1, which prevents clients that are rejected
-            together from retrying together.
+        random_fraction: A random number from 0 to 1, so that clients that are rejected together do
+            not retry together.
         max_retry_after: The maximum time in ms that the platform allows.
     """
     return min(MEAN_RETRY_AFTER * (0.5 + random_fraction), max_retry_after)
@@ -94,9 +95,9 @@
     """Return how many tokens of the retry budget a retry costs.
 
     Args:
-        was_rejected: Whether the endpoint of the failed attempt rejected it because it is full.
-        duration: Time in ms after which the attempt failed.
-        expected_duration: Time in ms that a successful attempt would have taken.
+        was_rejected: Whether the previous attempt was rejected by a full endpoint.
+        duration: Time in ms from the sending of the previous attempt to the retry.
+        expected_duration: Time in ms that a successful attempt takes.
     """
     if not was_rejected and duration < QUICK_FAILURE_FRACTION * expected_duration:
         return QUICK_FAILURE_COST
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -3,11 +3,11 @@
 Requests are counted per object in time windows. An object is held by one cache, and by one more for
 each `HOT_FRACTION` of recent requests that are for it.
 
-Such a fraction cannot be measured with few requests: a director with four requests a second may
-receive a request for an object that is hot in the whole location only once in ten seconds.
-Therefore a window is extended, up to `MAX_WINDOWS` times, until it has enough requests to show the
-fraction. Objects that are hot in a whole location are then spread to more caches by each of
-hundreds of directors, although each director rarely receives requests for them.
+Such a small fraction cannot be measured with few requests: a director with four requests a second
+may receive a request for an object that is hot in the whole location only once in ten seconds.
+Therefore a window is extended, up to `MAX_WINDOWS` times its length, until it has enough requests
+to show the fraction. Objects that are hot in a whole location are then spread to more caches by
+each of hundreds of directors, although each director rarely receives requests for them.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
@@ -17,8 +17,8 @@
 # An object should be held by one more cache for each `HOT_FRACTION` of recent requests that are for
 # it.
 HOT_FRACTION = 0.02
-# Minimum number of requests for one more cache, so that a few random requests do not make an object
-# hot.
+# Minimum number of an object's requests for each additional cache, so that a few random requests do
+# not make the object hot.
 MIN_HOT_COUNT = 4.0
 # Length of a window in ms; the previous window counts with half weight.
 WINDOW = 10_000.0
@@ -40,7 +40,7 @@
         self._window_started_at = now
 
     def record(self, now: float, key: Hashable) -> bool:
-        """Count a request for an object.
+        """Count a request for the object `key`.
 
         Returns:
             Whether a new window has begun with this request.
@@ -55,7 +55,7 @@
         return is_window_over
 
     def count(self, key: Hashable) -> float:
-        """Return the number of recent requests; those of the previous window have half weight."""
+        """Return an object's number of recent requests; the previous window has half weight."""
         return self._counts.get(key, 0) + 0.5 * self._previous_counts.get(key, 0)
 
     def cache_count(self, key: Hashable) -> int:
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -1,8 +1,8 @@
 """Weighted rendezvous hashing with the same result at all directors; pure.
 
-Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998); the weights use
-the logarithmic method of Schindelhauer and Schomaker (2005). If an endpoint is lost, only its own
-objects move to other endpoints.
+The hash is that of Thaler and Ravishankar, "Using name-based mappings to increase hit rates"
+(1998); the weights use the logarithmic method of Schindelhauer and Schomaker (2005). If an endpoint
+is lost, only the objects of this endpoint move to other endpoints.
 """
 
 import math
@@ -32,10 +32,10 @@
     slow_start: SlowStartAdmission,
     now: float,
 ) -> list[TrackedEndpoint]:
-    """Return the endpoints in the order of their rendezvous hash for the object.
+    """Return the endpoints in the order of their rendezvous hash for this part of the object.
 
-    An endpoint is weighted by its capacity and by the fraction of it that is available in slow
-    start.
+    An endpoint's weight in the hash is its capacity times the fraction of the capacity that is
+    available in slow start.
     """
 
     def _score(endpoint: TrackedEndpoint) -> float:
--- a/mulleinrelay/policy/retry_policy.py
+++ b/mulleinrelay/policy/retry_policy.py
@@ -9,7 +9,7 @@
 from .model import Outcome, Request, RetryBudget, ServiceSettings
 from .work_estimates import WorkEstimator
 
-MAX_SAVED_RETRIES = 8.0  # maximum number of tokens in a budget
+MAX_SAVED_RETRIES = 8.0  # maximum number of tokens in a retry budget
 MAX_ERRORS = 2  # endpoint errors after which a request gets no further attempt
 FULL_RETRY_COST = 1.0  # tokens
 
@@ -17,8 +17,8 @@
 class RetryPolicy:
     """Rules for whether a request gets another attempt.
 
-    Owns the budget of requests without a pool; a pool has its own budget. `earn` and `try_spend`
-    change the budgets.
+    Owns the retry budget that all requests without a pool share; a pool has its own budget. `earn`
+    and `try_spend` change the budgets.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         return request.pool.retry_budget if request.pool else self.local_budget
 
     def earn(self, request: Request) -> None:
-        """Add the fraction of a retry that a received request earns to its budget."""
+        """Add the fraction of a retry that a received request earns to the request's budget."""
         budget = self.budget_for(request)
         budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + self._overload.retries_earned())
 
     def may_attempt(self, request: Request, now: float) -> bool:
-        """Return whether another attempt is permitted.
+        """Return whether another attempt is permitted, apart from the retry budget.
 
-        The retry budget is not considered.
+        The number of attempts and of errors, the deadline and idempotency limit the attempts.
         """
         if len(request.attempts) >= self._settings.max_attempts:
             return False
@@ -53,7 +53,7 @@
         return self.budget_for(request).tokens >= FULL_RETRY_COST
 
     def try_spend(self, request: Request, now: float) -> bool:
-        """Charge the next attempt to the budget; return whether it had enough tokens.
+        """Charge the next attempt to the request's budget; return whether the tokens sufficed.
 
         The first attempt is free, and so is an attempt after a miss, since a miss is part of the
         normal processing of a request.
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -1,9 +1,10 @@
 """Routing decisions of one director: typed events in, actions out.
 
-Processing of a request: `RequestReceived` routes it, which sends a first attempt to a cache. Each
-`AttemptFinished` either completes the request or routes it again. `TimerFired` finds overdue
-attempts, and ends the request before its client's deadline. The objects that the router consists
-of, each in a module of its own, record what is learned about endpoints in the process.
+Processing of a request: `RequestReceived` routes the request, which usually sends a first attempt
+to a cache. Each `AttemptFinished` either completes the request or, if no other attempt is in
+flight, routes it again. `TimerFired` finds overdue attempts, and ends the request before its
+client's deadline. The objects that the router consists of, each in a module of its own, record what
+the router learns about endpoints in the process.
 
 Pure: no sockets, files, threads or clocks; the time in ms is passed with each call. Not
 thread-safe: the caller makes one call at a time.
@@ -50,7 +51,10 @@
 
 
 class Route(NamedTuple):
-    """Destination of an attempt: its endpoint and the source that a miss is filled from."""
+    """Destination of an attempt: its endpoint and the source that a miss is filled from.
+
+    `only_if_cached` states whether the source may answer only from its own cache.
+    """
 
     endpoint: TrackedEndpoint
     fill_source: TrackedEndpoint | None
@@ -60,15 +64,16 @@
 class Router:
     """Decision maker of one director.
 
-    Owns the objects below, which share one random generator, and the progress of requests
-    (`Request.is_complete`, `Request.attempts`, `TrackedEndpoint.attempts_in_flight`). The quota
-    exchange also changes the two quota shares, under the caller's lock.
+    Owns the objects that the constructor creates, which share one random generator, and the
+    progress of requests (`Request.is_complete`, `Request.attempts`,
+    `TrackedEndpoint.attempts_in_flight`). The quota exchange also changes the two quota shares,
+    while it holds the caller's lock.
     """
 
     def __init__(self, now: float, seed: int, settings: ServiceSettings) -> None:
         """Create a router without endpoints.
 
-        The same seed and calls give the same decisions.
+        The same seed and the same calls lead to the same decisions.
         """
         self.settings = settings
         self.random = Random(seed)
@@ -82,8 +87,8 @@
         self.link = LinkCongestion()
         self.retry_policy = RetryPolicy(settings, self.work, self.overload)
         self.slow_start = self._make_slow_start()
-        # The scheduler must draw its random numbers before the trial tokens are drawn: the
-        # decisions of a seed depend on this order.
+        # The scheduler must draw its random numbers before the trial tokens are drawn, because the
+        # decisions that follow from a seed depend on this order.
         checks = HealthCheckScheduler(
             now, self.random, settings.polls_load_reports, settings.health_check_cost
         )
@@ -143,7 +148,7 @@
         )
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return the handler methods by type of event."""
+        """Return the handler method of each type of event."""
         return {
             RequestReceived: self._on_request,
             AttemptFinished: self._on_attempt_finished,
@@ -157,7 +162,11 @@
         }
 
     def handle(self, now: float, events: Iterable[Event], sink: ActionSink) -> None:
-        """Handle the events in order; decisions are passed to the sink immediately."""
+        """Handle the events in order, and pass the resulting actions to the sink immediately.
+
+        Before the events, subscribe to the endpoint list if there is no subscription; after them,
+        request the health checks that are due.
+        """
         self._now = now
         self._sink = sink
         if not self._is_subscribed:
@@ -172,8 +181,8 @@
     def can_begin(self, now: float, attempt: Attempt) -> bool:
         """Return whether an attempt that was waiting to be written may still be sent.
 
-        Information received since the decision (drains, purges, other attempts) may forbid it. The
-        attempt then never ran, and its request is routed again.
+        Events since the decision (drains, purges, results of other attempts) may forbid it. The
+        caller then reports the attempt as not sent, and the router routes the request again.
         """
         self._now = max(self._now, now)
         request = attempt.request
@@ -257,9 +266,9 @@
     # Routing of requests
 
     def _route(self, request: Request) -> None:
-        """Send the next attempt.
+        """Send the next attempt of the request.
 
-        If none is permitted, wait for an attempt in flight or end the request.
+        If none is permitted or possible, wait for an attempt in flight or end the request.
         """
         now = self._now
         if not self.retry_policy.may_attempt(request, now) or not self.retry_policy.try_spend(
@@ -276,19 +285,19 @@
     def _choose_route(self, request: Request) -> Route | None:
         """Choose the route of the next attempt; return None if no route can serve it in time."""
         allows_bypass = self.settings.allows_cache_bypass
-        is_write = request.request_class.is_uncacheable
+        is_uncacheable = request.request_class.is_uncacheable
         is_zone_lost = self.health.is_zone_lost()
         cache = None
-        if not ((is_write or is_zone_lost) and allows_bypass):
+        if not ((is_uncacheable or is_zone_lost) and allows_bypass):
             cache = self.cache_selector.choose(request, self._now)
-        if is_write:
+        if is_uncacheable:
             fill = FillChoice(self.endpoints.origin, False)
         else:
             fill = self.fill_sources.choose(request, cache, self._now)
         if cache is not None:
             route = Route(cache, fill.source, fill.only_if_cached)
             return None if self._would_repeat_miss(request, route) else route
-        has_caches = self.endpoints.caches and not is_write and not is_zone_lost
+        has_caches = self.endpoints.caches and not is_uncacheable and not is_zone_lost
         if fill.source is None or not allows_bypass or has_caches:
             return None
         return Route(fill.source, fill.source, False)
@@ -296,9 +305,10 @@
     def _would_repeat_miss(self, request: Request, route: Route) -> bool:
         """Return whether the route would repeat the miss of an earlier attempt.
 
-        A route serves only cached objects if its fill source is the endpoint itself, or a parent or
-        the origin that may answer only from its own cache. A fill from another cache of the
-        location counts as a fill, both for the route and for the earlier attempts.
+        A route that serves only cached objects is not used after a miss on such a route. These are
+        the routes whose fill source is the endpoint itself, or a parent or the origin that may
+        answer only from its own cache. A sibling cache as the fill source does not make such a
+        route, neither now nor in an earlier attempt.
         """
         caches = self.endpoints.caches
         is_filled = route.fill_source is not route.endpoint and (
@@ -311,7 +321,7 @@
         )
 
     def send(self, request: Request, route: Route) -> None:
-        """Send an attempt on the route."""
+        """Send an attempt on the route, and schedule its first overdue check."""
         now = self._now
         endpoint = route.endpoint
         attempt = Attempt(
@@ -341,13 +351,19 @@
         )
 
     def _check_overdue(self, attempt: Attempt) -> None:
-        """Check whether an attempt is overdue, and schedule the next check."""
+        """Hedge or cancel the attempt if it is overdue, and schedule the next check.
+
+        The next check follows after half of the time that has passed since the sending.
+        """
         self._sink.schedule_timer(0.5 * (self._now - attempt.sent_at), attempt)
         if self.overdue.check(attempt, self._now):
             self._hedge_or_cancel(attempt)
 
     def _hedge_or_cancel(self, attempt: Attempt) -> None:
-        """Hedge the last attempt, or cancel it if only one attempt may be in flight."""
+        """Hedge the attempt, or cancel it if only one attempt of a request may be in flight.
+
+        Do nothing if a later attempt was sent already, or if the request must not be sent again.
+        """
         request = attempt.request
         if attempt is not request.attempts[-1] or request.request_class.idempotency == UNSAFE:
             return
@@ -362,10 +378,11 @@
             self._sink.cancel_attempt(attempt)
 
     def _wait_or_give_up(self, request: Request) -> None:
-        """Wait for an attempt in flight at a reachable endpoint; if there is none, end the request.
+        """Wait if the last attempt is in flight at a reachable endpoint; otherwise end the request.
 
-        No further attempt is permitted. Ending the request early would increase an overload, since
-        endpoints would keep working on abandoned requests. The cost of waiting is late answers.
+        This follows when no further attempt can be sent. Ending the request early would increase an
+        overload, since endpoints would keep working on abandoned requests. The cost of waiting is
+        late answers.
         """
         last = request.attempts[-1] if request.attempts else None
         if (
@@ -392,7 +409,7 @@
         self._complete(request)
 
     def _complete(self, request: Request) -> None:
-        """Complete the request and cancel its attempts in flight."""
+        """Complete the request, and cancel its attempts in flight if cancelling is allowed."""
         request.is_complete = True
         if self.settings.allows_cancel:
             for attempt in request.attempts:
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: the load that one director may send to an endpoint that is warming up.
 
 An endpoint that has just started can serve only a fraction of its capacity, and fails if it
-receives much more over a certain window. All directors together must stay below that, and none of
-them knows what the others send. Therefore each director has an equal share of the endpoint's
-present capacity, and counts the work that it has sent within the window:
+receives much more over a certain window. All directors together must stay below that load, and none
+of them knows what the others send. Therefore each director has a share of the endpoint's present
+capacity, and counts the work that it has sent within the last window:
 
 * Deterministic part: a request is admitted while the work within the window fits into
   `DETERMINISTIC_FRACTION` of the director's share.
@@ -14,9 +14,10 @@
   An unused permit expires soon, so that if all directors select the same endpoint at one moment,
   only few of them have a permit.
 
-If directors draw independently, the work that all of them send within a window has a mean of at
-most `DETERMINISTIC_FRACTION` of the endpoint's capacity, or `PROBABILISTIC_FRACTION * (1 +
-PERMIT_LIFETIME)` of it, and has the variance of a sum of independent requests.
+Directors draw independently. The work that all of them send within a window therefore has the
+variance of a sum of independent requests. Its mean is at most `DETERMINISTIC_FRACTION` of the
+endpoint's capacity if the shares have room for requests, and at most `PROBABILISTIC_FRACTION * (1 +
+PERMIT_LIFETIME)` of the capacity if the directors depend on permits.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
 caller's clock; the work of a request is the time in ms that its response takes to send. Not
@@ -32,27 +33,27 @@
 # Fraction of the endpoint's present capacity that all directors together use if the share of each
 # has room for a request.
 DETERMINISTIC_FRACTION = 0.8
-# The same fraction if the directors depend on permits. It is lower because random requests occur in
-# clusters.
+# Fraction of the present capacity that all directors together use if they depend on permits. It is
+# lower because random requests occur in clusters.
 PROBABILISTIC_FRACTION = 0.4
-# Lifetime of a permit in windows. It is long enough for a director with few requests to still have
-# the permit when a request is received.
+# Lifetime of a permit, as a multiple of the window. It is long enough for a director with few
+# requests to still have the permit when it receives a request.
 PERMIT_LIFETIME = 1.0
-# Minimum work (ms) that is assumed for a request in the random draw of its permit. It limits the
-# rate of permits.
+# Minimum work (ms) that the random draw of a permit assumes for the request. It limits the rate of
+# permits.
 MIN_PERMIT_WORK = 1.0
 
 
 @dataclass(slots=True)
 class SentWork:
-    """Work of one request that this director has sent to the endpoint, and the time in ms."""
+    """Work of one request that this director has sent to the endpoint, and when it was sent."""
 
     sent_at: float
     work: float
 
 
 class SlowStartBudget:
-    """Budget of one director for one endpoint that is warming up."""
+    """Budget of work that one director may send to one endpoint that is warming up."""
 
     def __init__(self) -> None:
         self._sent: list[SentWork] = []
@@ -61,20 +62,21 @@
         self._permitted_work = 0.0  # work of the request that the last permit is for
 
     def spend(self, now: float, work: float) -> None:
-        """Record that an admitted request was sent; this uses up the permit, if there is one."""
+        """Record that a request with this work was sent; this uses up the permit, if any."""
         self._sent.append(SentWork(now, work))
         self._permit_expires_at = -math.inf
 
     def record_peaks(
         self, share: QuotaShare, work: float, is_admitted: bool, endpoint_work: float
     ) -> None:
-        """Record for the quota exchange which fraction of the endpoint this director needs.
+        """Record for the quota exchange which share of the endpoint this director needs.
 
         Args:
-            share: This director's share, whose peaks are raised.
+            share: This director's share. `peak_used` is raised to the needed share if the request
+                is admitted, otherwise `peak_rejected`.
             work: Work of the request that was admitted or rejected.
             is_admitted: Result of `try_admit` for the request.
-            endpoint_work: Work that the endpoint can now do over the window.
+            endpoint_work: Work in ms that the endpoint's present capacity allows over the window.
         """
         fraction = (self._sent_work() + work) / (DETERMINISTIC_FRACTION * endpoint_work)
         if is_admitted:
@@ -85,7 +87,7 @@
     def try_admit(
         self, now: float, work: float, capacity_share: float, window: float, random: Random
     ) -> bool:
-        """Return whether a request may be sent now; draw a permit for it if one is needed.
+        """Return whether a request may be sent now; draw a permit if the request needs one.
 
         Repeated calls with the same time and work return the same answer until `spend` is called.
 
@@ -93,7 +95,8 @@
             now: The current time in ms.
             work: Work of the request.
             capacity_share: This director's share of the endpoint's present capacity, work per ms.
-            window: Time in ms over which the endpoint must not be overloaded.
+            window: Time in ms over which sent work is counted; the endpoint must not be overloaded
+                over any such time.
             random: The director's source of randomness.
         """
         self._sent = [sent for sent in self._sent if sent.sent_at >= now - window]
@@ -111,14 +114,14 @@
     def _draw_permit(
         self, now: float, work: float, unused_capacity: float, lifetime: float, random: Random
     ) -> bool:
-        """Draw whether a permit for `work` was generated since the last draw.
+        """Draw whether a permit for `work` was generated since the last draw; if so, store it.
 
-        A second draw at the same time never succeeds, although it consumes a random number.
+        A second draw at the same time never succeeds, although it may consume a random number.
 
         Args:
             now: The current time in ms.
             work: Work of the request.
-            unused_capacity: Work per ms that permits may be drawn for.
+            unused_capacity: Work per ms that permits may be drawn for; 0 or less: none.
             lifetime: Time in ms for which a permit is valid.
             random: The director's source of randomness.
         """
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -5,8 +5,8 @@
 wait grows exponentially up to `MAX_BACKOFF_S`.
 
 An address that keeps refusing connections may be out of date: the configuration may contain a new
-address, and the signal to reload it may have been lost. The configuration is then read again, at a
-limited rate.
+address, and the signal to reload the configuration may have been lost. The configuration is then
+read again, at a limited rate.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are *seconds* of any one clock.
 Not thread-safe.
@@ -14,10 +14,11 @@
 
 from random import Random
 
-# Backoff after the first connection that delivered no events, and the maximum backoff.
+# Backoff after the first connection that delivered no events, and the maximum backoff; jitter may
+# exceed it.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-# Maximum fraction by which a backoff is randomly changed.
+# Maximum fraction by which a backoff is randomly lengthened or shortened.
 BACKOFF_JITTER = 0.25
 # Maximum random delay before a director reconnects after a connection that delivered events. It
 # spreads the reconnections of directors whose connections end at the same time.
@@ -44,10 +45,10 @@
         Args:
             now: The current time in seconds.
             has_received_events: Whether at least one event was received on the connection.
-            is_refused: Whether the address refused the connection.
+            is_refused: Whether the address refused the connection when it was opened.
 
         Returns:
-            The seconds to wait before the next connection.
+            The time in seconds to wait before the next connection is opened.
         """
         if not is_refused:
             self._refused_since = None
@@ -69,7 +70,8 @@
         """Return whether the caller must look up the address in the configuration now.
 
         A look-up is due if the address has refused all connections for `REFUSED_BEFORE_LOOKUP_S`,
-        but at most once in `LOOKUP_INTERVAL_S`. It replaces a reload signal that was lost.
+        but at most once in `LOOKUP_INTERVAL_S`. It makes up for a reload signal that was lost. If
+        the result is True, the look-up counts as begun.
         """
         if self._refused_since is None:
             return False
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -1,6 +1,6 @@
 """Estimates of transfer times and of the time left until a latency objective; pure, times in ms.
 
-The unit of work is the time of one transfer of an answer. If no sizes are known, the median of past
+The work of a request is the transfer time of its answer. If no sizes are known, the median of past
 response times is used instead.
 """
 
@@ -10,12 +10,15 @@
 from .latency import USUAL_HALF_LIFE, DecayingHistogram
 from .model import Request, ServiceSettings
 
-MIN_SIZES_FOR_MEAN = 20.0  # known sizes after which a class's mean is used for all of its requests
+# Number of known sizes from which on slow start counts each request as the mean of its class.
+MIN_SIZES_FOR_MEAN = 20.0
 # Objects larger than this multiple of their class's mean are not stored at their first request.
 OVERSIZED_FACTOR = 4.0
-# Fraction of its objective that a request may use, as other requests are received meanwhile.
+# Fraction of the time left until its objective that a request may use for a slowed transfer, as
+# other requests are received meanwhile.
 SHARED_OBJECTIVE_FRACTION = 0.4
-# Fraction that is added if this director is alone in its zone; it decreases with more directors.
+# Addition to this fraction if the director is alone in its zone. With n directors it is divided by
+# the square root of n.
 LONE_OBJECTIVE_FRACTION = 0.3
 # A smaller slowdown of a cache or link is within the noise of the histogram's wide bins.
 NOISE_SLOWDOWN = 1.2
@@ -23,7 +26,7 @@
 
 @dataclass(slots=True)
 class TransferTotals:
-    """Sum and number of the known transfer times of a class."""
+    """Sum in ms and number of the transfer times of a class's requests with a known size."""
 
     total: float = 0.0
     count: float = 0.0
@@ -32,7 +35,8 @@
 class WorkEstimator:
     """Estimator of transfer times by request class.
 
-    Owns the totals and response times of each class; only the `record_` methods change them.
+    Owns the transfer totals and response times of each class; only the `record_` methods change
+    them.
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
@@ -78,8 +82,9 @@
         """Return the work of a request at an endpoint in slow start: the mean of its class.
 
         If small requests were counted by their own size, many of them would add up to several times
-        the limit. If no sizes are known, the median response time is used, and if there is none,
-        the latency objective.
+        the limit. While fewer than `MIN_SIZES_FOR_MEAN` sizes are known, the request's own transfer
+        time counts if it exceeds the mean. If no sizes are known, the median response time is used,
+        and if there is none, the latency objective.
         """
         request_class = request.request_class
         totals = self._transfers[request_class]
@@ -93,14 +98,20 @@
         return max(self.transfer_time(request, now), mean)
 
     def is_oversized(self, request: Request, now: float) -> bool:
-        """Return whether the answer is several times as large as the mean of its class."""
+        """Return whether the answer exceeds `OVERSIZED_FACTOR` times the mean of its class.
+
+        The result is False if no sizes of the class are known.
+        """
         totals = self._transfers[request.request_class]
         if not totals.count:
             return False
         return self.transfer_time(request, now) > OVERSIZED_FACTOR * totals.total / totals.count
 
     def objective_left(self, request: Request, now: float) -> float:
-        """Return the time until the request misses its latency objective; negative after that."""
+        """Return the time until the request misses its latency objective; negative after that.
+
+        The objective grows with the answer's transfer time, up to the client's timeout.
+        """
         request_class = request.request_class
         objective = min(
             request_class.client_timeout,
@@ -112,8 +123,9 @@
     def max_slowdown(self, request: Request, now: float) -> float:
         """Return the factor by which the answer's transfer may be slowed.
 
-        Only a fraction of the objective is used, since further requests are received in the
-        meantime. Therefore large answers are the first to be rejected.
+        Only a fraction of the time left is used, since further requests are received in the
+        meantime. Therefore large answers are the first to be rejected. A slowdown up to
+        `NOISE_SLOWDOWN` is permitted whenever it fits into the time left.
         """
         ratio = self.objective_left(request, now) / self.transfer_time(request, now)
         return max(self._objective_fraction * ratio, min(NOISE_SLOWDOWN, ratio))
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -5,14 +5,15 @@
 requests for each cache, for as long as the partition lasts.
 
 The input is the set of caches that failed to respond most recently, without a response of any cache
-in between. If enough different caches have failed in this way, the zone is considered unreachable,
-and no single cache is ejected for it. A few caches are pinged. Their first pings are sent soon,
-because the decision may be wrong. The first response of any cache ends the outage, and the caches
-that were ejected for silence during the outage are reinstated. Every director receives that
-response at a different moment, so that directors do not return to the zone together.
+in between. If enough different caches have failed in this way, the zone as a whole is considered
+unreachable, without waiting until each cache is ejected. A few caches are pinged. Their first pings
+are sent soon, because the decision may be wrong. The first response of any cache ends the outage,
+and the caches that were ejected as unreachable during the outage are reinstated. Every director
+receives its first response at a different moment, so that directors do not return to the zone
+together.
 
 An outage that ends within `MIN_OUTAGE` of its detection was a false alarm: the caches were only
-slow. The next outage then requires more caches to fail in a row.
+slow. To detect the next outage, more caches must then fail in a row.
 
 Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
 caller's clock. Not thread-safe.
@@ -22,19 +23,22 @@
 from collections.abc import Collection, Hashable
 from random import Random
 
-# Fraction of the zone's caches that must fail in a row, and their minimum number.
+# Fraction of the zone's caches that must fail in a row for an outage, and their minimum number.
 MIN_FAILED_FRACTION = 0.25
 MIN_FAILED_CACHES = 2
-# Time in ms for which failures count. The requests of one director may be seconds apart.
+# Time in ms for which a failure counts. It is long because the requests of one director may be
+# seconds apart.
 FAILURE_WINDOW = 5000.0
-# Interval in ms between pings to an unreachable zone. The interval between pings to one cache is
-# given, so this interval determines how many caches are pinged.
+# Mean interval in ms between two pings of one director to any cache of an unreachable zone. The
+# interval between pings to one cache is given, so this interval determines how many caches are
+# pinged.
 PING_SPACING = 1000.0
 # Minimum time in ms from the detection of an outage to its end; a shorter outage was a false alarm.
 MIN_OUTAGE = 1000.0
-# Maximum number of times that a false alarm doubles the number of caches that must fail.
+# Each false alarm that has not expired doubles the number of caches that must fail, at most this
+# many times.
 MAX_THRESHOLD_DOUBLINGS = 3
-# Time in ms after which one false alarm expires.
+# Time in ms after the last false alarm, or the last expiry, when one false alarm expires.
 FALSE_ALARM_LIFETIME = 30_000.0
 
 
@@ -50,8 +54,8 @@
     def __init__(self) -> None:
         self.caches: dict[Hashable, None] = {}
         self.recent_failures: dict[Hashable, float] = {}
-        self._unreachable_since: float | None = None  # first failure of the current outage
-        self._detected_at = 0.0  # detection of the last outage
+        self._unreachable_since: float | None = None  # time of the current outage's first failure
+        self._detected_at = 0.0  # time when the last outage was detected
         self._false_alarms = 0
         self._false_alarm_expires_at = 0.0
 
@@ -65,8 +69,8 @@
 
         Args:
             caches: All caches that are ready.
-            has_restarted: Whether one of them has started since the last update. Nothing is known
-                of it, so the zone is considered reachable again.
+            has_restarted: Whether an endpoint of the zone has started since the last update.
+                Nothing is known of this endpoint, so the zone is considered reachable again.
         """
         if has_restarted or not caches:
             self.recent_failures = {}
@@ -81,6 +85,9 @@
     def record_failure(self, now: float, cache: Hashable) -> bool:
         """Record that a cache was not reached, or that an attempt there is overdue.
 
+        Failures of endpoints that are not caches of the zone are ignored, and so are failures
+        during an outage.
+
         Returns:
             Whether the zone has become unreachable by this failure.
         """
@@ -105,9 +112,9 @@
         """Record that a cache has responded; this ends an outage.
 
         Returns:
-            None if no outage has ended. Otherwise the start of the outage in ms: caches that were
-            ejected since then may be reinstated. It is infinite after a false alarm, since each of
-            these caches was then silent for its own reasons.
+            None if no outage has ended. Otherwise the time in ms from which on ejected caches may
+            be reinstated: the start of the outage. It is infinite after a false alarm, since each
+            of the ejected caches was then silent for its own reasons.
         """
         if cache not in self.caches:
             return None
@@ -124,7 +131,7 @@
         """Choose at random the caches to ping while the zone is unreachable.
 
         Args:
-            interval: Interval in ms at which each of them is pinged.
+            interval: Mean interval in ms at which each chosen cache is pinged.
             random: The director's source of randomness.
         """
         count = max(MIN_FAILED_CACHES, math.ceil(interval / PING_SPACING))
