--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -2,22 +2,24 @@
 
 A limit is divided into `UNITS_PER_LIMIT` units. Each unit has one owner, which never changes and
 follows from the number of directors that the limit is configured for. An owner that does not need
-some of its units lends them for a limited time. At any time at most one director may use a unit:
+some of its units lends them for a limited time, as a *lease*. An *incarnation* is one run of a
+director from its start to the next restart. At any time at most one director may use a unit:
 
 - The owner locks the units of a lease before it sends the grant. It unlocks them one window after
   the end of `LEASE_DURATION_MS`.
 - The borrower may use the units until LEASE_DURATION_MS * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent
-  the request*. The owner locked them later than that, so even with two clocks that drift apart by
-  MAX_CLOCK_DRIFT the borrower's use ends before the owner's lock (derivation in docs/budgets.md).
+  the request*. The owner locks the units after that moment. Even if the two clocks drift apart by
+  MAX_CLOCK_DRIFT, the borrower's use therefore ends before the owner's lock (derivation in
+  docs/budgets.md).
 - A grant is accepted once, for the pending request of this incarnation that it answers. A duplicate
   request gets the same grant again and locks no further units.
-- A director that has restarted does not know which units it has lent. Until all leases of an
-  earlier incarnation have expired it uses only the reserved units, which are never lent. It does
-  not know its recent use either, so it uses no units for one window.
+- A director that has restarted does not know which units it has lent. Until all leases that an
+  earlier incarnation granted have expired, it uses only the reserved units, which are never lent.
+  It does not know its recent use either, so it uses no units for one window.
 
 Lost, duplicated, delayed or reordered messages and crashed or paused directors therefore never lead
-to the use of a unit by two directors; a loss only delays the use. A director that receives nothing
-can use its own units again within LEASE_DURATION_MS and one window.
+to the use of a unit by two directors; a loss only delays the use. A director that receives no
+messages can use its own units again within LEASE_DURATION_MS and one window.
 
 Limits count use over a window. An owner therefore lends only units that it has not used for a
 window, and uses them again one window after their return. No window thus contains the use of one
@@ -29,7 +31,7 @@
 
 UNITS_PER_LIMIT = 1 << 20
 MAX_CLOCK_DRIFT = 0.01  # relative, between two directors' clocks
-LEASE_DURATION_MS = 2_000.0  # for which the owner locks lent units
+LEASE_DURATION_MS = 2_000.0  # for which the owner locks the units of a lease, plus one window
 RESERVED_FRACTION = 0.05  # of the owned units: never lent, usable one window after a start
 
 MemberId = tuple[str, str, int]
@@ -40,9 +42,9 @@
 class LeaseRequest:
     """Request for units of another director, or for the renewal of an earlier lease."""
 
-    number: int
+    number: int  # of the request; a lease has the number of the request that obtained it
     units: int
-    renews: int = 0
+    renews: int = 0  # number of the lease to renew; 0: a new lease
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,9 +57,9 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRelease:
-    """Notice that the borrower no longer uses the units of the request with the same number."""
+    """Notice that the borrower no longer uses the units of a lease."""
 
-    number: int
+    number: int  # of the lease
 
 
 @dataclass(slots=True)
@@ -70,7 +72,7 @@
 
 @dataclass(slots=True)
 class BorrowedLease:
-    """Borrowed units, which may be used until they expire."""
+    """Borrowed units, which this director may use until `expires_at`."""
 
     lender: MemberId
     units: int
@@ -79,11 +81,11 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request whose grant may still arrive."""
+    """Lease request of this director whose grant may still arrive."""
 
     lender: MemberId
     sent_at: float
-    renews: int = 0
+    renews: int = 0  # number of the lease to renew; 0: a new lease
 
 
 @dataclass(slots=True)
@@ -91,16 +93,18 @@
     """Owned, lent and borrowed units of one limit at one director.
 
     Attributes:
-        owned: Units that this director owns.
+        owned: Number of units that this director owns.
         window: Milliseconds over which use is counted.
         started_at: Time at which this incarnation started to use the limit.
-        incarnation: Incarnation of this director; greater than all earlier ones of the same name.
+        incarnation: Number of this incarnation; greater than those of all earlier incarnations of
+            the director.
         lease_duration: See `LEASE_DURATION_MS`.
         max_clock_drift: See `MAX_CLOCK_DRIFT`.
         reserved_fraction: See `RESERVED_FRACTION`.
         last_number: Number of the last request that this director sent.
-        granted: Granted leases by the borrower, its incarnation and the number of its request.
-        borrowed: Borrowed leases by the number of this director's request.
+        granted: Leases to other directors, by borrower, the borrower's incarnation and the number
+            of the borrower's request.
+        borrowed: Leases from other directors, by the number of this director's request.
         pending: This director's requests whose grant may still arrive, by number.
     """
 
@@ -120,11 +124,11 @@
 
     @property
     def reserved(self) -> int:
-        """Owned units that are never lent."""
+        """Number of owned units that are never lent."""
         return math.ceil(self.owned * self.reserved_fraction)
 
     def usable(self, now: float) -> int:
-        """Return the number of units that this director may use."""
+        """Return the number of units, owned and borrowed, that this director may use."""
         return self.usable_owned(now) + sum(
             lease.units for lease in self.borrowed.values() if now < lease.expires_at
         )
@@ -135,6 +139,7 @@
         Lent units are excluded. For some time after a restart, so are the units that an earlier
         incarnation may have used or lent.
         """
+        # Divided because this director's clock may be faster than the borrowers' clocks.
         age = (now - self.started_at) / (1.0 + 2.0 * self.max_clock_drift)
         if age < self.window:  # an earlier incarnation may just have used all units
             return 0
@@ -145,11 +150,11 @@
         )
 
     def lendable(self, now: float, used: int) -> int:
-        """Return the number of owned units that may be lent.
+        """Return the number of owned units that may be lent now.
 
         Args:
             now: Time in ms.
-            used: Maximum number of units that this director used within the last window.
+            used: Maximum number of units that this director used within the last window or needs.
         """
         return max(0, self.usable_owned(now) - max(used, self.reserved))
 
@@ -176,11 +181,12 @@
         Args:
             now: Time in ms.
             lender: Director that sent the grant.
-            incarnation: Incarnation of the borrower in the request.
+            incarnation: Incarnation of the borrower that the grant names.
             grant: The grant.
 
         Returns:
-            Whether the grant is valid.
+            Whether the units were borrowed, or the lease was renewed. A grant is ignored if it
+            matches no pending request of this incarnation or arrives too late.
         """
         request = self.pending.get(grant.number)
         if request is None or request.lender != lender:
@@ -192,7 +198,7 @@
         if request.renews:
             lease = self.borrowed.get(request.renews)
             if lease is None or lease.lender != lender or lease.units != grant.units:
-                # The lease was released or has expired; the lender's lock expires by itself
+                # The lease was released or has expired; the lender's lock expires without a message
                 return False
             lease.expires_at = max(lease.expires_at, expires_at)
             return True
@@ -204,7 +210,8 @@
         """Release the borrowed lease with this number.
 
         Returns:
-            The message for the lender; None if no lease with this number is borrowed.
+            The message that the caller sends to the lender; None if no lease with this number is
+            borrowed.
         """
         lease = self.borrowed.pop(number, None)
         return LeaseRelease(number) if lease is not None else None
@@ -214,17 +221,18 @@
     def grant(
         self, now: float, borrower: MemberId, incarnation: int, request: LeaseRequest, used: int
     ) -> LeaseGrant | None:
-        """Lock units for a borrower before the grant is sent.
+        """Lock units for a borrower before the grant is sent, or renew a lease.
 
         Args:
             now: Time in ms.
             borrower: Director that sent the request.
             incarnation: Incarnation of the borrower.
             request: The request.
-            used: Maximum number of units that this director used within the last window.
+            used: Maximum number of units that this director used within the last window or needs.
 
         Returns:
-            The grant to send; None if the request gets no response.
+            The grant to send. None if the request gets no response: no units may be lent, or the
+            lease has expired.
         """
         lease = self.granted.get((borrower, incarnation, request.number))
         if lease is not None:  # duplicate request: same grant until the lease expires
@@ -246,7 +254,7 @@
     def accept_release(
         self, now: float, borrower: MemberId, incarnation: int, release: LeaseRelease
     ) -> None:
-        """End a lease, so that its units are unlocked one window from now."""
+        """End a lease that its borrower has released; the units are unlocked one window later."""
         lease = self.granted.get((borrower, incarnation, release.number))
         if lease is not None:
             lease.locked_until = min(lease.locked_until, now)
--- a/mulleinrelay/budgets/lease_messages.py
+++ b/mulleinrelay/budgets/lease_messages.py
@@ -1,7 +1,7 @@
 """Lease messages and their encoding as MessagePack arrays, without I/O.
 
-The order of the fields is the wire format. The messages are the payload of a membership datagram,
-which contains the checksum.
+The order of the fields is part of the wire format. The messages are the payload of a membership
+datagram, which also contains a checksum.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 class LeaseMessageKind(StrEnum):
-    """Kind of a lease message; the values are the wire format."""
+    """Kind of a lease message; the values are part of the wire format."""
 
     REQUEST = "a"
     GRANT = "l"
@@ -28,8 +28,9 @@
         kind: A `LeaseMessageKind`. The type is str, so that a message of an unknown kind from a
             later version does not invalidate the other messages of the payload.
         incarnation: Incarnation of the borrower.
-        number: Number of the borrower's request, which identifies the lease.
-        units: Quota units that are requested or granted; 0 in a release.
+        number: Number of the borrower's request; in a release, of the request that obtained the
+            lease.
+        units: Number of quota units that are requested or granted; 0 in a release.
         renews: Number of the lease that a request renews; 0 for a new lease.
     """
 
@@ -56,7 +57,7 @@
         """Return the messages of a payload.
 
         Raises:
-            ProtocolError: If it is not a list of lease messages.
+            ProtocolError: If the payload is not a list of lease messages.
         """
         try:
             return self._decoder.decode(payload)
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -1,8 +1,8 @@
 """Quota exchange: decides when a director borrows, lends, renews and releases quota units.
 
-No I/O; times in ms. Each limit has one `QuotaShare`. The exchange sets the fraction of the limit
-that the router may use. The router reports the largest fraction that it used, and the largest one
-at which it rejected requests.
+No I/O; times in ms. Each limit has one `QuotaShare`, through which exchange and router communicate.
+The exchange sets the fraction of the limit that the router may use. The router reports the largest
+fraction that it used, and the largest fraction that rejected requests would have needed.
 """
 
 import math
@@ -31,14 +31,15 @@
 MAX_BORROWED_LEASES = 64  # at the same time, per limit
 MAX_LEASES_PER_LENDER = 3  # more than 1, as a lender may have had few units for the first lease
 MAX_MESSAGES_PER_PAYLOAD = 2 * MAX_BORROWED_LEASES  # further messages are ignored
-# Units are borrowed ahead of use, so that client requests do not wait for units
+# Units are borrowed ahead of use, so that client requests do not wait for units. The demand is the
+# larger of a share's two peaks, each times one of these factors.
 USED_HEADROOM = 1.25  # factor on the fraction that was used
-REJECTED_HEADROOM = 2.0  # factor on the fraction at which requests were rejected
-RENEWAL_FRACTION = 0.5  # remaining fraction of a lease's duration when it is renewed
+REJECTED_HEADROOM = 2.0  # factor on the fraction that rejected requests would have needed
+RENEWAL_FRACTION = 0.5  # fraction of a lease's duration that is left when its renewal is requested
 DEMAND_HALF_LIFE_MS = 400.0  # smooths demand, so that units do not move with each request
 PEAKS_PER_WINDOW = 4  # intervals into which the last window is divided to track peak use
 MIN_LEASE_FRACTION = 0.05  # of an owner's units; smaller leases are not worth a datagram
-REQUEST_NUMBER_LIMIT = 1 << 40  # exclusive bound of the random first request number
+REQUEST_NUMBER_LIMIT = 1 << 40  # exclusive bound of the random start of the request numbers
 THOUSANDTHS_PER_LIMIT = 1000.0  # amounts in the status are in thousandths of the shared limit
 
 
@@ -50,7 +51,7 @@
         name: Name of the limit, the same at all directors.
         owners: Number of directors that own the limit in equal parts.
         window: Milliseconds over which use is counted.
-        share: Interface to the router for this limit.
+        share: The share through which this director's router and the exchange communicate.
         location: Location of the directors that share the limit; empty for the whole fleet.
     """
 
@@ -68,9 +69,9 @@
     Attributes:
         definition: Definition of the limit.
         ledger: Owned, lent and borrowed units of the limit.
-        demand: Fraction of the limit that this director wants. It decays with
+        demand: Fraction of the limit that this director wants; may exceed 1. It decays with
             `DEMAND_HALF_LIFE_MS`.
-        peaks: The largest fraction used in the current quarter of a window and in each of the
+        peaks: The largest fraction used in the current quarter of a window and in each of the up to
             `PEAKS_PER_WINDOW` quarters before it, the newest first.
         peak_started_at: Start time of the current quarter.
     """
@@ -82,7 +83,7 @@
     peak_started_at: float = 0.0
 
     def record_use(self, now: float) -> None:
-        """Update peaks and demand from the reports of the router since the last call."""
+        """Update peaks and demand from what the router has reported since the last call."""
         share = self.definition.share
         quarter = self.ledger.window / PEAKS_PER_WINDOW
         while now >= self.peak_started_at + quarter:
@@ -95,11 +96,11 @@
         share.peak_rejected = 0.0
 
     def units_in_use(self) -> int:
-        """Return the number of units that were used recently or are in demand."""
+        """Return the number of units used at most in the last window, or in demand if greater."""
         return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
 
     def lenders_with_pending_request(self, now: float) -> set[MemberId]:
-        """Return the directors to which a request is pending."""
+        """Return the lenders of requests sent within `REQUEST_TIMEOUT_MS` and not granted yet."""
         return {
             request.lender
             for request in self.ledger.pending.values()
@@ -107,7 +108,10 @@
         }
 
     def leases_being_renewed(self, now: float) -> set[int]:
-        """Return the numbers of the leases whose renewal is pending."""
+        """Return the numbers of the leases whose renewal was requested within the same time.
+
+        The result also contains 0, the number of no lease, if a request for a new lease is pending.
+        """
         return {
             request.renews
             for request in self.ledger.pending.values()
@@ -119,10 +123,15 @@
 
 
 class QuotaExchange:
-    """Exchange of all limits that one director shares; the `Delegate` of its membership.
+    """Exchange of all limits that one director shares; the `Delegate` of the director's membership.
 
     The thread of membership calls the exchange, while other threads use the shares in the router.
-    `lock` guards the shares; the class is otherwise not thread-safe.
+    The constructor's `lock` guards the shares; the class is otherwise not thread-safe.
+
+    Attributes:
+        limits: The shared limits, by name.
+        counts: Numbers of requests for new leases sent, new leases granted, grants accepted, leases
+            released, and messages or payloads that could not be used.
     """
 
     def __init__(
@@ -137,11 +146,11 @@
 
         Args:
             now: Time in ms.
-            random: Draws lenders and first request numbers.
+            random: Draws lenders and the start of the request numbers.
             incarnation: Incarnation of this director.
-            clock_offset: Milliseconds by which the router's clock is ahead of this clock.
+            clock_offset: Milliseconds by which the router's clock is ahead of the clock of `now`.
             lock: Lock that is held while shares change. It keeps units from being lent while the
-                router uses the units to admit a request.
+                router uses the units to admit a request. None: no lock.
         """
         self.limits: dict[str, SharedLimit] = {}
         self.counts = {"asked": 0, "lent": 0, "borrowed": 0, "given back": 0, "unusable": 0}
@@ -153,7 +162,7 @@
         self._codec = LeaseCodec()
 
     def add(self, now: float, definition: LimitDefinition) -> None:
-        """Add a limit; this director may use no units of it at first."""
+        """Add a limit; at first this director may use no units of the limit."""
         units = UNITS_PER_LIMIT // max(1, definition.owners)
         ledger = LeaseLedger(units, definition.window, now, self._incarnation)
         # A grant for a request of an earlier incarnation must not match a request of this
@@ -172,15 +181,15 @@
     def tick(
         self, now: float, incarnation: int, members: list[tuple[MemberId, str]]
     ) -> list[tuple[MemberId, bytes]]:
-        """Renew, release and request leases once per interval.
+        """Renew, release and request leases, once in `TICK_INTERVAL_MS`; update the shares.
 
         Args:
             now: Time in ms.
             incarnation: Current incarnation of this director in its membership.
-            members: Alive members with their locations.
+            members: The directors that are alive, each with its location.
 
         Returns:
-            Payloads and their recipients.
+            The payloads to send, each as (recipient, payload).
         """
         if now < self._next_tick_at:
             return []
@@ -198,7 +207,16 @@
     def receive(
         self, now: float, member_id: MemberId, payload: bytes
     ) -> list[tuple[MemberId, bytes]]:
-        """Handle the messages of one payload; return responses and their recipients."""
+        """Handle the messages of one payload.
+
+        Args:
+            now: Time in ms.
+            member_id: Director that sent the payload.
+            payload: The encoded messages.
+
+        Returns:
+            The payloads to send, each as (recipient, payload): none, or one with all responses.
+        """
         try:
             messages = self._codec.decode(payload)
         except ProtocolError:
@@ -218,7 +236,10 @@
         return [(member_id, self._codec.encode(responses))] if responses else []
 
     def _update_share(self, now: float, limit: SharedLimit) -> None:
-        """Set the router's fraction of the limit, its expiry and the fallback fraction after it."""
+        """Set the router's share: its fraction until the first borrowed lease expires, and after.
+
+        After the expiry, the router may use only owned units until the next update.
+        """
         share = limit.definition.share
         ledger = limit.ledger
         first_expiry = min(
@@ -269,7 +290,7 @@
     # As the borrower
 
     def _renew_or_release(self, now: float, limit: SharedLimit, outbox: Outbox) -> None:
-        """Release leases that are not needed any more, and renew leases that expire soon."""
+        """Release borrowed leases that are not needed, and request renewal of those ending soon."""
         ledger = limit.ledger
         wanted = math.ceil(UNITS_PER_LIMIT * limit.demand)
         ledger.remove_expired(now)
@@ -298,7 +319,10 @@
         outbox: Outbox,
         members: Sequence[tuple[MemberId, str]],
     ) -> None:
-        """Request the units that are missing for the demand from a few random members."""
+        """Request the units that are missing for the demand from a few random members.
+
+        Each of these members is asked for all missing units.
+        """
         ledger = limit.ledger
         wanted = math.ceil(UNITS_PER_LIMIT * min(1.0, limit.demand))
         missing = wanted - ledger.usable(now)
@@ -325,8 +349,8 @@
     def status(self, now: float) -> dict[str, object]:
         """Return this director's state of all shared limits, as a JSON object for operators.
 
-        Amounts are in thousandths of the limit that all directors share. The keys appear in the
-        records and in `--json` output and must not change.
+        Amounts are in thousandths of the limit that all directors share. The keys must not change,
+        because they appear in the records and in `--json` output.
         """
         return {
             "counts": dict(self.counts),
