--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -1,10 +1,13 @@
 """Coordinator of pending requests, between the threads of the network code and the router.
 
-One lock guards the router and the state of every request; this module uses no sockets. A request is
-accepted, and its steps are carried out until it has a result. Later events (a late answer, a client
-that leaves, a timer) find the request complete and are ignored. The thread whose call changed a
-request carries out its steps until there are none. Only one thread at a time does this for a
-request, so that the steps are carried out in order and the result comes last.
+One lock guards the router and the state of every request; this module uses no sockets. A *step* of
+a request tells the network code to send or cancel an attempt, or has the request's result. A
+request is accepted, and its steps are carried out until it has a result. Later events (a late
+answer, a client that leaves, a timer) find the request complete and do not change the result.
+
+The thread whose call changed a request carries out the request's steps until there are none. Only
+one thread at a time does this for a request, so that the steps are carried out in order and the
+result comes last.
 """
 
 import threading
@@ -63,15 +66,15 @@
 
 # Time in ms after the client's deadline when the coordinator fails a request without a result.
 RESULT_GRACE_PERIOD = 8.0
-IDLE_WAIT = 1000.0  # ms until the next call if no timer is set
+IDLE_WAIT = 1000.0  # ms until the next call of `run_due_timers` if no timer is set
 
 
 class RequestCoordinator:
     """Interface of the network code to the router.
 
     Thread-safe. `lock` guards the router with all its objects, the endpoint registry, and the
-    actions with pending requests, timers and health checks. Methods with an underscore must be
-    called while the lock is held.
+    stored actions of the router (pending requests, timers, health checks). Methods whose names
+    begin with an underscore must be called while the lock is held.
     """
 
     def __init__(
@@ -81,8 +84,8 @@
 
         Args:
             clock: Returns the time in ms.
-            seed: Seed of the router's random numbers. The same seed and calls give the same
-                decisions.
+            seed: Seed of the router's random numbers. The same seed and the same calls lead to the
+                same decisions.
             settings: The settings of the service.
             log: The log of the director.
         """
@@ -95,8 +98,8 @@
         router = Router(clock(), seed, settings)
         self._actions = PendingActions(self.registry, self._now, log, self._wake)
         self._driver = RouterDriver(router, self._actions, self._now, log)
-        # Notified about a new health check, and about a new timer that is due before the end of the
-        # wait in `wait_until`.
+        # Notified of a new health check, and of a new timer that is due before the end of the wait
+        # in `wait_until`.
         self._timer_changed = threading.Condition(self.lock)
         self._waiting_until = 0.0  # end of the wait in `wait_until`; 0: no thread is waiting
 
@@ -127,8 +130,8 @@
     ) -> Request:
         """Accept a request and let the router handle it.
 
-        The request's steps are reserved for the calling thread until `next_step` returns None to
-        it.
+        The request's steps are reserved for the calling thread until `next_step` returns None or
+        the result to that thread.
 
         Args:
             request_class: The request's class.
@@ -140,7 +143,7 @@
             is_retry: Whether the client has sent the request before.
             context: Data of the caller, kept with the request.
             has_capacity: Whether the director has the capacity for the request. If not, the router
-                ends it immediately.
+                rejects the request immediately, without an attempt.
             pool: The caches that the request is confined to; None: all caches of the location.
         """
         now = self.clock()
@@ -165,11 +168,11 @@
         return request
 
     def next_step(self, request: Request) -> SendAttempt | CancelAttempt | RequestResult | None:
-        """Return the next step of the request; its result is the last step, and is returned once.
+        """Return the next step of the request; the result is the last step, and is returned once.
 
         Returns:
-            None if there is nothing to do, or if another thread carries out the request's steps.
-            That thread then also carries out the steps that were added in the meantime.
+            The step; None if there is nothing to do, or if another thread carries out the request's
+            steps. That thread then also carries out the steps that were added in the meantime.
         """
         with self.lock:
             pending = self.pending_requests.get(request)
@@ -200,9 +203,11 @@
             attempt: The attempt.
             outcome: How the attempt ended.
             cache_status: How the endpoint obtained the answer, as reported by the endpoint.
-            first_byte_delay: Delay of the fill source in ms, as reported; 0 if not reported.
+            first_byte_delay: Time in ms until the fill source's first byte, as reported by the
+                endpoint; 0 if not reported.
             load: The load report that was received with the answer; None if there was none.
-            answer: The answer that the client receives if the attempt was served.
+            answer: The answer that the client receives if this attempt is the request's first to be
+                served; None if there is no answer.
         """
         with self.lock:
             self._driver.finish_attempt(
@@ -212,10 +217,10 @@
     def can_begin(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still be sent.
 
-        The caller asks when the first byte is about to be written, which may be long after the
-        decision. Later events (a drain, another machine at the address, a purge, a client that
-        left, another answer) may forbid it. The attempt is then reported as not sent, and the
-        router decides again.
+        The caller asks when the attempt's first byte is about to be written, which may be long
+        after the router's decision. Events in between (a drain, another machine at the address, a
+        purge, a client that left, another answer) may forbid it. The caller then reports the
+        attempt as not sent, and the router decides again.
         """
         with self.lock:
             pending = self.pending_requests.get(attempt.request)
@@ -230,13 +235,14 @@
     def can_health_check(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
         """Return whether a health check may be sent to the endpoint at this address.
 
-        The caller asks when the health check is about to be written.
+        The caller asks when the health check is about to be written, since the endpoint may have
+        restarted, or may be draining or removed by then.
         """
         with self.lock:
             return self.registry.is_current(endpoint, address) and endpoint.is_ready
 
     def client_left(self, request: Request) -> None:
-        """Record that the client of the request has left."""
+        """Record that the client has left, which completes a request without a result."""
         with self.lock:
             pending = self.pending_requests.get(request)
             if pending is not None and pending.result is None:
@@ -244,7 +250,7 @@
                 self._driver.handle(ClientLeft(request))
 
     def discard(self, request: Request) -> None:
-        """Remove the request, because no thread carries out its steps any more.
+        """Remove the request as if its client had left, because no thread carries out its steps.
 
         The caller must release the connections of the request's attempts.
         """
@@ -253,7 +259,10 @@
             self.pending_requests.pop(request, None)
 
     def finish_pending_requests(self) -> list[Request]:
-        """End all pending requests; return those whose steps must be carried out."""
+        """Reject or fail all requests without a result; return them.
+
+        The caller must carry out the steps of the returned requests.
+        """
         with self.lock:
             unfinished = [
                 request
@@ -271,7 +280,7 @@
     def cpu_utilization(self) -> float:
         """Return the utilization of this director's CPU time.
 
-        It is 0 if timers run when they are due, and near 1 if they run late.
+        It is 0 while timers run when they are due, and approaches 1 the later they run.
         """
         return self.scheduling_delay.utilization(self.clock())
 
@@ -284,12 +293,12 @@
 
     @property
     def addresses(self) -> dict[TrackedEndpoint, EndpointAddress]:
-        """The address of each endpoint; read while the lock is held."""
+        """The current address of each endpoint; read while the lock is held."""
         return self.registry.addresses
 
     @property
     def endpoint_updates(self) -> dict[str, EndpointUpdate]:
-        """The latest entry of each endpoint in the endpoint list, by name.
+        """The latest entry of each endpoint in the endpoint list, by name, without overrides.
 
         Read while the lock is held.
         """
@@ -297,7 +306,10 @@
 
     @property
     def overrides(self) -> EndpointOverrides | None:
-        """Overrides of the endpoint list by operators; set while the lock is held."""
+        """Operators' overrides of the endpoint list; None without management.
+
+        Set while the lock is held.
+        """
         return self.registry.overrides
 
     @overrides.setter
@@ -305,7 +317,12 @@
         self.registry.overrides = overrides
 
     def ready_caches(self) -> list[tuple[str, TrackedEndpoint, float]]:
-        """Return the name, endpoint and available capacity fraction of the zone's ready caches."""
+        """Return the zone's ready caches, sorted by name.
+
+        Returns:
+            A tuple for each cache: its name, its endpoint object and the minimum fraction of its
+            capacity that is available.
+        """
         with self.lock:
             return self.registry.fractions_by_name(
                 self.router.endpoints.caches, self.router.slow_start, self.clock()
@@ -323,7 +340,7 @@
             self.registry.drop_removed(self.router.endpoints.known)
 
     def change_overrides(self, change: Callable[[EndpointOverrides], list[str]]) -> None:
-        """Change the operators' overrides of the endpoint list.
+        """Change the operators' overrides of the endpoint list; they must have been set before.
 
         Args:
             change: Changes the overrides and returns the names of the affected endpoints.
@@ -340,9 +357,10 @@
         """Return the state of each listed endpoint for operators, sorted by name.
 
         Returns:
-            A tuple for each endpoint: its entry in the endpoint list, the effective state at this
-            director, its statistics, the smoothed delay in ms (None: not measured) and the minimum
-            fraction of its capacity that is available.
+            A tuple for each endpoint: its entry in the endpoint list, its state at this director
+            after overrides, its endpoint object with the measurements, the smoothed delay of fills
+            through it in ms (None: not measured) and the minimum fraction of its capacity that is
+            available.
         """
         with self.lock:
             return self.registry.states(self.router.slow_start, self.clock())
@@ -354,7 +372,7 @@
 
         Args:
             endpoint: The endpoint.
-            load: The load report; None if there was none.
+            load: The load report that was received with the result; None if there was none.
             is_healthy: Whether the health check was answered.
         """
         with self.lock:
@@ -367,14 +385,14 @@
 
         Args:
             object_id: The purged object; 0: the whole group.
-            group: The group.
-            purged_at: Time of the purge.
+            group: The purged group if `object_id` is 0; otherwise unused.
+            purged_at: Time of the purge in ms, by the coordinator's clock.
         """
         with self.lock:
             self._driver.handle(PurgeReceived(object_id, group, self.clock() - purged_at))
 
     def active_purge_count(self) -> int:
-        """Return the number of purges in the router's history."""
+        """Return the number of objects and groups in the router's purge history."""
         return len(self.router.purges)
 
     # Time
@@ -385,8 +403,8 @@
         """Run the timers that are due.
 
         Returns:
-            When to call again, the health checks to send, and the requests whose steps must be
-            carried out.
+            The time in ms when to call again, the health checks to send, and the requests whose
+            steps the caller must carry out.
         """
         with self.lock:
             now = self.clock()
@@ -411,7 +429,7 @@
             )
 
     def wait_until(self, until: float) -> None:
-        """Block until the time `until`, or until an earlier timer or a health check is added."""
+        """Block until the time `until`, or until a timer before it or a health check is added."""
         with self.lock:
             self._waiting_until = until
             remaining = until - self.clock()
@@ -430,6 +448,6 @@
         return self.clock()
 
     def _wake(self, due: float) -> None:
-        """Wake the thread in `wait_until` if something is due before the end of its wait."""
+        """Wake the thread in `wait_until` if the time `due` is before the end of its wait."""
         if due < self._waiting_until:
             self._timer_changed.notify_all()
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the endpoint list as received by this director: names, addresses and overrides.
+"""Registry of the endpoints in the endpoint list: names, addresses and operators' overrides.
 
 Not thread-safe; the coordinator guards it with its lock.
 """
@@ -21,21 +21,22 @@
     ) -> None:
         """Record an update of the endpoint list.
 
-        After a full snapshot, endpoints without an entry are removed.
+        If the update is a full snapshot, endpoints without an entry are removed.
         """
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """Return the state that this director uses for an endpoint, after applying overrides."""
+        """Return the state that this director uses for the entry's endpoint, after overrides."""
 
 
 class EndpointRegistry:
     """Endpoints by name, with the address of each.
 
     Owns the attributes below. `accept` and `reapply` change them, and `drop_removed` removes
-    endpoints.
+    endpoints. The coordinator sets `overrides`.
 
     Attributes:
-        endpoints: The router's endpoint objects, by name.
+        endpoints: The router's endpoint objects, by name, including removed endpoints that the
+            router still knows.
         addresses: The address of each endpoint; a restarted endpoint gets a new address object.
         updates: The latest entry of each endpoint, by name, except for removed endpoints.
         overrides: Operators' overrides of the endpoint list; None without management.
@@ -50,7 +51,10 @@
     def accept(
         self, now: float, entries: list[EndpointUpdate], is_full_snapshot: bool
     ) -> EndpointsUpdated:
-        """Store an update of the endpoint list; return the event for the router."""
+        """Store an update of the endpoint list; return the event for the router.
+
+        Omitted fields of an entry are filled in from the endpoint's previous entry.
+        """
         full_entries = [
             full_entry for entry in entries if (full_entry := self._fill_in(entry)) is not None
         ]
@@ -66,7 +70,7 @@
         return self._router_update(full_entries, is_full_snapshot)
 
     def reapply(self, change: Callable[[EndpointOverrides], list[str]]) -> EndpointsUpdated | None:
-        """Change the overrides; return the event for the router with the affected endpoints.
+        """Change the overrides; return the event that tells the router the affected endpoints.
 
         Args:
             change: Changes the overrides and returns the names of the affected endpoints.
@@ -74,22 +78,25 @@
         Returns:
             None if no listed endpoint is affected.
         """
-        names = change(self.overrides)  # type: ignore[arg-type]  # set by the only caller
+        names = change(self.overrides)  # type: ignore[arg-type]  # not None: the caller has set it
         affected = [self.updates[name] for name in names if name in self.updates]
         return self._router_update(affected, False) if affected else None
 
     def effective_state(self, entry: EndpointUpdate) -> EndpointState:
-        """Return the state that this director uses for an endpoint, after applying overrides."""
+        """Return the state that this director uses for the entry's endpoint, after overrides."""
         return self.overrides.effective_state(entry) if self.overrides is not None else entry.state
 
     def is_current(self, endpoint: TrackedEndpoint, address: EndpointAddress) -> bool:
-        """Return whether the endpoint is listed at that address and has not restarted."""
+        """Return whether the endpoint is listed and `address` is still its address object."""
         return self.addresses.get(endpoint) is address and not address.is_removed
 
     def drop_removed(self, still_known: dict[TrackedEndpoint, None]) -> None:
         """Remove endpoints that left the endpoint list and that the router no longer knows.
 
-        Without this, memory would grow with every replaced endpoint.
+        If they were kept, memory would grow with every replaced endpoint.
+
+        Args:
+            still_known: The endpoints that the router knows; the values are unused.
         """
         for name, endpoint in list(self.endpoints.items()):
             if self.addresses[endpoint].is_removed and endpoint not in still_known:
@@ -99,7 +106,12 @@
     def fractions_by_name(
         self, endpoints: list[TrackedEndpoint], slow_start: SlowStartAdmission, now: float
     ) -> list[tuple[str, TrackedEndpoint, float]]:
-        """Return the endpoints, sorted by name, each with its available capacity fraction."""
+        """Return the endpoints, sorted by name.
+
+        Returns:
+            A tuple for each endpoint: its name, its endpoint object and the minimum fraction of its
+            capacity that is available.
+        """
         named = [
             (
                 self.addresses[endpoint].name,
@@ -116,8 +128,7 @@
         """Return the state of each listed endpoint, sorted by name.
 
         Returns:
-            A tuple for each endpoint: its entry, effective state, statistics, smoothed delay and
-            available fraction of its capacity.
+            A tuple for each endpoint, as returned by `RequestCoordinator.endpoint_states`.
         """
         return [
             (
@@ -132,10 +143,13 @@
         ]
 
     def _fill_in(self, entry: EndpointUpdate) -> EndpointUpdate | None:
-        """Return the entry with omitted fields filled in from the previous entry.
+        """Return the entry, with omitted fields filled in from the endpoint's previous entry.
+
+        The entry of a removed endpoint gets all fields but the state from the previous entry.
 
         Returns:
-            None if the entry has no address and there is no previous entry.
+            None if the entry has no address and there is no previous entry, unless the endpoint is
+            removed.
         """
         previous = self.updates.get(entry.name)
         is_gone = entry.state == EndpointState.GONE
@@ -180,7 +194,11 @@
 
 
 def hash_key(name: str) -> int:
-    """Return the number of an endpoint in the rendezvous hash, the same at every director."""
+    """Return the number of an endpoint in the rendezvous hash, the same at every director.
+
+    It is the hexadecimal number after the last hyphen of the name (the whole name if there is no
+    hyphen). If that is not a hexadecimal number, it is made of all bytes of the name.
+    """
     digits = name.rpartition("-")[2]
     try:
         return int(digits, 16)
--- a/mulleinrelay/pending_requests.py
+++ b/mulleinrelay/pending_requests.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class CancelAttempt:
-    """Step that cancels this attempt."""
+    """Step for the network code: cancel this attempt."""
 
     attempt: Attempt
 
@@ -25,7 +25,7 @@
 class Rejected:
     """Result of a request that was not served and may safely be retried."""
 
-    retry_after_ms: float
+    retry_after_ms: float  # time after which the client should retry; 0: not specified
 
 
 @dataclass(slots=True, eq=False)
@@ -47,8 +47,9 @@
     Guarded by the coordinator's lock.
 
     Attributes:
-        next_steps: The steps to carry out, in order.
-        result: The request's result; only the first result is stored.
+        next_steps: The steps that the network code must carry out, in order: send or cancel an
+            attempt.
+        result: The request's result; only the first result is stored. None: no result yet.
         owner_thread: Identifier of the thread that carries out the steps; 0: none.
     """
 
@@ -60,7 +61,7 @@
         self.owner_thread = owner_thread
 
     def complete(self, result: RequestResult) -> None:
-        """Set the result if there is none."""
+        """Set the result, unless there is one already."""
         if self.result is None:
             self.result = result
 
@@ -69,10 +70,10 @@
         return bool(self.next_steps) or self.result is not None
 
     def take_step(self) -> SendAttempt | CancelAttempt | None:
-        """Remove and return the next step.
+        """Remove and return the next step; None if there is none.
 
-        Steps that would send an attempt that has ended, or an attempt of a completed request, are
-        skipped.
+        A step is dropped if it would send an attempt that has ended, or an attempt of a request
+        that has its result.
         """
         while self.next_steps:
             step = self.next_steps.popleft()
@@ -83,7 +84,7 @@
         return None
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt: remove its pending send step, or add a step that cancels it."""
+        """Cancel an attempt: remove the step that sends it, or add a step that cancels it."""
         for step in self.next_steps:
             if isinstance(step, SendAttempt) and step.attempt is attempt:
                 self.next_steps.remove(step)
--- a/mulleinrelay/router_actions.py
+++ b/mulleinrelay/router_actions.py
@@ -17,7 +17,7 @@
     Not thread-safe; the coordinator guards it with its lock.
 
     Attributes:
-        requests: The pending requests; the coordinator adds and removes them.
+        requests: The pending requests, each with its steps; the coordinator adds and removes them.
         timers: The timers of the router and of the coordinator.
     """
 
@@ -34,8 +34,8 @@
             registry: The endpoints and their addresses.
             clock: Returns the time in ms.
             log: The log of the director.
-            wake: Called with the time of each new timer or health check, to wake the waiting
-                thread.
+            wake: Called with the due time of each new timer, and with 0 for a new health check, to
+                wake the thread that waits for them.
         """
         self._registry = registry
         self._clock = clock
@@ -53,17 +53,20 @@
         self._wake(due)
 
     def has_health_checks(self) -> bool:
-        """Return whether health checks are pending."""
+        """Return whether there are health checks to send."""
         return bool(self._health_checks)
 
     def take_health_checks(self) -> list[tuple[TrackedEndpoint, EndpointAddress]]:
-        """Remove and return the pending health checks."""
+        """Remove and return the health checks to send."""
         health_checks = self._health_checks
         self._health_checks = []
         return health_checks
 
     def take_cancelled(self) -> list[Attempt]:
-        """Remove and return the attempts that the router cancelled, to be reported back to it."""
+        """Remove and return the attempts that the router cancelled.
+
+        The caller must report to the router that they have ended.
+        """
         cancelled = self._cancelled
         self._cancelled = []
         return cancelled
@@ -97,7 +100,10 @@
         self.set_timer(attempt.timeout, TimerKind.ATTEMPT_TIMEOUT, attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Add a step that cancels the attempt, and report the cancellation back to the router."""
+        """Cancel the attempt's pending step or add a step that cancels the attempt.
+
+        `take_cancelled` then returns the attempt. Nothing is done if the attempt has ended.
+        """
         if attempt.outcome is None:
             pending = self.requests.get(attempt.request)
             if pending is not None:
@@ -127,8 +133,8 @@
         self._wake(0.0)
 
     def subscribe_to_endpoints(self) -> None:
-        """Do nothing, since the event stream is always read."""
+        """Do nothing, since the event stream with the endpoint list is always read."""
 
     def log(self, text: str) -> None:
-        """Log a change of the router's mode."""
+        """Log the router's text as an event."""
         self._log.event("mode", text=text)
--- a/mulleinrelay/router_driver.py
+++ b/mulleinrelay/router_driver.py
@@ -1,4 +1,4 @@
-"""Driver of the router: passes it events, and the events that follow from its own actions."""
+"""Driver of the router: passes it events, and the results of the attempts that it cancels."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class RouterDriver:
-    """Router together with the store of its actions.
+    """Driver of the router, together with the store of the router's actions.
 
     Not thread-safe; the coordinator guards it with its lock.
 
@@ -35,12 +35,15 @@
         self._log = log
 
     def handle(self, event: Event) -> None:
-        """Let the router handle an event, and then report the attempts that it cancelled."""
+        """Let the router handle an event, and then the ends of the attempts that it cancelled.
+
+        If the router raises an exception, the event's request fails.
+        """
         events: list[Event] = [event]
         while events:
             try:
                 self.router.handle(self._clock(), events, self.actions)
-            except Exception as error:  # only this request fails; the director continues
+            except Exception as error:  # only the event's request fails; the director continues
                 self._log.exception(f"router, {type(event).__name__}", error)
                 self._fail_request_of(event)
             cancelled = self.actions.take_cancelled()
@@ -60,9 +63,10 @@
         load: LoadReport | None = None,
         answer: Any = None,
     ) -> None:
-        """End an attempt, unless it has ended already.
+        """Report the end of an attempt to the router, unless the attempt has ended already.
 
-        The first served attempt sets the request's result.
+        The first served attempt sets the request's result, unless the request is complete. The
+        arguments are those of `RequestCoordinator.report_outcome`.
         """
         if attempt.outcome is not None:
             return
@@ -82,7 +86,7 @@
     def run_timer(
         self, kind: TimerKind, subject: Request | Attempt, pending: PendingRequest
     ) -> None:
-        """Carry out the purpose of a due timer, unless its subject has ended."""
+        """Carry out the purpose of a due timer (see `TimerKind`), unless its subject has ended."""
         if isinstance(subject, Request):
             if kind == TimerKind.RESULT_OVERDUE:
                 self._fail_overdue(subject, pending)
@@ -96,7 +100,7 @@
                 self.handle(TimerFired(subject))
 
     def _fail_overdue(self, request: Request, pending: PendingRequest) -> None:
-        """Fail a request without a result, so that its client does not wait any longer."""
+        """Fail the request if it has no result, so that its client does not wait any longer."""
         if pending.result is None:
             self._log.event("overdue", attempts=len(request.attempts))
             pending.complete(Failed())
--- a/mulleinrelay/timers.py
+++ b/mulleinrelay/timers.py
@@ -9,16 +9,17 @@
 class TimerKind(Enum):
     """Purpose of a timer."""
 
-    ATTEMPT_TIMEOUT = "attempt timeout"  # the attempt has timed out and is abandoned
-    RESULT_OVERDUE = "result overdue"  # the request should have its result by now
-    ROUTER = "router"  # the router scheduled a call
+    ATTEMPT_TIMEOUT = "attempt timeout"  # abandon an attempt that has timed out
+    RESULT_OVERDUE = "result overdue"  # fail a request that should have its result by now
+    ROUTER = "router"  # pass a `TimerFired` event to the router
 
 
 class TimerQueue:
     """Queue of timers by due time; timers with the same due time run in the order they were set.
 
-    Owns the heap. Timers are not removed when their subject ends; the code that runs a timer checks
-    that. Not thread-safe; the coordinator guards it with its lock.
+    Owns the heap. Timers are not removed when their subject (a request or an attempt) ends; the
+    code that runs a timer checks whether the subject has ended. Not thread-safe; the coordinator
+    guards the queue with its lock.
     """
 
     def __init__(self) -> None:
@@ -26,16 +27,16 @@
         self._count = 0
 
     def add(self, due: float, kind: TimerKind, subject: Request | Attempt) -> None:
-        """Set a timer."""
+        """Set a timer that is due at the time `due` in ms."""
         self._count += 1
         heapq.heappush(self._timers, (due, self._count, kind, subject))
 
     def next_due(self) -> float | None:
-        """Return when the next timer is due; None if there is none."""
+        """Return when the next timer is due; None if there is no timer."""
         return self._timers[0][0] if self._timers else None
 
     def pop_due(self, now: float) -> tuple[TimerKind, Request | Attempt] | None:
-        """Remove and return the next timer if it is due; otherwise return None."""
+        """Remove the next timer and return its kind and subject; None if no timer is due."""
         if not self._timers or self._timers[0][0] > now:
             return None
         _, _, kind, subject = heapq.heappop(self._timers)
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -1,8 +1,8 @@
 """Frame codec of the simulator's wire protocol: decodes records and encodes replies.
 
-Only this module uses the protocol's own terms; the names of the codes are the terms of
-`policy/events.py` and `policy/actions.py`. A batch consists of a header, records of a fixed size,
-and a tail with data of variable length.
+The codes are named in the terms of `policy/events.py` and `policy/actions.py` and not in the
+protocol's own terms. A received batch and the reply to it each consist of a header, records of a
+fixed size, and a tail with data of variable length. Multi-byte numbers are little-endian.
 """
 
 import struct
@@ -13,11 +13,11 @@
 
 HEADER = struct.Struct("<IIdI")  # number of records, length, clock in ms, batch number
 HEADER_REST = 12  # bytes of the header that are included in the length
-REPLY_HEADER = struct.Struct("<III")
-REPLY_HEADER_REST = 4
+REPLY_HEADER = struct.Struct("<III")  # number of records, length, batch number
+REPLY_HEADER_REST = 4  # bytes of the reply's header that are included in the length
 EVENT_SIZE = 56  # bytes of a received record
 ACTION_SIZE = 40  # bytes of a record in a reply
-ENDPOINT_ROW = struct.Struct("<HBf6sBdB")
+ENDPOINT_ROW = struct.Struct("<HBf6sBdB")  # cell, kind, weight, address, state, start in ms, zone
 
 # Codes of received records
 SELECT_INSTANCE = 130  # selects the instance (director) that the following records are for
@@ -49,7 +49,8 @@
     PURGE: struct.Struct("<xQHd"),
     ENDPOINT_ROWS: struct.Struct("<xHII"),
 }
-# Index of the field that contains the offset in the tail; the field after it contains the length.
+# Index of a record's field that contains an offset in the tail. The field after it contains the
+# length of the data there, in bytes, or in rows for `ENDPOINT_ROWS`.
 TAIL_FIELDS = {BEGIN: 1, PEER_DATA: 1, ENDPOINT_ROWS: 1}
 
 # Codes of records in a reply
@@ -82,13 +83,16 @@
 }
 
 Fields = tuple[Any, ...]  # of one record, as unpacked by its struct
-# One received record: its code and fields. A field that refers to the tail contains the referenced
-# data. It is a plain tuple for speed, as there are several for each request.
+# One received record: its code and fields. The referenced data replaces the two fields that refer
+# to the tail. A record is a plain tuple for speed, as there are several for each request.
 Record = tuple[int, Fields]
 
 
 class Batch(NamedTuple):
-    """Received batch of records; `clock` is the simulated time in ms."""
+    """Received batch of records; `clock` is the simulated time in ms.
+
+    The reply has the same `number`.
+    """
 
     clock: float
     number: int
@@ -96,7 +100,7 @@
 
 
 class WireError(ProtocolError):
-    """Error for a frame that violates the protocol; the message has the cause and the location."""
+    """Error for input that violates the protocol; the message has the cause and the location."""
 
 
 def _read_exactly(stream: BinaryIO, size: int, section: str, allow_end: bool = False) -> bytes:
@@ -166,12 +170,12 @@
         self._records.append(ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def add_bytes(self, code: int, entry: bytes, *fields: Any) -> None:
-        """Add a record that ends with a reference to bytes in the tail."""
+        """Add bytes to the tail, and a record that ends with a reference to them."""
         self.add(code, *fields, len(self._tail), len(entry))
         self._tail += entry
 
     def frame(self, number: int) -> bytes:
-        """Return the encoded reply to the batch with that number."""
+        """Return the encoded reply to the batch with this number."""
         body = b"".join(self._records) + self._tail
         header = REPLY_HEADER.pack(len(self._records), REPLY_HEADER_REST + len(body), number)
         return header + body
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -1,4 +1,8 @@
-"""Simulator adapter: hosts directors, converts wire records to events, and actions to records."""
+"""Simulator adapter: hosts directors, converts wire records to events, and actions to records.
+
+The directors run the same policy as the network code, without sockets and with the simulator's
+clock.
+"""
 
 import gc
 import sys
@@ -39,12 +43,12 @@
     2: Outcome.MISS,
 }
 CACHE_STATUSES = {int(status): status for status in CacheStatus}
-HEALTHY = 0  # status of an answered health check
+HEALTHY = 0  # status of a health check that was answered
 # Kinds of an update of the endpoint list; an update of any other kind is a full snapshot.
-DELTA_LIST = 2
-FAILED_LIST = 3
-RETRY_FLAG = 2  # flag of a new request
-# Flags of an attempt
+DELTA_LIST = 2  # only new or changed endpoints
+FAILED_LIST = 3  # no endpoints: the subscription has failed
+RETRY_FLAG = 2  # flag of a new request that the client has sent before
+# Flags of an attempt that is sent
 COALESCE = 1
 ONLY_IF_CACHED = 2
 NO_STORE_AT_PARENT = 4
@@ -52,13 +56,14 @@
 ADDRESS_SIZE = 6  # bytes
 
 
-EndpointRows = list[Any]  # unpacked rows of one endpoint list
+EndpointRows = list[Any]  # rows of one endpoint list, as unpacked by `wire.ENDPOINT_ROW`
 
 
 class Instance:
     """One director of the simulator and its router's `ActionSink`.
 
-    Owns the numbers of its requests, endpoints and timers, and the events of the current batch.
+    Owns its requests and timers by number, its endpoints by address, and the events of the current
+    batch.
     """
 
     def __init__(self, number: int) -> None:
@@ -85,7 +90,7 @@
         }
 
     def begin(self, now: float, fields: wire.Fields) -> None:
-        """Create the router with the settings in the record.
+        """Create the router with the seed and the settings in the record.
 
         Raises:
             wire.WireError: If the settings are invalid.
@@ -101,7 +106,10 @@
     ) -> None:
         """Handle one record: create the router, or add an event to the current batch.
 
-        The record `BEGIN` creates the router; records before the first `BEGIN` are ignored.
+        The record `BEGIN` creates the router; records before `BEGIN` are ignored.
+
+        Raises:
+            wire.WireError: If the settings in `BEGIN` are invalid.
         """
         if code == wire.BEGIN:
             self.begin(now, fields)
@@ -288,7 +296,10 @@
     instances: dict[int, Instance],
     endpoint_lists: dict[int, EndpointRows],
 ) -> wire.Reply:
-    """Process one batch; each selected instance handles its events, in the order of selection.
+    """Process one batch; return the reply.
+
+    First the events of all records are collected. Then each selected instance handles its events,
+    in the order of selection.
 
     Args:
         now: The batch's time in ms.
@@ -297,7 +308,8 @@
         endpoint_lists: The endpoint lists by number; lists in the batch are added.
 
     Raises:
-        wire.WireError: If a record precedes any instance selection, or settings are invalid.
+        wire.WireError: If a record other than endpoint rows precedes the first selection of an
+            instance, or if settings are invalid.
     """
     reply = wire.Reply()
     selected: dict[int, Instance] = {}
@@ -314,6 +326,7 @@
             continue
         if current is None:
             raise wire.WireError(f"a record with code {code} precedes the selection of an instance")
+        # An instance that is halted or begins again loses its state.
         if code == wire.HALT or (code == wire.BEGIN and current.router is not None):
             current = Instance(current.number)
             instances[current.number] = selected[current.number] = current
@@ -335,7 +348,7 @@
 
 
 def serve(stream: BinaryIO, out: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Answer each batch with a reply until the input ends.
 
     Raises:
         wire.WireError: If the input violates the wire protocol.
@@ -349,7 +362,7 @@
 
 
 def main() -> int:
-    """Serve on standard input and output; return 2 if the input was malformed."""
+    """Serve on standard input and output; return the exit status: 2 if the input was malformed."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
