--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -1,8 +1,8 @@
-"""Model checker for lease ledgers: explores all states that two or three ledgers can reach.
+"""Model checker for lease ledgers: explores the states that two or three ledgers can reach.
 
-The network may lose, duplicate, delay and reorder messages, and directors may restart; the number
-of requests, releases and restarts is small. The search is breadth-first, so that the trace to a
-violation is the shortest one.
+The network may lose, duplicate, delay and reorder messages, and directors may restart; the numbers
+of requests, releases and restarts are small. The search is breadth-first, so that the trace to the
+first violation found is a shortest trace.
 """
 
 import copy
@@ -10,7 +10,7 @@
 
 from mulleinrelay.budgets.lease_ledger import LeaseLedger
 
-# Times are in ticks of the model
+# Times are in ticks of the model's clock
 LEASE_DURATION = 3.0
 WINDOW = 1.0
 CLOCK_DRIFT = 0.0
@@ -26,7 +26,10 @@
 
 
 class World:
-    """State of the model: ledgers, messages in transit, the time, and the remaining actions."""
+    """State of the model: the directors' ledgers, the messages in transit, and the time.
+
+    `restarts`, `requests` and `releases` are the numbers of these actions that may still follow.
+    """
 
     def __init__(self, count, owned, restarts, requests, ledger_class=LeaseLedger):
         self.owned = owned
@@ -41,7 +44,7 @@
         self.releases = 1
 
     def key(self):
-        """Return a key that is equal for equivalent states; its times are relative to now."""
+        """Return a key that is equal for equivalent states; the times in it are relative to now."""
 
         def since_now(at):
             return max(-LEASE_DURATION - WINDOW - 1.0, at - self.now)
@@ -80,7 +83,7 @@
         return sum(ledger.usable(self.now) for ledger in self.ledgers)
 
     def steps(self):
-        """Return the possible next steps as (description, function of a world)."""
+        """Return the possible next steps, each as (description, function that changes a world)."""
         steps = [("a tick", lambda world: world.tick())]
         for borrower in range(len(self.ledgers)):
             steps += self._steps_of(borrower)
@@ -146,7 +149,7 @@
         self.ledgers[number] = new_ledger(self.owned, self.now, incarnation, self.ledger_class)
 
     def arrive(self, index, is_last):
-        """Deliver a message; unless `is_last`, a duplicate stays in transit."""
+        """Deliver the message at this index; unless `is_last`, a duplicate stays in transit."""
         kind, sender, recipient, incarnation, message = (
             self.in_transit.pop(index) if is_last else self.in_transit[index]
         )
@@ -164,8 +167,11 @@
 def search(world, max_states=MAX_STATES):
     """Search for a state in which the directors may use more units than exist.
 
+    The search ends without a result after `max_states` different states.
+
     Returns:
-        The number of visited states, and the trace to that state, or None if there is none.
+        The number of visited states, and the trace to the state that was searched for: the
+        descriptions of the steps, or None if no such state was found.
     """
     limit = len(world.ledgers) * world.owned
     visited = {world.key()}
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -1,6 +1,7 @@
-"""No quota unit is used by two directors in any state that small fleets can reach.
+"""Tests that two directors never use the same quota unit at the same time.
 
-The model check also finds each of several defects that are built into ledgers on purpose.
+A model check searches thousands of states that small fleets can reach. To test the check itself,
+several defects are built into ledgers on purpose, and it must find each of them.
 """
 
 import pytest
@@ -20,7 +21,7 @@
     return search(World(*world), max_states)
 
 
-# Directors, owned units of each director, restarts, requests
+# Each world: number of directors, owned units of each director, restarts, requests
 WORLDS = [(2, 2, 1, 3), (3, 2, 1, 2), (2, 4, 2, 2)]
 PROCESS_JOBS = {f"units, {world}": (search_world, 8_000, *world) for world in WORLDS}
 
@@ -78,7 +79,7 @@
     """Prove with z3 that the borrower's lease expires before the owner unlocks the units.
 
     The proof holds for all clock rates within MAX_CLOCK_DRIFT and for all delays. z3 must find no
-    counter-example, but it must find one if the borrower uses the full lease duration.
+    counter-example. It must find a counter-example if the borrower uses the full lease duration.
     """
     z3 = pytest.importorskip("z3")
     drift = z3.RealVal(str(MAX_CLOCK_DRIFT))
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -1,7 +1,7 @@
 """Quota exchanges in simulated fleets, over the simulated network of the membership tests.
 
-The directors together stay within the limit in every window, and units move to the directors that
-receive the requests.
+The tests check that the directors together stay within the limit in every window, and that units
+move to the directors that receive the requests.
 """
 
 import itertools
@@ -82,7 +82,10 @@
 
 
 def uneven_demand(count, rate, busy=0.1, fraction=0.9):
-    """Return a total demand equal to the limit, of which 10% of the directors receive 90%."""
+    """Return each director's demand in requests per second; the total is the limit `rate`.
+
+    The fraction `busy` of the directors receives the given fraction of the total.
+    """
     busy_count = max(1, round(busy * count))
     return [
         rate * fraction / busy_count
@@ -93,7 +96,7 @@
 
 
 def utilization_with_lending():
-    """Return the fraction of a limit that a fleet uses, and its maximum in any window."""
+    """Return the mean fraction of a limit that a fleet uses, and the maximum in any window."""
     fleet = LoadedFleet(30, uneven_demand(30, 900.0), 900.0, seed=2)
     fleet.run_with_load(12)
     before = len(fleet.admitted_at)
@@ -156,7 +159,7 @@
     for number in list(fleet.paused):
         fleet.resume(number)
         for _ in range(9):
-            fleet.request(number)  # before the director receives any datagram
+            fleet.request(number)  # before the director receives any datagram after its pause
     for number in list(fleet.killed):
         fleet.start(number)
 
@@ -165,7 +168,10 @@
     "fault", ["loss", "partition", "killed", "paused", "restarted", "one-way link", "drift"]
 )
 def test_limit_holds_in_every_window_despite_a_fault(fault):
-    """Both sides of the partition are overloaded, as the demand is far above the limit."""
+    """Guard against units that two directors use during or after a fault.
+
+    The demand is far above the limit, so that each side of a partition uses all the units it may.
+    """
     network = {"loss": 0.3, "duplication": 0.3, "jitter": 80.0} if fault == "loss" else {}
     fleet = LoadedFleet(
         12,
@@ -202,7 +208,7 @@
     assert fleet.shares[0].fraction_at(fleet.clock(0)) > 0.3
     fleet.pause(0)
     fleet.run(3)
-    # When the director resumes, before it handles anything
+    # The fraction that the router would use when the director resumes, before any tick or message
     assert fleet.shares[0].fraction_at(fleet.clock(0)) <= 0.1 + 1e-9
 
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -80,10 +80,11 @@
 
 
 def test_orders_are_admitted_during_a_flood_of_pages():
-    """Guard against a flood that leaves no capacity for orders.
+    """Guard against a flood of pages that leaves no capacity for orders.
 
-    Ten times as many pages as the capacity are received, and each of them stays pending. Without
-    the reserved part, no order would be admitted.
+    Ten times as many requests as the capacity are received, nearly all of them for pages, and every
+    admitted request stays pending. Without the reserved part, the pages would use the whole
+    capacity.
     """
     thresholds = AdmissionThresholds(ALL)
     pending = 0
@@ -109,9 +110,9 @@
 def test_late_timers_reject_idempotent_requests_only_and_for_a_short_time(
     delay, elapsed, admits_pages, admits_orders
 ):
-    """Guard orders against a lack of CPU time, and all requests against long rejections.
+    """Guard against the rejection of orders while CPU time is short.
 
-    A single suspension of the director must not cause rejections for long.
+    Also guard against pages that are still rejected long after a single suspension of the director.
     """
     scheduling_delay = SchedulingDelay()
     thresholds = AdmissionThresholds(ALL)
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -8,7 +8,10 @@
 
 
 def test_a_request_that_no_cache_can_serve_in_time_is_rejected_immediately():
-    """Guard against a burst of requests that delays every transfer past its latency objective."""
+    """Guard against a burst of large answers that delays every transfer past its objective.
+
+    Requests are rejected from the point on at which all caches would be too slow for them.
+    """
     fixture = RouterFixture()
     requests = [fixture.receive_request(size_kb=4000.0, after=0.0) for _ in range(200)]
     assert 10 < len([request for request in requests if not request.is_complete]) < 100
@@ -23,7 +26,8 @@
 ):
     """Guard against rejections that are based on a few attempts of the director itself.
 
-    With twenty directors, the third request was rejected while two attempts were in flight.
+    The estimate was the director's own attempts in flight times the number of directors. With
+    twenty directors, the third request was rejected while two attempts were in flight.
     """
     fixture = RouterFixture(local_director_count=20)
     for attempt in [fixture.receive_request(after=20).attempts[0] for _ in range(6)]:
@@ -82,7 +86,7 @@
 @pytest.mark.parametrize("local_directors", [1, 4, 200])
 @pytest.mark.parametrize("size_factor", [0.01, 0.3, 1.0, 3.0, 10.0, 20.0])
 def test_noise_at_idle_caches_rejects_no_object_size(size_factor, local_directors):
-    """Guard against rejections of large objects while a slowdown is within the noise."""
+    """Guard against rejections of large objects for a measured slowdown that is only noise."""
     fixture = RouterFixture(local_director_count=local_directors)
     for _ in range(30):
         fixture.finish_attempt(fixture.receive_request(size_kb=1000.0).attempts[0], after=20.0)
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -39,9 +39,10 @@
 
 @pytest.mark.parametrize(("mean_duration", "max_pings"), [(200.0, 0), (1200.0, 44), (4000.0, 44)])
 def test_slow_responses_cause_few_pings(mean_duration, max_pings):
-    """Guard against pings of a healthy endpoint whose responses are slow.
+    """Guard against many pings of a healthy endpoint whose responses are slow.
 
-    One connection serves 200 requests one after the other; a fixed silence would cause 200 pings.
+    One connection serves 200 requests one after the other. If the silence before a ping were fixed,
+    there would be 200 pings.
     """
     backoff = PingBackoff()
     random = Random(1)
@@ -79,7 +80,7 @@
 
 @pytest.mark.parametrize("directors", [5, 12, 60, 600])
 def test_idle_connections_to_one_endpoint_stay_bounded_for_any_number_of_directors(directors):
-    """Guard the limit of idle connections to one cache.
+    """Guard against more idle connections to one cache than the maximum.
 
     The cache receives 20 requests a second of 60 ms each, unevenly distributed over the directors.
     Connections are counted every 50 ms for 30 s.
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -35,7 +35,8 @@
 @pytest.mark.parametrize(
     ("outcome", "retry_outcome", "expected_failures"),
     [
-        (Outcome.RESET, None, 1.0),  # counted once for all attempts on one connection
+        # All attempts are sent before the first reset, so they count as one broken connection.
+        (Outcome.RESET, None, 1.0),
         (Outcome.CONNECT_FAILED, None, 6.0),
         (Outcome.ERROR, None, 0.0),
         (Outcome.ERROR, Outcome.ERROR, 0.0),  # an error at every endpoint is caused by the request
@@ -45,7 +46,8 @@
 def test_failures_are_weighted_by_outcome_and_retry(outcome, retry_outcome, expected_failures):
     """Guard against the ejection of healthy caches for errors that the requests caused.
 
-    Requests for unknown objects and malformed answers had this effect.
+    Requests for unknown objects fail at every endpoint, and one malformed answer ends all attempts
+    on a connection.
     """
     fixture = RouterFixture()
     cache = fixture.caches[0]
@@ -57,7 +59,7 @@
         else:
             fixture.finish_attempt(request.attempts[0])
     for request in requests:
-        # With an expected hit, the failure counts for the cache alone
+        # If a hit is expected, the failure counts for the cache alone and not for the fill source
         request.attempts[0].expects_hit = True
         fixture.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if retry_outcome is not None:
@@ -70,7 +72,11 @@
     ("failing_group", "healthy_group"), [("parents", "caches"), ("caches", "parents")]
 )
 def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(failing_group, healthy_group):
-    """A failing parent causes errors at every cache; the failures must not eject the caches."""
+    """Guard against the ejection of healthy endpoints for the errors of one that fails.
+
+    A failing parent causes errors at every cache, and a failing cache causes errors with every
+    parent.
+    """
     fixture = RouterFixture()
     outlier = getattr(fixture, failing_group)[0]
     for _ in range(150):
@@ -93,7 +99,10 @@
 
 
 def test_a_slow_endpoint_that_answers_in_between_is_not_ejected():
-    """Guard against a fixed timeout, by which overloaded endpoints were considered silent."""
+    """Guard against the ejection of overloaded endpoints as silent.
+
+    With a fixed timeout, endpoints that answered slowly were considered silent.
+    """
     fixture = RouterFixture()
     for _ in range(30):
         attempt = fixture.receive_request(after=400).attempts[0]
@@ -105,9 +114,10 @@
 
 @pytest.mark.parametrize(("requests", "max_trials"), [(40, 3), (400, 22)])
 def test_trial_requests_are_earned_by_requests(requests, max_trials):
-    """Guard against an overload of a dead parent by trial requests.
+    """Guard against an overload of an ejected parent by trial requests.
 
-    Hundreds of directors with two trials a second each caused this.
+    Hundreds of directors sent two trial requests a second each, whatever the number of their
+    requests.
     """
     fixture = RouterFixture()
     fixture.parents[0].is_ejected = True
@@ -120,9 +130,9 @@
 
 
 def test_a_parent_that_fails_rare_fills_is_ejected():
-    """Guard against results that expire before enough of them are counted.
+    """Guard against a failing parent that is not ejected because its results expire too soon.
 
-    Results four seconds apart expired before two of them could count.
+    Results that were four seconds apart expired before two of them could count.
     """
     fixture = RouterFixture()
     for _ in range(12):
@@ -140,7 +150,8 @@
 def test_a_fill_source_that_rejects_is_not_ejected():
     """Guard against the ejection of overloaded parents.
 
-    They were ejected like dead parents, and the dead parents received requests again.
+    They were ejected like dead parents. When no parent was left, the ejected ones were used, and
+    the dead parents received requests again.
     """
     fixture = RouterFixture()
     for _ in range(30):
@@ -183,7 +194,7 @@
 def test_a_removed_or_draining_endpoint_gets_no_health_check(first_event, state, kind):
     """Guard against a health check for an endpoint without a known address.
 
-    It was sent if an attempt at an endpoint failed after the endpoint's removal.
+    Such a health check was sent if an attempt at an endpoint failed after the endpoint's removal.
     """
     fixture = RouterFixture(allows_health_checks=True)
     endpoint = fixture.caches[0] if kind == CACHE else fixture.parents[0]
@@ -246,7 +257,7 @@
     assert {fixture.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {kind}
     assert not any(
         cache.is_ejected for cache in fixture.caches
-    )  # no single cache is ejected for a zone outage
+    )  # the zone is avoided before any single cache is ejected
     fixture.handle(HealthCheckFinished(fixture.caches[2], None, True), after=300.0)
     assert {fixture.receive_request().attempts[0].endpoint.kind for _ in range(8)} == {CACHE}
 
@@ -262,7 +273,7 @@
     for _ in range(20):
         fixture.receive_request(after=50.0)
         health_checks += fixture.actions.take("check_health")
-    assert len(health_checks) >= 2  # a few caches are checked soon
+    assert len(health_checks) >= 2  # a few caches get health checks within the first second
     fixture.handle(HealthCheckFinished(fixture.caches[2], None, True), after=300.0)
     assert not any(cache.is_ejected for cache in fixture.caches)
 
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -32,9 +32,9 @@
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_small_requests_count_as_their_class_mean_during_slow_start(caches_start):
-    """Guard against an overload by many small requests.
+    """Guard against an overload of an endpoint in slow start by many small requests.
 
-    Counted by their own size, they add up to several times the limit.
+    If small requests were counted by their own size, they would add up to several times the limit.
     """
     fixture = RouterFixture(
         cache_started_at=100_100.0 * caches_start, parents_started_at=100_100.0 * (not caches_start)
@@ -45,7 +45,7 @@
         if caches_start
         else (fixture.settings.parent_slow_start, 3)
     )
-    for number in range(40):  # before the restart, so that the class's mean is known
+    for number in range(40):  # before the endpoints start, so that the class's mean is known
         fixture.receive_request(size_kb=9100.0 if number % 10 == 0 else 100.0, after=2.0)
     sent = {endpoint: [] for endpoint in warming_endpoints}
     for number in range(600):
@@ -81,9 +81,10 @@
 
 @pytest.mark.parametrize("caches_start", [True, False])
 def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
-    """Guard against an estimate that is too small for answers of unknown size.
+    """Guard against an overload in slow start by answers of unknown size.
 
-    A quarter of the latency objective was used for transfer times three times as long.
+    Their work was estimated as a quarter of the latency objective, although the transfers took
+    three times as long.
     """
     fixture = RouterFixture(
         cache_started_at=100_000.0 * caches_start,
@@ -129,7 +130,7 @@
 def test_a_borrowed_slow_start_quota_expires():
     """Guard against the use of an expired quota by a director that was suspended.
 
-    Another director may have the quota by then.
+    Another director may have the quota when the suspended one resumes.
     """
     fixture = RouterFixture(cache_started_at=100_000.0, local_director_count=4)
     warming_cache, share = fixture.caches[0], fixture.router.cache_slow_start_quota
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -1,4 +1,4 @@
-"""Error rates of outlier ejection at directors that send an endpoint few requests."""
+"""Rates of wrong and late ejections at directors that send an endpoint few requests."""
 
 from random import Random
 
@@ -31,7 +31,10 @@
         return self.endpoint.is_ejected
 
     def results_until(self, is_ejected, failure_rate, limit=400):
-        """Return after how many results the endpoint is ejected, or reinstated."""
+        """Return after how many results the endpoint is ejected; `limit` if it is not by then.
+
+        If `is_ejected` is False, return after how many results the endpoint is not ejected.
+        """
         for number in range(1, limit):
             if self.record(self.random.random() < failure_rate) == is_ejected:
                 return number
@@ -40,7 +43,10 @@
 
 @pytest.mark.parametrize(("rate", "hours"), [(0.1, 1500), (1.0, 150)])
 def test_a_healthy_endpoint_is_ejected_less_than_once_in_a_thousand_hours(rate, hours):
-    """One result in a thousand is an error. Two random ejections are allowed in a short test."""
+    """Guard against ejections for rare random errors: one result in a thousand is an error.
+
+    Two random ejections are allowed, because the simulated time is short.
+    """
     monitored, ejections, was_ejected = MonitoredEndpoint(rate, 1), 0, False
     for _ in range(int(3600 * hours * rate)):
         is_ejected = monitored.record(monitored.random.random() < 0.001)
@@ -52,7 +58,10 @@
 @pytest.mark.parametrize("rate", [0.1, 1.0, 5.0])
 @pytest.mark.parametrize(("failure_rate", "limit"), [(1.0, 4), (0.5, 16), (0.3, 40)])
 def test_an_outlier_is_ejected_within_so_many_results(rate, failure_rate, limit):
-    """The limit holds in nineteen of twenty runs, after twenty successes."""
+    """Guard against late ejections: the limit must hold in nineteen of twenty runs.
+
+    Twenty successes precede the failures.
+    """
     result_counts = []
     for seed in range(100):
         monitored = MonitoredEndpoint(rate, seed)
@@ -65,7 +74,7 @@
 @pytest.mark.parametrize("rate", [0.1, 1.0, 5.0])
 @pytest.mark.parametrize("failures", [0, 20])
 def test_an_endpoint_that_recovers_is_reinstated(rate, failures):
-    """The time to reinstatement does not depend on the number of earlier failures."""
+    """Guard against a reinstatement that takes longer the more failures were counted before."""
     for seed in range(20):
         monitored = MonitoredEndpoint(rate, seed)
         monitored.results_until(True, 1.0)
@@ -75,7 +84,11 @@
 
 
 def test_old_successes_do_not_offset_new_failures():
-    """The sequential test detects failures that are too small a fraction of the recent outcomes."""
+    """Guard against new failures that old successes hide.
+
+    The failures are too small a fraction of the recent outcomes for the other test, so only the
+    sequential test detects them.
+    """
     detector = OutlierDetector()
     for number in range(60):
         detector.record(1000.0 * number, 0.0)
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -50,7 +50,8 @@
 ):
     """Guard against fills that keep the link congested.
 
-    Without the limit, fills for clients that had left kept a link congested for a day.
+    When fills were started despite congestion, fills for clients that had left kept a link
+    congested for a day.
     """
     fixture = RouterFixture()
     fixture.finish_attempt(
@@ -69,7 +70,7 @@
 ):
     """Guard against fills that keep the origin overloaded.
 
-    Without the limit, the fills were too late for any client.
+    When fills were started despite a slow origin, they were too late for any client.
     """
     fixture = RouterFixture()
     for index in range(30):
@@ -122,9 +123,9 @@
 def test_a_slow_parent_is_skipped_only_if_the_others_are_not_slow_too(
     slow_parents, is_first_chosen
 ):
-    """Guard against skipping all parents if all of them are slow.
+    """Guard against the skipping of parents while all of them are slow.
 
-    This led to parents without the objects, and to the origin.
+    The fills then went to other parents, which lacked the objects, and to the origin.
     """
     fixture = RouterFixture()
     serve_fills(fixture)
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -16,10 +16,10 @@
 
 
 def checks_sent(directors, duration, rate=0.0, step=25.0, suspected=None):
-    """Return all pings and polls that the directors' schedulers send, as (ms, endpoint).
+    """Return all pings and polls that the schedulers of some directors send, as (ms, endpoint).
 
-    Each director receives `rate` requests a second. All directors suspect the endpoint `suspected`
-    from the start.
+    Each director receives `rate` requests a second. If `suspected` is given, all directors suspect
+    this endpoint from the start.
     """
     sent = []
     requests_due = [0.0] * len(directors)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -14,7 +14,10 @@
 
 
 def detector_after(rejected_fraction, requests=400, interval=10.0, seed=1):
-    """Return a detector and the time after some requests of which a fraction was rejected."""
+    """Return a detector that has counted requests and rejections, and the time of the last request.
+
+    Requests arrive every `interval` ms; the given fraction of them is rejected.
+    """
     detector = OverloadDetector()
     random = Random(seed)
     now = 0.0
@@ -55,11 +58,11 @@
 def test_attempts_are_bounded_for_any_behaviour_of_clients_and_endpoints(
     failed_fraction, client_retries
 ):
-    """Guard the limit on the attempts per request in the worst case.
+    """Guard against an overload that retries amplify, in the worst case.
 
-    Clients retry immediately, endpoints reject each attempt immediately, and the retry budget is
-    full at the start. The retries stay below the number that the requests earn, and in an overload
-    each request gets hardly more than one attempt.
+    Clients retry immediately, endpoints reject failed attempts immediately, and the retry budget is
+    full at the start. The number of retries must not exceed the full budget and what the requests
+    earn. If most attempts fail, each request gets hardly more than one attempt.
     """
     detector = OverloadDetector()
     random = Random(2)
--- a/tests/policy/test_popularity.py
+++ b/tests/policy/test_popularity.py
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("rate", "fraction", "cache_counts", "min_runs_of_100"),
     [
-        # One request every three seconds at this director, but hot in the whole location.
+        # About one request in three seconds at this director, but hot in the whole location.
         pytest.param(4.0, 0.08, (2, 3, 4), 95, id="hot-in-the-location"),
         pytest.param(4.0, 0.002, (1,), 95, id="requested-occasionally"),
         pytest.param(100.0, 0.05, (3,), 85, id="two-and-a-half-hot-fractions"),
@@ -37,10 +37,10 @@
 def test_cache_count_follows_the_fraction_of_requests(
     rate, fraction, cache_counts, min_runs_of_100
 ):
-    """Guard against wrong detection of hot objects.
+    """Guard against hot objects that are missed, and against objects that seem hot by chance.
 
-    An object that is hot in the whole location may be rare at each director. With few requests,
-    objects must not be considered hot by chance.
+    An object that is hot in the whole location may be rare at each director. At a director with few
+    requests, a few requests for one object are a large fraction.
     """
     found_counts = [
         popularity_after(rate, fraction, 28.0, seed).cache_count(HOT) for seed in range(100)
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -49,9 +49,10 @@
     [
         # The client retries while its idempotency key is remembered.
         (Outcome.ERROR, 4000, "reject_request"),
-        (Outcome.ERROR, 4900, "fail_request"),  # a retry would follow the key's expiry
+        # The client would retry only after the key is forgotten.
+        (Outcome.ERROR, 4900, "fail_request"),
         (Outcome.ERROR, 5500, "fail_request"),
-        (Outcome.MISS, 5500, "reject_request"),  # never ran
+        (Outcome.MISS, 5500, "reject_request"),  # a missed attempt never ran
     ],
 )
 def test_a_keyed_request_is_rejected_as_retryable_only_while_its_key_is_remembered(
@@ -114,7 +115,7 @@
 def test_a_purge_bounds_max_age_above_zero(object_id, group):
     fixture = RouterFixture()
     fixture.handle(PurgeReceived(object_id, group, 40.0))
-    # The purge stays in force for long, because a late fill may still store an old copy.
+    # The purge stays in force for a long time, because a late fill may still store an old copy.
     for after in (0.0, 0.5, 30.0, 1000.0, 4000.0, 20_000.0):
         fixture.receive_request(object_id=77, after=after)
         max_age = fixture.actions.take("send_attempt")[-1][1].max_age
@@ -135,7 +136,7 @@
 ):
     """Guard against amplification of an overload by retries.
 
-    Without the budget, each rejected attempt was followed by three or four more.
+    Without the retry budget, each rejected attempt was followed by three or four more attempts.
     """
     fixture, retries = RouterFixture(), 0
     for _ in range(30):
@@ -149,10 +150,10 @@
 
 @pytest.mark.parametrize(("response_time", "is_in_time"), [(400.0, True), (90.0, False)])
 def test_without_sizes_an_attempt_is_overdue_by_past_response_times(response_time, is_in_time):
-    """Guard against a fixed estimate of the response time of answers without a known size.
+    """Guard against healthy parents that are ejected for slow answers of unknown size.
 
-    The estimate was a quarter of the latency objective. Attempts were overdue after twice this
-    time, and parents were ejected.
+    The estimated response time was fixed to a quarter of the latency objective. Attempts were
+    overdue after twice this time, and parents were ejected.
     """
     fixture = RouterFixture(transfer_rate=0.0)
     for _ in range(8):
@@ -168,7 +169,7 @@
 
 
 def make_overdue(fixture, request):
-    """Make the last attempt overdue while its endpoint is silent."""
+    """Make the request's last attempt overdue while its endpoint is silent; return the attempt."""
     attempt = request.attempts[-1]
     fixture.handle(TimerFired(attempt), after=450.0)
     return attempt
@@ -178,14 +179,14 @@
     ("retry_tokens", "is_reachable", "attempts", "is_given_up"),
     [
         (8.0, True, 2, False),
-        (0.0, True, 1, False),  # the endpoint is alive but slow, so an answer is likely
+        (0.0, True, 1, False),  # the endpoint may be alive but slow, so an answer is likely
         (0.0, False, 1, True),
     ],
 )
 def test_an_overdue_request_without_retry_budget_waits_for_a_reachable_endpoint(
     retry_tokens, is_reachable, attempts, is_given_up
 ):
-    """Guard against endpoints that work on requests that were rejected in the meantime."""
+    """Guard against endpoints that keep working on requests that the director has rejected."""
     fixture = RouterFixture()
     request = fixture.receive_request()
     fixture.router.retry_policy.local_budget.tokens, request.attempts[0].endpoint.is_unreachable = (
@@ -215,7 +216,11 @@
 def test_an_attempt_that_waited_to_be_written_is_sent_only_within_its_time(
     idempotency, first_outcome, after, is_allowed
 ):
-    """Guard against a retry that waits for its connection until its key is forgotten."""
+    """Guard against a write that takes effect twice.
+
+    A retry may wait for its connection until its idempotency key is forgotten, or until the client
+    no longer waits.
+    """
     fixture = RouterFixture(idempotency)
     request = fixture.receive_request()
     if first_outcome is not None:
@@ -251,9 +256,10 @@
 def test_an_overdue_attempt_is_cancelled_only_if_a_retry_may_follow(
     idempotency, key_scope, retry_tokens, max_attempts, is_cancelled
 ):
-    """Guard against a cancellation that fails a write.
+    """Guard against a cancellation after which the request fails.
 
-    A write whose key is remembered only in one zone was cancelled and, as it may have run, failed.
+    The attempt of a write whose key is remembered only in one zone was cancelled. No retry could
+    follow, since the attempt may have run, so the write failed.
     """
     fixture = RouterFixture(idempotency, key_scope, allows_hedging=False, max_attempts=max_attempts)
     request = fixture.receive_request()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,15 +20,15 @@
     unevenness=0.0,
     restart_rate=0.0,
 ):
-    """Return the work that all directors send to one warming endpoint, as (ms, work).
+    """Return the requests that all directors send to one warming endpoint, each as (ms, work).
 
     Args:
-        directors: Number of directors.
-        capacity: The endpoint's work per ms.
+        directors: Number of directors, which share the capacity equally.
+        capacity: Work per ms that the endpoint can do.
         rate: Mean requests a second of each director.
         seed: Seed of all random numbers.
         duration_s: Duration in seconds.
-        work: Returns the work of a request.
+        work: Function that draws the work of a request from a source of randomness.
         unevenness: Standard deviation of the logarithm of the directors' rates.
         restart_rate: Restarts a second of all directors together. A restarted director does not
             know what it sent before.
@@ -85,7 +85,11 @@
 def test_all_directors_together_do_not_overload_a_warming_endpoint(
     directors, rate, capacity, process_job_result
 ):
-    """An endpoint that can do N requests of mean work in a window fails at N + 3 root N + 3."""
+    """Guard against an overload by many directors that each send within their own share.
+
+    An endpoint that can do N requests of mean work in a window is taken to fail at N + 3 * sqrt(N)
+    + 3 requests.
+    """
     number = capacity * WINDOW / MEAN_WORK
     peaks_found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
     assert len(peaks_found) == 5
@@ -98,10 +102,10 @@
 def test_few_dozen_directors_stay_within_the_budget_and_its_variance(
     directors, overload_factor, capacity
 ):
-    """N requests of mean work in a window overload an endpoint; the policy uses a part of N.
+    """Guard against an overload by directors with uneven loads that restart once a minute.
 
-    By chance, a window may have up to 2 root N + 2 requests more than N. The directors' loads are
-    uneven, and each director restarts once a minute.
+    N requests of mean work in a window overload the endpoint; the policy uses only a part of N. By
+    chance, a window may have up to 2 * sqrt(N) + 2 requests more than N.
     """
     usable = min(MAX_CAPACITY_FACTOR, OVERLOAD_FRACTION * overload_factor) * capacity
     number = overload_factor * capacity * WINDOW / MEAN_WORK
@@ -116,9 +120,9 @@
     ("directors", "least_fraction"), [(5, 0.5), (60, 0.25), (200, 0.25), (600, 0.15)]
 )
 def test_warming_endpoint_is_used_for_any_number_of_directors(directors, least_fraction):
-    """Guard against shares that are too small for any request.
+    """Guard against an endpoint that is idle while it is warming up.
 
-    The endpoint would then be idle while it is warming up.
+    With many directors, each share is too small for any request.
     """
     capacity = 4.0
     sent = sent_by_fleet(directors, capacity, 300.0 / directors, 1)
--- a/tests/policy/test_zone_reachability.py
+++ b/tests/policy/test_zone_reachability.py
@@ -14,7 +14,7 @@
 
 
 def zone_after(cache_count, failures=(), start=0.0):
-    """Return a zone after these caches failed, 100 ms apart.
+    """Return a zone in which the caches in `failures` failed one after the other, 100 ms apart.
 
     Also return whether the last failure made the zone unreachable.
     """
@@ -73,7 +73,7 @@
 
 
 def test_false_alarm_doubles_the_caches_that_must_fail_until_it_expires():
-    """Guard against a zone that is bypassed repeatedly while its caches are only slow."""
+    """Guard against a zone that is bypassed again and again while its caches are only slow."""
     zone, _ = zone_after(8, [1, 2])
     assert zone.record_response(150.0, 1) == math.inf
     assert not zone.record_failure(200.0, 1)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -112,7 +112,8 @@
 
 
 def test_an_attempt_past_its_timeout_is_cancelled_and_reported():
-    # The router must not cancel attempts here, so the timeout is the coordinator's.
+    # The router is not allowed to cancel attempts here, so only the coordinator's timeout can end
+    # the attempt.
     fixture = CoordinatorFixture(allowed={"cancel": False})
     request = fixture.accept()
     attempt = fixture.coordinator.next_step(request).attempt
@@ -122,7 +123,8 @@
 
 
 def test_one_thread_at_a_time_takes_the_steps_of_a_request():
-    # With two threads, one could carry out the result while the other still sends an attempt.
+    # If two threads took steps, one of them could send the result to the client while the other
+    # still sends an attempt.
     fixture, other_thread_steps = CoordinatorFixture(), []
     request = fixture.accept()
     attempt = fixture.coordinator.next_step(request).attempt
@@ -144,7 +146,7 @@
 
     request = fixture.accept()
     attempt = fixture.coordinator.next_step(request).attempt
-    # Without steps, the request has no owner: the thread that adds the next step may take it.
+    # A thread that finds no step gives up the request: any thread may then take the next step.
     assert fixture.coordinator.next_step(request) is None
     fixture.coordinator.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     take_step_in_other_thread()
@@ -214,7 +216,8 @@
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
 def test_an_endpoint_that_restarts_gets_a_new_address_object(changes, is_kept):
-    # With the old object, attempts would use connections to the previous machine at the address.
+    # With the old address object, attempts would use connections to the machine that was at the
+    # address before.
     fixture = CoordinatorFixture()
     entry = fixture.endpoint_updates[0]
     endpoint = fixture.coordinator.endpoints[entry.name]
@@ -260,7 +263,7 @@
 
 
 class RecordingRouter:
-    """Router stand-in that records the events it receives."""
+    """Stand-in for the router that records attempt results and load reports of health checks."""
 
     def __init__(self, settings):
         self.settings, self.recorded = settings, []
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -1,7 +1,8 @@
 """Exhaustive tests of the order of events, for one request and for one client connection.
 
-A request is tested with all orders of up to three events. Each order is checked against the test's
-own record of sent attempts and received calls. Deliberate faults must be detected.
+A request is tested with all orders of up to three events, a connection with all orders of up to
+four. Each order is checked against the test's own record of sent attempts or received calls. So
+that the checks themselves are tested, they must also detect faults that are put in deliberately.
 """
 
 import itertools
@@ -38,14 +39,15 @@
 
 
 class RequestScenario:
-    """Scenario that carries out a request's steps and records the attempts and their outcomes."""
+    """Scenario of one request: carries out its steps and records attempts and their outcomes."""
 
     def __init__(self, request_class, is_write_blocked):
         """Create a scenario.
 
         Args:
             request_class: Name of the request's class.
-            is_write_blocked: Whether steps stay unwritten at first, as if no connection were open.
+            is_write_blocked: Whether attempts stay unwritten at first, as if no connection were
+                open.
         """
         self.fixture = CoordinatorFixture()
         self.request_class = request_class
@@ -56,7 +58,7 @@
         self.results = []
         self.draining = set()
         self.has_client_left = False
-        self.pending_steps = []  # steps that were taken and are not written yet
+        self.pending_steps = []  # steps that were taken and whose attempts are not written yet
         self.request = self.fixture.accept(request_class, remaining_time=2000.0)
         self.run_steps()
 
@@ -211,9 +213,9 @@
 
 
 def check_connection(has_called, events):
-    """Check one connection against the test's own record of calls.
+    """Check that one client connection loses no call if these events occur in this order.
 
-    `has_called` states whether the client has sent a call before.
+    `has_called` states whether the client has sent a call before the first event.
     """
     server_socket, client_socket = socket.socketpair()
     client_socket.setblocking(False)
