--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -44,7 +44,7 @@
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel this attempt.
 
-        The caller then reports it as finished with `Outcome.CANCELLED`.
+        The caller then reports the attempt as finished with `Outcome.CANCELLED`.
         """
 
     def reject_request(self, request: Request, retry_after: float) -> None:
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -8,11 +8,11 @@
 time shows as timers that fire late (`SchedulingDelay`). The caller passes in the largest of the
 three.
 
-All request classes share the resource until it runs short. The last part of it is reserved, first
-for requests that are not idempotent, because they have an effect, and then by priority weight
-(`AdmissionThresholds`). An idempotent retry has a lower priority than a first attempt, because its
-latency objective has passed or is near. Therefore neither low-priority requests nor retries starve
-the others.
+All request classes share the resource until it runs short. The last part of the resource is
+reserved, first for requests that are not idempotent, because they have an effect, and then by
+priority weight (`AdmissionThresholds`). An idempotent request that the client has sent before has a
+lower priority, because its latency objective has passed or is near. Therefore neither low-priority
+requests nor retries starve other requests.
 
 Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
 """
@@ -58,7 +58,7 @@
         self._recorded_at = now
 
     def remaining(self, now: float) -> float:
-        """Return the recorded delay in ms, halved once for each `DELAY_HALF_LIFE` since then."""
+        """Return the recorded delay in ms, decayed with the half-life `DELAY_HALF_LIFE`."""
         halvings = max(0.0, now - self._recorded_at) / DELAY_HALF_LIFE
         return self._delay * 0.5 ** min(MAX_DELAY_HALVINGS, halvings)
 
@@ -74,8 +74,8 @@
 
     The order is: connections that never sent a complete call; connections that sent calls but no
     request (for instance only health queries); connections that sent requests; and finally
-    connections that have sent calls before and are in the middle of sending another one. Within
-    each of these groups, the connection with the oldest last use is first.
+    connections that have sent calls before and are in the middle of sending another one; of these,
+    connections without an earlier request come first. Otherwise the oldest last use is first.
 
     This order protects regular clients against floods of connections that are silent, send only
     health queries, or are merely kept open, even if the regular clients connected after the flood.
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -23,7 +23,7 @@
 RESET_WEIGHT = 1.0  # number of failures that a reset connection counts as
 
 RESPONSES = (Outcome.SERVED, Outcome.MISS, Outcome.REJECTED, Outcome.ERROR)
-HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)
+HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)  # of answers that are not known to be filled
 FILL_STATUSES = (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
 SOURCE_FAILURE_STATUSES = (
     CacheStatus.SOURCE_REJECTED,
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -39,7 +39,7 @@
     random: Random
 
     def record_request(self, request: Request, now: float) -> bool:
-        """Count a request for its object.
+        """Count the request in the popularity of the requested object.
 
         Returns:
             Whether a new counting window begins with this request.
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -5,7 +5,7 @@
 
 * Ping backoff (`PingBackoff`): a connection with attempts in flight is pinged after a period of
   silence, since the endpoint may have failed. If the ping is answered, the response is merely slow,
-  and the time until the next ping doubles. Responses to attempts reduce it again.
+  and the silence before the next ping doubles. Responses to attempts shorten it again.
 * Idle timeout (`choose_idle_timeout`): an idle connection is kept for a long time only if few
   directors share the endpoint.
 * Eviction (`connections_to_evict`): near the director's own connection limit, the connections that
@@ -75,6 +75,8 @@
 ) -> list[Connection]:
     """Return the idle connections to close now, those idle for longest first.
 
+    So many are closed that `EVICTION_THRESHOLD` of the connection limit remain, if enough are idle.
+
     Args:
         idle: The idle connections, each as (time of its last use, connection).
         count: Number of connections of this director, idle or not.
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -18,7 +18,8 @@
     """Filter of the endpoints that may be sent work, with a token bucket for trial requests.
 
     A trial request is a client's request or a fill that is sent to an endpoint which is otherwise
-    avoided (ejected or slow), to find out whether the endpoint has recovered. Each costs a token.
+    avoided (ejected or slow), to find out whether the endpoint has recovered. Each trial request
+    costs a token.
 
     Owns the trial tokens, which `earn_trial` and `try_trial` change. `try_trial` also changes the
     endpoint's `next_trial_at`.
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -134,7 +134,7 @@
     def record_silence(
         self, endpoint: TrackedEndpoint, overdue_attempts: float, now: float
     ) -> None:
-        """Record an overdue attempt for an endpoint that has been silent since it was sent.
+        """Record an overdue attempt for an endpoint that was silent since the attempt was sent.
 
         Args:
             endpoint: The silent endpoint: the attempt's endpoint or its fill source.
@@ -206,8 +206,8 @@
         """Return whether none of the zone's caches appears to be reachable, or none is ready.
 
         The director notices an outage before the endpoint list reports it, if the list ever does.
-        Without health checks the result is False, because only these detect when the caches are
-        reachable again.
+        If health checks are not allowed, the result is False, because only health checks detect
+        when the caches are reachable again.
         """
         return self._settings.allows_health_checks and (
             self.zone.is_unreachable
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -60,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer is due: the final response of a request, or the overdue check of an attempt.
+    """A timer that the router has scheduled for a request or an attempt is due.
 
-    A request that is not complete then ends without an answer. A caller may hand over this event
-    before the timer is due, to end a request immediately.
+    A request that is not complete then ends without an answer; a caller may also hand over this
+    event earlier, to end a request immediately. An attempt is checked for being overdue.
     """
 
     subject: Request | Attempt
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -33,8 +33,8 @@
 # Difference in delay (ms) up to which an endpoint counts as nearby, or as not slower than another.
 # It exceeds the noise of the histogram's wide bins.
 NEARBY_DELAY = 80.0
-# Fraction of fills that go to the origin as trial fills, which measure its delay. Otherwise the
-# origin is used only if no parent is suitable, because each byte from the origin has a price.
+# Fraction of fills that go to the origin as trial fills, which measure the origin's delay. Other
+# fills use the origin only if no parent is suitable, because each byte from the origin has a price.
 ORIGIN_TRIAL_FRACTION = 0.0125
 # Weight with which a parent's usual delay counts as one more recent measurement, since there may be
 # few of these.
@@ -214,7 +214,7 @@
         return sum(means) / len(means) if means else 0.0
 
     def is_believed_holder(self, cache: TrackedEndpoint, request: Request, now: float) -> bool:
-        """Return whether the cache is believed to hold a copy newer than its last purge."""
+        """Return whether the cache is believed to hold a copy made after the last purge."""
         return self.locations.is_believed_holder(
             cache, request, now, self.purges.last_purge(request)
         )
@@ -313,7 +313,7 @@
     def _is_source_suspect(self, attempt: Attempt) -> bool:
         """Return whether an attempt may have failed, or not ended, because of its fill source.
 
-        Such a source is not used again for the request.
+        Such a parent or sibling cache is not chosen again as a fill source for the request.
         """
         source = attempt.fill_source
         if attempt.outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT):
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -70,9 +70,9 @@
     """Properties that all requests of one class have in common."""
 
     idempotency: str  # IDEMPOTENT, KEYED or UNSAFE
-    latency_objective: float
+    latency_objective: float  # time from a request's arrival within which its answer is in time
     objective_stretch: float  # the objective grows by this multiple of the answer's transfer time
-    client_timeout: float
+    client_timeout: float  # upper bound of the objective: time for which clients wait
     key_retention: float  # how long endpoints remember an idempotency key
     key_scope: str  # the endpoints that remember the key: "all", "zone" or "cell"
     freshness_lifetime: float  # age up to which a copy is served unchecked; 0: no revalidation
@@ -95,19 +95,19 @@
     """Settings of the service, given to a director at its start."""
 
     request_classes: list[RequestClass]
-    zone: int
-    director_count: int
+    zone: int  # the director's zone
+    director_count: int  # directors in all zones
     local_director_count: int  # directors in this director's zone, 1 or more
     parent_kind: int  # `Endpoint.kind` of parents
     origin_kind: int  # `Endpoint.kind` of the origin
     advertises_weights: bool  # the endpoint list contains endpoint weights
     transfer_rate: float  # KB per ms of one transfer; 0: unknown
-    max_attempts: int
+    max_attempts: int  # maximum number of attempts of one request
     allows_hedging: bool  # a request may have two attempts in flight
-    allows_cancel: bool
+    allows_cancel: bool  # an attempt in flight may be cancelled
     allows_health_checks: bool
-    allows_retry_after: bool  # a rejection specifies when to retry
-    max_retry_after: float
+    allows_retry_after: bool  # a rejection may specify after which time to retry
+    max_retry_after: float  # maximum of this time
     allows_cache_bypass: bool  # an attempt may go directly to a parent or the origin
     allows_coalescing: bool  # a cache may wait for a fill of the same object in progress
     allows_sibling_fills: bool  # a miss may be filled from another cache of the zone
@@ -152,7 +152,7 @@
             filled; None if the request is uncacheable and there is no origin.
         sent_at: When the router decided on the attempt, which may be before it is written.
         timeout: Time in ms after `sent_at` when the attempt is abandoned.
-        outcome: How the attempt ended; None until the router has handled its end.
+        outcome: How the attempt ended; None until the router has handled the attempt's end.
         expects_hit: Whether the router believed, at `sent_at`, that the endpoint holds the object.
         purged_at: Time of the last purge of the object or its group before `sent_at`; 0: none.
         addresses: Endpoint and fill source, each with its address at `sent_at`; set by the caller.
@@ -251,7 +251,7 @@
     Strings and body are forwarded unchanged with each attempt; the body is not copied.
     """
 
-    request_class: str
+    request_class: str  # name of the class
     request_id: str
     object: str
     part: str
@@ -276,10 +276,10 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointUpdate:
-    """One endpoint in an update of the endpoint list."""
+    """One endpoint in an update of the endpoint list (see the fields of `Endpoint`)."""
 
     name: str
-    address: tuple[str, int]  # host and port; `UNKNOWN_ADDRESS`: only `state` is valid
+    address: tuple[str, int]  # host and port; `UNKNOWN_ADDRESS`: only name and state are valid
     state: EndpointState
     weight: float
     kind: int
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -43,11 +43,12 @@
 
         The overdue fraction grows from 0 at the attempt's expected time to 1 at three times this
         time. It is divided equally among the endpoints that have been silent since the attempt was
-        sent. If only the attempt's endpoint was silent, it may also count as not reached.
+        sent. If the request should be sent elsewhere and only the attempt's endpoint was silent,
+        this endpoint also counts as not reached.
 
         Returns:
-            Whether the request should be sent elsewhere: at least one of these endpoints is silent,
-            and the overdue fraction has reached `REROUTE_FRACTION`.
+            Whether the request should be sent elsewhere: the endpoint or the source was silent, and
+            the overdue fraction has reached `REROUTE_FRACTION`.
         """
         silent = self._silent_endpoints(attempt)
         expected = self._expected_time(attempt, now)
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -181,8 +181,9 @@
     def can_begin(self, now: float, attempt: Attempt) -> bool:
         """Return whether an attempt that was waiting to be written may still be sent.
 
-        Events since the decision (drains, purges, results of other attempts) may forbid it. The
-        caller then reports the attempt as not sent, and the router routes the request again.
+        Events since the decision (drains, purges, results of other attempts) and the time that has
+        passed may forbid it. The caller then reports the attempt as not sent, and the router routes
+        the request again.
         """
         self._now = max(self._now, now)
         request = attempt.request
@@ -283,7 +284,7 @@
             self.send(request, route)
 
     def _choose_route(self, request: Request) -> Route | None:
-        """Choose the route of the next attempt; return None if no route can serve it in time."""
+        """Choose the route of the next attempt; return None if no route is available or in time."""
         allows_bypass = self.settings.allows_cache_bypass
         is_uncacheable = request.request_class.is_uncacheable
         is_zone_lost = self.health.is_zone_lost()
@@ -307,8 +308,8 @@
 
         A route that serves only cached objects is not used after a miss on such a route. These are
         the routes whose fill source is the endpoint itself, or a parent or the origin that may
-        answer only from its own cache. A sibling cache as the fill source does not make such a
-        route, neither now nor in an earlier attempt.
+        answer only from its own cache. A route with a sibling cache as its fill source is not one
+        of them, now or in an earlier attempt.
         """
         caches = self.endpoints.caches
         is_filled = route.fill_source is not route.endpoint and (
@@ -380,9 +381,9 @@
     def _wait_or_give_up(self, request: Request) -> None:
         """Wait if the last attempt is in flight at a reachable endpoint; otherwise end the request.
 
-        This follows when no further attempt can be sent. Ending the request early would increase an
-        overload, since endpoints would keep working on abandoned requests. The cost of waiting is
-        late answers.
+        The method is called when no further attempt can be sent. Ending the request early would
+        increase an overload, since endpoints would keep working on abandoned requests. The cost of
+        waiting is late answers.
         """
         last = request.attempts[-1] if request.attempts else None
         if (
