--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -139,7 +139,7 @@
         Lent units are excluded. For some time after a restart, so are the units that an earlier
         incarnation may have used or lent.
         """
-        # Divided because this director's clock may be faster than the borrowers' clocks.
+        # The age is divided because this director's clock may be faster than a borrower's clock.
         age = (now - self.started_at) / (1.0 + 2.0 * self.max_clock_drift)
         if age < self.window:  # an earlier incarnation may just have used all units
             return 0
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -108,9 +108,10 @@
         }
 
     def leases_being_renewed(self, now: float) -> set[int]:
-        """Return the numbers of the leases whose renewal was requested within the same time.
+        """Return the numbers of leases whose renewal was requested within `REQUEST_TIMEOUT_MS`.
 
-        The result also contains 0, the number of no lease, if a request for a new lease is pending.
+        Granted renewals do not count. The result also contains 0, the number of no lease, if a new
+        lease was requested within that time and not granted yet.
         """
         return {
             request.renews
@@ -236,9 +237,10 @@
         return [(member_id, self._codec.encode(responses))] if responses else []
 
     def _update_share(self, now: float, limit: SharedLimit) -> None:
-        """Set the router's share: its fraction until the first borrowed lease expires, and after.
+        """Set the fractions that the router may use before and after the next lease expires.
 
-        After the expiry, the router may use only owned units until the next update.
+        After a borrowed lease has expired, the router may use only owned units until the next
+        update.
         """
         share = limit.definition.share
         ledger = limit.ledger
--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -144,7 +144,7 @@
             context: Data of the caller, kept with the request.
             has_capacity: Whether the director has the capacity for the request. If not, the router
                 rejects the request immediately, without an attempt.
-            pool: The caches that the request is confined to; None: all caches of the location.
+            pool: The caches that the request is confined to; None: all caches of the zone.
         """
         now = self.clock()
         with self.lock:
@@ -400,7 +400,7 @@
     def run_due_timers(
         self,
     ) -> tuple[float, list[tuple[TrackedEndpoint, EndpointAddress]], list[Request]]:
-        """Run the timers that are due.
+        """Run the timers that are due, and record how late the first of them is.
 
         Returns:
             The time in ms when to call again, the health checks to send, and the requests whose
--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -48,7 +48,7 @@
         """
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Reject the request: tell the client that it was not served and that a retry is safe.
+        """Tell the client that its request was not served and that a retry is safe.
 
         Args:
             request: The rejected request.
@@ -56,7 +56,7 @@
         """
 
     def fail_request(self, request: Request) -> None:
-        """Fail the request: tell the client that it was not served but may have had its effect."""
+        """Tell the client that its request failed and may have had its effect."""
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
         """Hand a `TimerFired` event for the subject to the router after `delay` ms."""
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -72,10 +72,13 @@
 ) -> tuple[bool, bool, bool, float]:
     """Return the sort key of an idle client connection; the smallest key is evicted first.
 
-    The order is: connections that never sent a complete call; connections that sent calls but no
-    request (for instance only health queries); connections that sent requests; and finally
-    connections that have sent calls before and are in the middle of sending another one; of these,
-    connections without an earlier request come first. Otherwise the oldest last use is first.
+    The order is as follows; within a group, the connection with the oldest last use is first:
+
+    * connections that never sent a complete call;
+    * connections that sent calls but no request, for instance only health queries;
+    * connections that sent requests;
+    * connections that sent calls but no request, and are in the middle of sending another call;
+    * connections that sent requests, and are in the middle of sending another call.
 
     This order protects regular clients against floods of connections that are silent, send only
     health queries, or are merely kept open, even if the regular clients connected after the flood.
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -82,8 +82,9 @@
     def update_endpoints(self, has_local_start: bool) -> None:
         """Adjust to a change of the endpoint table.
 
-        Pings are cancelled for endpoints that need none any more: those that are not ready, and
-        those that are not ejected, for instance after a restart, unless their zone is unreachable.
+        Pings are cancelled for an endpoint that is not ready any more. They are also cancelled for
+        an endpoint that is not ejected (for instance after a restart), unless it is a cache of an
+        unreachable zone.
 
         Args:
             has_local_start: Whether an endpoint of this zone is new or has restarted. The zone is
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -3,8 +3,9 @@
 The mechanism follows "Distributed Content Delivery using Load-Aware Network Coordinates". The
 paper's coordinates are replaced as follows:
 
-* The distance of an endpoint is the smoothed delay of fills through it, which its load raises
-  (`TrackedEndpoint.recent_delay`). An endpoint without measurements has the average distance.
+* The distance of an endpoint is the smoothed delay of the fills through this endpoint
+  (`TrackedEndpoint.recent_delay`), which grows with the endpoint's load. An endpoint without
+  measurements has the average distance.
 * A sibling cache (another cache of the zone) is preferred if it is believed to hold the object and
   is nearby.
 * A parent that is far slower than its usual level, while the other parents are not, is skipped.
@@ -171,8 +172,8 @@
             now: The current time.
 
         Returns:
-            The parent or origin. If all eligible parents would be skipped, it is the first of them;
-            if there are none, it is the origin, or None without a ready origin.
+            The parent or the origin. If all eligible parents would be skipped, the first of them is
+            returned. If no parent is eligible, the origin is returned, or None if it is not ready.
         """
         endpoints = self.endpoints
         origin = endpoints.origin
@@ -282,8 +283,8 @@
         """Return the untried parents in rendezvous order, or by delay if the client is impatient.
 
         A client is impatient if it stops waiting before the latency objective ends and has not sent
-        the request before. A near parent may still serve it in time, at the cost of additional
-        copies.
+        the request before. A near parent may still serve the client in time, at the cost of
+        additional copies.
         """
         ranked = rendezvous_order(
             [parent for parent in self.endpoints.parents if parent not in tried],
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -2,8 +2,8 @@
 
 An idempotent request may run any number of times. A request with an idempotency key may be sent
 again as long as every endpoint remembers its key. Any request may be sent again if all earlier
-attempts provably never ran; for a request of another kind this is the only case. Pure functions,
-times in ms.
+attempts provably never ran; a request of any other kind may be sent again only then. Pure
+functions, times in ms.
 """
 
 from .deadlines import has_time_left
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -89,7 +89,8 @@
     Attributes:
         recent_delay: Delays in ms of fills through the endpoint, over the last seconds.
         usual_delay: The same delays over a longer time.
-        hit_lateness: Time that hits took beyond their transfer time, in percent of it.
+        hit_lateness: Time that hits took beyond their transfer time, in percent of the transfer
+            time.
         outlier_detector: Recent successes and failures of the endpoint.
         last_heard_at: Time of the endpoint's last response.
         silence: Number of overdue attempts since the last response; an attempt that is only
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -241,7 +241,7 @@
     is_retry: bool = False  # the client has sent the request before
     is_complete: bool = False  # no further attempt is sent
     attempts: list[Attempt] = field(default_factory=list)
-    pool: CachePool | None = None  # None: all caches of the location
+    pool: CachePool | None = None  # None: all caches of the director's zone
 
 
 @dataclass(slots=True, eq=False)
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -218,7 +218,7 @@
         return endpoint
 
     def _drop_finished(self) -> None:
-        """Remove requests that are complete and have no attempt in flight."""
+        """Remove those requests that are complete and have no attempt in flight any more."""
         for request in self._possibly_finished:
             if request.is_complete and all(
                 attempt.outcome is not None for attempt in request.attempts
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -41,7 +41,7 @@
 def test_slow_responses_cause_few_pings(mean_duration, max_pings):
     """Guard against many pings of a healthy endpoint whose responses are slow.
 
-    One connection serves 200 requests one after the other. If the silence before a ping were fixed,
+    One connection serves 200 requests one after the other. With a fixed silence before a ping,
     there would be 200 pings.
     """
     backoff = PingBackoff()
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("outcome", "after", "final_action"),
     [
-        # The client retries while its idempotency key is remembered.
+        # The client retries before the idempotency key is forgotten.
         (Outcome.ERROR, 4000, "reject_request"),
         # The client would retry only after the key is forgotten.
         (Outcome.ERROR, 4900, "fail_request"),
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -146,7 +146,7 @@
 
     request = fixture.accept()
     attempt = fixture.coordinator.next_step(request).attempt
-    # A thread that finds no step gives up the request: any thread may then take the next step.
+    # A thread that finds no step no longer owns the request: any thread may take the next step.
     assert fixture.coordinator.next_step(request) is None
     fixture.coordinator.report_outcome(attempt, Outcome.SERVED, CacheStatus.HIT, answer=2)
     take_step_in_other_thread()
