--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -144,9 +144,7 @@
 def test_faults_between_forty_processes_cause_no_violation(played):
     _, audit, alive = played
     figures = audit.figures()
-    assert (
-        len(alive) >= 34 and len(alive) + 5 >= 39
-    )  # directors, endpoint process, proxies, load generators and reaper
+    assert len(alive) >= 34  # directors, endpoint process, proxies, load generators and reaper
     assert {rule: figures[rule] for rule in audit.count_violations()} == dict.fromkeys(
         audit.count_violations(), 0
     )
@@ -195,9 +193,10 @@
         if state == "DELETED"
     }
     delays = [notified_at[director] - faults["dead"][0] for director in notified_at]
-    assert [
-        delay for director, delay in zip(notified_at, delays, strict=True) if director in late
-    ] > [2.9]
+    assert (
+        min(delay for director, delay in zip(notified_at, delays, strict=True) if director in late)
+        > 2.9
+    )
     assert (
         min(
             delay
