--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -1,16 +1,16 @@
 """One connection of a client: its received calls, its open requests, and how it is closed.
 
-A connection is closed in one of two ways:
+The director closes a connection in one of two ways:
 
-- A connection on which a call was received is normally half-closed once no answer is outstanding:
-  its writing side is shut down, and the bytes that the client still sends are read and discarded.
-  This lingering close ends when the client closes too, or after `LINGER_S`. Closing a socket that
-  has unread bytes would reset the connection, and the client could lose the last answer.
-- A connection is shut down in both directions at once if its client has disconnected or does not
-  read its answers, if no call was received on it, if a new client needs its slot, or if the
-  director stops.
+- Half-close: the normal way if a call was received and no answer is outstanding. The writing side
+  is shut down, and the bytes that the client still sends are read and discarded. This lingering
+  close ends when the client closes its side too, or after `LINGER_S`. Closing a socket that has
+  unread bytes would reset the connection, and the client could lose the last answer.
+- Full close: the connection is shut down in both directions at once if its client has disconnected
+  or does not read its answers, if no call was received on it, if a new client needs its slot, or if
+  the director stops.
 
-In both cases, bytes that are received later are not handled as calls.
+After either close, received bytes are not handled as calls.
 """
 
 import select
@@ -56,8 +56,8 @@
     Attributes:
         connection: The socket.
         address: The client's IP address.
-        admission_entry: Token from admission control, released when the connection ends; empty if
-            there is no admission control.
+        admission_entry: Token that admission control returned for this connection. It is released
+            when the connection ends; empty if there is no admission control.
         lock: Guards `open_requests` and `write_queue`, and is held from the read of received bytes
             until their calls are queued.
         write_queue: Answers to be written.
@@ -70,8 +70,8 @@
         has_sent_request: Whether there has been an open request.
         bad_call_count: Number of invalid calls since the last valid request.
         framing_error: Why the received bytes cannot be decoded any further; empty if they can.
-        last_used_at: Time of the last complete call or answer to a request; the time of the
-            connect before the first call.
+        last_used_at: Time of the last complete call or of the last answer from `send_answer`,
+            whichever is later; the time of the connect before the first call.
         last_read_at: Time at which the socket was last read until it was empty; 0 before that.
         partial_call_since: Arrival time of the first bytes of an incomplete call; 0 if there is
             none.
@@ -126,6 +126,9 @@
             shut down the connection in both directions, or if a framing error follows the calls
             that were handled. The caller must then handle no pending call, so that no call is
             started for a client that has sent many calls at once and disconnected.
+
+        Raises:
+            OSError: If the client has reset the connection.
         """
         while len(self.pending_calls) < MAX_PENDING_CALLS:
             if not self.pending_calls and (self.framing_error or not self._wait_for_bytes()):
@@ -155,11 +158,11 @@
         return bool(self.connection.recv(1, socket.MSG_PEEK))
 
     def _queue_frames(self, frames: Iterable[memoryview]) -> None:
-        """Queue the calls in frames, or discard them if the connection was shut down.
+        """Queue the calls in frames. If the connection was closed, discard all pending calls.
 
-        The caller has held the lock since it read their bytes. A thread that closes idle
-        connections therefore always finds a received call: either in the kernel's receive buffer or
-        in the queue.
+        The caller has held the lock since it read the bytes of the frames. A thread that closes
+        idle connections therefore always finds a received call: either in the kernel's receive
+        buffer or in the queue.
         """
         now = time.monotonic()
         if self.write_queue.is_shut_down:
@@ -183,7 +186,8 @@
         """Queue a call, or apply a cancellation.
 
         A cancellation of a pending request removes that request. Any other cancellation is queued
-        before all pending calls, unless its sequence number cannot be read.
+        before all pending calls. A cancellation whose sequence number cannot be read is queued last
+        like any call, and is an invalid call when it is handled.
         """
         call.read_at = now
         number = thrift.peek_cancelled_number(call) if call.method == "forget" else None
@@ -219,14 +223,14 @@
             time.sleep(POLL_INTERVAL_S)
         if self.has_called:
             self.half_close()
-            # Read until the client closes the connection or the lingering close times out.
+            # `finish_lingering`, called by another thread, ends the read after `LINGER_S`.
             while self.connection.recv_into(self.decoder.writable_view()):
                 time.sleep(POLL_INTERVAL_S)  # limits the CPU time that a flood takes
 
     # Answering, in any thread
 
     def send_reply(self, call: thrift.MethodCall, pieces: list[Piece]) -> None:
-        """Send the answer to a call that is not a request, and remove the call from the queue."""
+        """Send the answer to a call that has not become an open request, and unqueue the call."""
         with self.lock:
             self.remove_pending_call(call)
             self.write_queue.write(None, pieces)
@@ -277,9 +281,9 @@
             self.write_queue.shut_down()
 
     def close_if_idle(self, lingers: bool = True) -> bool:
-        """Close the connection unless it is closed, an answer is outstanding or bytes are unread.
+        """Close the connection if it is idle: open, with no outstanding answer and no unread bytes.
 
-        Unread bytes may be a call.
+        Unread bytes may be a call. A half-closed connection is no longer open.
 
         Args:
             lingers: Whether to half-close the connection and leave the full close to
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -190,7 +190,9 @@
     def _make_room(self) -> bool:
         """Evict an idle connection if the table is nearly full; wait for a slot if it is full.
 
-        The caller holds the lock, which is released while this method waits.
+        The caller holds the lock, which is released while this method waits. If the table is full
+        and no connection is evicted, the connection that has been closing for the longest time is
+        shut down without waiting for the end of its lingering close.
 
         Returns:
             False if the table is full and no connection in it is idle or closing.
@@ -262,7 +264,11 @@
             client.discard_input()
 
     def _remove(self, client: ClientConnection) -> None:
-        """Close a connection whose thread ends, cancel its open requests, and free its slot."""
+        """Close a connection whose thread ends, and release all that it holds.
+
+        Its open requests are cancelled, its slot in the table becomes free, and its token is
+        returned to admission control.
+        """
         client.shut_down()
         with client.lock:
             abandoned = [
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -42,7 +42,8 @@
 
     Attributes:
         address: Host and port of the stream.
-        last_event_number: Number of the last applied event.
+        last_event_number: Number of the last event that was applied, or skipped because it could
+            not be read. At the start, it is at least the number in the configuration.
         gap_at: Number of the last event before the most recent gap; 0 if there was none. GapError
             is raised only once for this gap: if the events are still missing after the reconnect,
             they are skipped. After a gap in the events of a configuration file, the value is -1:
@@ -54,7 +55,7 @@
         read_configured_address: Function that returns the stream's address in the current
             configuration file, or None if the file cannot be read or is invalid.
         stop_requested: Set by `stop`.
-        wake_up: Set to end the wait before the next connection.
+        wake_up: Set by `stop` and `reconnect_to` to end the wait before the next connection.
         head_received: Set when a response head was received or the first connection has ended
             without one.
         first_connection_ended: Set when the first connection has ended.
@@ -185,9 +186,9 @@
     def _apply_known(self, known_events: Sequence[Any]) -> None:
         """Apply events from a configuration file, in order, until an event number is missing.
 
-        The stream delivers the missing event and the events after it. Until then, only the
-        restrictions in the known events after the gap are applied. Events without a number are
-        skipped.
+        The stream delivers the missing event and the events after it. Until it does, only the
+        restrictions in the known events after the gap are applied.
+        Events without a number are skipped.
         """
         try:
             self._apply_in_order(
@@ -199,7 +200,10 @@
             self.log.event("bad event", why=str(error))
 
     def _apply_in_order(self, events: list[NumberedEvent]) -> None:
-        """Apply a batch of events; after a gap, apply only the restrictions in the remaining ones.
+        """Apply a batch of events; after a gap, apply only the restrictions in the later events.
+
+        Args:
+            events: The events in the order in which they were received.
 
         Raises:
             GapError: If events are missing; raised after the restrictions are applied.
@@ -237,7 +241,9 @@
                 self.log.event("event stream reconnects", last=self.last_event_number, why=reason)
 
     def _wait_to_reconnect(self, has_progressed: bool, is_refused: bool) -> str:
-        """Wait for the backoff, unless the configuration contains a new address.
+        """Wait for the backoff, and read the configured address if the backoff says that it is due.
+
+        If the configured address is new, it is used at once, without a wait.
 
         Args:
             has_progressed: Whether the ended connection has delivered new events.
@@ -263,7 +269,7 @@
         try:
             return self.read_configured_address()
         except Exception as error:
-            # No fault in the file may end this thread, the only one that receives drains.
+            # No fault in the file may end this thread: no other thread receives drains.
             self.log.exception("event stream", error)
             return None
 
--- a/mulleinrelay/net/receive_buffer.py
+++ b/mulleinrelay/net/receive_buffer.py
@@ -6,11 +6,11 @@
 
 
 class ReceiveBuffer:
-    """Memory for received bytes, of which a part may be unread.
+    """Memory for received bytes. Bytes are unread until `take` has returned them.
 
     Attributes:
         size: Minimum size of a new block of memory, in bytes.
-        view: The block that is currently written.
+        view: The block of memory that received bytes are currently written to.
         start: Offset of the first unread byte in `view`.
         end: Offset after the last unread byte in `view`; the receiver advances it.
     """
--- a/mulleinrelay/net/request_context.py
+++ b/mulleinrelay/net/request_context.py
@@ -15,7 +15,7 @@
         client: Connection on which the answer is sent.
         sequence_number: Number of the call, chosen by the client.
         request: The request as received from the client.
-        grant: Grant from admission control; None if there is no admission control.
+        grant: Grant from `AdmissionControl.admit_request`; None if there is no admission control.
     """
 
     client: ClientConnection
--- a/mulleinrelay/net/request_handler.py
+++ b/mulleinrelay/net/request_handler.py
@@ -43,8 +43,8 @@
         admission_control: Admission control for connections and requests; None if there is none.
         upstream: Connections to endpoints, over which attempts are sent.
         is_healthy: The director's answer to health checks of clients.
-        max_requests: Maximum number of requests that the memory allows to be pending at the
-            coordinator.
+        max_requests: Number of requests pending at the coordinator at which the memory counts as
+            fully used, so that no further request is admitted.
         count_unread_bytes: Function that returns the total size in bytes of the answers that
             clients have not read; set by the listener.
     """
@@ -140,7 +140,7 @@
     def _open(
         self, client: ClientConnection, call: thrift.MethodCall, request: ClientRequest
     ) -> bool:
-        """Register a call as an open request.
+        """Register a call as an open request, and remove it from the pending calls.
 
         Returns:
             False if the connection was closed meanwhile. The client then repeats the request on a
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -311,10 +311,10 @@
 
 
 def cancel_command(request_id: str) -> bytes:
-    """Encode the cancellation of a request."""
+    """Encode the cancellation of the attempt that was sent with this request id."""
     return command(b"KILL", request_id.encode())
 
 
 def health_check_command(tag: str, with_report: bool) -> bytes:
-    """Encode a health check: a request for a load report, or a ping."""
+    """Encode a health check; without a request for a load report, it is also used as a ping."""
     return command(b"METER" if with_report else b"ECHO", tag.encode())
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -12,7 +12,7 @@
 
 MAX_LINE_BYTES = 4_194_304  # the first event contains the complete endpoint list
 MAX_HEAD_BYTES = 16_384
-MAX_DATA_LINES = 1024  # in one event; each may be long
+MAX_DATA_LINES = 1024  # in one event; each line may have up to MAX_LINE_BYTES
 MAX_CHUNK_HEAD_BYTES = 64
 HEAD_END = b"\r\n\r\n"
 LINE_END_BYTES = 2  # CR LF after each chunk
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -144,7 +144,7 @@
             raise ThriftError("a string that is not UTF-8") from error
 
     def read_size(self, maximum: int) -> int:
-        """Read the number of entries of a collection."""
+        """Read the number of entries of a collection, which must not exceed `maximum`."""
         size = self.read_i32()
         if not 0 <= size <= maximum:
             raise ThriftError(f"a collection of {size}")
@@ -228,8 +228,8 @@
 
     Args:
         reader: Reader that is positioned before the arguments.
-        tenant_field: Name of the field in which clients of our own installations send their
-            tenant; empty if there is no such field.
+        tenant_field: Name of the field that holds the client's tenant, which only clients of our
+            own installations send; empty if no field holds it.
 
     Raises:
         ThriftError: If the arguments cannot be read, or a field is missing or has a wrong format.
--- a/mulleinrelay/net/upstream_connection.py
+++ b/mulleinrelay/net/upstream_connection.py
@@ -47,9 +47,11 @@
         write_queue: Commands to be written.
         in_flight: Attempts and health checks without an answer, by their ids on the wire.
         abandoned: Times at which attempts were abandoned, by their ids on the wire. An attempt is
-            abandoned if it is cancelled, or answered but not served. A late or second answer to it
-            may still be received, and must not be taken for an answer to another attempt.
-        pinged_at: Send time of an unanswered ping; 0 if there is none.
+            abandoned if it is cancelled after a part of it was written, or if its answer has
+            another outcome than SERVED. A late or second answer to it may still be received, and
+            must not be taken for an answer to another attempt.
+        pinged_at: Send time of an unanswered ping; 0 if there is none. Any answer that is received
+            resets it to 0.
         ping_backoff: Rule for how long the connection may be silent before it is pinged.
         idle_timeout: Time in ms since `last_used_at` after which the connection is closed if
             nothing is in flight.
@@ -91,16 +93,17 @@
         return any(unread_count)
 
     def is_closed_by_peer(self) -> bool:
-        """Return whether the endpoint has closed the connection.
+        """Return whether the endpoint has closed the connection and no received bytes are unread.
 
-        The reading thread may not have noticed the close yet.
+        The reading thread may not have noticed the close yet. A reset by the endpoint does not
+        count.
         """
         connection = self.write_queue.connection
         if connection is None:  # not connected yet
             return False
         try:
             return connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
-        except OSError:  # nothing was received
+        except OSError:  # nothing was received, or the endpoint has reset the connection
             return False
 
     def silent_since(self) -> float:
@@ -148,7 +151,7 @@
 
         Args:
             answered: The attempt or health check that was answered; None if the answer is to a
-                ping, to an abandoned attempt, or to an unknown id.
+                ping, an abandoned attempt, an expired health check, or an unknown id.
             answer: The answer.
             now: The current time.
         """
@@ -166,7 +169,10 @@
         self.pinged_at = 0.0
 
     def expects_answer(self, wire_id: str) -> bool:
-        """Return whether an answer is expected although its id is not in flight."""
+        """Return whether an answer with this id is expected although the id is not in flight.
+
+        This holds for abandoned attempts, pings and expired health checks.
+        """
         return wire_id in self.abandoned or wire_id.startswith(HEALTH_CHECK_PREFIX)
 
     def mark_suspect(self, now: float) -> None:
@@ -176,7 +182,7 @@
     def remove_overdue(self, now: float) -> None:
         """Remove abandoned attempts and health checks whose answers are overdue.
 
-        The connection becomes suspect if nothing was received since a removed health check was
+        The connection becomes suspect if no answer was received since a removed health check was
         sent.
         """
         self.abandoned = {
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -3,7 +3,7 @@
 Calls do not block: data is written at once if possible, or else queued and written by another
 thread. That is the connection's own thread after it has connected, or later a thread of the write
 queue. Every attempt that is not cancelled is reported to the coordinator exactly once: as answered,
-as not sent, or as lost with its connection.
+as never sent, or as lost with its connection.
 """
 
 import errno
@@ -52,8 +52,9 @@
             is the first one. Set by the request handler, and called with the lock held.
         connection_by_attempt: Connection and id on the wire of each attempt in flight; guarded by
             the lock.
-        failed_addresses: Addresses to which no connection was opened since one failed, with the
-            number of attempts lost since that failure; guarded by the lock.
+        failed_addresses: Addresses to which no connection was opened since a connection failed. The
+            value is the number of attempts that were lost by that failure and later ones. Guarded
+            by the lock.
     """
 
     def __init__(
@@ -107,7 +108,11 @@
         self._send(step.address, request.request_id, attempt, pieces)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Abandon an attempt; send a cancellation to the endpoint if the settings allow it."""
+        """Cancel an attempt in flight; do nothing if it is no longer in flight.
+
+        If none of it is written yet, the attempt is withdrawn. Otherwise it is abandoned, and a
+        cancellation is sent to the endpoint if the settings allow it.
+        """
         with self.lock:
             connection, wire_id = self.connection_by_attempt.pop(attempt, (None, ""))
             if connection is None or connection.in_flight.pop(wire_id, None) is None:
@@ -125,9 +130,9 @@
     def _write_cancel(self, connection: UpstreamConnection, wire_id: str) -> None:
         """Write a cancellation; the caller holds the lock.
 
-        If only one attempt of a request may be in flight, the next attempt must not overtake a
-        cancellation that is still in the write queue. The connection is closed in that case, which
-        cancels the attempt at once.
+        If the settings forbid hedged requests, only one attempt of a request may be in flight. Its
+        next attempt must therefore not overtake a cancellation that is still in the write queue. To
+        prevent this, the connection is closed, which cancels the attempt at once.
         """
         connection.write_queue.write(None, [resp.cancel_command(wire_id)])
         if connection.write_queue.pending and not self.coordinator.settings.allows_hedging:
@@ -149,7 +154,7 @@
 
         All attempts in flight on a closed connection are reported at once. The pings detect
         connections that stay open but no longer work, after a corrupt, truncated, endless or
-        missing answer. An endpoint that answers a ping after PING_TIMEOUT or later loses the
+        missing answer. An endpoint that takes longer than `PING_TIMEOUT` to answer a ping loses the
         connection even if it works.
         """
         now = self.clock()
@@ -163,11 +168,12 @@
                     connection.write_queue.write(None, [ping])
 
     def close_idle(self) -> None:
-        """Close connections that are idle or suspect, or whose endpoint was removed.
+        """Close unused connections, and remove what has waited for too long on any connection.
 
-        Also remove overdue health checks, and withdraw attempts of which nothing was written within
-        the connect timeout. These attempts were never executed; if they were sent later, they could
-        arrive after a drain or a purge.
+        A connection with nothing in flight is closed if it is idle or suspect, or if its address
+        was removed. Overdue health checks are removed. Attempts of which nothing was written within
+        the connect timeout are withdrawn: they were never executed, and if they were sent later,
+        they could arrive after a drain or a purge.
         """
         now = self.clock()
         stuck: list[Attempt] = []
@@ -227,7 +233,7 @@
         return connection
 
     def _may_ping(self, connection: UpstreamConnection) -> bool:
-        """Return whether the endpoints of all items in flight on a connection may be checked."""
+        """Return whether a health check may be sent to the endpoints of all items in flight."""
         return all(
             self._may_check_health(item, connection.address)
             for item in connection.in_flight.values()
@@ -239,8 +245,8 @@
     def _is_stale(self, item: InFlight, address: EndpointAddress) -> bool:
         """Return whether an attempt or health check must not be sent any more.
 
-        The caller holds the lock until the first byte is written, so that the attempt cannot be
-        cancelled between this check and the write.
+        The caller holds the lock until the first byte is written or the item is queued, so that the
+        attempt cannot be cancelled in between. A queued item is checked again before it is written.
         """
         if isinstance(item, HealthCheck):
             return not self._may_check_health(item, address)
--- a/mulleinrelay/net/upstream_pool.py
+++ b/mulleinrelay/net/upstream_pool.py
@@ -67,9 +67,9 @@
     ) -> UpstreamConnection | None:
         """Return the usable connection with the fewest items in flight; the caller holds the lock.
 
-        Items are attempts and health checks. The endpoint may have just closed an idle connection,
-        so this is checked before the connection is used. An attempt written to a closed connection
-        is lost, and nothing shows whether the endpoint has executed it.
+        Items are attempts and health checks. An idle connection that the endpoint has closed is
+        shut down instead of being used: an attempt written to it would be lost, and nothing would
+        show whether the endpoint has executed the attempt.
         """
         usable = (
             connection
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -1,8 +1,9 @@
 """Non-blocking writes to a socket: bytes that cannot be written at once are queued.
 
 A thread writes the queue as soon as the socket is writable again. Before it writes the first byte
-of a queued message, it asks the code that uses the queue whether the message is stale: the connect
-may have taken long, or the peer may not have read for a while.
+of a queued message, it asks the code that uses the queue whether the message is stale, that is,
+must not be sent any more. Messages become stale because the connect may take long, or the peer may
+not read for a while.
 """
 
 import contextlib
@@ -16,7 +17,7 @@
 from typing import Generic, TypeVar
 
 Piece = memoryview | bytes
-Withdrawn = TypeVar("Withdrawn")  # what represents a withdrawn message to the user of the queue
+Withdrawn = TypeVar("Withdrawn")  # value by which the queue's user identifies a withdrawn message
 
 POLL_INTERVAL_MS = 250  # maximum time between two checks of a socket that is not writable
 
@@ -118,6 +119,8 @@
     def attach(self, connection: socket.socket) -> bool:
         """Set the connection after a successful connect, and write the queued messages.
 
+        The method returns when the queue is empty or shut down. The caller must not hold the lock.
+
         Returns:
             False if the queue was shut down before; nothing is written then.
         """
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -37,7 +37,7 @@
     call_count, allow_client_reads
 ):
     # The director reads the calls only after the client has closed its connection. It must not send
-    # attempts for them.
+    # attempts for these calls.
     with RunningDirector() as running:
         leaving_client, staying_client = running.connect_client(), running.connect_client()
         for number in range(call_count):
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -181,8 +181,8 @@
 
 
 def test_client_that_calls_and_does_not_read_is_disconnected():
-    # Small answers could fill the memory with overhead that the limit on their bytes does not
-    # count.
+    # Many small unread answers could fill the memory with their overhead, which the limit on the
+    # bytes of unread answers does not count.
     with RunningDirector() as running:
         flooding_client, other_client = running.connect_client(), running.connect_client()
         other_client.socket.sendall(IS_WELL_CALL)
@@ -240,8 +240,8 @@
 
 
 def test_flood_of_connections_evicts_no_active_client(monkeypatch):
-    # Several new connections must not be accepted for one that is evicted, or the descriptors would
-    # be used up.
+    # New connections must not evict a client that sends requests. Each evicted connection must make
+    # room for only one new connection, or the director's file descriptors would be used up.
     monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 0.5)
     with RunningDirector() as running:
         listener, max_count = running.director.listener, 0
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -82,7 +82,8 @@
     [b"", b"HTTP/1.1 200 OK\r\nx: ", RESPONSE_HEAD, RESPONSE_HEAD + b": well\n\ndata: "],
 )
 def test_stream_that_sends_bytes_but_no_line_is_closed(first_bytes, monkeypatch):
-    # Drains would never be received while a head or a line trickles in.
+    # If the connection stayed open while a response head or a line trickles in, the director would
+    # receive no drains.
     for name, timeout_s in (
         ("SILENCE_TIMEOUT_S", 0.2),
         ("HEAD_TIMEOUT_S", 0.3),
@@ -247,7 +248,8 @@
         stream = running.director.event_stream
         stream.read_configured_address = lambda: 1 / 0
         stream.reconnect_backoff.begin_lookup_if_due = lambda now: True
-        # The script is repeated, because a connection that `reconnect_to` closes may use up one.
+        # Each connection takes one script. The script is repeated, because `reconnect_to` may close
+        # a connection that has just taken one.
         running.event_stream.scripts += [[RESPONSE_HEAD, stream_event(2, PURGE), None]] * 9
         stream.reconnect_to(stream.address)
         assert wait_for(
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -126,7 +126,7 @@
             3,
             0,
         ),
-        # The stream is silent after an event and is reconnected.
+        # The stream is silent after an event, so the director reconnects.
         ([[RESPONSE_HEAD, stream_event(2, PURGE), None]], [1], 1, 0),
         # A purge after a gap is applied at once, and again after the missing events.
         (
@@ -206,7 +206,8 @@
             1,
             0,
         ),
-        # Purges that are missing before a full snapshot are applied before it.
+        # A full snapshot arrives after a gap. Its endpoint that is gone is applied at once, and the
+        # complete snapshot after the missing purges.
         (
             [
                 [RESPONSE_HEAD, stream_event(4, SNAPSHOT)],
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -67,8 +67,9 @@
 def test_queued_attempt_obeys_later_endpoint_updates_and_purges(
     request_class, change, allow_connecting
 ):
-    # Queued attempts must not be sent to endpoints that were meanwhile announced as draining or
-    # gone, and must not accept copies from before a purge.
+    # While an attempt is queued, its cache or fill source may be announced as draining or gone, or
+    # another machine may replace the cache. A read must then use neither this cache nor this fill
+    # source. After a purge, an attempt must not accept copies from before the purge.
     with RunningDirector() as running:
         client = running.connect_client()
         client.send(request_class)
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -126,7 +126,8 @@
     # unknown whether it was executed.
     decoders, resume_reading, writable_view = [], threading.Event(), resp.ArrayDecoder.writable_view
 
-    # Blocks the second read of the first connection, so that its close is not noticed.
+    # Blocks the second read of the first connection, so that the director does not notice that the
+    # endpoint closes it.
     def delay_first_connection(decoder):
         if threading.current_thread().name == "upstream":
             decoders.append(decoder)
