--- a/mulleinrelay/membership/broadcast_queue.py
+++ b/mulleinrelay/membership/broadcast_queue.py
@@ -13,7 +13,7 @@
 
 
 def transmit_limit(cluster_size: int) -> int:
-    """Return how many times an update is sent in a fleet of `cluster_size` active members."""
+    """Return how many times a director sends an update, for `cluster_size` active members."""
     return math.ceil(RETRANSMIT_MULTIPLIER * math.log2(cluster_size + 1))
 
 
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -105,10 +105,10 @@
     # Received messages
 
     def handle_ack(self, message: Message) -> list[OutgoingDatagram]:
-        """Complete a pending ping; other acks are ignored.
+        """Complete the pending ping with the ack's sequence number; without one, ignore the ack.
 
-        The ack of an indirect ping is forwarded to its requester. The ack of this director's own
-        ping improves its health score.
+        The ack of an indirect ping is forwarded to the director that requested the ping. The ack of
+        this director's own ping lowers, that is improves, this director's health score.
         """
         ping = self._pending.pop(message.number, None)
         if ping is None:
@@ -141,7 +141,7 @@
         """Discard the pending pings and restart all suspicion timeouts after a pause.
 
         While this process was paused it received no acks, so the missing acks prove nothing. The
-        pause also worsens the health score.
+        pause also raises the health score.
         """
         self._pending.clear()
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + PAUSE_HEALTH_PENALTY)
@@ -152,9 +152,9 @@
     def check_pending_pings(self, now: float) -> list[OutgoingDatagram]:
         """Handle pings whose ack is overdue.
 
-        If the ping was this director's own, it first requests indirect pings. If there is still no
-        ack later, it suspects the member, unless the member has departed. If the ping was for a
-        requester, the requester gets a nack.
+        For a ping of its own, this director first requests indirect pings. If there is still no ack
+        later, it suspects the member. Pings of members that have departed are only removed. For a
+        ping that another director requested, that director gets a nack.
         """
         outgoing = []
         for number, ping in list(self._pending.items()):
@@ -195,7 +195,10 @@
         return outgoing
 
     def ping_if_due(self, now: float) -> list[OutgoingDatagram]:
-        """Ping the next member of the round, and remove expired members, once per interval."""
+        """Ping the next member of the round, once per ping interval.
+
+        Members that departed more than `DEPARTED_RETENTION_MS` ago are removed from the table then.
+        """
         if now < self.next_ping_at:
             return []
         jitter = 1.0 - 0.5 * PING_INTERVAL_JITTER + PING_INTERVAL_JITTER * self._random.random()
@@ -256,7 +259,7 @@
         member is pinged again, so that it learns of a suspicion.
 
         If the fleet has further members but none has sent a nack, the fault may be local. The
-        health score then gets worse as well.
+        health score is then raised as well.
         """
         has_others = self._table.cluster_size() - 2 > 0
         if has_others and not ping.nacks:
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -63,8 +63,8 @@
 
     Attributes:
         update: The update with the greatest precedence so far.
-        state_since: Time at which the member entered its state or, if later, its incarnation. For
-            suspects, the end of a pause of this process since then.
+        state_since: Time at which the member entered its state or, if later, its incarnation. If
+            this process was paused while the member was suspect, the end of that pause.
         suspected_by: Directors that have reported the member as suspect, also those that only
             passed the suspicion on; empty unless the member is suspect.
         last_received_at: Time of the last datagram from the member; 0 if there was none. Late
@@ -91,7 +91,8 @@
     Attributes:
         local: This director's own state, as it is sent to other directors.
         entries: Entries of all other known members, including departed ones, by member id.
-        broadcasts: Queue of the members, or this director, whose update is still to be sent.
+        broadcasts: Queue of the members whose update is still to be sent; it may contain this
+            director.
         events: Events since the owner of the table last took them.
         rejected_members: Number of updates about unknown members that were ignored because the
             table was full.
@@ -111,8 +112,8 @@
 
     def cluster_size(self) -> int:
         """Return the number of active members, including this director."""
-        # Here and in `active_members`, states are compared without the property `is_active`, whose
-        # call takes longer: this runs for each member at each datagram
+        # Here and in `active_members`, states are compared without the property `is_active`. A call
+        # of the property takes longer, and the comparison runs for each member at each datagram.
         suspect = MemberState.SUSPECT
         return 1 + sum(entry.update.state <= suspect for entry in self.entries.values())
 
@@ -231,11 +232,12 @@
         self.events.append(MemberEvent(kind, update))
 
     def _merge_local(self, update: MemberUpdate) -> bool:
-        """Override another director's update about this director; return whether it was necessary.
+        """Override an update about this director if necessary; return whether it was necessary.
 
-        A suspicion or a declaration of death is refuted with a greater refutation count. An update
-        with a greater incarnation than this director's means that the clock was set back before the
-        last restart. This director then takes the update's incarnation plus one.
+        An update that calls this director suspect, dead or left is refuted with a greater
+        refutation count, unless this director has left. An update with a greater incarnation than
+        this director's means that the clock was set back before the last restart. This director
+        then takes the update's incarnation plus one.
         """
         local = self.local
         if update.incarnation > local.incarnation:
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -22,7 +22,7 @@
 MAX_PORT = 65_535
 INCARNATION_LIMIT = 2**53  # exclusive; JSON readers store numbers as doubles, exact below it
 REFUTATION_LIMIT = 2**31  # exclusive
-# Margin for the other fields when the number of updates is reduced to fit
+# Margin when the number of updates is reduced to fit: fewer updates do not shorten other fields.
 ENCODING_MARGIN_BYTES = 64
 
 Address = tuple[str, int]
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -52,7 +52,7 @@
         self.recent = [*self.recent, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
 
     def take_unrecorded(self) -> list[str]:
-        """Return the last `MAX_EVENTS` unrecorded texts, and clear all of them."""
+        """Return the last `MAX_EVENTS` unrecorded texts; earlier ones are dropped."""
         texts = self.unrecorded[-MAX_EVENTS:]
         self.unrecorded = []
         return texts
@@ -197,8 +197,9 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Notify some members that this director leaves, write the last records, end the thread.
+        """Leave the fleet and end the thread.
 
+        Before that, some members are notified, and the last log lines and records are written.
         Nothing is done if the service is not running.
         """
         if self._stopping.is_set() or self._socket is None or self._thread is None:
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -26,7 +26,7 @@
 MIN_INTERVAL_FACTOR = 0.75  # jitter: each interval is multiplied by 0.75 to 1.25
 INTERVAL_FACTOR_RANGE = 0.5
 MAX_PAGES = 6  # in response to one request
-MAX_SEEDS = 3  # used of the configured seeds: the first ones, without this director
+MAX_SEEDS = 3  # only the first ones of the configured seeds are used, not counting this director
 DIGEST_MASK = 0xFFFFFFFF  # bits of a table's digest that messages carry
 
 
@@ -62,13 +62,13 @@
     # Received messages
 
     def handle_page(self, now: float, digest: int, has_changes: bool) -> None:
-        """Schedule an early next sync if a page's sender still has another table.
+        """Bring the next sync forward if the tables still differ after a page was merged.
 
         Args:
             now: Time in ms.
             digest: Digest of the sender's table.
-            has_changes: Whether the page changed this director's table. If not, the delay until the
-                next sync grows.
+            has_changes: Whether the page changed this director's table. If not, the delay before
+                the brought-forward sync grows.
         """
         if digest == self._digest():
             return
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -174,7 +174,9 @@
     def _merge_updates(
         self, now: float, message: Message, is_trusted: bool, outgoing: list[OutgoingDatagram]
     ) -> bool:
-        """Merge the updates of a message; ping some members that are newly reported as suspect.
+        """Merge the updates of a message; ping some members that the message reports as suspect.
+
+        A suspect is pinged only if the update changed the table (see `_notify_suspect`).
 
         Args:
             now: Time in ms.
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,5 +1,6 @@
-"""A fleet of membership protocols in simulated time, with loss, duplication and delay of datagrams,
-partitions, and paused and killed directors. The simulation is deterministic for a given seed.
+"""Directors that run the membership protocol in simulated time. Datagrams can be lost, duplicated
+and delayed; links can be blocked; directors can be paused and killed. The simulation is
+deterministic for a given seed.
 """
 
 import heapq
@@ -159,8 +160,8 @@
     def has_converged(self, among=None):
         """Return whether each running director sees exactly the other running ones as alive.
 
-        Killed and paused directors do not count as running. If `among` is given, only its directors
-        do.
+        Directors that are neither killed nor paused are running. If `among` is given, all directors
+        that are not in it count as not running, too.
         """
         running = set(among if among is not None else self.protocols) - self.killed - self.paused
         return all(self.members_seen_by(number) == running - {number} for number in running)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -31,7 +31,11 @@
 
 @given(st.lists(UPDATES, max_size=12), st.randoms(use_true_random=False))
 def test_order_and_repetition_of_updates_do_not_matter(updates, random):
-    """All members are added as alive first, as the table ignores unknown departed members."""
+    """Directors that receive the same updates in different orders must get equal tables.
+
+    All members are added as alive first, because a table ignores updates that declare an unknown
+    member dead or left.
+    """
     known = [update(number, 0) for number in (2, 3, 4)]
     merged_tables = []
     for _ in range(2):
