--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -154,7 +154,8 @@
 
         Args:
             now: Time in ms.
-            used: Maximum number of units that this director used within the last window or needs.
+            used: Number of units that this director keeps: the most that it used within the last
+                window, or the number that it needs if that is greater.
         """
         return max(0, self.usable_owned(now) - max(used, self.reserved))
 
@@ -185,8 +186,9 @@
             grant: The grant.
 
         Returns:
-            Whether the units were borrowed, or the lease was renewed. A grant is ignored if it
-            matches no pending request of this incarnation or arrives too late.
+            Whether the units were borrowed, or the lease was renewed. Nothing is borrowed or
+            renewed if the grant has no units, matches no pending request of this incarnation or
+            arrives too late, or if the lease to renew is no longer borrowed.
         """
         request = self.pending.get(grant.number)
         if request is None or request.lender != lender:
@@ -198,7 +200,8 @@
         if request.renews:
             lease = self.borrowed.get(request.renews)
             if lease is None or lease.lender != lender or lease.units != grant.units:
-                # The lease was released or has expired; the lender's lock expires without a message
+                # The lease was released or has expired. No message is needed to unlock the units,
+                # as the lender's lock expires.
                 return False
             lease.expires_at = max(lease.expires_at, expires_at)
             return True
@@ -228,7 +231,7 @@
             borrower: Director that sent the request.
             incarnation: Incarnation of the borrower.
             request: The request.
-            used: Maximum number of units that this director used within the last window or needs.
+            used: Number of units that this director keeps, as in `lendable`.
 
         Returns:
             The grant to send. None if the request gets no response: no units may be lent, or the
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -96,7 +96,7 @@
         share.peak_rejected = 0.0
 
     def units_in_use(self) -> int:
-        """Return the number of units used at most in the last window, or in demand if greater."""
+        """Return the most units used at a time in the last window, or the demand if greater."""
         return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
 
     def lenders_with_pending_request(self, now: float) -> set[MemberId]:
@@ -110,8 +110,8 @@
     def leases_being_renewed(self, now: float) -> set[int]:
         """Return the numbers of leases whose renewal was requested within `REQUEST_TIMEOUT_MS`.
 
-        Granted renewals do not count. The result also contains 0, the number of no lease, if a new
-        lease was requested within that time and not granted yet.
+        Granted renewals do not count. The result also contains 0, which is not the number of a
+        lease, if a new lease was requested within that time and not granted yet.
         """
         return {
             request.renews
@@ -124,7 +124,7 @@
 
 
 class QuotaExchange:
-    """Exchange of all limits that one director shares; the `Delegate` of the director's membership.
+    """Exchange of quota units for all limits that one director shares; a `Delegate` of membership.
 
     The thread of membership calls the exchange, while other threads use the shares in the router.
     The constructor's `lock` guards the shares; the class is otherwise not thread-safe.
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -1,7 +1,7 @@
 """Tests that two directors never use the same quota unit at the same time.
 
 A model check searches thousands of states that small fleets can reach. To test the check itself,
-several defects are built into ledgers on purpose, and it must find each of them.
+ledgers with a defect on purpose are searched too, and the check must find each defect.
 """
 
 import pytest
@@ -44,7 +44,7 @@
 
 
 class LeaseFromReceipt(LeaseLedger):
-    """Ledger with a defect: the lease starts when the grant arrives, not when it was requested."""
+    """Ledger with a defect: the lease starts when the grant arrives, not at the request."""
 
     def accept_grant(self, now, lender, incarnation, grant):
         if grant.number in self.pending:
@@ -76,10 +76,10 @@
 
 
 def test_leases_are_exclusive_despite_clock_drift():
-    """Prove with z3 that the borrower's lease expires before the owner unlocks the units.
+    """Prove with the solver z3 that a borrower's lease expires before the owner unlocks the units.
 
-    The proof holds for all clock rates within MAX_CLOCK_DRIFT and for all delays. z3 must find no
-    counter-example. It must find a counter-example if the borrower uses the full lease duration.
+    The proof holds for all clock rates within MAX_CLOCK_DRIFT and for all delays: z3 must find no
+    counter-example. If the borrower used the units for the full lease duration, z3 must find one.
     """
     z3 = pytest.importorskip("z3")
     drift = z3.RealVal(str(MAX_CLOCK_DRIFT))
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -208,7 +208,7 @@
     assert fleet.shares[0].fraction_at(fleet.clock(0)) > 0.3
     fleet.pause(0)
     fleet.run(3)
-    # The fraction that the router would use when the director resumes, before any tick or message
+    # The router uses this fraction when the director resumes, before any tick or message.
     assert fleet.shares[0].fraction_at(fleet.clock(0)) <= 0.1 + 1e-9
 
 
