--- a/mulleinrelay/errors.py
+++ b/mulleinrelay/errors.py
@@ -14,8 +14,9 @@
 
     Attributes:
         reason: Description of the error for an operator.
-        file: Path of the file, or "the file" if the parser does not know the path; empty if section
-            or key show the place of the error, or the caller adds the path.
+        file: Path of the file, or "the file" if the parser does not know the path. Empty if
+            `section`, `key` or `reason` name the place of the error, or if the caller adds the
+            path.
         section: Title of the INI section; empty for JSON and for an error of the whole file.
         key: The key, or the path of keys in JSON; empty for an error of a whole section or file.
     """
--- a/mulleinrelay/records.py
+++ b/mulleinrelay/records.py
@@ -93,6 +93,9 @@
 
     Each state gets the key `director` with the director's name. Files that cannot be read or parsed
     are skipped.
+
+    Raises:
+        OSError: If the folder cannot be read.
     """
     states = []
     for name in sorted(os.listdir(folder)):
@@ -118,7 +121,7 @@
     """
     lines: list[Record] = []
     # Reverse order puts a director's rotated log before its current log, so that lines of the same
-    # time stay in the order in which they were written
+    # time stay in the order in which they were written.
     for name in sorted(os.listdir(folder), reverse=True):
         director, _, suffix = name.partition(LOG_SUFFIX)
         is_log = director != name and suffix in ("", ROTATED_SUFFIX)
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -13,7 +13,7 @@
 import orjson
 
 MAX_QUEUED_LINES = 1000
-# Clients that send malformed requests would otherwise fill the log
+# Without this limit, clients that send malformed requests would fill the log.
 MAX_LINES_PER_EVENT_PER_S = 20
 MAX_TRACE_FRAMES = 3  # innermost frames of an exception that are logged
 STDERR_DESCRIPTOR = 2
@@ -94,5 +94,5 @@
             try:
                 while line:
                     line = line[os.write(self.descriptor, line) :]
-            except OSError:  # the reader of the log has closed it; the director continues
+            except OSError:  # the log's reader has closed it, or the disk is full; go on without
                 pass
