--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -31,8 +31,8 @@
 MAX_BORROWED_LEASES = 64  # at the same time, per limit
 MAX_LEASES_PER_LENDER = 3  # more than 1, as a lender may have had few units for the first lease
 MAX_MESSAGES_PER_PAYLOAD = 2 * MAX_BORROWED_LEASES  # further messages are ignored
-# Units are borrowed ahead of use, so that client requests do not wait for units. The demand is the
-# larger of a share's two peaks, each times one of these factors.
+# Units are borrowed ahead of use, so that fewer requests are rejected before the units arrive. The
+# demand is the larger of a share's two peaks, each times one of these factors.
 USED_HEADROOM = 1.25  # factor on the fraction that was used
 REJECTED_HEADROOM = 2.0  # factor on the fraction that rejected requests would have needed
 RENEWAL_FRACTION = 0.5  # fraction of a lease's duration that is left when its renewal is requested
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -26,7 +26,7 @@
 PING_INTERVAL_JITTER = 0.2  # relative width: each interval is 0.9 to 1.1 times PING_INTERVAL_MS
 ACK_TIMEOUT_MS = 150.0  # after which indirect pings are requested, at health score 0
 INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
-# Minimum suspicion timeout, in ping intervals per log10 of the fleet's size
+# Minimum suspicion timeout, in ping intervals per log10 of the fleet's size (counted as at least 1)
 MIN_SUSPICION_INTERVALS = 1.5
 MAX_SUSPICION_FACTOR = 3.0  # maximum suspicion timeout, as a multiple of the minimum
 SUSPICION_CONFIRMATIONS = 3  # further suspecting directors that reduce the timeout to the minimum
--- a/mulleinrelay/membership/status.py
+++ b/mulleinrelay/membership/status.py
@@ -2,8 +2,9 @@
 
 The keys appear in the records and in `--json` output. They must not change, as operators' scripts
 read them. `life` is the incarnation, `denials` the refutation count, `unwell` the health score, and
-`refused` the number of rejected members. `for_s` is the number of seconds that a member has had its
-state, and `heard_s` the number of seconds since its last datagram; None if there was none.
+`refused` the number of updates that were ignored because the member table was full. `for_s` is the
+number of seconds that a member has had its state, and `heard_s` the number of seconds since its
+last datagram; None if there was none.
 """
 
 from dataclasses import dataclass
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -154,7 +154,7 @@
         entry = self.table.entries.get(sender.member_id)
         is_trusted = False
         # The second condition excludes delayed datagrams from before the sender's last restart or
-        # refutation
+        # refutation.
         if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
             entry.last_received_at = now
             # A sender that this director considers dead or left is not trusted: its updates may be
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -18,7 +18,7 @@
 BACKLOG = 1024  # connections that the kernel queues before they are accepted
 # Invalid calls without a valid request between them; one more closes the connection.
 MAX_BAD_CALLS = 8
-SPARE_DIVISOR = 16  # 1/16 of the connection table is kept free for new connections
+SPARE_DIVISOR = 16  # 1/16 of the connection table, but at least one slot, is kept free
 ACCEPT_RETRY_S = 0.05  # wait after a failed accept
 # Maximum wait for a closing connection to release its file descriptor, before the next check.
 REMOVAL_WAIT_S = 0.02
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -34,7 +34,7 @@
 
 
 class GapError(Exception):
-    """A gap between the numbers of two events of the stream."""
+    """Error for an event whose number shows that events before it are missing."""
 
 
 class EventStream:
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -44,7 +44,7 @@
 VERSION_MASK = 0xFFFFFF00
 MAX_NESTING = 16
 MAX_FIELDS = 64  # in a client's string map
-MAX_BODY_BYTES = 48_000  # of the body of a write request
+MAX_BODY_BYTES = 48_000  # of a request's body
 MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 MAX_GROUP = 255
 LENGTH_BYTES = 4  # of the length prefix of a frame
@@ -394,7 +394,7 @@
 
 
 def failed_reply(sequence_number: int) -> Pieces:
-    """Encode the answer to a failed request that may have been executed."""
+    """Encode the answer that a request has failed; it may have been executed."""
     return declared_exception("serve", sequence_number, 2, {})
 
 
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -100,7 +100,7 @@
     # Calls from the request handler and the timers
 
     def send(self, step: SendAttempt, request: ClientRequest) -> None:
-        """Send an attempt."""
+        """Send an attempt; report it as not sent if it is stale or no connection is available."""
         attempt = step.attempt
         attempt.entity_tag = request.entity_tag
         remaining_time = attempt.request.deadline - self.clock()
@@ -141,7 +141,13 @@
     def check_health(
         self, endpoint: "TrackedEndpoint", address: EndpointAddress, with_report: bool = True
     ) -> None:
-        """Send a health check; `with_report` requests a load report with the answer."""
+        """Send a health check, unless it is not allowed or no connection is available.
+
+        Args:
+            endpoint: The endpoint to check.
+            address: Address of the endpoint.
+            with_report: Whether to request a load report with the answer.
+        """
         tag = self._next_tag()
         pieces: list[Piece] = [resp.health_check_command(tag, with_report)]
         self._send(address, tag, HealthCheck(endpoint, self.clock()), pieces)
@@ -250,7 +256,7 @@
         """
         if isinstance(item, HealthCheck):
             return not self._may_check_health(item, address)
-        if not item.addresses:
+        if not item.addresses:  # not an attempt of the coordinator, which sets them
             return False
         request = item.request
         is_first = not item.number
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -17,7 +17,7 @@
     """Return how many active members each director sees, and how many `died` events there were."""
     fleet = SimulatedFleet(30, 3, loss, duplication, jitter)
     fleet.run(120)
-    # Suspects count as well: a running member may be suspect for a moment
+    # Suspects count as well: a running member may be suspect for a moment.
     active = (MemberState.ALIVE, MemberState.SUSPECT)
     active_counts = [len(fleet.members_seen_by(number, active)) for number in range(30)]
     return active_counts, len(fleet.events_of("died"))
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -155,7 +155,7 @@
         client.socket.sendall(request_frame[20:])
         assert client.read_answer()[:2] == (7, 0)
         client.close()
-        # The partial call of the stalled client does not delay the drain forever.
+        # The partial call of the stalled client delays the drain only until a timeout.
         assert running.director.stopped.wait(4.0)
 
 
