--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -166,8 +166,8 @@
         """Add a limit; at first this director may use no units of the limit."""
         units = UNITS_PER_LIMIT // max(1, definition.owners)
         ledger = LeaseLedger(units, definition.window, now, self._incarnation)
-        # A grant for a request of an earlier incarnation must not match a request of this
-        # incarnation
+        # The numbers start at random, so that a grant for a request of an earlier incarnation
+        # matches no request of this incarnation.
         ledger.last_number = self._random.randrange(REQUEST_NUMBER_LIMIT)
         self.limits[definition.name] = SharedLimit(definition, ledger)
         definition.share.is_tracked = True
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -197,10 +197,9 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Leave the fleet and end the thread.
+        """Leave the fleet, write the last log lines and records, and end the thread.
 
-        Before that, some members are notified, and the last log lines and records are written.
-        Nothing is done if the service is not running.
+        Some members are notified of the leave. Nothing is done if the service is not running.
         """
         if self._stopping.is_set() or self._socket is None or self._thread is None:
             return
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -279,7 +279,7 @@
         return self._wrap_payloads(self.delegate.tick(now, self.table.local.incarnation, members))
 
     def _handle_pause(self, now: float) -> None:
-        """Restart pings and suspicion timeouts, and schedule a sync.
+        """Discard pending pings, restart suspicion timeouts, and make a sync due at once.
 
         After a pause of this process its view of the other members is out of date.
         """
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -230,7 +230,7 @@
     # Answering, in any thread
 
     def send_reply(self, call: thrift.MethodCall, pieces: list[Piece]) -> None:
-        """Send the answer to a call that has not become an open request, and unqueue the call."""
+        """Answer a call that has not become an open request, and remove the call from the queue."""
         with self.lock:
             self.remove_pending_call(call)
             self.write_queue.write(None, pieces)
--- a/tests/budgets/lease_model.py
+++ b/tests/budgets/lease_model.py
@@ -16,7 +16,7 @@
 CLOCK_DRIFT = 0.0
 RESERVED_FRACTION = 0.5
 MAX_STATES = 60_000
-MAX_MESSAGES_IN_TRANSIT = 3
+MAX_MESSAGES_IN_TRANSIT = 3  # a grant that would exceed this number is lost
 
 
 def new_ledger(owned, now, incarnation, ledger_class=LeaseLedger):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -100,7 +100,8 @@
     two commands at the end.
     """
     lab = FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder)
-    observed = {"budget samples": []}  # (s since the start, director, limit, usable, owned)
+    # Each sample: s since the start, director, limit, usable and owned thousandths of the limit
+    observed = {"budget samples": []}
 
     def observe(since, *_):
         samples = observed["budget samples"]
@@ -246,7 +247,7 @@
         )
         if member in ended and director not in unreliable
     ]
-    # A restart may be known before the preceding leave, which is then ignored
+    # A restart may be known before the preceding leave, which is then ignored.
     assert (
         events.count("left") >= 3
         and events.count("left") + events.count("started again") >= 0.8 * COUNT
