--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -32,7 +32,7 @@
     RESTARTED = "started again"
     DUPLICATE_NAME = "two of one name"
     FORGOTTEN = "forgotten"
-    REFUTED = "denied"  # this director refuted a suspicion about itself
+    REFUTED = "denied"  # this director refuted that it is suspect, dead or left
     PAUSED = "late"  # the process of this director was paused for some time
 
 
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -209,7 +209,8 @@
         """Half-close the connection after a framing error, once all earlier calls are answered.
 
         Received bytes are discarded until the client closes the connection or the lingering close
-        times out. If no call was received, the method returns at once without a half-close.
+        times out. There is no half-close if no call was received, or if the client closes the
+        connection before all answers are written.
         """
         while self.owes_answer():
             with self.lock:
--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -187,8 +187,8 @@
         """Apply events from a configuration file, in order, until an event number is missing.
 
         The stream delivers the missing event and the events after it. Until it does, only the
-        restrictions in the known events after the gap are applied.
-        Events without a number are skipped.
+        restrictions in the known events after the gap are applied. Events without a number are
+        skipped.
         """
         try:
             self._apply_in_order(
