--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -8,9 +8,9 @@
 - The owner locks the units of a lease before it sends the grant. It unlocks them one window after
   the end of `LEASE_DURATION_MS`.
 - The borrower may use the units until LEASE_DURATION_MS * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent
-  the request*. The owner locks the units after that moment. Even if the two clocks drift apart by
-  MAX_CLOCK_DRIFT, the borrower's use therefore ends before the owner's lock (derivation in
-  docs/budgets.md).
+  the request*. The owner locks the units later than that, when the request arrives. Even if the two
+  clocks drift apart by MAX_CLOCK_DRIFT, the borrower's use therefore ends before the owner's lock
+  (derivation in docs/budgets.md).
 - A grant is accepted once, for the pending request of this incarnation that it answers. A duplicate
   request gets the same grant again and locks no further units.
 - A director that has restarted does not know which units it has lent. Until all leases that an
@@ -154,7 +154,8 @@
 
         Args:
             now: Time in ms.
-            used: Maximum number of units that this director used within the last window or needs.
+            used: Number of units that this director keeps: the most that it used within the last
+                window, or the number that it needs if that is greater.
         """
         return max(0, self.usable_owned(now) - max(used, self.reserved))
 
@@ -185,8 +186,9 @@
             grant: The grant.
 
         Returns:
-            Whether the units were borrowed, or the lease was renewed. A grant is ignored if it
-            matches no pending request of this incarnation or arrives too late.
+            Whether the units were borrowed, or the lease was renewed. Nothing is borrowed or
+            renewed if the grant has no units, matches no pending request of this incarnation or
+            arrives too late, or if the lease to renew is no longer borrowed.
         """
         request = self.pending.get(grant.number)
         if request is None or request.lender != lender:
@@ -198,7 +200,8 @@
         if request.renews:
             lease = self.borrowed.get(request.renews)
             if lease is None or lease.lender != lender or lease.units != grant.units:
-                # The lease was released or has expired; the lender's lock expires without a message
+                # The lease was released or has expired. No message is needed to unlock the units,
+                # as the lender's lock expires.
                 return False
             lease.expires_at = max(lease.expires_at, expires_at)
             return True
@@ -228,7 +231,7 @@
             borrower: Director that sent the request.
             incarnation: Incarnation of the borrower.
             request: The request.
-            used: Maximum number of units that this director used within the last window or needs.
+            used: Number of units that this director keeps, as in `lendable`.
 
         Returns:
             The grant to send. None if the request gets no response: no units may be lent, or the
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -31,8 +31,8 @@
 MAX_BORROWED_LEASES = 64  # at the same time, per limit
 MAX_LEASES_PER_LENDER = 3  # more than 1, as a lender may have had few units for the first lease
 MAX_MESSAGES_PER_PAYLOAD = 2 * MAX_BORROWED_LEASES  # further messages are ignored
-# Units are borrowed ahead of use, so that client requests do not wait for units. The demand is the
-# larger of a share's two peaks, each times one of these factors.
+# Units are borrowed ahead of use, so that fewer requests are rejected before the units arrive. The
+# demand is the larger of a share's two peaks, each times one of these factors.
 USED_HEADROOM = 1.25  # factor on the fraction that was used
 REJECTED_HEADROOM = 2.0  # factor on the fraction that rejected requests would have needed
 RENEWAL_FRACTION = 0.5  # fraction of a lease's duration that is left when its renewal is requested
@@ -96,7 +96,7 @@
         share.peak_rejected = 0.0
 
     def units_in_use(self) -> int:
-        """Return the number of units used at most in the last window, or in demand if greater."""
+        """Return the most units used at a time in the last window, or the demand if greater."""
         return math.ceil(UNITS_PER_LIMIT * max(*self.peaks, self.demand))
 
     def lenders_with_pending_request(self, now: float) -> set[MemberId]:
@@ -110,8 +110,8 @@
     def leases_being_renewed(self, now: float) -> set[int]:
         """Return the numbers of leases whose renewal was requested within `REQUEST_TIMEOUT_MS`.
 
-        Granted renewals do not count. The result also contains 0, the number of no lease, if a new
-        lease was requested within that time and not granted yet.
+        Granted renewals do not count. The result also contains 0, which is not the number of a
+        lease, if a new lease was requested within that time and not granted yet.
         """
         return {
             request.renews
@@ -124,7 +124,7 @@
 
 
 class QuotaExchange:
-    """Exchange of all limits that one director shares; the `Delegate` of the director's membership.
+    """Exchange of quota units for all limits that one director shares; a `Delegate` of membership.
 
     The thread of membership calls the exchange, while other threads use the shares in the router.
     The constructor's `lock` guards the shares; the class is otherwise not thread-safe.
@@ -166,8 +166,8 @@
         """Add a limit; at first this director may use no units of the limit."""
         units = UNITS_PER_LIMIT // max(1, definition.owners)
         ledger = LeaseLedger(units, definition.window, now, self._incarnation)
-        # A grant for a request of an earlier incarnation must not match a request of this
-        # incarnation
+        # The numbers start at random, so that a grant for a request of an earlier incarnation
+        # matches no request of this incarnation.
         ledger.last_number = self._random.randrange(REQUEST_NUMBER_LIMIT)
         self.limits[definition.name] = SharedLimit(definition, ledger)
         definition.share.is_tracked = True
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -154,7 +154,7 @@
         entry = self.table.entries.get(sender.member_id)
         is_trusted = False
         # The second condition excludes delayed datagrams from before the sender's last restart or
-        # refutation
+        # refutation.
         if entry is not None and entry.update.precedence[:2] == sender.precedence[:2]:
             entry.last_received_at = now
             # A sender that this director considers dead or left is not trusted: its updates may be
@@ -174,7 +174,9 @@
     def _merge_updates(
         self, now: float, message: Message, is_trusted: bool, outgoing: list[OutgoingDatagram]
     ) -> bool:
-        """Merge the updates of a message; ping some members that are newly reported as suspect.
+        """Merge the updates of a message; ping some members that the message reports as suspect.
+
+        A suspect is pinged only if the update changed the table (see `_notify_suspect`).
 
         Args:
             now: Time in ms.
@@ -277,7 +279,7 @@
         return self._wrap_payloads(self.delegate.tick(now, self.table.local.incarnation, members))
 
     def _handle_pause(self, now: float) -> None:
-        """Restart pings and suspicion timeouts, and schedule a sync.
+        """Discard pending pings, restart suspicion timeouts, and make a sync due at once.
 
         After a pause of this process its view of the other members is out of date.
         """
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -18,7 +18,7 @@
 BACKLOG = 1024  # connections that the kernel queues before they are accepted
 # Invalid calls without a valid request between them; one more closes the connection.
 MAX_BAD_CALLS = 8
-SPARE_DIVISOR = 16  # 1/16 of the connection table is kept free for new connections
+SPARE_DIVISOR = 16  # 1/16 of the connection table, but at least one slot, is kept free
 ACCEPT_RETRY_S = 0.05  # wait after a failed accept
 # Maximum wait for a closing connection to release its file descriptor, before the next check.
 REMOVAL_WAIT_S = 0.02
@@ -190,7 +190,9 @@
     def _make_room(self) -> bool:
         """Evict an idle connection if the table is nearly full; wait for a slot if it is full.
 
-        The caller holds the lock, which is released while this method waits.
+        The caller holds the lock, which is released while this method waits. If the table is full
+        and no connection is evicted, the connection that has been closing for the longest time is
+        shut down without waiting for the end of its lingering close.
 
         Returns:
             False if the table is full and no connection in it is idle or closing.
@@ -262,7 +264,11 @@
             client.discard_input()
 
     def _remove(self, client: ClientConnection) -> None:
-        """Close a connection whose thread ends, cancel its open requests, and free its slot."""
+        """Close a connection whose thread ends, and release all that it holds.
+
+        Its open requests are cancelled, its slot in the table becomes free, and its token is
+        returned to admission control.
+        """
         client.shut_down()
         with client.lock:
             abandoned = [
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -44,7 +44,7 @@
 VERSION_MASK = 0xFFFFFF00
 MAX_NESTING = 16
 MAX_FIELDS = 64  # in a client's string map
-MAX_BODY_BYTES = 48_000  # of the body of a write request
+MAX_BODY_BYTES = 48_000  # of a request's body
 MAX_FRAME_BYTES = MAX_BODY_BYTES + 16_384
 MAX_GROUP = 255
 LENGTH_BYTES = 4  # of the length prefix of a frame
@@ -144,7 +144,7 @@
             raise ThriftError("a string that is not UTF-8") from error
 
     def read_size(self, maximum: int) -> int:
-        """Read the number of entries of a collection."""
+        """Read the number of entries of a collection, which must not exceed `maximum`."""
         size = self.read_i32()
         if not 0 <= size <= maximum:
             raise ThriftError(f"a collection of {size}")
@@ -228,8 +228,8 @@
 
     Args:
         reader: Reader that is positioned before the arguments.
-        tenant_field: Name of the field in which clients of our own installations send their
-            tenant; empty if there is no such field.
+        tenant_field: Name of the field that holds the client's tenant, which only clients of our
+            own installations send; empty if no field holds it.
 
     Raises:
         ThriftError: If the arguments cannot be read, or a field is missing or has a wrong format.
@@ -394,7 +394,7 @@
 
 
 def failed_reply(sequence_number: int) -> Pieces:
-    """Encode the answer to a failed request that may have been executed."""
+    """Encode the answer that a request has failed; it may have been executed."""
     return declared_exception("serve", sequence_number, 2, {})
 
 
