--- a/mulleinrelay/model/clients.py
+++ b/mulleinrelay/model/clients.py
@@ -84,13 +84,14 @@
     def on_result(self, request: PendingRequest, outcome: str, retry_after_ms: float) -> None:
         """Process a director's result: retry a rejected request if possible, else complete it.
 
-        A retry is possible if a try is left and the retry is due before the deadline.
+        A retry is possible if a try is left and the retry is due before the deadline. Nothing is
+        done if the request is complete already.
 
         Args:
             request: The request.
             outcome: "served", "rejected" or "failed".
-            retry_after_ms: Time after which a rejected request may be retried; 0 for
-                `DEFAULT_RETRY_DELAY`.
+            retry_after_ms: Time in ms after which a rejected request may be retried; if 0,
+                `DEFAULT_RETRY_DELAY` is used.
         """
         if request.is_complete:
             return
@@ -103,7 +104,7 @@
         self.clock.call_at(now + CLIENT_DELAY_MS, lambda: self._complete(request, outcome))
 
     def on_disconnect(self, request: PendingRequest, number: int) -> None:
-        """Process a lost connection to a director: retry if permitted, else complete the request.
+        """Record a lost connection to a director; retry the request if permitted, else complete it.
 
         If the director has exited, clients stop choosing it after the failure detection time,
         unless it has started again by then.
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -155,7 +155,7 @@
         )
 
     def receive_health_check_answer(self, name: str) -> None:
-        """Process the answer of an endpoint to a health check."""
+        """Process the answer of an endpoint to a health check, with an empty load report."""
         self._handle(HealthCheckFinished(self.endpoints[name], {}))
 
     def receive_purge(self, object_id: int, age: float) -> None:
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -34,7 +34,7 @@
 LEAD_MS = 500.0  # time before the first request
 END_GRACE_MS = 300.0  # simulated time after the patience of the last request has ended
 PROGRESS_MS = 500.0  # simulated time between two calls of `on_progress`
-SEED_FACTOR = 100_003  # keeps the directors' seeds of different scenarios apart
+SEED_FACTOR = 100_003  # keeps the directors' seeds apart in scenarios with different seeds
 SEED_STEP = 7919  # difference of the seeds of two directors that start one after the other
 DEFAULT_SLOWDOWN = 10.0  # factor of a node's slowdown if the fault gives none
 DEFAULT_UPDATE_DELAY_S = 9.0  # extra delay of endpoint updates if the fault gives none
@@ -91,7 +91,7 @@
 
         Args:
             on_progress: Function that is called twice per simulated second, with the seconds since
-                the start and the numbers of completed and of served requests; None to call none.
+                the start and the numbers of completed and of served requests; None for no calls.
         """
         self.clients.start()
         for step in self.scenario.steps():
