--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -137,11 +137,12 @@
 
 
 def death_detection(audit: Audit, folder: str) -> dict[str, Any]:
-    """Return how soon killed directors were declared dead, and how often directors were by mistake.
+    """Return how soon killed directors are declared dead, and how often directors are by mistake.
 
-    The figures come from the logs of the directors. Declaring a killed director dead is no mistake
-    in the first 12 s after the kill. Declaring any director dead is not counted as a mistake while
-    the fleet is partitioned and for 6 s afterwards.
+    The figures come from the logs of the directors. The percentiles are over all pairs of a
+    director and a killed director that it declared dead. Declaring a killed director dead is no
+    mistake in the first 12 s after the kill. Declaring any director dead is not counted as a
+    mistake while the fleet is partitioned and for 6 s afterwards.
     """
     began, events = audit.observations.started_at / 1000.0, []
     for path in glob.glob(os.path.join(folder, "n*.log")):
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -118,9 +118,9 @@
         burst: Requests per second of the tenant during the burst.
 
     Returns:
-        The figures of the lab, and two about gamma and delta, the tenants of the other cell during
-        the burst. `others_share` is the fraction of their requests that were served, and
-        `others_p99` the 99th percentile of the latency of these in ms.
+        The figures of the lab, and two about gamma and delta, the tenants of the other cell, from
+        3 s to 8.5 s, within the burst. `others_share` is the number of their served requests over
+        that of their sent requests. `others_p99` is the 99th percentile of the latency in ms.
     """
     lab = Lab(parse_scenario(FLOOD_SCENARIO.format(cells="yes" if cells else "no", burst=burst)))
     figures = lab.run()
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -19,7 +19,7 @@
 from typing import Any, cast
 
 OBJECTS = 300  # number of different objects that are requested
-BATCH = 100  # requests whose answers are read together, and must fit into the socket's buffer
+BATCH = 100  # requests whose answers are read together; they must fit into the socket's buffer
 
 
 def configuration() -> dict:
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -1,4 +1,8 @@
-"""Benchmark of what a fleet still serves while most directors, a location or a cache fail.
+"""Benchmark of what a fleet still serves during three scenarios of faults.
+
+Most directors are killed while endpoint lists are late and some nodes are silent; the caches of one
+location cannot be reached; or an eighth of the caches answers with errors, and later an eighth
+answers slowly.
 
 `python -m benchmarks.loss --json` prints one JSON object as the last line, in under 8 minutes. With
 `--version REV`, each scenario is also played with an earlier version, right after the present one
@@ -8,10 +12,14 @@
 at which healthy caches are ejected is computed with random outcomes and the outlier detector alone.
 The figures hold for these stand-ins only.
 
+The credit is the fraction of the requests' total weight that is earned; the weight is the priority
+of the class. A request earns its weight if it is served within its latency objective, and a tenth
+of the weight if it is served later.
+
 The bound on the credit during a kill is the credit that the same clients would earn if each request
-that reaches a living director within its latency objective were served. A director can change
-neither the directors that clients try, nor their pause after a rejected try, nor the time until
-clients notice that a director is dead.
+that reaches a living director were served. A director can change neither the directors that clients
+try, nor their pause after a rejected try, nor the time until clients notice that a director is
+dead.
 """
 
 import glob
@@ -111,15 +119,16 @@
 
 
 def credit(observations: Observations, objective_ms: float, first_s: float, last_s: float) -> float:
-    """Return the weight earned by the requests of a span, as a fraction of their total weight."""
+    """Return the credit of the requests that are created in a span, in seconds of the play."""
     return recovery.earned_fraction(observations, objective_ms, first_s, last_s)
 
 
 def credit_bound(scenario: FleetScenario, observations: Observations) -> float:
-    """Return the highest possible credit of the requests from KILL_FROM_S to KILL_TO_S.
+    """Return the bound on the credit of the requests from KILL_FROM_S to KILL_TO_S.
 
-    It is the credit if each request that reaches a living director is served. A request that
-    reaches one too late for the latency objective earns a tenth of its weight.
+    The directors that clients try are drawn anew. The bound is the credit if each request that
+    reaches a living director is served; if it is too late for the latency objective, it earns a
+    tenth of its weight.
     """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, kind, is_start, directors, *_ in observations.other_records["fault"]:
@@ -159,11 +168,14 @@
 
 
 def mode_changes(folder: str, began: float) -> list[tuple[float, int, str]]:
-    """Return the changes of mode in the directors' logs: seconds since the start, director, text.
+    """Return the log events `mode` of all directors, such as ejections of caches.
 
     Args:
         folder: Folder of the logs.
         began: Start of the play in Unix ms.
+
+    Returns:
+        Seconds since the start, number of the director, and text of each event, sorted.
     """
     changes = []
     for path in glob.glob(os.path.join(folder, "n*.log")):
@@ -182,8 +194,8 @@
 def kill_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Return the credit during the kill, its bound, and the time until the fleet recovered.
 
-    This time starts with the last restart. It ends with the first two seconds whose credit reaches
-    0.95 of the credit before the kill; it is None if there are none.
+    The time starts with the next full second after the last restart. It ends when the credit of two
+    seconds first reaches 0.95 of the credit before the kill; it is None if it never does.
     """
     observations, objective_ms = audit.observations, scenario.latency_objective_ms
     calm = credit(observations, objective_ms, scenario.warm_up_s, KILL_FROM_S)
@@ -214,9 +226,9 @@
 def partition_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Return the fraction of directors that detected the partition, and the credit during it.
 
-    Directors of the partitioned location with at least MIN_REQUESTS reads are counted. A director
-    has detected the partition if it sent attempts directly to a parent meanwhile. The figures also
-    include the time until the directors used the caches again.
+    Directors of the partitioned location with at least MIN_REQUESTS reads (class `pages`) are
+    counted. A director has detected the partition if it sent attempts directly to a parent
+    meanwhile. The figures also include the time until the directors used the caches again.
     """
     first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
     partitioned = set(next(fault[4] for fault in audit.faults if fault[1] == "unreached"))
@@ -247,10 +259,10 @@
 def bad_cache_figures(
     scenario: FleetScenario, audit: Audit, changes: list[tuple[float, int, str]]
 ) -> dict[str, Any]:
-    """Return when directors ejected the bad caches and reinstated them, by their logs.
+    """Return how soon directors ejected bad caches, how many not, and the credit meanwhile.
 
-    A pair of a director and a bad cache is counted if the director sent the cache at least
-    MIN_ATTEMPTS attempts, or ejected it.
+    The logs give the times. A pair of a director and a bad cache is counted if the director sent
+    the cache at least MIN_ATTEMPTS attempts, or ejected it.
     """
     fault = next(event for event in audit.faults if event[1] == "bad" and event[3])
     first = fault[0]
@@ -351,7 +363,8 @@
     """Simulate all faults of the recovery benchmark with three durations each.
 
     Returns:
-        `storm_recovered_s_max`: The longest recovery time; None if the fleet never recovered.
+        `storm_recovered_s_max`: The longest recovery time in seconds, of the simulations in which
+            the fleet recovered; None if it recovered in none.
         `storms`: Number of simulations.
         `storms_never_over`: Faults after which the fleet did not recover, with their durations.
     """
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,4 +1,4 @@
-"""Benchmark of the management interface: drains, rejected and interrupted commits, and its cost.
+"""Benchmark of management: drains, rejected and interrupted commits, its latency and memory.
 
 `python -m benchmarks.management --json` prints one JSON object as the last line. Directors are real
 processes on the loopback interface; nodes and clients are stand-ins.
@@ -77,10 +77,11 @@
 
 
 def measure_drains(count: int = 50, directors: int = 3) -> dict:
-    """Drain random caches, and return how long directors still use a cache after its drain.
+    """Drain random caches; return how long directors still use them, and the requests lost.
 
     The time starts before the Set calls that drain the cache at all directors. It ends when a node
-    receives the last attempt whose destination or fill source is the drained cache.
+    receives the last attempt whose destination or fill source is the drained cache, in the 0.3 s
+    after the Set calls.
 
     Args:
         count: Number of drains.
@@ -137,8 +138,8 @@
 
     Returns:
         `refused`: Number of rejected calls.
-        `refused_traces`: How many of five things the calls changed: the configuration, the state,
-            the datastore's file, the assignment file and the number of log lines.
+        `refused_traces`: How many of five things the calls changed: the configuration, the state of
+            the datastore, its file, the assignment file and the number of log lines.
         `set_per_s`: Valid Set calls per second.
     """
     lab, result = (
@@ -195,15 +196,15 @@
 def measure_kills(count: int) -> dict:
     """Kill a director during commits, and return how often a commit was applied only in part.
 
-    Each commit changes a drain and a tenant, and both contain the number of the commit. The
-    director is killed at a random time. After its restart, the numbers in its configuration and in
-    the assignment file are compared.
+    Each commit has a number. It sets the reason of a drain to this number, and the weight of a
+    tenant to the number plus one. The director is killed at a random time. After its restart, the
+    numbers in its configuration and in the assignment file are compared.
 
     Args:
         count: Number of kills.
 
     Returns:
-        `half_applied`: Number of kills after which the numbers differed.
+        `half_applied`: Number of kills after which they were not of the same commit.
         `kills`: Number of kills.
         `kills_with_something_kept`: Number of kills after which the configuration had the drain.
     """
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -3,10 +3,11 @@
 `python -m benchmarks.recovery --json` prints one JSON object as the last line. Each fault is
 simulated with several durations.
 
-Each request has a weight, which the fleet earns by serving the request in time. The fleet has
-recovered when the fraction earned in two seconds reaches 0.95 of its value before the fault, and
-stays there. The main figure is the recovery time, in seconds from the end of the fault. If a fault
-leaves an overload behind (a metastable failure), the recovery time is long or None.
+Each request has a weight, which the fleet earns by serving the request in time, or in part by
+serving it late. The fleet has recovered when the fraction earned in two seconds reaches 0.95 of its
+value before the fault, and stays there. The main figure is the recovery time, in seconds from the
+end of the fault. If a fault leaves an overload behind (a metastable failure), the recovery time is
+long or None.
 
 The simulation models no sockets, no CPU and no queues in directors: the figures are in simulated
 time, and caches and clients are stand-ins.
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -17,7 +17,7 @@
 
     Raises:
         OSError: If Git is not installed, or the folder cannot be written.
-        CalledProcessError: The repository does not contain the version.
+        CalledProcessError: If the repository does not contain the version.
     """
     command = ["git", "archive", version, "mulleinrelay"]
     archived = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -74,7 +74,8 @@
 
     Attributes:
         fills_by_parents: Number of misses that a parent fills.
-        recent_on_restarted: Times of the latest fills by the restarted parent.
+        recent_on_restarted: Times in ms of the fills by the restarted parent within the last
+            `overload_window`.
         peak_on_restarted: Highest load of the restarted parent by fills, as a multiple of this
             director's share of the parent's capacity during slow start.
     """
@@ -84,7 +85,7 @@
     peak_on_restarted: float = 0.0
 
     def record_fill(self, now: float, attempt: Attempt) -> None:
-        """Count a miss if its fill source is a parent."""
+        """Count a miss if its fill source is a parent; update the peak of the restarted parent."""
         source = attempt.fill_source
         if source is None or source.kind != PARENT:
             return
@@ -149,7 +150,7 @@
 
 
 def play_requests(routers: list[Router], pools: list[CachePool | None], random: Random) -> Figures:
-    """Play the requests, with the cells in turn.
+    """Play the requests, each in the next cell in turn.
 
     Each attempt is answered before the next request is played. It is a hit if an attempt for the
     same object was sent to the same cache before, otherwise a fill.
@@ -222,7 +223,7 @@
 
 
 def measure(split: bool) -> dict[str, float]:
-    """Return the figures of all cells together; `split` has the meaning as in `make_routers`.
+    """Return the figures of all cells together; `make_routers` explains `split`.
 
     Memory is measured in a second run, because the measurement slows the run down.
     """
