--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -151,8 +151,8 @@
 
     Returns:
         The figures of the lab, and two more: `cold_peak` is the highest load of a cache in the cell
-        that receives the tenant, as a multiple of its capacity, and `origin` the number of fetches
-        from the origin.
+        that receives the tenant, as a multiple of the cache's capacity at that time, and `origin`
+        the number of fetches from the origin.
     """
     lab, before = (
         Lab(parse_scenario(MIGRATION_SCENARIO.format(what=kind, seconds=seconds, spans=spans))),
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -127,8 +127,8 @@
     """Return the bound on the credit of the requests from KILL_FROM_S to KILL_TO_S.
 
     The directors that clients try are drawn anew. The bound is the credit if each request that
-    reaches a living director is served; if it is too late for the latency objective, it earns a
-    tenth of its weight.
+    reaches a living director is served. A request that reaches one too late for the latency
+    objective earns a tenth of its weight.
     """
     dead: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for at, _, kind, is_start, directors, *_ in observations.other_records["fault"]:
@@ -259,7 +259,7 @@
 def bad_cache_figures(
     scenario: FleetScenario, audit: Audit, changes: list[tuple[float, int, str]]
 ) -> dict[str, Any]:
-    """Return how soon directors ejected bad caches, how many not, and the credit meanwhile.
+    """Return how soon directors ejected bad caches, how many they missed, and the credit.
 
     The logs give the times. A pair of a director and a bad cache is counted if the director sent
     the cache at least MIN_ATTEMPTS attempts, or ejected it.
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -204,7 +204,7 @@
         count: Number of kills.
 
     Returns:
-        `half_applied`: Number of kills after which they were not of the same commit.
+        `half_applied`: Number of kills after which these numbers were not of the same commit.
         `kills`: Number of kills.
         `kills_with_something_kept`: Number of kills after which the configuration had the drain.
     """
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -93,7 +93,7 @@
 
 
 def recovery_seconds(observations: Observations, objective_ms: float, end_s: int) -> int | None:
-    """Return the seconds from the end of the fault to the recovery; None if there is none.
+    """Return the seconds from the end of the fault to the recovery; None if there was none.
 
     The spans are checked from the last to the first, because the fleet has recovered only when no
     later span falls below the threshold.
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -8,7 +8,11 @@
 
 
 class Role(IntEnum):
-    """The permissions of a caller; each role includes the roles with lower values."""
+    """The permissions of a caller; each role includes the roles with lower values.
+
+    `READ` allows Capabilities, Get and Subscribe. `DRAIN` allows changes of drains, and confirming
+    or cancelling any pending commit. `CONFIGURE` allows all changes and rollbacks.
+    """
 
     NONE = 0
     READ = 1
--- a/mulleinrelay/management/certificates.py
+++ b/mulleinrelay/management/certificates.py
@@ -52,7 +52,7 @@
         """Return the new certificates; None if the files are unchanged or cannot be read.
 
         gRPC calls this function in each TLS handshake. While the files are only partly replaced,
-        key and certificate do not match. gRPC then rejects them and keeps the old certificates.
+        key and certificate may not match. gRPC then rejects them and keeps the old certificates.
         """
         try:
             file_versions = self._read_file_versions()
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -9,8 +9,8 @@
 before a deadline. Until then it is pending. Only one confirmed commit can be pending at a time.
 Other commits that are made in the meantime are rolled back together with it.
 
-No I/O and no clock of its own: the caller passes the time, in Unix milliseconds, and the functions
-that store and apply a version.
+No I/O and no clock of its own: the time is an argument, in Unix milliseconds; `Datastore.persist`
+stores a state, and the participants apply a commit.
 """
 
 from collections.abc import Callable, Sequence
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True)
 class _PeriodicRead:
-    """A path whose values are sent periodically: a SAMPLE subscription or a heartbeat."""
+    """A path whose values are sent periodically, even without a change.
+
+    It belongs to a SAMPLE subscription, or to another subscription with a heartbeat interval.
+    """
 
     path: Path
     interval_s: float
@@ -51,7 +54,8 @@
             management: The service whose tree is subscribed to.
             request: The SubscriptionList.
             context: The call's grpc.ServicerContext.
-            queue_capacity: Capacity of the call's `Subscriber`; only the mode STREAM has one.
+            queue_capacity: Capacity of the call's `Subscriber`, which is used in the mode STREAM
+                only.
 
         Raises:
             PathError: If the encoding or a path is not valid, or there is no path.
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -178,7 +178,8 @@
         """Write and apply the assignment; return a function that restores the previous one.
 
         Raises:
-            CommitRejectedError: If the file cannot be written, or has been changed in the meantime.
+            CommitRejectedError: If the file cannot be written, is being written by another
+                process, or has been changed in the meantime.
         """
         previous = self.assignment
         if prepared is None or previous is None:
@@ -196,8 +197,8 @@
         """Write and apply an assignment.
 
         Raises:
-            CommitRejectedError: If the file cannot be written or does not have the version
-                `expected_version`.
+            CommitRejectedError: If the file cannot be written, is being written by another
+                process, or does not have the version `expected_version`.
         """
         if self.cell_service is None:
             return
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -1,6 +1,6 @@
 """The management service of a running director.
 
-One lock guards the datastore, its participants and the YANG model. A background thread rolls back
+One lock serializes the use of the datastore and the YANG model. A background thread rolls back
 commits that were not confirmed in time, imports changes of the cell assignment that were made
 outside management, and notifies subscribers of changes.
 """
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -78,8 +78,8 @@
                 {f"{MODULE_NAME}:{name}": value for name, value in tree.items()}
             )
             # In yangson, moving from an entry of a list to its parent takes time proportional to
-            # the length of the list. The references of a long list are therefore not checked here:
-            # `cells.validation.validate_assignment` checks them too.
+            # the length of the list. The references of a long list are therefore not checked here.
+            # `cells.validation.validate_assignment` checks them when the commit is prepared.
             is_large = _tenant_count(tree) > MAX_TENANTS_FOR_REFERENCES
             scope = ValidationScope.syntax if is_large else ValidationScope.all
             root.validate(scope, ContentType.config)
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -89,8 +89,8 @@
     def check_health(self, director: SimulatedDirector, name: str) -> None:
         """Send a director's health check to a node.
 
-        The node answers unless it has crashed, is silent or its path is cut. Rules that delay
-        messages have no effect on health checks.
+        The node answers unless it has crashed, is silent or its path is cut. Network rules other
+        than cuts have no effect on health checks.
         """
         since_start_s = self.simulation.since_start_s()
         record = HealthCheckRecord(since_start_s, director.number, name, "METER")
