--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -194,8 +194,9 @@
 def kill_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Return the credit during the kill, its bound, and the time until the fleet recovered.
 
-    The time starts with the next full second after the last restart. It ends when the credit of two
-    seconds first reaches 0.95 of the credit before the kill; it is None if it never does.
+    The time starts with the next full second after the last restart. It ends at the start of the
+    first two seconds whose credit reaches 0.95 of the credit before the kill; it is None if there
+    are none.
     """
     observations, objective_ms = audit.observations, scenario.latency_objective_ms
     calm = credit(observations, objective_ms, scenario.warm_up_s, KILL_FROM_S)
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,4 +1,4 @@
-"""Benchmark of management: drains, rejected and interrupted commits, its latency and memory.
+"""Benchmark of management: drains, rejected and interrupted commits, latency and memory.
 
 `python -m benchmarks.management --json` prints one JSON object as the last line. Directors are real
 processes on the loopback interface; nodes and clients are stand-ins.
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -9,8 +9,8 @@
 name and is never affected.
 
 No I/O, clock or locks: the time is an argument, in Unix milliseconds. The callers hold the lock of
-`RequestCoordinator` while they change drains or endpoint list. Only `take_contradicted` is called
-without that lock, by the thread of `ManagementService`.
+`RequestCoordinator` while they change drains or endpoint list. Of the methods that change a drain,
+only `take_contradicted` is called without that lock, by the thread of `ManagementService`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -125,7 +125,7 @@
         its status or, if it has ended, starts anew.
 
         Returns:
-            The endpoints whose effective state may have changed.
+            Names of the endpoints whose effective state may have changed.
         """
         affected = [name for name in self.statuses if name not in requests]
         for name in affected:
@@ -226,8 +226,9 @@
 ) -> str:
     """Return the reason why new drains are rejected; empty if they are accepted.
 
-    A new drain is rejected if it concerns a ready cache and all ready caches of this cache's zone
-    or cell would be drained. Forced drains are always accepted.
+    A drain is new if its endpoint is not drained already. A new drain is rejected if it concerns a
+    ready cache and all ready caches of this cache's zone or cell would be drained. Forced drains
+    are always accepted.
 
     Args:
         endpoints: The endpoint list, by name.
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -1,8 +1,9 @@
 """The management service of a running director.
 
-One lock serializes the use of the datastore and the YANG model. A background thread rolls back
-commits that were not confirmed in time, imports changes of the cell assignment that were made
-outside management, and notifies subscribers of changes.
+One lock serializes the use of the datastore and the YANG model, and with it the commits of the
+participants. A background thread rolls back commits that were not confirmed in time, imports
+changes of the cell assignment that were made outside management, and notifies subscribers of
+changes.
 """
 
 import threading
@@ -86,7 +87,7 @@
             components.datastore_file.save,
         )
         self._publisher = Publisher(self.schema)
-        self._synced_assignment: object = None  # in use when last compared with `running`
+        self._synced_assignment: object = None  # last compared with the running version
         self._state_due_at = 0.0
         self._logged_phases: dict[str, str] = {}  # last logged phase of each drain, by endpoint
         self._stopped = threading.Event()
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -61,7 +61,9 @@
 
 
 class Publisher:
-    """The subscribers and the tree that was published last. `ManagementService` holds its lock.
+    """The subscribers and the tree that was published last. Not thread-safe.
+
+    `ManagementService` holds its `datastore_lock` during each call.
 
     Attributes:
         subscribers: The subscribers that are notified of changes.
