--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -63,6 +63,8 @@
 class Publisher:
     """The subscribers and the tree that was published last. Not thread-safe.
 
+    `ManagementService` holds its `datastore_lock` during each call.
+
     Attributes:
         subscribers: The subscribers that are notified of changes.
     """
