--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -4,8 +4,8 @@
 It owns all state of the cells at one director. The routing policy chooses the endpoint of an
 admitted request from the pool that the controller returns, and never sees rejected requests.
 
-Pure: the current time (Unix milliseconds) is an argument, and endpoints are opaque. Not
-thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time (Unix milliseconds) is an argument. Endpoints are opaque: the
+controller only passes them on. Not thread-safe: `CellService` holds its lock during each call.
 """
 
 from collections.abc import Iterable
@@ -170,10 +170,12 @@
         return self.placement.update_caches(now, caches)
 
     def step(self, now: float) -> list[str]:
-        """Log new stages of migrations, and advance rollouts; to be called several times a second.
+        """Advance the rollouts, and find the migrations that have entered a new stage.
+
+        The caller does this several times a second.
 
         Returns:
-            Messages for the log.
+            Messages for the log about changed rollouts and migrations.
         """
         return self._log_migrations(now) + self._advance_rollouts(now)
 
@@ -208,7 +210,8 @@
 
         Args:
             address: The client's address.
-            open_connections: Number of open connections from all addresses of the same tenant.
+            open_connections: Number of open connections from all addresses of the tenant to which
+                `address` belongs.
         """
         tenant = self.tenant_resolver.tenant_of_address(address)
         limit = self._limits_of(tenant).max_connections if tenant else 0
@@ -248,7 +251,8 @@
         candidate = self._build_candidate(request, tenant, state, placement)
         if exceeded := self.cell_quotas.check(now, candidate):
             return self._reject(state, request, exceeded.reason, exceeded.wait)
-        # A request with a stable placement is idempotent, so its retries may run in any cell.
+        # A request with a stable placement is idempotent. Its retries may run in any cell, so its
+        # cell need not be recorded.
         if placement_request is not None:
             self.placement.record_admission(now, placement_request, placement)
         if uses_retry_budget:
@@ -272,7 +276,8 @@
             grant: The grant of the request.
             is_served: Whether the request was served.
             is_client_waiting: Whether the client had neither disconnected nor cancelled the
-                request. If False, the outcome is not counted for the cell and the rollouts.
+                request. If False, the outcome is not counted for the cell and the rollouts. The
+                delay of a served request still counts for the cell's concurrency limit.
             delay: Time from the request's arrival to its answer, ms, without the time of sending
                 the answer.
 
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -1,8 +1,8 @@
 """Quotas of the cells at one director, and the check of a request against them.
 
 Each cell has a fair share of the director's rate and open requests, and each tenant has a fair
-share of its cell's rate and open requests. Pure and not thread-safe: `CellService` holds its lock
-during each call.
+share of its cell's rate and open requests. No I/O and no clock: the time is an argument. Not
+thread-safe: `CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -242,8 +242,9 @@
         shares = cell_state.shares
         cell_state.concurrency_limit.record_open(shares.open + slots)
         if shares.open + slots > RESTRICT_LENDING_ABOVE * shares.capacity:
-            # Keeps the capacity that tenants share below the cell's limit. A lender that resumes
-            # may exceed the capacity by OVERCOMMIT, and then still stays within the limit.
+            # Keeps the capacity that tenants share below the cell's limit. A tenant that lent its
+            # share and sends requests again may exceed the capacity by OVERCOMMIT. The cell then
+            # still stays within its limit.
             reachable = self.cell_shares.reachable(limits.cell_share, now)
             limit = min(cell_state.concurrency_limit.current, reachable)
             shares.capacity = limit / (1.0 + FairShares.OVERCOMMIT)
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -1,6 +1,7 @@
 """State of one cell at this director: rate, concurrency limit and the tenants' shares of both.
 
-Pure and not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from dataclasses import dataclass
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -5,7 +5,8 @@
 lowest mean delay of recent windows. It rises slowly, so that a cell that became permanently slower
 regains its limit.
 
-Pure and not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 
@@ -57,8 +58,8 @@
             Whether the limit was reduced.
         """
         if now >= self._window_ends_at + self.WINDOW:
-            # There is no window yet, or it ended a whole window ago with too few samples, which
-            # are obsolete now.
+            # There is no window yet, or the last one ended at least WINDOW ago with too few
+            # samples, which are obsolete now.
             self._start_window(now)
         self._sample_count += 1
         self._total_delay += max(delay, self.MIN_DELAY)
--- a/mulleinrelay/cells/config.py
+++ b/mulleinrelay/cells/config.py
@@ -1,4 +1,4 @@
-"""Reader of `cells.ini`, the configuration file of cells; pure except for `load_cells_config`."""
+"""Reader of `cells.ini`, the configuration file of cells; only `load_cells_config` does I/O."""
 
 import os
 from dataclasses import dataclass
@@ -14,12 +14,13 @@
 
     Attributes:
         enabled: Whether tenants are confined to cells.
-        assignment_file: Path of the assignment file; empty if there is none.
+        assignment_file: Path of the assignment file; it may be empty only if `enabled` is False.
         tenant_field: Name of the request field with the client's tenant; empty if there is none.
         poll_interval: Time between two checks of the assignment file for changes, ms.
         records_folder: Folder for this director's records; empty if none are written.
-        max_open_requests: Maximum number of open requests; 0 if only memory limits them.
-        rate: Maximum number of requests per second; 0 if it is not limited.
+        max_open_requests: Maximum number of open requests at this director; 0 if only its memory
+            limits them.
+        rate: Maximum number of requests per second at this director; 0 if it is not limited.
         max_retry_after: Longest Retry-After of a rejected request, ms.
     """
 
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -1,8 +1,11 @@
-"""Changes that operators can make to an assignment: pure functions from one version to the next.
+"""Changes that operators can make to an assignment.
 
-A change that would break a rule raises `EditRejectedError`. The caller writes and logs the new
-version. An event that all directors must execute at the same time is scheduled ahead by the
-propagation time and the clock skew, so that every director has read the file by then.
+The functions for changes take a version of the assignment and return the next one. A change that
+would break a rule raises `EditRejectedError`. No I/O and no clock: the time is an argument, and the
+caller writes and logs the new version.
+
+An event that all directors must execute at the same time is scheduled ahead by the propagation time
+and the clock skew, so that every director has read the file by then.
 """
 
 from dataclasses import dataclass, replace
@@ -269,8 +272,8 @@
 def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
     """Copy a rollout's limits to all tenants whose home is one of its cells, and remove it.
 
-    If the rollout sets the number of caches per tenant, this number is copied to its cells. All
-    its cells count, also those of waves that have not started.
+    If the rollout sets the number of caches per tenant, this number is copied to its cells. The
+    cells of waves that have not started count too.
 
     Raises:
         EditRejectedError: If no rollout of this name exists, or if operators have rolled it back.
--- a/mulleinrelay/cells/explanations.py
+++ b/mulleinrelay/cells/explanations.py
@@ -1,4 +1,6 @@
-"""Explanations for operators why a tenant or an object belongs to its cell; pure.
+"""Explanations for operators why a tenant or an object belongs to its cell.
+
+No I/O and no clock: the time is an argument.
 
 `mulleinrelay cells explain --json` prints the returned dicts, so their keys must not change.
 Failover is not considered, because only the directors know which cells are lost.
@@ -12,7 +14,9 @@
 
 
 def explain_tenant(assignment: Assignment, tenant: str, now: float) -> dict[str, object]:
-    """Return a tenant's home cell, the data that decides on it, and its limits and migration.
+    """Return a tenant's home cell and the data that decides on it.
+
+    The result also has the tenant's limits and migration, and the home cell's failover cells.
 
     Raises:
         EditRejectedError: If there is no such tenant.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -1,4 +1,4 @@
-"""Failover of the tenants of a lost cell to another cell, and their return; pure.
+"""Failover of the tenants of a lost cell to another cell, and their return.
 
 A cell is lost at this director while none of its caches in the director's zone is ready. Its
 tenants go to the first failover cell that is available, within the failover quota. The quota is a
@@ -6,7 +6,8 @@
 fraction of the failover cell's caches during slow start. When the lost cell recovers, its tenants'
 objects return one by one over `return_duration`, so that the load of neither cell jumps.
 
-Not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from dataclasses import dataclass
@@ -99,7 +100,7 @@
 ) -> CellAvailability | None:
     """Return the failover cell that serves a lost or recovering cell; None if none is available.
 
-    The first available one in the order of preference is chosen. A recovering cell serves no
+    The first available cell in the order of preference is chosen. A recovering cell serves no
     tenants of other cells, because some of its own objects are still served elsewhere.
     """
     for name in cell.failover_cells:
@@ -144,7 +145,7 @@
         self.token_bucket = TokenBucket(0.0, 0.0)
 
     def wait_time(self, now: float, quota: float, cell_limits: FailoverCellLimits) -> float:
-        """Return the time until one more request may be admitted, ms; 0 if it may be now.
+        """Return the time (ms) until one more request may be admitted; 0 if one may be now.
 
         Args:
             now: The current time.
@@ -165,7 +166,7 @@
         return self.token_bucket.wait_time(now)
 
     def acquire(self, now: float) -> None:
-        """Count one more open request."""
+        """Count one more open request and take one token."""
         self.open += 1
         self.token_bucket.consume(now)
 
--- a/mulleinrelay/cells/fair_share.py
+++ b/mulleinrelay/cells/fair_share.py
@@ -8,7 +8,8 @@
 exceeds the capacity by up to `FairShares.OVERCOMMIT`. Nothing more is lent until enough of the
 borrowers' requests have completed. Requests are short, so a lender soon regains its share.
 
-Pure and not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from dataclasses import dataclass
@@ -73,7 +74,7 @@
             the next request must compute them.
         active_weight: Sum of the weights of all active parties.
         reserved: Capacity that is not lent. It is the sum of each party's demand, up to its
-            guaranteed share, minus its open requests.
+            guaranteed share, minus its open requests, as of `computed_at`.
     """
 
     # ms; a party stays active for this time after a request. Its demand is the peak of the current
@@ -115,7 +116,9 @@
     def request(self, share: ConcurrencyShare, now: float, amount: float = 1.0) -> bool:
         """Record the party's demand and return whether a request of size `amount` is allowed.
 
-        The caller calls `acquire` if it admits the request.
+        A request within the guaranteed share is allowed even beyond `OVERCOMMIT` if the party has
+        no open request, but never beyond the party's `maximum`. The caller calls `acquire` if it
+        admits the request.
         """
         wanted = share.open + amount
         was_active = now < share.last_requested_at + self.DEMAND_WINDOW
--- a/mulleinrelay/cells/formatter.py
+++ b/mulleinrelay/cells/formatter.py
@@ -1,4 +1,4 @@
-"""Formatter of assignments as the text of an assignment file; pure.
+"""Formatter of assignments as the text of an assignment file; no I/O.
 
 Keys are written in a fixed order, so that two versions of a file can be compared line by line.
 """
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -1,4 +1,4 @@
-"""Placement of tenants and caches in cells by hash; pure.
+"""Placement of tenants and caches in cells by hash; no I/O.
 
 All directors compute the same placement, because it depends on the assignment and the endpoint list
 only.
@@ -6,7 +6,7 @@
 The method is weighted rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998) with
 a bound on each cell's load (Mirrokni, Thorup and Zadimoghaddam, 2016). If a cell or cache is
 removed, its tenants move. If a cell or cache is added, the tenants that prefer it move. Other
-tenants move only if a cell would otherwise exceed its load bound.
+tenants move only if the change makes a cell reach its load bound, or makes room in a full cell.
 """
 
 import math
@@ -62,14 +62,16 @@
 def assign_with_load_bound(
     items: Mapping[str, float], bins: Mapping[str, float], bound: float
 ) -> dict[str, str]:
-    """Assign each item to a bin; the result does not depend on the order of the mappings.
+    """Assign each item to the bin that it prefers among those below their maximum load.
+
+    The result does not depend on the order of the mappings.
 
     Args:
         items: Load of each item.
         bins: Weight of each bin.
-        bound: Maximum load of a bin, as a multiple (at least 1) of its share of the total load.
-            A bin below its maximum accepts an item of any load, so the last item of a bin may
-            exceed the maximum.
+        bound: Maximum load of a bin, as a multiple (at least 1) of the bin's share by weight of the
+            total load. A bin below its maximum accepts an item of any load, so the last item of a
+            bin may exceed the maximum.
 
     Returns:
         The bin of each item; empty if there are no bins.
@@ -133,7 +135,7 @@
 
 
 def home_cells(assignment: Assignment) -> dict[str, str]:
-    """Return each tenant's home cell: the cell that it belongs to when it does not migrate.
+    """Return each tenant's home cell: the cell that it belongs to if migrations are ignored.
 
     A tenant whose entry names a cell belongs to that cell, and does not count towards the load
     bound. With the placement method `table`, tenants whose entries name no cell are missing.
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -1,17 +1,19 @@
-"""The stages of a migration, computed from the assignment and the clock only; pure.
+"""The stages of a migration, computed from the assignment and the time only.
 
     planned -> warm -> shift -> drain -> done
     warm, shift or drain, after an abort: back -> aborted
 
 The migrated fraction is the fraction of the objects that belong to the target cell. It rises slowly
 to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by one in
-the order of their hash, so a migrated object stays migrated, and directors whose clocks differ
-slightly disagree about a few objects only.
+the order of their hash. A migrated object therefore stays migrated unless the migration is aborted,
+and directors whose clocks differ slightly disagree about a few objects only.
 
 Until the migration is done, the source cell's caches fill misses of the target cell's caches as
 sibling caches, and serve requests that cannot be sent to the target cell's caches. After an abort,
 the fraction falls only about as fast as it rises during the shift, because the source cell's caches
 may have dropped objects in the meantime.
+
+No I/O and no clock: the time is an argument.
 """
 
 from dataclasses import dataclass
@@ -208,10 +210,10 @@
 
 
 def max_published_fraction(migration: Migration, now: float) -> float:
-    """Return the largest migrated fraction up to now of all versions that have this start.
+    """Return the largest migrated fraction up to now in all versions with this migration's start.
 
-    Versions with a pause or an abort have smaller fractions. An earlier start is not considered;
-    `edits.pause_migration` replaces it at a second pause.
+    Versions with a pause or an abort have smaller fractions. Versions with an earlier start are not
+    considered; `edits.pause_migration` replaces the start by a later one at a second pause.
     """
     return _planned_fraction(migration, now)
 
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -23,15 +23,17 @@
 class Limits:
     """The quota of a tenant or a cell at each director.
 
-    A value of 0 means no limit of its own, except for `burst` and `retry_ratio`. For a cell, only
-    `rate` and `max_open_requests` have an effect.
+    A value of 0 sets no limit, except for `burst` and `retry_ratio`; limits of the cell and of the
+    director still apply. For a cell, only `rate` and `max_open_requests` have an effect.
 
     Attributes:
         rate: Requests per second.
         burst: Requests that may arrive at once; 0 for the number that the rate allows in 100 ms.
-        max_open_requests: Maximum number of open requests.
+        max_open_requests: Maximum number of open requests; a request with a body counts as more
+            than one.
         max_body_kb: Maximum size of the bodies of all open requests together, KB.
-        retry_ratio: Retries of idempotent requests that clients may send for each first attempt.
+        retry_ratio: Retries of idempotent requests that clients may send for each first attempt;
+            with 0, they may only use up the budget that each tenant has at the start.
         max_connections: Maximum number of connections from the tenant's address ranges.
     """
 
@@ -49,15 +51,16 @@
 
     Attributes:
         name: Name of the cell.
-        weight: Weight in the placement of tenants and caches by hash; 0 places none in the cell.
+        weight: Weight in the placement of tenants and caches by hash, and in the cell's share of
+            each director's capacity; with 0, the hash places none in the cell.
         caches: Names of the cell's caches; empty if the cell gets caches by hash, from those that
             no cell names.
         shuffle_shards: Number of caches of each tenant, chosen by the tenant's hash; 0 for all
             caches of the cell.
         failover_cells: Cells that serve the tenants if the cell is lost, in order of preference.
-        failover_quota: Fraction of a failover cell's limits that all tenants of the lost cell may
-            use together.
-        return_duration: Time over which the objects return to the cell when it is no longer lost.
+        failover_quota: Fraction of a failover cell's limits that all tenants of this cell may use
+            together while this cell is lost or recovering.
+        return_duration: Time over which the objects return to the cell once it is no longer lost.
         limits: Limits of the cell.
     """
 
@@ -135,7 +138,7 @@
         waves: Names of the cells of each wave after the canary.
         starts_at: Time at which the rollout reaches the canary.
         wave_duration: Minimum time between two waves.
-        limits: New limits of the tenants whose home is one of the cells.
+        limits: New limits of the tenants whose home is a cell that the rollout has reached.
         max_success_drop: Tolerated drop of the success rate (0 to 1), beyond the drop in the cells
             without the rollout.
         max_slowdown: Tolerated factor by which the mean delay grows, beyond the factor in the cells
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,4 +1,4 @@
-"""Parser of assignment files; pure.
+"""Parser of assignment files; no I/O.
 
 Errors are ConfigErrors that name the section and the key, as in `[tenant acme] rate: ...`. Some
 keys and sections of the file have other names than the corresponding classes and attributes
@@ -36,7 +36,7 @@
 MAX_SHUFFLE_SHARDS = 10_000
 MAX_FACTOR = 100.0  # upper limit of the load bound and of a rollout's slowdown
 
-# Keys of limits in the file, and the corresponding attributes of `Limits`, in the same order.
+# Attributes of `Limits` by the keys of the file, in the order of the attributes.
 LIMIT_FIELDS_BY_KEY = {
     "rate": "rate",
     "burst": "burst",
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,9 +1,10 @@
-"""Placement of requests: the cell and the caches that a tenant's request goes to; pure.
+"""Placement of requests: the cell and the caches that a tenant's request goes to.
 
 The placement combines home cells, migrations, lost cells and idempotency keys. The ready caches of
 this director's zone are opaque: each has a name, an endpoint and a capacity fraction (0 to 1).
 
-Not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from collections.abc import Iterable
@@ -38,9 +39,10 @@
 
 
 def _only_cell(now: float, home: str, migration: Migration | None) -> str | None:
-    """Return the cell of all objects of a tenant; None from a migration's start to its end.
+    """Return the cell of all objects of a tenant.
 
-    During this time, the objects may be in two cells.
+    The result is None while a migration is in progress, because the objects may then be in two
+    cells.
     """
     if migration is None:
         return home
@@ -184,7 +186,7 @@
         return old_cell is None or old_cell != _only_cell(now, self.homes[tenant], new)
 
     def set_shuffle_shards(self, shuffle_shards: dict[str, int]) -> None:
-        """Set the number of caches of each tenant, by cell; negative numbers are ignored.
+        """Set the number of caches of each tenant, by cell; a negative number sets none.
 
         A changed number drops all cached placements.
         """
@@ -363,7 +365,7 @@
         """Return the placement in the route's cell.
 
         The placement is cached until the ready caches, the assignment or the shuffle shards change,
-        or until the cache of placements is full.
+        or until the cache of placements or of retry budgets is full.
         """
         placement = self._placements.get((tenant, route.cell, route.other_cell))
         if placement is None:
@@ -380,7 +382,8 @@
         migration = self.migrations_by_tenant.get(tenant)
         is_migrated = migration is not None and migration.source == route.other_cell
         is_aborted = migration is not None and migration.aborted_at > 0.0
-        # After an abort, migrated objects return, so the target cell's caches may fill too.
+        # After an abort, migrated objects return, so the target cell's caches may fill those of the
+        # source cell.
         can_fill = is_migrated or is_aborted
         if route.cell in self.shuffle_shards:
             # A rollout changes which caches of the cell the tenant uses. The caches that the tenant
--- a/mulleinrelay/cells/presentation.py
+++ b/mulleinrelay/cells/presentation.py
@@ -1,4 +1,4 @@
-"""Output of the commands of `mulleinrelay cells`, as text and as JSON; pure.
+"""Output of the commands of `mulleinrelay cells`, as text and as JSON; no I/O.
 
 Texts and keys are an interface that people and scripts depend on, so they must not change. Some
 differ from the names in the code, such as "move" for a migration and "release" for a rollout.
--- a/mulleinrelay/cells/retry_budget.py
+++ b/mulleinrelay/cells/retry_budget.py
@@ -1,7 +1,7 @@
 """Retry budget of clients: each first attempt earns a fraction of a retry.
 
-Pure and not thread-safe: `CellService` holds its lock during each call. The budget of the
-director's own retries is `policy.model.RetryBudget`.
+No I/O and no clock. Not thread-safe: `CellService` holds its lock during each call. The budget of
+the director's own retries is `policy.model.RetryBudget`.
 """
 
 DEFAULT_MAX_BALANCE = 10.0  # retries that clients may send in a row with a full budget
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of new limits to a canary cell first, then to other cells in waves; pure.
+"""Rollouts of new limits and shuffle shards to a canary cell first, then to other cells in waves.
 
 Each director evaluates a rollout by its own requests, and halts it or rolls it back if it harms
 cells. To do so, the director measures how success rate and delay have changed in the cells with the
@@ -7,7 +7,8 @@
 last wave, a decline also only halts the rollout. A halted rollout continues when the cells recover;
 until then, operators can decide about it.
 
-Not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from collections.abc import Iterable
@@ -58,8 +59,8 @@
         served: Weighted number of served requests.
         total: Weighted number of requests.
         total_delay: Weighted sum of the delays of the served requests, ms.
-        halves_at: Time from which the next request first halves the numbers; 0 if no request was
-            counted yet.
+        halves_at: The first request at or after this time halves the numbers before it is counted;
+            0 if no request was counted yet.
     """
 
     served: float = 0.0
@@ -113,9 +114,9 @@
 
     Attributes:
         rollout: The rollout, as the assignment in force describes it.
-        current: Statistics by cell since the settling time of the current wave; before the rollout
-            starts, since the director read it.
-        before_rollout: For each cell that the rollout has reached, its statistics from before.
+        current: Statistics by cell since the end of the current wave's settling time; before the
+            rollout starts, since the director read it.
+        before_rollout: For each cell that the rollout has reached, its statistics from before that.
         reached_at: Time when the rollout reached a cell, by cell.
         baseline: Statistics by cell from before the rollout started in any cell.
         wave: Number of the current wave; `NOT_STARTED` before the start, 0 for the canary.
@@ -159,7 +160,10 @@
         return RolloutPhase.CANARY if self.wave == 0 else RolloutPhase.WAVES
 
     def record(self, now: float, cell: str, is_served: bool, delay: float) -> None:
-        """Count a request of a cell, unless in a settling time; `delay` is in ms."""
+        """Count a request of a cell, unless a wave started less than `SETTLING_TIME` ago.
+
+        `delay` is in ms.
+        """
         if self.wave >= 0 and now < self.wave_started_at + SETTLING_TIME:
             return
         self.current.setdefault(cell, CellStatistics()).add(now, is_served, delay)
@@ -275,7 +279,10 @@
 
 
 def shuffle_shards_by_cell(states: dict[str, RolloutState]) -> dict[str, int]:
-    """Return the number of caches of each tenant that the rollouts in force set, by cell."""
+    """Return, by cell, the number of caches per tenant that the newest rollout in force sets.
+
+    Cells in which no rollout sets the number are missing.
+    """
     return {
         cell: state.rollout.shuffle_shards
         for state in states.values()
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -1,8 +1,9 @@
 """Cells at a running director: a thread-safe wrapper of the admission controller.
 
-A thread polls the assignment file and the list of ready caches, logs new stages of migrations,
-advances rollouts, and writes this director's records. Client threads call the four methods of
-`AdmissionControl` (see `net.request_context`).
+A thread runs a step every `STEP_INTERVAL`: it updates the list of ready caches, logs new stages of
+migrations and advances rollouts. Less often, a step also polls the assignment file and writes this
+director's records. Client threads call the four methods of `AdmissionControl` (see
+`net.request_context`).
 """
 
 import threading
@@ -33,7 +34,8 @@
 RECORDS_INTERVAL = 1_000.0  # ms between two writes of the records
 # Smaller changes of a capacity fraction are ignored, unless the fraction reaches or leaves 1.
 MIN_CAPACITY_CHANGE = 0.05
-MAX_PENDING_MESSAGES = 1_000  # log messages that wait for the next write of the records
+# Log messages that wait for the next write of the records; more drop the oldest.
+MAX_PENDING_MESSAGES = 1_000
 
 
 class CellService:
@@ -93,7 +95,7 @@
         self._is_stopped = threading.Event()
 
     def start(self) -> None:
-        """Do the first step, so that the ready caches are known, and start the thread."""
+        """Run the first step before returning, so that the caches are known; start the thread."""
         self._log_messages([f"version {self.controller.assignment.version}"])
         self._step()
         threading.Thread(target=self._run, name="cells", daemon=True).start()
@@ -215,9 +217,9 @@
     def _poll_file(self, now: float) -> list[str]:
         """Put a new version of the assignment file in force and return messages for the log.
 
-        If the file is unusable, the version in force stays and the message says why. The identity
-        of the file is read before its content, so that the next poll detects a file that is
-        replaced in between.
+        If the file cannot be used or must not replace the version in force, that version stays and
+        the message says why. The identity of the file is read before its content, so that the next
+        poll detects a file that is replaced in between.
         """
         identity = store.file_identity(self.config.assignment_file)
         if identity == self._file_identity:
--- a/mulleinrelay/cells/sticky_routing.py
+++ b/mulleinrelay/cells/sticky_routing.py
@@ -2,12 +2,14 @@
 
 A request is sticky if only the endpoints of one cell remember its idempotency key
 (`RequestClass.key_scope` is "cell"). Its retries must go to the cell of its first attempt, whose
-endpoints drop duplicates. If this director admitted the first attempt, the cache of idempotency
-keys has the cell. If another director admitted it, the cell can only be derived from the clock. If
-the cell is uncertain, a retry fails, because the request could run twice. Retries of requests that
-are not sticky may run in either cell.
-
-Pure and not thread-safe: `CellService` holds its lock during each call.
+endpoints drop duplicates. While the cache of idempotency keys holds the key, this director knows
+the cell. Otherwise another director may have admitted the first attempt. The retry then goes to the
+source cell if, by the migration's schedule and the largest clock skew, the object cannot have
+migrated yet. If it may have migrated, the retry fails, because the request could run twice. Retries
+of requests that are not sticky may run in either cell.
+
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from collections import OrderedDict
@@ -82,8 +84,8 @@
         is_retry: Whether the request was sent before, according to the client or this director.
         can_run_anywhere: Whether retries may run in another cell than the first attempt, because
             the request is not sticky.
-        known_cell: Cell to which this director sent the request's idempotency key; None if it is
-            not known.
+        known_cell: Cell that this director chose for an earlier request with the same idempotency
+            key; None if it is not known.
     """
 
     is_retry: bool
@@ -96,10 +98,11 @@
 ) -> MigrationSide:
     """Return the side of a migration that a request for an object goes to.
 
-    A sticky retry whose cell is not known goes to the source cell if no director can have sent its
-    object to the target cell; otherwise it goes nowhere. Other directors may use any version of the
-    assignment file, even one without the migration or from before a pause or an abort. The cell of
-    a migrated object is therefore uncertain until operators have ended the migration.
+    A sticky retry whose cell is not known goes to the source cell if no director can have placed
+    its first attempt in the target cell; otherwise the retry goes to neither cell. Other directors
+    may use any version of the assignment file, even one without the migration or from before a
+    pause or an abort. The cell of a migrated object is therefore uncertain until operators have
+    ended the migration.
 
     Args:
         migration: The migration of the request's tenant.
--- a/mulleinrelay/cells/store.py
+++ b/mulleinrelay/cells/store.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileIdentity:
-    """The metadata of a file; they differ if the file was replaced in the meantime."""
+    """Metadata of a file by which a replacement of the file is detected."""
 
     inode: int
     modified_ns: int
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -1,8 +1,8 @@
-"""Resolution of a request's tenant by its name, the client's address or the object's group; pure.
+"""Resolution of a request's tenant by name, by the client's address or by the object's group.
 
 Addresses and groups are found by binary search, so that the cost per request is small even with
-thousands of tenants. Not thread-safe: `CellService` holds its lock during each call, which guards
-the cache of addresses.
+thousands of tenants. No I/O. Not thread-safe because of the cache of addresses: `CellService` holds
+its lock during each call.
 """
 
 import ipaddress
--- a/mulleinrelay/cells/tenant_state.py
+++ b/mulleinrelay/cells/tenant_state.py
@@ -1,6 +1,7 @@
 """State of one tenant at this director: the usage of its quota and of the cells that serve it.
 
-Pure and not thread-safe: `CellService` holds its lock during each call.
+No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
+each call.
 """
 
 from dataclasses import dataclass
@@ -31,7 +32,7 @@
     cell_share: ConcurrencyShare
 
     def is_stale(self, now: float) -> bool:
-        """Return whether a share may have been dropped, so that it must be looked up again."""
+        """Return whether one of the shares may have been dropped; both are then looked up again."""
         return (
             now > self.share.last_requested_at + SHARE_REUSE_TIME
             or now > self.cell_share.last_requested_at + SHARE_REUSE_TIME
@@ -72,7 +73,10 @@
         self.last_used_at = 0.0
 
     def set_limits(self, limits: Limits) -> None:
-        """Replace the quota; the token bucket and the retry budget are full again."""
+        """Replace the quota.
+
+        The token bucket and the retry budget are full again, and `cell_limits` is empty.
+        """
         self.limits = limits
         self.token_bucket = TokenBucket(limits.rate, limits.burst)
         self.retry_budget = ClientRetryBudget(limits.retry_ratio)
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -1,8 +1,8 @@
 """Request rates: a token bucket, and a token bucket that several parties share by weight.
 
 Requests are not queued: if there is no token now, the caller gets the time until the next one and
-rejects the request. Pure: the current time (ms) is an argument. Not thread-safe: `CellService`
-holds its lock during each call.
+rejects the request. No I/O and no clock: the time (ms) is an argument. Not thread-safe:
+`CellService` holds its lock during each call.
 """
 
 from dataclasses import dataclass
@@ -85,7 +85,7 @@
         total_bucket: Token bucket with the total rate.
         shares: Shares by party.
         computed_at: Time when the used rates were last computed; `DISTANT_PAST` if the next request
-            must compute the guaranteed rates.
+            must compute the used and the guaranteed rates.
         active_weight: Sum of the weights of all active parties.
     """
 
@@ -150,7 +150,7 @@
         )
 
     def consume(self, share: BucketShare, now: float) -> None:
-        """Take one token from the total, and one from the party's guaranteed rate if it has one.
+        """Take one token from the total bucket, and one from the party's bucket if it has one now.
 
         Guaranteed requests may overdraw the total bucket, which is full again after at most
         `ACTIVE_WINDOW`.
@@ -178,7 +178,7 @@
     def _recompute(self, now: float) -> None:
         """Drop idle parties, and set the guaranteed rates of the active ones.
 
-        The used rates are updated only if `RECOMPUTE_INTERVAL` has passed.
+        The used rates are updated only if `RECOMPUTE_INTERVAL` has passed since `computed_at`.
         """
         elapsed = now - self.computed_at
         if elapsed >= self.RECOMPUTE_INTERVAL:
--- a/mulleinrelay/cells/validation.py
+++ b/mulleinrelay/cells/validation.py
@@ -1,7 +1,7 @@
-"""Validation of references and consistency within an assignment; pure.
+"""Validation of references and consistency within an assignment; no I/O.
 
-Each error names the section and the key of the assignment file, as in `[tenant acme] cell: no cell
-'north'`, even if the assignment was set over gNMI.
+Each error names the section and the key of the assignment file, as in `[tenant acme] cell: cell
+'north' does not exist`, even if the assignment was set over gNMI.
 """
 
 from collections.abc import Container
