--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -44,7 +44,8 @@
     """Return an assignment.
 
     Cells and tenants are given as objects or by name. A tenant that is given by name is placed in
-    the first cell, but `beta` in the last cell. `changes` are further fields of the assignment.
+    the first cell, but `beta` in the last cell; its limits are `tenant_limits`. `changes` are
+    further fields of the assignment.
     """
     cells = [Cell(cell) if isinstance(cell, str) else cell for cell in cells]
     cells_by_name = {cell.name: cell for cell in cells}
@@ -141,7 +142,8 @@
     """Complete directors that share one assignment file and the same stand-ins.
 
     The directors start when the context is entered and stop when it is left. `plan` is the answer
-    plan of all stand-in endpoints, or a list with a plan for each.
+    plan of all stand-in endpoints, or a list with a plan for each. `open_most` and `rate` are the
+    values of `cells.ini`; `changes` are passed to `platform_configuration`.
     """
 
     def __init__(
--- a/tests/cells/test_admission_controller.py
+++ b/tests/cells/test_admission_controller.py
@@ -32,7 +32,8 @@
 
 def test_flooding_tenant_leaves_the_other_cell_its_share():
     fixture = ControllerFixture(make_assignment(TWO_CELLS))
-    fixture.complete(fixture.admit("beta"))  # so that the other cell has recent demand
+    # The other cell has recent demand, which reserves its share.
+    fixture.complete(fixture.admit("beta"))
     fixture.now += 100.0
     assert fixture.count_admitted(1000) <= 100
     assert fixture.count_admitted(25, tenant_name="beta") == 25
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -40,10 +40,10 @@
 
 
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
-    # Guards against a flooding tenant that leaves no open requests for the tenants of other cells.
-    # The cache never answers the flooding tenant's requests, so all admitted ones stay open. On a
-    # slow machine, some of them time out during the test. Only a request that timed out allows one
-    # more request to be admitted.
+    # Guards against a flooding tenant that uses up the director's open requests, so that requests
+    # for other cells are rejected. The cache never answers the flooding tenant's requests, so all
+    # admitted ones stay open. On a slow machine, some of them time out during the test; each of
+    # these allows one more request to be admitted.
     def answer_others(fields):
         return None if fields["name"].startswith("f") else HIT_ANSWER
 
--- a/tests/cells/test_concurrency_limit.py
+++ b/tests/cells/test_concurrency_limit.py
@@ -15,7 +15,7 @@
         limit.record_open(90.0)
         limit.record_completion(now, delay)
     assert (limit.current < 60.0) == is_reduced
-    # If the delay stays longer, it becomes the baseline after a while, and the limit rises again.
+    # A longer delay that lasts becomes the baseline after a while, and the limit rises again.
     for _ in range(8000):
         now += 10.0
         limit.record_open(limit.current)
--- a/tests/cells/test_fair_share.py
+++ b/tests/cells/test_fair_share.py
@@ -9,7 +9,7 @@
 
 
 def simulate_demand(shares, demand, rounds=400):
-    """Return the mean number of open requests of each party, after `rounds` ms.
+    """Return the mean number of open requests of each party over `rounds` ms.
 
     `demand` gives the weight of each party and its number of requests per millisecond. An admitted
     request stays open for 50 ms.
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -1,7 +1,7 @@
-"""Exhaustive search for violations of three rules during a migration.
+"""Search for violations of three rules during a migration, with one fault at a time.
 
-Two directors use any two versions of the assignment while a cache drains, is lost or restarts
-empty, or while an object is purged.
+Two directors use any two of the `VERSIONS` of the assignment while a cache drains, is lost or
+restarts empty, or while an object is purged. All combinations with the `FAULT_TIMES` are tried.
 
 - Rule 3: no attempt uses a draining or lost cache.
 - Rule 4: a cache in slow start is not overloaded.
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -299,7 +299,8 @@
     unknown = fixture.admit(
         key=KEYS[0], request_class=ORDER, idempotency_key="other", is_retry=True
     )
-    assert not unknown.is_never_executed  # the retry fails: another director may have run the first
+    # The retry fails, because another director may have sent the first attempt to another cell.
+    assert not unknown.is_never_executed
 
 
 @pytest.mark.parametrize(
