--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -25,7 +25,11 @@
 
 
 class IniSection:
-    """One section of an INI file. Each method reads one key and checks the format of its value."""
+    """One section of an INI file.
+
+    `text`, `number`, `integer`, `flag`, `choice` and `names` read one key and check its value.
+    Without a default, the key is required.
+    """
 
     def __init__(self, title: str, values: dict[str, str]) -> None:
         """Wrap the values of a section.
@@ -43,7 +47,7 @@
         return ConfigError(reason, section=self.title, key=key)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return the stripped text of a key; without a default the key is required."""
+        """Return the text of a key without spaces at its ends."""
         self._known_keys.add(key)
         value = self.values.get(key, default)
         if value is None:
@@ -103,14 +107,14 @@
         return names
 
     def address(self, key: str, text: str) -> Address:
-        """Return the host and port in `text`, which is a part of this key's value."""
+        """Return the host and port in `text`, which the caller has read as a value of this key."""
         host, _, port = text.rpartition(":")
         if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
             raise self.error(key, f"expected host:port, found {text!r}")
         return host, int(port)
 
     def reject_unknown_keys(self) -> None:
-        """Raise ConfigError for the first key that was not read by any method."""
+        """Raise ConfigError if the section has a key that no method has read."""
         if unknown := sorted(set(self.values) - self._known_keys):
             known = ", ".join(sorted(self._known_keys))
             raise self.error(unknown[0], f"unknown key; known keys: {known}")
@@ -133,7 +137,7 @@
 
 
 def reject_unknown_sections(titles: Iterable[str], known: Iterable[str]) -> None:
-    """Raise ConfigError for the first title that is not a known section."""
+    """Raise ConfigError if a title is not one of the known sections."""
     for title in titles:
         if title not in known:
             names = ", ".join(known)
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -58,8 +58,9 @@
 class JsonSection:
     """A JSON object and its path of keys from the root.
 
-    Each method reads one key, and raises ConfigError if the value has a wrong type. If the key is
-    missing, the default is returned unchanged; without a default the key is required.
+    Each method except `path_of` and `error` reads one key, and raises ConfigError if the value has
+    a wrong type. If the key is missing, the default is returned unchanged; without a default the
+    key is required.
     """
 
     def __init__(self, values: Any, path: str) -> None:
@@ -157,10 +158,13 @@
 
 
 def parse_service_settings(start: JsonSection) -> ServiceSettings:
-    """Return the start settings, which the platform passes to each director, as policy settings.
+    """Return the policy's settings, read from the start settings.
+
+    `start` is the object of start settings that the platform passes to each director.
 
     Raises:
-        ConfigError: If a key is missing or its value has a wrong type.
+        ConfigError: If a key is missing, or if its value has a wrong type or is not one of the
+            allowed values.
     """
     allowed = start.section("allowed")
     domain = start.section("domain")
@@ -232,7 +236,7 @@
 
 
 def parse_service_settings_text(text: bytes) -> ServiceSettings:
-    """Read the start settings from JSON.
+    """Return the policy's settings, read from the JSON text of the start settings.
 
     Raises:
         ConfigError: If the settings are invalid.
@@ -260,7 +264,7 @@
         request_classes: Request classes by their names on the wire.
         zones: Zone numbers by name.
         kinds: Numbers of the kinds of endpoints by name.
-        connect_timeout: Timeout for a connect to an endpoint.
+        connect_timeout: Time within which a connection to an endpoint must be established.
         idle_timeout: Time after which endpoints close an idle connection of a director.
         max_attempts_per_connection: Maximum number of attempts in flight on one connection.
         prefers_open_connections: Whether opening a connection to an endpoint costs more than
