--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -18,7 +18,8 @@
 Loaded = TypeVar("Loaded")
 PathType = TypeVar("PathType", str, str | None)
 
-EXIT_BAD_CONFIGURATION = 2  # wrong usage or an invalid file; `main` lists the other codes
+# Exit code for wrong usage or an invalid file; the help text of `main` lists all exit codes.
+EXIT_BAD_CONFIGURATION = 2
 
 # Command groups and their modules; each module defines the group under the same name.
 MODULE_BY_GROUP = {
@@ -33,14 +34,14 @@
 
 
 class LazyGroup(click.Group):
-    """Command group that imports its subgroups on first use."""
+    """Command group that imports the module of a subgroup when the subgroup is first used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands, for the help text."""
+        """Return the names of all commands and subgroups, for the help text."""
         return sorted({*super().list_commands(ctx), *MODULE_BY_GROUP})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of this name; None if it does not exist.
+        """Return the command or subgroup of this name; None if it does not exist.
 
         Raises:
             click.ClickException: If a library that the command requires is missing.
--- a/mulleinrelay/director.py
+++ b/mulleinrelay/director.py
@@ -1,6 +1,6 @@
 """One director from start to exit.
 
-This module is independent of signals and environment variables, which `process` handles.
+This module reads no environment variables and handles no signals; `process` does.
 """
 
 import threading
@@ -33,9 +33,9 @@
 PING_INTERVAL = 25.0  # ms between two searches for silent upstream connections
 TIMER_ERROR_WAIT_S = 0.05  # wait after an error in the thread of the timers
 
-# The platform limits the duration of a drain to the longest client timeout, of which at most
-# MAX_CLIENT_TIMEOUT_S count, plus DRAIN_GRACE_S. The limit is called the end of the drain here.
-NEW_CALLS_S = 1.0  # from the beginning of the drain; clients still send calls during this time
+# The platform limits the duration of a drain to the longest client timeout of all request classes,
+# but at most MAX_CLIENT_TIMEOUT_S, plus DRAIN_GRACE_S. This limit is called the end of the drain.
+NEW_CALLS_S = 1.0  # after the beginning of the drain; clients may still send calls until then
 MAX_CLIENT_TIMEOUT_S = 3.0
 DRAIN_GRACE_S = 0.7
 FINAL_ANSWERS_S = 0.5  # before the end of the drain, when all open requests get a final answer
@@ -82,7 +82,7 @@
             fleet: Configuration of the communication with other directors; None to switch it off.
 
         Raises:
-            ConfigError: If the cell assignment is invalid.
+            ConfigError: If the assignment file of the cells cannot be read or is invalid.
         """
         self.config = config
         self.log = log
@@ -204,7 +204,10 @@
         self.stopped.set()
 
     def _drain(self, started: float) -> None:
-        """Finish pending requests and close connections within the platform's time limit."""
+        """Wait until pending requests are finished and connections closed, or time is up.
+
+        Shortly before the end of the drain, requests that are still pending get a final answer.
+        """
         request_classes = self.config.request_classes.values()
         longest = max((each.client_timeout for each in request_classes), default=0.0) / 1000.0
         duration = min(MAX_CLIENT_TIMEOUT_S, longest) + DRAIN_GRACE_S
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -60,7 +60,11 @@
 
 
 def _start(director: Director, config: DirectorConfig) -> int:
-    """Start the director and return the exit code; print a message if the start failed."""
+    """Start the director; print a message if the start fails.
+
+    Returns:
+        `EXIT_DONE` if the director runs, otherwise the exit code of the process.
+    """
     try:
         director.start()
     except OSError as error:
@@ -101,7 +105,7 @@
 
 
 def open_signal_pipe() -> int:
-    """Write received signals to a pipe, so that the main thread handles them in order.
+    """Open a pipe to which received signals are written; the main thread handles them in order.
 
     A signal does not always interrupt a blocking call of the main thread: the kernel may deliver it
     to another thread, and a Python handler runs only after the main thread has continued.
@@ -129,7 +133,8 @@
     """Build a director from the given configuration files.
 
     Raises:
-        ConfigError: If a file is invalid, or a library that it requires is missing.
+        ConfigError: If a file cannot be read or is invalid, or if a library that it requires is
+            missing.
     """
     cells = None
     management = None
@@ -172,7 +177,7 @@
 def reload_configuration(director: Director, log: StructuredLog, path: str | None) -> None:
     """Read the configuration again, several times if it is invalid, and apply it.
 
-    Keep the current one if all reads fail.
+    The director keeps its current configuration if all reads fail.
     """
     reason = ""
     for wait_s in RETRY_WAITS_S:
