--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,10 +2,10 @@
 
 Hypothesis generates the same cases in each run, so that test results are reproducible.
 
-Some tests evaluate a long-running job. The jobs of all collected tests are started before the first
-test and run in the background. Lab runs with complete fleets take most of a minute but little CPU
-time, so they run in threads. Simulations and searches use one CPU core each, so they run in
-processes.
+Some tests evaluate the result of a long-running job. The jobs of all collected test modules are
+started before the first test and run in the background. Lab runs with complete fleets take most of
+a minute but little CPU time, so they run in threads. Simulations and searches use one CPU core
+each, so they run in processes.
 """
 
 import multiprocessing
@@ -50,7 +50,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Move tests that wait for a background job to the end, when most jobs are finished."""
+    """Move tests that wait for a background job to the end, to give the jobs time to finish."""
     items.sort(
         key=lambda item: (
             not {"process_job_result", "thread_job_result"}.isdisjoint(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -294,7 +294,10 @@
 
 
 class CoordinatorFixture:
-    """Coordinator with three caches, two parents and an origin, and a manual clock in ms."""
+    """Coordinator with three caches, two parents and an origin, and a manual clock in ms.
+
+    `changes` are passed to `start_settings`.
+    """
 
     def __init__(self, **changes):
         self.now = 100_000.0
@@ -334,7 +337,7 @@
         return copy
 
     def run_to_result(self, request):
-        """Take the steps of a request without carrying them out, and return its result.
+        """Take the steps of a request, send and cancel none of its attempts, and return its result.
 
         The return value is None if the request has no result yet.
         """
@@ -396,7 +399,8 @@
 def endpoint_list_update(running, state, *names, full=False):
     """Return the data of an event that sets the state of the endpoints with these names.
 
-    `running` is a RunningDirector or another object with `endpoints`.
+    If `full` is set, the event is a full snapshot, so all other endpoints are removed. `running` is
+    a RunningDirector or another object with `endpoints`.
     """
     (known_event,) = platform_configuration([endpoint.address for endpoint in running.endpoints])[
         "known"
@@ -455,7 +459,7 @@
 
 
 def answer_nothing(fields):
-    """Plan of a StandInEndpoint that answers neither attempts nor pings."""
+    """Return no answer to an attempt; an endpoint with this plan does not answer pings either."""
 
 
 class StandInEndpoint(StandInServer):
@@ -513,8 +517,8 @@
     """Event stream that serves each connection with the next script.
 
     A script is a list of byte strings to send. None in a script waits until the client closes the
-    connection. If no script is left, only a response head is sent before this wait.
-    `last_event_ids` lists the event number in the request of each connection.
+    connection. If no script is left, a response head is sent, followed by this wait.
+    `last_event_ids` lists the number of the last known event that each connection's request names.
     """
 
     def __init__(self, *scripts, port=0):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,8 +1,8 @@
 """Adapter between `test_stored_data.py` and the program.
 
-It returns the content of stored data in external terms: keys of files and of JSON objects, YANG
-names, fields of the wire format. Only this file names modules and attributes of the program, so
-that a rename in the program changes neither the test's expectations nor the data.
+The functions return the content of stored data under its external names: keys of files and of JSON
+objects, YANG names, fields of the wire format. Only this file names modules and attributes of the
+program, so that a rename in the program changes neither the test's expectations nor the data.
 """
 
 import os
@@ -82,7 +82,11 @@
 
 
 def values_by_key(loaded: Any, keys: str) -> dict[str, Any]:
-    """Return an object's values by key; `keys` consists of `key` and `key=attribute` words."""
+    """Return an object's values by key.
+
+    `keys` consists of the words `key` and `key=attribute`; the second form names the attribute if
+    it differs from the key.
+    """
     pairs = [word.partition("=") for word in keys.split()]
     return {key: to_json_types(getattr(loaded, attribute or key)) for key, _, attribute in pairs}
 
@@ -174,7 +178,10 @@
 
 
 def parse_assignment(text: str) -> dict[str, Any]:
-    """Return version and time by the keys of the file, and the assignment by its YANG names."""
+    """Return the version, the time and the assignment of a file.
+
+    The first two have the keys of the file, the assignment has the names of the YANG model.
+    """
     loaded = read_assignment(text)
     return {
         "version": loaded.version,
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -15,8 +15,8 @@
 
 
 def test_drain_answers_open_requests(monkeypatch):
-    # Open requests get a final answer 0.3 s after the beginning of the drain, because 3.4 s of its
-    # limit of 3.7 s then remain.
+    # Guards against a drain that leaves open requests without an answer. They get a final answer
+    # 0.3 s after the beginning of the drain, because 3.4 s of its limit of 3.7 s then remain.
     monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)
     with RunningDirector(None) as running:
         client = running.connect_client()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -165,8 +165,8 @@
 
 
 def test_moved_event_stream_is_found_without_a_signal(tmp_path):
-    # The signal to reload the configuration may be lost. A director whose event stream refuses
-    # connections must then read the new address itself.
+    # Guards against a director that no longer gets events because it missed the signal to reload
+    # the configuration. If its event stream refuses connections, it must read the new address.
     old_stream, new_stream = StandInEventStream(), StandInEventStream()
     file = tmp_path / "config.json"
     file.write_text(json.dumps(platform_configuration(event_stream_address=old_stream.address)))
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -27,6 +27,7 @@
 def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
     configured_descriptors, descriptors, tmp_path
 ):
+    # Guards against idle clients that use up all descriptors, so that the director gets no events.
     # The limit of the process may be lower than the configured one. When the event stream becomes
     # available, the director must have descriptors left for the stream, for upstream connections
     # and for clients. Descriptors and threads of closed connections must be released.
