--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -61,7 +61,8 @@
     """Compute the indexes of an assignment; this takes seconds for a large assignment.
 
     Raises:
-        ConfigError: If the assignment is not consistent.
+        ConfigError: If ranges of two tenants partially overlap or are equal, or if a tenant's home
+            is not the source cell of its migration.
     """
     return PreparedAssignment(
         assignment, TenantResolver(assignment), checked_home_cells(assignment)
@@ -93,8 +94,14 @@
     ) -> None:
         """Create a controller that knows no cache yet.
 
+        Args:
+            now: The current time; not used.
+            assignment: The first version of the assignment.
+            capacity: Capacity of this director.
+            can_bypass_caches: Whether uncacheable requests bypass the caches.
+
         Raises:
-            ConfigError: If the assignment is not consistent.
+            ConfigError: As for `prepare_assignment`.
         """
         self.capacity = capacity
         self.tenant_states: dict[str, TenantState] = {}
@@ -121,8 +128,8 @@
             Messages for the log.
 
         Raises:
-            ConfigError: If an assignment that is not prepared is not consistent; the old version
-                then stays in force.
+            ConfigError: As for `prepare_assignment`, if the assignment is not prepared yet; the old
+                version then stays in force.
         """
         if isinstance(assignment, PreparedAssignment):
             prepared = assignment
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -17,7 +17,7 @@
 
 
 class EditRejectedError(MulleinrelayError):
-    """A change that would break a rule and is not made; the text says why."""
+    """Error for a change that would break a rule, so that it is not made; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
     durations: StageDurations,
     starts_in: float = 0.0,
 ) -> Assignment:
-    """Add a migration.
+    """Add a migration, and name the source cell in the entries of its tenants.
 
     Args:
         assignment: The version to change.
@@ -104,7 +104,7 @@
 def durations_for_demand(
     demand: migrations.MigrationDemand, warm_up: float, drain: float
 ) -> StageDurations:
-    """Return the durations, with the shortest shift that the receiving caches can serve.
+    """Return the durations of the stages, with the shortest shift that the caches can serve.
 
     Raises:
         EditRejectedError: If the receiving caches cannot serve the tenants at all.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -134,7 +134,7 @@
 
     Attributes:
         open: Number of these tenants' open requests.
-        rate: Requests per second of the token bucket; 0 if they are not limited.
+        rate: Requests per second of the token bucket; 0 as long as they were never limited.
         token_bucket: Token bucket of these tenants' requests.
     """
 
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -202,8 +202,9 @@
 def shuffle_shard(tenant: str, caches: list[str], count: int) -> list[str]:
     """Return the `count` caches of a tenant (shuffle sharding).
 
-    If `count` is 0 or there are not more caches, all caches are returned. Two tenants have exactly
-    the same caches with a probability of 1 in (n choose count), where n is the number of caches.
+    If `count` is 0, or if there are at most `count` caches, all caches are returned. Two tenants
+    have exactly the same caches with a probability of 1 in (n choose count), where n is the number
+    of caches.
     """
     if not 0 < count < len(caches):
         return list(caches)
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -16,7 +16,7 @@
 USE_DEFAULT_TENANT = "default_tenant"
 REJECT = "reject"
 
-KEEP_SHUFFLE_SHARDS = -1  # in a rollout: keeps the cell's number of caches per tenant
+KEEP_SHUFFLE_SHARDS = -1  # in a rollout: each cell keeps its number of caches per tenant
 
 
 @dataclass(slots=True, frozen=True)
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -144,7 +144,7 @@
         return [cell for wave_cells in self.cells_by_wave()[: self.wave + 1] for cell in wave_cells]
 
     def is_in_force(self, cell: str) -> bool:
-        """Return whether a cell uses the rollout's limits and shuffle shards."""
+        """Return whether the rollout has reached a cell and was not rolled back."""
         return not self.rollback_reason and cell in self.reached_at
 
     def phase(self) -> RolloutPhase:
