--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -32,7 +32,7 @@
 UNUSABLE_FILE = 2
 REJECTED = 3
 
-PLANNED_NAME = "planned"  # name of the migration that `plan` projects
+PLANNED_NAME = "planned"  # name of the migration that `plan` projects; it is never written
 
 
 @click.group()
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -5,7 +5,7 @@
 rollout, and in the cells without it. If both groups got worse, the rollout is not the cause and is
 only halted. If too few requests go to cells without the rollout, or no such cell is left in the
 last wave, a decline also only halts the rollout. A halted rollout continues when the cells recover;
-until then, operators can decide about it.
+until then, operators can roll it back or adopt it.
 
 No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
 each call.
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -136,8 +136,9 @@
     def resolve(self, tenant_name: str, address: str, group: int) -> str | None:
         """Return the tenant of a request; None if the request must be rejected.
 
-        If the client named no tenant, the address decides, then the group. A request of an unknown
-        tenant is handled as one of the default tenant or rejected, by the assignment's policy.
+        If the client named no tenant, the address determines the tenant, or the group if the
+        address belongs to no tenant. The assignment's policy says whether a request of an unknown
+        tenant is rejected or handled as a request of the default tenant.
 
         Args:
             tenant_name: Tenant that the client named; empty if the client named none. A request
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -72,7 +72,7 @@
         address = error.filename or f"{config.listen[0]}:{config.listen[1]}"
         return _fail(f"cannot listen on {address}: {reason}", EXIT_NOT_STARTED)
     except (RuntimeError, StoreError) as error:
-        # Stored management data are invalid, or the port of management is in use.
+        # The stored data of management cannot be read, or its address cannot be listened on.
         return _fail(str(error), EXIT_BAD_CONFIGURATION)
     return EXIT_DONE
 
