--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -137,9 +137,9 @@
 
 @pytest.mark.parametrize(("director_index", "answer"), [(0, SERVED), (1, FAILED)])
 def test_request_in_flight_at_a_migration_runs_in_one_cell_only(director_index, answer, tmp_path):
-    # Guards against an order that runs in both cells: its first attempt is in flight in the source
-    # cell when its object migrates. A retry at the same director must go to the source cell too. A
-    # retry at the other director must fail, because that director does not know the cell.
+    # Guards against a sticky request that runs in both cells: its first attempt is in flight in the
+    # source cell when its object migrates. A retry at the same director must go to the source cell
+    # too. A retry at the other director must fail, because that director does not know the cell.
     may_answer = threading.Event()
 
     def answer_later(fields):
--- a/tests/cells/test_cells_on_directors.py
+++ b/tests/cells/test_cells_on_directors.py
@@ -71,8 +71,8 @@
 
 
 def test_retry_over_the_quota_fails(tmp_path):
-    # Guards against telling a client that a retry is harmless although its first attempt may have
-    # run: a retry over the quota must fail, not be rejected.
+    # Guards against telling a client that it may repeat a request although the first attempt may
+    # have run: a retry over the quota must fail, because "rejected" means "never executed".
     assignment = make_assignment(
         TWO_CELLS, (Tenant("acme", "north", limits=Limits(rate=0.01, burst=1)), "beta", "shared")
     )
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -91,7 +91,7 @@
     assert (
         abs(after - before) <= steepest + (migration.warm_up_fraction if not warm else 0.0) + 1e-9
     )
-    if not aborted_at:  # migrated objects stay migrated
+    if not aborted_at:  # without an abort, migrated objects stay migrated
         assert not migrations.is_migrated(migration, key, before) or migrations.is_migrated(
             migration, key, after
         )
