--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,9 +1,9 @@
 """Parser of assignment files; no I/O.
 
-Errors are ConfigErrors that name the section and the key, as in `[tenant acme] rate: ...`. Some
-keys and sections of the file have other names than the corresponding classes and attributes
-(`move` for a migration, `release` for a rollout, `reserve` for a failover quota, ...). This module
-and `formatter` translate between them.
+Errors are ConfigErrors. An error of a value names its section and key, as in `[tenant acme] rate:
+...`. Some keys and sections of the file have other names than the corresponding classes and
+attributes (`move` for a migration, `release` for a rollout, `reserve` for a failover quota, ...).
+This module and `formatter` translate between them.
 """
 
 import ipaddress
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -34,7 +34,8 @@
 RECORDS_INTERVAL = 1_000.0  # ms between two writes of the records
 # Smaller changes of a capacity fraction are ignored, unless the fraction reaches or leaves 1.
 MIN_CAPACITY_CHANGE = 0.05
-# Log messages that wait for the next write of the records; more drop the oldest.
+# Log messages that wait for the next write of the records. Beyond this number, the oldest are
+# dropped.
 MAX_PENDING_MESSAGES = 1_000
 
 
--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -1,9 +1,9 @@
 """Parser of this project's INI files: cells, management, fleet, assignment and lab.
 
 `parse_sections` splits a text into sections. An `IniSection` then reads one section key by key and
-checks the format of each value. It can finally reject keys that were not read. Every error is a
-`ConfigError` that names the section and the key, as in `[tenant acme] rate: expected a number of
-0 or more, found '-1'`.
+checks each value. It can finally reject keys that were not read. Every error is a `ConfigError`. An
+error of a value names the section and the key, as in `[tenant acme] rate: expected a number of 0 or
+more, found '-1'`.
 """
 
 import configparser
