--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -1,9 +1,9 @@
-"""Parser of assignment files; pure.
+"""Parser of assignment files; no I/O.
 
-Errors are ConfigErrors that name the section and the key, as in `[tenant acme] rate: ...`. Some
-keys and sections of the file have other names than the corresponding classes and attributes
-(`move` for a migration, `release` for a rollout, `reserve` for a failover quota, ...). This module
-and `formatter` translate between them.
+Errors are ConfigErrors. An error of a value names its section and key, as in `[tenant acme] rate:
+...`. Some keys and sections of the file have other names than the corresponding classes and
+attributes (`move` for a migration, `release` for a rollout, `reserve` for a failover quota, ...).
+This module and `formatter` translate between them.
 """
 
 import ipaddress
@@ -36,7 +36,7 @@
 MAX_SHUFFLE_SHARDS = 10_000
 MAX_FACTOR = 100.0  # upper limit of the load bound and of a rollout's slowdown
 
-# Keys of limits in the file, and the corresponding attributes of `Limits`, in the same order.
+# Attributes of `Limits` by the keys of the file, in the order of the attributes.
 LIMIT_FIELDS_BY_KEY = {
     "rate": "rate",
     "burst": "burst",
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -1,8 +1,8 @@
-"""Resolution of a request's tenant by its name, the client's address or the object's group; pure.
+"""Resolution of a request's tenant by name, by the client's address or by the object's group.
 
 Addresses and groups are found by binary search, so that the cost per request is small even with
-thousands of tenants. Not thread-safe: `CellService` holds its lock during each call, which guards
-the cache of addresses.
+thousands of tenants. No I/O. Not thread-safe because of the cache of addresses: `CellService` holds
+its lock during each call.
 """
 
 import ipaddress
@@ -136,8 +136,9 @@
     def resolve(self, tenant_name: str, address: str, group: int) -> str | None:
         """Return the tenant of a request; None if the request must be rejected.
 
-        If the client named no tenant, the address decides, then the group. A request of an unknown
-        tenant is handled as one of the default tenant or rejected, by the assignment's policy.
+        If the client named no tenant, the address determines the tenant, or the group if the
+        address belongs to no tenant. The assignment's policy says whether a request of an unknown
+        tenant is rejected or handled as a request of the default tenant.
 
         Args:
             tenant_name: Tenant that the client named; empty if the client named none. A request
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -40,10 +40,10 @@
 
 
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
-    # Guards against a flooding tenant that leaves no open requests for the tenants of other cells.
-    # The cache never answers the flooding tenant's requests, so all admitted ones stay open. On a
-    # slow machine, some of them time out during the test. Only a request that timed out allows one
-    # more request to be admitted.
+    # Guards against a flooding tenant that uses up the director's open requests, so that requests
+    # for other cells are rejected. The cache never answers the flooding tenant's requests, so all
+    # admitted ones stay open. On a slow machine, some of them time out during the test; each of
+    # these allows one more request to be admitted.
     def answer_others(fields):
         return None if fields["name"].startswith("f") else HIT_ANSWER
 
@@ -137,9 +137,9 @@
 
 @pytest.mark.parametrize(("director_index", "answer"), [(0, SERVED), (1, FAILED)])
 def test_request_in_flight_at_a_migration_runs_in_one_cell_only(director_index, answer, tmp_path):
-    # Guards against an order that runs in both cells: its first attempt is in flight in the source
-    # cell when its object migrates. A retry at the same director must go to the source cell too. A
-    # retry at the other director must fail, because that director does not know the cell.
+    # Guards against a sticky request that runs in both cells: its first attempt is in flight in the
+    # source cell when its object migrates. A retry at the same director must go to the source cell
+    # too. A retry at the other director must fail, because that director does not know the cell.
     may_answer = threading.Event()
 
     def answer_later(fields):
