--- a/mulleinrelay/policy/actions.py
+++ b/mulleinrelay/policy/actions.py
@@ -1,7 +1,7 @@
 """Actions that the router asks its caller to carry out.
 
-Actions are typed method calls on an `ActionSink`, made in order while an event is handled. They are
-calls and not objects because a busy director makes several of them for each request.
+Actions are typed method calls on an `ActionSink`, made during `Router.handle` in the order of the
+decisions. They are calls and not objects because a busy director makes several for each request.
 """
 
 from typing import NamedTuple, Protocol
@@ -39,12 +39,12 @@
     """
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Send this attempt to its endpoint; the options are forwarded with it."""
+        """Send this attempt and its options to the attempt's endpoint."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel this attempt.
 
-        The caller then reports the attempt as finished with `Outcome.CANCELLED`.
+        The router's caller then reports the end of the attempt with `Outcome.CANCELLED`.
         """
 
     def reject_request(self, request: Request, retry_after: float) -> None:
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -14,20 +14,20 @@
 lower priority, because its latency objective has passed or is near. Therefore neither low-priority
 requests nor retries starve other requests.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 from collections.abc import Iterable
 
 from .model import IDEMPOTENT, RequestClass
 
-# Timer delay in ms that counts as a CPU utilization of 1.
+# Timer delay in ms that would be a CPU utilization of 1, without the bound `MAX_DELAY_UTILIZATION`.
 SATURATION_DELAY = 400.0
 # Half-life of a measured delay in ms. It is short so that a director that was suspended once soon
 # accepts all requests again.
 DELAY_HALF_LIFE = 100.0
-# Upper bound of the utilization that is derived from the timer delay. It is below 1, the threshold
-# of non-idempotent requests, so that delay alone never rejects these.
+# Upper bound of the utilization that is derived from the timer delay. It is below 1, from which on
+# non-idempotent requests are rejected, so that delay alone never rejects these.
 MAX_DELAY_UTILIZATION = 0.99
 # Maximum number of half-lives that are computed. After so many half-lives the delay is practically
 # 0; the bound keeps the power in range.
@@ -52,7 +52,8 @@
         """Record that a timer fired `delay` ms after it was due.
 
         A delay counts as at most `SATURATION_DELAY`, so that a director accepts requests again as
-        soon after a long suspension as after a short one.
+        soon after a long suspension as after a short one. An earlier delay is kept if it is larger
+        after its decay.
         """
         self._delay = max(min(delay, SATURATION_DELAY), self.remaining(now))
         self._recorded_at = now
@@ -86,7 +87,7 @@
     Args:
         has_called: Whether a complete call of any kind was received on the connection.
         has_sent_request: Whether one of these calls was a request.
-        is_within_call: Whether a further call was received in part.
+        is_within_call: Whether the beginning of a further call was received, but not its end.
         last_used_at: Time when the connection was opened, or when its last call or response was
             complete. Any clock may be used that is the same for all connections.
     """
@@ -94,11 +95,11 @@
 
 
 class AdmissionThresholds:
-    """Utilization up to which the requests of each request class are accepted.
+    """Utilization below which the requests of each request class are accepted.
 
-    Each request class has a step number. Non-idempotent classes have 0. Idempotent classes have the
-    following numbers by descending priority weight, or the numbers from 0 if all classes are
-    idempotent; classes of equal weight share a number. The threshold of a class is 1 minus
+    Each request class has a step number. Non-idempotent classes have 0. Idempotent classes have 1,
+    2 and so on by descending priority weight; classes of equal weight share a number. If all
+    classes are idempotent, their numbers begin at 0. The threshold of a class is 1 minus
     `RESERVED_PER_STEP` times its step number, of which at most `MAX_RESERVED_STEPS` count.
     """
 
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -1,6 +1,6 @@
-"""Statistics that a finished attempt adds to its endpoint and its fill source.
+"""Recording of a finished attempt: statistics of its endpoint and fill source, object locations.
 
-Pure; times in ms.
+No I/O and no clock: the time is an argument, in ms.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 RESET_WEIGHT = 1.0  # number of failures that a reset connection counts as
 
 RESPONSES = (Outcome.SERVED, Outcome.MISS, Outcome.REJECTED, Outcome.ERROR)
-HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)  # of answers that are not known to be filled
+HIT_STATUSES = (CacheStatus.HIT, CacheStatus.UNKNOWN)  # hits, and answers without a known status
 FILL_STATUSES = (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
 SOURCE_FAILURE_STATUSES = (
     CacheStatus.SOURCE_REJECTED,
@@ -36,8 +36,8 @@
 class AttemptRecorder:
     """Recorder of attempt results, which updates every object that uses them.
 
-    It owns no state. Only this class adds to the endpoints' histograms and to the origin's delay,
-    and only this class changes the object locations, of which the router drops the expired ones.
+    It owns no state. Only this class adds to the endpoints' histograms and to the origin's delay.
+    Only this class changes the object locations, except that the router drops the expired ones.
     """
 
     endpoints: EndpointTable
@@ -80,7 +80,7 @@
         work = self.work.transfer_time(request, now)
         if status in HIT_STATUSES:
             self.work.record_response_time(request, event.elapsed, now)
-        # The delay of an answer from a cache that was unreachable says nothing about its load.
+        # If the cache was unreachable, the delay of its answer says nothing about its load.
         if status == CacheStatus.HIT and not was_unreachable:
             lateness = 100.0 * (event.elapsed - work) / max(work, MIN_WORK_FOR_LATENESS)
             endpoint.hit_lateness.add(now, min(lateness, MAX_LATENESS))
@@ -114,7 +114,7 @@
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         endpoint = attempt.endpoint
-        if outcome == Outcome.REJECTED:  # the endpoint is overloaded, so this counts as a late hit
+        if outcome == Outcome.REJECTED:  # counts as a late hit, since the endpoint is overloaded
             endpoint.hit_lateness.add(now, REJECTED_LATENESS)
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             self.health.record_unreachable(endpoint, now)
@@ -123,9 +123,9 @@
                 endpoint, CONNECT_FAILURE_WEIGHT, EjectionReason.CONNECT_FAILED, now
             )
         elif outcome == Outcome.RESET and attempt.sent_at > endpoint.last_reset_at:
-            # Count one failure for each broken connection and not for each attempt on it, since a
-            # single malformed answer ends them all. If the endpoint is dead, the next connection
-            # fails too.
+            # Count one failure for each broken connection and not for each of its attempts, since a
+            # single malformed answer ends them all. Attempts that were sent before the last counted
+            # reset are therefore ignored. If the endpoint is dead, the next connection fails too.
             endpoint.last_reset_at = now
             self.health.record_result(endpoint, RESET_WEIGHT, EjectionReason.RESET, now)
 
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -1,6 +1,7 @@
 """Selection of the cache that serves a request: rendezvous hash with bounded load.
 
-Hot objects are spread over several caches. Pure; times in ms.
+The first cache in rendezvous order that is fast enough for the request is chosen. Hot objects are
+spread over several caches. No I/O and no clock: the time is an argument, in ms.
 """
 
 import math
@@ -18,7 +19,8 @@
 from .rendezvous_hash import rendezvous_order
 from .work_estimates import WorkEstimator
 
-MIN_EFFECTIVE_WEIGHT = 0.1  # lower bound that keeps the slowdown estimate finite
+# Lower bound of a cache's available capacity, which keeps the slowdown estimate finite.
+MIN_EFFECTIVE_WEIGHT = 0.1
 # Number of recent requests for an object from which on a cache keeps the object for longer.
 MIN_SIGHTINGS_TO_RETAIN = 2
 
@@ -27,7 +29,8 @@
 class CacheSelector:
     """Selector of the cache that serves a request.
 
-    Owns the popularity counts, which only `record_request` changes.
+    Owns the popularity counts, which only `record_request` changes. A choice may spend trial tokens
+    and draw permits of slow start.
     """
 
     settings: ServiceSettings
@@ -49,12 +52,12 @@
     def choose(self, request: Request, now: float) -> TrackedEndpoint | None:
         """Choose the cache that serves the request.
 
-        A request with a pool goes to one of the pool's caches, or to one of its failover caches if
-        none of the pool's caches is available.
+        A request with a pool goes to one of the pool's caches. If none of them can be chosen, it
+        goes to one of the pool's failover caches.
 
         Returns:
-            The cache; None if no cache is available, or if all are too slow to serve the request in
-            time.
+            The cache; None if every cache is unavailable, was tried before, or is too slow to serve
+            the request in time.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
@@ -67,11 +70,11 @@
     def slowdown(self, endpoint: TrackedEndpoint, now: float) -> float:
         """Return the factor by which a transfer from the endpoint is slowed, 1 or more.
 
-        Two estimates are averaged. The first is the mean lateness of recent hits; one hit without
-        lateness is added, because few hits are known. The second assumes that every director in the
-        zone has as many attempts in flight to the endpoint as this one, and divides the sum by the
-        endpoint's available capacity. Its weight in the average is one divided by the number of
-        directors.
+        Two estimates are averaged. The first is 1 plus the mean lateness of recent hits; one hit
+        without lateness is added, because few hits are known. The second is the number of attempts
+        at the endpoint, with the one to be sent, divided by the endpoint's available capacity. It
+        assumes that every director in the zone has as many attempts in flight there as this one.
+        The weight of the second in the average is one divided by the number of directors.
         """
         lateness, hits = endpoint.hit_lateness.totals(now)
         weight = max(
@@ -87,7 +90,7 @@
         """Return how long a cache should keep the object: 0 (not at all), 1, or 2 (longer).
 
         Objects with repeated requests have rank 2, so that objects that are requested only once do
-        not displace them. Of the other objects, those that are oversized for their class have 0.
+        not displace them. Any other object has rank 0 if it is oversized for its class, else 1.
         """
         sightings = self.popularity.count((request.object_id, request.part))
         if sightings >= MIN_SIGHTINGS_TO_RETAIN:
--- a/mulleinrelay/policy/connection_reuse.py
+++ b/mulleinrelay/policy/connection_reuse.py
@@ -1,7 +1,7 @@
-"""Upstream connections: when to ping a silent one, and how long to keep an idle one open.
+"""Upstream connections: when to ping a silent connection, and when to close an idle one.
 
 A ping costs the endpoint work, and an open connection uses one of the endpoint's limited connection
-slots. A slow response makes hundreds of directors react at the same time. Therefore:
+slots. When an endpoint becomes slow, hundreds of directors react at the same time. Therefore:
 
 * Ping backoff (`PingBackoff`): a connection with attempts in flight is pinged after a period of
   silence, since the endpoint may have failed. If the ping is answered, the response is merely slow,
@@ -11,7 +11,7 @@
 * Eviction (`connections_to_evict`): near the director's own connection limit, the connections that
   have been idle for longest are closed, so that attempts to other endpoints can get a connection.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 import errno
@@ -19,10 +19,10 @@
 
 Connection = TypeVar("Connection")
 
-# Silence in ms before a ping, divided by 1 + attempts in flight: if many responses are due, the
-# first of them should be received sooner.
+# This value divided by 1 + attempts in flight is the silence in ms before a ping: if many responses
+# are due, the first of them should be received sooner.
 SILENCE_BEFORE_PING = 1500.0
-# Lower bound in ms of the silence before a ping, without backoff.
+# Lower bound in ms of the silence before a ping; the backoff multiplies the bounded silence.
 MIN_SILENCE_BEFORE_PING = 100.0
 # Maximum number of doublings of the silence before a ping, which makes it 16 times as long.
 MAX_BACKOFF_DOUBLINGS = 4.0
@@ -37,7 +37,7 @@
 # Maximum number of idle connections to one parent or to the origin, summed over the directors of
 # all locations, which share these endpoints.
 MAX_IDLE_TO_PARENT_OR_ORIGIN = 48
-# Factor on these maximums if opening a connection costs more than keeping an idle one open.
+# Factor by which both maximums grow if opening a connection costs more than keeping an idle one.
 COSTLY_CONNECT_FACTOR = 8
 # Idle timeout in ms if one idle connection for each director would exceed the maximum.
 SHORT_IDLE_TIMEOUT = 50.0
@@ -75,7 +75,8 @@
 ) -> list[Connection]:
     """Return the idle connections to close now, those idle for longest first.
 
-    So many are closed that `EVICTION_THRESHOLD` of the connection limit remain, if enough are idle.
+    Their number is the number of connections beyond `EVICTION_THRESHOLD` of the connection limit,
+    or the number of idle connections if that is smaller.
 
     Args:
         idle: The idle connections, each as (time of its last use, connection).
@@ -111,7 +112,7 @@
 ) -> float:
     """Return the time in ms after which an idle connection to an endpoint is closed.
 
-    If one idle connection for each director stays within the endpoint's maximum, the time is
+    If one idle connection for each director stays within the maximum for the endpoint, the time is
     `IDLE_TIMEOUT_FRACTION` of the endpoint's own timeout. Otherwise it is at most
     `SHORT_IDLE_TIMEOUT`. The endpoint then has no more connections than there are requests in
     service plus requests received within the timeout, whatever the number of directors.
--- a/mulleinrelay/policy/deadlines.py
+++ b/mulleinrelay/policy/deadlines.py
@@ -1,4 +1,4 @@
-"""Time limits of requests; pure functions, times in ms.
+"""Time limits of requests; no I/O and no clock: the time is an argument, in ms.
 
 The final response is what the client receives last: an answer, a rejection or a failure.
 """
--- a/mulleinrelay/policy/decay.py
+++ b/mulleinrelay/policy/decay.py
@@ -3,7 +3,7 @@
 Counts are halved once in a half-life instead of being reduced at every event. Most events then need
 no exponentiation.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 # Maximum number of halvings at once. After so many halvings a count is practically 0; the bound
@@ -12,7 +12,7 @@
 
 
 class StepwiseDecay:
-    """Schedule of halvings for a set of counts, which the caller keeps."""
+    """Schedule of halvings for a set of counts; the caller holds and multiplies the counts."""
 
     __slots__ = ("_half_life", "_next_halving_at")
 
@@ -23,9 +23,9 @@
     def take_factor(self, now: float) -> float:
         """Return the factor that the caller must multiply all counts of the set with now.
 
-        The factor is 1 until a halving is due. Otherwise it is 0.5 for each half-life that has
-        passed, and the next halving is due a half-life after `now`. The caller must apply the
-        factor of every call, since each factor is returned only once.
+        The factor is 1 until a halving is due. Otherwise it halves the counts once for each
+        half-life that has passed, and the next halving is due a half-life after `now`. The caller
+        must apply the factor of every call, since each factor is returned only once.
         """
         if now < self._next_halving_at:
             return 1.0
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -1,6 +1,7 @@
 """Admission of work to endpoints in slow start, within this director's share of their capacity.
 
-Pure; times and work are in ms. Module `slow_start` has the budget of a single endpoint.
+The work of a request is the estimated transfer time of its answer in ms. Module `slow_start` has
+the budget of a single endpoint. No I/O and no clock: the time is an argument, in ms.
 """
 
 from dataclasses import dataclass
@@ -31,7 +32,7 @@
     parent_quota: QuotaShare
 
     def available_fraction(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the minimum fraction of its capacity that an endpoint has now.
+        """Return the fraction of its capacity that an endpoint has at least now.
 
         The fraction grows linearly during slow start and is 1 afterwards. It is always 1 for the
         origin, and for an endpoint whose start time is unknown.
@@ -51,6 +52,7 @@
         An endpoint in slow start receives from this director at most the director's share of the
         load that the endpoint's policy allows over any overload window. The method may draw random
         numbers, but until `record_sent`, calls with the same time and work return the same answer.
+        It also records the peaks of a tracked quota share.
         """
         fraction = self.available_fraction(endpoint, now)
         if fraction >= 1.0:
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -1,4 +1,4 @@
-"""Filter of the endpoints that may be sent work: healthy ones, and ejected ones as a trial."""
+"""Filter of the endpoints that may be sent work: healthy ones, and ejected ones for a trial."""
 
 from collections.abc import Iterator, Sequence
 
@@ -53,10 +53,10 @@
     ) -> Iterator[TrackedEndpoint]:
         """Yield the endpoints that may be sent this much work, in the given order.
 
-        An ejected endpoint is yielded only as a trial request. The iteration is lazy, so that the
-        token is spent only when the endpoint is requested from the iterator. If no endpoint is
-        yielded in this way, the ejected endpoints that slow start permits are yielded without
-        spending a token.
+        An ejected endpoint is yielded only if a trial request to it is due. The iteration is lazy,
+        so that the token is spent only when the endpoint is requested from the iterator. If no
+        endpoint is yielded in this way, the ejected endpoints that slow start permits are yielded
+        without spending a token.
         """
         ejected = []
         has_eligible = False
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -1,8 +1,9 @@
-"""Endpoint health: ejection, reinstatement and health checks; pure, times in ms.
+"""Endpoint health: ejection, reinstatement and health checks.
 
-An *ejected* endpoint receives only trial requests until it is reinstated. The module combines
-outlier detection by results, silence of endpoints, the reachability of the zone as a whole, and the
-schedule of health checks.
+An *ejected* endpoint receives only trial requests until it is reinstated, unless all endpoints that
+could be chosen instead are ejected too. The module combines outlier detection by results, silence
+of endpoints, the reachability of the zone as a whole, and the schedule of health checks. No I/O and
+no clock: the time is an argument, in ms.
 """
 
 from collections.abc import Callable
@@ -22,7 +23,7 @@
 # silent.
 MAX_SILENCE = 2.0
 # Maximum delay of the first health checks of caches in a zone that is considered unreachable. It is
-# short because the decision may be wrong.
+# short because the zone may be reachable after all.
 FIRST_ZONE_CHECK_DELAY = 250.0  # ms
 
 
@@ -107,7 +108,7 @@
 
         Args:
             endpoint: The attempt's endpoint or its fill source.
-            failure: 0 for a success, else the weight of the failure.
+            failure: 0 for a success, else the number of failures that the result counts as.
             reason: The reason of an ejection for this failure; None for a success.
             now: The current time in ms.
         """
@@ -135,7 +136,9 @@
     def record_silence(
         self, endpoint: TrackedEndpoint, overdue_attempts: float, now: float
     ) -> None:
-        """Record an overdue attempt for an endpoint that was silent since the attempt was sent.
+        """Record an overdue attempt at a silent endpoint, and eject the endpoint if due.
+
+        The endpoint has been silent since the attempt was sent.
 
         Args:
             endpoint: The silent endpoint: the attempt's endpoint or its fill source.
@@ -166,8 +169,9 @@
         """Record a response of the endpoint.
 
         A response ends the endpoint's silence. A cache's response also ends the outage of an
-        unreachable zone, and the caches that were ejected as unreachable during the outage are
-        reinstated.
+        unreachable zone. Then the caches that were ejected as unreachable during the outage are
+        reinstated, unless it was a false alarm (see `ZoneReachability.record_response`), and the
+        pings of caches that are not ejected as unreachable are cancelled.
         """
         endpoint.last_heard_at = now
         unreachable_since = self.zone.record_response(now, endpoint)
@@ -185,14 +189,14 @@
     def record_health_check(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Record that a health check was answered.
 
-        This reinstates the endpoint if it was ejected as unreachable, and ends an outage of its
-        zone.
+        An endpoint that was ejected as unreachable is reinstated. So is a cache of an unreachable
+        zone, and the zone's outage ends. In other cases the answer changes nothing.
         """
         if endpoint.is_unreachable or (self.zone.is_unreachable and endpoint in self.zone.caches):
             self.reinstate(endpoint, now)
 
     def reinstate(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """Clear the endpoint's recorded failures and silence, and record a response."""
+        """Reinstate an endpoint: clear its failures and silence, and record a response."""
         endpoint.outlier_detector.clear_failures()
         # `record_response` ends the ejection only of an endpoint with a silence above 0.
         endpoint.silence = endpoint.silence or MAX_SILENCE
@@ -220,8 +224,8 @@
     ) -> None:
         """Eject an endpoint that fails too often or is silent for too long; else reinstate it.
 
-        Pings of an endpoint begin when it is ejected as unreachable, and end when it is reinstated.
-        `reason` is the reason of an ejection; None after a success or response.
+        Pings of a ready endpoint begin when it is ejected as unreachable, and end when it is
+        reinstated. `reason` is the reason of an ejection; None after a success or response.
         """
         detector: OutlierDetector = endpoint.outlier_detector
         should_eject = endpoint.silence >= MAX_SILENCE or detector.is_outlier()
@@ -244,7 +248,7 @@
         )
 
     def _sharing_directors(self, endpoint: TrackedEndpoint) -> int:
-        """Return the number of directors that may send health checks to the endpoint."""
+        """Return how many directors are taken to share the health checks of the endpoint."""
         if endpoint in self._endpoints.parents:
             return self._settings.director_count
         return self._settings.local_director_count
--- a/mulleinrelay/policy/endpoint_table.py
+++ b/mulleinrelay/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Endpoints of the endpoint list, sorted by their role for this director; pure."""
+"""Endpoints of the endpoint list, grouped by their role for this director; no I/O."""
 
 from .events import EndpointEntry
 from .latency import TrackedEndpoint
@@ -12,7 +12,8 @@
     list. Only `apply` changes them.
 
     Attributes:
-        known: All listed endpoints, and removed endpoints that still have attempts in flight.
+        known: All listed endpoints, and removed endpoints that had attempts in flight at the last
+            update.
         caches: The ready caches of this director's zone.
         parents: The ready parents of all zones.
         origin: The origin; None if it is not ready.
@@ -30,7 +31,7 @@
         return [endpoint for endpoint in self.known if endpoint.is_ready]
 
     def apply(self, entries: list[EndpointEntry], is_full_snapshot: bool) -> bool:
-        """Apply an update of the endpoint list; clear the measurements of restarted endpoints.
+        """Apply an update of the endpoint list; reset new and restarted endpoints.
 
         Args:
             entries: New or changed entries.
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -62,8 +62,9 @@
 class TimerFired:
     """A timer that the router has scheduled for a request or an attempt is due.
 
-    A request that is not complete then ends without an answer; a caller may also hand over this
-    event earlier, to end a request immediately. An attempt is checked for being overdue.
+    If the subject is a request that is not complete, the request ends without an answer; the
+    router's caller may also hand over this event earlier, to end a request immediately. If the
+    subject is an attempt, the router checks whether it is overdue.
     """
 
     subject: Request | Attempt
@@ -82,7 +83,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """State of one endpoint in an update of the endpoint list (see the fields of `Endpoint`)."""
+    """One endpoint in an update of the endpoint list (see the fields of `Endpoint`)."""
 
     endpoint: TrackedEndpoint
     state: EndpointState
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -1,4 +1,4 @@
-"""Selection of a cache miss's fill source by load-aware network distance; pure, times in ms.
+"""Selection of a cache miss's fill source by load-aware network distance.
 
 The mechanism follows "Distributed Content Delivery using Load-Aware Network Coordinates". The
 paper's coordinates are replaced as follows:
@@ -12,7 +12,10 @@
 * Skipped endpoints receive trial fills, which measure their delay again.
 
 In addition to the paper, a fill is not started if it would miss the request's latency objective
-because its source, the origin behind the source, or the zone's link is congested.
+because its source or the zone's link is congested. If only the origin is congested, a parent may
+answer only from its own cache.
+
+No I/O and no clock: the time is an argument, in ms.
 """
 
 from collections.abc import Iterator, Sequence
@@ -38,7 +41,7 @@
 # fills use the origin only if no parent is suitable, because each byte from the origin has a price.
 ORIGIN_TRIAL_FRACTION = 0.0125
 # Weight with which a parent's usual delay counts as one more recent measurement, since there may be
-# few of these.
+# few recent measurements.
 USUAL_WEIGHT = 0.4
 # Multiple of the median delay that must be left for a fill. It exceeds 1 because half of the fills
 # take longer than the median.
@@ -55,7 +58,7 @@
 
     Attributes:
         source: The endpoint that a miss is filled from; the cache itself if a miss is not filled;
-            None if there is no endpoint.
+            None if there is neither a source nor a cache.
         only_if_cached: Whether the source may answer only from its own cache.
     """
 
@@ -69,8 +72,9 @@
     Owns the report; only `record` changes it.
 
     Attributes:
-        congestion: Value `crowding` of the load report: how many times as long transfers over the
-            link take; 0 before the first report.
+        congestion: Value `crowding` of the load report: number of transfers over the link of the
+            cache's location, divided by the number that fit at full speed, so that it may be below
+            1. It is 0 before the first report.
         reported_at: Time of the report in ms.
     """
 
@@ -79,7 +83,7 @@
         self.reported_at = 0.0
 
     def record(self, congestion: float, now: float) -> None:
-        """Store a report that was received now."""
+        """Store the congestion from a load report that is received at the time `now`."""
         self.congestion = congestion
         self.reported_at = now
 
@@ -201,8 +205,8 @@
     def delay(self, endpoint: TrackedEndpoint, now: float) -> float:
         """Return the smoothed delay in ms of fills through an endpoint.
 
-        An endpoint without measurements gets the average of the other endpoints; 0 if no endpoint
-        has measurements.
+        An endpoint without recent measurements gets the average of the other endpoints; 0 if no
+        endpoint has recent measurements.
         """
         mean = endpoint.recent_delay.mean(now)
         if mean is not None:
@@ -228,10 +232,11 @@
         work: float,
         now: float,
     ) -> TrackedEndpoint | None:
-        """Return a sibling cache that holds the object, or that held it before a migration.
+        """Return a nearby sibling cache that is believed to hold the object.
 
-        The result is None if there is no such cache, if sibling fills are not allowed, or if a hit
-        is expected at the request's own cache.
+        If there is none, return the cache that held the object before a migration. The result is
+        None if this cache is missing too, if sibling fills are not allowed, or if a hit is expected
+        at the request's own cache.
         """
         max_delay = self.delay(cache, now) + NEARBY_DELAY
         if not self.settings.allows_sibling_fills or self.is_believed_holder(cache, request, now):
@@ -265,9 +270,10 @@
     ) -> TrackedEndpoint | None:
         """Return the cache that served the object before its tenant's migration.
 
-        The cache is assumed to hold the object even without a recent answer, which reduces the load
-        of the origin. For objects without recent requests this costs an additional attempt. The
-        result is None if the cache is not available or was tried before.
+        It is the first in rendezvous order of the available caches that served the tenant. It is
+        assumed to hold the object even without a recent answer, which reduces the load of the
+        origin. For objects without recent requests this costs an additional attempt. The result is
+        None if no such cache is available, or if the first was tried before.
         """
         pool = request.pool
         if pool is None or not pool.migration_sources:
@@ -280,11 +286,11 @@
     def _rank_parents(
         self, request: Request, tried: set[TrackedEndpoint | None], now: float
     ) -> list[TrackedEndpoint]:
-        """Return the untried parents in rendezvous order, or by delay if the client is impatient.
+        """Return the parents not in `tried`, in the order in which they should be used.
 
-        A client is impatient if it stops waiting before the latency objective ends and has not sent
-        the request before. A near parent may still serve the client in time, at the cost of
-        additional copies.
+        This is the rendezvous order, or the order of their delay if the client is impatient: it
+        stops waiting before the latency objective ends and has not sent the request before. A near
+        parent may still serve such a client in time, at the cost of additional copies.
         """
         ranked = rendezvous_order(
             [parent for parent in self.endpoints.parents if parent not in tried],
@@ -305,7 +311,7 @@
         """Return the increase of the parent's recent delay over its usual delay, in ms.
 
         The usual delay counts as one more recent measurement with the weight `USUAL_WEIGHT`, so
-        that a few measurements have little effect.
+        that a few measurements have little effect. The result is 0 if the usual delay is unknown.
         """
         total, count = parent.recent_delay.totals(now)
         usual = parent.usual_delay.mean(now)
--- a/mulleinrelay/policy/freshness.py
+++ b/mulleinrelay/policy/freshness.py
@@ -1,6 +1,6 @@
 """Purges: a copy made before an object's last purge must not be served.
 
-Pure, times in ms.
+No I/O and no clock: the time is an argument, in ms.
 """
 
 from .model import Request
@@ -40,8 +40,8 @@
     def max_age(self, request: Request, now: float) -> float:
         """Return the maximum age in ms of a copy that may be served; 0: any age.
 
-        While a purge is in force, only copies made after the last purge may be served, and none
-        past its freshness lifetime. Otherwise the result is 0.
+        While a purge of the object or its group is in force, only copies made after the last purge
+        may be served, and none past the class's freshness lifetime. Otherwise the result is 0.
         """
         purged_at = self.last_purge(request)
         if not purged_at or now - purged_at > self._lifetime:
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -10,11 +10,11 @@
 * Load report polls: a director earns polls by its requests and spends them on randomly chosen
   endpoints, at a limited rate. A director with hardly any requests still polls occasionally.
 
-Both are the same action for the caller: it sends the endpoint a health check, and passes the result
-to the router.
+Pings and polls are the same action for the router's caller: it sends the endpoint a health check,
+and passes the result to the router.
 
-Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
-caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms, and the source of randomness is passed in. Not
+thread-safe.
 """
 
 import math
@@ -39,8 +39,8 @@
 # Polls that a request earns, and the maximum number of saved polls.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
-# Cost of sending one poll with each request, in priority weight. Up to this cost, a request earns
-# `POLLS_PER_REQUEST` polls; if polls cost more, a request earns fewer.
+# Cost of sending one poll with each request, in the unit of `RequestClass.priority_weight`. Up to
+# this cost, a request earns `POLLS_PER_REQUEST` polls; if polls cost more, a request earns fewer.
 REFERENCE_POLL_COST = 0.014
 
 
@@ -69,15 +69,17 @@
     ) -> None:
         """Create the scheduler; first polls are at random times, as directors may start together.
 
-        The loss due to outdated load reports is inversely proportional to the rate of polls, and
-        the total cost of polls is proportional to their rate. The optimal rate is therefore
-        inversely proportional to the square root of the cost of one poll.
+        The cost of one poll determines how many polls a request earns. The loss due to outdated
+        load reports is inversely proportional to the rate of polls, and the total cost of polls is
+        proportional to their rate. The optimal rate is therefore inversely proportional to the
+        square root of the cost of one poll.
 
         Args:
             now: The current time in ms.
             random: The director's source of randomness.
             polls_load_reports: Whether endpoints report their load when polled; False: never poll.
-            poll_cost: Cost of sending one poll with each request, in priority weight; 0: unknown.
+            poll_cost: Cost of sending one poll with each request, in the unit of
+                `RequestClass.priority_weight`; 0: unknown.
         """
         cost_ratio = REFERENCE_POLL_COST / max(poll_cost, REFERENCE_POLL_COST)
         self._polls_per_request = POLLS_PER_REQUEST * math.sqrt(cost_ratio)
@@ -130,7 +132,7 @@
         }
 
     def take_due(self, now: float, endpoints: Sequence[Hashable]) -> list[Hashable]:
-        """Return the endpoints to contact now, and schedule the next pings and poll.
+        """Return the endpoints to ping or poll now, and schedule the next pings and poll.
 
         Args:
             now: The current time in ms.
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -1,9 +1,9 @@
 """Rules for whether an attempt or a retry by the client may follow the earlier attempts.
 
 An idempotent request may run any number of times. A request with an idempotency key may be sent
-again as long as every endpoint remembers its key. Any request may be sent again if all earlier
-attempts provably never ran; a request of any other kind may be sent again only then. Pure
-functions, times in ms.
+again as long as every endpoint remembers its key. If all earlier attempts provably never ran, any
+request may be sent again; a request of neither kind may be sent again only in this case. No I/O and
+no clock: the time is an argument, in ms.
 """
 
 from .deadlines import has_time_left
@@ -23,7 +23,7 @@
 
 
 def can_send(request: Request, now: float, starting: Attempt | None = None) -> bool:
-    """Return whether an attempt may be sent now without a second effect, and before the deadline.
+    """Return whether an attempt may be sent now: in time, and without the risk of a second effect.
 
     Args:
         request: The request.
--- a/mulleinrelay/policy/latency.py
+++ b/mulleinrelay/policy/latency.py
@@ -7,8 +7,8 @@
 from .slow_start import SlowStartBudget
 
 BIN_COUNT = 11
-# In the unit of the measurements. The first bin is [4, 8), and also counts smaller values; the last
-# bin also counts larger ones.
+# Middles of the bins, in the unit of the measurements. The first bin is [4, 8), and also counts
+# smaller values; the last bin also counts larger ones.
 BIN_MIDDLES = [6.0 * 2.0**number for number in range(BIN_COUNT)]
 MAX_HALVINGS = 30  # bound of the power; after so many halvings a weight is practically 0
 MIN_WEIGHT_FOR_MEAN = 0.1  # a smaller total weight is the remainder of old measurements
@@ -33,7 +33,7 @@
         self.next_decay_at = 0.0
 
     def decay(self, now: float) -> None:
-        """Halve all weights once for each half-life that has passed."""
+        """Halve all weights once for each half-life since the last halving."""
         if now >= self.next_decay_at:
             halvings = min(MAX_HALVINGS, 1 + int((now - self.next_decay_at) / self.half_life))
             self.weights = [weight * 0.5**halvings for weight in self.weights]
@@ -48,7 +48,7 @@
     def totals(self, now: float) -> tuple[float, float]:
         """Return the weighted sum of the measurements and the sum of their weights.
 
-        Each measurement counts as the middle of its bin.
+        Each measurement counts as the middle of its bin. The method also decays the weights.
         """
         # Repeat the check of `decay` to save a call: this method runs several times for a request.
         if now >= self.next_decay_at:
@@ -90,13 +90,13 @@
         recent_delay: Delays in ms of fills through the endpoint, over the last seconds.
         usual_delay: The same delays over a longer time.
         hit_lateness: Time that hits took beyond their transfer time, in percent of the transfer
-            time.
+            time. An attempt that the endpoint rejects counts as a late hit.
         outlier_detector: Recent successes and failures of the endpoint.
         last_heard_at: Time of the endpoint's last response.
         silence: Number of overdue attempts since the last response; an attempt that is only
             slightly overdue counts as a fraction.
         last_reset_at: Time of the last reset of a connection that counted as a failure.
-        is_ejected: Whether the endpoint receives only trial requests.
+        is_ejected: Whether the endpoint is ejected (see `endpoint_health`).
         is_unreachable: Whether the endpoint is ejected because it was not reached.
         ejected_at: Time when the endpoint was last ejected or reinstated.
         next_trial_at: Earliest time of the next trial request.
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -75,7 +75,7 @@
     client_timeout: float  # upper bound of the objective: time for which clients wait
     key_retention: float  # how long endpoints remember an idempotency key
     key_scope: str  # the endpoints that remember the key: "all", "zone" or "cell"
-    freshness_lifetime: float  # age up to which a copy is served unchecked; 0: no revalidation
+    freshness_lifetime: float  # age up to which a copy is fresh; 0: fresh until it is purged
     is_uncacheable: bool  # the request must run at the origin
     priority_weight: float = 1.0  # value of a request that is served in time
 
@@ -87,7 +87,7 @@
     initial_fraction: float  # fraction of its capacity that the endpoint has at its start
     duration: float  # time after which it has its whole capacity
     overload_window: float  # time over which its load is averaged
-    overload_factor: float  # the endpoint fails above this multiple of its capacity over the window
+    overload_factor: float  # it fails if the averaged load exceeds this multiple of its capacity
 
 
 @dataclass(slots=True, eq=False)
@@ -117,7 +117,8 @@
     cache_slow_start: SlowStartPolicy
     parent_slow_start: SlowStartPolicy
     purge_propagation: float  # time until a purge has reached all caches
-    # Cost of sending one health check with each request, in priority weight; 0: unknown
+    # Cost of sending one health check with each request, in the unit of
+    # `RequestClass.priority_weight`; 0: unknown
     health_check_cost: float = 0.0
 
 
@@ -214,7 +215,7 @@
 
     Attributes:
         caches: The caches that the request may be sent to.
-        failover_caches: Caches that are used if none of `caches` is available.
+        failover_caches: Caches that are used if none of `caches` can be chosen.
         migration_sources: Additional fill sources: caches that served the tenant before a
             migration.
         retry_budget: Budget for the request's retries, shared by all requests of the tenant.
@@ -267,11 +268,11 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointAddress:
-    """Address of an endpoint; a restarted endpoint gets a new object."""
+    """Address of an endpoint; an endpoint that restarts or moves gets a new object."""
 
     name: str  # of the endpoint
     address: tuple[str, int]  # host and port
-    is_removed: bool = False  # the endpoint has restarted or is no longer listed
+    is_removed: bool = False  # the endpoint has restarted, has moved, or is no longer listed
 
 
 @dataclass(slots=True, eq=False)
--- a/mulleinrelay/policy/object_locations.py
+++ b/mulleinrelay/policy/object_locations.py
@@ -1,4 +1,7 @@
-"""Caches that are believed to hold an object, according to their answers; pure, times in ms."""
+"""Caches that are believed to hold an object, according to their answers.
+
+No I/O and no clock: the time is an argument, in ms.
+"""
 
 from .latency import TrackedEndpoint
 from .model import Request
@@ -26,7 +29,11 @@
     def is_believed_holder(
         self, cache: TrackedEndpoint, request: Request, now: float, purged_at: float
     ) -> bool:
-        """Return whether the cache answered within `LOCATION_LIFETIME` and after `purged_at`."""
+        """Return whether the cache is believed to hold the requested part of the object.
+
+        It is if it answered with the part within `LOCATION_LIFETIME` and after `purged_at`, and was
+        not removed since.
+        """
         seen_at = self._seen_at.get((request.object_id, request.part), {}).get(cache, 0.0)
         return seen_at > max(now - LOCATION_LIFETIME, purged_at)
 
--- a/mulleinrelay/policy/outlier_detection.py
+++ b/mulleinrelay/policy/outlier_detection.py
@@ -13,12 +13,13 @@
   fails at `OUTLIER_FAILURE_RATE` than from one that fails at `HEALTHY_FAILURE_RATE`. The sum never
   falls below zero, so that old successes do not offset new failures.
 
-Error rates, as measured by the tests of outlier detection: a director that sends an endpoint up to
-one attempt a second, of which one in a thousand fails, considers this endpoint an outlier less than
-once in a thousand hours. In nineteen of twenty cases, an outlier is found within 4 outcomes if it
-always fails, within 16 if it fails half of the time, and within 40 if it fails three times in ten.
+The tests of outlier detection check these error rates, with an allowance for chance. A director
+that sends an endpoint up to one attempt a second, of which one in a thousand fails, considers this
+endpoint an outlier less than once in a thousand hours. In nineteen of twenty cases, an outlier is
+found within 4 outcomes if it always fails, within 16 if it fails half of the time, and within 40 if
+it fails three times in ten.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 import math
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -1,4 +1,7 @@
-"""Detection of overdue attempts and of silent endpoints; pure, times in ms."""
+"""Detection of overdue attempts and of silent endpoints.
+
+No I/O and no clock: the time is an argument, in ms.
+"""
 
 from dataclasses import dataclass
 
@@ -12,7 +15,8 @@
 # Overdue fraction (see `OverdueDetector.check`) from which on the request is sent elsewhere. It is
 # reached at twice the attempt's expected time.
 REROUTE_FRACTION = 0.5
-# Minimum time in ms until an attempt's first check. It is shorter than the delay of a far source.
+# Minimum time in ms until an attempt's first check. It is shorter than the delay of a far source,
+# which `check` adds to the attempt's expected time.
 MIN_CHECK_DELAY = 150.0
 # Time in ms by which the first check precedes the latest time at which a retry can still meet the
 # latency objective.
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -14,7 +14,7 @@
 * Overload mode (`OverloadDetector.is_overloaded`): begins and ends with hysteresis; it is only
   logged.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 from .decay import StepwiseDecay
@@ -76,7 +76,7 @@
         return min(1.0, self.rejected / max(1.0, self.requests))
 
     def retries_earned(self) -> float:
-        """Return how many retries, a fraction of one, a received request adds to its budget now."""
+        """Return the fraction of a retry that a received request adds to its retry budget now."""
         return RETRIES_PER_REQUEST * max(0.0, 1.0 - self.rejected_fraction() / NO_RETRY_FRACTION)
 
 
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -1,7 +1,7 @@
 """Popularity of objects: how often each was requested recently, and how many caches should hold it.
 
-Requests are counted per object in time windows. An object is held by one cache, and by one more for
-each `HOT_FRACTION` of recent requests that are for it.
+Requests are counted per object in time windows. An object should be held by one cache, and by one
+more for each `HOT_FRACTION` of recent requests that are for it.
 
 Such a small fraction cannot be measured with few requests: a director with four requests a second
 may receive a request for an object that is hot in the whole location only once in ten seconds.
@@ -9,7 +9,7 @@
 to show the fraction. Objects that are hot in a whole location are then spread to more caches by
 each of hundreds of directors, although each director rarely receives requests for them.
 
-Pure: no I/O, no clock. Times are milliseconds of the caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
 from collections.abc import Hashable
--- a/mulleinrelay/policy/rendezvous_hash.py
+++ b/mulleinrelay/policy/rendezvous_hash.py
@@ -1,8 +1,9 @@
-"""Weighted rendezvous hashing with the same result at all directors; pure.
+"""Weighted rendezvous hashing, with the same result at all directors that know the same endpoints.
 
 The hash is that of Thaler and Ravishankar, "Using name-based mappings to increase hit rates"
 (1998); the weights use the logarithmic method of Schindelhauer and Schomaker (2005). If an endpoint
-is lost, only the objects of this endpoint move to other endpoints.
+is lost, only the objects of this endpoint move to other endpoints. No I/O and no clock: the time is
+an argument.
 """
 
 import math
--- a/mulleinrelay/policy/retry_policy.py
+++ b/mulleinrelay/policy/retry_policy.py
@@ -1,7 +1,8 @@
-"""Limits on the attempts of a request: their number, errors and the retry budget; pure.
+"""Limits on a request's attempts: number, errors, deadline, idempotency and retry budget.
 
 The budget keeps retries from sustaining an overload: each request earns a fraction of a retry,
-which decreases as more requests are rejected (see `overload`).
+which decreases as more requests are rejected (see `overload`). No I/O and no clock: the time is an
+argument, in ms.
 """
 
 from . import overload
@@ -39,9 +40,9 @@
         budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + self._overload.retries_earned())
 
     def may_attempt(self, request: Request, now: float) -> bool:
-        """Return whether another attempt is permitted, apart from the retry budget.
+        """Return whether all limits but the retry budget permit another attempt.
 
-        The number of attempts and of errors, the deadline and idempotency limit the attempts.
+        These are the number of attempts, the number of errors, the deadline, and idempotency.
         """
         if len(request.attempts) >= self._settings.max_attempts:
             return False
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -3,11 +3,11 @@
 Processing of a request: `RequestReceived` routes the request, which usually sends a first attempt
 to a cache. Each `AttemptFinished` either completes the request or, if no other attempt is in
 flight, routes it again. `TimerFired` finds overdue attempts, and ends the request before its
-client's deadline. The objects that the router consists of, each in a module of its own, record what
-the router learns about endpoints in the process.
+client's deadline. The objects that the router consists of, each in a module of its own, make the
+single choices and record what the router learns about endpoints.
 
-Pure: no sockets, files, threads or clocks; the time in ms is passed with each call. Not
-thread-safe: the caller makes one call at a time.
+No I/O, threads or clock: the time is an argument, in ms. Not thread-safe: the caller makes one call
+at a time.
 """
 
 from collections.abc import Callable, Iterable
@@ -306,10 +306,10 @@
     def _would_repeat_miss(self, request: Request, route: Route) -> bool:
         """Return whether the route would repeat the miss of an earlier attempt.
 
-        A route that serves only cached objects is not used after a miss on such a route. These are
-        the routes whose fill source is the endpoint itself, or a parent or the origin that may
-        answer only from its own cache. A route with a sibling cache as its fill source is not one
-        of them, now or in an earlier attempt.
+        A route that serves only cached objects is not used after a miss on such a route. The fill
+        source of such a route is the endpoint itself, or a parent or the origin that may answer
+        only from its own cache. A missed attempt counts as sent on such a route unless its fill
+        source was a sibling cache.
         """
         caches = self.endpoints.caches
         is_filled = route.fill_source is not route.endpoint and (
@@ -322,7 +322,10 @@
         )
 
     def send(self, request: Request, route: Route) -> None:
-        """Send an attempt on the route, and schedule its first overdue check."""
+        """Send an attempt on the route, and schedule its first overdue check.
+
+        If the endpoint or the fill source is in slow start, its budget is charged with the work.
+        """
         now = self._now
         endpoint = route.endpoint
         attempt = Attempt(
@@ -363,7 +366,7 @@
     def _hedge_or_cancel(self, attempt: Attempt) -> None:
         """Hedge the attempt, or cancel it if only one attempt of a request may be in flight.
 
-        Do nothing if a later attempt was sent already, or if the request must not be sent again.
+        Do nothing if a later attempt was sent already, or if the request's class is `UNSAFE`.
         """
         request = attempt.request
         if attempt is not request.attempts[-1] or request.request_class.idempotency == UNSAFE:
@@ -383,7 +386,8 @@
 
         The method is called when no further attempt can be sent. Ending the request early would
         increase an overload, since endpoints would keep working on abandoned requests. The cost of
-        waiting is late answers.
+        waiting is late answers. The request is also ended if no time is left before the client's
+        deadline.
         """
         last = request.attempts[-1] if request.attempts else None
         if (
--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -19,9 +19,8 @@
 endpoint's capacity if the shares have room for requests, and at most `PROBABILISTIC_FRACTION * (1 +
 PERMIT_LIFETIME)` of the capacity if the directors depend on permits.
 
-Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
-caller's clock; the work of a request is the time in ms that its response takes to send. Not
-thread-safe.
+The work of a request is the estimated transfer time of its answer in ms. No I/O and no clock: the
+time is an argument, in ms, and the source of randomness is passed in. Not thread-safe.
 """
 
 import math
--- a/mulleinrelay/policy/stream_reconnect.py
+++ b/mulleinrelay/policy/stream_reconnect.py
@@ -1,21 +1,21 @@
 """Reconnection of the event stream: backoff, and repeated look-up of its address.
 
 The event stream transfers the endpoint list. If it ends, it usually ends for all directors at the
-same time, so each director waits a random time before it reconnects. While connections fail, the
-wait grows exponentially up to `MAX_BACKOFF_S`.
+same time, so each director waits a random time before it reconnects. While connections deliver no
+events, the wait grows exponentially up to `MAX_BACKOFF_S`.
 
 An address that keeps refusing connections may be out of date: the configuration may contain a new
 address, and the signal to reload the configuration may have been lost. The configuration is then
 read again, at a limited rate.
 
-Pure: no I/O, no clock; the source of randomness is passed in. Times are *seconds* of any one clock.
-Not thread-safe.
+No I/O and no clock: the time is an argument, in *seconds* of any one clock, and the source of
+randomness is passed in. Not thread-safe.
 """
 
 from random import Random
 
-# Backoff after the first connection that delivered no events, and the maximum backoff; jitter may
-# exceed it.
+# Backoff after the first connection that delivered no events, and the maximum backoff. Jitter may
+# lengthen the wait beyond the maximum.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 # Maximum fraction by which a backoff is randomly lengthened or shortened.
@@ -70,8 +70,8 @@
         """Return whether the caller must look up the address in the configuration now.
 
         A look-up is due if the address has refused all connections for `REFUSED_BEFORE_LOOKUP_S`,
-        but at most once in `LOOKUP_INTERVAL_S`. It makes up for a reload signal that was lost. If
-        the result is True, the look-up counts as begun.
+        but at most once in `LOOKUP_INTERVAL_S`. The look-up makes up for a reload signal that was
+        lost. If the result is True, the look-up counts as begun.
         """
         if self._refused_since is None:
             return False
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -1,7 +1,7 @@
-"""Estimates of transfer times and of the time left until a latency objective; pure, times in ms.
+"""Estimates of transfer times and of the time left until a latency objective.
 
 The work of a request is the transfer time of its answer. If no sizes are known, the median of past
-response times is used instead.
+response times is used instead. No I/O and no clock: the time is an argument, in ms.
 """
 
 import math
@@ -57,7 +57,7 @@
             totals.count += 1
 
     def record_response_time(self, request: Request, elapsed: float, now: float) -> None:
-        """Record the response time of an answer that is not known to be filled."""
+        """Record the response time in ms of a hit, or of an answer without a known status."""
         self._response_times[request.request_class].add(now, elapsed)
 
     def transfer_time(self, request: Request, now: float) -> float:
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -1,8 +1,8 @@
 """Zone reachability: whether the caches of a zone can be reached at all.
 
 A network partition, or the loss of a whole zone, looks at first like caches that fail one after the
-other. A director that sends each of its caches a request every few seconds would lose one or two
-requests for each cache, for as long as the partition lasts.
+other. If each cache were judged alone, a director that sends each of its caches a request every few
+seconds would lose one or two requests for each cache, for as long as the partition lasts.
 
 The input is the set of caches that failed to respond most recently, without a response of any cache
 in between. If enough different caches have failed in this way, the zone as a whole is considered
@@ -15,8 +15,8 @@
 An outage that ends within `MIN_OUTAGE` of its detection was a false alarm: the caches were only
 slow. To detect the next outage, more caches must then fail in a row.
 
-Pure: no I/O, no clock; the source of randomness is passed in. Times are milliseconds of the
-caller's clock. Not thread-safe.
+No I/O and no clock: the time is an argument, in ms, and the source of randomness is passed in. Not
+thread-safe.
 """
 
 import math
@@ -65,7 +65,7 @@
         return self._unreachable_since is not None
 
     def update_caches(self, caches: Collection[Hashable], has_restarted: bool) -> None:
-        """Set the zone's caches.
+        """Set the zone's caches; a zone without caches counts as reachable.
 
         Args:
             caches: All caches that are ready.
@@ -109,7 +109,9 @@
         return True
 
     def record_response(self, now: float, cache: Hashable) -> float | None:
-        """Record that a cache has responded; this ends an outage.
+        """Record that a cache has responded, which ends an outage and clears the recent failures.
+
+        Responses of endpoints that are not caches of the zone are ignored.
 
         Returns:
             None if no outage has ended. Otherwise the time in ms from which on ejected caches may
