--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -1,9 +1,9 @@
 """Coordinator of pending requests, between the threads of the network code and the router.
 
 One lock guards the router and the state of every request; this module uses no sockets. A *step* of
-a request tells the network code to send or cancel an attempt, or has the request's result. A
-request is accepted, and its steps are carried out until it has a result. Later events (a late
-answer, a client that leaves, a timer) find the request complete and do not change the result.
+a request tells the network code to send an attempt, to cancel an attempt, or to give the client the
+request's result. A request is accepted, and its steps are carried out until it has a result. Later
+events (a late answer, a client that leaves, a timer) do not change the result.
 
 The thread whose call changed a request carries out the request's steps until there are none. Only
 one thread at a time does this for a request, so that the steps are carried out in order and the
@@ -171,8 +171,9 @@
         """Return the next step of the request; the result is the last step, and is returned once.
 
         Returns:
-            The step; None if there is nothing to do, or if another thread carries out the request's
-            steps. That thread then also carries out the steps that were added in the meantime.
+            The step; None if there is nothing to do, if the result was returned before, or if
+            another thread carries out the request's steps. That thread then also carries out the
+            steps that were added in the meantime.
         """
         with self.lock:
             pending = self.pending_requests.get(request)
@@ -206,8 +207,8 @@
             first_byte_delay: Time in ms until the fill source's first byte, as reported by the
                 endpoint; 0 if not reported.
             load: The load report that was received with the answer; None if there was none.
-            answer: The answer that the client receives if this attempt is the request's first to be
-                served; None if there is no answer.
+            answer: The answer that the client receives if this attempt serves the request, that is,
+                if the request has no result yet; None if there is no answer.
         """
         with self.lock:
             self._driver.finish_attempt(
@@ -242,7 +243,7 @@
             return self.registry.is_current(endpoint, address) and endpoint.is_ready
 
     def client_left(self, request: Request) -> None:
-        """Record that the client has left, which completes a request without a result."""
+        """Record that the client has left, which completes a request that has no result yet."""
         with self.lock:
             pending = self.pending_requests.get(request)
             if pending is not None and pending.result is None:
@@ -250,7 +251,7 @@
                 self._driver.handle(ClientLeft(request))
 
     def discard(self, request: Request) -> None:
-        """Remove the request as if its client had left, because no thread carries out its steps.
+        """Remove the request as if its client had left; its remaining steps are not carried out.
 
         The caller must release the connections of the request's attempts.
         """
@@ -280,7 +281,7 @@
     def cpu_utilization(self) -> float:
         """Return the utilization of this director's CPU time.
 
-        It is 0 while timers run when they are due, and approaches 1 the later they run.
+        It is 0 while timers run when they are due, and grows with their delay to almost 1.
         """
         return self.scheduling_delay.utilization(self.clock())
 
@@ -320,8 +321,8 @@
         """Return the zone's ready caches, sorted by name.
 
         Returns:
-            A tuple for each cache: its name, its endpoint object and the minimum fraction of its
-            capacity that is available.
+            A tuple for each cache: its name, its endpoint object and the fraction of its capacity
+            that is at least available.
         """
         with self.lock:
             return self.registry.fractions_by_name(
@@ -340,7 +341,9 @@
             self.registry.drop_removed(self.router.endpoints.known)
 
     def change_overrides(self, change: Callable[[EndpointOverrides], list[str]]) -> None:
-        """Change the operators' overrides of the endpoint list; they must have been set before.
+        """Change the operators' overrides of the endpoint list, and tell the router the effects.
+
+        The property `overrides` must have been set before.
 
         Args:
             change: Changes the overrides and returns the names of the affected endpoints.
@@ -359,7 +362,7 @@
         Returns:
             A tuple for each endpoint: its entry in the endpoint list, its state at this director
             after overrides, its endpoint object with the measurements, the smoothed delay of fills
-            through it in ms (None: not measured) and the minimum fraction of its capacity that is
+            through it in ms (None: not measured) and the fraction of its capacity that is at least
             available.
         """
         with self.lock:
@@ -403,8 +406,8 @@
         """Run the timers that are due, and record how late the first of them is.
 
         Returns:
-            The time in ms when to call again, the health checks to send, and the requests whose
-            steps the caller must carry out.
+            The time in ms when the caller must call again, the health checks that it must send, and
+            the requests whose steps it must carry out.
         """
         with self.lock:
             now = self.clock()
@@ -429,7 +432,10 @@
             )
 
     def wait_until(self, until: float) -> None:
-        """Block until the time `until`, or until a timer before it or a health check is added."""
+        """Block until the time `until`, or until a health check or an earlier timer is added.
+
+        Return at once if there is one already.
+        """
         with self.lock:
             self._waiting_until = until
             remaining = until - self.clock()
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -37,7 +37,8 @@
     Attributes:
         endpoints: The router's endpoint objects, by name, including removed endpoints that the
             router still knows.
-        addresses: The address of each endpoint; a restarted endpoint gets a new address object.
+        addresses: The address of each endpoint; an endpoint that restarts or moves gets a new
+            address object.
         updates: The latest entry of each endpoint, by name, except for removed endpoints.
         overrides: Operators' overrides of the endpoint list; None without management.
     """
@@ -53,7 +54,8 @@
     ) -> EndpointsUpdated:
         """Store an update of the endpoint list; return the event for the router.
 
-        Omitted fields of an entry are filled in from the endpoint's previous entry.
+        Omitted fields of an entry are filled in from the endpoint's previous entry. If there is no
+        previous entry, an entry without an address is ignored, unless it removes the endpoint.
         """
         full_entries = [
             full_entry for entry in entries if (full_entry := self._fill_in(entry)) is not None
@@ -76,7 +78,7 @@
             change: Changes the overrides and returns the names of the affected endpoints.
 
         Returns:
-            None if no listed endpoint is affected.
+            The event; None if no listed endpoint is affected.
         """
         names = change(self.overrides)  # type: ignore[arg-type]  # not None: the caller has set it
         affected = [self.updates[name] for name in names if name in self.updates]
@@ -109,8 +111,8 @@
         """Return the endpoints, sorted by name.
 
         Returns:
-            A tuple for each endpoint: its name, its endpoint object and the minimum fraction of its
-            capacity that is available.
+            A tuple for each endpoint: its name, its endpoint object and the fraction of its
+            capacity that is at least available.
         """
         named = [
             (
@@ -148,8 +150,8 @@
         The entry of a removed endpoint gets all fields but the state from the previous entry.
 
         Returns:
-            None if the entry has no address and there is no previous entry, unless the endpoint is
-            removed.
+            The complete entry; None if the entry has no address and there is no previous entry,
+            unless the endpoint is removed.
         """
         previous = self.updates.get(entry.name)
         is_gone = entry.state == EndpointState.GONE
--- a/mulleinrelay/pending_requests.py
+++ b/mulleinrelay/pending_requests.py
@@ -1,4 +1,4 @@
-"""Pending requests: their steps for the network code, and their results."""
+"""Pending requests: their steps for the network code (see `coordinator`), and their results."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -47,8 +47,7 @@
     Guarded by the coordinator's lock.
 
     Attributes:
-        next_steps: The steps that the network code must carry out, in order: send or cancel an
-            attempt.
+        next_steps: The steps that the network code must carry out, in order, without the result.
         result: The request's result; only the first result is stored. None: no result yet.
         owner_thread: Identifier of the thread that carries out the steps; 0: none.
     """
--- a/mulleinrelay/router_actions.py
+++ b/mulleinrelay/router_actions.py
@@ -12,7 +12,7 @@
 
 
 class PendingActions:
-    """The router's `ActionSink`; stores its actions until the network code carries them out.
+    """The router's `ActionSink`: stores the actions until the network code carries them out.
 
     Not thread-safe; the coordinator guards it with its lock.
 
@@ -74,7 +74,10 @@
     # ActionSink
 
     def send_attempt(self, attempt: Attempt, options: SendOptions) -> None:
-        """Add a step that sends the attempt, and set its timeout."""
+        """Add a step that sends the attempt, and set a timer for the attempt's timeout.
+
+        Nothing is done if the request is not pending.
+        """
         pending = self.requests.get(attempt.request)
         if pending is None:
             return
@@ -100,7 +103,7 @@
         self.set_timer(attempt.timeout, TimerKind.ATTEMPT_TIMEOUT, attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel the attempt's pending step or add a step that cancels the attempt.
+        """Remove the step that would send the attempt, or add a step that cancels the attempt.
 
         `take_cancelled` then returns the attempt. Nothing is done if the attempt has ended.
         """
@@ -111,11 +114,11 @@
             self._cancelled.append(attempt)
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Set the request's result to a rejection."""
+        """Set the request's result to a rejection, unless it has a result."""
         self._complete(request, Rejected(retry_after))
 
     def fail_request(self, request: Request) -> None:
-        """Set the request's result to a failure."""
+        """Set the request's result to a failure, unless it has a result."""
         self._complete(request, Failed())
 
     def _complete(self, request: Request, result: RequestResult) -> None:
@@ -124,7 +127,7 @@
             pending.complete(result)
 
     def schedule_timer(self, delay: float, subject: Request | Attempt) -> None:
-        """Set a timer that calls the router."""
+        """Set a timer that passes a `TimerFired` event for the subject to the router."""
         self.set_timer(delay, TimerKind.ROUTER, subject)
 
     def check_health(self, endpoint: TrackedEndpoint) -> None:
@@ -136,5 +139,5 @@
         """Do nothing, since the event stream with the endpoint list is always read."""
 
     def log(self, text: str) -> None:
-        """Log the router's text as an event."""
+        """Write the router's text to the log, as a log event."""
         self._log.event("mode", text=text)
--- a/mulleinrelay/router_driver.py
+++ b/mulleinrelay/router_driver.py
@@ -1,4 +1,4 @@
-"""Driver of the router: passes it events, and the results of the attempts that it cancels."""
+"""Driver of the router: passes events to the router, and the ends of attempts that it cancels."""
 
 from collections.abc import Callable
 from typing import Any
@@ -65,8 +65,8 @@
     ) -> None:
         """Report the end of an attempt to the router, unless the attempt has ended already.
 
-        The first served attempt sets the request's result, unless the request is complete. The
-        arguments are those of `RequestCoordinator.report_outcome`.
+        A served attempt sets the request's result to its answer, unless the request is complete.
+        The arguments are those of `RequestCoordinator.report_outcome`.
         """
         if attempt.outcome is not None:
             return
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -11,6 +11,7 @@
 
 from .errors import ProtocolError
 
+# In both headers, the length is the number of bytes that follow the field with the length.
 HEADER = struct.Struct("<IIdI")  # number of records, length, clock in ms, batch number
 HEADER_REST = 12  # bytes of the header that are included in the length
 REPLY_HEADER = struct.Struct("<III")  # number of records, length, batch number
@@ -119,10 +120,10 @@
     """Read one batch.
 
     Returns:
-        None if the input ended between batches.
+        The batch; None if the input ended between batches.
 
     Raises:
-        WireError: If the input ended inside a batch, or a record is malformed.
+        WireError: If the input ended inside a batch, or the batch is malformed.
     """
     header = _read_exactly(stream, HEADER.size, "a frame header", allow_end=True)
     if not header:
@@ -159,7 +160,7 @@
 
 
 class Reply:
-    """Actions of one reply, in the order written; owns the records and the tail."""
+    """Actions of one reply, in the order of `add` calls; owns the records and the tail."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -1,7 +1,7 @@
 """Simulator adapter: hosts directors, converts wire records to events, and actions to records.
 
-The directors run the same policy as the network code, without sockets and with the simulator's
-clock.
+The simulated directors use the same `Router` as a director that serves real clients, but no
+sockets, and the simulator's clock.
 """
 
 import gc
@@ -121,7 +121,7 @@
             reader(self.router, now, fields)
 
     def handle(self, now: float) -> None:
-        """Let the router handle the events of this batch."""
+        """Let the router handle the events of this batch, and drop the finished requests."""
         if self.router is not None:
             self.router.handle(now, self._events, self)
         self._events = []
