--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -26,8 +26,8 @@
 ):
     """Guard against rejections that are based on a few attempts of the director itself.
 
-    The estimate was the director's own attempts in flight times the number of directors. With
-    twenty directors, the third request was rejected while two attempts were in flight.
+    If the slowdown were estimated only as the director's own attempts in flight times the number of
+    directors, the third request of twenty directors would be rejected while two are in flight.
     """
     fixture = RouterFixture(local_director_count=20)
     for attempt in [fixture.receive_request(after=20).attempts[0] for _ in range(6)]:
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -72,7 +72,7 @@
     ("failing_group", "healthy_group"), [("parents", "caches"), ("caches", "parents")]
 )
 def test_only_the_endpoint_that_all_failed_attempts_share_is_ejected(failing_group, healthy_group):
-    """Guard against the ejection of healthy endpoints for the errors of one that fails.
+    """Guard against the ejection of healthy endpoints for the errors of a failing endpoint.
 
     A failing parent causes errors at every cache, and a failing cache causes errors with every
     parent.
@@ -116,8 +116,8 @@
 def test_trial_requests_are_earned_by_requests(requests, max_trials):
     """Guard against an overload of an ejected parent by trial requests.
 
-    Hundreds of directors sent two trial requests a second each, whatever the number of their
-    requests.
+    Without trial tokens, each of hundreds of directors would send two trial requests a second,
+    whatever the number of its requests.
     """
     fixture = RouterFixture()
     fixture.parents[0].is_ejected = True
@@ -150,8 +150,8 @@
 def test_a_fill_source_that_rejects_is_not_ejected():
     """Guard against the ejection of overloaded parents.
 
-    They were ejected like dead parents. When no parent was left, the ejected ones were used, and
-    the dead parents received requests again.
+    If overloaded parents were ejected like dead ones, all parents could be ejected at the same
+    time. All of them would then be used, and the dead parents would receive requests again.
     """
     fixture = RouterFixture()
     for _ in range(30):
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -83,8 +83,8 @@
 def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
     """Guard against an overload in slow start by answers of unknown size.
 
-    Their work was estimated as a quarter of the latency objective, although the transfers took
-    three times as long.
+    If their work were estimated as a quarter of the latency objective, too many would be sent: the
+    transfers take three times as long here.
     """
     fixture = RouterFixture(
         cache_started_at=100_000.0 * caches_start,
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -31,9 +31,9 @@
         return self.endpoint.is_ejected
 
     def results_until(self, is_ejected, failure_rate, limit=400):
-        """Return after how many results the endpoint is ejected; `limit` if it is not by then.
+        """Return after how many results the endpoint is ejected, or not, as `is_ejected` states.
 
-        If `is_ejected` is False, return after how many results the endpoint is not ejected.
+        The result is `limit` if this does not happen in fewer results.
         """
         for number in range(1, limit):
             if self.record(self.random.random() < failure_rate) == is_ejected:
@@ -86,8 +86,8 @@
 def test_old_successes_do_not_offset_new_failures():
     """Guard against new failures that old successes hide.
 
-    The failures are too small a fraction of the recent outcomes for the other test, so only the
-    sequential test detects them.
+    The failures are too small a fraction of the recent outcomes to be found by their fraction, so
+    only the sequential test of `OutlierDetector` detects them.
     """
     detector = OutlierDetector()
     for number in range(60):
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -95,7 +95,7 @@
 
 
 def test_a_slow_parent_gets_only_trial_fills():
-    """Guard against fills that wait for slow parents and use the capacity of caches for hits."""
+    """Guard against fills that wait for slow parents and take capacity from hits at the caches."""
     fixture = RouterFixture()
     fixture.router.random.random = lambda: 1.0
     for _ in range(20):
@@ -125,7 +125,7 @@
 ):
     """Guard against the skipping of parents while all of them are slow.
 
-    The fills then went to other parents, which lacked the objects, and to the origin.
+    The fills would then go to other parents, which lack the objects, and to the origin.
     """
     fixture = RouterFixture()
     serve_fills(fixture)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -60,9 +60,9 @@
 ):
     """Guard against an overload that retries amplify, in the worst case.
 
-    Clients retry immediately, endpoints reject failed attempts immediately, and the retry budget is
-    full at the start. The number of retries must not exceed the full budget and what the requests
-    earn. If most attempts fail, each request gets hardly more than one attempt.
+    Clients retry immediately, endpoints reject a fraction of the attempts immediately, and the
+    retry budget is full at the start. The number of retries must not exceed the full budget plus
+    what the requests earn. If most attempts fail, each request gets hardly more than one attempt.
     """
     detector = OverloadDetector()
     random = Random(2)
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -136,7 +136,7 @@
 ):
     """Guard against amplification of an overload by retries.
 
-    Without the retry budget, each rejected attempt was followed by three or four more attempts.
+    Without the retry budget, each rejected attempt would be followed by three or four more.
     """
     fixture, retries = RouterFixture(), 0
     for _ in range(30):
@@ -152,8 +152,8 @@
 def test_without_sizes_an_attempt_is_overdue_by_past_response_times(response_time, is_in_time):
     """Guard against healthy parents that are ejected for slow answers of unknown size.
 
-    The estimated response time was fixed to a quarter of the latency objective. Attempts were
-    overdue after twice this time, and parents were ejected.
+    If the estimated response time were always a quarter of the latency objective, attempts would be
+    overdue after twice this time, and parents would be ejected.
     """
     fixture = RouterFixture(transfer_rate=0.0)
     for _ in range(8):
