--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -36,7 +36,7 @@
 MIN_POLL_INTERVAL = 500.0
 # Maximum interval in ms between two polls; a director without requests polls at this interval.
 MAX_POLL_INTERVAL = 30_000.0
-# Polls that a request earns, and the maximum number of saved polls.
+# Polls that a request earns, and the maximum number of earned polls that are not sent yet.
 POLLS_PER_REQUEST = 0.2
 MAX_SAVED_POLLS = 4.0
 # Cost of sending one poll with each request, in the unit of `RequestClass.priority_weight`. Up to
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -87,7 +87,8 @@
     initial_fraction: float  # fraction of its capacity that the endpoint has at its start
     duration: float  # time after which it has its whole capacity
     overload_window: float  # time over which its load is averaged
-    overload_factor: float  # it fails if the averaged load exceeds this multiple of its capacity
+    # The endpoint fails if its averaged load exceeds this multiple of its present capacity.
+    overload_factor: float
 
 
 @dataclass(slots=True, eq=False)
@@ -231,7 +232,7 @@
 class Request:
     """Request of a client as the router sees it, with its attempts and its progress."""
 
-    context: Any  # set and used by the caller only
+    context: Any  # set and used by the router's caller only
     request_class: RequestClass
     object_id: int
     part: int  # requested part of the object; a cache is chosen for each part separately
--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -41,8 +41,8 @@
 def test_slow_responses_cause_few_pings(mean_duration, max_pings):
     """Guard against many pings of a healthy endpoint whose responses are slow.
 
-    One connection serves 200 requests one after the other. With a fixed silence before a ping, most
-    of the slow requests would cause a ping or more.
+    One connection serves 200 requests one after the other. With a fixed silence before a ping,
+    requests that take 1200 ms on average would cause more than 200 pings.
     """
     backoff = PingBackoff()
     random = Random(1)
--- a/tests/policy/test_fill_source.py
+++ b/tests/policy/test_fill_source.py
@@ -125,7 +125,7 @@
 ):
     """Guard against the skipping of parents while all of them are slow.
 
-    The fills would then go to other parents, which lack the objects, and to the origin.
+    The fills then went to other parents, which lacked the objects, and to the origin.
     """
     fixture = RouterFixture()
     serve_fills(fixture)
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -136,7 +136,7 @@
 ):
     """Guard against amplification of an overload by retries.
 
-    Without the retry budget, each rejected attempt would be followed by three or four more.
+    Without the retry budget, each rejected attempt was followed by three or four more attempts.
     """
     fixture, retries = RouterFixture(), 0
     for _ in range(30):
