--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -58,7 +58,8 @@
 
     Attributes:
         source: The endpoint that a miss is filled from; the cache itself if a miss is not filled;
-            None if there is neither a source nor a cache.
+            None if there is neither a source nor a cache, or if the request is uncacheable and
+            there is no origin.
         only_if_cached: Whether the source may answer only from its own cache.
     """
 
--- a/mulleinrelay/policy/health_checks.py
+++ b/mulleinrelay/policy/health_checks.py
@@ -25,7 +25,8 @@
 # Minimum of the mean interval in ms at which one director pings a suspected endpoint.
 MIN_PING_INTERVAL = 500.0
 # The mean interval in ms is this times the number of directors that share the endpoint, but at
-# least the minimum. All directors together therefore send an endpoint at most 20 pings a second.
+# least the minimum. All directors together therefore send an endpoint about 20 pings a second at
+# most.
 PING_INTERVAL_PER_DIRECTOR = 50.0
 # The first ping is sent after a random fraction of the interval, at least this one.
 MIN_FIRST_PING_FRACTION = 0.25
