--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -321,8 +321,8 @@
         """Return the zone's ready caches, sorted by name.
 
         Returns:
-            A tuple for each cache: its name, its endpoint object and the fraction of its capacity
-            that is at least available.
+            A tuple for each cache: its name, its endpoint object and a lower bound of the fraction
+            of its capacity that is available.
         """
         with self.lock:
             return self.registry.fractions_by_name(
@@ -362,8 +362,8 @@
         Returns:
             A tuple for each endpoint: its entry in the endpoint list, its state at this director
             after overrides, its endpoint object with the measurements, the smoothed delay of fills
-            through it in ms (None: not measured) and the fraction of its capacity that is at least
-            available.
+            through it in ms (None: not measured) and a lower bound of the fraction of its capacity
+            that is available.
         """
         with self.lock:
             return self.registry.states(self.router.slow_start, self.clock())
@@ -434,7 +434,7 @@
     def wait_until(self, until: float) -> None:
         """Block until the time `until`, or until a health check or an earlier timer is added.
 
-        Return at once if there is one already.
+        Return at once if there is such a health check or timer already.
         """
         with self.lock:
             self._waiting_until = until
--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -111,8 +111,8 @@
         """Return the endpoints, sorted by name.
 
         Returns:
-            A tuple for each endpoint: its name, its endpoint object and the fraction of its
-            capacity that is at least available.
+            A tuple for each endpoint: its name, its endpoint object and a lower bound of the
+            fraction of its capacity that is available.
         """
         named = [
             (
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -32,7 +32,7 @@
     parent_quota: QuotaShare
 
     def available_fraction(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the fraction of its capacity that an endpoint has at least now.
+        """Return a lower bound of the fraction of its capacity that an endpoint has now.
 
         The fraction grows linearly during slow start and is 1 afterwards. It is always 1 for the
         origin, and for an endpoint whose start time is unknown.
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -23,7 +23,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of an endpoint in the endpoint list."""
+    """State of an endpoint in the endpoint list; GONE: not listed, or removed from the list."""
 
     READY = 0
     GONE = 1
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -59,7 +59,7 @@
         else:
             fixture.finish_attempt(request.attempts[0])
     for request in requests:
-        # If a hit is expected, the failure counts for the cache alone and not for the fill source
+        # If a hit is expected, the failure counts for the cache alone and not for the fill source.
         request.attempts[0].expects_hit = True
         fixture.finish_attempt(request.attempts[0], outcome, CacheStatus.UNKNOWN)
         if retry_outcome is not None:
