--- a/tests/policy/test_connection_reuse.py
+++ b/tests/policy/test_connection_reuse.py
@@ -42,7 +42,7 @@
     """Guard against many pings of a healthy endpoint whose responses are slow.
 
     One connection serves 200 requests one after the other. With a fixed silence before a ping,
-    there would be 200 pings.
+    requests that take 1200 ms on average would cause more than 200 pings.
     """
     backoff = PingBackoff()
     random = Random(1)
