--- a/mulleinrelay/standins/client_protocol.py
+++ b/mulleinrelay/standins/client_protocol.py
@@ -1,6 +1,6 @@
 """Encoding of client calls to directors in framed Thrift, and decoding of the replies.
 
-The load generators of both labs use this module. It does no input or output.
+The load generators of both labs use this module. It does no I/O.
 """
 
 import enum
@@ -11,10 +11,12 @@
 
 DEFAULT_RETRY_DELAY = 100.0  # ms until a retry if the rejection specifies no delay
 MAX_IN_FLIGHT = 32  # unanswered requests per connection
-MAX_FRAME_BYTES = 300_000  # per reply
+MAX_FRAME_BYTES = 300_000  # of the frame of a reply
 HEALTH_METHOD = b"isWell"
 SERVE_METHOD = b"serve"
-MIN_PATIENCE_MS = 1.0  # directors require a positive patience
+# Lower bound of the field `patience`, the time for which the client still waits; directors reject
+# negative numbers
+MIN_PATIENCE_MS = 1.0
 
 _MAP_OF_STRINGS = b"\x0b\x0b"
 _STOP = b"\x00"
@@ -42,7 +44,7 @@
     Attributes:
         number: Sequence number of the call.
         outcome: Outcome that the reply reports.
-        retry_after_ms: Delay before a retry that a rejection asks for; 0 if it asks for none.
+        retry_after_ms: Delay before a retry that a rejection asks for; 0 if none is given.
     """
 
     number: int
@@ -55,7 +57,7 @@
 
     Args:
         number: Sequence number of the call on its connection.
-        fields: String fields of the request.
+        fields: Values of the request's fields by field name.
         body: Body of the request; empty for a read.
     """
     pairs = b"".join(
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -21,7 +21,7 @@
 from .timer import Timer
 
 MAX_HEAD_BYTES = 8192  # of the head of an HTTP request
-KEEP_ALIVE_S = 0.5  # interval of comments on an idle event stream
+KEEP_ALIVE_S = 0.5  # interval between the comment lines that are sent on an idle event stream
 RESTART_DELAY_S = 0.05  # until a restarted node listens again
 SLOWDOWN = 10.0  # multiplies the work time and the answer delay of a node with the fault `slow`
 
@@ -91,7 +91,11 @@
 
 
 class NodeServer(ThreadedServer):
-    """A TCP server for one node: a cache, a parent or the origin."""
+    """A TCP server for one node: a cache, a parent or the origin.
+
+    The command PULL asks for a read or a write, and KILL cancels an earlier command. Any other
+    command counts as a health check.
+    """
 
     def __init__(self, fleet: NodeFleet, node: SimulatedNode, timer: Timer) -> None:
         self.fleet = fleet
@@ -100,7 +104,11 @@
         super().__init__()
 
     def serve_connection(self, connection: socket.socket) -> None:
-        """Answer commands until the connection ends or the node crashes under its load."""
+        """Answer commands until the connection ends.
+
+        If the node is not alive after a PULL, because it crashed under its load, the whole server
+        is closed.
+        """
         arrays = resp.ArrayDecoder()
         session = _NodeSession(connection)
         while (length := connection.recv_into(arrays.writable_view())) > 0:
@@ -215,7 +223,10 @@
         }
 
     def publish_endpoints(self, names: Iterable[str]) -> None:
-        """Publish an endpoint update for these nodes; the first update is a full snapshot."""
+        """Publish an endpoint update with the entries of these nodes.
+
+        The first update is marked as a full snapshot, and later ones as changes.
+        """
         rows = [self.endpoint_row(name) for name in names]
         self.endpoints_version += 1
         self.stream.publish(
@@ -229,12 +240,13 @@
         )
 
     def inject_fault(self, fault: str, name: str) -> None:
-        """Start or end a fault of a node, or purge an object.
+        """Start or end a fault or a drain of a node, or purge an object.
 
         Args:
             fault: `kill` stops a node; `revive` starts it again without stored copies; `cold` does
                 both. `slow` and `silent` (no answers) last until `well`. `drain` announces that
-                the node is draining, and `ready` that it serves again. `purge` purges an object.
+                the node is draining, and `ready` that it serves again. `purge` announces a purge
+                to the directors; the nodes keep their copies.
             name: Name of the node; with `purge`, the id of the object.
         """
         if fault == "purge":
--- a/mulleinrelay/standins/event_loop.py
+++ b/mulleinrelay/standins/event_loop.py
@@ -32,7 +32,8 @@
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
-        self.timers: list[tuple[float, int, Callable[[], None]]] = []  # heap by time, then order
+        # Heap by due time in Unix ms, then by the order of the calls of `call_at`
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.is_stopped = False
 
@@ -77,7 +78,7 @@
         Args:
             host: Address to listen at; ignored if `on_all_addresses` is set.
             port: Port to listen at; 0: any free port.
-            on_connection: Called with each accepted connection, which is non-blocking.
+            on_connection: Called with the non-blocking socket of each accepted connection.
             on_all_addresses: Whether to listen at all addresses of the loopback device.
             backlog: Maximum number of connections that wait to be accepted.
         """
@@ -142,7 +143,8 @@
     def write(self, data: bytes | memoryview) -> None:
         """Send bytes, or queue them until the socket accepts them.
 
-        Bytes are ignored if the connection is closed. Too many queued bytes end it.
+        Bytes are ignored if the connection is closed. More than MAX_UNSENT_BYTES of queued bytes
+        end the connection.
         """
         if self.is_closed or not data:
             return
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -34,7 +34,8 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_MS = 20.0  # maximum time between two checks for due requests
 MIN_WAIT_S = 0.0005
-# If a busy machine delays a new request by more than this, all overdue requests are skipped.
+# If the next new request is overdue by more than this, because the machine is busy, the requests
+# that should have been sent until now are skipped.
 MAX_LATENESS_MS = 1_000.0
 STOP_TIMEOUT_S = 2.0
 
@@ -48,7 +49,7 @@
         object_count: Number of different objects.
         order_fraction: Fraction of requests with an idempotency key.
         skew: Exponent of the Zipf popularity of objects.
-        patience: How long a client waits for an answer after its first try, in ms.
+        patience: How long a client waits for an answer from when its first try is due, in ms.
         max_tries: Maximum number of tries of a request, including the first.
         bursts: For each burst, its start and end in seconds since the start of the load, and the
             requests per second that replace `rate` between them.
@@ -65,7 +66,11 @@
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
 
     def rate_at(self, since_start_s: float) -> float:
-        """Return the requests per second at this time, in seconds since the start of the load."""
+        """Return the requests per second at a time.
+
+        Args:
+            since_start_s: The time in seconds since the start of the load.
+        """
         for starts_s, ends_s, rate in self.bursts:
             if starts_s <= since_start_s < ends_s:
                 return rate
@@ -76,8 +81,10 @@
 class LoadResult:
     """Results of a tenant's requests. Times are in seconds since the start of the load.
 
+    The time of a first try is when it was due, even if it was sent later or not at all.
+
     Attributes:
-        counts: Event counters, under the names that the lab's figures use.
+        counts: Event counters. The lab's figures have the same names, with `_` for each space.
         delays: For each served request, the time of its first try, and the ms from then until the
             answer.
         first_sent_at: Time of the first try of each request.
@@ -96,8 +103,10 @@
 
     Attributes:
         first_due_at: When the first try is due, in Unix ms.
-        tries: Number of tries so far.
-        is_complete: Whether the request was served, or a try got no answer or was cut off.
+        fields: Fields that are the same in all tries.
+        tries: Number of tries so far, including a try that no connection could send.
+        is_complete: Whether the request was served, or a try got no answer or was cut off. It stays
+            False after a rejection or a failure.
     """
 
     first_due_at: float
@@ -131,7 +140,8 @@
     def send(self, request: PendingRequest, now: float) -> bool:
         """Send a try and return whether it was sent.
 
-        Nothing is sent if MAX_IN_FLIGHT tries have no answer yet, or if the connection fails.
+        A try is not sent if MAX_IN_FLIGHT tries have no answer yet, or if the connection cannot be
+        opened or fails.
         """
         with self.lock:
             if len(self.in_flight) >= MAX_IN_FLIGHT:
@@ -157,7 +167,10 @@
             return True
 
     def expire_unanswered(self, now: float) -> int:
-        """Give up the tries whose answer is missing, and their requests; return their number."""
+        """Give up the tries without an answer, and their requests; return the number of such tries.
+
+        A try is given up GRACE_MS after its deadline.
+        """
         with self.lock:
             expired = [
                 number
@@ -222,7 +235,7 @@
     """The clients of one tenant, whose requests form a Poisson process.
 
     Each try goes to a random connection, or to the next one that can send it. All random numbers
-    are drawn from the seed.
+    are derived from the seed.
     Thread-safe: `lock` guards `result` and `retries`. One thread sends the requests, and one thread
     per connection reads the replies.
     """
@@ -255,7 +268,8 @@
         self.read_class = read_class
         self.result = LoadResult()
         self.lock = threading.Lock()
-        self.retries: list[tuple[float, int, PendingRequest]] = []  # heap by time, then order
+        # Heap by due time in Unix ms, then by the order in which the retries were scheduled
+        self.retries: list[tuple[float, int, PendingRequest]] = []
         self.order = itertools.count()
         self.sessions = [
             ClientSession(self, address)
@@ -292,7 +306,10 @@
             self.result.counts[event] += 1
 
     def expire_unanswered(self) -> None:
-        """Give up the tries whose answers are missing, and count them; must be called regularly."""
+        """Give up and count the tries without an answer GRACE_MS after their deadline.
+
+        Must be called regularly, as nothing else detects a missing answer.
+        """
         now = now_ms()
         expired = sum(session.expire_unanswered(now) for session in self.sessions)
         if expired:
@@ -302,7 +319,7 @@
     def on_reply(
         self, request: PendingRequest | None, reply: ServerReply, is_repeated: bool
     ) -> None:
-        """Count a reply, and schedule a retry after a rejection.
+        """Count a reply, and schedule a retry after a rejection if the request has tries left.
 
         Args:
             request: The request that the reply answers; None if the generator has given up the try,
@@ -329,10 +346,10 @@
                 heapq.heappush(self.retries, (due_at, next(self.order), request))
 
     def served_fraction(self, first_s: float, last_s: float) -> float:
-        """Return the served fraction of the requests first sent in a time range.
+        """Return the served fraction of the requests whose first try was due in a time range.
 
-        The range is given in seconds since the start of the load. The fraction is 1 if no request
-        was sent in the range.
+        The range is given in seconds since the start of the load. The fraction is 1 if the range
+        contains no request.
         """
         with self.lock:
             sent = sum(first_s <= sent_at < last_s for sent_at in self.result.first_sent_at)
@@ -342,10 +359,12 @@
     def percentile(self, fraction: float, first_s: float, last_s: float) -> float:
         """Return a percentile of the delays in ms; 0 if there are none.
 
+        The delays are those of the served requests whose first try was due in a time range.
+
         Args:
             fraction: The percentile as a fraction: 0.5 for the median.
-            first_s: Start of the range of first tries, in seconds since the start of the load.
-            last_s: End of that range.
+            first_s: Start of the time range, in seconds since the start of the load.
+            last_s: End of the time range, in the same unit.
         """
         with self.lock:
             delays = sorted(
@@ -370,7 +389,7 @@
             self.stopped.wait(max(MIN_WAIT_S, (wakes_at - now_ms()) / 1000.0))
 
     def _send_retries(self, now: float) -> float:
-        """Send the retries that are due, and return when the next retry is due.
+        """Send the retries that are due, and return when the next retry is due, in Unix ms.
 
         If no retry is waiting, return the time MAX_IDLE_MS from now.
         """
--- a/mulleinrelay/standins/node_protocol.py
+++ b/mulleinrelay/standins/node_protocol.py
@@ -1,9 +1,9 @@
 """Parts of the protocol between directors and nodes, for the node servers of both labs.
 
-The module does no input or output.
+The module does no I/O.
 """
 
-MAX_CANCELLED = 10_000  # ids per connection; one more, and all ids are dropped
+MAX_CANCELLED = 10_000  # ids per connection; one more, and all ids are forgotten
 
 
 def decode_fields(text: bytes | memoryview) -> dict[str, str]:
@@ -18,7 +18,10 @@
         self.ids: set[bytes] = set()
 
     def add(self, command_id: bytes) -> None:
-        """Record that the command needs no answer."""
+        """Record that the command needs no answer.
+
+        If there are more than MAX_CANCELLED ids, all are forgotten, which bounds the memory.
+        """
         self.ids.add(command_id)
         if len(self.ids) > MAX_CANCELLED:
             self.ids.clear()
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -16,7 +16,7 @@
 MAX_QUEUED_WORK_MS = 1_000.0  # a node with more queued work rejects commands
 LOAD_WINDOW_MS = 1_000.0  # time window over which a node's load is computed
 REJECT_DELAY_MS = 1.0  # until a rejection is sent
-PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification; until then, old copies are allowed
+PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification; until then, purged copies are allowed
 
 CopyKey = tuple[str, str]  # id of an object and of its part
 
@@ -34,11 +34,12 @@
         answer_delay: Time from the end of the work for an answer until the answer is sent.
         weight: Weight of the node in the endpoint list.
         initial_fraction: Fraction of its capacity that a node has right after a restart.
-        slow_start_duration: Time from a restart until the node has its full capacity again.
+        slow_start_duration: Time from a restart until the node has its full capacity again; 0: it
+            has its full capacity at once.
         max_copies: Maximum number of stored copies, the oldest are evicted first; 0: no maximum.
         crashes_on_overload: Whether a node that is overloaded for too long crashes.
         crash_load: Load above which a node is overloaded, as a multiple of its current capacity.
-        crash_after: How long a node must be overloaded before it crashes.
+        crash_after: How long a node must be overloaded without a break before it crashes.
         crashes_when_warm: Whether a node can also crash after its slow start.
     """
 
@@ -79,13 +80,14 @@
         self.peak_load = 0.0  # as a multiple of the capacity that the node had at the time
         self.overloaded_since = 0.0  # 0: not overloaded
         self.counts: Counter[str] = Counter()  # events, under the names that the labs' figures use
-        # When a command last named this node, as its target or as a fill source.
+        # When a command last named this node, as its target or as a fill source; 0: never.
         self.last_referenced_at = 0.0
 
     def capacity_fraction(self, now: float) -> float:
         """Return the fraction of its capacity that the node has at `now`.
 
-        The fraction is 1 if the node was never restarted, or if its slow start is over.
+        The fraction is 1 if the node was never restarted, has no slow start, or if its slow start
+        is over.
         """
         spec = self.spec
         if not self.started_at or not spec.slow_start_duration:
@@ -200,7 +202,8 @@
             without a key.
         origin_fetches: Number of reads that reached the origin.
         purged_at: Time of the last purge of each purged object.
-        stale_answers: Number of answers with a copy that was purged over 1 s earlier.
+        stale_answers: Number of answers with a copy that was issued before a purge, and sent more
+            than PURGE_PROPAGATION_MS after this purge.
         clock: Function that returns the time in ms.
     """
 
@@ -216,7 +219,13 @@
     clock: Callable[[], float] = now_ms
 
     def handle_pull(self, name: str, fields: dict[str, str]) -> Reply:
-        """Execute a PULL command with these fields at the node `name`, and return the reply."""
+        """Execute a PULL command at a node, and return the reply.
+
+        Args:
+            name: Name of the node.
+            fields: Fields of the command. The request class, in the field `lane`, determines
+                whether the command is a read or a write.
+        """
         now = self.clock()
         node = self.nodes[name]
         with self.lock:
@@ -239,14 +248,16 @@
     def is_outdated(
         self, object_id: str, issued_at: float, now: float, notified_at: float | None = None
     ) -> bool:
-        """Return whether a copy is older than a purge that was notified over a second ago.
+        """Return whether a copy was issued before a purge that should have taken effect by now.
+
+        A purge should take effect within PURGE_PROPAGATION_MS after the director was notified of
+        it, or after the purge itself if the time of the notification is unknown.
 
         Args:
             object_id: Id of the object.
             issued_at: When the origin issued the copy.
-            now: When the copy is sent in an answer.
-            notified_at: When the director was notified of the purge; None if this time is unknown,
-                so that the time of the purge itself is used.
+            now: When the copy is used for an answer.
+            notified_at: When the director was notified of the purge; None if unknown.
         """
         purged_at = self.purged_at.get(object_id)
         if purged_at is None:
--- a/mulleinrelay/standins/reserved_port.py
+++ b/mulleinrelay/standins/reserved_port.py
@@ -4,12 +4,12 @@
 
 
 class ReservedPort:
-    """A free port that the system gives to no other socket until it is released.
+    """A port that the system does not select for any other socket until it is released.
 
-    A socket that is bound but does not listen holds the port. Connections to the port are refused
-    until another socket with SO_REUSEADDR, also of another process, listens at the same address.
-    Without a reservation, the port is free while a process starts or restarts, and the system may
-    select it for any other listener of the machine.
+    A socket that is bound but does not listen holds the port. Connections to a reserved stream port
+    are refused until another socket with SO_REUSEADDR, also of another process, listens at the same
+    address. Without a reservation, the port is free while a process starts or restarts, and the
+    system may select it for any other listener of the machine.
 
     Attributes:
         port: Number of the port.
@@ -19,9 +19,10 @@
         """Reserve a port.
 
         Args:
-            host: Address at which the port is reserved; empty for all addresses. A reservation at
-                one address also keeps sockets away that listen at all addresses.
-            kind: Kind of the socket. A reserved datagram port cannot be bound at the same address.
+            host: Address at which the port is reserved; empty for all addresses. The system does
+                not select a port that is reserved at one address for listeners at all addresses.
+            kind: Kind of the socket. A datagram port can be bound at the same address only after
+                `release`.
         """
         self.holder = socket.socket(socket.AF_INET, kind)
         if kind == socket.SOCK_STREAM:
--- a/mulleinrelay/standins/timer.py
+++ b/mulleinrelay/standins/timer.py
@@ -16,7 +16,8 @@
     """
 
     def __init__(self) -> None:
-        self.calls: list[tuple[float, int, Callable[[], None]]] = []  # heap by time, then order
+        # Heap by due time in Unix ms, then by the order of the calls of `call_at`
+        self.calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.is_stopped = False
         self.condition = threading.Condition()
