--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -42,7 +42,14 @@
 
 
 def show_progress(lab: Lab, since_start_s: float) -> None:
-    """Write the figures of the last seconds of a run of the lab of tenants to standard error."""
+    """Write current figures of a run of the lab of tenants to standard error.
+
+    The served fractions cover the requests that were due between 3 s and 1 s ago.
+
+    Args:
+        lab: The running lab.
+        since_start_s: Time in seconds since the start of the load; negative before it.
+    """
     first_s = max(0.0, since_start_s - 3.0)
     fractions = " ".join(
         f"{generator.load.tenant} {generator.served_fraction(first_s, since_start_s - 1.0):.2f}"
@@ -56,7 +63,13 @@
 
 
 def show_fleet_progress(since_start_s: float, asked: int, served: int) -> None:
-    """Write the numbers of requests of a run of the fleet lab so far to standard error."""
+    """Write how many requests of a run of the fleet lab were created and served so far.
+
+    Args:
+        since_start_s: Time in seconds since the start of the run; negative before it.
+        asked: Number of requests created.
+        served: Number of requests served.
+    """
     sys.stderr.write(f"\r{since_start_s:6.1f} s  asked {asked}  served {served}   ")
     sys.stderr.flush()
 
@@ -157,7 +170,7 @@
     Raises:
         ConfigError: If the scenario is invalid.
         OSError: If a file cannot be written.
-        SystemExit: If a play with processes fails.
+        SystemExit: If a run with processes fails; the exit code is EXIT_RUN_FAILED.
     """
     from .fleet.scenario_parser import parse_fleet_scenario
 
--- a/mulleinrelay/lab/director.py
+++ b/mulleinrelay/lab/director.py
@@ -33,7 +33,8 @@
         Args:
             name: Name of the director and of its files.
             folder: Folder of the lab.
-            platform: Settings from the platform, without the director's name and address.
+            platform: The director's configuration without its name and the address at which it
+                listens.
             cells_file: Path of the file with the section [cells]; None: the director has no cells.
             has_management: Whether the director serves gNMI.
         """
@@ -65,7 +66,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether the director serves clients.
+        """Return whether the director accepts connections of clients.
 
         Raises:
             RuntimeError: If the process has ended.
@@ -78,7 +79,10 @@
         return False
 
     def stop(self) -> None:
-        """Shut the director down gracefully, or kill it if that takes too long; free its ports."""
+        """Shut the director down gracefully, and release its reserved ports.
+
+        The process is killed if it has not ended TERM_TIMEOUT_S after the signal.
+        """
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -13,7 +13,7 @@
 CONNECT_TIMEOUT_S = 0.2
 MAX_MALLOC_ARENAS = "2"  # more arenas would add unused memory to the resident memory
 
-# Positions of the fields of /proc/PID/stat after the command name; see proc(5)
+# Indices of fields of /proc/PID/stat in the list of fields after the command name; see proc(5)
 STAT_USER_TICKS = 11
 STAT_SYSTEM_TICKS = 12
 STAT_RESIDENT_PAGES = 21
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """CPU time so far and resident memory in 10^6 bytes; both are 0 if there is no process."""
+    """CPU time of a process so far, and its resident memory in 10^6 bytes.
+
+    Both are 0 if there is no process.
+    """
 
     cpu_s: float = 0.0
     resident_mb: float = 0.0
@@ -48,7 +51,7 @@
         return None if self.process is None else self.process.poll()
 
     def usage(self) -> ProcessUsage:
-        """Return the CPU time that the process has used so far, and its memory now."""
+        """Return the CPU time that the current process has used so far, and its memory now."""
         if self.process is None:
             return ProcessUsage()
         try:
@@ -64,6 +67,8 @@
 def director_environment(program: str, unset: Iterable[str]) -> dict[str, str]:
     """Return the environment variables for a director's process.
 
+    They are those of the lab with some changes.
+
     Args:
         program: Folder that contains the package `mulleinrelay`.
         unset: Names of variables that the director must not inherit.
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -7,8 +7,9 @@
 from .fleet.scenario import FleetScenario
 
 MIN_SLOW_START_MS = 1.0  # the settings require a positive duration
-MAX_PURGE_MS = 1000.0  # maximum duration of a purge in the lab of tenants
-MAX_FLEET_PURGE_MS = 6000.0  # maximum duration of a purge in the fleet lab
+# Time until a purge has reached all caches, as directors are told
+MAX_PURGE_MS = 1000.0  # in the lab of tenants
+MAX_FLEET_PURGE_MS = 6000.0  # in the fleet lab
 
 _REQUEST_CLASS_DEFAULTS = {"memorySpan": 6000.0, "group": "all"}
 _ALLOWED_FEATURES = {
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """The settings that differ between directors. Times are in ms.
+    """The settings that differ between the labs, or between directors of a lab. Times are in ms.
 
     Attributes:
         zones: Names of all zones, which are hubs and locations.
@@ -36,11 +37,12 @@
         slow_start_ms: Duration of the slow start of caches; 0: none.
         parent_slow_start_ms: Duration of the slow start of parents; None: the same as for caches.
         latency_objective_ms: Latency objective of each request class.
-        patience_ms: How long clients wait for an answer.
-        has_unsafe_class: Whether there is a request class `pay` in addition to `pages` and `order`.
+        patience_ms: How long clients wait for an answer; the deadline of each request class.
+        has_unsafe_class: Whether there is a request class `pay`, of writes without an idempotency
+            key, in addition to `pages` and `order`.
         polls_load_reports: Whether directors poll caches for load reports.
         transfer_rate: Rate of one transfer in KB per second.
-        purge_ms: Maximum duration of a purge.
+        purge_ms: Time until a purge has reached all caches.
     """
 
     zones: list[str]
@@ -58,7 +60,7 @@
 
 
 def platform_settings(options: PlatformOptions) -> dict[str, Any]:
-    """Return the settings in the format of the platform."""
+    """Return a director's settings in the format of the platform."""
     classes = _request_classes(options)
     polls = options.polls_load_reports
     return {
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -23,9 +23,9 @@
 
 READY_TIMEOUT_S = 15.0
 READY_POLL_S = 0.02
-LEAD_MS = 200.0  # between readiness of all directors and the first request
+LEAD_MS = 200.0  # from the readiness of all directors to the start of the load
 PROGRESS_INTERVAL_S = 0.5  # between two calls of `on_progress` and two counts of missing answers
-END_GRACE_S = 0.1  # after the longest patience, for the last answers
+END_GRACE_S = 0.1  # time for the last answers after the end of the longest patience
 MEMORY_MB = 128
 MAX_DESCRIPTORS = 1024
 LOCATION = "edge"
@@ -86,8 +86,8 @@
         environment: Servers of the stand-ins. `run` sets it; a caller that uses only
             `start_directors` must set it before.
         started_at: Start of the load in Unix ms.
-        completed_steps: Records of the steps that were run, also of those that failed, with the
-            keys of the output.
+        completed_steps: Results of the steps that were run, also of those that failed, under the
+            keys that the lab command prints.
     """
 
     environment: LoopbackEnvironment
@@ -120,10 +120,10 @@
         """Run the scenario and return the figures.
 
         Args:
-            on_progress: Called twice per second with the lab and the seconds since the start of the
-                load.
-            on_load_started: Called with the lab when the load generators have been started. The
-                first request follows LEAD_MS later.
+            on_progress: Called about every PROGRESS_INTERVAL_S with the lab and the seconds since
+                the start of the load, which are negative before it.
+            on_load_started: Called with the lab when the threads of the load generators have been
+                started. They send no request before `started_at`.
 
         Raises:
             RuntimeError: If a director ended before all were ready, or was not ready within
@@ -147,7 +147,7 @@
             self._stop()
 
     def start_directors(self) -> None:
-        """Start all directors and wait until they serve clients.
+        """Start all directors and wait until they accept connections of clients.
 
         Raises:
             RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
@@ -177,9 +177,9 @@
         self._wait_until_ready()
 
     def restart(self, director: Director) -> None:
-        """Restart a director that has ended, and wait until all directors serve clients.
+        """Restart a director that has ended, with the same configuration.
 
-        The director keeps its configuration.
+        The method returns when all directors accept connections of clients.
 
         Raises:
             RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
@@ -189,7 +189,11 @@
         self._wait_until_ready()
 
     def change_assignment(self, edit: Callable[[Assignment], Assignment]) -> Assignment:
-        """Apply an edit to the assignment file and return the saved assignment."""
+        """Apply an edit to the assignment file and return the saved assignment.
+
+        Args:
+            edit: Returns the changed assignment for the current one.
+        """
         with store.exclusive_writer(self.assignment_path):
             old = store.load_assignment(self.assignment_path)
             return store.save_assignment(
@@ -197,7 +201,7 @@
             )
 
     def summary(self, cpu_s: float) -> dict[str, Any]:
-        """Return the figures of the run with the keys of the output.
+        """Return the figures of the run under the keys that the lab command prints.
 
         Args:
             cpu_s: CPU time of all directors during the load, in seconds.
@@ -259,7 +263,7 @@
     def _wait_until_ready(self) -> None:
         ends_at = time.monotonic() + READY_TIMEOUT_S
         while True:
-            # `is_ready` raises an error if the director has ended.
+            # A list asks every director, as `is_ready` raises an error if one has ended.
             are_ready = [director.is_ready() for director in self.directors]
             if all(are_ready):
                 return
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -32,14 +32,15 @@
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """A step of a scenario: a fault of a node or a change of the assignment.
+    """A step of a scenario: a change of a node, a purge or a change of the assignment.
 
     Attributes:
-        name: Name of the step.
+        name: Name of the step; with `move`, also the name of the migration.
         at_s: Time of the step in seconds since the start of the load.
         kind: One of STEP_KINDS. `move` starts a migration of tenants, `abort` aborts it, and `cut`
-            moves tenants to another cell at once. The other kinds are faults of a node.
-        node: Name of the node with the fault; with `purge`, the id of the object.
+            moves tenants to another cell at once. `LoopbackEnvironment.inject_fault` describes the
+            other kinds.
+        node: Name of the node that the step changes; with `purge`, the id of the object.
         tenants: Tenants that `move` or `cut` moves.
         target: Cell to which the tenants are moved; with `abort`, the name of the migration.
         warm_up_ms: Duration of the migration's warm-up stage.
@@ -70,8 +71,9 @@
         management: Whether the directors serve gNMI.
         caches: Names of the caches.
         parents: Number of parents.
-        capacity: Capacity of a cache. That of a parent is PARENT_CAPACITY_FACTOR times as high.
-        fill_cost: Cost of a fill at a cache, in hits.
+        capacity: Capacity of a cache. That of a parent is higher by the factor
+            PARENT_CAPACITY_FACTOR of `runner.py`.
+        fill_cost: Work of a fill at a cache, in hits.
         hit_delay: Answer delay of a cache.
         fill_delay: Answer delay of a parent.
         origin_delay: Answer delay of the origin.
@@ -81,6 +83,9 @@
         parent_max_copies: Maximum number of copies that a parent stores; 0: no maximum.
         max_open_requests: Maximum number of open requests per director; 0: no maximum.
         rate: Requests per second that each director admits; 0: no limit.
+        assignment: Assignment of tenants to cells; not used if `cells` is not set.
+        loads: Loads of the tenants.
+        steps: Steps, ordered by time.
     """
 
     seconds: float
