--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of the directors; pure.
+"""Loopback addresses of the directors. No I/O; `director` is the number of a director.
 
 Each director has three addresses: it listens at the first, connects to nodes and the event stream
 through the second, and exchanges datagrams with other directors through the third. The fault
@@ -35,7 +35,7 @@
 
 
 def director_of(address: str) -> int:
-    """Return the director to which an address belongs; NO_DIRECTOR if there is none."""
+    """Return the number of the director to which an address belongs; NO_DIRECTOR if none."""
     parts = address.split(".")
     networks = (str(LISTEN_NETWORK), str(PROXY_NETWORK), str(ADVERTISED_NETWORK))
     if len(parts) != 4 or parts[0] != "127" or parts[1] not in networks:
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -1,7 +1,8 @@
-"""Audit of a play: counts violations and computes the figures from the records.
+"""Audit of a play, which is one run of a fleet scenario.
 
-Pure. It uses the records of the nodes, the event stream, the clients and the lab, and ignores
-everything that directors report about themselves.
+The audit counts violations and computes the figures. It uses the records of the nodes, the event
+stream, the clients and the lab, and ignores everything that directors report about themselves. No
+I/O and no clock.
 """
 
 from collections import Counter, defaultdict
@@ -15,16 +16,20 @@
 from .scenario import FleetScenario
 
 DRAIN_GRACE_S = 2.05  # after the notification of a drain; until then, new attempts are allowed
-FAULT_MARGIN_S = 5.0  # after the start and after the end of a fault, counted as fault time
-# After the end of a stop or kill, its excused period lasts this long plus the patience.
+# Time after the start or end of a fault that counts as fault time. It is also the recovery time of
+# a cache after a fault without a restart.
+FAULT_MARGIN_S = 5.0
+# The excused period of a stop or kill lasts this long, plus the clients' patience, after its end.
 STOP_MARGIN_MS = 3000.0
 KILL_LEAD_MS = 200.0  # a stop or kill may take effect this long before its recorded time
-# Excused period after a SIGTERM; it begins late, as a director first completes pending requests
+# Start and end of the excused period, in ms after a SIGTERM. It does not begin at once, as a
+# director first completes its pending requests.
 RESTART_FROM_MS = 700.0
 RESTART_TO_MS = 12_000.0
 FOREVER_S = 1e9
 FOREVER_MS = 1e12
-MIN_PARENT_FILLS = 20  # in a second; with fewer, the parents' shares are not significant
+# Attempts in a second that name a parent; with fewer, the parents' shares are not significant
+MIN_PARENT_FILLS = 20
 SETTLING_S = 4  # after the start or end of a fault, excluded from the parents' shares
 MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
@@ -76,10 +81,11 @@
         }
 
     def _healthy_spans(self, name: str) -> list[Span]:
-        """Return the periods in which a cache was healthy: reachable, warm and at normal speed.
+        """Return the periods in which a cache was healthy.
 
-        A period begins only after the recovery time of the preceding fault. After its first crash,
-        a cache does not count as healthy any more.
+        A cache is not healthy from the start of a fault of the cache, or of a drain, until the
+        recovery time after its end is over. After its first crash, it is never healthy again.
+        Network faults do not count.
         """
         spans: list[Span] = []
         since = 0.0
@@ -116,7 +122,10 @@
         return found
 
     def first_attempts(self) -> list[FirstAttempt]:
-        """Return, for each read request, the first attempt at a cache."""
+        """Return the first attempt at a cache for each read request that a director received.
+
+        A client's retry counts as a request of its own, as it has another command id.
+        """
         seen_commands = set()
         found = []
         for attempt in self.observations.attempts:
@@ -132,8 +141,8 @@
     def count_violations(self) -> dict[str, int]:
         """Return the number of violations by rule.
 
-        A lost request or a late answer is excused if it happened while the lab had killed, stopped
-        or restarted the director. Other violations are never excused.
+        A lost request or a late answer is excused in the periods that `_excused_spans` returns for
+        its director. Other violations are never excused.
         """
         others = self.observations.other_records
         excused = self._excused_spans()
@@ -160,7 +169,8 @@
     def _excused_spans(self) -> dict[int, list[Span]]:
         """Return, by director, the periods in which lost requests and late answers are excused.
 
-        Their times are in ms from the start of the play.
+        They are periods in and shortly after which the lab stopped, killed or restarted the
+        director. Their times are in ms from the start of the play.
         """
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
@@ -182,7 +192,7 @@
         """Count attempts that use a draining or deleted node too late.
 
         Such an attempt goes to the node, or names it as fill source, more than DRAIN_GRACE_S after
-        the director was notified of the new state.
+        the director was last notified of the node's state.
         """
         notifications: dict[tuple[int, str], list[NotificationRecord]] = defaultdict(list)
         for record in self.observations.other_records["told"]:
@@ -197,10 +207,11 @@
     # Load
 
     def parent_shares(self) -> dict[int, dict[str, float]]:
-        """Return, by second, the share of each parent in the fills from parents.
+        """Return, by second, the share of each parent in the attempts that name a parent.
 
-        Parents without fills in a second, and seconds with fewer than MIN_PARENT_FILLS, are left
-        out.
+        They are the attempts at caches that name a parent as fill source, hits included. Parents
+        that are not named in a second, and seconds with fewer than MIN_PARENT_FILLS such attempts,
+        are left out.
         """
         counts: dict[int, Counter[str]] = defaultdict(Counter)
         for attempt in self.observations.attempts:
@@ -217,8 +228,8 @@
         """Return the peak of a quantity at any single cache after the warm-up.
 
         Args:
-            quantity: `probes` for health checks per second (99th percentile), or `connections` for
-                simultaneous connections (maximum).
+            quantity: `probes` for health checks per second (99th percentile over the seconds of
+                each cache that have any), or `connections` for simultaneous connections (maximum).
         """
         first = self.scenario.warm_up_s
         if quantity == "probes":
@@ -239,7 +250,8 @@
     def health_check_concentration(self) -> float:
         """Return how strongly the health checks of a location concentrate on one cache at a time.
 
-        The value is 1 if all checks go to the same cache, which is a herd.
+        Only checks after the warm-up count. `evenness.concentration` defines the value, which is 1
+        if all directors of a location always check the same cache at a time.
         """
         checks = [
             (check.at_s, check.node)
@@ -252,7 +264,8 @@
         """Return the earned fraction of the priority weight of all requests after the warm-up.
 
         A request earns its full weight if it is served within the latency objective, and the
-        fraction MISSED_OBJECTIVE_CREDIT if it is served later.
+        fraction MISSED_OBJECTIVE_CREDIT of it if it is served later. The result is 0 without
+        requests.
         """
         total = earned = 0.0
         for request in self.observations.requests:
@@ -358,9 +371,9 @@
         return evenness.percentile(evenness.known_load_ratios(loads, self.caches, seconds), 0.99)
 
     def _imbalance(self, loads: Loads, ideal: Loads, seconds: list[int]) -> float | None:
-        """Return the 99th percentile of the load ratios, relative to the ideal assignment.
+        """Return the 99th percentile of the load ratios, divided by that of the ideal assignment.
 
-        The result is None if the ideal assignment has no known load ratio.
+        The result is None if the ideal assignment has no known load ratio above 0.
         """
         ideal_p99 = self._ratio_p99(ideal, seconds)
         return round(self._ratio_p99(loads, seconds) / ideal_p99, 3) if ideal_p99 else None
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -49,7 +49,10 @@
 
 
 def receive_messages(loop: EventLoop, on_message: Callable[[Message], None]) -> None:
-    """Call `on_message` with each later command; stop the loop at the end of standard input."""
+    """Register standard input with the loop, and call `on_message` with each later command.
+
+    The loop stops at the end of standard input.
+    """
     unread = b""
 
     def on_ready(_: int) -> None:
@@ -77,7 +80,11 @@
 
 
 class RecordFile:
-    """File of records with a line of JSON for each, written in large blocks. Not thread-safe."""
+    """File of records with a line of JSON for each, written in large blocks.
+
+    Threads of the lab add records concurrently: each record is one write to a `BufferedWriter`,
+    which has its own lock.
+    """
 
     def __init__(self, path: str) -> None:
         self.file: BinaryIO = open(path, "ab", buffering=RECORD_BUFFER_SIZE)  # noqa: SIM115 (close)
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -86,7 +86,7 @@
         self.setup.on_started(self.process.pid)
 
     def is_ready(self) -> bool:
-        """Return whether the director serves clients.
+        """Return whether the director accepts connections of clients.
 
         Raises:
             RuntimeError: If the process of the director has ended.
@@ -105,7 +105,7 @@
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until the process has ended; kill it after `timeout_s`."""
+        """Wait until the process has ended, and kill it after `timeout_s`; call `on_ended`."""
         if self.process is None:
             return
         try:
--- a/mulleinrelay/lab/fleet/endpoint_process.py
+++ b/mulleinrelay/lab/fleet/endpoint_process.py
@@ -19,7 +19,7 @@
 from .scenario_parser import parse_fleet_scenario
 
 FLUSH_INTERVAL_MS = 1000.0  # of the file of records
-DEFAULT_SLOWDOWN = 10.0
+DEFAULT_SLOWDOWN = 10.0  # factor of a fault `node_slow` without an amount
 
 
 class EndpointProcess:
@@ -51,14 +51,15 @@
     ) -> bool:
         """Return whether an answer violates a purge.
 
-        An answer violates a purge if it is a copy from before the purge, and the director was
-        notified of the purge more than a second ago.
+        An answer violates a purge if it contains a copy that was issued before the purge, and the
+        director was notified of the purge more than PURGE_PROPAGATION_MS ago.
 
         Args:
             director: Director that gets the answer; None if its connection has not named it yet,
                 so that the answer violates no purge.
             fields: Fields of the command.
-            answer: Second item of the answer, which contains the time of the copy.
+            answer: Second item of the answer, which contains the time at which the origin issued
+                the copy, if the answer has one.
             now: Time of the answer in Unix ms.
         """
         if director is None:
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -1,8 +1,9 @@
-"""Measures of how evenly load is distributed over caches; pure.
+"""Measures of how evenly load is distributed over caches. No I/O and no clock.
 
-A load is the number of read requests whose first attempt at a cache went to this cache in one
-second. The fair share of a healthy cache is the part of its location's load that is proportional to
-its capacity. The load ratio is the load divided by the fair share.
+A read request counts at the cache that gets its first attempt at any cache. The load of a cache is
+the number of requests that count there in one second. The fair shares divide the load of all
+healthy caches of a location among them, in proportion to their capacities. The load ratio of a
+cache is its load divided by its fair share.
 """
 
 import math
@@ -14,32 +15,32 @@
 from ...policy.rendezvous_hash import hash_integers
 
 # In the ideal assignment, an object gets one more cache for each such fraction of its location's
-# recent requests.
+# recent requests that ask for the object.
 HOT_FRACTION = 0.02
 HOT_WINDOW_S = 10.0  # period in which requests count as recent
-HOT_MIN_REQUESTS = (
-    200  # with fewer recent requests, the fraction is computed as if there were these
-)
-MIN_FAIR_RATE = 4.0  # requests per second; with a lower fair share the ratio is unknown
+# If a location has fewer recent requests, an object's fraction is computed as if it had this many.
+HOT_MIN_REQUESTS = 200
+MIN_FAIR_RATE = 4.0  # requests per second; with a lower fair share, the load ratio is unknown
 OVERLOADED_RATIO = 2.0
 UNDERLOADED_RATIO = 0.5
 IDLE_RATIO = 0.2
 RECOVERY_WINDOW_S = 3  # over which load and fair share are summed in `seconds_until_half_load`
 SLOT_PHASES = 4  # number of start times of the first slot that `concentration` tries
 
-Loads = dict[int, Counter[str]]  # by second and cache
+Loads = dict[int, Counter[str]]  # loads by second and cache
 
 
 @dataclass(slots=True)
 class AuditedCache:
     """A cache with the periods in which it was healthy.
 
-    A cache is healthy if it is warm, that is after its slow start, and has no node fault.
+    `Audit` determines these periods: a cache is not healthy during a fault or a drain of the cache,
+    during the recovery time that follows, or after a crash.
 
     Attributes:
         hash_key: Number that the directors hash to choose a cache for an object.
         capacity: Capacity relative to a normal cache.
-        healthy_spans: Start and end of each period, in seconds from the start of the play.
+        healthy_spans: Start and end of each such period, in seconds from the start of the play.
     """
 
     name: str
@@ -94,8 +95,7 @@
 ) -> dict[str, dict[str, float | None]]:
     """Return the load ratios in a second, by location and healthy cache.
 
-    The fair shares divide a location's load among its healthy caches. The ratio is None if the fair
-    share of the cache is below MIN_FAIR_RATE.
+    The ratio is None if the fair share of the cache is below MIN_FAIR_RATE.
     """
     found: dict[str, dict[str, float | None]] = {}
     for location, healthy in healthy_by_location(caches, second).items():
@@ -126,9 +126,9 @@
     """Assign the requests to caches as a single director that receives all of them would do.
 
     The assignment uses the directors' hash. An object has one cache, and one more for each
-    HOT_FRACTION of its location's recent requests. Each request goes to the object's cache that has
-    the lowest load, relative to its capacity, in the second of the request. A request is left out
-    if no cache of its location is healthy.
+    HOT_FRACTION of its location's recent requests that ask for the object. Each request goes to the
+    object's cache that has the lowest load so far, relative to its capacity, in the second of the
+    request. A request is left out if no cache of its location is healthy.
     """
     orders: dict[tuple[int, str], list[AuditedCache]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -197,9 +197,10 @@
 def longest_idle_spans(
     loads: Loads, caches: dict[str, AuditedCache], seconds: list[int]
 ) -> dict[str, int]:
-    """Return, by cache, the length in seconds of its longest period of being healthy but idle.
+    """Return, by cache, the length in seconds of the longest period in which it was idle.
 
-    A cache is idle if its load ratio is known and below IDLE_RATIO.
+    A cache is idle in a second if its load ratio is known, so that it is healthy, and below
+    IDLE_RATIO.
     """
     runs: Counter[str] = Counter()
     longest: dict[str, int] = dict.fromkeys(caches, 0)
@@ -232,10 +233,10 @@
 def seconds_until_half_load(
     loads: Loads, caches: dict[str, AuditedCache], name: str, second: int, last: int
 ) -> float:
-    """Return the seconds until a cache has half of its fair share.
+    """Return the seconds from `second` until a cache has half of its fair share.
 
-    Load and fair share are summed over RECOVERY_WINDOW_S seconds. If the cache never reaches half
-    of its fair share, the result is the time until `last`.
+    Load and fair share are summed over RECOVERY_WINDOW_S seconds. If the cache does not reach half
+    of its fair share before `last`, the result is the time from `second` to `last`.
 
     Args:
         loads: Loads by second and cache.
@@ -275,15 +276,16 @@
 def slot_loads(
     attempts: list[tuple[float, str]], width_s: float, end_s: float
 ) -> tuple[list[str], list[list[int]]]:
-    """Count attempts by name and time slot.
+    """Count attempts by cache and time slot.
 
     Args:
         attempts: Time in seconds, and name of the cache, of each attempt.
         width_s: Width of a slot in seconds.
-        end_s: End of the last slot; later attempts are not counted.
+        end_s: End of the last slot, in seconds; attempts before 0 or after the end do not count.
 
     Returns:
-        The names in alphabetical order, and a row for each name with the count in each slot.
+        The names of the caches in alphabetical order, and a row for each with the count in each
+        slot.
     """
     names = sorted({name for _, name in attempts})
     row_of = {name: row for row, name in enumerate(names)}
--- a/mulleinrelay/lab/fleet/fault_injector.py
+++ b/mulleinrelay/lab/fleet/fault_injector.py
@@ -157,7 +157,8 @@
     def _await_ready(self, director: FleetDirector) -> None:
         """Start a thread that waits until the director is ready.
 
-        From then on, the director is not expected to be down, so its exit counts as a crash.
+        When it is ready, it is removed from `expected_down`, so a later exit counts as a crash. A
+        director that ends before, and was not killed, is recorded as crashed at once.
         """
         threading.Thread(
             target=self._wait_until_ready,
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -122,8 +122,11 @@
 class FaultProxy:
     """Proxy with a listener for each target and a socket for the datagrams to each director.
 
+    Only one of the lab's proxies has sockets for datagrams.
+
     Attributes:
-        ports: Port of each target's listener, by the target's name, also while it is closed.
+        reserved_ports: Reservation of the port of each target's listener, by the target's name. It
+            remains while the listener is closed.
         listeners: Open listeners by the target's name.
         datagram_sockets: Sockets at the advertised addresses of the directors, by director.
     """
@@ -149,7 +152,7 @@
         receive_messages(self.loop, self.on_command)
 
     def listen(self, name: str) -> None:
-        """Listen for a target at all loopback addresses, at the port that is reserved for it."""
+        """Listen at the target's reserved port and all loopback addresses, unless already done."""
         if name not in self.listeners:
             self.listeners[name] = self.loop.listen(
                 "",
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -15,7 +15,7 @@
 
 KEEP_ALIVE_INTERVAL_MS = 1000.0
 POLL_INTERVAL_MS = 20.0  # between checks for events that are due
-PURGE_DELAY_DIVISOR = 3.0  # purges are delivered faster than endpoint updates
+PURGE_DELAY_DIVISOR = 3.0  # purges are delivered faster than endpoint updates, by this factor
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: on\n\n"
 
 
--- a/mulleinrelay/lab/fleet/heatmap.py
+++ b/mulleinrelay/lab/fleet/heatmap.py
@@ -6,7 +6,9 @@
 from .evenness import slot_loads
 
 SLOT_S = 0.1
-SMOOTHED_SLOTS = 5  # half a second, as a cache gets only few attempts in 100 ms
+# Number of slots over which loads are averaged: half a second, as a cache gets only few attempts in
+# one slot
+SMOOTHED_SLOTS = 5
 MAX_RATIO = 8.0  # of load to fair share; ratios above it and below its inverse are clipped
 MIN_FAIR_LOAD = 1e-9  # avoids division by 0
 COLOUR_TICKS = ["1/4", "1/2", "fair", "2", "4"]
