--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -1,7 +1,7 @@
 """Load of a fleet scenario: arrival times, requested objects and chosen directors.
 
-Pure; time is passed in. The load depends only on the scenario and its seed, so the lab's processes
-and the simulation generate the same load.
+No I/O and no clock: the time is an argument. The lab's processes and the simulation both use this
+module, so that they generate the same kind of load.
 """
 
 import itertools
@@ -25,8 +25,8 @@
 # probability.
 MAX_DIRECTOR_DRAWS = 8
 
-DEFAULT_BURST_FACTOR = 1.5  # of the rate
-DEFAULT_SHIFT_FRACTION = 0.5  # of the rate
+DEFAULT_BURST_FACTOR = 1.5  # by which a `burst` fault multiplies the rate
+DEFAULT_SHIFT_FRACTION = 0.5  # of the location's rate
 DEFAULT_HOT_FRACTION = 0.1  # of the requests
 DEFAULT_OUTSIZED_FRACTION = 0.02  # of the requests
 
@@ -97,8 +97,9 @@
 class LocationLoad:
     """Requests of the clients of one location.
 
-    All random draws come from one generator in a fixed order, so a seed always gives the same load.
-    `since_start_s` is a time in seconds since the start of the play.
+    All random draws come from one generator. A seed therefore gives the same load as long as the
+    methods are called in the same order with the same arguments. `since_start_s` is a time in
+    seconds since the start of the play.
     """
 
     def __init__(self, scenario: FleetScenario, location: str) -> None:
@@ -111,7 +112,7 @@
         self.rates = [rates[director] for director in self.directors]
         self.cumulative_rates = list(itertools.accumulate(self.rates))
         self.faults = [fault for fault in scenario.faults if fault.kind in LOAD_FAULTS]
-        # Requests per second of each location without faults
+        # Requests per second of each location while no fault changes them
         self.total_by_location = {
             name: sum(rates[director] for director in scenario.directors_in(name))
             for name in scenario.locations
@@ -165,7 +166,7 @@
         return RequestPlan(PAGES, object_id, size_kb, "")
 
     def draw_director(self, excluded: set[int]) -> int | None:
-        """Draw a director weighted by its rate; None if all directors are excluded."""
+        """Draw a director of the location, weighted by its rate; None if all are excluded."""
         if not self.directors:
             return None
         weights = self.cumulative_rates
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -1,7 +1,8 @@
 """Load generator: a process that simulates the clients of some locations.
 
 The load is open-loop: requests arrive independently of the answers. The clients send framed Thrift
-to the directors and retry by themselves. The process writes a record for each request.
+to the directors and retry rejected requests. Each sending of a request is a try. The process writes
+a record for each request.
 """
 
 import random
@@ -41,9 +42,10 @@
 SWEEP_INTERVAL_MS = 100.0  # between checks for missing answers and idle connections
 PROGRESS_INTERVAL_MS = 1000.0  # between reports to the lab, and between flushes of the records
 MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain for another try
-# If a busy machine delays a new request by more than this, all overdue requests are skipped.
+# If the next new request is overdue by more than this, because the machine is busy, the requests
+# that should have been sent until now are skipped.
 MAX_LATENESS_MS = 1000.0
-END_GRACE_MS = 100.0  # until the process stops, after the last answers are received or overdue
+END_GRACE_MS = 100.0  # from when the last missing answers are overdue until the process stops
 
 
 @dataclass(slots=True, eq=False)
@@ -54,13 +56,13 @@
     deadline: float  # when the client's patience ends
     load: LocationLoad
     plan: RequestPlan
-    tries: int = 0
+    tries: int = 0  # number of tries so far
     is_complete: bool = False  # whether the outcome is known and recorded
     first_director: int = addresses.NO_DIRECTOR  # director of the first try
 
 
 class ClientSession:
-    """A connection to one director with the calls in flight on it."""
+    """A connection to one director with the calls in flight on it; a call is one try."""
 
     def __init__(self, generator: "LoadGenerator", director: int) -> None:
         self.generator = generator
@@ -82,7 +84,10 @@
         self.connection.write(encode_serve_call(self.last_number, fields))
 
     def expire_unanswered(self, now: float) -> None:
-        """Complete all requests whose answer on this connection is overdue."""
+        """Complete all requests whose answer on this connection is overdue.
+
+        An answer is overdue if it is missing `answer_grace_ms` of the scenario after the deadline.
+        """
         for number, request in list(self.in_flight.items()):
             if now > request.deadline + self.generator.scenario.answer_grace_ms:
                 del self.in_flight[number]
@@ -245,7 +250,10 @@
             self.loop.call_at(check_at, lambda: self._check_health(director))
 
     def on_health(self, director: int, is_healthy: bool) -> None:
-        """Exclude an unhealthy director until a later health check succeeds."""
+        """Exclude an unhealthy director until a later health check succeeds.
+
+        Each failed check schedules another one.
+        """
         if is_healthy:
             self.excluded.discard(director)
         else:
@@ -258,7 +266,7 @@
     def _send_due_requests(self, load: LocationLoad) -> None:
         """Send all new requests that are due, and schedule the next one.
 
-        Several requests are due if the intervals between them have passed in the meantime.
+        Several requests are due if the drawn intervals are short or the event loop is late.
         """
         now = now_ms()
         due_at = now
--- a/mulleinrelay/lab/fleet/network_rules.py
+++ b/mulleinrelay/lab/fleet/network_rules.py
@@ -1,9 +1,9 @@
 """Network rules: the faults that a proxy applies to traffic between directors and their targets.
 
-Pure; time and the random generator are passed in. A rule selects paths by their kind, director and
-target, and defines the treatment of bytes and datagrams on these paths. If several rules match a
-path, all of them apply. TCP delivers all bytes in order, so loss on a connection appears as the
-delay of a retransmission; datagrams are lost, duplicated and reordered.
+No I/O and no clock: the time and the random generator are arguments. A rule selects paths by their
+kind, director and target, and defines the treatment of bytes and datagrams on these paths. If
+several rules match a path, all of them apply. TCP delivers all bytes in order, so loss on a
+connection appears as the delay of a retransmission; datagrams are lost, duplicated and reordered.
 """
 
 import random
@@ -14,7 +14,7 @@
 
 RETRANSMISSION_MS = 200.0  # delay of lost bytes of a TCP connection
 MAX_STREAM_LOSS = 0.9  # probability; at 1 a stream would be delayed forever
-MAX_REORDERING_MS = 50.0  # maximum additional delay of a datagram, so that later ones overtake it
+MAX_REORDERING_MS = 50.0  # maximum of the additional delay by which later datagrams overtake one
 MAX_DUPLICATE_MS = 20.0  # maximum delay of the first duplicate after its datagram
 DEFAULT_LOSS = 0.1
 DEFAULT_DELAY_MS = 100.0
@@ -31,18 +31,20 @@
         path_kinds: Matching kinds of paths.
         directors: Matching directors; empty for all.
         targets: Names of the matching targets; empty for all. A target is a node, the event stream,
-            or a director under its number.
+            or a director, whose name is its number.
         direction: Direction in which the faults apply: up (from the director), down or both. A
-            reset ignores it.
+            reset of connections ignores it.
         is_cut: Whether no traffic passes. Bytes of a connection are held and delivered after the
             cut; datagrams are lost.
-        is_reset: Whether existing and new connections are reset.
+        is_reset: Whether existing and new connections are reset; datagrams are lost.
         delay_ms: Fixed delay of all traffic.
         jitter_ms: Maximum random delay in addition to the fixed delay.
-        loss: Probability that a datagram, or a block of bytes on a connection, is lost.
+        loss: Probability that a datagram, or a transmission of a block of bytes on a connection, is
+            lost. Lost bytes are transmitted again, and may be lost again.
         duplication: Probability that a datagram is duplicated.
-        reordering: Probability that a datagram is delayed, so that later ones overtake it.
-        bytes_per_s: Rate limit of each connection; 0 for no limit.
+        reordering: Probability that a datagram gets a random additional delay, so that later ones
+            can overtake it.
+        bytes_per_s: Rate limit of each direction of a connection; 0 for no limit.
     """
 
     path_kinds: tuple[str, ...]
@@ -114,7 +116,9 @@
         stream: StreamState,
         rng: random.Random,
     ) -> float:
-        """Return when bytes received now are due at the other end; never before earlier bytes.
+        """Return when bytes received now are due at the other end, in ms.
+
+        They are never due before earlier bytes of the stream. Cuts and resets are not considered.
 
         Args:
             path_kind: Kind of the path.
@@ -146,7 +150,7 @@
         now: float,
         rng: random.Random,
     ) -> list[float]:
-        """Return when each copy of a datagram received now is due, in ms; empty if it is lost."""
+        """Return when the datagram and its duplicates are due, in ms; empty if it is lost."""
         due_at = now
         copies = 1
         for rule in self.matching(path_kind, director, target, direction):
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -62,7 +62,10 @@
 
 @dataclass(slots=True, eq=False)
 class _Session:
-    """A connection from a director; `director` is None until the first line is received."""
+    """A connection from a director.
+
+    `director` is the director's number; None until the first line is received.
+    """
 
     connection: LoopConnection
     director: int | None = None
@@ -193,7 +196,7 @@
     def crash(self) -> None:
         """Stop the node like a killed process: close its listener and reset its connections.
 
-        The lab is told, so that the fault proxy refuses connections to the node.
+        A message to the lab makes the fault proxy refuse connections to the node.
         """
         self.node.is_alive = False
         if self.listener is not None:
@@ -207,7 +210,7 @@
     def restart(self) -> None:
         """Restart the node without stored copies; its slow start begins again.
 
-        The lab is told, so that the fault proxy accepts connections to the node again.
+        A message to the lab makes the fault proxy accept connections to the node again.
         """
         node = self.node
         node.reset()
@@ -274,7 +277,8 @@
     def _pull(self, session: _Session, command_id: bytes, encoded_fields: bytes) -> None:
         now = now_ms()
         fields = decode_fields(encoded_fields)
-        # Under one empty key, all writes without an idempotency key would count as repetitions.
+        # Each write without an idempotency key gets a key of its own. Under one empty key, all of
+        # them would count as repetitions of one write.
         fields.setdefault("dedupe", "mark-" + command_id.decode())
         if session.director in self.failing_for:
             self._record_attempt(session, fields, command_id, Reply((b"BROKE", b"-"), None), now)
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -38,7 +38,7 @@
     duration_ms: float
     location: str
     first_director: int  # of the first try; NO_DIRECTOR if there was no try
-    director: int  # the last one that was drawn; NO_DIRECTOR if all were excluded
+    director: int  # drawn last, even if no try was possible; NO_DIRECTOR if all were excluded then
     request_class: str
     object_id: int
     outcome: str  # a ReplyOutcome, or `no answer`, `cut off` or `nobody` (no try was possible)
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All records of a play, which is one run of a fleet scenario.
+    """All records of a play.
 
     Attributes:
         started_at: Start of the play in Unix ms.
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Play of a fleet scenario with real processes.
+"""Play, which is one run, of a fleet scenario with real processes.
 
 The directors are processes of the program under test; the nodes, fault proxies and load generators
 are processes of the lab. All of them are ended after a play, even if the lab fails or is killed.
@@ -30,7 +30,7 @@
 MAX_CONCURRENT_STARTS = 24  # of directors
 READY_POLL_INTERVAL_S = 0.02
 PROGRESS_POLL_INTERVAL_S = 0.1
-LEAD_S = 1.0  # from the readiness of all directors to the first request
+LEAD_S = 1.0  # from the readiness of all processes to the start of the play
 EXIT_TIMEOUT_S = 5.0
 REAPER_TIMEOUT_S = 3.0
 MEMBERSHIP_SEEDS = 3  # directors that a starting director contacts to join the fleet
@@ -84,12 +84,13 @@
     Attributes:
         program: Folder that contains the package that the directors run.
         keeps_folder: Whether the folder remains after the play; otherwise it is temporary.
-        port: Port at which all directors listen for clients.
-        datagram_port: Port at which directors and fault proxy receive datagrams.
+        client_port: Reservation of the port at which all directors listen for clients.
+        datagram_port: Reservation of the port at which the directors and the first fault proxy
+            receive datagrams.
         proxy_by_target: The fault proxy of each target, by the target's name. A target is a node
             or the event stream.
-        ready_after_s: Time from the start of the first director until all were ready. It is set
-            when all directors are ready.
+        ready_after_s: Time in seconds from the start of the first director until all were ready.
+            It is set when all directors are ready.
         error: Reason for the failure of the play; empty if it has not failed.
         stopped: Set at the end of the play, to end the lab's threads.
     """
@@ -107,7 +108,7 @@
                 earlier version.
 
         Raises:
-            ConfigError: The scenario has too many directors or caches for a play with processes.
+            ConfigError: If the scenario has too many directors or caches for a play with processes.
         """
         self.scenario = scenario.require_process_limits()
         self.text = text
@@ -141,7 +142,8 @@
             on_ready: Called when all processes are ready, before the load starts.
 
         Raises:
-            RuntimeError: The scenario could not be played.
+            RuntimeError: If a director was not ready in time or ended before, or if a process of
+                the lab has ended.
         """
         folder = "" if self.keeps_folder else self.folder
         self.reaper = ProcessReaper(self.path("keeper.log"), folder)
@@ -250,10 +252,12 @@
     def _await_directors(self) -> None:
         """Start all directors, and wait until they are ready.
 
-        At most MAX_CONCURRENT_STARTS directors that were started are not ready yet at any time.
+        At any time at most MAX_CONCURRENT_STARTS directors are starting, that is, started but not
+        yet ready.
 
         Raises:
-            RuntimeError: If a director ended, or if not all were ready within READY_TIMEOUT_S.
+            RuntimeError: If a director ended before it was ready, or if not all were ready within
+                READY_TIMEOUT_S.
         """
         started_at = time.monotonic()
         pending = list(self.directors)
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -1,7 +1,8 @@
 """Fleet scenarios: the directors and nodes, their load, and the schedule of faults.
 
-Pure: the same scenario, which contains the seed, always gives the same nodes, rates and steps. Too
-many directors or caches raise a ConfigError that names the key in the scenario file.
+No I/O and no clock: the same scenario, which contains the seed, always gives the same nodes, rates
+and steps. A play is one run of a scenario. Every ConfigError names the section and the key of the
+scenario file.
 """
 
 import math
@@ -55,18 +56,18 @@
         fraction: Fraction that is affected: of the caches in `location` if the kind is one of
             NODE_FAULTS, else of the directors in `location`.
         location: The only location that is affected; empty for all locations.
-        path_kinds: Kinds of paths, from PATH_KINDS, that a network fault affects. The kinds of
-            network faults are PATH_FAULTS.
+        path_kinds: Kinds of paths, from PATH_KINDS, that a network fault affects. A network fault
+            is one whose kind is in PATH_FAULTS.
         direction: Direction of a network fault, one of DIRECTIONS.
         amount: Size of the fault; 0 for the default of its kind. By kind: ms of delay or of a
             clock step, seconds by which the events of the event stream are late, slowdown factor,
             KB/s of a trickle, probability of loss, fraction of the requests, or factor of the
             request rate.
-        jitter_ms: Maximum random delay in addition to the fixed delay.
+        jitter_ms: Maximum random delay that a network fault adds to its fixed delay.
         spread_s: Period in seconds over which kills, restarts or starts after a kill are spread;
             0 if they are simultaneous.
         director_fraction: Fraction of the directors that observe the fault of a node, if its kind
-            can be limited to some directors.
+            is `node_slow` or `node_errors`. All directors observe other faults.
         nodes: Names of the affected nodes; empty if they are drawn at random.
         other_location: Location that receives shifted load, or location of the directors at the
             other end of a path between directors.
@@ -90,15 +91,19 @@
 
 @dataclass(slots=True)
 class ScenarioStep:
-    """The start or the end of a fault. A fault that is spread has a start for each director.
+    """The start or the end of a fault.
+
+    A fault that is spread has a start for each director. A kill with a duration also has an end for
+    each director.
 
     Attributes:
         at_s: Time of the step, in seconds from the start of the play.
         name: Name of the fault.
         kind: Kind of the fault.
         directors: Directors that the fault affects. Of a fault of a node, those that observe it.
-        nodes: Names of the nodes that the fault affects. Of a network fault between directors, the
-            numbers of the directors at the other end.
+        nodes: Names of the nodes that the fault affects; empty for all nodes on the affected paths
+            of a network fault. Of a network fault between directors, the numbers of the directors
+            at the other end.
         is_start: True for the start and False for the end. The end of a kill is a new start of the
             director.
     """
@@ -209,7 +214,7 @@
         ]
 
     def node_sites(self) -> list[NodeSite]:
-        """Return all nodes; each name ends in the hexadecimal digits that all directors hash."""
+        """Return all nodes; each name ends in the hexadecimal number that all directors hash."""
         found = []
         number = FIRST_NODE_NUMBER
         for location in self.locations:
@@ -227,7 +232,7 @@
     def director_rates(self) -> list[float]:
         """Return the requests per second of each director.
 
-        The sum is `rate`, or more if the rates of some directors had to be raised to `min_rate`.
+        The sum is `rate`, or more if some directors' rates had to be raised to `min_rate`.
         """
         rng = random.Random(f"{self.seed}-rates")
         weights = [math.exp(rng.gauss(0.0, self.rate_spread)) for _ in range(self.directors)]
@@ -245,7 +250,7 @@
         """Return a copy with this number of directors under the same load.
 
         Raises:
-            ConfigError: The number is out of range.
+            ConfigError: If the number is out of range.
         """
         if not 1 <= directors <= MAX_DIRECTORS:
             raise ConfigError(
@@ -259,7 +264,7 @@
         """Return the scenario itself if it can be played with processes.
 
         Raises:
-            ConfigError: The scenario has too many directors or caches.
+            ConfigError: If the scenario has too many directors or caches.
         """
         caches = self.caches * len(self.locations)
         for section, key, count, limit in (
--- a/mulleinrelay/lab/fleet/scenario_parser.py
+++ b/mulleinrelay/lab/fleet/scenario_parser.py
@@ -1,4 +1,4 @@
-"""Parser for the INI files of fleet scenarios; pure."""
+"""Parser for the INI files of fleet scenarios. No I/O: the text is an argument."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
     """Parse a scenario.
 
     Raises:
-        ConfigError: The scenario is invalid; the message names the section and the key, if any.
+        ConfigError: If the scenario is invalid; the message names the section and the key, if any.
     """
     sections = parse_sections(text)
     lab, directors, nodes, load = (IniSection(title, sections.pop(title, {})) for title in SECTIONS)
--- a/mulleinrelay/lab/fleet/stepped.py
+++ b/mulleinrelay/lab/fleet/stepped.py
@@ -1,9 +1,9 @@
 """Launcher of the program with a wall clock that a signal steps.
 
 `python -m mulleinrelay.lab.fleet.stepped MS serve ...` runs `python -m mulleinrelay serve ...`;
-each SIGUSR1 advances `time.time` by MS milliseconds. Only the lab starts it, for the directors that
-a `clock` fault affects. The module must keep its name: the lab also starts it from earlier versions
-of the program, to compare versions.
+each SIGUSR1 steps `time.time` by MS milliseconds, backwards if MS is negative. Only the lab starts
+this launcher, for the directors that a `clock` fault affects. The module must keep its name: the
+lab also starts it from earlier versions of the program, to compare versions.
 """
 
 import signal
