--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -115,10 +115,10 @@
 
 @pytest.mark.parametrize("offset_s", [0.0, 0.1, 0.2, 0.25, 0.3, 0.45])
 def test_a_herd_of_health_checks_is_found_at_any_phase(offset_s):
-    """Directors may change the cache that they check in the middle of a slot.
+    """Guard against a herd that looks weak because the directors change the cache within a slot.
 
-    The slot then has checks of two caches, and a herd looks half as strong. When all slots began
-    at one phase, a CI run measured 0.553 for a herd, and a test requires more than 0.6.
+    Such a slot has checks of two caches. When `concentration` tried only one start time of the
+    slots, a CI run measured 0.553 for a herd, for which `test_planted.py` requires more than 0.6.
     """
     rng = Random(1)
     checks = [
--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -14,7 +14,10 @@
 
 
 class EchoServer:
-    """A target that echoes all bytes and keeps the lines that identify the directors."""
+    """A target that echoes and keeps all bytes after the line that identifies the director.
+
+    The lines are kept in `director_lines`.
+    """
 
     def __init__(self):
         self.listener, self.director_lines, self.received = (
@@ -88,7 +91,10 @@
 
 
 def exchange(connection, text):
-    """Return the answer: the text, None if nothing is received in 0.4 s, or b"" if closed."""
+    """Send the text and return the answer.
+
+    The answer is None if nothing is received in 0.4 s, and empty if the connection has ended.
+    """
     try:
         connection.sendall(text)
         return connection.recv(100)
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -1,8 +1,8 @@
 """A play with about forty processes that suffers large losses.
 
-Most directors are killed, restarted together and killed again. The caches of a location are
-unreachable for some time, caches restart cold while directors restart, and clocks are stepped. The
-play is checked by counts at caches and clients.
+Most directors are killed and started again together, and then half of all directors are killed. The
+caches of a location are unreachable for some time, caches restart cold while directors restart, and
+clocks are stepped. The play is checked by counts at caches and clients.
 """
 
 import pytest
@@ -124,9 +124,10 @@
 
 
 def test_requests_bypass_the_caches_of_an_unreachable_location(audit):
-    """Directors must detect the loss of a whole location.
+    """Directors must detect that no cache of a location can be reached.
 
-    If a director detects each unreachable cache separately, it loses one or two requests per cache.
+    A director that detected each unreachable cache separately would lose one or two requests per
+    cache.
     """
     first, last, affected = (
         fault_time(audit, "unreached"),
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -77,9 +77,9 @@
 
 
 def test_slow_caches_get_no_overload_of_retries(audit):
-    """Requests that directors retry at one full cache after another amplify the load.
+    """Guard against directors that retry a request at one full cache after another.
 
-    Without a limit of these retries, there were more than two attempts per request.
+    Such retries amplify the load: without a limit, there were more than two attempts per request.
     """
     first, last = fault(audit, "slow").at_s, fault(audit, "slow", False).at_s + 2.0
     attempts = [
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -1,4 +1,7 @@
-"""Plays of a modified program that causes herds, which the audit must detect from the records."""
+"""Plays of the program with and without a modification that causes a herd.
+
+The audit must detect the herd from the records, and must detect none without the modification.
+"""
 
 import os
 import shutil
--- a/tests/lab/test_recovery.py
+++ b/tests/lab/test_recovery.py
@@ -45,7 +45,11 @@
 
 
 def test_a_retry_storm_delays_the_recovery(monkeypatch, process_job_result):
-    """Show that free and unlimited retries keep an overload going after its cause has ended."""
+    """Show that an overload lasts longer after its cause has ended if retries are hardly limited.
+
+    A retry then costs almost nothing, and each request earns six of them even while most requests
+    are rejected. A rejection also does not count as lateness of the cache.
+    """
     monkeypatch.setattr(overload, "RETRIES_PER_REQUEST", 6.0)
     monkeypatch.setattr(overload, "NO_RETRY_FRACTION", 1e9)
     monkeypatch.setattr(overload, "retry_cost", lambda *_: 0.05)
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -65,7 +65,9 @@
     ports = {reserved.port for reserved in all_reserved}
     loop = EventLoop()
     selected = set()
-    for _ in range(1000):  # the system selects from about 28,000 ports
+    # The system selects from about 28,000 ports, so it would select some that are not reserved
+    # properly.
+    for _ in range(1000):
         listener = loop.listen("", 0, lambda accepted: None, on_all_addresses=True)
         selected.add(listener.getsockname()[1])
         loop.stop_listening(listener)
