--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -169,8 +169,8 @@
     def _excused_spans(self) -> dict[int, list[Span]]:
         """Return, by director, the periods in which lost requests and late answers are excused.
 
-        They are periods in and shortly after which the lab stopped, killed or restarted the
-        director. Their times are in ms from the start of the play.
+        They cover the times at which the director was stopped, killed or restarted by the lab, and
+        a margin after them. Their bounds are in ms from the start of the play.
         """
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
@@ -207,9 +207,9 @@
     # Load
 
     def parent_shares(self) -> dict[int, dict[str, float]]:
-        """Return, by second, the share of each parent in the attempts that name a parent.
+        """Return, by second, the fraction of attempts that name each parent.
 
-        They are the attempts at caches that name a parent as fill source, hits included. Parents
+        The attempts are those at caches that name any parent as fill source, hits included. Parents
         that are not named in a second, and seconds with fewer than MIN_PARENT_FILLS such attempts,
         are left out.
         """
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -73,7 +73,10 @@
 
 
 def last_line(path: str) -> str:
-    """Return the last line of a log, truncated to MAX_ERROR_LINE_LENGTH characters."""
+    """Return the last line of a log, truncated to MAX_ERROR_LINE_LENGTH characters.
+
+    If the log is empty, return a text that says so.
+    """
     with open(path, "rb") as file:
         lines = file.read().decode("utf-8", "replace").strip().splitlines()
     return lines[-1][:MAX_ERROR_LINE_LENGTH] if lines else "the log is empty"
--- a/mulleinrelay/lab/fleet/network_rules.py
+++ b/mulleinrelay/lab/fleet/network_rules.py
@@ -14,7 +14,9 @@
 
 RETRANSMISSION_MS = 200.0  # delay of lost bytes of a TCP connection
 MAX_STREAM_LOSS = 0.9  # probability; at 1 a stream would be delayed forever
-MAX_REORDERING_MS = 50.0  # maximum of the additional delay by which later datagrams overtake one
+# Maximum additional delay of a datagram that is chosen for reordering, so that later ones overtake
+# it
+MAX_REORDERING_MS = 50.0
 MAX_DUPLICATE_MS = 20.0  # maximum delay of the first duplicate after its datagram
 DEFAULT_LOSS = 0.1
 DEFAULT_DELAY_MS = 100.0
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -38,7 +38,7 @@
     duration_ms: float
     location: str
     first_director: int  # of the first try; NO_DIRECTOR if there was no try
-    director: int  # drawn last, even if no try was possible; NO_DIRECTOR if all were excluded then
+    director: int  # drawn last, also if that try was not sent; NO_DIRECTOR if none was drawn
     request_class: str
     object_id: int
     outcome: str  # a ReplyOutcome, or `no answer`, `cut off` or `nobody` (no try was possible)
@@ -90,7 +90,11 @@
 
 
 class DirectorRecord(NamedTuple):
-    """An event at one director; the type of the record is the kind of event."""
+    """An event at one director; the type of the record is the kind of event.
+
+    The events are an answer after its call was given up (`late`), a repeated answer (`twice`), and
+    the SIGTERM (`term`) and the new start (`again`) of a restart.
+    """
 
     at_s: float
     director: int
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -29,6 +29,8 @@
     "drain",
     "purge",
 )
+# In this order: many requests for one object, load that moves to another location, a higher request
+# rate, and requests for large objects
 LOAD_FAULTS = ("hot", "shift", "burst", "outsized")
 FAULT_KINDS = (*PATH_FAULTS, *DIRECTOR_FAULTS, *NODE_FAULTS, *LOAD_FAULTS, "late_list")
 
@@ -191,7 +193,7 @@
 
     @property
     def hit_ms(self) -> float:
-        """Duration in ms of a hit at an idle cache, which is the time to send the object."""
+        """Answer delay of a cache in ms, which is the time to send the object of a hit."""
         return 1000.0 * CONCURRENT_ANSWERS / self.capacity
 
     @property
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -91,11 +91,7 @@
 
 
 class NodeServer(ThreadedServer):
-    """A TCP server for one node: a cache, a parent or the origin.
-
-    The command PULL asks for a read or a write, and KILL cancels an earlier command. Any other
-    command counts as a health check.
-    """
+    """A TCP server for one node: a cache, a parent or the origin."""
 
     def __init__(self, fleet: NodeFleet, node: SimulatedNode, timer: Timer) -> None:
         self.fleet = fleet
--- a/mulleinrelay/standins/node_protocol.py
+++ b/mulleinrelay/standins/node_protocol.py
@@ -1,6 +1,7 @@
 """Parts of the protocol between directors and nodes, for the node servers of both labs.
 
-The module does no I/O.
+With the command PULL a director attempts a read or a write at a node. KILL cancels such a command.
+All other commands are health checks, which may ask for a load report. The module does no I/O.
 """
 
 MAX_CANCELLED = 10_000  # ids per connection; one more, and all ids are forgotten
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,7 +1,7 @@
 """A play with about forty processes and many faults, and the cleanup after a lab has ended.
 
-The play is checked by counts of records. The tests of the cleanup verify that no process and no
-folder of a lab remains, even if the lab is killed.
+The play is checked by counts of records. The tests of the cleanup verify that no director remains
+after a play, and that no process and no folder of a lab remains after a signal has ended the lab.
 """
 
 import os
@@ -144,7 +144,8 @@
 def test_faults_between_forty_processes_cause_no_violation(played):
     _, audit, alive = played
     figures = audit.figures()
-    assert len(alive) >= 34  # directors, endpoint process, proxies, load generators and reaper
+    # The folder is on the command lines of the directors, but not on those of the lab's processes.
+    assert len(alive) >= 34
     assert {rule: figures[rule] for rule in audit.count_violations()} == dict.fromkeys(
         audit.count_violations(), 0
     )
