--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -280,7 +280,8 @@
     def fills_by_source(self) -> dict[str, int]:
         """Return the number of attempts at caches that were not hits, by kind of fill source.
 
-        The kinds are sibling, parent and origin, and none if the attempt names no fill source.
+        Failed attempts and writes are included. The kinds are sibling, parent and origin, and none
+        if the attempt names no fill source.
         """
         found: Counter[str] = Counter()
         for attempt in self.observations.attempts:
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,7 +1,8 @@
 """Play, which is one run, of a fleet scenario with real processes.
 
-The directors are processes of the program under test; the nodes, fault proxies and load generators
-are processes of the lab. All of them are ended after a play, even if the lab fails or is killed.
+The directors are processes of the program under test. The lab has one process for all
+nodes and the event stream, and processes for the fault proxies and load generators. All of them are
+ended after a play, even if the lab fails or is killed.
 """
 
 import contextlib
@@ -191,7 +192,7 @@
         return process
 
     def _start_proxies(self, ports: dict[str, int]) -> dict[str, int]:
-        """Start the fault proxies; return the proxy port of each target by its name."""
+        """Start the fault proxies; return the proxy port of each target by the target's name."""
         path_kinds = {
             site.name: "cache" if site.kind == CACHE else "parent"
             for site in self.scenario.node_sites()
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -141,7 +141,9 @@
 
     name: str = "fleet"
     seconds: float = 30.0  # length of the play, during which clients send new requests
-    warm_up_s: float = 6.0  # at the start; the audit excludes it from its figures
+    warm_up_s: float = (
+        6.0  # at the start; most of the audit's figures exclude it, but not its counts
+    )
     seed: int = 1
 
     directors: int = 40
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -65,8 +65,8 @@
     ports = {reserved.port for reserved in all_reserved}
     loop = EventLoop()
     selected = set()
-    # The system selects from about 28,000 ports, so it would select some that are not reserved
-    # properly.
+    # The system selects from about 28,000 ports, so without reservations it would select some of
+    # the 1000 ports.
     for _ in range(1000):
         listener = loop.listen("", 0, lambda accepted: None, on_all_addresses=True)
         selected.add(listener.getsockname()[1])
