--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -141,9 +141,8 @@
 
     name: str = "fleet"
     seconds: float = 30.0  # length of the play, during which clients send new requests
-    warm_up_s: float = (
-        6.0  # at the start; most of the audit's figures exclude it, but not its counts
-    )
+    # At the start of the play; most of the audit's figures exclude it, but not its counts
+    warm_up_s: float = 6.0
     seed: int = 1
 
     directors: int = 40
