--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -86,7 +86,7 @@
     def expire_unanswered(self, now: float) -> None:
         """Complete all requests whose answer on this connection is overdue.
 
-        An answer is overdue if it is missing `answer_grace_ms` of the scenario after the deadline.
+        An answer is overdue when the scenario's `answer_grace_ms` have passed since the deadline.
         """
         for number, request in list(self.in_flight.items()):
             if now > request.deadline + self.generator.scenario.answer_grace_ms:
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -138,7 +138,7 @@
     Attributes:
         started_at: Start of the play in Unix ms.
         seconds: Length of the play in seconds.
-        ready_after_s: Time from the start of the first director until all were ready.
+        ready_after_s: Time in seconds from the start of the first director until all were ready.
         attempts: Attempts at nodes, ordered by time.
         requests: Requests of clients, in the order of the lines in the record files.
         other_records: All other records by type: instances of the class in RECORD_TYPES, or tuples
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -263,7 +263,8 @@
     def _wait_until_ready(self) -> None:
         ends_at = time.monotonic() + READY_TIMEOUT_S
         while True:
-            # A list asks every director, as `is_ready` raises an error if one has ended.
+            # Every director is asked, even if an earlier one is not ready, as `is_ready` raises an
+            # error if a director has ended.
             are_ready = [director.is_ready() for director in self.directors]
             if all(are_ready):
                 return
--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -144,7 +144,7 @@
     with pytest.raises(ConnectionRefusedError):
         setup.connect()
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
-        other.bind(("127.0.0.1", setup.port))  # otherwise the proxy could not listen again
+        other.bind(("127.0.0.1", setup.port))  # it stays reserved, so the proxy can listen again
     setup.process.send({"hears": "c-1"})
     time.sleep(0.1)
     assert exchange(setup.connect(), b"back") == b"back"
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -1,7 +1,7 @@
-"""Ports of the labs that stay reserved while their process starts or restarts.
+"""Ports of the labs that stay reserved while the process that listens there starts or restarts.
 
-Without the reservation, a fault proxy could get the port of the lab's directors between its
-selection and their start. The directors could not listen then, the load generator's requests
+Without the reservation, a fault proxy could get the port that the lab had selected for its
+directors, before they started. The directors could not listen then, the load generator's requests
 reached the proxy, and the endpoint process ended because of requests it could not decode.
 """
 
