--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -38,7 +38,7 @@
     duration_ms: float
     location: str
     first_director: int  # of the first try; NO_DIRECTOR if there was no try
-    director: int  # the last one that was drawn; NO_DIRECTOR if all were excluded
+    director: int  # drawn last, also if that try was not sent; NO_DIRECTOR if none was drawn
     request_class: str
     object_id: int
     outcome: str  # a ReplyOutcome, or `no answer`, `cut off` or `nobody` (no try was possible)
@@ -90,7 +90,11 @@
 
 
 class DirectorRecord(NamedTuple):
-    """An event at one director; the type of the record is the kind of event."""
+    """An event at one director; the type of the record is the kind of event.
+
+    The events are an answer after its call was given up (`late`), a repeated answer (`twice`), and
+    the SIGTERM (`term`) and the new start (`again`) of a restart.
+    """
 
     at_s: float
     director: int
@@ -129,12 +133,12 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All records of a play, which is one run of a fleet scenario.
+    """All records of a play.
 
     Attributes:
         started_at: Start of the play in Unix ms.
         seconds: Length of the play in seconds.
-        ready_after_s: Time from the start of the first director until all were ready.
+        ready_after_s: Time in seconds from the start of the first director until all were ready.
         attempts: Attempts at nodes, ordered by time.
         requests: Requests of clients, in the order of the lines in the record files.
         other_records: All other records by type: instances of the class in RECORD_TYPES, or tuples
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -1,7 +1,7 @@
-"""Ports of the labs that stay reserved while their process starts or restarts.
+"""Ports of the labs that stay reserved while the process that listens there starts or restarts.
 
-Without the reservation, a fault proxy could get the port of the lab's directors between its
-selection and their start. The directors could not listen then, the load generator's requests
+Without the reservation, a fault proxy could get the port that the lab had selected for its
+directors, before they started. The directors could not listen then, the load generator's requests
 reached the proxy, and the endpoint process ended because of requests it could not decode.
 """
 
@@ -65,7 +65,9 @@
     ports = {reserved.port for reserved in all_reserved}
     loop = EventLoop()
     selected = set()
-    for _ in range(2000):  # the system selects from about 28,000 ports
+    # The system selects from about 28,000 ports, so without reservations it would select some of
+    # the 300 ports.
+    for _ in range(2000):
         listener = loop.listen("", 0, lambda accepted: None, on_all_addresses=True)
         selected.add(listener.getsockname()[1])
         loop.stop_listening(listener)
