--- a/mulleinrelay/management/assignment_mapping.py
+++ b/mulleinrelay/management/assignment_mapping.py
@@ -1,8 +1,8 @@
 """Conversion between the cell assignment and the `assignment` container of the YANG model.
 
-The tables below map leaf names of the YANG model, which gNMI clients use, to fields of the classes
-in `cells.model`. In a tree (see `tree`), decimal64 values and 64-bit integers are strings, as RFC
-7951 requires. No I/O.
+The `..._FIELDS_BY_LEAF` tables below map leaf names of the YANG model, which gNMI clients use, to
+fields of the classes in `cells.model`. In a tree (see `tree`), decimal64 values and 64-bit integers
+are strings, as RFC 7951 requires. No I/O.
 """
 
 import ipaddress
@@ -64,7 +64,8 @@
     "retries",
 }
 UINT64_LEAVES = {"starts", "held-at", "resumed-at", "aborted-at"}
-DEFAULTS_BY_LEAF = {  # for leaves that a tree omits; the YANG module has the same defaults
+# For leaves of migrations and rollouts that a tree omits; the YANG module has the same defaults
+DEFAULTS_BY_LEAF = {
     "warm-for": 10_000.0,
     "drain-for": 30_000.0,
     "warm-share": 0.05,
@@ -218,9 +219,10 @@
 
 
 def _assignment_attributes(tree: Tree) -> dict[str, Any]:
-    """Return the numbers and the placement method of a tree, by field of `Assignment`.
+    """Return the placement method and the numbers of `ASSIGNMENT_FIELDS_BY_LEAF`, by field.
 
-    Leaves that the tree omits have no field in the result, so that the defaults of the class apply.
+    Leaves that the tree omits have no field in the result, so that the defaults of `Assignment`
+    apply.
     """
     attributes: dict[str, Any] = {
         field: float(tree[leaf])
--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -10,8 +10,9 @@
 class Role(IntEnum):
     """The permissions of a caller; each role includes the roles with lower values.
 
-    `READ` allows Capabilities, Get and Subscribe. `DRAIN` allows changes of drains, and confirming
-    or cancelling any pending commit. `CONFIGURE` allows all changes and rollbacks.
+    `READ` allows Capabilities, Get and Subscribe. `DRAIN` allows changes of drains, Set requests
+    without edits, and confirming or cancelling any pending commit. `CONFIGURE` allows all changes
+    and rollbacks.
     """
 
     NONE = 0
@@ -29,7 +30,8 @@
 
     Attributes:
         roles_by_name: Roles by common name or subject alternative name.
-        anonymous_role: Role of callers without a certificate, which can connect over loopback only.
+        anonymous_role: Role of callers without a name: those without a certificate, which can
+            connect over loopback only, and those whose certificate has no names.
     """
 
     roles_by_name: dict[str, Role]
@@ -38,8 +40,8 @@
     def role_of(self, names: Sequence[str]) -> Role:
         """Return the highest role of the names in a caller's certificate.
 
-        Without names it is `anonymous_role`: the caller has no certificate, or its certificate has
-        no names. A name without a configured role has `Role.NONE`.
+        If `names` is empty, the result is `anonymous_role`: the caller has no certificate, or its
+        certificate has no names. A name without a configured role has `Role.NONE`.
         """
         if not names:
             return self.anonymous_role
@@ -47,10 +49,10 @@
 
 
 def required_role(paths: Sequence[Path]) -> Role:
-    """Return the role that a change of the paths requires.
+    """Return the role that a change of the nodes at the paths requires.
 
-    It is `DRAIN` if all paths are at or below /fleet/drains. Otherwise, and without paths, it is
-    `CONFIGURE`.
+    The role is `DRAIN` if all paths are at or below /fleet/drains. Otherwise, and without paths,
+    the role is `CONFIGURE`.
     """
     if paths and all(_is_drain(path) for path in paths):
         return Role.DRAIN
--- a/mulleinrelay/management/builder.py
+++ b/mulleinrelay/management/builder.py
@@ -44,9 +44,10 @@
 
     Raises:
         DatastoreFileError: If the stored datastore cannot be used.
-        CommitRejectedError: If the stored configuration cannot be applied.
+        CommitRejectedError: If the stored configuration cannot be applied, or the assignment in use
+            cannot be validated or stored.
         RuntimeError: If the server cannot listen on its address.
-        OSError: If a certificate cannot be read.
+        OSError: If a certificate or key cannot be read.
     """
 
     def group_caches(caches: list[str]) -> dict[str, list[str]]:
--- a/mulleinrelay/management/command_output.py
+++ b/mulleinrelay/management/command_output.py
@@ -35,7 +35,11 @@
 
 
 def exit_code_for(error: Exception) -> int:
-    """Return `EXIT_UNREACHABLE` if the director could not be reached, otherwise `EXIT_REJECTED`."""
+    """Return the exit code for a failed call.
+
+    The code is `EXIT_UNREACHABLE` for a `GnmiCallError` with one of the `UNREACHABLE_CODES`,
+    otherwise `EXIT_REJECTED`.
+    """
     is_unreachable = isinstance(error, GnmiCallError) and error.code in UNREACHABLE_CODES
     return EXIT_UNREACHABLE if is_unreachable else EXIT_REJECTED
 
--- a/mulleinrelay/management/commands.py
+++ b/mulleinrelay/management/commands.py
@@ -28,7 +28,7 @@
 DATASTORE_PATH = parse_path("/fleet/datastore")
 DEFAULT_WATCHED_PATHS = ("/fleet/boxes", "/fleet/drains")
 # With --seconds, a timer ends `watch` by closing the connection, which makes the call fail. Errors
-# from this time before the end on are therefore not reported.
+# in the last END_TOLERANCE_S before the timer fires, and after it, are therefore not reported.
 END_TOLERANCE_S = 0.05
 
 
--- a/mulleinrelay/management/config.py
+++ b/mulleinrelay/management/config.py
@@ -114,8 +114,8 @@
 def _authorization(values: dict[str, str], allows_insecure_loopback: bool) -> AuthorizationPolicy:
     """Build the policy from the section [roles], whose keys are names in certificates.
 
-    If insecure loopback connections are allowed, callers without a certificate have the role
-    `CONFIGURE`.
+    The `anonymous_role` is `CONFIGURE` if insecure loopback connections are allowed, otherwise
+    `NONE`.
     """
     roles = IniSection("roles", values)
     roles_by_name = {name: ROLES_BY_NAME[roles.choice(name, ROLES_BY_NAME, "")] for name in values}
@@ -125,10 +125,10 @@
 
 
 def _check_transport_security(config: ManagementConfig, section: IniSection) -> None:
-    """Raise ConfigError unless the server has TLS, or listens on loopback as explicitly allowed.
+    """Raise ConfigError if TLS is only partly configured, or is required but not configured.
 
-    The three TLS files must be configured together. A server without TLS may listen on loopback
-    only, and only with `insecure_loopback`; this is not checked if management is off.
+    The three TLS files must be configured together. If management is on, a server without TLS may
+    listen on loopback only, and only with `insecure_loopback`.
     """
     tls_paths_given = [bool(config.certificate), bool(config.key), bool(config.clients_ca)]
     if any(tls_paths_given) and not all(tls_paths_given):
--- a/mulleinrelay/management/datastore.py
+++ b/mulleinrelay/management/datastore.py
@@ -3,7 +3,7 @@
 A commit is applied by all participants or by none, as in two-phase commit. First each participant
 prepares the change and may reject it, then the new version is stored, and then each participant
 commits. If a participant fails to commit, the commits of the earlier participants are undone in
-reverse order.
+reverse order, and the old state is stored again.
 
 A confirmed commit (the term of NETCONF, RFC 6241) is rolled back unless its client confirms it
 before a deadline. Until then it is pending. Only one confirmed commit can be pending at a time.
@@ -237,10 +237,13 @@
         )
 
     def rollback(self, now: float, number: int, author: str) -> Version:
-        """Commit the tree of an older version as a new version.
+        """Commit the tree of an older version as a new version; return the running version.
+
+        As with `commit`, no new version is created if the tree equals the running one.
 
         Raises:
-            CommitRejectedError: If the history has no such version, or the commit is rejected.
+            CommitRejectedError: If the history has no such version, or the commit is rejected or
+                fails.
         """
         for version in self.state.versions:
             if version.number == number:
--- a/mulleinrelay/management/datastore_file.py
+++ b/mulleinrelay/management/datastore_file.py
@@ -69,7 +69,8 @@
     """Return the state that the content of a datastore file represents.
 
     Raises:
-        DatastoreFileError: If the content is not a datastore, is damaged, or has a newer format.
+        DatastoreFileError: If the content is not a datastore, is damaged, has a newer format, or
+            contains no version.
     """
     body = _extract_body(data)
     try:
@@ -104,8 +105,8 @@
     """Return the bytes after the first line; check them against the length and checksum in it.
 
     Raises:
-        DatastoreFileError: If the first line is invalid or of a newer format, or the bytes have
-            another length or checksum.
+        DatastoreFileError: If the first line is invalid or of a newer format, or the bytes after it
+            do not have the length and checksum that the line gives.
     """
     header, _, body = data.partition(b"\n")
     fields = header.split(b" ")
@@ -142,7 +143,8 @@
         """Return the stored state; None without a folder, or if nothing has been stored yet.
 
         Raises:
-            DatastoreFileError: If the file cannot be read or is not a valid datastore.
+            DatastoreFileError: If the file cannot be read, is too large, or is not a valid
+                datastore.
         """
         if not self.path:
             return None
@@ -184,7 +186,7 @@
 
 
 def _sync_folder(folder: str) -> None:
-    """Flush the folder, if possible, so that the replaced file survives a power failure."""
+    """Flush the folder, if possible, so that a power failure does not undo the replacement."""
     try:
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
--- a/mulleinrelay/management/drain_intent.py
+++ b/mulleinrelay/management/drain_intent.py
@@ -36,11 +36,14 @@
     """The phases of a drain; the values are names of the YANG model."""
 
     PENDING = "waiting"
-    """The endpoint list has not had the endpoint yet."""
+    """The endpoint list has not had the endpoint since the drain was set."""
     ACTIVE = "binding"
     """The drain is in force: the endpoint gets no new requests."""
     ENDED = "over"
-    """The endpoint list has another incarnation than the one that the drain applied to."""
+    """The endpoint list has shown another incarnation than the one that the drain applied to.
+
+    The drain is no longer in force, even if the former incarnation appears in the list again.
+    """
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,8 +79,8 @@
         phase_since: Start of the phase.
         incarnation: The incarnation that the drain applies to; with the scope
             `EVERY_INCARNATION`, the latest one in the endpoint list. None in the phase `PENDING`.
-        contradicted_since: Time since which the endpoint list shows the drained endpoint as ready;
-            0 if it does not.
+        contradicted_since: Time since which the drain is active although the endpoint list shows
+            the endpoint as ready; 0 if this is not the case.
         is_contradiction_reported: Whether `take_contradicted` has returned the drain already.
     """
 
@@ -201,9 +204,10 @@
         return entry.state
 
     def take_contradicted(self, now: float) -> list[DrainStatus]:
-        """Return the drains that the endpoint list has contradicted for the grace period.
+        """Return the drains that the endpoint list has contradicted for over the grace period.
 
-        Each drain is returned only once.
+        The list contradicts an active drain while it shows the endpoint as ready. Each drain is
+        returned only once.
         """
         contradicted = [
             status
@@ -224,15 +228,17 @@
     is_cache: Callable[[EndpointUpdate], bool],
     caches_by_cell: Mapping[str, Iterable[str]],
 ) -> str:
-    """Return the reason why new drains are rejected; empty if they are accepted.
+    """Return the reason why the requested drains must be rejected; empty if there is none.
 
-    A drain is new if its endpoint is not drained already. A new drain is rejected if it concerns a
-    ready cache and all ready caches of this cache's zone or cell would be drained. Forced drains
-    are always accepted.
+    A drain is new if its endpoint is not drained already; this includes drains that have ended. A
+    new drain that is not forced is a reason if its endpoint is a cache that the endpoint list shows
+    as ready, and no ready cache of this cache's zone or cell would be left undrained. A forced
+    drain alone is never a reason.
 
     Args:
         endpoints: The endpoint list, by name.
-        active_drains: Names of the endpoints that are drained already.
+        active_drains: Names of the endpoints that are drained already. They count as drained
+            even if `requests` no longer has them.
         requests: The requested drains, old and new, by name of the endpoint.
         is_cache: Returns whether an endpoint is a cache that this director sends requests to.
         caches_by_cell: Names of caches, by cell.
--- a/mulleinrelay/management/errors.py
+++ b/mulleinrelay/management/errors.py
@@ -11,7 +11,7 @@
     INVALID = "invalid"
     """The request, or the configuration that it would result in, is not valid."""
     STALE = "stale"
-    """The change is based on a version that is no longer running."""
+    """The change is based on another version than the one that is running."""
     BUSY = "busy"
     """A confirmed commit is still pending, so no other confirmed commit can be made."""
     FAILED = "failed"
@@ -43,4 +43,7 @@
 
 
 class CommitRejectedError(RequestError):
-    """Error for a commit that was rejected or failed; the running configuration is unchanged."""
+    """Error for a commit, confirmation or rollback that was rejected or failed.
+
+    The running configuration is unchanged.
+    """
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -79,7 +79,7 @@
             options: Certificates and timeout.
 
         Raises:
-            OSError: If a certificate cannot be read.
+            OSError: If a certificate or key cannot be read.
         """
         self.address = address
         self.options = options
@@ -191,6 +191,7 @@
 
         Raises:
             GnmiCallError: If the call ends with a status other than OK.
+            ValueError: If the channel was closed before the call began.
         """
         request = gnmi.SubscribeRequest(
             subscribe=gnmi.SubscriptionList(
--- a/mulleinrelay/management/gnmi_conversion.py
+++ b/mulleinrelay/management/gnmi_conversion.py
@@ -33,8 +33,8 @@
     """Return the path in a gNMI Path message, appended to the path in the prefix if there is one.
 
     Raises:
-        PathError: If the origin or form of a path is not supported, or an element has no valid
-            name.
+        PathError: If the origin or form of a path is not supported, the path has too many elements,
+            or an element has no valid name.
     """
     elements: list[PathElement] = []
     for part in (prefix, message):
@@ -52,7 +52,7 @@
     """Return the path in a gNMI Path message from a server; the origin in it is ignored.
 
     Raises:
-        PathError: If an element has no valid name.
+        PathError: If the path has too many elements, or an element has no valid name.
     """
     return normalize_path(tuple(_elements_from_message(message)))
 
@@ -72,7 +72,8 @@
     Floats and decimals become strings, which RFC 7951 requires of decimal64 values.
 
     Raises:
-        PathError: If the value is not valid JSON, or is of a kind that is not supported.
+        PathError: If the value is not valid JSON, is of a kind that is not supported, or is a
+            decimal with too many fraction digits.
     """
     kind = message.WhichOneof("value")
     if kind in JSON_KINDS:
@@ -113,8 +114,8 @@
     Args:
         value: The value.
         encoding: `gnmi.JSON` or `gnmi.JSON_IETF`.
-        has_module_names: Whether the names of the top-level members of an object get the module
-            name as prefix, which RFC 7951 requires in JSON_IETF.
+        has_module_names: Whether, in JSON_IETF, the names of the top-level members of an object get
+            the module name as prefix, as RFC 7951 requires; ignored in JSON.
     """
     if has_module_names and isinstance(value, dict) and encoding == gnmi.JSON_IETF:
         value = {f"{MODULE_NAME}:{name}": member for name, member in value.items()}
--- a/mulleinrelay/management/gnmi_extensions.py
+++ b/mulleinrelay/management/gnmi_extensions.py
@@ -52,7 +52,7 @@
     """Parse the extensions of a Set request; unknown extensions are ignored.
 
     Raises:
-        PathError: If a known extension cannot be parsed.
+        PathError: If a known extension cannot be parsed, or a commit extension has no id.
     """
     extensions = SetExtensions()
     for message in messages:
--- a/mulleinrelay/management/gnmi_server.py
+++ b/mulleinrelay/management/gnmi_server.py
@@ -106,7 +106,7 @@
         """Commit all edits or none; or confirm, cancel or roll back, as the extensions request.
 
         If the extensions request a confirmation, a cancellation or a rollback, edits in the same
-        request are not applied.
+        request are not applied, although the response lists them.
         """
         edits = _edits_from_request(request)
         if request.union_replace:
@@ -226,7 +226,7 @@
         return Role.CONFIGURE
     if edits:
         return required_role([edit.path for edit in edits])
-    return Role.DRAIN  # for a confirmation, a cancellation, or a request without edits
+    return Role.DRAIN  # without edits the request is most often a confirmation or a cancellation
 
 
 @contextmanager
@@ -279,7 +279,7 @@
 
         Raises:
             RuntimeError: If the server cannot listen on its address.
-            OSError: If a certificate cannot be read.
+            OSError: If a certificate or key cannot be read.
         """
         self.management = management
         self._worker_count = config.max_subscribers + config.max_concurrent_calls
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -34,7 +34,8 @@
 class _PeriodicRead:
     """A path whose values are sent periodically, even without a change.
 
-    It belongs to a SAMPLE subscription, or to another subscription with a heartbeat interval.
+    It belongs to a SAMPLE subscription, or to a subscription of another mode that has a heartbeat
+    interval.
     """
 
     path: Path
@@ -58,7 +59,7 @@
                 only.
 
         Raises:
-            PathError: If the encoding or a path is not valid, or there is no path.
+            PathError: If the encoding or a path is not valid, or the list has no subscription.
         """
         self._management = management
         self._request = request
@@ -79,8 +80,12 @@
             requests: Further requests of the call; only the mode POLL reads them.
 
         Raises:
-            PathError: If the model has no node at a path; if, in the modes ONCE and POLL, the tree
-                has no node at a path without wildcards; or if a further request is not a poll.
+            PathError: If the model has no node at a path, or a path has wrong keys; in the modes
+                ONCE and POLL, also if the tree has no node at a path without wildcards; in the
+                mode POLL, also if a further request is not a poll. In the modes ONCE and POLL,
+                `updates_only` leaves out the checks of the paths. In the mode STREAM, a path with a
+                wildcard in place of a name needs no node in the model.
+            CommitRejectedError: If `ManagementService.read` raises it.
         """
         if self._request.mode == gnmi.STREAM:
             yield from self._stream()
@@ -119,8 +124,8 @@
             except PathError as error:
                 if error.code != ErrorCode.NOT_FOUND:
                     raise
-                # The node at one of the paths does not exist yet. No values are sent now; the
-                # client is notified when the node is created.
+                # The node at one of the paths does not exist yet. No values are sent now, also not
+                # those at the other paths; the client is notified when the node is created.
                 yield gnmi.SubscribeResponse(sync_response=True)
             yield from self._stream_changes(subscriber)
         finally:
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -60,8 +60,9 @@
         """Return the drains that the new configuration requests, by name of the endpoint.
 
         Raises:
-            CommitRejectedError: If a new drain that is not forced would leave a zone or cell
-                without caches.
+            CommitRejectedError: If the drains are changed, and a new drain that is not forced would
+                leave this director's zone, or a cell in this zone, without a ready cache that is
+                not drained.
         """
         requests = requested_drains(new)
         if requests == requested_drains(old):
@@ -116,7 +117,7 @@
 class AssignmentParticipant:
     """A participant that applies the cell assignment and writes it to the assignment file.
 
-    Without cells it rejects a configuration with an assignment.
+    If cells are off, it rejects a configuration with an assignment; if they are on, one without.
     """
 
     name = "assignment"
@@ -145,10 +146,12 @@
         """Build the assignment that the new configuration requests.
 
         Returns:
-            The assignment, ready to be applied; None if it equals the one in use.
+            The assignment, ready to be applied; None if it equals the one in use, or if cells are
+            off and no assignment is requested.
 
         Raises:
-            CommitRejectedError: If the requested assignment is not valid.
+            CommitRejectedError: If the requested assignment is not valid, or is missing although
+                cells are on, or is given although cells are off.
         """
         requested = new.get("fleet", {}).get("assignment")
         current = self.assignment
@@ -177,6 +180,8 @@
     def commit(self, prepared: PreparedAssignment | None) -> Undo:
         """Write and apply the assignment; return a function that restores the previous one.
 
+        The restored assignment is written with a higher version than the one that it replaces.
+
         Raises:
             CommitRejectedError: If the file cannot be written, is being written by another
                 process, or has been changed in the meantime.
--- a/mulleinrelay/management/schema.py
+++ b/mulleinrelay/management/schema.py
@@ -41,10 +41,11 @@
         return SchemaNode(self.children)
 
     def find(self, path: Path) -> SchemaNode:
-        """Return the node at the end of a path without wildcards.
+        """Return the node at the end of a path without wildcards in place of names.
 
         Raises:
-            PathError: If the model has no such node, or an element has other keys than the list.
+            PathError: If the model has no such node, or an element has keys, but not exactly those
+                of its list.
         """
         node = self
         for depth, (name, keys) in enumerate(path):
@@ -53,7 +54,7 @@
         return node
 
     def find_writable(self, path: Path) -> SchemaNode:
-        """Return the node at the end of a path that a client sets.
+        """Return the node at the end of a path whose node a client wants to set or delete.
 
         Raises:
             PathError: If `find` raises it; if the node is state; or if the path leads through a
--- a/mulleinrelay/management/service.py
+++ b/mulleinrelay/management/service.py
@@ -29,7 +29,7 @@
 STATE_INTERVAL = 1_000.0  # ms between comparisons of the state, to send its changes to subscribers
 MAX_EDITS_PER_COMMIT = 10_000
 LOG_EVENT = "management"
-ASSIGNMENT_FILE_COMMENT = "the assignment file"  # of versions imported from that file
+ASSIGNMENT_FILE_COMMENT = "the assignment file"  # comment of versions imported from that file
 
 
 class DataKind(StrEnum):
@@ -57,6 +57,7 @@
     Attributes:
         datastore_lock: Guards `datastore`, the model, the publisher with its subscribers, and
             `_synced_assignment`. It is acquired before the locks of the coordinator and the cells.
+            Without it, `stop` reads the subscribers and `GnmiServicer.set` the running version.
     """
 
     def __init__(
@@ -71,7 +72,8 @@
 
         Raises:
             DatastoreFileError: If the stored datastore cannot be used.
-            CommitRejectedError: If the stored configuration cannot be applied.
+            CommitRejectedError: If the stored configuration cannot be applied, or the assignment in
+                use cannot be validated or stored.
         """
         self.drain_participant = components.drain_participant
         self.assignment_participant = components.assignment_participant
@@ -97,7 +99,8 @@
     def _restore(self, state: DatastoreState) -> None:
         """Adopt a stored state and apply its drains; take the assignment from the assignment file.
 
-        If the last commit was interrupted, its assignment is first written to that file.
+        If the last commit was interrupted, its assignment is first written to that file. If the
+        result differs from the stored configuration, it is committed as a new version.
         """
         self.datastore.state = state
         last = state.versions[-1]
@@ -124,7 +127,10 @@
         self.log.event(LOG_EVENT, text=f"version {last.number}: interrupted commit completed")
 
     def _with_current_assignment(self, tree: Tree) -> Tree:
-        """Return the validated tree with its assignment replaced by the one that the cells use."""
+        """Return the validated tree with its assignment replaced by the one that the cells use.
+
+        If cells are off, the result has no assignment.
+        """
         fleet = {
             name: child for name, child in tree.get("fleet", {}).items() if name != "assignment"
         }
@@ -182,8 +188,8 @@
             kind: The kind of nodes to return.
 
         Raises:
-            PathError: If the model has no node at a path, or (with the code `NOT_FOUND`) a path
-                without wildcards matches nothing in the tree.
+            PathError: If `tree.read` raises it, or (with the code `NOT_FOUND`) a path without
+                wildcards matches nothing in the tree.
             CommitRejectedError: If the assignment was changed outside management and the change
                 cannot be imported.
         """
@@ -225,7 +231,8 @@
 
         Raises:
             PathError: If a path or value does not fit the model.
-            CommitRejectedError: If the commit is rejected.
+            CommitRejectedError: If there are too many edits, the assignment was changed outside
+                management and cannot be imported, or the commit is rejected or fails.
         """
         if len(edits) > MAX_EDITS_PER_COMMIT:
             raise CommitRejectedError(
@@ -281,7 +288,7 @@
         return version
 
     def rollback(self, number: int, author: str, expected_version: int | None = None) -> Version:
-        """Commit the tree of an older version as a new version.
+        """Commit the tree of an older version as a new version, unless it equals the running one.
 
         Args:
             number: Number of the older version.
@@ -293,7 +300,8 @@
 
         Raises:
             CommitRejectedError: If the history has no such version, another version than the
-                expected one is running, or the commit is rejected.
+                expected one is running, the assignment was changed outside management and cannot be
+                imported, or the commit is rejected or fails.
         """
         with self.datastore_lock:
             self._sync_assignment()
@@ -313,7 +321,13 @@
         self._publish()
 
     def _sync_assignment(self) -> None:
-        """Commit the assignment that the cells use, if it was changed outside management."""
+        """Commit the assignment that the cells use, if it was changed outside management.
+
+        If the commit fails, it is not tried again before the cells use yet another assignment.
+
+        Raises:
+            CommitRejectedError: If the assignment is not valid in the model, or the commit fails.
+        """
         current = self.assignment_participant.assignment
         if current is self._synced_assignment:  # saves comparing a large tenant table
             return
@@ -337,7 +351,8 @@
     def step(self) -> None:
         """Roll back an expired commit, import the assignment in use and log changes of drains.
 
-        Subscribers are notified after a rollback and every `STATE_INTERVAL`.
+        Subscribers are notified every `STATE_INTERVAL`, and also after a rollback unless the import
+        fails in the same step.
         """
         now = self.clock()
         rolled_back = None
@@ -358,7 +373,7 @@
             self._publish()
 
     def _log_drains(self, now: float) -> None:
-        """Log drains that the endpoint list contradicts, and drains with a new phase."""
+        """Log drains with a new phase, and those that `DrainIntent.take_contradicted` returns."""
         for status in self.drain_participant.intent.take_contradicted(now):
             seconds = (now - status.contradicted_since) / 1000.0
             self.log.event(
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -63,14 +63,17 @@
 class Publisher:
     """The subscribers and the tree that was published last. Not thread-safe.
 
-    `ManagementService` holds its `datastore_lock` during each call.
+    `ManagementService` holds its `datastore_lock` during each method call.
 
     Attributes:
         subscribers: The subscribers that are notified of changes.
     """
 
     def __init__(self, schema: SchemaNode) -> None:
-        """Create a publisher; `reset` must be called before the first subscriber is added."""
+        """Create a publisher.
+
+        `reset` must be called whenever a subscriber is added while there are no others.
+        """
         self._schema = schema
         self.subscribers: list[Subscriber] = []
         self._published_fleet: Tree = {}
--- a/mulleinrelay/management/tree.py
+++ b/mulleinrelay/management/tree.py
@@ -59,7 +59,9 @@
     matches nothing in the tree.
 
     Raises:
-        PathError: If the model has no node at the path, or a list has no key of the given name.
+        PathError: If the model lacks a node that the path names, or a list has no key of the given
+            name. Below a wildcard, a node that the model lacks is no error. The part of the path
+            below a node that the tree lacks is not checked.
     """
     yield from _read(schema, tree, _Pattern(path), ())
 
@@ -197,8 +199,8 @@
 def delete(schema: SchemaNode, tree: Tree, path: Path) -> None:
     """Remove a node, if it exists.
 
-    A list whose last entry is removed is removed too. Deleting a node that does not exist is not an
-    error (gNMI specification, section 3.4.6).
+    A list whose last entry is removed is removed too. An empty path removes everything. Deleting a
+    node that does not exist is not an error (gNMI specification, section 3.4.6).
 
     Raises:
         PathError: If `SchemaNode.find_writable` raises it.
@@ -235,7 +237,7 @@
 
 
 def update(schema: SchemaNode, tree: Tree, path: Path, value: Any) -> None:
-    """Merge a value into a node.
+    """Merge a value into a node, which is created if it does not exist.
 
     In containers and list entries, only the members that the value names are changed. Leaves and
     leaf-lists are replaced.
--- a/mulleinrelay/management/yang_model.py
+++ b/mulleinrelay/management/yang_model.py
@@ -51,8 +51,8 @@
         """Return a configuration in canonical form; state in the tree is an error.
 
         Children of /fleet do not refer to one another, so a child that is unchanged since the last
-        validation is not validated again. A commit of a drain therefore costs the same with an
-        assignment of ten thousand tenants as with a small one.
+        validation is not validated again. Validating a changed drain therefore takes no longer with
+        an assignment of ten thousand tenants than with a small one.
 
         Raises:
             CommitRejectedError: If the configuration is not valid; the text says where and why.
