--- a/tests/management/test_ctl.py
+++ b/tests/management/test_ctl.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    """Yield a director with cells, shared by the tests of this module that start none."""
+    """Yield a director with cells, shared by the tests that start no director of their own."""
     with ManagedDirector(tmp_path_factory.mktemp("managed"), cells=True) as director:
         yield director
 
--- a/tests/management/test_datastore.py
+++ b/tests/management/test_datastore.py
@@ -139,9 +139,10 @@
 
 
 class DatastoreMachine(RuleBasedStateMachine):
-    """Random calls of a datastore; after each, participant and file must have its running version.
+    """Random calls of a datastore, which must agree with its participant and its file after each.
 
-    A rejected or failed commit, a rollback or a restart must not leave them with another version.
+    A rejected or failed commit, a rollback or a restart must not leave the participant or the file
+    with another configuration than the running one.
     """
 
     def __init__(self):
