--- a/mulleinrelay/management/authorization.py
+++ b/mulleinrelay/management/authorization.py
@@ -10,9 +10,9 @@
 class Role(IntEnum):
     """The permissions of a caller; each role includes the roles with lower values.
 
-    `READ` allows Capabilities, Get and Subscribe. `DRAIN` allows changes of drains, Set requests
-    without edits, and confirming or cancelling any pending commit. `CONFIGURE` allows all changes
-    and rollbacks.
+    `READ` allows Capabilities, Get and Subscribe. `DRAIN` allows changes of drains, confirming or
+    cancelling any pending commit, and other Set requests without edits, except rollbacks.
+    `CONFIGURE` allows all changes and rollbacks.
     """
 
     NONE = 0
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -57,7 +57,10 @@
     UPDATE = "update"
     DELETE = "delete"
     SYNC = "sync"
-    """All values that existed when the subscription began have been sent."""
+    """All values that existed when the subscription began have been sent.
+
+    If the client asked for updates only, the values are left out and this event comes first.
+    """
 
 
 class WatchEvent(NamedTuple):
--- a/mulleinrelay/management/gnmi_subscriptions.py
+++ b/mulleinrelay/management/gnmi_subscriptions.py
@@ -25,7 +25,7 @@
 MAX_QUEUE_WAIT_S = 1.0  # the longest time between two checks whether a stream's client is connected
 MIN_QUEUE_WAIT_S = 0.01
 # gNMI updates, each a path and a value; keeps messages well below 4 MB, clients' default limit.
-# Deleted paths are not limited: the first message has all of them.
+# Deleted paths are not limited: the first message of a change has all of them.
 MAX_UPDATES_PER_MESSAGE = 500
 NANOSECONDS_PER_SECOND = 1e9
 
--- a/mulleinrelay/management/participants.py
+++ b/mulleinrelay/management/participants.py
@@ -183,7 +183,7 @@
         The restored assignment is written with a higher version than the one that it replaces.
 
         Raises:
-            CommitRejectedError: If the file cannot be written, is being written by another
+            CommitRejectedError: If the file cannot be read or written, is being written by another
                 process, or has been changed in the meantime.
         """
         previous = self.assignment
@@ -202,7 +202,7 @@
         """Write and apply an assignment.
 
         Raises:
-            CommitRejectedError: If the file cannot be written, is being written by another
+            CommitRejectedError: If the file cannot be read or written, is being written by another
                 process, or does not have the version `expected_version`.
         """
         if self.cell_service is None:
--- a/mulleinrelay/management/paths.py
+++ b/mulleinrelay/management/paths.py
@@ -123,7 +123,10 @@
 
 
 def covers(pattern: Path, path: Path) -> bool:
-    """Return whether a path is at or below a pattern, which may have wildcards."""
+    """Return whether a path is at or below a node that a pattern matches.
+
+    The pattern may have wildcards; the path has none.
+    """
     if not pattern:
         return True
     element = pattern[0]
--- a/mulleinrelay/management/state_view.py
+++ b/mulleinrelay/management/state_view.py
@@ -24,7 +24,7 @@
 
 
 class StateView:
-    """A view of the state of a director's endpoints, drains and cells."""
+    """A view of a director's state: endpoints, drains, cells, purges and request classes."""
 
     def __init__(
         self,
