--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -57,7 +57,10 @@
     UPDATE = "update"
     DELETE = "delete"
     SYNC = "sync"
-    """All values that existed when the subscription began have been sent."""
+    """All values that existed when the subscription began have been sent.
+
+    If the client asked for updates only, the values are left out and this event comes first.
+    """
 
 
 class WatchEvent(NamedTuple):
@@ -79,7 +82,7 @@
             options: Certificates and timeout.
 
         Raises:
-            OSError: If a certificate cannot be read.
+            OSError: If a certificate or key cannot be read.
         """
         self.address = address
         self.options = options
@@ -191,6 +194,7 @@
 
         Raises:
             GnmiCallError: If the call ends with a status other than OK.
+            ValueError: If the channel was closed before the call began.
         """
         request = gnmi.SubscribeRequest(
             subscribe=gnmi.SubscriptionList(
