--- a/mulleinrelay/membership/config.py
+++ b/mulleinrelay/membership/config.py
@@ -35,7 +35,7 @@
         location: Location (zone) of this director.
         seeds: Addresses of directors through which this director joins the fleet. This director
             keeps contacting the seeds that are not active members. Only the first
-            `state_sync.MAX_SEEDS` seeds are used.
+            `state_sync.MAX_SEEDS` seeds are used, not counting this director's own address.
         max_members: Maximum number of other members in the member table, including departed ones.
         records_folder: Folder of the records for operators' commands; if empty, no records are
             written.
--- a/mulleinrelay/membership/datagrams.py
+++ b/mulleinrelay/membership/datagrams.py
@@ -36,8 +36,8 @@
         Args:
             address: Destination of the datagram.
             kind: Kind of the message.
-            number: Sequence number of the ping that the message is, requests or answers;
-                `NO_SEQUENCE_NUMBER` if it does none of these.
+            number: Sequence number of a ping. An ack, a nack and a request for an indirect ping
+                repeat it. `NO_SEQUENCE_NUMBER` if the message belongs to no ping.
             target: Member to ping; None unless the kind is `INDIRECT_PING`.
             recipient: Member at the destination; None if only the address is known. If this
                 director does not consider the member alive, the update about it goes first, so that
@@ -65,7 +65,7 @@
         return self._build(address, kind, number, None, updates)
 
     def with_payload(self, address: Address, payload: bytes) -> OutgoingDatagram:
-        """Return a datagram with a payload for the recipient's delegate, without updates."""
+        """Return a datagram with a payload for the recipient's `swim.Delegate`, without updates."""
         data = self._codec.encode(
             MessageKind.USER_MESSAGE, NO_SEQUENCE_NUMBER, self._table.local, None, [], payload
         )
--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -26,7 +26,8 @@
 PING_INTERVAL_JITTER = 0.2  # relative width: each interval is 0.9 to 1.1 times PING_INTERVAL_MS
 ACK_TIMEOUT_MS = 150.0  # after which indirect pings are requested, at health score 0
 INDIRECT_PINGS = 3  # members that are asked to ping a member that sent no ack
-# Minimum suspicion timeout, in ping intervals per log10 of the fleet's size (counted as at least 1)
+# Minimum suspicion timeout: ping intervals per log10 of the fleet's size. The log10 counts as at
+# least 1.
 MIN_SUSPICION_INTERVALS = 1.5
 MAX_SUSPICION_FACTOR = 3.0  # maximum suspicion timeout, as a multiple of the minimum
 SUSPICION_CONFIRMATIONS = 3  # further suspecting directors that reduce the timeout to the minimum
@@ -105,7 +106,7 @@
     # Received messages
 
     def handle_ack(self, message: Message) -> list[OutgoingDatagram]:
-        """Complete the pending ping with the ack's sequence number; without one, ignore the ack.
+        """Complete the pending ping with the ack's number; ignore the ack if there is no such ping.
 
         The ack of an indirect ping is forwarded to the director that requested the ping. The ack of
         this director's own ping lowers, that is improves, this director's health score.
@@ -119,7 +120,10 @@
         return []
 
     def handle_nack(self, message: Message) -> None:
-        """Count a member that was asked for an indirect ping and has received no ack in time."""
+        """Count a nack: its sender was asked for an indirect ping and received no ack in time.
+
+        A nack for a ping that is no longer pending is ignored.
+        """
         if ping := self._pending.get(message.number):
             ping.nacks += 1
 
@@ -197,7 +201,8 @@
     def ping_if_due(self, now: float) -> list[OutgoingDatagram]:
         """Ping the next member of the round, once per ping interval.
 
-        Members that departed more than `DEPARTED_RETENTION_MS` ago are removed from the table then.
+        At the same time, remove from the table the members that departed more than
+        `DEPARTED_RETENTION_MS` ago.
         """
         if now < self.next_ping_at:
             return []
@@ -283,8 +288,8 @@
         """Return the ms that a suspect has to refute the suspicion (Lifeguard, IV-B).
 
         Args:
-            cluster_size: Number of active members before this check of all suspects declared any of
-                them dead.
+            cluster_size: Number of active members, including this director, at the beginning of
+                the current check of all suspects.
             suspector_count: Number of directors that have reported the member as suspect, at least
                 1; this director may be among them.
         """
--- a/mulleinrelay/membership/member_table.py
+++ b/mulleinrelay/membership/member_table.py
@@ -1,9 +1,10 @@
 """Member table of one director: its view of all members. No I/O; times in ms.
 
 Of two updates about a member, the one with the greater precedence is kept (`precedence` of
-`MemberUpdate`). The result is therefore the same in whatever order, how often and through which
-directors the updates arrive. A departed (dead or left) member stays in the table for
-`DEPARTED_RETENTION_MS`, so that an old update about it does not make it alive again.
+`MemberUpdate`). For a member in the table, the kept update is therefore the same in whatever order,
+how often and through which directors updates arrive. A departed (dead or left) member stays in the
+table, so that an old update about it does not make it alive again. It is removed after
+`DEPARTED_RETENTION_MS`, or earlier if a new member needs its place in a full table.
 """
 
 import hashlib
@@ -17,7 +18,7 @@
 from .broadcast_queue import BroadcastQueue, transmit_limit
 from .messages import MemberId, MemberState, MemberUpdate
 
-DEPARTED_RETENTION_MS = 120_000.0  # for which a dead or left member stays in the table
+DEPARTED_RETENTION_MS = 120_000.0  # after which a dead or left member is removed
 HASH_BYTES = 6  # size of an update's hash in the digest of a table
 
 
@@ -46,11 +47,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberEvent:
-    """A change of a member that is logged and recorded for operators.
+    """An event about a member or this director that is logged and recorded for operators.
 
     Attributes:
-        kind: Kind of the change.
-        update: Update about the member, as it is after the change.
+        kind: Kind of the event.
+        update: Update about the member or this director, as it is after the event.
     """
 
     kind: MemberEventKind
@@ -63,14 +64,15 @@
 
     Attributes:
         update: The update with the greatest precedence so far.
-        state_since: Time at which the member entered its state or, if later, its incarnation. If
-            this process was paused while the member was suspect, the end of that pause.
+        state_since: Time at which this director learned of the member's state or, if later, of its
+            incarnation. If this process was paused while the member was suspect, the end of that
+            pause.
         suspected_by: Directors that have reported the member as suspect, also those that only
             passed the suspicion on; empty unless the member is suspect.
         last_received_at: Time of the last datagram from the member; 0 if there was none. Late
             datagrams from before its last restart or refutation do not count.
         suspect_pings_sent: Number of the pings at `SUSPECT_PING_FRACTIONS` of the suspicion timeout
-            that were sent since the member became suspect.
+            that this director has sent since the member became suspect.
     """
 
     update: MemberUpdate
@@ -95,7 +97,7 @@
             director.
         events: Events since the owner of the table last took them.
         rejected_members: Number of updates about unknown members that were ignored because the
-            table was full.
+            table was full of active members.
     """
 
     def __init__(self, local: MemberUpdate, max_members: int, random: Random) -> None:
@@ -191,7 +193,7 @@
         return True
 
     def _evict_departed(self) -> bool:
-        """Remove the member that departed first; return whether any member had departed."""
+        """Remove the member that departed first; return whether there was a departed member."""
         departed = [member_id for member_id, entry in self.entries.items() if not entry.is_active]
         if departed:
             self.remove(min(departed, key=lambda member_id: self.entries[member_id].state_since))
@@ -200,9 +202,12 @@
     def _confirm_suspicion(
         self, entry: MemberEntry, update: MemberUpdate, reporter: MemberId
     ) -> bool:
-        """Record a further director that reports the suspicion; return whether there is one.
+        """Record `reporter` if it is a further director that reports the suspicion.
 
-        Each further director shortens the suspicion timeout.
+        Further directors shorten the suspicion timeout.
+
+        Returns:
+            Whether `reporter` was recorded.
         """
         if update.state != MemberState.SUSPECT or reporter in entry.suspected_by:
             return False
@@ -234,10 +239,10 @@
     def _merge_local(self, update: MemberUpdate) -> bool:
         """Override an update about this director if necessary; return whether it was necessary.
 
-        An update that calls this director suspect, dead or left is refuted with a greater
-        refutation count, unless this director has left. An update with a greater incarnation than
-        this director's means that the clock was set back before the last restart. This director
-        then takes the update's incarnation plus one.
+        An update of this incarnation that calls this director suspect, dead or left is refuted with
+        a greater refutation count, unless it is refuted already or this director has left. An
+        update with a greater incarnation than this director's means that the clock was set back
+        before the last restart. This director then takes the update's incarnation plus one.
         """
         local = self.local
         if update.incarnation > local.incarnation:
--- a/mulleinrelay/membership/messages.py
+++ b/mulleinrelay/membership/messages.py
@@ -3,9 +3,9 @@
 A datagram consists of a checksum (8 bytes of BLAKE2b, keyed with the fleet's key) and one `Message`
 as a MessagePack array. The order of the fields is the wire format.
 
-The checksum rejects damaged datagrams and datagrams of other fleets. It does not encrypt, and it
-does not prove which director of the fleet sent a datagram. Invalid datagrams are dropped and
-counted by `DropReason`.
+The checksum reveals damaged datagrams and datagrams of fleets with another key. It does not
+encrypt, and it does not prove which director of the fleet sent a datagram. Invalid datagrams are
+dropped and counted by `DropReason`.
 """
 
 import hashlib
@@ -22,7 +22,8 @@
 MAX_PORT = 65_535
 INCARNATION_LIMIT = 2**53  # exclusive; JSON readers store numbers as doubles, exact below it
 REFUTATION_LIMIT = 2**31  # exclusive
-# Margin when the number of updates is reduced to fit: fewer updates do not shorten other fields.
+# Added to the length of a datagram that is too long, before the number of its updates is reduced in
+# proportion: the other fields do not become shorter.
 ENCODING_MARGIN_BYTES = 64
 
 Address = tuple[str, int]
@@ -77,7 +78,7 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The state of one member as reported by a director ("alive", "suspect", "dead" message).
+    """The state of one member as reported by a director (SWIM's alive, suspect and dead messages).
 
     Attributes:
         name: Name of the director, from the platform's configuration.
@@ -125,7 +126,7 @@
         kind: Kind of the message.
         number: Sequence number of a ping or of a request for an indirect ping, which the ack or
             nack repeats. In `SYNC_REQUEST` and `SYNC_PAGE`, the digest of the sender's table. In
-            other messages, 0.
+            other messages, and in acks that answer no ping, 0.
         sender: The sender's own state.
         target: Member to ping; None unless the kind is `INDIRECT_PING`.
         updates: Piggybacked member updates or, in a sync message, a part of the sender's table.
--- a/mulleinrelay/membership/service.py
+++ b/mulleinrelay/membership/service.py
@@ -52,7 +52,7 @@
         self.recent = [*self.recent, {"at": round(at_s, 3), "text": text}][-MAX_EVENTS:]
 
     def take_unrecorded(self) -> list[str]:
-        """Return the last `MAX_EVENTS` unrecorded texts; earlier ones are dropped."""
+        """Return the last `MAX_EVENTS` unrecorded texts, and clear all unrecorded texts."""
         texts = self.unrecorded[-MAX_EVENTS:]
         self.unrecorded = []
         return texts
@@ -150,8 +150,9 @@
             config: Configuration of membership.
             name: Name of this director.
             seed: Seed of the random numbers.
-            clock: Returns Unix milliseconds. It is called only here, for the incarnation and the
-                clock offset of the quota exchange; the protocol uses a monotonic clock.
+            clock: Function that returns Unix milliseconds. Only this constructor calls it, for the
+                incarnation and the clock offset of the quota exchange. The protocol uses a
+                monotonic clock.
             log: Log for membership events.
             coordinator: Owner of the limits that are shared; None to share no limits, even if the
                 configuration says so.
--- a/mulleinrelay/membership/state_sync.py
+++ b/mulleinrelay/membership/state_sync.py
@@ -2,8 +2,8 @@
 
 As in hashicorp/memberlist, a director periodically synchronizes its table with one other director,
 to get updates that gossip has missed. It sends a sync request with a part of its table and a digest
-(hash) of the whole table. If the other director's table has another digest, that director responds
-with pages of its table.
+of the table, which is a hash of the updates of all active members. If the other director's table
+has another digest, that director responds with pages of its table.
 
 During a network partition each side comes to consider the other side dead and stops pinging it.
 Sync requests therefore go to dead members and to inactive seeds too, so that the sides find each
