--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -1,9 +1,9 @@
 """Parser of this project's INI files: cells, management, fleet, assignment and lab.
 
 `parse_sections` splits a text into sections. An `IniSection` then reads one section key by key and
-checks each value. It can finally reject keys that were not read. Every error is a `ConfigError`. An
-error of a value names the section and the key, as in `[tenant acme] rate: expected a number of 0 or
-more, found '-1'`.
+checks each value. It can finally reject keys that were not read. Errors in the file are reported as
+`ConfigError`. An error of a value names the section and the key, as in `[tenant acme] rate:
+expected a number of 0 or more, found '-1'`.
 """
 
 import configparser
@@ -47,7 +47,7 @@
         return ConfigError(reason, section=self.title, key=key)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return the text of a key without spaces at its ends."""
+        """Return the text of a key without whitespace at its ends."""
         self._known_keys.add(key)
         value = self.values.get(key, default)
         if value is None:
@@ -83,7 +83,10 @@
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
-        """Return whether the value is `yes`; any value other than `yes` and `no` is an error."""
+        """Return whether the value is `yes`, in upper or lower case.
+
+        Any value other than `yes` and `no` is an error.
+        """
         value = self.text(key, "yes" if default else "no").lower()
         if value not in ("yes", "no"):
             raise self.error(key, f"expected yes or no, found {value!r}")
@@ -97,7 +100,7 @@
         return value
 
     def names(self, key: str, default: str = "") -> tuple[str, ...]:
-        """Return distinct names that are separated by spaces or commas."""
+        """Return names that are separated by spaces or commas; a repeated name is an error."""
         names = tuple(self.text(key, default).replace(",", " ").split())
         for name in names:
             if not NAME_PATTERN.fullmatch(name):
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -163,8 +163,8 @@
     `start` is the object of start settings that the platform passes to each director.
 
     Raises:
-        ConfigError: If a key is missing, or if its value has a wrong type or is not one of the
-            allowed values.
+        ConfigError: If a key or a list entry is missing, or if its value has a wrong type or is not
+            one of the allowed values.
     """
     allowed = start.section("allowed")
     domain = start.section("domain")
