--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -188,7 +188,8 @@
 
         The stream delivers the missing event and the events after it. Until it does, only the
         restrictions in the known events after the gap are applied. Events without a number are
-        skipped.
+        skipped. If the number of any event cannot be read, no event is applied, and the error is
+        logged.
         """
         try:
             self._apply_in_order(
--- a/mulleinrelay/net/resp.py
+++ b/mulleinrelay/net/resp.py
@@ -42,7 +42,7 @@
 
 
 class RespError(ProtocolError):
-    """Bytes that violate the protocol, or an answer that cannot be read."""
+    """Error for bytes that violate the protocol, or for an answer that cannot be read."""
 
 
 class ArrayDecoder:
--- a/mulleinrelay/net/sse.py
+++ b/mulleinrelay/net/sse.py
@@ -24,7 +24,7 @@
 
 
 class SseError(ProtocolError):
-    """Bytes that violate the protocol, or a response other than the event stream."""
+    """Error for bytes that violate the protocol, or for a response other than the event stream."""
 
 
 @dataclass(slots=True, eq=False)
@@ -175,7 +175,7 @@
     Attributes:
         entries: The listed endpoints.
         is_full_snapshot: Whether all endpoints that are not listed are gone.
-        errors: One error message for each unreadable entry.
+        errors: One error message for each entry that is left out because it cannot be read.
     """
 
     entries: list[EndpointUpdate]
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -62,7 +62,7 @@
 
 
 class ThriftError(ProtocolError):
-    """Bytes that violate the protocol, or an invalid call."""
+    """Error for bytes that violate the protocol, or for an invalid call."""
 
 
 class FrameDecoder:
@@ -190,7 +190,9 @@
 
 @dataclass(slots=True, eq=False)
 class MethodCall:
-    """Head of a message. The arguments are read later by a function for the method.
+    """A call of a client, of which only the head is read.
+
+    A function for the method reads the arguments later.
 
     Attributes:
         method: Name of the method.
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -111,7 +111,9 @@
         """Cancel an attempt in flight; do nothing if it is no longer in flight.
 
         If none of it is written yet, the attempt is withdrawn. Otherwise it is abandoned, and a
-        cancellation is sent to the endpoint if the settings allow it.
+        cancellation is sent to the endpoint if the settings allow it. The connection becomes
+        suspect if the attempt was sent longer than the connect timeout ago and no answer to any
+        attempt or health check was received since then.
         """
         with self.lock:
             connection, wire_id = self.connection_by_attempt.pop(attempt, (None, ""))
@@ -161,7 +163,7 @@
         All attempts in flight on a closed connection are reported at once. The pings detect
         connections that stay open but no longer work, after a corrupt, truncated, endless or
         missing answer. An endpoint that takes longer than `PING_TIMEOUT` to answer a ping loses the
-        connection even if it works.
+        connection even if it works. Nothing is done if the settings do not allow health checks.
         """
         now = self.clock()
         with self.lock:
