--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -474,7 +474,8 @@
     - None: no answer is sent
     - a function of the attempt's fields that returns one of the values above
 
-    Recorded commands are tuples of command name, request id or tag, fields, and body.
+    Recorded commands are tuples of command name, request id or tag, fields, and body. Pings are
+    answered unless the plan is `answer_nothing`; health checks with a load report never are.
     """
 
     def __init__(self, plan):
@@ -517,7 +518,8 @@
     """Event stream that serves each connection with the next script.
 
     A script is a list of byte strings to send. None in a script waits until the client closes the
-    connection. If no script is left, a response head is sent, followed by this wait.
+    connection. At the end of its script, the connection is closed. If no script is left, a response
+    head is sent, followed by the wait.
     `last_event_ids` lists the number of the last known event that each connection's request names.
     """
 
@@ -700,6 +702,9 @@
 class DirectorProcess:
     """Process that runs `mulleinrelay serve` with a configuration file.
 
+    It is a context manager: the block begins when the director is ready, and at its end the process
+    is killed.
+
     `descriptors` is the process's limit of open file descriptors. `log_lines` lists the lines that
     the process has logged, parsed from JSON.
     """
