--- a/mulleinrelay/membership/failure_detector.py
+++ b/mulleinrelay/membership/failure_detector.py
@@ -30,7 +30,8 @@
 # least 1.
 MIN_SUSPICION_INTERVALS = 1.5
 MAX_SUSPICION_FACTOR = 3.0  # maximum suspicion timeout, as a multiple of the minimum
-SUSPICION_CONFIRMATIONS = 3  # further suspecting directors that reduce the timeout to the minimum
+# Further suspecting directors that reduce the timeout to the minimum (fewer in a small fleet)
+SUSPICION_CONFIRMATIONS = 3
 MAX_HEALTH_SCORE = 8  # timeouts are multiplied by the score plus one
 # Fractions of the suspicion timeout after which a suspect is pinged again
 SUSPECT_PING_FRACTIONS = (0.3, 0.5, 0.7)
@@ -49,7 +50,9 @@
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping without an ack so far.
+    """A ping whose ack is still awaited.
+
+    Pings that only tell a suspect of the suspicion are not recorded.
 
     Attributes:
         member_id: Member that was pinged.
--- a/mulleinrelay/membership/swim.py
+++ b/mulleinrelay/membership/swim.py
@@ -279,7 +279,7 @@
         return self._wrap_payloads(self.delegate.tick(now, self.table.local.incarnation, members))
 
     def _handle_pause(self, now: float) -> None:
-        """Discard pending pings, restart suspicion timeouts, and make a sync due at once.
+        """Discard pending pings, restart suspicion timeouts, make a sync due, and add an event.
 
         After a pause of this process its view of the other members is out of date.
         """
