--- a/mulleinrelay/net/event_stream.py
+++ b/mulleinrelay/net/event_stream.py
@@ -242,7 +242,7 @@
                 self.log.event("event stream reconnects", last=self.last_event_number, why=reason)
 
     def _wait_to_reconnect(self, has_progressed: bool, is_refused: bool) -> str:
-        """Wait for the backoff, and read the configured address if the backoff says that it is due.
+        """Wait for the backoff; before, look up the configured address if the backoff asks for it.
 
         If the configured address is new, it is used at once, without a wait.
 
--- a/mulleinrelay/net/thrift.py
+++ b/mulleinrelay/net/thrift.py
@@ -396,7 +396,7 @@
 
 
 def failed_reply(sequence_number: int) -> Pieces:
-    """Encode the answer that a request has failed; it may have been executed."""
+    """Encode the answer to a request that has failed and may have been executed."""
     return declared_exception("serve", sequence_number, 2, {})
 
 
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -143,7 +143,7 @@
     def check_health(
         self, endpoint: "TrackedEndpoint", address: EndpointAddress, with_report: bool = True
     ) -> None:
-        """Send a health check, unless it is not allowed or no connection is available.
+        """Send a health check if it is allowed and a connection is available.
 
         Args:
             endpoint: The endpoint to check.
