--- a/mulleinrelay/config/ini.py
+++ b/mulleinrelay/config/ini.py
@@ -124,7 +124,7 @@
 
 
 def parse_sections(text: str) -> dict[str, dict[str, str]]:
-    """Return the sections by title, in the order of the file; each maps keys to texts.
+    """Return the sections by title, in the order of the file; each maps lower-case keys to texts.
 
     Raises:
         ConfigError: If the text is too long or not a valid INI file.
--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -1,7 +1,7 @@
 """Parser of the platform's configuration, the JSON file that LB_CONFIG names.
 
-Both the simulator's adapter and a director on sockets use it to read the start settings. Every
-error is a `ConfigError`; an error of a value names the path of its key.
+Both the simulator's adapter and a director on sockets use it to read the start settings. Errors in
+the file are reported as `ConfigError`; an error of a value names the path of its key.
 """
 
 import json
--- a/mulleinrelay/process.py
+++ b/mulleinrelay/process.py
@@ -39,6 +39,9 @@
 
     Returns:
         The exit code.
+
+    Raises:
+        CommitRejectedError: If the stored configuration of management cannot be applied.
     """
     signal_pipe = open_signal_pipe()
     try:
@@ -64,6 +67,9 @@
 
     Returns:
         `EXIT_DONE` if the director runs, otherwise the exit code of the process.
+
+    Raises:
+        CommitRejectedError: If the stored configuration of management cannot be applied.
     """
     try:
         director.start()
--- a/mulleinrelay/structured_log.py
+++ b/mulleinrelay/structured_log.py
@@ -94,5 +94,5 @@
             try:
                 while line:
                     line = line[os.write(self.descriptor, line) :]
-            except OSError:  # the log's reader has closed it, or the disk is full; go on without
+            except OSError:  # the log's reader has closed it, or the disk is full: drop the line
                 pass
