--- a/mulleinrelay/cli.py
+++ b/mulleinrelay/cli.py
@@ -174,7 +174,7 @@
 
 
 def _load_or_exit(load: Callable[[PathType], Loaded], path: PathType) -> Loaded:
-    """Load a file; print the error and exit if the file is invalid."""
+    """Load a file; print the error and exit if the file cannot be read or is invalid."""
     try:
         return load(path)
     except ConfigError as error:
--- a/mulleinrelay/net/client_connection.py
+++ b/mulleinrelay/net/client_connection.py
@@ -368,7 +368,10 @@
             return b""
 
     def _is_closed_by_peer(self) -> bool:
-        """Return whether the client has closed its side, even if some of its bytes are unread."""
+        """Return whether the client has closed its side, even if some of its bytes are unread.
+
+        The result is also True if this side has closed the socket.
+        """
         try:
             poll = select.poll()
             poll.register(self.connection, select.POLLRDHUP)
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -104,7 +104,7 @@
                 self._admit_or_close(*listener.accept())
 
     def stop(self) -> None:
-        """Stop accepting connections and close all of them, even those with open requests."""
+        """Stop accepting, and close all connections, even those with open requests."""
         self.drain()
         for client in list(self.clients):
             client.shut_down()
