--- a/mulleinrelay/config/platform.py
+++ b/mulleinrelay/config/platform.py
@@ -1,7 +1,7 @@
 """Parser of the platform's configuration, the JSON file that LB_CONFIG names.
 
-Both the simulator's adapter and a director on sockets use it to read the start settings. Every
-error is a `ConfigError`; an error of a value names the path of its key.
+Both the simulator's adapter and a director on sockets use it to read the start settings. Errors in
+the file are reported as `ConfigError`; an error of a value names the path of its key.
 """
 
 import json
@@ -163,8 +163,8 @@
     `start` is the object of start settings that the platform passes to each director.
 
     Raises:
-        ConfigError: If a key is missing, or if its value has a wrong type or is not one of the
-            allowed values.
+        ConfigError: If a key or a list entry is missing, or if its value has a wrong type or is not
+            one of the allowed values.
     """
     allowed = start.section("allowed")
     domain = start.section("domain")
