--- a/mulleinrelay/cells/admission_controller.py
+++ b/mulleinrelay/cells/admission_controller.py
@@ -61,8 +61,8 @@
     """Compute the indexes of an assignment; this takes seconds for a large assignment.
 
     Raises:
-        ConfigError: If ranges of two tenants partially overlap or are equal, or if a tenant's home
-            is not the source cell of its migration.
+        ConfigError: If two address or group ranges partially overlap, if two tenants have the same
+            range, or if a tenant's home is not the source cell of its migration.
     """
     return PreparedAssignment(
         assignment, TenantResolver(assignment), checked_home_cells(assignment)
@@ -231,7 +231,7 @@
 
         The caller must pass the grant of an admitted request to `complete_request` later. Only
         admitted requests consume quota. A request that `CellQuotas.check` rejects still counts as
-        demand of its tenant and cell.
+        demand in the rates and shares that were checked until then.
 
         The retry budget of the tenant's clients limits only retries of idempotent requests. Every
         other admitted request counts as a first attempt, which earns a fraction of a retry.
--- a/mulleinrelay/cells/cell_quotas.py
+++ b/mulleinrelay/cells/cell_quotas.py
@@ -217,9 +217,10 @@
     def _wait_for_rates(
         self, now: float, candidate: AdmissionCandidate, limits: TenantCellLimits
     ) -> float:
-        """Return the time (ms) until the director's and the cell's rate allow the request.
+        """Return the time (ms) until the director's rate allows the request.
 
-        The time is 0 if both rates allow the request now or are not limited.
+        If that rate allows the request now or is not limited, return the time until the cell's rate
+        allows it; 0 if the cell's rate does so now or is not limited either.
         """
         cell_state = limits.cell_state
         if not self.cell_rates.rate and not cell_state.limits.rate:
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -42,7 +42,8 @@
         served_count: Number of served requests whose client was still waiting.
         completed_count: Number of completed requests whose client was still waiting.
         rejected_count: Number of requests that `CellQuotas.check` rejected in this cell.
-        rate_updated_at: Time when the cell's rate was last derived from the director's rate.
+        rate_updated_at: Time when the cell's rate was last derived from the director's rate;
+            `DISTANT_PAST` before the first time.
     """
 
     def __init__(self, capacity: DirectorCapacity, limits: Limits) -> None:
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -46,7 +46,7 @@
 
 @contextmanager
 def exit_on_errors() -> Iterator[None]:
-    """Exit with a message and an exit code if a file is unusable or a change is rejected."""
+    """Exit with a message and an exit code if a file is unusable or an edit or name is rejected."""
     try:
         yield
     except ConfigError as error:
@@ -97,15 +97,15 @@
     Args:
         path: Path of the assignment file.
         event: Kind of the change, for the log.
-        edit: Function that takes the present version and returns the next one.
+        edit: Function that takes the present assignment and returns the changed one.
         fields: Further fields for the log.
 
     Returns:
         The assignment that was written.
 
     Raises:
-        ConfigError: If the file is invalid or cannot be read or written, or if another command is
-            writing it.
+        ConfigError: If the file is invalid or cannot be read or written, if another command is
+            writing it, or if the new version would be invalid.
         EditRejectedError: If the change breaks a rule.
         OSError: If the log cannot be written; the new version has then been written already.
     """
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -1,9 +1,9 @@
 """Adaptive limit on a cell's open requests, derived from the delays of served requests.
 
-Additive increase, multiplicative decrease (AIMD), once per window: the limit grows while it is used
-and delays are near their baseline, and falls by a tenth while delays are high. The baseline is the
-lowest mean delay of recent windows. It rises slowly, so that a cell that became permanently slower
-regains its limit.
+The limit changes at the end of each window, similar to additive increase, multiplicative decrease
+(AIMD). It grows by a twentieth, at least by one request, while it is used and delays are near their
+baseline. It falls by a tenth while delays are high. The baseline is the lowest mean delay of recent
+windows. The baseline rises slowly, so that a cell that became permanently slower regains its limit.
 
 No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
 each call.
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -1,8 +1,8 @@
 """Changes that operators can make to an assignment.
 
-The functions for changes take a version of the assignment and return the next one. A change that
-would break a rule raises `EditRejectedError`. No I/O and no clock: the time is an argument, and the
-caller writes and logs the new version.
+The functions for changes take an assignment and return the changed one, still with the old version
+number. A change that would break a rule raises `EditRejectedError`. No I/O and no clock: the time
+is an argument, and the caller writes the changed assignment as the next version and logs it.
 
 An event that all directors must execute at the same time is scheduled ahead by the propagation time
 and the clock skew, so that every director has read the file by then.
@@ -17,7 +17,10 @@
 
 
 class EditRejectedError(MulleinrelayError):
-    """Error for a change that would break a rule, so that it is not made; the text says why."""
+    """Error for a change that would break a rule and is not made, or for an unknown tenant.
+
+    The text says why.
+    """
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,8 +55,8 @@
 
     Raises:
         EditRejectedError: If the name is in use, if the target or a tenant does not exist, if a
-            tenant already migrates, or if the tenants are not all in one cell other than the
-            target.
+            tenant already has a migration, even a completed one, or if the tenants are not all in
+            one cell other than the target.
     """
     if name in assignment.migrations:
         raise EditRejectedError(f"move {name} already exists")
@@ -74,7 +77,8 @@
     """Return the home cell that all tenants share.
 
     Raises:
-        EditRejectedError: If a tenant does not exist or migrates, or if the home cells differ.
+        EditRejectedError: If a tenant does not exist or has a migration, even a completed one, or
+            if the home cells differ.
     """
     homes = home_cells(assignment)
     for tenant in tenants:
@@ -121,7 +125,10 @@
 
 
 def rejection_reason(old: Assignment, new: Assignment) -> str:
-    """Return why a new version must not replace an old one; empty if it may."""
+    """Return why a new version must not replace an old one; empty if it may.
+
+    It must not if it has a lower version number, or the same number but another content.
+    """
     is_older = new.version < old.version
     is_same_version_changed = new.version == old.version and new != old
     if is_older or is_same_version_changed:
@@ -133,7 +140,10 @@
 
 
 def migration_of(assignment: Assignment, tenant: str) -> Migration | None:
-    """Return the migration of a tenant; None if the tenant does not migrate."""
+    """Return the migration of a tenant; None if the assignment has none.
+
+    A migration that is done or rolled back is returned too, until operators remove it.
+    """
     for migration in assignment.migrations.values():
         if tenant in migration.tenants:
             return migration
@@ -187,7 +197,8 @@
     """Resume a paused migration.
 
     Raises:
-        EditRejectedError: If the migration does not exist, is not paused or is aborted.
+        EditRejectedError: If the migration does not exist, is not paused or is aborted, or if its
+            resumption is already set.
     """
     migration = _required_migration(assignment, name)
     if not migration.paused_at or migration.resumed_at or migration.aborted_at:
@@ -244,7 +255,7 @@
 
 
 def start_rollout(assignment: Assignment, rollout: Rollout) -> Assignment:
-    """Add a rollout.
+    """Add a rollout; whether its cells exist is checked only when the new version is saved.
 
     Raises:
         EditRejectedError: If a rollout of this name exists.
@@ -270,7 +281,7 @@
 
 
 def adopt_rollout(assignment: Assignment, name: str) -> Assignment:
-    """Copy a rollout's limits to all tenants whose home is one of its cells, and remove it.
+    """Copy a rollout's limits to the tenants whose home is one of its cells; remove the rollout.
 
     If the rollout sets the number of caches per tenant, this number is copied to its cells. The
     cells of waves that have not started count too.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -98,7 +98,9 @@
 def find_failover_cell(
     availability: dict[str, CellAvailability], cell: Cell
 ) -> CellAvailability | None:
-    """Return the failover cell that serves a lost or recovering cell; None if none is available.
+    """Return the failover cell for the tenants of a lost or recovering cell.
+
+    The result is None if no failover cell is available.
 
     The first available cell in the order of preference is chosen. A recovering cell serves no
     tenants of other cells, because some of its own objects are still served elsewhere.
@@ -145,7 +147,9 @@
         self.token_bucket = TokenBucket(0.0, 0.0)
 
     def wait_time(self, now: float, quota: float, cell_limits: FailoverCellLimits) -> float:
-        """Return the time (ms) until one more request may be admitted; 0 if one may be now.
+        """Return the time (ms) until one more request may be admitted; 0 if that is now.
+
+        A fraction above 0 allows at least one open request.
 
         Args:
             now: The current time.
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -1,12 +1,14 @@
-"""The stages of a migration, computed from the assignment and the time only.
+"""The stages of a migration, which moves the objects of some tenants from one cell to another.
+
+The stages are computed from the assignment and the time only:
 
     planned -> warm -> shift -> drain -> done
     warm, shift or drain, after an abort: back -> aborted
 
-The migrated fraction is the fraction of the objects that belong to the target cell. It rises slowly
-to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by one in
-the order of their hash. A migrated object therefore stays migrated unless the migration is aborted,
-and directors whose clocks differ slightly disagree about a few objects only.
+The migrated fraction is the fraction of these objects that belong to the target cell now. It rises
+slowly to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by
+one in the order of their hash. A migrated object therefore stays migrated unless the migration is
+aborted, and directors whose clocks differ slightly disagree about a few objects only.
 
 Until the migration is done, the source cell's caches fill misses of the target cell's caches as
 sibling caches, and serve requests that cannot be sent to the target cell's caches. After an abort,
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -52,7 +52,7 @@
     Attributes:
         name: Name of the cell.
         weight: Weight in the placement of tenants and caches by hash, and in the cell's share of
-            each director's capacity; with 0, the hash places none in the cell.
+            each director's capacity; with 0, the hash places no tenant or cache in the cell.
         caches: Names of the cell's caches; empty if the cell gets caches by hash, from those that
             no cell names.
         shuffle_shards: Number of caches of each tenant, chosen by the tenant's hash; 0 for all
--- a/mulleinrelay/cells/parser.py
+++ b/mulleinrelay/cells/parser.py
@@ -80,7 +80,7 @@
     """Parse and validate the text of an assignment file.
 
     Raises:
-        ConfigError: If the text cannot be parsed or its parts contradict each other.
+        ConfigError: If the text cannot be parsed, or if `validate_assignment` finds an error.
     """
     texts = parse_sections(text)
     if "assignment" not in texts:
--- a/mulleinrelay/cells/placement.py
+++ b/mulleinrelay/cells/placement.py
@@ -1,7 +1,8 @@
 """Placement of requests: the cell and the caches that a tenant's request goes to.
 
-The placement combines home cells, migrations, lost cells and idempotency keys. The ready caches of
-this director's zone are opaque: each has a name, an endpoint and a capacity fraction (0 to 1).
+The placement combines home cells, migrations, lost cells and idempotency keys. Each ready cache of
+this director's zone has a name, an endpoint and a capacity fraction (0 to 1). The endpoint is
+opaque: it is only passed on.
 
 No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
 each call.
@@ -107,7 +108,8 @@
             homes: Name of each tenant's home cell, by tenant; None to compute them.
 
         Raises:
-            ConfigError: If a tenant's home is not the source cell of its migration.
+            ConfigError: If `homes` is None and a tenant's home is not the source cell of its
+                migration.
         """
         self.can_bypass_caches = can_bypass_caches
         self.idempotency_keys = IdempotencyKeyCache(MAX_IDEMPOTENCY_KEYS)
@@ -175,8 +177,8 @@
     ) -> bool:
         """Return whether the new version changes the cell of a tenant's objects at once.
 
-        This is also the case if a migration had split the objects between two cells in the old
-        version, and the new version does not continue the migration unchanged.
+        This is also assumed if a migration of the old version is in progress, and the new version
+        has no equivalent migration (see `migrations.is_equivalent`).
         """
         old = old_migrations.get(tenant)
         new = self.migrations_by_tenant.get(tenant)
@@ -186,7 +188,7 @@
         return old_cell is None or old_cell != _only_cell(now, self.homes[tenant], new)
 
     def set_shuffle_shards(self, shuffle_shards: dict[str, int]) -> None:
-        """Set the number of caches of each tenant, by cell; a negative number sets none.
+        """Set the number of caches of each tenant, by cell; negative numbers are ignored.
 
         A changed number drops all cached placements.
         """
@@ -265,7 +267,7 @@
     ) -> None:
         """Record the cell of an admitted request with an idempotency key, for its retries.
 
-        Other requests are not recorded.
+        Requests without a key, or of a class that is not `KEYED`, are not recorded.
         """
         request_class = request.request_class
         if request.idempotency_key and request_class.idempotency == KEYED:
@@ -382,8 +384,8 @@
         migration = self.migrations_by_tenant.get(tenant)
         is_migrated = migration is not None and migration.source == route.other_cell
         is_aborted = migration is not None and migration.aborted_at > 0.0
-        # After an abort, migrated objects return, so the target cell's caches may fill those of the
-        # source cell.
+        # After an abort, migrated objects return, so the target cell's caches may fill the source
+        # cell's caches.
         can_fill = is_migrated or is_aborted
         if route.cell in self.shuffle_shards:
             # A rollout changes which caches of the cell the tenant uses. The caches that the tenant
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -21,7 +21,8 @@
 HALF_LIFE = 10_000.0  # ms after which the counts are halved
 MAX_HALVINGS = 30  # after this many halvings, the counts are practically 0
 SETTLING_TIME = 1_000.0  # ms after the start of a wave in which requests are not counted
-# Standard deviations by which a success rate must drop; smaller drops may be chance.
+# Standard deviations by which a drop of the success rate must exceed the tolerated drop, because
+# smaller drops may be chance.
 SIGNIFICANCE = 2.0
 DELAY_NOISE = 5.0  # ms; added to both delays of a comparison, so that small changes have no effect
 # Assumed change of the cells without the rollout if they have too few requests. The values are
@@ -121,7 +122,8 @@
         baseline: Statistics by cell from before the rollout started in any cell.
         wave: Number of the current wave; `NOT_STARTED` before the start, 0 for the canary.
         wave_started_at: Time when the current wave started; 0 before the first.
-        is_halted: Whether the rollout is halted until operators intervene or the cells recover.
+        is_halted: Whether the rollout is halted, because by the latest comparison the cells with
+            the rollout and those without it got worse; False again once the last wave is over.
         rollback_reason: Reason of the rollback; empty if the rollout was not rolled back.
     """
 
@@ -195,10 +197,10 @@
         return self.wave >= len(self.rollout.waves)
 
     def _start_wave(self, now: float, wave: int) -> None:
-        """Start a wave: keep the statistics of its cells for comparison, and reset all statistics.
+        """Start a wave: keep the statistics of its cells for comparison, and empty `current`.
 
-        For a cell with too few requests since the last wave, the statistics from before the rollout
-        are kept instead.
+        For a cell with too few requests in `current`, the statistics from before the rollout are
+        kept instead.
         """
         if wave == 0:
             self.baseline = {cell: replace(statistics) for cell, statistics in self.current.items()}
--- a/mulleinrelay/cells/status.py
+++ b/mulleinrelay/cells/status.py
@@ -15,7 +15,11 @@
 
 
 def status_report(controller: "AdmissionController", now: float) -> dict[str, Any]:
-    """Return the states of cells, migrations, rollouts and the tenants with most rejections."""
+    """Return the status of the controller.
+
+    It has the version in force, the open requests, the rejected requests of unknown tenants, and
+    the states of cells, migrations, rollouts and the tenants with the most rejected requests.
+    """
     return {
         "version": controller.assignment.version,
         "at": round(now),
--- a/mulleinrelay/cells/tenant_resolution.py
+++ b/mulleinrelay/cells/tenant_resolution.py
@@ -1,8 +1,8 @@
 """Resolution of a request's tenant by name, by the client's address or by the object's group.
 
-Addresses and groups are found by binary search, so that the cost per request is small even with
-thousands of tenants. No I/O. Not thread-safe because of the cache of addresses: `CellService` holds
-its lock during each call.
+The tenant of an address or group is found by binary search, so that the cost per request is small
+even with thousands of tenants. No I/O. Not thread-safe because of the cache of addresses:
+`CellService` holds its lock during each call.
 """
 
 import ipaddress
@@ -73,7 +73,7 @@
         return is_same_range and entry.tenant != enclosing.tenant
 
     def _start_range(self, number: int, tenant: str) -> None:
-        """Assign the numbers from `number` on to a tenant, up to the start of the next call."""
+        """Assign the numbers from `number` to a tenant, up to the `number` of the next call."""
         if self._starts and self._starts[-1] == number:
             self._tenants[-1] = tenant
         else:
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -48,7 +48,7 @@
             self.full_at = max(self.full_at, now) + self.interval
 
     def with_rate(self, rate: float, burst: float) -> "TokenBucket":
-        """Return a bucket with another rate and the same time until it is full."""
+        """Return a bucket with another rate and burst that is full at the same time as this one."""
         bucket = TokenBucket(rate, burst)
         bucket.full_at = self.full_at
         return bucket
@@ -134,7 +134,8 @@
     def wait_time(self, share: BucketShare, now: float) -> float:
         """Record the party's request and return the time until it is allowed, ms.
 
-        The time is 0 if the request is allowed now, by the guaranteed rate or by a loan.
+        The time is 0 if the request is allowed now, by the guaranteed rate or by a loan. If the
+        total rate is not limited, the time is 0 and nothing is recorded.
         """
         if not self.rate:
             return 0.0
--- a/mulleinrelay/cells/validation.py
+++ b/mulleinrelay/cells/validation.py
@@ -1,7 +1,7 @@
 """Validation of references and consistency within an assignment; no I/O.
 
-Each error names the section and the key of the assignment file, as in `[tenant acme] cell: cell
-'north' does not exist`, even if the assignment was set over gNMI.
+Each error names the section of the assignment file and, unless all cells are missing, the key, as
+in `[tenant acme] cell: cell 'north' does not exist`, even if the assignment was set over gNMI.
 """
 
 from collections.abc import Container
@@ -12,7 +12,7 @@
 
 
 def validate_assignment(assignment: Assignment) -> None:
-    """Check that references exist and that the parts of an assignment do not contradict each other.
+    """Check that references exist, required parts are present, and no parts contradict each other.
 
     Raises:
         ConfigError: If a check fails.
