--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -43,9 +43,9 @@
 ) -> Assignment:
     """Return an assignment.
 
-    Cells and tenants are given as objects or by name. A tenant that is given by name is placed in
-    the first cell, but `beta` in the last cell; its limits are `tenant_limits`. `changes` are
-    further fields of the assignment.
+    Cells and tenants are given as objects or by name. A tenant that is given by name has the limits
+    `tenant_limits`, and its home is the first cell; only the home of `beta` is the last cell. The
+    default tenant is `shared`. `changes` are other fields of the assignment.
     """
     cells = [Cell(cell) if isinstance(cell, str) else cell for cell in cells]
     cells_by_name = {cell.name: cell for cell in cells}
--- a/tests/cells/test_assignment_file.py
+++ b/tests/cells/test_assignment_file.py
@@ -1,4 +1,4 @@
-"""Assignment files: parsing, errors and atomic writes."""
+"""Assignment files: parsing, errors and atomic writes; errors in `cells.ini`."""
 
 import os
 from dataclasses import replace
--- a/tests/cells/test_migration_search.py
+++ b/tests/cells/test_migration_search.py
@@ -1,7 +1,8 @@
 """Search for violations of three rules during a migration, with one fault at a time.
 
-Two directors use any two of the `VERSIONS` of the assignment while a cache drains, is lost or
-restarts empty, or while an object is purged. All combinations with the `FAULT_TIMES` are tried.
+Each of two directors uses one of the `VERSIONS` of the assignment while a cache drains, is lost or
+restarts empty, or while an object is purged. All combinations of two versions, a fault and one of
+the `FAULT_TIMES` are tried.
 
 - Rule 3: no attempt uses a draining or lost cache.
 - Rule 4: a cache in slow start is not overloaded.
@@ -47,7 +48,8 @@
 class SimulatedDirector:
     """A coordinator and an admission controller whose clock the test sets.
 
-    All attempts are answered at once. `fault_times` has the time of each injected fault.
+    Each attempt is answered as soon as it is sent. `fault_times` has the time of each injected
+    fault.
     """
 
     def __init__(self, version):
@@ -81,7 +83,10 @@
         return None
 
     def send_requests(self, now):
-        """Send one request for each of four objects, and yield the attempts of all of them."""
+        """Request four objects, and yield the `SendAttempt` steps of the admitted requests.
+
+        Each attempt is reported as served.
+        """
         self.coordinator_fixture.now = self.controller_fixture.now = now
         coordinator, controller = (
             self.coordinator_fixture.coordinator,
@@ -113,8 +118,8 @@
 def exceeds_slow_start(sent, started_at):
     """Return whether the directors together overloaded a cache in slow start in any window.
 
-    `sent` lists the time and the work (ms) of each attempt at the cache since it started at
-    `started_at`.
+    `sent` lists the time and the work (ms) of each attempt that used the cache, also as the fill
+    source, since the cache started at `started_at`.
     """
     for sent_at, _ in sent:
         load = sum(work for earlier, work in sent if sent_at - OVERLOAD_WINDOW < earlier <= sent_at)
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -206,7 +206,7 @@
 
     The numbers of all retries and of the failed retries are returned too. The search covers first
     attempts at any director, also at a partitioned one, and retries at directors that have read
-    all versions written more than PROPAGATION ago.
+    all versions written at least PROPAGATION ago.
     """
     broken, retry_count, failed_count = [], 0, 0
     base = replace(
@@ -326,7 +326,7 @@
 
 
 def serve_requests(fixture, count):
-    """Complete `count` requests and yield the cell of each."""
+    """Admit and complete `count` requests, and yield the cell of each."""
     for key in range(count):
         grant = fixture.admit(key=key)
         fixture.complete(grant)
--- a/tests/cells/test_operator_edits.py
+++ b/tests/cells/test_operator_edits.py
@@ -22,10 +22,11 @@
 
 
 class OperatorMachine(RuleBasedStateMachine):
-    """State machine that edits one assignment; one director uses each version at once.
+    """State machine that edits one assignment.
 
-    The invariants guard against edits after which many objects change cells at once, and against
-    objects that migrate faster or slower than the clock says.
+    A single director puts each new version in force immediately. The invariants guard against edits
+    that make many objects change cells at the same time, and against objects that migrate faster or
+    slower than the clock says.
     """
 
     @initialize()
@@ -106,7 +107,8 @@
     def few_objects_change_cells_at_once(self):
         cells, elapsed = self.place_all(), self.now - self.checked_at
         changed = sum(cell != previous for cell, previous in zip(cells, self.cells, strict=True))
-        # The expected number at the speed of the shift; the warm-up is slower.
+        # Expected number of objects that change cells at the speed of the shift. During the
+        # warm-up, objects change cells more slowly.
         mean = len(KEYS) * elapsed / DURATIONS.shift
         assert changed <= mean + 4.0 * mean**0.5 + 4.0
         self.cells, self.checked_at = cells, self.now
