--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -6,7 +6,7 @@
 director from its start to the next restart. At any time at most one director may use a unit:
 
 - The owner locks the units of a lease before it sends the grant. It unlocks them one window after
-  the end of `LEASE_DURATION_MS`.
+  the lease was released or `LEASE_DURATION_MS` has passed.
 - The borrower may use the units until LEASE_DURATION_MS * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent
   the request*. The owner locks the units later than that, when the request arrives. Even if the two
   clocks drift apart by MAX_CLOCK_DRIFT, the borrower's use therefore ends before the owner's lock
@@ -186,9 +186,10 @@
             grant: The grant.
 
         Returns:
-            Whether the units were borrowed, or the lease was renewed. Nothing is borrowed or
-            renewed if the grant has no units, matches no pending request of this incarnation or
-            arrives too late, or if the lease to renew is no longer borrowed.
+            Whether the units were borrowed, or the lease was renewed. A grant has no effect if it
+            has no units or matches no pending request of this incarnation. A grant of a new lease
+            also has none if it arrives after the end of the lease. A renewal has none if the lease
+            is no longer borrowed or has another number of units.
         """
         request = self.pending.get(grant.number)
         if request is None or request.lender != lender:
@@ -234,8 +235,9 @@
             used: Number of units that this director keeps, as in `lendable`.
 
         Returns:
-            The grant to send. None if the request gets no response: no units may be lent, or the
-            lease has expired.
+            The grant to send; it may have fewer units than requested. None if the request gets no
+            response: no units may be lent, or the lease that the request obtained or is to renew
+            is not known or has expired.
         """
         lease = self.granted.get((borrower, incarnation, request.number))
         if lease is not None:  # duplicate request: same grant until the lease expires
--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -27,12 +27,12 @@
 
 TICK_INTERVAL_MS = 100.0
 REQUEST_TIMEOUT_MS = 2.0 * TICK_INTERVAL_MS  # after which the same lender may be asked again
-MAX_REQUESTS_PER_TICK = 3  # per limit
+MAX_REQUESTS_PER_TICK = 3  # requests for new leases, per limit
 MAX_BORROWED_LEASES = 64  # at the same time, per limit
 MAX_LEASES_PER_LENDER = 3  # more than 1, as a lender may have had few units for the first lease
 MAX_MESSAGES_PER_PAYLOAD = 2 * MAX_BORROWED_LEASES  # further messages are ignored
 # Units are borrowed ahead of use, so that fewer requests are rejected before the units arrive. The
-# demand is the larger of a share's two peaks, each times one of these factors.
+# demand is at least the larger of a share's two peaks, each times one of these factors.
 USED_HEADROOM = 1.25  # factor on the fraction that was used
 REJECTED_HEADROOM = 2.0  # factor on the fraction that rejected requests would have needed
 RENEWAL_FRACTION = 0.5  # fraction of a lease's duration that is left when its renewal is requested
@@ -69,7 +69,8 @@
     Attributes:
         definition: Definition of the limit.
         ledger: Owned, lent and borrowed units of the limit.
-        demand: Fraction of the limit that this director wants; may exceed 1. It decays with
+        demand: Fraction of the limit that this director wants; may exceed 1. Each `record_use`
+            lets it decay as much as in `TICK_INTERVAL_MS`, with the half-life
             `DEMAND_HALF_LIFE_MS`.
         peaks: The largest fraction used in the current quarter of a window and in each of the up to
             `PEAKS_PER_WINDOW` quarters before it, the newest first.
@@ -187,7 +188,7 @@
         Args:
             now: Time in ms.
             incarnation: Current incarnation of this director in its membership.
-            members: The directors that are alive, each with its location.
+            members: The other directors that are alive, each with its location.
 
         Returns:
             The payloads to send, each as (recipient, payload).
@@ -323,7 +324,8 @@
     ) -> None:
         """Request the units that are missing for the demand from a few random members.
 
-        Each of these members is asked for all missing units.
+        Each of these members is asked for all missing units. Nothing is requested if less than
+        `MIN_LEASE_FRACTION` of the owned units is missing.
         """
         ledger = limit.ledger
         wanted = math.ceil(UNITS_PER_LIMIT * min(1.0, limit.demand))
