--- a/mulleinrelay/budgets/quota_exchange.py
+++ b/mulleinrelay/budgets/quota_exchange.py
@@ -132,8 +132,8 @@
 
     Attributes:
         limits: The shared limits, by name.
-        counts: Numbers of requests for new leases sent, new leases granted, grants accepted, leases
-            released, and messages or payloads that could not be used.
+        counts: Numbers of requests sent for new leases, grants sent for new leases, grants accepted
+            (also of renewals), leases released, and messages or payloads that could not be used.
     """
 
     def __init__(
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -46,7 +46,7 @@
 
 @contextmanager
 def exit_on_errors() -> Iterator[None]:
-    """Exit with a message and an exit code if a file is unusable or an edit or name is rejected."""
+    """Exit with a message and a code for an unusable file, a rejected change or unknown tenant."""
     try:
         yield
     except ConfigError as error:
--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -1,6 +1,6 @@
 """Adaptive limit on a cell's open requests, derived from the delays of served requests.
 
-The limit changes at the end of each window, similar to additive increase, multiplicative decrease
+The limit can change at the end of each window, much like additive increase, multiplicative decrease
 (AIMD). It grows by a twentieth, at least by one request, while it is used and delays are near their
 baseline. It falls by a tenth while delays are high. The baseline is the lowest mean delay of recent
 windows. The baseline rises slowly, so that a cell that became permanently slower regains its limit.
--- a/mulleinrelay/cells/failover.py
+++ b/mulleinrelay/cells/failover.py
@@ -149,7 +149,8 @@
     def wait_time(self, now: float, quota: float, cell_limits: FailoverCellLimits) -> float:
         """Return the time (ms) until one more request may be admitted; 0 if that is now.
 
-        A fraction above 0 allows at least one open request.
+        If `quota` and the cell's capacity fraction are above 0, at least one open request is
+        allowed.
 
         Args:
             now: The current time.
--- a/mulleinrelay/cells/hashing.py
+++ b/mulleinrelay/cells/hashing.py
@@ -29,7 +29,7 @@
 
 
 def hash_name(text: str) -> int:
-    """Return a 64-bit hash of a name that is the same on every machine."""
+    """Return the 64-bit hash of a name; the hash is the same on every machine."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -168,8 +168,9 @@
     """Return the stage of a migration at a point in time."""
     if migration.aborted_at and now >= migration.aborted_at:
         if _migration_time(migration, migration.aborted_at) >= completes_at(migration):
-            # The migration was done before the abort, so the abort has no effect. Only another
-            # migration can return the tenants to the source cell.
+            # The migration was done before the abort, so its stage stays `DONE`. Operators cannot
+            # write such an abort with `edits.abort_migration`, because only another migration is to
+            # return the tenants to the source cell. `migrated_fraction` does not ignore the abort.
             return MigrationStage.DONE
         if migrated_fraction(migration, now) > 0.0:
             return MigrationStage.ROLLING_BACK
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -28,7 +28,8 @@
 
     Attributes:
         rate: Requests per second.
-        burst: Requests that may arrive at once; 0 for the number that the rate allows in 100 ms.
+        burst: Requests that may arrive at once, at least 1; 0 for the number that the rate allows
+            in 100 ms.
         max_open_requests: Maximum number of open requests; a request with a body counts as more
             than one.
         max_body_kb: Maximum size of the bodies of all open requests together, KB.
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -281,9 +281,9 @@
 
 
 def shuffle_shards_by_cell(states: dict[str, RolloutState]) -> dict[str, int]:
-    """Return, by cell, the number of caches per tenant that the newest rollout in force sets.
+    """Return, by cell, the number of caches per tenant that rollouts in force set.
 
-    Cells in which no rollout sets the number are missing.
+    The newest rollout that sets the number decides. Cells in which none sets it are missing.
     """
     return {
         cell: state.rollout.shuffle_shards
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize(
     "bug",
     [
-        # The bug: a retry is placed by the current fraction, like a first attempt.
+        # The bug: a retry is placed by the current migrated fraction, like a first attempt.
         lambda migration, key, history, now, clock_skew: (
             sticky_routing.MigrationSide.TARGET
             if migrations.is_migrated(migration, key, migrations.migrated_fraction(migration, now))
