--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -31,7 +31,7 @@
 
 UNITS_PER_LIMIT = 1 << 20
 MAX_CLOCK_DRIFT = 0.01  # relative, between two directors' clocks
-LEASE_DURATION_MS = 2_000.0  # for which the owner locks the units of a lease, plus one window
+LEASE_DURATION_MS = 2_000.0  # the owner locks the units of a lease for this time and one window
 RESERVED_FRACTION = 0.05  # of the owned units: never lent, usable one window after a start
 
 MemberId = tuple[str, str, int]
--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -86,8 +86,8 @@
 
         The new rate is the part of the director's rate that the cell can reach by borrowing; the
         cell's tenants share it. The rate stays unchanged if the cell has a rate limit of its own,
-        if the director's rate is not limited, or if less than `FairTokenBucket.RECOMPUTE_INTERVAL`
-        has passed since the last update.
+        or if the director's rate is not limited. It also stays unchanged until
+        `FairTokenBucket.RECOMPUTE_INTERVAL` has passed since the last update.
         """
         if self.limits.rate or not director_bucket.rate:
             return
--- a/mulleinrelay/cells/edits.py
+++ b/mulleinrelay/cells/edits.py
@@ -4,8 +4,8 @@
 number. A change that would break a rule raises `EditRejectedError`. No I/O and no clock: the time
 is an argument, and the caller writes the changed assignment as the next version and logs it.
 
-An event that all directors must execute at the same time is scheduled ahead by the propagation time
-and the clock skew, so that every director has read the file by then.
+An event that all directors must execute at the same time is scheduled ahead. It takes place after
+the propagation time and the clock skew, when every director has read the file.
 """
 
 from dataclasses import dataclass, replace
@@ -54,9 +54,9 @@
             have read it.
 
     Raises:
-        EditRejectedError: If the name is in use, if the target or a tenant does not exist, if a
-            tenant already has a migration, even a completed one, or if the tenants are not all in
-            one cell other than the target.
+        EditRejectedError: If the name is in use, or the target does not exist. If a tenant does not
+            exist or already has a migration, even a completed one. If the tenants are not all in
+            one cell, or are in the target already.
     """
     if name in assignment.migrations:
         raise EditRejectedError(f"move {name} already exists")
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -11,9 +11,9 @@
 aborted, and directors whose clocks differ slightly disagree about a few objects only.
 
 Until the migration is done, the source cell's caches fill misses of the target cell's caches as
-sibling caches, and serve requests that cannot be sent to the target cell's caches. After an abort,
-the fraction falls only about as fast as it rises during the shift, because the source cell's caches
-may have dropped objects in the meantime.
+sibling caches. They also serve requests that cannot be sent to the target cell's caches. After an
+abort, the fraction falls only about as fast as it rises during the shift, because the source cell's
+caches may have dropped objects in the meantime.
 
 No I/O and no clock: the time is an argument.
 """
