--- a/mulleinrelay/budgets/lease_ledger.py
+++ b/mulleinrelay/budgets/lease_ledger.py
@@ -8,9 +8,9 @@
 - The owner locks the units of a lease before it sends the grant. It unlocks them one window after
   the lease was released or `LEASE_DURATION_MS` has passed.
 - The borrower may use the units until LEASE_DURATION_MS * (1 - 2 * MAX_CLOCK_DRIFT) after it *sent
-  the request*. The owner locks the units later than that, when the request arrives. Even if the two
-  clocks drift apart by MAX_CLOCK_DRIFT, the borrower's use therefore ends before the owner's lock
-  (derivation in docs/budgets.md).
+  the request*. The owner locks the units later than that, when the request arrives. Even if the
+  rates of both clocks are wrong by MAX_CLOCK_DRIFT, the borrower's use therefore ends before the
+  owner's lock (derivation in docs/budgets.md).
 - A grant is accepted once, for the pending request of this incarnation that it answers. A duplicate
   request gets the same grant again and locks no further units.
 - A director that has restarted does not know which units it has lent. Until all leases that an
@@ -30,7 +30,7 @@
 from dataclasses import dataclass, field
 
 UNITS_PER_LIMIT = 1 << 20
-MAX_CLOCK_DRIFT = 0.01  # relative, between two directors' clocks
+MAX_CLOCK_DRIFT = 0.01  # largest relative error of the rate of a director's clock
 LEASE_DURATION_MS = 2_000.0  # the owner locks the units of a lease for this time and one window
 RESERVED_FRACTION = 0.05  # of the owned units: never lent, usable one window after a start
 
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -76,7 +76,7 @@
 
 def record_change(path: str, event: str, fields: dict[str, Any]) -> None:
     """Append a JSON line to `<path>.log`, the log of operators' changes to the file at `path`."""
-    import structlog  # imported here, because most commands do not need it and start faster then
+    import structlog  # imported here, because most commands do not need it and start faster without
 
     with open(f"{path}.log", "ab") as file:
         log = structlog.wrap_logger(
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -215,7 +215,7 @@
 def max_published_fraction(migration: Migration, now: float) -> float:
     """Return the largest migrated fraction up to now in all versions with this migration's start.
 
-    Versions with a pause or an abort have smaller fractions. Versions with an earlier start are not
+    Versions with a pause or an abort have no larger ones. Versions with an earlier start are not
     considered; `edits.pause_migration` replaces the start by a later one at a second pause.
     """
     return _planned_fraction(migration, now)
--- a/mulleinrelay/cells/rollouts.py
+++ b/mulleinrelay/cells/rollouts.py
@@ -171,7 +171,7 @@
         self.current.setdefault(cell, CellStatistics()).add(now, is_served, delay)
 
     def advance(self, now: float) -> str:
-        """Start the next wave, halt or roll back, if due; to be called several times a second.
+        """Start a wave, halt, continue or roll back, if due; to be called several times a second.
 
         Returns:
             The new phase for the log, with the reason if it is a rollback; empty if the phase is
--- a/mulleinrelay/cells/service.py
+++ b/mulleinrelay/cells/service.py
@@ -170,7 +170,7 @@
     # Methods for management
 
     def apply_prepared(self, prepared: PreparedAssignment) -> None:
-        """Put a prepared version in force that the caller has written to the assignment file."""
+        """Put a prepared version in force; the caller has already written it to the file."""
         with self.lock:
             messages = self.controller.replace_assignment(self._clock(), prepared)
         self._log_messages(messages)
--- a/tests/budgets/test_quota_exchange.py
+++ b/tests/budgets/test_quota_exchange.py
@@ -98,7 +98,7 @@
 def utilization_with_lending():
     """Return the mean fraction of a limit that a fleet uses, and the maximum in any window.
 
-    Both count after 12 s with load, in which units move to the busy directors.
+    Both are measured after 12 s with load, in which units move to the busy directors.
     """
     fleet = LoadedFleet(30, uneven_demand(30, 900.0), 900.0, seed=2)
     fleet.run_with_load(12)
