--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -42,7 +42,8 @@
         served_count: Number of served requests whose client was still waiting.
         completed_count: Number of completed requests whose client was still waiting.
         rejected_count: Number of requests that `CellQuotas.check` rejected in this cell.
-        rate_updated_at: Time when the cell's rate was last derived from the director's rate.
+        rate_updated_at: Time when the cell's rate was last derived from the director's rate;
+            `DISTANT_PAST` before the first time.
     """
 
     def __init__(self, capacity: DirectorCapacity, limits: Limits) -> None:
@@ -85,8 +86,8 @@
 
         The new rate is the part of the director's rate that the cell can reach by borrowing; the
         cell's tenants share it. The rate stays unchanged if the cell has a rate limit of its own,
-        if the director's rate is not limited, or if less than `FairTokenBucket.RECOMPUTE_INTERVAL`
-        has passed since the last update.
+        or if the director's rate is not limited. It also stays unchanged until
+        `FairTokenBucket.RECOMPUTE_INTERVAL` has passed since the last update.
         """
         if self.limits.rate or not director_bucket.rate:
             return
--- a/mulleinrelay/cells/commands.py
+++ b/mulleinrelay/cells/commands.py
@@ -46,7 +46,7 @@
 
 @contextmanager
 def exit_on_errors() -> Iterator[None]:
-    """Exit with a message and an exit code if a file is unusable or a change is rejected."""
+    """Exit with a message and a code for an unusable file, a rejected change or unknown tenant."""
     try:
         yield
     except ConfigError as error:
@@ -76,7 +76,7 @@
 
 def record_change(path: str, event: str, fields: dict[str, Any]) -> None:
     """Append a JSON line to `<path>.log`, the log of operators' changes to the file at `path`."""
-    import structlog  # imported here, because most commands do not need it and start faster then
+    import structlog  # imported here, because most commands do not need it and start faster without
 
     with open(f"{path}.log", "ab") as file:
         log = structlog.wrap_logger(
@@ -97,15 +97,15 @@
     Args:
         path: Path of the assignment file.
         event: Kind of the change, for the log.
-        edit: Function that takes the present version and returns the next one.
+        edit: Function that takes the present assignment and returns the changed one.
         fields: Further fields for the log.
 
     Returns:
         The assignment that was written.
 
     Raises:
-        ConfigError: If the file is invalid or cannot be read or written, or if another command is
-            writing it.
+        ConfigError: If the file is invalid or cannot be read or written, if another command is
+            writing it, or if the new version would be invalid.
         EditRejectedError: If the change breaks a rule.
         OSError: If the log cannot be written; the new version has then been written already.
     """
--- a/mulleinrelay/cells/migrations.py
+++ b/mulleinrelay/cells/migrations.py
@@ -1,17 +1,19 @@
-"""The stages of a migration, computed from the assignment and the time only.
+"""The stages of a migration, which moves the objects of some tenants from one cell to another.
+
+The stages are computed from the assignment and the time only:
 
     planned -> warm -> shift -> drain -> done
     warm, shift or drain, after an abort: back -> aborted
 
-The migrated fraction is the fraction of the objects that belong to the target cell. It rises slowly
-to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by one in
-the order of their hash. A migrated object therefore stays migrated unless the migration is aborted,
-and directors whose clocks differ slightly disagree about a few objects only.
+The migrated fraction is the fraction of these objects that belong to the target cell now. It rises
+slowly to `warm_up_fraction` during the warm-up, and to 1 during the shift. Objects migrate one by
+one in the order of their hash. A migrated object therefore stays migrated unless the migration is
+aborted, and directors whose clocks differ slightly disagree about a few objects only.
 
 Until the migration is done, the source cell's caches fill misses of the target cell's caches as
-sibling caches, and serve requests that cannot be sent to the target cell's caches. After an abort,
-the fraction falls only about as fast as it rises during the shift, because the source cell's caches
-may have dropped objects in the meantime.
+sibling caches. They also serve requests that cannot be sent to the target cell's caches. After an
+abort, the fraction falls only about as fast as it rises during the shift, because the source cell's
+caches may have dropped objects in the meantime.
 
 No I/O and no clock: the time is an argument.
 """
@@ -166,8 +168,9 @@
     """Return the stage of a migration at a point in time."""
     if migration.aborted_at and now >= migration.aborted_at:
         if _migration_time(migration, migration.aborted_at) >= completes_at(migration):
-            # The migration was done before the abort, so the abort has no effect. Only another
-            # migration can return the tenants to the source cell.
+            # The migration was done before the abort, so its stage stays `DONE`. Operators cannot
+            # write such an abort with `edits.abort_migration`, because only another migration is to
+            # return the tenants to the source cell. `migrated_fraction` does not ignore the abort.
             return MigrationStage.DONE
         if migrated_fraction(migration, now) > 0.0:
             return MigrationStage.ROLLING_BACK
@@ -212,7 +215,7 @@
 def max_published_fraction(migration: Migration, now: float) -> float:
     """Return the largest migrated fraction up to now in all versions with this migration's start.
 
-    Versions with a pause or an abort have smaller fractions. Versions with an earlier start are not
+    Versions with a pause or an abort have no larger ones. Versions with an earlier start are not
     considered; `edits.pause_migration` replaces the start by a later one at a second pause.
     """
     return _planned_fraction(migration, now)
--- a/mulleinrelay/cells/model.py
+++ b/mulleinrelay/cells/model.py
@@ -28,7 +28,8 @@
 
     Attributes:
         rate: Requests per second.
-        burst: Requests that may arrive at once; 0 for the number that the rate allows in 100 ms.
+        burst: Requests that may arrive at once, at least 1; 0 for the number that the rate allows
+            in 100 ms.
         max_open_requests: Maximum number of open requests; a request with a body counts as more
             than one.
         max_body_kb: Maximum size of the bodies of all open requests together, KB.
@@ -52,7 +53,7 @@
     Attributes:
         name: Name of the cell.
         weight: Weight in the placement of tenants and caches by hash, and in the cell's share of
-            each director's capacity; with 0, the hash places none in the cell.
+            each director's capacity; with 0, the hash places no tenant or cache in the cell.
         caches: Names of the cell's caches; empty if the cell gets caches by hash, from those that
             no cell names.
         shuffle_shards: Number of caches of each tenant, chosen by the tenant's hash; 0 for all
