--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -56,8 +56,10 @@
         goes to one of the pool's failover caches.
 
         Returns:
-            The cache; None if every cache is unavailable, was tried before, or is too slow to serve
-            the request in time.
+            The cache; None if none of these caches can be chosen. A cache cannot be chosen if it is
+            unavailable, if an earlier attempt was sent to it and did not end with a miss, or if it
+            is too slow to serve the request in time. Without advertised endpoint weights, no cache
+            counts as too slow.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
--- a/mulleinrelay/policy/endpoint_capacity.py
+++ b/mulleinrelay/policy/endpoint_capacity.py
@@ -49,10 +49,11 @@
     def try_admit(self, endpoint: TrackedEndpoint, work: float, now: float) -> bool:
         """Return whether the endpoint may be sent this much work now; always True after slow start.
 
-        An endpoint in slow start receives from this director at most the director's share of the
-        load that the endpoint's policy allows over any overload window. The method may draw random
-        numbers, but until `record_sent`, calls with the same time and work return the same answer.
-        It also records the peaks of a tracked quota share.
+        An endpoint in slow start receives from this director, on average, at most the director's
+        share of the load that the endpoint's policy allows over an overload window. A share that is
+        smaller than one request is used by random permits (see `slow_start`). Until `record_sent`,
+        calls with the same time and work return the same answer. The method also records the peaks
+        of a tracked quota share.
         """
         fraction = self.available_fraction(endpoint, now)
         if fraction >= 1.0:
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -1,4 +1,8 @@
-"""Filter of the endpoints that may be sent work: healthy ones, and ejected ones for a trial."""
+"""Filter of the endpoints that may be sent work.
+
+These are healthy endpoints within the limits of slow start, ejected endpoints for which a trial is
+due, and all ejected endpoints if there are no others.
+"""
 
 from collections.abc import Iterator, Sequence
 
@@ -53,10 +57,10 @@
     ) -> Iterator[TrackedEndpoint]:
         """Yield the endpoints that may be sent this much work, in the given order.
 
-        An ejected endpoint is yielded only if a trial request to it is due. The iteration is lazy,
-        so that the token is spent only when the endpoint is requested from the iterator. If no
-        endpoint is yielded in this way, the ejected endpoints that slow start permits are yielded
-        without spending a token.
+        An ejected endpoint is yielded only if a trial request may be sent to it, which spends a
+        token. The iteration is lazy, so that the token is spent only when the endpoint is requested
+        from the iterator. If no endpoint is yielded in this way, the ejected endpoints that slow
+        start permits are yielded without spending a token.
         """
         ejected = []
         has_eligible = False
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -70,8 +70,8 @@
             endpoints: The endpoints of the director.
             checks: The schedule of health checks.
             random: The director's source of randomness.
-            log: Called with a line for each ejection and reinstatement, and when the zone becomes
-                unreachable or reachable again.
+            log: Called with a line for each ejection and reinstatement, and when failures make the
+                zone unreachable or a response makes it reachable again.
         """
         self._settings = settings
         self._endpoints = endpoints
@@ -168,10 +168,11 @@
     def record_response(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Record a response of the endpoint.
 
-        A response ends the endpoint's silence. A cache's response also ends the outage of an
-        unreachable zone. Then the caches that were ejected as unreachable during the outage are
-        reinstated, unless it was a false alarm (see `ZoneReachability.record_response`), and the
-        pings of caches that are not ejected as unreachable are cancelled.
+        A response ends the endpoint's silence, and reinstates an endpoint that was ejected only for
+        its silence. A cache's response also ends the outage of an unreachable zone. Then the caches
+        that were ejected as unreachable during the outage are reinstated, unless the outage was a
+        false alarm (see `ZoneReachability.record_response`). The pings of caches that are not
+        ejected as unreachable are cancelled.
         """
         endpoint.last_heard_at = now
         unreachable_since = self.zone.record_response(now, endpoint)
@@ -224,8 +225,9 @@
     ) -> None:
         """Eject an endpoint that fails too often or is silent for too long; else reinstate it.
 
-        Pings of a ready endpoint begin when it is ejected as unreachable, and end when it is
-        reinstated. `reason` is the reason of an ejection; None after a success or response.
+        When a ready endpoint is ejected as unreachable, its pings begin, and the failure counts
+        towards an outage of the zone. Its pings end when it is reinstated. `reason` is the reason
+        of an ejection; None after a success or response.
         """
         detector: OutlierDetector = endpoint.outlier_detector
         should_eject = endpoint.silence >= MAX_SILENCE or detector.is_outlier()
@@ -248,7 +250,7 @@
         )
 
     def _sharing_directors(self, endpoint: TrackedEndpoint) -> int:
-        """Return how many directors are taken to share the health checks of the endpoint."""
+        """Return how many directors are assumed to send health checks to the endpoint."""
         if endpoint in self._endpoints.parents:
             return self._settings.director_count
         return self._settings.local_director_count
--- a/mulleinrelay/policy/events.py
+++ b/mulleinrelay/policy/events.py
@@ -64,7 +64,8 @@
 
     If the subject is a request that is not complete, the request ends without an answer; the
     router's caller may also hand over this event earlier, to end a request immediately. If the
-    subject is an attempt, the router checks whether it is overdue.
+    subject is an attempt in flight, the router checks whether the attempt is overdue, unless its
+    request is complete.
     """
 
     subject: Request | Attempt
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -133,8 +133,8 @@
 
         Returns:
             The source, and whether it may answer only from its own cache. The source is the cache
-            itself if a fill would be too late or no other source is available, and None if there is
-            neither a cache nor a source.
+            itself if no other source is available, or if a fill would be too late and no trial fill
+            is due. It is None if there is neither a cache nor a source.
         """
         work = self.work.slow_start_work(request, now)
         tried = {
@@ -235,9 +235,9 @@
     ) -> TrackedEndpoint | None:
         """Return a nearby sibling cache that is believed to hold the object.
 
-        If there is none, return the cache that held the object before a migration. The result is
-        None if this cache is missing too, if sibling fills are not allowed, or if a hit is expected
-        at the request's own cache.
+        If there is no such sibling, return the cache that served the object before a migration (see
+        `_choose_migration_source`). The result is None if that cache cannot be used either, if
+        sibling fills are not allowed, or if a hit is expected at the request's own cache.
         """
         max_delay = self.delay(cache, now) + NEARBY_DELAY
         if not self.settings.allows_sibling_fills or self.is_believed_holder(cache, request, now):
--- a/mulleinrelay/policy/freshness.py
+++ b/mulleinrelay/policy/freshness.py
@@ -22,7 +22,7 @@
         self._purged_at: dict[tuple[str, int], float] = {}
 
     def __len__(self) -> int:
-        """Return the number of purges in the history."""
+        """Return the number of objects and groups whose last purge is in the history."""
         return len(self._purged_at)
 
     def record(self, object_id: int, group: int, purged_at: float) -> None:
--- a/mulleinrelay/policy/idempotency.py
+++ b/mulleinrelay/policy/idempotency.py
@@ -50,8 +50,9 @@
 def _is_key_remembered(request: Request, possibly_run: list[Attempt], at: float) -> bool:
     """Return whether every endpoint still remembers the request's idempotency key at `at`.
 
-    The key is remembered from the first attempt that may have run. The result is False for a
-    request without a key, and for a key that only a zone or a cell remembers.
+    The retention begins when the first attempt that may have run is sent, and counts as ended
+    `KEY_RETENTION_MARGIN` early. The result is False for a request without a key, and for a key
+    that only a zone or a cell remembers.
     """
     request_class = request.request_class
     forgotten_at = possibly_run[0].sent_at + request_class.key_retention - KEY_RETENTION_MARGIN
--- a/mulleinrelay/policy/model.py
+++ b/mulleinrelay/policy/model.py
@@ -108,7 +108,7 @@
     allows_cancel: bool  # an attempt in flight may be cancelled
     allows_health_checks: bool
     allows_retry_after: bool  # a rejection may specify after which time to retry
-    max_retry_after: float  # maximum of this time
+    max_retry_after: float  # upper bound of the time that a rejection specifies
     allows_cache_bypass: bool  # an attempt may go directly to a parent or the origin
     allows_coalescing: bool  # a cache may wait for a fill of the same object in progress
     allows_sibling_fills: bool  # a miss may be filled from another cache of the zone
@@ -138,7 +138,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint may be sent new work; a draining endpoint may not."""
+        """Whether the endpoint may be sent new work; a draining or removed endpoint may not."""
         return self.state == EndpointState.READY
 
 
@@ -151,7 +151,8 @@
         number: Index among the request's attempts, from 0.
         endpoint: The endpoint that the attempt is sent to.
         fill_source: The endpoint that a miss is filled from; `endpoint` itself if a miss is not
-            filled; None if the request is uncacheable and there is no origin.
+            filled, or if the attempt goes directly to a parent or the origin; None if the request
+            is uncacheable and there is no origin.
         sent_at: When the router decided on the attempt, which may be before it is written.
         timeout: Time in ms after `sent_at` when the attempt is abandoned.
         outcome: How the attempt ended; None until the router has handled the attempt's end.
@@ -192,8 +193,9 @@
             part also expires while the director is suspended; infinite: never.
         fallback_fraction: The share from `expires_at` on.
         is_tracked: Whether the router records `peak_used` and `peak_rejected`.
-        peak_used: Largest share used since the quota exchange last read and cleared the peaks.
-        peak_rejected: Largest share that a rejected request would have needed since then.
+        peak_used: Largest share that an admitted request needed since the quota exchange last read
+            and cleared the two peaks, as a fraction of the limit.
+        peak_rejected: Largest share that a rejected request would have needed in the same time.
     """
 
     fraction: float
@@ -296,7 +298,9 @@
 
     attempt: Attempt
     address: EndpointAddress  # of the attempt's endpoint
-    fill_source: str  # name of the endpoint that a miss is filled from; empty: no fill
+    # Name of the endpoint that a miss is filled from; empty if `Attempt.fill_source` is None or the
+    # attempt's own endpoint
+    fill_source: str
     max_age: float
     retention_rank: int
     allow_coalescing: bool
--- a/mulleinrelay/policy/object_locations.py
+++ b/mulleinrelay/policy/object_locations.py
@@ -1,4 +1,4 @@
-"""Caches that are believed to hold an object, according to their answers.
+"""Caches that are believed to hold a part of an object, according to their answers.
 
 No I/O and no clock: the time is an argument, in ms.
 """
@@ -6,11 +6,12 @@
 from .latency import TrackedEndpoint
 from .model import Request
 
-LOCATION_LIFETIME = 8000.0  # ms after an answer for which a cache is believed to hold the object
+# Time in ms for which a cache that answered with a part of an object is believed to hold that part.
+LOCATION_LIFETIME = 8000.0
 
 
 class ObjectLocations:
-    """Caches that are believed to hold each part of an object.
+    """Caches that are believed to hold a part, for each part of each object.
 
     Owns the times of the caches' answers; only its own methods change them.
     """
@@ -31,8 +32,8 @@
     ) -> bool:
         """Return whether the cache is believed to hold the requested part of the object.
 
-        It is if it answered with the part within `LOCATION_LIFETIME` and after `purged_at`, and was
-        not removed since.
+        This is the case if the cache answered with the part within the last `LOCATION_LIFETIME` ms
+        and after `purged_at`, and was not removed since.
         """
         seen_at = self._seen_at.get((request.object_id, request.part), {}).get(cache, 0.0)
         return seen_at > max(now - LOCATION_LIFETIME, purged_at)
--- a/mulleinrelay/policy/overload.py
+++ b/mulleinrelay/policy/overload.py
@@ -86,7 +86,7 @@
     Args:
         random_fraction: A random number from 0 to 1, so that clients that are rejected together do
             not retry together.
-        max_retry_after: The maximum time in ms that the platform allows.
+        max_retry_after: Upper bound of the result in ms (`ServiceSettings.max_retry_after`).
     """
     return min(MEAN_RETRY_AFTER * (0.5 + random_fraction), max_retry_after)
 
--- a/mulleinrelay/policy/retry_policy.py
+++ b/mulleinrelay/policy/retry_policy.py
@@ -18,8 +18,8 @@
 class RetryPolicy:
     """Rules for whether a request gets another attempt.
 
-    Owns the retry budget that all requests without a pool share; a pool has its own budget. `earn`
-    and `try_spend` change the budgets.
+    Owns the retry budget that all requests without a pool share; other requests use the budget of
+    their pool. `earn` and `try_spend` change the budgets.
     """
 
     def __init__(
--- a/mulleinrelay/policy/router.py
+++ b/mulleinrelay/policy/router.py
@@ -182,8 +182,8 @@
         """Return whether an attempt that was waiting to be written may still be sent.
 
         Events since the decision (drains, purges, results of other attempts) and the time that has
-        passed may forbid it. The caller then reports the attempt as not sent, and the router routes
-        the request again.
+        passed may forbid it. The caller then reports the attempt as not sent. The router then
+        routes the request again, unless the request is complete or has another attempt in flight.
         """
         self._now = max(self._now, now)
         request = attempt.request
@@ -284,7 +284,12 @@
             self.send(request, route)
 
     def _choose_route(self, request: Request) -> Route | None:
-        """Choose the route of the next attempt; return None if no route is available or in time."""
+        """Choose the route of the next attempt.
+
+        Returns:
+            The route; None if no route is available or in time, or if the route would repeat the
+            miss of an earlier attempt.
+        """
         allows_bypass = self.settings.allows_cache_bypass
         is_uncacheable = request.request_class.is_uncacheable
         is_zone_lost = self.health.is_zone_lost()
@@ -355,9 +360,10 @@
         )
 
     def _check_overdue(self, attempt: Attempt) -> None:
-        """Hedge or cancel the attempt if it is overdue, and schedule the next check.
+        """Schedule the next check; hedge or cancel the attempt if it is overdue.
 
-        The next check follows after half of the time that has passed since the sending.
+        The attempt is hedged or cancelled if `OverdueDetector.check` returns True. The next check
+        follows after half of the time that has passed since the attempt was sent.
         """
         self._sink.schedule_timer(0.5 * (self._now - attempt.sent_at), attempt)
         if self.overdue.check(attempt, self._now):
@@ -366,7 +372,8 @@
     def _hedge_or_cancel(self, attempt: Attempt) -> None:
         """Hedge the attempt, or cancel it if only one attempt of a request may be in flight.
 
-        Do nothing if a later attempt was sent already, or if the request's class is `UNSAFE`.
+        Do nothing if a later attempt was sent already, or if the request's class is `UNSAFE`. If
+        hedging is allowed but no attempt can be sent, the request may end (see `_wait_or_give_up`).
         """
         request = attempt.request
         if attempt is not request.attempts[-1] or request.request_class.idempotency == UNSAFE:
--- a/mulleinrelay/policy/work_estimates.py
+++ b/mulleinrelay/policy/work_estimates.py
@@ -50,7 +50,7 @@
         )
 
     def record_request(self, request: Request) -> None:
-        """Count the size of a received request, if it is known."""
+        """Count the transfer time of the request's answer, if size and transfer rate are known."""
         if request.size_kb and self._transfer_rate:
             totals = self._transfers[request.request_class]
             totals.total += request.size_kb / self._transfer_rate
@@ -63,9 +63,9 @@
     def transfer_time(self, request: Request, now: float) -> float:
         """Return the transfer time of the request's answer.
 
-        If the size is unknown, the mean transfer time of the request's class is used. If the class
-        has no known sizes, its median response time is used, and if there is none, a quarter of the
-        latency objective.
+        If the size or the transfer rate is unknown, the mean transfer time of the request's class
+        is used. If the class has no known sizes, its median response time is used, and if there is
+        none, a quarter of the latency objective.
         """
         if request.size_kb and self._transfer_rate:
             return request.size_kb / self._transfer_rate
@@ -121,11 +121,12 @@
         return request.arrived_at + objective - now
 
     def max_slowdown(self, request: Request, now: float) -> float:
-        """Return the factor by which the answer's transfer may be slowed.
+        """Return the maximum factor by which the answer's transfer may be slowed.
 
         Only a fraction of the time left is used, since further requests are received in the
         meantime. Therefore large answers are the first to be rejected. A slowdown up to
-        `NOISE_SLOWDOWN` is permitted whenever it fits into the time left.
+        `NOISE_SLOWDOWN` is permitted whenever it fits into the time left. The factor is below 1 if
+        even an unslowed transfer would be late.
         """
         ratio = self.objective_left(request, now) / self.transfer_time(request, now)
         return max(self._objective_fraction * ratio, min(NOISE_SLOWDOWN, ratio))
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -33,12 +33,13 @@
 # interval between pings to one cache is given, so this interval determines how many caches are
 # pinged.
 PING_SPACING = 1000.0
-# Minimum time in ms from the detection of an outage to its end; a shorter outage was a false alarm.
+# An outage that ends within this time in ms of its detection was a false alarm.
 MIN_OUTAGE = 1000.0
 # Each false alarm that has not expired doubles the number of caches that must fail, at most this
 # many times.
 MAX_THRESHOLD_DOUBLINGS = 3
-# Time in ms after the last false alarm, or the last expiry, when one false alarm expires.
+# One false alarm expires at the first failure that occurs more than this time in ms after the last
+# false alarm or the last expiry.
 FALSE_ALARM_LIFETIME = 30_000.0
 
 
@@ -48,7 +49,7 @@
     Attributes:
         caches: The zone's caches, each identified by any hashable key; the values are unused.
         recent_failures: Time in ms of the last failure of each cache that has failed since the last
-            response of any cache.
+            response of any cache. Each new failure removes those older than `FAILURE_WINDOW`.
     """
 
     def __init__(self) -> None:
@@ -114,9 +115,10 @@
         Responses of endpoints that are not caches of the zone are ignored.
 
         Returns:
-            None if no outage has ended. Otherwise the time in ms from which on ejected caches may
-            be reinstated: the start of the outage. It is infinite after a false alarm, since each
-            of the ejected caches was then silent for its own reasons.
+            None if no outage has ended. Otherwise a time in ms: caches that were ejected at this
+            time or later may be reinstated. It is the time of the outage's first failure. After a
+            false alarm it is infinite, since each ejected cache was then silent for its own
+            reasons.
         """
         if cache not in self.caches:
             return None
