--- a/mulleinrelay/endpoint_registry.py
+++ b/mulleinrelay/endpoint_registry.py
@@ -199,7 +199,7 @@
     """Return the number of an endpoint in the rendezvous hash, the same at every director.
 
     It is the hexadecimal number after the last hyphen of the name (the whole name if there is no
-    hyphen). If that is not a hexadecimal number, it is made of all bytes of the name.
+    hyphen). If that part is not a hexadecimal number, the number is made of all bytes of the name.
     """
     digits = name.rpartition("-")[2]
     try:
--- a/mulleinrelay/policy/endpoint_health.py
+++ b/mulleinrelay/policy/endpoint_health.py
@@ -1,9 +1,9 @@
 """Endpoint health: ejection, reinstatement and health checks.
 
-An *ejected* endpoint receives only trial requests until it is reinstated, unless all endpoints that
-could be chosen instead are ejected too. The module combines outlier detection by results, silence
-of endpoints, the reachability of the zone as a whole, and the schedule of health checks. No I/O and
-no clock: the time is an argument, in ms.
+An *ejected* endpoint receives only trial requests until it is reinstated, unless no endpoint can be
+chosen instead (see `EndpointFilter.eligible`). The module combines outlier detection by results,
+silence of endpoints, the reachability of the zone as a whole, and the schedule of health checks. No
+I/O and no clock: the time is an argument, in ms.
 """
 
 from collections.abc import Callable
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -235,7 +235,8 @@
     ) -> TrackedEndpoint | None:
         """Return a nearby sibling cache that is believed to hold the object.
 
-        If there is no such sibling, return the cache that served the object before a migration (see
+        The sibling may be ejected: each is filtered alone, without a cache to use instead. If there
+        is no such sibling, return the cache that served the object before a migration (see
         `_choose_migration_source`). The result is None if that cache cannot be used either, if
         sibling fills are not allowed, or if a hit is expected at the request's own cache.
         """
--- a/mulleinrelay/router_driver.py
+++ b/mulleinrelay/router_driver.py
@@ -13,7 +13,7 @@
 
 
 class RouterDriver:
-    """Driver of the router, together with the store of the router's actions.
+    """Driver that passes events to the router, which stores its actions in `actions`.
 
     Not thread-safe; the coordinator guards it with its lock.
 
--- a/mulleinrelay/wire.py
+++ b/mulleinrelay/wire.py
@@ -1,8 +1,9 @@
-"""Frame codec of the simulator's wire protocol: decodes records and encodes replies.
+"""Frame codec of the simulator's wire protocol: decodes received batches and encodes replies.
 
 The codes are named in the terms of `policy/events.py` and `policy/actions.py` and not in the
-protocol's own terms. A received batch and the reply to it each consist of a header, records of a
-fixed size, and a tail with data of variable length. Multi-byte numbers are little-endian.
+protocol's own terms. A frame is a received batch or the reply to a batch. It consists of a header,
+records of a fixed size, and a tail with data of variable length. Multi-byte numbers are
+little-endian.
 """
 
 import struct
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -106,10 +106,14 @@
     ) -> None:
         """Handle one record: create the router, or add an event to the current batch.
 
-        The record `BEGIN` creates the router; records before `BEGIN` are ignored.
+        The record `BEGIN` creates the router; records before `BEGIN` are ignored, and so is a client
+        that leaves an unknown request.
 
         Raises:
             wire.WireError: If the settings in `BEGIN` are invalid.
+            LookupError: If the record refers to an unknown request, attempt, timer, request class
+                or endpoint list.
+            ValueError: If a row of the endpoint list has an unknown state.
         """
         if code == wire.BEGIN:
             self.begin(now, fields)
@@ -310,6 +314,7 @@
     Raises:
         wire.WireError: If a record other than endpoint rows precedes the first selection of an
             instance, or if settings are invalid.
+        LookupError, ValueError: As raised by `Instance.read`.
     """
     reply = wire.Reply()
     selected: dict[int, Instance] = {}
@@ -351,7 +356,8 @@
     """Answer each batch with a reply until the input ends.
 
     Raises:
-        wire.WireError: If the input violates the wire protocol.
+        wire.WireError: If a batch is malformed, or as raised by `process_batch`.
+        LookupError, ValueError: As raised by `process_batch`.
     """
     instances: dict[int, Instance] = {}
     endpoint_lists: dict[int, EndpointRows] = {}
@@ -362,7 +368,7 @@
 
 
 def main() -> int:
-    """Serve on standard input and output; return the exit status: 2 if the input was malformed."""
+    """Serve on standard input and output; return the exit status: 2 after a `WireError`, else 0."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -132,7 +132,8 @@
 def test_a_parent_that_fails_rare_fills_is_ejected():
     """Guard against a failing parent that is not ejected because its results expire too soon.
 
-    Results that were four seconds apart expired before two of them could count.
+    Requests are four seconds apart. If results expired within that time, two failures would never
+    count together.
     """
     fixture = RouterFixture()
     for _ in range(12):
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -31,9 +31,10 @@
         return self.endpoint.is_ejected
 
     def results_until(self, is_ejected, failure_rate, limit=400):
-        """Return after how many results the endpoint is ejected, or not, as `is_ejected` states.
+        """Return the number of results until the endpoint's `is_ejected` has the given value.
 
-        The result is `limit` if this does not happen in fewer results.
+        Each result is a failure with the probability `failure_rate`. The method returns `limit` if
+        fewer results do not suffice.
         """
         for number in range(1, limit):
             if self.record(self.random.random() < failure_rate) == is_ejected:
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -186,7 +186,7 @@
 def test_an_overdue_request_without_retry_budget_waits_for_a_reachable_endpoint(
     retry_tokens, is_reachable, attempts, is_given_up
 ):
-    """Guard against endpoints that keep working on requests that the director has rejected."""
+    """Guard against a request that is rejected while a reachable endpoint still works on it."""
     fixture = RouterFixture()
     request = fixture.receive_request()
     fixture.router.retry_policy.local_budget.tokens, request.attempts[0].endpoint.is_unreachable = (
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -87,8 +87,8 @@
 ):
     """Guard against an overload by many directors that each send within their own share.
 
-    An endpoint that can do N requests of mean work in a window is taken to fail at N + 3 * sqrt(N)
-    + 3 requests.
+    An endpoint that can do N requests of mean work in a window is assumed to fail at N + 3 *
+    sqrt(N) + 3 requests.
     """
     number = capacity * WINDOW / MEAN_WORK
     peaks_found = process_job_result(f"slow start, {directors} x {rate}, {capacity}")
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -216,8 +216,8 @@
     [({}, True), ({"address": ("127.0.0.1", 9)}, False), ({"started_at": 5.0}, False)],
 )
 def test_an_endpoint_that_restarts_gets_a_new_address_object(changes, is_kept):
-    # With the old address object, attempts would use connections to the machine that was at the
-    # address before.
+    # With the old address object, attempts would use connections that were opened before the
+    # restart or move, and that may lead to another machine.
     fixture = CoordinatorFixture()
     entry = fixture.endpoint_updates[0]
     endpoint = fixture.coordinator.endpoints[entry.name]
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -1,8 +1,9 @@
 """Exhaustive tests of the order of events, for one request and for one client connection.
 
-A request is tested with all orders of up to three events, a connection with all orders of up to
-four. Each order is checked against the test's own record of sent attempts or received calls. So
-that the checks themselves are tested, they must also detect faults that are put in deliberately.
+A request is tested with all sequences of three events (two in the class `order`), a connection with
+all sequences of four; an event may occur repeatedly. Each sequence is checked against the test's
+own record of sent attempts or received calls. So that the checks themselves are tested, they must
+also detect faults that are put in deliberately.
 """
 
 import itertools
