--- a/mulleinrelay/coordinator.py
+++ b/mulleinrelay/coordinator.py
@@ -73,8 +73,9 @@
     """Interface of the network code to the router.
 
     Thread-safe. `lock` guards the router with all its objects, the endpoint registry, and the
-    stored actions of the router (pending requests, timers, health checks). Methods whose names
-    begin with an underscore must be called while the lock is held.
+    stored actions of the router (pending requests, timers, health checks). `pending_count`,
+    `cpu_utilization` and `active_purge_count` read without the lock. Methods whose names begin with
+    an underscore must be called while the lock is held.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         self.clock = clock
         self.settings = settings
         self.lock = threading.Lock()
-        # Guarded by `lock`:
+        # Guarded by `lock`, with the exceptions that the class names:
         self.registry = EndpointRegistry()
         self.scheduling_delay = SchedulingDelay()
         router = Router(clock(), seed, settings)
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -80,7 +80,7 @@
         work = self.work.transfer_time(request, now)
         if status in HIT_STATUSES:
             self.work.record_response_time(request, event.elapsed, now)
-        # If the cache was unreachable, the delay of its answer says nothing about its load.
+        # If the cache was unreachable, the delay of the answer says nothing about the cache's load.
         if status == CacheStatus.HIT and not was_unreachable:
             lateness = 100.0 * (event.elapsed - work) / max(work, MIN_WORK_FOR_LATENESS)
             endpoint.hit_lateness.add(now, min(lateness, MAX_LATENESS))
--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -56,7 +56,7 @@
         goes to one of the pool's failover caches.
 
         Returns:
-            The cache; None if none of these caches can be chosen. A cache cannot be chosen if it is
+            The cache; None if no cache can be chosen. A cache cannot be chosen if it is
             unavailable, if an earlier attempt was sent to it and did not end with a miss, or if it
             is too slow to serve the request in time. Without advertised endpoint weights, no cache
             counts as too slow.
--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -106,8 +106,8 @@
     ) -> None:
         """Handle one record: create the router, or add an event to the current batch.
 
-        The record `BEGIN` creates the router; records before `BEGIN` are ignored, and so is a client
-        that leaves an unknown request.
+        The record `BEGIN` creates the router. Records before `BEGIN` are ignored, and so is a
+        `CLIENT_LEFT` for an unknown request.
 
         Raises:
             wire.WireError: If the settings in `BEGIN` are invalid.
