--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -56,10 +56,9 @@
         goes to one of the pool's failover caches.
 
         Returns:
-            The cache; None if no cache can be chosen. A cache cannot be chosen if it is
-            unavailable, if an earlier attempt was sent to it and did not end with a miss, or if it
-            is too slow to serve the request in time. Without advertised endpoint weights, no cache
-            counts as too slow.
+            The cache; None if no cache can be chosen. A cache cannot be chosen if it is unavailable
+            or too slow to serve the request in time, or if an earlier attempt was sent to it and
+            did not end with a miss. Without advertised endpoint weights, no cache is too slow.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -1,7 +1,7 @@
 """Filter of the endpoints that may be sent work.
 
-These are healthy endpoints within the limits of slow start, ejected endpoints for which a trial is
-due, and all ejected endpoints if there are no others.
+These are the endpoints that slow start permits, without ejected ones unless a trial request may be
+sent to them. If there are no such endpoints, all ejected ones that slow start permits are used.
 """
 
 from collections.abc import Iterator, Sequence
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -74,8 +74,8 @@
 
     Attributes:
         congestion: Value `crowding` of the load report: number of transfers over the link of the
-            cache's location, divided by the number that fit at full speed, so that it may be below
-            1. It is 0 before the first report.
+            cache's location, divided by the number that fit at full speed. It may be below 1, and
+            is 0 before the first report.
         reported_at: Time of the report in ms.
     """
 
@@ -235,10 +235,11 @@
     ) -> TrackedEndpoint | None:
         """Return a nearby sibling cache that is believed to hold the object.
 
-        The sibling may be ejected: each is filtered alone, without a cache to use instead. If there
-        is no such sibling, return the cache that served the object before a migration (see
-        `_choose_migration_source`). The result is None if that cache cannot be used either, if
-        sibling fills are not allowed, or if a hit is expected at the request's own cache.
+        The sibling may be ejected: the filter permits an ejected cache if it gets no other cache,
+        and it gets each sibling alone. If there is no suitable sibling, return the cache that
+        served the object before a migration (see `_choose_migration_source`). The result is None if
+        that cache cannot be used either, if sibling fills are not allowed, or if a hit is expected
+        at the request's own cache.
         """
         max_delay = self.delay(cache, now) + NEARBY_DELAY
         if not self.settings.allows_sibling_fills or self.is_believed_holder(cache, request, now):
--- a/mulleinrelay/policy/popularity.py
+++ b/mulleinrelay/policy/popularity.py
@@ -3,8 +3,8 @@
 Requests are counted per object in time windows. An object should be held by one cache, and by one
 more for each `HOT_FRACTION` of recent requests that are for it.
 
-Such a small fraction cannot be measured with few requests: a director with four requests a second
-may receive a request for an object that is hot in the whole location only once in ten seconds.
+Such a small fraction cannot be measured with few requests. A director with four requests a second
+may receive only one request in ten seconds for an object that is hot in the whole location.
 Therefore a window is extended, up to `MAX_WINDOWS` times its length, until it has enough requests
 to show the fraction. Objects that are hot in a whole location are then spread to more caches by
 each of hundreds of directors, although each director rarely receives requests for them.
--- a/mulleinrelay/policy/zone_reachability.py
+++ b/mulleinrelay/policy/zone_reachability.py
@@ -1,8 +1,9 @@
 """Zone reachability: whether the caches of a zone can be reached at all.
 
 A network partition, or the loss of a whole zone, looks at first like caches that fail one after the
-other. If each cache were judged alone, a director that sends each of its caches a request every few
-seconds would lose one or two requests for each cache, for as long as the partition lasts.
+other. If each cache were judged alone, a director would lose one or two requests for each cache
+before it avoids the cache. A director that sends each of its caches a request every few seconds
+would then lose requests for as long as the partition lasts.
 
 The input is the set of caches that failed to respond most recently, without a response of any cache
 in between. If enough different caches have failed in this way, the zone as a whole is considered
--- a/tests/policy/test_cache_selection.py
+++ b/tests/policy/test_cache_selection.py
@@ -26,8 +26,8 @@
 ):
     """Guard against rejections that are based on a few attempts of the director itself.
 
-    If the slowdown were estimated only as the director's own attempts in flight times the number of
-    directors, a director that is one of twenty would reject its fourth request, while it has only
+    The slowdown could be estimated only as the director's own attempts in flight times the number
+    of directors. One of twenty directors would then reject its fourth request, while it has only
     one attempt in flight at each of the three caches.
     """
     fixture = RouterFixture(local_director_count=20)
