--- a/mulleinrelay/wirehost.py
+++ b/mulleinrelay/wirehost.py
@@ -314,7 +314,7 @@
     Raises:
         wire.WireError: If a record other than endpoint rows precedes the first selection of an
             instance, or if settings are invalid.
-        LookupError, ValueError: As raised by `Instance.read`.
+        LookupError, ValueError: If `Instance.read` raises one of these errors.
     """
     reply = wire.Reply()
     selected: dict[int, Instance] = {}
@@ -356,8 +356,8 @@
     """Answer each batch with a reply until the input ends.
 
     Raises:
-        wire.WireError: If a batch is malformed, or as raised by `process_batch`.
-        LookupError, ValueError: As raised by `process_batch`.
+        wire.WireError: If a batch is malformed, or if `process_batch` raises this error.
+        LookupError, ValueError: If `process_batch` raises one of these errors.
     """
     instances: dict[int, Instance] = {}
     endpoint_lists: dict[int, EndpointRows] = {}
