--- a/mulleinrelay/policy/slow_start.py
+++ b/mulleinrelay/policy/slow_start.py
@@ -32,8 +32,8 @@
 # Fraction of the endpoint's present capacity that all directors together use if the share of each
 # has room for a request.
 DETERMINISTIC_FRACTION = 0.8
-# Fraction of the present capacity that all directors together use if they depend on permits. It is
-# lower because random requests occur in clusters.
+# Fraction of the present capacity for which all directors together generate permits. It is lower
+# than `DETERMINISTIC_FRACTION` because random requests occur in clusters.
 PROBABILISTIC_FRACTION = 0.4
 # Lifetime of a permit, as a multiple of the window. It is long enough for a director with few
 # requests to still have the permit when it receives a request.
