--- a/mulleinrelay/policy/cache_selection.py
+++ b/mulleinrelay/policy/cache_selection.py
@@ -56,8 +56,9 @@
         goes to one of the pool's failover caches.
 
         Returns:
-            The cache; None if every cache is unavailable, was tried before, or is too slow to serve
-            the request in time.
+            The cache; None if no cache can be chosen. A cache cannot be chosen if it is unavailable
+            or too slow to serve the request in time, or if an earlier attempt was sent to it and
+            did not end with a miss. Without advertised endpoint weights, no cache is too slow.
         """
         caches = self.endpoints.caches
         if (pool := request.pool) is None:
--- a/mulleinrelay/policy/fill_source.py
+++ b/mulleinrelay/policy/fill_source.py
@@ -74,8 +74,8 @@
 
     Attributes:
         congestion: Value `crowding` of the load report: number of transfers over the link of the
-            cache's location, divided by the number that fit at full speed, so that it may be below
-            1. It is 0 before the first report.
+            cache's location, divided by the number that fit at full speed. It may be below 1, and
+            is 0 before the first report.
         reported_at: Time of the report in ms.
     """
 
@@ -133,8 +133,8 @@
 
         Returns:
             The source, and whether it may answer only from its own cache. The source is the cache
-            itself if a fill would be too late or no other source is available, and None if there is
-            neither a cache nor a source.
+            itself if no other source is available, or if a fill would be too late and no trial fill
+            is due. It is None if there is neither a cache nor a source.
         """
         work = self.work.slow_start_work(request, now)
         tried = {
@@ -235,8 +235,10 @@
     ) -> TrackedEndpoint | None:
         """Return a nearby sibling cache that is believed to hold the object.
 
-        If there is none, return the cache that held the object before a migration. The result is
-        None if this cache is missing too, if sibling fills are not allowed, or if a hit is expected
+        The sibling may be ejected: the filter permits an ejected cache if it gets no other cache,
+        and it gets each sibling alone. If there is no suitable sibling, return the cache that
+        served the object before a migration (see `_choose_migration_source`). The result is None if
+        that cache cannot be used either, if sibling fills are not allowed, or if a hit is expected
         at the request's own cache.
         """
         max_delay = self.delay(cache, now) + NEARBY_DELAY
