--- a/mulleinrelay/lab/commands.py
+++ b/mulleinrelay/lab/commands.py
@@ -63,11 +63,11 @@
 
 
 def show_fleet_progress(since_start_s: float, asked: int, served: int) -> None:
-    """Write how many requests of a run of the fleet lab were created and served so far.
+    """Write how many requests of a run of a fleet scenario were created and served so far.
 
     Args:
         since_start_s: Time in seconds since the start of the run; negative before it.
-        asked: Number of requests created.
+        asked: Number of requests created; in simulated time, number of requests completed.
         served: Number of requests served.
     """
     sys.stderr.write(f"\r{since_start_s:6.1f} s  asked {asked}  served {served}   ")
--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -67,7 +67,8 @@
 def director_environment(program: str, unset: Iterable[str]) -> dict[str, str]:
     """Return the environment variables for a director's process.
 
-    They are those of the lab with some changes.
+    They are those of the lab, without the variables in `unset`, and with the number of malloc
+    arenas and the search path of modules set for the director.
 
     Args:
         program: Folder that contains the package `mulleinrelay`.
--- a/mulleinrelay/lab/director_settings.py
+++ b/mulleinrelay/lab/director_settings.py
@@ -30,10 +30,12 @@
     """The settings that differ between the labs, or between directors of a lab. Times are in ms.
 
     Attributes:
-        zones: Names of all zones, which are hubs and locations.
+        zones: Names of all zones. These are hubs, with the parents and the origin, and locations,
+            with the directors and caches.
         own_zone: Index of the director's own zone in `zones`.
         directors_by_zone: Number of directors in each zone, in the order of `zones`.
-        initial_fraction: Fraction of its capacity that a node has when its slow start begins.
+        initial_fraction: Fraction of its capacity that a cache or parent has when its slow
+            start begins.
         slow_start_ms: Duration of the slow start of caches; 0: none.
         parent_slow_start_ms: Duration of the slow start of parents; None: the same as for caches.
         latency_objective_ms: Latency objective of each request class.
--- a/mulleinrelay/lab/fleet/addresses.py
+++ b/mulleinrelay/lab/fleet/addresses.py
@@ -2,11 +2,12 @@
 
 Each director has three addresses: it listens at the first, connects to nodes and the event stream
 through the second, and exchanges datagrams with other directors through the third. The fault
-proxies listen at the second and third, so the address of a connection or datagram identifies its
-director. A further address belongs to no director: labs reserve their ports there.
+proxies, which forward this traffic, listen at the second and third, so the address of a connection
+or datagram identifies its director. A further address belongs to no director: labs reserve their
+ports there.
 """
 
-# Octet X of an address 127.X.high.low; high and low are the bytes of the director's number plus 1
+# Octet X of an address 127.X.high.low; high and low are the two bytes of N + 1 for director N
 LISTEN_NETWORK = 10
 PROXY_NETWORK = 20
 ADVERTISED_NETWORK = 30
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -19,18 +19,19 @@
 # Time after the start or end of a fault that counts as fault time. It is also the recovery time of
 # a cache after a fault without a restart.
 FAULT_MARGIN_S = 5.0
-# The excused period of a stop or kill lasts this long, plus the clients' patience, after its end.
+# After a stopped director continues, or a killed one is started again, the requests that it loses
+# are excused for this long plus the clients' patience.
 STOP_MARGIN_MS = 3000.0
 KILL_LEAD_MS = 200.0  # a stop or kill may take effect this long before its recorded time
-# Start and end of the excused period, in ms after a SIGTERM. It does not begin at once, as a
-# director first completes its pending requests.
+# Start and end of the period in which lost requests are excused, in ms after the SIGTERM of a
+# restart. It does not begin with the SIGTERM, as a director first completes its pending requests.
 RESTART_FROM_MS = 700.0
 RESTART_TO_MS = 12_000.0
 FOREVER_S = 1e9
 FOREVER_MS = 1e12
 # Attempts in a second that name a parent; with fewer, the parents' shares are not significant
 MIN_PARENT_FILLS = 20
-SETTLING_S = 4  # after the start or end of a fault, excluded from the parents' shares
+SETTLING_S = 4  # after the start or end of a fault; changes of the parents' shares do not count
 MISSED_OBJECTIVE_CREDIT = 0.1  # fraction of its weight that a request earns if served late
 PRIORITY_WEIGHTS = {"pages": 1.0, "order": 3.0, "pay": 3.0}
 # Figures whose sum is the figure `rules_broken`
@@ -51,7 +52,7 @@
     """Audit of one play. Times are in seconds from the start of the play unless noted otherwise.
 
     Attributes:
-        sites: All nodes by name.
+        sites: All nodes (caches, parents and origin) by name.
         faults: Starts and ends of the injected faults, in the order of the records.
         caches: All caches by name, with the periods in which they were healthy.
         seconds: All whole seconds after the warm-up.
@@ -83,9 +84,9 @@
     def _healthy_spans(self, name: str) -> list[Span]:
         """Return the periods in which a cache was healthy.
 
-        A cache is not healthy from the start of a fault of the cache, or of a drain, until the
-        recovery time after its end is over. After its first crash, it is never healthy again.
-        Network faults do not count.
+        A cache is not healthy from the start of a fault or drain of the cache until the recovery
+        time after the end of the fault or drain is over. After its first crash under overload, it
+        is never healthy again. Network faults do not count.
         """
         spans: list[Span] = []
         since = 0.0
@@ -169,8 +170,9 @@
     def _excused_spans(self) -> dict[int, list[Span]]:
         """Return, by director, the periods in which lost requests and late answers are excused.
 
-        They cover the times at which the director was stopped, killed or restarted by the lab, and
-        a margin after them. Their bounds are in ms from the start of the play.
+        A period covers the time from a stop or kill by the lab until the director runs again, with
+        margins, or a fixed time after the SIGTERM of a restart. Bounds are in ms from the start of
+        the play.
         """
         found: dict[int, list[Span]] = defaultdict(list)
         for fault in self.faults:
@@ -228,8 +230,9 @@
         """Return the peak of a quantity at any single cache after the warm-up.
 
         Args:
-            quantity: `probes` for health checks per second (99th percentile over the seconds of
-                each cache that have any), or `connections` for simultaneous connections (maximum).
+            quantity: `probes` for health checks per second (99th percentile over all pairs of a
+                cache and a second with any), or `connections` for simultaneous connections
+                (maximum).
         """
         first = self.scenario.warm_up_s
         if quantity == "probes":
@@ -309,8 +312,9 @@
     def recovery_p99_s(self, loads: Loads) -> float | None:
         """Return the 99th percentile of the time until a cache has half of its fair share again.
 
-        Each time starts when the cache is healthy again. Caches that become healthy in the last
-        4 s of the play are left out. The result is None if no other cache became healthy again.
+        Each time starts with the first whole second after a cache is healthy again. A cache that
+        becomes healthy in the last 4 s of the play does not count. The result is None if no cache
+        counts.
         """
         found = []
         end_s = self.observations.seconds
@@ -374,7 +378,8 @@
     def _imbalance(self, loads: Loads, ideal: Loads, seconds: list[int]) -> float | None:
         """Return the 99th percentile of the load ratios, divided by that of the ideal assignment.
 
-        The result is None if the ideal assignment has no known load ratio above 0.
+        The result is None if that of the ideal assignment is 0, for example because no load ratio
+        is known.
         """
         ideal_p99 = self._ratio_p99(ideal, seconds)
         return round(self._ratio_p99(loads, seconds) / ideal_p99, 3) if ideal_p99 else None
--- a/mulleinrelay/lab/fleet/control_channel.py
+++ b/mulleinrelay/lab/fleet/control_channel.py
@@ -1,8 +1,9 @@
 """Control channel between the lab and its processes, and the files of records that both write.
 
-Commands, messages and records are lines of JSON. The lab writes commands to the standard input of a
-process, and the process writes messages to its standard output. A process that reads commands exits
-at the end of its standard input, so that it does not outlive the lab.
+Commands, messages and records are lines of JSON; only the process reaper reads other lines. The lab
+writes commands to the standard input of a process, and the process writes messages to its standard
+output. A process that reads commands exits at the end of its standard input, so that it does not
+outlive the lab.
 """
 
 import contextlib
@@ -168,7 +169,7 @@
         return orjson.loads(line)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """Close the standard input, so that the process exits; kill it after `timeout_s`."""
+        """Close the standard input, and kill the process if it does not exit in `timeout_s`."""
         with contextlib.suppress(OSError):
             self.stdin.close()
         try:
--- a/mulleinrelay/lab/fleet/director.py
+++ b/mulleinrelay/lab/fleet/director.py
@@ -22,7 +22,8 @@
         folder: Folder of the lab.
         program: Folder that contains the package that the directors run.
         port: Port for clients. All directors use the same port, as each has its own address.
-        has_membership: Whether the directors get a fleet file and gossip with each other.
+        has_membership: Whether the directors get a fleet file, which configures membership, and
+            gossip with each other.
         on_started: Called with the process id after the start of a process.
         on_ended: Called with the process id after a process has ended.
     """
@@ -105,7 +106,10 @@
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until the process has ended, and kill it after `timeout_s`; call `on_ended`."""
+        """Wait until the process has ended, then call `on_ended`; kill it if `timeout_s` passes.
+
+        Do nothing if the director was never started.
+        """
         if self.process is None:
             return
         try:
--- a/mulleinrelay/lab/fleet/endpoint_process.py
+++ b/mulleinrelay/lab/fleet/endpoint_process.py
@@ -23,7 +23,10 @@
 
 
 class EndpointProcess:
-    """All nodes and the event stream, controlled by commands of the lab."""
+    """Server of all nodes and of the event stream, which executes the commands of the lab.
+
+    A node is the stand-in of a cache, a parent or the origin.
+    """
 
     def __init__(self, records_path: str, scenario: FleetScenario) -> None:
         self.scenario = scenario
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -14,8 +14,8 @@
 
 from ...policy.rendezvous_hash import hash_integers
 
-# In the ideal assignment, an object gets one more cache for each such fraction of its location's
-# recent requests that ask for the object.
+# In the ideal assignment, an object gets one more cache in a location for each such fraction of the
+# location's recent requests that ask for the object.
 HOT_FRACTION = 0.02
 HOT_WINDOW_S = 10.0  # period in which requests count as recent
 # If a location has fewer recent requests, an object's fraction is computed as if it had this many.
@@ -281,11 +281,12 @@
     Args:
         attempts: Time in seconds, and name of the cache, of each attempt.
         width_s: Width of a slot in seconds.
-        end_s: End of the last slot, in seconds; attempts before 0 or after the end do not count.
+        end_s: Time in seconds by which the last slot has ended. Attempts before 0 or after the last
+            slot do not count.
 
     Returns:
-        The names of the caches in alphabetical order, and a row for each with the count in each
-        slot.
+        The names of the caches that got attempts, in alphabetical order, and a row for each with
+        the count in each slot.
     """
     names = sorted({name for _, name in attempts})
     row_of = {name: row for row, name in enumerate(names)}
--- a/mulleinrelay/lab/fleet/fault_injector.py
+++ b/mulleinrelay/lab/fleet/fault_injector.py
@@ -157,8 +157,9 @@
     def _await_ready(self, director: FleetDirector) -> None:
         """Start a thread that waits until the director is ready.
 
-        When it is ready, it is removed from `expected_down`, so a later exit counts as a crash. A
-        director that ends before, and was not killed, is recorded as crashed at once.
+        When it is ready, it is removed from `expected_down`, so a later exit counts as a crash. If
+        it exits before, the thread records a crash, unless the lab has killed it or has started
+        it again since. If it is not ready within READY_TIMEOUT_S, it stays in `expected_down`.
         """
         threading.Thread(
             target=self._wait_until_ready,
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -1,8 +1,9 @@
 """Fault proxy: a process that forwards traffic between directors and targets and injects faults.
 
-`network_rules.py` decides the treatment of bytes and datagrams. As the proxy runs in user space, it
-cannot imitate a network in all respects: during a cut it still accepts connections, which then
-carry no data, and lost bytes of a connection appear as a delay.
+A target is a node, the event stream or another director. `network_rules.py` decides the treatment
+of bytes and datagrams. As the proxy runs in user space, it cannot imitate a network in all
+respects: during a cut it still accepts connections, which then carry no data, and lost bytes of a
+connection appear as a delay.
 """
 
 import contextlib
--- a/mulleinrelay/lab/fleet/fleet_event_stream.py
+++ b/mulleinrelay/lab/fleet/fleet_event_stream.py
@@ -70,7 +70,7 @@
         loop.call_every(POLL_INTERVAL_MS, self._send_due)
 
     def publish_endpoints(self, rows: list[dict[str, Any]]) -> None:
-        """Publish an endpoint update; the first one is a full snapshot."""
+        """Publish an endpoint update; the first event is marked as a full snapshot."""
         topology = {"version": len(self.events) + 1, "full": not self.events, "servers": rows}
         self.events.append((now_ms(), {"topology": topology}))
 
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -18,11 +18,11 @@
 PAY = "pay"
 OUTSIZED_KB = 40.0  # size of an outsized object: ten times OBJECT_SIZE_KB
 HOT_OBJECT_ID = 0x77_0000_0001  # the object that a `hot` fault requests
-SHARED_OBJECT_BASE = 1 << 32  # first id of objects that are requested in all locations
+SHARED_OBJECT_BASE = 1 << 32  # the ids of objects that are requested in all locations follow it
 NEW_OBJECT_OFFSET = 1 << 28  # within a location's ids, for objects that are requested once
 IDLE_S = 0.05  # interval between requests while the rate is 0
-# After this many draws of excluded directors, one of the other directors is drawn, all with equal
-# probability.
+# After this many draws of excluded directors, one of the directors that are not excluded is drawn,
+# all with equal probability.
 MAX_DIRECTOR_DRAWS = 8
 
 DEFAULT_BURST_FACTOR = 1.5  # by which a `burst` fault multiplies the rate
@@ -46,7 +46,8 @@
 ) -> bool:
     """Return whether a client retries a request after the connection to the director ended.
 
-    A write without an idempotency key is never retried, as the director may have executed it.
+    It retries while a try is left and more patience than the retry delay remains. A write without
+    an idempotency key is never retried, as the director may have executed it.
 
     Args:
         scenario: The scenario.
@@ -166,7 +167,10 @@
         return RequestPlan(PAGES, object_id, size_kb, "")
 
     def draw_director(self, excluded: set[int]) -> int | None:
-        """Draw a director of the location, weighted by its rate; None if all are excluded."""
+        """Draw a director of the location, weighted by its rate.
+
+        Return None if all directors are excluded or the location has none.
+        """
         if not self.directors:
             return None
         weights = self.cumulative_rates
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -1,8 +1,8 @@
 """Load generator: a process that simulates the clients of some locations.
 
 The load is open-loop: requests arrive independently of the answers. The clients send framed Thrift
-to the directors and retry rejected requests. Each sending of a request is a try. The process writes
-a record for each request.
+to the directors, and retry requests that are rejected or whose connection ends. Each sending of a
+request is a try. The process writes a record for each request.
 """
 
 import random
@@ -41,7 +41,7 @@
 HEALTH_FRAME_BYTES = 4096
 SWEEP_INTERVAL_MS = 100.0  # between checks for missing answers and idle connections
 PROGRESS_INTERVAL_MS = 1000.0  # between reports to the lab, and between flushes of the records
-MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain for another try
+MIN_TIME_FOR_TRY_MS = 10.0  # patience that must remain to send a try
 # If the next new request is overdue by more than this, because the machine is busy, the requests
 # that should have been sent until now are skipped.
 MAX_LATENESS_MS = 1000.0
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -1,5 +1,6 @@
 """A node of the fleet lab, served on a socket in the event loop of the endpoint process.
 
+A node is the stand-in of a cache, a parent or the origin.
 `standins/nodes.py` models the content and the capacity of a node. Each connection begins with a
 line that identifies its director.
 """
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Play, which is one run, of a fleet scenario with real processes.
+"""Play of a fleet scenario with real processes; a play is one run of a scenario.
 
 The directors are processes of the program under test. The lab has one process for all
 nodes and the event stream, and processes for the fault proxies and load generators. All of them are
@@ -143,8 +143,8 @@
             on_ready: Called when all processes are ready, before the load starts.
 
         Raises:
-            RuntimeError: If a director was not ready in time or ended before, or if a process of
-                the lab has ended.
+            RuntimeError: If a director was not ready in time, or ended before it was ready, or if a
+                process of the lab ended before the end of the play.
         """
         folder = "" if self.keeps_folder else self.folder
         self.reaper = ProcessReaper(self.path("keeper.log"), folder)
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -70,7 +70,8 @@
             0 if they are simultaneous.
         director_fraction: Fraction of the directors that observe the fault of a node, if its kind
             is `node_slow` or `node_errors`. All directors observe other faults.
-        nodes: Names of the affected nodes; empty if they are drawn at random.
+        nodes: Names of the affected nodes. If empty, the fault of a node affects caches that are
+            drawn at random, and a network fault affects all nodes on its paths.
         other_location: Location that receives shifted load, or location of the directors at the
             other end of a path between directors.
     """
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -46,7 +46,7 @@
 
 
 def build_node_fleet(scenario: Scenario) -> NodeFleet:
-    """Build all nodes of the scenario, without stored copies."""
+    """Build the nodes (stand-ins of caches, parents and origin), without stored copies."""
     specs = [
         NodeSpec(
             name,
@@ -345,7 +345,7 @@
 
 
 def cut_over(assignment: Assignment, tenants: tuple[str, ...], target: str) -> Assignment:
-    """Return an assignment that places the tenants in the cell `target` at once.
+    """Return an assignment that places the tenants in the cell `target` without a migration.
 
     A scenario's step `cut` uses this function, to compare its effect with that of a migration.
     """
--- a/mulleinrelay/lab/scenario.py
+++ b/mulleinrelay/lab/scenario.py
@@ -34,12 +34,14 @@
 class ScenarioStep:
     """A step of a scenario: a change of a node, a purge or a change of the assignment.
 
+    A node is the stand-in of a cache, a parent or the origin.
+
     Attributes:
         name: Name of the step; with `move`, also the name of the migration.
         at_s: Time of the step in seconds since the start of the load.
         kind: One of STEP_KINDS. `move` starts a migration of tenants, `abort` aborts it, and `cut`
-            moves tenants to another cell at once. `LoopbackEnvironment.inject_fault` describes the
-            other kinds.
+            moves tenants to another cell without a migration. `LoopbackEnvironment.inject_fault`
+            describes the other kinds.
         node: Name of the node that the step changes; with `purge`, the id of the object.
         tenants: Tenants that `move` or `cut` moves.
         target: Cell to which the tenants are moved; with `abort`, the name of the migration.
@@ -81,8 +83,10 @@
         slow_start_duration: Time from a restart until a cache has its full capacity again, in ms.
         crashes_on_overload: Whether a cache that is overloaded for too long crashes.
         parent_max_copies: Maximum number of copies that a parent stores; 0: no maximum.
-        max_open_requests: Maximum number of open requests per director; 0: no maximum.
-        rate: Requests per second that each director admits; 0: no limit.
+        max_open_requests: Maximum number of open requests per director; 0: no maximum. Not used
+            if `cells` is not set.
+        rate: Requests per second that each director admits; 0: no limit. Not used if `cells` is not
+            set.
         assignment: Assignment of tenants to cells; not used if `cells` is not set.
         loads: Loads of the tenants.
         steps: Steps, ordered by time.
