--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -226,7 +226,7 @@
         return "" if source is None or source is attempt.endpoint else self.endpoint_names[source]
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Queue the attempt, so that it is reported to the router as cancelled after this event."""
+        """Queue the attempt, to report it as cancelled after the router's present event."""
         if attempt.outcome is None:
             self._cancelled.append(attempt)
 
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -72,7 +72,10 @@
     def send_attempt(
         self, director: SimulatedDirector, attempt: Attempt, name: str, fields: dict[str, str]
     ) -> None:
-        """Send a director's command to a node; the attempt is reset if a rule resets the path."""
+        """Send a director's command to a node; the attempt is reset if a rule now resets the path.
+
+        A rule that is added later does not reset attempts in flight.
+        """
         self.in_flight[name][attempt] = director
         if self.rules.rules and self.rules.resets_path(
             self._path_kind(name), director.number, name
@@ -89,8 +92,8 @@
     def check_health(self, director: SimulatedDirector, name: str) -> None:
         """Send a director's health check to a node.
 
-        The node answers unless it has crashed, is silent or its path is cut. Network rules other
-        than cuts have no effect on health checks.
+        The node answers unless it is down or silent, or the path is cut in at least one direction.
+        Network rules other than cuts have no effect on health checks.
         """
         since_start_s = self.simulation.since_start_s()
         record = HealthCheckRecord(since_start_s, director.number, name, "METER")
@@ -271,7 +274,8 @@
     ) -> bool:
         """Return whether an answer contains a copy from before a purge that the director knows of.
 
-        Within the first second after the director's notification, such answers are allowed.
+        Such answers are allowed within PURGE_PROPAGATION_MS (see `standins/nodes.py`) after the
+        director's notification.
         """
         object_id = fields.get("name", "")
         issued = decode_fields(answer).get("issued")
--- a/mulleinrelay/model/simulation.py
+++ b/mulleinrelay/model/simulation.py
@@ -151,7 +151,7 @@
     # Nodes
 
     def crash_node(self, name: str) -> None:
-        """Crash a node: reset its attempts and notify the directors."""
+        """Crash a node: reset the attempts in flight at the node, and notify the directors."""
         node = self.fleet.nodes[name]
         node.is_alive = False
         node.state = "DELETED"
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -1,5 +1,6 @@
 """Threaded servers for the stand-ins: nodes that speak RESP, and the event stream.
 
+A node is the stand-in of a cache, a parent or the origin.
 `LoopbackEnvironment` runs these servers for process tests and for the lab of tenants
 (`lab/runner.py`), and injects faults into them.
 """
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -167,9 +167,9 @@
             return True
 
     def expire_unanswered(self, now: float) -> int:
-        """Give up the tries without an answer, and their requests; return the number of such tries.
+        """Give up the overdue tries and their requests; return the number of these tries.
 
-        A try is given up GRACE_MS after its deadline.
+        A try is overdue if it has no answer GRACE_MS after its deadline.
         """
         with self.lock:
             expired = [
@@ -306,7 +306,7 @@
             self.result.counts[event] += 1
 
     def expire_unanswered(self) -> None:
-        """Give up and count the tries without an answer GRACE_MS after their deadline.
+        """Give up and count the tries that have no answer GRACE_MS after their deadline.
 
         Must be called regularly, as nothing else detects a missing answer.
         """
@@ -319,7 +319,9 @@
     def on_reply(
         self, request: PendingRequest | None, reply: ServerReply, is_repeated: bool
     ) -> None:
-        """Count a reply, and schedule a retry after a rejection if the request has tries left.
+        """Count a reply, and record a served request or schedule a retry of a rejected one.
+
+        A rejected request is retried only if it has tries left.
 
         Args:
             request: The request that the reply answers; None if the generator has given up the try,
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -16,7 +16,7 @@
 MAX_QUEUED_WORK_MS = 1_000.0  # a node with more queued work rejects commands
 LOAD_WINDOW_MS = 1_000.0  # time window over which a node's load is computed
 REJECT_DELAY_MS = 1.0  # until a rejection is sent
-PURGE_PROPAGATION_MS = 1_000.0  # after a purge notification; until then, purged copies are allowed
+PURGE_PROPAGATION_MS = 1_000.0  # after a purge or its notification; purged copies are allowed
 
 CopyKey = tuple[str, str]  # id of an object and of its part
 
@@ -76,9 +76,9 @@
         self.is_silent = False  # True: the node executes commands, but sends no results
         self.state = "SERVING"  # as the endpoint list announces it
         self.recent_work: deque[tuple[float, float]] = deque()  # time in ms, work in hits
-        self.window_load = 0.0  # work within the last LOAD_WINDOW_MS, in hits
+        self.window_load = 0.0  # work in the LOAD_WINDOW_MS before the last command, in hits
         self.peak_load = 0.0  # as a multiple of the capacity that the node had at the time
-        self.overloaded_since = 0.0  # 0: not overloaded
+        self.overloaded_since = 0.0  # 0: not overloaded, or cannot crash on overload
         self.counts: Counter[str] = Counter()  # events, under the names that the labs' figures use
         # When a command last named this node, as its target or as a fill source; 0: never.
         self.last_referenced_at = 0.0
@@ -202,8 +202,8 @@
             without a key.
         origin_fetches: Number of reads that reached the origin.
         purged_at: Time of the last purge of each purged object.
-        stale_answers: Number of answers with a copy that was issued before a purge, and sent more
-            than PURGE_PROPAGATION_MS after this purge.
+        stale_answers: Number of answers with a copy that was issued before a purge, to commands
+            that arrived more than PURGE_PROPAGATION_MS after this purge.
         clock: Function that returns the time in ms.
     """
 
--- a/mulleinrelay/standins/timer.py
+++ b/mulleinrelay/standins/timer.py
@@ -31,7 +31,7 @@
                 self.condition.notify()
 
     def stop(self) -> None:
-        """Stop the thread and drop the calls that are not due yet."""
+        """Stop the thread and drop all calls that it has not started yet."""
         with self.condition:
             self.is_stopped = True
             self.condition.notify()
