--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,7 +1,8 @@
 """A play with about forty processes and many faults, and the cleanup after a lab has ended.
 
-The play is checked by counts of records. The tests of the cleanup verify that no director remains
-after a play, and that no process and no folder of a lab remains after a signal has ended the lab.
+A play is one run of a fleet scenario. It is checked by counts of records. The tests of the cleanup
+verify that no director remains after a play, and that no process and no folder of a lab remains
+after a signal has ended the lab.
 """
 
 import os
--- a/tests/lab/test_losses.py
+++ b/tests/lab/test_losses.py
@@ -1,8 +1,9 @@
 """A play with about forty processes that suffers large losses.
 
-Most directors are killed and started again together, and then half of all directors are killed. The
-caches of a location are unreachable for some time, caches restart cold while directors restart, and
-clocks are stepped. The play is checked by counts at caches and clients.
+A play is one run of a fleet scenario. Most directors are killed and started again together, and
+then half of all directors are killed. The caches of a location are unreachable for some time,
+caches restart cold while directors restart, and clocks are stepped. The play is checked by counts
+at caches and clients.
 """
 
 import pytest
@@ -124,10 +125,10 @@
 
 
 def test_requests_bypass_the_caches_of_an_unreachable_location(audit):
-    """Directors must detect that no cache of a location can be reached.
+    """Guard against directors that detect each unreachable cache of a location separately.
 
-    A director that detected each unreachable cache separately would lose one or two requests per
-    cache.
+    Such a director would lose one or two requests per cache. It must detect that no cache of the
+    location can be reached.
     """
     first, last, affected = (
         fault_time(audit, "unreached"),
--- a/tests/lab/test_many_lost.py
+++ b/tests/lab/test_many_lost.py
@@ -1,7 +1,7 @@
 """A play with about forty processes: slow caches, cold caches, and the loss of most directors.
 
-All caches are slow for some time, half of them restart cold, and most directors are killed. The
-play is checked by counts at caches and clients.
+A play is one run of a fleet scenario. All caches are slow for some time, half of them restart cold,
+and most directors are killed. The play is checked by counts at caches and clients.
 """
 
 import pytest
@@ -104,10 +104,10 @@
 
 
 def test_caches_that_restart_cold_are_used_and_do_not_crash(audit):
-    """17 directors share each cold cache, so the quota of each director is less than one request.
+    """Guard against directors that never use a quota below one request.
 
-    Directors that never use a quota below one request would send nothing to the cache during its
-    whole slow start.
+    17 directors share each cold cache, so the quota of each director is less than one request. Such
+    directors would send nothing to the cache during its whole slow start.
     """
     restarted_at, cold_caches = fault(audit, "cold", False).at_s, set(fault(audit, "cold").nodes)
     attempts = [
--- a/tests/lab/test_node_server.py
+++ b/tests/lab/test_node_server.py
@@ -34,9 +34,9 @@
 
 @pytest.mark.parametrize("has_director_line", [True, False])
 def test_crashed_node_closes_all_connections(has_director_line):
-    # The first line of a connection names the director. If the node crashed after accepting the
-    # connection and before receiving that line, the connection stayed open, and a later command on
-    # it counted as a second crash of the node.
+    # Guard against a connection that stays open if the node crashes after accepting it and before
+    # receiving its first line, which names the director. A later command on that connection would
+    # count as a second crash of the node.
     scenario = parse_fleet_scenario(SCENARIO)
     fleet = build_node_fleet(scenario)
     recorder = FakeRecorder()
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -1,6 +1,8 @@
 """Plays of the program with and without a modification that causes a herd.
 
-The audit must detect the herd from the records, and must detect none without the modification.
+A play is one run of a fleet scenario. In a herd, all directors choose the same cache at the same
+time. The audit must detect the herd from the records, and must detect none without the
+modification.
 """
 
 import os
@@ -34,8 +36,8 @@
 late_ms = 5000
 """
 # A replacement in the program consists of a module, the original text and the new text.
-# SYNCHRONIZED_HEALTH_CHECKS makes all directors check the same cache at a time, and
-# SYNCHRONIZED_SELECTION makes them select the same cache for all objects at a time.
+# SYNCHRONIZED_HEALTH_CHECKS makes all directors check the same cache in each period of 0.5 s, and
+# SYNCHRONIZED_SELECTION makes them select the same cache for all objects in each period of 3 s.
 SYNCHRONIZED_HEALTH_CHECKS = (
     "policy/health_checks.py",
     "self._random.choice(endpoints)",
