--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -230,7 +230,8 @@
 def count_accepted_datagrams(count: int, seed: int) -> int:
     """Return how many of `count` corrupt datagrams the codec accepts.
 
-    A datagram has some bits flipped, is truncated, or consists of random bytes.
+    A datagram has some bits flipped, is truncated, or consists of random bytes. It is not
+    decoded if it still equals a valid one, as after two flips of the same bit.
     """
     import random
 
--- a/benchmarks/drive.py
+++ b/benchmarks/drive.py
@@ -1,4 +1,4 @@
-"""Script that measures the CPU time of requests in one director, without endpoints.
+"""Script that measures the CPU time of requests in one director, without connections to endpoints.
 
 The CPU time covers the decoding of a request, the client listener, the routing policy, and the
 encoding of the attempts and of the answer. The first argument is a folder that holds a version of
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -108,8 +108,8 @@
 KILL_FROM_S, KILL_TO_S = 10.0, 24.5  # from the first kill to 5 s after the last restart
 # Figures that count violations
 VIOLATIONS = ("rules_broken", "requests_lost", "answers_twice", "orders_run_twice", "fell")
-# A director with fewer attempts at a bad cache, or with fewer requests during a partition, is not
-# counted, because it cannot detect the fault.
+# With fewer attempts at a bad cache, or with fewer requests during a partition, a director is not
+# expected to detect the fault.
 MIN_ATTEMPTS, MIN_REQUESTS = 6, 3
 # Duration of a hit with network delays. A try that starts less than this before the end of the
 # latency objective is served late.
@@ -119,7 +119,7 @@
 
 
 def credit(observations: Observations, objective_ms: float, first_s: float, last_s: float) -> float:
-    """Return the credit of the requests that are created in a span, in seconds of the play."""
+    """Return the credit of the requests created from `first_s` to `last_s` of the play."""
     return recovery.earned_fraction(observations, objective_ms, first_s, last_s)
 
 
@@ -192,11 +192,11 @@
 
 
 def kill_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
-    """Return the credit during the kill, its bound, and the time until the fleet recovered.
+    """Return the credit during the kill, its bound, the recovery time, and counts of rejections.
 
-    The time starts with the next full second after the last restart. It ends at the start of the
-    first two seconds whose credit reaches 0.95 of the credit before the kill; it is None if there
-    are none.
+    The recovery time starts with the next full second after the last restart. It ends at the start
+    of the first two seconds whose credit reaches 0.95 of the credit before the kill; it is None if
+    there are none.
     """
     observations, objective_ms = audit.observations, scenario.latency_objective_ms
     calm = credit(observations, objective_ms, scenario.warm_up_s, KILL_FROM_S)
@@ -228,7 +228,7 @@
     """Return the fraction of directors that detected the partition, and the credit during it.
 
     Directors of the partitioned location with at least MIN_REQUESTS reads (class `pages`) are
-    counted. A director has detected the partition if it sent attempts directly to a parent
+    counted. A director has detected the partition if it sent reads directly to a parent
     meanwhile. The figures also include the time until the directors used the caches again.
     """
     first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
@@ -334,7 +334,7 @@
 
 
 def healthy_ejections_per_hour(directors: int, caches: int, rate: float, seed: int) -> float:
-    """Return how often per hour any director of a fleet ejects a healthy cache.
+    """Return how many ejections of healthy caches all directors together make per hour.
 
     The outcomes of the attempts are drawn with `HEALTHY_FAILURE_RATE`. Each director sends each
     cache `rate` attempts per second.
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -73,7 +73,8 @@
     """Return the weight earned by the requests of a span, as a fraction of their total weight.
 
     The weight of a request is the priority of its class. A request earns all of it if it is served
-    within the latency objective, and LATE_REQUEST_WEIGHT of it if it is served later.
+    within the latency objective, and LATE_REQUEST_WEIGHT of it if it is served later. The result is
+    0 without requests.
 
     Args:
         observations: Records of the play.
