--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -31,7 +31,7 @@
 
 
 class DirectorProcess:
-    """A director's process, which can be started several times; base class for both labs."""
+    """A director's process, which can be restarted after its end; base class for both labs."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         """Set the address at which the director listens for clients; the process starts later."""
--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -22,7 +22,8 @@
 # After a stopped director continues, or a killed one is started again, the requests that it loses
 # are excused for this long plus the clients' patience.
 STOP_MARGIN_MS = 3000.0
-KILL_LEAD_MS = 200.0  # a stop or kill may take effect this long before its recorded time
+# Lost requests are excused from this long before the recorded time of a stop or kill.
+KILL_LEAD_MS = 200.0
 # Start and end of the period in which lost requests are excused, in ms after the SIGTERM of a
 # restart. It does not begin with the SIGTERM, as a director first completes its pending requests.
 RESTART_FROM_MS = 700.0
@@ -254,7 +255,7 @@
         """Return how strongly the health checks of a location concentrate on one cache at a time.
 
         Only checks after the warm-up count. `evenness.concentration` defines the value, which is 1
-        if all directors of a location always check the same cache at a time.
+        if at any time all directors of a location check the same cache.
         """
         checks = [
             (check.at_s, check.node)
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -199,8 +199,8 @@
 ) -> dict[str, int]:
     """Return, by cache, the length in seconds of the longest period in which it was idle.
 
-    A cache is idle in a second if its load ratio is known, so that it is healthy, and below
-    IDLE_RATIO.
+    A cache is idle in a second if its load ratio is known, which requires that it is healthy, and
+    is below IDLE_RATIO.
     """
     runs: Counter[str] = Counter()
     longest: dict[str, int] = dict.fromkeys(caches, 0)
@@ -261,9 +261,10 @@
 def _healthy_peers(
     caches: dict[str, AuditedCache], cache: AuditedCache, second: int
 ) -> list[AuditedCache]:
-    """Return the healthy caches of the cache's location.
+    """Return the caches of the cache's location that are healthy for the whole second.
 
-    The cache itself is always included, so that its fair share is defined in any second.
+    The cache itself is included even if it is not healthy, so that its fair share is defined in any
+    second.
     """
     peers = [
         other
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -163,7 +163,7 @@
             )
 
     def ports(self) -> dict[str, int]:
-        """Return the port of each target by the target's name."""
+        """Return the proxy's port for each target, by the target's name."""
         return {name: reserved.port for name, reserved in self.reserved_ports.items()}
 
     def on_command(self, command: Message) -> None:
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -219,7 +219,7 @@
         return proxy_ports
 
     def _start_directors(self, endpoints: LabProcess, stream_port: int) -> None:
-        """Write the configurations of all directors and start them."""
+        """Write the configurations of all directors, start them, and wait until they are ready."""
         clock_steps = {
             number: step.fault.amount
             for step in self.scenario.steps()
@@ -394,7 +394,7 @@
                 records.add("crash", now_ms(), director.number, code, line)
 
     def _stop(self) -> None:
-        """End all directors and all processes of the lab."""
+        """End all directors and lab processes, close the records and release the ports."""
         self.stopped.set()
         for director in self.directors:
             director.signal(signal.SIGCONT)
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True)
 class NodeSite:
-    """One node with its zone, which is a location or a hub.
+    """One node with its zone: caches are in locations, parents and the origin are in hubs.
 
     `capacity_factor` is the capacity of a cache relative to a normal cache.
     """
--- a/mulleinrelay/lab/runner.py
+++ b/mulleinrelay/lab/runner.py
@@ -126,7 +126,7 @@
                 started. They send no request before `started_at`.
 
         Raises:
-            RuntimeError: If a director ended before all were ready, or was not ready within
+            RuntimeError: If a director ended before all were ready, or if not all were ready within
                 READY_TIMEOUT_S.
         """
         self.environment = LoopbackEnvironment(self.fleet)
@@ -150,7 +150,8 @@
         """Start all directors and wait until they accept connections of clients.
 
         Raises:
-            RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
+            RuntimeError: If a director ended before all were ready, or if not all were ready within
+                READY_TIMEOUT_S.
         """
         scenario = self.scenario
         cells_file = self._write_cells_files() if scenario.cells else None
@@ -182,7 +183,8 @@
         The method returns when all directors accept connections of clients.
 
         Raises:
-            RuntimeError: If a director ended or was not ready within READY_TIMEOUT_S.
+            RuntimeError: If a director ended before all were ready, or if not all were ready within
+                READY_TIMEOUT_S.
         """
         director.log.close()
         director.start()
@@ -307,7 +309,7 @@
         if self.temporary_folder is not None:
             self.temporary_folder.cleanup()
 
-    # Steps of the scenario; they run on their own thread
+    # Steps of the scenario; all of them run on one thread of their own
 
     def _run_steps(self) -> None:
         for step in self.scenario.steps:
--- a/mulleinrelay/standins/nodes.py
+++ b/mulleinrelay/standins/nodes.py
@@ -16,7 +16,8 @@
 MAX_QUEUED_WORK_MS = 1_000.0  # a node with more queued work rejects commands
 LOAD_WINDOW_MS = 1_000.0  # time window over which a node's load is computed
 REJECT_DELAY_MS = 1.0  # until a rejection is sent
-PURGE_PROPAGATION_MS = 1_000.0  # after a purge or its notification; purged copies are allowed
+# Purged copies may be used for this long after the purge, or after the notification of the purge.
+PURGE_PROPAGATION_MS = 1_000.0
 
 CopyKey = tuple[str, str]  # id of an object and of its part
 
