--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -227,9 +227,10 @@
 def partition_figures(scenario: FleetScenario, audit: Audit) -> dict[str, Any]:
     """Return the fraction of directors that detected the partition, and the credit during it.
 
-    Directors of the partitioned location with at least MIN_REQUESTS reads (class `pages`) are
-    counted. A director has detected the partition if it sent reads directly to a parent
-    meanwhile. The figures also include the time until the directors used the caches again.
+    Directors of the partitioned location are counted if clients created at least MIN_REQUESTS reads
+    (class `pages`) for them up to 2 s before the end of the partition. A director has detected the
+    partition if it sent reads directly to a parent meanwhile. The figures also include the time
+    until the directors used the caches again.
     """
     first, last = (fault[0] for fault in audit.faults if fault[1] == "unreached")
     partitioned = set(next(fault[4] for fault in audit.faults if fault[1] == "unreached"))
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -35,12 +35,13 @@
     """A cache with the periods in which it was healthy.
 
     `Audit` determines these periods: a cache is not healthy during a fault or a drain of the cache,
-    during the recovery time that follows, or after a crash.
+    during the recovery time that follows, or after a crash under overload.
 
     Attributes:
         hash_key: Number that the directors hash to choose a cache for an object.
         capacity: Capacity relative to a normal cache.
-        healthy_spans: Start and end of each such period, in seconds from the start of the play.
+        healthy_spans: Start and end of each period in which the cache was healthy, in seconds from
+            the start of the play.
     """
 
     name: str
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -153,7 +153,10 @@
         receive_messages(self.loop, self.on_command)
 
     def listen(self, name: str) -> None:
-        """Listen at the target's reserved port and all loopback addresses, unless already done."""
+        """Listen at the port reserved for the target, at all loopback addresses.
+
+        Do nothing if the proxy already listens there.
+        """
         if name not in self.listeners:
             self.listeners[name] = self.loop.listen(
                 "",
--- a/mulleinrelay/lab/fleet/load_process.py
+++ b/mulleinrelay/lab/fleet/load_process.py
@@ -369,7 +369,10 @@
 
 
 def main() -> None:
-    """Generate load until the end of the play, or until the lab closes standard input."""
+    """Generate load until the play has ended and no answer is awaited any more.
+
+    Stop before if the lab closes standard input.
+    """
     first_message = receive_first_message()
     scenario = parse_fleet_scenario(first_message["scenario"]).with_directors(
         first_message["directors"]
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -25,8 +25,8 @@
 RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
 ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
-# A node crashes during its slow start if its load, relative to its capacity at the time, is above
-# this limit for CRASH_AFTER_MS.
+# If the scenario sets `crashes_on_overload`, a cache or parent crashes during its slow start when
+# its load, relative to its capacity at the time, is above this limit for CRASH_AFTER_MS.
 CACHE_CRASH_LOAD = 2.5
 PARENT_CRASH_LOAD = 2.0
 CRASH_AFTER_MS = 1500.0
--- a/mulleinrelay/lab/fleet/observations.py
+++ b/mulleinrelay/lab/fleet/observations.py
@@ -41,7 +41,7 @@
     director: int  # drawn last, also if that try was not sent; NO_DIRECTOR if none was drawn
     request_class: str
     object_id: int
-    outcome: str  # a ReplyOutcome, or `no answer`, `cut off` or `nobody` (no try was possible)
+    outcome: str  # a ReplyOutcome, `no answer`, `cut off` or `nobody` (no further try possible)
     tries: int
 
 
--- a/mulleinrelay/standins/environment.py
+++ b/mulleinrelay/standins/environment.py
@@ -240,10 +240,11 @@
         """Start or end a fault or a drain of a node, or purge an object.
 
         Args:
-            fault: `kill` stops a node; `revive` starts it again without stored copies; `cold` does
-                both. `slow` and `silent` (no answers) last until `well`. `drain` announces that
-                the node is draining, and `ready` that it serves again. `purge` announces a purge
-                to the directors; the nodes keep their copies.
+            fault: `kill` stops a node without notifying the directors; `revive` starts it again
+                without stored copies, and notifies them; `cold` does both. `slow` and `silent` (no
+                answers) last until `well`. `drain` announces that the node is draining, and `ready`
+                that it serves again. `purge` announces a purge to the directors; the nodes keep
+                their copies.
             name: Name of the node; with `purge`, the id of the object.
         """
         if fault == "purge":
