--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -126,10 +126,10 @@
 ) -> list[FirstAttempt]:
     """Assign the requests to caches as a single director that receives all of them would do.
 
-    The assignment uses the directors' hash. An object has one cache, and one more for each
-    HOT_FRACTION of its location's recent requests that ask for the object. Each request goes to the
-    object's cache that has the lowest load so far, relative to its capacity, in the second of the
-    request. A request is left out if no cache of its location is healthy.
+    The assignment uses the directors' hash. An object has one cache in a location, and one more for
+    each HOT_FRACTION of the location's recent requests that ask for the object. Each request goes
+    to the object's cache that has the lowest load so far, relative to its capacity, in the second
+    of the request. A request is left out if no cache of its location is healthy.
     """
     orders: dict[tuple[int, str], list[AuditedCache]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -159,7 +159,7 @@
         self._handle(HealthCheckFinished(self.endpoints[name], {}))
 
     def receive_purge(self, object_id: int, age: float) -> None:
-        """Process the notification of a purge of an object that took place `age` ms ago."""
+        """Process the notification that an object was purged `age` ms ago."""
         self._handle(PurgeReceived(object_id, 0, age))
 
     def finish_request(self, request: Request) -> None:
