--- a/mulleinrelay/lab/director_process.py
+++ b/mulleinrelay/lab/director_process.py
@@ -31,7 +31,7 @@
 
 
 class DirectorProcess:
-    """A director's process, which can be started several times; base class for both labs."""
+    """A director's process, which can be restarted after its end; base class for both labs."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         """Set the address at which the director listens for clients; the process starts later."""
@@ -67,7 +67,8 @@
 def director_environment(program: str, unset: Iterable[str]) -> dict[str, str]:
     """Return the environment variables for a director's process.
 
-    They are those of the lab with some changes.
+    They are those of the lab, without the variables in `unset`, and with the number of malloc
+    arenas and the search path of modules set for the director.
 
     Args:
         program: Folder that contains the package `mulleinrelay`.
--- a/mulleinrelay/lab/fleet/evenness.py
+++ b/mulleinrelay/lab/fleet/evenness.py
@@ -14,8 +14,8 @@
 
 from ...policy.rendezvous_hash import hash_integers
 
-# In the ideal assignment, an object gets one more cache for each such fraction of its location's
-# recent requests that ask for the object.
+# In the ideal assignment, an object gets one more cache in a location for each such fraction of the
+# location's recent requests that ask for the object.
 HOT_FRACTION = 0.02
 HOT_WINDOW_S = 10.0  # period in which requests count as recent
 # If a location has fewer recent requests, an object's fraction is computed as if it had this many.
@@ -35,12 +35,13 @@
     """A cache with the periods in which it was healthy.
 
     `Audit` determines these periods: a cache is not healthy during a fault or a drain of the cache,
-    during the recovery time that follows, or after a crash.
+    during the recovery time that follows, or after a crash under overload.
 
     Attributes:
         hash_key: Number that the directors hash to choose a cache for an object.
         capacity: Capacity relative to a normal cache.
-        healthy_spans: Start and end of each such period, in seconds from the start of the play.
+        healthy_spans: Start and end of each period in which the cache was healthy, in seconds from
+            the start of the play.
     """
 
     name: str
@@ -125,10 +126,10 @@
 ) -> list[FirstAttempt]:
     """Assign the requests to caches as a single director that receives all of them would do.
 
-    The assignment uses the directors' hash. An object has one cache, and one more for each
-    HOT_FRACTION of its location's recent requests that ask for the object. Each request goes to the
-    object's cache that has the lowest load so far, relative to its capacity, in the second of the
-    request. A request is left out if no cache of its location is healthy.
+    The assignment uses the directors' hash. An object has one cache in a location, and one more for
+    each HOT_FRACTION of the location's recent requests that ask for the object. Each request goes
+    to the object's cache that has the lowest load so far, relative to its capacity, in the second
+    of the request. A request is left out if no cache of its location is healthy.
     """
     orders: dict[tuple[int, str], list[AuditedCache]] = {}
     recent: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -199,8 +200,8 @@
 ) -> dict[str, int]:
     """Return, by cache, the length in seconds of the longest period in which it was idle.
 
-    A cache is idle in a second if its load ratio is known, so that it is healthy, and below
-    IDLE_RATIO.
+    A cache is idle in a second if its load ratio is known, which requires that it is healthy, and
+    is below IDLE_RATIO.
     """
     runs: Counter[str] = Counter()
     longest: dict[str, int] = dict.fromkeys(caches, 0)
@@ -261,9 +262,10 @@
 def _healthy_peers(
     caches: dict[str, AuditedCache], cache: AuditedCache, second: int
 ) -> list[AuditedCache]:
-    """Return the healthy caches of the cache's location.
+    """Return the caches of the cache's location that are healthy for the whole second.
 
-    The cache itself is always included, so that its fair share is defined in any second.
+    The cache itself is included even if it is not healthy, so that its fair share is defined in any
+    second.
     """
     peers = [
         other
@@ -281,11 +283,12 @@
     Args:
         attempts: Time in seconds, and name of the cache, of each attempt.
         width_s: Width of a slot in seconds.
-        end_s: End of the last slot, in seconds; attempts before 0 or after the end do not count.
+        end_s: Time in seconds by which the last slot has ended. Attempts before 0 or after the last
+            slot do not count.
 
     Returns:
-        The names of the caches in alphabetical order, and a row for each with the count in each
-        slot.
+        The names of the caches that got attempts, in alphabetical order, and a row for each with
+        the count in each slot.
     """
     names = sorted({name for _, name in attempts})
     row_of = {name: row for row, name in enumerate(names)}
--- a/mulleinrelay/lab/fleet/fault_proxy.py
+++ b/mulleinrelay/lab/fleet/fault_proxy.py
@@ -1,8 +1,9 @@
 """Fault proxy: a process that forwards traffic between directors and targets and injects faults.
 
-`network_rules.py` decides the treatment of bytes and datagrams. As the proxy runs in user space, it
-cannot imitate a network in all respects: during a cut it still accepts connections, which then
-carry no data, and lost bytes of a connection appear as a delay.
+A target is a node, the event stream or another director. `network_rules.py` decides the treatment
+of bytes and datagrams. As the proxy runs in user space, it cannot imitate a network in all
+respects: during a cut it still accepts connections, which then carry no data, and lost bytes of a
+connection appear as a delay.
 """
 
 import contextlib
@@ -152,7 +153,10 @@
         receive_messages(self.loop, self.on_command)
 
     def listen(self, name: str) -> None:
-        """Listen at the target's reserved port and all loopback addresses, unless already done."""
+        """Listen at the port reserved for the target, at all loopback addresses.
+
+        Do nothing if the proxy already listens there.
+        """
         if name not in self.listeners:
             self.listeners[name] = self.loop.listen(
                 "",
@@ -162,7 +166,7 @@
             )
 
     def ports(self) -> dict[str, int]:
-        """Return the port of each target by the target's name."""
+        """Return the proxy's port for each target, by the target's name."""
         return {name: reserved.port for name, reserved in self.reserved_ports.items()}
 
     def on_command(self, command: Message) -> None:
--- a/mulleinrelay/lab/fleet/node_server.py
+++ b/mulleinrelay/lab/fleet/node_server.py
@@ -1,5 +1,6 @@
 """A node of the fleet lab, served on a socket in the event loop of the endpoint process.
 
+A node is the stand-in of a cache, a parent or the origin.
 `standins/nodes.py` models the content and the capacity of a node. Each connection begins with a
 line that identifies its director.
 """
@@ -24,8 +25,8 @@
 RECEIVE_BUFFER_SIZE = 4096  # bytes, initially
 ANSWER_DELAY_MS = 1.0  # of answers to health checks, and of errors
 WRITE_CLASSES = ("order", "pay")
-# A node crashes during its slow start if its load, relative to its capacity at the time, is above
-# this limit for CRASH_AFTER_MS.
+# If the scenario sets `crashes_on_overload`, a cache or parent crashes during its slow start when
+# its load, relative to its capacity at the time, is above this limit for CRASH_AFTER_MS.
 CACHE_CRASH_LOAD = 2.5
 PARENT_CRASH_LOAD = 2.0
 CRASH_AFTER_MS = 1500.0
--- a/mulleinrelay/lab/fleet/runner.py
+++ b/mulleinrelay/lab/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Play, which is one run, of a fleet scenario with real processes.
+"""Play of a fleet scenario with real processes; a play is one run of a scenario.
 
 The directors are processes of the program under test. The lab has one process for all
 nodes and the event stream, and processes for the fault proxies and load generators. All of them are
@@ -143,8 +143,8 @@
             on_ready: Called when all processes are ready, before the load starts.
 
         Raises:
-            RuntimeError: If a director was not ready in time or ended before, or if a process of
-                the lab has ended.
+            RuntimeError: If a director was not ready in time, or ended before it was ready, or if a
+                process of the lab ended before the end of the play.
         """
         folder = "" if self.keeps_folder else self.folder
         self.reaper = ProcessReaper(self.path("keeper.log"), folder)
@@ -219,7 +219,7 @@
         return proxy_ports
 
     def _start_directors(self, endpoints: LabProcess, stream_port: int) -> None:
-        """Write the configurations of all directors and start them."""
+        """Write the configurations of all directors, start them, and wait until they are ready."""
         clock_steps = {
             number: step.fault.amount
             for step in self.scenario.steps()
@@ -394,7 +394,7 @@
                 records.add("crash", now_ms(), director.number, code, line)
 
     def _stop(self) -> None:
-        """End all directors and all processes of the lab."""
+        """End all directors and lab processes, close the records and release the ports."""
         self.stopped.set()
         for director in self.directors:
             director.signal(signal.SIGCONT)
--- a/mulleinrelay/lab/fleet/scenario.py
+++ b/mulleinrelay/lab/fleet/scenario.py
@@ -70,7 +70,8 @@
             0 if they are simultaneous.
         director_fraction: Fraction of the directors that observe the fault of a node, if its kind
             is `node_slow` or `node_errors`. All directors observe other faults.
-        nodes: Names of the affected nodes; empty if they are drawn at random.
+        nodes: Names of the affected nodes. If empty, the fault of a node affects caches that are
+            drawn at random, and a network fault affects all nodes on its paths.
         other_location: Location that receives shifted load, or location of the directors at the
             other end of a path between directors.
     """
@@ -121,7 +122,7 @@
 
 @dataclass(slots=True)
 class NodeSite:
-    """One node with its zone, which is a location or a hub.
+    """One node with its zone: caches are in locations, parents and the origin are in hubs.
 
     `capacity_factor` is the capacity of a cache relative to a normal cache.
     """
--- a/mulleinrelay/model/directors.py
+++ b/mulleinrelay/model/directors.py
@@ -159,7 +159,7 @@
         self._handle(HealthCheckFinished(self.endpoints[name], {}))
 
     def receive_purge(self, object_id: int, age: float) -> None:
-        """Process the notification of a purge of an object that took place `age` ms ago."""
+        """Process the notification that an object was purged `age` ms ago."""
         self._handle(PurgeReceived(object_id, 0, age))
 
     def finish_request(self, request: Request) -> None:
@@ -226,7 +226,7 @@
         return "" if source is None or source is attempt.endpoint else self.endpoint_names[source]
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Queue the attempt, so that it is reported to the router as cancelled after this event."""
+        """Queue the attempt, to report it as cancelled after the router's present event."""
         if attempt.outcome is None:
             self._cancelled.append(attempt)
 
