--- a/mulleinrelay/cells/cell_state.py
+++ b/mulleinrelay/cells/cell_state.py
@@ -1,4 +1,7 @@
-"""State of one cell at this director: rate, concurrency limit and the tenants' shares of both.
+"""State of one cell at this director: its limits, their use by tenants, and request counts.
+
+The limits are the rate and the concurrency limit, which the cell's tenants share, and the failover
+quotas of the tenants of lost cells.
 
 No I/O and no clock: the time is an argument. Not thread-safe: `CellService` holds its lock during
 each call.
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -167,9 +167,10 @@
         return RequestPlan(PAGES, object_id, size_kb, "")
 
     def draw_director(self, excluded: set[int]) -> int | None:
-        """Draw a director of the location, weighted by its rate.
+        """Draw a director of the location that is not excluded, weighted by its rate.
 
-        Return None if all directors are excluded or the location has none.
+        After `MAX_DIRECTOR_DRAWS` draws of excluded directors, draw one of the others with equal
+        weights. Return None if all directors are excluded or the location has none.
         """
         if not self.directors:
             return None
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -269,10 +269,11 @@
         return not self.coordinator.can_begin(item)
 
     def _take_stale(self, connection: UpstreamConnection, wire_id: str) -> InFlight | None:
-        """Remove and return a queued item if it must not be sent any more; return None otherwise.
+        """Return a queued item that must not be sent any more; return None if it may be sent.
 
-        The item is also removed from the connection, so that no cancellation is sent for an attempt
-        that was never sent. The caller holds the lock.
+        The returned item is removed from the connection's items in flight, so that no cancellation
+        is sent for an attempt that was never sent. The write queue removes its own pieces. Return
+        None also if the item is no longer in flight. The caller holds the lock.
         """
         item = connection.in_flight.get(wire_id)
         if item is None or not self._is_stale(item, connection.address):
--- a/mulleinrelay/policy/admission.py
+++ b/mulleinrelay/policy/admission.py
@@ -14,6 +14,8 @@
 lower priority, because its latency objective has passed or is near. Therefore neither low-priority
 requests nor retries starve other requests.
 
+`eviction_order` determines which idle client connections are evicted first.
+
 No I/O and no clock: the time is an argument, in ms. Not thread-safe.
 """
 
--- a/mulleinrelay/policy/attempt_results.py
+++ b/mulleinrelay/policy/attempt_results.py
@@ -17,7 +17,8 @@
 
 # Lower bound in ms of the transfer time by which lateness is divided to get a percentage.
 MIN_WORK_FOR_LATENESS = 50.0
-MAX_LATENESS = 1000.0  # percent; limits the effect of a single answer that a pause delayed
+# Percent; limits the effect of a single answer that was delayed because a process was suspended.
+MAX_LATENESS = 1000.0
 REJECTED_LATENESS = 200.0  # percent; lateness that a rejected attempt counts as
 CONNECT_FAILURE_WEIGHT = 2.0  # number of failures that a failed connect counts as
 RESET_WEIGHT = 1.0  # number of failures that a reset connection counts as
--- a/mulleinrelay/policy/overdue_attempts.py
+++ b/mulleinrelay/policy/overdue_attempts.py
@@ -26,7 +26,11 @@
 
 @dataclass(slots=True, eq=False)
 class OverdueDetector:
-    """Detector of overdue attempts. It owns no state; `health` records the silence."""
+    """Detector of overdue attempts.
+
+    It owns no state: `health` records which endpoints were silent since an overdue attempt was
+    sent, and which count as not reached.
+    """
 
     work: WorkEstimator
     cache_selector: CacheSelector
--- a/tests/budgets/test_lease_ledger.py
+++ b/tests/budgets/test_lease_ledger.py
@@ -14,7 +14,8 @@
     LeaseLedger,
 )
 
-LONG_AGO = -1e9  # start time of a ledger without leases of an earlier incarnation
+# Start time of a ledger, so long ago that all leases of an earlier incarnation have expired
+LONG_AGO = -1e9
 
 
 def search_world(max_states, *world):
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -40,7 +40,12 @@
 
 
 class RequestScenario:
-    """Scenario of one request: carries out its steps and records attempts and their outcomes."""
+    """Scenario of one request: carries out its steps and records attempts and their outcomes.
+
+    Whenever an attempt is written, the scenario asserts that the request is not completed and its
+    client has not left, that neither the attempt's endpoint nor its fill source drains, and that a
+    `pay` request cannot have its effect twice.
+    """
 
     def __init__(self, request_class, is_write_blocked):
         """Create a scenario.
