--- a/mulleinrelay/cells/concurrency_limit.py
+++ b/mulleinrelay/cells/concurrency_limit.py
@@ -26,7 +26,7 @@
     INCREASE_FRACTION = 0.05  # fraction of the limit added per window, at least one request
     # A window is slow if its mean delay exceeds SLOW_RATIO times the baseline plus SLOW_MARGIN.
     SLOW_RATIO = 2.0
-    SLOW_MARGIN = 5.0  # ms; keeps small changes of a very short baseline from being slow windows
+    SLOW_MARGIN = 5.0  # ms; so that a small rise above a very short baseline does not count as slow
     USED_FRACTION = 0.7  # fraction of the limit that must have been open before the limit grows
     BASELINE_DRIFT = 0.01  # fraction by which the baseline rises per window
     MIN_DELAY = 1.0  # ms; shorter delays count as this, because they are within the clock's noise
--- a/mulleinrelay/cells/token_bucket.py
+++ b/mulleinrelay/cells/token_bucket.py
@@ -30,8 +30,8 @@
 
         Args:
             rate: Requests per second; 0 if they are not limited.
-            burst: Number of requests that a full bucket allows at once, at least 1; 0 for the
-                number that the rate allows in 100 ms.
+            burst: Number of requests that a full bucket allows at once; 0 for the number that the
+                rate allows in 100 ms. A number below 1 counts as 1.
         """
         self.interval = 1000.0 / rate if rate > 0.0 else 0.0
         self.tolerance = self.interval * (max(1.0, burst or rate / 10.0) - 1.0)
--- a/mulleinrelay/lab/fleet/load.py
+++ b/mulleinrelay/lab/fleet/load.py
@@ -129,7 +129,7 @@
         ]
 
     def rate_at(self, since_start_s: float) -> float:
-        """Return the requests per second at this time."""
+        """Return the location's requests per second at this time, as changed by active faults."""
         rate = self.cumulative_rates[-1] if self.cumulative_rates else 0.0
         for fault in self.active_faults(since_start_s, "burst"):
             if fault.location in ("", self.location):
--- a/mulleinrelay/management/subscribers.py
+++ b/mulleinrelay/management/subscribers.py
@@ -72,7 +72,8 @@
     def __init__(self, schema: SchemaNode) -> None:
         """Create a publisher.
 
-        `reset` must be called whenever a subscriber is added while there are no others.
+        `reset` must be called whenever a subscriber is added while there are no others, because
+        changes are not published without subscribers.
         """
         self._schema = schema
         self.subscribers: list[Subscriber] = []
--- a/mulleinrelay/model/network.py
+++ b/mulleinrelay/model/network.py
@@ -1,4 +1,7 @@
-"""The simulated network between directors and nodes, and the execution of commands at nodes."""
+"""The simulated network between directors and nodes, and the execution of commands at nodes.
+
+A node is a simulated cache, parent or origin.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable
--- a/mulleinrelay/net/client_listener.py
+++ b/mulleinrelay/net/client_listener.py
@@ -16,7 +16,8 @@
 from .request_handler import RequestHandler
 
 BACKLOG = 1024  # connections that the kernel queues before they are accepted
-# Invalid calls without a valid request between them; one more closes the connection.
+# Invalid calls without a valid request between them. A connection with more of them is half-closed
+# after a call, unless it has open requests.
 MAX_BAD_CALLS = 8
 SPARE_DIVISOR = 16  # 1/16 of the connection table, but at least one slot, is kept free
 ACCEPT_RETRY_S = 0.05  # wait after a failed accept
--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -181,7 +181,8 @@
         A connection with nothing in flight is closed if it is idle or suspect, or if its address
         was removed. Overdue health checks are removed. Attempts of which nothing was written within
         the connect timeout are withdrawn: they were never executed, and if they were sent later,
-        they could arrive after a drain or a purge.
+        they could arrive after a drain or a purge. Earlier failures of removed addresses are
+        forgotten.
         """
         now = self.clock()
         stuck: list[Attempt] = []
--- a/mulleinrelay/net/write_queue.py
+++ b/mulleinrelay/net/write_queue.py
@@ -77,7 +77,8 @@
     def write(self, owner: Hashable, pieces: list[Piece]) -> None:
         """Write as much of a message as possible and queue the remainder.
 
-        If the queue was shut down, the message is dropped. The caller holds the lock.
+        If the queue is shut down, the message is dropped. If the write fails, the queue is shut
+        down. The caller holds the lock.
         """
         if self.is_shut_down:
             return
--- a/mulleinrelay/policy/endpoint_filter.py
+++ b/mulleinrelay/policy/endpoint_filter.py
@@ -1,7 +1,8 @@
 """Filter of the endpoints that may be sent work.
 
-These are the endpoints that slow start permits, without ejected ones unless a trial request may be
-sent to them. If there are no such endpoints, all ejected ones that slow start permits are used.
+Among the endpoints that slow start permits, these are the ones that are not ejected, and the
+ejected ones that may be sent a trial request. If there are no such endpoints, all ejected ones that
+slow start permits are used.
 """
 
 from collections.abc import Iterator, Sequence
--- a/mulleinrelay/standins/load_generator.py
+++ b/mulleinrelay/standins/load_generator.py
@@ -222,7 +222,7 @@
         self.generator.on_reply(request, reply, is_repeated)
 
     def _discard_connection(self) -> None:
-        """Discard the connection and count its requests in flight as cut off."""
+        """Discard the connection; end its requests in flight and count them as cut off."""
         in_flight = self.in_flight
         self.in_flight = {}
         self.socket = None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -519,7 +519,8 @@
 
     A script is a list of byte strings to send. None in a script waits until the client closes the
     connection. At the end of its script, the connection is closed. If no script is left, a response
-    head is sent, followed by the wait.
+    head is sent, and the connection is closed once the client has closed it.
+
     `last_event_ids` lists the number of the last known event that each connection's request names.
     """
 
--- a/tests/policy/test_endpoint_capacity.py
+++ b/tests/policy/test_endpoint_capacity.py
@@ -83,8 +83,8 @@
 def test_without_sizes_slow_start_sends_no_more_than_with_sizes(caches_start):
     """Guard against an overload in slow start by answers of unknown size.
 
-    If their work were estimated as a quarter of the latency objective, too many would be sent: the
-    transfers take three times as long here.
+    If the work of these answers were estimated as a quarter of the latency objective, too many
+    requests would be sent, because the transfers take three times as long here.
     """
     fixture = RouterFixture(
         cache_started_at=100_000.0 * caches_start,
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -1,4 +1,4 @@
-"""The program under the platform's limits: few file descriptors, and many restarts at once."""
+"""Tests of the platform's conditions: few file descriptors, many directors that restart at once."""
 
 import contextlib
 import json
