--- a/mulleinrelay/lab/fleet/audit.py
+++ b/mulleinrelay/lab/fleet/audit.py
@@ -255,7 +255,7 @@
         """Return how strongly the health checks of a location concentrate on one cache at a time.
 
         Only checks after the warm-up count. `evenness.concentration` defines the value, which is 1
-        if at any time all directors of a location check the same cache.
+        if in every time slot all directors of a location check the same cache.
         """
         checks = [
             (check.at_s, check.node)
--- a/mulleinrelay/management/gnmi_client.py
+++ b/mulleinrelay/management/gnmi_client.py
@@ -256,7 +256,7 @@
 
 
 def _version_from_response(response: Message) -> int:
-    """Return the version in the server's own extension; 0 if the response has no such extension."""
+    """Return the version in the first registered extension of a response; 0 if it has none."""
     for extension in response.extension:
         if extension.WhichOneof("ext") == "registered_ext":
             version: int = json.loads(extension.registered_ext.msg)["version"]
