--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -399,7 +399,10 @@
         outcome: Outcome,
         reason: str,
     ) -> None:
-        """Remove a closed connection and report the attempts that were lost with it."""
+        """Close and remove a connection, and report the attempts that were lost with it.
+
+        The first failure of the address since a connection to it was last opened is logged.
+        """
         address = connection.address
         with self.lock:
             is_closed_here = connection.write_queue.is_shut_down
