--- a/mulleinrelay/net/upstream_connections.py
+++ b/mulleinrelay/net/upstream_connections.py
@@ -181,7 +181,8 @@
         A connection with nothing in flight is closed if it is idle or suspect, or if its address
         was removed. Overdue health checks are removed. Attempts of which nothing was written within
         the connect timeout are withdrawn: they were never executed, and if they were sent later,
-        they could arrive after a drain or a purge.
+        they could arrive after a drain or a purge. Earlier failures of removed addresses are
+        forgotten.
         """
         now = self.clock()
         stuck: list[Attempt] = []
@@ -269,10 +270,11 @@
         return not self.coordinator.can_begin(item)
 
     def _take_stale(self, connection: UpstreamConnection, wire_id: str) -> InFlight | None:
-        """Remove and return a queued item if it must not be sent any more; return None otherwise.
+        """Return a queued item that must not be sent any more; return None if it may be sent.
 
-        The item is also removed from the connection, so that no cancellation is sent for an attempt
-        that was never sent. The caller holds the lock.
+        The returned item is removed from the connection's items in flight, so that no cancellation
+        is sent for an attempt that was never sent. The write queue removes its own pieces. Return
+        None also if the item is no longer in flight. The caller holds the lock.
         """
         item = connection.in_flight.get(wire_id)
         if item is None or not self._is_stale(item, connection.address):
@@ -397,7 +399,10 @@
         outcome: Outcome,
         reason: str,
     ) -> None:
-        """Remove a closed connection and report the attempts that were lost with it."""
+        """Close and remove a connection, and report the attempts that were lost with it.
+
+        The first failure of the address since a connection to it was last opened is logged.
+        """
         address = connection.address
         with self.lock:
             is_closed_here = connection.write_queue.is_shut_down
