--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,6 +19,7 @@
 from mulleinrelay import director
 from mulleinrelay.net import event_stream
 from mulleinrelay.net.client_listener import ClientListener
+from mulleinrelay.standins.reserved_port import ReservedPort
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
@@ -36,6 +37,24 @@
     monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.0)
 
 
+@pytest.fixture
+def reserve_port():
+    """Return a function that returns a loopback port for a process that starts later.
+
+    The port stays reserved until the end of the test. Otherwise another test's listener could get
+    the port before the process listens.
+    """
+    all_reserved = []
+
+    def reserve():
+        all_reserved.append(ReservedPort("127.0.0.1"))
+        return all_reserved[-1].port
+
+    yield reserve
+    for reserved in all_reserved:
+        reserved.release()
+
+
 @pytest.fixture
 def short_drains(monkeypatch):
     """Let drains end as soon as no request is open, without a minimum wait for further calls."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -419,12 +419,6 @@
     }
 
 
-def free_port():
-    """Return a loopback port that is free at this moment."""
-    with socket.create_server(("127.0.0.1", 0)) as server:
-        return server.getsockname()[1]
-
-
 class StandInServer:
     """Server on a loopback port (0 for a free one) with a thread for each connection.
 
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -117,3 +117,9 @@
     assert not can_bind(int(director.gnmi_address.rpartition(":")[2]))
     director.client_port.release()
     director.gnmi_port.release()
+
+
+def test_ports_for_processes_of_other_tests_stay_reserved(reserve_port):
+    ports = [reserve_port() for _ in range(3)]
+    assert len(set(ports)) == 3
+    assert not any(can_bind(port) for port in ports)
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -16,7 +16,6 @@
     StandInClient,
     StandInEndpoint,
     StandInEventStream,
-    free_port,
     platform_configuration,
     stream_event,
     wait_for,
@@ -25,7 +24,7 @@
 
 @pytest.mark.parametrize(("configured_descriptors", "descriptors"), [(128, 128), (1024, 128)])
 def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
-    configured_descriptors, descriptors, tmp_path
+    configured_descriptors, descriptors, tmp_path, reserve_port
 ):
     # Guards against idle clients that use up all descriptors, so that the director gets no events.
     # The limit of the process may be lower than the configured one. When the event stream becomes
@@ -33,8 +32,8 @@
     # and for clients. Descriptors and threads of closed connections must be released.
     endpoints, stream_port, client_port = (
         [StandInEndpoint(HIT_ANSWER) for _ in ENDPOINTS],
-        free_port(),
-        free_port(),
+        reserve_port(),
+        reserve_port(),
     )
     configuration = platform_configuration(
         [endpoint.address for endpoint in endpoints],
@@ -89,11 +88,14 @@
 
 
 @pytest.mark.parametrize("count", [10])
-def test_nine_in_ten_restarted_directors_are_ready_within_ten_seconds(count, tmp_path):
+def test_nine_in_ten_restarted_directors_are_ready_within_ten_seconds(
+    count, tmp_path, reserve_port
+):
     # The event stream and all endpoints are unreachable, as after a complete outage.
     files = [tmp_path / f"{number}.json" for number in range(count)]
     for file in files:
-        file.write_text(json.dumps(platform_configuration(listen=f"127.0.0.1:{free_port()}")))
+        listen = f"127.0.0.1:{reserve_port()}"
+        file.write_text(json.dumps(platform_configuration(listen=listen)))
     for is_restart in (False, True):
         with contextlib.ExitStack() as exit_stack:
             programs = [DirectorProcess(file) for file in files]
