--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -5,6 +5,7 @@
 import os
 import signal
 import socket
+import time
 
 import pytest
 from helpers import (
@@ -22,6 +23,12 @@
 )
 
 
+def answer_after_20_ms(_):
+    """Return a hit after 20 ms; meanwhile further requests open further upstream connections."""
+    time.sleep(0.02)
+    return HIT_ANSWER
+
+
 @pytest.mark.parametrize(("configured_descriptors", "descriptors"), [(128, 128), (1024, 128)])
 def test_idle_clients_that_use_up_descriptors_do_not_block_the_event_stream(
     configured_descriptors, descriptors, tmp_path, reserve_port
@@ -29,9 +36,11 @@
     # Guards against idle clients that use up all descriptors, so that the director gets no events.
     # The limit of the process may be lower than the configured one. When the event stream becomes
     # available, the director must have descriptors left for the stream, for upstream connections
-    # and for clients. Descriptors and threads of closed connections must be released.
+    # and for clients. Descriptors and threads of closed connections must be released. Concurrent
+    # requests open several upstream connections to an endpoint, which the director keeps for half
+    # of `connIdle`. That time is short here, so that these connections are released as well.
     endpoints, stream_port, client_port = (
-        [StandInEndpoint(HIT_ANSWER) for _ in ENDPOINTS],
+        [StandInEndpoint(answer_after_20_ms) for _ in ENDPOINTS],
         reserve_port(),
         reserve_port(),
     )
@@ -39,6 +48,7 @@
         [endpoint.address for endpoint in endpoints],
         f"127.0.0.1:{stream_port}",
         f"127.0.0.1:{client_port}",
+        allowed={"connIdle": 1000.0},
     )
     configuration["limits"]["sockets"] = configured_descriptors
     (file := tmp_path / "config.json").write_text(json.dumps(configuration))
