--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -88,8 +88,8 @@
         process_folder = f"/proc/{program.process.pid}"
         assert wait_for(
             lambda: (
-                len(os.listdir(f"{process_folder}/fd")) <= 16
-                and len(os.listdir(f"{process_folder}/task")) <= 12
+                len(os.listdir(f"{process_folder}/fd")) <= 12
+                and len(os.listdir(f"{process_folder}/task")) <= 8
             )
         )
         assert not program.has_logged(event="fault")
