--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -56,10 +56,11 @@
     """A director on loopback with management and optional cells, started by a with block.
 
     The end of the block stops the director and closes its endpoints, clients and connections. The
-    files in `folder` are kept, so that another director can continue with them.
+    files in `folder` are kept, so that another director can continue with them. `changes` replace
+    start settings of the director, as in `helpers.start_settings`.
     """
 
-    def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER):
+    def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER, **changes):
         self.folder = folder
         self.endpoints = [StandInEndpoint(plan) for _ in ENDPOINTS]
         self.event_stream = StandInEventStream()
@@ -76,7 +77,7 @@
             )
         addresses = [endpoint.address for endpoint in self.endpoints]
         self.config = parse_config(
-            json.dumps(platform_configuration(addresses, self.event_stream.address))
+            json.dumps(platform_configuration(addresses, self.event_stream.address, **changes))
         )
         self.director = Director(
             self.config, self.log, cells_config, parse_management_config(config, str(folder))
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -15,6 +15,7 @@
 from mulleinrelay.management.datastore_file import DatastoreFile
 from mulleinrelay.management.gnmi_client import GnmiCallError
 from mulleinrelay.management.paths import PathElement, parse_path
+from mulleinrelay.net import upstream_connection
 
 RATE_LIMIT = parse_path("/fleet/assignment/tenant[name=acme]/limits/rate")
 
@@ -39,7 +40,7 @@
     )
 
 
-def test_drained_endpoint_gets_no_new_requests_and_finishes_those_in_flight(tmp_path):
+def test_drained_endpoint_gets_no_new_requests_and_finishes_those_in_flight(tmp_path, monkeypatch):
     answer_allowed = threading.Event()
 
     def answer_when_allowed(fields):
@@ -50,14 +51,18 @@
     def has_delayed_request(attempts):
         return any(attempt[2]["name"].endswith("ff") for attempt in attempts)
 
-    with ManagedDirector(tmp_path, plan=answer_when_allowed) as director:
+    # The delayed attempt must stay in flight even if a busy machine delays the drain, so neither an
+    # unanswered ping nor a second attempt nor a cancellation may end it.
+    monkeypatch.setattr(upstream_connection, "PING_TIMEOUT", 10_000.0)
+    only_attempt = {"mayDuplicate": False, "cancel": False}
+    with ManagedDirector(tmp_path, plan=answer_when_allowed, allowed=only_attempt) as director:
         client = director.client()
         target = director.target()
         for number in range(12):
             client.send(entity=f"{number:016x}")
             assert client.read_answer()[1] == 0
         delayed_client = director.client()
-        delayed_client.send(entity="00000000000000ff")
+        delayed_client.send(entity="00000000000000ff", patience="6000")
         assert wait_for(
             lambda: any(map(has_delayed_request, director.received_requests().values()))
         )
