--- a/tests/management/test_ctl.py
+++ b/tests/management/test_ctl.py
@@ -4,9 +4,12 @@
 
 import pytest
 from click.testing import CliRunner
+from helpers import hold_calls
 from managed_director import ManagedDirector
 
 from mulleinrelay.cli import main
+from mulleinrelay.management import commands
+from mulleinrelay.management.gnmi_client import GnmiTarget
 
 DRAIN = "/fleet/drains/drain"
 
@@ -52,7 +55,22 @@
     assert "+ /fleet" not in ctl(running, "diff", str(file))[1]
     assert ctl(running, "rollback", str(number))[0] == 0
     assert f"back to version {number}" in ctl(running, "history")[1]
-    assert "s-01" in ctl(running, "watch", "--seconds", "0.5", "/fleet/boxes")[1]
     assert ctl(running, "get", "/fleet/[x")[0] == 2
     assert ctl(running, "set", "nonsense")[0] == 2
     assert ctl(running, "--target", "127.0.0.1:1", "--timeout", "0.5", "history")[0] == 1
+
+
+def test_watch_shows_values_and_ends_after_its_time(running, monkeypatch):
+    # The end of the time closes the connection. It must not come before the first value, which may
+    # take longer than this time on a busy machine.
+    resume_close = hold_calls(monkeypatch, GnmiTarget, "close")
+    show_event = commands._show_event
+
+    def show_and_allow_close(*arguments):
+        show_event(*arguments)
+        resume_close.set()
+
+    monkeypatch.setattr(commands, "_show_event", show_and_allow_close)
+    code, output = ctl(running, "watch", "--seconds", "0.5", "/fleet/boxes")
+    assert code == 0
+    assert "s-01" in output
