--- a/tests/management/test_gnmi_calls.py
+++ b/tests/management/test_gnmi_calls.py
@@ -95,28 +95,35 @@
     assert response[0] == 1 << 3 | LENGTH_DELIMITED  # GetResponse: notification = 1
 
 
-def test_independent_client_can_get_set_and_subscribe(running):
-    host, _, port = running.address.rpartition(":")
-    with gNMIclient(target=(host, int(port)), insecure=True) as client:
-        capabilities = client.capabilities()
-        assert capabilities["supported_models"][0]["name"] == "mulleinrelay-fleet"
-        assert "json_ietf" in capabilities["supported_encodings"]
-        client.set(
-            update=[("/fleet/drains/drain[box=s-03]", {"reason": "by pygnmi"})],
-            encoding="json_ietf",
-        )
-        assert running.ready_caches() == ["s-01", "s-02"]
-        response = client.get(path=["/fleet/drains/drain[box=s-03]"], encoding="json_ietf")
-        value = response["notification"][0]["update"][0]["val"]
-        assert value["mulleinrelay-fleet:reason"] == "by pygnmi"
-        stream = client.subscribe_stream(
-            subscribe={
-                "subscription": [{"path": "/fleet/drains", "mode": "on_change"}],
-                "mode": "stream",
-                "encoding": "json_ietf",
-            }
-        )
-        assert "update" in next(iter(stream))
-        stream.close()
-        client.set(delete=["/fleet/drains/drain[box=s-03]"])
-    assert running.ready_caches() == ["s-01", "s-02", "s-03"]
+def test_independent_client_can_get_set_and_subscribe(tmp_path):
+    with ManagedDirector(tmp_path) as director:
+        host, _, port = director.address.rpartition(":")
+        with gNMIclient(target=(host, int(port)), insecure=True) as client:
+            capabilities = client.capabilities()
+            assert capabilities["supported_models"][0]["name"] == "mulleinrelay-fleet"
+            assert "json_ietf" in capabilities["supported_encodings"]
+            client.set(
+                update=[("/fleet/drains/drain[box=s-03]", {"reason": "by pygnmi"})],
+                encoding="json_ietf",
+            )
+            assert director.ready_caches() == ["s-01", "s-02"]
+            response = client.get(path=["/fleet/drains/drain[box=s-03]"], encoding="json_ietf")
+            value = response["notification"][0]["update"][0]["val"]
+            assert value["mulleinrelay-fleet:reason"] == "by pygnmi"
+            stream = client.subscribe_stream(
+                subscribe={
+                    "subscription": [{"path": "/fleet/drains", "mode": "on_change"}],
+                    "mode": "stream",
+                    "encoding": "json_ietf",
+                }
+            )
+            assert "update" in next(iter(stream))
+            stream.close()  # ends the client's requests; the responses go on
+            client.set(delete=["/fleet/drains/drain[box=s-03]"])
+            assert director.ready_caches() == ["s-01", "s-02", "s-03"]
+            # The director ends the responses, since a closed channel would end them with an error,
+            # which the client raises in its own thread.
+            director.management.stop()
+            stream._subscribe_thread.join(10.0)
+            assert not stream._subscribe_thread.is_alive()
+            assert stream.error is None
