--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -39,14 +39,37 @@
     )
 
 
+def is_flood(entry):
+    return entry[2]["name"].startswith("f")
+
+
+def answer_others(fields):
+    """Return no answer to a request of the flooding tenant."""
+    return None if fields["name"].startswith("f") else HIT_ANSWER
+
+
+def send_flood(running):
+    """Send 30 requests of the flooding tenant on each of eight connections, and return these.
+
+    The function returns when the first of the requests has reached the cache.
+    """
+    clients = []
+    for _ in range(8):
+        # The first request follows at once: a connection without a call is closed after 2 s.
+        clients.append(running.connect_client())
+        clients[-1].send(tenant="acme", entity=f"f{0:015x}", patience="2900")
+    for number in range(1, 30):
+        for client in clients:
+            client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
+    assert wait_for(lambda: any(map(is_flood, running.commands_by_endpoint()["s-01"])), 10.0)
+    return clients
+
+
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
     # Guards against a flooding tenant that uses up the director's open requests, so that requests
     # for other cells are rejected. The cache never answers the flooding tenant's requests, so all
     # admitted ones stay open. On a slow machine, some of them time out during the test; each of
     # these allows one more request to be admitted.
-    def answer_others(fields):
-        return None if fields["name"].startswith("f") else HIT_ANSWER
-
     ended, complete_request = [], CellService.complete_request
 
     def record_completion(service, grant, request, *outcome):
@@ -61,18 +84,11 @@
         others = running.connect_client()
         others.send(tenant="beta")
         assert others.read_answer()[1] == SERVED
-        clients = [running.connect_client() for _ in range(8)]
-        for number in range(30):
-            for client in clients:
-                client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
+        clients = send_flood(running)
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.read_answer()[1] == SERVED
-        flood = [
-            entry
-            for entry in running.commands_by_endpoint()["s-01"]
-            if entry[2]["name"].startswith("f")
-        ]
+        flood = [entry for entry in running.commands_by_endpoint()["s-01"] if is_flood(entry)]
         # A completion is recorded before its quota is released, so `ended` is never too short.
         assert 0 < len(flood) <= 64 + len(ended)
         assert (
