--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -144,8 +144,19 @@
     The directors start when the context is entered and stop when it is left. `plan` is the answer
     plan of all stand-in endpoints, or a list with a plan for each. `open_most` and `rate` are the
     values of `cells.ini`; `changes` are passed to `platform_configuration`.
+
+    By default, the directors do not react to an endpoint that is silent for up to two seconds:
+    connections are not pinged and may take as long to open, and the latency objective of all
+    request classes is longer than the clients' patience, so that no attempt is overdue and no timer
+    is due before a client's time is up. Otherwise a thread that a busy machine does not schedule
+    for a second would make an endpoint count as unreachable, or its director as overloaded, and
+    requests would be hedged, rejected or failed. With `reacts_to_silence`, the settings of
+    `start_settings` are kept.
     """
 
+    PATIENT_OBJECTIVE = 5_000.0  # ms; the clients' patience is at most 3000 ms
+    PATIENT_CONNECT_TIMEOUT = 2_900.0  # ms
+
     def __init__(
         self,
         folder,
@@ -154,6 +165,7 @@
         director_count=1,
         open_most=0,
         rate=0.0,
+        reacts_to_silence=False,
         **changes,
     ):
         self.path = folder / "assignment.ini"
@@ -168,6 +180,13 @@
                 self.event_stream.address,
                 **changes,
             )
+            if not reacts_to_silence:
+                platform_config["settings"]["allowed"] |= {
+                    "mayProbe": False,
+                    "connectTimeout": self.PATIENT_CONNECT_TIMEOUT,
+                }
+                for request_class in platform_config["settings"]["classes"]:
+                    request_class["slo"] = self.PATIENT_OBJECTIVE
             cells_config = CellsConfig(
                 True,
                 str(self.path),
