--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -39,14 +39,37 @@
     )
 
 
+def is_flood(entry):
+    return entry[2]["name"].startswith("f")
+
+
+def answer_others(fields):
+    """Return no answer to a request of the flooding tenant."""
+    return None if fields["name"].startswith("f") else HIT_ANSWER
+
+
+def send_flood(running):
+    """Send 30 requests of the flooding tenant on each of eight connections, and return these.
+
+    The function returns when the first of the requests has reached the cache.
+    """
+    clients = []
+    for _ in range(8):
+        # The first request follows at once: a connection without a call is closed after 2 s.
+        clients.append(running.connect_client())
+        clients[-1].send(tenant="acme", entity=f"f{0:015x}", patience="2900")
+    for number in range(1, 30):
+        for client in clients:
+            client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
+    assert wait_for(lambda: any(map(is_flood, running.commands_by_endpoint()["s-01"])), 10.0)
+    return clients
+
+
 def test_flood_is_confined_to_its_cell_and_rejected_at_once(tmp_path, monkeypatch):
     # Guards against a flooding tenant that uses up the director's open requests, so that requests
     # for other cells are rejected. The cache never answers the flooding tenant's requests, so all
     # admitted ones stay open. On a slow machine, some of them time out during the test; each of
     # these allows one more request to be admitted.
-    def answer_others(fields):
-        return None if fields["name"].startswith("f") else HIT_ANSWER
-
     ended, complete_request = [], CellService.complete_request
 
     def record_completion(service, grant, request, *outcome):
@@ -61,18 +84,11 @@
         others = running.connect_client()
         others.send(tenant="beta")
         assert others.read_answer()[1] == SERVED
-        clients = [running.connect_client() for _ in range(8)]
-        for number in range(30):
-            for client in clients:
-                client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
+        clients = send_flood(running)
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.read_answer()[1] == SERVED
-        flood = [
-            entry
-            for entry in running.commands_by_endpoint()["s-01"]
-            if entry[2]["name"].startswith("f")
-        ]
+        flood = [entry for entry in running.commands_by_endpoint()["s-01"] if is_flood(entry)]
         # A completion is recorded before its quota is released, so `ended` is never too short.
         assert 0 < len(flood) <= 64 + len(ended)
         assert (
@@ -88,6 +104,21 @@
             assert [client.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
+def test_flood_of_a_silent_cache_does_not_reach_the_caches_of_another_cell(tmp_path):
+    # The attempts become overdue, because the only cache of the cell does not answer them.
+    with DirectorsFixture(
+        tmp_path,
+        make_assignment(TWO_CELLS),
+        plan=answer_others,
+        open_most=64,
+        reacts_to_silence=True,
+    ) as running:
+        for client in send_flood(running):
+            assert [client.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
+        commands = running.commands_by_endpoint()
+        assert not commands["s-02"] and not commands["s-03"]
+
+
 def test_two_directors_migrate_the_same_objects_and_the_old_cache_fills(tmp_path):
     # The caches of south report each request as a miss that they filled. The directors must name
     # the cache of north, which served the objects before the migration, as the fill source.
@@ -95,7 +126,7 @@
     plans = [HIT_ANSWER, FILLED, FILLED, FILLED, FILLED, FILLED]
     objects = [f"{number:016x}" for number in range(40)]
     with DirectorsFixture(
-        tmp_path, make_assignment(TWO_CELLS), plan=plans, director_count=2
+        tmp_path, make_assignment(TWO_CELLS), plan=plans, director_count=2, reacts_to_silence=True
     ) as running:
         for number in (0, 1):
             client = running.connect_client(number)
@@ -217,13 +248,13 @@
     with DirectorsFixture(
         tmp_path, make_assignment(TWO_CELLS, migrations=(make_paused_migration(1.0),))
     ) as running:
+        director = running.directors[0]
+        # Before the first answer, so that the cache of south holds a copy made after the purge.
+        purged_at = round(director.clock()) - 100
         client = running.connect_client()
         client.send(tenant="acme", entity="00000000000000ab")
         assert client.read_answer()[1] == SERVED
-        director = running.directors[0]
-        director.event_stream.apply(
-            2, {"ban": {"url": "00000000000000ab", "ts": round(director.clock()) - 100}}
-        )
+        director.event_stream.apply(2, {"ban": {"url": "00000000000000ab", "ts": purged_at}})
         client.send(tenant="acme", entity="00000000000000ab")
         assert client.read_answer()[1] == SERVED
         last = [
