--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -675,6 +675,21 @@
     return next(iter(upstream.connection_by_attempt))
 
 
+def replace_in_this_thread(monkeypatch, owner, name, replacement):
+    """Replace a function for the calling thread; all other threads still call the original.
+
+    The threads of background jobs share the modules of the test's process. They must keep the real
+    clock, for example.
+    """
+    original, thread_id = getattr(owner, name), threading.get_ident()
+
+    def call(*arguments, **keywords):
+        function = replacement if threading.get_ident() == thread_id else original
+        return function(*arguments, **keywords)
+
+    monkeypatch.setattr(owner, name, call)
+
+
 def hold_calls(monkeypatch, owner, name, condition=lambda *_, **__: True):
     """Block calls of a method until the returned event is set.
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -6,6 +6,7 @@
 from helpers import (
     IS_WELL_CALL,
     RunningDirector,
+    replace_in_this_thread,
     wait_for,
 )
 
@@ -44,7 +45,7 @@
     with RunningDirector() as running:
         clock_before = running.director.clock()
         assert abs(clock_before - time.time() * 1000.0) < 1000.0
-        monkeypatch.setattr(time, "time", lambda: 0.0)
+        replace_in_this_thread(monkeypatch, time, "time", lambda: 0.0)
         assert 0.0 <= running.director.clock() - clock_before < 1000.0
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -23,6 +23,7 @@
     StandInEndpoint,
     StandInEventStream,
     platform_configuration,
+    replace_in_this_thread,
     stream_event,
     wait_for,
 )
@@ -190,7 +191,7 @@
         if len(sleeps) == attempt_count:
             file.write_text(json.dumps(platform_configuration()))
 
-    monkeypatch.setattr(time, "sleep", sleep)
+    replace_in_this_thread(monkeypatch, time, "sleep", sleep)
     log.reload = lambda config: log.event("renewed", bus=config.event_stream_address)
     process.reload_configuration(log, log, str(file))
     assert log.event_names == [outcome]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,6 +12,7 @@
 
 import pytest
 import stored_data
+from helpers import replace_in_this_thread
 
 DATA = Path(__file__).parent / "data" / "stored-by-0.3"
 EXPECTED = json.loads((DATA / "expected.json").read_text(encoding="utf-8"))
@@ -132,7 +133,7 @@
 def test_a_command_shows_the_same_for_stored_files(command, tmp_path, monkeypatch):
     """Run the command at the time of the records, with a fleet file that names their folder."""
     expected = EXPECTED["commands"][command]
-    monkeypatch.setattr(time, "time", lambda: expected["at"])
+    replace_in_this_thread(monkeypatch, time, "time", lambda: expected["at"])
     monkeypatch.chdir(DATA)
     fleet_file = tmp_path / "fleet.ini"
     fleet_file.write_text(f"[fleet]\nrecords = {DATA / 'fleet-records'}\n", encoding="utf-8")
