--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -72,10 +72,9 @@
         program.stderr.close()
 
 
-def test_program_serves_until_sigterm(tmp_path):
+def test_program_serves_until_sigterm(tmp_path, reserve_port):
     purge = {"ban": {"tag": 17, "ts": time.time() * 1000}}
-    endpoints, unused_server = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], StandInEventStream()
-    unused_server.close()  # only provides a free port
+    endpoints, client_port = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], reserve_port()
     event_streams = [
         StandInEventStream(),
         StandInEventStream([RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]),
@@ -87,7 +86,7 @@
             platform_configuration(
                 [endpoint.address for endpoint in endpoints],
                 event_stream.address,
-                unused_server.address,
+                f"127.0.0.1:{client_port}",
             )
         )
         for event_stream in event_streams
@@ -116,8 +115,7 @@
 
     try:
         assert next_log_line()["phase"] == "ready"
-        host, port = unused_server.address.split(":")
-        client = StandInClient((host, int(port)))
+        client = StandInClient(("127.0.0.1", client_port))
         client.socket.sendall(IS_WELL_CALL)
         assert client.read_answer()[:2] == (1, 0)
         client.send()
@@ -165,10 +163,11 @@
     event_stream.close()
 
 
-def test_moved_event_stream_is_found_without_a_signal(tmp_path):
+def test_moved_event_stream_is_found_without_a_signal(tmp_path, reserve_port):
     # Guards against a director that no longer gets events because it missed the signal to reload
-    # the configuration. If its event stream refuses connections, it must read the new address.
-    old_stream, new_stream = StandInEventStream(), StandInEventStream()
+    # the configuration. If its event stream refuses connections, it must read the new address. The
+    # reserved port goes on to refuse connections after the old stream has closed.
+    old_stream, new_stream = StandInEventStream(port=reserve_port()), StandInEventStream()
     file = tmp_path / "config.json"
     file.write_text(json.dumps(platform_configuration(event_stream_address=old_stream.address)))
     with DirectorProcess(file):
