--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,6 +33,16 @@
 pytestmark = pytest.mark.usefixtures("short_drains")
 
 
+def next_log_line(program):
+    """Return the next line of the program's log, without lines on reconnects of the event stream.
+
+    Such a line can come at any time, even before the program is ready.
+    """
+    while (line := json.loads(program.stderr.readline()))["event"] == "event stream reconnects":
+        pass
+    return line
+
+
 @pytest.mark.parametrize(
     ("signals", "becomes_ready"),
     [
@@ -62,7 +72,7 @@
         for number in signals:
             program.send_signal(number)
         if becomes_ready:
-            assert b'"phase":"ready"' in program.stderr.readline()
+            assert next_log_line(program)["phase"] == "ready"
             for _ in range(2):
                 program.send_signal(signal.SIGTERM)
         assert program.wait(10.0) in ((0,) if becomes_ready else (0, -signal.SIGTERM))
@@ -99,13 +109,6 @@
         env=os.environ | {"LB_CONFIG": str(file)},
     )
 
-    def next_log_line():
-        while (log_line := json.loads(program.stderr.readline()))[
-            "event"
-        ] == "event stream reconnects":
-            pass
-        return log_line
-
     def is_purged():
         client.send()
         assert client.read_answer()[1:] == (0, {}, b"bytes")
@@ -114,7 +117,7 @@
         )
 
     try:
-        assert next_log_line()["phase"] == "ready"
+        assert next_log_line(program)["phase"] == "ready"
         client = StandInClient(("127.0.0.1", client_port))
         client.socket.sendall(IS_WELL_CALL)
         assert client.read_answer()[:2] == (1, 0)
@@ -125,7 +128,7 @@
         for text, expected in ((texts[1], "read"), ("{}", "kept"), (texts[2], "read")):
             file.write_text(text)
             program.send_signal(signal.SIGHUP)
-            assert next_log_line()["event"] == f"configuration {expected}"
+            assert next_log_line(program)["event"] == f"configuration {expected}"
             assert wait_for(is_purged)
         assert wait_for(lambda: event_streams[2].last_event_ids) and [
             event_stream.last_event_ids for event_stream in event_streams
@@ -136,7 +139,10 @@
         ]
         program.send_signal(signal.SIGTERM)
         assert program.wait(10.0) == 0
-        assert [next_log_line()["phase"], next_log_line()["phase"]] == ["draining", "stopped"]
+        assert [next_log_line(program)["phase"], next_log_line(program)["phase"]] == [
+            "draining",
+            "stopped",
+        ]
     finally:
         program.kill()
         for server in (*endpoints, *event_streams):
