--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -515,11 +515,15 @@
     connection. At the end of its script, the connection is closed. If no script is left, a response
     head is sent, and the connection is closed once the client has closed it.
 
+    During a wait, the stream is silent, so that a director reconnects after a while. If
+    `keeps_alive` is set, it sends comment lines, as the platform's stream does.
+
     `last_event_ids` lists the number of the last known event that each connection's request names.
     """
 
-    def __init__(self, *scripts, port=0):
+    def __init__(self, *scripts, port=0, keeps_alive=False):
         self.scripts, self.last_event_ids = list(scripts), []
+        self.keeps_alive = keeps_alive
         super().__init__(port)
 
     def serve_connection(self, connection):
@@ -530,11 +534,21 @@
         script = self.scripts.pop(0) if self.scripts else [RESPONSE_HEAD, None]
         for piece in script:
             if piece is None:
-                connection.recv(1)  # silent until the client closes the connection
+                self.wait_for_close(connection)
             else:
                 connection.sendall(piece)
         connection.close()
 
+    def wait_for_close(self, connection):
+        """Wait until the client closes the connection."""
+        if self.keeps_alive:
+            connection.settimeout(0.2)
+        while True:
+            try:
+                return connection.recv(1)
+            except TimeoutError:
+                connection.sendall(b":\n\n")
+
 
 class StandInClient:
     """Client with one connection. Its calls have the sequence numbers 1, 2, and so on."""
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -85,10 +85,9 @@
 def test_program_serves_until_sigterm(tmp_path, reserve_port):
     purge = {"ban": {"tag": 17, "ts": time.time() * 1000}}
     endpoints, client_port = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], reserve_port()
+    purges = [RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]
     event_streams = [
-        StandInEventStream(),
-        StandInEventStream([RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]),
-        StandInEventStream(),
+        StandInEventStream(*scripts, keeps_alive=True) for scripts in ([], [purges], [])
     ]
     file = tmp_path / "config.json"
     texts = [
