--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -529,7 +529,10 @@
     def serve_connection(self, connection):
         head = b""
         while b"\r\n\r\n" not in head:
-            head += connection.recv(4096)
+            if not (piece := connection.recv(4096)):  # closed before the request was complete
+                connection.close()
+                return
+            head += piece
         self.last_event_ids.append(int(head.lower().partition(b"last-event-id:")[2].split()[0]))
         script = self.scripts.pop(0) if self.scripts else [RESPONSE_HEAD, None]
         for piece in script:
