--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -430,7 +430,8 @@
         self.socket = socket.create_server(("127.0.0.1", port))
         self.address = f"127.0.0.1:{self.socket.getsockname()[1]}"
         self.connections = []
-        threading.Thread(target=self._accept, daemon=True).start()
+        self.accept_thread = threading.Thread(target=self._accept, daemon=True)
+        self.accept_thread.start()
 
     def _accept(self):
         while True:
@@ -446,10 +447,16 @@
             self.serve_connection(connection)
 
     def close(self):
-        for connection in (self.socket, *self.connections):
-            with contextlib.suppress(OSError):
-                connection.shutdown(socket.SHUT_RDWR)
-            connection.close()
+        """Stop to listen, then close all connections, also one that is just being accepted."""
+        self._close(self.socket)
+        self.accept_thread.join(10.0)
+        for connection in self.connections:
+            self._close(connection)
+
+    def _close(self, connection):
+        with contextlib.suppress(OSError):
+            connection.shutdown(socket.SHUT_RDWR)
+        connection.close()
 
 
 def answer_nothing(fields):
