--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import socket
 import subprocess
 import sys
 import threading
@@ -15,9 +16,11 @@
 from mulleinrelay.lab.fleet.observations import read_observations
 from mulleinrelay.lab.fleet.runner import FleetLab
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
+from mulleinrelay.membership import service as service_module
 from mulleinrelay.membership.config import parse_fleet_config
 from mulleinrelay.membership.service import MembershipService
 from mulleinrelay.records import read_logs, read_states
+from mulleinrelay.standins.reserved_port import ReservedPort
 from mulleinrelay.structured_log import StructuredLog
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
@@ -304,13 +307,32 @@
     assert code == 2
 
 
-def test_stopped_service_leaves_no_thread(tmp_path):
-    """A director must be able to stop while its membership thread waits for datagrams."""
+def test_stopped_service_leaves_no_thread(tmp_path, monkeypatch):
+    """A director must be able to stop while its membership thread waits for datagrams.
+
+    `stop` waits for the thread twice as long as the thread waits for a datagram. Both are longer
+    here, so that a thread that runs late is still waited for.
+    """
+    monkeypatch.setattr(service_module, "MAX_RECEIVE_WAIT_S", 5.0)
+    # The port is reserved at one address, so that no socket at all addresses gets it, and used at
+    # another, at which no other socket is bound.
+    reserved = ReservedPort("127.0.0.1", socket.SOCK_DGRAM)
     config = parse_fleet_config(
-        "[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.1:45999\n", str(tmp_path)
+        f"[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.2:{reserved.port}\n",
+        str(tmp_path),
     )
     log = StructuredLog("n1", os.open(os.devnull, os.O_WRONLY))
     service = MembershipService(config, "n1", 1, lambda: 1000.0 * time.time(), log)
+    receive, is_waiting = service._receive, threading.Event()
+
+    def notice_wait(udp_socket):
+        if udp_socket.gettimeout() > 0.1:
+            is_waiting.set()
+        receive(udp_socket)
+
+    service._receive = notice_wait
     service.start()
+    assert is_waiting.wait(10.0)
     service.stop()
+    reserved.release()
     assert not [thread for thread in threading.enumerate() if thread.name == "fleet"]
