--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -685,18 +685,25 @@
 
 
 def wait_for(condition, timeout_s=5.0):
-    """Wait until a condition is true or the timeout expires; return the condition's last result."""
+    """Wait until a condition is true or the timeout expires; return the condition's last result.
+
+    A condition that was true is not evaluated again, as it may hold for a moment only. One that was
+    false is evaluated once more after the timeout, as the waiting thread may have been late.
+    """
     end = time.monotonic() + timeout_s
-    while not condition() and time.monotonic() < end:
+    while not (result := condition()) and time.monotonic() < end:
         time.sleep(0.01)
-    return condition()
+    return result or condition()
 
 
 def wait_for_attempt(running):
     """Wait until exactly one attempt is queued or in flight, and return it."""
     upstream = running.director.upstream
-    assert wait_for(lambda: len(upstream.connection_by_attempt) == 1)
-    return next(iter(upstream.connection_by_attempt))
+    attempts = wait_for(
+        lambda: found if len(found := list(upstream.connection_by_attempt)) == 1 else None
+    )
+    assert attempts
+    return attempts[0]
 
 
 def replace_in_this_thread(monkeypatch, owner, name, replacement):
--- a/tests/test_under_limits.py
+++ b/tests/test_under_limits.py
@@ -81,7 +81,8 @@
                 endpoints[0].commands
             ) == command_count
 
-        assert wait_for(served_without_draining_cache, 20.0) and served_without_draining_cache()
+        assert wait_for(served_without_draining_cache, 20.0)
+        assert all(served_without_draining_cache() for _ in range(2))
         for connection in idle_connections:
             connection.close()
         client.close()
