--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -643,6 +643,9 @@
 
     It is a context manager: the director is started at the beginning of the block and drained at
     the end. All endpoints have the same plan, and `changes` are passed to `platform_configuration`.
+
+    The director rejects no request because its timers are late, as they are in a busy test run. A
+    test that needs such a delay records it in the coordinator's `scheduling_delay` itself.
     """
 
     def __init__(self, plan=HIT_ANSWER, event_stream=None, **changes):
@@ -653,6 +656,11 @@
         )
         self.log = LogRecorder()
         self.director = Director(parse_config(json.dumps(configuration)), self.log)
+        scheduling_delay = self.director.coordinator.scheduling_delay
+        record = scheduling_delay.record
+        scheduling_delay.record = lambda now, delay: (
+            None if threading.current_thread().name == "timers" else record(now, delay)
+        )
 
     def __enter__(self) -> "RunningDirector":
         self.director.start()
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -172,6 +172,15 @@
     assert fixture.now < request.deadline
 
 
+@pytest.mark.parametrize(("lateness", "utilization"), [(0.0, 0.0), (300.0, 0.75), (1000.0, 0.99)])
+def test_a_late_timer_counts_as_a_lack_of_cpu_time(lateness, utilization):
+    fixture = CoordinatorFixture()
+    fixture.accept()
+    fixture.now = fixture.coordinator.run_due_timers()[0] + lateness
+    fixture.coordinator.run_due_timers()
+    assert fixture.coordinator.cpu_utilization() == pytest.approx(utilization)
+
+
 def test_wait_until_ends_early_for_an_earlier_timer():
     fixture = CoordinatorFixture()
     fixture.use_real_clock()
