--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -9,8 +9,8 @@
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.control_channel import LabProcess
 from mulleinrelay.lab.fleet.network_rules import NetworkRule, encode_rule
+from mulleinrelay.standins.reserved_port import ReservedPort
 
-DATAGRAM_PORT = 7461
 WAIT_S = 20.0  # limit of waits that end when the awaited event comes
 
 
@@ -53,6 +53,8 @@
 class ProxySetup:
     def __init__(self, tmp_path):
         self.echo, self.last_rule = EchoServer(), 0
+        # Reserved like the datagram port of a lab
+        self.datagram_port = ReservedPort(addresses.RESERVATION_ADDRESS, socket.SOCK_DGRAM)
         self.process = LabProcess(
             "fault_proxy",
             str(tmp_path / "relay.log"),
@@ -62,7 +64,7 @@
                     {"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}
                 ],
                 "datagrams": [1, 2],
-                "datagram_port": DATAGRAM_PORT,
+                "datagram_port": self.datagram_port.port,
             },
         )
         self.port = self.process.receive()["ports"]["c-1"]
@@ -89,6 +91,7 @@
     yield proxy_setup
     proxy_setup.process.stop()
     proxy_setup.echo.listener.close()
+    proxy_setup.datagram_port.release()
 
 
 def exchange(connection, text):
@@ -170,25 +173,25 @@
 
 
 def test_datagrams_keep_their_sender_and_follow_rules(setup):
-    sockets = {}
+    sockets, port = {}, setup.datagram_port.port
     for director in (1, 2):
         sockets[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sockets[director].bind((addresses.listen_address(director), DATAGRAM_PORT))
+        sockets[director].bind((addresses.listen_address(director), port))
         sockets[director].settimeout(0.4)
     try:
-        sockets[1].sendto(b"hail", (addresses.advertised_address(2), DATAGRAM_PORT))
+        sockets[1].sendto(b"hail", (addresses.advertised_address(2), port))
         assert sockets[2].recvfrom(100) == (
             b"hail",
-            (addresses.advertised_address(1), DATAGRAM_PORT),
+            (addresses.advertised_address(1), port),
         )
-        sockets[2].sendto(b"well", (addresses.advertised_address(1), DATAGRAM_PORT))
+        sockets[2].sendto(b"well", (addresses.advertised_address(1), port))
         assert sockets[1].recvfrom(100) == (
             b"well",
-            (addresses.advertised_address(2), DATAGRAM_PORT),
+            (addresses.advertised_address(2), port),
         )
         setup.add_rule(NetworkRule(("director",), frozenset({1}), direction="up", is_cut=True))
-        sockets[1].sendto(b"lost", (addresses.advertised_address(2), DATAGRAM_PORT))
-        sockets[2].sendto(b"comes", (addresses.advertised_address(1), DATAGRAM_PORT))
+        sockets[1].sendto(b"lost", (addresses.advertised_address(2), port))
+        sockets[2].sendto(b"comes", (addresses.advertised_address(1), port))
         assert sockets[1].recv(100) == b"comes"
         with pytest.raises(TimeoutError):
             sockets[2].recv(100)
