--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -1,10 +1,10 @@
 """The fault proxy as a process, with real sockets on both sides."""
 
 import socket
-import threading
 import time
 
 import pytest
+from helpers import StandInServer
 
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.control_channel import LabProcess
@@ -14,40 +14,22 @@
 WAIT_S = 20.0  # limit of waits that end when the awaited event comes
 
 
-class EchoServer:
+class EchoServer(StandInServer):
     """A target that echoes and keeps all bytes after the line that identifies the director.
 
     The lines are kept in `director_lines`.
     """
 
     def __init__(self):
-        self.listener, self.director_lines, self.received = (
-            socket.create_server(("127.0.0.1", 0)),
-            [],
-            [],
-        )
-        threading.Thread(target=self._run, daemon=True).start()
-
-    def _run(self):
-        while True:
-            try:
-                connection, _ = self.listener.accept()
-            except OSError:
-                return
-            threading.Thread(target=self._echo, args=(connection,), daemon=True).start()
-
-    def _echo(self, connection):
-        line = b""
-        while not line.endswith(b"\n"):
-            line += connection.recv(1)
-        self.director_lines.append(line)
-        try:
+        self.director_lines, self.received = [], []
+        super().__init__()
+
+    def serve_connection(self, connection):
+        with connection, connection.makefile("rb", buffering=0) as stream:
+            self.director_lines.append(stream.readline())
             while chunk := connection.recv(65536):
                 self.received.append(chunk)
                 connection.sendall(chunk)
-        except OSError:
-            pass
-        connection.close()
 
 
 class ProxySetup:
@@ -61,7 +43,7 @@
             {
                 "seed": "1",
                 "targets": [
-                    {"name": "c-1", "kind": "cache", "to": list(self.echo.listener.getsockname())}
+                    {"name": "c-1", "kind": "cache", "to": list(self.echo.socket.getsockname())}
                 ],
                 "datagrams": [1, 2],
                 "datagram_port": self.datagram_port.port,
@@ -90,7 +72,7 @@
     proxy_setup = ProxySetup(tmp_path)
     yield proxy_setup
     proxy_setup.process.stop()
-    proxy_setup.echo.listener.close()
+    proxy_setup.echo.close()
     proxy_setup.datagram_port.release()
 
 
