--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -1,10 +1,11 @@
 """The fault proxy as a process, with real sockets on both sides."""
 
+import errno
 import socket
 import time
 
 import pytest
-from helpers import StandInServer
+from helpers import StandInServer, wait_for
 
 from mulleinrelay.lab.fleet import addresses
 from mulleinrelay.lab.fleet.control_channel import LabProcess
@@ -12,6 +13,8 @@
 from mulleinrelay.standins.reserved_port import ReservedPort
 
 WAIT_S = 20.0  # limit of waits that end when the awaited event comes
+SILENCE_S = 0.4  # wait in which nothing may be received
+MARKER = "marker"  # target that nothing connects to and no rule matches
 
 
 class EchoServer(StandInServer):
@@ -37,57 +40,82 @@
         self.echo, self.last_rule = EchoServer(), 0
         # Reserved like the datagram port of a lab
         self.datagram_port = ReservedPort(addresses.RESERVATION_ADDRESS, socket.SOCK_DGRAM)
+        target_address = list(self.echo.socket.getsockname())
         self.process = LabProcess(
             "fault_proxy",
             str(tmp_path / "relay.log"),
             {
                 "seed": "1",
                 "targets": [
-                    {"name": "c-1", "kind": "cache", "to": list(self.echo.socket.getsockname())}
+                    {"name": "c-1", "kind": "cache", "to": target_address},
+                    {"name": MARKER, "kind": "marker", "to": target_address},
                 ],
                 "datagrams": [1, 2],
                 "datagram_port": self.datagram_port.port,
             },
         )
-        self.port = self.process.receive()["ports"]["c-1"]
+        self.ports = self.process.receive()["ports"]
+        self.port = self.ports["c-1"]
+
+    def execute(self, command):
+        """Send a command to the proxy and wait until it has executed it.
+
+        The proxy executes commands in order and confirms none. So the command is followed by two
+        that close and open the listener of the marker, and this is awaited.
+        """
+        self.process.send(command)
+        self.process.send({"deaf": MARKER})
+        assert wait_for(self.refuses_marker, WAIT_S)
+        self.process.send({"hears": MARKER})
+        assert wait_for(lambda: not self.refuses_marker(), WAIT_S)
+
+    def refuses_marker(self):
+        """Return whether a connection to the marker is refused.
+
+        The address of the connection belongs to no director, so the proxy does not forward it.
+        """
+        with socket.socket() as probe:
+            probe.settimeout(WAIT_S)
+            return probe.connect_ex(("127.0.0.1", self.ports[MARKER])) == errno.ECONNREFUSED
 
     def add_rule(self, rule):
         self.last_rule += 1
-        self.process.send({"rule": self.last_rule, "held": encode_rule(rule)})
-        time.sleep(0.1)
+        self.execute({"rule": self.last_rule, "held": encode_rule(rule)})
 
     def remove_rule(self):
-        self.process.send({"lift": self.last_rule})
+        self.execute({"lift": self.last_rule})
 
     def connect(self, director=1):
-        connection = socket.create_connection(
-            (addresses.proxy_address(director), self.port), timeout=2.0
+        return socket.create_connection(
+            (addresses.proxy_address(director), self.port), timeout=WAIT_S
         )
-        connection.settimeout(0.4)
-        return connection
+
+    def close(self):
+        self.process.stop()
+        self.echo.close()
+        self.datagram_port.release()
 
 
 @pytest.fixture
 def setup(tmp_path):
     proxy_setup = ProxySetup(tmp_path)
     yield proxy_setup
-    proxy_setup.process.stop()
-    proxy_setup.echo.close()
-    proxy_setup.datagram_port.release()
+    proxy_setup.close()
 
 
 def exchange(connection, text):
-    """Send the text and return the answer.
+    """Send the text and return the answer, which is empty if the connection has ended in order."""
+    connection.sendall(text)
+    return connection.recv(100)
 
-    The answer is None if nothing is received in 0.4 s, and empty if the connection has ended.
-    """
-    try:
-        connection.sendall(text)
-        return connection.recv(100)
-    except TimeoutError:
-        return None
-    except OSError:
-        return b""
+
+def assert_unanswered(connection, text):
+    """Send the text and check that nothing is received in SILENCE_S."""
+    connection.sendall(text)
+    connection.settimeout(SILENCE_S)
+    with pytest.raises(TimeoutError):
+        connection.recv(100)
+    connection.settimeout(WAIT_S)
 
 
 def assert_is_reset(get_connection):
@@ -97,9 +125,7 @@
     handshake at once. No text is sent, because bytes that reach a closed socket cause a reset too.
     """
     with pytest.raises(ConnectionResetError):
-        connection = get_connection()
-        connection.settimeout(WAIT_S)
-        connection.recv(100)
+        get_connection().recv(100)
 
 
 def test_bytes_are_forwarded_and_the_target_learns_the_director(setup):
@@ -115,9 +141,15 @@
     affected, other = setup.connect(1), setup.connect(2)
     assert exchange(affected, b"a") == b"a"
     setup.add_rule(NetworkRule(("cache",), frozenset({1}), direction=direction, is_cut=True))
-    assert exchange(affected, b"lost") is None and exchange(other, b"b") == b"b"
-    assert [chunk for chunk in setup.echo.received if chunk == b"lost"] == received
-    assert exchange(setup.connect(1), b"new") is None
+    assert_unanswered(affected, b"lost")
+    assert exchange(other, b"b") == b"b"
+
+    def is_received_as_expected():
+        return [chunk for chunk in setup.echo.received if chunk == b"lost"] == received
+
+    assert wait_for(is_received_as_expected, WAIT_S)
+    assert_unanswered(setup.connect(1), b"new")
+    assert is_received_as_expected()
     setup.remove_rule()
     assert affected.recv(100) == b"lost"
 
@@ -130,19 +162,16 @@
     assert_is_reset(lambda: setup.connect(1))
     assert exchange(other, b"z") == b"z"
     setup.remove_rule()
-    time.sleep(0.1)
     assert exchange(setup.connect(1), b"w") == b"w"
 
 
 def test_connections_to_a_crashed_target_are_refused(setup):
-    setup.process.send({"deaf": "c-1"})
-    time.sleep(0.1)
+    setup.execute({"deaf": "c-1"})
     with pytest.raises(ConnectionRefusedError):
         setup.connect()
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", setup.port))  # it stays reserved, so the proxy can listen again
-    setup.process.send({"hears": "c-1"})
-    time.sleep(0.1)
+    setup.execute({"hears": "c-1"})
     assert exchange(setup.connect(), b"back") == b"back"
 
 
@@ -159,7 +188,7 @@
     for director in (1, 2):
         sockets[director] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sockets[director].bind((addresses.listen_address(director), port))
-        sockets[director].settimeout(0.4)
+        sockets[director].settimeout(WAIT_S)
     try:
         sockets[1].sendto(b"hail", (addresses.advertised_address(2), port))
         assert sockets[2].recvfrom(100) == (
@@ -175,6 +204,7 @@
         sockets[1].sendto(b"lost", (addresses.advertised_address(2), port))
         sockets[2].sendto(b"comes", (addresses.advertised_address(1), port))
         assert sockets[1].recv(100) == b"comes"
+        sockets[2].settimeout(SILENCE_S)
         with pytest.raises(TimeoutError):
             sockets[2].recv(100)
     finally:
