--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -78,9 +78,15 @@
 
 
 def test_released_port_is_free():
-    reserved = ReservedPort(LOOPBACK)
-    reserved.release()
-    assert can_bind(reserved.port)
+    # No other socket of the test run can get the port meanwhile: none is bound at these addresses,
+    # and while the port is bound at the second one, it is not selected at all addresses.
+    host, guard_host = "127.50.0.1", "127.50.0.2"
+    reserved = ReservedPort(host)
+    with socket.socket() as guard:
+        guard.bind((guard_host, reserved.port))
+        assert not can_bind(reserved.port, host)
+        reserved.release()
+        assert can_bind(reserved.port, host)
 
 
 def test_ports_of_a_fleet_lab_are_free_only_at_the_addresses_of_its_directors(tmp_path):
