--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -20,6 +20,9 @@
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+# Maximum time from the record of a fault until the lab has injected it, and until the nodes have
+# recorded all attempts from before it
+MAX_DELAY_S = 2.0
 # Limits that depend on the speed of the machine are generous: answers, stops and drains have
 # several seconds more than they need.
 SCENARIO = """
@@ -46,7 +49,7 @@
 location = north
 share = 0.5
 at = 5
-for = 2
+for = 3.5
 [fault half]
 what = node_errors
 share = 0.25
@@ -68,8 +71,8 @@
 [fault many]
 what = kill
 share = 0.7
-at = 10
-for = 4
+at = 9
+for = 5
 [fault stopped]
 what = stop
 share = 0.1
@@ -156,9 +159,10 @@
 
 def test_each_fault_is_visible_in_the_records_of_nodes_and_stream(played):
     _, audit, _ = played
-    attempts, faults = (
+    attempts, faults, ends = (
         audit.observations.attempts,
         {fault[1]: fault for fault in audit.faults if fault[3]},
+        {fault[1]: fault for fault in audit.faults if not fault[3]},
     )
     cut_directors, killed = (
         set(faults["cutoff"][4]),
@@ -167,7 +171,7 @@
     during_cut = [
         attempt
         for attempt in attempts
-        if faults["cutoff"][0] + 0.5 < attempt[0] < faults["cutoff"][0] + 1.8
+        if faults["cutoff"][0] + MAX_DELAY_S < attempt[0] < ends["cutoff"][0]
     ]
     north = {name for name, cache in audit.caches.items() if cache.location == "north"}
     assert during_cut and not [
@@ -179,12 +183,13 @@
     } <= with_errors
     dead = set(killed[0][4])
     assert len(dead) == 24
+    restarted_at = min(fault[0] for fault in audit.faults if fault[1] == "many" and not fault[3])
     while_dead = [
-        attempt for attempt in attempts if killed[0][0] + 0.5 < attempt[0] < killed[0][0] + 3.5
+        attempt for attempt in attempts if killed[0][0] + MAX_DELAY_S < attempt[0] < restarted_at
     ]
     assert while_dead and not [attempt for attempt in while_dead if attempt[1] in dead]
     after_restart = [
-        attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 5.0
+        attempt for attempt in attempts if attempt[1] in dead and attempt[0] > killed[0][0] + 6.0
     ]
     assert after_restart
     assert audit.observations.other_records["term"] and audit.observations.other_records["again"]
