--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -170,11 +170,11 @@
     # when the client disconnects.
     with RunningDirector(None) as running:
         client = running.connect_client()
-        client.send()
+        client.send(patience="6000")  # longer than the wait for the removal
         assert wait_for(running.commands)
         client.socket.sendall(b"\xff" * 100)
         client.close()
-        assert wait_for(lambda: not running.director.listener.clients, 1.0)
+        assert wait_for(lambda: not running.director.listener.clients)
         assert not running.director.coordinator.pending_count()
 
 
@@ -260,7 +260,7 @@
     with RunningDirector(None) as running:
         client = running.connect_client()
         client.send(patience="2000")
-        assert wait_for(lambda: running.director.listener.clients)
+        assert resume.reached.wait(10.0)  # the call was read
         time.sleep(0.3)
         resume.set()
         attempt = wait_for_attempt(running)
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -24,17 +24,24 @@
     # A call may arrive after the check that no answer is outstanding and before the connections are
     # closed. It must be answered before the drain ends.
     has_pending_writes, late_calls = ClientListener.has_pending_writes, []
+    may_answer = threading.Event()
 
     def send_late_call(listener):
         is_idle = not has_pending_writes(listener)
         if is_idle and running.director.stop_requested.is_set() and not late_calls:
             late_calls.append(client.send())
             assert wait_for(running.director.coordinator.pending_count)
+            may_answer.set()
             return False
         return not is_idle
 
     monkeypatch.setattr(ClientListener, "has_pending_writes", send_late_call)
-    with RunningDirector(lambda fields: time.sleep(0.2) or HIT_ANSWER) as running:
+
+    def answer_late(fields):
+        # The answer follows after the drain has checked the connections.
+        return may_answer.wait(10.0) and (time.sleep(0.2) or HIT_ANSWER)
+
+    with RunningDirector(answer_late) as running:
         client, idle_client = running.connect_client(), running.connect_client()
         client.socket.sendall(IS_WELL_CALL)
         idle_client.socket.sendall(IS_WELL_CALL)
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -152,6 +152,6 @@
         connection = upstream.connection_by_attempt[attempt][0]
         connection.last_received_at, attempt.sent_at = 0.0, 1.0
         upstream.ping_silent_connections()
-        assert bool(wait_for(lambda: running.commands("ECHO"), 0.1)) is (
-            state == EndpointState.READY
-        )
+        is_pinged = state == EndpointState.READY
+        timeout_s = 10.0 if is_pinged else 0.1
+        assert bool(wait_for(lambda: running.commands("ECHO"), timeout_s)) is is_pinged
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -85,15 +85,15 @@
         lambda fields: None if fields["name"].endswith("ab") else HIT_ANSWER
     ) as running:
         client, other_client = running.connect_client(), running.connect_client()
-        number = client.send()
-        other_client.send()
+        number = client.send(patience="6000")  # longer than the waits
+        other_client.send(patience="6000")
         assert wait_for(lambda: len(running.commands()) == 2)
         client.socket.sendall(
             call_frame("forget", 0, b"\x08\x00\x01" + number.to_bytes(4, "big") + b"\0", 4)
         )
         other_client.close()
         assert wait_for(lambda: len(running.commands("KILL")) == 2)
-        assert running.director.coordinator.pending_count() == 0
+        assert wait_for(lambda: running.director.coordinator.pending_count() == 0)
         client.send(entity="00000000000000cd")
         assert client.read_answer()[:2] == (2, 0)
 
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -1,7 +1,6 @@
 """Writes to upstream connections, and the outcomes of attempts when a connection is lost."""
 
 import socket
-import time
 
 import pytest
 from helpers import (
@@ -85,13 +84,13 @@
             client.send(entity=f"{number:016x}")
             client.read_answer()
         assert running.director.upstream.connection_count >= 2  # to caches
-        for _ in range(4):
+
+        def is_order_served():
             client.send("order")
-            if client.read_answer()[1] == 0:
-                break
-            time.sleep(0.05)  # the evicted connection is still being closed
-        else:
-            raise AssertionError("no connection could be opened")
+            return client.read_answer()[1] == 0
+
+        # At first, the evicted connection may still be being closed.
+        assert wait_for(is_order_served, 10.0)
 
 
 @pytest.mark.usefixtures("patient_directors")
@@ -129,12 +128,16 @@
 
 @pytest.mark.usefixtures("patient_directors")
 def test_idle_connections_are_closed_by_the_director():
-    with RunningDirector(allowed={"connIdle": 100.0}) as running:
+    connection_counts = []
+
+    def answer_and_count(fields):
+        connection_counts.append(running.director.upstream.connection_count)
+        return HIT_ANSWER
+
+    with RunningDirector(answer_and_count, allowed={"connIdle": 100.0}) as running:
         client = running.connect_client()
         client.send()
-        assert (
-            client.read_answer()[:2] == (1, 0) and running.director.upstream.connection_count == 1
-        )
+        assert client.read_answer()[:2] == (1, 0) and connection_counts == [1]
         assert wait_for(lambda: running.director.upstream.connection_count == 0)
         client.send()
         assert client.read_answer()[:2] == (2, 0) and "upstream down" not in running.log.event_names
