--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -235,13 +235,13 @@
                 raise RuntimeError("can't start new thread")
             start(thread)
 
-        monkeypatch.setattr(threading.Thread, "start", fail_to_start)
-        client.send("pay")
-        assert client.read_answer()[:2] == (1, 1) and not running.commands()
-        with pytest.raises((EOFError, ConnectionError)):
-            running.connect_client().read_answer()
-        assert len(running.director.listener.clients) == 1
-        monkeypatch.undo()
+        with monkeypatch.context() as context:
+            context.setattr(threading.Thread, "start", fail_to_start)
+            client.send("pay")
+            assert client.read_answer()[:2] == (1, 1) and not running.commands()
+            with pytest.raises((EOFError, ConnectionError)):
+                running.connect_client().read_answer()
+            assert len(running.director.listener.clients) == 1
         client.send("pay")
         assert client.read_answer()[:2] == (2, 0)
 
