--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -80,10 +80,11 @@
         assert running.director.stopped.wait(5.0)
 
 
-def test_call_that_crosses_half_close_is_neither_started_nor_reset():
+def test_call_that_crosses_half_close_is_neither_started_nor_reset(monkeypatch):
     # The client sends a second call before it notices the half-close. Closing the socket with
     # unread bytes could lose the first answer. If the second call were executed, the client's retry
     # on a new connection would execute it twice.
+    monkeypatch.setattr(client_connection, "LINGER_S", 60.0)  # until the client closes its side
     with RunningDirector() as running:
         client = running.connect_client()
         client.send()
@@ -143,7 +144,10 @@
         assert wait_for(lambda: not running.director.listener.clients)
 
 
-def test_drain_waits_for_rest_of_partial_call():
+def test_drain_waits_for_rest_of_partial_call(monkeypatch):
+    partial_call_timeout_s = client_connection.DRAIN_PARTIAL_CALL_S
+    monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(client_connection, "DRAIN_PARTIAL_CALL_S", 60.0)
     with RunningDirector() as running:
         client, stalled_client = running.connect_client(), running.connect_client()
         request_frame = serve_frame(
@@ -163,6 +167,7 @@
         assert client.read_answer()[:2] == (7, 0)
         client.close()
         # The partial call of the stalled client delays the drain only until a timeout.
+        monkeypatch.setattr(client_connection, "DRAIN_PARTIAL_CALL_S", partial_call_timeout_s)
         assert running.director.stopped.wait(4.0)
 
 
@@ -249,7 +254,6 @@
 def test_flood_of_connections_evicts_no_active_client(monkeypatch):
     # New connections must not evict a client that sends requests. Each evicted connection must make
     # room for only one new connection, or the director's file descriptors would be used up.
-    monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 0.5)
     with RunningDirector() as running:
         listener, max_count = running.director.listener, 0
         listener.max_clients = 8
@@ -262,6 +266,7 @@
             assert active_client.read_answer()[:2] == (number + 1, 0)
             max_count = max(max_count, len(listener.clients))
         assert max_count <= 8
+        monkeypatch.setattr(client_connection, "FIRST_CALL_TIMEOUT_S", 0.5)
         silent_client = running.connect_client()
         silent_client.socket.sendall(IS_WELL_CALL[:9])
         with pytest.raises((EOFError, ConnectionError)):
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -13,6 +13,7 @@
     wait_for_attempt,
 )
 
+from mulleinrelay.net import upstream_connection
 from mulleinrelay.net.upstream_connections import UpstreamConnections
 from mulleinrelay.policy.model import EndpointState
 
@@ -117,8 +118,11 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_no_health_check_is_sent_to_endpoint_announced_as_draining_or_gone(state, allow_connecting):
+def test_no_health_check_is_sent_to_endpoint_announced_as_draining_or_gone(
+    state, allow_connecting, monkeypatch
+):
     # Neither queued health checks nor new ones may be sent to endpoints that are draining or gone.
+    monkeypatch.setattr(upstream_connection, "HEALTH_CHECK_TIMEOUT", 60_000.0)
     with RunningDirector(None) as running:
         upstream, coordinator = running.director.upstream, running.director.coordinator
         caches = list(coordinator.router.endpoints.caches)
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -170,7 +170,7 @@
         running.director.request_handler.max_requests, running.director.listener.max_clients = 2, 2
         client, idle_client = running.connect_client(), running.connect_client()
         for _ in range(3):
-            client.send(patience="500")
+            client.send(patience="3000")
         number, result, fields = client.read_answer()[:3]
         # The third request is rejected at once, as there is no capacity for it.
         assert (number, result) == (3, 1) and 50 <= int(fields["pause"]) <= 150
@@ -218,7 +218,7 @@
             messages = ["the number 10 is open already"]
         elif violation == "many":
             for _ in range(33):
-                bad_client.send(patience="900")
+                bad_client.send(patience="3000")
             messages = ["more than 32 requests are open"]
         elif violation == "id":
             bad_client.send(entity="00000000000000cd", trace="a" * 16)
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -67,7 +67,7 @@
     with RunningDirector(lambda fields: None, allowed={"mayDuplicate": False}) as running:
         client = running.connect_client()
         for _ in range(5):
-            client.send("order", patience="900")
+            client.send("order", patience="3000")
         assert wait_for(lambda: len(running.commands()) >= 5)
         origin_server = running.endpoints[-1]
         assert len(origin_server.connections) == 3  # with up to two attempts each
