--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -69,7 +69,7 @@
     first_bytes = b""
 
     def serve_connection(self, connection):
-        if len(self.connections) > 1:
+        if connection is not self.connections[0]:
             return super().serve_connection(connection)
         connection.sendall(self.first_bytes)
         while True:
@@ -152,8 +152,10 @@
 
 
 @pytest.mark.parametrize("event_kind", ["drain", "full snapshot", "purge"])
-def test_restrictions_after_a_gap_are_applied_before_the_missing_events(event_kind):
+def test_restrictions_after_a_gap_are_applied_before_the_missing_events(event_kind, monkeypatch):
     # The grace period of a restriction must not expire while the missing events are requested.
+    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)  # the missing events may come late
+    monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 60.0)
     missing_requested, send_missing = threading.Event(), threading.Event()
 
     class PausedEventStream(StandInEventStream):
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -30,7 +30,9 @@
     # Without catching up, the first requests would use an outdated endpoint list: the grace period
     # of a drain that was announced during the start may be over. Here the stream sends nothing
     # until the listener has answered a health check.
-    monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(event_stream, "CATCH_UP_TIMEOUT_S", 2.5)
     drain = stream_event(
         2, {"topology": {"version": 2, "servers": [{"id": "s-01", "state": "DRAINING"}]}}
     )
@@ -245,9 +247,17 @@
 def test_events_are_applied_once_and_none_is_skipped(
     scripts, last_event_ids, applied_count, logged_count, monkeypatch
 ):
-    monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 60.0)
+
+    def follow_last_script():
+        """Yield the pieces of the last script; shorten the timeout before its last event."""
+        yield from scripts[-1][:-2]
+        monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 0.3)
+        yield from scripts[-1][-2:]
+
     event_stream_server, router_events, handle = (
-        StandInEventStream(*scripts),
+        StandInEventStream(*scripts[:-1], follow_last_script()),
         [],
         RouterDriver.handle,
     )
