--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -170,10 +170,13 @@
         assert client.read_answer() == (1, 0, {}, b"bytes")
 
 
-def test_refused_connection_proves_that_nothing_was_executed():
-    with RunningDirector() as running:
-        for endpoint in running.endpoints:
-            endpoint.close()
+@pytest.mark.usefixtures("patient_directors")
+def test_refused_connection_proves_that_nothing_was_executed(reserve_port):
+    running = RunningDirector()
+    (event,) = running.director.config.known_events
+    for row in event["topology"]["servers"]:
+        row["addr"] = f"127.0.0.1:{reserve_port()}"  # nothing listens there
+    with running:
         client = running.connect_client()
         for number in range(1, 9):
             client.send("pay")
