--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -14,7 +14,7 @@
     wait_for,
 )
 
-from mulleinrelay.net import resp
+from mulleinrelay.net import resp, upstream_connection
 from mulleinrelay.net import upstream_connections as upstream_module
 from mulleinrelay.net.upstream_connection import UpstreamConnection
 from mulleinrelay.policy import connection_reuse
@@ -60,7 +60,7 @@
 def test_cancellation_is_sent_only_if_the_settings_allow_it(allows_cancel, cancel_count):
     with RunningDirector(None, allowed={"cancel": allows_cancel, "mayDuplicate": False}) as running:
         client, upstream = running.connect_client(), running.director.upstream
-        client.send("pay", patience="300")
+        client.send("pay")
         assert wait_for(running.commands)
         (attempt,) = upstream.connection_by_attempt
         upstream.cancel(attempt)
@@ -71,6 +71,8 @@
             wait_for(lambda: running.commands("METER"))
             and len(running.commands("KILL")) == cancel_count
         )
+        for request in running.director.coordinator.finish_pending_requests():
+            running.director.request_handler.run_request(request)
         assert client.read_answer()[:2] == (1, 2)
 
 
@@ -236,7 +238,11 @@
         assert "upstream down" in running.log.event_names
 
 
-def test_connection_that_answers_pings_keeps_its_slow_attempts():
+def test_connection_that_answers_pings_keeps_its_slow_attempts(monkeypatch):
+    # The first ping is sent after 0.1 s. If its answer were not accepted, the connection would be
+    # closed before the request ends.
+    monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", 200.0)
+    monkeypatch.setattr(upstream_connection, "PING_TIMEOUT", 1000.0)
     with RunningDirector(None) as running:
         client = running.connect_client()
         client.send("pay", patience="1500")
