--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -3,6 +3,7 @@
 import socket
 import threading
 import time
+from types import SimpleNamespace
 
 import pytest
 from helpers import (
@@ -44,6 +45,8 @@
 def test_queue_disconnects_peer_that_reads_nothing_but_not_one_that_reads_slowly(
     is_reading, monkeypatch
 ):
+    now = 0.0  # the queue's clock, in seconds
+    monkeypatch.setattr(queue_module, "time", SimpleNamespace(monotonic=lambda: now))
     monkeypatch.setattr(queue_module, "POLL_INTERVAL_MS", 20)
     local, remote = socket.socketpair()
     local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -51,12 +54,13 @@
     assert queue.attach(local)
     with queue.lock:
         queue.write(1, [bytes(2_000_000)])
-    ends_at = time.monotonic() + 0.9
-    while time.monotonic() < ends_at:
-        if is_reading:
-            remote.recv(4096)
-        time.sleep(0.02)
-    assert queue.is_shut_down != is_reading
+    for _ in range(45):
+        unwritten = queue.pending_bytes
+        while is_reading and queue.pending_bytes == unwritten:
+            assert remote.recv(4096)  # empty if the queue has disconnected
+        now += 0.02
+        time.sleep(0.005)
+    assert wait_for(lambda: queue.is_shut_down, 0.1 if is_reading else 10.0) != is_reading
     remote.close()
     local.close()
 
