--- a/tests/cells/cells_fixtures.py
+++ b/tests/cells/cells_fixtures.py
@@ -145,17 +145,17 @@
     plan of all stand-in endpoints, or a list with a plan for each. `open_most` and `rate` are the
     values of `cells.ini`; `changes` are passed to `platform_configuration`.
 
-    By default, the directors do not react to an endpoint that is silent for up to two seconds:
-    connections are not pinged and may take as long to open, and the latency objective of all
-    request classes is longer than the clients' patience, so that no attempt is overdue and no timer
-    is due before a client's time is up. Otherwise a thread that a busy machine does not schedule
-    for a second would make an endpoint count as unreachable, or its director as overloaded, and
-    requests would be hedged, rejected or failed. With `reacts_to_silence`, the settings of
+    By default, the directors do not react to an endpoint that is silent for up to two seconds. They
+    send no pings, and connections may take longer than that to open. The latency objective of all
+    request classes is longer than the time for which a client waits, so that no attempt is overdue
+    and no timer is due before a request expires. Otherwise, if a busy machine does not schedule a
+    thread for a second, an endpoint could count as unreachable or a director as overloaded, and
+    requests could be hedged, rejected or failed. With `reacts_to_silence`, the settings of
     `start_settings` are kept.
     """
 
-    PATIENT_OBJECTIVE = 5_000.0  # ms; the clients' patience is at most 3000 ms
-    PATIENT_CONNECT_TIMEOUT = 2_900.0  # ms
+    LONG_LATENCY_OBJECTIVE = 5_000.0  # ms; the clients wait for at most 3000 ms
+    LONG_CONNECT_TIMEOUT = 2_900.0  # ms
 
     def __init__(
         self,
@@ -183,10 +183,10 @@
             if not reacts_to_silence:
                 platform_config["settings"]["allowed"] |= {
                     "mayProbe": False,
-                    "connectTimeout": self.PATIENT_CONNECT_TIMEOUT,
+                    "connectTimeout": self.LONG_CONNECT_TIMEOUT,
                 }
                 for request_class in platform_config["settings"]["classes"]:
-                    request_class["slo"] = self.PATIENT_OBJECTIVE
+                    request_class["slo"] = self.LONG_LATENCY_OBJECTIVE
             cells_config = CellsConfig(
                 True,
                 str(self.path),
--- a/tests/cells/test_cells_end_to_end.py
+++ b/tests/cells/test_cells_end_to_end.py
@@ -39,29 +39,29 @@
     )
 
 
-def is_flood(entry):
+def is_from_flood(entry):
     return entry[2]["name"].startswith("f")
 
 
 def answer_others(fields):
-    """Return no answer to a request of the flooding tenant."""
+    """Return a hit, or no answer if the request is from the flooding tenant."""
     return None if fields["name"].startswith("f") else HIT_ANSWER
 
 
 def send_flood(running):
-    """Send 30 requests of the flooding tenant on each of eight connections, and return these.
+    """Send 30 requests of the flooding tenant from each of eight clients, and return the clients.
 
-    The function returns when the first of the requests has reached the cache.
+    Before it returns, the function waits until one of the requests has reached the cache.
     """
     clients = []
     for _ in range(8):
-        # The first request follows at once: a connection without a call is closed after 2 s.
+        # The first request is sent at once, as a connection without a call is closed after 2 s.
         clients.append(running.connect_client())
         clients[-1].send(tenant="acme", entity=f"f{0:015x}", patience="2900")
     for number in range(1, 30):
         for client in clients:
             client.send(tenant="acme", entity=f"f{number:015x}", patience="2900")
-    assert wait_for(lambda: any(map(is_flood, running.commands_by_endpoint()["s-01"])), 10.0)
+    assert wait_for(lambda: any(map(is_from_flood, running.commands_by_endpoint()["s-01"])), 10.0)
     return clients
 
 
@@ -88,7 +88,7 @@
         for number in range(40):  # in the middle of the flood
             others.send(tenant="beta", entity=f"{number:016x}")
             assert others.read_answer()[1] == SERVED
-        flood = [entry for entry in running.commands_by_endpoint()["s-01"] if is_flood(entry)]
+        flood = [entry for entry in running.commands_by_endpoint()["s-01"] if is_from_flood(entry)]
         # A completion is recorded before its quota is released, so `ended` is never too short.
         assert 0 < len(flood) <= 64 + len(ended)
         assert (
@@ -104,8 +104,9 @@
             assert [client.read_answer()[1] for _ in range(30)] == [REJECTED] * 30
 
 
-def test_flood_of_a_silent_cache_does_not_reach_the_caches_of_another_cell(tmp_path):
-    # The attempts become overdue, because the only cache of the cell does not answer them.
+def test_flood_that_a_cache_does_not_answer_reaches_no_cache_of_another_cell(tmp_path):
+    # The attempts become overdue, because the only cache of their cell does not answer them. They
+    # must not be hedged or retried at the caches of the other cell.
     with DirectorsFixture(
         tmp_path,
         make_assignment(TWO_CELLS),
@@ -249,7 +250,8 @@
         tmp_path, make_assignment(TWO_CELLS, migrations=(make_paused_migration(1.0),))
     ) as running:
         director = running.directors[0]
-        # Before the first answer, so that the cache of south holds a copy made after the purge.
+        # The purge is dated before the first request, so that the copy that this request makes in
+        # a cache of south is newer than the purge.
         purged_at = round(director.clock()) - 100
         client = running.connect_client()
         client.send(tenant="acme", entity="00000000000000ab")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -282,8 +282,9 @@
 def keep_only_pages(configuration):
     """Remove all request classes but `pages` from a director's configuration, and return it.
 
-    A director rejects requests because of late timers only if they are idempotent and other classes
-    are not, so it rejects none with this configuration, however busy the machine is.
+    When its timers run late, a director rejects idempotent requests to reserve CPU time for classes
+    that are not idempotent. Without such classes, late timers alone lead to no rejection, except of
+    a request that the client has sent before.
     """
     settings = configuration["settings"]
     settings["classes"] = [each for each in settings["classes"] if each["name"] == "pages"]
@@ -458,7 +459,7 @@
             self.serve_connection(connection)
 
     def close(self):
-        """Stop to listen, then close all connections, also one that is just being accepted."""
+        """Stop listening, then close all connections, including one that is being accepted."""
         self._close(self.socket)
         self.accept_thread.join(10.0)
         for connection in self.connections:
@@ -533,8 +534,8 @@
     connection. At the end of its script, the connection is closed. If no script is left, a response
     head is sent, and the connection is closed once the client has closed it.
 
-    During a wait, the stream is silent, so that a director reconnects after a while. If
-    `keeps_alive` is set, it sends comment lines, as the platform's stream does.
+    During such a wait, the stream sends nothing, so a director reconnects after a timeout. If
+    `keeps_alive` is set, the stream sends comment lines instead, as the platform's stream does.
 
     `last_event_ids` lists the number of the last known event that each connection's request names.
     """
@@ -706,8 +707,9 @@
 def wait_for(condition, timeout_s=5.0):
     """Wait until a condition is true or the timeout expires; return the condition's last result.
 
-    A condition that was true is not evaluated again, as it may hold for a moment only. One that was
-    false is evaluated once more after the timeout, as the waiting thread may have been late.
+    A true result is returned without another evaluation, because the condition may be true only for
+    a moment. A false condition is evaluated once more after the timeout, because the waiting thread
+    may have run late.
     """
     end = time.monotonic() + timeout_s
     while not (result := condition()) and time.monotonic() < end:
@@ -728,8 +730,8 @@
 def replace_in_this_thread(monkeypatch, owner, name, replacement):
     """Replace a function for the calling thread; all other threads still call the original.
 
-    The threads of background jobs share the modules of the test's process. They must keep the real
-    clock, for example.
+    Background jobs may run in threads of the same process. They must read the real time, for
+    example.
     """
     original, thread_id = getattr(owner, name), threading.get_ident()
 
--- a/tests/lab/test_fault_proxy.py
+++ b/tests/lab/test_fault_proxy.py
@@ -12,9 +12,9 @@
 from mulleinrelay.lab.fleet.network_rules import NetworkRule, encode_rule
 from mulleinrelay.standins.reserved_port import ReservedPort
 
-WAIT_S = 20.0  # limit of waits that end when the awaited event comes
-SILENCE_S = 0.4  # wait in which nothing may be received
-MARKER = "marker"  # target that nothing connects to and no rule matches
+WAIT_S = 20.0  # timeout of waits for something that must happen
+SILENCE_S = 0.4  # time during which nothing may be received
+MARKER = "marker"  # target that only shows which commands are executed; no rule matches it
 
 
 class EchoServer(StandInServer):
@@ -38,7 +38,7 @@
 class ProxySetup:
     def __init__(self, tmp_path):
         self.echo, self.last_rule = EchoServer(), 0
-        # Reserved like the datagram port of a lab
+        # Reserved at the same address as the datagram port of a lab
         self.datagram_port = ReservedPort(addresses.RESERVATION_ADDRESS, socket.SOCK_DGRAM)
         target_address = list(self.echo.socket.getsockname())
         self.process = LabProcess(
@@ -60,8 +60,8 @@
     def execute(self, command):
         """Send a command to the proxy and wait until it has executed it.
 
-        The proxy executes commands in order and confirms none. So the command is followed by two
-        that close and open the listener of the marker, and this is awaited.
+        The proxy executes commands in order but does not confirm them. Two further commands close
+        and reopen the listener of the marker, and the method waits until both have taken effect.
         """
         self.process.send(command)
         self.process.send({"deaf": MARKER})
@@ -72,7 +72,8 @@
     def refuses_marker(self):
         """Return whether a connection to the marker is refused.
 
-        The address of the connection belongs to no director, so the proxy does not forward it.
+        The connection goes to an address that belongs to no director, so the proxy resets it
+        without forwarding anything to the target.
         """
         with socket.socket() as probe:
             probe.settimeout(WAIT_S)
@@ -104,13 +105,13 @@
 
 
 def exchange(connection, text):
-    """Send the text and return the answer, which is empty if the connection has ended in order."""
+    """Send the text and return the answer, or b"" if the connection was closed without a reset."""
     connection.sendall(text)
     return connection.recv(100)
 
 
 def assert_unanswered(connection, text):
-    """Send the text and check that nothing is received in SILENCE_S."""
+    """Send the text and check that nothing is received within SILENCE_S."""
     connection.sendall(text)
     connection.settimeout(SILENCE_S)
     with pytest.raises(TimeoutError):
@@ -119,10 +120,11 @@
 
 
 def assert_is_reset(get_connection):
-    """Check that the connection which `get_connection` returns is reset without traffic.
+    """Check that the proxy resets the connection that `get_connection` returns or opens.
 
-    The reset may come before it returns, because `connect` reports a reset that follows the
-    handshake at once. No text is sent, because bytes that reach a closed socket cause a reset too.
+    `get_connection` itself may raise the error, because `connect` reports a reset that follows the
+    handshake immediately. Nothing is sent, because bytes that reach a closed socket also cause a
+    reset.
     """
     with pytest.raises(ConnectionResetError):
         get_connection().recv(100)
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -20,8 +20,8 @@
 from mulleinrelay.lab.fleet.scenario_parser import parse_fleet_scenario
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-# Maximum time from the record of a fault until the lab has injected it, and until the nodes have
-# recorded all attempts from before it
+# The effect of a fault is checked from this time after its recorded start. By then, the lab has
+# injected the fault, and the nodes have recorded all attempts that were sent before it.
 MAX_DELAY_S = 2.0
 # Limits that depend on the speed of the machine are generous: answers, stops and drains have
 # several seconds more than they need.
--- a/tests/lab/test_reserved_port.py
+++ b/tests/lab/test_reserved_port.py
@@ -78,8 +78,9 @@
 
 
 def test_released_port_is_free():
-    # No other socket of the test run can get the port meanwhile: none is bound at these addresses,
-    # and while the port is bound at the second one, it is not selected at all addresses.
+    # No other socket of the test run can get the released port. No other test binds a socket to
+    # these two addresses, and while the guard is bound to the port, the system does not select the
+    # port for a socket that is bound to all addresses.
     host, guard_host = "127.50.0.1", "127.50.0.2"
     reserved = ReservedPort(host)
     with socket.socket() as guard:
--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -56,8 +56,8 @@
     """A director on loopback with management and optional cells, started by a with block.
 
     The end of the block stops the director and closes its endpoints, clients and connections. The
-    files in `folder` are kept, so that another director can continue with them. `changes` replace
-    start settings of the director, as in `helpers.start_settings`.
+    files in `folder` are kept, so that another director can continue with them. `changes` are
+    passed to `platform_configuration`.
     """
 
     def __init__(self, folder, config=INSECURE_CONFIG, cells=False, plan=HIT_ANSWER, **changes):
@@ -82,8 +82,8 @@
         self.director = Director(
             self.config, self.log, cells_config, parse_management_config(config, str(folder))
         )
-        # A director whose timers are late lacks CPU time and rejects requests. These tests do not
-        # check that, and on a busy machine the timers of their process may be late.
+        # A director rejects idempotent requests when its timers run late, as they may on a busy
+        # machine. The tests with this class do not check that.
         self.director.coordinator.cpu_utilization = lambda: 0.0
 
     def __enter__(self) -> "ManagedDirector":
--- a/tests/management/test_ctl.py
+++ b/tests/management/test_ctl.py
@@ -60,9 +60,9 @@
     assert ctl(running, "--target", "127.0.0.1:1", "--timeout", "0.5", "history")[0] == 1
 
 
-def test_watch_shows_values_and_ends_after_its_time(running, monkeypatch):
-    # The end of the time closes the connection. It must not come before the first value, which may
-    # take longer than this time on a busy machine.
+def test_watch_shows_values_and_ends_after_the_given_time(running, monkeypatch):
+    # A timer closes the connection after the given time. Here the close is blocked until the first
+    # value is shown, because that may take longer than the given time on a busy machine.
     resume_close = hold_calls(monkeypatch, GnmiTarget, "close")
     show_event = commands._show_event
 
--- a/tests/management/test_gnmi_calls.py
+++ b/tests/management/test_gnmi_calls.py
@@ -118,11 +118,11 @@
                 }
             )
             assert "update" in next(iter(stream))
-            stream.close()  # ends the client's requests; the responses go on
+            stream.close()  # ends the stream of requests, but not that of responses
             client.set(delete=["/fleet/drains/drain[box=s-03]"])
             assert director.ready_caches() == ["s-01", "s-02", "s-03"]
-            # The director ends the responses, since a closed channel would end them with an error,
-            # which the client raises in its own thread.
+            # The director ends the stream of responses. Otherwise the closed channel would end it
+            # with an error, which the client would raise in its own thread.
             director.management.stop()
             stream._subscribe_thread.join(10.0)
             assert not stream._subscribe_thread.is_alive()
--- a/tests/management/test_gnmi_server.py
+++ b/tests/management/test_gnmi_server.py
@@ -54,8 +54,8 @@
     # The delayed attempt must stay in flight even if a busy machine delays the drain, so neither an
     # unanswered ping nor a second attempt nor a cancellation may end it.
     monkeypatch.setattr(upstream_connection, "PING_TIMEOUT", 10_000.0)
-    only_attempt = {"mayDuplicate": False, "cancel": False}
-    with ManagedDirector(tmp_path, plan=answer_when_allowed, allowed=only_attempt) as director:
+    restrictions = {"mayDuplicate": False, "cancel": False}
+    with ManagedDirector(tmp_path, plan=answer_when_allowed, allowed=restrictions) as director:
         client = director.client()
         target = director.target()
         for number in range(12):
@@ -113,8 +113,8 @@
 
 def test_unconfirmed_commit_is_rolled_back_after_a_restart(tmp_path):
     with ManagedDirector(tmp_path) as director:
-        # As if killed before the deadline: a clock that stands still keeps this director from
-        # rolling back, however long the test takes.
+        # The clock of management is stopped, so that the deadline does not pass and this director
+        # rolls nothing back, as if it had been killed before the deadline.
         committed_at = director.management.clock()
         director.management.clock = lambda: committed_at
         director.target().set(
--- a/tests/management/test_gnmi_subscriptions.py
+++ b/tests/management/test_gnmi_subscriptions.py
@@ -68,7 +68,7 @@
     for number in range(6):
         drain(running.target(), "zz", reason=f"r{number}")
     running.target().set(deletes=[drain_path("zz")])
-    # A change may also be queued by the thread of management, after the call has returned.
+    # The thread of management may queue a change after the call has returned.
     assert wait_for(lambda: subscriber.dropped_count >= 4, 10.0)
     assert len(subscriber.queue) == 3
     running.management.unsubscribe(subscriber)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -25,7 +25,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 COUNT = 14
-PARTITION_END_S = 18.0  # of the fault `parted` in the scenario, from the start of the run
+PARTITION_END_S = 18.0  # from the start of the run to the end of the fault `parted`
 SCENARIO = """
 [fleet lab]
 seconds = 46
@@ -100,8 +100,8 @@
 def run_scenario(folder):
     """Run the scenario; return its audit, the folder, and what was observed during the run.
 
-    Observed are the last records during the partition, samples of the usable quota, and the output
-    of two commands at the end.
+    The observations are the last records before the end of the partition, samples of the usable
+    quota, and the output of two commands at the end.
     """
     lab = FleetLab(parse_fleet_scenario(SCENARIO), SCENARIO, folder)
     # Each sample: s since the start, director, limit, usable and owned thousandths of the limit
@@ -309,14 +309,14 @@
 
 
 def test_stopped_service_leaves_no_thread(tmp_path, monkeypatch):
-    """A director must be able to stop while its membership thread waits for datagrams.
+    """Stop the service while its thread waits for a datagram.
 
-    `stop` waits for the thread twice as long as the thread waits for a datagram. Both are longer
-    here, so that a thread that runs late is still waited for.
+    `stop` waits for the end of the thread for at most twice the maximum wait for a datagram. Both
+    times are longer here, so that `stop` also waits for a thread that runs late.
     """
     monkeypatch.setattr(service_module, "MAX_RECEIVE_WAIT_S", 5.0)
-    # The port is reserved at one address, so that no socket at all addresses gets it, and used at
-    # another, at which no other socket is bound.
+    # The port is reserved at one address, so that the system does not select it for a socket that
+    # is bound to all addresses. The service binds it at another address that no other test uses.
     reserved = ReservedPort("127.0.0.1", socket.SOCK_DGRAM)
     config = parse_fleet_config(
         f"[fleet]\nenabled = yes\nkey = long enough\nlisten = 127.0.0.2:{reserved.port}\n",
@@ -326,12 +326,12 @@
     service = MembershipService(config, "n1", 1, lambda: 1000.0 * time.time(), log)
     receive, is_waiting = service._receive, threading.Event()
 
-    def notice_wait(udp_socket):
+    def report_wait(udp_socket):
         if udp_socket.gettimeout() > 0.1:
             is_waiting.set()
         receive(udp_socket)
 
-    service._receive = notice_wait
+    service._receive = report_wait
     service.start()
     assert is_waiting.wait(10.0)
     service.stop()
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of the network code."""
+"""Fixtures for the tests of the network code."""
 
 import threading
 
@@ -13,12 +13,11 @@
 
 @pytest.fixture
 def patient_directors(monkeypatch):
-    """Let directors ignore delays that a busy machine causes, and not the test.
+    """Let directors ignore delays that are caused by a busy machine and not by the test.
 
-    Otherwise a director repeats an attempt at another endpoint if the answer is late for the
-    request's latency objective, a ping is not answered within 100 ms or the connection is not open
-    after 400 ms. It also rejects requests if its timers run late. Delays that a test itself records
-    still count.
+    Otherwise a director may send another attempt if an answer exceeds the latency objective, a ping
+    is not answered within 100 ms, or a connection is not open after 400 ms. It may also reject
+    requests if its timers run late. Delays that a test itself records still count.
     """
     start_settings, record_delay = helpers.start_settings, SchedulingDelay.record
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -170,7 +170,7 @@
     # when the client disconnects.
     with RunningDirector(None) as running:
         client = running.connect_client()
-        client.send(patience="6000")  # longer than the wait for the removal
+        client.send(patience="6000")  # longer than the wait until the client is removed
         assert wait_for(running.commands)
         client.socket.sendall(b"\xff" * 100)
         client.close()
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -38,7 +38,7 @@
     monkeypatch.setattr(ClientListener, "has_pending_writes", send_late_call)
 
     def answer_late(fields):
-        # The answer follows after the drain has checked the connections.
+        # The delay lets the drain check the connections before the request is answered.
         return may_answer.wait(10.0) and (time.sleep(0.2) or HIT_ANSWER)
 
     with RunningDirector(answer_late) as running:
@@ -84,7 +84,8 @@
     # The client sends a second call before it notices the half-close. Closing the socket with
     # unread bytes could lose the first answer. If the second call were executed, the client's retry
     # on a new connection would execute it twice.
-    monkeypatch.setattr(client_connection, "LINGER_S", 60.0)  # until the client closes its side
+    # The timeout of the lingering close is long, so that the close of the client ends it.
+    monkeypatch.setattr(client_connection, "LINGER_S", 60.0)
     with RunningDirector() as running:
         client = running.connect_client()
         client.send()
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -90,8 +90,8 @@
         ("LINE_TIMEOUT_S", 0.4),
     ):
         monkeypatch.setattr(event_stream, name, timeout_s)
-    # Each connection takes one script. The script is repeated, because the director may give up a
-    # connection before it has received the events.
+    # Each connection takes one script. The script is repeated, because the timeouts are so short
+    # that the director may close a connection before it has received the event.
     stand_in = TricklingEventStream(*[[RESPONSE_HEAD, stream_event(2, PURGE), None]] * 9)
     stand_in.first_bytes = first_bytes
     with RunningDirector(event_stream=stand_in) as running:
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize("event_kind", ["drain", "full snapshot", "purge"])
 def test_restrictions_after_a_gap_are_applied_before_the_missing_events(event_kind, monkeypatch):
     # The grace period of a restriction must not expire while the missing events are requested.
-    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)  # the missing events may come late
+    monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)  # the missing events are sent late
     monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 60.0)
     missing_requested, send_missing = threading.Event(), threading.Event()
 
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -250,14 +250,14 @@
     monkeypatch.setattr(event_stream, "HEAD_TIMEOUT_S", 60.0)
     monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 60.0)
 
-    def follow_last_script():
-        """Yield the pieces of the last script; shorten the timeout before its last event."""
+    def yield_last_script():
+        """Yield the pieces of the last script; shorten the timeout before the last bytes."""
         yield from scripts[-1][:-2]
         monkeypatch.setattr(event_stream, "SILENCE_TIMEOUT_S", 0.3)
         yield from scripts[-1][-2:]
 
     event_stream_server, router_events, handle = (
-        StandInEventStream(*scripts[:-1], follow_last_script()),
+        StandInEventStream(*scripts[:-1], yield_last_script()),
         [],
         RouterDriver.handle,
     )
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -85,7 +85,7 @@
         lambda fields: None if fields["name"].endswith("ab") else HIT_ANSWER
     ) as running:
         client, other_client = running.connect_client(), running.connect_client()
-        number = client.send(patience="6000")  # longer than the waits
+        number = client.send(patience="6000")  # longer than each of the waits
         other_client.send(patience="6000")
         assert wait_for(lambda: len(running.commands()) == 2)
         client.socket.sendall(
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -89,7 +89,7 @@
             client.send("order")
             return client.read_answer()[1] == 0
 
-        # At first, the evicted connection may still be being closed.
+        # The first requests may not be served, as the evicted connection may still be open.
         assert wait_for(is_order_served, 10.0)
 
 
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -57,7 +57,7 @@
     for _ in range(45):
         unwritten = queue.pending_bytes
         while is_reading and queue.pending_bytes == unwritten:
-            assert remote.recv(4096)  # empty if the queue has disconnected
+            assert remote.recv(4096)  # empty if the queue has shut down the connection
         now += 0.02
         time.sleep(0.005)
     assert wait_for(lambda: queue.is_shut_down, 0.1 if is_reading else 10.0) != is_reading
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -22,14 +22,15 @@
 def test_drain_answers_open_requests(monkeypatch):
     # Guards against a drain that leaves open requests without an answer. They get a final answer
     # 0.3 s after the beginning of the drain, because 3.4 s of its limit of 3.7 s then remain. The
-    # drain is held at that point until a late client has its answer, and is held again before it
-    # closes connections until the open requests have theirs. The upper limit of the 0.3 s is
-    # checked by the sum of the drain's waits, to which no delay of its thread adds.
+    # drain is blocked at that point until a late client has its answer. It is blocked again before
+    # it closes connections, until the open requests have their answers. That the drain does not
+    # wait for much longer than 0.3 s is checked by the sum of its sleeps, because a busy machine
+    # may prolong the elapsed time.
     monkeypatch.setattr(director_module, "FINAL_ANSWERS_S", 3.4)
-    waits = []
-    counted_time = SimpleNamespace(**vars(time))
-    counted_time.sleep = lambda seconds: (waits.append(seconds), time.sleep(seconds))
-    monkeypatch.setattr(director_module, "time", counted_time)
+    sleeps = []
+    recording_time = SimpleNamespace(**vars(time))
+    recording_time.sleep = lambda seconds: (sleeps.append(seconds), time.sleep(seconds))
+    monkeypatch.setattr(director_module, "time", recording_time)
     give_final_answers = hold_calls(monkeypatch, RequestCoordinator, "finish_pending_requests")
     close_connections = hold_calls(monkeypatch, ClientListener, "drain")
     with RunningDirector(None) as running:
@@ -40,7 +41,7 @@
         started_at = time.monotonic()
         running.director.stop()
         assert give_final_answers.reached.wait(10.0)
-        assert time.monotonic() - started_at >= 0.3 and sum(waits) < 0.35
+        assert time.monotonic() - started_at >= 0.3 and sum(sleeps) < 0.35
         assert running.director.phase == director_module.Phase.DRAINING
         late_client = running.connect_client()
         late_client.socket.sendall(IS_WELL_CALL)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -35,9 +35,9 @@
 
 
 def next_log_line(program):
-    """Return the next line of the program's log, without lines on reconnects of the event stream.
+    """Return the next log line of the program that reports no reconnect of the event stream.
 
-    Such a line can come at any time, even before the program is ready.
+    A reconnect can be logged at any time, even before the program is ready.
     """
     while (line := json.loads(program.stderr.readline()))["event"] == "event stream reconnects":
         pass
@@ -86,9 +86,9 @@
 def test_program_serves_until_sigterm(tmp_path, reserve_port):
     purge = {"ban": {"tag": 17, "ts": time.time() * 1000}}
     endpoints, client_port = [StandInEndpoint(HIT_ANSWER) for _ in range(6)], reserve_port()
-    purges = [RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]
+    purge_script = [RESPONSE_HEAD, stream_event(2, PURGE), stream_event(3, purge), None]
     event_streams = [
-        StandInEventStream(*scripts, keeps_alive=True) for scripts in ([], [purges], [])
+        StandInEventStream(*scripts, keeps_alive=True) for scripts in ([], [purge_script], [])
     ]
     file = tmp_path / "config.json"
     texts = [
@@ -174,7 +174,8 @@
 def test_moved_event_stream_is_found_without_a_signal(tmp_path, reserve_port):
     # Guards against a director that no longer gets events because it missed the signal to reload
     # the configuration. If its event stream refuses connections, it must read the new address. The
-    # reserved port goes on to refuse connections after the old stream has closed.
+    # port of the old stream stays reserved, so that it refuses connections once the stream has
+    # closed.
     old_stream, new_stream = StandInEventStream(port=reserve_port()), StandInEventStream()
     file = tmp_path / "config.json"
     file.write_text(json.dumps(platform_configuration(event_stream_address=old_stream.address)))
