--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -649,14 +649,27 @@
         self.socket.close()
 
 
+def ignore_late_timers(director):
+    """Let a director reject no request because its timers are late, as they are in a busy test run.
+
+    A test that needs such a delay records it in the coordinator's `scheduling_delay` itself.
+    """
+    scheduling_delay = director.coordinator.scheduling_delay
+    record = scheduling_delay.record
+
+    def record_delay_of_test(now, delay):
+        if threading.current_thread().name != "timers":
+            record(now, delay)
+
+    scheduling_delay.record = record_delay_of_test
+
+
 class RunningDirector:
     """Director on loopback with a StandInEndpoint for each of ENDPOINTS.
 
     It is a context manager: the director is started at the beginning of the block and drained at
     the end. All endpoints have the same plan, and `changes` are passed to `platform_configuration`.
-
-    The director rejects no request because its timers are late, as they are in a busy test run. A
-    test that needs such a delay records it in the coordinator's `scheduling_delay` itself.
+    Late timers are ignored, see `ignore_late_timers`.
     """
 
     def __init__(self, plan=HIT_ANSWER, event_stream=None, **changes):
@@ -667,11 +680,7 @@
         )
         self.log = LogRecorder()
         self.director = Director(parse_config(json.dumps(configuration)), self.log)
-        scheduling_delay = self.director.coordinator.scheduling_delay
-        record = scheduling_delay.record
-        scheduling_delay.record = lambda now, delay: (
-            None if threading.current_thread().name == "timers" else record(now, delay)
-        )
+        ignore_late_timers(self.director)
 
     def __enter__(self) -> "RunningDirector":
         self.director.start()
--- a/tests/management/managed_director.py
+++ b/tests/management/managed_director.py
@@ -11,6 +11,7 @@
     StandInEndpoint,
     StandInEventStream,
     commands_by_endpoint,
+    ignore_late_timers,
     platform_configuration,
 )
 
@@ -82,9 +83,7 @@
         self.director = Director(
             self.config, self.log, cells_config, parse_management_config(config, str(folder))
         )
-        # A director whose timers are late lacks CPU time and rejects requests. These tests do not
-        # check that, and on a busy machine the timers of their process may be late.
-        self.director.coordinator.cpu_utilization = lambda: 0.0
+        ignore_late_timers(self.director)
 
     def __enter__(self) -> "ManagedDirector":
         self.director.start()
