--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -105,15 +105,13 @@
     return {name for name, _, _ in running.director.coordinator.ready_caches()}
 
 
-def test_drain_is_received_after_three_silent_connections(monkeypatch):
+def test_drain_is_received_after_three_silent_connections():
     # A drain must be obeyed within 7 s of its announcement, even if three connections in a row are
-    # silent. All times are scaled down to a tenth.
-    for name in ("SILENCE_TIMEOUT_S", "HEAD_TIMEOUT_S", "LINE_TIMEOUT_S"):
-        monkeypatch.setattr(event_stream, name, getattr(event_stream, name) / 10.0)
+    # silent. The timeouts and the backoff are those of the program.
     with RunningDirector(
         event_stream=StandInEventStream([RESPONSE_HEAD, None], [None], [None])
     ) as running:
-        running.director.event_stream.reconnect_backoff.record_end = lambda *_: 0.01
+        announced_at = time.monotonic()
         running.event_stream.scripts.append(
             [
                 RESPONSE_HEAD,
@@ -121,9 +119,8 @@
                 None,
             ]
         )
-        started_at = time.monotonic()
-        assert wait_for(lambda: ready_cache_names(running) == {"s-03"})
-        assert time.monotonic() - started_at < 0.7
+        assert wait_for(lambda: ready_cache_names(running) == {"s-03"}, 15.0)
+        assert time.monotonic() - announced_at < 7.0
         assert running.director.event_stream.last_event_number == 2
         for number in range(12):
             running.connect_client().send(entity=f"{number:016x}")
