--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -17,6 +17,7 @@
 from mulleinrelay.net import resp, upstream_connection
 from mulleinrelay.net import upstream_connections as upstream_module
 from mulleinrelay.net.upstream_connection import UpstreamConnection
+from mulleinrelay.net.write_queue import WriteQueue
 from mulleinrelay.policy import connection_reuse
 from mulleinrelay.policy.model import Attempt, Endpoint
 
@@ -188,34 +189,52 @@
         assert len(failed_names) == len(set(failed_names)) > 0
 
 
+@pytest.mark.usefixtures("patient_directors")
 def test_silent_endpoint_delays_only_its_own_requests():
+    # Ten requests get no answer. If each of them delayed the next request by 0.3 s, or the last
+    # request waited for the end of any, the last one would not be answered first.
     with RunningDirector(
         lambda fields: None if fields["name"].endswith("ab") else HIT_ANSWER
     ) as running:
         client = running.connect_client()
         started_at = time.monotonic()
-        client.send(patience="600")
+        for number in range(10):
+            client.send(entity=f"{number:014x}ab")
         client.send(entity="00000000000000cd")
-        assert client.read_answer()[:2] == (2, 0) and time.monotonic() - started_at < 0.5
-        assert client.read_answer()[:2] == (1, 1) and time.monotonic() - started_at < 0.65
-        assert wait_for(lambda: len(running.commands("KILL")) == len(running.commands()) - 1)
+        assert client.read_answer()[:2] == (11, 0)
+        assert wait_for(lambda: len(running.commands()) == 11) and not running.commands("KILL")
+        # The client waits for 3 s, and the request class allows 6 s. When the director's clock is
+        # set forward by 3 s, the requests are rejected. Otherwise they would be 3 s later.
+        running.director.clock_offset += 3000.0
+        assert {client.read_answer()[:2] for _ in range(10)} == {(n, 1) for n in range(1, 11)}
+        assert time.monotonic() - started_at < 2.9
+        assert wait_for(lambda: len(running.commands("KILL")) == 10)
+        assert len(running.commands()) == 11
 
 
 def test_endpoint_that_does_not_read_delays_only_its_own_requests(monkeypatch):
-    # No thread may block in a write while others wait for it or for a lock that it holds.
+    # No thread may block in a write while others wait for it or for a lock that it holds. Such a
+    # write would not end, as no endpoint reads or closes before all requests are answered. With
+    # buffers this small, no request can be written completely.
+    all_answered, attach = threading.Event(), WriteQueue.attach
+
+    def attach_with_small_buffer(write_queue, connection):
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return attach(write_queue, connection)
+
+    monkeypatch.setattr(WriteQueue, "attach", attach_with_small_buffer)
     monkeypatch.setattr(
-        StandInEndpoint,
-        "serve_connection",
-        lambda self, connection: time.sleep(3.0) if self.plan else None,
+        StandInEndpoint, "serve_connection", lambda endpoint, connection: all_answered.wait(60.0)
     )
-    with RunningDirector() as running:
+    running = RunningDirector()
+    for endpoint in running.endpoints:
+        endpoint.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    with running:
         client = running.connect_client()
         for _ in range(30):
             client.send("order", body=bytes(48_000), patience="700")
-        started_at = time.monotonic()
-        assert {client.read_answer()[1] for _ in range(30)} == {
-            1
-        } and time.monotonic() - started_at < 1.5
+        assert {client.read_answer()[1] for _ in range(30)} == {1}
+        all_answered.set()
 
 
 @pytest.mark.usefixtures("patient_directors")
