--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,6 @@
 
 import multiprocessing
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
-from inspect import signature
 
 import pytest
 from helpers import hold_calls
@@ -69,12 +68,13 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Move tests that wait for a background job to the end, to give the jobs time to finish."""
+    """Move tests that wait for a background job to the end, to give the jobs time to finish.
+
+    The names of a test's fixtures include those that it requests only through other fixtures.
+    """
     items.sort(
         key=lambda item: (
-            not {"process_job_result", "thread_job_result"}.isdisjoint(
-                signature(item.function).parameters
-            )
+            not {"process_job_result", "thread_job_result"}.isdisjoint(item.fixturenames)
         )
     )
 
@@ -89,28 +89,38 @@
 
 
 @pytest.fixture(scope="session", autouse=True)
-def process_job_result(request):
-    """Return a function that waits for the process job with a given name and returns its result.
+def process_jobs(request):
+    """Start the process jobs and return their futures by name.
 
     A test module lists its jobs in PROCESS_JOBS: each name has a function and its arguments. The
     function is called in another process.
     """
     jobs = collect_jobs(request.session, "PROCESS_JOBS")
     with ProcessPoolExecutor(MAX_PROCESS_JOBS, multiprocessing.get_context("spawn")) as pool:
-        futures = {name: pool.submit(*job) for name, job in jobs.items()}
-        yield lambda name: futures[name].result()
+        yield {name: pool.submit(*job) for name, job in jobs.items()}
 
 
 @pytest.fixture(scope="session", autouse=True)
-def thread_job_result(request, tmp_path_factory):
-    """Return a function that waits for the thread job with a given name and returns its result.
+def thread_jobs(request, tmp_path_factory):
+    """Start the thread jobs and return their futures by name.
 
     A test module lists its jobs in THREAD_JOBS: each name has a function, which is called in a
     thread with the path of a temporary folder.
     """
     jobs = collect_jobs(request.session, "THREAD_JOBS")
     with ThreadPoolExecutor(MAX_THREAD_JOBS) as pool:
-        futures = {
+        yield {
             name: pool.submit(job, str(tmp_path_factory.mktemp(name))) for name, job in jobs.items()
         }
-        yield lambda name: futures[name].result()
+
+
+@pytest.fixture(scope="session")
+def process_job_result(process_jobs):
+    """Return a function that waits for the process job with a given name and returns its result."""
+    return lambda name: process_jobs[name].result()
+
+
+@pytest.fixture(scope="session")
+def thread_job_result(thread_jobs):
+    """Return a function that waits for the thread job with a given name and returns its result."""
+    return lambda name: thread_jobs[name].result()
