--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,12 +1,9 @@
 """Fixtures for the tests of the network code."""
 
-import threading
-
 import helpers
 import pytest
 
 from mulleinrelay.policy import connection_reuse
-from mulleinrelay.policy.admission import SchedulingDelay
 
 PATIENCE = 60_000.0  # ms; longer than any test
 
@@ -16,10 +13,10 @@
     """Let directors ignore delays that are caused by a busy machine and not by the test.
 
     Otherwise a director may send another attempt if an answer exceeds the latency objective, a ping
-    is not answered within 100 ms, or a connection is not open after 400 ms. It may also reject
-    requests if its timers run late. Delays that a test itself records still count.
+    is not answered within 100 ms, or a connection is not open after 400 ms. RunningDirector itself
+    ignores late timers.
     """
-    start_settings, record_delay = helpers.start_settings, SchedulingDelay.record
+    start_settings = helpers.start_settings
 
     def patient_settings(**changes):
         settings = start_settings(**changes)
@@ -28,10 +25,5 @@
             request_class["slo"] = request_class["deadline"]
         return settings
 
-    def record_delay_of_test(scheduling_delay, now, delay):
-        if threading.current_thread().name != "timers":
-            record_delay(scheduling_delay, now, delay)
-
     monkeypatch.setattr(helpers, "start_settings", patient_settings)
     monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", PATIENCE)
-    monkeypatch.setattr(SchedulingDelay, "record", record_delay_of_test)
