--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -5,11 +5,11 @@
 
 from mulleinrelay.policy import connection_reuse
 
-PATIENCE = 60_000.0  # ms; longer than any test
+LONG_TIMEOUT = 60_000.0  # ms; longer than any test
 
 
 @pytest.fixture
-def patient_directors(monkeypatch):
+def long_timeouts(monkeypatch):
     """Let directors ignore delays that are caused by a busy machine and not by the test.
 
     Otherwise a director may send another attempt if an answer exceeds the latency objective, a ping
@@ -18,12 +18,12 @@
     """
     start_settings = helpers.start_settings
 
-    def patient_settings(**changes):
+    def settings_with_long_timeouts(**changes):
         settings = start_settings(**changes)
-        settings["allowed"]["connectTimeout"] = PATIENCE
+        settings["allowed"]["connectTimeout"] = LONG_TIMEOUT
         for request_class in settings["classes"]:
             request_class["slo"] = request_class["deadline"]
         return settings
 
-    monkeypatch.setattr(helpers, "start_settings", patient_settings)
-    monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", PATIENCE)
+    monkeypatch.setattr(helpers, "start_settings", settings_with_long_timeouts)
+    monkeypatch.setattr(connection_reuse, "SILENCE_BEFORE_PING", LONG_TIMEOUT)
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -27,7 +27,7 @@
 from mulleinrelay.net.request_handler import RequestHandler
 from mulleinrelay.net.thrift import FrameDecoder
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 REJECTED_ANSWER = (b"WAIT", b"-", b"")
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -17,7 +17,7 @@
 from mulleinrelay.net.client_listener import ClientListener
 from mulleinrelay.net.request_handler import RequestHandler
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 
 def test_call_that_arrives_at_the_end_of_a_drain_is_answered(monkeypatch):
--- a/tests/net/test_event_stream.py
+++ b/tests/net/test_event_stream.py
@@ -22,7 +22,7 @@
 from mulleinrelay.net import event_stream
 from mulleinrelay.policy.model import EndpointState
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 
 def test_accept_loop_and_event_stream_go_on_after_lack_of_descriptors(monkeypatch):
--- a/tests/net/test_event_stream_start.py
+++ b/tests/net/test_event_stream_start.py
@@ -21,7 +21,7 @@
 from mulleinrelay.policy.model import EndpointState
 from mulleinrelay.router_driver import RouterDriver
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 NOT_HEALTHY_FIELD = b"\x02\x00\x03\x00"  # `good` in the answer to a health check: bool, id 3, false
 
--- a/tests/net/test_queued_attempts.py
+++ b/tests/net/test_queued_attempts.py
@@ -17,7 +17,7 @@
 from mulleinrelay.net.upstream_connections import UpstreamConnections
 from mulleinrelay.policy.model import EndpointState
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 
 @pytest.fixture
--- a/tests/net/test_request_handler.py
+++ b/tests/net/test_request_handler.py
@@ -9,7 +9,7 @@
     wait_for,
 )
 
-pytestmark = pytest.mark.usefixtures("short_drains", "patient_directors")
+pytestmark = pytest.mark.usefixtures("short_drains", "long_timeouts")
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -24,7 +24,7 @@
 pytestmark = pytest.mark.usefixtures("short_drains")
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_late_second_answer_is_not_taken_for_the_next_attempt():
     # An endpoint answers the first attempt twice. The second answer, a miss, arrives while the next
     # attempt of the request is in flight under the same id. If it were taken for the answer to this
@@ -56,7 +56,7 @@
         assert len(running.commands()) == 2
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 @pytest.mark.parametrize(("allows_cancel", "cancel_count"), [(True, 1), (False, 0)])
 def test_cancellation_is_sent_only_if_the_settings_allow_it(allows_cancel, cancel_count):
     with RunningDirector(None, allowed={"cancel": allows_cancel, "mayDuplicate": False}) as running:
@@ -77,7 +77,7 @@
         assert client.read_answer()[:2] == (1, 2)
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 @pytest.mark.parametrize("allows_hedging", [True, False])
 def test_cancellation_that_cannot_be_written_closes_connection_without_hedging(
     allows_hedging,
@@ -103,7 +103,7 @@
         local.close()
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_lack_of_descriptors_is_not_blamed_on_endpoints(monkeypatch):
     # If idle clients use up the director's file descriptors, no upstream connection can be opened.
     # Endpoints must not be ejected for this.
@@ -128,7 +128,7 @@
         assert client.read_answer()[:2] == (2, 0)
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_connection_closed_by_its_endpoint_is_not_written_to(monkeypatch):
     # If an attempt were written to a connection that the endpoint has already closed, it would be
     # unknown whether it was executed.
@@ -157,7 +157,7 @@
         resume_reading.set()
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_answer_before_unreadable_bytes_is_accepted():
     # An attempt must not fail after its answer was received. Invalid bytes after the answer only
     # close the connection.
@@ -173,7 +173,7 @@
         assert client.read_answer() == (1, 0, {}, b"bytes")
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_refused_connection_proves_that_nothing_was_executed(reserve_port):
     running = RunningDirector()
     (event,) = running.director.config.known_events
@@ -189,7 +189,7 @@
         assert len(failed_names) == len(set(failed_names)) > 0
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_silent_endpoint_delays_only_its_own_requests():
     # Ten requests get no answer. If each of them delayed the next request by 0.3 s, or the last
     # request waited for the end of any, the last one would not be answered first.
@@ -237,7 +237,7 @@
         all_answered.set()
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 @pytest.mark.parametrize("plan", ["cut", answer_nothing])
 def test_broken_connection_is_closed_and_its_attempts_are_retried_elsewhere(plan, monkeypatch):
     # Requests must not wait until their deadline on a connection that stays open after an
--- a/tests/net/test_upstream_writes.py
+++ b/tests/net/test_upstream_writes.py
@@ -62,7 +62,7 @@
         assert reported == [(attempts[0], Outcome.RESET), (attempts[1], Outcome.CONNECT_FAILED)]
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_attempts_over_the_limit_of_a_connection_open_another_one():
     with RunningDirector(lambda fields: None, allowed={"mayDuplicate": False}) as running:
         client = running.connect_client()
@@ -73,7 +73,7 @@
         assert len(origin_server.connections) == 3  # with up to two attempts each
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_idle_connections_are_evicted_for_attempts_to_other_endpoints():
     # When the director has as many upstream connections as it may, idle ones must not prevent new
     # connections to other endpoints.
@@ -93,7 +93,7 @@
         assert wait_for(is_order_served, 10.0)
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_two_attempts_of_one_request_at_one_endpoint_are_told_apart():
     # The late answer to a cancelled attempt must not be taken for the answer to the next attempt
     # with the same id.
@@ -126,7 +126,7 @@
         assert upstream.connection_by_attempt[attempts[2]][0] is not first_connection
 
 
-@pytest.mark.usefixtures("patient_directors")
+@pytest.mark.usefixtures("long_timeouts")
 def test_idle_connections_are_closed_by_the_director():
     connection_counts = []
 
