--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -651,9 +651,11 @@
 
 
 def ignore_late_timers(director):
-    """Let a director reject no request because its timers are late, as they are in a busy test run.
+    """Stop a director from recording late timers, so that they lead to no rejection.
 
-    A test that needs such a delay records it in the coordinator's `scheduling_delay` itself.
+    Late timers are common in a busy test run, and a director that records them may reject requests
+    for lack of CPU time. Delays that a test itself records in the coordinator's `scheduling_delay`
+    still count.
     """
     scheduling_delay = director.coordinator.scheduling_delay
     record = scheduling_delay.record
