--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -14,6 +14,7 @@
     Served,
 )
 from mulleinrelay.net import resp
+from mulleinrelay.policy.deadlines import FINAL_RESPONSE_MARGIN
 from mulleinrelay.policy.events import (
     AttemptFinished,
     HealthCheckFinished,
@@ -172,6 +173,20 @@
     assert fixture.now < request.deadline
 
 
+def test_an_unanswered_request_is_rejected_when_its_final_response_is_due_and_not_before():
+    # The final response is due at the client's deadline less a margin for its way to the client.
+    fixture = CoordinatorFixture()
+    request = fixture.accept(remaining_time=300.0)
+    due = request.deadline - FINAL_RESPONSE_MARGIN
+    fixture.advance_time(due - 1.0 - fixture.now)
+    assert fixture.run_to_result(request) is None
+    assert fixture.coordinator.run_due_timers() == (due, [], [])
+    fixture.now = due
+    *_, requests_with_steps = fixture.coordinator.run_due_timers()
+    assert requests_with_steps == [request]
+    assert isinstance(fixture.run_to_result(request), Rejected)
+
+
 @pytest.mark.parametrize(("lateness", "utilization"), [(0.0, 0.0), (300.0, 0.75), (1000.0, 0.99)])
 def test_a_late_timer_counts_as_a_lack_of_cpu_time(lateness, utilization):
     fixture = CoordinatorFixture()
